--- /dev/null
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -0,0 +1,124 @@
+"""Decision records of commit 0684301 read, write and replay as that commit wrote them."""
+
+from __future__ import annotations
+
+import pathlib
+import struct
+from typing import Any
+
+import msgspec
+import pytest
+import zstandard
+
+from saffronstack import Settings
+from saffronstack.core import record
+from saffronstack.core.record import Recorder, replay
+
+DATA = pathlib.Path(__file__).parent / "data" / "decision_record"
+RECORDS = sorted(path.name for path in DATA.glob("*.record"))
+LENGTH = struct.Struct("<I")
+EVENT_TAGS = {
+    "ListUpdate",
+    "Request",
+    "Outcome",
+    "Probed",
+    "Loaded",
+    "Woken",
+    "ClientGone",
+    "StreamStarted",
+    "PeerMessage",
+}
+ACTION_TAGS = {
+    "Send",
+    "Refuse",
+    "Fail",
+    "Cancel",
+    "Probe",
+    "Load",
+    "Unload",
+    "WakeMe",
+    "Watch",
+    "FetchList",
+    "Log",
+}
+RESULTS = {"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"}
+
+
+def raw_values(path: pathlib.Path) -> list[bytes]:
+    """Return the MessagePack values of a record without the product's reader."""
+    with path.open("rb") as file:
+        content = zstandard.ZstdDecompressor().stream_reader(file).read()
+    values, place = [], 0
+    while place < len(content):
+        (length,) = LENGTH.unpack_from(content, place)
+        place += LENGTH.size
+        values.append(content[place : place + length])
+        assert len(values[-1]) == length
+        place += length
+    return values
+
+
+def decoded_values(name: str) -> list[Any]:
+    return [msgspec.msgpack.decode(value) for value in raw_values(DATA / name)]
+
+
+def write_again(values: list[bytes], path: pathlib.Path) -> None:
+    """Read the values into the present types and record these: the one place that knows their names."""
+    head = msgspec.msgpack.decode(values[0])
+    settings = msgspec.convert(head["settings"], Settings)
+    recorder = Recorder(str(path), settings, head["seed"])
+    for number, value in enumerate(values[1:], 1):
+        now, event, actions = msgspec.msgpack.decode(value)
+        recorder.record(
+            now,
+            record._untagged(event, record._EVENTS, number),
+            [record._untagged(action, record._ACTIONS, number) for action in actions],
+        )
+    assert recorder.close()
+
+
+@pytest.mark.parametrize("name", RECORDS)
+def test_a_record_is_written_again_byte_by_byte(name: str, tmp_path: pathlib.Path) -> None:
+    values = raw_values(DATA / name)
+    write_again(values, tmp_path / name)
+    assert raw_values(tmp_path / name) == values
+
+
+@pytest.mark.parametrize("name", RECORDS)
+def test_the_product_reads_the_same_values(name: str) -> None:
+    with (DATA / name).open("rb") as file:
+        assert list(record._values(file)) == raw_values(DATA / name)
+
+
+def test_a_record_of_real_decisions_replays() -> None:
+    decisions = decoded_values("replayable.record")[1:]
+    events, actions = len(decisions), sum(len(recorded) for _, _, recorded in decisions)
+    assert events > 300 and actions > 300
+    assert replay(str(DATA / "replayable.record")) == (events, actions)
+
+
+def test_the_kept_record_holds_every_kind_of_event_and_action() -> None:
+    decisions = decoded_values("every_kind.record")[1:]
+    assert {event[0] for _, event, _ in decisions} == EVENT_TAGS
+    assert {action[0] for _, _, actions in decisions for action in actions} == ACTION_TAGS
+
+
+def test_the_present_code_knows_no_other_kinds() -> None:
+    assert set(record._EVENTS) == EVENT_TAGS
+    assert set(record._ACTIONS) == ACTION_TAGS
+
+
+def test_the_kept_records_hold_every_enum_member() -> None:
+    events = [event for _, event, _ in decoded_values("every_kind.record")[1:]]
+    heads = [decoded_values(name)[0]["settings"] for name in RECORDS]
+    classes = [one for head in heads for one in head["classes"]]
+    lists = [event for tag, event in events if tag == "ListUpdate"]
+    for kind in ("Outcome", "Probed", "Loaded"):
+        assert {event["result"] for tag, event in events if tag == kind} == RESULTS
+    assert {event["found"] for tag, event in events if tag == "Outcome"} == {0, 1, 2, 3, 4}
+    assert {event["kind"] for event in lists} == {0, 1, 2, 3}
+    assert {worker["state"] for event in lists for worker in event["workers"]} == {0, 1, 2}
+    assert {one["effect"] for one in classes} == {"safe", "keyed", "unsafe"}
+    assert {one["group"] for one in classes} == {"all", "zone", "cell"}
+    assert {head["miss_mode"] for head in heads} == {"load", "miss"}
+    assert {head["report_via"] for head in heads} == {"answers", "probe", "none"}
