--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,7 +1,8 @@
 """State that earlier texts of the program wrote, as a kill left it, through the present one.
 
 `tests/formats/COMMIT` holds a ledger, notes of operations and a usage log of a gateway of that commit, and
-what its clients had been told. Other formats are refused and left as they are."""
+what its clients had been told; `capture.py` there writes such a folder. Other formats are refused and left
+as they are."""
 
 from __future__ import annotations
 
@@ -21,7 +22,7 @@
 from tests.support.stack import configuration
 
 FORMATS = pathlib.Path(__file__).parent / "formats"
-COMMITS = sorted(path.name for path in FORMATS.iterdir())
+COMMITS = sorted(path.parent.name for path in FORMATS.glob("*/told.json"))
 
 
 def config(folder: pathlib.Path, fleet: StandInFleet) -> configs.Config:
@@ -34,6 +35,12 @@
     return configs.parse(json.dumps(content))
 
 
+def test_no_kept_folder_is_passed_over() -> None:
+    folders = {path.name for path in FORMATS.iterdir() if path.is_dir()} - {"__pycache__"}
+    assert folders == set(COMMITS)
+    assert folders >= {"2174f02", "0a53391", "0684301"}
+
+
 @pytest.mark.parametrize("commit", COMMITS)
 def test_what_an_earlier_text_told_its_clients_still_holds(commit: str, tmp_path: pathlib.Path) -> None:
     folder = tmp_path / commit
