--- /dev/null
+++ b/tests/stored_formats/test_journal_formats.py
@@ -0,0 +1,245 @@
+"""Ledgers, operations notes and usage logs of commit 0684301: every kind of record, state and file."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import shutil
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+import pytest
+
+from saffronstack.deferred.book import Book
+from saffronstack.deferred.ledger import CODEC as LEDGER_CODEC
+from saffronstack.deferred.ledger import names_in
+from saffronstack.durable.journal import Codec, Journal
+from saffronstack.durable.runs import Run, write_run
+from saffronstack.durable.segments import Files
+from saffronstack.invoke.usage import statement, together
+from saffronstack.metering.account import Account
+from saffronstack.metering.archive import amounts_of, key_of, parts_of, value_of
+from saffronstack.metering.merging import merge
+from saffronstack.metering.meter import CODEC as USAGE_CODEC
+from saffronstack.metering.meter import read_usage_log
+from saffronstack.metering.records import Asked, Offered, Usage
+from saffronstack.metering.report import COLUMNS, comma_separated, json_lines, rows, table
+from saffronstack.operations.notes import CODEC as NOTES_CODEC
+from saffronstack.operations.notes import Notes
+from saffronstack.operations.table import pack, unpack
+from tests.stored_formats.stored_files import DATA, segment_blocks, segment_records
+
+SEGMENT_BYTES = 1 << 20
+WAIT_S = 10.0
+TENANT = "corner-books"
+BUDGET_WINDOWS = {TENANT: 3600.0, "campus-app": 60.0}
+AT = 1_764_680_000.5  # Unix seconds
+ARCHIVE = DATA / "usage_archive"
+RUNS = sorted(path.name for path in (ARCHIVE / "runs").glob("*.run"))
+MESSAGES = DATA / "usage_messages"
+
+
+@dataclass(frozen=True)
+class Kind:
+    """One kind of journal: its kept folder, how the present code opens it, and its records' tags."""
+
+    folder: str
+    segment: str
+    codec: Codec[Any]
+    empty_state: Callable[[], Any]
+    tags: str
+
+    def records(self) -> list[bytes]:
+        return segment_records(DATA / self.folder / self.segment)
+
+    def journal(self, directory: pathlib.Path) -> Journal[Any, Any]:
+        return Journal(str(directory), self.empty_state(), self.codec, SEGMENT_BYTES)
+
+
+KINDS = [
+    Kind("deferred_records", "ledger-0000000001.seg", LEDGER_CODEC, lambda: Book(100), "antvfds"),
+    Kind("operations_notes", "operations-0000000001.seg", NOTES_CODEC, Notes, "snerx"),
+    Kind(
+        "usage_records",
+        "usage-0000000001.seg",
+        USAGE_CODEC,
+        lambda: Account(budget_windows=BUDGET_WINDOWS),
+        "rcgpxfqykethowamns",
+    ),
+]
+each_kind = pytest.mark.parametrize("kind", KINDS, ids=[kind.folder for kind in KINDS])
+
+
+def figures_of(account: Account) -> dict[str, Any]:
+    merged = merge([account])
+    found = rows(merged, COLUMNS)
+    return {
+        "by_tenant": dict(sorted(account.by_tenant().items())),
+        "statement": together([statement(account, None, TENANT, AT)], []),
+        "csv": comma_separated(found, COLUMNS),
+        "jsonl": json_lines(found, COLUMNS),
+        "table": table(found, COLUMNS),
+    }
+
+
+@each_kind
+def test_each_kept_record_is_written_again_byte_by_byte(kind: Kind) -> None:
+    records = kind.records()
+    assert [kind.codec.encode(kind.codec.decode(record)) for record in records] == records
+
+
+@each_kind
+def test_the_kept_segment_holds_every_kind_of_record(kind: Kind) -> None:
+    assert {msgspec.msgpack.decode(record)[0] for record in kind.records()} == set(kind.tags)
+
+
+@each_kind
+def test_the_kept_segment_adds_up_to_the_same_snapshot(kind: Kind, tmp_path: pathlib.Path) -> None:
+    shutil.copy(DATA / kind.folder / kind.segment, tmp_path)
+    journal = kind.journal(tmp_path)
+    snapshot = [kind.codec.encode(record) for record in journal.state.snapshot()]
+    assert journal.close()
+    assert not journal.found.lines and not journal.found.in_doubt
+    assert snapshot == msgspec.msgpack.decode((DATA / kind.folder / "snapshot.msgpack").read_bytes())
+
+
+@each_kind
+def test_the_journal_writes_the_same_segment(kind: Kind, tmp_path: pathlib.Path) -> None:
+    kept = segment_blocks((DATA / kind.folder / kind.segment).read_bytes())
+    journal = kind.journal(tmp_path)
+    for _, records in kept:
+        ticket = journal.append(*(kind.codec.decode(record) for record in records))
+        assert ticket.done.wait(WAIT_S) and ticket.durable
+    assert journal.close()
+    written = (tmp_path / kind.segment).read_bytes()
+    assert segment_blocks(written) == kept
+    if not kind.codec.compress:  # what a compressor makes of the same records may change with its version
+        assert written == (DATA / kind.folder / kind.segment).read_bytes()
+
+
+def test_names_of_deferred_operations_are_read_from_a_kept_ledger() -> None:
+    names = names_in(DATA / "deferred_records")
+    records = [msgspec.msgpack.decode(record) for record in KINDS[0].records()]
+    assert [digest for digest, _ in names] == [bytes([number]) * 12 for number in (1, 3, 2)]
+    assert set(names) <= {(record[8], record[9]) for record in records if record[0] == "a"} | {
+        (record[1], record[2]) for record in records if record[0] == "n"
+    }
+
+
+def test_what_the_next_holder_learns_from_kept_notes(tmp_path: pathlib.Path) -> None:
+    kind = KINDS[1]
+    shutil.copy(DATA / kind.folder / kind.segment, tmp_path)
+    journal = kind.journal(tmp_path)
+    known = {digest.hex(): packed.hex() for digest, packed in journal.state.known()}
+    assert journal.close()
+    assert known == json.loads((DATA / kind.folder / "known.json").read_text())
+
+
+def test_packed_operations_are_unpacked_and_packed_again_byte_by_byte() -> None:
+    known = json.loads((DATA / "operations_notes" / "known.json").read_text())
+    packed = [bytes.fromhex(text) for text in known.values()]
+    assert [pack(unpack(one)) for one in packed] == packed
+    raw = [msgspec.msgpack.decode(one) for one in packed]
+    assert {(one[0], one[4]) for one in raw} == {
+        (fate, effect) for fate in ("ended", "unknown", "again") for effect in ("safe", "keyed", "unsafe")
+    }
+    answered = next(unpack(one) for one in packed if unpack(one).answer is not None)
+    answer = answered.answer
+    assert answer is not None
+    assert answer.status == 200 and answer.body == b'{"sold": 1}'
+    assert answer.headers[:2] == (
+        ("Content-Type", "application/json"),
+        ("x-amzn-RequestId", answered.request_id),
+    )
+    assert answer.headers[-1] == ("X-Other", "text")
+
+
+# ---- usage
+
+
+def test_a_kept_usage_log_is_charged_and_reported_the_same(tmp_path: pathlib.Path) -> None:
+    kind = KINDS[2]
+    shutil.copy(DATA / kind.folder / kind.segment, tmp_path)
+    journal = kind.journal(tmp_path)
+    figures = figures_of(journal.state)
+    assert journal.close()
+    assert figures == json.loads((DATA / kind.folder / "figures.json").read_text())
+
+
+def test_a_kept_archive_is_charged_and_reported_the_same() -> None:
+    account, lines = read_usage_log(ARCHIVE)
+    assert not lines and not account.problems()
+    assert account.gateway == "gateway-two" and account.runs == len(RUNS)
+    assert figures_of(account) == json.loads((ARCHIVE / "figures.json").read_text())
+
+
+def test_the_kept_archive_holds_every_kind_of_key() -> None:
+    keys = [key for name in RUNS for key, _ in Run.open(ARCHIVE / "runs" / name).items()]
+    assert {parts_of(key)[0] for key in keys} == set("towkehu")
+
+
+@pytest.mark.parametrize("name", RUNS)
+def test_a_run_is_written_again_as_it_was(name: str, tmp_path: pathlib.Path) -> None:
+    run = Run.open(ARCHIVE / "runs" / name)
+    write_run(tmp_path / name, run.items(), Files())
+    trailer_bytes = 16
+    kept = (ARCHIVE / "runs" / name).read_bytes()
+    written = (tmp_path / name).read_bytes()
+    assert segment_blocks(written[:-trailer_bytes]) == segment_blocks(kept[:-trailer_bytes])
+    assert written[-trailer_bytes:][:4] == kept[-trailer_bytes:][:4] == b"SfRn"
+
+
+@pytest.mark.parametrize("name", RUNS)
+def test_keys_and_amounts_of_a_run_are_encoded_as_they_were(name: str) -> None:
+    for key, value in Run.open(ARCHIVE / "runs" / name).items():
+        kind, *parts = parts_of(key)
+        assert key_of(str(kind), *parts) == key
+        if kind in ("t", "o", "w", "k", "h"):
+            assert value_of(amounts_of(value)) == value
+        elif value:
+            assert USAGE_CODEC.encode(USAGE_CODEC.decode(value)) == value
+
+
+def test_kept_runs_merge_into_what_they_merged_into(tmp_path: pathlib.Path) -> None:
+    shutil.copytree(ARCHIVE, tmp_path / "usage")
+    account, _ = read_usage_log(tmp_path / "usage")
+    kept = msgspec.msgpack.decode((ARCHIVE / "merged.msgpack").read_bytes(), type=list[tuple[bytes, bytes]])
+    numbers = [int(name[4:14]) for name in RUNS]
+    runs = (numbers[-1], *numbers[:-1])  # the last one stands for the three that were oldest
+    number = account.merge_runs(runs)
+    path = tmp_path / "usage" / "runs" / f"run-{number:010d}.run"
+    gone = [key for key, value in kept if not value or parts_of(key)[0] == "w"]  # out of their windows
+    assert list(Run.open(path).items()) == [pair for pair in kept if pair[0] not in gone]
+
+
+# ---- messages between a gateway and a worker
+
+
+@pytest.mark.parametrize(
+    ("name", "kind"),
+    [("asked", Asked), ("asked-defaults", Asked), ("offered", Offered), ("offered-defaults", Offered)],
+)
+def test_a_usage_message_is_written_again_byte_by_byte(name: str, kind: type[Asked | Offered]) -> None:
+    kept = (MESSAGES / f"{name}.msgpack").read_bytes()
+    assert msgspec.msgpack.encode(msgspec.msgpack.decode(kept, type=kind)) == kept
+
+
+def test_a_usage_message_holds_the_fields_that_workers_send() -> None:
+    offered = msgspec.msgpack.decode((MESSAGES / "offered.msgpack").read_bytes())
+    assert list(offered) == [
+        "worker",
+        "incarnation",
+        "now_us",
+        "mine",
+        "gone",
+        "known",
+        "dropped",
+        "records",
+        "left",
+    ]
+    (record,) = offered["records"]
+    assert msgspec.msgpack.encode(msgspec.convert(record, Usage)) == msgspec.msgpack.encode(record)
+    asked = msgspec.msgpack.decode((MESSAGES / "asked.msgpack").read_bytes())
+    assert list(asked) == ["gateway", "ack", "missing", "limit"]
