--- /dev/null
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -0,0 +1,275 @@
+"""What the processes of one address share: slots, spooled answers, requests, numbers, a listening socket."""
+
+from __future__ import annotations
+
+import fcntl
+import io
+import json
+import os
+import pathlib
+import shutil
+import socket
+import threading
+import time
+from typing import Any
+
+import msgspec
+import pytest
+
+from saffronstack.cli import serve
+from saffronstack.core.names import function_number, worker_number
+from saffronstack.daemon import handover
+from saffronstack.daemon.members import Members, member_directory
+from saffronstack.http1.messages import Headers, RequestHead
+from saffronstack.invoke.response import Response
+from saffronstack.invoke.routing import Router, Sent
+from saffronstack.operations.names import Name, fingerprint, worker_key
+from saffronstack.operations.owners import SLOTS, owner, slot_of
+from saffronstack.operations.service import NotHeldError
+from saffronstack.operations.slots import Home, Peer, SlotKeeper, Slots
+from saffronstack.operations.spool import Spool, digest_of
+from tests.stored_formats.stored_files import DATA, OneExchange
+
+KEPT_SLOT = 3
+HOMES = (
+    Home("/state/process-0/operations", "/state/process-0/ledger"),
+    Home("", "/state/process-1/ledger"),
+    Home("/state/process-2/operations", ""),
+)
+MEMORY = [(bytes([KEPT_SLOT]) * 12, b"packed"), (b"\xff" * 12, b"")]
+PROCESSES = DATA / "address_processes"
+NUMBERS: dict[str, Any] = json.loads((PROCESSES / "numbers.json").read_text())
+LATEST_S = 9e9  # seconds of the monotonic clock, later than any
+RESPONSE = (
+    b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Amz-Executed-Version: $LATEST\r\n"
+    b"X-Saffron-Repeated: ended\r\nX-Other: 1\r\nContent-Length: 2\r\n\r\n{}"
+)
+
+
+# ---- slots
+
+
+class RecordingKeeper(SlotKeeper):
+    """Notes what is taken over, and leaves what the kept file holds."""
+
+    def __init__(self) -> None:
+        self.homes: list[Home] = []
+        self.memory: list[tuple[bytes, bytes]] = []
+
+    def take_over(self, slots: frozenset[int], homes: list[Home], memory: list[tuple[bytes, bytes]]) -> None:
+        self.homes += homes
+        self.memory += memory
+
+    def give_up(self, slots: frozenset[int]) -> dict[int, list[tuple[bytes, bytes]]]:
+        return {slot: [(bytes([slot]) * 12, b"packed"), (b"\xff" * 12, b"")] for slot in slots}
+
+
+def member(directory: pathlib.Path, number: int, keeper: SlotKeeper) -> Slots:
+    return Slots(
+        directory, str(number), lambda: f"127.0.0.1:400{number}", HOMES[number], keeper, time.monotonic
+    )
+
+
+def test_slots_that_change_hands_leave_the_same_files(tmp_path: pathlib.Path) -> None:
+    kept = DATA / "operation_slots"
+    for number in range(len(HOMES)):
+        slots = member(tmp_path, number, RecordingKeeper())
+        slots.start()
+        lock = (tmp_path / f"{KEPT_SLOT}.lock").read_bytes()
+        assert lock == (kept / f"{KEPT_SLOT}.lock.{number}").read_bytes()
+        assert slots.stop()
+        assert (tmp_path / "live" / str(number)).read_bytes() == (kept / "live" / str(number)).read_bytes()
+    assert (tmp_path / f"{KEPT_SLOT}.memory").read_bytes() == (kept / f"{KEPT_SLOT}.memory").read_bytes()
+    assert len(list(tmp_path.glob("*.lock"))) == SLOTS == 64
+
+
+def test_the_next_holder_reads_kept_holders_and_memory(tmp_path: pathlib.Path) -> None:
+    shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.lock.1", tmp_path / f"{KEPT_SLOT}.lock")
+    shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.memory", tmp_path / f"{KEPT_SLOT}.memory")
+    keeper = RecordingKeeper()
+    slots = member(tmp_path, 2, keeper)
+    slots.tick()
+    assert keeper.homes == [HOMES[0], HOMES[1]]
+    assert keeper.memory == MEMORY
+    assert slots.holds(KEPT_SLOT)
+    slots.stop(0.0)
+
+
+def test_a_live_member_is_known_by_its_kept_file(tmp_path: pathlib.Path) -> None:
+    shutil.copytree(DATA / "operation_slots" / "live", tmp_path / "live")
+    with (tmp_path / "live" / "0").open("rb") as first:
+        fcntl.flock(first, fcntl.LOCK_EX)
+        slots = member(tmp_path, 2, RecordingKeeper())
+        slots.tick()
+        owners = [slots.owner_of(slot) for slot in range(SLOTS)]
+    assert {(peer.member, peer.address) for peer in owners if peer is not None} == {
+        ("0", "127.0.0.1:4000"),
+        ("2", "127.0.0.1:4002"),
+    }
+    assert [peer.member for peer in owners if peer is not None] == [
+        owner(slot, ["0", "2"]) for slot in range(SLOTS)
+    ]
+    slots.stop(0.0)
+
+
+# ---- spooled answers
+
+
+def test_a_spooled_answer_is_read_and_written_as_it_was(tmp_path: pathlib.Path) -> None:
+    kept = DATA / "answer_spool"
+    shutil.copytree(kept / "answers", tmp_path / "answers")
+    digest = (kept / "digest.txt").read_text()
+    spool = Spool(str(tmp_path), 1 << 20)
+    body = spool.get("0123456789abcdef", digest)
+    assert body == (kept / "answers" / "0123456789abcdef").read_bytes()
+    assert digest_of(body) == digest and spool.bytes == len(body)
+    assert spool.put("another", body)
+    assert (tmp_path / "answers" / "another").read_bytes() == body
+
+
+# ---- requests between processes
+
+
+def test_a_process_publishes_its_address_as_before(tmp_path: pathlib.Path) -> None:
+    (tmp_path / "process-1").mkdir()
+    Members(1, 3, str(tmp_path), time.monotonic).publish("127.0.0.1:4001")
+    assert (tmp_path / "process-1" / "peer").read_bytes() == (PROCESSES / "peer").read_bytes()
+
+
+def test_a_process_asks_another_one_with_the_same_request(tmp_path: pathlib.Path) -> None:
+    exchange = OneExchange(RESPONSE)
+    (tmp_path / "process-1").mkdir()
+    (tmp_path / "process-1" / "peer").write_text(exchange.address)
+    fields = [("Host", "gateway"), ("Authorization", "text")]
+    answer = Members(0, 3, str(tmp_path), time.monotonic).ask(1, "/deferred/some-id-01", fields)
+    assert exchange.request() == (PROCESSES / "ask.http").read_bytes()
+    assert answer is not None and answer[0].status == 200 and answer[1] == b"{}"
+
+
+class KnownSlots:
+    """Slots of which another process holds each."""
+
+    member = "1"
+
+    def __init__(self, address: str) -> None:
+        self._address = address
+
+    def owner_of(self, slot: int) -> Peer:
+        return Peer("0", self._address)
+
+
+def not_held() -> Response:
+    raise NotHeldError
+
+
+def test_an_operation_is_forwarded_with_the_same_request() -> None:
+    exchange = OneExchange(RESPONSE)
+    headers = Headers(
+        [
+            ("host", "gateway"),
+            ("idempotency-key", "name-1"),
+            ("x-amz-invocation-type", "RequestResponse"),
+            ("connection", "keep-alive"),
+            ("content-length", "9"),
+            ("expect", "100-continue"),
+        ]
+    )
+    head = RequestHead("POST", "/2015-03-31/functions/record-sale/invocations", 1, headers, True, False)
+    sent = Sent(head, b'{"op": 1}', b"\x01" * 12, LATEST_S, True, not_held)
+    router = Router(KnownSlots(exchange.address), time.monotonic)  # type: ignore[arg-type]
+    answer = router.run(sent, not_held)
+    assert exchange.request() == (PROCESSES / "forward.http").read_bytes()
+    assert (answer.status, answer.body) == (200, b"{}")
+    assert dict(answer.headers) == {
+        "content-type": "application/json",
+        "x-amz-executed-version": "$LATEST",
+        "x-saffron-repeated": "ended",
+    }
+
+
+# ---- what every process computes alike
+
+
+def test_operations_have_the_same_digests_and_slots() -> None:
+    for operation in NUMBERS["operations"]:
+        digest = Name(*operation["parts"]).digest()
+        assert digest.hex() == operation["digest"]
+        assert slot_of(digest) == operation["slot"]
+    for one in NUMBERS["fingerprints"]:
+        assert fingerprint(bytes.fromhex(one["payload"]), one["context"]).hex() == one["fingerprint"]
+    for one in NUMBERS["worker_keys"]:
+        assert worker_key(*one["parts"]) == one["key"]
+
+
+def test_slots_have_the_same_owners() -> None:
+    for one in NUMBERS["owners"]:
+        assert [owner(slot, one["live"]) for slot in range(SLOTS)] == one["owners"]
+
+
+def test_functions_workers_and_processes_have_the_same_numbers_and_directories() -> None:
+    assert {name: function_number(name) for name in NUMBERS["functions"]} == NUMBERS["functions"]
+    assert {name: worker_number(name) for name in NUMBERS["workers"]} == NUMBERS["workers"]
+    request_id = "0f8fad5b-d9cb-469f-a165-70867728950e"
+    marks = {str(index): Members(index, 3, "", time.monotonic).mark(request_id) for index in range(3)}
+    assert marks == NUMBERS["marks"]
+    assert [member_directory("/state/ledger", index) for index in range(3)] == NUMBERS["directories"]
+
+
+# ---- a daemon and its gateways
+
+
+def test_the_handover_socket_has_the_same_name() -> None:
+    assert handover._name("daemon-1/release-2", 4711) == NUMBERS["handover_socket"]
+    assert NUMBERS["handover_environment"] == handover.MARK == "SAFFRON_LIFE"
+
+
+def test_a_listening_socket_is_handed_over_in_the_same_message() -> None:
+    mark = f"format-test-{os.getpid()}"
+    listener = socket.create_server(("127.0.0.1", 0))
+    handing = handover.HandOver(mark, listener)
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as asking:
+        asking.settimeout(5)
+        asking.connect(handover._name(mark, os.getpid()))
+        message, descriptors, _, _ = socket.recv_fds(asking, 64, 1)
+    handing.stop()
+    assert message == b"listener"
+    with socket.socket(fileno=descriptors[0]) as taken:
+        assert taken.getsockname() == listener.getsockname()
+    listener.close()
+
+
+def test_a_listening_socket_is_taken_from_a_gateway_that_sends_the_same_message() -> None:
+    mark = f"format-test-old-{os.getpid()}"
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as giving:
+        giving.bind(handover._name(mark, os.getpid()))
+        giving.listen(1)
+        listener = socket.create_server(("127.0.0.1", 0))
+        address = listener.getsockname()
+        taken: list[socket.socket | None] = []
+        asking = threading.Thread(target=lambda: taken.append(handover.take(mark, os.getpid())))
+        asking.start()
+        peer, _ = giving.accept()
+        with peer:
+            socket.send_fds(peer, [b"listener"], [listener.fileno()])
+        asking.join(5)
+        listener.close()
+    (found,) = taken
+    assert found is not None and found.getsockname() == address
+    found.close()
+
+
+@pytest.mark.parametrize(
+    ("said", "goes"),
+    [("go\n", True), ("", False), ("other\ngo\n", True), ("after 999999999\n", True), ("after x\n", False)],
+)
+def test_a_gateway_that_stands_by_understands_its_daemon(
+    said: str, goes: bool, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    monkeypatch.setattr("sys.stdin", io.StringIO(said))
+    assert serve._told_to_go() is goes
+    assert capsys.readouterr().out == "saffronstack is prepared\n"
+
+
+def test_members_and_homes_are_json_objects_of_the_same_fields() -> None:
+    assert msgspec.json.encode(Peer("0", "h:1")) == b'{"member":"0","address":"h:1"}'
+    assert msgspec.json.encode(Home("n", "l")) == b'{"notes":"n","ledger":"l"}'
