--- /dev/null
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -0,0 +1,150 @@
+"""A roster's state directory, published results of tasks and a ledger's home, as 0684301 wrote them."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import shutil
+
+import msgspec
+import pytest
+
+from saffronstack.config.schema import Worker
+from saffronstack.fleet.tasks.jobs import FleetUsage
+from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
+from saffronstack.fleet.tasks.published import Published
+from saffronstack.roster.keeping import Kept
+from saffronstack.roster.parsing import Version, version
+from saffronstack.roster.reading import read
+from tests.stored_formats.stored_files import DATA
+
+ROSTER = DATA / "roster"
+RESULTS = DATA / "task_results"
+USAGE_LOGS = (DATA / "usage_archive", DATA.parent.parent / "formats" / "0684301" / "usage")
+APPLIED_AT = 1_764_680_000.5  # Unix seconds
+SOURCES = [ROSTER / "roster.json5", ROSTER / "directory"]
+VERSIONS = [path.name for path in sorted((ROSTER / "state" / "versions").iterdir())]
+WORKERS = {
+    "worker-1": Worker(id="worker-1", address="127.0.0.1:9001", kind="standin"),
+    "worker-2": Worker(
+        id="worker-2",
+        address="host-2.example:9002",
+        kind="standin",
+        size=2.5,
+        zone="zone-b",
+        cell="cell-b",
+        state="draining",
+        started_at=1_764_679_000.25,
+    ),
+    "worker-3": Worker(id="worker-3", address="127.0.0.1:9003", kind="standin", size=0.5),
+}
+
+
+def version_of(source: pathlib.Path) -> Version:
+    text = read(source)
+    return version(text.parts, text.digest, ("standin",), text.generation)
+
+
+# ---- the roster
+
+
+@pytest.fixture
+def kept(tmp_path: pathlib.Path) -> Kept:
+    shutil.copytree(ROSTER / "state", tmp_path / "state")
+    return Kept(tmp_path / "state")
+
+
+def test_roster_sources_have_the_same_digests_and_workers() -> None:
+    found = [version_of(source) for source in SOURCES]
+    told = [{"digest": one.digest, "generation": one.generation} for one in found]
+    assert told == json.loads((ROSTER / "versions.json").read_text())
+    assert [one.by_name() for one in found] == [
+        {name: WORKERS[name] for name in ("worker-1", "worker-2")},
+        WORKERS,
+    ]
+
+
+def test_the_last_good_copy_and_the_history_are_read(kept: Kept) -> None:
+    expected = [version_of(source) for source in SOURCES]
+    assert kept.last() == expected[1]
+    assert kept.history() == [(1, APPLIED_AT, expected[0]), (2, APPLIED_AT + 1, expected[1])]
+
+
+def test_what_operators_said_is_read(kept: Kept) -> None:
+    assert kept.accepted() == "0" * 32
+    assert kept.pinned() == version_of(SOURCES[0]).digest
+    assert kept.drains() == {"worker-1", "worker-3"}
+
+
+def test_the_state_directory_is_written_as_it_was(tmp_path: pathlib.Path) -> None:
+    written = Kept(tmp_path)
+    for number, source in enumerate(SOURCES):
+        written.keep(version_of(source), APPLIED_AT + number)
+    written.tell("accept", "0" * 32)
+    written.tell("pinned", version_of(SOURCES[0]).digest)
+    written.tell("drains", "worker-1 worker-3")
+    names = [f"versions/{name}" for name in VERSIONS] + ["accept", "pinned", "drains"]
+    assert len(VERSIONS) == len(SOURCES)
+    assert {str(path.relative_to(tmp_path)) for path in tmp_path.rglob("*") if path.is_file()} == set(names)
+    for name in names:
+        assert (tmp_path / name).read_bytes() == (ROSTER / "state" / name).read_bytes()
+
+
+# ---- tasks
+
+
+class Turn:
+    """One run of a task."""
+
+    token = 12
+    turn = 4
+
+    def still(self) -> bool:
+        return True
+
+    def pause(self, seconds: float) -> None:
+        pass
+
+
+def test_published_results_are_read() -> None:
+    result = Published(str(RESULTS / "any")).newest()
+    assert result is not None and (result.token, result.turn, bytes(result.content)) == (3, 2, b"[]")
+    usage = Published(str(RESULTS / "fleet_usage")).newest()
+    assert usage is not None and (usage.token, usage.turn) == (12, 4)
+    assert set(msgspec.json.decode(usage.content)) == {"kib_ms_by_tenant", "logs", "unread", "notes"}
+
+
+def test_results_are_published_as_they_were(tmp_path: pathlib.Path) -> None:
+    results = Published(str(tmp_path))
+    results.publish(3, 1, {"text": "first", "numbers": [1, 2.5, None]})
+    results.publish(3, 2, [])
+    kept = {path.name: path.read_bytes() for path in (RESULTS / "any").iterdir()}
+    assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == kept
+    assert set(kept) == {f"{3:020d}-{1:010d}.json", f"{3:020d}-{2:010d}.json"}
+
+
+def test_the_fleets_usage_is_published_as_it_was(tmp_path: pathlib.Path) -> None:
+    for number, log in enumerate(USAGE_LOGS):
+        shutil.copytree(log, tmp_path / f"usage_{number}")
+    FleetUsage([f"{tmp_path}/usage_*"], str(tmp_path / "output")).run(Turn())
+    (kept,) = (RESULTS / "fleet_usage").iterdir()
+    assert (tmp_path / "output" / kept.name).read_bytes() == kept.read_bytes()
+
+
+def test_a_ledgers_home_has_the_same_names_through_its_holders(tmp_path: pathlib.Path) -> None:
+    expected = json.loads((RESULTS / "ledger_home.json").read_text())
+    (tmp_path / "ledger-0000000001.seg").write_bytes(b"before any holder")
+    home = LedgerDirectory(str(tmp_path))
+
+    def names() -> list[str]:
+        return sorted(str(path.relative_to(tmp_path)) for path in tmp_path.rglob("*"))
+
+    for token in (3, 5, 70):
+        (home.enter(token) / f"ledger-{token:010d}.seg").write_bytes(b"x")
+        assert home.abandoned()
+        if token != 5:
+            home.leave(token)
+        assert names() == expected[str(token)]
+    assert not home.abandoned() and home.above(69) and not home.above(70)
+    home.sweep()
+    assert names() == expected["swept"]
