--- /dev/null
+++ b/tests/stored_formats/test_gateway_page_formats.py
@@ -0,0 +1,93 @@
+"""Names on a gateway's pages are those of 0684301: JSON keys, metrics, their types and their labels."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import socket
+import time
+from collections.abc import Iterator
+from typing import Any
+
+import pytest
+
+from saffronstack import config as configs
+from saffronstack.client import Client
+from saffronstack.daemon.members import Members
+from saffronstack.gateway import Gateway
+from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.model import Profile
+from tests.stored_formats.stored_files import AMPLE_S, DATA, complete_configuration, page_answers
+from tests.support.stack import configuration
+
+pytestmark = pytest.mark.xdist_group("gateway_pages")  # one gateway for all of them
+TENANT = "corner-books"
+KEPT: dict[str, Any] = json.loads((DATA / "gateway_pages" / "pages.json").read_text())
+
+
+@pytest.fixture(scope="module")
+def gateway(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Gateway]:
+    """The first of two processes, whose second never comes up: this one holds all slots."""
+    folder = tmp_path_factory.mktemp("gateway")
+    fleet = StandInFleet(2, lambda number: Profile(load_s=0.01, work_s=0.005))
+    content = complete_configuration(configuration(fleet, folder / "ledger"), folder, fleet.entries())
+    members = Members(0, 2, str(folder), time.monotonic)
+    running = Gateway(configs.parse(json.dumps(content)), members=members)
+    running.start()
+    yield running
+    running.stop()
+    fleet.stop()
+
+
+@pytest.fixture(scope="module")
+def answers(gateway: Gateway) -> dict[str, Any]:
+    host, port = gateway.server.address
+    client = Client(f"{host}:{port}", 30.0, tenant=TENANT)
+    found = page_answers(client, TENANT)
+    client.close()
+    return found
+
+
+@pytest.mark.parametrize("page", sorted(KEPT))
+def test_a_page_has_the_same_names(page: str, answers: dict[str, Any]) -> None:
+    assert answers[page] == KEPT[page]
+
+
+def test_the_same_pages_are_compared(answers: dict[str, Any]) -> None:
+    assert set(answers) == set(KEPT)
+
+
+def test_keys_of_json_answers_keep_their_order(answers: dict[str, Any]) -> None:
+    assert json.dumps({page: answers[page] for page in KEPT}) == json.dumps(KEPT)
+
+
+def exchanged(gateway: Gateway, request: bytes) -> bytes:
+    """Send a request to where the other processes ask this one, and return the response's beginning."""
+    assert gateway.peers is not None
+    with socket.create_connection(gateway.peers.address, timeout=AMPLE_S) as sock:
+        sock.sendall(request)
+        return sock.recv(65536)
+
+
+def test_a_forwarded_operation_of_an_earlier_process_is_run(gateway: Gateway) -> None:
+    response = exchanged(gateway, (DATA / "address_processes" / "forward.http").read_bytes())
+    assert response.startswith(b"HTTP/1.1 200 OK\r\n")
+    assert b'"input":{"op": 1}' in response
+
+
+def test_a_request_of_an_earlier_process_is_answered_here_and_not_passed_on(gateway: Gateway) -> None:
+    request = (DATA / "address_processes" / "ask.http").read_bytes().replace(b"Authorization: text\r\n", b"")
+    response = exchanged(gateway, request)
+    assert response.startswith(b"HTTP/1.1 404 ")
+    assert b"ResourceNotFoundException" in response
+
+
+def test_the_kept_pages_are_complete() -> None:
+    assert len([line for line in KEPT["/metrics"]["body"] if line.startswith("# TYPE ")]) >= 40
+
+
+def test_peers_find_the_published_address(gateway: Gateway) -> None:
+    assert gateway.peers is not None
+    directory = pathlib.Path(gateway.members.directory)
+    host, port = gateway.peers.address
+    assert (directory / "peer").read_text() == f"{host}:{port}"
