--- a/tests/stored_formats/stored_files.py
+++ b/tests/stored_formats/stored_files.py
@@ -11,6 +11,7 @@
 import time
 from typing import Any
 
+import msgspec
 import xxhash
 import zstandard
 
@@ -54,6 +55,12 @@
     return [record for _, records in segment_blocks(path.read_bytes()) for record in records]
 
 
+def record_values(path: pathlib.Path) -> list[bytes]:
+    """Return the MessagePack values of a decision record."""
+    with path.open("rb") as file:
+        return _records(zstandard.ZstdDecompressor().stream_reader(file).read())
+
+
 class OneExchange:
     """A listener on this machine that takes one HTTP request and gives a fixed response."""
 
@@ -163,3 +170,51 @@
 def _is_charged(client: Any, target: str) -> bool:
     """Whether both functions that were called have their usage counted by now."""
     return len(json.loads(client.request("GET", target).body)["functions"]) == 2
+
+
+def plain_schema(kind: Any) -> Any:
+    """Return the JSON schema of a msgspec type, without the names of types and their docstrings."""
+    schema = msgspec.json.schema(kind)
+    return _inlined(schema, schema.get("$defs", {}))
+
+
+def _inlined(node: Any, definitions: dict[str, Any]) -> Any:
+    if isinstance(node, list):
+        return [_inlined(part, definitions) for part in node]
+    if not isinstance(node, dict):
+        return node
+    if "$ref" in node:
+        return _inlined(definitions[node["$ref"].rpartition("/")[2]], definitions)
+    if "properties" in node:
+        plain = {key: part for key, part in node.items() if key not in ("title", "description", "properties")}
+        parts = {key: _inlined(part, definitions) for key, part in node["properties"].items()}
+        return {**plain, "properties": parts}
+    return {
+        key: _inlined(part, definitions)
+        for key, part in node.items()
+        if key not in ("$defs", "title", "description")
+    }
+
+
+def command_lines(command: Any, name: str) -> dict[str, Any]:
+    """Return the parameters of a click command and of all below it, by the words that call it."""
+    found: dict[str, Any] = {name: [_parameter(one) for one in command.params]}
+    for word, below in sorted(getattr(command, "commands", {}).items()):
+        found |= command_lines(below, f"{name} {word}")
+    return found
+
+
+def _parameter(parameter: Any) -> dict[str, Any]:
+    told = parameter.to_info_dict()
+    is_argument = told["param_type_name"] == "argument"
+    default = told["default"] if isinstance(told["default"], (str, int, float, list, tuple)) else None
+    return {
+        "names": "argument" if is_argument else told["opts"] + told["secondary_opts"],
+        "type": told["type"]["param_type"],
+        "choices": list(told["type"].get("choices", ())),
+        "required": told["required"],
+        "count": told["nargs"],
+        "repeated": told["multiple"],
+        "default": default,
+        "flag": told.get("is_flag", False),
+    }
--- /dev/null
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -0,0 +1,100 @@
+"""Configuration files, command lines and platform settings have the names and the meaning of 0684301."""
+
+from __future__ import annotations
+
+import dataclasses
+import json
+import pathlib
+from typing import Any
+
+import msgspec
+import pytest
+
+from saffronstack import Settings
+from saffronstack import config as configs
+from saffronstack.cli.main import main
+from saffronstack.config import fleet as fleet_files
+from saffronstack.config import schema
+from saffronstack.config.build import settings_of, workers_of
+from saffronstack.core import record
+from saffronstack.core.record import Recorder
+from saffronstack.platform import config as platform
+from saffronstack.roster import parsing
+from saffronstack.settings import parse_settings, report
+from tests.stored_formats import settings_samples
+from tests.stored_formats.stored_files import DATA, command_lines, plain_schema, record_values
+
+CONFIGURATION = DATA / "configuration"
+KINDS = {
+    "gateway": schema.Config,
+    "fleet": fleet_files.FleetFile,
+    "roster": parsing.RosterFile,
+    "manifest": parsing.Manifest,
+}
+
+
+def kept(name: str) -> Any:
+    return json.loads((CONFIGURATION / name).read_text())
+
+
+def head_of(settings: Settings, path: pathlib.Path) -> Any:
+    """Return settings as a decision record holds them."""
+    recorder = Recorder(str(path), settings, 1)
+    assert recorder.close()
+    return msgspec.msgpack.decode(record_values(path)[0])
+
+
+@pytest.mark.parametrize("kind", sorted(KINDS))
+def test_a_configuration_file_has_the_same_keys_and_defaults(kind: str) -> None:
+    assert json.loads(json.dumps(plain_schema(KINDS[kind]))) == kept("schemas.json")[kind]
+
+
+def test_commands_have_the_same_names_and_options() -> None:
+    assert command_lines(main, "saffronstack") == kept("commands.json")
+
+
+def test_a_gateways_configuration_means_the_same_settings(tmp_path: pathlib.Path) -> None:
+    config = configs.parse(json.dumps(settings_samples.GATEWAY))
+    expected = msgspec.msgpack.decode(record_values(CONFIGURATION / "gateway.record")[0])
+    assert head_of(settings_of(config), tmp_path / "gateway.record") == expected
+
+
+def test_a_gateways_configuration_means_the_same_workers() -> None:
+    config = configs.parse(json.dumps(settings_samples.GATEWAY))
+    specs = [list(dataclasses.astuple(spec)) for spec in workers_of(config)]
+    assert specs == kept("workers.json")
+
+
+def test_a_platforms_file_means_the_same_settings(tmp_path: pathlib.Path) -> None:
+    found = platform.parse(msgspec.json.encode(settings_samples.PLATFORM_FILE))
+    expected = msgspec.msgpack.decode(record_values(CONFIGURATION / "platform.record")[0])
+    assert head_of(found.settings, tmp_path / "platform.record") == expected
+    figures = [
+        found.name,
+        list(found.listen),
+        found.seed,
+        list(dataclasses.astuple(found.limits)),
+        list(found.nameserver),
+        list(found.zones),
+        list(found.kinds),
+        found.streams,
+        found.idle_s,
+        found.max_open_calls,
+    ]
+    assert figures == kept("platform.json")
+
+
+def test_the_benchs_settings_mean_the_same(tmp_path: pathlib.Path) -> None:
+    settings, names = parse_settings(json.dumps(settings_samples.PLATFORM))
+    expected = msgspec.msgpack.decode(record_values(CONFIGURATION / "platform.record")[0])
+    assert head_of(settings, tmp_path / "bench.record") == expected
+    assert list(names) == settings_samples.PLATFORM["LoadInfo"]["Fields"]
+
+
+def test_values_of_a_load_report_keep_their_names_and_units() -> None:
+    names = settings_samples.PLATFORM["LoadInfo"]["Fields"]
+    told = report([(name, 1.5 + place) for place, name in enumerate([*names, "unknown"])])
+    _, event, _ = msgspec.msgpack.decode(record_values(CONFIGURATION / "load_report.record")[1])
+    expected = record._untagged(event, record._EVENTS, 1)
+    assert told in [getattr(expected, field.name) for field in dataclasses.fields(expected)]
+    assert None not in dataclasses.astuple(told)
