--- /dev/null
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -0,0 +1,86 @@
+"""What a gateway says to workers, and what it understands of their answers, is what 0684301 did."""
+
+from __future__ import annotations
+
+import dataclasses
+import json
+from typing import Any
+
+import pytest
+
+from saffronstack.core.calls import Call, FunctionSpec
+from saffronstack.http1.messages import Limits
+from saffronstack.http1.reader import MessageReader
+from saffronstack.workers import protocol
+from saffronstack.workers.protocol import Judged
+from tests.stored_formats.stored_files import DATA
+
+MESSAGES = DATA / "worker_messages"
+HOST = "host-1:9001"
+SPEC = FunctionSpec("identify copy/1", 77, 1, 512.5, 3, 0.25)
+PLAIN = Call(2, "id-2", SPEC, b"", 5.0)
+COMPLETE = Call(
+    1,
+    "id-1",
+    SPEC,
+    b'{"op": 1}',
+    5.0,
+    1,
+    "corner-books",
+    "key-1",
+    "Y29udGV4dA==",
+    wants_log=True,
+    class_name="sale",
+)
+REQUESTS = {
+    "invoke": protocol.invoke(HOST, COMPLETE, 2, 1.2345, "gateway-one"),
+    "invoke-plain": protocol.invoke(HOST, PLAIN, 0, -1.0),
+    "order": protocol.order(HOST, SPEC, 2),
+    "order-asks": protocol.order(HOST, SPEC, 0),
+    "unload": protocol.unload(HOST, SPEC),
+    "probe": protocol.probe(HOST),
+    "usage": protocol.usage(HOST, b"\x80"),
+}
+ANSWERS: list[dict[str, Any]] = json.loads((MESSAGES / "judged.json").read_text())
+
+
+@pytest.mark.parametrize("name", sorted(REQUESTS))
+def test_a_request_to_a_worker_has_the_same_bytes(name: str) -> None:
+    assert REQUESTS[name] == (MESSAGES / f"{name}.http").read_bytes()
+
+
+def test_every_kept_request_is_compared() -> None:
+    assert set(REQUESTS) == {path.stem for path in MESSAGES.glob("*.http")}
+
+
+def judged(answer: str) -> Judged:
+    parser = MessageReader(Limits())
+    parser.feed(answer.encode())
+    head = parser.response()
+    assert head is not None
+    return protocol.judge(head, parser.body() or b"")
+
+
+@pytest.mark.parametrize("number", range(len(ANSWERS)))
+def test_an_answer_of_a_worker_is_understood_the_same(number: int) -> None:
+    found = judged(ANSWERS[number]["answer"])
+    report, answer = found.report, found.answer
+    assert ANSWERS[number]["understood"] == {
+        "result": found.result.value,
+        "found": found.found.value,
+        "crowd": found.crowd,
+        "report": report and list(dataclasses.astuple(report)),
+        "payload": answer and answer.payload.decode(),
+        "function_error": answer and answer.function_error,
+        "log_tail": answer and answer.log_tail,
+        "incarnation": found.incarnation,
+        "uptime_s": found.uptime_s,
+        "usage": found.usage,
+        "held": found.held,
+    }
+
+
+def test_the_kept_answers_have_every_meaning() -> None:
+    meanings = [answer["understood"] for answer in ANSWERS]
+    assert {one["found"] for one in meanings} == {0, 1, 2, 3, 4}
+    assert {one["result"] for one in meanings} == {"ok", "full", "error", "miss"}
