--- a/tests/stored_formats/capture_configuration.py
+++ b/tests/stored_formats/capture_configuration.py
@@ -29,11 +29,13 @@
     schema = importlib.import_module("saffronstack.config.schema")
     fleet = importlib.import_module("saffronstack.config.fleet")
     parsing = importlib.import_module("saffronstack.roster.parsing")
+    day = importlib.import_module("saffronstack.harness.scenario.plan")
     kinds = {
         "gateway": schema.Config,
         "fleet": fleet.FleetFile,
         "roster": parsing.RosterFile,
         "manifest": parsing.Manifest,
+        "day": day.Plan,
     }
     schemas = {name: stored_files.plain_schema(kind) for name, kind in kinds.items()}
     (DESTINATION / "schemas.json").write_text(json.dumps(schemas, indent=1, sort_keys=True))
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -18,6 +18,7 @@
 from saffronstack.config.build import settings_of, workers_of
 from saffronstack.core import record
 from saffronstack.core.record import Recorder
+from saffronstack.harness.scenario import plan as day_files
 from saffronstack.platform import config as platform
 from saffronstack.roster import parsing
 from saffronstack.settings import parse_settings, report
@@ -30,6 +31,7 @@
     "fleet": fleet_files.FleetFile,
     "roster": parsing.RosterFile,
     "manifest": parsing.Manifest,
+    "day": day_files.Plan,
 }
 
 
@@ -44,6 +46,10 @@
     return msgspec.msgpack.decode(record_values(path)[0])
 
 
+def test_every_kept_schema_is_compared() -> None:
+    assert set(KINDS) == set(kept("schemas.json"))
+
+
 @pytest.mark.parametrize("kind", sorted(KINDS))
 def test_a_configuration_file_has_the_same_keys_and_defaults(kind: str) -> None:
     assert json.loads(json.dumps(plain_schema(KINDS[kind]))) == kept("schemas.json")[kind]
