--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -19,8 +19,8 @@
 from saffronstack.durable.runs import Run, write_run
 from saffronstack.durable.segments import Files
 from saffronstack.invoke.usage import statement, together
-from saffronstack.metering.account import Account
-from saffronstack.metering.archive import amounts_of, key_of, parts_of, value_of
+from saffronstack.metering.account import Account, Bounds
+from saffronstack.metering.archive import Archive, amounts_of, key_of, parts_of, value_of
 from saffronstack.metering.merging import merge
 from saffronstack.metering.meter import CODEC as USAGE_CODEC
 from saffronstack.metering.meter import read_usage_log
@@ -180,6 +180,25 @@
     assert {parts_of(key)[0] for key in keys} == set("towkehu")
 
 
+def test_an_account_that_leaves_memory_writes_the_same_log_and_runs(tmp_path: pathlib.Path) -> None:
+    blocks = segment_blocks((ARCHIVE / "usage-0000000001.seg").read_bytes())
+    archive = Archive(tmp_path)
+    account = Account(archive=archive, budget_windows=BUDGET_WINDOWS, bounds=Bounds(6, 8, 5, 1, 100, 2))
+    journal = Journal(str(tmp_path), account, USAGE_CODEC, SEGMENT_BYTES)
+    for record in segment_records(ARCHIVE / "usage-0000000001.seg"):
+        if (
+            msgspec.msgpack.decode(record)[0] not in "mn"
+        ):  # these tell of runs: the journal writes them itself
+            assert journal.append(USAGE_CODEC.decode(record)).done.wait(WAIT_S)
+    assert journal.close()
+    assert segment_blocks((tmp_path / "usage-0000000001.seg").read_bytes()) == blocks[:-1]
+    merged = account.merge_runs((1, 2, 3))
+    assert f"run-{merged:010d}.run" == RUNS[-1]
+    for name in RUNS:
+        kept = list(Run.open(ARCHIVE / "runs" / name).items())
+        assert list(Run.open(tmp_path / "runs" / name).items()) == kept
+
+
 @pytest.mark.parametrize("name", RUNS)
 def test_a_run_is_written_again_as_it_was(name: str, tmp_path: pathlib.Path) -> None:
     run = Run.open(ARCHIVE / "runs" / name)
