--- /dev/null
+++ b/benchmarks/decision_digest.py
@@ -0,0 +1,490 @@
+"""Digest of all decisions over seeded random events of all kinds, to compare two versions of the code.
+
+    python benchmarks/decision_digest.py              # every scenario, three seeds, 90 simulated seconds
+    python benchmarks/decision_digest.py --scenario fleet --seeds 1 2 --seconds 30
+
+The events go through the simulator's adapter as bytes and the decisions come back as bytes, so neither the
+names nor the layout of the deciding code matter: two versions that print the same lines decide alike, to the
+last bit of each number and to the order in which random numbers are drawn. One line a scenario and seed, and
+one digest over all of them at the end. A request's earlier attempt, which no wire record carries, is left to
+the unit tests.
+"""
+
+from __future__ import annotations
+
+import argparse
+import hashlib
+import heapq
+import json
+import random
+import struct
+import sys
+from collections import Counter
+from dataclasses import dataclass, field
+from itertools import count
+from typing import Any
+
+from saffronstack.bench.simhost import Host
+
+# Records of the simulator's wire, as the routing process reads them.
+CLIENT_GONE, OUTCOME, HEALTH_CHECK, REQUEST, STARTED, STREAM_STARTED, TIMER, ENDPOINTS, GOSSIP, LOADED = (
+    16, 17, 18, 19, 21, 22, 23, 24, 25, 26,
+)  # fmt: skip
+HEAD = struct.Struct("<BH")
+STARTED_BODY = struct.Struct("<QI")
+LIST_BODY = struct.Struct("<IBI")
+ENTRY_BODY = struct.Struct("<fHIBdBB")
+REQUEST_BODY = struct.Struct("<QHIQddfffB")
+OUTCOME_BODY = struct.Struct("<QIBBdBIB")
+HEALTH_BODY = struct.Struct("<dBIB")
+NUMBER_BODY = struct.Struct("<Q")
+LOADED_BODY = struct.Struct("<BBQdI")
+GOSSIP_BODY = struct.Struct("<HH")
+STREAM_BODY = struct.Struct("<QBId")
+# Records that the routing process writes: code, then the body behind code and instance.
+SEND, REJECT, FAIL, CANCEL, SET_TIMER, WATCH, FETCH, LOAD = 80, 81, 82, 83, 84, 90, 91, 92
+ACTION_BODIES = {
+    SEND: struct.Struct("<QdI"),
+    REJECT: struct.Struct("<Qd"),
+    FAIL: struct.Struct("<Q"),
+    CANCEL: struct.Struct("<QB"),
+    SET_TIMER: struct.Struct("<dQ"),
+    WATCH: struct.Struct("<B"),
+    FETCH: struct.Struct("<"),
+    LOAD: struct.Struct("<IBQ"),
+}
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT, MISS = range(10, 100, 10)
+UNTOLD, WARM, BEGAN_LOAD, AWAITED_LOAD, LOAD_FAILED = range(5)
+REMOVED, READY, DRAINING = range(3)
+INCREMENTAL, SNAPSHOT, CACHED, FAILED = range(4)
+
+CLASSES: list[dict[str, Any]] = [
+    {"Name": "safe", "Idempotency": "safe", "DeadlineS": 3.0, "PromiseS": 0.4, "Worth": 1.0},
+    {"Name": "unsafe", "Idempotency": "unsafe", "DeadlineS": 3.0, "PromiseS": 0.5, "Worth": 3.0},
+    {
+        "Name": "all",
+        "Idempotency": "keyed",
+        "DedupScope": "all",
+        "WindowS": 2.0,
+        "DeadlineS": 4.0,
+        "Worth": 0.5,
+    },
+    {
+        "Name": "zone",
+        "Idempotency": "keyed",
+        "DedupScope": "zone",
+        "WindowS": 1.0,
+        "DeadlineS": 3.0,
+        "PromiseS": 1,
+    },
+    {
+        "Name": "cell",
+        "Idempotency": "keyed",
+        "DedupScope": "cell",
+        "WindowS": 3.0,
+        "DeadlineS": 2.0,
+        "PromiseS": 1,
+    },
+]
+TENANTS = [
+    {"Name": "a", "Share": 0.6, "QuotaRps": 60},
+    {"Name": "b", "Share": 0.3, "QuotaRps": 4},
+    {"Name": "c"},
+]
+SLOW_START = {"ColdShare": 0.2, "ColdS": 12.0, "TipMultiple": 2.0, "TipAfterS": 1.0}
+MEMORY = {"MemoryMbByKind": [3000, 9000], "IdleLifeS": 6.0}
+REPORTS = {"Fields": ["q", "busy", "rif"], "Via": "answers"}
+ORDERS = {"MissMode": "miss", "MayLoad": True, "OrderTimeoutS": 5.0}
+SCENARIOS: dict[str, dict[str, Any]] = {
+    "single": {"Instances": 1, "FamilyInfo": MEMORY, "Permissions": {"MaxAttempts": 4}},
+    "unlimited": {"Discovery": "subscribe", "Permissions": {"RetryAfter": True, "MaxRetryAfterS": 9}},
+    "three": {
+        "Instances": 3, "Tenants": TENANTS, "OverShareWorth": 0.2, "Rules": SLOW_START, "FamilyInfo": MEMORY,
+        "Permissions": {"MaxAttempts": 6, "Cancelling": True, "MaxRetryAfterS": 0.3},
+    },
+    "reports": {
+        "Instances": 3, "Rules": SLOW_START, "FamilyInfo": MEMORY, "LoadInfo": REPORTS,
+        "Discovery": "subscribe", "Permissions": {"MaxAttempts": 6, "Cancelling": True},
+    },
+    "fleet": {
+        "Instances": 200, "Tenants": TENANTS, "OverShareWorth": 0.1, "Rules": SLOW_START, "LoadInfo": REPORTS,
+        "FamilyInfo": {**MEMORY, "SaysWarm": True, "NotesPeersInHand": True},
+        "Permissions": {"MaxAttempts": 6},
+    },
+    "fleet-silent": {
+        "Instances": 200, "FamilyInfo": MEMORY, "Permissions": {"MaxAttempts": 6, "Cancelling": True},
+    },
+    "young": {
+        "Instances": 3, "FamilyInfo": {"IdleLifeS": 2.0}, "Rules": {"ColdShare": 0.1, "ColdS": 8.0},
+        "Permissions": {"MaxAttempts": 3},
+    },
+    "orders": {"Instances": 1, "FamilyInfo": {**MEMORY, **ORDERS}, "Permissions": {"MaxAttempts": 6}},
+    "ration": {
+        "Instances": 3, "Rules": SLOW_START, "LoadInfo": REPORTS, "Permissions": {"MaxAttempts": 6},
+        "FamilyInfo": {**MEMORY, **ORDERS, "LoadFree": 3, "LoadPart": 0.1, "LoadSpanS": 5},
+    },
+    "fleet-ration": {
+        "Instances": 200, "Tenants": TENANTS, "Permissions": {"MaxAttempts": 6, "Cancelling": True},
+        "FamilyInfo": {**MEMORY, **ORDERS, "LoadFree": 20, "LoadPart": 0.3, "LoadSpanS": 3},
+    },
+    "miss": {"Instances": 3, "FamilyInfo": {**MEMORY, "MissMode": "miss"}, "Permissions": {"MaxAttempts": 6}},
+}  # fmt: skip
+
+START_S = 1000.0
+PHASE_S = 5.0
+REQUESTS_PER_S = 60.0
+
+
+@dataclass(frozen=True)
+class Phase:
+    """What the fleet does for a while."""
+
+    rate: float = 1.0  # of the usual requests
+    shared: float = 0.0  # chance that another gateway's instance is found
+    slowness: float = 1.0  # of the work
+    load_slowness: float = 1.0
+    faults: float = 0.02  # chance of a random result
+    functions: int = 40
+
+
+PHASES = (
+    Phase(),
+    Phase(shared=0.9),
+    Phase(slowness=20.0, shared=0.8),
+    Phase(shared=0.95, faults=0.0),
+    Phase(rate=3.0, slowness=4.0),
+    Phase(load_slowness=8.0, functions=400),
+    Phase(rate=0.1, faults=0.0),
+    Phase(faults=0.5),
+    Phase(rate=0.2, shared=1.0, functions=200, slowness=9.0),
+    Phase(faults=0.0, functions=5),
+    Phase(rate=2.0, shared=0.9, functions=3, slowness=2.0),
+)
+USUAL, SLOW, ERRORS, UNREACHED, BUSY, SILENT = range(6)
+
+
+@dataclass(frozen=True)
+class Attempt:
+    """A send that has not ended."""
+
+    number: int
+    worker: int
+    sent_s: float
+
+
+@dataclass
+class Worker:
+    """A worker as it is, whatever the list says."""
+
+    size: float
+    kind: int
+    zone: int
+    cell: int
+    state: int = READY
+    started_s: float = 0.0
+    mood: int = USUAL
+    utilization: float = 0.5
+
+
+@dataclass
+class Asked:
+    """A request as its client sent it."""
+
+    function: int
+    deadline_s: float
+    attempts: int = 0
+    out: dict[int, Attempt] = field(default_factory=dict)
+
+
+class Play:
+    """One gateway, its clients and its workers, played from one seed."""
+
+    def __init__(self, settings: dict[str, Any], seed: int) -> None:
+        self.random = random.Random(seed)
+        self.settings = settings
+        self.host = Host()
+        self.digest = hashlib.sha256()
+        self.events: Counter[int] = Counter()
+        self.actions: Counter[int] = Counter()
+        self.now = START_S
+        self.order = count()
+        self.due: list[tuple[float, int, Any]] = []
+        self.phase = PHASES[0]
+        self.workers = {100 + 7 * place: self._worker() for place in range(14)}
+        self.standing: set[tuple[int, int]] = set()
+        self.asked: dict[int, Asked] = {}
+        self.request_numbers = count(1)
+        self.loads_by_order = settings.get("FamilyInfo", {}).get("MissMode") == "miss"
+        self.fields = len(settings.get("LoadInfo", {}).get("Fields", ()))
+
+    def _worker(self) -> Worker:
+        chance = self.random
+        return Worker(
+            chance.choice((0.5, 1.0, 1.0, 2.0)), chance.randrange(3), chance.randrange(2), chance.randrange(3)
+        )
+
+    def _at(self, after_s: float, what: Any) -> None:
+        heapq.heappush(self.due, (self.now + after_s, next(self.order), what))
+
+    def _tell(self, code: int, body: bytes) -> None:
+        self.events[code] += 1
+        record = HEAD.pack(code, 1) + body
+        reply = self.host.batch(self.now, record, 1)
+        self.digest.update(struct.pack("<d", self.now) + record + b"\0" + reply)
+        at = 0
+        while at < len(reply):
+            kind = reply[at]
+            form = ACTION_BODIES[kind]
+            values = form.unpack_from(reply, at + HEAD.size)
+            at += HEAD.size + form.size
+            self.actions[kind] += 1
+            self._act(kind, values)
+
+    def _act(self, kind: int, values: tuple[Any, ...]) -> None:
+        if kind == SEND:
+            self._sent(values[0], values[2])
+        elif kind == SET_TIMER:
+            self._at(values[0], lambda: self._tell(TIMER, NUMBER_BODY.pack(values[1])))
+        elif kind == LOAD:
+            self._ordered(*values)
+        elif kind == CANCEL:
+            self._at(0.002, lambda: self._end(values[0], values[1], CANCELLED, UNTOLD, True))
+
+    def _sent(self, request: int, worker: int) -> None:
+        asked = self.asked[request]
+        number = asked.attempts
+        asked.attempts += 1
+        asked.out[number] = Attempt(number, worker, self.now)
+        result, found, took_s = self._served(worker, asked.function)
+        left_s = asked.deadline_s - self.now
+        if took_s >= left_s:
+            result, found, took_s = TIMEOUT, UNTOLD, max(0.0, left_s)
+        finished = result == OK or (result == TIMEOUT and self.random.random() < 0.3)
+        if result == OK and self.random.random() < 0.02:
+            self._at(took_s / 2, lambda: self._stream(request, number, worker, took_s / 2))
+        self._at(took_s, lambda: self._end(request, number, result, found, finished))
+
+    def _served(self, number: int, function: int) -> tuple[int, int, float]:
+        """Result, cache status and time of one attempt."""
+        chance, worker = self.random, self.workers[number]
+        took_s = chance.expovariate(25.0) * self.phase.slowness
+        if chance.random() < self.phase.faults:
+            kinds = (OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, MOOT, MISS)
+            return chance.choice(kinds), chance.randrange(5), took_s
+        if worker.mood == UNREACHED:
+            return chance.choice((CONNECT_FAILED, RESET)), UNTOLD, 0.003
+        if worker.mood == ERRORS:
+            return ERROR, chance.choice((WARM, LOAD_FAILED)), 0.004
+        if worker.mood == BUSY and chance.random() < 0.7:
+            return FULL, UNTOLD, 0.002
+        if worker.mood == SILENT:
+            return TIMEOUT, UNTOLD, 99.0
+        if worker.mood == SLOW:
+            took_s *= 12.0
+        key = number, function
+        if key in self.standing or chance.random() < self.phase.shared:
+            self.standing.add(key)
+            return OK, chance.choice((WARM, WARM, WARM, UNTOLD)), took_s
+        if self.loads_by_order:
+            return MISS, UNTOLD, 0.002
+        self.standing.add(key)
+        load_s = (0.2 + chance.expovariate(5.0)) * self.phase.load_slowness
+        return OK, chance.choice((BEGAN_LOAD, BEGAN_LOAD, AWAITED_LOAD)), load_s + took_s
+
+    def _report(self, worker: Worker) -> bytes:
+        worker.utilization = min(1.0, max(0.0, worker.utilization + self.random.uniform(-0.2, 0.2)))
+        if not self.fields or self.random.random() < 0.2:
+            return b"\0"
+        values = (float(self.random.randrange(4)), worker.utilization, float(self.random.randrange(6)))
+        return struct.pack("<B3f", 3, *values)
+
+    def _end(self, request: int, number: int, result: int, found: int, finished: bool) -> None:
+        asked = self.asked.get(request)
+        attempt = asked.out.pop(number, None) if asked else None
+        if asked is None or attempt is None:
+            return
+        note = found | self.random.choice((0, 0, 1, 2, 5)) << 3
+        if result == OK and self.random.random() < 0.01:
+            finished = False
+        took_s = self.now - attempt.sent_s
+        report = self._report(self.workers[attempt.worker])
+        fields = (request, note, result, finished, took_s, number, attempt.worker)
+        body = OUTCOME_BODY.pack(*fields, report[0]) + report[1:]
+        self._tell(OUTCOME, body)
+        if self.random.random() < 0.01:
+            self._tell(OUTCOME, body)  # a second time: stray
+
+    def _stream(self, request: int, attempt: int, worker: int, elapsed_s: float) -> None:
+        self._tell(STREAM_STARTED, STREAM_BODY.pack(request, attempt, worker, elapsed_s))
+
+    def _ordered(self, worker: int, copies: int, function: int) -> None:
+        chance = self.random
+        result = chance.choice((OK, OK, OK, OK, FULL, ERROR, TIMEOUT))
+        took_s = chance.choice((0.02, 0.3 + chance.expovariate(5.0))) * self.phase.load_slowness
+        held = copies if result == OK else chance.randrange(copies + 1)
+
+        def loaded() -> None:
+            if result == OK:
+                self.standing.add((worker, function))
+            self._tell(LOADED, LOADED_BODY.pack(held, result, function, took_s, worker))
+
+        self._at(took_s, loaded)
+
+    def _arrive(self) -> None:
+        chance = self.random
+        self._at(chance.expovariate(REQUESTS_PER_S * self.phase.rate), self._arrive)
+        number = next(self.request_numbers) << 20
+        if chance.random() < 0.05:
+            function = chance.randrange(1 << 60)
+        else:
+            function = int(self.phase.functions * chance.random() ** 2)
+        place = chance.randrange(len(CLASSES))
+        time_s = CLASSES[place]["DeadlineS"] if chance.random() < 0.9 else chance.choice((-0.1, 0.2, 1.0))
+        asked = Asked(function, self.now + float(time_s))
+        self.asked[number] = asked
+        lanes, memory_mb = chance.choice((1.0, 1.0, 2.0, 4.0)), chance.choice((100.0, 500.0, 900.0))
+        marks = chance.randrange(8)
+        tenant = chance.choice((0, 0, 1, 1, 2, 3))
+        self._tell(
+            REQUEST,
+            REQUEST_BODY.pack(
+                number,
+                place,
+                tenant,
+                function,
+                asked.deadline_s,
+                0.05,
+                memory_mb,
+                lanes,
+                300.0 * (marks & 1),
+                marks,
+            ),
+        )
+        if chance.random() < 0.05:
+            self._at(chance.expovariate(3.0), lambda: self._tell(CLIENT_GONE, NUMBER_BODY.pack(number)))
+
+    def _entries(self, numbers: list[int]) -> bytes:
+        parts = []
+        for number in numbers:
+            worker = self.workers[number]
+            parts.append(
+                ENTRY_BODY.pack(
+                    worker.size, worker.cell, number, worker.kind, worker.started_s, worker.zone, worker.state
+                )
+            )
+        return b"".join(parts)
+
+    def _list(self, kind: int, numbers: list[int]) -> None:
+        body = LIST_BODY.pack(self.events[ENDPOINTS], kind, len(numbers)) + self._entries(numbers)
+        self._tell(ENDPOINTS, body)
+
+    def _restart(self, number: int, worker: Worker, told_start: bool) -> None:
+        worker.state = READY
+        worker.started_s = self.now if told_start else 0.0
+        worker.mood = USUAL
+        self.standing = {key for key in self.standing if key[0] != number}
+
+    def _change_workers(self) -> None:
+        """Restarts, drains, removals and new workers, then the list in one of its four forms."""
+        chance = self.random
+        self._at(chance.expovariate(0.5), self._change_workers)
+        for number in chance.sample(sorted(self.workers), chance.choice((0, 1, 1, 2, 9))):
+            worker = self.workers[number]
+            if chance.random() < 0.6:
+                self._restart(number, worker, chance.random() < 0.7)
+            else:
+                worker.state = chance.choice((REMOVED, DRAINING))
+        if chance.random() < 0.3:
+            number = max(self.workers) + 1
+            self.workers[number] = self._worker()
+            self._restart(number, self.workers[number], True)
+        listed = [number for number, worker in self.workers.items() if worker.state != REMOVED]
+        kind = chance.choice((INCREMENTAL, INCREMENTAL, INCREMENTAL, SNAPSHOT, CACHED, FAILED))
+        if kind == INCREMENTAL:
+            self._list(kind, list(self.workers)[-20:])
+        elif kind == FAILED:
+            self._list(kind, [])
+        else:
+            self._list(kind, chance.sample(listed, max(1, len(listed) * 9 // 10)) if listed else [])
+
+    def _drain_all(self) -> None:
+        """All workers leave for a moment: outcomes come, and nothing can be sent."""
+        self._at(self.random.expovariate(0.05), self._drain_all)
+        states = {number: worker.state for number, worker in self.workers.items()}
+        for worker in self.workers.values():
+            worker.state = DRAINING
+        self._list(INCREMENTAL, list(self.workers))
+        for number, state in states.items():
+            self.workers[number].state = state
+        self._at(0.5, lambda: self._list(INCREMENTAL, list(self.workers)))
+
+    def _change_mood(self) -> None:
+        chance = self.random
+        self._at(chance.expovariate(1.5), self._change_mood)
+        worker = self.workers[chance.choice(list(self.workers))]
+        worker.mood = chance.choice((USUAL, USUAL, USUAL, USUAL, SLOW, ERRORS, UNREACHED, BUSY, SILENT))
+        if chance.random() < 0.2:
+            self.standing.clear()
+
+    def _next_phase(self) -> None:
+        self._at(PHASE_S, self._next_phase)
+        self.phase = self.random.choice(PHASES)
+
+    def _say_other(self) -> None:
+        """Health checks and gossip, and timers, disconnections and loads that were never asked for."""
+        chance = self.random
+        self._at(chance.expovariate(2.0), self._say_other)
+        worker = chance.choice(list(self.workers))
+        report = self._report(self.workers[worker])
+        self._tell(
+            HEALTH_CHECK, HEALTH_BODY.pack(0.01, chance.choice((OK, TIMEOUT)), worker, report[0]) + report[1:]
+        )
+        self._tell(GOSSIP, GOSSIP_BODY.pack(2, 3) + b"abc")
+        number = chance.randrange(1, 1000) << 20
+        self._tell(TIMER, NUMBER_BODY.pack(number))
+        self._tell(CLIENT_GONE, NUMBER_BODY.pack(number | 1))
+        self._tell(LOADED, LOADED_BODY.pack(1, OK, chance.randrange(1 << 50), 0.5, worker))
+
+    def run(self, seconds: float) -> str:
+        """Play so long and give the digest of all that was told and decided."""
+        text = json.dumps({"RequestClasses": CLASSES, **self.settings}).encode()
+        self._tell(STARTED, STARTED_BODY.pack(self.random.getrandbits(64), len(text)) + text)
+        self._list(CACHED, list(self.workers))
+        for begin in (
+            self._arrive,
+            self._change_workers,
+            self._change_mood,
+            self._next_phase,
+            self._say_other,
+        ):
+            self._at(0.0, begin)
+        self._at(10.0, self._drain_all)
+        while self.due[0][0] < START_S + seconds:
+            self.now, _, what = heapq.heappop(self.due)
+            what()
+        return self.digest.hexdigest()[:16]
+
+
+def main() -> int:
+    """See above."""
+    plain = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    parser.add_argument("--scenario", nargs="*", choices=list(SCENARIOS), default=list(SCENARIOS))
+    parser.add_argument("--seeds", type=int, nargs="*", default=[1, 2, 3])
+    parser.add_argument("--seconds", type=float, default=90.0)
+    asked = parser.parse_args()
+    whole = hashlib.sha256()
+    for name in asked.scenario:
+        for seed in asked.seeds:
+            play = Play(SCENARIOS[name], seed)
+            digest = play.run(asked.seconds)
+            whole.update(digest.encode())
+            told = " ".join(f"{kind}:{n}" for kind, n in sorted(play.actions.items()))
+            events = sum(play.events.values())
+            print(f"{name:13s} seed {seed}: {digest}  {events} events, actions {told}", flush=True)
+    print(f"all: {whole.hexdigest()[:32]}")
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
