--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -20,15 +20,27 @@
 from dataclasses import dataclass, field
 
 import saffronstack.core.engine as engine
-from saffronstack import interface as api
 from saffronstack.core.names import worker_number
+from saffronstack.routing.actions import Action, Fail, Reject, SendAttempt
+from saffronstack.routing.events import (
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Request,
+    Result,
+    WorkerEndpoint,
+    WorkerState,
+)
+from saffronstack.routing.settings import Idempotency, Settings
 
 TRIES = 3
 SLOTS = 64  # moments that the truth keeps
 SLOT_S = 0.005
 LATE_SLOTS = 5  # a round trip of 25 ms
 HEAD = struct.Struct("q")
-NEVER_RAN = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT, api.Result.MISS)
+NEVER_RAN = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 
 
 class Truth:
@@ -67,7 +79,7 @@
 class Known:
     """What a plain gateway knows of a worker."""
 
-    entry: api.WorkerEntry
+    entry: WorkerEndpoint
     out: int = 0
     told: float = 0.0
 
@@ -76,7 +88,7 @@
 class Waiting:
     """A request without its answer."""
 
-    ask: api.Request
+    ask: Request
     safe: bool
     tried: list[int] = field(default_factory=list)
     ran: bool = False
@@ -85,7 +97,7 @@
 class Plain:
     """The module's interface around one choice among the ready workers."""
 
-    def __init__(self, policy: str, settings: api.Settings, seed: int, truth: Truth | None) -> None:
+    def __init__(self, policy: str, settings: Settings, seed: int, truth: Truth | None) -> None:
         self.workers: dict[int, Known] = {}  # the gateway compares its beliefs: none here
         self._known: dict[int, Known] = {}
         self._settings = settings
@@ -95,54 +107,54 @@
         self._choose = POLICIES[policy]
         self._pending: dict[int, Waiting] = {}
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """What to do about one event."""
-        if isinstance(event, api.ListUpdate):
+        if isinstance(event, EndpointUpdate):
             self._list(event)
-        elif isinstance(event, api.Request):
-            safe = self._settings.classes[event.class_index].effect is api.Effect.SAFE
-            self._pending[event.request] = Waiting(event, safe)
-            return self._go(event.request)
-        elif isinstance(event, api.Outcome):
+        elif isinstance(event, Request):
+            safe = self._settings.classes[event.class_index].idempotency is Idempotency.IDEMPOTENT
+            self._pending[event.request_id] = Waiting(event, safe)
+            return self._go(event.request_id)
+        elif isinstance(event, AttemptOutcome):
             return self._ended(event)
-        elif isinstance(event, api.ClientGone):
-            self._pending.pop(event.request, None)
+        elif isinstance(event, ClientDisconnected):
+            self._pending.pop(event.request_id, None)
         return []
 
-    def _list(self, event: api.ListUpdate) -> None:
-        if event.kind is api.ListKind.FULL:
+    def _list(self, event: EndpointUpdate) -> None:
+        if event.kind is EndpointUpdateKind.SNAPSHOT:
             self._known = {n: known for n, known in self._known.items() if known.out}
-        for entry in event.workers:
-            self._known.setdefault(entry.worker, Known(entry)).entry = entry
+        for entry in event.endpoints:
+            self._known.setdefault(entry.worker_id, Known(entry)).entry = entry
 
-    def _ended(self, event: api.Outcome) -> list[api.Action]:
-        known = self._known.get(event.worker)
+    def _ended(self, event: AttemptOutcome) -> list[Action]:
+        known = self._known.get(event.worker_id)
         if known is not None:
             known.out -= 1
-            if event.report is not None and event.report.busy is not None:
-                known.told = event.report.busy + (event.report.waiting or 0.0)
-        waiting = self._pending.get(event.request)
+            if event.load_report is not None and event.load_report.cpu_utilization is not None:
+                known.told = event.load_report.cpu_utilization + (event.load_report.requests_queued or 0.0)
+        waiting = self._pending.get(event.request_id)
         if waiting is None:
             return []
-        if event.finished:
-            del self._pending[event.request]
+        if event.is_final:
+            del self._pending[event.request_id]
             return []
         waiting.ran = waiting.ran or event.result not in NEVER_RAN
-        return self._go(event.request)
+        return self._go(event.request_id)
 
-    def _go(self, request: int) -> list[api.Action]:
+    def _go(self, request: int) -> list[Action]:
         waiting = self._pending[request]
         ready = [
             known for number, known in self._known.items()
-            if known.entry.state is api.WorkerState.READY and number not in waiting.tried
+            if known.entry.state is WorkerState.READY and number not in waiting.tried
         ]  # fmt: skip
         if len(waiting.tried) >= TRIES or not ready or (waiting.ran and not waiting.safe):
             del self._pending[request]
-            return [api.Fail(request) if waiting.ran and not waiting.safe else api.Refuse(request, 0.1)]
+            return [Fail(request) if waiting.ran and not waiting.safe else Reject(request, 0.1)]
         known = self._choose(self, ready)
         known.out += 1
-        waiting.tried.append(known.entry.worker)
-        return [api.Send(request, known.entry.worker)]
+        waiting.tried.append(known.entry.worker_id)
+        return [SendAttempt(request, known.entry.worker_id)]
 
     # ---- the policies
 
@@ -170,7 +182,9 @@
     def _seen(self, ready: list[Known], ago: int) -> Known:
         assert self._truth is not None, "LB_TRUTH is not set"
         truth, moment = self._truth, Truth.moment() - 1 - ago
-        return min(ready, key=lambda known: (truth.read(known.entry.worker, moment), self._random.random()))
+        return min(
+            ready, key=lambda known: (truth.read(known.entry.worker_id, moment), self._random.random())
+        )
 
     def truth(self, ready: list[Known]) -> Known:
         """Least busy by the bench's own account, at this moment."""
@@ -194,7 +208,7 @@
     names: list[str] = json.loads(pathlib.Path(path + ".json").read_text()) if path else []
     truth = Truth(pathlib.Path(path), names) if path else None
 
-    def made(settings: api.Settings, seed: int) -> Plain:
+    def made(settings: Settings, seed: int) -> Plain:
         return Plain(policy, settings, seed, truth)
 
     engine.Router = made  # type: ignore[misc, assignment]
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,38 +17,43 @@
 from collections import deque
 
 from saffronstack.choice import Router
-from saffronstack.interface import (
-    AllowSettings,
-    ClassSettings,
-    Effect,
+from saffronstack.routing.actions import SendAttempt
+from saffronstack.routing.events import (
+    AttemptOutcome,
+    CacheStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Event,
-    Found,
-    ListKind,
-    ListUpdate,
-    Outcome,
-    Report,
+    LoadReport,
     Request,
     Result,
+    WorkerEndpoint,
+    WorkerState,
+)
+from saffronstack.routing.settings import (
+    ClassSettings,
+    Idempotency,
+    PermissionSettings,
     RuleSettings,
-    Send,
     Settings,
-    WorkerEntry,
-    WorkerState,
 )
 
-CLASSES = (ClassSettings("look", Effect.SAFE, 0.5, 3.0), ClassSettings("sell", Effect.UNSAFE, 0.5, 3.0))
+CLASSES = (
+    ClassSettings("look", Idempotency.IDEMPOTENT, 0.5, 3.0),
+    ClassSettings("sell", Idempotency.NON_IDEMPOTENT, 0.5, 3.0),
+)
 
 
 def made(workers: int, instances: int) -> Router:
     """A front end that knows so many workers."""
     settings = Settings(
-        classes=CLASSES, memory_mb_by_kind=(16000.0,), keep_alive_s=30.0, tells_warm=True,
-        instances=instances,
-        allow=AllowSettings(max_attempts=6), rules=RuleSettings(drain_grace_s=2.0),
+        classes=CLASSES, memory_mb_by_worker_kind=(16000.0,), keep_alive_s=30.0, reports_cache_status=True,
+        gateway_count=instances,
+        permissions=PermissionSettings(max_attempts=6), rules=RuleSettings(drain_grace_s=2.0),
     )  # fmt: skip
     router = Router(settings, 1)
-    entries = tuple(WorkerEntry(number, WorkerState.READY, 1.0) for number in range(workers))
-    router.handle(0.0, ListUpdate(ListKind.FULL, entries))
+    entries = tuple(WorkerEndpoint(number, WorkerState.READY, 1.0) for number in range(workers))
+    router.handle(0.0, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, entries))
     return router
 
 
@@ -57,7 +62,7 @@
     chance = random.Random(seed)
     popular = [1.0 / (place + 2) for place in range(functions)]
     asked = chance.choices(range(functions), popular, k=calls)
-    out: deque[Outcome] = deque()
+    out: deque[AttemptOutcome] = deque()
     now, number, took = 1.0 + seed * 1000.0, seed * 10_000_000, 0.0
     last = number + calls
 
@@ -67,11 +72,20 @@
         actions = router.handle(now, event)
         took += time.perf_counter() - began
         for action in actions:
-            if isinstance(action, Send):
-                found = Found.WARM if chance.random() < 0.95 else Found.BEGAN_LOAD
-                report = Report(waiting=0.0, busy=chance.random())
+            if isinstance(action, SendAttempt):
+                found = CacheStatus.WARM if chance.random() < 0.95 else CacheStatus.STARTED_LOAD
+                report = LoadReport(requests_queued=0.0, cpu_utilization=chance.random())
                 out.append(
-                    Outcome(action.request, 0, action.worker, Result.OK, 0.08, True, found, report=report)
+                    AttemptOutcome(
+                        action.request_id,
+                        0,
+                        action.worker_id,
+                        Result.OK,
+                        0.08,
+                        True,
+                        found,
+                        load_report=report,
+                    )
                 )
 
     for function in asked:
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -28,13 +28,13 @@
 
 from saffronstack.harness.scenario.processes import StandInHost
 from saffronstack.harness.scenario.relay import Relay, seldom
-from saffronstack.interface import Effect
 from saffronstack.operations.handover import Keeper
 from saffronstack.operations.notes import Noted, open_notes
 from saffronstack.operations.owners import SLOTS
 from saffronstack.operations.service import Operations
 from saffronstack.operations.slots import Home
 from saffronstack.operations.table import Answer, Begin, Fate, Table
+from saffronstack.routing.settings import Idempotency
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
@@ -103,7 +103,7 @@
     start = time.perf_counter()
     for n in range(count):
         id_ = f"00000000-0000-0000-0000-{n:012d}"
-        step = table.send(random.randbytes(12), b"p" * 16, Effect.UNSAFE, 900.0, id_, 0.0)
+        step = table.send(random.randbytes(12), b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, id_, 0.0)
         assert isinstance(step, Begin)
         answer = Answer(200, (headers[0], ("x-amzn-RequestId", id_), headers[2]), b'{"price": 12}')
         table.end(step.open, Fate.ENDED, answer, n / count)
@@ -120,7 +120,9 @@
     first = open_notes(str(directory / "first"), 64 << 20)
     now = time.time()
     for n in range(count):
-        ticket = first.append(Noted(random.randbytes(12), b"p" * 16, Effect.UNSAFE, f"id-{n}", 900.0, 1, now))
+        ticket = first.append(
+            Noted(random.randbytes(12), b"p" * 16, Idempotency.NON_IDEMPOTENT, f"id-{n}", 900.0, 1, now)
+        )
     ticket.done.wait(60)
     first.close()
     second = Operations(
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -18,7 +18,7 @@
 BUILT = ROOT / ".built"
 # What a call passes through, but for what msgspec and the signals need as plain Python.
 NAMES = """
-choice interface checks core/engine core/calls core/timers core/roster resp/reader resp/frames platform/calls
+choice routing/settings routing/events routing/actions routing/validation core/engine core/calls core/timers core/roster resp/reader resp/frames platform/calls
 platform/connection platform/eviction platform/front platform/identifiers
 hosts/items hosts/link hosts/pool hosts/dispatcher hosts/deadlines net/write_buffer net/read_loop
 """
--- a/saffronstack/bench/wire.py
+++ b/saffronstack/bench/wire.py
@@ -7,8 +7,40 @@
 from dataclasses import dataclass
 from typing import Any
 
-from saffronstack import interface as api
 from saffronstack import settings
+from saffronstack.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    FetchEndpoints,
+    LoadFunction,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    UnloadFunction,
+    WatchEndpoints,
+    WriteLog,
+)
+from saffronstack.routing.events import (
+    AttemptOutcome,
+    CacheStatus,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    GossipMessage,
+    HealthCheckResult,
+    LoadCommandResult,
+    LoadReport,
+    Request,
+    Result,
+    StreamStarted,
+    TimerFired,
+    WorkerEndpoint,
+    WorkerState,
+)
+from saffronstack.routing.settings import Settings
 
 
 class WireError(ValueError):
@@ -28,7 +60,7 @@
     """An instance was killed."""
 
 
-Told = api.Event | Started | Stopped
+Told = Event | Started | Stopped
 
 BATCH_HEADER = struct.Struct("<dIII")
 REPLY_HEADER = struct.Struct("<II")
@@ -47,21 +79,21 @@
 _STREAM = struct.Struct("<QBId")
 
 RESULTS = {
-    10: api.Result.OK,
-    20: api.Result.ERROR,
-    30: api.Result.FULL,
-    40: api.Result.TIMEOUT,
-    50: api.Result.CONNECT_FAILED,
-    60: api.Result.RESET,
-    70: api.Result.CANCELLED,
-    80: api.Result.MOOT,
-    90: api.Result.MISS,
+    10: Result.OK,
+    20: Result.ERROR,
+    30: Result.AT_CAPACITY,
+    40: Result.TIMEOUT,
+    50: Result.CONNECT_FAILED,
+    60: Result.RESET,
+    70: Result.CANCELLED,
+    80: Result.NOT_STARTED,
+    90: Result.NOT_LOADED,
 }
-_FOUND = {found.value: found for found in api.Found}
-_CROWD_RESULTS = (api.Result.OK, api.Result.FULL)
+_FOUND = {found.value: found for found in CacheStatus}
+_CROWD_RESULTS = (Result.OK, Result.AT_CAPACITY)
 
 
-def parse_settings(text: str) -> tuple[api.Settings, tuple[str, ...]]:
+def parse_settings(text: str) -> tuple[Settings, tuple[str, ...]]:
     """The settings, and what the values of a load report are called; WireError where they can't be."""
     try:
         return settings.parse_settings(text)
@@ -93,13 +125,13 @@
         self.at = end
         return content
 
-    def _report(self, instance: int, count: int) -> api.Report | None:
+    def _report(self, instance: int, count: int) -> LoadReport | None:
         values = struct.unpack(f"<{count}f", self._bytes(4 * count))
         if not count:
             return None
         return settings.report(zip(self.report_names.get(instance, ()), values, strict=False))
 
-    def _result(self, code: int) -> api.Result:
+    def _result(self, code: int) -> Result:
         result = RESULTS.get(code)
         if result is None:
             raise WireError(f"unknown outcome {code} before byte {self.at}")
@@ -132,14 +164,14 @@
             size, cell, worker, hardware, since, zone, state = self._take(_ENTRY)
             if state > 2:
                 raise WireError(f"unknown condition {state} before byte {self.at}")
-            workers.append(api.WorkerEntry(worker, api.WorkerState(state), size, hardware, zone, cell, since))
+            workers.append(WorkerEndpoint(worker, WorkerState(state), size, hardware, zone, cell, since))
         if kind > 3:
             raise WireError(f"unknown list scope {kind} before byte {self.at}")
-        return api.ListUpdate(api.ListKind(kind), tuple(workers), version)
+        return EndpointUpdate(EndpointUpdateKind(kind), tuple(workers), version)
 
     def _request(self, instance: int) -> Told:
         (request, cls, tenant, function, deadline, work, memory, lanes, load_ms, marks) = self._take(_REQUEST)
-        return api.Request(
+        return Request(
             request,
             cls,
             function,
@@ -157,34 +189,34 @@
         request, note, code, finished, elapsed, attempt, worker, count = self._take(_OUTCOME)
         result = self._result(code)
         report = self._report(instance, count)
-        found = _FOUND.get(note & 7, api.Found.UNTOLD)
+        found = _FOUND.get(note & 7, CacheStatus.UNKNOWN)
         crowd = note >> 3 if result in _CROWD_RESULTS else None
-        return api.Outcome(request, attempt, worker, result, elapsed, bool(finished), found, crowd, report)
+        return AttemptOutcome(request, attempt, worker, result, elapsed, bool(finished), found, crowd, report)
 
     def _probed(self, instance: int) -> Told:
         elapsed, code, worker, count = self._take(_PROBED)
-        return api.Probed(worker, self._result(code), elapsed, self._report(instance, count))
+        return HealthCheckResult(worker, self._result(code), elapsed, self._report(instance, count))
 
     def _woken(self, instance: int) -> Told:
-        return api.Woken(self._take(_WOKEN)[0])
+        return TimerFired(self._take(_WOKEN)[0])
 
     def _gone(self, instance: int) -> Told:
-        return api.ClientGone(self._take(_WOKEN)[0])
+        return ClientDisconnected(self._take(_WOKEN)[0])
 
     def _stopped(self, instance: int) -> Told:
         return Stopped()
 
     def _loaded(self, instance: int) -> Told:
         copies, code, function, elapsed, worker = self._take(_LOADED)
-        return api.Loaded(worker, function, copies, self._result(code), elapsed)
+        return LoadCommandResult(worker, function, copies, self._result(code), elapsed)
 
     def _peer(self, instance: int) -> Told:
         author, count = self._take(_PEER)
-        return api.PeerMessage(author, self._bytes(count))
+        return GossipMessage(author, self._bytes(count))
 
     def _stream(self, instance: int) -> Told:
         request, attempt, worker, elapsed = self._take(_STREAM)
-        return api.StreamStarted(request, attempt, worker, elapsed)
+        return StreamStarted(request, attempt, worker, elapsed)
 
 
 _READERS: dict[int, Callable[[Reader, int], Told]] = {
@@ -225,29 +257,29 @@
     return encode_text(89, instance, text)
 
 
-def encode(instance: int, action: api.Action) -> bytes:
+def encode(instance: int, action: Action) -> bytes:
     """One action as a record."""
     match action:
-        case api.Send():
-            return _SEND.pack(80, instance, action.request, action.timeout_s, action.worker)
-        case api.WakeMe():
-            return _WAKE.pack(84, instance, action.after_s, action.ref)
-        case api.Refuse():
-            return _REFUSE.pack(81, instance, action.request, action.stay_away_s)
-        case api.Fail():
-            return _FAIL.pack(82, instance, action.request)
-        case api.Cancel():
-            return _CANCEL.pack(83, instance, action.request, action.attempt)
-        case api.Probe():
-            return _PROBE.pack(85, instance, action.worker)
-        case api.Load():
-            return _LOAD.pack(92, instance, action.worker, action.copies, action.function)
-        case api.Unload():
-            return _UNLOAD.pack(93, instance, action.worker, action.function)
-        case api.Watch():
-            return _WATCH.pack(90, instance, action.wanted)
-        case api.FetchList():
+        case SendAttempt():
+            return _SEND.pack(80, instance, action.request_id, action.timeout_s, action.worker_id)
+        case SetTimer():
+            return _WAKE.pack(84, instance, action.delay_s, action.timer_id)
+        case Reject():
+            return _REFUSE.pack(81, instance, action.request_id, action.retry_after_s)
+        case Fail():
+            return _FAIL.pack(82, instance, action.request_id)
+        case CancelAttempt():
+            return _CANCEL.pack(83, instance, action.request_id, action.attempt)
+        case CheckHealth():
+            return _PROBE.pack(85, instance, action.worker_id)
+        case LoadFunction():
+            return _LOAD.pack(92, instance, action.worker_id, action.instances, action.function_id)
+        case UnloadFunction():
+            return _UNLOAD.pack(93, instance, action.worker_id, action.function_id)
+        case WatchEndpoints():
+            return _WATCH.pack(90, instance, action.enabled)
+        case FetchEndpoints():
             return _BARE.pack(91, instance)
-        case api.Log():
+        case WriteLog():
             return encode_text(88, instance, action.text)
     raise WireError(f"no record for {action!r}")
--- a/saffronstack/choice.py
+++ b/saffronstack/choice.py
@@ -14,11 +14,35 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from saffronstack import interface as api
-from saffronstack.checks import check_settings
-
-LIMITING = (api.Result.OK, api.Result.FULL, api.Result.TIMEOUT)  # late, they shrink the worker's limit
-NEVER_RAN = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT, api.Result.MISS)
+from saffronstack.routing.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    LoadFunction,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from saffronstack.routing.events import (
+    AttemptOutcome,
+    CacheStatus,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    LoadCommandResult,
+    Request,
+    Result,
+    TimerFired,
+    WorkerEndpoint,
+    WorkerState,
+)
+from saffronstack.routing.settings import ClassSettings, DeduplicationScope, Idempotency, MissMode, Settings
+from saffronstack.routing.validation import validate_settings
+
+LIMITING = (Result.OK, Result.AT_CAPACITY, Result.TIMEOUT)  # late, they shrink the worker's limit
+NEVER_RAN = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 ALL = "all", 0  # the key that counts all requests
 KEEP_UNTOLD_S = 8.0  # how long an entry lives where no keep-alive is told
 RATE_SPAN_S = 15.0  # memory of own requests: all, a function's, a tenant's; it also sizes slow start
@@ -96,7 +120,7 @@
 class Worker:
     """What this front end knows of one worker."""
 
-    entry: api.WorkerEntry
+    entry: WorkerEndpoint
     ready: bool = False
     listed: bool = False
     in_flight: int = 0
@@ -144,7 +168,7 @@
 class Attempt:
     """One send and what it may have done."""
 
-    ask: api.Request
+    ask: Request
     number: int
     worker: Worker
     sent_s: float
@@ -158,8 +182,8 @@
 class Pending:
     """A request that is still owed its final answer."""
 
-    ask: api.Request
-    cls: api.ClassSettings
+    ask: Request
+    cls: ClassSettings
     value: float
     held_until_s: float
     attempts: list[Attempt] = field(default_factory=list)
@@ -171,8 +195,8 @@
 class Router:
     """Decides for one front end; `handle` is the only entry."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
-        check_settings(settings)
+    def __init__(self, settings: Settings, seed: int) -> None:
+        validate_settings(settings)
         self.settings = settings
         self.random = random.Random(seed)
         self.keep_s = settings.keep_alive_s or KEEP_UNTOLD_S
@@ -188,10 +212,10 @@
         self.busy = 0.0  # recent use of cores over the answering workers
         self.eject_s = 0.0
         self.sweep_s = 0.0
-        self.orders: dict[tuple[int, int], list[api.Request]] = {}
+        self.orders: dict[tuple[int, int], list[Request]] = {}
         self.order_times: deque[float] = deque()  # both kept only where orders are rationed
         self.request_times: deque[float] = deque()
-        self.load_part = LOADS_EACH / settings.instances  # own loads under way allowed for each worker
+        self.load_part = LOADS_EACH / settings.gateway_count  # own loads under way allowed for each worker
         self.load_norm_s = 0.0
         self.load_judged_s = 0.0
         self.pending: dict[int, Pending] = {}
@@ -205,58 +229,61 @@
         self.judged = 0.0, 0.0  # answers that said how late the fleet is, decayed, and when
         self.counts: dict[tuple[str, int], tuple[float, float]] = {}  # recent own requests; restarts at none
         self.repeats = REPEATS_SAVED  # further attempts that may be made now
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """What to do about one event."""
         self.actions = []
-        if isinstance(event, api.Outcome):
+        if isinstance(event, AttemptOutcome):
             self._outcome(now, event)
-        elif isinstance(event, api.Request):
+        elif isinstance(event, Request):
             self._request(now, event)
-        elif isinstance(event, api.ListUpdate):
+        elif isinstance(event, EndpointUpdate):
             self._list(now, event)
-        elif isinstance(event, api.Loaded):
+        elif isinstance(event, LoadCommandResult):
             self._loaded(now, event)
-        elif isinstance(event, api.Woken):
-            self._woken(now, event.ref)
-        elif isinstance(event, api.ClientGone):
-            self._left(event.request)
+        elif isinstance(event, TimerFired):
+            self._woken(now, event.timer_id)
+        elif isinstance(event, ClientDisconnected):
+            self._left(event.request_id)
         return self.actions
 
     def _left(self, request: int) -> None:
         """Work that nobody waits for any more is given up where the site allows it: it crowds out others."""
         pending = self.pending.pop(request, None)
-        if pending is not None and self.settings.allow.cancel:
+        if pending is not None and self.settings.permissions.cancellation:
             for attempt in pending.attempts:
                 if (request, attempt.number) in self.flying:
-                    self.actions.append(api.Cancel(request, attempt.number))
-
-    def _list(self, now: float, event: api.ListUpdate) -> None:
-        if self.settings.must_subscribe and event.kind in (api.ListKind.CACHED, api.ListKind.FAILED):
-            self.actions.append(api.Watch())
-        if event.kind is api.ListKind.FAILED:
+                    self.actions.append(CancelAttempt(request, attempt.number))
+
+    def _list(self, now: float, event: EndpointUpdate) -> None:
+        if self.settings.must_subscribe and event.kind in (
+            EndpointUpdateKind.CACHED,
+            EndpointUpdateKind.FAILED,
+        ):
+            self.actions.append(WatchEndpoints())
+        if event.kind is EndpointUpdateKind.FAILED:
             return
-        if event.kind is not api.ListKind.CHANGE:
-            named = {entry.worker for entry in event.workers}
+        if event.kind is not EndpointUpdateKind.INCREMENTAL:
+            named = {entry.worker_id for entry in event.endpoints}
             for number, worker in self.workers.items():
                 worker.listed = worker.listed and number in named
                 worker.ready = worker.ready and worker.listed
-        for entry in event.workers:
-            worker = self.workers.setdefault(entry.worker, Worker(entry))
+        for entry in event.endpoints:
+            worker = self.workers.setdefault(entry.worker_id, Worker(entry))
             # One that was gone and returns holds nothing of what it held, whatever its start is told to be.
-            started = not worker.listed or entry.since_s > worker.entry.since_s
+            started = not worker.listed or entry.started_s > worker.entry.started_s
             worker.entry = entry
             if started:
                 self._started(now, worker)
-            worker.ready = entry.state is api.WorkerState.READY
-            worker.listed = entry.state is not api.WorkerState.GONE
+            worker.ready = entry.state is WorkerState.READY
+            worker.listed = entry.state is not WorkerState.REMOVED
         for number in [n for n, worker in self.workers.items() if not worker.listed]:
             self._forget(number)
         ready = [worker for worker in self.workers.values() if worker.ready]
         self.ready = len(ready)
-        self.size = sum(worker.entry.size for worker in ready)
-        able = sum(worker.entry.size * self._warmth(now, worker) for worker in ready)
+        self.size = sum(worker.entry.capacity for worker in ready)
+        able = sum(worker.entry.capacity * self._warmth(now, worker) for worker in ready)
         self.served_by = max(able, self._served_by(now)), now
 
     def _served_by(self, now: float) -> float:
@@ -270,21 +297,21 @@
         """The part of its capacity that a worker of its age has at least."""
         if now >= worker.warm_s:
             return 1.0
-        share, age = self.settings.rules.cold_share, max(0.0, now - worker.entry.since_s)
-        return share + (1 - share) * age / self.settings.rules.cold_s
+        share, age = self.settings.rules.slow_start_min_fraction, max(0.0, now - worker.entry.started_s)
+        return share + (1 - share) * age / self.settings.rules.slow_start_s
 
     def _started(self, now: float, worker: Worker) -> None:
         """Its copies are void. Slow start: the first sends of all front ends must not fall on one moment."""
         rules = self.settings.rules
-        if rules.cold_s and worker.entry.since_s > 0:
-            worker.warm_s = worker.entry.since_s + rules.cold_s
+        if rules.slow_start_s and worker.entry.started_s > 0:
+            worker.warm_s = worker.entry.started_s + rules.slow_start_s
             worker.credit = self.random.random()
             worker.credit_s = now
         self._void(worker)
 
     def _void(self, worker: Worker) -> None:
         for (number, _), holding in self.holdings.items():
-            if number == worker.entry.worker:
+            if number == worker.entry.worker_id:
                 worker.placed_mb -= holding.copies * holding.memory_mb
                 holding.copies = 0
         for function in self.functions.values():
@@ -312,24 +339,26 @@
                 del self.functions[number]
                 self.counts.pop(("function", number), None)
 
-    def _request(self, now: float, ask: api.Request) -> None:
+    def _request(self, now: float, ask: Request) -> None:
         if not 0 <= ask.class_index < len(self.settings.classes):
             raise ValueError(f"class_index {ask.class_index} names no class")
         if now >= self.sweep_s:
             self._sweep(now)
-        if self.settings.rules.load_span_s:
+        if self.settings.rules.load_command_window_s:
             self.request_times.append(now)
-        for key in (ALL, ("function", ask.function), ("tenant", ask.tenant)):
+        for key in (ALL, ("function", ask.function_id), ("tenant", ask.tenant)):
             self.counts[key] = self._recent(now, key) + 1, now
         cls = self.settings.classes[ask.class_index]
         # Refused by then if nothing was sent: a client that is told early may yet be served elsewhere.
         until_s = min(ask.deadline_s - HOLD_END_S, now + HOLD_PART * (ask.deadline_s - now))
-        pending = Pending(ask, cls, cls.worth * self._in_share(now, ask.tenant), until_s)
-        if ask.prior is not None:  # where the worker is unknown, so is its group: none fits
-            place = self.workers.get(ask.prior.worker)
-            place = place or Worker(api.WorkerEntry(ask.prior.worker, api.WorkerState.GONE, zone=-1, cell=-1))
-            pending.maybe = Attempt(ask, -1, place, ask.prior.sent_s, False, False)
-        self.pending[ask.request] = pending
+        pending = Pending(ask, cls, cls.priority_weight * self._in_share(now, ask.tenant), until_s)
+        if ask.prior_attempt is not None:  # where the worker is unknown, so is its group: none fits
+            place = self.workers.get(ask.prior_attempt.worker_id)
+            place = place or Worker(
+                WorkerEndpoint(ask.prior_attempt.worker_id, WorkerState.REMOVED, zone=-1, cell=-1)
+            )
+            pending.maybe = Attempt(ask, -1, place, ask.prior_attempt.sent_s, False, False)
+        self.pending[ask.request_id] = pending
         self.repeats = min(REPEATS_SAVED, self.repeats + REPEATS)
         self.value += VALUE_STEP * (pending.value - self.value) if self.value else pending.value
         part = self.shed - SHED_FREE
@@ -338,7 +367,7 @@
         else:
             self._try(now, pending)
 
-    def _judge_answer(self, now: float, attempt: Attempt, event: api.Outcome) -> None:
+    def _judge_answer(self, now: float, attempt: Attempt, event: AttemptOutcome) -> None:
         """Learn whether copies are shared by all front ends, and how much to refuse at once.
 
         Shared: many answers met a copy where the own account had none. Refusing guards against queues that
@@ -346,17 +375,21 @@
         The spread grows only where a copy was crowded, if the site tells that and the use of cores: with
         hundreds of front ends nearly all sends find a copy, and a spread that grows on that alone ends where
         loads crowd it. Where no use is told nothing but the spread evens load, and it grows on each."""
-        warm = event.found is api.Found.WARM
-        if event.result is api.Result.OK:
+        warm = event.cache_status is CacheStatus.WARM
+        if event.result is Result.OK:
             self.met += ((attempt.strange and warm) - self.met) / MET_SPAN
-        if event.result is api.Result.OK and attempt.strange:
-            crowded = not self.busy or event.crowd is None or event.crowd >= max(1.0, attempt.ask.lanes)
+        if event.result is Result.OK and attempt.strange:
+            crowded = (
+                not self.busy
+                or event.concurrency is None
+                or event.concurrency >= max(1.0, attempt.ask.concurrency)
+            )
             found = SPREAD_GROW if crowded else SPREAD_EASE
             self.spread = min(SPREAD_MOST, max(1.0, self.spread * (found if warm else SPREAD_SHRINK)))
-        aim_s = self.settings.classes[attempt.ask.class_index].aim_s
+        aim_s = self.settings.classes[attempt.ask.class_index].latency_objective_s
         # One that answers others and lets this one's time run out is late; one that is silent may be cut off.
-        lost = event.result is api.Result.TIMEOUT and attempt.worker.heard_s > attempt.sent_s
-        if event.result is api.Result.FULL or lost or (warm and event.elapsed_s > aim_s):
+        lost = event.result is Result.TIMEOUT and attempt.worker.heard_s > attempt.sent_s
+        if event.result is Result.AT_CAPACITY or lost or (warm and event.elapsed_s > aim_s):
             self.shed = min(SHED_MOST, self.shed + SHED_MORE * self._swift(now))
         elif warm:
             self.shed = max(0.0, self.shed - SHED_LESS * self._swift(now))
@@ -380,9 +413,9 @@
             return 1.0
         quota = tenants[tenant].quota_rps
         total = sum(other.quota_rps for other in tenants) or 1.0
-        fair = max(quota / self.settings.instances * RATE_SPAN_S, quota / total * self._recent(now, ALL))
+        fair = max(quota / self.settings.gateway_count * RATE_SPAN_S, quota / total * self._recent(now, ALL))
         share = min(1.0, fair / max(1.0, self._recent(now, ("tenant", tenant))))
-        return share + (1 - share) * self.settings.over_share_worth
+        return share + (1 - share) * self.settings.over_quota_weight
 
     def _recent(self, now: float, key: tuple[str, int]) -> float:
         counted, since_s = self.counts.get(key, (0.0, now))
@@ -391,8 +424,8 @@
     def _try(self, now: float, pending: Pending, patient: bool = True) -> None:
         """Send once more if the rules and the attempts left allow it, or hold; else the final answer."""
         ask = pending.ask
-        function = self.functions.setdefault(ask.function, Function())
-        spent = now >= ask.deadline_s or 0 < self.settings.allow.max_attempts <= len(pending.attempts)
+        function = self.functions.setdefault(ask.function_id, Function())
+        spent = now >= ask.deadline_s or 0 < self.settings.permissions.max_attempts <= len(pending.attempts)
         if spent or not self._may_send(now, pending) or (pending.attempts and self.repeats < 1):
             self._give_up(pending)
             return
@@ -401,7 +434,7 @@
         warm = self._pop(now, function, pending, min(1.0, part))
         if warm is not None:
             worker, freed_s = warm
-            self._send(now, pending, worker, function, ask.function not in worker.loading, freed_s)
+            self._send(now, pending, worker, function, ask.function_id not in worker.loading, freed_s)
             return
         # Only now all workers are looked at: most requests find an entry, and fleets may be large.
         eligible = [worker for worker in self.workers.values() if self._fits(now, pending, worker)]
@@ -420,7 +453,7 @@
         else:
             self._give_up(pending)
 
-    def _may_load(self, now: float, ask: api.Request, function: Function, patient: bool) -> bool:
+    def _may_load(self, now: float, ask: Request, function: Function, patient: bool) -> bool:
         """Bound own loads under way, and wait for a busy lane before loading another copy.
 
         Guards against loads that crowd the store and the waiting rooms: releases, a slow store, one-off
@@ -431,45 +464,45 @@
         if self.loads_out >= self._most_loads() or not in_time:
             return False
         full = sum(worker.ready and not worker.ejected for worker, _ in function.stack)  # at their limit
-        lanes = full + function.busy + function.loads * max(1.0, ask.lanes)
+        lanes = full + function.busy + function.loads * max(1.0, ask.concurrency)
         return len(function.waiting) >= WAIT_PER_LANE * lanes or (not patient and not function.loads)
 
     def _most_loads(self) -> float:
         return max(LOADS_LEAST, self.load_part * self.ready)
 
-    def _judge_load(self, now: float, result: api.Result, took_s: float) -> None:
+    def _judge_load(self, now: float, result: Result, took_s: float) -> None:
         """More own loads while they take the usual time, fewer when slow or full; guards a crowded store."""
-        if result is api.Result.OK and took_s > 0:
+        if result is Result.OK and took_s > 0:
             step = 0.2 if took_s < self.load_norm_s else 0.01
             self.load_norm_s += step * (took_s - self.load_norm_s) if self.load_norm_s else took_s
-        elif result not in (api.Result.FULL, api.Result.TIMEOUT):
+        elif result not in (Result.AT_CAPACITY, Result.TIMEOUT):
             return
-        if result is api.Result.OK and took_s < SLOW_LOAD * self.load_norm_s:
+        if result is Result.OK and took_s < SLOW_LOAD * self.load_norm_s:
             if self.loads_out + 2 > self._most_loads():
                 self.load_part += LOADS_GROW / max(1, self.ready)
         elif now > self.load_judged_s + JUDGE_S:
             self.load_judged_s = now
-            self.load_part = max(LOADS_FLOOR / self.settings.instances, LOADS_SHRINK * self.load_part)
+            self.load_part = max(LOADS_FLOOR / self.settings.gateway_count, LOADS_SHRINK * self.load_part)
 
     def _hold(self, now: float, pending: Pending, function: Function) -> None:
         function.waiting.append(pending)
-        self.held[pending.ask.function] = function
+        self.held[pending.ask.function_id] = function
         wait_s = self._held_until(pending) - now
         if not pending.woken:
-            wait_s = min(wait_s, PATIENCE * pending.cls.aim_s)
+            wait_s = min(wait_s, PATIENCE * pending.cls.latency_objective_s)
         pending.woken = True
-        self.actions.append(api.WakeMe(max(0.0, wait_s), pending.ask.request))
+        self.actions.append(SetTimer(max(0.0, wait_s), pending.ask.request_id))
 
     def _held_until(self, pending: Pending) -> float:
         return pending.ask.deadline_s - HOLD_END_S if pending.attempts else pending.held_until_s
 
     def _woken(self, now: float, ref: int) -> None:
         pending = self.pending.get(ref)
-        function = pending and self.functions.get(pending.ask.function)
+        function = pending and self.functions.get(pending.ask.function_id)
         if pending and function and pending in function.waiting:
             function.waiting.remove(pending)
             if not function.waiting:
-                self.held.pop(pending.ask.function, None)
+                self.held.pop(pending.ask.function_id, None)
             self._try(now, pending, patient=False)
 
     def _serve_waiting(self, now: float) -> None:
@@ -494,73 +527,76 @@
         while function.waiting:
             pending = function.waiting.pop()
             if not function.waiting:
-                self.held.pop(pending.ask.function, None)
-            if self.pending.get(pending.ask.request) is pending:
+                self.held.pop(pending.ask.function_id, None)
+            if self.pending.get(pending.ask.request_id) is pending:
                 self._try(now, pending, patient)
                 return
 
     def _may_send(self, now: float, pending: Pending) -> bool:
         first = pending.maybe
-        if first is None or pending.cls.effect is api.Effect.SAFE:
+        if first is None or pending.cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if pending.cls.effect is api.Effect.UNSAFE:
+        if pending.cls.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        return now < first.sent_s + pending.cls.window_s - WINDOW_MARGIN_S
+        return now < first.sent_s + pending.cls.deduplication_window_s - WINDOW_MARGIN_S
 
     def _give_up(self, pending: Pending) -> None:
         """The final answer: a refusal only where trying again is harmless."""
         cls = pending.cls
-        everywhere = cls.effect is api.Effect.SAFE or (cls.effect, cls.group) == (
-            api.Effect.KEYED,
-            api.Group.ALL,
+        everywhere = cls.idempotency is Idempotency.IDEMPOTENT or (
+            cls.idempotency,
+            cls.deduplication_scope,
+        ) == (
+            Idempotency.WITH_KEY,
+            DeduplicationScope.ALL,
         )
-        del self.pending[pending.ask.request]
+        del self.pending[pending.ask.request_id]
         if (everywhere or pending.maybe is None) and not pending.out:
-            advice = min(ADVICE_S, self.settings.allow.max_retry_advice_s)
-            self.actions.append(api.Refuse(pending.ask.request, advice))
+            advice = min(ADVICE_S, self.settings.permissions.max_retry_after_s)
+            self.actions.append(Reject(pending.ask.request_id, advice))
         else:
-            self.actions.append(api.Fail(pending.ask.request))
+            self.actions.append(Fail(pending.ask.request_id))
 
     def _send(
         self, now: float, pending: Pending, worker: Worker, function: Function, warm: bool, freed_s: float
     ) -> None:
         ask = pending.ask
-        strange = not warm and (worker.entry.worker, ask.function) not in self.holdings
+        strange = not warm and (worker.entry.worker_id, ask.function_id) not in self.holdings
         attempt = Attempt(ask, len(pending.attempts), worker, now, warm, strange, freed_s)
         function.busy += warm
         worker.warm_out += warm
         function.loads += not warm
         self.loads_out += not warm
         if not warm:
-            worker.loading[ask.function] = worker.loading.get(ask.function, 0) + 1
+            worker.loading[ask.function_id] = worker.loading.get(ask.function_id, 0) + 1
         self.repeats -= bool(pending.attempts)
         pending.attempts.append(attempt)
         pending.out += 1
-        self.flying[ask.request, attempt.number] = attempt
+        self.flying[ask.request_id, attempt.number] = attempt
         worker.in_flight += 1
         holding = self._holding(worker, ask)
         holding.in_flight += 1
-        needed = math.ceil(holding.in_flight / max(1.0, ask.lanes))
+        needed = math.ceil(holding.in_flight / max(1.0, ask.concurrency))
         self._place_copies(worker, holding, max(holding.copies, needed))
         worker.credit -= 1.0
         if worker.ejected:
             worker.trial_s = now + TRIAL_S
-        self.actions.append(api.Send(ask.request, worker.entry.worker))
+        self.actions.append(SendAttempt(ask.request_id, worker.entry.worker_id))
 
     # ---- the choice
 
-    def _place(self, now: float, ask: api.Request, function: Function, eligible: list[Worker]) -> Worker:
+    def _place(self, now: float, ask: Request, function: Function, eligible: list[Worker]) -> Worker:
         """The worker for a new load."""
-        eligible = [w for w in eligible if function.avoid.get(w.entry.worker, 0.0) <= now] or eligible
+        eligible = [w for w in eligible if function.avoid.get(w.entry.worker_id, 0.0) <= now] or eligible
         calm = self._calm([w for w in eligible if len(w.loading) < OWN_LOADS]) or eligible
         room = [worker for worker in calm if self._memory_mb(worker) - worker.placed_mb >= ask.memory_mb]
         if not room:
-            return min(calm, key=lambda worker: (worker.in_flight, self._rank(worker, ask.function)))
+            return min(calm, key=lambda worker: (worker.in_flight, self._rank(worker, ask.function_id)))
 
         def distance(worker: Worker) -> float:
-            return self._rank(worker, ask.function) / (self._room_share(worker) * self._rest(now, worker))
+            return self._rank(worker, ask.function_id) / (self._room_share(worker) * self._rest(now, worker))
 
-        first = heapq.nsmallest(self._spread(now, ask.function), room, key=distance)
+        first = heapq.nsmallest(self._spread(now, ask.function_id), room, key=distance)
         # The better of two, not the best of all: front ends that hear late would all go to the same one.
         first = self.random.sample(first, 2) if len(first) > 2 else first
         return min(
@@ -601,41 +637,49 @@
         return max(REST_LEAST, 1 - self.busy - apart) / max(REST_LEAST, 1 - self.busy)
 
     def _memory_mb(self, worker: Worker) -> float:
-        return max(1.0, dict(enumerate(self.settings.memory_mb_by_kind)).get(worker.entry.kind, math.inf))
+        return max(
+            1.0, dict(enumerate(self.settings.memory_mb_by_worker_kind)).get(worker.entry.kind, math.inf)
+        )
 
     def _calm(self, workers: list[Worker]) -> list[Worker]:
         """Those with own requests in flight not far over the fleet's for their size.
 
         Guards against a favourite that many functions share; hurts while own counts are few, at a start."""
         own = BOUND * (1 + len(self.flying)) / (self.size or 1.0)
-        return [worker for worker in workers if worker.in_flight < max(BOUND_LEAST, own * worker.entry.size)]
+        return [
+            worker for worker in workers if worker.in_flight < max(BOUND_LEAST, own * worker.entry.capacity)
+        ]
 
     def _rank(self, worker: Worker, function: int) -> float:
         """Rendezvous: every front end prefers the same workers for a function, so that they meet on copies.
 
         Guards against front ends each filling cold slots, also after a restart; hurts where hot functions
         share a favourite: `_calm` and `_spread` then pass over it."""
-        mixed = (function * 0x9E3779B97F4A7C15 ^ worker.entry.worker * 0xC2B2AE3D27D4EB4F) & MASK
+        mixed = (function * 0x9E3779B97F4A7C15 ^ worker.entry.worker_id * 0xC2B2AE3D27D4EB4F) & MASK
         mixed = ((mixed ^ mixed >> 31) * 0xBF58476D1CE4E5B9) & MASK
         mixed = ((mixed ^ mixed >> 27) * 0x94D049BB133111EB) & MASK
-        return -math.log(((mixed ^ mixed >> 31) + 1) / (MASK + 2)) / max(worker.entry.size, 1e-6)
+        return -math.log(((mixed ^ mixed >> 31) + 1) / (MASK + 2)) / max(worker.entry.capacity, 1e-6)
 
     def _group_fits(self, pending: Pending, worker: Worker) -> bool:
         """A keyed request that may have run stays in the group that drops its repeats."""
         first = pending.maybe
-        if first is None or pending.cls.effect is not api.Effect.KEYED or pending.cls.group is api.Group.ALL:
+        if (
+            first is None
+            or pending.cls.idempotency is not Idempotency.WITH_KEY
+            or pending.cls.deduplication_scope is DeduplicationScope.ALL
+        ):
             return True
-        if pending.cls.group is api.Group.ZONE:
+        if pending.cls.deduplication_scope is DeduplicationScope.ZONE:
             return worker.entry.zone == first.worker.entry.zone
         return worker.entry.cell == first.worker.entry.cell
 
     def _fits(self, now: float, pending: Pending, worker: Worker) -> bool:
         """Whether it may get this request: listed, not tried, not ejected, and warm enough."""
-        number = worker.entry.worker
+        number = worker.entry.worker_id
         return (
             worker.ready
             and (not worker.ejected or now >= worker.trial_s)
-            and all(attempt.worker.entry.worker != number for attempt in pending.attempts)
+            and all(attempt.worker.entry.worker_id != number for attempt in pending.attempts)
             and self._group_fits(pending, worker)
             and self._cold_fits(now, worker)
         )
@@ -662,8 +706,8 @@
                 again = place if self._cold_fits(now, worker) else None
         return None if again is None else stack.pop(again)
 
-    def _holding(self, worker: Worker, ask: api.Request) -> Holding:
-        key = worker.entry.worker, ask.function
+    def _holding(self, worker: Worker, ask: Request) -> Holding:
+        key = worker.entry.worker_id, ask.function_id
         holding = self.holdings.get(key)
         if holding is None:
             holding = self.holdings[key] = Holding(ask.memory_mb)
@@ -687,51 +731,51 @@
         """Orders only where a miss loads nothing; elsewhere a request that waits loads as well and is
         held back by the worker's own queue. The rule on loads bounds them."""
         rules = self.settings.rules
-        if not self.settings.allow.orders or self.settings.miss_mode is not api.MissMode.MISS:
+        if not self.settings.permissions.load_commands or self.settings.miss_mode is not MissMode.REJECT:
             return False
-        if not rules.load_span_s:
+        if not rules.load_command_window_s:
             return True
         for times in (self.order_times, self.request_times):
-            while times and times[0] <= now - rules.load_span_s - ORDER_MARGIN_S:
+            while times and times[0] <= now - rules.load_command_window_s - ORDER_MARGIN_S:
                 times.popleft()
-        taken = sum(then > now - rules.load_span_s + ORDER_MARGIN_S for then in self.request_times)
-        return len(self.order_times) + 1 <= rules.load_free + rules.load_part * taken
+        taken = sum(then > now - rules.load_command_window_s + ORDER_MARGIN_S for then in self.request_times)
+        return len(self.order_times) + 1 <= rules.load_command_burst + rules.load_commands_per_request * taken
 
-    def _order(self, now: float, ask: api.Request, worker: Worker, function: Function) -> None:
+    def _order(self, now: float, ask: Request, worker: Worker, function: Function) -> None:
         holding = self._holding(worker, ask)
         holding.used_s = now
-        if holding.in_flight >= holding.copies * ask.lanes:
+        if holding.in_flight >= holding.copies * ask.concurrency:
             self._place_copies(worker, holding, holding.copies + 1)
         copies = max(1, min(16, holding.copies))
-        self.orders.setdefault((worker.entry.worker, ask.function), []).append(ask)
-        if self.settings.rules.load_span_s:
+        self.orders.setdefault((worker.entry.worker_id, ask.function_id), []).append(ask)
+        if self.settings.rules.load_command_window_s:
             self.order_times.append(now)
-        worker.loading[ask.function] = worker.loading.get(ask.function, 0) + 1
+        worker.loading[ask.function_id] = worker.loading.get(ask.function_id, 0) + 1
         function.loads += 1
         self.loads_out += 1
-        self.actions.append(api.Load(worker.entry.worker, ask.function, copies))
+        self.actions.append(LoadFunction(worker.entry.worker_id, ask.function_id, copies))
 
-    def _loaded(self, now: float, event: api.Loaded) -> None:
-        asks = self.orders.get((event.worker, event.function))
+    def _loaded(self, now: float, event: LoadCommandResult) -> None:
+        asks = self.orders.get((event.worker_id, event.function_id))
         if not asks:
             return
         ask = asks.pop()
         if not asks:
-            del self.orders[event.worker, event.function]
-        worker = self.workers[event.worker]
-        function = self.functions[event.function]
-        self._load_ended(worker, function, event.function)
+            del self.orders[event.worker_id, event.function_id]
+        worker = self.workers[event.worker_id]
+        function = self.functions[event.function_id]
+        self._load_ended(worker, function, event.function_id)
         self._judge_load(now, event.result, event.elapsed_s if event.elapsed_s > LOAD_AT_ONCE_S else 0.0)
         holding = self._holding(worker, ask)
-        if event.result is api.Result.OK:
+        if event.result is Result.OK:
             holding.used_s = now
-            free = max(1, int(ask.lanes) * max(1, event.copies) - holding.in_flight)
+            free = max(1, int(ask.concurrency) * max(1, event.instances) - holding.in_flight)
             owned = sum(entry[0] is worker for entry in function.stack)
-            function.stack.extend([(worker, now)] * max(1, min(int(ask.lanes), free - owned)))
+            function.stack.extend([(worker, now)] * max(1, min(int(ask.concurrency), free - owned)))
         else:
-            function.avoid[event.worker] = now + AVOID_S
-            self._place_copies(worker, holding, event.copies)
-        due = now + self.keep_s, next(self.ticket), event.worker, event.function
+            function.avoid[event.worker_id] = now + AVOID_S
+            self._place_copies(worker, holding, event.instances)
+        due = now + self.keep_s, next(self.ticket), event.worker_id, event.function_id
         heapq.heappush(self.expiries, due)
         self._serve_waiting(now)
 
@@ -742,14 +786,14 @@
         if worker.loading[number] <= 0:
             del worker.loading[number]
 
-    def _move_limit(self, now: float, attempt: Attempt, event: api.Outcome) -> None:
+    def _move_limit(self, now: float, attempt: Attempt, event: AttemptOutcome) -> None:
         """Fewer warm sends at once to a worker whose answers are late or full, more while they are not.
 
         Guards against queues at the workers, whatever fills them; requests over the limit wait here,
         where the newest and worthiest goes first. It could hurt where only a function is slow."""
         worker = attempt.worker
-        aim_s = self.settings.classes[attempt.ask.class_index].aim_s
-        late = event.result is api.Result.FULL or event.elapsed_s > LATE_PART * aim_s
+        aim_s = self.settings.classes[attempt.ask.class_index].latency_objective_s
+        late = event.result is Result.AT_CAPACITY or event.elapsed_s > LATE_PART * aim_s
         if not late:
             if worker.warm_out + 1 > LIMIT_USED * worker.limit:
                 worker.limit += LIMIT_GROW
@@ -757,27 +801,27 @@
             worker.limited_s = now
             worker.limit = max(LIMIT_LEAST, LIMIT_SHRINK * min(worker.limit, worker.warm_out + 1))
 
-    def _rate_worker(self, now: float, attempt: Attempt, event: api.Outcome) -> None:
+    def _rate_worker(self, now: float, attempt: Attempt, event: AttemptOutcome) -> None:
         """Take out workers that are slow, fail or are not reached, by the fleet's own norm; trials go on.
 
         Guards against slow, half-dead, unreachable and fast-failing workers whatever the cause. It could
         hurt where a class's work differs much between workers; at most a part of the fleet is out."""
         worker = attempt.worker
         step = TRIAL_STEP if worker.ejected else EJECT_STEP
-        if event.result is not api.Result.CANCELLED:
-            reached = event.result not in (api.Result.CONNECT_FAILED, api.Result.RESET)
+        if event.result is not Result.CANCELLED:
+            reached = event.result not in (Result.CONNECT_FAILED, Result.RESET)
             worker.misses = 0 if reached else worker.misses + 1
-        failed = event.result is api.Result.ERROR and event.found is not api.Found.LOAD_FAILED
-        if failed or event.result is api.Result.OK:
+        failed = event.result is Result.ERROR and event.cache_status is not CacheStatus.LOAD_FAILED
+        if failed or event.result is Result.OK:
             worker.errors += step * (failed - worker.errors)
-        plain = event.found in (api.Found.WARM, api.Found.UNTOLD) and attempt.warm
-        if plain and event.result in (api.Result.OK, api.Result.TIMEOUT, api.Result.CANCELLED):
+        plain = event.cache_status in (CacheStatus.WARM, CacheStatus.UNKNOWN) and attempt.warm
+        if plain and event.result in (Result.OK, Result.TIMEOUT, Result.CANCELLED):
             norm = self.norms.get(attempt.ask.class_index) or event.elapsed_s or 1e-3
             ratio = min(10.0, event.elapsed_s / norm)
-            if event.result is api.Result.OK or ratio > worker.slow:
+            if event.result is Result.OK or ratio > worker.slow:
                 worker.slow += step * (ratio - worker.slow)
                 worker.answers = min(EJECT_LEAST, worker.answers + 1)
-            if event.result is api.Result.OK:
+            if event.result is Result.OK:
                 norm += NORM_STEP * (min(event.elapsed_s, 5 * norm) - norm)
                 self.norms[attempt.ask.class_index] = norm
         if now >= self.eject_s:
@@ -797,7 +841,7 @@
             fails = worker.errors / (part * (EJECT_ERRORS + 2 * errors))
             score = max(slow, fails, worker.misses / EJECT_MISSES)
             if score >= 1:
-                worst.append((-score, worker.entry.worker, worker))
+                worst.append((-score, worker.entry.worker_id, worker))
         out = [worker for _, _, worker in sorted(worst)[: int(EJECT_MOST * len(ready))]]
         for worker in ready:
             if worker in out and not worker.ejected:
@@ -814,14 +858,14 @@
         rules = self.settings.rules
         rate = self._recent(now, ALL) / RATE_SPAN_S
         size = max(self.size, self._served_by(now))
-        part = self._warmth(now, worker) * rate * worker.entry.size / size if size > 0 else 0.0
+        part = self._warmth(now, worker) * rate * worker.entry.capacity / size if size > 0 else 0.0
         more = COLD_PART if not self.busy else min(COLD_MOST, max(COLD_PART, COLD_USE / self.busy))
-        pace = more * part * min(1.0, rules.tip_multiple or 1.0)
-        span = rules.tip_after_s * self.settings.instances
+        pace = more * part * min(1.0, rules.overload_multiple or 1.0)
+        span = rules.overload_window_s * self.settings.gateway_count
         if part * span <= 0:
             return pace
-        spare = COLD_SPARE / 2 * math.sqrt(max(0.0, 1 - pace * rules.tip_after_s))
-        mean = (math.sqrt(spare**2 + rules.tip_multiple * part * span) - spare) ** 2
+        spare = COLD_SPARE / 2 * math.sqrt(max(0.0, 1 - pace * rules.overload_window_s))
+        mean = (math.sqrt(spare**2 + rules.overload_multiple * part * span) - spare) ** 2
         return min(pace, mean / span)
 
     def _cold_fits(self, now: float, worker: Worker) -> bool:
@@ -833,57 +877,60 @@
         worker.credit_s = now
         return worker.credit >= 1.0
 
-    def _outcome(self, now: float, event: api.Outcome) -> None:
-        attempt = self.flying.pop((event.request, event.attempt), None)
+    def _outcome(self, now: float, event: AttemptOutcome) -> None:
+        attempt = self.flying.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return
         self._learn(now, attempt, event)
-        pending = self.pending.get(event.request)
+        pending = self.pending.get(event.request_id)
         if pending is not None:
             pending.out -= 1
             if event.result not in NEVER_RAN and pending.maybe is None:
                 pending.maybe = attempt
-            if event.finished:
-                del self.pending[event.request]
+            if event.is_final:
+                del self.pending[event.request_id]
             elif not pending.out:
                 self._try(now, pending)
         self._serve_waiting(now)
 
-    def _learn(self, now: float, attempt: Attempt, event: api.Outcome) -> None:
+    def _learn(self, now: float, attempt: Attempt, event: AttemptOutcome) -> None:
         worker, ask = attempt.worker, attempt.ask
         worker.in_flight -= 1
         worker.warm_out -= attempt.warm
-        if attempt.warm and event.found in (api.Found.WARM, api.Found.UNTOLD):
+        if attempt.warm and event.cache_status in (CacheStatus.WARM, CacheStatus.UNKNOWN):
             self._move_limit(now, attempt, event)
-        if event.result in (api.Result.OK, api.Result.FULL, api.Result.ERROR):
+        if event.result in (Result.OK, Result.AT_CAPACITY, Result.ERROR):
             worker.heard_s = now
-        if event.report is not None and event.report.busy is not None:
-            self._hear(now, worker, min(1.0, event.report.busy))
+        if event.load_report is not None and event.load_report.cpu_utilization is not None:
+            self._hear(now, worker, min(1.0, event.load_report.cpu_utilization))
         self._judge_answer(now, attempt, event)
         self._rate_worker(now, attempt, event)
         holding = self._holding(worker, ask)
         holding.in_flight -= 1
-        function = self.functions[ask.function]
+        function = self.functions[ask.function_id]
         function.busy -= attempt.warm
         stack = function.stack
         if not attempt.warm:
-            self._load_ended(worker, function, ask.function)
-            load_s = event.elapsed_s if event.found is api.Found.BEGAN_LOAD else 0.0
+            self._load_ended(worker, function, ask.function_id)
+            load_s = event.elapsed_s if event.cache_status is CacheStatus.STARTED_LOAD else 0.0
             self._judge_load(now, event.result, load_s)
-        loaded = event.found in (api.Found.BEGAN_LOAD, api.Found.AWAITED_LOAD)
+        loaded = event.cache_status in (CacheStatus.STARTED_LOAD, CacheStatus.JOINED_LOAD)
         # A connection that ends tells nothing of the copy: its entry returns. Guards against resets that
         # make standing copies unknown, whose calls then wait for loads; a dead worker is ejected meanwhile.
-        attempt.broken = event.result in (api.Result.RESET, api.Result.CONNECT_FAILED)
-        cancelled = event.result is api.Result.CANCELLED  # nor does a client that leaves
+        attempt.broken = event.result in (Result.RESET, Result.CONNECT_FAILED)
+        cancelled = event.result is Result.CANCELLED  # nor does a client that leaves
         if (attempt.broken or cancelled) and attempt.warm:
             insort(stack, (worker, now if cancelled else attempt.freed_s), key=lambda entry: entry[1])
-        elif event.result is not api.Result.OK or loaded:
+        elif event.result is not Result.OK or loaded:
             stack[:] = [entry for entry in stack if entry[0] is not worker or entry[1] > attempt.sent_s]
-        if event.result is api.Result.OK:
+        if event.result is Result.OK:
             holding.used_s = now
-            lanes = int(ask.lanes) - holding.in_flight if loaded else 1  # a load frees all its lanes
+            lanes = int(ask.concurrency) - holding.in_flight if loaded else 1  # a load frees all its lanes
             # Guards against going back to a loaded or slow worker; hurts functions that are slow anyway.
-            late = self.met > MET_MOSTLY and event.elapsed_s > self.settings.classes[ask.class_index].aim_s
+            late = (
+                self.met > MET_MOSTLY
+                and event.elapsed_s > self.settings.classes[ask.class_index].latency_objective_s
+            )
             stack.extend([(worker, now)] * (0 if late and not loaded else max(1, lanes)))
-        due = now + self.keep_s, next(self.ticket), worker.entry.worker, ask.function
+        due = now + self.keep_s, next(self.ticket), worker.entry.worker_id, ask.function_id
         heapq.heappush(self.expiries, due)
--- a/saffronstack/config/build.py
+++ b/saffronstack/config/build.py
@@ -9,61 +9,71 @@
 from dataclasses import dataclass
 from threading import Lock
 
-from saffronstack import interface as api
 from saffronstack.config.schema import Config, Function, Worker
 from saffronstack.core.calls import FunctionSpec
 from saffronstack.core.names import function_number, worker_number
 from saffronstack.core.roster import WorkerSpec
 from saffronstack.metering.limits import Budget
+from saffronstack.routing.settings import (
+    ClassSettings,
+    DeduplicationScope,
+    Idempotency,
+    LoadReportSource,
+    MissMode,
+    PermissionSettings,
+    RuleSettings,
+    Settings,
+    TenantSettings,
+)
 
 MB_S = 1024 * 1_000_000  # KiB microseconds
 SPECS_KEPT = 65536  # names that matched a pattern; the ones not used for longest are worked out again
 
 
-def settings_of(config: Config) -> api.Settings:
+def settings_of(config: Config) -> Settings:
     """The module's settings."""
-    return api.Settings(
+    return Settings(
         classes=tuple(
-            api.ClassSettings(
+            ClassSettings(
                 name=c.name,
-                effect=api.Effect(c.effect),
-                aim_s=c.aim_s,
+                idempotency=Idempotency(c.effect),
+                latency_objective_s=c.aim_s,
                 deadline_s=c.deadline_s,
-                worth=c.worth,
-                late_share=c.late_share,
-                group=api.Group(c.group),
-                window_s=c.window_s,
+                priority_weight=c.worth,
+                late_value_fraction=c.late_share,
+                deduplication_scope=DeduplicationScope(c.group),
+                deduplication_window_s=c.window_s,
             )
             for c in config.classes
         ),
-        instances=config.instances,
-        self_index=config.self_index,
+        gateway_count=config.instances,
+        gateway_index=config.self_index,
         zone=_places(config, "zone")[config.zone],
         tenants=_tenants(config),
-        over_share_worth=config.over_share_worth,
-        memory_mb_by_kind=tuple(kind.memory_mb for kind in config.kinds),
+        over_quota_weight=config.over_share_worth,
+        memory_mb_by_worker_kind=tuple(kind.memory_mb for kind in config.kinds),
         keep_alive_s=config.keep_alive_s,
-        miss_mode=api.MissMode(config.miss_mode),
-        order_timeout_s=config.order_timeout_s,
-        tells_warm=True,
-        tells_crowd=True,
-        report_via=api.ReportVia.ANSWERS,
-        rules=api.RuleSettings(
-            answer_slack_s=config.answer_margin_s / 2,
+        miss_mode=MissMode(config.miss_mode),
+        load_command_timeout_s=config.order_timeout_s,
+        reports_cache_status=True,
+        reports_concurrency=True,
+        load_report_source=LoadReportSource.RESPONSES,
+        rules=RuleSettings(
+            response_slack_s=config.answer_margin_s / 2,
             drain_grace_s=config.rules.drain_grace_s,
-            cold_share=config.rules.cold_share,
-            cold_s=config.rules.cold_s,
-            tip_multiple=config.rules.tip_multiple,
-            tip_after_s=config.rules.tip_after_s,
-            load_free=config.rules.load_free,
-            load_part=config.rules.load_part,
-            load_span_s=config.rules.load_span_s,
+            slow_start_min_fraction=config.rules.cold_share,
+            slow_start_s=config.rules.cold_s,
+            overload_multiple=config.rules.tip_multiple,
+            overload_window_s=config.rules.tip_after_s,
+            load_command_burst=config.rules.load_free,
+            load_commands_per_request=config.rules.load_part,
+            load_command_window_s=config.rules.load_span_s,
         ),
-        allow=api.AllowSettings(
+        permissions=PermissionSettings(
             max_attempts=config.allow.max_attempts,
-            orders=config.allow.orders,
-            retry_advice=True,
-            max_retry_advice_s=config.allow.max_retry_advice_s,
+            load_commands=config.allow.orders,
+            retry_after=True,
+            max_retry_after_s=config.allow.max_retry_advice_s,
             connect_timeout_s=config.allow.connect_timeout_s,
         ),
     )
@@ -73,16 +83,16 @@
 OVER_BUDGET = "(over budget)"
 
 
-def _tenants(config: Config) -> tuple[api.TenantSettings, ...]:
+def _tenants(config: Config) -> tuple[TenantSettings, ...]:
     """The module's tenants. Where there are budgets, one more, last, whose quota is nothing: a call of a
     tenant over its soft mark counts as that one's, and so as worth what lies over a share."""
     budgets = any(tenant.budget for tenant in config.tenants)
     if not budgets and not any(tenant.quota_rps for tenant in config.tenants):
         return ()
     rest = UNBOUNDED_RPS if budgets else 0.0
-    tenants = [api.TenantSettings(t.name, t.share, t.quota_rps or rest) for t in config.tenants]
+    tenants = [TenantSettings(t.name, t.share, t.quota_rps or rest) for t in config.tenants]
     if budgets:
-        tenants.append(api.TenantSettings(OVER_BUDGET, 0.0, 0.0))
+        tenants.append(TenantSettings(OVER_BUDGET, 0.0, 0.0))
     return tuple(tenants)
 
 
@@ -156,7 +166,7 @@
     spec: FunctionSpec
     config: Function
     deadline_s: float
-    effect: api.Effect
+    effect: Idempotency
 
 
 class Functions:
@@ -194,7 +204,7 @@
             ),
             function,
             cls.deadline_s,
-            api.Effect(cls.effect),
+            Idempotency(cls.effect),
         )
         with self._lock:
             self._known[name] = known
--- a/saffronstack/core/calls.py
+++ b/saffronstack/core/calls.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Protocol
 
-from saffronstack.interface import Outcome, Report, Result
+from saffronstack.routing.events import AttemptOutcome, LoadReport, Result
 
 
 class Ending(Enum):
@@ -127,7 +127,7 @@
     """How an attempt ended, as its worker thread saw it."""
 
     call: Call
-    outcome: Outcome
+    outcome: AttemptOutcome
     answer: Answer | None = None
     reason: str = ""
     incarnation: str = ""  # of the worker, as last heard
@@ -152,7 +152,7 @@
     elapsed_s: float
     function: int | None = None  # None: a probe
     copies: int = 0
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 class Dispatcher(Protocol):
--- a/saffronstack/core/engine.py
+++ b/saffronstack/core/engine.py
@@ -13,7 +13,6 @@
 from itertools import count
 from typing import Protocol
 
-from saffronstack import interface as api
 from saffronstack.choice import Router
 from saffronstack.core.calls import (
     AttemptEnd,
@@ -30,8 +29,31 @@
 from saffronstack.core.roster import Roster, WorkerSpec
 from saffronstack.core.threads import spawn
 from saffronstack.core.timers import Timers
+from saffronstack.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    LoadFunction,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    UnloadFunction,
+    WriteLog,
+)
+from saffronstack.routing.events import (
+    ClientDisconnected,
+    Event,
+    HealthCheckResult,
+    LoadCommandResult,
+    PriorAttempt,
+    Request,
+    Result,
+    TimerFired,
+)
+from saffronstack.routing.settings import Idempotency, Settings
 
-NEVER_RAN = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT, api.Result.MISS)
+NEVER_RAN = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 LIST_PART = 200  # workers of a change that are decided on at once
 MAX_FUNCTIONS = 4096  # functions that orders can name; those called last
 IDLE_S = 1.0  # the decision thread looks up at least this often
@@ -40,7 +62,7 @@
 class Recorder(Protocol):
     """Hears every event and what was decided on it, in their order, on the decision thread."""
 
-    def record(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
+    def record(self, now: float, event: Event, actions: list[Action]) -> None:
         """One decision."""
         ...
 
@@ -92,7 +114,7 @@
     backstops: int = 0
     faults: int = 0
     endings: dict[str, int] = field(default_factory=lambda: {ending.value: 0 for ending in Ending})
-    results: dict[str, int] = field(default_factory=lambda: {result.value: 0 for result in api.Result})
+    results: dict[str, int] = field(default_factory=lambda: {result.value: 0 for result in Result})
 
 
 class Engine:
@@ -100,7 +122,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         seed: int,
         clock: Callable[[], float],
         recorder: Recorder | None = None,
@@ -120,7 +142,7 @@
         self._recorder = recorder
         self._dispatcher: Dispatcher | None = None
         self._queue: queue.SimpleQueue[object] = queue.SimpleQueue()
-        self._timers: Timers[api.Woken | int] = Timers()  # numbers of calls: they hold no payload
+        self._timers: Timers[TimerFired | int] = Timers()  # numbers of calls: they hold no payload
         self._open: dict[int, _Open] = {}
         self._functions: dict[int, FunctionSpec] = {}
         self._roster = Roster()
@@ -167,7 +189,7 @@
         """Answer a call in the module's place; whether this was its final answer."""
         if not call.settle(final):
             return False
-        self._queue.put(api.ClientGone(call.number))
+        self._queue.put(ClientDisconnected(call.number))
         return True
 
     def tell(self, what: AttemptEnd | OrderEnd | WorkerSeen) -> None:
@@ -234,7 +256,7 @@
             self._abandon()
             self._stopped.set()
 
-    def _awaited(self, due: api.Woken | int) -> bool:
+    def _awaited(self, due: TimerFired | int) -> bool:
         """Whether a timer is still for something: nearly all calls end long before their backstop."""
         return not isinstance(due, int) or due in self._open
 
@@ -256,18 +278,20 @@
             self._arrived(item)
         elif isinstance(item, AttemptEnd):
             self._ended(item)
-        elif isinstance(item, api.ClientGone):
+        elif isinstance(item, ClientDisconnected):
             self._decide(item)
-            opened = self._open.get(item.request)
+            opened = self._open.get(item.request_id)
             if opened is not None:
                 opened.left = True
                 self._count(opened.call)
                 self._close(opened)
         elif isinstance(item, OrderEnd):
             if item.function is None:
-                self._decide(api.Probed(item.worker, item.result, item.elapsed_s, item.report))
+                self._decide(HealthCheckResult(item.worker, item.result, item.elapsed_s, item.report))
             else:
-                self._decide(api.Loaded(item.worker, item.function, item.copies, item.result, item.elapsed_s))
+                self._decide(
+                    LoadCommandResult(item.worker, item.function, item.copies, item.result, item.elapsed_s)
+                )
         elif isinstance(item, WorkerSeen):
             update = self._roster.worker_seen(self._now, item)
             if update is not None:
@@ -293,7 +317,7 @@
         self._open[call.number] = _Open(call, prior=call.prior)
         self._timers.set(call.deadline_s + self.backstop_s, call.number)
         self._decide(
-            api.Request(
+            Request(
                 call.number,
                 spec.class_index,
                 spec.number,
@@ -302,24 +326,26 @@
                 spec.memory_mb,
                 float(spec.lanes),
                 spec.load_s,
-                prior=None if call.prior is None else api.Prior(call.prior.worker, call.prior.sent_s),
+                prior_attempt=None
+                if call.prior is None
+                else PriorAttempt(call.prior.worker, call.prior.sent_s),
             )
         )
 
     def _ended(self, end: AttemptEnd) -> None:
         outcome = end.outcome
         self.counts.results[outcome.result.value] += 1
-        opened = self._open.get(outcome.request)
+        opened = self._open.get(outcome.request_id)
         if opened is not None:
-            worker, sent_s = opened.sent.pop(outcome.attempt, (outcome.worker, self._now))
+            worker, sent_s = opened.sent.pop(outcome.attempt, (outcome.worker_id, self._now))
             if outcome.result not in NEVER_RAN and opened.prior is None:
                 opened.prior = Prior(worker, sent_s)
-            if end.answer is not None and end.call.final is not None and outcome.result is api.Result.OK:
+            if end.answer is not None and end.call.final is not None and outcome.result is Result.OK:
                 self.counts.endings[Ending.SERVED.value] += end.call.final.ending is Ending.SERVED
         self._decide(outcome)
         self._close(opened)
 
-    def _decide(self, event: api.Event) -> None:
+    def _decide(self, event: Event) -> None:
         self.counts.events += 1
         try:
             actions = self._router.handle(self._now, event)
@@ -333,42 +359,42 @@
         for action in actions:
             self._carry_out(action)
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         dispatcher = self._dispatcher
         assert dispatcher is not None
-        if isinstance(action, api.Send):
-            opened = self._open[action.request]
+        if isinstance(action, SendAttempt):
+            opened = self._open[action.request_id]
             attempt = opened.made
             opened.made += 1
-            opened.sent[attempt] = action.worker, self._now
+            opened.sent[attempt] = action.worker_id, self._now
             self.counts.sends += 1
             self.counts.repeats += attempt > 0
-            dispatcher.send(opened.call, attempt, action.worker, action.timeout_s)
-        elif isinstance(action, api.WakeMe):
-            self._timers.set(self._now + action.after_s, api.Woken(action.ref))
-        elif isinstance(action, api.Refuse):
-            self._answer(action.request, Ending.REFUSED, action.stay_away_s)
-        elif isinstance(action, api.Fail):
-            self._answer(action.request, Ending.FAILED, 0.0)
-        elif isinstance(action, api.Load):
+            dispatcher.send(opened.call, attempt, action.worker_id, action.timeout_s)
+        elif isinstance(action, SetTimer):
+            self._timers.set(self._now + action.delay_s, TimerFired(action.timer_id))
+        elif isinstance(action, Reject):
+            self._answer(action.request_id, Ending.REFUSED, action.retry_after_s)
+        elif isinstance(action, Fail):
+            self._answer(action.request_id, Ending.FAILED, 0.0)
+        elif isinstance(action, LoadFunction):
             self.counts.orders += 1
-            spec = self._functions.get(action.function)
+            spec = self._functions.get(action.function_id)
             if spec is not None:
-                dispatcher.load(action.worker, spec, action.copies)
+                dispatcher.load(action.worker_id, spec, action.instances)
             else:
-                self.tell(OrderEnd(action.worker, api.Result.ERROR, 0.0, action.function))
-        elif isinstance(action, api.Unload):
+                self.tell(OrderEnd(action.worker_id, Result.ERROR, 0.0, action.function_id))
+        elif isinstance(action, UnloadFunction):
             self.counts.orders += 1
-            spec = self._functions.get(action.function)
+            spec = self._functions.get(action.function_id)
             if spec is not None:
-                dispatcher.unload(action.worker, spec)
-        elif isinstance(action, api.Probe):
-            dispatcher.probe(action.worker)
-        elif isinstance(action, api.Cancel):
-            opened_ = self._open.get(action.request)
+                dispatcher.unload(action.worker_id, spec)
+        elif isinstance(action, CheckHealth):
+            dispatcher.probe(action.worker_id)
+        elif isinstance(action, CancelAttempt):
+            opened_ = self._open.get(action.request_id)
             if opened_ is not None:
                 dispatcher.cancel(opened_.call, action.attempt)
-        elif isinstance(action, api.Log):
+        elif isinstance(action, WriteLog):
             self._log.info("module", text=action.text)
         # Watch and FetchList: this list is told without asking.
 
@@ -399,10 +425,10 @@
         self.counts.backstops += 1
         self._log.warning("answered by the backstop", request_id=call.request_id)
         ran = opened.may_have_run() is not None
-        safe = self.settings.classes[call.function.class_index].effect is api.Effect.SAFE
+        safe = self.settings.classes[call.function.class_index].idempotency is Idempotency.IDEMPOTENT
         ending = Ending.FAILED if ran and not safe else Ending.REFUSED
         self._answer(call.number, ending, 0.0)
-        self._decide(api.ClientGone(call.number))
+        self._decide(ClientDisconnected(call.number))
 
     def _count(self, call: Call) -> None:
         if call.final is not None:
--- a/saffronstack/core/record.py
+++ b/saffronstack/core/record.py
@@ -10,52 +10,32 @@
 import struct
 import threading
 import time
-from collections.abc import Iterator
-from typing import Any, BinaryIO
+from collections.abc import Callable, Iterator
+from typing import Any, BinaryIO, TypeVar
 
 import msgspec
 import structlog
 import zstandard
 
-from saffronstack import interface as api
 from saffronstack.choice import Router
+from saffronstack.core.record_format import (
+    action_from_tagged,
+    event_from_tagged,
+    from_stored,
+    to_stored,
+    to_tagged,
+)
 from saffronstack.core.threads import spawn
+from saffronstack.routing.actions import Action
+from saffronstack.routing.events import Event
+from saffronstack.routing.settings import Settings
 
 VERSION = 1
 FLUSH_S = 0.5
 MAX_QUEUED_RECORDS = 200_000
 MAX_VALUE_BYTES = 64 * 1024 * 1024  # bytes
 _LENGTH = struct.Struct("<I")
-_EVENTS: dict[str, Any] = {
-    kind.__name__: kind
-    for kind in (
-        api.ListUpdate,
-        api.Request,
-        api.Outcome,
-        api.Probed,
-        api.Loaded,
-        api.Woken,
-        api.ClientGone,
-        api.StreamStarted,
-        api.PeerMessage,
-    )
-}
-_ACTIONS: dict[str, Any] = {
-    kind.__name__: kind
-    for kind in (
-        api.Send,
-        api.Refuse,
-        api.Fail,
-        api.Cancel,
-        api.Probe,
-        api.Load,
-        api.Unload,
-        api.WakeMe,
-        api.Watch,
-        api.FetchList,
-        api.Log,
-    )
-}
+Parsed = TypeVar("Parsed")
 log = structlog.get_logger("saffronstack.record")
 
 
@@ -63,13 +43,9 @@
     """The record can't be read, or its replay differs; the text says where."""
 
 
-def _tagged(thing: object) -> list[object]:
-    return [type(thing).__name__, thing]
-
-
-def _untagged(raw: Any, kinds: dict[str, Any], number: int) -> Any:
+def _parse(raw: Any, parse: Callable[[Any], Parsed], number: int) -> Parsed:
     try:
-        return msgspec.convert(raw[1], kinds[raw[0]])
+        return parse(raw)
     except (KeyError, IndexError, TypeError, msgspec.ValidationError) as error:
         raise RecordError(f"entry {number}: not an event or action of this version: {error}") from error
 
@@ -77,17 +53,17 @@
 class Recorder:
     """Writes a record on a thread of its own; the decision thread only encodes and queues."""
 
-    def __init__(self, path: str, settings: api.Settings, seed: int) -> None:
+    def __init__(self, path: str, settings: Settings, seed: int) -> None:
         """OSError where the file can't be made."""
         self._file = open(path, "wb")  # noqa: SIM115 - closed by the writer thread
         self._queue: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
         self._encode = msgspec.msgpack.Encoder().encode
         self._broken = False
         self._ended = threading.Event()
-        self._queue.put(self._encode({"version": VERSION, "seed": seed, "settings": settings}))
+        self._queue.put(self._encode({"version": VERSION, "seed": seed, "settings": to_stored(settings)}))
         spawn("record", self._write)
 
-    def record(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
+    def record(self, now: float, event: Event, actions: list[Action]) -> None:
         """One decision. A record with a gap can't be replayed: where the disk can't follow, it ends."""
         if self._broken:
             return
@@ -95,7 +71,7 @@
             self._broken = True
             log.error("record ended: the disk does not follow")
             return
-        self._queue.put(self._encode([now, _tagged(event), [_tagged(action) for action in actions]]))
+        self._queue.put(self._encode([now, to_tagged(event), [to_tagged(action) for action in actions]]))
 
     def close(self, timeout_s: float = 5.0) -> bool:
         """End the record; whether it was written out in time."""
@@ -169,7 +145,7 @@
             head = msgspec.msgpack.decode(first)
             if head["version"] != VERSION:
                 raise RecordError(f"version {head['version']}, not {VERSION}")
-            router = Router(msgspec.convert(head["settings"], api.Settings), int(head["seed"]))
+            router = Router(from_stored(head["settings"], Settings), int(head["seed"]))
         except (KeyError, TypeError, msgspec.MsgspecError) as error:
             raise RecordError(f"the record's head: {error}") from error
         events = actions = 0
@@ -178,8 +154,8 @@
                 now, event, recorded = msgspec.msgpack.decode(value)
             except (msgspec.MsgspecError, ValueError, TypeError) as error:
                 raise RecordError(f"entry {number}: {error}") from error
-            told = _untagged(event, _EVENTS, number)
-            expected = [_untagged(action, _ACTIONS, number) for action in recorded]
+            told = _parse(event, event_from_tagged, number)
+            expected = [_parse(action, action_from_tagged, number) for action in recorded]
             decided = router.handle(now, told)
             if decided != expected:
                 raise RecordError(
--- a/saffronstack/core/roster.py
+++ b/saffronstack/core/roster.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from saffronstack.core.calls import WorkerSeen
-from saffronstack.interface import ListKind, ListUpdate, WorkerEntry, WorkerState
+from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, WorkerEndpoint, WorkerState
 
 EARLIEST_S = 1e-6  # a start time of 0 would mean "long ago" to the module
 
@@ -33,28 +33,28 @@
     def __init__(self) -> None:
         self.version = 0
         self.specs: dict[int, WorkerSpec] = {}
-        self.entries: dict[int, WorkerEntry] = {}
+        self.entries: dict[int, WorkerEndpoint] = {}
         self._incarnations: dict[int, str] = {}
 
-    def told(self, now: float, wall: float, specs: Iterable[WorkerSpec]) -> ListUpdate:
+    def told(self, now: float, wall: float, specs: Iterable[WorkerSpec]) -> EndpointUpdate:
         """The whole list was told anew at ``now`` (monotonic) and ``wall`` (Unix seconds)."""
         self.version += 1
         listed = {spec.number: spec for spec in specs}
         entries = {number: self._entry(now, wall, spec) for number, spec in listed.items()}
         self.specs = listed
         gone = [
-            replace(entry, state=WorkerState.GONE)
+            replace(entry, state=WorkerState.REMOVED)
             for number, entry in self.entries.items()
             if number not in entries
         ]
         self.entries = entries
         for entry in gone:
-            self._incarnations.pop(entry.worker, None)
-        return ListUpdate(ListKind.FULL, tuple(entries.values()), self.version)
+            self._incarnations.pop(entry.worker_id, None)
+        return EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(entries.values()), self.version)
 
     def changed(
         self, now: float, wall: float, specs: Iterable[WorkerSpec], gone: Iterable[int]
-    ) -> ListUpdate:
+    ) -> EndpointUpdate:
         """Some workers are new or changed, some are gone; the others stay as they are."""
         self.version += 1
         changes = []
@@ -63,25 +63,25 @@
             self._incarnations.pop(number, None)
             entry = self.entries.pop(number, None)
             if entry is not None:
-                changes.append(replace(entry, state=WorkerState.GONE))
+                changes.append(replace(entry, state=WorkerState.REMOVED))
         for spec in specs:
             entry = self.entries[spec.number] = self._entry(now, wall, spec)
             self.specs[spec.number] = spec
             changes.append(entry)
-        return ListUpdate(ListKind.CHANGE, tuple(changes), self.version)
+        return EndpointUpdate(EndpointUpdateKind.INCREMENTAL, tuple(changes), self.version)
 
-    def _entry(self, now: float, wall: float, spec: WorkerSpec) -> WorkerEntry:
+    def _entry(self, now: float, wall: float, spec: WorkerSpec) -> WorkerEndpoint:
         since_s = self._since(now, wall, spec.started_at)
         known = self.entries.get(spec.number)
         if known is not None:  # what the worker itself said of its start may be later than the list's
-            since_s = max(since_s, known.since_s)
+            since_s = max(since_s, known.started_s)
             told = self.specs.get(spec.number)
             if told is not None and told.started_at == spec.started_at:
-                since_s = known.since_s  # the same start: clocks that drift make no new one
+                since_s = known.started_s  # the same start: clocks that drift make no new one
         state = WorkerState.DRAINING if spec.draining else WorkerState.READY
-        return WorkerEntry(spec.number, state, spec.size, spec.kind, spec.zone, spec.cell, since_s)
+        return WorkerEndpoint(spec.number, state, spec.size, spec.kind, spec.zone, spec.cell, since_s)
 
-    def worker_seen(self, now: float, seen: WorkerSeen) -> ListUpdate | None:
+    def worker_seen(self, now: float, seen: WorkerSeen) -> EndpointUpdate | None:
         """A worker named its incarnation; a change where it started anew behind the list's back."""
         entry = self.entries.get(seen.worker)
         if entry is None or self._incarnations.get(seen.worker) == seen.incarnation:
@@ -91,11 +91,11 @@
         since_s = max(EARLIEST_S, now - seen.uptime_s)
         # The first incarnation heard is no news of a start: the list says when workers started. A gateway
         # that starts beside a young fleet would hold back most of its calls (docs/gateway-design.md).
-        if first or since_s <= entry.since_s + 0.5:
+        if first or since_s <= entry.started_s + 0.5:
             return None
         self.version += 1
-        entry = self.entries[seen.worker] = replace(entry, since_s=since_s)
-        return ListUpdate(ListKind.CHANGE, (entry,), self.version)
+        entry = self.entries[seen.worker] = replace(entry, started_s=since_s)
+        return EndpointUpdate(EndpointUpdateKind.INCREMENTAL, (entry,), self.version)
 
     def _since(self, now: float, wall: float, started_at: float) -> float:
         """A start on the module's clock; one past the cold time, or one in the future, is bounded."""
--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -23,8 +23,8 @@
 from saffronstack.deferred.records import Accepted, AnyRecord, Attempted, Dropped, Finished, Voided
 from saffronstack.deferred.recovery import Condition, Finish, MayHaveRun, Policy, State, Try, Wait
 from saffronstack.durable.journal import Ticket
-from saffronstack.interface import Effect
 from saffronstack.metering.limits import BudgetLimits
+from saffronstack.routing.settings import Idempotency
 
 IDLE_S = 0.5
 BUDGET_WAIT_S = 0.1  # at least this long between looks at a budget that is used up
@@ -315,7 +315,7 @@
             accepted.key,
             accepted.context,
             prior=None if ran is None else Prior(ran.worker, ran.sent_at - self._offset),
-            guard=None if known.effect is Effect.SAFE else _Guard(self, live),
+            guard=None if known.effect is Idempotency.IDEMPOTENT else _Guard(self, live),
             on_final=lambda call, final: self._queue.put((live, final)),
             class_name=known.config.call_class,
         )
--- a/saffronstack/deferred/recovery.py
+++ b/saffronstack/deferred/recovery.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from saffronstack.core.calls import Ending
-from saffronstack.interface import Effect
+from saffronstack.routing.settings import Idempotency
 
 WINDOW_MARGIN_S = 0.1  # an attempt must arrive this long before its window ends
 LEAST_S = 0.2  # no try is begun with less time than this before it
@@ -33,7 +33,7 @@
 class Policy:
     """What the configuration says of the call's function and class; times in seconds."""
 
-    effect: Effect
+    effect: Idempotency
     window_s: float
     deadline_s: float
     maximum_age_s: float
@@ -87,7 +87,7 @@
     ran = state.ran is not None
     if policy is None:
         return Finish(Condition.UNKNOWN if ran else Condition.REFUSED)
-    safe = policy.effect is Effect.SAFE
+    safe = policy.effect is Idempotency.IDEMPOTENT
     expires = state.accepted_at + policy.maximum_age_s
     until = min(now + policy.deadline_s, expires)
     if ran and not safe:
@@ -104,7 +104,7 @@
     """Until when a keyed call that may have run can go again; None: no more.
 
     A clock that stands before the attempt's time was set back: what is left of the window can't be known."""
-    if policy.effect is not Effect.KEYED or state.ran is None or now < state.ran.sent_at:
+    if policy.effect is not Idempotency.WITH_KEY or state.ran is None or now < state.ran.sent_at:
         return None
     return state.ran.sent_at + policy.window_s - WINDOW_MARGIN_S
 
@@ -125,7 +125,7 @@
             return state, Finish(Condition.SUCCESS)
         errors = state.errors + 1
         state = State(state.accepted_at, state.ran, 0, errors)
-        if policy.effect is not Effect.SAFE or errors > policy.maximum_retries:
+        if policy.effect is not Idempotency.IDEMPOTENT or errors > policy.maximum_retries:
             return state, Finish(Condition.RETRIES_EXHAUSTED)
         return state, _pause(state, policy, now, ERROR_PAUSE_S * 2 ** (errors - 1), chance)
     refusals = state.refusals + 1
@@ -140,6 +140,6 @@
 def _pause(state: State, policy: Policy, now: float, pause_s: float, chance: float) -> Wait:
     """A pause, cut where the call's own time or its window would pass meanwhile."""
     latest = state.accepted_at + policy.maximum_age_s
-    if state.ran is not None and policy.effect is Effect.KEYED:
+    if state.ran is not None and policy.effect is Idempotency.WITH_KEY:
         latest = min(latest, state.ran.sent_at + policy.window_s - WINDOW_MARGIN_S - 2 * LEAST_S)
     return Wait(max(now, min(now + pause_s * (0.5 + chance), latest)))
--- a/saffronstack/hosts/codec.py
+++ b/saffronstack/hosts/codec.py
@@ -9,21 +9,21 @@
 import msgspec
 
 from saffronstack import settings
-from saffronstack.interface import Found, Report, Result
+from saffronstack.routing.events import CacheStatus, LoadReport, Result
 
 RESULTS = {
     "OK": Result.OK,
-    "MISS": Result.MISS,
-    "BUSY": Result.FULL,
+    "MISS": Result.NOT_LOADED,
+    "BUSY": Result.AT_CAPACITY,
     "ERR": Result.ERROR,
-    "VOID": Result.MOOT,
+    "VOID": Result.NOT_STARTED,
 }
 UP = "UP"
 _FOUND = {
-    "up": Found.WARM,
-    "fresh": Found.BEGAN_LOAD,
-    "behind": Found.AWAITED_LOAD,
-    "crashed": Found.LOAD_FAILED,
+    "up": CacheStatus.WARM,
+    "fresh": CacheStatus.STARTED_LOAD,
+    "behind": CacheStatus.JOINED_LOAD,
+    "crashed": CacheStatus.LOAD_FAILED,
 }
 # What hosts call the values of a load report, by what the settings call them.
 _REPORT_WORDS = {
@@ -79,9 +79,9 @@
     word: str
     tag: str
     body: bytes
-    found: Found
+    found: CacheStatus
     crowd: int | None
-    report: Report | None
+    report: LoadReport | None
     copies: int
 
 
@@ -121,7 +121,7 @@
         raise HostError(f"an unknown word {read.what[:20]!r}")
     crowd = int(_number(fields, "ahead", MAX_CROWD)) if "ahead" in fields else None
     copies = int(_number(fields, "units", MAX_COPIES)) if "units" in fields else 0
-    found = _FOUND.get(str(fields.get("note", "")), Found.UNTOLD)
+    found = _FOUND.get(str(fields.get("note", "")), CacheStatus.UNKNOWN)
     load = fields.get("load")
     report = None if load is None else _report(str(load))
     return HostAnswer(read.what, str(read.tag), read.blob, found, crowd, report, copies)
@@ -137,7 +137,7 @@
     return value
 
 
-def _report(text: str) -> Report:
+def _report(text: str) -> LoadReport:
     """A load report; values that are no numbers are left out: they decide nothing about an answer."""
     values: list[tuple[str, float]] = []
     for pair in text.split(";")[:8]:
--- a/saffronstack/hosts/dispatcher.py
+++ b/saffronstack/hosts/dispatcher.py
@@ -14,9 +14,9 @@
 from saffronstack.hosts.items import Attempt, Item, Order, Tell
 from saffronstack.hosts.link import LinkLimits
 from saffronstack.hosts.pool import HostPool, LinkBudget
-from saffronstack.interface import Outcome, Result
 from saffronstack.net.read_loop import ReadLoop
 from saffronstack.net.write_buffer import WriteLoop
+from saffronstack.routing.events import AttemptOutcome, Result
 
 ORDER = 0  # the call number that orders have among what is out; calls count from 1
 
@@ -131,7 +131,7 @@
             deadline_s = min(deadline_s, self._clock() + timeout_s)
         pool = self._pools.get(worker)
         if pool is None:
-            outcome = Outcome(call.number, attempt, worker, Result.MOOT, 0.0, call.settled)
+            outcome = AttemptOutcome(call.number, attempt, worker, Result.NOT_STARTED, 0.0, call.settled)
             self._tell(AttemptEnd(call, outcome, reason="the host has left the list"))
             return
         item = Attempt(call, attempt, pool, deadline_s, self._ended, self._clock)
@@ -140,7 +140,7 @@
     def _submit(self, key: tuple[int, int], item: Item, pool: HostPool) -> None:
         self._out[key] = item
         if not pool.submit(item):
-            item.on_failed(Result.MOOT, "no link to the host can be had")
+            item.on_failed(Result.NOT_STARTED, "no link to the host can be had")
             return
         self.deadlines.set(item.deadline_s, key)  # once a link has it: one that has none can't be given up
 
--- a/saffronstack/hosts/items.py
+++ b/saffronstack/hosts/items.py
@@ -16,8 +16,8 @@
     WorkerSeen,
 )
 from saffronstack.hosts import codec
-from saffronstack.interface import Found, Outcome, Report, Result
 from saffronstack.net.write_buffer import OutgoingMessage, Sent
+from saffronstack.routing.events import AttemptOutcome, CacheStatus, LoadReport, Result
 
 LINE_BYTES = 256  # of a request's line beside its body
 LEAST_WAIT_MS = 1  # the host is told how long the gateway waits, and zero would be no time at all
@@ -161,7 +161,7 @@
             kept = Answer(answer.body)
             final = Final(Ending.SERVED, answer.body, attempts=self.number + 1, worker=self.host.name)
             self.call.settle(final)
-        crowd = (answer.crowd or 0) if result in (Result.OK, Result.FULL) else None
+        crowd = (answer.crowd or 0) if result in (Result.OK, Result.AT_CAPACITY) else None
         self._end(result, answer.found, crowd, answer.report, kept)
 
     def on_failed(self, result: Result, reason: str) -> None:
@@ -172,13 +172,13 @@
     def _end(
         self,
         result: Result,
-        found: Found = Found.UNTOLD,
+        found: CacheStatus = CacheStatus.UNKNOWN,
         crowd: int | None = None,
-        report: Report | None = None,
+        report: LoadReport | None = None,
         answer: Answer | None = None,
         reason: str = "",
     ) -> None:
-        outcome = Outcome(
+        outcome = AttemptOutcome(
             self.call.number,
             self.number,
             self.host.number,
@@ -225,6 +225,6 @@
         """It ended without an answer."""
         self._end(result, 0, None)
 
-    def _end(self, result: Result, copies: int, report: Report | None) -> None:
+    def _end(self, result: Result, copies: int, report: LoadReport | None) -> None:
         number = None if self.function is None else self.function.number
         self.tell(OrderEnd(self.host.number, result, self.clock() - self.sent_s, number, copies, report))
--- a/saffronstack/hosts/link.py
+++ b/saffronstack/hosts/link.py
@@ -12,10 +12,10 @@
 from saffronstack.core.threads import spawn
 from saffronstack.hosts import codec
 from saffronstack.hosts.items import Item
-from saffronstack.interface import Result
 from saffronstack.net.read_loop import ReadLoop
 from saffronstack.net.stream import Stream
 from saffronstack.net.write_buffer import OutgoingMessage, Sent, WriteBuffer, WriteLoop
+from saffronstack.routing.events import Result
 
 MAX_ANSWERED_TAGS = 64  # tags answered last: a second answer may still come, and none is used again meanwhile
 MAX_ABANDONED_TAGS = 32  # tags given up on a link that may still be answered; then it takes nothing new
@@ -123,7 +123,7 @@
         if not self._finish(item, abandon=True):
             return
         if not item.started:
-            result = Result.MOOT if result is Result.CANCELLED else Result.CONNECT_FAILED
+            result = Result.NOT_STARTED if result is Result.CANCELLED else Result.CONNECT_FAILED
         elif item.sent is Sent.PART and not self._open:
             self.abort()  # the host takes no bytes: the rest of the line must not follow when it does
         else:
@@ -146,7 +146,7 @@
     def on_dropped(self, item: Item) -> None:
         """It no longer stood when its first byte was to leave."""
         if self._finish(item):
-            item.on_failed(Result.MOOT, "no longer wanted when it was to be sent")
+            item.on_failed(Result.NOT_STARTED, "no longer wanted when it was to be sent")
             self._maybe_close()
 
     def retire(self) -> None:
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -10,7 +10,6 @@
 from saffronstack.core.calls import Call, Ending, Final, Prior
 from saffronstack.core.engine import Engine
 from saffronstack.deferred.calls import CommitError, DeferredCalls, LedgerFullError, Submission
-from saffronstack.interface import Effect
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
@@ -30,6 +29,7 @@
     Rule,
 )
 from saffronstack.operations.table import Answer, Fate, Packed, pack
+from saffronstack.routing.settings import Idempotency
 
 UNWRITTEN = "the disk took it and has not answered; it is taken back as soon as it does"
 REPEATED = ("X-Saffron-Repeated", "true")  # on an answer that another send of the operation got before
@@ -84,7 +84,7 @@
         window_s = config.operations.window_s if config.operations is not None else 0.0
         self._rules = {
             cls.name: Rule(
-                Effect(cls.effect),
+                Idempotency(cls.effect),
                 cls.operation_window_s or window_s,
                 cls.note_operations,
                 owned=cls.effect != "safe",
@@ -108,7 +108,7 @@
             return _response(final, asked.headers(asked.request_id), asked.wants_log)
 
         rule = self.rule(asked)
-        if rule.effect is Effect.SAFE:
+        if rule.effect is Idempotency.IDEMPOTENT:
             return self._safe(self._operations, asked, rule, client_there)
 
         def run(live: Live, prior: Prior | None) -> Done | NotDone:
@@ -197,7 +197,11 @@
         if deadline_s <= self._clock():
             raise errors.too_many("It came too late to be begun.", 1.0)
         guard = None
-        if live is not None and live.rule.effect is not Effect.SAFE and self._operations is not None:
+        if (
+            live is not None
+            and live.rule.effect is not Idempotency.IDEMPOTENT
+            and self._operations is not None
+        ):
             guard = self._operations.guard(live)
         return Call(
             self._engine.next_number(),
@@ -304,7 +308,7 @@
         except LedgerFullError as error:
             raise errors.too_many(str(error), error.retry_after_s) from error
         except CommitError as error:
-            if error.begun and asked.known.effect is not Effect.SAFE:
+            if error.begun and asked.known.effect is not Idempotency.IDEMPOTENT:
                 raise OutcomeUnknownError(request_id) from error
             text = f"Deferred calls can't be written down now: {error}"
             raise errors.too_many(text, error.retry_after_s) from error
@@ -344,7 +348,7 @@
             headers = (*asked.headers(str(error)), ("X-Amz-Function-Error", "Unhandled"), REPEATED)
             return Response(200, headers, body)
         except TimeoutError as error:
-            if rule.effect is Effect.SAFE or kind == "Event":
+            if rule.effect is Idempotency.IDEMPOTENT or kind == "Event":
                 raise errors.too_many("The operation is still under way.", 1.0) from error
             return _unknown(asked.headers(asked.request_id), "another send of it is still under way")
         return Response(
@@ -355,7 +359,7 @@
 def _ran_unnamed(asked: Asked, final: Final) -> bool:
     """Whether a refusal is no harmless one: the keyed call may have run, and its repeat, which its client
     does not name alike, would come with another key."""
-    keyed = asked.known.effect is Effect.KEYED
+    keyed = asked.known.effect is Idempotency.WITH_KEY
     return final.ending is Ending.REFUSED and keyed and not asked.token and final.prior is not None
 
 
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -22,7 +22,6 @@
 from saffronstack.durable.journal import Codec, Journal, JournalError, Ticket, read_back
 from saffronstack.durable.runs import RunDamagedError
 from saffronstack.durable.segments import Files
-from saffronstack.interface import Result
 from saffronstack.metering.account import Account, Bounds
 from saffronstack.metering.answered import Answered, AnsweredCall
 from saffronstack.metering.archive import Archive
@@ -47,6 +46,7 @@
     life_of,
     wire,
 )
+from saffronstack.routing.events import Result
 
 ASK_EVERY_S = 1.0
 INVITE_EVERY_S = 0.1  # records come with an answer this often; reading them on each costs a fifth of the rate
@@ -197,7 +197,7 @@
             gross = int(call.function.memory_mb * 1024) * int(outcome.elapsed_s * 1e6)
             told = 0 < end.held <= TOLD_MOST * gross  # else it does not say, or can't be believed
             self._answered_calls.note(
-                outcome.worker,
+                outcome.worker_id,
                 AnsweredCall(
                     self._clock(),
                     call.request_id,
@@ -307,7 +307,7 @@
         """Charge it until its worker says more. A connection that never told its worker's life was to the one
         that is known; without any, nothing there was ever charged."""
         call, outcome = end.call, end.outcome
-        name = next((n for n in self._workers if worker_number(n) == outcome.worker), "")
+        name = next((n for n in self._workers if worker_number(n) == outcome.worker_id), "")
         if not name:
             return
         ref = Ref(call.request_id, call.tenant_name, call.class_name)
--- a/saffronstack/operations/notes.py
+++ b/saffronstack/operations/notes.py
@@ -9,8 +9,8 @@
 
 from saffronstack.durable.journal import Codec, Journal
 from saffronstack.durable.segments import Files
-from saffronstack.interface import Effect
 from saffronstack.operations.table import Fate, Packed, pack
+from saffronstack.routing.settings import Idempotency
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True, tag_field="kind"):
@@ -26,7 +26,7 @@
 
     digest: bytes
     fingerprint: bytes
-    effect: Effect
+    effect: Idempotency
     request_id: str
     window_s: float
     worker: int
@@ -121,7 +121,7 @@
         for digest, ended in self.ended.items():
             yield digest, ended.packed
         for digest, noted in self.open.items():
-            fate = Fate.AGAIN if noted.effect is Effect.KEYED else Fate.UNKNOWN
+            fate = Fate.AGAIN if noted.effect is Idempotency.WITH_KEY else Fate.UNKNOWN
             yield (
                 digest,
                 pack(
--- a/saffronstack/operations/service.py
+++ b/saffronstack/operations/service.py
@@ -12,7 +12,6 @@
 from saffronstack.core.calls import Prior
 from saffronstack.core.threads import spawn
 from saffronstack.durable.journal import JournalError, Ticket
-from saffronstack.interface import Effect
 from saffronstack.operations import notes as records
 from saffronstack.operations.notes import NotesLog
 from saffronstack.operations.owners import slot_of
@@ -31,6 +30,7 @@
     Turned,
     unpack,
 )
+from saffronstack.routing.settings import Idempotency
 
 CHECK_CLIENT_S = 0.2  # how often a waiting thread looks whether its client is still there
 EXPIRE_EVERY_S = 30.0
@@ -42,7 +42,7 @@
 class Rule:
     """What an operation's class says of it."""
 
-    effect: Effect
+    effect: Idempotency
     window_s: float
     durable: bool  # noted on the disk before its first byte leaves
     owned: bool = True  # run by the holder of its slot alone; else by any member
@@ -116,7 +116,7 @@
         """Whether the work may be given up, its own client having left: nobody else waits, and nothing of it
         can have had an effect. From then on nothing is sent."""
         with self._lock:
-            if self._waiters or (self._sent and self.rule.effect is not Effect.SAFE):
+            if self._waiters or (self._sent and self.rule.effect is not Idempotency.IDEMPOTENT):
                 return False
             self._left = True
             return True
@@ -291,7 +291,7 @@
         finally:
             # A run that fell over may have had its effect: nothing more can be known than that.
             live.result = result
-            if result is None and live.sent and live.rule.effect is not Effect.SAFE:
+            if result is None and live.sent and live.rule.effect is not Idempotency.IDEMPOTENT:
                 self._close(live, Fate.UNKNOWN, None)
             elif result is None:
                 self._release(live)
@@ -337,7 +337,7 @@
         return Answer(answer.status, answer.headers, body)
 
     def _finish(self, live: Live, done: Done) -> None:
-        if live.rule.effect is Effect.SAFE and done.unknown:
+        if live.rule.effect is Idempotency.IDEMPOTENT and done.unknown:
             self._release(live)  # trying again harms nobody
             return
         answer = done.answer
@@ -351,7 +351,7 @@
 
     def _refused(self, live: Live, refused: NotDone) -> None:
         prior = refused.prior
-        if prior is None or live.rule.effect is Effect.SAFE:
+        if prior is None or live.rule.effect is Idempotency.IDEMPOTENT:
             self._release(live)
             return
         with self._lock:
--- a/saffronstack/operations/table.py
+++ b/saffronstack/operations/table.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from saffronstack.interface import Effect
+from saffronstack.routing.settings import Idempotency
 
 ENTRY_BYTES = 330  # an entry's own, beside its packed answer: table, key, queue (measured, rounded up)
 OPEN_BYTES = 1200
@@ -54,7 +54,7 @@
     until: float
     fingerprint: bytes
     request_id: str
-    effect: Effect
+    effect: Idempotency
     answer: Answer | None = None
     worker: int = 0
     sent_at: float = 0.0
@@ -83,7 +83,7 @@
     until: float
     fingerprint: bytes
     request_id: bytes  # "u" and a UUID's bytes, or "t" and a text
-    effect: Effect
+    effect: Idempotency
     status: int = 0  # no answer
     words: tuple[_Word, ...] = ()
     body: bytes = b""
@@ -169,7 +169,7 @@
 
     digest: bytes
     fingerprint: bytes
-    effect: Effect
+    effect: Idempotency
     window_s: float
     request_id: str
     since: float
@@ -234,7 +234,13 @@
     # ---- sends
 
     def send(
-        self, digest: bytes, fingerprint: bytes, effect: Effect, window_s: float, request_id: str, now: float
+        self,
+        digest: bytes,
+        fingerprint: bytes,
+        effect: Idempotency,
+        window_s: float,
+        request_id: str,
+        now: float,
     ) -> Step:
         """What a send means. ``Begin`` opens the operation; it must be ended, left or released."""
         if now >= self._look_s:
@@ -387,10 +393,10 @@
             until, digest = oldest.popleft()
             self.dropped_early += self._drop(digest, until)
 
-    def _room(self, effect: Effect) -> bool:
+    def _room(self, effect: Idempotency) -> bool:
         """Whether one more can be begun. A safe one always can: it may run without being remembered."""
         self._shrink(OPEN_BYTES)
-        return effect is Effect.SAFE or self.bytes + OPEN_BYTES <= self._most
+        return effect is Idempotency.IDEMPOTENT or self.bytes + OPEN_BYTES <= self._most
 
     def _free_in(self, now: float) -> float:
         """When so many of those that stay have left their windows that one more can be open; a second where
--- a/saffronstack/platform/calls.py
+++ b/saffronstack/platform/calls.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from saffronstack import interface as api
 from saffronstack.core.calls import Call, FunctionSpec
 from saffronstack.resp import frames
+from saffronstack.routing.settings import Settings
 
 MAX_TIMEOUT_MS = 600_000
 MAX_MEMORY_MB = 1e7
@@ -17,7 +17,7 @@
 class CallMaker:
     """What a call frame asks, by the settings."""
 
-    def __init__(self, settings: api.Settings, next_number: Callable[[], int]) -> None:
+    def __init__(self, settings: Settings, next_number: Callable[[], int]) -> None:
         self._classes = {cls.name: place for place, cls in enumerate(settings.classes)}
         self._deadlines = [cls.deadline_s for cls in settings.classes]
         self._tenants = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
--- a/saffronstack/platform/config.py
+++ b/saffronstack/platform/config.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from saffronstack import interface as api
-from saffronstack.checks import check_settings
 from saffronstack.directory.membership import Change, Membership, take_known
+from saffronstack.routing.settings import Settings
+from saffronstack.routing.validation import validate_settings
 from saffronstack.settings import SettingsError, parse_settings
 
 CONFIG_BYTES = 8 * 1024 * 1024
@@ -41,7 +41,7 @@
     limits: Limits
     nameserver: tuple[str, int]
     known: Mapping[str, Any]
-    settings: api.Settings
+    settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     streams: int  # requests that one connection to a host may carry
@@ -101,7 +101,7 @@
 def _config(raw: Mapping[str, Any]) -> PlatformConfig:
     told = raw["settings"]
     settings, _ = parse_settings(msgspec.json.encode(told).decode())
-    check_settings(settings)
+    validate_settings(settings)
     permit = told.get("Permissions") or {}
     limits = raw.get("limits") or {}
     return PlatformConfig(
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -68,21 +68,21 @@
         self.hosts = HostDispatcher(
             LinkLimits(
                 config.streams,
-                settings.allow.connect_timeout_s or CONNECT_S,
+                settings.permissions.connect_timeout_s or CONNECT_S,
                 config.idle_s * IDLE_PART,
             ),
             LinkBudget(self.budget.links),
             self.writer,
             self.engine.tell,
             clock,
-            settings.order_timeout_s or ORDER_S,
+            settings.load_command_timeout_s or ORDER_S,
             self._log,
         )
         self.directory = Resolver(self.membership, NAME, config.nameserver, self._changed, self._log, clock)
-        self.beliefs = Beliefs(max(cls.aim_s for cls in settings.classes))
+        self.beliefs = Beliefs(max(cls.latency_objective_s for cls in settings.classes))
         self._stopping = threading.Event()
         self._ready = False
-        advice_s = settings.allow.max_retry_advice_s if settings.allow.retry_advice else 0.0
+        advice_s = settings.permissions.max_retry_after_s if settings.permissions.retry_after else 0.0
         self.front = Front(
             config.listen,
             self.engine,
--- /dev/null
+++ b/saffronstack/routing/actions.py
@@ -0,0 +1,103 @@
+"""Actions that a router asks its caller to carry out."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class SendAttempt:
+    """Send a request to a worker; a ``timeout_s`` of 0 means until the client's deadline."""
+
+    request_id: int
+    worker_id: int
+    timeout_s: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Final answer: the request had no effect, so a retry after ``retry_after_s`` is harmless."""
+
+    request_id: int
+    retry_after_s: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Final answer: the request may or may not have been executed."""
+
+    request_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class CancelAttempt:
+    """Cancel one attempt."""
+
+    request_id: int
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class CheckHealth:
+    """Send a health check to a worker."""
+
+    worker_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class LoadFunction:
+    """Tell a worker to hold at least this many instances of a function; 0 only asks how many it holds."""
+
+    worker_id: int
+    function_id: int
+    instances: int
+
+
+@dataclass(frozen=True, slots=True)
+class UnloadFunction:
+    """Tell a worker to drop the idle instances of a function."""
+
+    worker_id: int
+    function_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class SetTimer:
+    """Deliver a `TimerFired` with the same ``timer_id`` after a delay."""
+
+    delay_s: float
+    timer_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class WatchEndpoints:
+    """Start or end the subscription to endpoint updates."""
+
+    enabled: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class FetchEndpoints:
+    """Fetch the complete endpoint list once."""
+
+
+@dataclass(frozen=True, slots=True)
+class WriteLog:
+    """Write a line to the log."""
+
+    text: str
+
+
+Action = (
+    SendAttempt
+    | Reject
+    | Fail
+    | CancelAttempt
+    | CheckHealth
+    | LoadFunction
+    | UnloadFunction
+    | SetTimer
+    | WatchEndpoints
+    | FetchEndpoints
+    | WriteLog
+)
--- /dev/null
+++ b/saffronstack/routing/events.py
@@ -0,0 +1,261 @@
+"""Events that a router is notified of: endpoint updates, requests, outcomes of attempts, timers.
+
+Times are seconds of the clock that is passed to `Router.handle`; durations end in ``_s`` as well. Workers,
+functions and requests are identified by plain numbers that carry no meaning.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class Result(Enum):
+    """Result of an attempt, a health check or a load command.
+
+    Attributes:
+        OK: A complete response.
+        ERROR: The worker or the function failed.
+        AT_CAPACITY: The worker rejected the request before executing it.
+        TIMEOUT: No complete response in time; the request may have been executed.
+        CONNECT_FAILED: No connection; the request was not executed.
+        RESET: The connection ended after the first byte; the request may have been executed.
+        CANCELLED: Cancelled by this gateway or by the client.
+        NOT_STARTED: Withdrawn before its first byte was sent.
+        NOT_LOADED: Rejected since the worker has not loaded the function.
+    """
+
+    OK = "ok"
+    ERROR = "error"
+    AT_CAPACITY = "full"
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    NOT_STARTED = "moot"
+    NOT_LOADED = "miss"
+
+
+class CacheStatus(Enum):
+    """Whether an attempt found its function loaded at the worker."""
+
+    UNKNOWN = 0
+    WARM = 1
+    STARTED_LOAD = 2
+    JOINED_LOAD = 3
+    LOAD_FAILED = 4
+
+
+class WorkerState(Enum):
+    """State of a worker in the endpoint list."""
+
+    REMOVED = 0
+    READY = 1
+    DRAINING = 2
+
+
+class EndpointUpdateKind(Enum):
+    """Content of an endpoint update.
+
+    Attributes:
+        INCREMENTAL: Endpoints that changed.
+        SNAPSHOT: The complete list; endpoints that it leaves out are gone.
+        CACHED: A complete list that may be out of date.
+        FAILED: The list could not be fetched.
+    """
+
+    INCREMENTAL = 0
+    SNAPSHOT = 1
+    CACHED = 2
+    FAILED = 3
+
+
+@dataclass(frozen=True, slots=True)
+class LoadReport:
+    """Load of a worker as reported by itself; None where a value was not reported.
+
+    Attributes:
+        requests_in_flight: Requests being executed or queued.
+        requests_queued: Requests waiting for an instance.
+        cpu_utilization: Fraction of the cores in use.
+        latency_s: Recent latency.
+        request_rate: Requests per second.
+        failure_rate: Failures per second.
+        memory_in_use_fraction: Fraction of the memory held by instances that execute or load.
+        loads_in_progress: Functions being loaded.
+    """
+
+    requests_in_flight: float | None = None
+    requests_queued: float | None = None
+    cpu_utilization: float | None = None
+    latency_s: float | None = None
+    request_rate: float | None = None
+    failure_rate: float | None = None
+    memory_in_use_fraction: float | None = None
+    loads_in_progress: float | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerEndpoint:
+    """One worker of an endpoint update.
+
+    Attributes:
+        worker_id: Number of the worker.
+        state: Whether it is ready, draining or removed.
+        capacity: Capacity relative to other workers.
+        kind: Index of its kind, which decides its memory.
+        zone: Index of its zone.
+        cell: Index of its cell.
+        started_s: When it last started; 0 means long ago.
+    """
+
+    worker_id: int
+    state: WorkerState
+    capacity: float = 1.0
+    kind: int = 0
+    zone: int = 0
+    cell: int = 0
+    started_s: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointUpdate:
+    """The endpoint list, or changes to it."""
+
+    kind: EndpointUpdateKind
+    endpoints: tuple[WorkerEndpoint, ...] = ()
+    version: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class PriorAttempt:
+    """An attempt of an earlier incarnation of the gateway that may have executed."""
+
+    worker_id: int
+    sent_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class Request:
+    """A request of a client; exactly one final answer is owed by its deadline.
+
+    Attributes:
+        request_id: Number of the request.
+        class_index: Index of its class in the settings.
+        function_id: Number of the function to execute.
+        deadline_s: When its answer is owed, on the router's clock.
+        tenant: Index of its tenant in the settings.
+        memory_mb: Memory of one instance of the function.
+        concurrency: Requests that one instance executes at once.
+        load_time_s: Usual time to load the function, if known.
+        work_s: Time to execute the request, if known.
+        is_retry: Whether the client sends it again.
+        is_write: Whether it writes.
+        prior_attempt: Set only for a deferred request that is resumed after a restart.
+    """
+
+    request_id: int
+    class_index: int
+    function_id: int
+    deadline_s: float
+    tenant: int = 0
+    memory_mb: float = 0.0
+    concurrency: float = 1.0
+    load_time_s: float | None = None
+    work_s: float | None = None
+    is_retry: bool = False
+    is_write: bool = False
+    prior_attempt: PriorAttempt | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptOutcome:
+    """How one attempt ended.
+
+    Attributes:
+        request_id: Number of the request.
+        attempt: Index of the attempt, counted from 0 for each request.
+        worker_id: Number of the worker.
+        result: Its result.
+        elapsed_s: Time from its start to its end.
+        is_final: Whether the client has its answer, so that nothing more is owed.
+        cache_status: Whether the function was found loaded.
+        concurrency: Requests in execution at the instance, if reported.
+        load_report: Load of the worker, if reported.
+    """
+
+    request_id: int
+    attempt: int
+    worker_id: int
+    result: Result
+    elapsed_s: float
+    is_final: bool = False
+    cache_status: CacheStatus = CacheStatus.UNKNOWN
+    concurrency: int | None = None
+    load_report: LoadReport | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckResult:
+    """Response to a health check."""
+
+    worker_id: int
+    result: Result
+    elapsed_s: float
+    load_report: LoadReport | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class LoadCommandResult:
+    """Response to a load command; ``instances`` is how many the worker holds now."""
+
+    worker_id: int
+    function_id: int
+    instances: int
+    result: Result
+    elapsed_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    """A timer that was set with `SetTimer` has expired."""
+
+    timer_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class ClientDisconnected:
+    """The client disconnected or its answer is overdue: nothing more is owed."""
+
+    request_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class StreamStarted:
+    """The response has begun to stream; its attempt now belongs to the client."""
+
+    request_id: int
+    attempt: int
+    worker_id: int
+    elapsed_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class GossipMessage:
+    """A message of another gateway."""
+
+    sender: int
+    content: bytes
+
+
+Event = (
+    EndpointUpdate
+    | Request
+    | AttemptOutcome
+    | HealthCheckResult
+    | LoadCommandResult
+    | TimerFired
+    | ClientDisconnected
+    | StreamStarted
+    | GossipMessage
+)
--- a/saffronstack/workers/fleet.py
+++ b/saffronstack/workers/fleet.py
@@ -8,7 +8,7 @@
 
 from saffronstack.core.calls import AttemptEnd, Call, FunctionSpec, OrderEnd
 from saffronstack.core.roster import WorkerSpec
-from saffronstack.interface import Outcome, Result
+from saffronstack.routing.events import AttemptOutcome, Result
 from saffronstack.workers.pool import AttemptJob, Heed, OrderJob, PoolLimits, Tell, UsageJob, WorkerPool
 
 
@@ -116,7 +116,7 @@
                 pool.attempts += 1
                 self._out[call.number, attempt] = job
         if pool is None:
-            outcome = Outcome(call.number, attempt, worker, Result.MOOT, 0.0, call.settled)
+            outcome = AttemptOutcome(call.number, attempt, worker, Result.NOT_STARTED, 0.0, call.settled)
             self._tell(AttemptEnd(call, outcome, reason="the worker has left the list"))
             return
         pool.submit(job)
--- a/saffronstack/workers/pool.py
+++ b/saffronstack/workers/pool.py
@@ -17,7 +17,7 @@
 from saffronstack.http1.messages import HttpError, Limits, ResponseHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.interface import Outcome, Result
+from saffronstack.routing.events import AttemptOutcome, Result
 from saffronstack.workers import protocol
 
 log = structlog.get_logger("saffronstack.workers")
@@ -166,11 +166,11 @@
     def _grow(self) -> tuple[Result, str] | None:
         """One thread more, or why the job can't be taken. The caller holds the lock."""
         if self._threads >= self.limits.connections:
-            return Result.FULL, "all connections to the worker are in use"
+            return Result.AT_CAPACITY, "all connections to the worker are in use"
         try:
             spawn(f"worker-{self.spec.name}", self._run)
         except RuntimeError:
-            return None if self._threads else (Result.MOOT, "no thread could be started")
+            return None if self._threads else (Result.NOT_STARTED, "no thread could be started")
         self._threads += 1
         self._idle += 1
         return None
@@ -245,7 +245,9 @@
 
     def _refuse(self, job: AttemptJob | OrderJob | UsageJob, result: Result, reason: str) -> None:
         if isinstance(job, AttemptJob):
-            outcome = Outcome(job.call.number, job.number, self.spec.number, result, 0.0, job.call.settled)
+            outcome = AttemptOutcome(
+                job.call.number, job.number, self.spec.number, result, 0.0, job.call.settled
+            )
             self._tell(AttemptEnd(job.call, outcome, reason=reason))
         elif isinstance(job, UsageJob):
             job.done(None)
@@ -283,7 +285,7 @@
         if judged.incarnation and judged.incarnation != self._incarnation:
             self._incarnation = judged.incarnation
             self._tell(WorkerSeen(self.spec.number, judged.incarnation, judged.uptime_s))
-        outcome = Outcome(
+        outcome = AttemptOutcome(
             call.number,
             job.number,
             self.spec.number,
@@ -313,7 +315,7 @@
         self, job: AttemptJob, connection: Connection | None
     ) -> tuple[protocol.Judged, Connection | None]:
         call, host = job.call, f"{self.spec.host}:{self.spec.port}"
-        moot = protocol.Judged(Result.MOOT, reason="no longer wanted when it was to be sent")
+        moot = protocol.Judged(Result.NOT_STARTED, reason="no longer wanted when it was to be sent")
         guard = call.guard
         if not self._stands(job):
             return moot, connection
@@ -324,7 +326,9 @@
                 return protocol.Judged(Result.CONNECT_FAILED, reason=str(error)), None
             if guard is not None:
                 if not guard.may_send(job.number, self.spec.number):
-                    return protocol.Judged(Result.MOOT, reason="the ledger could not note it"), connection
+                    return protocol.Judged(
+                        Result.NOT_STARTED, reason="the ledger could not note it"
+                    ), connection
                 guard = None
             if not self._stands(job):
                 return moot, connection
@@ -361,14 +365,14 @@
         try:
             connection = self._connected(connection, deadline_s)
             if self.closed and job.copies:
-                result = Result.FULL
+                result = Result.AT_CAPACITY
             elif connection.send(request, deadline_s, self._clock):
                 head, body = connection.receive(deadline_s, self._clock)
                 report = protocol.report_of(head.headers)
                 result = (
                     Result.OK
                     if head.status in (200, 204)
-                    else Result.FULL
+                    else Result.AT_CAPACITY
                     if head.status == 429
                     else Result.ERROR
                 )
--- a/saffronstack/workers/protocol.py
+++ b/saffronstack/workers/protocol.py
@@ -8,17 +8,17 @@
 from saffronstack.core.calls import Answer, Call, FunctionSpec
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import Headers, ResponseHead
-from saffronstack.interface import Found, Report, Result
+from saffronstack.routing.events import CacheStatus, LoadReport, Result
 
 INVOKE_PATH = "/2015-03-31/functions/function/invocations"
 USAGE_PATH = "/saffron/v1/usage"
 COPIES_PATH = "/saffron/v1/copies/"
 REPORT_PATH = "/saffron/v1/report"
 FOUND = {
-    "warm": Found.WARM,
-    "began-load": Found.BEGAN_LOAD,
-    "awaited-load": Found.AWAITED_LOAD,
-    "load-failed": Found.LOAD_FAILED,
+    "warm": CacheStatus.WARM,
+    "began-load": CacheStatus.STARTED_LOAD,
+    "awaited-load": CacheStatus.JOINED_LOAD,
+    "load-failed": CacheStatus.LOAD_FAILED,
 }
 
 
@@ -27,9 +27,9 @@
     """What an answer to an attempt means."""
 
     result: Result
-    found: Found = Found.UNTOLD
+    found: CacheStatus = CacheStatus.UNKNOWN
     crowd: int | None = None
-    report: Report | None = None
+    report: LoadReport | None = None
     answer: Answer | None = None
     incarnation: str = ""
     uptime_s: float = 0.0
@@ -98,7 +98,7 @@
 def judge(head: ResponseHead, body: bytes) -> Judged:
     """An answer to an attempt. Only an answer that says so itself proves that the function did not run."""
     headers = head.headers
-    found = FOUND.get(headers.get("x-saffron-found"), Found.UNTOLD)
+    found = FOUND.get(headers.get("x-saffron-found"), CacheStatus.UNKNOWN)
     crowd = _number(headers.get("x-saffron-crowd"))
     incarnation = headers.get("x-saffron-incarnation")[:64]
     uptime_s = (_number(headers.get("x-saffron-uptime-ms")) or 0.0) / 1000
@@ -110,9 +110,9 @@
         result = Result.OK
         answer = Answer(body, headers.get("x-amz-function-error"), headers.get("x-amz-log-result"))
     elif head.status == 429 and not_run:
-        result = Result.FULL
+        result = Result.AT_CAPACITY
     elif head.status == 404 and not_run:
-        result = Result.MISS
+        result = Result.NOT_LOADED
     else:
         result, reason = Result.ERROR, f"worker answered {head.status}"
     return Judged(
@@ -129,12 +129,17 @@
     )
 
 
-def report_of(headers: Headers) -> Report | None:
+def report_of(headers: Headers) -> LoadReport | None:
     """The load report of an answer's headers, None where it holds none."""
     values = [_number(headers.get(f"x-saffron-{name}")) for name in ("in-hand", "waiting", "busy", "loads")]
     if all(value is None for value in values):
         return None
-    return Report(in_hand=values[0], waiting=values[1], busy=values[2], loads=values[3])
+    return LoadReport(
+        requests_in_flight=values[0],
+        requests_queued=values[1],
+        cpu_utilization=values[2],
+        loads_in_progress=values[3],
+    )
 
 
 def _whole(text: str) -> int:
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -11,8 +11,9 @@
 import zstandard
 
 from saffronstack import Settings
-from saffronstack.core import record
+from saffronstack.core import record, record_format
 from saffronstack.core.record import Recorder, replay
+from saffronstack.core.record_format import action_from_tagged, event_from_tagged, from_stored
 
 DATA = pathlib.Path(__file__).parent / "data" / "decision_record"
 RECORDS = sorted(path.name for path in DATA.glob("*.record"))
@@ -65,15 +66,11 @@
 def write_again(values: list[bytes], path: pathlib.Path) -> None:
     """Read the values into the present types and record these: the one place that knows their names."""
     head = msgspec.msgpack.decode(values[0])
-    settings = msgspec.convert(head["settings"], Settings)
+    settings = from_stored(head["settings"], Settings)
     recorder = Recorder(str(path), settings, head["seed"])
-    for number, value in enumerate(values[1:], 1):
+    for value in values[1:]:
         now, event, actions = msgspec.msgpack.decode(value)
-        recorder.record(
-            now,
-            record._untagged(event, record._EVENTS, number),
-            [record._untagged(action, record._ACTIONS, number) for action in actions],
-        )
+        recorder.record(now, event_from_tagged(event), [action_from_tagged(action) for action in actions])
     assert recorder.close()
 
 
@@ -104,8 +101,8 @@
 
 
 def test_the_present_code_knows_no_other_kinds() -> None:
-    assert set(record._EVENTS) == EVENT_TAGS
-    assert set(record._ACTIONS) == ACTION_TAGS
+    assert set(record_format.EVENT_TAGS.values()) == EVENT_TAGS
+    assert set(record_format.ACTION_TAGS.values()) == ACTION_TAGS
 
 
 def test_the_kept_records_hold_every_enum_member() -> None:
--- a/tests/support/slow_start.py
+++ b/tests/support/slow_start.py
@@ -11,31 +11,32 @@
 from itertools import count
 
 from saffronstack.choice import Router
-from saffronstack.interface import (
-    Action,
+from saffronstack.routing.actions import Action, Reject, SendAttempt, SetTimer
+from saffronstack.routing.events import (
+    AttemptOutcome,
+    CacheStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Event,
-    Found,
-    ListKind,
-    ListUpdate,
-    Outcome,
-    Refuse,
-    Report,
+    LoadReport,
     Request,
     Result,
-    RuleSettings,
-    Send,
-    WakeMe,
-    Woken,
-    WorkerEntry,
+    TimerFired,
+    WorkerEndpoint,
     WorkerState,
 )
+from saffronstack.routing.settings import RuleSettings
 from tests.helpers import settings
 
 COLD_SHARE, COLD_S, TIP_MULTIPLE, TIP_AFTER_S = 0.23, 14.0, 3.0, 1.0
 RULES = RuleSettings(
-    answer_slack_s=0.01, drain_grace_s=1.0, cold_share=COLD_SHARE, cold_s=COLD_S, tip_multiple=TIP_MULTIPLE,
-    tip_after_s=TIP_AFTER_S,
-)  # fmt: skip
+    response_slack_s=0.01,
+    drain_grace_s=1.0,
+    slow_start_min_fraction=COLD_SHARE,
+    slow_start_s=COLD_S,
+    overload_multiple=TIP_MULTIPLE,
+    overload_window_s=TIP_AFTER_S,
+)
 WORK_S = 0.075
 LOAD_S = 0.6
 CAPACITY = 26.0  # requests a second of a warm worker of size 1
@@ -90,7 +91,10 @@
         self._left: dict[int, tuple[int, int, int]] = {}  # request: front end, function, retries left
         self._finished: deque[float] = deque()
         self._settings = settings(
-            instances=self.scenario.front_ends, rules=RULES, memory_mb_by_kind=(64000.0,), keep_alive_s=10.0
+            gateway_count=self.scenario.front_ends,
+            rules=RULES,
+            memory_mb_by_worker_kind=(64000.0,),
+            keep_alive_s=10.0,
         )
         self.old = list(range(1, self.scenario.workers + 1))
         self.young = list(range(101, 101 + self.scenario.replaced))
@@ -108,7 +112,9 @@
         """Run it to its end."""
         scenario = self.scenario
         for place in range(scenario.front_ends):
-            self._tell(place, ListKind.FULL, [WorkerEntry(w, WorkerState.READY) for w in self.old])
+            self._tell(
+                place, EndpointUpdateKind.SNAPSHOT, [WorkerEndpoint(w, WorkerState.READY) for w in self.old]
+            )
         for place, weight in enumerate(self._weights):
             rate = weight * scenario.load * scenario.workers * CAPACITY
             self.at(self.random.expovariate(rate), self._arrivals(place, rate))
@@ -135,8 +141,8 @@
         self._left[number] = place, function, retries
         self._handle(place, Request(number, 0, function, self.now + DEADLINE_S, 0, 500.0, 1.0, None))
 
-    def _tell(self, place: int, kind: ListKind, entries: list[WorkerEntry]) -> None:
-        self._handle(place, ListUpdate(kind, tuple(entries)))
+    def _tell(self, place: int, kind: EndpointUpdateKind, entries: list[WorkerEndpoint]) -> None:
+        self._handle(place, EndpointUpdate(kind, tuple(entries)))
 
     def _replace(self) -> None:
         scenario = self.scenario
@@ -146,37 +152,41 @@
         for place in range(scenario.front_ends):
             if self.random.random() < scenario.restarted:
                 self.routers[place] = self._router(place)
-                kept = [WorkerEntry(w, WorkerState.READY) for w in self.old[scenario.replaced :]]
-                self._tell(place, ListKind.FULL, kept)
+                kept = [WorkerEndpoint(w, WorkerState.READY) for w in self.old[scenario.replaced :]]
+                self._tell(place, EndpointUpdateKind.SNAPSHOT, kept)
             else:
-                self._tell(place, ListKind.CHANGE, [WorkerEntry(w, WorkerState.GONE) for w in gone])
+                self._tell(
+                    place,
+                    EndpointUpdateKind.INCREMENTAL,
+                    [WorkerEndpoint(w, WorkerState.REMOVED) for w in gone],
+                )
             heard_s = self.now + scenario.gap_s + self.random.uniform(0, scenario.spread_s)
             self.at(heard_s, self._hears(place, self.now + scenario.gap_s))
 
     def _hears(self, place: int, started_s: float) -> Callable[[], None]:
         def hear() -> None:
-            young = [WorkerEntry(w, WorkerState.READY, since_s=started_s) for w in self.young]
-            self._tell(place, ListKind.CHANGE, young)
+            young = [WorkerEndpoint(w, WorkerState.READY, started_s=started_s) for w in self.young]
+            self._tell(place, EndpointUpdateKind.INCREMENTAL, young)
 
         return hear
 
     def _collapse(self) -> None:
-        draining = [WorkerEntry(w, WorkerState.DRAINING) for w in self.old[self.scenario.replaced :]]
+        draining = [WorkerEndpoint(w, WorkerState.DRAINING) for w in self.old[self.scenario.replaced :]]
         for place in range(self.scenario.front_ends):
-            self._tell(place, ListKind.CHANGE, draining)
+            self._tell(place, EndpointUpdateKind.INCREMENTAL, draining)
 
     def _handle(self, place: int, event: Event) -> None:
         for action in self.routers[place].handle(self.now, event):
             self._carry_out(place, action)
 
     def _carry_out(self, place: int, action: Action) -> None:
-        if isinstance(action, Send):
-            self._send(place, action.request, action.worker)
-        elif isinstance(action, WakeMe):
-            woken = Woken(action.ref)
-            self.at(self.now + action.after_s, lambda: self._handle(place, woken))
-        elif isinstance(action, Refuse):
-            asked, function, retries = self._left.pop(action.request, (place, 0, 0))
+        if isinstance(action, SendAttempt):
+            self._send(place, action.request_id, action.worker_id)
+        elif isinstance(action, SetTimer):
+            woken = TimerFired(action.timer_id)
+            self.at(self.now + action.delay_s, lambda: self._handle(place, woken))
+        elif isinstance(action, Reject):
+            asked, function, retries = self._left.pop(action.request_id, (place, 0, 0))
             if retries:
                 wait_s = self.random.uniform(0.03, 0.2)
                 self.at(self.now + wait_s, lambda: self._ask(asked, function, retries - 1))
@@ -199,11 +209,13 @@
         def end() -> None:
             if router is not self.routers[place]:
                 return  # that front end has ended
-            found = Found.WARM if warm else Found.BEGAN_LOAD
-            busy = Report(busy=min(1.0, self.scenario.load))
+            found = CacheStatus.WARM if warm else CacheStatus.STARTED_LOAD
+            busy = LoadReport(cpu_utilization=min(1.0, self.scenario.load))
             result = Result.RESET if reset else Result.OK
             self.served += not reset
-            told = Outcome(request, attempt, worker, result, self.now - sent_s, not reset, found, 0, busy)
+            told = AttemptOutcome(
+                request, attempt, worker, result, self.now - sent_s, not reset, found, 0, busy
+            )
             self._handle(place, told)
 
         self.at(sent_s + took_s, end)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -11,8 +11,9 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent / "saffronstack"
-POLICY = {"choice", "interface", "checks"}
+POLICY = {"choice", "routing"}
 MAY = {
+    "routing": {"routing"},
     "net": {"net", "core"},
     "fleet": {"fleet", "daemon", "core", "http1", "net", "durable", "metering"},
     "resp": {"resp"},
@@ -89,7 +90,8 @@
 def test_the_bench_adapter_runs_on_the_standard_library() -> None:
     import sys
 
-    for path in [*(ROOT / "bench").glob("*.py"), *(ROOT / f"{name}.py" for name in POLICY | {"settings"})]:
+    folders = [*(ROOT / "bench").glob("*.py"), *(ROOT / "routing").glob("*.py")]
+    for path in [*folders, ROOT / "choice.py", ROOT / "settings.py"]:
         for node in ast.walk(ast.parse(path.read_text())):
             module = node.module if isinstance(node, ast.ImportFrom) else None
             names = (
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -126,7 +126,7 @@
     content["workers"][1] |= {"state": "draining", "zone": "zone-b", "started_at": 5}
     config = configs.parse(json.dumps(content))
     settings = settings_of(config)
-    assert [cls.effect.value for cls in settings.classes] == ["safe", "keyed", "unsafe"]
+    assert [cls.idempotency.value for cls in settings.classes] == ["safe", "keyed", "unsafe"]
     functions = Functions(config)
     known, same = functions.get("scan-12"), functions.get("scan-12")
     assert known is same
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -3,27 +3,22 @@
 from __future__ import annotations
 
 from saffronstack.choice import Function, Router
-from saffronstack.interface import (
-    Action,
-    AllowSettings,
-    Found,
-    ListKind,
-    ListUpdate,
-    Load,
-    Loaded,
-    MissMode,
-    Refuse,
+from saffronstack.routing.actions import Action, LoadFunction, Reject
+from saffronstack.routing.events import (
+    CacheStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    LoadCommandResult,
     Result,
-    RuleSettings,
-    TenantSettings,
-    Woken,
+    TimerFired,
 )
+from saffronstack.routing.settings import MissMode, PermissionSettings, RuleSettings, TenantSettings
 
 from .helpers import DRAINING, Gateway, change, entry, finals, router, sends, settings
 
 
-def loads(actions: list[Action]) -> list[Load]:
-    return [action for action in actions if isinstance(action, Load)]
+def loads(actions: list[Action]) -> list[LoadFunction]:
+    return [action for action in actions if isinstance(action, LoadFunction)]
 
 
 def warm(gateway: Gateway, worker: int, function: int = 1, now: float = 100.0, entries: int = 1) -> None:
@@ -35,12 +30,14 @@
 def test_front_ends_meet_on_the_same_worker() -> None:
     first, second = (Gateway(Router(settings(), seed)) for seed in (1, 2))
     for gateway in (first, second):
-        gateway.decider.handle(100.0, ListUpdate(ListKind.FULL, tuple(entry(w) for w in range(1, 9))))
+        gateway.decider.handle(
+            100.0, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(entry(w) for w in range(1, 9)))
+        )
     met = 0
     for function in range(30):
-        one, a = first.ask(100.0, function=function)
-        two, b = second.ask(100.0, function=function)
-        met += sends(a)[0].worker == sends(b)[0].worker
+        one, a = first.ask(100.0, function_id=function)
+        two, b = second.ask(100.0, function_id=function)
+        met += sends(a)[0].worker_id == sends(b)[0].worker_id
         first.end(100.05, one)
         second.end(100.05, two)
     assert met == 30
@@ -48,26 +45,26 @@
 
 def test_a_finished_load_frees_all_its_lanes() -> None:
     gateway = Gateway(router(1, 2))
-    number, _ = gateway.ask(100.0, lanes=4.0)
-    gateway.end(101.0, number, found=Found.BEGAN_LOAD)
+    number, _ = gateway.ask(100.0, concurrency=4.0)
+    gateway.end(101.0, number, cache_status=CacheStatus.STARTED_LOAD)
     assert len(gateway.decider.functions[1].stack) == 4
 
 
 def test_own_loads_are_bounded_and_held_requests_are_answered_in_time() -> None:
-    gateway = Gateway(router(1, 2, instances=4))
+    gateway = Gateway(router(1, 2, gateway_count=4))
     sent = []
     for function in range(40):
-        number, actions = gateway.ask(100.0, function=function)
+        number, actions = gateway.ask(100.0, function_id=function)
         sent += sends(actions)
         assert not finals(actions)
     assert 0 < len(sent) < 10
     answered = 0
     for number in range(1, 41):
         if number not in gateway.where:
-            gateway.decider.handle(100.2, Woken(number))
+            gateway.decider.handle(100.2, TimerFired(number))
     for number in range(1, 41):
         if number not in gateway.where:
-            answered += len(finals(gateway.decider.handle(102.96, Woken(number))))
+            answered += len(finals(gateway.decider.handle(102.96, TimerFired(number))))
     assert answered == 40 - len(gateway.where)
 
 
@@ -78,21 +75,21 @@
     second, actions = gateway.ask(100.0)
     assert not sends(actions)
     actions = gateway.end(100.1, first)
-    assert [(a.request, a.worker) for a in sends(actions)] == [(second, 1)]
+    assert [(a.request_id, a.worker_id) for a in sends(actions)] == [(second, 1)]
 
 
 def test_a_worker_that_is_not_reached_is_ejected_and_comes_back_by_a_trial() -> None:
     gateway = Gateway(router(1, 2, 3, 4))
     for step in range(2):
         warm(gateway, 1, step, 100.0 + step)
-        number, _ = gateway.ask(100.0 + step, function=step)
+        number, _ = gateway.ask(100.0 + step, function_id=step)
         gateway.end(100.25 + step, number, Result.CONNECT_FAILED)
     assert gateway.decider.workers[1].ejected
     warm(gateway, 1, 9, 101.3)
-    _, actions = gateway.ask(101.3, function=9)
-    assert sends(actions)[0].worker != 1
-    number, actions = gateway.ask(103.0, function=9)
-    assert sends(actions)[0].worker == 1
+    _, actions = gateway.ask(101.3, function_id=9)
+    assert sends(actions)[0].worker_id != 1
+    number, actions = gateway.ask(103.0, function_id=9)
+    assert sends(actions)[0].worker_id == 1
     gateway.end(103.1, number)
     assert not gateway.decider.workers[1].ejected
 
@@ -104,9 +101,9 @@
             now = 100.0 + step
             made = gateway.decider.functions.setdefault(worker, Function())
             made.stack[:] = [(gateway.decider.workers[worker], now)]
-            number, _ = gateway.ask(now, function=worker)
+            number, _ = gateway.ask(now, function_id=worker)
             if gateway.where.get(number) == worker:
-                gateway.end(now + took, number, result, elapsed_s=took, finished=True)
+                gateway.end(now + took, number, result, elapsed_s=took, is_final=True)
     return {number for number, worker in gateway.decider.workers.items() if worker.ejected}
 
 
@@ -125,8 +122,8 @@
 def test_no_load_is_begun_without_the_time_for_it() -> None:
     gateway = Gateway(router(1, 2, 3))
     number, _ = gateway.ask(100.0)
-    gateway.end(101.0, number, found=Found.BEGAN_LOAD, elapsed_s=1.0)
-    _, actions = gateway.ask(101.0, function=2, deadline_s=101.5)
+    gateway.end(101.0, number, cache_status=CacheStatus.STARTED_LOAD, elapsed_s=1.0)
+    _, actions = gateway.ask(101.0, function_id=2, deadline_s=101.5)
     assert not sends(actions)
 
 
@@ -135,9 +132,9 @@
         router(
             1,
             2,
-            miss_mode=MissMode.MISS,
-            order_timeout_s=10.0,
-            allow=AllowSettings(max_attempts=6, orders=True),
+            miss_mode=MissMode.REJECT,
+            load_command_timeout_s=10.0,
+            permissions=PermissionSettings(max_attempts=6, load_commands=True),
             **changes,
         )
     )
@@ -145,29 +142,35 @@
 
 def test_where_a_miss_loads_nothing_an_order_does() -> None:
     gateway = _missing()
-    number, actions = gateway.ask(100.0, lanes=2.0)
+    number, actions = gateway.ask(100.0, concurrency=2.0)
     ordered = loads(actions)[0]
-    assert not sends(actions) and ordered.copies == 1
-    actions = gateway.saw(gateway.decider.handle(101.0, Loaded(ordered.worker, 1, 1, Result.OK, 1.0)))
-    assert [(a.request, a.worker) for a in sends(actions)] == [(number, ordered.worker)]
+    assert not sends(actions) and ordered.instances == 1
+    actions = gateway.saw(
+        gateway.decider.handle(101.0, LoadCommandResult(ordered.worker_id, 1, 1, Result.OK, 1.0))
+    )
+    assert [(a.request_id, a.worker_id) for a in sends(actions)] == [(number, ordered.worker_id)]
 
 
 def test_orders_stay_within_the_ration() -> None:
     """2 free and a tenth of the requests in 5 s: the order at the limit passes, the next does not."""
-    gateway = _missing(rules=RuleSettings(load_free=2.0, load_part=0.1, load_span_s=5.0))
+    gateway = _missing(
+        rules=RuleSettings(load_command_burst=2.0, load_commands_per_request=0.1, load_command_window_s=5.0)
+    )
     times: list[float] = []
     taken: list[float] = []
     for step in range(400):
         now = 100.0 + step * 0.05
         taken.append(now)
-        number, actions = gateway.ask(now, function=step)
+        number, actions = gateway.ask(now, function_id=step)
         while sends(actions):
-            actions = gateway.end(now, number, Result.MISS, Found.UNTOLD)
+            actions = gateway.end(now, number, Result.NOT_LOADED, CacheStatus.UNKNOWN)
         for ordered in loads(actions):
             times.append(now)
             span = sum(t > now - 5.0 for t in times)
             assert span <= 2.0 + 0.1 * sum(t > now - 5.0 for t in taken) + 1e-9
-            gateway.decider.handle(now, Loaded(ordered.worker, ordered.function, 1, Result.OK, 0.5))
+            gateway.decider.handle(
+                now, LoadCommandResult(ordered.worker_id, ordered.function_id, 1, Result.OK, 0.5)
+            )
     assert len(times) > 2
 
 
@@ -175,47 +178,47 @@
     gateway = _missing()
     gateway.decider.handle(100.0, change(entry(1, state=DRAINING)))
     for function in range(10):
-        _, actions = gateway.ask(100.1, function=function)
-        assert all(a.worker == 2 for a in loads(actions))
+        _, actions = gateway.ask(100.1, function_id=function)
+        assert all(a.worker_id == 2 for a in loads(actions))
 
 
 def test_all_full_is_refused_with_advice() -> None:
-    allow = AllowSettings(max_attempts=6, max_retry_advice_s=0.3)
-    gateway = Gateway(router(1, 2, allow=allow))
+    allow = PermissionSettings(max_attempts=6, max_retry_after_s=0.3)
+    gateway = Gateway(router(1, 2, permissions=allow))
     number, actions = gateway.ask(100.0)
     while sends(actions):
-        actions = gateway.end(100.1, number, Result.FULL)
-    assert actions == [Refuse(number, 0.3)]
+        actions = gateway.end(100.1, number, Result.AT_CAPACITY)
+    assert actions == [Reject(number, 0.3)]
 
 
 def test_late_answers_shrink_the_limit_and_requests_wait_here() -> None:
     gateway = Gateway(router(1, 2, 3))
     for function in range(12):
         warm(gateway, 1, function)
-    numbers = [gateway.ask(100.0, function=function)[0] for function in range(8)]
+    numbers = [gateway.ask(100.0, function_id=function)[0] for function in range(8)]
     for step, number in enumerate(numbers[:6]):
         gateway.end(101.0 + step, number, elapsed_s=1.0 + step)
     worker = gateway.decider.workers[1]
     assert worker.limit < 8
     worker.limit = 2.0
     warm(gateway, 1, 10, 106.0)
-    held, actions = gateway.ask(106.1, function=10)
+    held, actions = gateway.ask(106.1, function_id=10)
     assert not sends(actions)
-    assert held in {a.request for a in sends(gateway.end(106.2, numbers[6]))}
+    assert held in {a.request_id for a in sends(gateway.end(106.2, numbers[6]))}
 
 
 def test_traffic_over_its_share_uses_less_of_a_limit() -> None:
     tenants = (TenantSettings("a", 0.5, 1000.0), TenantSettings("b", 0.5, 1.0))
-    gateway = Gateway(router(1, 2, tenants=tenants, over_share_worth=0.05))
+    gateway = Gateway(router(1, 2, tenants=tenants, over_quota_weight=0.05))
     for step in range(400):
-        gateway.ask(100.0 + step * 0.01, function=1000 + step, tenant=step % 2)
+        gateway.ask(100.0 + step * 0.01, function_id=1000 + step, tenant=step % 2)
     gateway.decider.workers[1].limit = 4.0
     gateway.decider.workers[1].warm_out = 2
     warm(gateway, 1, 1, 104.0)
     warm(gateway, 1, 2, 104.0)
-    _, actions = gateway.ask(104.0, function=2, tenant=1)
+    _, actions = gateway.ask(104.0, function_id=2, tenant=1)
     assert not sends(actions)
-    _, actions = gateway.ask(104.0, function=1, tenant=0)
+    _, actions = gateway.ask(104.0, function_id=1, tenant=0)
     assert len(sends(actions)) == 1
 
 
@@ -233,9 +236,9 @@
     start = gateway.decider.load_part
     for step in range(10):
         now = 100.0 + step
-        number, _ = gateway.ask(now, function=step)
+        number, _ = gateway.ask(now, function_id=step)
         took = 0.5 if step < 2 else 2.5
-        gateway.end(now + took, number, found=Found.BEGAN_LOAD, elapsed_s=took)
+        gateway.end(now + took, number, cache_status=CacheStatus.STARTED_LOAD, elapsed_s=took)
     assert gateway.decider.load_part < start
     low = gateway.decider.load_part
     gateway.decider.loads_out = 100  # the bound is in use
@@ -245,10 +248,10 @@
 
 
 def test_a_request_begins_few_loads_before_it_is_refused() -> None:
-    gateway = Gateway(router(*range(1, 9), allow=AllowSettings(max_attempts=8)))
+    gateway = Gateway(router(*range(1, 9), permissions=PermissionSettings(max_attempts=8)))
     number, actions = gateway.ask(100.0)
     tries = 0
     while sends(actions):
         tries += 1
-        actions = gateway.end(100.0 + tries * 0.01, number, Result.FULL)
-    assert tries == 3 and [type(action) for action in actions] == [Refuse]
+        actions = gateway.end(100.0 + tries * 0.01, number, Result.AT_CAPACITY)
+    assert tries == 3 and [type(action) for action in actions] == [Reject]
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -9,7 +9,6 @@
 
 import pytest
 
-from saffronstack import interface as api
 from saffronstack.core.calls import (
     Answer,
     AttemptEnd,
@@ -25,7 +24,8 @@
 from saffronstack.core.record import Recorder, RecordError, replay
 from saffronstack.core.roster import Roster, WorkerSpec
 from saffronstack.core.timers import Timers
-from saffronstack.interface import Outcome, Result
+from saffronstack.routing.actions import Action, Reject
+from saffronstack.routing.events import AttemptOutcome, CacheStatus, Event, Request, Result, TimerFired
 from tests.helpers import KEYED_ALL, SAFE, UNSAFE, settings
 from tests.support.stack import eventually
 
@@ -51,7 +51,7 @@
         answer = Answer(b"{}") if result is Result.OK else None
         if answer is not None:
             call.settle(Final(Ending.SERVED, b"{}"))
-        outcome = Outcome(call.number, attempt, worker, result, 0.01, call.settled, api.Found.WARM)
+        outcome = AttemptOutcome(call.number, attempt, worker, result, 0.01, call.settled, CacheStatus.WARM)
         self.engine.tell(AttemptEnd(call, outcome, answer))
 
     def cancel(self, call: Call, attempt: int) -> None: ...
@@ -87,7 +87,7 @@
     [
         ([Result.OK], SAFE, Ending.SERVED, 1),
         ([Result.CONNECT_FAILED, Result.OK], UNSAFE, Ending.SERVED, 2),
-        ([Result.FULL, Result.MOOT, Result.OK], UNSAFE, Ending.SERVED, 3),
+        ([Result.AT_CAPACITY, Result.NOT_STARTED, Result.OK], UNSAFE, Ending.SERVED, 3),
         ([Result.RESET], UNSAFE, Ending.FAILED, 1),
         ([Result.ERROR], UNSAFE, Ending.FAILED, 1),
         ([Result.TIMEOUT, Result.OK], KEYED_ALL, Ending.SERVED, 2),
@@ -156,8 +156,8 @@
     bad, good = make(engine, SAFE, 0.05), make(engine, SAFE)
     handle = engine._router.handle
 
-    def failing(now: float, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Request) and event.request == bad.number:
+    def failing(now: float, event: Event) -> list[Action]:
+        if isinstance(event, Request) and event.request_id == bad.number:
             raise RuntimeError("a fault in the module")
         return handle(now, event)
 
@@ -221,7 +221,7 @@
     with pytest.raises(RecordError):
         replay(str(tmp_path / "bad.rec"))
     other = Recorder(str(tmp_path / "other.rec"), settings(), 1)
-    other.record(1.0, api.Woken(3), [api.Refuse(3)])
+    other.record(1.0, TimerFired(3), [Reject(3)])
     assert other.close()
     with pytest.raises(RecordError, match=r"entry 1, at 1\.000000"):
         replay(str(tmp_path / "other.rec"))
@@ -234,21 +234,21 @@
     assert roster.worker_seen(102.0, WorkerSeen(1, "a", 501.0)) is None
     update = roster.worker_seen(110.0, WorkerSeen(1, "b", 2.0))
     assert update is not None
-    assert update.workers[0].since_s == pytest.approx(108.0)
+    assert update.endpoints[0].started_s == pytest.approx(108.0)
     assert roster.worker_seen(111.0, WorkerSeen(1, "b", 3.0)) is None
     assert (
         roster.worker_seen(111.0, WorkerSeen(2, "c", 1.0)) is None
     )  # the first heard of it: the list has the word
     again = roster.told(112.0, 1012.0, WORKERS)
-    assert {entry.worker: entry.since_s for entry in again.workers}[1] == pytest.approx(108.0)
+    assert {entry.worker_id: entry.started_s for entry in again.endpoints}[1] == pytest.approx(108.0)
 
 
 def test_told_starts_are_on_the_modules_clock() -> None:
     roster = Roster()
     spec = WorkerSpec(1, "w", "127.0.0.1", 1, started_at=995.0)
-    assert roster.told(100.0, 1000.0, [spec]).workers[0].since_s == pytest.approx(95.0)
+    assert roster.told(100.0, 1000.0, [spec]).endpoints[0].started_s == pytest.approx(95.0)
     ahead = WorkerSpec(2, "w", "127.0.0.1", 1, started_at=2000.0)
-    assert roster.told(100.0, 1000.0, [ahead]).workers[0].since_s == pytest.approx(100.0)
+    assert roster.told(100.0, 1000.0, [ahead]).endpoints[0].started_s == pytest.approx(100.0)
 
 
 def test_timers_keep_order() -> None:
--- a/tests/test_operation_table.py
+++ b/tests/test_operation_table.py
@@ -12,7 +12,6 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from saffronstack.http1.messages import Headers
-from saffronstack.interface import Effect
 from saffronstack.operations.names import Name, fingerprint, token_of, worker_key
 from saffronstack.operations.notes import AnyEntry, Ended, Expired, Noted, Notes, Released, Start
 from saffronstack.operations.recent import ENTRY_BYTES as ENTRY
@@ -33,12 +32,15 @@
     pack,
     unpack,
 )
+from saffronstack.routing.settings import Idempotency
 
 WINDOW_S = 100.0
 PRINT = b"p" * 16
 
 
-def opened(table: Table, digest: bytes = b"a", now: float = 0.0, effect: Effect = Effect.UNSAFE) -> Open:
+def opened(
+    table: Table, digest: bytes = b"a", now: float = 0.0, effect: Idempotency = Idempotency.NON_IDEMPOTENT
+) -> Open:
     step = table.send(digest, PRINT, effect, WINDOW_S, f"id-{digest.hex()}", now)
     assert isinstance(step, Begin)
     return step.open
@@ -47,39 +49,43 @@
 def test_a_send_joins_then_repeats_then_begins_anew_past_the_window() -> None:
     table = Table(1 << 20)
     first = opened(table)
-    again = table.send(b"a", PRINT, Effect.UNSAFE, WINDOW_S, "id-2", 1.0)
+    again = table.send(b"a", PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "id-2", 1.0)
     assert isinstance(again, Join)
     assert again.open is first
     answer = Answer(200, (("A", "b"),), b"body")
     table.end(first, Fate.ENDED, answer, 5.0)
     for now in (6.0, 104.999):
-        step = table.send(b"a", PRINT, Effect.UNSAFE, WINDOW_S, "id-3", now)
+        step = table.send(b"a", PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "id-3", now)
         assert isinstance(step, Repeat)
         assert (step.packed.answer, step.packed.request_id) == (answer, first.request_id)
-    assert isinstance(table.send(b"a", PRINT, Effect.UNSAFE, WINDOW_S, "id-4", 105.0), Begin)
+    assert isinstance(table.send(b"a", PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "id-4", 105.0), Begin)
 
 
 def test_another_payload_touches_nothing() -> None:
     table = Table(1 << 20)
     first = opened(table)
-    assert table.send(b"a", b"other", Effect.UNSAFE, WINDOW_S, "x", 1.0) == Mismatch(first.request_id)
+    assert table.send(b"a", b"other", Idempotency.NON_IDEMPOTENT, WINDOW_S, "x", 1.0) == Mismatch(
+        first.request_id
+    )
     table.end(first, Fate.UNKNOWN, None, 2.0)
-    assert table.send(b"a", b"other", Effect.UNSAFE, WINDOW_S, "x", 3.0) == Mismatch(first.request_id)
-    assert isinstance(table.send(b"a", PRINT, Effect.UNSAFE, WINDOW_S, "x", 3.0), Repeat)
+    assert table.send(b"a", b"other", Idempotency.NON_IDEMPOTENT, WINDOW_S, "x", 3.0) == Mismatch(
+        first.request_id
+    )
+    assert isinstance(table.send(b"a", PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "x", 3.0), Repeat)
 
 
 def test_what_was_refused_after_it_may_have_run_goes_again_where_it_went() -> None:
     table = Table(1 << 20)
-    first = opened(table, effect=Effect.KEYED)
+    first = opened(table, effect=Idempotency.WITH_KEY)
     table.leave(first, 7, 3.0, 4.0, 4.5)
-    second = opened(table, now=5.0, effect=Effect.KEYED)
+    second = opened(table, now=5.0, effect=Idempotency.WITH_KEY)
     assert second.again is not None
     assert (second.again.worker, second.again.sent_at, second.request_id) == (7, 3.0, first.request_id)
     assert second.again.busy_until == 4.5
     table.release(second, 6.0)  # this try never ran; the first one still may have
-    third = opened(table, now=7.0, effect=Effect.KEYED)
+    third = opened(table, now=7.0, effect=Idempotency.WITH_KEY)
     table.leave(third, 9, 6.5, 8.0)  # and another may have, elsewhere: the first one still tells
-    fourth = opened(table, now=9.0, effect=Effect.KEYED)
+    fourth = opened(table, now=9.0, effect=Idempotency.WITH_KEY)
     assert fourth.again is not None
     assert (fourth.again.worker, fourth.again.sent_at) == (7, 3.0)
 
@@ -95,19 +101,25 @@
         assert table.bytes <= 20_000
     assert table.dropped_early > 100
     for n in range(5):
-        assert isinstance(table.send(bytes([n]), PRINT, Effect.UNSAFE, WINDOW_S, "x", 20.0), Repeat)
-    newest = table.send(b"e199", PRINT, Effect.UNSAFE, WINDOW_S, "x", 20.0)
+        assert isinstance(
+            table.send(bytes([n]), PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "x", 20.0), Repeat
+        )
+    newest = table.send(b"e199", PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "x", 20.0)
     assert isinstance(newest, Repeat)
-    under_way = [table.send(b"o%d" % n, PRINT, Effect.UNSAFE, WINDOW_S, "x", 20.0) for n in range(60)]
+    under_way = [
+        table.send(b"o%d" % n, PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "x", 20.0) for n in range(60)
+    ]
     turned = [step for step in under_way if isinstance(step, Turned)]
     assert turned
     assert table.bytes <= 20_000
     assert 80.0 <= turned[0].retry_after_s <= 84.0  # when enough unknown ones have left their windows
-    safe = table.send(b"safe", PRINT, Effect.SAFE, WINDOW_S, "x", 20.0)
+    safe = table.send(b"safe", PRINT, Idempotency.IDEMPOTENT, WINDOW_S, "x", 20.0)
     assert isinstance(safe, Begin)  # it runs, and nobody remembers it
     table.end(safe.open, Fate.ENDED, Answer(200, (), b""), 21.0)
     assert table.find(b"safe") is None
-    after = table.send(b"new", PRINT, Effect.UNSAFE, WINDOW_S, "x", 20.0 + turned[0].retry_after_s)
+    after = table.send(
+        b"new", PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "x", 20.0 + turned[0].retry_after_s
+    )
     assert isinstance(after, Begin)
 
 
@@ -126,10 +138,13 @@
 
 
 @given(
-    st.binary(max_size=40), st.text(max_size=20), st.sampled_from(list(Fate)), st.sampled_from(list(Effect))
+    st.binary(max_size=40),
+    st.text(max_size=20),
+    st.sampled_from(list(Fate)),
+    st.sampled_from(list(Idempotency)),
 )
 @settings(derandomize=True, max_examples=100)
-def test_what_is_packed_comes_back(body: bytes, text: str, fate: Fate, effect: Effect) -> None:
+def test_what_is_packed_comes_back(body: bytes, text: str, fate: Fate, effect: Idempotency) -> None:
     for request_id in (text, "01234567-89ab-cdef-0123-456789abcdef", "01234567-89AB-cdef-0123-456789abcdef"):
         headers = (("a", text), ("x-amzn-RequestId", request_id), ("Content-Type", "$LATEST"))
         packed = Packed(fate, 12.5, PRINT, request_id, effect, Answer(200, headers, body), 5, 1.25)
@@ -209,7 +224,7 @@
     answers: dict[bytes, set[bytes]] = field(default_factory=dict)
 
     def send(self, digest: bytes) -> None:
-        step = self.table.send(digest, PRINT, Effect.UNSAFE, WINDOW_S, digest.decode(), self.now)
+        step = self.table.send(digest, PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, digest.decode(), self.now)
         if isinstance(step, Begin):
             self.open[digest] = step.open
         elif isinstance(step, Join) and self.broken == "no join":
@@ -225,7 +240,9 @@
     def run(self, digest: bytes) -> None:
         if self.durable and digest not in self.noted and self.broken != "note after the byte":
             one = self.open[digest]
-            self.disk.append(Noted(digest, PRINT, Effect.UNSAFE, one.request_id, WINDOW_S, 1, self.now))
+            self.disk.append(
+                Noted(digest, PRINT, Idempotency.NON_IDEMPOTENT, one.request_id, WINDOW_S, 1, self.now)
+            )
             self.noted.add(digest)
         if digest not in self.since or self.now >= self.since[digest] + WINDOW_S:
             self.runs[digest], self.answers[digest] = 0, set()
@@ -379,10 +396,12 @@
         ("x-amzn-RequestId", "0" * 36),
         ("X-Amz-Executed-Version", "$LATEST"),
     )
-    packed = pack(Packed(Fate.ENDED, 1.0, PRINT, "0" * 36, Effect.UNSAFE, Answer(200, headers, b"{}")))
+    packed = pack(
+        Packed(Fate.ENDED, 1.0, PRINT, "0" * 36, Idempotency.NON_IDEMPOTENT, Answer(200, headers, b"{}"))
+    )
     assert (ENTRY_BYTES + len(packed)) * 1_000_000 < 512 * 1024 * 1024
     for n in range(20_000):
-        one = table.send(n.to_bytes(12, "big"), PRINT, Effect.UNSAFE, WINDOW_S, "0" * 36, 0.0)
+        one = table.send(n.to_bytes(12, "big"), PRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "0" * 36, 0.0)
         assert isinstance(one, Begin)
         table.end(one.open, Fate.ENDED, Answer(200, headers, b"{}"), 0.0)
     assert table.bytes <= 20_000 * (ENTRY_BYTES + len(packed) + 16)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -26,10 +26,10 @@
 from saffronstack.durable.segments import Files
 from saffronstack.gateway import Gateway
 from saffronstack.harness.scenario.relay import Relay, seldom
-from saffronstack.interface import Effect
 from saffronstack.operations.notes import Ended, open_notes
 from saffronstack.operations.service import Live, Operations, Rule
 from saffronstack.operations.table import Begin, Join, Table
+from saffronstack.routing.settings import Idempotency
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
@@ -342,11 +342,13 @@
     notes = open_notes(str(tmp_path), 1 << 20, files)
     table = Table(256 * 1024 * 1024)
     operations = Operations(table, time.monotonic, time.time, notes)
-    rule = Rule(Effect.UNSAFE, 900.0, True)
+    rule = Rule(Idempotency.NON_IDEMPOTENT, 900.0, True)
     files.sealed = True
     lives = []
     for n in range(100_000):
-        step = table.send(b"%012d" % n, b"p" * 16, Effect.UNSAFE, 900.0, f"id-{n}", operations.now())
+        step = table.send(
+            b"%012d" % n, b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, f"id-{n}", operations.now()
+        )
         assert isinstance(step, Begin)
         step.open.live = live = Live(step.open, rule)
         lives.append(live)
@@ -354,7 +356,7 @@
     guards = [operations.guard(live) for live in lives]
     assert not any(guard.may_send(0, 1) for guard in guards[::1000])
     assert notes.failing
-    joined = table.send(b"%012d" % 7, b"p" * 16, Effect.UNSAFE, 900.0, "x", operations.now())
+    joined = table.send(b"%012d" % 7, b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, "x", operations.now())
     assert isinstance(joined, Join)
     files.sealed = False
     assert all(guard.may_send(1, 1) for guard in guards[::1000])
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -17,12 +17,12 @@
 from saffronstack.directory.resolver import Resolver
 from saffronstack.hosts import codec
 from saffronstack.hosts.codec import HostError, LineReader
-from saffronstack.interface import Found
 from saffronstack.net.write_buffer import OutgoingMessage, Sent, WriteBuffer, WriteLoop
 from saffronstack.platform.budget import divide
 from saffronstack.platform.identifiers import Tags
 from saffronstack.resp.frames import CallFrame, FrameError, frame_of
 from saffronstack.resp.reader import RespError, RespReader, encode
+from saffronstack.routing.events import CacheStatus
 from saffronstack.standin.platform import Entry, dns_answer
 
 FIELDS = b"req=9b1f03aa5c7e2d41,timeout=1500,subject=7f3a9c21e0b4d655"
@@ -82,8 +82,11 @@
         reader = LineReader(1000)
         lines = reader.feed(data[:cut]) + reader.feed(data[cut:])
         first, second = map(codec.answer_of, lines)
-        assert (first.body, first.found, first.crowd) == (b"x", Found.AWAITED_LOAD, 3)
-        assert first.report is not None and (first.report.waiting, first.report.busy) == (7.0, 0.6)
+        assert (first.body, first.found, first.crowd) == (b"x", CacheStatus.JOINED_LOAD, 3)
+        assert first.report is not None and (first.report.requests_queued, first.report.cpu_utilization) == (
+            7.0,
+            0.6,
+        )
         assert (second.word, second.tag, second.crowd) == ("BUSY", "b", None)
 
 
--- a/tests/test_platform_links.py
+++ b/tests/test_platform_links.py
@@ -18,9 +18,9 @@
 from saffronstack.hosts.items import Item
 from saffronstack.hosts.link import MAX_ABANDONED_TAGS, MAX_ANSWERED_TAGS, Link, LinkLimits
 from saffronstack.hosts.pool import HostPool, LinkBudget
-from saffronstack.interface import Result
 from saffronstack.net.write_buffer import Sent, WriteBuffer, WriteLoop
 from saffronstack.platform.beliefs import Beliefs
+from saffronstack.routing.events import Result
 from saffronstack.standin.platform import Directory, Entry
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 from tests.support.stack import eventually
@@ -97,14 +97,14 @@
     write_buffer = fleet.links[0]._write_buffer
     assert write_buffer is not None and write_buffer.flush()
     assert fleet.sockets[0].taken.count(b"CALL") == 1  # the line that had begun; half of one breaks the link
-    assert fleet.results() == [(2, Result.MOOT)]
+    assert fleet.results() == [(2, Result.NOT_STARTED)]
 
 
 def test_a_call_that_is_answered_while_its_line_waits_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet = Fleet(monkeypatch, room=0)
     call = fleet.call(1)
     fleet.dispatcher.cancel(call, 0)
-    assert fleet.results() == [(1, Result.MOOT)]
+    assert fleet.results() == [(1, Result.NOT_STARTED)]
     fleet.sockets[0].room = 100_000
     write_buffer = fleet.links[0]._write_buffer
     assert write_buffer is not None and write_buffer.flush() and not fleet.sockets[0].taken
@@ -241,7 +241,7 @@
     fleet.sockets[0].room = 100_000
     write_buffer = fleet.links[0]._write_buffer
     assert write_buffer is not None and write_buffer.flush() and not fleet.sockets[0].taken
-    assert fleet.results() == [(1, Result.MOOT)]
+    assert fleet.results() == [(1, Result.NOT_STARTED)]
 
 
 def test_a_second_answer_that_comes_late_does_not_end_the_next_attempt(fleet: Fleet) -> None:
@@ -251,10 +251,10 @@
     link = fleet.links[0]
     full = codec.answer_of(b'{"what":"BUSY","tag":"0000000000000001"}')
     link._on_answer(full)
-    assert fleet.results() == [(1, Result.FULL)]
+    assert fleet.results() == [(1, Result.AT_CAPACITY)]
     fleet.dispatcher.send(call, 1, 7, 0.0)
     link._on_answer(full)
-    assert fleet.results() == [(1, Result.FULL)] and len(fleet.links) == 2
+    assert fleet.results() == [(1, Result.AT_CAPACITY)] and len(fleet.links) == 2
     for number in range(2, 2 + MAX_ANSWERED_TAGS):  # what is remembered of a link is bounded
         fleet.call(number)
         link._on_answer(codec.answer_of(b'{"what":"OK","tag":"%016x"}' % number))
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -10,36 +10,33 @@
 from hypothesis import strategies as st
 
 from saffronstack.choice import Router
-from saffronstack.interface import (
-    Action,
-    AllowSettings,
-    Effect,
+from saffronstack.routing.actions import Action, Fail, LoadFunction, Reject, SendAttempt, SetTimer
+from saffronstack.routing.events import (
+    AttemptOutcome,
+    CacheStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Event,
-    Fail,
-    Found,
-    Group,
-    ListKind,
-    ListUpdate,
-    Load,
-    Loaded,
-    MissMode,
-    Outcome,
-    Refuse,
+    LoadCommandResult,
     Request,
     Result,
+    TimerFired,
+    WorkerEndpoint,
+    WorkerState,
+)
+from saffronstack.routing.settings import (
+    DeduplicationScope,
+    Idempotency,
+    MissMode,
+    PermissionSettings,
     RuleSettings,
-    Send,
     Settings,
     TenantSettings,
-    WakeMe,
-    Woken,
-    WorkerEntry,
-    WorkerState,
 )
 
 from .helpers import CLASSES, settings
 
-PROVED = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT, Result.MISS)
+PROVED = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 
 
 @dataclass
@@ -64,55 +61,64 @@
             self.check(action)
 
     def check(self, action: Action) -> None:
-        if isinstance(action, Send):
-            ask = self.owed[action.request]  # nothing is sent after the final answer
-            assert self.ready[action.worker] and self.now < ask.deadline_s
-            assert all(number != action.request for number, *_ in self.out)  # never two at once
-            self.may_repeat(action.request, action.worker)
-            attempt = self.sent.get(action.request, 0)
-            assert attempt < self.config.allow.max_attempts
-            self.sent[action.request] = attempt + 1
-            self.out.append((action.request, attempt, action.worker, self.now))
-        elif isinstance(action, Load):
-            assert self.ready[action.worker] and self.config.allow.orders
-            self.orders.append((action.worker, action.function))
-        elif isinstance(action, Refuse | Fail):
-            ask = self.owed.pop(action.request)  # exactly one
+        if isinstance(action, SendAttempt):
+            ask = self.owed[action.request_id]  # nothing is sent after the final answer
+            assert self.ready[action.worker_id] and self.now < ask.deadline_s
+            assert all(number != action.request_id for number, *_ in self.out)  # never two at once
+            self.may_repeat(action.request_id, action.worker_id)
+            attempt = self.sent.get(action.request_id, 0)
+            assert attempt < self.config.permissions.max_attempts
+            self.sent[action.request_id] = attempt + 1
+            self.out.append((action.request_id, attempt, action.worker_id, self.now))
+        elif isinstance(action, LoadFunction):
+            assert self.ready[action.worker_id] and self.config.permissions.load_commands
+            self.orders.append((action.worker_id, action.function_id))
+        elif isinstance(action, Reject | Fail):
+            ask = self.owed.pop(action.request_id)  # exactly one
             cls = CLASSES[ask.class_index]
-            if isinstance(action, Refuse) and action.request in self.first_maybe:
-                everywhere = cls.effect is Effect.KEYED and cls.group is Group.ALL
-                assert cls.effect is Effect.SAFE or everywhere
-        elif isinstance(action, WakeMe):
-            self.wakes.append((self.now + action.after_s, action.ref))
+            if isinstance(action, Reject) and action.request_id in self.first_maybe:
+                everywhere = (
+                    cls.idempotency is Idempotency.WITH_KEY
+                    and cls.deduplication_scope is DeduplicationScope.ALL
+                )
+                assert cls.idempotency is Idempotency.IDEMPOTENT or everywhere
+        elif isinstance(action, SetTimer):
+            self.wakes.append((self.now + action.delay_s, action.timer_id))
 
     def may_repeat(self, request: int, worker: int) -> None:
         maybe = self.first_maybe.get(request)
         cls = CLASSES[self.owed[request].class_index]
-        if maybe is None or cls.effect is Effect.SAFE:
+        if maybe is None or cls.idempotency is Idempotency.IDEMPOTENT:
             return
-        assert cls.effect is Effect.KEYED
-        assert self.now < maybe[1] + cls.window_s
-        if cls.group is Group.ZONE:
+        assert cls.idempotency is Idempotency.WITH_KEY
+        assert self.now < maybe[1] + cls.deduplication_window_s
+        if cls.deduplication_scope is DeduplicationScope.ZONE:
             assert worker % 2 == maybe[0] % 2
-        if cls.group is Group.CELL:
+        if cls.deduplication_scope is DeduplicationScope.CELL:
             assert worker % 3 == maybe[0] % 3
 
-    def list(self, workers: dict[int, WorkerState], kind: ListKind, since_s: float) -> None:
-        if kind is ListKind.FULL:
+    def list(self, workers: dict[int, WorkerState], kind: EndpointUpdateKind, since_s: float) -> None:
+        if kind is EndpointUpdateKind.SNAPSHOT:
             self.ready = {number: False for number in self.ready}
         for number, state in workers.items():
             self.ready[number] = state is WorkerState.READY
-        entries = (WorkerEntry(n, s, zone=n % 2, cell=n % 3, since_s=since_s) for n, s in workers.items())
-        self.tell(ListUpdate(kind, tuple(entries)))
+        entries = (
+            WorkerEndpoint(n, s, zone=n % 2, cell=n % 3, started_s=since_s) for n, s in workers.items()
+        )
+        self.tell(EndpointUpdate(kind, tuple(entries)))
 
-    def finish(self, place: int, result: Result, found: Found) -> None:
+    def finish(self, place: int, result: Result, found: CacheStatus) -> None:
         request, attempt, worker, sent_s = self.out.pop(place % len(self.out))
         if result not in PROVED:
             self.first_maybe.setdefault(request, (worker, sent_s))
         done = result is Result.OK
         if done:
             self.owed.pop(request, None)
-        self.tell(Outcome(request, attempt, worker, result, self.now - sent_s, finished=done, found=found))
+        self.tell(
+            AttemptOutcome(
+                request, attempt, worker, result, self.now - sent_s, is_final=done, cache_status=found
+            )
+        )
 
     def pass_time(self, seconds: float) -> None:
         end = self.now + seconds
@@ -126,31 +132,38 @@
             self.now = max(self.now, then)
             if kind == 0:
                 self.wakes.remove((then, number))
-                self.tell(Woken(number))
+                self.tell(TimerFired(number))
             else:
-                self.finish([n for n, *_ in self.out].index(number), Result.TIMEOUT, Found.UNTOLD)
+                self.finish([n for n, *_ in self.out].index(number), Result.TIMEOUT, CacheStatus.UNKNOWN)
         self.now = end
 
 
 STEPS = st.lists(st.tuples(st.sampled_from("aaaaoooowtlL"), st.integers(0, 9999)), max_size=60)
 SHAPES = st.fixed_dictionaries(
     {
-        "instances": st.sampled_from([1, 3, 300]),
-        "tells_crowd": st.booleans(),
-        "miss_mode": st.sampled_from([MissMode.LOAD, MissMode.MISS]),
+        "gateway_count": st.sampled_from([1, 3, 300]),
+        "reports_concurrency": st.booleans(),
+        "miss_mode": st.sampled_from([MissMode.LOAD, MissMode.REJECT]),
         "tenants": st.sampled_from([(), (TenantSettings("a", 0.7, 50.0), TenantSettings("b", 0.3, 1.0))]),
-        "memory_mb_by_kind": st.sampled_from([(), (600.0,), (8000.0,)]),
+        "memory_mb_by_worker_kind": st.sampled_from([(), (600.0,), (8000.0,)]),
         "rules": st.sampled_from(
             [
-                RuleSettings(answer_slack_s=0.01, drain_grace_s=1.0),
-                RuleSettings(cold_share=0.15, cold_s=10.0, tip_multiple=2.0, tip_after_s=1.0),
-                RuleSettings(load_free=2.0, load_part=0.1, load_span_s=5.0),
+                RuleSettings(response_slack_s=0.01, drain_grace_s=1.0),
+                RuleSettings(
+                    slow_start_min_fraction=0.15,
+                    slow_start_s=10.0,
+                    overload_multiple=2.0,
+                    overload_window_s=1.0,
+                ),
+                RuleSettings(
+                    load_command_burst=2.0, load_commands_per_request=0.1, load_command_window_s=5.0
+                ),
             ]
         ),
-        "allow": st.sampled_from(
+        "permissions": st.sampled_from(
             [
-                AllowSettings(max_attempts=4, orders=True),
-                AllowSettings(max_attempts=2),
+                PermissionSettings(max_attempts=4, load_commands=True),
+                PermissionSettings(max_attempts=2),
             ]
         ),
     }
@@ -160,7 +173,7 @@
 def play(shape: dict[str, Any], steps: list[tuple[str, int]]) -> list[str]:
     config = settings(**shape)
     world = World(Router(config, 11), config)
-    world.list({number: WorkerState.READY for number in range(1, 7)}, ListKind.FULL, 0.0)
+    world.list({number: WorkerState.READY for number in range(1, 7)}, EndpointUpdateKind.SNAPSHOT, 0.0)
     serial = 0
     for kind, number in steps:
         if kind == "a":
@@ -170,7 +183,7 @@
             world.tell(ask)
         elif kind == "o" and world.out:
             results = [r for r in Result if r is not Result.CANCELLED]
-            found = list(Found)[number % 4]
+            found = list(CacheStatus)[number % 4]
             world.finish(number, results[(number // 7) % len(results)], found)
         elif kind == "w":
             world.pass_time(number / 2000)
@@ -178,11 +191,13 @@
             world.pass_time(0.01)
         elif kind == "l":
             state = list(WorkerState)[number % 3]
-            world.list({1 + number % 8: state}, ListKind.CHANGE, world.now if number % 2 else 0.0)
+            world.list(
+                {1 + number % 8: state}, EndpointUpdateKind.INCREMENTAL, world.now if number % 2 else 0.0
+            )
         elif kind == "L" and world.orders:
             worker, function = world.orders.pop()
-            result = (Result.OK, Result.FULL, Result.ERROR)[number % 3]
-            world.tell(Loaded(worker, function, number % 2, result, 0.5))
+            result = (Result.OK, Result.AT_CAPACITY, Result.ERROR)[number % 3]
+            world.tell(LoadCommandResult(worker, function, number % 2, result, 0.5))
     world.pass_time(10.0)
     assert not world.owed  # everything was answered in time
     return world.log
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,11 +18,16 @@
     after_answer,
     next_step,
 )
-from saffronstack.interface import Effect
+from saffronstack.routing.settings import Idempotency
 
 times = st.floats(0, 100, allow_nan=False)
 policies = st.builds(
-    Policy, st.sampled_from(Effect), st.floats(0, 20), st.floats(0.5, 5), st.floats(1, 60), st.integers(0, 3)
+    Policy,
+    st.sampled_from(Idempotency),
+    st.floats(0, 20),
+    st.floats(0.5, 5),
+    st.floats(1, 60),
+    st.integers(0, 3),
 )
 states = st.builds(
     State,
@@ -31,9 +36,9 @@
     st.integers(0, 9),
     st.integers(0, 4),
 )
-UNSAFE = Policy(Effect.UNSAFE, 0, 3, 60, 2)
-KEYED = Policy(Effect.KEYED, 10, 3, 60, 2)
-SAFE = Policy(Effect.SAFE, 0, 3, 60, 2)
+UNSAFE = Policy(Idempotency.NON_IDEMPOTENT, 0, 3, 60, 2)
+KEYED = Policy(Idempotency.WITH_KEY, 10, 3, 60, 2)
+SAFE = Policy(Idempotency.IDEMPOTENT, 0, 3, 60, 2)
 
 
 @given(states, policies, times)
@@ -42,13 +47,13 @@
     step = next_step(state, policy, now)
     if isinstance(step, Try):
         assert now < step.until <= state.accepted_at + policy.maximum_age_s
-        if state.ran is not None and policy.effect is Effect.UNSAFE:
+        if state.ran is not None and policy.effect is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("unsafe went again")
-        if state.ran is not None and policy.effect is Effect.KEYED:
+        if state.ran is not None and policy.effect is Idempotency.WITH_KEY:
             assert state.ran.sent_at <= now
             assert step.until <= state.ran.sent_at + policy.window_s - WINDOW_MARGIN_S
     elif isinstance(step, Finish):
-        ran_for_nothing = state.ran is not None and policy.effect is not Effect.SAFE
+        ran_for_nothing = state.ran is not None and policy.effect is not Idempotency.IDEMPOTENT
         assert (step.condition is Condition.UNKNOWN) == ran_for_nothing
 
 
@@ -70,7 +75,7 @@
     if isinstance(step, Wait):
         assert now <= step.until <= max(now, state.accepted_at + policy.maximum_age_s)
         if state.ran is not None:
-            assert policy.effect is not Effect.UNSAFE
+            assert policy.effect is not Idempotency.NON_IDEMPOTENT
     if ending is Ending.SERVED and not error:
         assert step == Finish(Condition.SUCCESS)
     assert after.accepted_at == state.accepted_at
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -25,7 +25,6 @@
 from saffronstack.config.schema import Worker
 from saffronstack.core.roster import Roster, WorkerSpec
 from saffronstack.gateway import Gateway
-from saffronstack.interface import ListKind, WorkerState
 from saffronstack.roster.guards import Flaps, GuardSettings, judge
 from saffronstack.roster.keeping import Kept
 from saffronstack.roster.membership import Change, Sizes, Source, change, merge
@@ -33,6 +32,7 @@
 from saffronstack.roster.places import lines
 from saffronstack.roster.reading import MANIFEST, NotReadyError, read
 from saffronstack.roster.service import RosterService
+from saffronstack.routing.events import EndpointUpdateKind, WorkerState
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from tests.support.stack import Stack, configuration, eventually
@@ -257,9 +257,9 @@
     specs = [WorkerSpec(n, f"w{n}", "h", n) for n in range(6)]
     roster.told(0.0, 100.0, specs[:4])
     update = roster.changed(1.0, 101.0, [specs[4], WorkerSpec(1, "w1", "h", 1, draining=True)], [0, 77])
-    assert update.kind is ListKind.CHANGE
-    assert [(e.worker, e.state) for e in update.workers] == [
-        (0, WorkerState.GONE),
+    assert update.kind is EndpointUpdateKind.INCREMENTAL
+    assert [(e.worker_id, e.state) for e in update.endpoints] == [
+        (0, WorkerState.REMOVED),
         (4, WorkerState.READY),
         (1, WorkerState.DRAINING),
     ]
--- a/tests/test_stack.py
+++ b/tests/test_stack.py
@@ -5,7 +5,9 @@
 from collections.abc import Sized
 
 from saffronstack.choice import Function
-from saffronstack.interface import AllowSettings, Cancel, ClientGone, Found, Refuse, Result, WakeMe, Woken
+from saffronstack.routing.actions import CancelAttempt, Reject, SetTimer
+from saffronstack.routing.events import CacheStatus, ClientDisconnected, Result, TimerFired
+from saffronstack.routing.settings import PermissionSettings
 
 from .helpers import GONE, Gateway, change, entry, finals, router, sends
 
@@ -16,9 +18,9 @@
     function = gateway.decider.functions.setdefault(1, Function())
     function.stack += [(workers[2], 100.0), (workers[0], 100.1)]
     _, actions = gateway.ask(101.2)
-    assert sends(actions)[0].worker == 1
+    assert sends(actions)[0].worker_id == 1
     _, actions = gateway.ask(101.2)
-    assert sends(actions)[0].worker == 3
+    assert sends(actions)[0].worker_id == 3
 
 
 def test_entries_die_past_the_keep_alive() -> None:
@@ -37,7 +39,7 @@
     gateway.end(100.1, first)
     third, _ = gateway.ask(100.2)  # pops the only entry
     gateway.end(100.3, second)  # an older entry when the load is heard
-    gateway.end(101.0, third, found=Found.BEGAN_LOAD)
+    gateway.end(101.0, third, cache_status=CacheStatus.STARTED_LOAD)
     assert all(freed >= 100.2 for _, freed in gateway.decider.functions[1].stack)
 
 
@@ -56,7 +58,7 @@
     worker = gateway.decider.workers[1]
     assert worker.placed_mb == 500.0
     gateway.end(100.1, number)
-    gateway.ask(111.0, function=2, memory_mb=300.0)
+    gateway.ask(111.0, function_id=2, memory_mb=300.0)
     assert worker.placed_mb == 300.0
 
 
@@ -67,11 +69,11 @@
     home = gateway.where[first]
     gateway.end(100.1, first)
     second, _ = gateway.ask(101.0)
-    retried = sends(gateway.end(101.0, second, Result.RESET, Found.UNTOLD))
-    assert [send.worker for send in retried] == [home]  # no other copy is known, and a load takes longer
+    retried = sends(gateway.end(101.0, second, Result.RESET, CacheStatus.UNKNOWN))
+    assert [send.worker_id for send in retried] == [home]  # no other copy is known, and a load takes longer
     gateway.end(101.1, second)
     _, actions = gateway.ask(101.2)
-    assert sends(actions)[0].worker == home
+    assert sends(actions)[0].worker_id == home
 
 
 def test_a_worker_that_only_breaks_connections_is_passed_over() -> None:
@@ -80,9 +82,9 @@
     home = gateway.where[first]
     gateway.end(100.1, first)
     second, _ = gateway.ask(101.0)
-    gateway.end(101.0, second, Result.CONNECT_FAILED, Found.UNTOLD)
-    third = sends(gateway.end(101.1, second, Result.CONNECT_FAILED, Found.UNTOLD))
-    assert [send.worker for send in third] != [home] and third
+    gateway.end(101.0, second, Result.CONNECT_FAILED, CacheStatus.UNKNOWN)
+    third = sends(gateway.end(101.1, second, Result.CONNECT_FAILED, CacheStatus.UNKNOWN))
+    assert [send.worker_id for send in third] != [home] and third
 
 
 def test_workers_and_functions_that_are_gone_leave_no_trace() -> None:
@@ -98,13 +100,13 @@
     for worker in range(1, 3000):
         now += 1.0
         decider.handle(now, change(entry(worker), entry(worker - 1, GONE)))
-        number, actions = gateway.ask(now, function=worker)
-        assert [send.worker for send in sends(actions)] == [worker]
+        number, actions = gateway.ask(now, function_id=worker)
+        assert [send.worker_id for send in sends(actions)] == [worker]
         if worker % 3:
             gateway.end(now + 0.1, number)
         else:  # out while the worker leaves: its end comes later, and finds its worker gone
             decider.handle(now + 0.2, change(entry(worker, GONE)))
-            gateway.end(now + 0.3, number, Result.RESET, Found.UNTOLD)
+            gateway.end(now + 0.3, number, Result.RESET, CacheStatus.UNKNOWN)
         most = max(most, known())
         if worker == 200:
             early = most
@@ -115,7 +117,7 @@
     gateway = Gateway(router(1, 2))
     first, _ = gateway.ask(100.0)
     home = gateway.where[first]
-    second, _ = gateway.ask(100.0, function=2)  # out there while it leaves and returns
+    second, _ = gateway.ask(100.0, function_id=2)  # out there while it leaves and returns
     gateway.end(100.1, first)
     gateway.decider.handle(100.2, change(entry(home, GONE)))
     gateway.decider.handle(100.3, change(entry(home)))
@@ -126,34 +128,34 @@
 
 def test_a_client_that_leaves_ends_its_attempt_and_keeps_its_entry() -> None:
     """Where many leave, entries that went with them made standing copies unknown."""
-    gateway = Gateway(router(1, 2, allow=AllowSettings(max_attempts=6, cancel=True)))
+    gateway = Gateway(router(1, 2, permissions=PermissionSettings(max_attempts=6, cancellation=True)))
     first, _ = gateway.ask(100.0)
     home = gateway.where[first]
     gateway.end(100.1, first)
     second, _ = gateway.ask(101.0)
-    assert gateway.decider.handle(101.5, ClientGone(second)) == [Cancel(second, 0)]
-    gateway.end(101.5, second, Result.CANCELLED, Found.UNTOLD, finished=True)
-    assert [worker.entry.worker for worker, _ in gateway.decider.functions[1].stack] == [home]
+    assert gateway.decider.handle(101.5, ClientDisconnected(second)) == [CancelAttempt(second, 0)]
+    gateway.end(101.5, second, Result.CANCELLED, CacheStatus.UNKNOWN, is_final=True)
+    assert [worker.entry.worker_id for worker, _ in gateway.decider.functions[1].stack] == [home]
     assert not gateway.decider.flying and not gateway.decider.pending
 
 
 def test_a_client_that_leaves_costs_nothing_where_cancelling_is_not_allowed() -> None:
     gateway = Gateway(router(1))
     first, _ = gateway.ask(100.0)
-    assert gateway.decider.handle(100.1, ClientGone(first)) == []
+    assert gateway.decider.handle(100.1, ClientDisconnected(first)) == []
 
 
 def test_a_request_that_nothing_was_sent_for_is_refused_by_half_of_its_time() -> None:
     gateway = Gateway(router())
     number, actions = gateway.ask(100.0, deadline_s=104.0)
-    assert finals(actions) == [Refuse(number, 0.0)]  # there is nobody to wait for
+    assert finals(actions) == [Reject(number, 0.0)]  # there is nobody to wait for
     gateway = Gateway(router(1))
     for function in range(2, 9):
-        gateway.ask(100.0, function=function)  # loads enough under way
+        gateway.ask(100.0, function_id=function)  # loads enough under way
     number, actions = gateway.ask(100.0, deadline_s=104.0)
-    wakes = [action for action in actions if isinstance(action, WakeMe)]
+    wakes = [action for action in actions if isinstance(action, SetTimer)]
     while wakes and not finals(actions):
-        now = 100.0 + wakes[-1].after_s
-        actions = gateway.decider.handle(now, Woken(number))
-        wakes = [WakeMe(a.after_s + now - 100.0, a.ref) for a in actions if isinstance(a, WakeMe)]
-    assert finals(actions) == [Refuse(number, 0.0)] and 101.5 < now < 102.0
+        now = 100.0 + wakes[-1].delay_s
+        actions = gateway.decider.handle(now, TimerFired(number))
+        wakes = [SetTimer(a.delay_s + now - 100.0, a.timer_id) for a in actions if isinstance(a, SetTimer)]
+    assert finals(actions) == [Reject(number, 0.0)] and 101.5 < now < 102.0
