--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,9 +10,34 @@
 
 import pytest
 
-from saffronstack import interface as api
 from saffronstack.bench import simhost, wire
 from saffronstack.choice import Router
+from saffronstack.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    FetchEndpoints,
+    LoadFunction,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    UnloadFunction,
+    WatchEndpoints,
+    WriteLog,
+)
+from saffronstack.routing.events import (
+    AttemptOutcome,
+    CacheStatus,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    LoadCommandResult,
+    Request,
+    Result,
+    TimerFired,
+)
+from saffronstack.routing.settings import Idempotency
 
 REQUEST = (
     "13 0300 c4913a5d4fdb0100 0000 00000000 010ad2557c000000 cba145b6f34d2140 fa7e6abc7493883f "
@@ -39,71 +64,71 @@
 
 def test_request_example() -> None:
     instance, event = read(REQUEST)
-    assert instance == 3 and isinstance(event, api.Request)
-    assert (event.request, event.function, event.class_index) == (REQUEST_ID, FUNCTION, 0)
-    assert (event.memory_mb, event.lanes, event.load_s) == (384.0, 2.0, None)
+    assert instance == 3 and isinstance(event, Request)
+    assert (event.request_id, event.function_id, event.class_index) == (REQUEST_ID, FUNCTION, 0)
+    assert (event.memory_mb, event.concurrency, event.load_time_s) == (384.0, 2.0, None)
     assert event.work_s == pytest.approx(0.012) and event.deadline_s == pytest.approx(8.6522, abs=1e-4)
 
 
 def test_outcome_example() -> None:
     _, event = read(OUTCOME)
-    assert isinstance(event, api.Outcome)
-    assert (event.request, event.worker, event.result, event.finished) == (
+    assert isinstance(event, AttemptOutcome)
+    assert (event.request_id, event.worker_id, event.result, event.is_final) == (
         REQUEST_ID,
         WORKER,
-        api.Result.OK,
+        Result.OK,
         True,
     )
-    assert event.report is not None and event.report.waiting == 3.0
-    assert event.report.busy == pytest.approx(0.62) and event.crowd == 0
+    assert event.load_report is not None and event.load_report.requests_queued == 3.0
+    assert event.load_report.cpu_utilization == pytest.approx(0.62) and event.concurrency == 0
 
 
 def test_crowd_and_found_share_the_note() -> None:
     _, event = read(OUTCOME.replace("00000000 0a", "1a000000 0a"))
-    assert isinstance(event, api.Outcome)
-    assert (event.found, event.crowd) == (api.Found.BEGAN_LOAD, 3)
+    assert isinstance(event, AttemptOutcome)
+    assert (event.cache_status, event.concurrency) == (CacheStatus.STARTED_LOAD, 3)
 
 
 def test_list_example() -> None:
     _, event = read(LIST)
-    assert isinstance(event, api.ListUpdate) and event.kind is api.ListKind.CACHED
+    assert isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.CACHED
     assert event.version == 41
-    assert [w.worker for w in event.workers] == [WORKER, 0x2C9011F2]
-    assert [(w.size, w.zone, w.since_s) for w in event.workers] == [(1.0, 0, 0.0), (1.5, 1, 6.1)]
+    assert [w.worker_id for w in event.endpoints] == [WORKER, 0x2C9011F2]
+    assert [(w.capacity, w.zone, w.started_s) for w in event.endpoints] == [(1.0, 0, 0.0), (1.5, 1, 6.1)]
 
 
 def test_reminder_and_gone_and_loaded_examples() -> None:
-    assert read("17 0300 4d00000000000000")[1] == api.Woken(77)
-    assert read("10 0500 192b6f0ef8a20b00") == (5, api.ClientGone(0x0BA2F80E6F2B19))
+    assert read("17 0300 4d00000000000000")[1] == TimerFired(77)
+    assert read("10 0500 192b6f0ef8a20b00") == (5, ClientDisconnected(0x0BA2F80E6F2B19))
     _, event = read("1a 0300 01 0a 010ad2557c000000 7b14ae47e17ae43f f211902c")
-    assert isinstance(event, api.Loaded) and event.elapsed_s == pytest.approx(0.64)
-    assert (event.worker, event.function, event.copies) == (0x2C9011F2, FUNCTION, 1)
+    assert isinstance(event, LoadCommandResult) and event.elapsed_s == pytest.approx(0.64)
+    assert (event.worker_id, event.function_id, event.instances) == (0x2C9011F2, FUNCTION, 1)
 
 
 @pytest.mark.parametrize(
     ("action", "text"),
     [
-        (api.Send(REQUEST_ID, WORKER, 0.078), "50 0300 c4913a5d4fdb0100 2b8716d9cef7b33f 074a1203"),
-        (api.WakeMe(0.5, 77), "54 0300 000000000000e03f 4d00000000000000"),
-        (api.Load(0x2C9011F2, FUNCTION, 1), "5c 0300 f211902c 01 010ad2557c000000"),
-        (api.Log("two servers known"), "58 0300 1100 74776f2073657276657273206b6e6f776e"),
-        (api.Fail(5), "52 0300 0500000000000000"),
-        (api.Refuse(5, 0.5), "51 0300 0500000000000000 000000000000e03f"),
-        (api.Cancel(5, 1), "53 0300 0500000000000000 01"),
-        (api.Probe(WORKER), "55 0300 074a1203"),
-        (api.Unload(WORKER, FUNCTION), "5d 0300 074a1203 010ad2557c000000"),
-        (api.Watch(True), "5a 0300 01"),
-        (api.FetchList(), "5b 0300"),
+        (SendAttempt(REQUEST_ID, WORKER, 0.078), "50 0300 c4913a5d4fdb0100 2b8716d9cef7b33f 074a1203"),
+        (SetTimer(0.5, 77), "54 0300 000000000000e03f 4d00000000000000"),
+        (LoadFunction(0x2C9011F2, FUNCTION, 1), "5c 0300 f211902c 01 010ad2557c000000"),
+        (WriteLog("two servers known"), "58 0300 1100 74776f2073657276657273206b6e6f776e"),
+        (Fail(5), "52 0300 0500000000000000"),
+        (Reject(5, 0.5), "51 0300 0500000000000000 000000000000e03f"),
+        (CancelAttempt(5, 1), "53 0300 0500000000000000 01"),
+        (CheckHealth(WORKER), "55 0300 074a1203"),
+        (UnloadFunction(WORKER, FUNCTION), "5d 0300 074a1203 010ad2557c000000"),
+        (WatchEndpoints(True), "5a 0300 01"),
+        (FetchEndpoints(), "5b 0300"),
     ],
 )
-def test_actions(action: api.Action, text: str) -> None:
+def test_actions(action: Action, text: str) -> None:
     assert wire.encode(3, action).hex() == text.replace(" ", "")
 
 
 def test_unknown_keys_and_absent_fields_are_accepted() -> None:
     settings, names = wire.parse_settings(json.dumps({**SETTINGS, "Brand": {"New": 1}}))
-    assert names == ("q", "busy") and settings.instances == 3
-    assert settings.classes[0].effect is api.Effect.SAFE and settings.keep_alive_s == 0.0
+    assert names == ("q", "busy") and settings.gateway_count == 3
+    assert settings.classes[0].idempotency is Idempotency.IDEMPOTENT and settings.keep_alive_s == 0.0
 
 
 @pytest.mark.parametrize(
@@ -175,7 +200,7 @@
 
 
 def test_a_failing_module_is_told_by_the_wires_own_word(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: float, event: object) -> list[api.Action]:
+    def broken(self: object, now: float, event: object) -> list[Action]:
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr(Router, "handle", broken)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -13,7 +13,7 @@
 
 from saffronstack.core.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
 from saffronstack.core.roster import WorkerSpec
-from saffronstack.interface import Found, Result
+from saffronstack.routing.events import CacheStatus, Result
 from saffronstack.workers.fleet import Fleet
 from saffronstack.workers.pool import PoolLimits
 
@@ -109,9 +109,9 @@
     ("script", "result"),
     [
         (answering(OK), Result.OK),
-        (answering(b"HTTP/1.1 429 x\r\nX-Saffron-Ran: no\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
+        (answering(b"HTTP/1.1 429 x\r\nX-Saffron-Ran: no\r\nContent-Length: 0\r\n\r\n"), Result.AT_CAPACITY),
         (answering(b"HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answering(b"HTTP/1.1 404 x\r\nX-Saffron-Ran: no\r\nContent-Length: 0\r\n\r\n"), Result.MISS),
+        (answering(b"HTTP/1.1 404 x\r\nX-Saffron-Ran: no\r\nContent-Length: 0\r\n\r\n"), Result.NOT_LOADED),
         (answering(b"HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
         (answering(b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
         (answering(b"HTTP/1.1 302 x\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
@@ -133,9 +133,9 @@
     fleet.send(made, 0, 9, 0.0)
     end = end_of(ends)
     assert end.outcome.result is result
-    assert end.outcome.finished == made.settled == (result is Result.OK)
+    assert end.outcome.is_final == made.settled == (result is Result.OK)
     if result is Result.OK:
-        assert (end.outcome.found, end.outcome.crowd) == (Found.WARM, 3)
+        assert (end.outcome.cache_status, end.outcome.concurrency) == (CacheStatus.WARM, 3)
     assert worker.requests == 1
     fleet.end()
     worker.listener.close()
@@ -149,7 +149,7 @@
     fleet.send(call(), 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.CONNECT_FAILED
     fleet.send(call(2), 0, 77, 0.0)
-    assert end_of(ends).outcome.result is Result.MOOT  # on no list
+    assert end_of(ends).outcome.result is Result.NOT_STARTED  # on no list
     fleet.end()
 
 
@@ -159,7 +159,7 @@
     fleet = told(worker.port, ends)
     late = call(1, -0.1)
     fleet.send(late, 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.MOOT
+    assert end_of(ends).outcome.result is Result.NOT_STARTED
 
     class Never:
         def may_send(self, attempt: int, worker: int) -> bool:
@@ -168,14 +168,14 @@
     guarded = call(2)
     guarded.guard = Never()
     fleet.send(guarded, 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.MOOT
+    assert end_of(ends).outcome.result is Result.NOT_STARTED
     fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port, draining=True)])
     fleet.send(call(3), 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.MOOT
+    assert end_of(ends).outcome.result is Result.NOT_STARTED
     fleet.load(9, SPEC, 2)
     order = ends.get(timeout=5)
     assert isinstance(order, OrderEnd)
-    assert order.result is Result.FULL
+    assert order.result is Result.AT_CAPACITY
     assert worker.requests == 0
     fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port)])
     fleet.send(call(4), 0, 9, 0.0)
@@ -207,7 +207,7 @@
     fleet.send(call(1), 0, 9, 0.0)
     fleet.send(call(2), 0, 9, 0.0)
     first = end_of(ends)
-    assert (first.call.number, first.outcome.result) == (2, Result.FULL)
+    assert (first.call.number, first.outcome.result) == (2, Result.AT_CAPACITY)
     assert end_of(ends).outcome.result is Result.TIMEOUT
     fleet.end()
     worker.listener.close()
@@ -259,7 +259,7 @@
             heard.append(item)
             item = ends.get(timeout=5)
         assert isinstance(item, AttemptEnd)
-        assert (item.outcome.crowd, item.outcome.report) == (None, None)
+        assert (item.outcome.concurrency, item.outcome.load_report) == (None, None)
     assert heard == [WorkerSeen(9, "a", 1.5), WorkerSeen(9, "b", 1.5)]
     fleet.end()
     worker.listener.close()
@@ -289,10 +289,10 @@
             fleet.probe(9)
         end = ends.get(timeout=5)
         assert isinstance(end, OrderEnd)
-        found.append((end.result, end.copies, end.report.in_hand if end.report else None))
+        found.append((end.result, end.copies, end.report.requests_in_flight if end.report else None))
     assert found == [
         (Result.OK, 2, None),
-        (Result.FULL, 1, None),
+        (Result.AT_CAPACITY, 1, None),
         (Result.OK, 0, 4.0),
         (Result.ERROR, 0, None),
     ]
