--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -19,8 +19,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-import saffronstack.core.engine as engine
-from saffronstack.core.names import worker_number
+import saffronstack.engine.engine as engine
+from saffronstack.engine.identifiers import worker_number
 from saffronstack.routing.actions import Action, Fail, Reject, SendAttempt
 from saffronstack.routing.events import (
     AttemptOutcome,
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -25,7 +25,6 @@
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.rollout.comparison import Limits, Ratio, Unit, Verdict
 from saffronstack.fleet.rollout.judge import look
 from saffronstack.harness.links import Mode
@@ -34,6 +33,7 @@
 from saffronstack.harness.rollout.simulation import BROKEN, InvariantError, explore, wander
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
+from saffronstack.runtime.threads import spawn
 
 BAKE_S = 10.0
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -30,7 +30,6 @@
 from baselines import POLICIES, SLOT_S, Truth
 
 from saffronstack.audit.traffic import Try
-from saffronstack.core.threads import spawn
 from saffronstack.harness.fleet.clients import Caller
 from saffronstack.harness.fleet.cluster import Lag
 from saffronstack.harness.fleet.gateway import Gateway
@@ -44,6 +43,7 @@
     quantile,
 )  # fmt: skip
 from saffronstack.harness.fleet.plan import FleetPlan
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.model import Faults, Profile, Store
 from saffronstack.standin.platform import Directory, Entry, LinesHost
 
--- a/benchmarks/stopped.py
+++ b/benchmarks/stopped.py
@@ -22,8 +22,8 @@
 import msgspec
 
 from saffronstack.client import Client
-from saffronstack.core.threads import spawn
 from saffronstack.http1.messages import HttpError
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
 
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -18,8 +18,9 @@
 BUILT = ROOT / ".built"
 # What a call passes through, but for what msgspec and the signals need as plain Python.
 NAMES = """
-choice routing/settings routing/events routing/actions routing/validation core/engine core/calls core/timers core/roster resp/reader resp/frames platform/calls
-platform/connection platform/eviction platform/front platform/identifiers
+choice routing/settings routing/events routing/actions routing/validation
+engine/engine engine/calls engine/timers engine/worker_registry resp/reader resp/frames
+platform/calls platform/connection platform/eviction platform/front platform/identifiers
 hosts/items hosts/link hosts/pool hosts/dispatcher hosts/deadlines net/write_buffer net/read_loop
 """
 MODULES = [f"saffronstack/{name}.py" for name in NAMES.split()]
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -13,7 +13,6 @@
 from saffronstack.cli.rollout import WORD_S, gateways_of, line_of, recorded
 from saffronstack.config.fleet import FleetFile, load_fleet
 from saffronstack.config.load import ConfigError, convert, read_text
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.control import releases
 from saffronstack.fleet.control.daemon_client import Daemons
 from saffronstack.fleet.control.messages import LEAD
@@ -24,6 +23,7 @@
 from saffronstack.fleet.rollout.leader import Leader
 from saffronstack.fleet.rollout.plan import Plan, Release, problems
 from saffronstack.fleet.rollout.records import decode, encode
+from saffronstack.runtime.threads import spawn
 
 WENT_BACK = 1  # exit status of a rollout that returned
 HELD = 3
--- a/saffronstack/cli/main.py
+++ b/saffronstack/cli/main.py
@@ -9,7 +9,7 @@
 
 from saffronstack import config as configs
 from saffronstack.cli.groups import fleet_group, rollout_group
-from saffronstack.core.record import RecordError, replay
+from saffronstack.engine.decision_record import RecordError, replay
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -24,13 +24,13 @@
 from saffronstack.cli.logs import set_up_logs
 from saffronstack.cli.tenure import Tenure, enter
 from saffronstack.config.schema import Config, Ledger
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.handover import MARK, HandOver
 from saffronstack.daemon.liveness import SHOW_S, STOPPED_S
 from saffronstack.daemon.members import Members, member_directory, stranded
 from saffronstack.daemon.supervisor import StartError, Supervisor, command_of
 from saffronstack.durable.journal import JournalError
 from saffronstack.gateway import Gateway
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.fleet import StandInFleet, sample
 
 log = structlog.get_logger("saffronstack.serve")
--- a/saffronstack/config/build.py
+++ b/saffronstack/config/build.py
@@ -10,9 +10,9 @@
 from threading import Lock
 
 from saffronstack.config.schema import Config, Function, Worker
-from saffronstack.core.calls import FunctionSpec
-from saffronstack.core.names import function_number, worker_number
-from saffronstack.core.roster import WorkerSpec
+from saffronstack.engine.calls import FunctionSpec
+from saffronstack.engine.identifiers import function_number, worker_number
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.metering.limits import Budget
 from saffronstack.routing.settings import (
     ClassSettings,
--- a/saffronstack/config/validation.py
+++ b/saffronstack/config/validation.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from saffronstack.config.schema import Config
-from saffronstack.core.names import function_number, worker_number
+from saffronstack.engine.identifiers import function_number, worker_number
 
 LOOPBACK = ("127.", "localhost:")
 
--- a/saffronstack/daemon/handover.py
+++ b/saffronstack/daemon/handover.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 
 LOOK_S = 0.5
 ASK_S = 1.0
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -13,9 +13,9 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.liveness import STOPPED_S, Liveness
 from saffronstack.daemon.restarts import Restarts
+from saffronstack.runtime.threads import spawn
 
 START_S = 30.0
 POLL_S = 0.05
--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -14,17 +14,17 @@
 
 from saffronstack.config.build import Functions, Known
 from saffronstack.config.schema import Config
-from saffronstack.core.calls import Call, Ending, Final, Prior
-from saffronstack.core.engine import Engine
-from saffronstack.core.threads import spawn
-from saffronstack.core.timers import Timers
 from saffronstack.deferred import invocation, recovery
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.deferred.records import Accepted, AnyRecord, Attempted, Dropped, Finished, Voided
 from saffronstack.deferred.recovery import Condition, Finish, MayHaveRun, Policy, State, Try, Wait
 from saffronstack.durable.journal import Ticket
+from saffronstack.engine.calls import Call, Ending, Final, Prior
+from saffronstack.engine.engine import Engine
+from saffronstack.engine.timers import Timers
 from saffronstack.metering.limits import BudgetLimits
 from saffronstack.routing.settings import Idempotency
+from saffronstack.runtime.threads import spawn
 
 IDLE_S = 0.5
 BUDGET_WAIT_S = 0.1  # at least this long between looks at a budget that is used up
--- a/saffronstack/deferred/invocation.py
+++ b/saffronstack/deferred/invocation.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from saffronstack.core.names import LATEST
 from saffronstack.deferred.recovery import Condition
+from saffronstack.engine.identifiers import LATEST
 
 
 def record(
--- a/saffronstack/deferred/recovery.py
+++ b/saffronstack/deferred/recovery.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from saffronstack.core.calls import Ending
+from saffronstack.engine.calls import Ending
 from saffronstack.routing.settings import Idempotency
 
 WINDOW_MARGIN_S = 0.1  # an attempt must arrive this long before its window ends
--- a/saffronstack/directory/membership.py
+++ b/saffronstack/directory/membership.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from saffronstack.core.names import worker_number
-from saffronstack.core.roster import WorkerSpec
 from saffronstack.directory.dns import SRV, Answer, DnsError
+from saffronstack.engine.identifiers import worker_number
+from saffronstack.engine.worker_registry import WorkerSpec
 
 HALF = 1 << 31  # serials are compared as RFC 1982 has it: the newer one is less than half the circle ahead
 DRAINING = 1  # the priority of a host that drains
--- a/saffronstack/directory/resolver.py
+++ b/saffronstack/directory/resolver.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from saffronstack.core.logs import Log
-from saffronstack.core.threads import spawn
 from saffronstack.directory.dns import DnsError, answer_of, query_message
 from saffronstack.directory.membership import Change, Membership, listed_of, newer
+from saffronstack.runtime.logs import Log
+from saffronstack.runtime.threads import spawn
 
 ANSWER_BYTES = 16 * 1024  # more than any answer holds
 SILENT_S = 3.0  # without a good answer for so long, the log says so, once
--- a/saffronstack/durable/journal.py
+++ b/saffronstack/durable/journal.py
@@ -17,11 +17,11 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.durable import segments
 from saffronstack.durable.segments import Files
 from saffronstack.durable.stalls import Stall
 from saffronstack.durable.timed import TimedFiles
+from saffronstack.runtime.threads import spawn
 
 BATCH_BYTES = 8 * 1024 * 1024
 BATCH_RECORDS = 4096
--- a/saffronstack/core/record.py
+++ b/saffronstack/engine/decision_record.py
@@ -18,17 +18,17 @@
 import zstandard
 
 from saffronstack.choice import Router
-from saffronstack.core.record_format import (
+from saffronstack.engine.decision_record_format import (
     action_from_tagged,
     event_from_tagged,
     from_stored,
     to_stored,
     to_tagged,
 )
-from saffronstack.core.threads import spawn
 from saffronstack.routing.actions import Action
 from saffronstack.routing.events import Event
 from saffronstack.routing.settings import Settings
+from saffronstack.runtime.threads import spawn
 
 VERSION = 1
 FLUSH_S = 0.5
--- a/saffronstack/core/engine.py
+++ b/saffronstack/engine/engine.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from saffronstack.choice import Router
-from saffronstack.core.calls import (
+from saffronstack.engine.calls import (
     AttemptEnd,
     Call,
     Dispatcher,
@@ -25,10 +25,8 @@
     Prior,
     WorkerSeen,
 )
-from saffronstack.core.logs import Log, PlainLog
-from saffronstack.core.roster import Roster, WorkerSpec
-from saffronstack.core.threads import spawn
-from saffronstack.core.timers import Timers
+from saffronstack.engine.timers import Timers
+from saffronstack.engine.worker_registry import Roster, WorkerSpec
 from saffronstack.routing.actions import (
     Action,
     CancelAttempt,
@@ -52,6 +50,8 @@
     TimerFired,
 )
 from saffronstack.routing.settings import Idempotency, Settings
+from saffronstack.runtime.logs import Log, PlainLog
+from saffronstack.runtime.threads import spawn
 
 NEVER_RAN = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 LIST_PART = 200  # workers of a change that are decided on at once
--- a/saffronstack/core/roster.py
+++ b/saffronstack/engine/worker_registry.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from saffronstack.core.calls import WorkerSeen
+from saffronstack.engine.calls import WorkerSeen
 from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, WorkerEndpoint, WorkerState
 
 EARLIEST_S = 1e-6  # a start time of 0 would mean "long ago" to the module
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -17,7 +17,6 @@
 import structlog
 import xxhash
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.handover import take
 from saffronstack.fleet.control import gateway_process, slots
 from saffronstack.fleet.control.desired_state import Kept, Wanted
@@ -30,6 +29,7 @@
 from saffronstack.fleet.http_server import HttpServer, problem
 from saffronstack.fleet.leases.reading import Reading
 from saffronstack.http1.messages import RequestHead
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.daemon")
 TICK_S = 0.05
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from saffronstack.core.threads import Crew
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
 from saffronstack.fleet.control.messages import TARGET, Control, DaemonState, Order
 from saffronstack.http1 import writer
+from saffronstack.runtime.threads import Crew
 
 ASK_S = 2.5  # a look or an order; a daemon answers within 2 s
 
--- a/saffronstack/fleet/control/figures_poller.py
+++ b/saffronstack/fleet/control/figures_poller.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
 from saffronstack.fleet.control.gateway_process import Process
 from saffronstack.fleet.control.messages import Figures
 from saffronstack.http1 import writer
+from saffronstack.runtime.threads import spawn
 
 EVERY_S = 0.5
 WAIT_S = 1.0
--- a/saffronstack/fleet/control/gateway_process.py
+++ b/saffronstack/fleet/control/gateway_process.py
@@ -18,8 +18,8 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.handover import MARK
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.daemon")
 PREPARED, TAKES_CALLS = "prepared", "takes calls"
--- a/saffronstack/fleet/control/status_client.py
+++ b/saffronstack/fleet/control/status_client.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
 from saffronstack.fleet.control.messages import DaemonState, GatewayState
 from saffronstack.http1 import writer
+from saffronstack.runtime.threads import spawn
 
 JOIN_S = 0.5  # over the exchange's own bound
 
--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -10,11 +10,11 @@
 import msgspec
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import HttpError, Limits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.fleet")
 CONNECTIONS_MOST = 2048
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -9,10 +9,10 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases.holder import Candidate, CandidateAction, Gained, Lost, Stored
 from saffronstack.fleet.leases.links import KeeperLink
 from saffronstack.fleet.leases.messages import Bounds, Message, Say, WakeAt
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.leases")
 IDLE_S = 0.5
--- a/saffronstack/fleet/leases/links.py
+++ b/saffronstack/fleet/leases/links.py
@@ -7,7 +7,6 @@
 import threading
 from collections.abc import Callable
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.codec import Envelope
 from saffronstack.fleet.leases.messages import Learn, Message, Told
@@ -15,6 +14,7 @@
 from saffronstack.http1.messages import HttpError, Limits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
+from saffronstack.runtime.threads import spawn
 
 LIMITS = Limits(body=4 * 1024 * 1024)
 BATCH = 256  # messages in one envelope
--- a/saffronstack/fleet/leases/reading.py
+++ b/saffronstack/fleet/leases/reading.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
 from saffronstack.fleet.leases.messages import Written
 from saffronstack.fleet.leases.server import LeaseLine
 from saffronstack.http1 import writer
+from saffronstack.runtime.threads import spawn
 
 JOIN_S = 0.5  # over the exchange's own bound
 
--- a/saffronstack/fleet/leases/service.py
+++ b/saffronstack/fleet/leases/service.py
@@ -8,10 +8,10 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases.disk import KeeperDisk
 from saffronstack.fleet.leases.keeper import Keeper
 from saffronstack.fleet.leases.messages import Bounds, Message, Record, Save, Saved, Say, WakeAt
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.keeper")
 AGAIN_S = 0.5  # after a save that failed
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -8,10 +8,10 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases.store import Held, LeaseStore
 from saffronstack.fleet.tasks.jobs import Job
 from saffronstack.fleet.tasks.schedule import Action, Begin, GiveBack, Phase, Stop, TaskSchedule
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.tasks")
 ACQUIRE_S = 5.0
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -11,14 +11,14 @@
 
 from saffronstack.config.build import Functions, PlaceNumbers, budgets_of, settings_of, specs_of, workers_of
 from saffronstack.config.schema import Config, Worker
-from saffronstack.core.engine import Engine
-from saffronstack.core.names import worker_number
-from saffronstack.core.record import Recorder
-from saffronstack.core.roster import WorkerSpec
 from saffronstack.daemon.members import Members
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
 from saffronstack.durable.segments import Files
+from saffronstack.engine.decision_record import Recorder
+from saffronstack.engine.engine import Engine
+from saffronstack.engine.identifiers import worker_number
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.http1.messages import Limits
 from saffronstack.invoke.app import Access, App
 from saffronstack.invoke.pages import Pages
--- a/saffronstack/harness/fleet/clients.py
+++ b/saffronstack/harness/fleet/clients.py
@@ -11,9 +11,9 @@
 from typing import TYPE_CHECKING
 
 from saffronstack.audit.traffic import Try
-from saffronstack.core.threads import spawn
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.resp.reader import RespLimits, RespReader, encode
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.stamps import Stamped
 
 if TYPE_CHECKING:
--- a/saffronstack/harness/fleet/cluster.py
+++ b/saffronstack/harness/fleet/cluster.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass, field
 
 from saffronstack.audit.traffic import Seen, Stopped, Told, Try
-from saffronstack.core.threads import spawn
 from saffronstack.harness.fleet.clients import Caller
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.harness.fleet.plan import FleetPlan
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.platform import Directory, Entry, LinesHost
 
 START_S = 60.0
--- a/saffronstack/harness/leases/judge.py
+++ b/saffronstack/harness/leases/judge.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 from typing import Any
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 
 
 @dataclass
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -23,13 +23,13 @@
 
 from saffronstack.cli.leases import bounds_of
 from saffronstack.config.fleet import load_fleet
-from saffronstack.core.threads import spawn
 from saffronstack.durable.segments import Files
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
 from saffronstack.fleet.leases.holder import Candidate
 from saffronstack.fleet.leases.messages import Bounds, KeeperAction, Message, Say, Take
 from saffronstack.fleet.leases.node import KeeperNode
 from saffronstack.fleet.leases.store import Held
+from saffronstack.runtime.threads import spawn
 
 ACT_S = 0.03
 MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -18,11 +18,11 @@
 import msgspec
 
 from saffronstack.client import Client
-from saffronstack.core.threads import spawn
 from saffronstack.harness.leases.judge import LeaseJudge
 from saffronstack.harness.links import Wires
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.http1.messages import HttpError
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.worker import hold_port
 
 FLEET = "rig"
--- a/saffronstack/harness/leases/rig.py
+++ b/saffronstack/harness/leases/rig.py
@@ -15,7 +15,6 @@
 from itertools import pairwise
 from typing import Any
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases.client import holder_clock
 from saffronstack.harness.leases.disk_faults import damage
 from saffronstack.harness.leases.judge import Judgement
@@ -23,6 +22,7 @@
 from saffronstack.harness.leases.schedule import Fault
 from saffronstack.harness.links import Mode
 from saffronstack.harness.scenario.processes import ScenarioError
+from saffronstack.runtime.threads import spawn
 
 
 @dataclass
--- a/saffronstack/harness/links.py
+++ b/saffronstack/harness/links.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 
 READ = 64 * 1024
 HOLD_MOST = 1 << 20  # bytes that a direction keeps before it stops reading
--- a/saffronstack/harness/rollout/processes.py
+++ b/saffronstack/harness/rollout/processes.py
@@ -19,7 +19,6 @@
 
 from saffronstack.audit.rules import judge
 from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Stopped, Traffic, Try
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.control.messages import LEAD, GatewayState
 from saffronstack.fleet.control.releases import read as read_release
 from saffronstack.fleet.control.status_client import ask_status, flat
@@ -31,6 +30,7 @@
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.harness.scenario.processes import ScenarioError
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
--- a/saffronstack/harness/scenario/clients.py
+++ b/saffronstack/harness/scenario/clients.py
@@ -14,9 +14,9 @@
 
 from saffronstack.audit.traffic import Try
 from saffronstack.client import Answer, Client
-from saffronstack.core.threads import spawn
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.http1.messages import HttpError
+from saffronstack.runtime.threads import spawn
 
 PATIENCE_S = 3.0  # the classes' deadline in the sample configuration
 PAUSE_MOST_S = 4.0
--- a/saffronstack/harness/scenario/director.py
+++ b/saffronstack/harness/scenario/director.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from saffronstack.audit.traffic import Stopped, Told
-from saffronstack.core.threads import spawn
 from saffronstack.harness.scenario.plan import Plan, Trouble
 from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StandInHost
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.model import Faults
 
 LIST_LATE_S = 1.0  # how late the list tells of workers that died by themselves
--- a/saffronstack/harness/scenario/processes.py
+++ b/saffronstack/harness/scenario/processes.py
@@ -12,7 +12,7 @@
 import time
 from typing import IO, Any
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.worker import hold_port
 
 START_S = 20.0
--- a/saffronstack/harness/scenario/relay.py
+++ b/saffronstack/harness/scenario/relay.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 
 
 class Relay:
--- a/saffronstack/hosts/deadlines.py
+++ b/saffronstack/hosts/deadlines.py
@@ -9,7 +9,7 @@
 from itertools import count
 from typing import Protocol
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 
 STEP_S = 0.01  # time-outs that lie closer together are looked at at once
 IDLE_S = 5.0
--- a/saffronstack/hosts/dispatcher.py
+++ b/saffronstack/hosts/dispatcher.py
@@ -6,9 +6,8 @@
 from collections.abc import Callable, Iterable
 from itertools import count
 
-from saffronstack.core.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
-from saffronstack.core.logs import Log, PlainLog
-from saffronstack.core.roster import WorkerSpec
+from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
 from saffronstack.hosts.deadlines import Deadlines
 from saffronstack.hosts.items import Attempt, Item, Order, Tell
@@ -17,6 +16,7 @@
 from saffronstack.net.read_loop import ReadLoop
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.routing.events import AttemptOutcome, Result
+from saffronstack.runtime.logs import Log, PlainLog
 
 ORDER = 0  # the call number that orders have among what is out; calls count from 1
 
--- a/saffronstack/hosts/items.py
+++ b/saffronstack/hosts/items.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from saffronstack.core.calls import (
+from saffronstack.engine.calls import (
     Answer,
     AttemptEnd,
     Call,
--- a/saffronstack/hosts/pool.py
+++ b/saffronstack/hosts/pool.py
@@ -6,7 +6,7 @@
 import threading
 from collections.abc import Callable
 
-from saffronstack.core.roster import WorkerSpec
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts.items import Item
 from saffronstack.hosts.link import Link, LinkLimits
 from saffronstack.net.read_loop import ReadLoop
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -15,11 +15,11 @@
 
 from saffronstack.config.build import Functions, Known
 from saffronstack.config.schema import Config
-from saffronstack.core.engine import Engine
-from saffronstack.core.names import LATEST
 from saffronstack.daemon.members import FORWARDED, Members
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.durable.runs import RunDamagedError
+from saffronstack.engine.engine import Engine
+from saffronstack.engine.identifiers import LATEST
 from saffronstack.http1.messages import HttpError, RequestHead
 from saffronstack.invoke import errors, names, sigv4, usage
 from saffronstack.invoke.calling import Asked, Caller
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -7,9 +7,9 @@
 
 from saffronstack.config.build import Known
 from saffronstack.config.schema import Config
-from saffronstack.core.calls import Call, Ending, Final, Prior
-from saffronstack.core.engine import Engine
 from saffronstack.deferred.calls import CommitError, DeferredCalls, LedgerFullError, Submission
+from saffronstack.engine.calls import Call, Ending, Final, Prior
+from saffronstack.engine.engine import Engine
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -9,11 +9,11 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-from saffronstack.core.engine import Engine
-from saffronstack.core.roster import WorkerSpec
 from saffronstack.daemon.members import Members
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger
+from saffronstack.engine.engine import Engine
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.invoke.app import App
 from saffronstack.invoke.server import Server
 from saffronstack.metering.limits import BudgetLimits
--- a/saffronstack/invoke/names.py
+++ b/saffronstack/invoke/names.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl, unquote, urlsplit
 
-from saffronstack.core.names import LATEST
+from saffronstack.engine.identifiers import LATEST
 from saffronstack.invoke.errors import InvokeError, bad_parameter
 
 PATH = re.compile(r"/2015-03-31/functions/([^/]+)/invocations/?")
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -12,13 +12,13 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import HttpError, Limits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.invoke import errors
 from saffronstack.invoke.app import App, ClientLeftError, response_id
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.front")
 BACKLOG = 1024
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -15,13 +15,12 @@
 import msgspec
 import structlog
 
-from saffronstack.core.calls import AttemptEnd
-from saffronstack.core.names import worker_number
-from saffronstack.core.roster import WorkerSpec
-from saffronstack.core.threads import spawn
 from saffronstack.durable.journal import Codec, Journal, JournalError, Ticket, read_back
 from saffronstack.durable.runs import RunDamagedError
 from saffronstack.durable.segments import Files
+from saffronstack.engine.calls import AttemptEnd
+from saffronstack.engine.identifiers import worker_number
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.metering.account import Account, Bounds
 from saffronstack.metering.answered import Answered, AnsweredCall
 from saffronstack.metering.archive import Archive
@@ -47,6 +46,7 @@
     wire,
 )
 from saffronstack.routing.events import Result
+from saffronstack.runtime.threads import spawn
 
 ASK_EVERY_S = 1.0
 INVITE_EVERY_S = 0.1  # records come with an answer this often; reading them on each costs a fifth of the rate
--- a/saffronstack/net/read_loop.py
+++ b/saffronstack/net/read_loop.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from saffronstack.core.logs import Log
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.logs import Log
+from saffronstack.runtime.threads import spawn
 
 LOOK_S = 1.0  # how often every socket is looked at, come what may
 
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 
 LOOK_S = 0.25  # how often the writer looks for sockets that take nothing, while there are any
 IDLE_S = 5.0  # how often it looks up without any
--- a/saffronstack/operations/service.py
+++ b/saffronstack/operations/service.py
@@ -9,9 +9,8 @@
 
 import structlog
 
-from saffronstack.core.calls import Prior
-from saffronstack.core.threads import spawn
 from saffronstack.durable.journal import JournalError, Ticket
+from saffronstack.engine.calls import Prior
 from saffronstack.operations import notes as records
 from saffronstack.operations.notes import NotesLog
 from saffronstack.operations.owners import slot_of
@@ -31,6 +30,7 @@
     unpack,
 )
 from saffronstack.routing.settings import Idempotency
+from saffronstack.runtime.threads import spawn
 
 CHECK_CLIENT_S = 0.2  # how often a waiting thread looks whether its client is still there
 EXPIRE_EVERY_S = 30.0
--- a/saffronstack/operations/slots.py
+++ b/saffronstack/operations/slots.py
@@ -17,8 +17,8 @@
 import msgspec
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.operations.owners import SLOTS, owner
+from saffronstack.runtime.threads import spawn
 
 TICK_S = 0.1
 AGAIN_S = 1.0  # pause before a slot is tried again whose former holders' notes can't be read
--- a/saffronstack/platform/__main__.py
+++ b/saffronstack/platform/__main__.py
@@ -7,9 +7,9 @@
 import signal
 import sys
 
-from saffronstack.core.logs import PlainLog
 from saffronstack.platform.config import ConfigError, read
 from saffronstack.platform.service import Service
+from saffronstack.runtime.logs import PlainLog
 
 SIGNALS = {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
 
--- a/saffronstack/platform/calls.py
+++ b/saffronstack/platform/calls.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from saffronstack.core.calls import Call, FunctionSpec
+from saffronstack.engine.calls import Call, FunctionSpec
 from saffronstack.resp import frames
 from saffronstack.routing.settings import Settings
 
--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from saffronstack.core.calls import Call, Ending, Final
-from saffronstack.core.engine import Engine
+from saffronstack.engine.calls import Call, Ending, Final
+from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import OutgoingMessage, WriteBuffer, WriteLoop
 from saffronstack.platform.calls import CallMaker
 from saffronstack.platform.identifiers import OpenIds, Tags
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -14,15 +14,15 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from saffronstack.core.engine import Engine
-from saffronstack.core.logs import Log
-from saffronstack.core.threads import spawn
+from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.platform.calls import CallMaker
 from saffronstack.platform.connection import ClientConnection, FrontLimits, Services
 from saffronstack.platform.eviction import EvictionOrder
 from saffronstack.platform.identifiers import OpenIds
 from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits
+from saffronstack.runtime.logs import Log
+from saffronstack.runtime.threads import spawn
 
 BACKLOG = 512  # connections that the machine holds until they are accepted
 ACCEPTS_AT_ONCE = 64  # before connections that stand are read again
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -7,11 +7,9 @@
 from collections.abc import Callable
 
 from saffronstack.choice import Router
-from saffronstack.core.engine import Engine
-from saffronstack.core.logs import Log, PlainLog
-from saffronstack.core.threads import spawn
 from saffronstack.directory.membership import Change
 from saffronstack.directory.resolver import Resolver
+from saffronstack.engine.engine import Engine
 from saffronstack.hosts.dispatcher import HostDispatcher
 from saffronstack.hosts.link import LinkLimits
 from saffronstack.hosts.pool import LinkBudget
@@ -23,6 +21,8 @@
 from saffronstack.platform.connection import FrontLimits
 from saffronstack.platform.front import Front
 from saffronstack.platform.shutdown import limits_for
+from saffronstack.runtime.logs import Log, PlainLog
+from saffronstack.runtime.threads import spawn
 
 NAME = "_work._tcp.fleet.local"  # what the directory lists the hosts under
 IDLE_PART = 0.8  # of the told idle time a link stays open: a host that closes it first may cross a send
--- a/saffronstack/roster/parsing.py
+++ b/saffronstack/roster/parsing.py
@@ -12,7 +12,7 @@
 
 from saffronstack.config.load import ConfigError, convert
 from saffronstack.config.schema import Struct, Worker
-from saffronstack.core.names import worker_number
+from saffronstack.engine.identifiers import worker_number
 from saffronstack.roster.places import line_of
 
 SIZE_LEAST, SIZE_MOST = 0.01, 100.0
--- a/saffronstack/roster/service.py
+++ b/saffronstack/roster/service.py
@@ -12,12 +12,12 @@
 import structlog
 
 from saffronstack.config.schema import Worker
-from saffronstack.core.threads import spawn
 from saffronstack.roster.guards import Flaps, GuardSettings, judge
 from saffronstack.roster.keeping import Kept
 from saffronstack.roster.membership import STEP_S, Change, Sizes, Source, change, merge
 from saffronstack.roster.parsing import RosterError, Version, version
 from saffronstack.roster.reading import NotReadyError, read
+from saffronstack.runtime.threads import spawn
 
 QUIET_S = (
     0.2  # what can't be used is looked at again after this before it is called bad: it may be half-written
--- a/saffronstack/roster/watching.py
+++ b/saffronstack/roster/watching.py
@@ -9,7 +9,7 @@
 import structlog
 import watchfiles
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 
 DEBOUNCE_MS = 20
 AGAIN_S = 1.0  # before a watch that failed is set up anew
--- a/saffronstack/standin/host.py
+++ b/saffronstack/standin/host.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from saffronstack.core.threads import spawn
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Faults, Profile
 from saffronstack.standin.worker import Entry
--- a/saffronstack/standin/platform.py
+++ b/saffronstack/standin/platform.py
@@ -20,7 +20,7 @@
 import msgspec
 import xxhash
 
-from saffronstack.core.threads import Crew, spawn
+from saffronstack.runtime.threads import Crew, spawn
 from saffronstack.standin.model import Faults, Model, Profile, QueueFullError, Store, WorkerDiedError
 from saffronstack.standin.stamps import Stamped, note_times
 
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from saffronstack.core.threads import spawn
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import HttpError, Limits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.metering.records import Asked, Ref
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.model import (
     Faults,
     Model,
--- a/saffronstack/workers/fleet.py
+++ b/saffronstack/workers/fleet.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from saffronstack.core.calls import AttemptEnd, Call, FunctionSpec, OrderEnd
-from saffronstack.core.roster import WorkerSpec
+from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import AttemptOutcome, Result
 from saffronstack.workers.pool import AttemptJob, Heed, OrderJob, PoolLimits, Tell, UsageJob, WorkerPool
 
--- a/saffronstack/workers/pool.py
+++ b/saffronstack/workers/pool.py
@@ -11,13 +11,13 @@
 
 import structlog
 
-from saffronstack.core.calls import AttemptEnd, Call, Ending, Final, FunctionSpec, OrderEnd, WorkerSeen
-from saffronstack.core.roster import WorkerSpec
-from saffronstack.core.threads import spawn
+from saffronstack.engine.calls import AttemptEnd, Call, Ending, Final, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.http1.messages import HttpError, Limits, ResponseHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.routing.events import AttemptOutcome, Result
+from saffronstack.runtime.threads import spawn
 from saffronstack.workers import protocol
 
 log = structlog.get_logger("saffronstack.workers")
--- a/saffronstack/workers/protocol.py
+++ b/saffronstack/workers/protocol.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote
 
-from saffronstack.core.calls import Answer, Call, FunctionSpec
+from saffronstack.engine.calls import Answer, Call, FunctionSpec
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import Headers, ResponseHead
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -11,9 +11,10 @@
 import zstandard
 
 from saffronstack import Settings
-from saffronstack.core import record, record_format
-from saffronstack.core.record import Recorder, replay
-from saffronstack.core.record_format import action_from_tagged, event_from_tagged, from_stored
+from saffronstack.engine import decision_record as record
+from saffronstack.engine import decision_record_format as record_format
+from saffronstack.engine.decision_record import Recorder, replay
+from saffronstack.engine.decision_record_format import action_from_tagged, event_from_tagged, from_stored
 
 DATA = pathlib.Path(__file__).parent / "data" / "decision_record"
 RECORDS = sorted(path.name for path in DATA.glob("*.record"))
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -13,10 +13,10 @@
 from contextlib import contextmanager
 from typing import Any
 
-from saffronstack.core.logs import PlainLog
 from saffronstack.platform.config import parse
 from saffronstack.platform.service import Service
 from saffronstack.resp.reader import RespLimits, RespReader, encode
+from saffronstack.runtime.logs import PlainLog
 from saffronstack.standin.platform import Directory, Entry
 
 WAIT_S = 10.0  # a bound, never waited out where things go right
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from saffronstack.core.logs import PlainLog
-from saffronstack.core.threads import spawn
 from saffronstack.directory import resolver as module
 from saffronstack.directory.membership import Change, Membership, take_known
 from saffronstack.directory.resolver import JITTER, Resolver
+from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.platform import Directory, Entry, dns_answer
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 from tests.support.stack import eventually
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from saffronstack.core.calls import (
+from saffronstack.engine.calls import (
     Answer,
     AttemptEnd,
     Call,
@@ -20,10 +20,10 @@
     Prior,
     WorkerSeen,
 )
-from saffronstack.core.engine import Engine
-from saffronstack.core.record import Recorder, RecordError, replay
-from saffronstack.core.roster import Roster, WorkerSpec
-from saffronstack.core.timers import Timers
+from saffronstack.engine.decision_record import Recorder, RecordError, replay
+from saffronstack.engine.engine import Engine
+from saffronstack.engine.timers import Timers
+from saffronstack.engine.worker_registry import Roster, WorkerSpec
 from saffronstack.routing.actions import Action, Reject
 from saffronstack.routing.events import AttemptOutcome, CacheStatus, Event, Request, Result, TimerFired
 from tests.helpers import KEYED_ALL, SAFE, UNSAFE, settings
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from saffronstack.core.calls import Call, FunctionSpec
-from saffronstack.core.engine import Engine
-from saffronstack.core.logs import PlainLog
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.engine import Engine
 from saffronstack.platform.connection import ClientConnection
 from saffronstack.platform.service import Service
 from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits, limits_for
+from saffronstack.runtime.logs import PlainLog
 from saffronstack.standin.platform import Directory, Entry
 from tests.helpers import settings
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, config_text, echo, gateway
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from saffronstack.core.threads import spawn
 from saffronstack.invoke import server
 from saffronstack.net.stream import READ_SIZE, Stream
+from saffronstack.runtime.threads import spawn
 from tests.support.stack import AMPLE_DEADLINE_S, Stack, eventually, read_all, running
 
 WAIT_S = 20.0
--- a/tests/test_invoke_api.py
+++ b/tests/test_invoke_api.py
@@ -15,7 +15,7 @@
 from botocore.exceptions import ClientError
 
 from saffronstack.client import Client
-from saffronstack.core.roster import WorkerSpec
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.http1.messages import Headers
 from saffronstack.invoke import names, sigv4
 from saffronstack.invoke.errors import InvokeError
--- a/tests/test_lease_keepers.py
+++ b/tests/test_lease_keepers.py
@@ -20,7 +20,6 @@
 from saffronstack.client import Client
 from saffronstack.config.fleet import load_fleet
 from saffronstack.config.load import ConfigError
-from saffronstack.core.threads import spawn
 from saffronstack.durable.segments import Files
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.client import LeaseClient
@@ -29,6 +28,7 @@
 from saffronstack.fleet.leases.messages import Ask, Bounds, Found, Promise, Record, Saved, Take, Told, Written
 from saffronstack.fleet.leases.node import KeeperNode
 from saffronstack.fleet.leases.service import KeeperService
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import configuration, eventually
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from saffronstack.core.threads import spawn
 from saffronstack.harness.leases.judge import LeaseJudge
 from saffronstack.harness.leases.peer import Steps, until_of
 from saffronstack.harness.leases.rig import LeaseRig
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
 from saffronstack.harness.links import Mode, Wires
+from saffronstack.runtime.threads import spawn
 
 FLEET = pytest.mark.xdist_group("leases")  # heavy ones play one at a time
 
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -10,9 +10,9 @@
 from collections import Counter
 
 from saffronstack.client import Client
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.liveness import GAP_S, STOPPED_S, STUCK_FACTOR, Liveness
 from saffronstack.http1.messages import HttpError
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from tests.support.stack import eventually
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -11,7 +11,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saffronstack.core.logs import PlainLog
 from saffronstack.directory.dns import DnsError, answer_of, query_message
 from saffronstack.directory.membership import Change, ListedHost, Membership, listed_of, newer
 from saffronstack.directory.resolver import Resolver
@@ -23,6 +22,7 @@
 from saffronstack.resp.frames import CallFrame, FrameError, frame_of
 from saffronstack.resp.reader import RespError, RespReader, encode
 from saffronstack.routing.events import CacheStatus
+from saffronstack.runtime.logs import PlainLog
 from saffronstack.standin.platform import Entry, dns_answer
 
 FIELDS = b"req=9b1f03aa5c7e2d41,timeout=1500,subject=7f3a9c21e0b4d655"
--- a/tests/test_platform_links.py
+++ b/tests/test_platform_links.py
@@ -11,8 +11,8 @@
 import pytest
 
 from saffronstack.choice import Router
-from saffronstack.core.calls import AttemptEnd, Call, Ending, Final, FunctionSpec
-from saffronstack.core.roster import WorkerSpec
+from saffronstack.engine.calls import AttemptEnd, Call, Ending, Final, FunctionSpec
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
 from saffronstack.hosts.dispatcher import HostDispatcher
 from saffronstack.hosts.items import Item
--- a/tests/test_read_loop.py
+++ b/tests/test_read_loop.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from saffronstack.core.logs import PlainLog
 from saffronstack.net.read_loop import ReadLoop
+from saffronstack.runtime.logs import PlainLog
 from saffronstack.standin.platform import Directory, Entry
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 
@@ -128,7 +128,7 @@
         first = Client(service.front.address)
         assert first.ask() == ("OK", b"x")  # a link to the host stands
         before = threading.active_count()
-        monkeypatch.setattr("saffronstack.core.threads.threading.Thread.start", none)
+        monkeypatch.setattr("saffronstack.runtime.threads.threading.Thread.start", none)
         crowd = [Client(service.front.address) for _ in range(50)]
         assert {client.ask() for client in crowd} == {("OK", b"x")}
         monkeypatch.undo()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saffronstack.core.calls import Ending
 from saffronstack.deferred.recovery import (
     WINDOW_MARGIN_S,
     Condition,
@@ -18,6 +17,7 @@
     after_answer,
     next_step,
 )
+from saffronstack.engine.calls import Ending
 from saffronstack.routing.settings import Idempotency
 
 times = st.floats(0, 100, allow_nan=False)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -23,7 +23,7 @@
 from saffronstack import config as configs
 from saffronstack.cli.main import main
 from saffronstack.config.schema import Worker
-from saffronstack.core.roster import Roster, WorkerSpec
+from saffronstack.engine.worker_registry import Roster, WorkerSpec
 from saffronstack.gateway import Gateway
 from saffronstack.roster.guards import Flaps, GuardSettings, judge
 from saffronstack.roster.keeping import Kept
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -16,10 +16,10 @@
 import pytest
 
 from saffronstack.client import Answer, Client
-from saffronstack.core.threads import spawn
 from saffronstack.durable.segments import Files
 from saffronstack.durable.stalls import AFTER_S, LEAST_S, MOST_S, Stall
 from saffronstack.durable.timed import TimedFiles
+from saffronstack.runtime.threads import spawn
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from saffronstack.core import threads
-from saffronstack.core.threads import Crew
+from saffronstack.runtime import threads
+from saffronstack.runtime.threads import Crew
 
 WAIT_S = 20.0
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from saffronstack.core.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
-from saffronstack.core.roster import WorkerSpec
+from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import CacheStatus, Result
 from saffronstack.workers.fleet import Fleet
 from saffronstack.workers.pool import PoolLimits
