--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -17,7 +17,7 @@
 import pytest
 
 from saffronstack.cli import serve
-from saffronstack.core.names import function_number, worker_number
+from saffronstack.engine.identifiers import function_number, worker_number
 from saffronstack.daemon import handover
 from saffronstack.daemon.members import Members, member_directory
 from saffronstack.http1.messages import Headers, RequestHead
