--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -16,8 +16,8 @@
 from saffronstack.config import fleet as fleet_files
 from saffronstack.config import schema
 from saffronstack.config.build import settings_of, workers_of
-from saffronstack.core import record
-from saffronstack.core.record import Recorder
+from saffronstack.engine.decision_record import Recorder
+from saffronstack.engine.decision_record_format import event_from_tagged
 from saffronstack.harness.scenario import plan as day_files
 from saffronstack.platform import config as platform
 from saffronstack.roster import parsing
@@ -101,6 +101,6 @@
     names = settings_samples.PLATFORM["LoadInfo"]["Fields"]
     told = report([(name, 1.5 + place) for place, name in enumerate([*names, "unknown"])])
     _, event, _ = msgspec.msgpack.decode(record_values(CONFIGURATION / "load_report.record")[1])
-    expected = record._untagged(event, record._EVENTS, 1)
+    expected = event_from_tagged(event)
     assert told in [getattr(expected, field.name) for field in dataclasses.fields(expected)]
     assert None not in dataclasses.astuple(told)
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -3,22 +3,20 @@
 from __future__ import annotations
 
 import pathlib
-import struct
 from typing import Any
 
 import msgspec
 import pytest
-import zstandard
 
 from saffronstack import Settings
 from saffronstack.engine import decision_record as record
 from saffronstack.engine import decision_record_format as record_format
 from saffronstack.engine.decision_record import Recorder, replay
 from saffronstack.engine.decision_record_format import action_from_tagged, event_from_tagged, from_stored
+from tests.stored_formats.stored_files import DATA, record_values
 
-DATA = pathlib.Path(__file__).parent / "data" / "decision_record"
-RECORDS = sorted(path.name for path in DATA.glob("*.record"))
-LENGTH = struct.Struct("<I")
+RECORDED = DATA / "decision_record"
+RECORDS = sorted(path.name for path in RECORDED.glob("*.record"))
 EVENT_TAGS = {
     "ListUpdate",
     "Request",
@@ -46,22 +44,8 @@
 RESULTS = {"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"}
 
 
-def raw_values(path: pathlib.Path) -> list[bytes]:
-    """Return the MessagePack values of a record without the product's reader."""
-    with path.open("rb") as file:
-        content = zstandard.ZstdDecompressor().stream_reader(file).read()
-    values, place = [], 0
-    while place < len(content):
-        (length,) = LENGTH.unpack_from(content, place)
-        place += LENGTH.size
-        values.append(content[place : place + length])
-        assert len(values[-1]) == length
-        place += length
-    return values
-
-
 def decoded_values(name: str) -> list[Any]:
-    return [msgspec.msgpack.decode(value) for value in raw_values(DATA / name)]
+    return [msgspec.msgpack.decode(value) for value in record_values(RECORDED / name)]
 
 
 def write_again(values: list[bytes], path: pathlib.Path) -> None:
@@ -77,22 +61,22 @@
 
 @pytest.mark.parametrize("name", RECORDS)
 def test_a_record_is_written_again_byte_by_byte(name: str, tmp_path: pathlib.Path) -> None:
-    values = raw_values(DATA / name)
+    values = record_values(RECORDED / name)
     write_again(values, tmp_path / name)
-    assert raw_values(tmp_path / name) == values
+    assert record_values(tmp_path / name) == values
 
 
 @pytest.mark.parametrize("name", RECORDS)
 def test_the_product_reads_the_same_values(name: str) -> None:
-    with (DATA / name).open("rb") as file:
-        assert list(record._values(file)) == raw_values(DATA / name)
+    with (RECORDED / name).open("rb") as file:
+        assert list(record._values(file)) == record_values(RECORDED / name)
 
 
 def test_a_record_of_real_decisions_replays() -> None:
     decisions = decoded_values("replayable.record")[1:]
     events, actions = len(decisions), sum(len(recorded) for _, _, recorded in decisions)
     assert events > 300 and actions > 300
-    assert replay(str(DATA / "replayable.record")) == (events, actions)
+    assert replay(str(RECORDED / "replayable.record")) == (events, actions)
 
 
 def test_the_kept_record_holds_every_kind_of_event_and_action() -> None:
--- a/tests/stored_formats/test_worker_message_formats.py
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from saffronstack.core.calls import Call, FunctionSpec
+from saffronstack.engine.calls import Call, FunctionSpec
 from saffronstack.http1.messages import Limits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.workers import protocol
