--- /dev/null
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -0,0 +1,91 @@
+"""What a platform's gateway says to hosts, clients and the directory, and understands, is that of 0684301."""
+
+from __future__ import annotations
+
+import dataclasses
+import json
+from typing import Any
+
+import pytest
+
+from saffronstack.directory.dns import query_message
+from saffronstack.hosts import codec
+from saffronstack.platform import connection
+from saffronstack.platform.calls import CallMaker
+from saffronstack.resp import frames
+from saffronstack.resp.reader import encode
+from saffronstack.settings import parse_settings
+from tests.stored_formats import settings_samples
+from tests.stored_formats.stored_files import DATA
+
+KEPT: dict[str, Any] = json.loads((DATA / "platform_messages" / "messages.json").read_text())
+SENT = {
+    "call": codec.call_line("t1", "setting", "00000000000000ff", 1500, b"\x00body\xff"),
+    "cancel": codec.cancel_line("t1"),
+    "ping": codec.ping_line("t2"),
+    "load": codec.load_line("t3", "00000000000000ff", 2),
+    "unload": codec.unload_line("00000000000000ff"),
+    "query": query_message(4711, "_call._tcp.hosts.example"),
+    "reply": encode((b"17", b"BUSY", b"holdoff=250", b"")),
+}
+
+
+@pytest.mark.parametrize("name", sorted(KEPT["sent"]))
+def test_a_message_is_sent_in_the_same_bytes(name: str) -> None:
+    assert SENT[name].hex() == KEPT["sent"][name]
+
+
+def test_words_of_hosts_and_of_replies_stand_for_the_same() -> None:
+    assert {word: result.value for word, result in codec.RESULTS.items()} == KEPT["results"]
+    assert {ending.value: word.decode() for ending, word in connection.WORDS.items()} == KEPT["replies"]
+
+
+def understood_line(line: str) -> Any:
+    """Return what a host's line means; None where it is refused."""
+    try:
+        found = codec.answer_of(line.encode())
+    except codec.HostError:
+        return None
+    report = found.report and list(dataclasses.astuple(found.report))
+    return [found.word, found.tag, found.body.decode(), found.found.value, found.crowd, report, found.copies]
+
+
+@pytest.mark.parametrize("number", range(len(KEPT["lines"])))
+def test_a_hosts_line_is_understood_the_same(number: int) -> None:
+    line, understood = KEPT["lines"][number]
+    assert understood_line(line) == understood
+
+
+def understood_frame(words: list[str]) -> Any:
+    """Return what a client's frame means; None where it is refused."""
+    maker = CallMaker(parse_settings(json.dumps(settings_samples.PLATFORM))[0], lambda: 1)
+    try:
+        frame = frames.frame_of(tuple(word.encode() for word in words))
+        if not isinstance(frame, frames.CallFrame):
+            return [words[0], frame.tag]
+        call = maker.call(frame, 100.0)
+    except (frames.FrameError, frames.FieldError):
+        return None
+    spec = list(dataclasses.astuple(call.function))
+    return [
+        frame.tag,
+        call.request_id,
+        spec,
+        call.payload.decode(),
+        call.deadline_s,
+        call.tenant,
+        call.class_name,
+    ]
+
+
+@pytest.mark.parametrize("number", range(len(KEPT["frames"])))
+def test_a_clients_frame_is_understood_the_same(number: int) -> None:
+    words, understood = KEPT["frames"][number]
+    assert understood_frame(words) == understood
+
+
+def test_the_kept_messages_have_every_meaning() -> None:
+    lines = [understood for _, understood in KEPT["lines"] if understood is not None]
+    assert {line[3] for line in lines} == {0, 1, 2, 3, 4}
+    assert all(value is not None for value in lines[0][5])
+    assert sum(understood is None for _, understood in KEPT["frames"]) == 3
