--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -9,6 +9,8 @@
 import msgspec
 import pytest
 
+from saffronstack import config as configs
+from saffronstack.cli.tenure import TAKEN_OVER, enter
 from saffronstack.config.schema import Worker
 from saffronstack.fleet.tasks.jobs import FleetUsage
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
@@ -16,6 +18,7 @@
 from saffronstack.roster.keeping import Kept
 from saffronstack.roster.parsing import Version, version
 from saffronstack.roster.reading import read
+from tests.stored_formats import settings_samples
 from tests.stored_formats.stored_files import DATA
 
 ROSTER = DATA / "roster"
@@ -148,3 +151,25 @@
     assert not home.abandoned() and home.above(69) and not home.above(70)
     home.sweep()
     assert names() == expected["swept"]
+
+
+def test_who_takes_a_ledger_over_keeps_its_own_state_in_the_same_places(tmp_path: pathlib.Path) -> None:
+    content = {
+        **settings_samples.GATEWAY,
+        "ledger": {"directory": "own-ledger"},
+        "roster": {"path": "roster.json5", "state_directory": "own-roster"},
+    }
+    tenure = enter("", "", str(tmp_path), 5, configs.parse(json.dumps(content)))
+    assert tenure is not None
+    place = tmp_path / f"place-{5:020d}"
+    found = tenure.config
+    assert found.ledger is not None and found.ledger.directory == str(place)
+    assert found.metering is not None and found.metering.directory == str(place / "usage")
+    assert found.operations is not None and found.operations.directory == str(place / "operations")
+    assert found.roster is not None and found.roster.state_directory == str(place / "roster")
+    tenure.end(clean=True)
+    assert (tmp_path / f"left-{5:020d}").exists()
+
+
+def test_one_that_was_taken_over_ends_with_the_same_status() -> None:
+    assert TAKEN_OVER == 3
