--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -16,7 +16,6 @@
 import time
 from collections import deque
 
-from saffronstack.choice import Router
 from saffronstack.routing.actions import SendAttempt
 from saffronstack.routing.events import (
     AttemptOutcome,
@@ -30,6 +29,7 @@
     WorkerEndpoint,
     WorkerState,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import (
     ClassSettings,
     Idempotency,
--- a/saffronstack/bench/simhost.py
+++ b/saffronstack/bench/simhost.py
@@ -8,7 +8,7 @@
 from typing import BinaryIO
 
 from saffronstack.bench import wire
-from saffronstack.choice import Router
+from saffronstack.routing.router import Router
 
 
 class Host:
--- a/saffronstack/engine/decision_record.py
+++ b/saffronstack/engine/decision_record.py
@@ -17,7 +17,6 @@
 import structlog
 import zstandard
 
-from saffronstack.choice import Router
 from saffronstack.engine.decision_record_format import (
     action_from_tagged,
     event_from_tagged,
@@ -27,6 +26,7 @@
 )
 from saffronstack.routing.actions import Action
 from saffronstack.routing.events import Event
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import Settings
 from saffronstack.runtime.threads import spawn
 
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -13,7 +13,6 @@
 from itertools import count
 from typing import Protocol
 
-from saffronstack.choice import Router
 from saffronstack.engine.calls import (
     AttemptEnd,
     Call,
@@ -49,6 +48,7 @@
     Result,
     TimerFired,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import Idempotency, Settings
 from saffronstack.runtime.logs import Log, PlainLog
 from saffronstack.runtime.threads import spawn
--- a/saffronstack/platform/beliefs.py
+++ b/saffronstack/platform/beliefs.py
@@ -16,9 +16,9 @@
 class Believed(Protocol):
     """What the module holds of a worker."""
 
-    ready: bool
-    in_flight: int
-    ejected: bool
+    is_ready: bool
+    attempts_in_flight: int
+    is_ejected: bool
 
 
 class Passed(Protocol):
@@ -88,13 +88,15 @@
             if worker is None:
                 self._note(found, now, number, host.name, "unknown", False, True)
                 continue
-            if worker.in_flight != host.open:
-                self._note(found, now, number, host.name, "open_attempts", worker.in_flight, host.open)
-            if worker.ready == host.closed:
-                self._note(found, now, number, host.name, "ready", worker.ready, not host.closed)
+            if worker.attempts_in_flight != host.open:
+                self._note(
+                    found, now, number, host.name, "open_attempts", worker.attempts_in_flight, host.open
+                )
+            if worker.is_ready == host.closed:
+                self._note(found, now, number, host.name, "ready", worker.is_ready, not host.closed)
             self._health(found, now, number, worker, host)
         for number, worker in believed.items():
-            if number not in passed and worker.ready:
+            if number not in passed and worker.is_ready:
                 self._note(found, now, number, str(number), "gone", "ready", "gone")
         for key, ended in self._open.items():
             if key not in found:
@@ -107,7 +109,7 @@
         self, found: dict[tuple[int, str], Difference], now: float, number: int, worker: Believed,
         host: Passed,
     ) -> None:  # fmt: skip
-        if not worker.ejected:
+        if not worker.is_ejected:
             self._out.pop(number, None)
             silent_s = host.silent_s
             if silent_s > self.silent_s:
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -6,7 +6,6 @@
 import time
 from collections.abc import Callable
 
-from saffronstack.choice import Router
 from saffronstack.directory.membership import Change
 from saffronstack.directory.resolver import Resolver
 from saffronstack.engine.engine import Engine
@@ -21,6 +20,7 @@
 from saffronstack.platform.connection import FrontLimits
 from saffronstack.platform.front import Front
 from saffronstack.platform.shutdown import limits_for
+from saffronstack.routing.router import Router
 from saffronstack.runtime.logs import Log, PlainLog
 from saffronstack.runtime.threads import spawn
 
--- /dev/null
+++ b/saffronstack/routing/outlier_detection.py
@@ -0,0 +1,115 @@
+"""Outlier detection: ejects workers that are slow, fail or are not reached, and tries them again.
+
+Every worker is compared with the median of the fleet, so that an overload or a fault of all workers ejects
+none. An ejected worker gets one trial request at a time and returns when its trials look normal.
+"""
+
+from __future__ import annotations
+
+from saffronstack.routing.events import AttemptOutcome, CacheStatus, Result
+from saffronstack.routing.state import Attempt, Fleet, Worker
+
+SLOWNESS_RATIO = 3.0  # multiple of the median worker's slowness from which a worker is an outlier
+ERROR_FRACTION = 0.25  # fraction of errors, over twice the median's, from which a worker is an outlier
+CONSECUTIVE_UNREACHED = 2  # attempts in a row without any response that make a worker an outlier
+# Factor on the bounds above that an ejected worker must come under to return: without it a worker near a
+# bound would change sides with every response.
+RETURN_FACTOR = 0.7
+MIN_SLOWNESS_SAMPLES = 8  # responses before a worker can count as slow; a few slow ones are chance
+MAX_EJECTED_FRACTION = 0.35  # of the ready workers; the others would not carry the load of more
+EVALUATION_INTERVAL_S = 0.1  # bounds the cost of sorting a large fleet by slowness
+RESPONSE_WEIGHT = 0.1  # of one response in a worker's moving averages
+TRIAL_WEIGHT = 0.4  # of a trial's response: trials are seldom
+TRIAL_INTERVAL_S = 1.0  # between two trial requests to an ejected worker
+USUAL_LATENCY_WEIGHT = 0.02  # of one response in the usual latency of its class
+MAX_USUAL_RATIO = (
+    5  # multiple of the usual latency at which a response counts in it, so that a hang moves little
+)
+MAX_SLOWNESS = 10.0  # at which one response counts in a worker's slowness, for the same reason
+MIN_LATENCY_S = 1e-3  # usual latency where the first response took no time at all
+UNREACHED_RESULTS = (Result.CONNECT_FAILED, Result.RESET)
+TIMED_RESULTS = (Result.OK, Result.TIMEOUT, Result.CANCELLED)
+
+
+class OutlierDetection:
+    """Keeps the health of workers and decides which ones are ejected.
+
+    Guards against slow, half-dead, unreachable and fast-failing workers whatever the cause. It could hurt
+    where the work of a class differs much between workers.
+    """
+
+    __slots__ = ("_fleet", "_next_evaluation_s", "_usual_latency_s")
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+        self._usual_latency_s: dict[int, float] = {}  # of a response by a loaded instance, by request class
+        self._next_evaluation_s = 0.0
+
+    def start_trial(self, now: float, worker: Worker) -> None:
+        """Note that an ejected worker gets a trial request now."""
+        worker.next_trial_s = now + TRIAL_INTERVAL_S
+
+    def observe(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Take in the outcome of one attempt; evaluates the fleet now and then."""
+        worker = attempt.worker
+        weight = TRIAL_WEIGHT if worker.is_ejected else RESPONSE_WEIGHT
+        result = outcome.result
+        if result is not Result.CANCELLED:
+            is_unreached = result in UNREACHED_RESULTS
+            worker.consecutive_unreached = worker.consecutive_unreached + 1 if is_unreached else 0
+        is_error = result is Result.ERROR and outcome.cache_status is not CacheStatus.LOAD_FAILED
+        if is_error or result is Result.OK:
+            worker.error_fraction += weight * (is_error - worker.error_fraction)
+        had_instance = (
+            outcome.cache_status in (CacheStatus.WARM, CacheStatus.UNKNOWN) and attempt.expects_warm
+        )
+        if had_instance and result in TIMED_RESULTS:
+            self._observe_latency(attempt, outcome, weight)
+        if now >= self._next_evaluation_s:
+            self._next_evaluation_s = now + EVALUATION_INTERVAL_S
+            self._evaluate(now)
+
+    def _observe_latency(self, attempt: Attempt, outcome: AttemptOutcome, weight: float) -> None:
+        """Compare the latency of a loaded instance with what is usual for its class."""
+        worker, class_index = attempt.worker, attempt.request.class_index
+        is_success = outcome.result is Result.OK
+        usual_s = self._usual_latency_s.get(class_index) or outcome.elapsed_s or MIN_LATENCY_S
+        ratio = min(MAX_SLOWNESS, outcome.elapsed_s / usual_s)
+        if is_success or ratio > worker.slowness:  # an attempt that was cut off took at least so long
+            worker.slowness += weight * (ratio - worker.slowness)
+            worker.slowness_samples = min(MIN_SLOWNESS_SAMPLES, worker.slowness_samples + 1)
+        if is_success:
+            latency_s = min(outcome.elapsed_s, MAX_USUAL_RATIO * usual_s)
+            usual_s += USUAL_LATENCY_WEIGHT * (latency_s - usual_s)
+            self._usual_latency_s[class_index] = usual_s
+
+    def _evaluate(self, now: float) -> None:
+        """Eject the worst outliers among the ready workers, and take the others back."""
+        ready = self._fleet.ready_workers()
+        if not ready:
+            return
+        middle = (len(ready) - 1) // 2
+        median_slowness = sorted(worker.slowness for worker in ready)[middle]
+        median_errors = sorted(worker.error_fraction for worker in ready)[middle]
+        outliers = []
+        for worker in ready:
+            score = _score(worker, median_slowness, median_errors)
+            if score >= 1:
+                outliers.append((-score, worker.endpoint.worker_id))
+        limit = int(MAX_EJECTED_FRACTION * len(ready))
+        ejected = {worker_id for _, worker_id in sorted(outliers)[:limit]}
+        for worker in ready:
+            is_ejected = worker.endpoint.worker_id in ejected
+            if is_ejected and not worker.is_ejected:
+                worker.next_trial_s = now + TRIAL_INTERVAL_S
+            worker.is_ejected = is_ejected
+
+
+def _score(worker: Worker, median_slowness: float, median_errors: float) -> float:
+    """Return how far a worker is from the bounds; from 1 it is an outlier."""
+    factor = RETURN_FACTOR if worker.is_ejected else 1.0
+    slowness = 0.0
+    if worker.slowness_samples >= MIN_SLOWNESS_SAMPLES:
+        slowness = worker.slowness / (factor * SLOWNESS_RATIO * median_slowness)
+    errors = worker.error_fraction / (factor * (ERROR_FRACTION + 2 * median_errors))
+    return max(slowness, errors, worker.consecutive_unreached / CONSECUTIVE_UNREACHED)
--- /dev/null
+++ b/saffronstack/routing/rate_estimator.py
@@ -0,0 +1,74 @@
+"""Exponentially decayed counters, and the recent rates of this gateway's own requests."""
+
+from __future__ import annotations
+
+import math
+
+from saffronstack.routing.events import Request
+
+# Seconds after which a counted request weighs 1/e. Own requests are the only evidence of popularity and of
+# the traffic that slow start is measured by; a shorter memory is noise where a gateway sees few requests.
+RATE_WINDOW_S = 15.0
+
+
+class DecayedCounter:
+    """Count of events in which older events weigh exponentially less."""
+
+    __slots__ = ("count", "updated_s", "window_s")
+
+    def __init__(self, window_s: float) -> None:
+        self.window_s = window_s
+        self.count = 0.0
+        self.updated_s = -math.inf
+
+    def value(self, now: float) -> float:
+        """Return the decayed count."""
+        return self.count * math.exp((self.updated_s - now) / self.window_s)
+
+    def increment(self, now: float) -> float:
+        """Count one event and return the new count."""
+        self.count = self.count * math.exp((self.updated_s - now) / self.window_s) + 1
+        self.updated_s = now
+        return self.count
+
+    def reset(self, now: float, count: float) -> None:
+        """Replace the count."""
+        self.count = count
+        self.updated_s = now
+
+
+class RequestRates:
+    """Recent own requests in total, by function and by tenant; they start at none after a restart."""
+
+    __slots__ = ("by_function", "by_tenant", "total")
+
+    def __init__(self) -> None:
+        self.total = DecayedCounter(RATE_WINDOW_S)
+        self.by_function: dict[int, DecayedCounter] = {}
+        self.by_tenant: dict[int, DecayedCounter] = {}
+
+    def record(self, now: float, request: Request) -> None:
+        """Count one request."""
+        self.total.increment(now)
+        by_function = self.by_function.get(request.function_id)
+        if by_function is None:
+            by_function = self.by_function[request.function_id] = DecayedCounter(RATE_WINDOW_S)
+        by_function.increment(now)
+        by_tenant = self.by_tenant.get(request.tenant)
+        if by_tenant is None:
+            by_tenant = self.by_tenant[request.tenant] = DecayedCounter(RATE_WINDOW_S)
+        by_tenant.increment(now)
+
+    def of_function(self, now: float, function_id: int) -> float:
+        """Return the recent requests for a function."""
+        counter = self.by_function.get(function_id)
+        return 0.0 if counter is None else counter.value(now)
+
+    def of_tenant(self, now: float, tenant: int) -> float:
+        """Return the recent requests of a tenant."""
+        counter = self.by_tenant.get(tenant)
+        return 0.0 if counter is None else counter.value(now)
+
+    def forget_function(self, function_id: int) -> None:
+        """Drop the counter of a function that is no longer requested."""
+        self.by_function.pop(function_id, None)
--- /dev/null
+++ b/saffronstack/routing/retry_policy.py
@@ -0,0 +1,89 @@
+"""Retry policy: when a request may be sent again, where, and what its final answer is.
+
+A request is executed at most once unless that does no harm. An attempt that may have executed is retried
+only for idempotent requests, or with an idempotency key within the scope and the window in which workers
+recognise it.
+"""
+
+from __future__ import annotations
+
+from saffronstack.routing.actions import Fail, Reject
+from saffronstack.routing.events import Result
+from saffronstack.routing.settings import DeduplicationScope, Idempotency, Settings
+from saffronstack.routing.state import PendingRequest, Worker
+
+# Results after which the request was certainly not executed.
+NEVER_EXECUTED = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
+# Retry budget. Without it, workers at capacity make each request several attempts, which load more instances;
+# it could hurt where many responses are lost.
+RETRIES_PER_REQUEST = 0.1
+MAX_SAVED_RETRIES = 5.0
+WINDOW_MARGIN_S = 0.05  # a retry must arrive this long before its idempotency key is forgotten
+RETRY_AFTER_S = 0.5  # clients are asked to wait this long after a rejection, as far as the site permits
+
+
+def is_in_deduplication_scope(pending: PendingRequest, worker: Worker) -> bool:
+    """Return whether a worker recognises the idempotency key of a request that may have executed."""
+    first, request_class = pending.maybe_executed, pending.request_class
+    scope = request_class.deduplication_scope
+    is_limited = request_class.idempotency is Idempotency.WITH_KEY and scope is not DeduplicationScope.ALL
+    if first is None or not is_limited:
+        return True
+    if scope is DeduplicationScope.ZONE:
+        return worker.endpoint.zone == first.worker.endpoint.zone
+    return worker.endpoint.cell == first.worker.endpoint.cell
+
+
+class RetryPolicy:
+    """Decides on attempts and final answers; keeps the retry budget.
+
+    Attributes:
+        saved_retries: Retries that may be made now.
+    """
+
+    __slots__ = ("_max_attempts", "_retry_after_s", "saved_retries")
+
+    def __init__(self, settings: Settings) -> None:
+        self._max_attempts = settings.permissions.max_attempts
+        self._retry_after_s = min(RETRY_AFTER_S, settings.permissions.max_retry_after_s)
+        self.saved_retries = MAX_SAVED_RETRIES
+
+    def record_request(self) -> None:
+        """Add to the budget for a new request."""
+        self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + RETRIES_PER_REQUEST)
+
+    def record_attempt(self, pending: PendingRequest) -> None:
+        """Take from the budget if the next attempt of a request is a retry."""
+        if pending.attempts:
+            self.saved_retries -= 1
+
+    def may_attempt(self, now: float, pending: PendingRequest) -> bool:
+        """Return whether another attempt fits deadline, number of attempts, budget and idempotency."""
+        attempts = len(pending.attempts)
+        if now >= pending.request.deadline_s or 0 < self._max_attempts <= attempts:
+            return False
+        if attempts and self.saved_retries < 1:
+            return False
+        return pending.maybe_executed is None or self._may_execute_again(now, pending)
+
+    def final_answer(self, pending: PendingRequest) -> Reject | Fail:
+        """Return the answer to a request that gets no other attempt.
+
+        It is rejected only where a retry by its client is harmless.
+        """
+        request_class = pending.request_class
+        is_harmless = request_class.idempotency is Idempotency.IDEMPOTENT or (
+            request_class.idempotency is Idempotency.WITH_KEY
+            and request_class.deduplication_scope is DeduplicationScope.ALL
+        )
+        if (is_harmless or pending.maybe_executed is None) and not pending.attempts_in_flight:
+            return Reject(pending.request.request_id, self._retry_after_s)
+        return Fail(pending.request.request_id)
+
+    def _may_execute_again(self, now: float, pending: PendingRequest) -> bool:
+        first, request_class = pending.maybe_executed, pending.request_class
+        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            return False
+        return now < first.sent_s + request_class.deduplication_window_s - WINDOW_MARGIN_S
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Sized
 from typing import Any
 
-from saffronstack.choice import Router
 from saffronstack.routing.actions import Action, Fail, Reject, SendAttempt
 from saffronstack.routing.events import (
     AttemptOutcome,
@@ -16,6 +16,7 @@
     WorkerEndpoint,
     WorkerState,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import (
     ClassSettings,
     DeduplicationScope,
@@ -93,6 +94,21 @@
     return made
 
 
+def router_tables(made: Router) -> list[Sized]:
+    """The tables of a router that grow with its workers, functions, tenants and requests."""
+    parts = made.components
+    return [
+        made.workers,
+        made.functions,
+        parts.rates.by_function,
+        parts.rates.by_tenant,
+        parts.memory.placed,
+        parts.request_queue.functions,
+        parts.requests,
+        parts.attempts,
+    ]
+
+
 class Gateway:
     """Drives a router and remembers what is out."""
 
--- a/tests/support/slow_start.py
+++ b/tests/support/slow_start.py
@@ -10,7 +10,6 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from saffronstack.choice import Router
 from saffronstack.routing.actions import Action, Reject, SendAttempt, SetTimer
 from saffronstack.routing.events import (
     AttemptOutcome,
@@ -25,6 +24,7 @@
     WorkerEndpoint,
     WorkerState,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import RuleSettings
 from tests.helpers import settings
 
@@ -194,14 +194,14 @@
     def _send(self, place: int, request: int, worker: int) -> None:
         function = self._left[request][1]
         router = self.routers[place]
-        attempt = len(router.pending[request].attempts) - 1
+        attempt = len(router.components.requests[request].attempts) - 1
         copies = self._copies.setdefault(worker, set())
         warm = function in copies
         copies.add(function)
         if worker in self.young:
             self.sends.setdefault(worker, []).append(self.now)
             known = router.workers[worker]
-            self.overdrawn += known.credit < 0.0 and self.now < known.warm_s
+            self.overdrawn += known.send_credit < 0.0 and self.now < known.slow_start_ends_s
         reset = worker in self.young and self.random.random() < self.scenario.resets
         took_s = 0.002 if reset else self.random.expovariate(1 / WORK_S) + (0.0 if warm else LOAD_S)
         sent_s = self.now
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from saffronstack.choice import Router
 from saffronstack.platform.eviction import ENDED_EVERY_S, EvictionOrder
 from saffronstack.platform.front import Front
 from saffronstack.platform.service import Service
 from saffronstack.resp.reader import encode
+from saffronstack.routing.router import Router
 from saffronstack.standin.platform import Directory, Entry
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, echo, gateway
 from tests.support.stack import eventually
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from saffronstack.choice import Function, Router
 from saffronstack.routing.actions import Action, LoadFunction, Reject
 from saffronstack.routing.events import (
     CacheStatus,
@@ -12,7 +11,9 @@
     Result,
     TimerFired,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import MissMode, PermissionSettings, RuleSettings, TenantSettings
+from saffronstack.routing.state import Function
 
 from .helpers import DRAINING, Gateway, change, entry, finals, router, sends, settings
 
@@ -24,7 +25,7 @@
 def warm(gateway: Gateway, worker: int, function: int = 1, now: float = 100.0, entries: int = 1) -> None:
     decider = gateway.decider
     made = decider.functions.setdefault(function, Function())
-    made.stack += [(decider.workers[worker], now)] * entries
+    made.warm_instances += [(decider.workers[worker], now)] * entries
 
 
 def test_front_ends_meet_on_the_same_worker() -> None:
@@ -47,7 +48,7 @@
     gateway = Gateway(router(1, 2))
     number, _ = gateway.ask(100.0, concurrency=4.0)
     gateway.end(101.0, number, cache_status=CacheStatus.STARTED_LOAD)
-    assert len(gateway.decider.functions[1].stack) == 4
+    assert len(gateway.decider.functions[1].warm_instances) == 4
 
 
 def test_own_loads_are_bounded_and_held_requests_are_answered_in_time() -> None:
@@ -84,14 +85,14 @@
         warm(gateway, 1, step, 100.0 + step)
         number, _ = gateway.ask(100.0 + step, function_id=step)
         gateway.end(100.25 + step, number, Result.CONNECT_FAILED)
-    assert gateway.decider.workers[1].ejected
+    assert gateway.decider.workers[1].is_ejected
     warm(gateway, 1, 9, 101.3)
     _, actions = gateway.ask(101.3, function_id=9)
     assert sends(actions)[0].worker_id != 1
     number, actions = gateway.ask(103.0, function_id=9)
     assert sends(actions)[0].worker_id == 1
     gateway.end(103.1, number)
-    assert not gateway.decider.workers[1].ejected
+    assert not gateway.decider.workers[1].is_ejected
 
 
 def _ejected(results: dict[int, tuple[Result, float]], rounds: int = 30) -> set[int]:
@@ -100,11 +101,11 @@
         for worker, (result, took) in results.items():
             now = 100.0 + step
             made = gateway.decider.functions.setdefault(worker, Function())
-            made.stack[:] = [(gateway.decider.workers[worker], now)]
+            made.warm_instances[:] = [(gateway.decider.workers[worker], now)]
             number, _ = gateway.ask(now, function_id=worker)
             if gateway.where.get(number) == worker:
                 gateway.end(now + took, number, result, elapsed_s=took, is_final=True)
-    return {number for number, worker in gateway.decider.workers.items() if worker.ejected}
+    return {number for number, worker in gateway.decider.workers.items() if worker.is_ejected}
 
 
 def test_a_worker_that_fails_fast_is_ejected() -> None:
@@ -199,8 +200,8 @@
     for step, number in enumerate(numbers[:6]):
         gateway.end(101.0 + step, number, elapsed_s=1.0 + step)
     worker = gateway.decider.workers[1]
-    assert worker.limit < 8
-    worker.limit = 2.0
+    assert worker.concurrency_limit < 8
+    worker.concurrency_limit = 2.0
     warm(gateway, 1, 10, 106.0)
     held, actions = gateway.ask(106.1, function_id=10)
     assert not sends(actions)
@@ -212,8 +213,8 @@
     gateway = Gateway(router(1, 2, tenants=tenants, over_quota_weight=0.05))
     for step in range(400):
         gateway.ask(100.0 + step * 0.01, function_id=1000 + step, tenant=step % 2)
-    gateway.decider.workers[1].limit = 4.0
-    gateway.decider.workers[1].warm_out = 2
+    gateway.decider.workers[1].concurrency_limit = 4.0
+    gateway.decider.workers[1].warm_attempts_in_flight = 2
     warm(gateway, 1, 1, 104.0)
     warm(gateway, 1, 2, 104.0)
     _, actions = gateway.ask(104.0, function_id=2, tenant=1)
@@ -228,23 +229,23 @@
     warm(gateway, 1, entries=5000)
     gateway.decider.handle(100.1, change(entry(1, state=DRAINING)))
     gateway.ask(100.2)
-    assert len(gateway.decider.functions[1].stack) <= 100
+    assert len(gateway.decider.functions[1].warm_instances) <= 100
 
 
 def test_slow_loads_shrink_the_bound_on_own_loads_and_usual_ones_grow_it() -> None:
     gateway = Gateway(router(*range(1, 11)))
-    start = gateway.decider.load_part
+    start = gateway.decider.components.load_control.loads_per_worker
     for step in range(10):
         now = 100.0 + step
         number, _ = gateway.ask(now, function_id=step)
         took = 0.5 if step < 2 else 2.5
         gateway.end(now + took, number, cache_status=CacheStatus.STARTED_LOAD, elapsed_s=took)
-    assert gateway.decider.load_part < start
-    low = gateway.decider.load_part
-    gateway.decider.loads_out = 100  # the bound is in use
+    assert gateway.decider.components.load_control.loads_per_worker < start
+    low = gateway.decider.components.load_control.loads_per_worker
+    gateway.decider.components.load_control.loads_in_progress = 100  # the bound is in use
     for step in range(10):
-        gateway.decider._judge_load(120.0 + step, Result.OK, 0.5)
-    assert gateway.decider.load_part > low
+        gateway.decider.components.load_control.observe(120.0 + step, Result.OK, 0.5)
+    assert gateway.decider.components.load_control.loads_per_worker > low
 
 
 def test_a_request_begins_few_loads_before_it_is_refused() -> None:
--- a/tests/test_many_front_ends.py
+++ b/tests/test_many_front_ends.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from saffronstack.choice import Router
 from saffronstack.routing.events import (
     CacheStatus,
     EndpointUpdate,
@@ -18,6 +17,7 @@
     Result,
     TimerFired,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import RuleSettings, TenantSettings
 
 from .helpers import (
@@ -102,7 +102,7 @@
             number,
             cache_status=CacheStatus.STARTED_LOAD if step < 3 else CacheStatus.WARM,
         )
-    assert gateway.decider.met < 0.01
+    assert gateway.decider.components.shared_instances.fraction < 0.01
 
 
 def test_a_hot_function_goes_to_more_workers_where_copies_are_shared() -> None:
@@ -115,7 +115,7 @@
         used |= {send.worker_id for send in sends(actions)}
         if sends(actions):
             gateway.end(now + 0.05, number)
-            gateway.decider.functions[1].stack.clear()
+            gateway.decider.functions[1].warm_instances.clear()
     assert len(used) > 3
 
 
@@ -134,7 +134,7 @@
     for elapsed_s, entries in ((0.1, 1), (1.0, 0)):
         number, _ = gateway.ask(104.0, function_id=int(10 * elapsed_s))
         gateway.end(104.0 + elapsed_s, number, elapsed_s=elapsed_s)
-        assert len(gateway.decider.functions[int(10 * elapsed_s)].stack) == entries
+        assert len(gateway.decider.functions[int(10 * elapsed_s)].warm_instances) == entries
 
 
 def test_repeats_are_budgeted() -> None:
@@ -157,14 +157,14 @@
         number, actions = gateway.ask(110.0 + step * 0.01, function_id=step)
         while sends(actions):
             actions = gateway.end(110.0 + step * 0.01, number, Result.AT_CAPACITY, CacheStatus.UNKNOWN)
-    assert gateway.decider.shed > 0.2
+    assert gateway.decider.components.load_shedder.shed_fraction > 0.2
     refused = sum(len(finals(gateway.ask(111.0, function_id=2000 + step)[1])) for step in range(100))
     assert 10 < refused < 90
     for step in range(200):
         number, actions = gateway.ask(112.0 + step * 0.1, function_id=step)
         if sends(actions):
             gateway.end(112.05 + step * 0.1, number)
-    assert gateway.decider.shed < 0.05
+    assert gateway.decider.components.load_shedder.shed_fraction < 0.05
 
 
 def shares_copies(gateway: Gateway) -> None:
@@ -174,7 +174,7 @@
         number, actions = gateway.ask(now, function_id=1000 + step)
         assert sends(actions)
         gateway.end(now + 0.1, number, concurrency=0)
-    assert gateway.decider.met > 0.2
+    assert gateway.decider.components.shared_instances.fraction > 0.2
 
 
 def refused_part(
@@ -231,7 +231,7 @@
             other, _ = gateway.ask(now + 0.1, function_id=6000 + step)
             gateway.end(now + 0.2, other, concurrency=0, elapsed_s=0.1)
         gateway.end(now + 3.0, lost, Result.TIMEOUT, CacheStatus.UNKNOWN, elapsed_s=3.0, is_final=True)
-    assert (gateway.decider.shed > 0) is answers_others
+    assert (gateway.decider.components.load_shedder.shed_fraction > 0) is answers_others
 
 
 def test_a_front_end_that_carries_most_does_not_take_its_tenants_for_over_their_share() -> None:
@@ -240,7 +240,7 @@
     gateway = Gateway(decider)
     for step in range(400):
         gateway.ask(100.0 + step * 0.01, function_id=step, tenant=step % 2)
-    assert decider._in_share(104.0, 0) > 0.8
+    assert decider.components.load_shedder.quota_factor(104.0, 0) > 0.8
 
 
 def test_thin_traffic_reaches_its_worker_at_each_of_many_front_ends() -> None:
@@ -257,7 +257,7 @@
     home = gateway.where[number]
     gateway.end(100.1, number)
     gateway.decider.handle(101.0, change(*(entry(w, started_s=100.5) for w in range(1, 301))))
-    assert all(not function.stack or home > 300 for function in gateway.decider.functions.values())
+    assert all(not function.warm_instances or home > 300 for function in gateway.decider.functions.values())
     gateway.decider.handle(102.0, full(*(entry(w) for w in range(391, 401))))
     number, actions = gateway.ask(102.0, function_id=2)
     assert sends(actions)[0].worker_id > 390
@@ -332,8 +332,8 @@
                     concurrency=crowd,
                     load_report=LoadReport(cpu_utilization=busy),
                 )
-        assert gateway.decider.met > 0.2
-        return gateway.decider.spread
+        assert gateway.decider.components.shared_instances.fraction > 0.2
+        return gateway.decider.components.placement.spread
 
     assert spread_after(0) == 1.0
     assert spread_after(1) == spread_after(None) == 10.0  # every lane taken; a site that does not tell
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,10 +14,11 @@
 
 import pytest
 
-from saffronstack.choice import Router
 from saffronstack.platform.beliefs import Beliefs
+from saffronstack.routing.router import Router
 from saffronstack.standin.platform import Directory, Entry
 from saffronstack.standin.worker import hold_port
+from tests.helpers import router_tables
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, config_text, echo, gateway
 from tests.support.stack import eventually
 
@@ -334,7 +335,7 @@
                 if service.engine.open_calls:  # the attempt's end is told after the answer
                     service.engine.inspect(look)
                     return
-                looked.extend(worker.in_flight for worker in router.workers.values())
+                looked.extend(worker.attempts_in_flight for worker in router.workers.values())
                 beliefs.look(now, router.workers, service.hosts.pools())
                 done.set()
 
@@ -353,8 +354,7 @@
         router, engine = service.engine._router, service.engine
 
         def known() -> int:
-            tables: list[Any] = [router.workers, router.functions, router.counts, router.holdings]
-            tables += [router.held, router.pending, router.flying]
+            tables: list[Any] = [*router_tables(router)]
             tables += [service.front._connections, service.front.ids]
             tables += [service.hosts._pools, service.hosts._out, service.membership._held]
             return sum(map(len, tables))
@@ -374,8 +374,8 @@
         swept = threading.Event()
 
         def sweep(now: float, router: Router) -> None:
-            router.sweep_s = 0.0
-            router._sweep(now + 1000.0)
+            router.components.idle_sweep.next_sweep_s = 0.0
+            router.components.idle_sweep.sweep(now + 1000.0)
             swept.set()
 
         engine.inspect(sweep)  # on the thread that owns it
--- a/tests/test_platform_links.py
+++ b/tests/test_platform_links.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from saffronstack.choice import Router
 from saffronstack.engine.calls import AttemptEnd, Call, Ending, Final, FunctionSpec
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
@@ -21,6 +20,7 @@
 from saffronstack.net.write_buffer import Sent, WriteBuffer, WriteLoop
 from saffronstack.platform.beliefs import Beliefs
 from saffronstack.routing.events import Result
+from saffronstack.routing.router import Router
 from saffronstack.standin.platform import Directory, Entry
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 from tests.support.stack import eventually
@@ -154,9 +154,9 @@
 
 @dataclass
 class Worker:
-    ready: bool = True
-    in_flight: int = 0
-    ejected: bool = False
+    is_ready: bool = True
+    attempts_in_flight: int = 0
+    is_ejected: bool = False
 
 
 @dataclass
@@ -170,16 +170,16 @@
 
 
 def test_a_difference_counts_when_two_looks_find_it() -> None:
-    beliefs, worker, host = Beliefs(), Worker(in_flight=1), Host()
+    beliefs, worker, host = Beliefs(), Worker(attempts_in_flight=1), Host()
     assert beliefs.look(0.0, {7: worker}, {7: host}) == []
-    worker.in_flight = 0  # the event was on its way
+    worker.attempts_in_flight = 0  # the event was on its way
     beliefs.look(0.25, {7: worker}, {7: host})
     assert not beliefs.tallies
-    worker.in_flight = 2
+    worker.attempts_in_flight = 2
     beliefs.look(0.5, {7: worker}, {7: host})
     (told,) = beliefs.look(0.75, {7: worker}, {7: host})
     assert (told.kind, told.believed, told.seen) == ("open_attempts", 2, 0)
-    worker.in_flight = 0
+    worker.attempts_in_flight = 0
     beliefs.look(2.0, {7: worker}, {7: host})
     assert beliefs.summary() == {"open_attempts": "1 times, longest 1.5 s (s-7: module 2, links 0)"}
 
@@ -193,7 +193,7 @@
 
     assert kinds(Worker(), Host(closed=True)) == {"ready"}
     assert kinds(Worker(), Host(silent_s=1.5)) == {"silent"}
-    out = Worker(ejected=True)
+    out = Worker(is_ejected=True)
     assert kinds(out, Host(answers=100)) == set()
     assert kinds(out, Host(answers=108)) == {"ejected"}
     assert kinds(out, Host(answers=108, broken=1)) == set()
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -9,7 +9,6 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from saffronstack.choice import Router
 from saffronstack.routing.actions import Action, Fail, LoadFunction, Reject, SendAttempt, SetTimer
 from saffronstack.routing.events import (
     AttemptOutcome,
@@ -24,6 +23,7 @@
     WorkerEndpoint,
     WorkerState,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import (
     DeduplicationScope,
     Idempotency,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from saffronstack.choice import Router
 from saffronstack.routing.actions import Fail, Reject, SendAttempt
 from saffronstack.routing.events import (
     AttemptOutcome,
@@ -14,6 +13,7 @@
     EndpointUpdateKind,
     Result,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import PermissionSettings, RuleSettings
 
 from .helpers import (
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from saffronstack.choice import Router
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import ClassSettings, Idempotency, RuleSettings
 
 from .helpers import CLASSES, settings
--- a/tests/test_stack.py
+++ b/tests/test_stack.py
@@ -2,21 +2,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Sized
-
-from saffronstack.choice import Function
 from saffronstack.routing.actions import CancelAttempt, Reject, SetTimer
 from saffronstack.routing.events import CacheStatus, ClientDisconnected, Result, TimerFired
 from saffronstack.routing.settings import PermissionSettings
+from saffronstack.routing.state import Function
 
-from .helpers import GONE, Gateway, change, entry, finals, router, sends
+from .helpers import GONE, Gateway, change, entry, finals, router, router_tables, sends
 
 
 def test_the_freshest_entry_goes_first() -> None:
     gateway = Gateway(router(1, 2, 3))
     workers = list(gateway.decider.workers.values())
     function = gateway.decider.functions.setdefault(1, Function())
-    function.stack += [(workers[2], 100.0), (workers[0], 100.1)]
+    function.warm_instances += [(workers[2], 100.0), (workers[0], 100.1)]
     _, actions = gateway.ask(101.2)
     assert sends(actions)[0].worker_id == 1
     _, actions = gateway.ask(101.2)
@@ -27,9 +25,9 @@
     gateway = Gateway(router(1))
     number, _ = gateway.ask(100.0)
     gateway.end(100.1, number)
-    assert gateway.decider.functions[1].stack
+    assert gateway.decider.functions[1].warm_instances
     gateway.ask(110.2)
-    assert not gateway.decider.functions[1].stack
+    assert not gateway.decider.functions[1].warm_instances
 
 
 def test_an_answer_that_shows_a_load_voids_older_entries_there() -> None:
@@ -40,7 +38,7 @@
     third, _ = gateway.ask(100.2)  # pops the only entry
     gateway.end(100.3, second)  # an older entry when the load is heard
     gateway.end(101.0, third, cache_status=CacheStatus.STARTED_LOAD)
-    assert all(freed >= 100.2 for _, freed in gateway.decider.functions[1].stack)
+    assert all(freed >= 100.2 for _, freed in gateway.decider.functions[1].warm_instances)
 
 
 def test_a_failed_attempt_voids_the_entries_there() -> None:
@@ -49,7 +47,7 @@
     second, _ = gateway.ask(100.0)
     gateway.end(100.1, first)
     gateway.end(100.2, second, Result.ERROR)
-    assert all(freed >= 100.1 for _, freed in gateway.decider.functions[1].stack)
+    assert all(freed >= 100.1 for _, freed in gateway.decider.functions[1].warm_instances)
 
 
 def test_placed_memory_returns_after_the_keep_alive() -> None:
@@ -92,8 +90,7 @@
     gateway = Gateway(decider)
 
     def known() -> int:
-        tables: list[Sized] = [decider.workers, decider.functions, decider.counts, decider.holdings]
-        tables += [decider.held, decider.pending, decider.flying, decider.expiries]
+        tables = [*router_tables(decider), decider.components.memory.expiries]
         return sum(len(table) for table in tables)
 
     now, most = 100.0, 0
@@ -121,7 +118,7 @@
     gateway.end(100.1, first)
     gateway.decider.handle(100.2, change(entry(home, GONE)))
     gateway.decider.handle(100.3, change(entry(home)))
-    assert not gateway.decider.functions[1].stack
+    assert not gateway.decider.functions[1].warm_instances
     assert gateway.decider.workers[home].placed_mb <= 500.0
     gateway.end(100.4, second)
 
@@ -135,8 +132,8 @@
     second, _ = gateway.ask(101.0)
     assert gateway.decider.handle(101.5, ClientDisconnected(second)) == [CancelAttempt(second, 0)]
     gateway.end(101.5, second, Result.CANCELLED, CacheStatus.UNKNOWN, is_final=True)
-    assert [worker.entry.worker_id for worker, _ in gateway.decider.functions[1].stack] == [home]
-    assert not gateway.decider.flying and not gateway.decider.pending
+    assert [worker.endpoint.worker_id for worker, _ in gateway.decider.functions[1].warm_instances] == [home]
+    assert not gateway.decider.components.attempts and not gateway.decider.components.requests
 
 
 def test_a_client_that_leaves_costs_nothing_where_cancelling_is_not_allowed() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,6 @@
 import pytest
 
 from saffronstack.bench import simhost, wire
-from saffronstack.choice import Router
 from saffronstack.routing.actions import (
     Action,
     CancelAttempt,
@@ -37,6 +36,7 @@
     Result,
     TimerFired,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import Idempotency
 
 REQUEST = (
