--- /dev/null
+++ b/tests/stored_formats/test_lease_formats.py
@@ -0,0 +1,99 @@
+"""The lease messages and state files that commit 0684301 wrote (`capture_leases.py`) keep their bytes."""
+
+from __future__ import annotations
+
+import pathlib
+
+import msgspec
+import pytest
+
+from saffronstack.fleet.leases import codec
+from saffronstack.fleet.leases.codec import Envelope
+from saffronstack.fleet.leases.disk import COPIES, KeeperDisk
+from saffronstack.fleet.leases.messages import (
+    Ask,
+    Bounds,
+    Found,
+    Freed,
+    Learn,
+    Message,
+    Promise,
+    Record,
+    Release,
+    Saved,
+    Take,
+    Taken,
+    Told,
+    Written,
+)
+from saffronstack.fleet.leases.server import LeaseLine
+from saffronstack.fleet.leases.service import KeeperService
+
+DATA = pathlib.Path(__file__).parent / "data" / "leases"
+SERVERS = ("k0", "k1", "k2")
+VALUE = Written(7, 2, b"plan \x00\xff")
+INCARNATIONS = (("k1", 2), ("k2", 1))
+RECORD = Record("task/usage", 9, "p1.4", 7, "p1.3", 5.5, 6, VALUE)
+STATE = Saved((RECORD, Record("l")), 41, (("k1", 9), ("k2", 12)), 3, INCARNATIONS)
+
+# In the order in which `envelope.json` holds them.
+MESSAGES: dict[str, Message] = {
+    "ask": Ask("task/usage", "p1.4", 9, INCARNATIONS),
+    "ask_defaults": Ask("l", "a", 1),
+    "promise": Promise("task/usage", "k0", "p1.4", 9, True, 9, 1.25, "p1.3", VALUE, 41, 3, INCARNATIONS),
+    "promise_defaults": Promise("l", "k0", "a", 1, False, 2),
+    "take": Take("task/usage", "p1.4", 9, 6, 5.5, VALUE, (("k0", 41), ("k1", 9)), INCARNATIONS),
+    "take_defaults": Take("l", "a", 1, 1, 5.0),
+    "taken": Taken("task/usage", "k0", "p1.4", 9, 6, True, 9, 0.5, 3, INCARNATIONS),
+    "taken_defaults": Taken("l", "k0", "a", 1, 1, False, 2),
+    "release": Release("task/usage", "p1.4", 9),
+    "freed": Freed("task/usage", "k0", "p2.1"),
+    "learn": Learn("k0", 2**62 - 1, 3),
+    "learn_defaults": Learn("k0", 7),
+    "told": Told("k1", 2**62 - 1, True, 12, (RECORD, Record("l")), 3, 2, INCARNATIONS),
+    "told_defaults": Told("k1", 7, False, 0),
+}
+ENVELOPES = {
+    **{name: Envelope("f", "p1", (message,)) for name, message in MESSAGES.items()},
+    "poll": Envelope("f", "p1", (), 4.5),
+    "envelope": Envelope("f", "k0", tuple(MESSAGES.values())),
+}
+
+
+@pytest.mark.parametrize("name", sorted(ENVELOPES))
+def test_an_envelope_of_each_message_decodes_and_encodes_to_the_same_bytes(name: str) -> None:
+    data = (DATA / f"{name}.json").read_bytes()
+    assert codec.decode(data) == ENVELOPES[name]
+    assert codec.encode(ENVELOPES[name]) == data
+
+
+def test_every_kind_of_message_is_captured() -> None:
+    assert {type(message) for message in MESSAGES.values()} == set(Message.__args__)
+
+
+@pytest.mark.parametrize(("kind", "state"), [("state", STATE), ("new_state", Saved())])
+def test_a_state_directory_is_read_and_written_as_the_same_bytes(
+    tmp_path: pathlib.Path, kind: str, state: Saved
+) -> None:
+    stored = {copy: (DATA / f"{kind}-{copy}").read_bytes() for copy in COPIES}
+    for copy, data in stored.items():
+        (tmp_path / copy).write_bytes(data)
+    disk = KeeperDisk(str(tmp_path), "f", "k0", SERVERS)
+    read = disk.read()
+    assert (read.found, read.saved, read.lines) == (Found.SOUND, state, [])
+    disk.write(state)
+    assert {copy: (tmp_path / copy).read_bytes() for copy in COPIES} == stored
+
+
+def test_the_page_of_leases_keeps_its_bytes() -> None:
+    lines = [LeaseLine("task/usage", "p1.3", 7, 3.125, VALUE), LeaseLine("l", "", 0, 0.0, Written())]
+    data = (DATA / "leases_page.json").read_bytes()
+    assert msgspec.json.decode(data, type=list[LeaseLine]) == lines
+    assert msgspec.json.encode(lines) == data
+
+
+def test_the_page_of_a_servers_status_keeps_its_bytes(tmp_path: pathlib.Path) -> None:
+    disk = KeeperDisk(str(tmp_path), "f", "k0", SERVERS)
+    disk.write(STATE)
+    service = KeeperService("k0", Bounds(SERVERS), disk, 5, lambda: 100.0, lambda to, message: None)
+    assert msgspec.json.encode(service.status()) == (DATA / "status_page.json").read_bytes()
