--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -25,7 +25,7 @@
 
 from saffronstack.config.fleet import FleetFile, KeeperEntry
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.fleet.leases.messages import Bounds
+from saffronstack.fleet.leases.messages import LeaseLimits
 from saffronstack.harness.leases.explorer import Budget, Explored, explore
 from saffronstack.harness.leases.rig import LeaseRig, Report
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
@@ -169,7 +169,7 @@
 ) -> int:
     import psutil
 
-    bounds = Bounds(tuple(sorted(fleet.addresses())), longest_s=fleet.longest_s)
+    bounds = LeaseLimits(tuple(sorted(fleet.addresses())), max_lease_s=fleet.longest_s)
     crowd = [
         LeaseClient("cost", f"p{n}", fleet.addresses(), bounds, fleet.lease_s, fleet.wait_s, n)
         for n in range(clients)
--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -19,7 +19,7 @@
 from saffronstack.fleet.control.daemon_client import Daemons
 from saffronstack.fleet.control.messages import LEAD, GatewayState, Order
 from saffronstack.fleet.control.status_client import ask_status, flat
-from saffronstack.fleet.leases.reading import Reading, read_leases
+from saffronstack.fleet.leases.quorum_read import QuorumRead, read_leases
 from saffronstack.fleet.leases.store import Held
 from saffronstack.fleet.rollout.records import decode
 
@@ -59,7 +59,7 @@
     return 0 if daemon.stop(end_gateways=number == 2) else 1
 
 
-def went_back(reading: Reading) -> dict[str, str]:
+def went_back(reading: QuorumRead) -> dict[str, str]:
     """Which release takes which one's place by a rollout that is on its way back."""
     shown = reading.leases.get(LEAD)
     try:
--- a/saffronstack/cli/infleet.py
+++ b/saffronstack/cli/infleet.py
@@ -8,7 +8,7 @@
 from saffronstack.config.schema import InFleet
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.fleet.leases.disk import ForeignStateError
-from saffronstack.fleet.leases.node import KeeperNode
+from saffronstack.fleet.leases.lease_server import LeaseServer
 from saffronstack.fleet.tasks.runner import TaskRunner
 
 
@@ -17,13 +17,13 @@
 
     def __init__(self, config: InFleet) -> None:
         """Starts it. ConfigError with the reason; OSError where an address or a directory can't be had."""
-        self._node: KeeperNode | None = None
+        self._node: LeaseServer | None = None
         self._client: LeaseClient | None = None
         self._runners: list[TaskRunner] = []
         fleet = load_fleet(config.path)
         if config.keeper is not None and config.state_directory is not None:
             try:
-                self._node = KeeperNode(
+                self._node = LeaseServer(
                     config.keeper, fleet.fleet, fleet.addresses(), bounds_of(fleet), fleet.wait_s,
                     config.state_directory,
                 )  # fmt: skip
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -18,7 +18,7 @@
 from saffronstack.fleet.control.daemon_client import Daemons
 from saffronstack.fleet.control.messages import LEAD
 from saffronstack.fleet.control.status_client import flat
-from saffronstack.fleet.leases.reading import read_leases
+from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.leases.store import Held
 from saffronstack.fleet.rollout.controller import Record, first
 from saffronstack.fleet.rollout.leader import Leader
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -22,10 +22,10 @@
 from saffronstack.config.fleet import FleetFile, TaskEntry, load_fleet
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.fleet.leases.disk import ForeignStateError, KeeperDisk
-from saffronstack.fleet.leases.messages import Bounds
-from saffronstack.fleet.leases.node import KeeperNode
-from saffronstack.fleet.leases.reading import read_leases
+from saffronstack.fleet.leases.disk import AcceptorDisk, ForeignStateError
+from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.leases.messages import LeaseLimits
+from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.leases.store import Held
 from saffronstack.fleet.tasks.jobs import FleetUsage, Job, Sweep, Takeover
 from saffronstack.fleet.tasks.runner import TaskRunner
@@ -41,9 +41,11 @@
 LOOK_S = 0.02
 
 
-def bounds_of(fleet: FleetFile) -> Bounds:
+def bounds_of(fleet: FleetFile) -> LeaseLimits:
     """The figures that keepers and candidates share."""
-    return Bounds(tuple(sorted(fleet.addresses())), longest_s=fleet.longest_s, drift=fleet.drift)
+    return LeaseLimits(
+        tuple(sorted(fleet.addresses())), max_lease_s=fleet.longest_s, max_clock_drift=fleet.drift
+    )
 
 
 def establish(path: str, name: str, directory: str) -> int:
@@ -51,9 +53,9 @@
     try:
         fleet = load_fleet(path)
         bounds = bounds_of(fleet)
-        if name not in bounds.keepers:
-            raise ValueError(f"{path}: {name!r} is none of the keepers {', '.join(bounds.keepers)}")
-        KeeperDisk(directory, fleet.fleet, name, bounds.keepers).establish()
+        if name not in bounds.servers:
+            raise ValueError(f"{path}: {name!r} is none of the keepers {', '.join(bounds.servers)}")
+        AcceptorDisk(directory, fleet.fleet, name, bounds.servers).establish()
     except (ConfigError, OSError, ValueError) as error:
         click.echo(f"saffronstack keeper establish: {error}", err=True)
         return UNUSABLE
@@ -68,7 +70,7 @@
     try:
         fleet = load_fleet(path)
         bounds = bounds_of(fleet)
-        node = KeeperNode(name, fleet.fleet, fleet.addresses(), bounds, fleet.wait_s, directory)
+        node = LeaseServer(name, fleet.fleet, fleet.addresses(), bounds, fleet.wait_s, directory)
         host, port = node.start()
     except (ConfigError, ForeignStateError, OSError, ValueError) as error:
         click.echo(f"saffronstack keeper: {error}", err=True)
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -11,7 +11,7 @@
 from saffronstack.config.load import ConfigError, convert, read_text
 from saffronstack.fleet.control import releases
 from saffronstack.fleet.control.messages import LEAD, WORDS
-from saffronstack.fleet.leases.reading import read_leases
+from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.rollout.controller import Record
 from saffronstack.fleet.rollout.plan import Gateway, Plan, problems
 from saffronstack.fleet.rollout.records import Said, decode, encode
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -28,7 +28,7 @@
 from saffronstack.fleet.control.releases import UnusableError, find
 from saffronstack.fleet.control.slots import Action, Follow, Go, Kill, Slot, Spawn, Term
 from saffronstack.fleet.http_server import HttpServer, problem
-from saffronstack.fleet.leases.reading import Reading
+from saffronstack.fleet.leases.quorum_read import QuorumRead
 from saffronstack.http1.messages import RequestHead
 
 log = structlog.get_logger("saffronstack.daemon")
@@ -68,8 +68,8 @@
         gateways: list[Entry],
         releases: str,
         state_directory: str,
-        learn: Callable[[], Reading],
-        started: Callable[[Reading], dict[str, str]] = lambda reading: {},
+        learn: Callable[[], QuorumRead],
+        started: Callable[[QuorumRead], dict[str, str]] = lambda reading: {},
         clock: Callable[[], float] = time.monotonic,
         start_s: float = slots.START_S,
     ) -> None:
@@ -83,7 +83,7 @@
         found = self._kept.read()
         self._wanted = found or Wanted(fleet, name)
         self._gate = Gate(secrets.randbits(62) + 1, self._wanted.token, found is None)
-        self._queue: queue.SimpleQueue[_Asked | Told | Reading | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[_Asked | Told | QuorumRead | None] = queue.SimpleQueue()
         self._gateways = {gateway.name: gateway for gateway in gateways}
         self._slots = {gateway.name: Slot(gateway.drain_s, start_s) for gateway in gateways}
         self._listeners: dict[str, socket.socket] = {}
@@ -243,7 +243,7 @@
                     self._take(item)
                 elif isinstance(item, Told):
                     self._told(item)
-                elif isinstance(item, Reading):
+                elif isinstance(item, QuorumRead):
                     self._learned(item)
                 now = self._clock()
                 for name, slot in self._slots.items():
@@ -253,7 +253,7 @@
                 log.exception("step of the daemon failed")
         self._ended.set()
 
-    def _learned(self, reading: Reading) -> None:
+    def _learned(self, reading: QuorumRead) -> None:
         """What keepers show. The first reading, with a majority or not, begins: a machine that comes back to
         a rollout which goes back starts the old release, and one without keepers what it had."""
         if self._learned_all or (self._begun and not reading.majority):
--- /dev/null
+++ b/saffronstack/fleet/leases/acceptor.py
@@ -0,0 +1,207 @@
+"""The acceptor of the lease protocol: it promises ballots and grants leases. Free of I/O, clocks and threads.
+
+An acceptor promises each ballot of a lease to one candidate at most, only greater ballots than before, and
+none while another candidate's grant runs. It grants only to the candidate that it promised last. Any two
+majorities share an acceptor, so two holders at once would have needed a grant beside another's, and a later
+holder's ballot is greater."""
+
+from __future__ import annotations
+
+from msgspec.structs import replace
+
+from saffronstack.fleet.leases.errors import UnknownServerError
+from saffronstack.fleet.leases.lease_table import LeaseEntry, LeaseTable, value_order
+from saffronstack.fleet.leases.messages import (
+    AcceptorAction,
+    AcceptorRecord,
+    AcceptorState,
+    AcceptRequest,
+    AcceptResponse,
+    CatchUpRequest,
+    CatchUpResponse,
+    DiskState,
+    LeaseLimits,
+    Message,
+    PrepareRequest,
+    PrepareResponse,
+    ReleaseNotification,
+    ReleaseRequest,
+    SendMessage,
+)
+from saffronstack.fleet.leases.recovery import Recovery, latest_expiry_s
+
+
+class Acceptor:
+    """One of the fleet's acceptors; `handle` and `tick` take its events and return what to do, in order."""
+
+    def __init__(
+        self,
+        name: str,
+        limits: LeaseLimits,
+        disk_state: DiskState,
+        state: AcceptorState,
+        now: float,
+        nonce: int,
+    ) -> None:
+        """Start from what the disk showed.
+
+        Args:
+            name: The name of this server, one of ``limits.servers``.
+            limits: The limits of the fleet.
+            disk_state: Whether the disk's state can be believed.
+            state: The persisted state; empty where it was lost.
+            now: The local clock's time, in seconds.
+            nonce: Distinguishes this start from earlier ones in answers to catch-up requests.
+
+        Raises:
+            UnknownServerError: The name is none of the fleet's servers."""
+        if name not in limits.servers:
+            raise UnknownServerError(f"server {name!r} is none of {', '.join(limits.servers)}")
+        self.name = name
+        self.limits = limits
+        self.table = LeaseTable(name, limits, state, latest_expiry_s(limits, disk_state, now))
+        self.recovery = Recovery(self.table, disk_state, now, nonce)
+
+    def tick(self, now: float) -> list[AcceptorAction]:
+        """Handle a timer."""
+        return self.recovery.tick(now)
+
+    def handle(self, now: float, sender: str, message: Message) -> list[AcceptorAction]:
+        """Handle a message; one that its sender may not send changes nothing."""
+        match message:
+            case PrepareRequest(candidate=candidate) if candidate == sender:
+                return self._handle_prepare(now, message)
+            case AcceptRequest(candidate=candidate) if candidate == sender:
+                return self._handle_accept(now, message)
+            case ReleaseRequest(candidate=candidate) if candidate == sender:
+                return self._handle_release(now, message)
+            case CatchUpRequest(server=server) if server == sender:
+                return self.recovery.handle_request(message)
+            case CatchUpResponse(server=server) if server == sender:
+                return self.recovery.handle_response(now, message)
+            case _:
+                return []
+
+    def can_vote(self, now: float) -> bool:
+        """Return whether it promises and grants now."""
+        return self.recovery.can_vote(now)
+
+    def records(self) -> list[AcceptorRecord]:
+        """Return what it has of each lease."""
+        return list(self.table.records())
+
+    def remaining_s(self, now: float, lease: str) -> float:
+        """Return for how many seconds a grant of the lease still runs here; 0 without one."""
+        return self.table.remaining_s(now, lease)
+
+    def write_of(self, lease: str) -> int:
+        """Return the number of the write that must be persisted before an answer about the lease is sent."""
+        return self.table.write_of(lease)
+
+    def _handle_prepare(self, now: float, request: PrepareRequest) -> list[AcceptorAction]:
+        self.recovery.detect_replacement(request.incarnations)
+        if not self.can_vote(now) or not self.table.has_room_for(request.lease):
+            return []
+        entry = self.table.entry(request.lease)
+        remaining_s = self.remaining_s(now, request.lease)
+        is_free = remaining_s <= 0 or entry.record.holder == request.candidate
+        if not is_free:
+            entry.add_waiter(request.candidate, now, self.limits)
+        is_repeated = _is_promised_to(entry.record, request)
+        is_promised = is_free and (request.ballot > entry.record.promised_ballot or is_repeated)
+        actions: list[AcceptorAction] = []
+        if is_promised and not is_repeated:
+            entry.record = replace(entry.record, promised_ballot=request.ballot, candidate=request.candidate)
+            actions.append(self.table.persist(entry))
+        response = self._prepare_response(request, entry.record, is_promised, remaining_s)
+        return [*actions, SendMessage(request.candidate, response)]
+
+    def _prepare_response(
+        self, request: PrepareRequest, record: AcceptorRecord, is_promised: bool, remaining_s: float
+    ) -> PrepareResponse:
+        return PrepareResponse(
+            request.lease,
+            self.name,
+            request.candidate,
+            request.ballot,
+            is_promised,
+            highest_ballot=record.promised_ballot,
+            remaining_s=remaining_s,
+            holder=record.holder if remaining_s > 0 else "",
+            value=record.value,
+            last_write=self.table.last_write,
+            incarnation=self.table.incarnation,
+            incarnations=self.table.known_incarnations(),
+        )
+
+    def _handle_accept(self, now: float, request: AcceptRequest) -> list[AcceptorAction]:
+        self.recovery.detect_replacement(request.incarnations)
+        if not self.can_vote(now) or not self.table.has_room_for(request.lease):
+            return []
+        if not self._is_within_limits(request):
+            return []
+        entry = self.table.entry(request.lease)
+        remaining_s = self.remaining_s(now, request.lease)
+        is_free = remaining_s <= 0 or entry.record.holder == request.candidate
+        is_accepted = (
+            is_free
+            and _is_promised_to(entry.record, request)
+            and request.ballot > entry.record.released_ballot
+        )
+        actions = self._grant(now, entry, request) if is_accepted else []
+        response = AcceptResponse(
+            request.lease,
+            self.name,
+            request.candidate,
+            request.ballot,
+            request.sequence,
+            is_accepted,
+            highest_ballot=entry.record.promised_ballot,
+            remaining_s=0.0 if is_accepted else remaining_s,
+            incarnation=self.table.incarnation,
+            incarnations=self.table.known_incarnations(),
+        )
+        return [*actions, SendMessage(request.candidate, response)]
+
+    def _is_within_limits(self, request: AcceptRequest) -> bool:
+        has_valid_duration = 0 < request.duration_s <= self.limits.max_lease_s
+        return has_valid_duration and len(request.value.content) <= self.limits.max_value_bytes
+
+    def _grant(self, now: float, entry: LeaseEntry, request: AcceptRequest) -> list[AcceptorAction]:
+        """Grant or renew the lease; a plain renewal changes nothing that has to be persisted."""
+        entry.expires_s = max(entry.expires_s, now + self.limits.grant_duration_s(request.duration_s))
+        entry.waiters.pop(request.candidate, None)
+        before = entry.record
+        is_renewal = before.accepted_ballot == request.ballot
+        record = replace(
+            before,
+            accepted_ballot=request.ballot,
+            holder=request.candidate,
+            duration_s=max(request.duration_s, before.duration_s if is_renewal else 0.0),
+            value=max(before.value, request.value, key=value_order),
+        )
+        observed_writes = self.table.merged_observed_writes(request.observed_writes)
+        if record == before and observed_writes == self.table.observed_writes:
+            return []
+        entry.record, self.table.observed_writes = record, observed_writes
+        return [self.table.persist(entry)]
+
+    def _handle_release(self, now: float, request: ReleaseRequest) -> list[AcceptorAction]:
+        entry = self.table.leases.get(request.lease)
+        if entry is None or request.ballot <= entry.record.released_ballot:
+            return []
+        if not _is_promised_to(entry.record, request):
+            return []
+        entry.expires_s = 0.0  # an accept request that arrives later finds its ballot released
+        entry.record = replace(entry.record, holder="", released_ballot=request.ballot)
+        waiter = entry.pop_waiter(now, self.limits)
+        persist = self.table.persist(entry)
+        if waiter is None:
+            return [persist]
+        notification = ReleaseNotification(request.lease, self.name, waiter)
+        return [persist, SendMessage(waiter, notification)]
+
+
+def _is_promised_to(record: AcceptorRecord, request: PrepareRequest | AcceptRequest | ReleaseRequest) -> bool:
+    """Return whether exactly this ballot of this candidate is the one promised last."""
+    return (record.promised_ballot, record.candidate) == (request.ballot, request.candidate)
--- a/saffronstack/fleet/leases/service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -9,9 +9,17 @@
 import structlog
 
 from saffronstack.core.threads import spawn
-from saffronstack.fleet.leases.disk import KeeperDisk
-from saffronstack.fleet.leases.keeper import Keeper
-from saffronstack.fleet.leases.messages import Bounds, Message, Record, Save, Saved, Say, WakeAt
+from saffronstack.fleet.leases.acceptor import Acceptor
+from saffronstack.fleet.leases.disk import AcceptorDisk
+from saffronstack.fleet.leases.messages import (
+    AcceptorRecord,
+    AcceptorState,
+    LeaseLimits,
+    Message,
+    PersistState,
+    SendMessage,
+    SetTimer,
+)
 
 log = structlog.get_logger("saffronstack.keeper")
 AGAIN_S = 0.5  # after a save that failed
@@ -36,14 +44,14 @@
         return not self.listeners and now - self.left_s > LEFT_S
 
 
-class KeeperService:
+class AcceptorService:
     """Owns the machine (under a lock that is held for decisions alone) and the thread that saves."""
 
     def __init__(
         self,
         name: str,
-        bounds: Bounds,
-        disk: KeeperDisk,
+        bounds: LeaseLimits,
+        disk: AcceptorDisk,
         nonce: int,
         clock: Callable[[], float],
         say: Callable[[str, Message], None],
@@ -55,10 +63,10 @@
         read = disk.read()
         for line in read.lines:
             log.warning("keeper's disk", line=line)
-        self._machine = Keeper(name, bounds, read.found, read.saved, clock(), nonce)
+        self._machine = Acceptor(name, bounds, read.found, read.saved, clock(), nonce)
         self._lock = threading.Condition()
-        self._newest: Saved | None = None
-        self._saved = read.saved.write  # the greatest write that is on the disk
+        self._newest: AcceptorState | None = None
+        self._saved = read.saved.last_write  # the greatest write that is on the disk
         self._waiting = 0
         self._mail: dict[str, _Box] = {}
         self._wake_s: float | None = None
@@ -89,7 +97,7 @@
         """Decide, save, answer the sender. Nothing where the disk does not save it within ``wait_s``: a
         keeper with a stalled disk is silent, not wrong."""
         answers: list[Message] = []
-        elsewhere: list[Say] = []
+        elsewhere: list[SendMessage] = []
         with self._lock:
             if self._stopping or self._waiting >= WAITING_MOST:
                 return []
@@ -97,18 +105,18 @@
             for message in messages:
                 speaker = _speaker(sender, message)
                 for action in self._machine.handle(now, speaker, message):
-                    if isinstance(action, Save):
-                        self._newest = action.saved
+                    if isinstance(action, PersistState):
+                        self._newest = action.state
                         self._lock.notify_all()
-                    elif isinstance(action, WakeAt):
+                    elif isinstance(action, SetTimer):
                         self._wake(action)
-                    elif action.to == speaker:
+                    elif action.receiver == speaker:
                         answers.append(action.message)
                     else:
                         elsewhere.append(action)
             # An answer that saves nothing itself may rest on what another one still waits to have saved.
             leases = {getattr(message, "lease", "") for message in messages}
-            write = max(map(self._machine.written, leases), default=0)
+            write = max(map(self._machine.write_of, leases), default=0)
             self._waiting += 1
             try:
                 done = self._lock.wait_for(lambda: self._saved >= write or self._stopping, wait_s)
@@ -137,9 +145,9 @@
                 box.left_s = self._clock()
             return found
 
-    def _tell(self, say: Say) -> None:
+    def _tell(self, say: SendMessage) -> None:
         """To another keeper over its link; to a candidate where its process listens, or did just now."""
-        process = say.to.rpartition(".")[0] or say.to
+        process = say.receiver.rpartition(".")[0] or say.receiver
         with self._lock:
             for gone in [who for who, box in self._mail.items() if box.gone(self._clock())]:
                 del self._mail[gone]
@@ -148,7 +156,7 @@
                 box.messages = [*box.messages[-MAIL_MOST:], say.message]
                 self._lock.notify_all()
                 return
-        self._say(say.to, say.message)
+        self._say(say.receiver, say.message)
 
     def hear(self, keeper: str, messages: tuple[Message, ...]) -> None:
         """What another keeper answered; never waits."""
@@ -158,15 +166,16 @@
             now = self._clock()
             for message in messages:
                 for action in self._machine.handle(now, keeper, message):
-                    if isinstance(action, Save):
-                        self._newest = action.saved
+                    if isinstance(action, PersistState):
+                        self._newest = action.state
             self._lock.notify_all()
 
-    def records(self) -> list[tuple[Record, float]]:
+    def records(self) -> list[tuple[AcceptorRecord, float]]:
         """Each lease, and for how many seconds a grant of it runs here."""
         with self._lock:
             now = self._clock()
-            return [(record, self._machine.left_s(now, record.lease)) for record in self._machine.records()]
+            machine = self._machine
+            return [(record, machine.remaining_s(now, record.lease)) for record in machine.records()]
 
     def status(self) -> dict[str, object]:
         """How it stands, for a person."""
@@ -174,45 +183,45 @@
             now, machine = self._clock(), self._machine
             return {
                 "keeper": machine.name,
-                "votes": machine.votes(now),
-                "disk": machine.found.value,
-                "life": machine.life,
-                "sure": machine.sure,
-                "votes_in_s": round(max(0.0, machine.waits_until_s - now), 3),
+                "votes": machine.can_vote(now),
+                "disk": machine.recovery.disk_state.value,
+                "life": machine.table.incarnation,
+                "sure": machine.recovery.has_recovered,
+                "votes_in_s": round(max(0.0, machine.recovery.votes_from_s - now), 3),
                 "leases": len(machine.records()),
-                "write": machine.write,
+                "write": machine.table.last_write,
                 "saved": self._saved,
                 "trouble": self.trouble,
             }
 
     # ---- threads
 
-    def _wake(self, wake: WakeAt) -> None:
-        self._wake_s = wake.at_s if self._wake_s is None else min(self._wake_s, wake.at_s)
+    def _wake(self, wake: SetTimer) -> None:
+        self._wake_s = wake.deadline_s if self._wake_s is None else min(self._wake_s, wake.deadline_s)
         self._lock.notify_all()
 
     def _keep_time(self) -> None:
         """Ask the other keepers until its word counts."""
         while True:
-            said: list[Say] = []
+            said: list[SendMessage] = []
             with self._lock:
                 if self._stopping:
                     return
                 now = self._clock()
                 self._wake_s = None
                 # A life that others know and that is not on the disk yet would be another one's after a kill.
-                unsaved = self._saved < self._machine.write
+                unsaved = self._saved < self._machine.table.last_write
                 for action in self._machine.tick(now):
-                    if isinstance(action, Say):
+                    if isinstance(action, SendMessage):
                         if not unsaved:
                             said.append(action)
-                    elif isinstance(action, WakeAt):
+                    elif isinstance(action, SetTimer):
                         self._wake(action)
                 if not said:
                     wait_s = IDLE_S if self._wake_s is None else min(IDLE_S, max(0.01, self._wake_s - now))
                     self._lock.wait(wait_s)
             for action in said:
-                self._say(action.to, action.message)
+                self._say(action.receiver, action.message)
 
     def _save_all(self) -> None:
         """Save the newest; what came while the disk was busy goes with the next one."""
@@ -235,7 +244,7 @@
                 continue
             with self._lock:
                 self.trouble = ""
-                self._saved = max(self._saved, newest.write)
+                self._saved = max(self._saved, newest.last_write)
                 self._lock.notify_all()
 
 
--- /dev/null
+++ b/saffronstack/fleet/leases/candidate.py
@@ -0,0 +1,317 @@
+"""The candidate (proposer) of the lease protocol: it acquires, renews and releases one lease. Free of I/O.
+
+A candidate counts its lease from before it sent the accept requests, while acceptors count from after they
+received them: by its own clock it stops first. No check of the clock holds over a pause between the check and
+the act it protects, so the protected resource must compare the fencing token."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+from enum import Enum
+
+from saffronstack.fleet.leases.errors import InvalidLeaseDurationError, NotHolderError
+from saffronstack.fleet.leases.lease_table import value_order
+from saffronstack.fleet.leases.messages import (
+    AcceptRequest,
+    AcceptResponse,
+    Incarnations,
+    LeaseLimits,
+    LeaseValue,
+    Message,
+    ObservedWrites,
+    PrepareRequest,
+    PrepareResponse,
+    ReleaseNotification,
+    ReleaseRequest,
+    SendMessage,
+    SetTimer,
+)
+
+ROUND_TIMEOUT_S = 1.0  # a round without a majority ends after this, or after RENEWAL_FRACTION of the lease
+RENEWAL_FRACTION = 1 / 3  # of the lease after which it is renewed
+INITIAL_BACKOFF_S = 0.05  # doubled and jittered, up to RENEWAL_FRACTION of the lease
+
+
+class CandidateState(Enum):
+    """The phase of the protocol that a candidate is in."""
+
+    IDLE = "idle"
+    PREPARING = "preparing"  # waits for promises
+    ACQUIRING = "acquiring"  # waits for a majority to accept
+    HOLDING = "holding"
+    BACKING_OFF = "backing off"  # waits before it prepares again
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseAcquired:
+    """The candidate holds the lease under this token until ``expires_s`` (local clock) unless renewed."""
+
+    token: int
+    expires_s: float
+    value: LeaseValue
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseRenewed:
+    """The lease now runs until ``expires_s`` (local clock)."""
+
+    token: int
+    expires_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseLost:
+    """The candidate does not hold the lease any more; ``reason`` is for the log."""
+
+    token: int
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class ValueStored:
+    """A majority has persisted a value."""
+
+    value: LeaseValue
+
+
+CandidateAction = SendMessage | SetTimer | LeaseAcquired | LeaseRenewed | LeaseLost | ValueStored
+
+
+class Candidate:
+    """A candidate for one lease; each event returns the actions to carry out, in order."""
+
+    def __init__(self, name: str, lease: str, lease_s: float, limits: LeaseLimits, seed: int) -> None:
+        """Create an idle candidate.
+
+        Args:
+            name: A name that no candidate had before, also not before a restart of the process.
+            lease: The lease's name.
+            lease_s: For how long each grant runs, in seconds.
+            limits: The limits of the fleet.
+            seed: Seeds the jitter of the backoff.
+
+        Raises:
+            InvalidLeaseDurationError: No server grants a lease of this duration."""
+        if not 0 < lease_s <= limits.max_lease_s:
+            raise InvalidLeaseDurationError(
+                f"a lease runs for at most {limits.max_lease_s:g} s, and not for {lease_s:g} s"
+            )
+        self.name, self.lease, self.lease_s, self.limits = name, lease, lease_s, limits
+        self.state = CandidateState.IDLE
+        self.token = 0
+        self.expires_s = 0.0
+        self.value = LeaseValue()
+        self.holder = ""  # another candidate that holds it, as the last response said
+        self._is_wanted = False
+        self._random = random.Random(seed)
+        self._ballot = 0
+        self._highest_ballot = 0
+        self._sequence = 0
+        self._round_started_s = 0.0
+        self._deadline_s = 0.0  # when a round times out, a renewal is due, or a backoff ends
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._approvals: dict[str, PrepareResponse | AcceptResponse] = {}  # of this round
+        self._rejections: dict[str, PrepareResponse | AcceptResponse] = {}
+        self._incarnations: dict[str, int] = {}  # the greatest that any server reported of each
+        self._pending_value: LeaseValue | None = None
+
+    @property
+    def is_waiting(self) -> bool:
+        """Return whether it waits for another holder's release or a retry."""
+        return self.state is CandidateState.BACKING_OFF
+
+    # ---- requests of the owner
+
+    def acquire(self, now: float) -> list[CandidateAction]:
+        """Start to acquire the lease, and keep it renewed."""
+        self._is_wanted = True
+        return self._prepare(now) if self.state is CandidateState.IDLE else []
+
+    def is_holder(self, now: float) -> bool:
+        """Return whether it holds the lease now."""
+        return self.state is CandidateState.HOLDING and now < self.expires_s
+
+    def store_value(self, now: float, content: bytes) -> list[CandidateAction]:
+        """Store the lease's value; `ValueStored` follows once a majority has it.
+
+        Raises:
+            NotHolderError: It does not hold the lease."""
+        if not self.is_holder(now):
+            raise NotHolderError("only a holder writes a lease's value")
+        self._pending_value = self.value = LeaseValue(self.token, self.value.version + 1, content)
+        return self._renew(now)
+
+    def release(self, now: float) -> list[CandidateAction]:
+        """Give the lease up at once, so that the next candidate need not wait until it expires."""
+        was_holder, ballot = self.is_holder(now), self._ballot
+        self._is_wanted, self.state, self.expires_s = False, CandidateState.IDLE, 0.0
+        actions: list[CandidateAction] = [*self._broadcast(ReleaseRequest(self.lease, self.name, ballot))]
+        return [*actions, LeaseLost(self.token, "given back")] if was_holder else actions
+
+    # ---- events
+
+    def tick(self, now: float) -> list[CandidateAction]:
+        """Handle a timer."""
+        if self.state is CandidateState.HOLDING:
+            if now >= self.expires_s:
+                return self._lose_lease(now, "no majority renewed it in time")
+            return self._renew(now) if now >= self._deadline_s else []
+        if self.state is CandidateState.IDLE or now < self._deadline_s:
+            return []
+        if self.state is CandidateState.BACKING_OFF:
+            return self._prepare(now)
+        return self._back_off(now)
+
+    def handle(self, now: float, sender: str, message: Message) -> list[CandidateAction]:
+        """Handle a server's message; one that is late or meant for another round changes nothing."""
+        if self.state is CandidateState.HOLDING and now >= self.expires_s:
+            return self._lose_lease(now, "no majority renewed it in time")
+        match message:
+            case PrepareResponse() | AcceptResponse() | ReleaseNotification():
+                if message.server != sender or not self._is_addressee_of(message):
+                    return []
+            case _:
+                return []
+        if isinstance(message, ReleaseNotification):
+            return self._prepare(now) if self.state is CandidateState.BACKING_OFF else []
+        self._highest_ballot = max(self._highest_ballot, message.highest_ballot)
+        self._observe_incarnations(message)
+        if isinstance(message, PrepareResponse):
+            return self._handle_prepare_response(now, message)
+        return self._handle_accept_response(now, message)
+
+    def _is_addressee_of(self, message: PrepareResponse | AcceptResponse | ReleaseNotification) -> bool:
+        is_own = (message.lease, message.candidate) == (self.lease, self.name)
+        return is_own and message.server in self.limits.servers
+
+    def _observe_incarnations(self, response: PrepareResponse | AcceptResponse) -> None:
+        for server, incarnation in ((response.server, response.incarnation), *response.incarnations):
+            if server in self.limits.servers and incarnation > self._incarnations.get(server, 0):
+                self._incarnations[server] = incarnation
+
+    # ---- rounds
+
+    def _start_round(self, now: float) -> None:
+        """Start a round: only responses to it count, and a grant is counted from now."""
+        self._sequence += 1
+        self._approvals, self._rejections = {}, {}
+        self._round_started_s = now
+        self._deadline_s = now + min(ROUND_TIMEOUT_S, self.lease_s * RENEWAL_FRACTION)
+
+    def _prepare(self, now: float) -> list[CandidateAction]:
+        self.state = CandidateState.PREPARING
+        self._ballot = self._highest_ballot = self._highest_ballot + 1
+        self._start_round(now)
+        request = PrepareRequest(self.lease, self.name, self._ballot, self._known_incarnations())
+        return [*self._broadcast(request), SetTimer(self._deadline_s)]
+
+    def _handle_prepare_response(self, now: float, response: PrepareResponse) -> list[CandidateAction]:
+        if self.state is not CandidateState.PREPARING or response.ballot != self._ballot:
+            return []
+        (self._approvals if response.is_promised else self._rejections)[response.server] = response
+        self.holder = response.holder or self.holder
+        if self._is_rejected():
+            return self._back_off(now)
+        promises = [one for one in self._valid_approvals() if isinstance(one, PrepareResponse)]
+        if len(promises) < self.limits.majority:
+            return []
+        self.value = max((promise.value for promise in promises), key=value_order)
+        self.state = CandidateState.ACQUIRING
+        self._start_round(now)
+        observed_writes = tuple((promise.server, promise.last_write) for promise in promises)
+        return [*self._broadcast(self._accept_request(observed_writes)), SetTimer(self._deadline_s)]
+
+    def _handle_accept_response(self, now: float, response: AcceptResponse) -> list[CandidateAction]:
+        if response.ballot != self._ballot or response.sequence != self._sequence:
+            return []
+        if self.state not in (CandidateState.ACQUIRING, CandidateState.HOLDING):
+            return []
+        (self._approvals if response.is_accepted else self._rejections)[response.server] = response
+        if self.state is CandidateState.ACQUIRING and self._is_rejected():
+            return self._back_off(now)
+        if len(self._valid_approvals()) != self.limits.majority or not response.is_accepted:
+            return []
+        expires_s = self._round_started_s + self.lease_s * (1 - self.limits.max_clock_drift)
+        if now < expires_s:
+            return self._extend_lease(expires_s)
+        # The responses took longer than the lease.
+        if self.state is CandidateState.HOLDING:
+            return self._lose_lease(now, "granted too late")
+        return self._back_off(now)
+
+    def _extend_lease(self, expires_s: float) -> list[CandidateAction]:
+        """A majority accepted: the lease was acquired or renewed."""
+        is_acquired = self.state is CandidateState.ACQUIRING
+        self.state, self.token = CandidateState.HOLDING, self._ballot
+        self.expires_s = expires_s if is_acquired else max(self.expires_s, expires_s)
+        self._deadline_s = self._round_started_s + RENEWAL_FRACTION * self.lease_s
+        self._backoff_s = INITIAL_BACKOFF_S
+        actions: list[CandidateAction] = []
+        if is_acquired:
+            actions.append(LeaseAcquired(self.token, self.expires_s, self.value))
+        else:
+            actions.append(LeaseRenewed(self.token, self.expires_s))
+        if self._pending_value is not None:
+            actions.append(ValueStored(self._pending_value))
+            self._pending_value = None
+        return [*actions, SetTimer(min(self._deadline_s, self.expires_s))]
+
+    def _is_rejected(self) -> bool:
+        """Return whether so many servers rejected the round that no majority is left."""
+        return len(self._rejections) > len(self.limits.servers) - self.limits.majority
+
+    def _valid_approvals(self) -> list[PrepareResponse | AcceptResponse]:
+        """Return the approvals of servers that are not known to have been replaced.
+
+        Of two machines of one name, the one that was taken for dead may wake up, and whoever still has its
+        address would count its vote."""
+        return [
+            response
+            for response in self._approvals.values()
+            if response.incarnation >= self._incarnations.get(response.server, 0)
+        ]
+
+    def _known_incarnations(self) -> Incarnations:
+        return tuple(sorted(self._incarnations.items()))
+
+    def _accept_request(self, observed_writes: ObservedWrites = ()) -> AcceptRequest:
+        return AcceptRequest(
+            self.lease,
+            self.name,
+            self._ballot,
+            self._sequence,
+            self.lease_s,
+            self.value,
+            observed_writes,
+            self._known_incarnations(),
+        )
+
+    def _renew(self, now: float) -> list[CandidateAction]:
+        self._start_round(now)
+        timer = SetTimer(min(self._deadline_s, self.expires_s))
+        return [*self._broadcast(self._accept_request()), timer]
+
+    def _back_off(self, now: float) -> list[CandidateAction]:
+        """Wait until the other's grant may have expired, or a jittered time, so that two do not collide."""
+        remaining_s = [one.remaining_s for one in self._rejections.values() if one.remaining_s > 0]
+        jittered_s = self._backoff_s * (0.5 + self._random.random())
+        self._backoff_s = min(2 * self._backoff_s, max(INITIAL_BACKOFF_S, self.lease_s * RENEWAL_FRACTION))
+        actions: list[CandidateAction] = []
+        if self.state is CandidateState.ACQUIRING:  # servers that accepted need not wait until it expires
+            actions = [*self._broadcast(ReleaseRequest(self.lease, self.name, self._ballot))]
+        self.state = CandidateState.BACKING_OFF
+        # A waiter prepares now and then, so that servers know that it still waits.
+        wait_s = min(min(remaining_s, default=0.0), self.lease_s * RENEWAL_FRACTION)
+        self._deadline_s = now + wait_s + jittered_s
+        return [*actions, SetTimer(self._deadline_s)]
+
+    def _lose_lease(self, now: float, reason: str) -> list[CandidateAction]:
+        token, self.expires_s = self.token, 0.0
+        self._pending_value = None
+        self.state = CandidateState.IDLE
+        actions: list[CandidateAction] = [LeaseLost(token, reason)]
+        return [*actions, *self._prepare(now)] if self._is_wanted else actions
+
+    def _broadcast(self, message: PrepareRequest | AcceptRequest | ReleaseRequest) -> list[SendMessage]:
+        return [SendMessage(server, message) for server in self.limits.servers]
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -10,9 +10,15 @@
 import structlog
 
 from saffronstack.core.threads import spawn
-from saffronstack.fleet.leases.holder import Candidate, CandidateAction, Gained, Lost, Stored
-from saffronstack.fleet.leases.links import KeeperLink
-from saffronstack.fleet.leases.messages import Bounds, Message, Say, WakeAt
+from saffronstack.fleet.leases.candidate import (
+    Candidate,
+    CandidateAction,
+    LeaseAcquired,
+    LeaseLost,
+    ValueStored,
+)
+from saffronstack.fleet.leases.messages import LeaseLimits, Message, SendMessage, SetTimer
+from saffronstack.fleet.leases.server_link import LeaseServerLink
 
 log = structlog.get_logger("saffronstack.leases")
 IDLE_S = 0.5
@@ -64,12 +70,12 @@
         fleet: str,
         name: str,
         addresses: dict[str, str],
-        bounds: Bounds,
+        bounds: LeaseLimits,
         lease_s: float,
         wait_s: float,
         seed: int,
         clock: Callable[[], float] = holder_clock,
-        make: Callable[[str, str, float, Bounds, int], Candidate] = Candidate,
+        make: Callable[[str, str, float, LeaseLimits, int], Candidate] = Candidate,
     ) -> None:
         """``name`` is new with every life of a process; ``wait_s`` bounds each exchange with a keeper."""
         self._make = make
@@ -82,7 +88,7 @@
         self._told: list[tuple[Callable[[str], None], str]] = []
         self._stopping = False
         self._links = {
-            keeper: KeeperLink(
+            keeper: LeaseServerLink(
                 keeper, address, fleet, name, wait_s, self._heard, time.monotonic, seed * 31 + number
             )
             for number, (keeper, address) in enumerate(sorted(addresses.items()))
@@ -104,7 +110,7 @@
             name = f"{self._name}.{self._order}"  # a new candidate each time: its numbers are its own
             candidate = self._make(name, lease, self._lease_s, self._bounds, self._seed + self._order)
             wanted = self._wanted[lease] = _Wanted(candidate, lost)
-            self._do(lease, candidate.want(self._clock()))
+            self._do(lease, candidate.acquire(self._clock()))
             self._lock.wait_for(lambda: wanted.held is not None or self._stopping, wait_s)
             if wanted.held is None:
                 self._drop(lease)
@@ -117,17 +123,17 @@
             if wanted is None or wanted.held is not held:
                 return 0.0
             now = self._clock()
-            return wanted.candidate.until_s - now if wanted.candidate.holds(now) else 0.0
+            return wanted.candidate.expires_s - now if wanted.candidate.is_holder(now) else 0.0
 
     def put(self, held: _Held, content: bytes, wait_s: float) -> bool:
         """See `store.Held`."""
         with self._lock:
             wanted = self._wanted.get(held.lease)
             now = self._clock()
-            if wanted is None or wanted.held is not held or not wanted.candidate.holds(now):
+            if wanted is None or wanted.held is not held or not wanted.candidate.is_holder(now):
                 return False
-            self._do(held.lease, wanted.candidate.put(now, content))
-            count = wanted.candidate.value.count
+            self._do(held.lease, wanted.candidate.store_value(now, content))
+            count = wanted.candidate.value.version
             self._lock.wait_for(lambda: wanted.stored >= count or wanted.ended or self._stopping, wait_s)
             if wanted.stored < count:
                 return False
@@ -168,45 +174,45 @@
     def _drop(self, lease: str) -> None:
         wanted = self._wanted.pop(lease)
         wanted.ended = True
-        self._do(lease, wanted.candidate.give_back(self._clock()))
+        self._do(lease, wanted.candidate.release(self._clock()))
         self._lock.notify_all()
 
     def _do(self, lease: str, actions: list[CandidateAction]) -> None:
         wanted = self._wanted.get(lease)
         for action in actions:
-            if isinstance(action, Say):
-                self._links[action.to].say(action.message)
-            elif isinstance(action, WakeAt):
+            if isinstance(action, SendMessage):
+                self._links[action.receiver].say(action.message)
+            elif isinstance(action, SetTimer):
                 self._order += 1
-                heapq.heappush(self._wakes, (action.at_s, self._order, lease))
+                heapq.heappush(self._wakes, (action.deadline_s, self._order, lease))
                 self._lock.notify_all()
             elif wanted is None:
                 continue
-            elif isinstance(action, Gained):
+            elif isinstance(action, LeaseAcquired):
                 if wanted.held is None:
                     wanted.held = _Held(self, lease, action.token, action.value.content)
                     self._lock.notify_all()
-            elif isinstance(action, Stored):
-                wanted.stored = max(wanted.stored, action.value.count)
+            elif isinstance(action, ValueStored):
+                wanted.stored = max(wanted.stored, action.value.version)
                 self._lock.notify_all()
-            elif isinstance(action, Lost):
+            elif isinstance(action, LeaseLost):
                 self._lost(lease, wanted, action)
 
     def _listen(self) -> None:
         """Keepers tell those in line when it is their turn."""
-        waits = any(wanted.candidate.waits for wanted in self._wanted.values())
+        waits = any(wanted.candidate.is_waiting for wanted in self._wanted.values())
         for link in self._links.values():
             link.listen(waits)
 
-    def _lost(self, lease: str, wanted: _Wanted, lost: Lost) -> None:
+    def _lost(self, lease: str, wanted: _Wanted, lost: LeaseLost) -> None:
         """It is over for this owner: what it asks for next is another lease with another token."""
         if wanted.held is None or wanted.ended:
             return
-        log.warning("lease lost", lease=lease, token=lost.token, why=lost.why)
+        log.warning("lease lost", lease=lease, token=lost.token, why=lost.reason)
         if self._wanted.get(lease) is wanted:
             self._drop(lease)
         if wanted.lost is not None:
-            self._told.append((wanted.lost, lost.why))
+            self._told.append((wanted.lost, lost.reason))
 
     # ---- threads
 
--- a/saffronstack/fleet/leases/codec.py
+++ b/saffronstack/fleet/leases/codec.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from saffronstack.fleet.leases.messages import Message, Saved
+from saffronstack.fleet.leases.messages import AcceptorState, Message
 
 MESSAGES_MOST = 512  # in one envelope
 
@@ -18,17 +18,22 @@
     wait_s: float = 0.0  # a request without messages: answer when there is something, or after this
 
 
-class Shelf(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StoredState(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"server": "keeper", "servers": "keepers", "state": "saved"},
+):
     """What a keeper's disk says: whose it is, and what was saved."""
 
     fleet: str
-    keeper: str
-    keepers: tuple[str, ...]
-    saved: Saved
+    server: str
+    servers: tuple[str, ...]
+    state: AcceptorState
 
 
 _read_envelope = msgspec.json.Decoder(Envelope)
-_read_shelf = msgspec.msgpack.Decoder(Shelf)
+_read_shelf = msgspec.msgpack.Decoder(StoredState)
 
 
 def encode(envelope: Envelope) -> bytes:
@@ -47,12 +52,12 @@
     return envelope
 
 
-def encode_shelf(shelf: Shelf) -> bytes:
+def encode_shelf(shelf: StoredState) -> bytes:
     """For the disk."""
     return msgspec.msgpack.encode(shelf)
 
 
-def decode_shelf(data: bytes) -> Shelf:
+def decode_shelf(data: bytes) -> StoredState:
     """From the disk. ValueError with what is wrong."""
     try:
         return _read_shelf.decode(data)
--- a/saffronstack/fleet/leases/disk.py
+++ b/saffronstack/fleet/leases/disk.py
@@ -15,8 +15,8 @@
 import xxhash
 
 from saffronstack.durable.segments import Files
-from saffronstack.fleet.leases.codec import Shelf, decode_shelf, encode_shelf
-from saffronstack.fleet.leases.messages import Found, Saved
+from saffronstack.fleet.leases.codec import StoredState, decode_shelf, encode_shelf
+from saffronstack.fleet.leases.messages import AcceptorState, DiskState
 
 # Magic, copy (its place: 0 or 1), write, length of the content, XXH3-128 over all before it and the content.
 HEADER = struct.Struct("<4sIQI16s")
@@ -29,15 +29,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class StateRead:
     """What a start found; ``lines`` for the log."""
 
-    found: Found
-    saved: Saved
+    found: DiskState
+    saved: AcceptorState
     lines: list[str] = field(default_factory=list)
 
 
-class KeeperDisk:
+class AcceptorDisk:
     """The directory of one keeper. One thread uses it at a time."""
 
     def __init__(
@@ -53,13 +53,13 @@
         for name in COPIES:
             if (self.directory / name).exists():
                 raise FileExistsError(f"{self.directory / name}: there is a keeper's state here")
-        self.write(Saved())
+        self.write(AcceptorState())
 
-    def read(self) -> Read:
+    def read(self) -> StateRead:
         """What is there. ForeignStateError; OSError where the directory can't be read or made."""
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         lines: list[str] = []
-        shelves: list[Shelf] = []
+        shelves: list[StoredState] = []
         for place, name in enumerate(COPIES):
             path = self.directory / name
             try:
@@ -74,16 +74,18 @@
             lines.append(
                 f"{self.directory}: no copy can be read: this keeper votes once a majority of the others told"
             )
-            return Read(Found.LOST, Saved(), lines)
-        return Read(
-            Found.SOUND, max((shelf.saved for shelf in shelves), key=lambda saved: saved.write), lines
+            return StateRead(DiskState.LOST, AcceptorState(), lines)
+        return StateRead(
+            DiskState.INTACT,
+            max((shelf.state for shelf in shelves), key=lambda saved: saved.last_write),
+            lines,
         )
 
-    def write(self, saved: Saved) -> None:
+    def write(self, saved: AcceptorState) -> None:
         """Have it on the disk, twice. OSError where that fails: what stands then is this or what was."""
-        content = encode_shelf(Shelf(self._fleet, self._keeper, self._keepers, saved))
+        content = encode_shelf(StoredState(self._fleet, self._keeper, self._keepers, saved))
         for place, name in enumerate(COPIES):
-            self._put(self.directory / name, _pack(content, place, saved.write))
+            self._put(self.directory / name, _pack(content, place, saved.last_write))
 
     def _put(self, path: pathlib.Path, data: bytes) -> None:
         files, partial = self._files, path.with_suffix(".new")
@@ -97,18 +99,18 @@
         os.replace(partial, path)
         files.sync_directory(self.directory)
 
-    def _check(self, shelf: Shelf) -> None:
+    def _check(self, shelf: StoredState) -> None:
         if shelf.fleet != self._fleet:
             raise ForeignStateError(
                 f"{self.directory}: the state of fleet {shelf.fleet!r}, not of {self._fleet!r}"
             )
-        if shelf.keeper != self._keeper:
+        if shelf.server != self._keeper:
             raise ForeignStateError(
-                f"{self.directory}: the state of keeper {shelf.keeper!r}, not of {self._keeper!r}"
+                f"{self.directory}: the state of keeper {shelf.server!r}, not of {self._keeper!r}"
             )
-        if set(shelf.keepers) != set(self._keepers):
+        if set(shelf.servers) != set(self._keepers):
             raise ForeignStateError(
-                f"{self.directory}: of keepers {', '.join(sorted(shelf.keepers))}; the file has "
+                f"{self.directory}: of keepers {', '.join(sorted(shelf.servers))}; the file has "
                 f"{', '.join(sorted(self._keepers))}. A keeper is replaced under its own name; their number "
                 "changes only with all of them stopped and established anew"
             )
@@ -119,7 +121,7 @@
     return bare + xxhash.xxh3_128_digest(bare + content) + content
 
 
-def _unpack(data: bytes, place: int) -> Shelf:
+def _unpack(data: bytes, place: int) -> StoredState:
     if len(data) < HEADER.size:
         raise ValueError(f"{len(data)} bytes are no copy")
     magic, told, write, length, checksum = HEADER.unpack_from(data)
@@ -131,6 +133,6 @@
     if told != place:
         raise ValueError(f"copy {told} in the place of copy {place}")
     shelf = decode_shelf(content)
-    if shelf.saved.write != write:
-        raise ValueError(f"write {shelf.saved.write} under the header of write {write}")
+    if shelf.state.last_write != write:
+        raise ValueError(f"write {shelf.state.last_write} under the header of write {write}")
     return shelf
--- a/saffronstack/fleet/leases/server.py
+++ b/saffronstack/fleet/leases/http_endpoint.py
@@ -8,9 +8,9 @@
 
 from saffronstack.fleet.http_server import HttpServer, problem
 from saffronstack.fleet.leases import codec
+from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.codec import Envelope
-from saffronstack.fleet.leases.messages import Written
-from saffronstack.fleet.leases.service import KeeperService
+from saffronstack.fleet.leases.messages import LeaseValue
 from saffronstack.http1.messages import RequestHead
 
 TARGET = "/lease/messages"
@@ -18,21 +18,21 @@
 LISTEN_S = 5.0  # the longest that a process listens before it says again that it does
 
 
-class LeaseLine(msgspec.Struct, frozen=True):
+class LeaseReport(msgspec.Struct, frozen=True):
     """One lease as a keeper shows it."""
 
     lease: str
     holder: str
     token: int
     left_s: float
-    value: Written
+    value: LeaseValue
 
 
-class KeeperServer(HttpServer):
+class LeaseHttpEndpoint(HttpServer):
     """Listens for candidates, other keepers and operators."""
 
     def __init__(
-        self, host: str, port: int, fleet: str, service: KeeperService, clock: Callable[[], float]
+        self, host: str, port: int, fleet: str, service: AcceptorService, clock: Callable[[], float]
     ) -> None:
         """OSError where the address can't be had."""
         super().__init__("keeper", host, port, self._reply, clock)
@@ -58,7 +58,9 @@
             return 200, msgspec.json.encode(self._service.status() | {"connections": self.connections})
         if head.target == "/leases":
             lines = [
-                LeaseLine(record.lease, record.holder, record.token, round(left_s, 3), record.value)
+                LeaseReport(
+                    record.lease, record.holder, record.accepted_ballot, round(left_s, 3), record.value
+                )
                 for record, left_s in self._service.records()
             ]
             return 200, msgspec.json.encode(lines)
--- a/saffronstack/fleet/leases/node.py
+++ b/saffronstack/fleet/leases/lease_server.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 
 from saffronstack.durable.segments import Files
-from saffronstack.fleet.leases.disk import KeeperDisk
-from saffronstack.fleet.leases.links import KeeperLink
-from saffronstack.fleet.leases.messages import Bounds, Message
-from saffronstack.fleet.leases.server import KeeperServer
-from saffronstack.fleet.leases.service import KeeperService
+from saffronstack.fleet.leases.acceptor_service import AcceptorService
+from saffronstack.fleet.leases.disk import AcceptorDisk
+from saffronstack.fleet.leases.http_endpoint import LeaseHttpEndpoint
+from saffronstack.fleet.leases.messages import LeaseLimits, Message
+from saffronstack.fleet.leases.server_link import LeaseServerLink
 
 
-class KeeperNode:
+class LeaseServer:
     """A keeper that can be asked, in a process of its own or in a gateway's."""
 
     def __init__(
@@ -22,7 +22,7 @@
         name: str,
         fleet: str,
         addresses: dict[str, str],
-        bounds: Bounds,
+        bounds: LeaseLimits,
         wait_s: float,
         directory: str,
         *,
@@ -33,12 +33,12 @@
         """``listen`` replaces its own address. ValueError for an unknown name, ForeignStateError, OSError."""
         if name not in addresses:
             raise ValueError(f"{name!r} is none of the keepers {', '.join(sorted(addresses))}")
-        disk = KeeperDisk(directory, fleet, name, bounds.keepers, files)
-        self.service = KeeperService(name, bounds, disk, secrets.randbits(62), clock, self._say)
+        disk = AcceptorDisk(directory, fleet, name, bounds.servers, files)
+        self.service = AcceptorService(name, bounds, disk, secrets.randbits(62), clock, self._say)
         host, _, port = (listen or addresses[name]).rpartition(":")
-        self.server = KeeperServer(host, int(port), fleet, self.service, time.monotonic)
+        self.server = LeaseHttpEndpoint(host, int(port), fleet, self.service, time.monotonic)
         self._links = {
-            other: KeeperLink(
+            other: LeaseServerLink(
                 other, address, fleet, name, wait_s, self._heard, time.monotonic, secrets.randbits(31)
             )
             for other, address in addresses.items()
--- a/saffronstack/fleet/leases/messages.py
+++ b/saffronstack/fleet/leases/messages.py
@@ -1,7 +1,11 @@
-"""What candidates and keepers say to each other, and what they have their surroundings do. No behaviour.
+"""Messages between candidates and lease servers, the persisted state of an acceptor, and the shared limits.
 
-Times end in ``_s`` and are seconds of the speaker's own monotonic clock, or spans; none crosses a link as a
-moment. A *number* is asked for, promised and, once a majority granted it, the lease's fencing token."""
+Leases are granted by a Paxos-like protocol: a candidate (the proposer) sends a *prepare request* with a
+ballot to all lease servers (the acceptors), and after a majority promised the ballot, an *accept request*
+that grants or renews the lease. The ballot that a majority accepted is the lease's fencing token.
+
+All times end in ``_s`` and are seconds. Points in time are those of the local monotonic clock; none is sent
+to another process. Names in ``rename`` and ``tag`` are those on the wire and on disk, and never change."""
 
 from __future__ import annotations
 
@@ -11,190 +15,284 @@
 from msgspec import Struct
 
 
-class Written(Struct, frozen=True, order=True):
-    """A lease's small value; the newer one has the greater (token, count)."""
+class LeaseValue(Struct, frozen=True, order=True, rename={"version": "count"}):
+    """The small value stored with a lease; the newer of two has the greater (token, version)."""
 
     token: int = 0
-    count: int = 0
+    version: int = 0
     content: bytes = b""
 
 
-Lives = tuple[tuple[str, int], ...]  # keepers and the greatest life known of each; those of life 0 left out
+# Lease servers with the greatest incarnation known of each, sorted by name; incarnation 0 is left out.
+Incarnations = tuple[tuple[str, int], ...]
 
+# Lease servers with the greatest write known of each.
+ObservedWrites = tuple[tuple[str, int], ...]
 
-class Ask(Struct, frozen=True, tag=True):
-    """A candidate asks for the promise that nothing under a smaller number is granted any more. ``lives``:
-    what it heard, so that a keeper that was replaced learns of it from whoever still asks it."""
 
-    lease: str
-    candidate: str
-    number: int
-    lives: Lives = ()
+class PrepareRequest(Struct, frozen=True, tag="Ask", rename={"ballot": "number", "incarnations": "lives"}):
+    """Ask an acceptor to promise that it grants nothing under a smaller ballot any more.
 
+    ``incarnations`` passes on what the candidate knows, so that a server that was replaced learns of it."""
 
-class Promise(Struct, frozen=True, tag=True):
-    """The answer to ``Ask``: promised, or not, for another's grant that still runs or a number that is too
-    small. ``highest`` is the greatest number ever promised here; ``write`` numbers what the keeper saved;
-    ``life`` is the keeper's own, and ``lives`` what it knows of the others'."""
+    lease: str
+    candidate: str
+    ballot: int
+    incarnations: Incarnations = ()
+
+
+class PrepareResponse(
+    Struct,
+    frozen=True,
+    tag="Promise",
+    rename={
+        "server": "keeper",
+        "ballot": "number",
+        "is_promised": "promised",
+        "highest_ballot": "highest",
+        "remaining_s": "left_s",
+        "last_write": "write",
+        "incarnation": "life",
+        "incarnations": "lives",
+    },
+):
+    """Answer a `PrepareRequest`: promised, or rejected for a running grant or a ballot that is too small.
+
+    ``highest_ballot`` is the greatest ballot ever promised by this server, ``remaining_s`` and ``holder``
+    describe the grant that still runs, ``last_write`` numbers the server's persisted states."""
 
     lease: str
-    keeper: str
+    server: str
     candidate: str
-    number: int
-    promised: bool
-    highest: int
-    left_s: float = 0.0
+    ballot: int
+    is_promised: bool
+    highest_ballot: int
+    remaining_s: float = 0.0
     holder: str = ""
-    value: Written = Written()
-    write: int = 0
-    life: int = 0
-    lives: Lives = ()
-
-
-class Take(Struct, frozen=True, tag=True):
-    """A candidate that a majority promised its number takes the lease, or renews it, for ``length_s`` from
-    when each keeper hears of it. ``witness``: what the promising keepers had saved by then."""
+    value: LeaseValue = LeaseValue()
+    last_write: int = 0
+    incarnation: int = 0
+    incarnations: Incarnations = ()
+
+
+class AcceptRequest(
+    Struct,
+    frozen=True,
+    tag="Take",
+    rename={
+        "ballot": "number",
+        "sequence": "round",
+        "duration_s": "length_s",
+        "observed_writes": "witness",
+        "incarnations": "lives",
+    },
+):
+    """Acquire or renew the lease for ``duration_s`` from when each acceptor receives the request.
+
+    Sent by a candidate whose ballot a majority promised. ``sequence`` counts the candidate's rounds;
+    ``observed_writes`` tells what the promising servers had persisted by then."""
 
     lease: str
     candidate: str
-    number: int
-    round: int
-    length_s: float
-    value: Written = Written()
-    witness: tuple[tuple[str, int], ...] = ()
-    lives: Lives = ()
-
-
-class Taken(Struct, frozen=True, tag=True):
-    """The answer to ``Take``."""
+    ballot: int
+    sequence: int
+    duration_s: float
+    value: LeaseValue = LeaseValue()
+    observed_writes: ObservedWrites = ()
+    incarnations: Incarnations = ()
+
+
+class AcceptResponse(
+    Struct,
+    frozen=True,
+    tag="Taken",
+    rename={
+        "server": "keeper",
+        "ballot": "number",
+        "sequence": "round",
+        "is_accepted": "granted",
+        "highest_ballot": "highest",
+        "remaining_s": "left_s",
+        "incarnation": "life",
+        "incarnations": "lives",
+    },
+):
+    """Answer an `AcceptRequest`."""
 
     lease: str
-    keeper: str
+    server: str
     candidate: str
-    number: int
-    round: int
-    granted: bool
-    highest: int
-    left_s: float = 0.0
-    life: int = 0
-    lives: Lives = ()
+    ballot: int
+    sequence: int
+    is_accepted: bool
+    highest_ballot: int
+    remaining_s: float = 0.0
+    incarnation: int = 0
+    incarnations: Incarnations = ()
 
 
-class Release(Struct, frozen=True, tag=True):
-    """A holder gives its lease back."""
+class ReleaseRequest(Struct, frozen=True, tag="Release", rename={"ballot": "number"}):
+    """Give a lease back before it expires."""
 
     lease: str
     candidate: str
-    number: int
+    ballot: int
 
 
-class Freed(Struct, frozen=True, tag=True):
-    """A keeper tells the first in line that a lease was given back: asking need not wait any longer."""
+class ReleaseNotification(Struct, frozen=True, tag="Freed", rename={"server": "keeper"}):
+    """Notify the first waiter that a lease was released, so that it can prepare at once."""
 
     lease: str
-    keeper: str
+    server: str
     candidate: str
 
 
-class Learn(Struct, frozen=True, tag=True):
-    """A keeper that started asks another what it holds, and what it saw of the one that asks. ``life``: how
-    often it was replaced under its name; one whose life is smaller than others know is the one replaced."""
+class CatchUpRequest(Struct, frozen=True, tag="Learn", rename={"server": "keeper", "incarnation": "life"}):
+    """Ask another server, after a restart, for its records and for what it observed of the sender.
 
-    keeper: str
+    ``incarnation`` counts how often a new machine took the server's name; of two servers of one name the one
+    with the smaller incarnation is the one that was replaced."""
+
+    server: str
     nonce: int
-    life: int = 0
+    incarnation: int = 0
+
 
+class AcceptorRecord(
+    Struct,
+    frozen=True,
+    rename={
+        "promised_ballot": "promised",
+        "accepted_ballot": "token",
+        "duration_s": "length_s",
+        "released_ballot": "closed",
+    },
+):
+    """What an acceptor has persisted of one lease.
 
-class Record(Struct, frozen=True):
-    """What a keeper has saved of one lease. ``closed``: the greatest number that was given back."""
+    ``candidate`` is the one that ``promised_ballot`` was promised to, ``released_ballot`` the greatest ballot
+    that was given back."""
 
     lease: str
-    promised: int = 0
+    promised_ballot: int = 0
     candidate: str = ""
-    token: int = 0
+    accepted_ballot: int = 0
     holder: str = ""
-    length_s: float = 0.0
-    closed: int = 0
-    value: Written = Written()
-
-
-class Told(Struct, frozen=True, tag=True):
-    """The answer to ``Learn``. ``sound``: the teller has what it saved, so its word counts, unless another of
-    its name is known to have taken its place: ``own`` is its life, ``lives`` what it knows of the others'."""
-
-    keeper: str
+    duration_s: float = 0.0
+    released_ballot: int = 0
+    value: LeaseValue = LeaseValue()
+
+
+class CatchUpResponse(
+    Struct,
+    frozen=True,
+    tag="Told",
+    rename={
+        "server": "keeper",
+        "is_recovered": "sound",
+        "observed_write": "seen",
+        "observed_incarnation": "life",
+        "incarnation": "own",
+        "incarnations": "lives",
+    },
+):
+    """Answer a `CatchUpRequest`.
+
+    ``is_recovered`` says whether the responder has all that it had persisted, so that its records count,
+    unless another server of its name replaced it. ``observed_write`` and ``observed_incarnation`` are the
+    greatest known of the server that asked."""
+
+    server: str
     nonce: int
-    sound: bool
-    seen: int
-    records: tuple[Record, ...] = ()
-    life: int = 0  # the greatest known of the one that asked
-    own: int = 0
-    lives: Lives = ()
-
-
-Message = Ask | Promise | Take | Taken | Release | Freed | Learn | Told
-
-
-class Found(Enum):
-    """What a keeper's disk showed at its start."""
-
-    NEW = "new"  # an operator made this member, and the fleet with it: nothing was ever promised
-    SOUND = "sound"
-    LOST = "lost"  # damaged, gone, or of another time: never taken for new
-    REPLACED = "replaced"  # another one came in its place: it votes no more
-
-
-class Saved(Struct, frozen=True):
-    """All that a keeper keeps on its disk."""
-
-    records: tuple[Record, ...] = ()
-    write: int = 0
-    witnessed: tuple[tuple[str, int], ...] = ()  # the greatest write known of each other keeper
-    life: int = 0
-    lives: Lives = ()  # the greatest life known of each other keeper
+    is_recovered: bool
+    observed_write: int
+    records: tuple[AcceptorRecord, ...] = ()
+    observed_incarnation: int = 0
+    incarnation: int = 0
+    incarnations: Incarnations = ()
+
+
+Message = (
+    PrepareRequest
+    | PrepareResponse
+    | AcceptRequest
+    | AcceptResponse
+    | ReleaseRequest
+    | ReleaseNotification
+    | CatchUpRequest
+    | CatchUpResponse
+)
+
+
+class DiskState(Enum):
+    """What an acceptor's disk showed at its start; the values stand on the status page."""
+
+    NEW = "new"  # established by an operator together with the fleet: nothing was ever promised
+    INTACT = "sound"
+    LOST = "lost"  # damaged, missing or rolled back: never treated as new
+    REPLACED = "replaced"  # another machine took the server's name: this one must not vote any more
+
+
+class AcceptorState(
+    Struct,
+    frozen=True,
+    rename={
+        "last_write": "write",
+        "observed_writes": "witnessed",
+        "incarnation": "life",
+        "incarnations": "lives",
+    },
+):
+    """Everything that an acceptor persists. ``observed_writes`` and ``incarnations`` are of other servers."""
+
+    records: tuple[AcceptorRecord, ...] = ()
+    last_write: int = 0
+    observed_writes: ObservedWrites = ()
+    incarnation: int = 0
+    incarnations: Incarnations = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Save:
-    """Have this on the disk before anything after it is done; where that fails or hangs, nothing is."""
+class PersistState:
+    """Persist this before any later action is carried out; if that fails or hangs, drop the later ones."""
 
-    saved: Saved
+    state: AcceptorState
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """Send a message; it may get lost, come late or twice."""
+class SendMessage:
+    """Send a message; it may be lost, delayed or duplicated."""
 
-    to: str
+    receiver: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class WakeAt:
-    """Call ``tick`` at this time of the own clock."""
+class SetTimer:
+    """Call ``tick`` at this time of the local clock."""
 
-    at_s: float
+    deadline_s: float
 
 
-KeeperAction = Save | Say | WakeAt
+AcceptorAction = PersistState | SendMessage | SetTimer
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """The figures that keepers and candidates of one fleet share."""
+class LeaseLimits:
+    """The limits that the lease servers and candidates of one fleet share."""
 
-    keepers: tuple[str, ...]
-    longest_s: float = 30.0  # no lease is granted for longer
-    drift: float = 0.01  # the rates of two monotonic clocks differ by less than this part
-    leases_most: int = 10_000
-    value_most: int = 4096
-    line_most: int = 64  # of those that wait for one lease, those a keeper knows in order
+    servers: tuple[str, ...]
+    max_lease_s: float = 30.0
+    max_clock_drift: float = 0.01  # the rates of two monotonic clocks differ by less than this fraction
+    max_leases: int = 10_000
+    max_value_bytes: int = 4096
+    max_waiters: int = 64  # candidates in a server's queue for one lease
 
     @property
     def majority(self) -> int:
-        """How many keepers decide."""
-        return len(self.keepers) // 2 + 1
+        """Return how many servers form a quorum."""
+        return len(self.servers) // 2 + 1
 
-    def waited_s(self, length_s: float) -> float:
-        """How long a keeper waits out a lease of this length: no holder's clock shows it as running then."""
-        return length_s * (1 + self.drift) / (1 - self.drift)
+    def grant_duration_s(self, lease_s: float) -> float:
+        """Return how long an acceptor keeps a grant; by then it has expired on any holder's clock."""
+        return lease_s * (1 + self.max_clock_drift) / (1 - self.max_clock_drift)
--- a/saffronstack/fleet/leases/reading.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -10,15 +10,15 @@
 
 from saffronstack.core.threads import spawn
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
-from saffronstack.fleet.leases.messages import Written
-from saffronstack.fleet.leases.server import LeaseLine
+from saffronstack.fleet.leases.http_endpoint import LeaseReport
+from saffronstack.fleet.leases.messages import LeaseValue
 from saffronstack.http1 import writer
 
 JOIN_S = 0.5  # over the exchange's own bound
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class LeaseStatus:
     """One lease by the keepers that answered. ``holder`` is empty where no majority shows one."""
 
     lease: str
@@ -26,22 +26,22 @@
     token: int
     granted_by: int
     left_s: float
-    value: Written
+    value: LeaseValue
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class QuorumRead:
     """What could be read. ``troubles`` by keeper; ``majority``: whether enough answered to believe it: any
     value that was stored before it was asked for is then among what is shown."""
 
     majority: bool
-    leases: dict[str, Shown]
+    leases: dict[str, LeaseStatus]
     troubles: dict[str, str] = field(default_factory=dict)
 
 
-def read_leases(addresses: Mapping[str, str], wait_s: float) -> Reading:
+def read_leases(addresses: Mapping[str, str], wait_s: float) -> QuorumRead:
     """Ask all keepers at once; bounded by ``wait_s`` and a little."""
-    found: dict[str, list[LeaseLine]] = {}
+    found: dict[str, list[LeaseReport]] = {}
     troubles: dict[str, str] = {}
 
     def ask(keeper: str, address: str) -> None:
@@ -50,7 +50,7 @@
             head, body = exchange(address, request, time.monotonic() + wait_s, time.monotonic)
             if head.status != 200:
                 raise ValueError(f"status {head.status}")
-            found[keeper] = msgspec.json.decode(body, type=list[LeaseLine])
+            found[keeper] = msgspec.json.decode(body, type=list[LeaseReport])
         except (NotSentError, NoAnswerError, ValueError, msgspec.MsgspecError) as error:
             troubles[keeper] = str(error) or type(error).__name__
 
@@ -65,24 +65,26 @@
     for keeper in addresses:
         if keeper not in told:
             troubles.setdefault(keeper, "no answer in time")
-    return agree(told, len(addresses), troubles)
+    return merge_lease_reports(told, len(addresses), troubles)
 
 
-def agree(told: Mapping[str, list[LeaseLine]], keepers: int, troubles: dict[str, str]) -> Reading:
+def merge_lease_reports(
+    told: Mapping[str, list[LeaseReport]], keepers: int, troubles: dict[str, str]
+) -> QuorumRead:
     """What follows from what each keeper shows."""
     majority = keepers // 2 + 1
-    lines: dict[str, list[LeaseLine]] = {}
+    lines: dict[str, list[LeaseReport]] = {}
     for shown in told.values():
         for line in shown:
             lines.setdefault(line.lease, []).append(line)
-    leases: dict[str, Shown] = {}
+    leases: dict[str, LeaseStatus] = {}
     for lease, some in lines.items():
         newest = max(some, key=lambda line: (line.token, line.left_s))
         agreeing = [line for line in some if line.token == newest.token and line.left_s > 0]
         held = len(agreeing) >= majority
         left_s = sorted((line.left_s for line in agreeing), reverse=True)
-        leases[lease] = Shown(
+        leases[lease] = LeaseStatus(
             lease, newest.holder if held else "", newest.token, len(agreeing),
             left_s[majority - 1] if held else 0.0, max(line.value for line in some),
         )  # fmt: skip
-    return Reading(len(told) >= majority, leases, troubles)
+    return QuorumRead(len(told) >= majority, leases, troubles)
--- a/saffronstack/fleet/leases/links.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -10,7 +10,7 @@
 from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.codec import Envelope
-from saffronstack.fleet.leases.messages import Learn, Message, Told
+from saffronstack.fleet.leases.messages import CatchUpRequest, CatchUpResponse, Message
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import HttpError, Limits
 from saffronstack.http1.reader import MessageReader
@@ -80,7 +80,7 @@
             stream.close()
 
 
-class KeeperLink:
+class LeaseServerLink:
     """Carries messages of one process to one keeper and hands on what it answers."""
 
     def __init__(
@@ -128,7 +128,11 @@
 
     def say(self, message: Message) -> None:
         """Put in a message; never waits. Past the bound it is dropped, as a link may."""
-        key = ("", "") if isinstance(message, Learn | Told) else (message.lease, message.candidate)
+        key = (
+            ("", "")
+            if isinstance(message, CatchUpRequest | CatchUpResponse)
+            else (message.lease, message.candidate)
+        )
         with self._lock:
             if key in self._outbox or len(self._outbox) < OUTBOX_MOST:
                 self._outbox.pop(key, None)
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -15,7 +15,7 @@
 from saffronstack.fleet.control.daemon_client import Daemons
 from saffronstack.fleet.control.messages import WORDS, DaemonState, GatewayState, Order
 from saffronstack.fleet.control.slots import Seen
-from saffronstack.fleet.leases.reading import Reading
+from saffronstack.fleet.leases.quorum_read import QuorumRead
 from saffronstack.fleet.leases.store import Held
 from saffronstack.fleet.rollout import controller
 from saffronstack.fleet.rollout.comparison import Limits
@@ -48,7 +48,7 @@
         daemon_of: dict[str, str],
         daemons: Daemons,
         held: Held,
-        read: Callable[[], Reading],
+        read: Callable[[], QuorumRead],
         show: Callable[[Record, str], None] = lambda record, waits: None,
         clock: Callable[[], float] = time.monotonic,
         patience_s: float = controller.PATIENCE_S,
--- a/saffronstack/harness/leases/explorer.py
+++ b/saffronstack/harness/leases/explorer.py
@@ -16,22 +16,22 @@
 from itertools import combinations
 from typing import Any
 
-from saffronstack.fleet.leases.holder import Candidate, CandidateAction, Gained, State
-from saffronstack.fleet.leases.keeper import Keeper
+from saffronstack.fleet.leases.acceptor import Acceptor
+from saffronstack.fleet.leases.candidate import Candidate, CandidateAction, CandidateState, LeaseAcquired
 from saffronstack.fleet.leases.messages import (
-    Ask,
-    Bounds,
-    Found,
-    KeeperAction,
-    Learn,
+    AcceptorAction,
+    AcceptorState,
+    AcceptRequest,
+    AcceptResponse,
+    CatchUpRequest,
+    DiskState,
+    LeaseLimits,
     Message,
-    Promise,
-    Release,
-    Save,
-    Saved,
-    Say,
-    Take,
-    Taken,
+    PersistState,
+    PrepareRequest,
+    PrepareResponse,
+    ReleaseRequest,
+    SendMessage,
 )
 
 LEASE = "l"
@@ -65,9 +65,9 @@
 class _World:
     """One state. Machines are shared between states and cloned by whoever changes one."""
 
-    bounds: Bounds
-    keepers: dict[str, Keeper]
-    disks: dict[str, tuple[Saved, ...]]
+    bounds: LeaseLimits
+    keepers: dict[str, Acceptor]
+    disks: dict[str, tuple[AcceptorState, ...]]
     candidates: dict[str, Candidate]
     asked: dict[tuple[str, str], Message]  # the newest request of a candidate to a keeper, not yet delivered
     flying: tuple[tuple[str, str, Message], ...]  # answers on their way: keeper, candidate, message
@@ -76,7 +76,7 @@
     half: int
     token: int
     trail: tuple[str, ...]
-    ghosts: dict[str, Keeper]  # replaced, and awake again
+    ghosts: dict[str, Acceptor]  # replaced, and awake again
 
     def copy(self) -> _World:
         return _World(
@@ -84,21 +84,22 @@
             self.flying, self.old, self.budget, self.half, self.token, self.trail, dict(self.ghosts),
         )  # fmt: skip
 
-    def keeper(self, name: str, ghost: bool = False) -> Keeper:
+    def keeper(self, name: str, ghost: bool = False) -> Acceptor:
         """One of this state's own, to be changed."""
         place = self.ghosts if ghost else self.keepers
-        keeper = copy.copy(place[name])
-        keeper._leases = {lease: replace(held, line={}) for lease, held in keeper._leases.items()}
-        keeper._heard, keeper.witnessed = dict(keeper._heard), dict(keeper.witnessed)
-        keeper.lives = dict(keeper.lives)
-        place[name] = keeper
+        keeper = place[name] = copy.copy(place[name])
+        table = keeper.table = copy.copy(keeper.table)
+        table.leases = {lease: replace(entry, waiters={}) for lease, entry in table.leases.items()}
+        table.observed_writes, table.incarnations = dict(table.observed_writes), dict(table.incarnations)
+        recovery = keeper.recovery = copy.copy(keeper.recovery)
+        recovery.table, recovery.responses = table, dict(recovery.responses)
         return keeper
 
     def candidate(self, name: str) -> Candidate:
         """One of this state's own, to be changed."""
         candidate = copy.copy(self.candidates[name])
-        candidate._yes, candidate._no = dict(candidate._yes), dict(candidate._no)
-        candidate._lives = dict(candidate._lives)
+        candidate._approvals, candidate._rejections = dict(candidate._approvals), dict(candidate._rejections)
+        candidate._incarnations = dict(candidate._incarnations)
         self.candidates[name] = candidate
         return candidate
 
@@ -110,50 +111,62 @@
         crossing = []
         for name in order:
             keeper = self.keepers[name]
-            seen = sorted((place[other], write) for other, write in keeper.witnessed.items())
+            seen = sorted((place[other], write) for other, write in keeper.table.observed_writes.items())
             heard = sorted(
-                (place[other], told.seen, told.sound, told.life) for other, told in keeper._heard.items()
+                (place[other], told.observed_write, told.is_recovered, told.observed_incarnation)
+                for other, told in keeper.recovery.responses.items()
             )
             takes = [self.asked.get((who, name)) for who in self.candidates]
             witness = [
-                sorted((place[other], write) for other, write in take.witness)
-                if isinstance(take, Take)
+                sorted((place[other], write) for other, write in take.observed_writes)
+                if isinstance(take, AcceptRequest)
                 else []
                 for take in takes
             ]
-            lives = [sorted((place[other], life) for other, life in keeper.lives.items())]
+            lives = [sorted((place[other], life) for other, life in keeper.table.incarnations.items())]
             for who in self.candidates.values():
-                word = who._yes.get(name) or who._no.get(name)
-                lives.append(sorted((place[other], life) for other, life in word.lives) if word else [])
-                lives.append([(place[name], who._lives.get(name, 0))])
+                word = who._approvals.get(name) or who._rejections.get(name)
+                lives.append(
+                    sorted((place[other], life) for other, life in word.incarnations) if word else []
+                )
+                lives.append([(place[name], who._incarnations.get(name, 0))])
             crossing.append((seen, heard, witness, lives))
         crossing_marks = repr(crossing)
         candidates = tuple(
-            (one.state, one.token, one.until_s, one._number, one._highest, one._round, one._pause_s)
+            (
+                one.state,
+                one.token,
+                one.expires_s,
+                one._ballot,
+                one._highest_ballot,
+                one._sequence,
+                one._backoff_s,
+            )
             for one in self.candidates.values()
         )
-        clocks = tuple((one._began_s, one._due_s) for one in self.candidates.values())
+        clocks = tuple((one._round_started_s, one._deadline_s) for one in self.candidates.values())
         owned = tuple(own[name] for name in order)
         return hash((owned, crossing_marks, candidates, clocks, self.budget, self.half, self.token))
 
     def _own(self, name: str) -> tuple[object, ...]:
         """What concerns one keeper, without any keeper's name."""
-        keeper = self.keepers[name]
+        table, recovery = self.keepers[name].table, self.keepers[name].recovery
         links = []
         for who, one in self.candidates.items():
             links.append(
                 (
                     _bare(self.asked.get((who, name))),
-                    _bare(one._yes.get(name)),
-                    _bare(one._no.get(name)),
+                    _bare(one._approvals.get(name)),
+                    _bare(one._rejections.get(name)),
                     tuple(_bare(word) for sender, to, word in self.flying if (sender, to) == (name, who)),
                     tuple(_bare(word) for sender, to, word in self.old if (sender, to) == (who, name)),
                 )
             )
         return (
-            (keeper.found, keeper.sure, keeper.write, keeper.waits_until_s, keeper.life),
-            tuple((held.record, held.until_s) for held in keeper._leases.values()),
-            tuple((saved.write, saved.records) for saved in self.disks[name]),
+            (recovery.disk_state, recovery.has_recovered, recovery.votes_from_s),
+            (table.last_write, table.incarnation),
+            tuple((entry.record, entry.expires_s) for entry in table.leases.values()),
+            tuple((saved.last_write, saved.records) for saved in self.disks[name]),
             tuple(links),
             self._ghost(name),
         )
@@ -162,7 +175,8 @@
         ghost = self.ghosts.get(name)
         if ghost is None:
             return ()
-        return ghost.found, ghost.sure, *((held.record, held.until_s) for held in ghost._leases.values())
+        entries = ((entry.record, entry.expires_s) for entry in ghost.table.leases.values())
+        return ghost.recovery.disk_state, ghost.recovery.has_recovered, *entries
 
     # Clocks: keepers run fast, candidates slow; by less than the bound between any two.
     def keeper_now(self) -> float:
@@ -176,12 +190,12 @@
     def heard(self, name: str, actions: list[CandidateAction]) -> str:
         """Carry out what a candidate wants; a breach, or nothing."""
         for action in actions:
-            if isinstance(action, Say):
-                passed = self.asked.get((name, action.to))
+            if isinstance(action, SendMessage):
+                passed = self.asked.get((name, action.receiver))
                 if passed is not None and self.budget.again:
-                    self.old = (*self.old, (name, action.to, passed))[-6:]
-                self.asked[name, action.to] = action.message
-            elif isinstance(action, Gained):
+                    self.old = (*self.old, (name, action.receiver, passed))[-6:]
+                self.asked[name, action.receiver] = action.message
+            elif isinstance(action, LeaseAcquired):
                 if action.token <= self.token:
                     return f"{name} gained token {action.token} after {self.token}"
                 self.token = action.token
@@ -190,7 +204,7 @@
     def both(self) -> str:
         """The breach where two believe to hold."""
         now = self.candidate_now()
-        holding = [who for who, one in self.candidates.items() if one.holds(now)]
+        holding = [who for who, one in self.candidates.items() if one.is_holder(now)]
         if len(holding) > 1:
             return f"{' and '.join(holding)} hold at once"
         for who in holding:
@@ -198,39 +212,46 @@
                 return f"{who} holds under token {self.candidates[who].token} after {self.token}"
         return ""
 
-    def asks(self, name: str, sender: str, message: Message, ghost: bool = False) -> list[KeeperAction]:
+    def asks(self, name: str, sender: str, message: Message, ghost: bool = False) -> list[AcceptorAction]:
         """Have a keeper decide, or the one that it replaced; what it saves is on its disk."""
         actions = self.keeper(name, ghost).handle(self.keeper_now(), sender, message)
         for action in actions:
-            if isinstance(action, Save) and not ghost:
-                self.disks[name] = (*self.disks[name], action.saved)[-3:]
+            if isinstance(action, PersistState) and not ghost:
+                self.disks[name] = (*self.disks[name], action.state)[-3:]
         return actions
 
 
 def _bare(message: object) -> object:
     """A message without the names of keepers, which its place tells."""
-    if isinstance(message, Promise):
-        held = message.left_s, message.value, message.write
-        return message.number, message.promised, message.highest, message.life, *held
-    if isinstance(message, Taken):
-        return message.number, message.round, message.granted, message.highest, message.left_s, message.life
-    if isinstance(message, Take):
-        return message.number, message.round, message.value
-    if isinstance(message, Ask | Release):
-        return type(message).__name__, message.number
+    if isinstance(message, PrepareResponse):
+        held = message.remaining_s, message.value, message.last_write
+        return message.ballot, message.is_promised, message.highest_ballot, message.incarnation, *held
+    if isinstance(message, AcceptResponse):
+        return (
+            message.ballot,
+            message.sequence,
+            message.is_accepted,
+            message.highest_ballot,
+            message.remaining_s,
+            message.incarnation,
+        )
+    if isinstance(message, AcceptRequest):
+        return message.ballot, message.sequence, message.value
+    if isinstance(message, PrepareRequest | ReleaseRequest):
+        return type(message).__name__, message.ballot
     return None
 
 
 Maker = Callable[..., Any]
 
 
-def start(budget: Budget, keeper: Maker = Keeper, candidate: Maker = Candidate, keepers: int = 3) -> _World:
+def start(budget: Budget, keeper: Maker = Acceptor, candidate: Maker = Candidate, keepers: int = 3) -> _World:
     """Three new keepers, and two candidates that have not asked yet."""
-    bounds = Bounds(tuple(f"k{n}" for n in range(keepers)), longest_s=LENGTH_S, drift=DRIFT)
+    bounds = LeaseLimits(tuple(f"k{n}" for n in range(keepers)), max_lease_s=LENGTH_S, max_clock_drift=DRIFT)
     world = _World(
         bounds,
-        {name: keeper(name, bounds, Found.NEW, Saved(), 0.0, 0) for name in bounds.keepers},
-        dict.fromkeys(bounds.keepers, (Saved(),)), {}, {}, (), (), budget, 0, 0, (), {},
+        {name: keeper(name, bounds, DiskState.NEW, AcceptorState(), 0.0, 0) for name in bounds.servers},
+        dict.fromkeys(bounds.servers, (AcceptorState(),)), {}, {}, (), (), budget, 0, 0, (), {},
     )  # fmt: skip
     for name in ("a", "b"):
         one = candidate(name, LEASE, LENGTH_S, bounds, 1)
@@ -300,7 +321,7 @@
         answers += [
             (to, action.message)
             for action in after.asks(to, name, message, to in woken)
-            if isinstance(action, Say) and action.to == name
+            if isinstance(action, SendMessage) and action.receiver == name
         ]
     places = ", ".join(f"{to} as it was" if to in woken else to for to in some)
     after.trail += (f"{name} to {places}: {', '.join(kinds)}{', answers late' if late else ''}",)
@@ -318,66 +339,71 @@
 
 def _of_candidate(world: _World, name: str) -> Iterator[tuple[_World, str]]:
     now = world.candidate_now()
-    if world.candidates[name].state is State.IDLE:
+    if world.candidates[name].state is CandidateState.IDLE:
         after = world.copy()
         after.trail += (f"{name} wants it",)
-        yield after, after.heard(name, after.candidate(name).want(now))
+        yield after, after.heard(name, after.candidate(name).acquire(now))
         return
     after = world.copy()
     actions = after.candidate(name).tick(now)
     if actions:
         after.trail += (f"{name} looks at its clock",)
         yield after, after.heard(name, actions)
-    if world.budget.returns and world.candidates[name].state is State.HOLDING:
+    if world.budget.returns and world.candidates[name].state is CandidateState.HOLDING:
         after = world.copy()
         after.budget = _less(world.budget, returns=1)
         after.trail += (f"{name} gives back",)
-        yield after, after.heard(name, after.candidate(name).give_back(now))
+        yield after, after.heard(name, after.candidate(name).release(now))
 
 
 def _of_keeper(world: _World, name: str, keeper: Maker) -> Iterator[tuple[_World, str]]:
     budget, now = world.budget, world.keeper_now()
     one = world.keepers[name]
-    if not one.sure and now >= one.waits_until_s:
+    recovery, incarnation = one.recovery, one.table.incarnation
+    if not recovery.has_recovered and now >= recovery.votes_from_s:
         for other in world.keepers:
-            if other == name or (other in one._heard and one._heard[other].life == one.life):
+            response = recovery.responses.get(other)
+            if other == name or (response is not None and response.observed_incarnation == incarnation):
                 continue
             for woken in (False, True) if other in world.ghosts else (False,):
                 after = world.copy()
-                for action in after.asks(other, name, Learn(name, one.nonce, one.life), woken):
-                    if isinstance(action, Say):
+                request = CatchUpRequest(name, recovery.nonce, incarnation)
+                for action in after.asks(other, name, request, woken):
+                    if isinstance(action, SendMessage):
                         after.asks(name, other, action.message)
                 after.trail += (f"{name} learns of {other}{' as it was' if woken else ''}",)
                 yield after, ""
         after = world.copy()  # time to hear others is over, or not: that is settled by its own clock
-        settled = after.keeper(name)._settle(now)
+        settled = after.keeper(name).recovery.complete_if_possible(now)
         if settled:
             for action in settled:
-                if isinstance(action, Save):
-                    after.disks[name] = (*after.disks[name], action.saved)[-3:]
+                if isinstance(action, PersistState):
+                    after.disks[name] = (*after.disks[name], action.state)[-3:]
             after.trail += (f"{name} is sure",)
             yield after, ""
-    if budget.ghosts and all(other.sure for other in world.keepers.values()):
+    if budget.ghosts and all(other.recovery.has_recovered for other in world.keepers.values()):
         after = world.copy()
         after.budget, after.ghosts[name] = _less(budget, ghosts=1), one
-        after.disks[name] = (Saved(),)
-        after.keepers[name] = keeper(name, world.bounds, Found.LOST, Saved(), now, one.nonce + 1)
+        after.disks[name] = (AcceptorState(),)
+        after.keepers[name] = keeper(
+            name, world.bounds, DiskState.LOST, AcceptorState(), now, recovery.nonce + 1
+        )
         after.trail += (f"{name} is replaced while it pauses",)
         yield after, ""
     if not budget.restarts:
         return
-    well = all(other.sure for key, other in world.keepers.items() if key != name)
+    well = all(other.recovery.has_recovered for key, other in world.keepers.items() if key != name)
     disk = world.disks[name]
-    found = [("as it is", Found.SOUND, disk)]
+    found = [("as it is", DiskState.INTACT, disk)]
     if budget.lies and well:
-        found += [("older", Found.SOUND, disk[:-1])] if len(disk) > 1 else []
-        found += [("lost", Found.LOST, (Saved(),))]
+        found += [("older", DiskState.INTACT, disk[:-1])] if len(disk) > 1 else []
+        found += [("lost", DiskState.LOST, (AcceptorState(),))]
     for how, kind, left in found:
         after = world.copy()
-        lies = int(kind is Found.LOST or left is not disk)
+        lies = int(kind is DiskState.LOST or left is not disk)
         after.budget = _less(budget, restarts=1, lies=lies)
         after.disks[name] = left
-        after.keepers[name] = keeper(name, world.bounds, kind, left[-1], now, one.nonce + 1)
+        after.keepers[name] = keeper(name, world.bounds, kind, left[-1], now, recovery.nonce + 1)
         after.trail += (f"{name} restarts, its disk {how}",)
         yield after, ""
 
@@ -413,7 +439,7 @@
 def explore(
     depth: int,
     budget: Budget,
-    keeper: Maker = Keeper,
+    keeper: Maker = Acceptor,
     candidate: Maker = Candidate,
     most: int = 10_000_000,
     after: Sequence[str] = (),
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -25,10 +25,17 @@
 from saffronstack.config.fleet import load_fleet
 from saffronstack.core.threads import spawn
 from saffronstack.durable.segments import Files
+from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
-from saffronstack.fleet.leases.holder import Candidate
-from saffronstack.fleet.leases.messages import Bounds, KeeperAction, Message, Say, Take
-from saffronstack.fleet.leases.node import KeeperNode
+from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.leases.messages import (
+    AcceptorAction,
+    AcceptRequest,
+    LeaseLimits,
+    Message,
+    ObservedWrites,
+    SendMessage,
+)
 from saffronstack.fleet.leases.store import Held
 
 ACT_S = 0.03
@@ -97,7 +104,7 @@
 def keep(told: dict[str, Any]) -> None:
     """Be a keeper until standard input ends."""
     fleet = load_fleet(told["fleet"])
-    node = KeeperNode(
+    node = LeaseServer(
         told["name"], fleet.fleet, fleet.addresses(), bounds_of(fleet), fleet.wait_s, told["state"],
         clock=clock_at(told.get("rate", 1.0), time.monotonic),
         files=LyingFiles(pathlib.Path(told["disk"])) if "disk" in told else None,
@@ -123,22 +130,24 @@
         os.write(self._descriptor, line.encode() + b"\n")
 
 
-def trace_keeper(node: KeeperNode, path: pathlib.Path) -> None:
+def trace_keeper(node: LeaseServer, path: pathlib.Path) -> None:
     """Note each decision of a keeper, and what it began with."""
     trace, machine = Trace(path), node.service._machine
+    table, recovery = machine.table, machine.recovery
     handle, tick = machine.handle, machine.tick
-    trace.note(began=machine.found.value, write=machine.write, records=repr(machine.records()))
+    trace.note(began=recovery.disk_state.value, write=table.last_write, records=repr(machine.records()))
 
-    def handled(now: float, sender: str, message: Message) -> list[KeeperAction]:
+    def handled(now: float, sender: str, message: Message) -> list[AcceptorAction]:
         actions = handle(now, sender, message)
-        said = [repr(action.message) for action in actions if isinstance(action, Say)]
-        trace.note(now=now, heard=repr(message), said=said, sure=machine.sure, write=machine.write)
+        said = [repr(action.message) for action in actions if isinstance(action, SendMessage)]
+        sure, write = recovery.has_recovered, table.last_write
+        trace.note(now=now, heard=repr(message), said=said, sure=sure, write=write)
         return actions
 
-    def ticked(now: float) -> list[KeeperAction]:
-        before = machine.sure
+    def ticked(now: float) -> list[AcceptorAction]:
+        before = recovery.has_recovered
         actions = tick(now)
-        if machine.sure is not before:
+        if recovery.has_recovered is not before:
             trace.note(now=now, settled=True, records=repr(machine.records()))
         return actions
 
@@ -216,11 +225,11 @@
 class Late(Candidate):
     """Believes in its lease for twice the time that it has keepers grant."""
 
-    def _take(self, witness: tuple[tuple[str, int], ...] = ()) -> Take:
-        return replace(super()._take(witness), length_s=self.length_s / 2)
+    def _accept_request(self, observed_writes: ObservedWrites = ()) -> AcceptRequest:
+        return replace(super()._accept_request(observed_writes), duration_s=self.lease_s / 2)
 
 
-class One(Bounds):
+class One(LeaseLimits):
     """One keeper's word is a majority."""
 
     __slots__ = ()
@@ -234,8 +243,10 @@
 class Few(Candidate):
     """One keeper's word is enough for it."""
 
-    def __init__(self, name: str, lease: str, length_s: float, bounds: Bounds, seed: int) -> None:
-        super().__init__(name, lease, length_s, One(bounds.keepers, bounds.longest_s, bounds.drift), seed)
+    def __init__(self, name: str, lease: str, length_s: float, bounds: LeaseLimits, seed: int) -> None:
+        super().__init__(
+            name, lease, length_s, One(bounds.servers, bounds.max_lease_s, bounds.max_clock_drift), seed
+        )
 
 
 # Candidates that the judge of the processes must find.
--- a/saffronstack/harness/leases/simulation.py
+++ b/saffronstack/harness/leases/simulation.py
@@ -11,13 +11,22 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from saffronstack.fleet.leases.holder import Candidate, CandidateAction, Gained, Lost
-from saffronstack.fleet.leases.keeper import Keeper
-from saffronstack.fleet.leases.messages import Bounds, Found, KeeperAction, Message, Save, Saved, Say, WakeAt
+from saffronstack.fleet.leases.acceptor import Acceptor
+from saffronstack.fleet.leases.candidate import Candidate, CandidateAction, LeaseAcquired, LeaseLost
+from saffronstack.fleet.leases.messages import (
+    AcceptorAction,
+    AcceptorState,
+    DiskState,
+    LeaseLimits,
+    Message,
+    PersistState,
+    SendMessage,
+    SetTimer,
+)
 
 LEASE = "task/usage"
-KeeperMaker = Callable[[str, Bounds, Found, Saved, float, int], Keeper]
-CandidateMaker = Callable[[str, str, float, Bounds, int], Candidate]
+AcceptorMaker = Callable[[str, LeaseLimits, DiskState, AcceptorState, float, int], Acceptor]
+CandidateMaker = Callable[[str, str, float, LeaseLimits, int], Candidate]
 
 
 @dataclass(frozen=True)
@@ -63,27 +72,27 @@
         candidates: int = 3,
         length_s: float = 3.0,
         faults: Faults | None = None,
-        keeper: KeeperMaker = Keeper,
+        keeper: AcceptorMaker = Acceptor,
         candidate: CandidateMaker = Candidate,
     ) -> None:
         self.random = random.Random(seed)
         self.faults = faults or Faults()
         names = tuple(f"k{n}" for n in range(keepers))
-        self.bounds = Bounds(names, longest_s=length_s)
+        self.bounds = LeaseLimits(names, max_lease_s=length_s)
         self.outcome = Outcome(seed)
         self._make_keeper, self._make_candidate = keeper, candidate
         self._length_s = length_s
         self._now = 0.0
         self._order = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._rate = {name: 1 + self.bounds.drift * (self.random.random() - 0.5) for name in names}
+        self._rate = {name: 1 + self.bounds.max_clock_drift * (self.random.random() - 0.5) for name in names}
         # What each keeper saved, the newest last; one with nothing saved finds its disk lost at each start.
-        self._disks: dict[str, list[Saved]] = {name: [Saved()] for name in names}
-        self._keepers: dict[str, Keeper | None] = {
-            name: keeper(name, self.bounds, Found.NEW, Saved(), 0.0, 0) for name in names
+        self._disks: dict[str, list[AcceptorState]] = {name: [AcceptorState()] for name in names}
+        self._keepers: dict[str, Acceptor | None] = {
+            name: keeper(name, self.bounds, DiskState.NEW, AcceptorState(), 0.0, 0) for name in names
         }
         self._cut: set[tuple[str, str]] = set()
-        self._ghosts: dict[str, Keeper] = {}
+        self._ghosts: dict[str, Acceptor] = {}
         self._old_address: set[tuple[str, str]] = set()  # who still reaches a keeper that was replaced
         self._candidates: dict[str, Candidate] = {}
         self._paused: dict[str, float] = {}
@@ -116,7 +125,7 @@
     def _judge(self) -> None:
         """Two believe to hold at one moment: the pair that a lease must never have."""
         holding = [
-            name for name, one in self._candidates.items() if one.holds(self._clock(name))
+            name for name, one in self._candidates.items() if one.is_holder(self._clock(name))
         ]  # a paused one too: by its clock it would still act
         if len(holding) > 1:
             self._breach(f"{' and '.join(holding)} hold at once")
@@ -146,7 +155,7 @@
             ghost = self._ghosts.get(to)
             if ghost is not None and self._at_old_address(sender, to):
                 said = ghost.handle(self._clock(to), sender, message)
-                self._did(to, [action for action in said if isinstance(action, Say)])
+                self._did(to, [action for action in said if isinstance(action, SendMessage)])
                 return
             keeper = self._keepers[to]
             if keeper is not None:
@@ -162,32 +171,32 @@
         """Whether it knows nothing of the new one yet: half of them, whoever they are."""
         return (sender, to) in self._old_address
 
-    def _did(self, name: str, actions: list[KeeperAction]) -> None:
+    def _did(self, name: str, actions: list[AcceptorAction]) -> None:
         for action in actions:
-            if isinstance(action, Save):
-                self._disks[name].append(action.saved)
+            if isinstance(action, PersistState):
+                self._disks[name].append(action.state)
                 del self._disks[name][:-20]
-            elif isinstance(action, Say):
-                self._post(name, action.to, action.message)
+            elif isinstance(action, SendMessage):
+                self._post(name, action.receiver, action.message)
             else:
                 self._wake(name, action)
 
     def _heard(self, name: str, actions: list[CandidateAction]) -> None:
         for action in actions:
-            if isinstance(action, Say):
-                self._post(name, action.to, action.message)
-            elif isinstance(action, WakeAt):
+            if isinstance(action, SendMessage):
+                self._post(name, action.receiver, action.message)
+            elif isinstance(action, SetTimer):
                 self._wake(name, action)
-            elif isinstance(action, Gained):
+            elif isinstance(action, LeaseAcquired):
                 self.outcome.gained += 1
                 owner = self._gained.setdefault(action.token, name)
                 if owner != name or action.token < max(self._gained):
                     self._breach(f"{name} gained token {action.token}, after {max(self._gained)}")
-            elif isinstance(action, Lost) and self.random.random() < 0.1:
+            elif isinstance(action, LeaseLost) and self.random.random() < 0.1:
                 self._at(0.0, lambda: self._leave(name))
 
-    def _wake(self, name: str, wake: WakeAt) -> None:
-        after_s = max(0.0, wake.at_s / self._rate[name] - self._now) + 1e-6
+    def _wake(self, name: str, wake: SetTimer) -> None:
+        after_s = max(0.0, wake.deadline_s / self._rate[name] - self._now) + 1e-6
         self._at(after_s, lambda: self._tick(name))
 
     def _tick(self, name: str) -> None:
@@ -204,10 +213,10 @@
     def _arrive(self) -> None:
         life = next(self._lives)
         name = f"c{life}"
-        self._rate[name] = 1 + self.bounds.drift * (self.random.random() - 0.5)
+        self._rate[name] = 1 + self.bounds.max_clock_drift * (self.random.random() - 0.5)
         one = self._make_candidate(name, LEASE, self._length_s, self.bounds, self.random.randrange(2**31))
         self._candidates[name] = one
-        self._heard(name, one.want(self._clock(name)))
+        self._heard(name, one.acquire(self._clock(name)))
 
     def _leave(self, name: str) -> None:
         if self._candidates.pop(name, None) is not None:
@@ -217,7 +226,7 @@
     def _act(self) -> None:
         """Whoever holds has the resource do something; what was decided before a pause comes after it."""
         for name, one in self._candidates.items():
-            if name not in self._paused and one.holds(self._clock(name)):
+            if name not in self._paused and one.is_holder(self._clock(name)):
                 token = one.token
                 delay_s = self.random.random() * (0.02 if self.random.random() < 0.95 else 6.0)
                 self._at(delay_s, lambda token=token, name=name: self._resource(token, name))  # type: ignore[misc]
@@ -271,9 +280,11 @@
     def _may_lie(self, name: str) -> bool:
         """One disk lies at a time, as promised."""
         others = [keeper for other, keeper in self._keepers.items() if other != name]
-        return not self.faults.one_disk or all(keeper is not None and keeper.sure for keeper in others)
+        return not self.faults.one_disk or all(
+            keeper is not None and keeper.recovery.has_recovered for keeper in others
+        )
 
-    def _wakes(self, name: str, ghost: Keeper) -> None:
+    def _wakes(self, name: str, ghost: Acceptor) -> None:
         """One that was taken for dead wakes beside the one in its place; some still have its address."""
         chance = self.random
         self._ghosts[name] = ghost
@@ -288,7 +299,7 @@
 
         self._at(chance.random() * self.faults.ghost_s, ends)
 
-    def _return(self, name: str, ghost: Keeper | None = None) -> None:
+    def _return(self, name: str, ghost: Acceptor | None = None) -> None:
         """A keeper starts again from its disk as that is now, or another one in its place, its disk empty."""
         faults, chance = self.faults, self.random
         disk = self._disks[name]
@@ -299,11 +310,11 @@
         elif self._may_lie(name):
             if kind < faults.old_disk and disk:
                 older = max(1, len(disk) - chance.randrange(1, 6))
-                if disk[older - 1].life == disk[-1].life:  # else it is one that was replaced
+                if disk[older - 1].incarnation == disk[-1].incarnation:  # else it is one that was replaced
                     del disk[older:]
             elif kind < faults.old_disk + faults.lost_disk:
                 disk.clear()
-        found, saved = (Found.SOUND, disk[-1]) if disk else (Found.LOST, Saved())
+        found, saved = (DiskState.INTACT, disk[-1]) if disk else (DiskState.LOST, AcceptorState())
         keeper = self._make_keeper(
             name, self.bounds, found, saved, self._clock(name), chance.randrange(1, 2**31)
         )
--- a/saffronstack/harness/rollout/processes.py
+++ b/saffronstack/harness/rollout/processes.py
@@ -23,7 +23,7 @@
 from saffronstack.fleet.control.messages import LEAD, GatewayState
 from saffronstack.fleet.control.releases import read as read_release
 from saffronstack.fleet.control.status_client import ask_status, flat
-from saffronstack.fleet.leases.reading import read_leases
+from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.rollout.controller import Record
 from saffronstack.fleet.rollout.records import decode
 from saffronstack.harness.links import Mode, Wires
--- a/tests/stored_formats/capture_leases.py
+++ b/tests/stored_formats/capture_leases.py
@@ -15,6 +15,8 @@
 import tempfile
 
 import msgspec
+from saffronstack.fleet.leases.server import LeaseLine
+from saffronstack.fleet.leases.service import KeeperService
 
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.codec import Envelope
@@ -33,8 +35,6 @@
     Told,
     Written,
 )
-from saffronstack.fleet.leases.server import LeaseLine
-from saffronstack.fleet.leases.service import KeeperService
 
 DATA = pathlib.Path(__file__).parent / "data" / "leases"
 NAMES = ("k0", "k1", "k2")
--- a/tests/stored_formats/test_lease_formats.py
+++ b/tests/stored_formats/test_lease_formats.py
@@ -8,50 +8,52 @@
 import pytest
 
 from saffronstack.fleet.leases import codec
+from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.codec import Envelope
-from saffronstack.fleet.leases.disk import COPIES, KeeperDisk
+from saffronstack.fleet.leases.disk import COPIES, AcceptorDisk
+from saffronstack.fleet.leases.http_endpoint import LeaseReport
 from saffronstack.fleet.leases.messages import (
-    Ask,
-    Bounds,
-    Found,
-    Freed,
-    Learn,
+    AcceptorRecord,
+    AcceptorState,
+    AcceptRequest,
+    AcceptResponse,
+    CatchUpRequest,
+    CatchUpResponse,
+    DiskState,
+    LeaseLimits,
+    LeaseValue,
     Message,
-    Promise,
-    Record,
-    Release,
-    Saved,
-    Take,
-    Taken,
-    Told,
-    Written,
+    PrepareRequest,
+    PrepareResponse,
+    ReleaseNotification,
+    ReleaseRequest,
 )
-from saffronstack.fleet.leases.server import LeaseLine
-from saffronstack.fleet.leases.service import KeeperService
 
 DATA = pathlib.Path(__file__).parent / "data" / "leases"
 SERVERS = ("k0", "k1", "k2")
-VALUE = Written(7, 2, b"plan \x00\xff")
+VALUE = LeaseValue(7, 2, b"plan \x00\xff")
 INCARNATIONS = (("k1", 2), ("k2", 1))
-RECORD = Record("task/usage", 9, "p1.4", 7, "p1.3", 5.5, 6, VALUE)
-STATE = Saved((RECORD, Record("l")), 41, (("k1", 9), ("k2", 12)), 3, INCARNATIONS)
+RECORD = AcceptorRecord("task/usage", 9, "p1.4", 7, "p1.3", 5.5, 6, VALUE)
+STATE = AcceptorState((RECORD, AcceptorRecord("l")), 41, (("k1", 9), ("k2", 12)), 3, INCARNATIONS)
 
 # In the order in which `envelope.json` holds them.
 MESSAGES: dict[str, Message] = {
-    "ask": Ask("task/usage", "p1.4", 9, INCARNATIONS),
-    "ask_defaults": Ask("l", "a", 1),
-    "promise": Promise("task/usage", "k0", "p1.4", 9, True, 9, 1.25, "p1.3", VALUE, 41, 3, INCARNATIONS),
-    "promise_defaults": Promise("l", "k0", "a", 1, False, 2),
-    "take": Take("task/usage", "p1.4", 9, 6, 5.5, VALUE, (("k0", 41), ("k1", 9)), INCARNATIONS),
-    "take_defaults": Take("l", "a", 1, 1, 5.0),
-    "taken": Taken("task/usage", "k0", "p1.4", 9, 6, True, 9, 0.5, 3, INCARNATIONS),
-    "taken_defaults": Taken("l", "k0", "a", 1, 1, False, 2),
-    "release": Release("task/usage", "p1.4", 9),
-    "freed": Freed("task/usage", "k0", "p2.1"),
-    "learn": Learn("k0", 2**62 - 1, 3),
-    "learn_defaults": Learn("k0", 7),
-    "told": Told("k1", 2**62 - 1, True, 12, (RECORD, Record("l")), 3, 2, INCARNATIONS),
-    "told_defaults": Told("k1", 7, False, 0),
+    "ask": PrepareRequest("task/usage", "p1.4", 9, INCARNATIONS),
+    "ask_defaults": PrepareRequest("l", "a", 1),
+    "promise": PrepareResponse(
+        "task/usage", "k0", "p1.4", 9, True, 9, 1.25, "p1.3", VALUE, 41, 3, INCARNATIONS
+    ),
+    "promise_defaults": PrepareResponse("l", "k0", "a", 1, False, 2),
+    "take": AcceptRequest("task/usage", "p1.4", 9, 6, 5.5, VALUE, (("k0", 41), ("k1", 9)), INCARNATIONS),
+    "take_defaults": AcceptRequest("l", "a", 1, 1, 5.0),
+    "taken": AcceptResponse("task/usage", "k0", "p1.4", 9, 6, True, 9, 0.5, 3, INCARNATIONS),
+    "taken_defaults": AcceptResponse("l", "k0", "a", 1, 1, False, 2),
+    "release": ReleaseRequest("task/usage", "p1.4", 9),
+    "freed": ReleaseNotification("task/usage", "k0", "p2.1"),
+    "learn": CatchUpRequest("k0", 2**62 - 1, 3),
+    "learn_defaults": CatchUpRequest("k0", 7),
+    "told": CatchUpResponse("k1", 2**62 - 1, True, 12, (RECORD, AcceptorRecord("l")), 3, 2, INCARNATIONS),
+    "told_defaults": CatchUpResponse("k1", 7, False, 0),
 }
 ENVELOPES = {
     **{name: Envelope("f", "p1", (message,)) for name, message in MESSAGES.items()},
@@ -71,29 +73,29 @@
     assert {type(message) for message in MESSAGES.values()} == set(Message.__args__)
 
 
-@pytest.mark.parametrize(("kind", "state"), [("state", STATE), ("new_state", Saved())])
+@pytest.mark.parametrize(("kind", "state"), [("state", STATE), ("new_state", AcceptorState())])
 def test_a_state_directory_is_read_and_written_as_the_same_bytes(
-    tmp_path: pathlib.Path, kind: str, state: Saved
+    tmp_path: pathlib.Path, kind: str, state: AcceptorState
 ) -> None:
     stored = {copy: (DATA / f"{kind}-{copy}").read_bytes() for copy in COPIES}
     for copy, data in stored.items():
         (tmp_path / copy).write_bytes(data)
-    disk = KeeperDisk(str(tmp_path), "f", "k0", SERVERS)
+    disk = AcceptorDisk(str(tmp_path), "f", "k0", SERVERS)
     read = disk.read()
-    assert (read.found, read.saved, read.lines) == (Found.SOUND, state, [])
+    assert (read.found, read.saved, read.lines) == (DiskState.INTACT, state, [])
     disk.write(state)
     assert {copy: (tmp_path / copy).read_bytes() for copy in COPIES} == stored
 
 
 def test_the_page_of_leases_keeps_its_bytes() -> None:
-    lines = [LeaseLine("task/usage", "p1.3", 7, 3.125, VALUE), LeaseLine("l", "", 0, 0.0, Written())]
+    lines = [LeaseReport("task/usage", "p1.3", 7, 3.125, VALUE), LeaseReport("l", "", 0, 0.0, LeaseValue())]
     data = (DATA / "leases_page.json").read_bytes()
-    assert msgspec.json.decode(data, type=list[LeaseLine]) == lines
+    assert msgspec.json.decode(data, type=list[LeaseReport]) == lines
     assert msgspec.json.encode(lines) == data
 
 
 def test_the_page_of_a_servers_status_keeps_its_bytes(tmp_path: pathlib.Path) -> None:
-    disk = KeeperDisk(str(tmp_path), "f", "k0", SERVERS)
+    disk = AcceptorDisk(str(tmp_path), "f", "k0", SERVERS)
     disk.write(STATE)
-    service = KeeperService("k0", Bounds(SERVERS), disk, 5, lambda: 100.0, lambda to, message: None)
+    service = AcceptorService("k0", LeaseLimits(SERVERS), disk, 5, lambda: 100.0, lambda to, message: None)
     assert msgspec.json.encode(service.status()) == (DATA / "status_page.json").read_bytes()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,9 +19,9 @@
 from saffronstack.fleet.control.daemon import Daemon, Entry
 from saffronstack.fleet.control.desired_state import Kept, Wanted
 from saffronstack.fleet.control.messages import LEAD, TARGET, Control, DaemonState, Order
-from saffronstack.fleet.leases.messages import Written
-from saffronstack.fleet.leases.reading import Reading, Shown, agree
-from saffronstack.fleet.leases.server import LeaseLine
+from saffronstack.fleet.leases.http_endpoint import LeaseReport
+from saffronstack.fleet.leases.messages import LeaseValue
+from saffronstack.fleet.leases.quorum_read import LeaseStatus, QuorumRead, merge_lease_reports
 from saffronstack.harness.rollout import releases as made
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import eventually
@@ -86,11 +86,11 @@
 # ---- a daemon on its address
 
 
-NOTHING = Reading(True, {})
+NOTHING = QuorumRead(True, {})
 
 
 @contextmanager
-def daemon(tmp_path: pathlib.Path, reading: Reading = NOTHING, **more: Any) -> Iterator[Daemon]:
+def daemon(tmp_path: pathlib.Path, reading: QuorumRead = NOTHING, **more: Any) -> Iterator[Daemon]:
     with hold_port("127.0.0.1") as held:
         listen = f"127.0.0.1:{held.getsockname()[1]}"
         entry = Entry("g1", listen, str(tmp_path / "g1.json5"), 5.0)
@@ -145,11 +145,11 @@
 def test_one_whose_disk_lost_the_token_learns_it_from_keepers_before_any_order(
     tmp_path: pathlib.Path,
 ) -> None:
-    shown = Shown(LEAD, "p", 9, 3, 5.0, Written())
-    with daemon(tmp_path, Reading(False, {LEAD: shown})) as one:
+    shown = LeaseStatus(LEAD, "p", 9, 3, 5.0, LeaseValue())
+    with daemon(tmp_path, QuorumRead(False, {LEAD: shown})) as one:
         status, why = ask(one, Control("f", 99, 1))
         assert status == 409 and "keepers have not told" in why
-    with daemon(tmp_path, Reading(True, {LEAD: shown})) as one:
+    with daemon(tmp_path, QuorumRead(True, {LEAD: shown})) as one:
         eventually(lambda: ask(one, Control("f", 9, 1))[0] == 200)
         assert ask(one, Control("f", 8, 9)) == (409, "token 8 is older than 9")
 
@@ -173,16 +173,16 @@
 
 
 def test_a_reading_believes_no_minority_and_takes_the_newest_value() -> None:
-    def line(token: int, left_s: float, count: int) -> LeaseLine:
-        return LeaseLine(LEAD, f"p{token}", token, left_s, Written(token, count, b"%d" % count))
+    def line(token: int, left_s: float, count: int) -> LeaseReport:
+        return LeaseReport(LEAD, f"p{token}", token, left_s, LeaseValue(token, count, b"%d" % count))
 
     told = {"k0": [line(4, 3.0, 1)], "k1": [line(4, 2.0, 2)]}
-    reading = agree(told, 3, {"k2": "silent"})
+    reading = merge_lease_reports(told, 3, {"k2": "silent"})
     shown = reading.leases[LEAD]
     assert reading.majority and shown.holder == "p4" and shown.left_s == 2.0 and shown.value.content == b"2"
-    reading = agree({"k0": [line(5, 3.0, 1)], "k1": [line(4, 2.0, 2)]}, 3, {})
+    reading = merge_lease_reports({"k0": [line(5, 3.0, 1)], "k1": [line(4, 2.0, 2)]}, 3, {})
     assert reading.leases[LEAD].holder == "" and reading.leases[LEAD].token == 5
-    assert not agree({"k0": [line(5, 3.0, 1)]}, 3, {}).majority
+    assert not merge_lease_reports({"k0": [line(5, 3.0, 1)]}, 3, {}).majority
 
 
 # ---- the fleet's file
--- a/tests/test_lease_keepers.py
+++ b/tests/test_lease_keepers.py
@@ -23,33 +23,45 @@
 from saffronstack.core.threads import spawn
 from saffronstack.durable.segments import Files
 from saffronstack.fleet.leases import codec
+from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.fleet.leases.codec import Envelope
-from saffronstack.fleet.leases.disk import COPIES, ForeignStateError, KeeperDisk
-from saffronstack.fleet.leases.messages import Ask, Bounds, Found, Promise, Record, Saved, Take, Told, Written
-from saffronstack.fleet.leases.node import KeeperNode
-from saffronstack.fleet.leases.service import KeeperService
+from saffronstack.fleet.leases.disk import COPIES, AcceptorDisk, ForeignStateError
+from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.leases.messages import (
+    AcceptorRecord,
+    AcceptorState,
+    AcceptRequest,
+    CatchUpResponse,
+    DiskState,
+    LeaseLimits,
+    LeaseValue,
+    PrepareRequest,
+    PrepareResponse,
+)
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import configuration, eventually
 
 NAMES = ("k0", "k1", "k2")
-BOUNDS = Bounds(NAMES, longest_s=0.6)
-STATE = Saved((Record("l", 7, "a", 7, "a", 5.0, 6, Written(7, 2, b"x")),), 41, (("k1", 9),))
+BOUNDS = LeaseLimits(NAMES, max_lease_s=0.6)
+STATE = AcceptorState(
+    (AcceptorRecord("l", 7, "a", 7, "a", 5.0, 6, LeaseValue(7, 2, b"x")),), 41, (("k1", 9),)
+)
 
 
-def disk(directory: pathlib.Path, files: Files | None = None, **other: str) -> KeeperDisk:
-    return KeeperDisk(str(directory), other.get("fleet", "f"), other.get("keeper", "k0"), NAMES, files)
+def disk(directory: pathlib.Path, files: Files | None = None, **other: str) -> AcceptorDisk:
+    return AcceptorDisk(str(directory), other.get("fleet", "f"), other.get("keeper", "k0"), NAMES, files)
 
 
 # ---- disks
 
 
 def test_what_was_saved_is_read_back_and_an_empty_directory_is_lost_not_new(tmp_path: pathlib.Path) -> None:
-    assert disk(tmp_path / "none").read().found is Found.LOST
+    assert disk(tmp_path / "none").read().found is DiskState.LOST
     one = disk(tmp_path / "k")
     one.establish()
-    assert one.read().found is Found.SOUND and one.read().saved == Saved()
+    assert one.read().found is DiskState.INTACT and one.read().saved == AcceptorState()
     with pytest.raises(FileExistsError, match="there is a keeper's state here"):
         one.establish()
     one.write(STATE)
@@ -58,7 +70,7 @@
 
 def test_each_flipped_bit_and_each_cut_of_one_copy_costs_nothing(tmp_path: pathlib.Path) -> None:
     one = disk(tmp_path)
-    one.write(Saved(write=40))
+    one.write(AcceptorState(last_write=40))
     one.write(STATE)
     for name in COPIES:
         good = (tmp_path / name).read_bytes()
@@ -79,10 +91,10 @@
     (tmp_path / COPIES[0]).write_bytes(second)
     (tmp_path / COPIES[1]).write_bytes(first)
     read = one.read()
-    assert read.found is Found.LOST and any("in the place of" in line for line in read.lines)
+    assert read.found is DiskState.LOST and any("in the place of" in line for line in read.lines)
     for name in COPIES:
         (tmp_path / name).write_bytes(b"")
-    assert one.read().found is Found.LOST
+    assert one.read().found is DiskState.LOST
 
 
 class CutAfter(Files):
@@ -112,7 +124,7 @@
 
 
 def test_a_save_cut_at_any_step_leaves_this_or_what_was(tmp_path: pathlib.Path) -> None:
-    before = Saved(write=40)
+    before = AcceptorState(last_write=40)
     seen = set()
     for steps in range(12):
         place = tmp_path / str(steps)
@@ -124,9 +136,9 @@
         except OSError:
             told = False
         read = disk(place).read()
-        assert read.found is Found.SOUND
+        assert read.found is DiskState.INTACT
         assert read.saved == STATE if told else read.saved in (STATE, before)
-        seen.add((told, read.saved.write))
+        seen.add((told, read.saved.last_write))
     assert seen == {(False, 40), (False, 41), (True, 41)}
 
 
@@ -137,7 +149,7 @@
     with pytest.raises(ForeignStateError, match="fleet 'f', not of 'g'"):
         disk(tmp_path, fleet="g").read()
     with pytest.raises(ForeignStateError, match="replaced under its own name"):
-        KeeperDisk(str(tmp_path), "f", "k0", ("k0", "k1", "k2", "k3", "k4")).read()
+        AcceptorDisk(str(tmp_path), "f", "k0", ("k0", "k1", "k2", "k3", "k4")).read()
 
 
 # ---- a keeper whose disk stalls
@@ -161,15 +173,15 @@
         super().sync(descriptor)
 
 
-def voting(tmp_path: pathlib.Path, gate: Gate) -> KeeperService:
+def voting(tmp_path: pathlib.Path, gate: Gate) -> AcceptorService:
     one = disk(tmp_path, gate)
-    one.write(Saved(write=3))
-    service = KeeperService("k0", BOUNDS, one, 5, time.monotonic, lambda to, message: None)
+    one.write(AcceptorState(last_write=3))
+    service = AcceptorService("k0", BOUNDS, one, 5, time.monotonic, lambda to, message: None)
     service.start()
 
     def votes() -> bool:
         for keeper in NAMES[1:]:
-            service.hear(keeper, (Told(keeper, 5, True, 0),))
+            service.hear(keeper, (CatchUpResponse(keeper, 5, True, 0),))
         return bool(service.status()["votes"])
 
     eventually(votes)
@@ -183,16 +195,16 @@
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.open_.clear()
-    assert service.ask("a", (Ask("l", "a", 1),), 0.05) == []
+    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.05) == []
     # An answer that saves nothing itself may not pass it: it rests on what is not saved. Others' may.
-    assert service.ask("b", (Ask("l", "b", 1),), 0.05) == []
-    assert service.ask("b", (Take("other", "b", 1, 1, 0.5),), 0.05)
+    assert service.ask("b", (PrepareRequest("l", "b", 1),), 0.05) == []
+    assert service.ask("b", (AcceptRequest("other", "b", 1, 1, 0.5),), 0.05)
     before = disk(tmp_path).read().saved
     gate.open_.set()
     eventually(lambda: service.status()["saved"] == service.status()["write"])
-    assert disk(tmp_path).read().saved.write > before.write
-    said = service.ask("a", (Ask("l", "a", 1),), 5.0)
-    assert isinstance(said[0], Promise) and said[0].promised
+    assert disk(tmp_path).read().saved.last_write > before.last_write
+    said = service.ask("a", (PrepareRequest("l", "a", 1),), 5.0)
+    assert isinstance(said[0], PrepareResponse) and said[0].is_promised
     service.stop()
 
 
@@ -200,11 +212,11 @@
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.full = True
-    assert service.ask("a", (Ask("l", "a", 1),), 0.05) == []
+    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.05) == []
     eventually(lambda: "no space" in str(service.status()["trouble"]))
     gate.full = False
     eventually(lambda: service.status()["trouble"] == "")
-    assert service.ask("a", (Ask("l", "a", 1),), 5.0)
+    assert service.ask("a", (PrepareRequest("l", "a", 1),), 5.0)
     service.stop()
 
 
@@ -228,13 +240,13 @@
     gate = Held()
     service = voting(tmp_path, gate)
     gate.holds = True
-    assert service.ask("a", (Ask("l", "a", 1),), 0.01) == []
+    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.01) == []
     assert gate.entered.wait(20.0)
     service.stop()
     first, second = ((tmp_path / name).stat().st_mtime_ns for name in COPIES)
     gate.stopped.set()
     newest = disk(tmp_path).read().saved
-    assert newest.records and newest.write == service.status()["saved"]
+    assert newest.records and newest.last_write == service.status()["saved"]
     assert first <= second, "the second copy was not written when the stop returned"
 
 
@@ -242,7 +254,7 @@
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.open_.clear()
-    assert service.ask("a", (Ask("l", "a", 1),), 0.01) == []
+    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.01) == []
     with capture_logs() as logs:
         service.stop(wait_s=0.05)
     gate.open_.set()
@@ -261,17 +273,17 @@
         self.addresses = {
             name: f"127.0.0.1:{held.getsockname()[1]}" for name, held in zip(NAMES, self._held, strict=True)
         }
-        self.bounds = Bounds(NAMES, longest_s=lease_s)
-        self.nodes: dict[str, KeeperNode] = {}
+        self.bounds = LeaseLimits(NAMES, max_lease_s=lease_s)
+        self.nodes: dict[str, LeaseServer] = {}
         self._ahead_s = 0.0
         for name in NAMES:
-            KeeperDisk(str(directory / name), "f", name, NAMES).establish()
+            AcceptorDisk(str(directory / name), "f", name, NAMES).establish()
             self.start(name)
         self._ahead_s = 2 * lease_s  # nothing was granted yet: what new keepers wait out is passed over
         self.wait()
 
     def start(self, name: str) -> None:
-        node = KeeperNode(
+        node = LeaseServer(
             name, "f", self.addresses, self.bounds, 0.5, str(self.directory / name),
             clock=lambda: time.monotonic() + self._ahead_s,
         )  # fmt: skip
@@ -361,7 +373,9 @@
         fleet.nodes.pop("k2").stop()
         for name in COPIES:
             (tmp_path / "k2" / name).unlink()
-        assert disk(tmp_path / "k2", keeper="k2").read().found is Found.LOST  # and what it learns comes soon
+        assert (
+            disk(tmp_path / "k2", keeper="k2").read().found is DiskState.LOST
+        )  # and what it learns comes soon
         fleet.start("k2")
         fleet.wait()
         fleet.nodes.pop("k0").stop()  # from here on the new one is needed
@@ -391,13 +405,13 @@
 def test_pages_and_bad_requests_of_a_keeper(tmp_path: pathlib.Path) -> None:
     with keepers(tmp_path) as fleet:
         client = Client(fleet.addresses["k0"], 5.0)
-        ask = Envelope("f", "p", (Ask("l", "p", 1),))
+        ask = Envelope("f", "p", (PrepareRequest("l", "p", 1),))
         assert client.request("POST", "/lease/messages", codec.encode(ask)).status == 200
         foreign = client.request("POST", "/lease/messages", codec.encode(Envelope("g", "p")))
         assert foreign.status == 403 and b"of fleet 'f'" in foreign.body
         for body in (b"", b"{", b'{"fleet":"f"}', b'{"fleet":"f","sender":"p","messages":[{"type":"Nope"}]}'):
             assert client.request("POST", "/lease/messages", body).status == 400
-        many = Envelope("f", "p", (Ask("l", "p", 1),) * 600)
+        many = Envelope("f", "p", (PrepareRequest("l", "p", 1),) * 600)
         assert client.request("POST", "/lease/messages", codec.encode(many)).status == 400
         assert client.request("GET", "/nothing").status == 404
         assert client.request("PUT", "/status").status == 405
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -8,7 +8,7 @@
 
 from saffronstack.fleet.control.daemon_client import Daemons
 from saffronstack.fleet.control.messages import DaemonState, Figures, GatewayState, Order
-from saffronstack.fleet.leases.reading import Reading
+from saffronstack.fleet.leases.quorum_read import QuorumRead
 from saffronstack.fleet.rollout.controller import Record, first
 from saffronstack.fleet.rollout.leader import Leader
 from saffronstack.fleet.rollout.plan import Gateway, Plan, Release, Stage
@@ -91,7 +91,7 @@
             stopping.set()
 
     leader = Leader(
-        [gateway], {"g": "d"}, ToldDaemons(clock, every_s, until_s), Lease(), lambda: Reading(True, {}),
+        [gateway], {"g": "d"}, ToldDaemons(clock, every_s, until_s), Lease(), lambda: QuorumRead(True, {}),
         stop_when_held, clock, round_s=0.0,
     )  # fmt: skip
     record = leader.lead(first(PLAN, OLD, NEW), stopping)
