--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -23,9 +23,9 @@
 
 import msgspec
 
+from saffronstack.cli.leases import lease_fleet_of
 from saffronstack.config.fleet import FleetFile, KeeperEntry
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.fleet.leases.messages import LeaseLimits
 from saffronstack.harness.leases.explorer import Budget, Explored, explore
 from saffronstack.harness.leases.rig import LeaseRig, Report
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
@@ -169,11 +169,8 @@
 ) -> int:
     import psutil
 
-    bounds = LeaseLimits(tuple(sorted(fleet.addresses())), max_lease_s=fleet.longest_s)
-    crowd = [
-        LeaseClient("cost", f"p{n}", fleet.addresses(), bounds, fleet.lease_s, fleet.wait_s, n)
-        for n in range(clients)
-    ]
+    servers = lease_fleet_of(fleet)
+    crowd = [LeaseClient(servers, f"p{n}", fleet.lease_s, n) for n in range(clients)]
     first = crowd[0].acquire("warm", 60.0)
     assert first is not None, "no lease within a minute"
     began_s = time.monotonic()
@@ -198,7 +195,7 @@
         for k, b in zip(keepers, before, strict=True)
     ]
     memory = [psutil.Process(k.pid).memory_info().rss / 2**20 for k in keepers]
-    kept = sum(one.left_s() > 0 for one in held)
+    kept = sum(one.remaining_s() > 0 for one in held)
     print(
         f"renewing for {took_s:.0f} s: cores {', '.join(f'{u:.2f}' for u in used)} (sum {sum(used):.2f}), "
         f"{', '.join(f'{m:.0f}' for m in memory)} MB; {kept} still held"
--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -20,7 +20,7 @@
 from saffronstack.fleet.control.messages import LEAD, GatewayState, Order
 from saffronstack.fleet.control.status_client import ask_status, flat
 from saffronstack.fleet.leases.quorum_read import QuorumRead, read_leases
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.rollout.records import decode
 
 LOOK_S = 0.2
@@ -79,13 +79,13 @@
         self.status = status
 
 
-def under_lead(fleet: FleetFile, wait_s: float, act: Callable[[Held], int]) -> int:
+def under_lead(fleet: FleetFile, wait_s: float, act: Callable[[HeldLease], int]) -> int:
     """Do something as the fleet's only leader; its status, or why it could not be."""
     client = open_client(fleet)
     try:
         held = client.acquire(LEAD, wait_s)
         if held is None:
-            troubles = client.troubles()
+            troubles = client.link_errors()
             if sum(not trouble for trouble in troubles.values()) <= len(fleet.keepers) // 2:
                 lines = "; ".join(f"{keeper}: {why}" for keeper, why in troubles.items() if why)
                 raise RefusedError(NO_MAJORITY, f"no majority of keepers answers: {lines}")
@@ -100,10 +100,10 @@
         client.close()
 
 
-def daemons_of(fleet: FleetFile, held: Held) -> Daemons:
+def daemons_of(fleet: FleetFile, held: HeldLease) -> Daemons:
     """The daemons, to be asked under a lease."""
     addresses = {one.name: one.address for one in fleet.daemons}
-    return Daemons(fleet.fleet, addresses, held.token, lambda: held.left_s() > 0)
+    return Daemons(fleet.fleet, addresses, held.token, lambda: held.remaining_s() > 0)
 
 
 def order(path: str, names: Sequence[str], what: str, release: str, wait_s: float, as_json: bool) -> int:
@@ -114,7 +114,7 @@
         wanted = _wanted(fleet, names)
         digest = releases.read(release).release.digest if release else ""
 
-        def act(held: Held) -> int:
+        def act(held: HeldLease) -> int:
             return _order(fleet, held, wanted, what, digest, wait_s, as_json)
 
         return under_lead(fleet, wait_s, act)
@@ -135,7 +135,7 @@
 
 
 def _order(
-    fleet: FleetFile, held: Held, wanted: list[str], what: str, digest: str, wait_s: float, as_json: bool
+    fleet: FleetFile, held: HeldLease, wanted: list[str], what: str, digest: str, wait_s: float, as_json: bool
 ) -> int:
     record = decode(held.value)
     if record is not None and not record.over:
@@ -157,7 +157,7 @@
     while True:
         states, silent = flat(daemons.look())
         late = [name for name in wanted if not _as(states.get(name), aims.get(name))]
-        if not late or time.monotonic() >= until_s or held.left_s() <= 0:
+        if not late or time.monotonic() >= until_s or held.remaining_s() <= 0:
             break
         time.sleep(LOOK_S)
     show(fleet, states, silent | refused, as_json)
--- a/saffronstack/cli/infleet.py
+++ b/saffronstack/cli/infleet.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from saffronstack.cli.leases import bounds_of, job_of, open_client
+from saffronstack.cli.leases import job_of, lease_fleet_of, open_client
 from saffronstack.config.fleet import load_fleet
 from saffronstack.config.load import ConfigError
 from saffronstack.config.schema import InFleet
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.fleet.leases.disk import ForeignStateError
+from saffronstack.fleet.leases.errors import ForeignStateError
 from saffronstack.fleet.leases.lease_server import LeaseServer
 from saffronstack.fleet.tasks.runner import TaskRunner
 
@@ -23,10 +23,7 @@
         fleet = load_fleet(config.path)
         if config.keeper is not None and config.state_directory is not None:
             try:
-                self._node = LeaseServer(
-                    config.keeper, fleet.fleet, fleet.addresses(), bounds_of(fleet), fleet.wait_s,
-                    config.state_directory,
-                )  # fmt: skip
+                self._node = LeaseServer(config.keeper, lease_fleet_of(fleet), config.state_directory)
             except (ForeignStateError, ValueError) as error:
                 raise ConfigError(f"fleet: {error}") from error
             self._node.start()
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -19,7 +19,7 @@
 from saffronstack.fleet.control.messages import LEAD
 from saffronstack.fleet.control.status_client import flat
 from saffronstack.fleet.leases.quorum_read import read_leases
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.rollout.controller import Record, first
 from saffronstack.fleet.rollout.leader import Leader
 from saffronstack.fleet.rollout.plan import Plan, Release, problems
@@ -39,7 +39,7 @@
         plan = convert(read_text(plan_path), Plan, plan_path)
         new, old = releases.read(to).release, releases.read(old_from).release
 
-        def act(held: Held) -> int:
+        def act(held: HeldLease) -> int:
             return _start(fleet, held, plan, old, new, stopping)
 
         return under_lead(fleet, wait_s, act)
@@ -52,7 +52,7 @@
 
 
 def _start(
-    fleet: FleetFile, held: Held, plan: Plan, old: Release, new: Release, stopping: threading.Event
+    fleet: FleetFile, held: HeldLease, plan: Plan, old: Release, new: Release, stopping: threading.Event
 ) -> int:
     record = decode(held.value)
     running = [record.plan.name] if record is not None and not record.over else []
@@ -72,7 +72,9 @@
     return _lead(fleet, held, daemons, begun, stopping)
 
 
-def _lead(fleet: FleetFile, held: Held, daemons: Daemons, record: Record, stopping: threading.Event) -> int:
+def _lead(
+    fleet: FleetFile, held: HeldLease, daemons: Daemons, record: Record, stopping: threading.Event
+) -> int:
     shown = ""
 
     def show(now: Record, waits: str) -> None:
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -22,11 +22,12 @@
 from saffronstack.config.fleet import FleetFile, TaskEntry, load_fleet
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.fleet.leases.disk import AcceptorDisk, ForeignStateError
+from saffronstack.fleet.leases.disk import AcceptorDisk
+from saffronstack.fleet.leases.errors import ForeignStateError, UnknownServerError
 from saffronstack.fleet.leases.lease_server import LeaseServer
-from saffronstack.fleet.leases.messages import LeaseLimits
+from saffronstack.fleet.leases.limits import LeaseFleet, LeaseLimits
 from saffronstack.fleet.leases.quorum_read import read_leases
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.tasks.jobs import FleetUsage, Job, Sweep, Takeover
 from saffronstack.fleet.tasks.runner import TaskRunner
 from saffronstack.http1.messages import HttpError
@@ -41,21 +42,21 @@
 LOOK_S = 0.02
 
 
-def bounds_of(fleet: FleetFile) -> LeaseLimits:
-    """The figures that keepers and candidates share."""
-    return LeaseLimits(
-        tuple(sorted(fleet.addresses())), max_lease_s=fleet.longest_s, max_clock_drift=fleet.drift
-    )
+def lease_fleet_of(fleet: FleetFile) -> LeaseFleet:
+    """Return the lease servers of a fleet's file, and their limits."""
+    addresses = fleet.addresses()
+    limits = LeaseLimits(tuple(sorted(addresses)), max_lease_s=fleet.longest_s, max_clock_drift=fleet.drift)
+    return LeaseFleet(fleet.fleet, addresses, limits, fleet.wait_s)
 
 
 def establish(path: str, name: str, directory: str) -> int:
     """Make a directory that of a keeper of a new fleet; 0, or 2 with the reason."""
     try:
         fleet = load_fleet(path)
-        bounds = bounds_of(fleet)
-        if name not in bounds.servers:
-            raise ValueError(f"{path}: {name!r} is none of the keepers {', '.join(bounds.servers)}")
-        AcceptorDisk(directory, fleet.fleet, name, bounds.servers).establish()
+        servers = lease_fleet_of(fleet).limits.servers
+        if name not in servers:
+            raise UnknownServerError(f"{path}: {name!r} is none of the keepers {', '.join(servers)}")
+        AcceptorDisk(directory, fleet.fleet, name, servers).establish()
     except (ConfigError, OSError, ValueError) as error:
         click.echo(f"saffronstack keeper establish: {error}", err=True)
         return UNUSABLE
@@ -69,9 +70,8 @@
     signals = _signals(signal.SIGTERM, signal.SIGINT)
     try:
         fleet = load_fleet(path)
-        bounds = bounds_of(fleet)
-        node = LeaseServer(name, fleet.fleet, fleet.addresses(), bounds, fleet.wait_s, directory)
-        host, port = node.start()
+        server = LeaseServer(name, lease_fleet_of(fleet), directory)
+        host, port = server.start()
     except (ConfigError, ForeignStateError, OSError, ValueError) as error:
         click.echo(f"saffronstack keeper: {error}", err=True)
         return UNUSABLE
@@ -83,7 +83,7 @@
             break
         except queue.Empty:
             continue
-    node.stop()
+    server.stop()
     return 0
 
 
@@ -141,10 +141,10 @@
         click.echo(str(error), err=True)
         return UNUSABLE
     reading = read_leases(fleet.addresses(), fleet.wait_s)
-    for keeper, trouble in reading.troubles.items():
+    for keeper, trouble in reading.errors.items():
         click.echo(f"{fleet.addresses()[keeper]}: no answer: {trouble}", err=True)
-    if not reading.majority:
-        answered = len(fleet.keepers) - len(reading.troubles)
+    if not reading.has_majority:
+        answered = len(fleet.keepers) - len(reading.errors)
         click.echo(f"no majority: {answered} of {len(fleet.keepers)} answered", err=True)
         return NO_MAJORITY
     if only and only not in reading.leases:
@@ -156,11 +156,11 @@
         if as_json:
             told = {
                 "lease": lease, "holder": shown.holder, "token": shown.token, "held": bool(shown.holder),
-                "granted_by": shown.granted_by, "left_s": shown.left_s, "value": shown.value,
+                "granted_by": shown.granted_by, "left_s": shown.remaining_s, "value": shown.value,
             }  # fmt: skip
             click.echo(msgspec.json.encode(told).decode())
         elif shown.holder:
-            click.echo(f"{lease}: held by {shown.holder}, token {shown.token}, {shown.left_s} s left")
+            click.echo(f"{lease}: held by {shown.holder}, token {shown.token}, {shown.remaining_s} s left")
         else:
             click.echo(f"{lease}: free, last token {shown.token}")
     return 0
@@ -222,10 +222,7 @@
 
 def open_client(fleet: FleetFile) -> LeaseClient:
     """This process's leases."""
-    return LeaseClient(
-        fleet.fleet, process_name(), fleet.addresses(), bounds_of(fleet), fleet.lease_s, fleet.wait_s,
-        secrets.randbits(31),
-    )  # fmt: skip
+    return LeaseClient(lease_fleet_of(fleet), process_name(), fleet.lease_s, secrets.randbits(31))
 
 
 def process_name() -> str:
@@ -246,9 +243,9 @@
     try:
         held = client.acquire(lease, wait_s)
         if held is None:
-            reached = sum(not trouble for trouble in client.troubles().values())
+            reached = sum(not trouble for trouble in client.link_errors().values())
             if reached < len(fleet.keepers) // 2 + 1:
-                troubles = client.troubles().items()
+                troubles = client.link_errors().items()
                 lines = "; ".join(f"{keeper}: {trouble}" for keeper, trouble in troubles if trouble)
                 click.echo(f"saffronstack lease run: no majority of keepers answers: {lines}", err=True)
                 return NO_MAJORITY
@@ -259,7 +256,9 @@
         client.close()
 
 
-def _run_under(held: Held, lease_s: float, command: Sequence[str], signals: queue.SimpleQueue[int]) -> int:
+def _run_under(
+    held: HeldLease, lease_s: float, command: Sequence[str], signals: queue.SimpleQueue[int]
+) -> int:
     environment = {**os.environ, "SAFFRON_LEASE": held.lease, "SAFFRON_LEASE_TOKEN": str(held.token)}
     try:
         process = subprocess.Popen(list(command), env=environment, start_new_session=True)
@@ -281,7 +280,7 @@
         with contextlib.suppress(queue.Empty):
             _signal(process, signals.get_nowait())
         # Renewed each third of its time, it never has so little left while a majority answers.
-        left_s = held.left_s()
+        left_s = held.remaining_s()
         if left_s < KILL_PART * lease_s:
             _signal(process, signal.SIGKILL)
             asked = True
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -38,7 +38,7 @@
         try:
             held = client.acquire(WORDS, WORD_S)
             if held is None:
-                raise RefusedError(NO_MAJORITY, f"the word was not left: {client.troubles()}")
+                raise RefusedError(NO_MAJORITY, f"the word was not left: {client.link_errors()}")
             said = Said(record.plan.name, what, held.token)
             stored = held.put(msgspec.json.encode(said), WORD_S)
             held.release()
@@ -99,8 +99,8 @@
 def recorded(fleet: FleetFile) -> Record | None:
     """The rollout as a majority of keepers shows it; RefusedError without one."""
     reading = read_leases(fleet.addresses(), fleet.wait_s)
-    if not reading.majority:
-        raise RefusedError(NO_MAJORITY, f"no majority of keepers answers: {reading.troubles}")
+    if not reading.has_majority:
+        raise RefusedError(NO_MAJORITY, f"no majority of keepers answers: {reading.errors}")
     shown = reading.leases.get(LEAD)
     return decode(shown.value.content) if shown is not None else None
 
--- a/saffronstack/cli/tenure.py
+++ b/saffronstack/cli/tenure.py
@@ -13,7 +13,7 @@
 from saffronstack.config.load import ConfigError
 from saffronstack.config.schema import Config
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.tasks.ledger_directory import FencedFiles, LedgerDirectory
 
 log = structlog.get_logger("saffronstack.serve")
@@ -26,7 +26,12 @@
     """One life's right to write a ledger: its token, and the lease that says that it lives."""
 
     def __init__(
-        self, home: LedgerDirectory, token: int, config: Config, client: LeaseClient | None, held: Held | None
+        self,
+        home: LedgerDirectory,
+        token: int,
+        config: Config,
+        client: LeaseClient | None,
+        held: HeldLease | None,
     ) -> None:
         self._home, self._token, self._client, self._held = home, token, client, held
         self._ended = threading.Event()
@@ -47,7 +52,7 @@
             if self._home.above(self._token):
                 log.error("taken over by a later holder", home=str(self._home.directory), token=self._token)
                 os._exit(TAKEN_OVER)
-            if self._client is not None and self._held is not None and self._held.left_s() <= 0:
+            if self._client is not None and self._held is not None and self._held.remaining_s() <= 0:
                 lease = self._held.lease
                 again = self._client.acquire(lease, LOOK_S)
                 if again is not None:
@@ -78,7 +83,7 @@
     held = client.acquire(f"gateway/{name}", ENTER_LEASES * fleet.longest_s)
     if held is None:
         client.close()
-        raise ValueError(f"the lease gateway/{name} was not granted: {client.troubles()}")
+        raise ValueError(f"the lease gateway/{name} was not granted: {client.link_errors()}")
     return Tenure(LedgerDirectory(config.ledger.directory), held.token, config, client, held)
 
 
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -256,10 +256,10 @@
     def _learned(self, reading: QuorumRead) -> None:
         """What keepers show. The first reading, with a majority or not, begins: a machine that comes back to
         a rollout which goes back starts the old release, and one without keepers what it had."""
-        if self._learned_all or (self._begun and not reading.majority):
+        if self._learned_all or (self._begun and not reading.has_majority):
             return
         releases = self._wanted.releases
-        if reading.majority:
+        if reading.has_majority:
             if self._gate.lost:
                 shown = reading.leases.get(LEAD)
                 token = shown.token if shown is not None else 0
--- a/saffronstack/fleet/leases/acceptor.py
+++ b/saffronstack/fleet/leases/acceptor.py
@@ -11,6 +11,7 @@
 
 from saffronstack.fleet.leases.errors import UnknownServerError
 from saffronstack.fleet.leases.lease_table import LeaseEntry, LeaseTable, value_order
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
     AcceptorRecord,
@@ -20,7 +21,6 @@
     CatchUpRequest,
     CatchUpResponse,
     DiskState,
-    LeaseLimits,
     Message,
     PrepareRequest,
     PrepareResponse,
--- a/saffronstack/fleet/leases/acceptor_service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -1,4 +1,4 @@
-"""A keeper with its disk and its clock: nothing leaves before what it rests on has been saved."""
+"""An acceptor with its disk and its clock: no answer leaves before the state behind it is persisted."""
 
 from __future__ import annotations
 
@@ -11,244 +11,305 @@
 from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases.acceptor import Acceptor
 from saffronstack.fleet.leases.disk import AcceptorDisk
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
-    AcceptorRecord,
+    AcceptorAction,
     AcceptorState,
-    LeaseLimits,
+    CatchUpRequest,
+    CatchUpResponse,
     Message,
     PersistState,
     SendMessage,
     SetTimer,
 )
+from saffronstack.fleet.leases.reports import AcceptorStatus, LeaseReport
 
 log = structlog.get_logger("saffronstack.keeper")
-AGAIN_S = 0.5  # after a save that failed
-IDLE_S = 1.0
-WAITING_MOST = 1024  # answers that may wait for the disk at one time
-LISTENERS_MOST = 4096  # processes
-MAIL_MOST = 64  # messages for one that listens
-LEFT_S = 2.0  # one that listened so lately will again
-SAVING_MOST_S = 2.0  # that a stop waits for a save under way
+SAVE_RETRY_S = 0.5
+IDLE_S = 1.0  # the longest sleep of a thread without work
+MIN_SLEEP_S = 0.01
+MAX_PENDING_ANSWERS = 1024  # requests that wait for the disk at one time
+MAX_MAILBOXES = 4096
+MAX_MAILBOX_MESSAGES = 64
+MAILBOX_EXPIRY_S = 2.0  # a process that polled so lately will poll again
+STOP_TIMEOUT_S = 2.0  # that a stop waits for a write in progress
 
 
 @dataclass(slots=True)
-class _Box:
-    """What waits for a process that listens."""
+class _Mailbox:
+    """Notifications for one process that polls for them."""
 
     messages: list[Message] = field(default_factory=list)
-    listeners: int = 0
-    left_s: float = 0.0
+    pollers: int = 0
+    last_polled_s: float = 0.0
 
-    def gone(self, now: float) -> bool:
-        """Whether nobody will fetch it."""
-        return not self.listeners and now - self.left_s > LEFT_S
+    def is_expired(self, now: float) -> bool:
+        """Return whether nobody will fetch the messages."""
+        return not self.pollers and now - self.last_polled_s > MAILBOX_EXPIRY_S
 
 
 class AcceptorService:
-    """Owns the machine (under a lock that is held for decisions alone) and the thread that saves."""
+    """Owns the acceptor, the thread that writes its state and the one that runs its timers.
+
+    The lock guards the acceptor and all fields; it is held for decisions alone, never during I/O."""
 
     def __init__(
         self,
         name: str,
-        bounds: LeaseLimits,
+        limits: LeaseLimits,
         disk: AcceptorDisk,
         nonce: int,
         clock: Callable[[], float],
-        say: Callable[[str, Message], None],
+        send: Callable[[str, Message], None],
     ) -> None:
-        """Reads the disk: ForeignStateError, OSError. ``say`` sends to another keeper, never waits."""
+        """Load the state from the disk.
+
+        Args:
+            name: The name of this server.
+            limits: The limits of the fleet.
+            disk: The state directory.
+            nonce: Distinguishes this start from earlier ones.
+            clock: The monotonic clock, in seconds.
+            send: Sends a message to another server; must not block.
+
+        Raises:
+            ForeignStateError: The state is that of another server or fleet.
+            OSError: The directory can't be read."""
         self._clock = clock
         self._disk = disk
-        self._say = say
-        read = disk.read()
-        for line in read.lines:
-            log.warning("keeper's disk", line=line)
-        self._machine = Acceptor(name, bounds, read.found, read.saved, clock(), nonce)
+        self._send = send
+        loaded = disk.load()
+        for warning in loaded.warnings:
+            log.warning("lease state file unreadable", error=warning)
+        self._acceptor = Acceptor(name, limits, loaded.disk_state, loaded.state, clock(), nonce)
         self._lock = threading.Condition()
-        self._newest: AcceptorState | None = None
-        self._saved = read.saved.last_write  # the greatest write that is on the disk
-        self._waiting = 0
-        self._mail: dict[str, _Box] = {}
-        self._wake_s: float | None = None
-        self._stopping = False
-        self.trouble = ""  # what the disk said last; empty while it is well
-        self._saving: threading.Thread | None = None
+        self._unsaved_state: AcceptorState | None = None
+        self._persisted_write = loaded.state.last_write
+        self._pending_answers = 0
+        self._mailboxes: dict[str, _Mailbox] = {}
+        self._timer_s: float | None = None
+        self._is_stopping = False
+        self._disk_error = ""  # of the last write; empty where it succeeded
+        self._writer: threading.Thread | None = None
 
     def start(self) -> None:
-        """Save and keep time on threads of its own."""
-        self._saving = spawn("keeper-disk", self._save_all)
-        spawn("keeper-clock", self._keep_time)
+        """Start the writer and the timer thread."""
+        self._writer = spawn("acceptor-disk", self._write_states)
+        spawn("acceptor-timer", self._run_timers)
+
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
+        """Answer nobody any more, and end a write in progress, so that another server may use the directory.
 
-    def stop(self, wait_s: float = SAVING_MOST_S) -> None:
-        """Answer nobody any more and end a save under way: after this another keeper may use the directory.
-        A disk that takes longer than ``wait_s`` is logged and left to itself."""
+        A disk that takes longer than ``timeout_s`` is logged and left alone."""
         with self._lock:
-            self._stopping = True
+            self._is_stopping = True
             self._lock.notify_all()
-        if self._saving is None:
+        if self._writer is None:
             return
-        self._saving.join(wait_s)
-        if self._saving.is_alive():
-            log.error("keeper stopped while its disk still saves", waited_s=wait_s)
+        self._writer.join(timeout_s)
+        if self._writer.is_alive():
+            log.error("lease server stopped during a state write", timeout_s=timeout_s)
 
-    # ---- what others ask
+    # ---- requests
 
-    def ask(self, sender: str, messages: tuple[Message, ...], wait_s: float) -> list[Message]:
-        """Decide, save, answer the sender. Nothing where the disk does not save it within ``wait_s``: a
-        keeper with a stalled disk is silent, not wrong."""
-        answers: list[Message] = []
-        elsewhere: list[SendMessage] = []
+    def handle_request(self, sender: str, messages: tuple[Message, ...], timeout_s: float) -> list[Message]:
+        """Handle the messages of one request and return the answers to its sender.
+
+        Returns nothing where the disk does not persist the state within ``timeout_s``: an acceptor with a
+        stalled disk is silent, not wrong."""
         with self._lock:
-            if self._stopping or self._waiting >= WAITING_MOST:
+            if self._is_stopping or self._pending_answers >= MAX_PENDING_ANSWERS:
                 return []
-            now = self._clock()
-            for message in messages:
-                speaker = _speaker(sender, message)
-                for action in self._machine.handle(now, speaker, message):
-                    if isinstance(action, PersistState):
-                        self._newest = action.state
-                        self._lock.notify_all()
-                    elif isinstance(action, SetTimer):
-                        self._wake(action)
-                    elif action.receiver == speaker:
-                        answers.append(action.message)
-                    else:
-                        elsewhere.append(action)
-            # An answer that saves nothing itself may rest on what another one still waits to have saved.
-            leases = {getattr(message, "lease", "") for message in messages}
-            write = max(map(self._machine.write_of, leases), default=0)
-            self._waiting += 1
-            try:
-                done = self._lock.wait_for(lambda: self._saved >= write or self._stopping, wait_s)
-            finally:
-                self._waiting -= 1
-            if not done or self._saved < write:
+            answers, notifications = self._decide(sender, messages)
+            if not self._wait_until_persisted(messages, timeout_s):
                 return []
-        for action in elsewhere:
-            self._tell(action)
+        for notification in notifications:
+            self._notify(notification)
         return answers
 
-    def listen(self, sender: str, wait_s: float) -> list[Message]:
-        """What keepers say to a process unasked: that it is its turn. Waits until there is something."""
+    def _decide(self, sender: str, messages: tuple[Message, ...]) -> tuple[list[Message], list[SendMessage]]:
+        """Return the answers to the sender, and the messages to others; the lock is held."""
+        answers: list[Message] = []
+        notifications: list[SendMessage] = []
+        now = self._clock()
+        for message in messages:
+            speaker = _speaker(sender, message)
+            for action in self._acceptor.handle(now, speaker, message):
+                match action:
+                    case SendMessage(receiver=receiver) if receiver == speaker:
+                        answers.append(action.message)
+                    case SendMessage():
+                        notifications.append(action)
+                    case _:
+                        self._apply(action)
+        return answers, notifications
+
+    def _wait_until_persisted(self, messages: tuple[Message, ...], timeout_s: float) -> bool:
+        """Wait for the writes that the answers rest on; the lock is held.
+
+        An answer that writes nothing itself may rest on what another request still waits to have written."""
+        write = max((self._acceptor.write_of(_lease_of(message)) for message in messages), default=0)
+        self._pending_answers += 1
+        try:
+            self._lock.wait_for(lambda: self._persisted_write >= write or self._is_stopping, timeout_s)
+        finally:
+            self._pending_answers -= 1
+        return self._persisted_write >= write
+
+    def poll(self, sender: str, timeout_s: float) -> list[Message]:
+        """Return the notifications for a process; waits up to ``timeout_s`` until there are some."""
         with self._lock:
-            box = self._mail.get(sender)
-            if box is None:
-                if len(self._mail) >= LISTENERS_MOST:
+            mailbox = self._mailboxes.get(sender)
+            if mailbox is None:
+                if len(self._mailboxes) >= MAX_MAILBOXES:
                     return []
-                box = self._mail[sender] = _Box()
-            box.listeners += 1
+                mailbox = self._mailboxes[sender] = _Mailbox()
+            mailbox.pollers += 1
             try:
-                self._lock.wait_for(lambda: bool(box.messages) or self._stopping, wait_s)
-                found, box.messages = box.messages, []
+                self._lock.wait_for(lambda: bool(mailbox.messages) or self._is_stopping, timeout_s)
+                messages, mailbox.messages = mailbox.messages, []
             finally:
-                box.listeners -= 1
-                box.left_s = self._clock()
-            return found
+                mailbox.pollers -= 1
+                mailbox.last_polled_s = self._clock()
+            return messages
 
-    def _tell(self, say: SendMessage) -> None:
-        """To another keeper over its link; to a candidate where its process listens, or did just now."""
-        process = say.receiver.rpartition(".")[0] or say.receiver
+    def _notify(self, notification: SendMessage) -> None:
+        """Send to another server over its link; to a candidate where its process polls, or did just now."""
+        process = notification.receiver.rpartition(".")[0] or notification.receiver
         with self._lock:
-            for gone in [who for who, box in self._mail.items() if box.gone(self._clock())]:
-                del self._mail[gone]
-            box = self._mail.get(process)
-            if box is not None:
-                box.messages = [*box.messages[-MAIL_MOST:], say.message]
+            now = self._clock()
+            for expired in [name for name, box in self._mailboxes.items() if box.is_expired(now)]:
+                del self._mailboxes[expired]
+            mailbox = self._mailboxes.get(process)
+            if mailbox is not None:
+                mailbox.messages = [*mailbox.messages[-MAX_MAILBOX_MESSAGES:], notification.message]
                 self._lock.notify_all()
                 return
-        self._say(say.receiver, say.message)
+        self._send(notification.receiver, notification.message)
 
-    def hear(self, keeper: str, messages: tuple[Message, ...]) -> None:
-        """What another keeper answered; never waits."""
+    def handle_responses(self, server: str, messages: tuple[Message, ...]) -> None:
+        """Handle what another server answered; does not block."""
         with self._lock:
-            if self._stopping:
+            if self._is_stopping:
                 return
             now = self._clock()
             for message in messages:
-                for action in self._machine.handle(now, keeper, message):
+                for action in self._acceptor.handle(now, server, message):
                     if isinstance(action, PersistState):
-                        self._newest = action.state
+                        self._unsaved_state = action.state
             self._lock.notify_all()
 
-    def records(self) -> list[tuple[AcceptorRecord, float]]:
-        """Each lease, and for how many seconds a grant of it runs here."""
+    # ---- pages
+
+    def lease_reports(self) -> list[LeaseReport]:
+        """Return what this acceptor knows of each lease."""
         with self._lock:
             now = self._clock()
-            machine = self._machine
-            return [(record, machine.remaining_s(now, record.lease)) for record in machine.records()]
+            return [
+                LeaseReport(
+                    record.lease,
+                    record.holder,
+                    record.accepted_ballot,
+                    round(self._acceptor.remaining_s(now, record.lease), 3),
+                    record.value,
+                )
+                for record in self._acceptor.records()
+            ]
 
-    def status(self) -> dict[str, object]:
-        """How it stands, for a person."""
+    def status(self) -> AcceptorStatus:
+        """Return the state of the acceptor and its disk."""
         with self._lock:
-            now, machine = self._clock(), self._machine
-            return {
-                "keeper": machine.name,
-                "votes": machine.can_vote(now),
-                "disk": machine.recovery.disk_state.value,
-                "life": machine.table.incarnation,
-                "sure": machine.recovery.has_recovered,
-                "votes_in_s": round(max(0.0, machine.recovery.votes_from_s - now), 3),
-                "leases": len(machine.records()),
-                "write": machine.table.last_write,
-                "saved": self._saved,
-                "trouble": self.trouble,
-            }
+            now, acceptor = self._clock(), self._acceptor
+            recovery, table = acceptor.recovery, acceptor.table
+            return AcceptorStatus(
+                server=acceptor.name,
+                can_vote=acceptor.can_vote(now),
+                disk_state=recovery.disk_state.value,
+                incarnation=table.incarnation,
+                has_recovered=recovery.has_recovered,
+                votes_in_s=round(max(0.0, recovery.votes_from_s - now), 3),
+                leases=len(table.leases),
+                last_write=table.last_write,
+                persisted_write=self._persisted_write,
+                disk_error=self._disk_error,
+            )
 
     # ---- threads
 
-    def _wake(self, wake: SetTimer) -> None:
-        self._wake_s = wake.deadline_s if self._wake_s is None else min(self._wake_s, wake.deadline_s)
+    def _apply(self, action: AcceptorAction) -> None:
+        """Hand a state to the writer or a time to the timer thread; the lock is held."""
+        match action:
+            case PersistState(state=state):
+                self._unsaved_state = state
+            case SetTimer(deadline_s=deadline_s):
+                self._timer_s = deadline_s if self._timer_s is None else min(self._timer_s, deadline_s)
         self._lock.notify_all()
 
-    def _keep_time(self) -> None:
-        """Ask the other keepers until its word counts."""
+    def _run_timers(self) -> None:
+        """Tick the acceptor, which asks the other servers until it has recovered."""
         while True:
-            said: list[SendMessage] = []
             with self._lock:
-                if self._stopping:
+                if self._is_stopping:
                     return
-                now = self._clock()
-                self._wake_s = None
-                # A life that others know and that is not on the disk yet would be another one's after a kill.
-                unsaved = self._saved < self._machine.table.last_write
-                for action in self._machine.tick(now):
-                    if isinstance(action, SendMessage):
-                        if not unsaved:
-                            said.append(action)
-                    elif isinstance(action, SetTimer):
-                        self._wake(action)
-                if not said:
-                    wait_s = IDLE_S if self._wake_s is None else min(IDLE_S, max(0.01, self._wake_s - now))
-                    self._lock.wait(wait_s)
-            for action in said:
-                self._say(action.receiver, action.message)
-
-    def _save_all(self) -> None:
-        """Save the newest; what came while the disk was busy goes with the next one."""
+                requests = self._tick()
+                if not requests:
+                    self._lock.wait(self._sleep_s())
+            for request in requests:
+                self._send(request.receiver, request.message)
+
+    def _tick(self) -> list[SendMessage]:
+        """Return the requests to send now; the lock is held."""
+        self._timer_s = None
+        # An incarnation that others know but the disk does not would be another machine's after a crash.
+        is_persisted = self._persisted_write >= self._acceptor.table.last_write
+        requests: list[SendMessage] = []
+        for action in self._acceptor.tick(self._clock()):
+            match action:
+                case SendMessage():
+                    if is_persisted:
+                        requests.append(action)
+                case SetTimer():
+                    self._apply(action)
+        return requests
+
+    def _sleep_s(self) -> float:
+        if self._timer_s is None:
+            return IDLE_S
+        return min(IDLE_S, max(MIN_SLEEP_S, self._timer_s - self._clock()))
+
+    def _write_states(self) -> None:
+        """Write the newest state; states that were replaced while the disk was busy are skipped."""
         while True:
             with self._lock:
-                self._lock.wait_for(lambda: self._newest is not None or self._stopping, IDLE_S)
-                if self._stopping:
+                self._lock.wait_for(lambda: self._unsaved_state is not None or self._is_stopping, IDLE_S)
+                if self._is_stopping:
                     return
-                newest, self._newest = self._newest, None
-            if newest is None:
-                continue
-            try:
-                self._disk.write(newest)
-            except OSError as error:
-                log.error("keeper can't save and is silent", error=str(error))
-                with self._lock:
-                    self.trouble = str(error)
-                    self._newest = self._newest or newest
-                    self._lock.wait_for(lambda: self._stopping, AGAIN_S)
-                continue
+                state, self._unsaved_state = self._unsaved_state, None
+            if state is not None:
+                self._write(state)
+
+    def _write(self, state: AcceptorState) -> None:
+        try:
+            self._disk.save(state)
+        except OSError as error:
+            log.error("lease state write failed", error=str(error))
             with self._lock:
-                self.trouble = ""
-                self._saved = max(self._saved, newest.last_write)
-                self._lock.notify_all()
+                self._disk_error = str(error)
+                self._unsaved_state = self._unsaved_state or state
+                self._lock.wait_for(lambda: self._is_stopping, SAVE_RETRY_S)
+            return
+        with self._lock:
+            self._disk_error = ""
+            self._persisted_write = max(self._persisted_write, state.last_write)
+            self._lock.notify_all()
+
+
+def _lease_of(message: Message) -> str:
+    return "" if isinstance(message, CatchUpRequest | CatchUpResponse) else message.lease
 
 
 def _speaker(sender: str, message: Message) -> str:
-    """Who says it: a process speaks for all its candidates, which are named after it."""
-    candidate = getattr(message, "candidate", "")
-    return candidate if candidate.startswith(f"{sender}.") else sender
+    """Return who a message is from: a process sends for all its candidates, which are named after it."""
+    if isinstance(message, CatchUpRequest | CatchUpResponse):
+        return sender
+    return message.candidate if message.candidate.startswith(f"{sender}.") else sender
--- a/saffronstack/fleet/leases/candidate.py
+++ b/saffronstack/fleet/leases/candidate.py
@@ -12,11 +12,11 @@
 
 from saffronstack.fleet.leases.errors import InvalidLeaseDurationError, NotHolderError
 from saffronstack.fleet.leases.lease_table import value_order
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptRequest,
     AcceptResponse,
     Incarnations,
-    LeaseLimits,
     LeaseValue,
     Message,
     ObservedWrites,
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -1,4 +1,4 @@
-"""Candidates on real links: one thread keeps time and hears for all leases of a process."""
+"""The leases of one process: its candidates, their links to the lease servers, and one timer thread."""
 
 from __future__ import annotations
 
@@ -17,107 +17,129 @@
     LeaseLost,
     ValueStored,
 )
-from saffronstack.fleet.leases.messages import LeaseLimits, Message, SendMessage, SetTimer
+from saffronstack.fleet.leases.errors import LeaseAlreadyWantedError
+from saffronstack.fleet.leases.limits import LeaseFleet, LeaseLimits
+from saffronstack.fleet.leases.messages import CatchUpRequest, CatchUpResponse, Message, SendMessage, SetTimer
 from saffronstack.fleet.leases.server_link import LeaseServerLink
 
 log = structlog.get_logger("saffronstack.leases")
-IDLE_S = 0.5
-RELEASE_S = 0.5  # how long a close waits for what it gives back to leave
+IDLE_S = 0.5  # the longest sleep of the timer thread
+MIN_SLEEP_S = 0.001
+FLUSH_S = 0.5  # how long a close waits until its releases were sent
+MIN_FLUSH_S = 0.01
+
+CandidateFactory = Callable[[str, str, float, LeaseLimits, int], Candidate]
 
 
 def holder_clock() -> float:
-    """Seconds that go on while the machine is suspended: a holder must not sleep through its lease. Keepers
-    count by CLOCK_MONOTONIC, which stands still meanwhile: they grant later, which is harmless."""
+    """Return seconds that also pass while the machine is suspended: a holder must not sleep past its lease.
+
+    Servers count by CLOCK_MONOTONIC, which stands still meanwhile: they grant later, which is harmless."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class _Held:
-    """A lease that was gained, as its owner sees it; `store.Held`."""
+class _ClientLease:
+    """A lease that was acquired, as its owner sees it; a `store.HeldLease`."""
 
     def __init__(self, client: LeaseClient, lease: str, token: int, value: bytes) -> None:
         self._client = client
         self.lease, self.token, self.value = lease, token, value
 
-    def left_s(self) -> float:
-        """See `store.Held`."""
-        return self._client.left_s(self)
+    def remaining_s(self) -> float:
+        """See `store.HeldLease`."""
+        return self._client.remaining_s(self)
 
     def put(self, content: bytes, wait_s: float) -> bool:
-        """See `store.Held`."""
+        """See `store.HeldLease`."""
         return self._client.put(self, content, wait_s)
 
     def release(self) -> None:
-        """See `store.Held`."""
+        """See `store.HeldLease`."""
         self._client.release(self)
 
 
-class _Wanted:
-    """One lease that this process wants or holds."""
+class _WantedLease:
+    """One lease that this process waits for or holds."""
 
-    def __init__(self, candidate: Candidate, lost: Callable[[str], None] | None) -> None:
+    def __init__(self, candidate: Candidate, on_lost: Callable[[str], None] | None) -> None:
         self.candidate = candidate
-        self.lost = lost
-        self.held: _Held | None = None
-        self.stored = 0  # count of the newest value that a majority has
-        self.ended = False
+        self.on_lost = on_lost
+        self.held: _ClientLease | None = None
+        self.stored_version = 0  # of the newest value that a majority has
+        self.has_ended = False
 
 
 class LeaseClient:
-    """The leases of one process over the fleet's own keepers; a `store.LeaseStore`."""
+    """The leases of one process on the fleet's lease servers; a `store.LeaseStore`.
+
+    The lock guards the candidates and all fields. It is held while candidates decide, never during I/O."""
 
     def __init__(
         self,
-        fleet: str,
-        name: str,
-        addresses: dict[str, str],
-        bounds: LeaseLimits,
+        fleet: LeaseFleet,
+        process: str,
         lease_s: float,
-        wait_s: float,
         seed: int,
         clock: Callable[[], float] = holder_clock,
-        make: Callable[[str, str, float, LeaseLimits, int], Candidate] = Candidate,
+        make_candidate: CandidateFactory = Candidate,
     ) -> None:
-        """``name`` is new with every life of a process; ``wait_s`` bounds each exchange with a keeper."""
-        self._make = make
-        self._name, self._bounds, self._lease_s, self._seed = name, bounds, lease_s, seed
+        """Start the links to the servers and the timer thread.
+
+        Args:
+            fleet: The lease servers, their limits and the timeout of each exchange.
+            process: A name that no earlier process had.
+            lease_s: For how long each grant runs, in seconds.
+            seed: Seeds the jitter of backoffs.
+            clock: The clock that held leases are counted by, in seconds.
+            make_candidate: Makes the candidate of each lease."""
+        self._make_candidate = make_candidate
+        self._process, self._limits, self._lease_s, self._seed = process, fleet.limits, lease_s, seed
         self._clock = clock
         self._lock = threading.Condition()
-        self._wanted: dict[str, _Wanted] = {}
-        self._wakes: list[tuple[float, int, str]] = []
-        self._order = 0
-        self._told: list[tuple[Callable[[str], None], str]] = []
-        self._stopping = False
+        self._wanted: dict[str, _WantedLease] = {}
+        self._timers: list[tuple[float, int, str]] = []  # a heap of time, serial number and lease
+        self._serial = 0
+        self._lost_callbacks: list[tuple[Callable[[str], None], str]] = []
+        self._is_stopping = False
         self._links = {
-            keeper: LeaseServerLink(
-                keeper, address, fleet, name, wait_s, self._heard, time.monotonic, seed * 31 + number
+            server: LeaseServerLink(
+                server, fleet, process, self._handle_messages, time.monotonic, seed * 31 + number
             )
-            for number, (keeper, address) in enumerate(sorted(addresses.items()))
+            for number, server in enumerate(sorted(fleet.addresses))
         }
         for link in self._links.values():
             link.start()
-        spawn("leases", self._keep_time)
+        spawn("lease-timer", self._run_timers)
 
-    # ---- what its owner asks
+    # ---- requests of the owner
 
-    def acquire(self, lease: str, wait_s: float, lost: Callable[[str], None] | None = None) -> _Held | None:
-        """See `store.LeaseStore`. ValueError where this process wants or holds it already."""
+    def acquire(
+        self, lease: str, wait_s: float, on_lost: Callable[[str], None] | None = None
+    ) -> _ClientLease | None:
+        """Acquire a lease, see `store.LeaseStore`.
+
+        Raises:
+            LeaseAlreadyWantedError: This process waits for the lease or holds it already."""
         with self._lock:
-            if self._stopping:
+            if self._is_stopping:
                 return None
             if lease in self._wanted:
-                raise ValueError(f"lease {lease!r} is wanted by this process already")
-            self._order += 1
-            name = f"{self._name}.{self._order}"  # a new candidate each time: its numbers are its own
-            candidate = self._make(name, lease, self._lease_s, self._bounds, self._seed + self._order)
-            wanted = self._wanted[lease] = _Wanted(candidate, lost)
-            self._do(lease, candidate.acquire(self._clock()))
-            self._lock.wait_for(lambda: wanted.held is not None or self._stopping, wait_s)
+                raise LeaseAlreadyWantedError(f"lease {lease!r} is wanted by this process already")
+            wanted = self._wanted[lease] = _WantedLease(self._new_candidate(lease), on_lost)
+            self._apply(lease, wanted.candidate.acquire(self._clock()))
+            self._lock.wait_for(lambda: wanted.held is not None or self._is_stopping, wait_s)
             if wanted.held is None:
                 self._drop(lease)
             return wanted.held
 
-    def left_s(self, held: _Held) -> float:
-        """For how long it is held; 0 where it is not."""
+    def _new_candidate(self, lease: str) -> Candidate:
+        """Each candidate has a name of its own, so that its ballots are its own."""
+        self._serial += 1
+        name = f"{self._process}.{self._serial}"
+        return self._make_candidate(name, lease, self._lease_s, self._limits, self._seed + self._serial)
+
+    def remaining_s(self, held: _ClientLease) -> float:
+        """Return for how many seconds a lease is held; 0 where it is not."""
         with self._lock:
             wanted = self._wanted.get(held.lease)
             if wanted is None or wanted.held is not held:
@@ -125,126 +147,143 @@
             now = self._clock()
             return wanted.candidate.expires_s - now if wanted.candidate.is_holder(now) else 0.0
 
-    def put(self, held: _Held, content: bytes, wait_s: float) -> bool:
-        """See `store.Held`."""
+    def put(self, held: _ClientLease, content: bytes, wait_s: float) -> bool:
+        """Store a lease's value, see `store.HeldLease`."""
         with self._lock:
             wanted = self._wanted.get(held.lease)
             now = self._clock()
             if wanted is None or wanted.held is not held or not wanted.candidate.is_holder(now):
                 return False
-            self._do(held.lease, wanted.candidate.store_value(now, content))
-            count = wanted.candidate.value.version
-            self._lock.wait_for(lambda: wanted.stored >= count or wanted.ended or self._stopping, wait_s)
-            if wanted.stored < count:
+            self._apply(held.lease, wanted.candidate.store_value(now, content))
+            version = wanted.candidate.value.version
+            self._lock.wait_for(
+                lambda: wanted.stored_version >= version or wanted.has_ended or self._is_stopping, wait_s
+            )
+            if wanted.stored_version < version:
                 return False
             held.value = content
             return True
 
-    def release(self, held: _Held) -> None:
-        """See `store.Held`."""
+    def release(self, held: _ClientLease) -> None:
+        """Release a lease, see `store.HeldLease`."""
         with self._lock:
             wanted = self._wanted.get(held.lease)
             if wanted is not None and wanted.held is held:
                 self._drop(held.lease)
 
     def close(self) -> None:
-        """Give everything back; waits half a second at most for that to leave."""
+        """Release all leases; waits at most `FLUSH_S` until the releases were sent."""
         with self._lock:
             for lease in list(self._wanted):
                 self._drop(lease)
-        until_s = time.monotonic() + RELEASE_S
+        deadline_s = time.monotonic() + FLUSH_S
         for link in self._links.values():
-            link.stop(max(0.01, until_s - time.monotonic()))
+            link.stop(max(MIN_FLUSH_S, deadline_s - time.monotonic()))
         with self._lock:
-            self._stopping = True
+            self._is_stopping = True
             self._lock.notify_all()
 
-    def troubles(self) -> dict[str, str]:
-        """What each keeper's link met last; empty where it answers."""
-        return {keeper: link.trouble for keeper, link in self._links.items()}
+    def link_errors(self) -> dict[str, str]:
+        """Return the error of the last exchange with each server; empty where it answered."""
+        return {server: link.last_error for server, link in self._links.items()}
 
     def holder_of(self, lease: str) -> str:
-        """Who else holds it, by the last word heard."""
+        """Return the candidate that holds a lease that this process waits for, as the last response said."""
         with self._lock:
             wanted = self._wanted.get(lease)
             return wanted.candidate.holder if wanted is not None else ""
 
-    # ---- inside; the lock is held
+    # ---- actions of candidates; the lock is held
 
     def _drop(self, lease: str) -> None:
         wanted = self._wanted.pop(lease)
-        wanted.ended = True
-        self._do(lease, wanted.candidate.release(self._clock()))
+        wanted.has_ended = True
+        self._apply(lease, wanted.candidate.release(self._clock()))
         self._lock.notify_all()
 
-    def _do(self, lease: str, actions: list[CandidateAction]) -> None:
+    def _apply(self, lease: str, actions: list[CandidateAction]) -> None:
         wanted = self._wanted.get(lease)
         for action in actions:
-            if isinstance(action, SendMessage):
-                self._links[action.receiver].say(action.message)
-            elif isinstance(action, SetTimer):
-                self._order += 1
-                heapq.heappush(self._wakes, (action.deadline_s, self._order, lease))
-                self._lock.notify_all()
-            elif wanted is None:
-                continue
-            elif isinstance(action, LeaseAcquired):
+            match action:
+                case SendMessage(receiver=server, message=message):
+                    self._links[server].send(message)
+                case SetTimer(deadline_s=deadline_s):
+                    self._serial += 1
+                    heapq.heappush(self._timers, (deadline_s, self._serial, lease))
+                    self._lock.notify_all()
+                case _:
+                    if wanted is not None:
+                        self._report(lease, wanted, action)
+
+    def _report(self, lease: str, wanted: _WantedLease, action: CandidateAction) -> None:
+        """Hand what a candidate reports to whoever waits for it."""
+        match action:
+            case LeaseAcquired(token=token, value=value):
                 if wanted.held is None:
-                    wanted.held = _Held(self, lease, action.token, action.value.content)
+                    wanted.held = _ClientLease(self, lease, token, value.content)
                     self._lock.notify_all()
-            elif isinstance(action, ValueStored):
-                wanted.stored = max(wanted.stored, action.value.version)
+            case ValueStored(value=value):
+                wanted.stored_version = max(wanted.stored_version, value.version)
                 self._lock.notify_all()
-            elif isinstance(action, LeaseLost):
-                self._lost(lease, wanted, action)
-
-    def _listen(self) -> None:
-        """Keepers tell those in line when it is their turn."""
-        waits = any(wanted.candidate.is_waiting for wanted in self._wanted.values())
-        for link in self._links.values():
-            link.listen(waits)
+            case LeaseLost():
+                self._lose(lease, wanted, action)
 
-    def _lost(self, lease: str, wanted: _Wanted, lost: LeaseLost) -> None:
-        """It is over for this owner: what it asks for next is another lease with another token."""
-        if wanted.held is None or wanted.ended:
+    def _lose(self, lease: str, wanted: _WantedLease, lost: LeaseLost) -> None:
+        """End a lease for its owner: what it acquires next is another lease with another token."""
+        if wanted.held is None or wanted.has_ended:
             return
-        log.warning("lease lost", lease=lease, token=lost.token, why=lost.reason)
+        log.warning("lease lost", lease=lease, token=lost.token, reason=lost.reason)
         if self._wanted.get(lease) is wanted:
             self._drop(lease)
-        if wanted.lost is not None:
-            self._told.append((wanted.lost, lost.reason))
+        if wanted.on_lost is not None:
+            self._lost_callbacks.append((wanted.on_lost, lost.reason))
+
+    def _update_polling(self) -> None:
+        """Poll the servers while a candidate waits: they notify the first waiter of a release."""
+        is_waiting = any(wanted.candidate.is_waiting for wanted in self._wanted.values())
+        for link in self._links.values():
+            link.set_polling(is_waiting)
 
     # ---- threads
 
-    def _heard(self, keeper: str, messages: tuple[Message, ...]) -> None:
+    def _handle_messages(self, server: str, messages: tuple[Message, ...]) -> None:
+        """Handle a server's messages, on its link's threads."""
         with self._lock:
             now = self._clock()
             for message in messages:
-                lease = getattr(message, "lease", "")
-                wanted = self._wanted.get(lease)
+                if isinstance(message, CatchUpRequest | CatchUpResponse):
+                    continue  # between servers alone
+                wanted = self._wanted.get(message.lease)
                 if wanted is not None:
-                    self._do(lease, wanted.candidate.handle(now, keeper, message))
-            self._listen()
+                    self._apply(message.lease, wanted.candidate.handle(now, server, message))
+            self._update_polling()
             self._lock.notify_all()
 
-    def _keep_time(self) -> None:
+    def _run_timers(self) -> None:
         while True:
             with self._lock:
-                if self._stopping and not self._told:
+                if self._is_stopping and not self._lost_callbacks:
                     return
                 now = self._clock()
-                while self._wakes and self._wakes[0][0] <= now:
-                    _, _, lease = heapq.heappop(self._wakes)
-                    wanted = self._wanted.get(lease)
-                    if wanted is not None:
-                        self._do(lease, wanted.candidate.tick(now))
-                self._listen()
-                told, self._told = self._told, []
-                if not told:
-                    wait_s = min(IDLE_S, max(0.001, self._wakes[0][0] - now)) if self._wakes else IDLE_S
-                    self._lock.wait(wait_s)
-            for lost, why in told:
+                self._tick(now)
+                self._update_polling()
+                callbacks, self._lost_callbacks = self._lost_callbacks, []
+                if not callbacks:
+                    self._lock.wait(self._sleep_s(now))
+            for on_lost, reason in callbacks:
                 try:
-                    lost(why)
+                    on_lost(reason)
                 except Exception:
-                    log.exception("what is told of a lost lease failed")
+                    log.exception("lease lost callback failed")
+
+    def _tick(self, now: float) -> None:
+        while self._timers and self._timers[0][0] <= now:
+            _, _, lease = heapq.heappop(self._timers)
+            wanted = self._wanted.get(lease)
+            if wanted is not None:
+                self._apply(lease, wanted.candidate.tick(now))
+
+    def _sleep_s(self, now: float) -> float:
+        if not self._timers:
+            return IDLE_S
+        return min(IDLE_S, max(MIN_SLEEP_S, self._timers[0][0] - now))
--- a/saffronstack/fleet/leases/codec.py
+++ b/saffronstack/fleet/leases/codec.py
@@ -1,21 +1,23 @@
-"""Messages of leases as bytes: JSON on the links, MessagePack on a keeper's disk. No I/O."""
+"""Lease messages and acceptor state as bytes: JSON on the links, MessagePack on disk. Free of I/O."""
 
 from __future__ import annotations
 
 import msgspec
 
+from saffronstack.fleet.leases.errors import DecodeError
 from saffronstack.fleet.leases.messages import AcceptorState, Message
 
-MESSAGES_MOST = 512  # in one envelope
+MESSAGES_TARGET = "/lease/messages"  # the path that envelopes are posted to
+MAX_MESSAGES = 512  # in one envelope
 
 
-class Envelope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes over a link at once: a request's messages, or those of its answer."""
+class Envelope(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"poll_s": "wait_s"}):
+    """One request or response between a process and a lease server."""
 
     fleet: str
     sender: str
     messages: tuple[Message, ...] = ()
-    wait_s: float = 0.0  # a request without messages: answer when there is something, or after this
+    poll_s: float = 0.0  # of a request without messages (a long poll): answer at the latest after this
 
 
 class StoredState(
@@ -24,7 +26,7 @@
     forbid_unknown_fields=True,
     rename={"server": "keeper", "servers": "keepers", "state": "saved"},
 ):
-    """What a keeper's disk says: whose it is, and what was saved."""
+    """The content of a state file: the server that it belongs to, and its state."""
 
     fleet: str
     server: str
@@ -32,34 +34,40 @@
     state: AcceptorState
 
 
-_read_envelope = msgspec.json.Decoder(Envelope)
-_read_shelf = msgspec.msgpack.Decoder(StoredState)
+_envelope_decoder = msgspec.json.Decoder(Envelope)
+_state_decoder = msgspec.msgpack.Decoder(StoredState)
 
 
 def encode(envelope: Envelope) -> bytes:
-    """For a link."""
+    """Encode an envelope for a link."""
     return msgspec.json.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope:
-    """From a link. ValueError with what is wrong."""
+    """Decode an envelope from a link.
+
+    Raises:
+        DecodeError: The bytes are no envelope, or it holds too many messages."""
     try:
-        envelope = _read_envelope.decode(data)
+        envelope = _envelope_decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(f"no envelope: {error}") from error
-    if len(envelope.messages) > MESSAGES_MOST:
-        raise ValueError(f"{len(envelope.messages)} messages at once, {MESSAGES_MOST} at most")
+        raise DecodeError(f"no envelope: {error}") from error
+    if len(envelope.messages) > MAX_MESSAGES:
+        raise DecodeError(f"{len(envelope.messages)} messages at once, {MAX_MESSAGES} at most")
     return envelope
 
 
-def encode_shelf(shelf: StoredState) -> bytes:
-    """For the disk."""
-    return msgspec.msgpack.encode(shelf)
+def encode_state(stored: StoredState) -> bytes:
+    """Encode the content of a state file."""
+    return msgspec.msgpack.encode(stored)
+
 
+def decode_state(data: bytes) -> StoredState:
+    """Decode the content of a state file.
 
-def decode_shelf(data: bytes) -> StoredState:
-    """From the disk. ValueError with what is wrong."""
+    Raises:
+        DecodeError: The bytes are no state."""
     try:
-        return _read_shelf.decode(data)
+        return _state_decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(f"no saved state: {error}") from error
+        raise DecodeError(f"no saved state: {error}") from error
--- a/saffronstack/fleet/leases/disk.py
+++ b/saffronstack/fleet/leases/disk.py
@@ -1,9 +1,9 @@
-"""A keeper's promises on its disk: two copies, one written after the other, each checked as a whole.
+"""The state files of an acceptor: two copies, written one after the other, each with a checksum.
 
-A save is acknowledged once both copies are on the disk. So whichever one copy is damaged, cut or an older
-block, the other is at least as new as what was acknowledged; where neither can be read the state is lost, and
-a directory with none is lost too: only ``establish`` makes a new member. A disk that goes back in time as a
-whole is found by the other keepers, not here."""
+A write is complete once both copies are on the disk. Whichever one copy is damaged, truncated or an older
+block, the other is at least as new as what was completed. Where neither can be read the state is lost; an
+empty directory counts as lost too, because only `establish` makes a new server. A disk that is rolled back as
+a whole is detected by the other servers (see `recovery`), not here."""
 
 from __future__ import annotations
 
@@ -15,79 +15,87 @@
 import xxhash
 
 from saffronstack.durable.segments import Files
-from saffronstack.fleet.leases.codec import StoredState, decode_shelf, encode_shelf
+from saffronstack.fleet.leases.codec import StoredState, decode_state, encode_state
+from saffronstack.fleet.leases.errors import DecodeError, ForeignStateError, StateExistsError
 from saffronstack.fleet.leases.messages import AcceptorState, DiskState
 
-# Magic, copy (its place: 0 or 1), write, length of the content, XXH3-128 over all before it and the content.
+# Magic, copy (0 or 1), number of the write, length of the content, XXH3-128 of all before it and the content.
 HEADER = struct.Struct("<4sIQI16s")
+CHECKSUM_BYTES = 16
 MAGIC = b"SfK1"
 COPIES = ("copy-0", "copy-1")
 
 
-class ForeignStateError(Exception):
-    """The state is another keeper's or another fleet's: starting with it would be a second vote for one."""
-
-
 @dataclass(frozen=True, slots=True)
-class StateRead:
-    """What a start found; ``lines`` for the log."""
+class LoadedState:
+    """What was found at a start; ``warnings`` are for the log."""
 
-    found: DiskState
-    saved: AcceptorState
-    lines: list[str] = field(default_factory=list)
+    disk_state: DiskState
+    state: AcceptorState
+    warnings: list[str] = field(default_factory=list)
 
 
 class AcceptorDisk:
-    """The directory of one keeper. One thread uses it at a time."""
+    """The state directory of one acceptor. One thread uses it at a time."""
 
     def __init__(
-        self, directory: str, fleet: str, keeper: str, keepers: tuple[str, ...], files: Files | None = None
+        self, directory: str, fleet: str, server: str, servers: tuple[str, ...], files: Files | None = None
     ) -> None:
+        """Use a directory for the state of ``server``, one of ``servers``; ``files`` does the I/O."""
         self.directory = pathlib.Path(directory)
-        self._fleet, self._keeper, self._keepers = fleet, keeper, keepers
+        self._fleet, self._server, self._servers = fleet, server, servers
         self._files = files or Files()
 
     def establish(self) -> None:
-        """Make this a member of a fleet whose keepers are all new. FileExistsError where there is a state."""
+        """Make this the state of a new server in a fleet whose servers are all new.
+
+        Raises:
+            StateExistsError: The directory holds a state.
+            OSError: The directory or its files can't be written."""
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         for name in COPIES:
             if (self.directory / name).exists():
-                raise FileExistsError(f"{self.directory / name}: there is a keeper's state here")
-        self.write(AcceptorState())
+                raise StateExistsError(f"{self.directory / name}: there is a keeper's state here")
+        self.save(AcceptorState())
+
+    def load(self) -> LoadedState:
+        """Read the newest valid copy.
 
-    def read(self) -> StateRead:
-        """What is there. ForeignStateError; OSError where the directory can't be read or made."""
+        Raises:
+            ForeignStateError: The state is that of another server, fleet or set of servers.
+            OSError: The directory can't be read or made."""
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
-        lines: list[str] = []
-        shelves: list[StoredState] = []
-        for place, name in enumerate(COPIES):
+        warnings: list[str] = []
+        copies: list[StoredState] = []
+        for number, name in enumerate(COPIES):
             path = self.directory / name
             try:
-                shelves.append(_unpack(path.read_bytes(), place))
+                copies.append(_unpack(path.read_bytes(), number))
             except FileNotFoundError:
-                lines.append(f"{path}: is not there")
-            except ValueError as error:
-                lines.append(f"{path}: {error}")
-        for shelf in shelves:
-            self._check(shelf)
-        if not shelves:
-            lines.append(
-                f"{self.directory}: no copy can be read: this keeper votes once a majority of the others told"
+                warnings.append(f"{path}: file is missing")
+            except DecodeError as error:
+                warnings.append(f"{path}: {error}")
+        for stored in copies:
+            self._check_owner(stored)
+        if not copies:
+            warnings.append(
+                f"{self.directory}: no copy can be read; this server votes once a majority of the others "
+                "answered its catch-up requests"
             )
-            return StateRead(DiskState.LOST, AcceptorState(), lines)
-        return StateRead(
-            DiskState.INTACT,
-            max((shelf.state for shelf in shelves), key=lambda saved: saved.last_write),
-            lines,
-        )
-
-    def write(self, saved: AcceptorState) -> None:
-        """Have it on the disk, twice. OSError where that fails: what stands then is this or what was."""
-        content = encode_shelf(StoredState(self._fleet, self._keeper, self._keepers, saved))
-        for place, name in enumerate(COPIES):
-            self._put(self.directory / name, _pack(content, place, saved.last_write))
-
-    def _put(self, path: pathlib.Path, data: bytes) -> None:
+            return LoadedState(DiskState.LOST, AcceptorState(), warnings)
+        newest = max((stored.state for stored in copies), key=lambda state: state.last_write)
+        return LoadedState(DiskState.INTACT, newest, warnings)
+
+    def save(self, state: AcceptorState) -> None:
+        """Write both copies.
+
+        Raises:
+            OSError: A write failed; the disk then holds this state or the one before."""
+        content = encode_state(StoredState(self._fleet, self._server, self._servers, state))
+        for number, name in enumerate(COPIES):
+            self._replace(self.directory / name, _pack(content, number, state.last_write))
+
+    def _replace(self, path: pathlib.Path, data: bytes) -> None:
         files, partial = self._files, path.with_suffix(".new")
         partial.unlink(missing_ok=True)
         descriptor = files.open(partial)
@@ -99,40 +107,40 @@
         os.replace(partial, path)
         files.sync_directory(self.directory)
 
-    def _check(self, shelf: StoredState) -> None:
-        if shelf.fleet != self._fleet:
+    def _check_owner(self, stored: StoredState) -> None:
+        if stored.fleet != self._fleet:
             raise ForeignStateError(
-                f"{self.directory}: the state of fleet {shelf.fleet!r}, not of {self._fleet!r}"
+                f"{self.directory}: the state of fleet {stored.fleet!r}, not of {self._fleet!r}"
             )
-        if shelf.server != self._keeper:
+        if stored.server != self._server:
             raise ForeignStateError(
-                f"{self.directory}: the state of keeper {shelf.server!r}, not of {self._keeper!r}"
+                f"{self.directory}: the state of keeper {stored.server!r}, not of {self._server!r}"
             )
-        if set(shelf.servers) != set(self._keepers):
+        if set(stored.servers) != set(self._servers):
             raise ForeignStateError(
-                f"{self.directory}: of keepers {', '.join(sorted(shelf.servers))}; the file has "
-                f"{', '.join(sorted(self._keepers))}. A keeper is replaced under its own name; their number "
+                f"{self.directory}: of keepers {', '.join(sorted(stored.servers))}; the file has "
+                f"{', '.join(sorted(self._servers))}. A keeper is replaced under its own name; their number "
                 "changes only with all of them stopped and established anew"
             )
 
 
-def _pack(content: bytes, place: int, write: int) -> bytes:
-    bare = HEADER.pack(MAGIC, place, write, len(content), bytes(16))[:-16]
-    return bare + xxhash.xxh3_128_digest(bare + content) + content
+def _pack(content: bytes, copy: int, write: int) -> bytes:
+    header = HEADER.pack(MAGIC, copy, write, len(content), bytes(CHECKSUM_BYTES))[:-CHECKSUM_BYTES]
+    return header + xxhash.xxh3_128_digest(header + content) + content
 
 
-def _unpack(data: bytes, place: int) -> StoredState:
+def _unpack(data: bytes, copy: int) -> StoredState:
     if len(data) < HEADER.size:
-        raise ValueError(f"{len(data)} bytes are no copy")
-    magic, told, write, length, checksum = HEADER.unpack_from(data)
+        raise DecodeError(f"truncated to {len(data)} bytes")
+    magic, stored_copy, write, length, checksum = HEADER.unpack_from(data)
     content = data[HEADER.size :]
     if magic != MAGIC or length != len(content):
-        raise ValueError(f"cut or foreign: {len(content)} bytes")
-    if xxhash.xxh3_128_digest(data[: HEADER.size - 16] + content) != checksum:
-        raise ValueError("damaged")
-    if told != place:
-        raise ValueError(f"copy {told} in the place of copy {place}")
-    shelf = decode_shelf(content)
-    if shelf.state.last_write != write:
-        raise ValueError(f"write {shelf.state.last_write} under the header of write {write}")
-    return shelf
+        raise DecodeError(f"truncated, or no state file: {len(content)} bytes of content")
+    if xxhash.xxh3_128_digest(data[: HEADER.size - CHECKSUM_BYTES] + content) != checksum:
+        raise DecodeError("checksum mismatch")
+    if stored_copy != copy:
+        raise DecodeError(f"copy {stored_copy} in the place of copy {copy}")
+    stored = decode_state(content)
+    if stored.state.last_write != write:
+        raise DecodeError(f"write {stored.state.last_write} under the header of write {write}")
+    return stored
--- a/saffronstack/fleet/leases/http_endpoint.py
+++ b/saffronstack/fleet/leases/http_endpoint.py
@@ -1,4 +1,4 @@
-"""A keeper's address: messages of candidates and other keepers, pages for the operator."""
+"""The HTTP endpoint of a lease server: messages of candidates and other servers, pages for operators."""
 
 from __future__ import annotations
 
@@ -9,59 +9,56 @@
 from saffronstack.fleet.http_server import HttpServer, problem
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
-from saffronstack.fleet.leases.codec import Envelope
-from saffronstack.fleet.leases.messages import LeaseValue
+from saffronstack.fleet.leases.codec import MESSAGES_TARGET, Envelope
+from saffronstack.fleet.leases.errors import DecodeError
+from saffronstack.fleet.leases.reports import ServerStatus
 from saffronstack.http1.messages import RequestHead
 
-TARGET = "/lease/messages"
-SAVE_S = 2.0  # how long an answer waits for the disk; its candidate has given the round up by then
-LISTEN_S = 5.0  # the longest that a process listens before it says again that it does
-
-
-class LeaseReport(msgspec.Struct, frozen=True):
-    """One lease as a keeper shows it."""
-
-    lease: str
-    holder: str
-    token: int
-    left_s: float
-    value: LeaseValue
+PERSIST_TIMEOUT_S = 2.0  # how long an answer waits for the disk; its candidate has ended the round by then
+MAX_POLL_S = 5.0  # the longest poll; a process polls again after it
 
 
 class LeaseHttpEndpoint(HttpServer):
-    """Listens for candidates, other keepers and operators."""
+    """Serves candidates, other lease servers and operators."""
 
     def __init__(
         self, host: str, port: int, fleet: str, service: AcceptorService, clock: Callable[[], float]
     ) -> None:
-        """OSError where the address can't be had."""
+        """Listen on an address.
+
+        Raises:
+            OSError: The address can't be bound."""
         super().__init__("keeper", host, port, self._reply, clock)
         self._fleet = fleet
         self._service = service
 
     def _reply(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
-        if head.method == "POST" and head.target == TARGET:
-            try:
-                envelope = codec.decode(body)
-            except ValueError as error:
-                return 400, problem(str(error))
-            if envelope.fleet != self._fleet:
-                return 403, problem(f"this keeper is of fleet {self._fleet!r}, not of {envelope.fleet!r}")
-            if envelope.messages:
-                answers = self._service.ask(envelope.sender, envelope.messages, SAVE_S)
-            else:
-                answers = self._service.listen(envelope.sender, min(LISTEN_S, max(0.0, envelope.wait_s)))
-            return 200, codec.encode(Envelope(self._fleet, "", tuple(answers)))
-        if head.method != "GET":
-            return 405, problem("POST /lease/messages, GET /leases, GET /status")
-        if head.target == "/status":
-            return 200, msgspec.json.encode(self._service.status() | {"connections": self.connections})
-        if head.target == "/leases":
-            lines = [
-                LeaseReport(
-                    record.lease, record.holder, record.accepted_ballot, round(left_s, 3), record.value
-                )
-                for record, left_s in self._service.records()
-            ]
-            return 200, msgspec.json.encode(lines)
-        return 404, problem(f"nothing is at {head.target}")
+        """Answer a request, on its connection's thread, with a status and a body."""
+        match head.method, head.target:
+            case "POST", target if target == MESSAGES_TARGET:
+                return self._reply_to_messages(body)
+            case "GET", "/status":
+                return 200, msgspec.json.encode(self._status())
+            case "GET", "/leases":
+                return 200, msgspec.json.encode(self._service.lease_reports())
+            case "GET", target:
+                return 404, problem(f"nothing is at {target}")
+            case _:
+                return 405, problem("POST /lease/messages, GET /leases, GET /status")
+
+    def _reply_to_messages(self, body: bytes) -> tuple[int, bytes]:
+        try:
+            envelope = codec.decode(body)
+        except DecodeError as error:
+            return 400, problem(str(error))
+        if envelope.fleet != self._fleet:
+            return 403, problem(f"this keeper is of fleet {self._fleet!r}, not of {envelope.fleet!r}")
+        if envelope.messages:
+            answers = self._service.handle_request(envelope.sender, envelope.messages, PERSIST_TIMEOUT_S)
+        else:
+            answers = self._service.poll(envelope.sender, min(MAX_POLL_S, max(0.0, envelope.poll_s)))
+        return 200, codec.encode(Envelope(self._fleet, "", tuple(answers)))
+
+    def _status(self) -> ServerStatus:
+        acceptor = self._service.status()
+        return ServerStatus(**msgspec.structs.asdict(acceptor), connections=self.connections)
--- a/saffronstack/fleet/leases/lease_server.py
+++ b/saffronstack/fleet/leases/lease_server.py
@@ -1,4 +1,4 @@
-"""One keeper put together: disk, machine, links to the others, its address."""
+"""A lease server: an acceptor with its disk, its HTTP endpoint and its links to the other servers."""
 
 from __future__ import annotations
 
@@ -9,61 +9,73 @@
 from saffronstack.durable.segments import Files
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.disk import AcceptorDisk
+from saffronstack.fleet.leases.errors import UnknownServerError
 from saffronstack.fleet.leases.http_endpoint import LeaseHttpEndpoint
-from saffronstack.fleet.leases.messages import LeaseLimits, Message
+from saffronstack.fleet.leases.limits import LeaseFleet
+from saffronstack.fleet.leases.messages import Message
 from saffronstack.fleet.leases.server_link import LeaseServerLink
 
 
 class LeaseServer:
-    """A keeper that can be asked, in a process of its own or in a gateway's."""
+    """One of a fleet's lease servers, in a process of its own or in a gateway's."""
 
     def __init__(
         self,
         name: str,
-        fleet: str,
-        addresses: dict[str, str],
-        bounds: LeaseLimits,
-        wait_s: float,
+        fleet: LeaseFleet,
         directory: str,
         *,
         listen: str = "",
         clock: Callable[[], float] = time.monotonic,
         files: Files | None = None,
     ) -> None:
-        """``listen`` replaces its own address. ValueError for an unknown name, ForeignStateError, OSError."""
+        """Load the state and bind the address; nothing is served before `start`.
+
+        Args:
+            name: The name of this server, one of the fleet's.
+            fleet: The fleet's servers and limits.
+            directory: The state directory.
+            listen: The address to bind instead of the one that the fleet has for this server.
+            clock: The monotonic clock, in seconds, that grants are counted by.
+            files: Does the disk's I/O.
+
+        Raises:
+            UnknownServerError: The fleet has no server of this name.
+            ForeignStateError: The directory holds the state of another server or fleet.
+            OSError: The directory can't be read, or the address not be bound."""
+        addresses = fleet.addresses
         if name not in addresses:
-            raise ValueError(f"{name!r} is none of the keepers {', '.join(sorted(addresses))}")
-        disk = AcceptorDisk(directory, fleet, name, bounds.servers, files)
-        self.service = AcceptorService(name, bounds, disk, secrets.randbits(62), clock, self._say)
+            raise UnknownServerError(f"{name!r} is none of the keepers {', '.join(sorted(addresses))}")
+        disk = AcceptorDisk(directory, fleet.name, name, fleet.limits.servers, files)
+        self.service = AcceptorService(
+            name, fleet.limits, disk, secrets.randbits(62), clock, self._send_to_server
+        )
         host, _, port = (listen or addresses[name]).rpartition(":")
-        self.server = LeaseHttpEndpoint(host, int(port), fleet, self.service, time.monotonic)
+        self.endpoint = LeaseHttpEndpoint(host, int(port), fleet.name, self.service, time.monotonic)
         self._links = {
             other: LeaseServerLink(
-                other, address, fleet, name, wait_s, self._heard, time.monotonic, secrets.randbits(31)
+                other, fleet, name, self.service.handle_responses, time.monotonic, secrets.randbits(31)
             )
-            for other, address in addresses.items()
+            for other in addresses
             if other != name
         }
 
     def start(self) -> tuple[str, int]:
-        """Take messages; the address listened on."""
+        """Start to serve; return the host and port that are bound."""
         for link in self._links.values():
             link.start()
         self.service.start()
-        self.server.start()
-        return self.server.address
+        self.endpoint.start()
+        return self.endpoint.address
 
     def stop(self) -> None:
-        """Answer nobody any more."""
-        self.server.stop()
+        """Stop to serve."""
+        self.endpoint.stop()
         self.service.stop()
         for link in self._links.values():
             link.stop()
 
-    def _say(self, keeper: str, message: Message) -> None:
-        link = self._links.get(keeper)
+    def _send_to_server(self, server: str, message: Message) -> None:
+        link = self._links.get(server)
         if link is not None:
-            link.say(message)
-
-    def _heard(self, keeper: str, messages: tuple[Message, ...]) -> None:
-        self.service.hear(keeper, messages)
+            link.send(message)
--- a/saffronstack/fleet/leases/lease_table.py
+++ b/saffronstack/fleet/leases/lease_table.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorRecord,
     AcceptorState,
     Incarnations,
-    LeaseLimits,
     LeaseValue,
     ObservedWrites,
     PersistState,
--- a/saffronstack/fleet/leases/messages.py
+++ b/saffronstack/fleet/leases/messages.py
@@ -1,4 +1,4 @@
-"""Messages between candidates and lease servers, the persisted state of an acceptor, and the shared limits.
+"""Messages between candidates and lease servers, the persisted state of an acceptor, and its actions.
 
 Leases are granted by a Paxos-like protocol: a candidate (the proposer) sends a *prepare request* with a
 ballot to all lease servers (the acceptors), and after a majority promised the ballot, an *accept request*
@@ -275,24 +275,3 @@
 
 
 AcceptorAction = PersistState | SendMessage | SetTimer
-
-
-@dataclass(frozen=True, slots=True)
-class LeaseLimits:
-    """The limits that the lease servers and candidates of one fleet share."""
-
-    servers: tuple[str, ...]
-    max_lease_s: float = 30.0
-    max_clock_drift: float = 0.01  # the rates of two monotonic clocks differ by less than this fraction
-    max_leases: int = 10_000
-    max_value_bytes: int = 4096
-    max_waiters: int = 64  # candidates in a server's queue for one lease
-
-    @property
-    def majority(self) -> int:
-        """Return how many servers form a quorum."""
-        return len(self.servers) // 2 + 1
-
-    def grant_duration_s(self, lease_s: float) -> float:
-        """Return how long an acceptor keeps a grant; by then it has expired on any holder's clock."""
-        return lease_s * (1 + self.max_clock_drift) / (1 - self.max_clock_drift)
--- a/saffronstack/fleet/leases/quorum_read.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -1,90 +1,122 @@
-"""What a majority of keepers shows of leases, for whoever holds none: operators, daemons, watchers."""
+"""Reads of leases from a majority of servers, for processes that hold none: operators and daemons."""
 
 from __future__ import annotations
 
 import time
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
 import msgspec
 
 from saffronstack.core.threads import spawn
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
-from saffronstack.fleet.leases.http_endpoint import LeaseReport
+from saffronstack.fleet.leases.errors import ServerResponseError
 from saffronstack.fleet.leases.messages import LeaseValue
+from saffronstack.fleet.leases.reports import LeaseReport
 from saffronstack.http1 import writer
 
-JOIN_S = 0.5  # over the exchange's own bound
+JOIN_S = 0.5  # in addition to the timeout of the exchange
+REQUEST_ERRORS = (NotSentError, NoAnswerError, ValueError, msgspec.MsgspecError)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseStatus:
-    """One lease by the keepers that answered. ``holder`` is empty where no majority shows one."""
+    """One lease by the servers that answered; ``holder`` is empty where no majority shows one.
+
+    ``granted_by`` counts the servers that show the newest grant as running."""
 
     lease: str
     holder: str
     token: int
     granted_by: int
-    left_s: float
+    remaining_s: float
     value: LeaseValue
 
 
 @dataclass(frozen=True, slots=True)
 class QuorumRead:
-    """What could be read. ``troubles`` by keeper; ``majority``: whether enough answered to believe it: any
-    value that was stored before it was asked for is then among what is shown."""
+    """The result of a read; ``errors`` by server.
+
+    Where ``has_majority``, any value that was stored before the read began is among those in ``leases``."""
 
-    majority: bool
+    has_majority: bool
     leases: dict[str, LeaseStatus]
-    troubles: dict[str, str] = field(default_factory=dict)
+    errors: dict[str, str] = field(default_factory=dict)
+
 
+def read_leases(addresses: Mapping[str, str], timeout_s: float) -> QuorumRead:
+    """Ask all servers at once, for ``timeout_s`` seconds and a little more.
 
-def read_leases(addresses: Mapping[str, str], wait_s: float) -> QuorumRead:
-    """Ask all keepers at once; bounded by ``wait_s`` and a little."""
-    found: dict[str, list[LeaseReport]] = {}
-    troubles: dict[str, str] = {}
+    Args:
+        addresses: The address of each server.
+        timeout_s: Bounds each exchange, in seconds.
 
-    def ask(keeper: str, address: str) -> None:
-        request = writer.request("GET", "/leases", [("Host", address), ("Connection", "close")])
+    Returns:
+        What the servers that answered in time show."""
+    reports: dict[str, list[LeaseReport]] = {}
+    errors: dict[str, str] = {}
+
+    def read(server: str, address: str) -> None:
         try:
-            head, body = exchange(address, request, time.monotonic() + wait_s, time.monotonic)
-            if head.status != 200:
-                raise ValueError(f"status {head.status}")
-            found[keeper] = msgspec.json.decode(body, type=list[LeaseReport])
-        except (NotSentError, NoAnswerError, ValueError, msgspec.MsgspecError) as error:
-            troubles[keeper] = str(error) or type(error).__name__
+            reports[server] = _request_reports(address, timeout_s)
+        except REQUEST_ERRORS as error:
+            errors[server] = str(error) or type(error).__name__
 
     threads = [
-        spawn("read-leases", lambda k=keeper, a=address: ask(k, a))  # type: ignore[misc]
-        for keeper, address in addresses.items()
+        spawn("read-leases", lambda s=server, a=address: read(s, a))  # type: ignore[misc]
+        for server, address in addresses.items()
     ]
-    until_s = time.monotonic() + wait_s + JOIN_S
+    deadline_s = time.monotonic() + timeout_s + JOIN_S
     for thread in threads:
-        thread.join(max(0.0, until_s - time.monotonic()))
-    told = dict(found)  # one that answers from now on comes too late
-    for keeper in addresses:
-        if keeper not in told:
-            troubles.setdefault(keeper, "no answer in time")
-    return merge_lease_reports(told, len(addresses), troubles)
+        thread.join(max(0.0, deadline_s - time.monotonic()))
+    in_time = dict(reports)  # a server that answers from now on is too late
+    for server in addresses:
+        if server not in in_time:
+            errors.setdefault(server, "no answer in time")
+    return merge_lease_reports(in_time, len(addresses), errors)
+
+
+def _request_reports(address: str, timeout_s: float) -> list[LeaseReport]:
+    request = writer.request("GET", "/leases", [("Host", address), ("Connection", "close")])
+    head, body = exchange(address, request, time.monotonic() + timeout_s, time.monotonic)
+    if head.status != 200:
+        raise ServerResponseError(f"status {head.status}")
+    return msgspec.json.decode(body, type=list[LeaseReport])
 
 
 def merge_lease_reports(
-    told: Mapping[str, list[LeaseReport]], keepers: int, troubles: dict[str, str]
+    reports: Mapping[str, Sequence[LeaseReport]], servers: int, errors: dict[str, str]
 ) -> QuorumRead:
-    """What follows from what each keeper shows."""
-    majority = keepers // 2 + 1
-    lines: dict[str, list[LeaseReport]] = {}
-    for shown in told.values():
-        for line in shown:
-            lines.setdefault(line.lease, []).append(line)
-    leases: dict[str, LeaseStatus] = {}
-    for lease, some in lines.items():
-        newest = max(some, key=lambda line: (line.token, line.left_s))
-        agreeing = [line for line in some if line.token == newest.token and line.left_s > 0]
-        held = len(agreeing) >= majority
-        left_s = sorted((line.left_s for line in agreeing), reverse=True)
-        leases[lease] = LeaseStatus(
-            lease, newest.holder if held else "", newest.token, len(agreeing),
-            left_s[majority - 1] if held else 0.0, max(line.value for line in some),
-        )  # fmt: skip
-    return QuorumRead(len(told) >= majority, leases, troubles)
+    """Decide what the reports of several servers mean.
+
+    Args:
+        reports: The reports of each server that answered.
+        servers: How many servers the fleet has.
+        errors: Why the other servers did not answer.
+
+    Returns:
+        Each reported lease with its holder, where a majority shows one."""
+    majority = servers // 2 + 1
+    by_lease: dict[str, list[LeaseReport]] = {}
+    for of_server in reports.values():
+        for report in of_server:
+            by_lease.setdefault(report.lease, []).append(report)
+    leases = {lease: _merge(lease, of_lease, majority) for lease, of_lease in by_lease.items()}
+    return QuorumRead(len(reports) >= majority, leases, errors)
+
+
+def _merge(lease: str, reports: list[LeaseReport], majority: int) -> LeaseStatus:
+    newest = max(reports, key=lambda report: (report.token, report.remaining_s))
+    remaining_s = sorted(
+        (report.remaining_s for report in reports if report.token == newest.token and report.remaining_s > 0),
+        reverse=True,
+    )
+    is_held = len(remaining_s) >= majority
+    return LeaseStatus(
+        lease,
+        holder=newest.holder if is_held else "",
+        token=newest.token,
+        granted_by=len(remaining_s),
+        remaining_s=remaining_s[majority - 1] if is_held else 0.0,
+        value=max(report.value for report in reports),
+    )
--- a/saffronstack/fleet/leases/recovery.py
+++ b/saffronstack/fleet/leases/recovery.py
@@ -20,6 +20,7 @@
 from dataclasses import dataclass
 
 from saffronstack.fleet.leases.lease_table import LeaseEntry, LeaseTable, value_order
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
     AcceptorRecord,
@@ -27,7 +28,6 @@
     CatchUpResponse,
     DiskState,
     Incarnations,
-    LeaseLimits,
     SendMessage,
     SetTimer,
 )
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -1,4 +1,6 @@
-"""The way to one keeper: a kept connection, a thread, a bounded outbox. A slow keeper delays nobody else."""
+"""The link of a process to one lease server: a persistent connection, a thread and a bounded outbox.
+
+Each server has a link of its own, so that a slow one delays no other."""
 
 from __future__ import annotations
 
@@ -9,193 +11,212 @@
 
 from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases import codec
-from saffronstack.fleet.leases.codec import Envelope
+from saffronstack.fleet.leases.codec import MESSAGES_TARGET, Envelope
+from saffronstack.fleet.leases.errors import ServerResponseError
+from saffronstack.fleet.leases.limits import LeaseFleet
 from saffronstack.fleet.leases.messages import CatchUpRequest, CatchUpResponse, Message
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import HttpError, Limits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 
-LIMITS = Limits(body=4 * 1024 * 1024)
-BATCH = 256  # messages in one envelope
-OUTBOX_MOST = 10_000
-PAUSE_FIRST_S = 0.02
-PAUSE_MOST_S = 1.0
-IDLE_S = 1.0
-LISTEN_S = 2.0
+HTTP_LIMITS = Limits(body=4 * 1024 * 1024)
+MAX_BATCH = 256  # messages in one envelope
+MAX_OUTBOX = 10_000
+INITIAL_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 1.0
+IDLE_S = 1.0  # the longest sleep of the sending thread
+POLL_S = 2.0
+EXCHANGE_ERRORS = (OSError, HttpError, PeerClosed, ValueError)  # what a server or the network can cause
 
+MessageHandler = Callable[[str, tuple[Message, ...]], None]
 
-class _Line:
-    """One kept connection to a keeper; one thread uses it at a time."""
 
-    def __init__(
-        self, keeper: str, address: str, fleet: str, sender: str, wait_s: float, clock: Callable[[], float]
-    ) -> None:
-        self.keeper, self.address = keeper, address
-        self._fleet, self._sender, self._wait_s = fleet, sender, wait_s
+class _Connection:
+    """One persistent connection to a lease server; one thread uses it at a time."""
+
+    def __init__(self, server: str, fleet: LeaseFleet, sender: str, clock: Callable[[], float]) -> None:
+        self._address = fleet.addresses[server]
+        self._fleet, self._sender = fleet, sender
         self._clock = clock
         self._stream: Stream | None = None
-        self._reader = MessageReader(LIMITS)
+        self._reader = MessageReader(HTTP_LIMITS)
+
+    def exchange(self, messages: tuple[Message, ...], poll_s: float = 0.0) -> tuple[Message, ...]:
+        """Send messages, or poll without any, and return the answer.
 
-    def exchange(self, messages: tuple[Message, ...], listen_s: float = 0.0) -> tuple[Message, ...]:
-        """Send and read the answer. OSError, HttpError, ValueError; the connection is closed then."""
+        Raises:
+            OSError, HttpError, PeerClosed, ValueError: The exchange failed; the connection is closed."""
         try:
-            return self._exchange(Envelope(self._fleet, self._sender, messages, listen_s), listen_s)
+            return self._exchange(Envelope(self._fleet.name, self._sender, messages, poll_s), poll_s)
         except BaseException:
             self.close()
             raise
 
-    def _exchange(self, envelope: Envelope, listen_s: float) -> tuple[Message, ...]:
-        until_s = self._clock() + self._wait_s + listen_s
-        if self._stream is not None and not self._stream.silent():
-            self.close()  # ended while idle; nothing was sent on it
-        stream = self._stream
-        if stream is None:
-            host, _, port = self.address.rpartition(":")
-            stream = Stream(socket.create_connection((host, int(port)), timeout=self._wait_s))
-            self._stream, self._reader = stream, MessageReader(LIMITS)
-        reader = self._reader
-        fields = [("Host", self.address), ("Content-Type", "application/json")]
-        data = writer.request("POST", "/lease/messages", fields, codec.encode(envelope))
-        if not stream.send(data, until_s, self._clock):
+    def _exchange(self, envelope: Envelope, poll_s: float) -> tuple[Message, ...]:
+        deadline_s = self._clock() + self._fleet.timeout_s + poll_s
+        stream, reader = self._connected(), self._reader
+        fields = [("Host", self._address), ("Content-Type", "application/json")]
+        data = writer.request("POST", MESSAGES_TARGET, fields, codec.encode(envelope))
+        if not stream.send(data, deadline_s, self._clock):
             raise ConnectionResetError("the keeper took no byte")
-        head = read_until(stream, reader, reader.response, until_s, self._clock)
-        body = read_until(stream, reader, reader.body, until_s, self._clock)
+        head = read_until(stream, reader, reader.response, deadline_s, self._clock)
+        body = read_until(stream, reader, reader.body, deadline_s, self._clock)
         if head.status != 200:
-            raise ValueError(f"status {head.status}: {body[:200].decode('utf-8', 'replace')}")
+            raise ServerResponseError(f"status {head.status}: {body[:200].decode('utf-8', 'replace')}")
         if not head.keep_alive:
             self.close()
         return codec.decode(body).messages
 
+    def _connected(self) -> Stream:
+        if self._stream is not None and not self._stream.silent():
+            self.close()  # ended while idle; nothing was sent on it
+        if self._stream is None:
+            host, _, port = self._address.rpartition(":")
+            sock = socket.create_connection((host, int(port)), timeout=self._fleet.timeout_s)
+            self._stream, self._reader = Stream(sock), MessageReader(HTTP_LIMITS)
+        return self._stream
+
     def abort(self) -> None:
-        """From another thread: a wait on it returns."""
+        """Make a wait of the connection's thread return; called on another thread."""
         stream = self._stream
         if stream is not None:
             stream.abort()
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         stream, self._stream = self._stream, None
         if stream is not None:
             stream.close()
 
 
 class LeaseServerLink:
-    """Carries messages of one process to one keeper and hands on what it answers."""
+    """Sends the messages of one process to one lease server, and hands on its answers.
+
+    The lock guards the outbox and all flags."""
 
     def __init__(
         self,
-        keeper: str,
-        address: str,
-        fleet: str,
+        server: str,
+        fleet: LeaseFleet,
         sender: str,
-        wait_s: float,
-        heard: Callable[[str, tuple[Message, ...]], None],
+        on_messages: MessageHandler,
         clock: Callable[[], float],
         seed: int,
     ) -> None:
-        """``wait_s`` bounds connecting and each exchange; ``heard`` is told keeper and messages, on this
-        link's threads, and must not wait."""
-        self.keeper = keeper
-        self._line = _Line(keeper, address, fleet, sender, wait_s, clock)
-        self._ear = _Line(keeper, address, fleet, sender, wait_s, clock)
-        self._heard = heard
+        """Create a link that is not started.
+
+        Args:
+            server: The name of the server.
+            fleet: Its address and the timeout of each exchange.
+            sender: The name of this process.
+            on_messages: Receives the server's name and its messages on the link's threads; must not block.
+            clock: The monotonic clock, in seconds.
+            seed: Seeds the jitter of the backoff."""
+        self.server = server
+        self._connection = _Connection(server, fleet, sender, clock)
+        self._poll_connection = _Connection(server, fleet, sender, clock)
+        self._on_messages = on_messages
         self._random = random.Random(seed)
         self._lock = threading.Condition()
-        # One place for each (lease, candidate): a newer message makes an older one that waits void.
+        # One place for each (lease, candidate): a newer message replaces an older one that waits.
         self._outbox: dict[tuple[str, str], Message] = {}
-        self._stopping = False
-        self._busy = False
-        self._listens = False
-        self._listening = False
-        self._pause_s = 0.0
-        self.trouble = "not asked yet"
+        self._is_stopping = False
+        self._is_sending = False
+        self._is_poll_wanted = False
+        self._is_polling = False
+        self._backoff_s = 0.0
+        self.last_error = "not asked yet"  # of the last exchange; empty where it succeeded
 
     def start(self) -> None:
-        """Carry on a thread of its own."""
-        spawn(f"link-{self.keeper}", self._run)
+        """Start the sending thread."""
+        spawn(f"lease-link-{self.server}", self._run)
 
-    def stop(self, wait_s: float = 0.0) -> None:
-        """Carry nothing more, after what waits has had ``wait_s`` to leave."""
+    def stop(self, flush_s: float = 0.0) -> None:
+        """Stop the threads, after what is in the outbox had ``flush_s`` seconds to be sent."""
         with self._lock:
-            if wait_s:
-                self._lock.wait_for(lambda: not self._outbox and not self._busy, wait_s)
-            self._stopping = True
+            if flush_s:
+                self._lock.wait_for(lambda: not self._outbox and not self._is_sending, flush_s)
+            self._is_stopping = True
             self._lock.notify_all()
-        if not wait_s:
-            self._line.abort()
-        self._ear.abort()
-
-    def say(self, message: Message) -> None:
-        """Put in a message; never waits. Past the bound it is dropped, as a link may."""
-        key = (
-            ("", "")
-            if isinstance(message, CatchUpRequest | CatchUpResponse)
-            else (message.lease, message.candidate)
-        )
+        if not flush_s:
+            self._connection.abort()
+        self._poll_connection.abort()
+
+    def send(self, message: Message) -> None:
+        """Put a message into the outbox, or drop it where that is full; does not block."""
+        key = _outbox_key(message)
         with self._lock:
-            if key in self._outbox or len(self._outbox) < OUTBOX_MOST:
+            if key in self._outbox or len(self._outbox) < MAX_OUTBOX:
                 self._outbox.pop(key, None)
                 self._outbox[key] = message
                 self._lock.notify_all()
 
-    def listen(self, wanted: bool) -> None:
-        """Whether to hear from the keeper unasked, while one of the process's candidates waits in line."""
+    def set_polling(self, wanted: bool) -> None:
+        """Poll the server for notifications while a candidate of the process waits for a lease."""
         with self._lock:
-            if wanted == self._listens:
+            if wanted == self._is_poll_wanted:
                 return
-            self._listens = wanted
-            if not wanted or self._listening or self._stopping:
+            self._is_poll_wanted = wanted
+            if not wanted or self._is_polling or self._is_stopping:
                 return
-            self._listening = True
+            self._is_polling = True
         try:
-            spawn(f"ear-{self.keeper}", self._hear)
-        except RuntimeError:  # no more threads: it asks now and then all the same
+            spawn(f"lease-poll-{self.server}", self._poll)
+        except RuntimeError:  # no more threads: the candidate prepares now and then all the same
             with self._lock:
-                self._listening = False
+                self._is_polling = False
 
-    def _hear(self) -> None:
+    def _poll(self) -> None:
         while True:
             with self._lock:
-                if not self._listens or self._stopping:
-                    self._listening = False
+                if not self._is_poll_wanted or self._is_stopping:
+                    self._is_polling = False
                     break
             try:
-                answers = self._ear.exchange((), LISTEN_S)
-            except (OSError, HttpError, PeerClosed, ValueError):
-                with self._lock:
-                    self._lock.wait_for(lambda: self._stopping, PAUSE_MOST_S * (0.5 + self._random.random()))
+                messages = self._poll_connection.exchange((), POLL_S)
+            except EXCHANGE_ERRORS:  # the sending thread reports what is wrong with the server
+                self._wait_until_stopping(MAX_BACKOFF_S)
                 continue
-            if answers:
-                self._heard(self.keeper, answers)
-        self._ear.close()
+            if messages:
+                self._on_messages(self.server, messages)
+        self._poll_connection.close()
+
+    def _wait_until_stopping(self, backoff_s: float) -> None:
+        with self._lock:
+            self._lock.wait_for(lambda: self._is_stopping, backoff_s * (0.5 + self._random.random()))
 
     def _run(self) -> None:
         while True:
+            if self._backoff_s:
+                self._wait_until_stopping(self._backoff_s)
             with self._lock:
-                if self._pause_s:
-                    self._lock.wait_for(lambda: self._stopping, self._pause_s * (0.5 + self._random.random()))
-                self._lock.wait_for(lambda: bool(self._outbox) or self._stopping, IDLE_S)
-                if self._stopping:
+                self._lock.wait_for(lambda: bool(self._outbox) or self._is_stopping, IDLE_S)
+                if self._is_stopping:
                     break
-                keys = list(self._outbox)[:BATCH]
-                batch = [self._outbox.pop(key) for key in keys]
-                self._busy = bool(batch)
+                batch = [self._outbox.pop(key) for key in list(self._outbox)[:MAX_BATCH]]
+                self._is_sending = bool(batch)
             if batch:
-                self._carry(batch)
+                self._send_batch(batch)
                 with self._lock:
-                    self._busy = False
+                    self._is_sending = False
                     self._lock.notify_all()
-        self._line.close()
+        self._connection.close()
 
-    def _carry(self, batch: list[Message]) -> None:
-        """A batch that meets trouble is dropped: whoever needs an answer asks again."""
+    def _send_batch(self, batch: list[Message]) -> None:
+        """Send messages; where that fails they are dropped, and whoever needs an answer asks again."""
         try:
-            answers = self._line.exchange(tuple(batch))
-        except (OSError, HttpError, PeerClosed, ValueError) as error:
-            self.trouble = str(error) or type(error).__name__
-            self._pause_s = min(PAUSE_MOST_S, 2 * self._pause_s or PAUSE_FIRST_S)
+            answers = self._connection.exchange(tuple(batch))
+        except EXCHANGE_ERRORS as error:
+            self.last_error = str(error) or type(error).__name__
+            self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s or INITIAL_BACKOFF_S)
             return
-        self.trouble, self._pause_s = "", 0.0
+        self.last_error, self._backoff_s = "", 0.0
         if answers:
-            self._heard(self.keeper, answers)
+            self._on_messages(self.server, answers)
+
+
+def _outbox_key(message: Message) -> tuple[str, str]:
+    if isinstance(message, CatchUpRequest | CatchUpResponse):
+        return "", ""
+    return message.lease, message.candidate
--- a/saffronstack/fleet/leases/store.py
+++ b/saffronstack/fleet/leases/store.py
@@ -1,5 +1,7 @@
-"""What a task needs of whoever keeps leases. The keepers of this project stand behind it, or another store
-with sessions, fencing tokens and compare-and-set (an etcd client, say)."""
+"""The interface of a lease store, as tasks and leaders use it.
+
+Behind it stand this project's own lease servers (`client.LeaseClient`) or any other store with sessions,
+fencing tokens and compare-and-set, such as an etcd client."""
 
 from __future__ import annotations
 
@@ -7,17 +9,17 @@
 from typing import Protocol
 
 
-class Held(Protocol):
-    """A lease that was gained. Any thread may ask."""
+class HeldLease(Protocol):
+    """A lease that was acquired. Its methods may be called on any thread."""
 
     @property
     def lease(self) -> str:
-        """Its name."""
+        """The lease's name."""
         ...
 
     @property
     def token(self) -> int:
-        """The fencing token: greater than any holder's before. What is done under the lease carries it."""
+        """The fencing token: greater than any earlier holder's. Work under the lease carries it."""
         ...
 
     @property
@@ -25,28 +27,35 @@
         """The small value that the last holder stored."""
         ...
 
-    def left_s(self) -> float:
-        """For how long it is held unless renewed; 0 once it is lost. No check holds over a pause of the
-        process behind it: whatever is written to must compare the token."""
+    def remaining_s(self) -> float:
+        """Return for how many seconds it is held unless renewed; 0 once it is lost.
+
+        No check holds over a pause of the process after it: what is written to must compare the token."""
         ...
 
     def put(self, content: bytes, wait_s: float) -> bool:
-        """Store the value; whether it is stored for certain by then. False leaves open whether it is."""
+        """Store the value; return whether it is certainly stored after at most ``wait_s`` seconds.
+
+        False leaves open whether it is stored."""
         ...
 
     def release(self) -> None:
-        """Give it back: the next one need not wait."""
+        """Give the lease up, so that the next holder need not wait until it expires."""
         ...
 
 
 class LeaseStore(Protocol):
-    """Gives leases to one holder at a time."""
+    """Grants each lease to one holder at a time."""
+
+    def acquire(
+        self, lease: str, wait_s: float, on_lost: Callable[[str], None] | None = None
+    ) -> HeldLease | None:
+        """Acquire a lease within ``wait_s`` seconds; None where that fails.
 
-    def acquire(self, lease: str, wait_s: float, lost: Callable[[str], None] | None = None) -> Held | None:
-        """Get it within ``wait_s``, or None. ``lost`` is told why it ended, but for a release, once, on a
-        thread of the store's, and must not wait."""
+        ``on_lost`` is called once with the reason when the lease ends other than by a release, on a thread of
+        the store, and must not block."""
         ...
 
     def close(self) -> None:
-        """Give everything back."""
+        """Release all leases."""
         ...
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -16,7 +16,7 @@
 from saffronstack.fleet.control.messages import WORDS, DaemonState, GatewayState, Order
 from saffronstack.fleet.control.slots import Seen
 from saffronstack.fleet.leases.quorum_read import QuorumRead
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.rollout import controller
 from saffronstack.fleet.rollout.comparison import Limits
 from saffronstack.fleet.rollout.controller import Controller, Record, Word
@@ -47,7 +47,7 @@
         gateways: Sequence[Gateway],
         daemon_of: dict[str, str],
         daemons: Daemons,
-        held: Held,
+        held: HeldLease,
         read: Callable[[], QuorumRead],
         show: Callable[[Record, str], None] = lambda record, waits: None,
         clock: Callable[[], float] = time.monotonic,
@@ -69,13 +69,13 @@
         machine = Controller(record, self._gateways, self._daemon_of, self._clock(), self._patience_s)
         # The record may have been read from less than a majority's last word: it is stored anew first.
         self._carry_out(machine, [controller.Store(record)], adopt=True)
-        while not stopping.is_set() and self._held.left_s() > 0 and not machine.record.over:
+        while not stopping.is_set() and self._held.remaining_s() > 0 and not machine.record.over:
             orders: dict[str, list[Order]] = {}
             self._looked_s = self._clock()
             for event in [*self._heard(self._daemons.look()), *self._said(machine.record), controller.Tick()]:
                 for action in self._carry_out(machine, machine.handle(self._clock(), event)):
                     orders.setdefault(action.daemon, []).append(Order(action.gateway, action.release))
-            if orders and self._held.left_s() > 0:
+            if orders and self._held.remaining_s() > 0:
                 for name, answer in self._daemons.ask(orders).items():
                     if isinstance(answer, str):
                         log.warning("order not taken", daemon=name, why=answer)
@@ -98,7 +98,7 @@
                 continue
             if isinstance(action, controller.Store):
                 good = self._held.put(encode(action.record), STORE_S)
-                if adopt or self._held.left_s() <= 0:
+                if adopt or self._held.remaining_s() <= 0:
                     return orders
                 if good and action.record.notes[-1:] != machine.record.notes[-1:]:
                     log.info("rollout", name=action.record.plan.name, note=action.record.notes[-1])
--- a/saffronstack/fleet/tasks/jobs.py
+++ b/saffronstack/fleet/tasks/jobs.py
@@ -11,7 +11,7 @@
 import structlog
 
 from saffronstack.durable.journal import JournalError
-from saffronstack.fleet.leases.store import Held, LeaseStore
+from saffronstack.fleet.leases.store import HeldLease, LeaseStore
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.fleet.tasks.published import Published
 from saffronstack.metering.merging import merge
@@ -101,7 +101,7 @@
                 held.release()
         return f"finished for {', '.join(finished)}" if finished else "nothing was left open"
 
-    def _finish(self, path: pathlib.Path, held: Held, turn: Turn) -> bool:
+    def _finish(self, path: pathlib.Path, held: HeldLease, turn: Turn) -> bool:
         """A gateway of its own runs on the dead one's ledger until nothing is open there; whether it did."""
         log.warning("taking over", gateway=path.name, token=held.token)
         process = subprocess.Popen(
@@ -113,7 +113,7 @@
             stdout=subprocess.DEVNULL, stdin=subprocess.DEVNULL,
         )  # fmt: skip
         try:
-            while process.poll() is None and turn.still() and held.left_s() > 0:
+            while process.poll() is None and turn.still() and held.remaining_s() > 0:
                 turn.pause(LOOK_S)
             return process.poll() == 0
         finally:
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -9,7 +9,7 @@
 import structlog
 
 from saffronstack.core.threads import spawn
-from saffronstack.fleet.leases.store import Held, LeaseStore
+from saffronstack.fleet.leases.store import HeldLease, LeaseStore
 from saffronstack.fleet.tasks.jobs import Job
 from saffronstack.fleet.tasks.schedule import Action, Begin, GiveBack, Phase, Stop, TaskSchedule
 
@@ -21,14 +21,14 @@
 class _Turn:
     """One run; `jobs.Turn`."""
 
-    def __init__(self, turn: int, token: int, held: Held | None) -> None:
+    def __init__(self, turn: int, token: int, held: HeldLease | None) -> None:
         self.turn, self.token = turn, token
         self._held = held
         self._stopped = threading.Event()
 
     def still(self) -> bool:
         """See `jobs.Turn`."""
-        return not self._stopped.is_set() and self._held is not None and self._held.left_s() > 0
+        return not self._stopped.is_set() and self._held is not None and self._held.remaining_s() > 0
 
     def pause(self, seconds: float) -> None:
         """See `jobs.Turn`."""
@@ -55,7 +55,7 @@
         self._job, self._store, self._clock = job, store, clock
         self._turns = TaskSchedule(period_s, budget_s)
         self._lock = threading.Condition()
-        self._held: Held | None = None
+        self._held: HeldLease | None = None
         self._lost: str = ""
         self._run: _Turn | None = None
         self._ended: list[tuple[int, bool]] = []
--- a/saffronstack/harness/leases/explorer.py
+++ b/saffronstack/harness/leases/explorer.py
@@ -18,6 +18,7 @@
 
 from saffronstack.fleet.leases.acceptor import Acceptor
 from saffronstack.fleet.leases.candidate import Candidate, CandidateAction, CandidateState, LeaseAcquired
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
     AcceptorState,
@@ -25,7 +26,6 @@
     AcceptResponse,
     CatchUpRequest,
     DiskState,
-    LeaseLimits,
     Message,
     PersistState,
     PrepareRequest,
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -21,22 +21,22 @@
 
 from msgspec.structs import replace
 
-from saffronstack.cli.leases import bounds_of
+from saffronstack.cli.leases import lease_fleet_of
 from saffronstack.config.fleet import load_fleet
 from saffronstack.core.threads import spawn
 from saffronstack.durable.segments import Files
 from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
 from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
     AcceptRequest,
-    LeaseLimits,
     Message,
     ObservedWrites,
     SendMessage,
 )
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.store import HeldLease
 
 ACT_S = 0.03
 MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
@@ -105,7 +105,7 @@
     """Be a keeper until standard input ends."""
     fleet = load_fleet(told["fleet"])
     node = LeaseServer(
-        told["name"], fleet.fleet, fleet.addresses(), bounds_of(fleet), fleet.wait_s, told["state"],
+        told["name"], lease_fleet_of(fleet), told["state"],
         clock=clock_at(told.get("rate", 1.0), time.monotonic),
         files=LyingFiles(pathlib.Path(told["disk"])) if "disk" in told else None,
     )  # fmt: skip
@@ -132,7 +132,7 @@
 
 def trace_keeper(node: LeaseServer, path: pathlib.Path) -> None:
     """Note each decision of a keeper, and what it began with."""
-    trace, machine = Trace(path), node.service._machine
+    trace, machine = Trace(path), node.service._acceptor
     table, recovery = machine.table, machine.recovery
     handle, tick = machine.handle, machine.tick
     trace.note(began=recovery.disk_state.value, write=table.last_write, records=repr(machine.records()))
@@ -164,9 +164,13 @@
         self._random = random.Random(int(told["seed"]))
         clock, steps = clock_at(rate, holder_clock), Steps(pathlib.Path(told.get("steps", "")))
         self.client = LeaseClient(
-            fleet.fleet, self.name, fleet.addresses(), bounds_of(fleet), fleet.lease_s, fleet.wait_s,
-            int(told["seed"]), lambda: clock() + steps(), BROKEN.get(told.get("broken", ""), Candidate),
-        )  # fmt: skip
+            lease_fleet_of(fleet),
+            self.name,
+            fleet.lease_s,
+            int(told["seed"]),
+            lambda: clock() + steps(),
+            BROKEN.get(told.get("broken", ""), Candidate),
+        )
         host, _, port = str(told["resource"]).rpartition(":")
         self._lock = threading.Lock()
         self._sock = socket.create_connection((host, int(port)), timeout=20.0)
@@ -178,10 +182,10 @@
             answer: dict[str, Any] = json.loads(self._reader.readline() or b"{}")
             return answer
 
-    def believed_until(self, held: Held) -> float:
+    def believed_until(self, held: HeldLease) -> float:
         """In the machine's own time, until when it believes to hold, asked for before it is said; 0 where it
         does not believe so any more. One that was stopped in the midst of an act wakes to that."""
-        return until_of(holder_clock(), held.left_s(), self._rate)
+        return until_of(holder_clock(), held.remaining_s(), self._rate)
 
     def run(self) -> None:
         """Until killed."""
@@ -192,17 +196,17 @@
             gained_s = holder_clock()
             self._say(do="gained", token=held.token, at=gained_s, until=self.believed_until(held))
             ends_s = holder_clock() + self._random.expovariate(1 / 6.0)
-            while held.left_s() > 0 and holder_clock() < ends_s:
+            while held.remaining_s() > 0 and holder_clock() < ends_s:
                 self._act(held)
                 time.sleep(0.02)
-            if held.left_s() > 0:
+            if held.remaining_s() > 0:
                 # Said before it is done: the next one may act before a word that comes after it.
                 self._say(do="released", token=held.token, at=holder_clock())
                 held.release()
             time.sleep(self._random.random() * 0.2)
 
-    def _act(self, held: Held) -> None:
-        left_s = held.left_s()
+    def _act(self, held: HeldLease) -> None:
+        left_s = held.remaining_s()
         if left_s < ACT_S + MARGIN_S:
             return
         if self._random.random() < LATE_PART:
--- a/saffronstack/harness/leases/simulation.py
+++ b/saffronstack/harness/leases/simulation.py
@@ -13,11 +13,11 @@
 
 from saffronstack.fleet.leases.acceptor import Acceptor
 from saffronstack.fleet.leases.candidate import Candidate, CandidateAction, LeaseAcquired, LeaseLost
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
     AcceptorState,
     DiskState,
-    LeaseLimits,
     Message,
     PersistState,
     SendMessage,
--- a/tests/stored_formats/test_lease_formats.py
+++ b/tests/stored_formats/test_lease_formats.py
@@ -11,7 +11,7 @@
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.codec import Envelope
 from saffronstack.fleet.leases.disk import COPIES, AcceptorDisk
-from saffronstack.fleet.leases.http_endpoint import LeaseReport
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorRecord,
     AcceptorState,
@@ -20,7 +20,6 @@
     CatchUpRequest,
     CatchUpResponse,
     DiskState,
-    LeaseLimits,
     LeaseValue,
     Message,
     PrepareRequest,
@@ -28,6 +27,7 @@
     ReleaseNotification,
     ReleaseRequest,
 )
+from saffronstack.fleet.leases.reports import LeaseReport
 
 DATA = pathlib.Path(__file__).parent / "data" / "leases"
 SERVERS = ("k0", "k1", "k2")
@@ -81,9 +81,9 @@
     for copy, data in stored.items():
         (tmp_path / copy).write_bytes(data)
     disk = AcceptorDisk(str(tmp_path), "f", "k0", SERVERS)
-    read = disk.read()
-    assert (read.found, read.saved, read.lines) == (DiskState.INTACT, state, [])
-    disk.write(state)
+    read = disk.load()
+    assert (read.disk_state, read.state, read.warnings) == (DiskState.INTACT, state, [])
+    disk.save(state)
     assert {copy: (tmp_path / copy).read_bytes() for copy in COPIES} == stored
 
 
@@ -96,6 +96,6 @@
 
 def test_the_page_of_a_servers_status_keeps_its_bytes(tmp_path: pathlib.Path) -> None:
     disk = AcceptorDisk(str(tmp_path), "f", "k0", SERVERS)
-    disk.write(STATE)
+    disk.save(STATE)
     service = AcceptorService("k0", LeaseLimits(SERVERS), disk, 5, lambda: 100.0, lambda to, message: None)
     assert msgspec.json.encode(service.status()) == (DATA / "status_page.json").read_bytes()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,9 +19,9 @@
 from saffronstack.fleet.control.daemon import Daemon, Entry
 from saffronstack.fleet.control.desired_state import Kept, Wanted
 from saffronstack.fleet.control.messages import LEAD, TARGET, Control, DaemonState, Order
-from saffronstack.fleet.leases.http_endpoint import LeaseReport
 from saffronstack.fleet.leases.messages import LeaseValue
 from saffronstack.fleet.leases.quorum_read import LeaseStatus, QuorumRead, merge_lease_reports
+from saffronstack.fleet.leases.reports import LeaseReport
 from saffronstack.harness.rollout import releases as made
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import eventually
@@ -179,10 +179,11 @@
     told = {"k0": [line(4, 3.0, 1)], "k1": [line(4, 2.0, 2)]}
     reading = merge_lease_reports(told, 3, {"k2": "silent"})
     shown = reading.leases[LEAD]
-    assert reading.majority and shown.holder == "p4" and shown.left_s == 2.0 and shown.value.content == b"2"
+    assert reading.has_majority and shown.holder == "p4" and shown.remaining_s == 2.0
+    assert shown.value.content == b"2"
     reading = merge_lease_reports({"k0": [line(5, 3.0, 1)], "k1": [line(4, 2.0, 2)]}, 3, {})
     assert reading.leases[LEAD].holder == "" and reading.leases[LEAD].token == 5
-    assert not merge_lease_reports({"k0": [line(5, 3.0, 1)]}, 3, {}).majority
+    assert not merge_lease_reports({"k0": [line(5, 3.0, 1)]}, 3, {}).has_majority
 
 
 # ---- the fleet's file
--- a/tests/test_lease_keepers.py
+++ b/tests/test_lease_keepers.py
@@ -13,6 +13,7 @@
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
+from dataclasses import replace
 
 import pytest
 from structlog.testing import capture_logs
@@ -26,15 +27,16 @@
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.fleet.leases.codec import Envelope
-from saffronstack.fleet.leases.disk import COPIES, AcceptorDisk, ForeignStateError
+from saffronstack.fleet.leases.disk import COPIES, AcceptorDisk
+from saffronstack.fleet.leases.errors import ForeignStateError
 from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.leases.limits import LeaseFleet, LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorRecord,
     AcceptorState,
     AcceptRequest,
     CatchUpResponse,
     DiskState,
-    LeaseLimits,
     LeaseValue,
     PrepareRequest,
     PrepareResponse,
@@ -58,43 +60,43 @@
 
 
 def test_what_was_saved_is_read_back_and_an_empty_directory_is_lost_not_new(tmp_path: pathlib.Path) -> None:
-    assert disk(tmp_path / "none").read().found is DiskState.LOST
+    assert disk(tmp_path / "none").load().disk_state is DiskState.LOST
     one = disk(tmp_path / "k")
     one.establish()
-    assert one.read().found is DiskState.INTACT and one.read().saved == AcceptorState()
+    assert one.load().disk_state is DiskState.INTACT and one.load().state == AcceptorState()
     with pytest.raises(FileExistsError, match="there is a keeper's state here"):
         one.establish()
-    one.write(STATE)
-    assert disk(tmp_path / "k").read().saved == STATE
+    one.save(STATE)
+    assert disk(tmp_path / "k").load().state == STATE
 
 
 def test_each_flipped_bit_and_each_cut_of_one_copy_costs_nothing(tmp_path: pathlib.Path) -> None:
     one = disk(tmp_path)
-    one.write(AcceptorState(last_write=40))
-    one.write(STATE)
+    one.save(AcceptorState(last_write=40))
+    one.save(STATE)
     for name in COPIES:
         good = (tmp_path / name).read_bytes()
         for at in range(len(good)):
             bad = bytearray(good)
             bad[at] ^= 1 << at % 8
             (tmp_path / name).write_bytes(bad)
-            assert one.read().saved == STATE and len(one.read().lines) == 1
+            assert one.load().state == STATE and len(one.load().warnings) == 1
             (tmp_path / name).write_bytes(good[:at])
-            assert one.read().saved == STATE
+            assert one.load().state == STATE
         (tmp_path / name).write_bytes(good)
 
 
 def test_both_copies_damaged_or_in_each_others_place_are_lost(tmp_path: pathlib.Path) -> None:
     one = disk(tmp_path)
-    one.write(STATE)
+    one.save(STATE)
     first, second = ((tmp_path / name).read_bytes() for name in COPIES)
     (tmp_path / COPIES[0]).write_bytes(second)
     (tmp_path / COPIES[1]).write_bytes(first)
-    read = one.read()
-    assert read.found is DiskState.LOST and any("in the place of" in line for line in read.lines)
+    read = one.load()
+    assert read.disk_state is DiskState.LOST and any("in the place of" in line for line in read.warnings)
     for name in COPIES:
         (tmp_path / name).write_bytes(b"")
-    assert one.read().found is DiskState.LOST
+    assert one.load().disk_state is DiskState.LOST
 
 
 class CutAfter(Files):
@@ -129,27 +131,27 @@
     for steps in range(12):
         place = tmp_path / str(steps)
         disk(place).establish()
-        disk(place).write(before)
+        disk(place).save(before)
         try:
-            disk(place, CutAfter(steps)).write(STATE)
+            disk(place, CutAfter(steps)).save(STATE)
             told = True
         except OSError:
             told = False
-        read = disk(place).read()
-        assert read.found is DiskState.INTACT
-        assert read.saved == STATE if told else read.saved in (STATE, before)
-        seen.add((told, read.saved.last_write))
+        read = disk(place).load()
+        assert read.disk_state is DiskState.INTACT
+        assert read.state == STATE if told else read.state in (STATE, before)
+        seen.add((told, read.state.last_write))
     assert seen == {(False, 40), (False, 41), (True, 41)}
 
 
 def test_another_keepers_state_another_fleets_or_other_keepers_are_refused(tmp_path: pathlib.Path) -> None:
-    disk(tmp_path).write(STATE)
+    disk(tmp_path).save(STATE)
     with pytest.raises(ForeignStateError, match="keeper 'k0', not of 'k1'"):
-        disk(tmp_path, keeper="k1").read()
+        disk(tmp_path, keeper="k1").load()
     with pytest.raises(ForeignStateError, match="fleet 'f', not of 'g'"):
-        disk(tmp_path, fleet="g").read()
+        disk(tmp_path, fleet="g").load()
     with pytest.raises(ForeignStateError, match="replaced under its own name"):
-        AcceptorDisk(str(tmp_path), "f", "k0", ("k0", "k1", "k2", "k3", "k4")).read()
+        AcceptorDisk(str(tmp_path), "f", "k0", ("k0", "k1", "k2", "k3", "k4")).load()
 
 
 # ---- a keeper whose disk stalls
@@ -175,17 +177,17 @@
 
 def voting(tmp_path: pathlib.Path, gate: Gate) -> AcceptorService:
     one = disk(tmp_path, gate)
-    one.write(AcceptorState(last_write=3))
+    one.save(AcceptorState(last_write=3))
     service = AcceptorService("k0", BOUNDS, one, 5, time.monotonic, lambda to, message: None)
     service.start()
 
     def votes() -> bool:
         for keeper in NAMES[1:]:
-            service.hear(keeper, (CatchUpResponse(keeper, 5, True, 0),))
-        return bool(service.status()["votes"])
+            service.handle_responses(keeper, (CatchUpResponse(keeper, 5, True, 0),))
+        return service.status().can_vote
 
     eventually(votes)
-    eventually(lambda: service.status()["saved"] == service.status()["write"])
+    eventually(lambda: service.status().persisted_write == service.status().last_write)
     return service
 
 
@@ -195,15 +197,15 @@
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.open_.clear()
-    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.05) == []
+    assert service.handle_request("a", (PrepareRequest("l", "a", 1),), 0.05) == []
     # An answer that saves nothing itself may not pass it: it rests on what is not saved. Others' may.
-    assert service.ask("b", (PrepareRequest("l", "b", 1),), 0.05) == []
-    assert service.ask("b", (AcceptRequest("other", "b", 1, 1, 0.5),), 0.05)
-    before = disk(tmp_path).read().saved
+    assert service.handle_request("b", (PrepareRequest("l", "b", 1),), 0.05) == []
+    assert service.handle_request("b", (AcceptRequest("other", "b", 1, 1, 0.5),), 0.05)
+    before = disk(tmp_path).load().state
     gate.open_.set()
-    eventually(lambda: service.status()["saved"] == service.status()["write"])
-    assert disk(tmp_path).read().saved.last_write > before.last_write
-    said = service.ask("a", (PrepareRequest("l", "a", 1),), 5.0)
+    eventually(lambda: service.status().persisted_write == service.status().last_write)
+    assert disk(tmp_path).load().state.last_write > before.last_write
+    said = service.handle_request("a", (PrepareRequest("l", "a", 1),), 5.0)
     assert isinstance(said[0], PrepareResponse) and said[0].is_promised
     service.stop()
 
@@ -212,11 +214,11 @@
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.full = True
-    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.05) == []
-    eventually(lambda: "no space" in str(service.status()["trouble"]))
+    assert service.handle_request("a", (PrepareRequest("l", "a", 1),), 0.05) == []
+    eventually(lambda: "no space" in service.status().disk_error)
     gate.full = False
-    eventually(lambda: service.status()["trouble"] == "")
-    assert service.ask("a", (PrepareRequest("l", "a", 1),), 5.0)
+    eventually(lambda: service.status().disk_error == "")
+    assert service.handle_request("a", (PrepareRequest("l", "a", 1),), 5.0)
     service.stop()
 
 
@@ -240,13 +242,13 @@
     gate = Held()
     service = voting(tmp_path, gate)
     gate.holds = True
-    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.01) == []
+    assert service.handle_request("a", (PrepareRequest("l", "a", 1),), 0.01) == []
     assert gate.entered.wait(20.0)
     service.stop()
     first, second = ((tmp_path / name).stat().st_mtime_ns for name in COPIES)
     gate.stopped.set()
-    newest = disk(tmp_path).read().saved
-    assert newest.records and newest.last_write == service.status()["saved"]
+    newest = disk(tmp_path).load().state
+    assert newest.records and newest.last_write == service.status().persisted_write
     assert first <= second, "the second copy was not written when the stop returned"
 
 
@@ -254,11 +256,11 @@
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.open_.clear()
-    assert service.ask("a", (PrepareRequest("l", "a", 1),), 0.01) == []
+    assert service.handle_request("a", (PrepareRequest("l", "a", 1),), 0.01) == []
     with capture_logs() as logs:
-        service.stop(wait_s=0.05)
+        service.stop(timeout_s=0.05)
     gate.open_.set()
-    assert any(entry["event"] == "keeper stopped while its disk still saves" for entry in logs)
+    assert any(entry["event"] == "lease server stopped during a state write" for entry in logs)
 
 
 # ---- three keepers on sockets
@@ -273,7 +275,7 @@
         self.addresses = {
             name: f"127.0.0.1:{held.getsockname()[1]}" for name, held in zip(NAMES, self._held, strict=True)
         }
-        self.bounds = LeaseLimits(NAMES, max_lease_s=lease_s)
+        self.fleet = LeaseFleet("f", self.addresses, LeaseLimits(NAMES, max_lease_s=lease_s), timeout_s=0.5)
         self.nodes: dict[str, LeaseServer] = {}
         self._ahead_s = 0.0
         for name in NAMES:
@@ -284,17 +286,17 @@
 
     def start(self, name: str) -> None:
         node = LeaseServer(
-            name, "f", self.addresses, self.bounds, 0.5, str(self.directory / name),
+            name, self.fleet, str(self.directory / name),
             clock=lambda: time.monotonic() + self._ahead_s,
         )  # fmt: skip
         node.start()
         self.nodes[name] = node
 
     def wait(self) -> None:
-        eventually(lambda: all(node.service.status()["votes"] for node in self.nodes.values()))
+        eventually(lambda: all(node.service.status().can_vote for node in self.nodes.values()))
 
     def client(self, name: str) -> LeaseClient:
-        return LeaseClient("f", name, self.addresses, self.bounds, self.lease_s, 0.3, 1)
+        return LeaseClient(replace(self.fleet, timeout_s=0.3), name, self.lease_s, 1)
 
     def file(self, **changes: object) -> str:
         path = self.directory / "fleet.json5"
@@ -329,7 +331,7 @@
         got: list[object] = []
         waiter = spawn("waiter", lambda: got.append(second.acquire("task/usage", 20.0)))
         eventually(lambda: second.holder_of("task/usage").startswith("p1."))
-        eventually(lambda: bool(fleet.nodes["k0"].service._mail))  # it listens for its turn
+        eventually(lambda: bool(fleet.nodes["k0"].service._mailboxes))  # it listens for its turn
         began_s = time.monotonic()
         held.release()
         waiter.join(20.0)
@@ -337,7 +339,7 @@
         assert time.monotonic() - began_s < 5.0
         (other,) = got
         assert other is not None and other.token > held.token  # type: ignore[attr-defined]
-        assert other.value == b"plan 4" and held.left_s() == 0.0  # type: ignore[attr-defined]
+        assert other.value == b"plan 4" and held.remaining_s() == 0.0  # type: ignore[attr-defined]
         assert not held.put(b"late", 0.1)
         first.close()
         second.close()
@@ -352,7 +354,7 @@
         for name in ("k0", "k1"):
             fleet.nodes.pop(name).stop()
         eventually(lambda: bool(why))
-        assert held.left_s() == 0.0 and "no majority" in why[0]
+        assert held.remaining_s() == 0.0 and "no majority" in why[0]
         assert client.acquire("l", 0.2) is None
         for name in ("k0", "k1"):
             fleet.start(name)
@@ -374,16 +376,16 @@
         for name in COPIES:
             (tmp_path / "k2" / name).unlink()
         assert (
-            disk(tmp_path / "k2", keeper="k2").read().found is DiskState.LOST
+            disk(tmp_path / "k2", keeper="k2").load().disk_state is DiskState.LOST
         )  # and what it learns comes soon
         fleet.start("k2")
         fleet.wait()
         fleet.nodes.pop("k0").stop()  # from here on the new one is needed
         mine = fleet.nodes["k2"].service
-        eventually(lambda: mine.records()[0][1] > 0)  # it grants what was never asked of it
+        eventually(lambda: mine.lease_reports()[0].remaining_s > 0)  # it grants what was never asked of it
         until_s = time.monotonic() + fleet.lease_s
         eventually(lambda: time.monotonic() > until_s or why)
-        assert held.left_s() > 0 and not why
+        assert held.remaining_s() > 0 and not why
         client.close()
 
 
@@ -398,7 +400,7 @@
         for _ in range(2):
             fleet.start("k2")
             status = fleet.nodes["k2"].service.status()
-            assert status["disk"] == "lost" and not status["votes"]
+            assert status.disk_state == "lost" and not status.can_vote
             fleet.nodes.pop("k2").stop()
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,6 +16,7 @@
     LeaseLost,
     ValueStored,
 )
+from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
     AcceptorRecord,
@@ -26,7 +27,6 @@
     CatchUpResponse,
     DiskState,
     Incarnations,
-    LeaseLimits,
     Message,
     PersistState,
     PrepareRequest,
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -41,7 +41,7 @@
     token: int = 1
     value: bytes = b""
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return 10.0
 
     def put(self, content: bytes, wait_s: float) -> bool:
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -123,12 +123,12 @@
 
 
 class Given:
-    """A lease of a store that gives it at once; `store.Held`."""
+    """A lease of a store that gives it at once; `store.HeldLease`."""
 
     def __init__(self, lease: str, token: int) -> None:
         self.lease, self.token, self.value, self.held = lease, token, b"", True
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return 10.0 if self.held else 0.0
 
     def put(self, content: bytes, wait_s: float) -> bool:
