--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 import queue
+import signal
 import sys
 import time
 from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass, field
 
 import click
 import msgspec
@@ -14,35 +16,61 @@
 from saffronstack.cli.logs import set_up_logs
 from saffronstack.config.fleet import FleetFile, load_fleet
 from saffronstack.config.load import ConfigError
-from saffronstack.fleet.control import releases
-from saffronstack.fleet.control.daemon import Daemon, Entry
-from saffronstack.fleet.control.daemon_client import Daemons
-from saffronstack.fleet.control.messages import LEAD, GatewayState, Order
-from saffronstack.fleet.control.status_client import ask_status, flat
+from saffronstack.fleet.control.daemon import Daemon
+from saffronstack.fleet.control.daemon_answers import FleetStatus, merge_answers
+from saffronstack.fleet.control.daemon_client import DaemonClient
+from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
+from saffronstack.fleet.control.errors import UnusableReleaseError
+from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayCommand, GatewayStatus
+from saffronstack.fleet.control.observed_gateway import GatewayPhase
+from saffronstack.fleet.control.releases import read_release
+from saffronstack.fleet.control.status_poller import poll_daemons
 from saffronstack.fleet.leases.reading import Reading, read_leases
 from saffronstack.fleet.leases.store import Held
 from saffronstack.fleet.rollout.records import decode
 
-LOOK_S = 0.2
-SILENT = 1  # exit status: some daemon or gateway is not as asked
+POLL_INTERVAL_S = 0.2
+NOT_AS_DESIRED = 1  # exit status: a daemon is unavailable, or a gateway is not as desired
+SIGNAL_POLL_S = 1.0
+
+
+class CommandError(Exception):
+    """A command can't be carried out; the text says why, and ``status`` is the exit status."""
+
+    def __init__(self, status: int, text: str) -> None:
+        super().__init__(text)
+        self.status = status
+
+
+@dataclass(frozen=True, slots=True)
+class CommandOptions:
+    """How long a command waits until the gateways are as desired, and how it shows them."""
+
+    wait_s: float
+    as_json: bool
+
+
+@dataclass(frozen=True, slots=True)
+class _SentCommands:
+    """The releases that gateways were told to run, and the daemons that rejected it with the reason."""
+
+    targets: dict[str, str] = field(default_factory=dict)
+    rejected: dict[str, str] = field(default_factory=dict)
 
 
 def run_daemon(path: str, name: str, log_form: str) -> int:
-    """Keep a machine's gateways until a signal. SIGTERM leaves them serving, SIGINT ends them too; 2 where it
-    can't start."""
+    """Run a machine's gateways until a signal.
+
+    SIGTERM leaves them serving, SIGINT ends them too.
+
+    Returns:
+        The exit status: 0, 1 where a gateway did not end in time, or 2 where the daemon can't start.
+    """
     set_up_logs(log_form, "info")
     signals = signals_of("SIGTERM", "SIGINT")
     try:
         fleet = load_fleet(path)
-        entry = next((one for one in fleet.daemons if one.name == name), None)
-        if entry is None:
-            raise ConfigError(f"{path}: daemons: none is named {name!r}")
-        daemon = Daemon(
-            fleet.fleet, name, entry.address,
-            [Entry(one.name, one.listen, one.config, one.drain_s) for one in entry.gateways],
-            entry.releases, entry.state_directory,
-            lambda: read_leases(fleet.addresses(), fleet.wait_s), went_back,
-        )  # fmt: skip
+        daemon = _create_daemon(fleet, path, name)
     except (ConfigError, OSError, ValueError) as error:
         click.echo(f"saffronstack fleet daemon: {error}", err=True)
         return UNUSABLE
@@ -50,18 +78,36 @@
     host, port = daemon.address
     click.echo(f"saffronstack daemon {name} of fleet {fleet.fleet} on http://{host}:{port}")
     sys.stdout.flush()
+    number = _wait_for_signal(signals)
+    return 0 if daemon.stop(end_gateways=number == signal.SIGINT) else 1
+
+
+def _create_daemon(fleet: FleetFile, path: str, name: str) -> Daemon:
+    entry = next((one for one in fleet.daemons if one.name == name), None)
+    if entry is None:
+        raise ConfigError(f"{path}: daemons: none is named {name!r}")
+    options = DaemonOptions(
+        fleet=fleet.fleet,
+        name=name,
+        address=entry.address,
+        gateways=tuple(GatewaySpec(one.name, one.listen, one.config, one.drain_s) for one in entry.gateways),
+        releases_directory=entry.releases,
+        state_directory=entry.state_directory,
+    )
+    return Daemon(options, lambda: read_leases(fleet.addresses(), fleet.wait_s), rolled_back_releases)
+
+
+def _wait_for_signal(signals: queue.SimpleQueue[int]) -> int:
     while True:
         try:
-            number = signals.get(timeout=1.0)
-            break
+            return signals.get(timeout=SIGNAL_POLL_S)
         except queue.Empty:
-            continue
-    return 0 if daemon.stop(end_gateways=number == 2) else 1
+            continue  # the wait is cut short so that the handler of a signal can run
 
 
-def went_back(reading: Reading) -> dict[str, str]:
-    """Which release takes which one's place by a rollout that is on its way back."""
-    shown = reading.leases.get(LEAD)
+def rolled_back_releases(reading: Reading) -> dict[str, str]:
+    """Return the release that a rollback takes back, with the one that replaces it."""
+    shown = reading.leases.get(LEADER_LEASE)
     try:
         record = decode(shown.value.content) if shown is not None else None
     except ValueError:
@@ -71,62 +117,73 @@
     return {record.new.digest: record.old.digest}
 
 
-class RefusedError(Exception):
-    """A command can't be carried out; the text and the exit status say why."""
+def run_as_leader(fleet: FleetFile, wait_s: float, run: Callable[[Held], int]) -> int:
+    """Run a function while holding the leader's lease, and return its exit status.
 
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status = status
-
-
-def under_lead(fleet: FleetFile, wait_s: float, act: Callable[[Held], int]) -> int:
-    """Do something as the fleet's only leader; its status, or why it could not be."""
+    Raises:
+        CommandError: The lease was not granted in time.
+    """
     client = open_client(fleet)
     try:
-        held = client.acquire(LEAD, wait_s)
+        held = client.acquire(LEADER_LEASE, wait_s)
         if held is None:
-            troubles = client.troubles()
-            if sum(not trouble for trouble in troubles.values()) <= len(fleet.keepers) // 2:
-                lines = "; ".join(f"{keeper}: {why}" for keeper, why in troubles.items() if why)
-                raise RefusedError(NO_MAJORITY, f"no majority of keepers answers: {lines}")
-            raise RefusedError(
-                NOT_GRANTED, f"{LEAD} was not granted within {wait_s:g} s: a rollout is being led"
-            )
+            raise _not_granted(fleet, client.troubles(), wait_s)
         try:
-            return act(held)
+            return run(held)
         finally:
             held.release()
     finally:
         client.close()
 
 
-def daemons_of(fleet: FleetFile, held: Held) -> Daemons:
-    """The daemons, to be asked under a lease."""
+def _not_granted(fleet: FleetFile, troubles: Mapping[str, str], wait_s: float) -> CommandError:
+    """Say why the lease was not granted: no majority of keepers, or another leader."""
+    if sum(not trouble for trouble in troubles.values()) <= len(fleet.keepers) // 2:
+        reasons = "; ".join(f"{keeper}: {why}" for keeper, why in troubles.items() if why)
+        return CommandError(NO_MAJORITY, f"no majority of keepers answers: {reasons}")
+    return CommandError(
+        NOT_GRANTED, f"{LEADER_LEASE} was not granted within {wait_s:g} s: a rollout is being led"
+    )
+
+
+def daemon_client(fleet: FleetFile, held: Held) -> DaemonClient:
+    """Create a client of the fleet's daemons that sends under a lease."""
     addresses = {one.name: one.address for one in fleet.daemons}
-    return Daemons(fleet.fleet, addresses, held.token, lambda: held.left_s() > 0)
+    return DaemonClient(fleet.fleet, addresses, held.token, lambda: held.left_s() > 0)
 
 
-def order(path: str, names: Sequence[str], what: str, release: str, wait_s: float, as_json: bool) -> int:
-    """Start, stop or reload gateways (all, without names) and wait until they are so: 0, 1 where some are
-    not, 2 for bad words, 69 and 75 as for leases."""
+def command_gateways(
+    path: str, names: Sequence[str], action: str, release: str, options: CommandOptions
+) -> int:
+    """Start, stop or reload gateways and wait until they are as desired.
+
+    Args:
+        path: Of the fleet file.
+        names: The gateways; all without any.
+        action: "start", "stop" or "reload".
+        release: The directory of the release to start.
+        options: How long to wait and how to show the gateways.
+
+    Returns:
+        The exit status: 0, 1 where some are not as desired, 2 for a bad argument, 69 without a majority of
+        keepers, 75 where a rollout is being led.
+    """
     try:
         fleet = load_fleet(path)
-        wanted = _wanted(fleet, names)
-        digest = releases.read(release).release.digest if release else ""
-
-        def act(held: Held) -> int:
-            return _order(fleet, held, wanted, what, digest, wait_s, as_json)
-
-        return under_lead(fleet, wait_s, act)
-    except (ConfigError, releases.UnusableError, ValueError) as error:
+        chosen = _choose_gateways(fleet, names)
+        digest = read_release(release).release.digest if release else ""
+        return run_as_leader(
+            fleet, options.wait_s, lambda held: _command(fleet, held, chosen, action, digest, options)
+        )
+    except (ConfigError, UnusableReleaseError, ValueError) as error:
         click.echo(str(error), err=True)
         return UNUSABLE
-    except RefusedError as error:
-        click.echo(f"saffronstack fleet {what}: {error}", err=True)
+    except CommandError as error:
+        click.echo(f"saffronstack fleet {action}: {error}", err=True)
         return error.status
 
 
-def _wanted(fleet: FleetFile, names: Sequence[str]) -> list[str]:
+def _choose_gateways(fleet: FleetFile, names: Sequence[str]) -> list[str]:
     known = fleet.daemon_of()
     unknown = [name for name in names if name not in known]
     if unknown:
@@ -134,81 +191,113 @@
     return list(names) or list(known)
 
 
-def _order(
-    fleet: FleetFile, held: Held, wanted: list[str], what: str, digest: str, wait_s: float, as_json: bool
+def _apply_commands(
+    client: DaemonClient, fleet: FleetFile, names: Sequence[str], action: str, digest: str
+) -> _SentCommands:
+    """Send each reachable gateway its command."""
+    daemon_of = fleet.daemon_of()
+    before = merge_answers(client.poll())
+    sent = _SentCommands()
+    commands: dict[str, list[GatewayCommand]] = {}
+    for name in names:
+        if daemon_of[name] in before.unavailable:
+            continue
+        if action == "start" and not digest:
+            raise CommandError(UNUSABLE, "start needs --release")
+        release = {"start": digest, "stop": ""}.get(action, before.gateways[name].desired_release)
+        sent.targets[name] = release
+        command = GatewayCommand(name, release, action == "reload")
+        commands.setdefault(daemon_of[name], []).append(command)
+    sent.rejected.update(merge_answers(client.send(commands)).unavailable)
+    return sent
+
+
+def _command(
+    fleet: FleetFile, held: Held, names: Sequence[str], action: str, digest: str, options: CommandOptions
 ) -> int:
     record = decode(held.value)
     if record is not None and not record.over:
-        raise RefusedError(NOT_GRANTED, f"rollout {record.plan.name!r} is not over: abort it, or let it end")
-    daemons, daemon_of = daemons_of(fleet, held), fleet.daemon_of()
-    states, silent = flat(daemons.look())
-    orders: dict[str, list[Order]] = {}
-    aims: dict[str, str] = {}
-    for name in wanted:
-        if daemon_of[name] in silent:
-            continue
-        state = states[name]
-        aims[name] = digest if what == "start" else "" if what == "stop" else state.wanted
-        if what == "start" and not digest:
-            raise RefusedError(UNUSABLE, "start needs --release")
-        orders.setdefault(daemon_of[name], []).append(Order(name, aims[name], what == "reload"))
-    refused = {name: why for name, why in daemons.ask(orders).items() if isinstance(why, str)}
-    until_s = time.monotonic() + wait_s
+        raise CommandError(NOT_GRANTED, f"rollout {record.plan.name!r} is not over: abort it, or let it end")
+    client = daemon_client(fleet, held)
+    sent = _apply_commands(client, fleet, names, action, digest)
+    deadline_s = time.monotonic() + options.wait_s
     while True:
-        states, silent = flat(daemons.look())
-        late = [name for name in wanted if not _as(states.get(name), aims.get(name))]
-        if not late or time.monotonic() >= until_s or held.left_s() <= 0:
+        status = merge_answers(client.poll())
+        late = [
+            name for name in names
+            if not _has_reached(status.gateways.get(name), sent.targets.get(name))
+        ]  # fmt: skip
+        if not late or time.monotonic() >= deadline_s or held.left_s() <= 0:
             break
-        time.sleep(LOOK_S)
-    show(fleet, states, silent | refused, as_json)
-    return SILENT if late or silent or refused else 0
+        time.sleep(POLL_INTERVAL_S)
+    unavailable = status.unavailable | sent.rejected
+    show(fleet, FleetStatus(status.gateways, unavailable), options.as_json)
+    return NOT_AS_DESIRED if late or unavailable else 0
 
 
-def _as(state: GatewayState | None, aim: str | None) -> bool:
-    if state is None or aim is None:
+def _has_reached(status: GatewayStatus | None, target: str | None) -> bool:
+    """Whether a gateway runs the release that it was told to run; empty for none."""
+    if status is None or target is None:
         return False
-    return state.wanted == aim and state.runs == aim and state.state in (("up",) if aim else ("none", "down"))
+    settled_phases = (GatewayPhase.SERVING,) if target else (GatewayPhase.STOPPED, GatewayPhase.DOWN)
+    is_target = status.desired_release == target and status.running_release == target
+    return is_target and status.phase in settled_phases
 
 
 def status(path: str, as_json: bool) -> int:
-    """How each gateway stands, by its daemon: 0, or 1 where a daemon is silent or a gateway not as wanted."""
+    """Show each gateway as its daemon sees it.
+
+    Returns:
+        The exit status: 0, or 1 where a daemon is unavailable or a gateway is not as desired.
+    """
     try:
         fleet = load_fleet(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
     addresses = {one.name: one.address for one in fleet.daemons}
-    states, silent = flat(ask_status(addresses, fleet.wait_s))
-    show(fleet, states, silent, as_json)
-    return SILENT if silent or any(one.wanted != one.runs for one in states.values()) else 0
+    found = merge_answers(poll_daemons(addresses, fleet.wait_s))
+    show(fleet, found, as_json)
+    is_settled = all(one.desired_release == one.running_release for one in found.gateways.values())
+    return 0 if is_settled and not found.unavailable else NOT_AS_DESIRED
 
 
-def show(
-    fleet: FleetFile, states: Mapping[str, GatewayState], silent: Mapping[str, str], as_json: bool
-) -> None:
-    """A line for each gateway."""
+def show(fleet: FleetFile, status: FleetStatus, as_json: bool) -> None:
+    """Write a line for each gateway of the fleet file."""
     for name, daemon in fleet.daemon_of().items():
-        state = states.get(name)
-        if as_json:
-            told = msgspec.to_builtins(state) if state is not None else {"silent": silent.get(daemon, "")}
-            click.echo(msgspec.json.encode({"gateway": name, "daemon": daemon, **told}).decode())
-        elif state is None:
-            click.echo(f"{name:<20} {daemon}: no answer: {silent.get(daemon, 'unknown there')}")
-        else:
-            runs = state.runs[:12] or "-"
-            wanted = "" if state.wanted == state.runs else f", wanted {state.wanted[:12] or 'none'}"
-            why = f", {state.why}" if state.why and (state.refused or state.state != "up") else ""
-            click.echo(
-                f"{name:<20} {daemon}: {state.state}, runs {runs}{wanted}, pid {state.pid}, "
-                f"{state.restarts} restarts{why}"
-            )
+        gateway = status.gateways.get(name)
+        reason = status.unavailable.get(daemon)
+        click.echo(
+            _json_line(name, daemon, gateway, reason)
+            if as_json
+            else _text_line(name, daemon, gateway, reason)
+        )
+
+
+def _json_line(name: str, daemon: str, gateway: GatewayStatus | None, reason: str | None) -> str:
+    content = msgspec.to_builtins(gateway) if gateway is not None else {"silent": reason or ""}
+    return msgspec.json.encode({"gateway": name, "daemon": daemon, **content}).decode()
+
+
+def _text_line(name: str, daemon: str, gateway: GatewayStatus | None, reason: str | None) -> str:
+    if gateway is None:
+        return f"{name:<20} {daemon}: no answer: {'unknown there' if reason is None else reason}"
+    running = gateway.running_release[:12] or "-"
+    is_settled = gateway.desired_release == gateway.running_release
+    desired = "" if is_settled else f", wanted {gateway.desired_release[:12] or 'none'}"
+    has_problem = gateway.failed_release or gateway.phase is not GatewayPhase.SERVING
+    error = f", {gateway.last_error}" if gateway.last_error and has_problem else ""
+    return (
+        f"{name:<20} {daemon}: {gateway.phase}, runs {running}{desired}, pid {gateway.pid}, "
+        f"{gateway.restarts} restarts{error}"
+    )
 
 
 def release_digest(directory: str) -> int:
-    """A release's version and digest; 0, or 2 where it is none."""
+    """Write a release's digest and version; return 0, or 2 where the directory has none."""
     try:
-        found = releases.read(directory)
-    except releases.UnusableError as error:
+        found = read_release(directory)
+    except UnusableReleaseError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
     click.echo(f"{found.release.digest}  {found.release.version}")
--- a/saffronstack/cli/groups.py
+++ b/saffronstack/cli/groups.py
@@ -52,27 +52,30 @@
 @click.option("--release", required=True, type=click.Path(file_okay=False), help="Its directory.")
 def fleet_start(path: str, names: tuple[str, ...], wait_s: float, as_json: bool, release: str) -> None:
     """Run a release on the gateways named, or on all, at once; `rollout` changes it in stages."""
-    from saffronstack.cli.control import order
+    from saffronstack.cli.control import CommandOptions, command_gateways
 
-    sys.exit(order(path, names, "start", release, wait_s, as_json))
+    options = CommandOptions(wait_s, as_json)
+    sys.exit(command_gateways(path, names, "start", release, options))
 
 
 @fleet_group.command("stop")
 @_many
 def fleet_stop(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
     """End the gateways named, or all, once what they took is answered."""
-    from saffronstack.cli.control import order
+    from saffronstack.cli.control import CommandOptions, command_gateways
 
-    sys.exit(order(path, names, "stop", "", wait_s, as_json))
+    options = CommandOptions(wait_s, as_json)
+    sys.exit(command_gateways(path, names, "stop", "", options))
 
 
 @fleet_group.command("reload")
 @_many
 def fleet_reload(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
     """Have them reread their configurations (SIGHUP)."""
-    from saffronstack.cli.control import order
+    from saffronstack.cli.control import CommandOptions, command_gateways
 
-    sys.exit(order(path, names, "reload", "", wait_s, as_json))
+    options = CommandOptions(wait_s, as_json)
+    sys.exit(command_gateways(path, names, "reload", "", options))
 
 
 @fleet_group.command("digest")
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -7,17 +7,18 @@
 
 import click
 
-from saffronstack.cli.control import RefusedError, daemons_of, under_lead
+from saffronstack.cli.control import CommandError, daemon_client, run_as_leader
 from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client, signals_of
 from saffronstack.cli.logs import set_up_logs
 from saffronstack.cli.rollout import WORD_S, gateways_of, line_of, recorded
 from saffronstack.config.fleet import FleetFile, load_fleet
 from saffronstack.config.load import ConfigError, convert, read_text
 from saffronstack.core.threads import spawn
-from saffronstack.fleet.control import releases
-from saffronstack.fleet.control.daemon_client import Daemons
-from saffronstack.fleet.control.messages import LEAD
-from saffronstack.fleet.control.status_client import flat
+from saffronstack.fleet.control.daemon_answers import merge_answers
+from saffronstack.fleet.control.daemon_client import DaemonClient
+from saffronstack.fleet.control.errors import UnusableReleaseError
+from saffronstack.fleet.control.messages import LEADER_LEASE
+from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.leases.reading import read_leases
 from saffronstack.fleet.leases.store import Held
 from saffronstack.fleet.rollout.controller import Record, first
@@ -37,16 +38,16 @@
     try:
         fleet = load_fleet(path)
         plan = convert(read_text(plan_path), Plan, plan_path)
-        new, old = releases.read(to).release, releases.read(old_from).release
+        new, old = read_release(to).release, read_release(old_from).release
 
         def act(held: Held) -> int:
             return _start(fleet, held, plan, old, new, stopping)
 
-        return under_lead(fleet, wait_s, act)
-    except (ConfigError, releases.UnusableError, ValueError) as error:
+        return run_as_leader(fleet, wait_s, act)
+    except (ConfigError, UnusableReleaseError, ValueError) as error:
         click.echo(f"saffronstack rollout start: {error}", err=True)
         return UNUSABLE
-    except RefusedError as error:
+    except CommandError as error:
         click.echo(f"saffronstack rollout start: {error}", err=True)
         return error.status
 
@@ -57,22 +58,24 @@
     record = decode(held.value)
     running = [record.plan.name] if record is not None and not record.over else []
     lines = problems(plan, gateways_of(fleet), old, new, running)
-    daemons = daemons_of(fleet, held)
-    states, silent = flat(daemons.look())
-    lines += [f"fleet: daemon {name} gives no answer: {why}" for name, why in silent.items()]
+    daemons = daemon_client(fleet, held)
+    status = merge_answers(daemons.poll())
+    lines += [f"fleet: daemon {name} gives no answer: {why}" for name, why in status.unavailable.items()]
     lines += [
-        f"fleet: {name} runs {state.runs or 'nothing'}, not {plan.base}"
-        for name, state in states.items() if state.runs != plan.base
+        f"fleet: {name} runs {state.running_release or 'nothing'}, not {plan.base}"
+        for name, state in status.gateways.items() if state.running_release != plan.base
     ]  # fmt: skip
     if lines:
-        raise RefusedError(UNUSABLE, "; ".join(lines))
+        raise CommandError(UNUSABLE, "; ".join(lines))
     begun = first(plan, old, new)
     if not held.put(encode(begun), WORD_S):
-        raise RefusedError(NO_MAJORITY, "the plan could not be stored: nothing was begun")
+        raise CommandError(NO_MAJORITY, "the plan could not be stored: nothing was begun")
     return _lead(fleet, held, daemons, begun, stopping)
 
 
-def _lead(fleet: FleetFile, held: Held, daemons: Daemons, record: Record, stopping: threading.Event) -> int:
+def _lead(
+    fleet: FleetFile, held: Held, daemons: DaemonClient, record: Record, stopping: threading.Event
+) -> int:
     shown = ""
 
     def show(now: Record, waits: str) -> None:
@@ -104,14 +107,14 @@
     try:
         while not stopping.is_set():
             # A look costs keepers no write; asking for a lease does.
-            held = client.acquire(LEAD, AGAIN_S) if _to_lead(fleet) else None
+            held = client.acquire(LEADER_LEASE, AGAIN_S) if _to_lead(fleet) else None
             if held is None:
                 stopping.wait(AGAIN_S)
                 continue
             try:
                 record = decode(held.value)
                 if record is not None and not record.over:
-                    _lead(fleet, held, daemons_of(fleet, held), record, stopping)
+                    _lead(fleet, held, daemon_client(fleet, held), record, stopping)
             except ValueError as error:
                 click.echo(f"saffronstack rollout lead: {error}", err=True)
             finally:
@@ -125,7 +128,7 @@
 def _to_lead(fleet: FleetFile) -> bool:
     try:
         record = recorded(fleet)
-    except (RefusedError, ValueError):
+    except (CommandError, ValueError):
         return False
     return record is not None and not record.over
 
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -5,12 +5,13 @@
 import click
 import msgspec
 
-from saffronstack.cli.control import RefusedError
+from saffronstack.cli.control import CommandError
 from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client
 from saffronstack.config.fleet import FleetFile, load_fleet
 from saffronstack.config.load import ConfigError, convert, read_text
-from saffronstack.fleet.control import releases
-from saffronstack.fleet.control.messages import LEAD, WORDS
+from saffronstack.fleet.control.errors import UnusableReleaseError
+from saffronstack.fleet.control.messages import LEADER_LEASE, OPERATOR_REQUEST_LEASE
+from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.leases.reading import read_leases
 from saffronstack.fleet.rollout.controller import Record
 from saffronstack.fleet.rollout.plan import Gateway, Plan, problems
@@ -33,25 +34,25 @@
         fleet = load_fleet(path)
         record = recorded(fleet)
         if record is None or record.over:
-            raise RefusedError(UNUSABLE, "no rollout is under way")
+            raise CommandError(UNUSABLE, "no rollout is under way")
         client = open_client(fleet)
         try:
-            held = client.acquire(WORDS, WORD_S)
+            held = client.acquire(OPERATOR_REQUEST_LEASE, WORD_S)
             if held is None:
-                raise RefusedError(NO_MAJORITY, f"the word was not left: {client.troubles()}")
+                raise CommandError(NO_MAJORITY, f"the word was not left: {client.troubles()}")
             said = Said(record.plan.name, what, held.token)
             stored = held.put(msgspec.json.encode(said), WORD_S)
             held.release()
         finally:
             client.close()
         if not stored:
-            raise RefusedError(NO_MAJORITY, "the word may or may not have been left: say it again")
+            raise CommandError(NO_MAJORITY, "the word may or may not have been left: say it again")
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
-    except (RefusedError, ValueError) as error:
+    except (CommandError, ValueError) as error:
         click.echo(f"saffronstack rollout {what}: {error}", err=True)
-        return error.status if isinstance(error, RefusedError) else UNUSABLE
+        return error.status if isinstance(error, CommandError) else UNUSABLE
     click.echo(f"{record.plan.name}: {what} is left for the leader")
     return 0
 
@@ -64,9 +65,9 @@
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
-    except (RefusedError, ValueError) as error:
+    except (CommandError, ValueError) as error:
         click.echo(f"saffronstack rollout status: {error}", err=True)
-        return error.status if isinstance(error, RefusedError) else UNUSABLE
+        return error.status if isinstance(error, CommandError) else UNUSABLE
     if record is None:
         click.echo("no rollout was ever recorded", err=True)
         return 1
@@ -84,8 +85,8 @@
     try:
         fleet = load_fleet(path)
         plan = convert(read_text(plan_path), Plan, plan_path)
-        new, old = releases.read(to).release, releases.read(old_from).release
-    except (ConfigError, releases.UnusableError) as error:
+        new, old = read_release(to).release, read_release(old_from).release
+    except (ConfigError, UnusableReleaseError) as error:
         click.echo(str(error), err=True)
         return 1
     lines = problems(plan, gateways_of(fleet), old, new)
@@ -97,11 +98,11 @@
 
 
 def recorded(fleet: FleetFile) -> Record | None:
-    """The rollout as a majority of keepers shows it; RefusedError without one."""
+    """The rollout as a majority of keepers shows it; CommandError without one."""
     reading = read_leases(fleet.addresses(), fleet.wait_s)
     if not reading.majority:
-        raise RefusedError(NO_MAJORITY, f"no majority of keepers answers: {reading.troubles}")
-    shown = reading.leases.get(LEAD)
+        raise CommandError(NO_MAJORITY, f"no majority of keepers answers: {reading.troubles}")
+    shown = reading.leases.get(LEADER_LEASE)
     return decode(shown.value.content) if shown is not None else None
 
 
--- a/saffronstack/fleet/control/__init__.py
+++ b/saffronstack/fleet/control/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of one machine: keeps its gateways as they are wanted and takes orders (`docs/rollout.md`)."""
+"""The daemon of one machine, which runs its gateways as desired, and its clients (`docs/rollout.md`)."""
--- /dev/null
+++ b/saffronstack/fleet/control/daemon_answers.py
@@ -0,0 +1,57 @@
+"""What a client of several daemons gets from them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+
+import msgspec
+
+from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.fleet.control.messages import DaemonStatus, GatewayStatus
+
+MAX_SHOWN_BYTES = 200  # of an answer that is an error
+
+
+@dataclass(frozen=True, slots=True)
+class UnavailableDaemon:
+    """A daemon that gave no status, and why."""
+
+    reason: str
+
+
+DaemonAnswer = DaemonStatus | UnavailableDaemon
+
+
+@dataclass(frozen=True, slots=True)
+class FleetStatus:
+    """The gateways whose daemons answered, and the reasons of the other daemons; both by name."""
+
+    gateways: dict[str, GatewayStatus] = field(default_factory=dict)
+    unavailable: dict[str, str] = field(default_factory=dict)
+
+
+def merge_answers(answers: Mapping[str, DaemonAnswer]) -> FleetStatus:
+    """Sort the answers of all daemons."""
+    merged = FleetStatus()
+    for daemon, answer in answers.items():
+        match answer:
+            case UnavailableDaemon(reason):
+                merged.unavailable[daemon] = reason
+            case DaemonStatus():
+                merged.gateways.update(answer.gateways)
+    return merged
+
+
+def request_status(
+    address: str, request: bytes, deadline_s: float, clock: Callable[[], float]
+) -> DaemonAnswer:
+    """Send a request whose answer is a daemon's status, bounded by ``deadline_s`` of the clock."""
+    try:
+        head, body = exchange(address, request, deadline_s, clock)
+        if head.status != 200:
+            text = body[:MAX_SHOWN_BYTES].decode("utf-8", "replace")
+            return UnavailableDaemon(f"rejected with {head.status}: {text}")
+        return msgspec.json.decode(body, type=DaemonStatus)
+    except (NotSentError, NoAnswerError, msgspec.MsgspecError) as error:
+        return UnavailableDaemon(str(error) or type(error).__name__)
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -1,7 +1,8 @@
-"""Asks daemons and gives them orders, all at once, under the fencing token of whoever leads."""
+"""Sends commands to daemons, all at once, under the fencing token of the leader."""
 
 from __future__ import annotations
 
+import functools
 import threading
 import time
 from collections.abc import Callable, Mapping, Sequence
@@ -9,63 +10,73 @@
 import msgspec
 
 from saffronstack.core.threads import Crew
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
-from saffronstack.fleet.control.messages import TARGET, Control, DaemonState, Order
+from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
+from saffronstack.fleet.control.messages import CONTROL_PATH, ControlRequest, DaemonStatus, GatewayCommand
 from saffronstack.http1 import writer
 
-ASK_S = 2.5  # a look or an order; a daemon answers within 2 s
+REQUEST_TIMEOUT_S = 2.5  # a daemon answers within 2 s
+WAIT_MARGIN_S = 0.5
 
 
-class Daemons:
-    """Asks daemons under one token. One thread uses it; the asking goes on threads of its own."""
+class DaemonClient:
+    """The client of one leader. One thread uses it; requests go out on threads of its own."""
 
     def __init__(
-        self, fleet: str, addresses: Mapping[str, str], token: int, still: Callable[[], bool],
+        self,
+        fleet: str,
+        addresses: Mapping[str, str],
+        token: int,
+        is_lease_held: Callable[[], bool],
         clock: Callable[[], float] = time.monotonic,
-    ) -> None:  # fmt: skip
-        """``still``: whether the lease is held; without it nothing is sent."""
-        self._fleet, self._token, self._still = fleet, token, still
+    ) -> None:
+        """Create a client; nothing is sent while ``is_lease_held`` is false."""
+        self._fleet, self._token, self._is_lease_held = fleet, token, is_lease_held
         self._addresses, self._clock = dict(addresses), clock
-        self._seq = 0
-        self._lives: dict[str, int] = {}  # of daemons, as last seen
-        self._crew = Crew("ask-daemon")
-        self._lock = threading.Condition()
+        self._sequence = 0
+        self._incarnations: dict[str, int] = {}  # of daemons, as last seen
+        self._crew = Crew("daemon-request")
+        self._answered = threading.Condition()  # guards the answers of a round
 
-    def ask(self, orders: Mapping[str, Sequence[Order]]) -> dict[str, DaemonState | str]:
-        """Each daemon's state after its orders, or why there is none; bounded as one exchange is."""
-        found: dict[str, DaemonState | str] = {}
-        until_s = self._clock() + ASK_S
-        for name, some in orders.items():
-            self._seq += 1
-            control = Control(self._fleet, self._token, self._seq, self._lives.get(name, 0), tuple(some))
+    def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
+        """Send each daemon its commands, and return its status after them.
 
-            def run(name: str = name, control: Control = control) -> None:
-                answer = self._exchange(name, control, until_s)
-                with self._lock:
-                    found[name] = answer
-                    self._lock.notify_all()
+        An answer that is missing leaves open whether the commands took effect.
+        """
+        answers: dict[str, DaemonAnswer] = {}
+        deadline_s = self._clock() + REQUEST_TIMEOUT_S
 
-            self._crew.run(run)
-        with self._lock:
-            self._lock.wait_for(lambda: len(found) == len(orders), ASK_S + 0.5)
-            told = dict(found) | {name: "no answer in time" for name in orders if name not in found}
-        self._lives |= {name: one.life for name, one in told.items() if isinstance(one, DaemonState)}
-        return told
+        def run(name: str, request: ControlRequest) -> None:
+            answer = self._request(name, request, deadline_s)
+            with self._answered:
+                answers[name] = answer
+                self._answered.notify_all()
 
-    def look(self) -> dict[str, DaemonState | str]:
-        """All of them, without orders."""
-        return self.ask({name: () for name in self._addresses})
+        for name, some in commands.items():
+            self._crew.run(functools.partial(run, name, self._next_request(name, some)))
+        with self._answered:
+            self._answered.wait_for(
+                lambda: len(answers) == len(commands), REQUEST_TIMEOUT_S + WAIT_MARGIN_S
+            )  # fmt: skip
+            in_time = dict(answers)
+        for name, answer in in_time.items():
+            if isinstance(answer, DaemonStatus):
+                self._incarnations[name] = answer.incarnation
+        late = {name: UnavailableDaemon("no answer in time") for name in commands if name not in in_time}
+        return in_time | late
 
-    def _exchange(self, name: str, control: Control, until_s: float) -> DaemonState | str:
+    def poll(self) -> dict[str, DaemonAnswer]:
+        """Return the status of all daemons, without commands."""
+        return self.send({name: () for name in self._addresses})
+
+    def _next_request(self, name: str, commands: Sequence[GatewayCommand]) -> ControlRequest:
+        self._sequence += 1
+        incarnation = self._incarnations.get(name, 0)
+        return ControlRequest(self._fleet, self._token, self._sequence, incarnation, tuple(commands))
+
+    def _request(self, name: str, request: ControlRequest, deadline_s: float) -> DaemonAnswer:
         address = self._addresses[name]
         fields = [("Host", address), ("Connection", "close"), ("Content-Type", "application/json")]
-        request = writer.request("POST", TARGET, fields, msgspec.json.encode(control))
-        if not self._still():
-            return "the lease is lost"
-        try:
-            head, body = exchange(address, request, until_s, self._clock)
-            if head.status != 200:
-                return f"refused with {head.status}: {body[:200].decode('utf-8', 'replace')}"
-            return msgspec.json.decode(body, type=DaemonState)
-        except (NotSentError, NoAnswerError, msgspec.MsgspecError) as error:
-            return str(error) or type(error).__name__
+        content = writer.request("POST", CONTROL_PATH, fields, msgspec.json.encode(request))
+        if not self._is_lease_held():
+            return UnavailableDaemon("the lease is lost")
+        return request_status(address, content, deadline_s, self._clock)
--- a/saffronstack/fleet/control/desired_state.py
+++ b/saffronstack/fleet/control/desired_state.py
@@ -1,7 +1,7 @@
-"""What a daemon was told to run, and under which token: on its disk before anything is done about it.
+"""The desired state of a daemon's gateways, stored on its disk before anything is done about it.
 
-A file that is gone or damaged is no new daemon's: its token could be any, so orders wait until the keepers
-have told which was granted last."""
+A file that is missing or damaged is not taken for a new daemon's: any fencing token may have been accepted,
+so commands are rejected until the lease keepers report which one was granted last."""
 
 from __future__ import annotations
 
@@ -12,11 +12,21 @@
 import xxhash
 from msgspec import Struct
 
-NAME = "wanted"
+from saffronstack.fleet.control.errors import ForeignDesiredStateError
 
+FILE_NAME = "wanted"
+CHECKSUM_BYTES = 16
 
-class Wanted(Struct, frozen=True):
-    """``releases`` by gateway, as digests; one that is not in it was never ordered."""
+
+class DesiredState(Struct, frozen=True):
+    """Which release each gateway is to run, and the fencing token of the leader who said so.
+
+    Attributes:
+        fleet: The fleet's name.
+        daemon: The daemon's name.
+        token: The greatest fencing token that was accepted.
+        releases: Digests by gateway; empty for none. A gateway that is missing was never commanded.
+    """
 
     fleet: str
     daemon: str
@@ -24,37 +34,56 @@
     releases: dict[str, str] = {}
 
 
-class Kept:
+class DesiredStateFile:
     """The file of one daemon."""
 
     def __init__(self, directory: str, fleet: str, daemon: str) -> None:
-        """OSError where the directory can't be made."""
-        self.path = pathlib.Path(directory) / NAME
+        """Create the directory where it is missing.
+
+        Raises:
+            OSError: It can't be created.
+        """
+        self.path = pathlib.Path(directory) / FILE_NAME
         self._fleet, self._daemon = fleet, daemon
         self.path.parent.mkdir(parents=True, exist_ok=True, mode=0o700)
 
-    def read(self) -> Wanted | None:
-        """What is kept; None where it is lost. ValueError where it is another daemon's."""
+    def read(self) -> DesiredState | None:
+        """Return the stored state, or None where it is missing or damaged.
+
+        Raises:
+            ForeignDesiredStateError: It is another daemon's.
+        """
         try:
             data = self.path.read_bytes()
-            if xxhash.xxh3_128_digest(data[16:]) != data[:16]:
+            checksum, content = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
+            if xxhash.xxh3_128_digest(content) != checksum:
                 return None
-            found = msgspec.msgpack.decode(data[16:], type=Wanted)
+            found = msgspec.msgpack.decode(content, type=DesiredState)
         except (OSError, msgspec.MsgspecError):
             return None
         if (found.fleet, found.daemon) != (self._fleet, self._daemon):
-            raise ValueError(f"{self.path}: is that of daemon {found.daemon!r} of fleet {found.fleet!r}")
+            raise ForeignDesiredStateError(
+                f"{self.path}: is that of daemon {found.daemon!r} of fleet {found.fleet!r}, "
+                f"not of {self._daemon!r} of {self._fleet!r}"
+            )
         return found
 
-    def write(self, wanted: Wanted) -> None:
-        """On the disk when this returns. OSError."""
-        data = msgspec.msgpack.encode(wanted)
+    def write(self, state: DesiredState) -> None:
+        """Replace the stored state; it is on the disk when this returns.
+
+        Raises:
+            OSError: It could not be stored.
+        """
+        content = msgspec.msgpack.encode(state)
         partial = self.path.with_suffix(".new")
         with open(partial, "wb") as file:
-            file.write(xxhash.xxh3_128_digest(data) + data)
+            file.write(xxhash.xxh3_128_digest(content) + content)
             file.flush()
             os.fsync(file.fileno())
         os.replace(partial, self.path)
+        self._sync_directory()
+
+    def _sync_directory(self) -> None:
         descriptor = os.open(self.path.parent, os.O_RDONLY)
         try:
             os.fsync(descriptor)
--- /dev/null
+++ b/saffronstack/fleet/control/lease_observer.py
@@ -0,0 +1,39 @@
+"""Reads the leases again and again when a daemon starts, until it knows enough."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable
+
+from saffronstack.core.threads import spawn
+from saffronstack.fleet.leases.reading import Reading
+
+READ_INTERVAL_S = 1.0
+
+
+class LeaseObserver:
+    """A thread that reports what the lease keepers show."""
+
+    def __init__(self, read: Callable[[], Reading], report: Callable[[Reading], None]) -> None:
+        """``read`` is bounded; ``report`` gets each reading on the observer's thread."""
+        self._read, self._report = read, report
+        self._stopping = threading.Event()
+        self._thread: threading.Thread | None = None
+
+    def start(self) -> None:
+        """Start to read."""
+        self._thread = spawn("lease-observer", self._run)
+
+    def stop(self) -> None:
+        """Stop to read, without waiting; any thread may call this."""
+        self._stopping.set()
+
+    def join(self, timeout_s: float) -> None:
+        """Wait until the thread has ended, for ``timeout_s`` seconds at most."""
+        if self._thread is not None:
+            self._thread.join(timeout_s)
+
+    def _run(self) -> None:
+        while not self._stopping.is_set():
+            self._report(self._read())
+            self._stopping.wait(READ_INTERVAL_S)
--- /dev/null
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -0,0 +1,208 @@
+"""One gateway of a daemon: its listening socket, its processes and its reconciler."""
+
+from __future__ import annotations
+
+import contextlib
+import pathlib
+import signal
+import threading
+from collections.abc import Callable, Iterable
+
+import structlog
+
+from saffronstack.core.threads import spawn
+from saffronstack.daemon.handover import take
+from saffronstack.fleet.control import process_launcher
+from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
+from saffronstack.fleet.control.errors import UnusableReleaseError
+from saffronstack.fleet.control.gateway_actions import (
+    AllowServing,
+    Kill,
+    ProcessAction,
+    ServeAfter,
+    StartProcess,
+    Terminate,
+)
+from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
+from saffronstack.fleet.control.gateway_reconciler import GatewayReconciler
+from saffronstack.fleet.control.messages import GatewayStatus
+from saffronstack.fleet.control.metrics_poller import MetricsPoller
+from saffronstack.fleet.control.process_discovery import find_serving_process
+from saffronstack.fleet.control.releases import find_release
+
+log = structlog.get_logger("saffronstack.daemon")
+
+
+class ManagedGateway:
+    """One gateway. The daemon's thread uses it; ``status`` may be called from any thread."""
+
+    def __init__(
+        self,
+        spec: GatewaySpec,
+        options: DaemonOptions,
+        report: Callable[[ProcessEvent], None],
+        clock: Callable[[], float],
+    ) -> None:
+        """Bind the gateway's address.
+
+        Args:
+            spec: The gateway.
+            options: Of the daemon.
+            report: Called with events of its processes, on threads of theirs.
+            clock: Seconds.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
+        self.spec = spec
+        self._options, self._report, self._clock = options, report, clock
+        self._mark = options.process_mark(spec.name)
+        self._log_path = pathlib.Path(options.state_directory) / f"{spec.name}.log"
+        self._reconciler = GatewayReconciler(spec.drain_timeout_s, options.start_timeout_s)
+        self._processes: dict[int, GatewayProcess] = {}  # by incarnation
+        self._listener = process_launcher.bind_listener(spec.listen)
+        self._metrics_poller = MetricsPoller(spec.listen, clock)
+
+    @property
+    def has_processes(self) -> bool:
+        """Whether any process of this gateway is known to run."""
+        return bool(self._processes)
+
+    def start_metrics(self) -> None:
+        """Start to poll for metrics."""
+        self._metrics_poller.start()
+
+    def stop_metrics(self) -> None:
+        """Stop to poll for metrics, without waiting."""
+        self._metrics_poller.stop()
+
+    def join_metrics(self, timeout_s: float) -> None:
+        """Wait for the end of the poll that is under way, for ``timeout_s`` seconds at most."""
+        self._metrics_poller.join(timeout_s)
+
+    def adopt_running(self, stopping: threading.Event) -> None:
+        """Adopt the process that an earlier daemon left serving, where there is one."""
+        process = find_serving_process(self._mark, self.spec.listen, self._clock, stopping)
+        if process is None:
+            return
+        listener = take(f"{self._mark}/{process.release}", process.pid)
+        if listener is not None:  # connections that wait in its queue are kept
+            self._listener.close()
+            self._listener = listener
+        incarnation = self._reconciler.adopt(self._clock(), process.release)
+        self._processes[incarnation] = process
+        self._metrics_poller.watch(incarnation, process)
+        spawn(
+            "gateway-end",
+            lambda: process_launcher.report_end(self.spec.name, incarnation, process, self._report),
+        )
+        log.info(
+            "gateway process adopted", gateway=self.spec.name, pid=process.pid, release=process.release
+        )  # fmt: skip
+
+    def set_desired(self, release: str) -> None:
+        """Run this release from now on; empty for none."""
+        self._carry_out(self._reconciler.set_desired(self._clock(), release))
+
+    def reload_settings(self) -> None:
+        """Have the present process reload its settings."""
+        process = self._processes.get(self._reconciler.observe().incarnation)
+        if process is not None:
+            process.send_signal(signal.SIGHUP)
+
+    def handle(self, event: ProcessEvent) -> None:
+        """Take in what happened to one of its processes."""
+        now_s = self._clock()
+        match event.kind:
+            case ProcessEventKind.PREPARED:
+                self._carry_out(self._reconciler.on_prepared(now_s, event.incarnation))
+            case ProcessEventKind.SERVING:
+                self._carry_out(self._reconciler.on_serving(now_s, event.incarnation))
+                process = self._processes.get(event.incarnation)
+                if process is not None:
+                    self._metrics_poller.watch(event.incarnation, process)
+            case ProcessEventKind.ENDED:
+                self.forget(event.incarnation)
+                self._carry_out(self._reconciler.on_ended(now_s, event.incarnation, event.reason))
+                log.info(
+                    "gateway process ended", gateway=self.spec.name, incarnation=event.incarnation,
+                    error=event.reason,
+                )  # fmt: skip
+
+    def reconcile_if_due(self) -> None:
+        """Reconcile where a deadline has passed or a change is under way."""
+        now_s = self._clock()
+        if now_s >= self._reconciler.next_deadline_s() or self._reconciler.successor is not None:
+            self._carry_out(self._reconciler.reconcile(now_s))
+
+    def status(self) -> GatewayStatus:
+        """Return the observed state with the process's metrics."""
+        observed = self._reconciler.observe()
+        process = self._processes.get(observed.incarnation)
+        return GatewayStatus(
+            desired_release=observed.desired_release,
+            running_release=observed.running_release,
+            phase=observed.phase,
+            incarnation=observed.incarnation,
+            restarts=observed.restarts,
+            failed_release=observed.failed_release,
+            last_error=observed.last_error,
+            pid=process.pid if process is not None else 0,
+            metrics=self._metrics_poller.latest(observed.incarnation),
+        )
+
+    def signal_all(self, number: signal.Signals) -> None:
+        """Send a signal to each of its processes."""
+        for process in self._processes.values():
+            process.send_signal(number)
+
+    def forget(self, incarnation: int) -> None:
+        """Drop a process that has ended."""
+        self._processes.pop(incarnation, None)
+
+    def close(self) -> None:
+        """Close the listening socket."""
+        self._listener.close()
+
+    def _carry_out(self, actions: Iterable[ProcessAction]) -> None:
+        for action in actions:
+            if isinstance(action, StartProcess):
+                self._start(action)
+                continue
+            process = self._processes.get(action.incarnation)
+            if process is not None:
+                self._act_on(process, action)
+
+    def _act_on(self, process: GatewayProcess, action: AllowServing | ServeAfter | Terminate | Kill) -> None:
+        match action:
+            case AllowServing():
+                process.allow_serving()
+            case ServeAfter(predecessor=predecessor):
+                if predecessor in self._processes:
+                    process.serve_after(self._processes[predecessor])
+            case Terminate():
+                # A process that an earlier daemon started, and whose socket was not handed over, listens on
+                # its own: connections wait in this queue from now on.
+                with contextlib.suppress(OSError):
+                    self._listener.listen(process_launcher.LISTEN_BACKLOG)
+                process.send_signal(signal.SIGTERM)
+            case Kill():
+                process.send_signal(signal.SIGKILL)
+
+    def _start(self, action: StartProcess) -> None:
+        name = self.spec.name
+        try:
+            release = find_release(self._options.releases_directory, action.release)
+            config = self.spec.config.replace("{release}", release.path)
+            launch_spec = process_launcher.LaunchSpec(
+                gateway=name,
+                incarnation=action.incarnation,
+                release=action.release,
+                command=[*release.command, "--config", config],
+                mark=self._mark,
+                log_path=self._log_path,
+            )
+            process = process_launcher.launch(launch_spec, self._listener, self._report)
+            self._processes[action.incarnation] = process
+        except (UnusableReleaseError, OSError) as error:
+            self._report(ProcessEvent(name, action.incarnation, ProcessEventKind.ENDED, str(error)))
--- a/saffronstack/fleet/control/messages.py
+++ b/saffronstack/fleet/control/messages.py
@@ -1,67 +1,123 @@
-"""What a daemon is asked and what it answers."""
+"""Messages between a rollout's leader, daemons and operators.
+
+The JSON keys are fixed: daemons and leaders of earlier releases use them too. Where a key differs from the
+Python name, the class's ``rename`` table holds it."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-from saffronstack.fleet.control.slots import State
+from saffronstack.fleet.control.observed_gateway import GatewayPhase
+
+CONTROL_PATH = "/control"
+STATUS_PATH = "/status"
+LEADER_LEASE = "fleet/lead"  # its holder leads; its fencing token goes with each command
+OPERATOR_REQUEST_LEASE = "fleet/word"  # operators leave requests to the leader in its value
 
-TARGET = "/control"
-LEAD = "fleet/lead"  # the lease whose token orders carry
-WORDS = "fleet/word"  # the lease in whose value operators leave their words to the leader
 
+class GatewayCommand(Struct, frozen=True):
+    """A command about one gateway: run a release, or reload the settings.
 
-class Order(Struct, frozen=True):
-    """Run a release (a digest; empty: none), or reread settings."""
+    Attributes:
+        gateway: Its name in the fleet file.
+        release: The digest to run; empty for none.
+        reload: Reload the settings, and leave the release as it is.
+    """
 
     gateway: str
     release: str = ""
     reload: bool = False
 
 
-class Control(Struct, frozen=True):
-    """Orders of whoever leads; without any it is a look. ``seq`` grows with each request under one token:
-    what comes late, after a newer one, is refused."""
+class ControlRequest(
+    Struct, frozen=True, rename={"sequence": "seq", "incarnation": "life", "commands": "orders"}
+):
+    """A leader's request to a daemon; without commands it only asks for the status.
+
+    Attributes:
+        fleet: The fleet that the leader leads.
+        token: The fencing token of its lease.
+        sequence: Grows with each request under one token; a request that arrives after a newer one is
+            rejected.
+        incarnation: Of the daemon, as the leader saw it last; commands to another one are rejected.
+        commands: What to change.
+    """
 
     fleet: str
     token: int
-    seq: int
-    life: int = 0  # of the daemon, as it was last seen; orders for another one are refused
-    orders: tuple[Order, ...] = ()
-
-
-class Figures(Struct, frozen=True):
-    """What one life of a gateway counted so far. ``classes``: by class of calls, endings and how many; times
-    of calls as an encoded histogram in tenths of milliseconds."""
-
-    age_s: float  # of these figures
-    classes: dict[str, dict[str, int]] = {}
-    times: dict[str, str] = {}
+    sequence: int
+    incarnation: int = 0
+    commands: tuple[GatewayCommand, ...] = ()
+
+
+class GatewayMetrics(
+    Struct,
+    frozen=True,
+    rename={
+        "outcomes_by_class": "classes",
+        "latencies_by_class": "times",
+        "open_descriptors": "descriptors",
+        "reported_release": "release",
+    },
+):
+    """What one incarnation of a gateway has counted since it started.
+
+    Attributes:
+        age_s: How old these metrics are.
+        outcomes_by_class: For each class of calls, how many ended in which way.
+        latencies_by_class: For each class an encoded HDR histogram, in tenths of milliseconds.
+        memory_mb: Resident memory.
+        open_descriptors: Open file descriptors.
+        reported_release: The release by the gateway's own page; empty where it reports none.
+    """
+
+    age_s: float
+    outcomes_by_class: dict[str, dict[str, int]] = {}
+    latencies_by_class: dict[str, str] = {}
     memory_mb: float = 0.0
-    descriptors: int = 0
-    release: str = ""  # by the gateway's own word; empty where it has none
-
-
-class GatewayState(Struct, frozen=True):
-    """One gateway, as its daemon sees it; `slots.Seen` and figures."""
-
-    wanted: str
-    runs: str
-    state: State
-    life: int
+    open_descriptors: int = 0
+    reported_release: str = ""
+
+
+class GatewayStatus(
+    Struct,
+    frozen=True,
+    rename={
+        "desired_release": "wanted",
+        "running_release": "runs",
+        "phase": "state",
+        "incarnation": "life",
+        "failed_release": "refused",
+        "last_error": "why",
+        "metrics": "figures",
+    },
+):
+    """One gateway as its daemon sees it: `ObservedGateway`, its process and its metrics."""
+
+    desired_release: str
+    running_release: str
+    phase: GatewayPhase
+    incarnation: int
     restarts: int
-    refused: str = ""
-    why: str = ""
+    failed_release: str = ""
+    last_error: str = ""
     pid: int = 0
-    figures: Figures | None = None
+    metrics: GatewayMetrics | None = None
+
 
+class DaemonStatus(Struct, frozen=True, rename={"is_token_lost": "lost", "incarnation": "life"}):
+    """A daemon's answer.
 
-class DaemonState(Struct, frozen=True):
-    """A daemon's answer. ``token``: the greatest it took; ``lost``: it has not learned it again since its
-    disk lost it, and takes no orders."""
+    Attributes:
+        daemon: Its name in the fleet file.
+        token: The greatest fencing token that it accepted.
+        is_token_lost: Its disk lost the token and it has not learned it again; it rejects all commands.
+        incarnation: Which incarnation of the daemon answers.
+        gateways: By name.
+    """
 
     daemon: str
     token: int
-    lost: bool
-    life: int
-    gateways: dict[str, GatewayState]
+    is_token_lost: bool
+    incarnation: int
+    gateways: dict[str, GatewayStatus]
--- /dev/null
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -0,0 +1,118 @@
+"""Polls one gateway for its metrics, on a thread of its own: one that hangs delays no other."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import msgspec
+
+from saffronstack.core.threads import spawn
+from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.fleet.control.gateway_process import GatewayProcess
+from saffronstack.fleet.control.messages import STATUS_PATH, GatewayMetrics
+from saffronstack.http1 import writer
+
+POLL_INTERVAL_S = 0.5
+POLL_TIMEOUT_S = 1.0
+
+
+class GatewayPage(msgspec.Struct, frozen=True, rename={"outcomes": "classes", "latencies": "times"}):
+    """The part of a gateway's status page that rollouts compare."""
+
+    pid: int
+    release: str = ""
+    outcomes: dict[str, dict[str, int]] = {}
+    latencies: dict[str, str] = {}
+
+
+def fetch_page(address: str, clock: Callable[[], float]) -> GatewayPage | None:
+    """Return the page of whichever process answers on an address; None where none does within a second."""
+    request = writer.request("GET", STATUS_PATH, [("Host", address), ("Connection", "close")])
+    try:
+        head, body = exchange(address, request, clock() + POLL_TIMEOUT_S, clock)
+        return msgspec.json.decode(body, type=GatewayPage) if head.status == 200 else None
+    except (NotSentError, NoAnswerError, msgspec.MsgspecError):
+        return None  # it starts, ends or is overloaded; metrics grow old, which readers see by their age
+
+
+def find_serving_pid(address: str, clock: Callable[[], float]) -> int | None:
+    """Return the process that serves on an address; None where none does."""
+    page = fetch_page(address, clock)
+    return None if page is None else page.pid
+
+
+@dataclass(frozen=True, slots=True)
+class _PolledProcess:
+    incarnation: int
+    process: GatewayProcess
+
+
+@dataclass(frozen=True, slots=True)
+class _PolledMetrics:
+    incarnation: int
+    polled_s: float
+    metrics: GatewayMetrics
+
+
+class MetricsPoller:
+    """Keeps the newest metrics of one gateway's present incarnation."""
+
+    def __init__(self, address: str, clock: Callable[[], float] = time.monotonic) -> None:
+        self._address, self._clock = address, clock
+        self._lock = threading.Lock()  # guards _polled_process and _latest
+        self._polled_process: _PolledProcess | None = None
+        self._latest: _PolledMetrics | None = None
+        self._stopping = threading.Event()
+        self._thread: threading.Thread | None = None
+
+    def start(self) -> None:
+        """Start polling."""
+        self._thread = spawn("metrics-poller", self._run)
+
+    def stop(self) -> None:
+        """Stop polling; ``join`` waits for the poll that is under way."""
+        self._stopping.set()
+
+    def join(self, timeout_s: float) -> None:
+        """Wait until the thread has ended, for ``timeout_s`` seconds at most."""
+        if self._thread is not None:
+            self._thread.join(timeout_s)
+
+    def watch(self, incarnation: int, process: GatewayProcess) -> None:
+        """Poll this incarnation from now on."""
+        with self._lock:
+            self._polled_process = _PolledProcess(incarnation, process)
+
+    def latest(self, incarnation: int) -> GatewayMetrics | None:
+        """Return the newest metrics of an incarnation; None before the first."""
+        with self._lock:
+            latest = self._latest
+        if latest is None or latest.incarnation != incarnation:
+            return None
+        return msgspec.structs.replace(latest.metrics, age_s=round(self._clock() - latest.polled_s, 3))
+
+    def _run(self) -> None:
+        while not self._stopping.wait(POLL_INTERVAL_S):
+            with self._lock:
+                polled = self._polled_process
+            if polled is not None:
+                self._poll(polled.incarnation, polled.process)
+
+    def _poll(self, incarnation: int, process: GatewayProcess) -> None:
+        polled_s = self._clock()
+        page = fetch_page(self._address, self._clock)
+        if page is None or page.pid != process.pid:
+            return  # another incarnation answered: one that drains, or one of an earlier daemon
+        metrics = GatewayMetrics(
+            age_s=0.0,
+            outcomes_by_class=page.outcomes,
+            latencies_by_class=page.latencies,
+            memory_mb=process.memory_mb(),
+            open_descriptors=process.open_descriptors(),
+            reported_release=page.release,
+        )
+        with self._lock:
+            self._latest = _PolledMetrics(incarnation, polled_s, metrics)
--- /dev/null
+++ b/saffronstack/fleet/control/process_discovery.py
@@ -0,0 +1,82 @@
+"""Finds processes of gateways that an earlier daemon left behind.
+
+The operating system is asked, never a file: each process carries a mark in its environment."""
+
+from __future__ import annotations
+
+import os
+import pathlib
+import signal
+import threading
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from saffronstack.daemon.handover import MARK
+from saffronstack.fleet.control.gateway_process import GatewayProcess
+from saffronstack.fleet.control.metrics_poller import find_serving_pid
+
+ADOPTION_TIMEOUT_S = 3.0  # for a process that was left to answer that it serves
+RETRY_INTERVAL_S = 0.05
+START_TIME_FIELD = 19  # of /proc/PID/stat, counted after the name in parentheses
+
+
+@dataclass(frozen=True, slots=True)
+class _FoundProcess:
+    started_ticks: int
+    process: GatewayProcess
+
+
+def find_processes(mark: str) -> list[GatewayProcess]:
+    """Return this user's processes that carry a mark, the newest last."""
+    found: list[_FoundProcess] = []
+    for entry in os.scandir("/proc"):
+        if not entry.name.isdigit() or int(entry.name) == os.getpid():
+            continue
+        one = _read_process(entry, f"{MARK}={mark}/".encode())
+        if one is not None:
+            found.append(one)
+    return [one.process for one in sorted(found, key=lambda one: one.started_ticks)]
+
+
+def _read_process(entry: os.DirEntry[str], prefix: bytes) -> _FoundProcess | None:
+    """Return a process whose environment has a variable with this prefix, which its release follows."""
+    try:
+        if entry.stat().st_uid != os.geteuid():
+            return None
+        pidfd = os.pidfd_open(int(entry.name))
+    except OSError:
+        return None  # it has ended
+    try:
+        # Read once the descriptor is held: the mark is then of the process that signals will reach.
+        variables = pathlib.Path(entry.path, "environ").read_bytes().split(b"\0")
+        release = next(one[len(prefix) :].decode() for one in variables if one.startswith(prefix))
+        fields = pathlib.Path(entry.path, "stat").read_text().rpartition(")")[2].split()
+        process = GatewayProcess(int(entry.name), release, pidfd, None)
+        return _FoundProcess(int(fields[START_TIME_FIELD]), process)
+    except (OSError, StopIteration, ValueError, IndexError):
+        os.close(pidfd)  # it has ended, or has no such mark
+        return None
+
+
+def find_serving_process(
+    mark: str, address: str, clock: Callable[[], float], stopping: threading.Event
+) -> GatewayProcess | None:
+    """Return the process with a mark that serves on an address, and terminate the others.
+
+    A process that was only prepared ends with its daemon, and one that follows another goes on to serve, so
+    this waits until one serves; the newest is taken where none answers in time.
+    """
+    deadline_s = clock() + ADOPTION_TIMEOUT_S
+    while running := find_processes(mark):
+        serving_pid = find_serving_pid(address, clock)
+        fallback = running[-1] if clock() >= deadline_s else None
+        serving = next((one for one in running if one.pid == serving_pid), fallback)
+        for process in running:
+            if process is not serving:
+                if serving is not None:
+                    process.send_signal(signal.SIGTERM)
+                process.close()
+        if serving is not None:
+            return serving
+        stopping.wait(RETRY_INTERVAL_S)
+    return None
--- /dev/null
+++ b/saffronstack/fleet/control/process_launcher.py
@@ -0,0 +1,115 @@
+"""Starts processes of gateways on the daemon's listening socket, and reports what becomes of them."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import pathlib
+import socket
+import subprocess
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import IO
+
+from saffronstack.core.threads import spawn
+from saffronstack.daemon.handover import MARK
+from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
+
+# Lines that `saffronstack serve --standby` writes, by what they contain.
+PREPARED_LINE, SERVING_LINE = "prepared", "takes calls"
+MAX_LOG_BYTES = 4 << 20  # a new process rotates a log that is longer
+LISTEN_BACKLOG = 1024
+
+
+@dataclass(frozen=True, slots=True)
+class LaunchSpec:
+    """What to start.
+
+    Attributes:
+        gateway: Its name.
+        incarnation: The number under which events are reported.
+        release: The digest of its release.
+        command: The program with its arguments, but for the listening socket's.
+        mark: Identifies processes of this gateway of this daemon; `process_discovery` looks for it.
+        log_path: Where its error output goes.
+    """
+
+    gateway: str
+    incarnation: int
+    release: str
+    command: Sequence[str]
+    mark: str
+    log_path: pathlib.Path
+
+
+def bind_listener(address: str) -> socket.socket:
+    """Bind a socket on which a gateway's incarnations listen, one after the other.
+
+    Connections that arrive between two of them wait in its queue. It shares the address, since a process
+    that an earlier daemon left may hold it too.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
+    host, _, port = address.rpartition(":")
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        listener.bind((host, int(port)))
+    except OSError:
+        listener.close()
+        raise
+    return listener
+
+
+def launch(
+    spec: LaunchSpec, listener: socket.socket, report: Callable[[ProcessEvent], None]
+) -> GatewayProcess:
+    """Start a process in standby.
+
+    Args:
+        spec: What to start.
+        listener: The bound socket that it inherits.
+        report: Called with each event, on threads of the launcher's.
+
+    Raises:
+        OSError: It can't be started.
+    """
+    _rotate_log(spec.log_path)
+    with open(spec.log_path, "ab") as log_file:
+        child = subprocess.Popen(
+            [*spec.command, "--listen-fd", str(listener.fileno()), "--standby"],
+            stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log_file, pass_fds=(listener.fileno(),),
+            start_new_session=True, env={**os.environ, MARK: f"{spec.mark}/{spec.release}"},
+        )  # fmt: skip
+    process = GatewayProcess(child.pid, spec.release, os.pidfd_open(child.pid), child)
+    assert child.stdout is not None
+    output = child.stdout
+    spawn("gateway-output", lambda: _report_output(spec, output, report))
+    spawn("gateway-end", lambda: report_end(spec.gateway, spec.incarnation, process, report))
+    return process
+
+
+def report_end(
+    gateway: str, incarnation: int, process: GatewayProcess, report: Callable[[ProcessEvent], None]
+) -> None:
+    """Wait for the end of a process and report it."""
+    report(ProcessEvent(gateway, incarnation, ProcessEventKind.ENDED, process.wait()))
+
+
+def _rotate_log(path: pathlib.Path) -> None:
+    with contextlib.suppress(OSError):  # without a log there is nothing to rotate
+        if path.stat().st_size > MAX_LOG_BYTES:
+            os.replace(path, path.with_suffix(".log.1"))
+
+
+def _report_output(spec: LaunchSpec, output: IO[bytes], report: Callable[[ProcessEvent], None]) -> None:
+    """Report from a process's output when it is prepared and when it serves."""
+    with output:
+        for line in output:
+            text = line.decode("utf-8", "replace")
+            if SERVING_LINE in text:
+                report(ProcessEvent(spec.gateway, spec.incarnation, ProcessEventKind.SERVING))
+            elif PREPARED_LINE in text:
+                report(ProcessEvent(spec.gateway, spec.incarnation, ProcessEventKind.PREPARED))
--- a/saffronstack/fleet/control/releases.py
+++ b/saffronstack/fleet/control/releases.py
@@ -10,77 +10,97 @@
 import xxhash
 from msgspec import Struct
 
+from saffronstack.fleet.control.errors import UnusableReleaseError
 from saffronstack.fleet.rollout.plan import Format, Release
 
-MANIFEST = "release.json"
-FILES_MOST = 20_000
-CHUNK = 1 << 20
+MANIFEST_NAME = "release.json"
+MAX_FILES = 20_000
+CHUNK_BYTES = 1 << 20
+IGNORED_DIRECTORIES = {"__pycache__"}  # a running program writes there
 
 
-class UnusableError(Exception):
-    """A directory is no release, or not the one that was meant; with path and reason."""
+class ReleaseManifest(Struct, frozen=True, kw_only=True, forbid_unknown_fields=False):
+    """The content of a release's manifest.
 
-
-class Manifest(Struct, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """What `release.json` says. ``command``: how a gateway of it is started; `{python}` stands for the
-    daemon's interpreter, `{release}` for the directory."""
+    Attributes:
+        version: For people.
+        command: How its gateway is started; `{python}` stands for the daemon's interpreter, `{release}` for
+            the directory.
+        formats: Of the stored data that it reads and writes.
+    """
 
     version: str
     command: tuple[str, ...] = ("{python}", "-m", "saffronstack.cli.main", "serve")
     formats: tuple[Format, ...] = ()
 
 
-class Found(Struct, frozen=True):
-    """A release as it lies there."""
+class InstalledRelease(Struct, frozen=True):
+    """A release in its directory; ``command`` has its placeholders replaced."""
 
     path: str
     release: Release
     command: tuple[str, ...]
 
 
-def digest(directory: pathlib.Path) -> str:
-    """XXH3-128 over names, kinds and contents of all files. OSError; UnusableError for too many."""
+def compute_digest(directory: pathlib.Path) -> str:
+    """Compute the XXH3-128 digest over the names, sizes, modes and contents of all files.
+
+    Raises:
+        OSError: A file can't be read.
+        UnusableReleaseError: There are too many files.
+    """
     state = xxhash.xxh3_128()
-    seen = 0
+    file_count = 0
     for folder, folders, files in os.walk(directory):
-        folders[:] = sorted(name for name in folders if name != "__pycache__")  # a run writes there
+        folders[:] = sorted(name for name in folders if name not in IGNORED_DIRECTORIES)
         for name in sorted(files):
-            seen += 1
-            if seen > FILES_MOST:
-                raise UnusableError(f"{directory}: over {FILES_MOST} files are no release")
-            path = pathlib.Path(folder, name)
-            told = f"{path.relative_to(directory)}\0{path.stat().st_size}\0{os.access(path, os.X_OK)}\0"
-            state.update(told.encode())
-            with open(path, "rb") as file:
-                while part := file.read(CHUNK):
-                    state.update(part)
+            file_count += 1
+            if file_count > MAX_FILES:
+                raise UnusableReleaseError(f"{directory}: a release has at most {MAX_FILES} files")
+            _add_file(state, directory, pathlib.Path(folder, name))
     return state.hexdigest()
 
 
-def read(directory: str) -> Found:
-    """The release in a directory. UnusableError with path and reason."""
+def _add_file(state: xxhash.xxh3_128, directory: pathlib.Path, path: pathlib.Path) -> None:
+    is_executable = os.access(path, os.X_OK)
+    state.update(f"{path.relative_to(directory)}\0{path.stat().st_size}\0{is_executable}\0".encode())
+    with open(path, "rb") as file:
+        while chunk := file.read(CHUNK_BYTES):
+            state.update(chunk)
+
+
+def read_release(directory: str) -> InstalledRelease:
+    """Return the release in a directory.
+
+    Raises:
+        UnusableReleaseError: There is none, or it can't be read.
+    """
     path = pathlib.Path(directory)
     try:
-        manifest = msgspec.json.decode((path / MANIFEST).read_bytes(), type=Manifest)
-        found = digest(path)
+        manifest = msgspec.json.decode((path / MANIFEST_NAME).read_bytes(), type=ReleaseManifest)
+        digest = compute_digest(path)
     except (OSError, msgspec.MsgspecError) as error:
-        raise UnusableError(f"{path / MANIFEST}: {error}") from error
+        raise UnusableReleaseError(f"{path / MANIFEST_NAME}: {error}") from error
     if not manifest.command or not manifest.version:
-        raise UnusableError(f"{path / MANIFEST}: a release has a version and a command")
-    release = Release(version=manifest.version, digest=found, formats=manifest.formats)
+        raise UnusableReleaseError(f"{path / MANIFEST_NAME}: a release has a version and a command")
+    release = Release(version=manifest.version, digest=digest, formats=manifest.formats)
     command = tuple(
         word.replace("{python}", sys.executable).replace("{release}", str(path.resolve()))
         for word in manifest.command
     )
-    return Found(str(path), release, command)
+    return InstalledRelease(str(path), release, command)
+
 
+def find_release(root: str, digest: str) -> InstalledRelease:
+    """Return the release with a digest among the directories of ``root``.
 
-def find(root: str, wanted: str) -> Found:
-    """The release with a digest among the directories of ``root``. UnusableError where there is none: one
-    whose files were changed since has another digest, and is another release."""
+    Raises:
+        UnusableReleaseError: There is none. A release whose files were changed has another digest, and is
+            another release.
+    """
     for entry in sorted(pathlib.Path(root).iterdir()) if pathlib.Path(root).is_dir() else ():
-        if (entry / MANIFEST).is_file():
-            found = read(str(entry))
-            if found.release.digest == wanted:
+        if (entry / MANIFEST_NAME).is_file():
+            found = read_release(str(entry))
+            if found.release.digest == digest:
                 return found
-    raise UnusableError(f"{root}: no release has the digest {wanted}")
+    raise UnusableReleaseError(f"{root}: no release has the digest {digest}")
--- /dev/null
+++ b/saffronstack/fleet/control/status_poller.py
@@ -0,0 +1,32 @@
+"""Polls all daemons for their status, without a lease."""
+
+from __future__ import annotations
+
+import functools
+import time
+from collections.abc import Mapping
+
+from saffronstack.core.threads import spawn
+from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
+from saffronstack.fleet.control.messages import STATUS_PATH
+from saffronstack.http1 import writer
+
+JOIN_MARGIN_S = 0.5  # over the exchange's own bound
+
+
+def poll_daemons(addresses: Mapping[str, str], timeout_s: float) -> dict[str, DaemonAnswer]:
+    """Poll all daemons at once; takes little more than ``timeout_s``."""
+    answers: dict[str, DaemonAnswer] = {}
+
+    def poll(name: str, address: str) -> None:
+        request = writer.request("GET", STATUS_PATH, [("Host", address), ("Connection", "close")])
+        answers[name] = request_status(address, request, time.monotonic() + timeout_s, time.monotonic)
+
+    threads = [
+        spawn("poll-daemon", functools.partial(poll, name, address)) for name, address in addresses.items()
+    ]
+    deadline_s = time.monotonic() + timeout_s + JOIN_MARGIN_S
+    for thread in threads:
+        thread.join(max(0.0, deadline_s - time.monotonic()))
+    in_time = dict(answers)  # later answers are not waited for
+    return {name: in_time.get(name, UnavailableDaemon("no answer in time")) for name in addresses}
--- a/saffronstack/fleet/rollout/controller.py
+++ b/saffronstack/fleet/rollout/controller.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from saffronstack.fleet.control.slots import Seen
+from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
 from saffronstack.fleet.rollout.comparison import Look, Verdict
 from saffronstack.fleet.rollout.plan import Gateway, Plan, Release, batches, reach
 
@@ -64,7 +64,7 @@
     """A daemon answered a look that carried this leader's token; orders of older ones count nothing there."""
 
     daemon: str
-    gateways: dict[str, Seen]
+    gateways: dict[str, ObservedGateway]
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,7 +150,7 @@
         self._zone_of = {one.name: one.zone for one in fleet}
         self._reach = reach(record.plan, fleet)
         self._patience_s = patience_s
-        self._seen: dict[str, Seen] = {}  # of daemons that answered last
+        self._seen: dict[str, ObservedGateway] = {}  # of daemons that answered last
         self._heard: set[str] = set()
         self._asked: dict[str, str] = {}  # orders that no look has shown taken
         self._tried_s: dict[str, float] = {}
@@ -245,8 +245,8 @@
             return []
         if record.way == "forward":
             refused = [
-                f"{name}: {seen.why}" for name, seen in sorted(self._seen.items())
-                if seen.refused == record.new.digest
+                f"{name}: {seen.last_error}" for name, seen in sorted(self._seen.items())
+                if seen.failed_release == record.new.digest
             ]  # fmt: skip
             if refused:
                 return [self._back(record, "could not be run: " + "; ".join(refused))]
@@ -279,15 +279,20 @@
 
     def _settled(self, name: str, release: str) -> bool:
         seen = self._seen.get(name)
-        return seen is not None and name not in self._asked and seen.wanted == release == seen.runs
+        return (
+            seen is not None
+            and name not in self._asked
+            and seen.desired_release == release == seen.running_release
+        )
 
     def _down(self) -> set[str]:
         """Gateways that take no calls or soon may not: not seen, not up, or with an order under way. One that
         gave a release up and runs another one is up."""
         return {
             one.name for one in self._fleet
-            if one.name in self._asked or (seen := self._seen.get(one.name)) is None or seen.state != "up"
-            or seen.wanted not in (seen.runs, seen.refused)
+            if one.name in self._asked or (seen := self._seen.get(one.name)) is None
+            or seen.phase is not GatewayPhase.SERVING
+            or seen.desired_release not in (seen.running_release, seen.failed_release)
         }  # fmt: skip
 
     def _orders(self, now: float, wanted: dict[str, str]) -> list[Action]:
@@ -317,9 +322,9 @@
         seen = self._seen.get(name)
         if seen is None or name in self._asked:
             return False
-        if seen.wanted == release == seen.refused and self.record.way == "back":
+        if seen.desired_release == release == seen.failed_release and self.record.way == "back":
             return now - self._tried_s.get(name, -math.inf) >= AGAIN_S  # there is nowhere else to go
-        return seen.wanted != release
+        return seen.desired_release != release
 
     def _batches(self, wanted: dict[str, str]) -> Iterable[tuple[str, ...]]:
         """Stage by stage, so that what an earlier stage lost is mended first."""
@@ -381,7 +386,7 @@
             if seen is None:
                 words.append(f"{name}: {self._daemon_of[name]} is silent")
             else:
-                words.append(f"{name}: {seen.state}" + (f" ({seen.why})" if seen.why else ""))
+                words.append(f"{name}: {seen.phase}" + (f" ({seen.last_error})" if seen.last_error else ""))
         return "; ".join(words) + (f" and {len(open_) - 5} more" if len(open_) > 5 else "")
 
 
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -12,9 +12,10 @@
 import msgspec
 import structlog
 
-from saffronstack.fleet.control.daemon_client import Daemons
-from saffronstack.fleet.control.messages import WORDS, DaemonState, GatewayState, Order
-from saffronstack.fleet.control.slots import Seen
+from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon
+from saffronstack.fleet.control.daemon_client import DaemonClient
+from saffronstack.fleet.control.messages import OPERATOR_REQUEST_LEASE, GatewayCommand, GatewayStatus
+from saffronstack.fleet.control.observed_gateway import ObservedGateway
 from saffronstack.fleet.leases.reading import Reading
 from saffronstack.fleet.leases.store import Held
 from saffronstack.fleet.rollout import controller
@@ -31,12 +32,17 @@
 WORDS_EVERY_S = 1.0
 
 
-def runs(state: GatewayState) -> str:
+def runs(state: GatewayStatus) -> str:
     """The release that a gateway runs: by its own word where that is fresh, whatever its daemon says."""
-    figures = state.figures
-    if not state.runs or figures is None or not figures.release or figures.age_s > STALE_S:
-        return state.runs
-    return figures.release
+    figures = state.metrics
+    if (
+        not state.running_release
+        or figures is None
+        or not figures.reported_release
+        or figures.age_s > STALE_S
+    ):
+        return state.running_release
+    return figures.reported_release
 
 
 class Leader:
@@ -46,7 +52,7 @@
         self,
         gateways: Sequence[Gateway],
         daemon_of: dict[str, str],
-        daemons: Daemons,
+        daemons: DaemonClient,
         held: Held,
         read: Callable[[], Reading],
         show: Callable[[Record, str], None] = lambda record, waits: None,
@@ -60,7 +66,7 @@
         self._patience_s, self._round_s = patience_s, round_s
         self._daemons = daemons
         self._sampler = Sampler(self._gateways)
-        self._states: dict[str, GatewayState] = {}
+        self._states: dict[str, GatewayStatus] = {}
         self._looked_s = 0.0  # when the last look at the daemons began
         self._words_s = 0.0
 
@@ -70,15 +76,17 @@
         # The record may have been read from less than a majority's last word: it is stored anew first.
         self._carry_out(machine, [controller.Store(record)], adopt=True)
         while not stopping.is_set() and self._held.left_s() > 0 and not machine.record.over:
-            orders: dict[str, list[Order]] = {}
+            orders: dict[str, list[GatewayCommand]] = {}
             self._looked_s = self._clock()
-            for event in [*self._heard(self._daemons.look()), *self._said(machine.record), controller.Tick()]:
+            for event in [*self._heard(self._daemons.poll()), *self._said(machine.record), controller.Tick()]:
                 for action in self._carry_out(machine, machine.handle(self._clock(), event)):
-                    orders.setdefault(action.daemon, []).append(Order(action.gateway, action.release))
+                    orders.setdefault(action.daemon, []).append(
+                        GatewayCommand(action.gateway, action.release)
+                    )
             if orders and self._held.left_s() > 0:
-                for name, answer in self._daemons.ask(orders).items():
-                    if isinstance(answer, str):
-                        log.warning("order not taken", daemon=name, why=answer)
+                for name, answer in self._daemons.send(orders).items():
+                    if isinstance(answer, UnavailableDaemon):
+                        log.warning("order not taken", daemon=name, why=answer.reason)
                 continue  # what came of them is looked at, at once
             self._show(machine.record, machine.waits_for())
             stopping.wait(self._round_s)
@@ -126,10 +134,10 @@
         )  # fmt: skip
         return controller.Judged(asked.stage, found)
 
-    def _heard(self, answers: Mapping[str, DaemonState | str]) -> list[controller.Event]:
+    def _heard(self, answers: Mapping[str, DaemonAnswer]) -> list[controller.Event]:
         events: list[controller.Event] = []
         for daemon, answer in sorted(answers.items()):
-            if isinstance(answer, str):
+            if isinstance(answer, UnavailableDaemon):
                 for name, keeper in self._daemon_of.items():
                     if keeper == daemon:
                         self._states.pop(name, None)
@@ -137,7 +145,15 @@
                 continue
             self._states |= answer.gateways
             seen = {
-                name: Seen(one.wanted, runs(one), one.state, one.life, one.restarts, one.refused, one.why)
+                name: ObservedGateway(
+                    one.desired_release,
+                    runs(one),
+                    one.phase,
+                    one.incarnation,
+                    one.restarts,
+                    one.failed_release,
+                    one.last_error,
+                )
                 for name, one in answer.gateways.items()
             }
             events.append(controller.Heard(daemon, seen))
@@ -149,7 +165,7 @@
         if now < self._words_s + WORDS_EVERY_S:
             return []
         self._words_s = now
-        shown = self._read().leases.get(WORDS)
+        shown = self._read().leases.get(OPERATOR_REQUEST_LEASE)
         if shown is None or not shown.value.content:
             return []
         try:
--- a/saffronstack/fleet/rollout/samples.py
+++ b/saffronstack/fleet/rollout/samples.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from saffronstack.fleet.control.messages import Figures, GatewayState
+from saffronstack.fleet.control.messages import GatewayMetrics, GatewayStatus
 from saffronstack.fleet.rollout.comparison import Ratio, Unit
 from saffronstack.fleet.rollout.plan import Gateway
 
@@ -39,22 +39,22 @@
     begun: dict[str, Counted] = field(default_factory=dict)
     begun_s: float = 0.0
 
-    def begin(self, states: Mapping[str, GatewayState], now: float) -> None:
+    def begin(self, states: Mapping[str, GatewayStatus], now: float) -> None:
         """From now on."""
         self.begun_s = now
         self.begun = {
             name: counted for name, state in states.items() if (counted := counted_of(state)) is not None
         }  # fmt: skip
 
-    def covered_s(self, states: Mapping[str, GatewayState], looked_s: float) -> float:
+    def covered_s(self, states: Mapping[str, GatewayStatus], looked_s: float) -> float:
         """How much of the bake the oldest figures cover that are compared; ``looked_s``: no later than when
         daemons told them. Gateways without fresh figures are not waited for: infinity where none has any."""
-        ages = [state.figures.age_s for state in states.values() if state.figures and _fresh(state.figures)]
+        ages = [state.metrics.age_s for state in states.values() if state.metrics and _fresh(state.metrics)]
         return max(0.0, looked_s - max(ages) - self.begun_s) if ages else math.inf
 
-    def units(self, states: Mapping[str, GatewayState], new: str) -> list[Unit]:
+    def units(self, states: Mapping[str, GatewayStatus], new: str) -> list[Unit]:
         """What the judge compares; ``new`` is the new side's release."""
-        since: dict[str, tuple[Gateway, GatewayState, Counted]] = {}
+        since: dict[str, tuple[Gateway, GatewayStatus, Counted]] = {}
         units: list[Unit] = []
         for gateway in self.fleet:
             state = states.get(gateway.name)
@@ -64,12 +64,12 @@
                 counted = None
             if state is None or counted is None:
                 # Which side one is on that nobody can ask: by what it was told to run, where that is known.
-                side = state is not None and state.wanted == new
+                side = state is not None and state.desired_release == new
                 restarts = self._restarts(gateway.name, state)
                 units.append(Unit(gateway.name, gateway.zone, side, restarts=restarts, silent=True))
                 continue
             since[gateway.name] = gateway, state, _between(self.begun[gateway.name], counted)
-        bounds = _bounds(one for _, state, one in since.values() if state.wanted != new)
+        bounds = _bounds(one for _, state, one in since.values() if state.desired_release != new)
         for name, (gateway, state, one) in since.items():
             ratios: dict[str, Ratio] = {}
             whole: Counter[str] = Counter()
@@ -86,24 +86,31 @@
                 ratios[f"{ending}/all"] = Ratio(whole[ending], whole.total())
             gauges = {"memory_mb": one.memory_mb, "descriptors": one.descriptors}
             restarts = self._restarts(name, state)
-            units.append(Unit(name, gateway.zone, state.wanted == new, ratios, gauges, restarts))
+            units.append(Unit(name, gateway.zone, state.desired_release == new, ratios, gauges, restarts))
         return units
 
-    def _restarts(self, name: str, state: GatewayState | None) -> int:
+    def _restarts(self, name: str, state: GatewayStatus | None) -> int:
         begun = self.begun.get(name)
         return max(0, state.restarts - begun.restarts) if state is not None and begun is not None else 0
 
 
-def counted_of(state: GatewayState) -> Counted | None:
+def counted_of(state: GatewayStatus) -> Counted | None:
     """Decoded; None where its figures are missing or old."""
-    figures: Figures | None = state.figures
+    figures: GatewayMetrics | None = state.metrics
     if figures is None or not _fresh(figures):
         return None
-    times = {name: _values(text) for name, text in figures.times.items()}
-    return Counted(state.life, state.restarts, figures.classes, times, figures.memory_mb, figures.descriptors)
+    times = {name: _values(text) for name, text in figures.latencies_by_class.items()}
+    return Counted(
+        state.incarnation,
+        state.restarts,
+        figures.outcomes_by_class,
+        times,
+        figures.memory_mb,
+        figures.open_descriptors,
+    )
 
 
-def _fresh(figures: Figures) -> bool:
+def _fresh(figures: GatewayMetrics) -> bool:
     return figures.age_s <= STALE_S
 
 
--- a/saffronstack/harness/rollout/processes.py
+++ b/saffronstack/harness/rollout/processes.py
@@ -20,9 +20,10 @@
 from saffronstack.audit.rules import judge
 from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Stopped, Traffic, Try
 from saffronstack.core.threads import spawn
-from saffronstack.fleet.control.messages import LEAD, GatewayState
-from saffronstack.fleet.control.releases import read as read_release
-from saffronstack.fleet.control.status_client import ask_status, flat
+from saffronstack.fleet.control.daemon_answers import merge_answers
+from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayStatus
+from saffronstack.fleet.control.releases import read_release
+from saffronstack.fleet.control.status_poller import poll_daemons
 from saffronstack.fleet.leases.reading import read_leases
 from saffronstack.fleet.rollout.controller import Record
 from saffronstack.fleet.rollout.records import decode
@@ -249,13 +250,13 @@
         path.write_text(json.dumps(content | changed))
         return path
 
-    def states(self) -> dict[str, GatewayState]:
+    def states(self) -> dict[str, GatewayStatus]:
         """Each gateway by its daemon's own page; those of silent daemons are missing."""
-        return flat(ask_status(self.daemons, self.sizes.wait_s))[0]
+        return merge_answers(poll_daemons(self.daemons, self.sizes.wait_s)).gateways
 
     def record(self) -> Record | None:
         """The rollout as it is recorded; None where it can't be read."""
-        shown = read_leases(self.keepers, self.sizes.wait_s).leases.get(LEAD)
+        shown = read_leases(self.keepers, self.sizes.wait_s).leases.get(LEADER_LEASE)
         return decode(shown.value.content) if shown is not None else None
 
     def roll(
@@ -330,13 +331,13 @@
         """What daemons tell, seen from aside: how many are down at once, who ever ran the new one."""
         while not over.is_set():
             states = self.states()
-            self.reached |= {name for name, state in states.items() if state.runs == digest}
+            self.reached |= {name for name, state in states.items() if state.running_release == digest}
             for name, state in states.items():
                 if state.restarts > self._restarts.get(name, 0):  # it ended by itself, as a bad release does
                     now = time.monotonic()
                     self.stopped.append(Stopped(int(name[1:]), now - ENDED_S, True, now + ENDED_S))
                 self._restarts[name] = state.restarts
-            down = sum(not state.runs for state in states.values())
+            down = sum(not state.running_release for state in states.values())
             self.down_most = max(self.down_most, down)
             over.wait(0.1)
 
--- a/saffronstack/harness/rollout/simulation.py
+++ b/saffronstack/harness/rollout/simulation.py
@@ -1,9 +1,10 @@
 """Rollouts in a world without processes: controllers, daemons and a lease's store, every order of events.
 
-The real decisions (`Controller`, `Gate`, `Slot`) are driven by steps that a seed or an explorer chooses:
-looks that are lost, orders that come late, twice or never, leaders that stop between any two acts and are
-followed by another, daemons that restart or lose their disk, releases that do not start, an operator's words.
-What must hold is looked at after each step, and from any state a leader that is left alone must end it."""
+The real decisions (`Controller`, `CommandFence`, `GatewayReconciler`) are driven by steps that a seed or an
+explorer chooses: polls that are lost, commands that arrive late, twice or never, leaders that stop between
+any two actions and are followed by another, daemons that restart or lose their disk, releases that do not
+start, an operator's requests. The invariants are checked after each step, and from any state a leader that is
+left alone must finish the rollout."""
 
 from __future__ import annotations
 
@@ -12,8 +13,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from saffronstack.fleet.control.gate import Gate
-from saffronstack.fleet.control.slots import Action, Go, Kill, Seen, Slot, Spawn, Term
+from saffronstack.fleet.control.command_fence import CommandFence
+from saffronstack.fleet.control.errors import RejectedRequestError
+from saffronstack.fleet.control.gateway_actions import (
+    AllowServing,
+    Kill,
+    ProcessAction,
+    StartProcess,
+    Terminate,
+)
+from saffronstack.fleet.control.gateway_reconciler import GatewayReconciler
+from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
 from saffronstack.fleet.rollout import controller
 from saffronstack.fleet.rollout.comparison import Look, Verdict
 from saffronstack.fleet.rollout.controller import Controller, Record, Word, first
@@ -49,8 +59,8 @@
 class DaemonModel:
     """A daemon's gate, what is on its disk, and its gateways."""
 
-    gate: Gate
-    slots: dict[str, Slot]
+    gate: CommandFence
+    slots: dict[str, GatewayReconciler]
     disk_token: int = 0
     disk: dict[str, str] | None = None
     lives: dict[str, dict[int, str]] = field(default_factory=dict)  # processes that are there: their phase
@@ -90,14 +100,14 @@
         self.daemons: dict[str, DaemonModel] = {}
         for name in sorted(set(self.daemon_of.values())):
             mine = [gateway for gateway, keeper in self.daemon_of.items() if keeper == name]
-            slots: dict[str, Slot] = {}
+            slots: dict[str, GatewayReconciler] = {}
             lives: dict[str, dict[int, str]] = {}
             for gateway in mine:
-                slot = Slot(drain_s=5.0, wanted=OLD.digest)
+                slot = GatewayReconciler(drain_timeout_s=5.0, desired_release=OLD.digest)
                 lives[gateway] = {slot.adopt(0.0, OLD.digest): "up"}
                 slots[gateway] = slot
             disk = dict.fromkeys(mine, OLD.digest)
-            self.daemons[name] = DaemonModel(Gate(1), slots, 0, disk, lives)
+            self.daemons[name] = DaemonModel(CommandFence(1), slots, 0, disk, lives)
 
     # ---- steps; each returns whether it was possible
 
@@ -112,7 +122,8 @@
             machine._down = lambda: {  # type: ignore[method-assign]
                 name
                 for name, seen in machine._seen.items()
-                if seen.state != "up" or seen.wanted not in (seen.runs, seen.refused)
+                if seen.phase is not GatewayPhase.SERVING
+                or seen.desired_release not in (seen.running_release, seen.failed_release)
             }
         if self.broken == "two zones at once":
             machine._zone_of = dict.fromkeys(machine._zone_of, "")
@@ -146,8 +157,8 @@
             if (lost and not choose(2)) or not self._admit(daemon, leader.token, leader.seq) or lost:
                 events.append(controller.Silent(name))
                 continue
-            leader.lives[name] = daemon.gate.life
-            seen = {gateway: slot.seen() for gateway, slot in daemon.slots.items()}
+            leader.lives[name] = daemon.gate.incarnation
+            seen = {gateway: slot.observe() for gateway, slot in daemon.slots.items()}
             events.append(controller.Heard(name, seen))
         for event in events:
             self._tell(leader, event, choose)
@@ -157,9 +168,11 @@
         return True
 
     def _admit(self, daemon: DaemonModel, token: int, seq: int) -> bool:
-        if daemon.gate.refuses(token, seq, 0, False):
+        try:
+            daemon.gate.check(token, seq, 0, has_commands=False)
+        except RejectedRequestError:
             return False
-        daemon.gate.take(token, seq)
+        daemon.gate.accept(token, seq)
         daemon.disk_token = max(daemon.disk_token, token)
         return True
 
@@ -205,16 +218,18 @@
         order = self.sent[number] if again else self.sent.pop(number)
         daemon = self.daemons[order.daemon]
         gate = daemon.gate
-        seq = gate.seq + 1 if self.broken == "late counts" else order.seq
-        life = gate.life if self.broken == "lives are alike" else order.life
-        if gate.refuses(order.token, seq, life, True):
-            return True
+        seq = gate.sequence + 1 if self.broken == "late counts" else order.seq
+        life = gate.incarnation if self.broken == "lives are alike" else order.life
+        try:
+            gate.check(order.token, seq, life, has_commands=True)
+        except RejectedRequestError:
+            return True  # it has arrived, and does not count
         self._hold_order(order)
-        gate.take(order.token, seq)
+        gate.accept(order.token, seq)
         daemon.disk_token = max(daemon.disk_token, order.token)
         if daemon.disk is not None:
             daemon.disk[order.gateway] = order.release
-        self._do(daemon, order.gateway, daemon.slots[order.gateway].want(self.now, order.release))
+        self._do(daemon, order.gateway, daemon.slots[order.gateway].set_desired(self.now, order.release))
         return True
 
     def lose(self, number: int) -> bool:
@@ -232,50 +247,50 @@
             if phase == "preparing":
                 if fails:
                     del lives[number]
-                    self._do(daemon, gateway, slot.ended(self.now, number, "made up"))
+                    self._do(daemon, gateway, slot.on_ended(self.now, number, "made up"))
                 else:
                     lives[number] = "prepared"
-                    self._do(daemon, gateway, slot.prepared(self.now, number))
+                    self._do(daemon, gateway, slot.on_prepared(self.now, number))
                 return True
             if phase == "going":
-                release = slot.next.release if slot.next is not None else ""
+                release = slot.successor.release if slot.successor is not None else ""
                 if fails or (self.bad and release == NEW.digest):
                     del lives[number]
-                    self._do(daemon, gateway, slot.ended(self.now, number, "made up"))
+                    self._do(daemon, gateway, slot.on_ended(self.now, number, "made up"))
                 else:
                     lives[number] = "up"
-                    self._do(daemon, gateway, slot.up(self.now, number))
+                    self._do(daemon, gateway, slot.on_serving(self.now, number))
                 return True
             if phase == "ending":
                 del lives[number]
-                self._do(daemon, gateway, slot.ended(self.now, number, "asked"))
+                self._do(daemon, gateway, slot.on_ended(self.now, number, "asked"))
                 return True
         self.now += STEP_S
-        self._do(daemon, gateway, slot.tick(self.now))
+        self._do(daemon, gateway, slot.reconcile(self.now))
         return False
 
-    def _do(self, daemon: DaemonModel, gateway: str, actions: list[Action]) -> None:
+    def _do(self, daemon: DaemonModel, gateway: str, actions: list[ProcessAction]) -> None:
         lives = daemon.lives[gateway]
         for action in actions:
-            if isinstance(action, Spawn):
-                lives[action.life] = "preparing"
-            elif isinstance(action, Go):
-                lives[action.life] = "going"
-            elif isinstance(action, Term | Kill) and action.life in lives:
-                lives[action.life] = "ending"
+            if isinstance(action, StartProcess):
+                lives[action.incarnation] = "preparing"
+            elif isinstance(action, AllowServing):
+                lives[action.incarnation] = "going"
+            elif isinstance(action, Terminate | Kill) and action.incarnation in lives:
+                lives[action.incarnation] = "ending"
 
     def restart(self, name: str, lost: bool) -> bool:
         """A daemon is replaced; its gateways that are up go on. ``lost``: its disk forgot everything, and it
         has learned the token from the keepers since."""
         daemon = self.daemons[name]
         token = 0 if self.broken == "token forgotten" else self.granted if lost else daemon.disk_token
-        old_life = daemon.gate.life
-        daemon.gate = Gate(old_life + 1, token)
+        old_life = daemon.gate.incarnation
+        daemon.gate = CommandFence(old_life + 1, token)
         daemon.disk_token = token
         if lost or daemon.disk is None:
             daemon.disk = {}
         for gateway in daemon.slots:
-            slot = Slot(drain_s=5.0)
+            slot = GatewayReconciler(drain_timeout_s=5.0)
             before = daemon.slots[gateway]
             kept: dict[int, str] = {}
             for number, phase in daemon.lives[gateway].items():
@@ -287,7 +302,7 @@
             daemon.lives[gateway] = kept
             wanted = daemon.disk.get(gateway, "")
             if wanted:
-                self._do(daemon, gateway, slot.want(self.now, wanted))
+                self._do(daemon, gateway, slot.set_desired(self.now, wanted))
         return True
 
     def say(self, what: str) -> bool:
@@ -305,7 +320,7 @@
             )
         if self.record.over:
             slot = self.daemons[order.daemon].slots[order.gateway]
-            if slot.wanted != order.release:
+            if slot.desired_release != order.release:
                 raise InvariantError(f"{order.gateway} changes after the end")
 
     def check(self) -> None:
@@ -317,7 +332,7 @@
             self._acknowledged[name] = daemon.gate.token
         down = {
             gateway for daemon in self.daemons.values() for gateway, slot in daemon.slots.items()
-            if not slot.seen().runs
+            if not slot.observe().running_release
         }  # fmt: skip
         if len(down) > self.most:
             raise InvariantError(f"{len(down)} gateways are down at once: {sorted(down)}")
@@ -349,8 +364,10 @@
         target = NEW.digest if self.record.way == "done" else OLD.digest
         for daemon in self.daemons.values():
             for gateway, slot in daemon.slots.items():
-                if slot.seen().runs != target:
-                    raise InvariantError(f"{self.record.way}, and {gateway} runs {slot.seen().runs!r}")
+                if slot.observe().running_release != target:
+                    raise InvariantError(
+                        f"{self.record.way}, and {gateway} runs {slot.observe().running_release!r}"
+                    )
 
 
 def wander(seed: int, steps: int, broken: str = "") -> int:
@@ -457,7 +474,7 @@
             found.append((f"{gateway} fails", lambda w, g=gateway: w.progress(g, True)))  # type: ignore[misc]
     for name, daemon in world.daemons.items():
         calm = all(phase == "up" for lives in daemon.lives.values() for phase in lives.values())
-        if calm and daemon.gate.life < 3:
+        if calm and daemon.gate.incarnation < 3:
             found.append((f"{name} restarts", lambda w, d=name: w.restart(d, False)))  # type: ignore[misc]
     return found
 
@@ -471,9 +488,9 @@
     """What tells one state from another; times and counts that only grow are left out."""
     daemons = [
         (
-            name, daemon.gate.token, daemon.gate.life, tuple(sorted((daemon.disk or {}).items())),
+            name, daemon.gate.token, daemon.gate.incarnation, tuple(sorted((daemon.disk or {}).items())),
             tuple(
-                (g, _seen(slot.seen()), tuple(sorted(daemon.lives[g].values())))
+                (g, _seen(slot.observe()), tuple(sorted(daemon.lives[g].values())))
                 for g, slot in daemon.slots.items()
             ),
         )
@@ -492,5 +509,5 @@
     return repr((daemons, led, sent, kept, world.granted, word))
 
 
-def _seen(seen: Seen) -> tuple[str, str, str, str]:
-    return seen.wanted, seen.runs, seen.state, seen.refused
+def _seen(seen: ObservedGateway) -> tuple[str, str, str, str]:
+    return seen.desired_release, seen.running_release, seen.phase.value, seen.failed_release
--- a/tests/stored_formats/test_control_formats.py
+++ b/tests/stored_formats/test_control_formats.py
@@ -11,41 +11,49 @@
 import msgspec
 import pytest
 
-from saffronstack.fleet.control import messages
-from saffronstack.fleet.control.daemon import Daemon
-from saffronstack.fleet.control.desired_state import Kept, Wanted
-from saffronstack.fleet.control.figures_poller import _Page
-from saffronstack.fleet.control.gateway_process import Process
-from saffronstack.fleet.control.messages import Control, DaemonState, Figures, GatewayState, Order
-from saffronstack.fleet.control.releases import Manifest, digest
+from saffronstack.fleet.control.daemon_options import DaemonOptions
+from saffronstack.fleet.control.desired_state import DesiredState, DesiredStateFile
+from saffronstack.fleet.control.gateway_process import GatewayProcess
+from saffronstack.fleet.control.messages import (
+    CONTROL_PATH,
+    LEADER_LEASE,
+    OPERATOR_REQUEST_LEASE,
+    ControlRequest,
+    DaemonStatus,
+    GatewayCommand,
+    GatewayMetrics,
+    GatewayStatus,
+)
+from saffronstack.fleet.control.metrics_poller import GatewayPage
+from saffronstack.fleet.control.observed_gateway import GatewayPhase
+from saffronstack.fleet.control.releases import ReleaseManifest, compute_digest
 from saffronstack.fleet.http_server import problem
 from saffronstack.fleet.rollout.plan import Format
 
 DATA = pathlib.Path(__file__).parent / "data" / "control"
-MANIFEST = Manifest(
+MANIFEST = ReleaseManifest(
     version="1.5",
     command=("{python}", "{release}/run.py"),
     formats=(Format(part="ledger", reads=(1, 2), writes=2),),
 )
-PHASES = ("none", "starting", "up", "changing", "down", "ending")
-DAEMON_STATUS = DaemonState(
+DAEMON_STATUS = DaemonStatus(
     "d1",
     7,
     True,
     4242,
     {
-        "g1": GatewayState(
+        "g1": GatewayStatus(
             "aa",
             "bb",
-            "changing",
+            GatewayPhase.CHANGING,
             5,
             2,
             "cc",
             "cc did not start: status 1",
             99,
-            Figures(0.25, {"sale": {"served": 12, "failed": 1}}, {"sale": "HIST"}, 51.5, 17, "aa"),
+            GatewayMetrics(0.25, {"sale": {"served": 12, "failed": 1}}, {"sale": "HIST"}, 51.5, 17, "aa"),
         ),
-        "g2": GatewayState("", "", "none", 0, 0),
+        "g2": GatewayStatus("", "", GatewayPhase.STOPPED, 0, 0),
     },
 )
 
@@ -53,17 +61,29 @@
 @pytest.mark.parametrize(
     ("name", "expected"),
     [
-        ("control_request_poll", Control("campus", 7, 1)),
+        ("control_request_poll", ControlRequest("campus", 7, 1)),
         (
             "control_request",
-            Control("campus", 7, 12, 4242, (Order("g1", "aa"), Order("g2"), Order("g3", "bb", True))),
+            ControlRequest(
+                "campus",
+                7,
+                12,
+                4242,
+                (GatewayCommand("g1", "aa"), GatewayCommand("g2"), GatewayCommand("g3", "bb", True)),
+            ),
         ),
         ("daemon_status", DAEMON_STATUS),
         (
             "daemon_status_phases",
-            DaemonState("d1", 0, False, 1, {name: GatewayState("aa", "aa", name, 1, 0) for name in PHASES}),  # type: ignore[arg-type]
+            DaemonStatus(
+                "d1",
+                0,
+                False,
+                1,
+                {phase.value: GatewayStatus("aa", "aa", phase, 1, 0) for phase in GatewayPhase},
+            ),
         ),
-        ("gateway_page", _Page(99, "aa", {"sale": {"served": 1}}, {"sale": "HIST"})),
+        ("gateway_page", GatewayPage(99, "aa", {"sale": {"served": 1}}, {"sale": "HIST"})),
         ("release_manifest", MANIFEST),
     ],
 )
@@ -80,23 +100,23 @@
 
 def test_the_leases_and_the_path_keep_their_names() -> None:
     names = json.loads((DATA / "names.json").read_bytes())
-    assert names == {"leader": messages.LEAD, "operator": messages.WORDS, "path": messages.TARGET}
+    assert names == {"leader": LEADER_LEASE, "operator": OPERATOR_REQUEST_LEASE, "path": CONTROL_PATH}
 
 
 @pytest.mark.parametrize(
     ("name", "expected"),
     [
-        ("desired_state_new", Wanted("campus", "d1")),
-        ("desired_state", Wanted("campus", "d1", 7, {"g1": "aa", "g2": ""})),
+        ("desired_state_new", DesiredState("campus", "d1")),
+        ("desired_state", DesiredState("campus", "d1", 7, {"g1": "aa", "g2": ""})),
     ],
 )
 def test_the_desired_state_file_is_read_and_written_as_before(
-    tmp_path: pathlib.Path, name: str, expected: Wanted
+    tmp_path: pathlib.Path, name: str, expected: DesiredState
 ) -> None:
     content = (DATA / f"{name}.bin").read_bytes()
     path = tmp_path / (DATA / "desired_state_name.txt").read_text()
     path.write_bytes(content)
-    file = Kept(str(tmp_path), "campus", "d1")
+    file = DesiredStateFile(str(tmp_path), "campus", "d1")
     decoded = file.read()
     assert decoded == expected
     path.unlink()
@@ -106,9 +126,8 @@
 
 def test_a_process_s_mark_is_as_before() -> None:
     """A daemon of either text finds the gateways that the other one left serving."""
-    daemon = Daemon.__new__(Daemon)
-    daemon._fleet, daemon._name, daemon._directory = "campus", "d1", pathlib.Path("/srv/saffronstack/d1")
-    assert daemon._mark("g1") == (DATA / "process_mark.txt").read_text()
+    options = DaemonOptions("campus", "d1", "", (), "", "/srv/saffronstack/d1")
+    assert options.process_mark("g1") == (DATA / "process_mark.txt").read_text()
 
 
 def test_commands_on_a_process_s_pipe_are_written_as_before() -> None:
@@ -117,8 +136,8 @@
     assert child.stdin is not None
     child.stdin.close()
     pipe = child.stdin = io.BytesIO()
-    Process(1, "aa", -1, child).go()
-    Process(1, "bb", -1, child).follow(Process(4321, "aa", -1, None))
+    GatewayProcess(1, "aa", -1, child).allow_serving()
+    GatewayProcess(1, "bb", -1, child).serve_after(GatewayProcess(4321, "aa", -1, None))
     assert pipe.getvalue() == (DATA / "pipe_commands.txt").read_bytes()
 
 
@@ -127,4 +146,4 @@
     (tmp_path / "lib").mkdir()
     (tmp_path / "lib" / "run.py").write_text("print('hello')\n")
     (tmp_path / "lib" / "run.py").chmod(0o755)
-    assert digest(tmp_path) == (DATA / "release_digest.txt").read_text()
+    assert compute_digest(tmp_path) == (DATA / "release_digest.txt").read_text()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -15,10 +15,18 @@
 from saffronstack.client import Client
 from saffronstack.config.fleet import load_fleet
 from saffronstack.config.load import ConfigError
-from saffronstack.fleet.control import releases
-from saffronstack.fleet.control.daemon import Daemon, Entry
-from saffronstack.fleet.control.desired_state import Kept, Wanted
-from saffronstack.fleet.control.messages import LEAD, TARGET, Control, DaemonState, Order
+from saffronstack.fleet.control.daemon import Daemon
+from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
+from saffronstack.fleet.control.desired_state import DesiredState, DesiredStateFile
+from saffronstack.fleet.control.errors import UnusableReleaseError
+from saffronstack.fleet.control.messages import (
+    CONTROL_PATH,
+    LEADER_LEASE,
+    ControlRequest,
+    DaemonStatus,
+    GatewayCommand,
+)
+from saffronstack.fleet.control.releases import find_release, read_release
 from saffronstack.fleet.leases.messages import Written
 from saffronstack.fleet.leases.reading import Reading, Shown, agree
 from saffronstack.fleet.leases.server import LeaseLine
@@ -31,21 +39,21 @@
 
 def test_a_release_s_digest_covers_names_contents_and_what_may_run(tmp_path: pathlib.Path) -> None:
     path = pathlib.Path(made.make(tmp_path, "1"))
-    first = releases.read(str(path))
+    first = read_release(str(path))
     assert first.command[0] != "{python}" and first.release.version == "1"
     (path / "more").write_text("x")
-    second = releases.read(str(path)).release.digest
+    second = read_release(str(path)).release.digest
     (path / "more").rename(path / "other")
-    third = releases.read(str(path)).release.digest
+    third = read_release(str(path)).release.digest
     (path / "other").chmod(0o755)
-    fourth = releases.read(str(path)).release.digest
+    fourth = read_release(str(path)).release.digest
     assert len({first.release.digest, second, third, fourth}) == 4
     (path / "__pycache__").mkdir()
     (path / "__pycache__" / "a.pyc").write_text("written by a run")
-    assert releases.read(str(path)).release.digest == fourth
-    assert releases.find(str(tmp_path), fourth).path == str(path)
-    with pytest.raises(releases.UnusableError, match="no release has the digest"):
-        releases.find(str(tmp_path), first.release.digest)  # its files were changed since
+    assert read_release(str(path)).release.digest == fourth
+    assert find_release(str(tmp_path), fourth).path == str(path)
+    with pytest.raises(UnusableReleaseError, match="no release has the digest"):
+        find_release(str(tmp_path), first.release.digest)  # its files were changed since
 
 
 @pytest.mark.parametrize(
@@ -57,19 +65,19 @@
 ) -> None:
     if manifest is not None:
         (tmp_path / "release.json").write_text(manifest)
-    with pytest.raises(releases.UnusableError, match=wanted):
-        releases.read(str(tmp_path))
+    with pytest.raises(UnusableReleaseError, match=wanted):
+        read_release(str(tmp_path))
 
 
 # ---- what was wanted
 
 
 def test_wanted_state_is_read_back_whole_or_lost_and_another_s_is_refused(tmp_path: pathlib.Path) -> None:
-    kept = Kept(str(tmp_path), "f", "d1")
+    kept = DesiredStateFile(str(tmp_path), "f", "d1")
     assert kept.read() is None
-    wanted = Wanted("f", "d1", 7, {"g1": "abc", "g2": ""})
+    wanted = DesiredState("f", "d1", 7, {"g1": "abc", "g2": ""})
     kept.write(wanted)
-    assert Kept(str(tmp_path), "f", "d1").read() == wanted
+    assert DesiredStateFile(str(tmp_path), "f", "d1").read() == wanted
     good = kept.path.read_bytes()
     for at in range(len(good)):
         bad = bytearray(good)
@@ -80,7 +88,7 @@
         assert kept.read() is None
     kept.path.write_bytes(good)
     with pytest.raises(ValueError, match="is that of daemon 'd1'"):
-        Kept(str(tmp_path), "f", "d2").read()
+        DesiredStateFile(str(tmp_path), "f", "d2").read()
 
 
 # ---- a daemon on its address
@@ -93,11 +101,15 @@
 def daemon(tmp_path: pathlib.Path, reading: Reading = NOTHING, **more: Any) -> Iterator[Daemon]:
     with hold_port("127.0.0.1") as held:
         listen = f"127.0.0.1:{held.getsockname()[1]}"
-        entry = Entry("g1", listen, str(tmp_path / "g1.json5"), 5.0)
-        state = str(tmp_path / "state")
-        one = Daemon(
-            "f", "d1", "127.0.0.1:0", [entry], str(tmp_path / "releases"), state, lambda: reading, **more
-        )  # fmt: skip
+        options = DaemonOptions(
+            fleet="f",
+            name="d1",
+            address="127.0.0.1:0",
+            gateways=(GatewaySpec("g1", listen, str(tmp_path / "g1.json5"), 5.0),),
+            releases_directory=str(tmp_path / "releases"),
+            state_directory=str(tmp_path / "state"),
+        )
+        one = Daemon(options, lambda: reading, **more)
         one.start()
         try:
             yield one
@@ -105,67 +117,82 @@
             assert one.stop(end_gateways=True)
 
 
-def ask(one: Daemon, control: Control) -> tuple[int, Any]:
+def ask(one: Daemon, control: ControlRequest) -> tuple[int, Any]:
     host, port = one.address
     client = Client(f"{host}:{port}", 10.0)
     try:
-        answer = client.request("POST", TARGET, msgspec.json.encode(control))
+        answer = client.request("POST", CONTROL_PATH, msgspec.json.encode(control))
     finally:
         client.close()
     if answer.status != 200:
         return answer.status, json.loads(answer.body)["message"]
-    return 200, msgspec.json.decode(answer.body, type=DaemonState)
+    return 200, msgspec.json.decode(answer.body, type=DaemonStatus)
 
 
 def test_orders_count_by_token_number_and_life_and_outlive_the_daemon(tmp_path: pathlib.Path) -> None:
     root = tmp_path / "releases"
-    digest = releases.read(made.make(root, "bad", "does not start")).release.digest
+    digest = read_release(made.make(root, "bad", "does not start")).release.digest
     with daemon(tmp_path) as one:
-        eventually(lambda: ask(one, Control("f", 4, 1))[0] != 503)
-        status, state = ask(one, Control("f", 5, 1))
-        assert status == 200 and state.token == 5 and not state.lost
-        order = (Order("g1", digest),)
-        assert ask(one, Control("other", 5, 2, state.life, order))[0] == 403
-        assert ask(one, Control("f", 4, 9, state.life, order)) == (409, "token 4 is older than 5")
-        assert ask(one, Control("f", 5, 1, state.life, order))[0] == 409
-        assert "another life" in ask(one, Control("f", 5, 2, 1, order))[1]
-        assert "none of this daemon's" in ask(one, Control("f", 5, 2, state.life, (Order("g9", digest),)))[1]
-        assert "no release has" in ask(one, Control("f", 5, 2, state.life, (Order("g1", "ab"),)))[1]
-        status, after = ask(one, Control("f", 5, 3, state.life, order))
-        assert status == 200 and after.gateways["g1"].wanted == digest
+        eventually(lambda: ask(one, ControlRequest("f", 4, 1))[0] != 503)
+        status, state = ask(one, ControlRequest("f", 5, 1))
+        assert status == 200 and state.token == 5 and not state.is_token_lost
+        order = (GatewayCommand("g1", digest),)
+        assert ask(one, ControlRequest("other", 5, 2, state.incarnation, order))[0] == 403
+        assert ask(one, ControlRequest("f", 4, 9, state.incarnation, order)) == (
+            409,
+            "token 4 is older than 5",
+        )
+        assert ask(one, ControlRequest("f", 5, 1, state.incarnation, order))[0] == 409
+        assert "another incarnation" in ask(one, ControlRequest("f", 5, 2, 1, order))[1]
+        assert (
+            "none of this daemon's"
+            in ask(one, ControlRequest("f", 5, 2, state.incarnation, (GatewayCommand("g9", digest),)))[1]
+        )
+        assert (
+            "no release has"
+            in ask(one, ControlRequest("f", 5, 2, state.incarnation, (GatewayCommand("g1", "ab"),)))[1]
+        )
+        status, after = ask(one, ControlRequest("f", 5, 3, state.incarnation, order))
+        assert status == 200 and after.gateways["g1"].desired_release == digest
         seq = count(1)
-        eventually(lambda: "did not start" in ask(one, Control("f", 6, next(seq)))[1].gateways["g1"].why)
+        eventually(
+            lambda: (
+                "did not start" in ask(one, ControlRequest("f", 6, next(seq)))[1].gateways["g1"].last_error
+            )
+        )
     with daemon(tmp_path) as again:
         seq = count(1)
-        state = eventually(lambda: (told := ask(again, Control("f", 6, next(seq))))[0] == 200 and told[1])
-        assert ask(again, Control("f", 5, 99, 0))[0] == 409
-        assert state.gateways["g1"].wanted == digest
+        state = eventually(
+            lambda: (told := ask(again, ControlRequest("f", 6, next(seq))))[0] == 200 and told[1]
+        )
+        assert ask(again, ControlRequest("f", 5, 99, 0))[0] == 409
+        assert state.gateways["g1"].desired_release == digest
 
 
 def test_one_whose_disk_lost_the_token_learns_it_from_keepers_before_any_order(
     tmp_path: pathlib.Path,
 ) -> None:
-    shown = Shown(LEAD, "p", 9, 3, 5.0, Written())
-    with daemon(tmp_path, Reading(False, {LEAD: shown})) as one:
-        status, why = ask(one, Control("f", 99, 1))
+    shown = Shown(LEADER_LEASE, "p", 9, 3, 5.0, Written())
+    with daemon(tmp_path, Reading(False, {LEADER_LEASE: shown})) as one:
+        status, why = ask(one, ControlRequest("f", 99, 1))
         assert status == 409 and "keepers have not told" in why
-    with daemon(tmp_path, Reading(True, {LEAD: shown})) as one:
-        eventually(lambda: ask(one, Control("f", 9, 1))[0] == 200)
-        assert ask(one, Control("f", 8, 9)) == (409, "token 8 is older than 9")
+    with daemon(tmp_path, Reading(True, {LEADER_LEASE: shown})) as one:
+        eventually(lambda: ask(one, ControlRequest("f", 9, 1))[0] == 200)
+        assert ask(one, ControlRequest("f", 8, 9)) == (409, "token 8 is older than 9")
 
 
 def test_one_that_returns_to_a_rollout_that_goes_back_begins_with_the_old_release(
     tmp_path: pathlib.Path,
 ) -> None:
     root = tmp_path / "releases"
-    old = releases.read(made.make(root, "old", "does not start")).release.digest
-    new = releases.read(made.make(root, "new", "does not start")).release.digest
-    Kept(str(tmp_path / "state"), "f", "d1").write(Wanted("f", "d1", 3, {"g1": new}))
-    with daemon(tmp_path, started=lambda reading: {new: old}) as one:
-        eventually(lambda: ask(one, Control("f", 4, 1))[0] == 200)
-        state = eventually(lambda: ask(one, Control("f", 5, 1))[1])
-        assert state.gateways["g1"].wanted == old
-    kept = Kept(str(tmp_path / "state"), "f", "d1").read()
+    old = read_release(made.make(root, "old", "does not start")).release.digest
+    new = read_release(made.make(root, "new", "does not start")).release.digest
+    DesiredStateFile(str(tmp_path / "state"), "f", "d1").write(DesiredState("f", "d1", 3, {"g1": new}))
+    with daemon(tmp_path, replacements=lambda reading: {new: old}) as one:
+        eventually(lambda: ask(one, ControlRequest("f", 4, 1))[0] == 200)
+        state = eventually(lambda: ask(one, ControlRequest("f", 5, 1))[1])
+        assert state.gateways["g1"].desired_release == old
+    kept = DesiredStateFile(str(tmp_path / "state"), "f", "d1").read()
     assert kept is not None and kept.releases == {"g1": old}
 
 
@@ -174,14 +201,14 @@
 
 def test_a_reading_believes_no_minority_and_takes_the_newest_value() -> None:
     def line(token: int, left_s: float, count: int) -> LeaseLine:
-        return LeaseLine(LEAD, f"p{token}", token, left_s, Written(token, count, b"%d" % count))
+        return LeaseLine(LEADER_LEASE, f"p{token}", token, left_s, Written(token, count, b"%d" % count))
 
     told = {"k0": [line(4, 3.0, 1)], "k1": [line(4, 2.0, 2)]}
     reading = agree(told, 3, {"k2": "silent"})
-    shown = reading.leases[LEAD]
+    shown = reading.leases[LEADER_LEASE]
     assert reading.majority and shown.holder == "p4" and shown.left_s == 2.0 and shown.value.content == b"2"
     reading = agree({"k0": [line(5, 3.0, 1)], "k1": [line(4, 2.0, 2)]}, 3, {})
-    assert reading.leases[LEAD].holder == "" and reading.leases[LEAD].token == 5
+    assert reading.leases[LEADER_LEASE].holder == "" and reading.leases[LEADER_LEASE].token == 5
     assert not agree({"k0": [line(5, 3.0, 1)]}, 3, {}).majority
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,8 +12,9 @@
 
 from saffronstack.client import Client
 from saffronstack.daemon.handover import HandOver, take
-from saffronstack.fleet.control import gateway_process
-from saffronstack.fleet.control.gateway_process import Told
+from saffronstack.fleet.control.gateway_process import ProcessEvent, ProcessEventKind
+from saffronstack.fleet.control.process_discovery import find_processes
+from saffronstack.fleet.control.process_launcher import LaunchSpec, bind_listener, launch
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import AMPLE_DEADLINE_S, configuration, eventually
@@ -45,33 +46,30 @@
     tmp_path: pathlib.Path,
 ) -> None:
     fleet = StandInFleet(1)
-    told: list[Told] = []
+    told: list[ProcessEvent] = []
     with hold_port("127.0.0.1") as held:
         address = f"127.0.0.1:{held.getsockname()[1]}"
         path = tmp_path / "g1.json5"
         path.write_text(json.dumps(configuration(fleet, deadline_s=AMPLE_DEADLINE_S)))
-        listening = gateway_process.listener(address)
+        listening = bind_listener(address)
         mark = f"test/{tmp_path}"
         made = [
-            gateway_process.start(
-                "g1",
-                n,
-                f"r{n}",
-                [*SERVE, "--config", str(path)],
-                mark,
+            launch(
+                LaunchSpec("g1", n, f"r{n}", [*SERVE, "--config", str(path)], mark, tmp_path / "log"),
                 listening,
-                tmp_path / "log",
                 told.append,
             )
             for n in (1, 2)
         ]
         first, second = made
-        eventually(lambda: {one.number for one in told if one.what == "prepared"} == {1, 2})
-        first.go()
-        eventually(lambda: any(one.what == "up" and one.number == 1 for one in told))
-        assert [one.release for one in gateway_process.left(mark)] == ["r1", "r2"]
+        eventually(
+            lambda: {one.incarnation for one in told if one.kind is ProcessEventKind.PREPARED} == {1, 2}
+        )
+        first.allow_serving()
+        eventually(lambda: any(one.kind is ProcessEventKind.SERVING and one.incarnation == 1 for one in told))
+        assert [one.release for one in find_processes(mark)] == ["r1", "r2"]
         # The daemon's end: its pipes close. The one that serves goes on, the one that follows waits for it.
-        second.follow(first)
+        second.serve_after(first)
         for life in made:
             assert life._child is not None and life._child.stdin is not None
             life._child.stdin.close()
@@ -79,24 +77,24 @@
         assert client.invoke("identify-copy", b"{}").status == 200
         taken = take(f"{mark}/r1", first.pid)
         assert taken is not None
-        first.send(signal.SIGTERM)
-        eventually(lambda: any(one.what == "ended" and one.number == 1 for one in told))
-        eventually(lambda: any(one.what == "up" and one.number == 2 for one in told))
+        first.send_signal(signal.SIGTERM)
+        eventually(lambda: any(one.kind is ProcessEventKind.ENDED and one.incarnation == 1 for one in told))
+        eventually(lambda: any(one.kind is ProcessEventKind.SERVING and one.incarnation == 2 for one in told))
         assert client.invoke("identify-copy", b"{}").status == 200
         client.close()
-        second.send(signal.SIGTERM)
-        eventually(lambda: any(one.what == "ended" and one.number == 2 for one in told))
+        second.send_signal(signal.SIGTERM)
+        eventually(lambda: any(one.kind is ProcessEventKind.ENDED and one.incarnation == 2 for one in told))
         taken.close()
         listening.close()
     fleet.stop()
-    assert [one.why for one in told if one.what == "ended"] == ["status 0", "status 0"]
+    assert [one.reason for one in told if one.kind is ProcessEventKind.ENDED] == ["status 0", "status 0"]
 
 
 def test_one_that_follows_serves_on_though_nobody_reads_what_it_says(tmp_path: pathlib.Path) -> None:
     fleet = StandInFleet(1)
     path = tmp_path / "g1.json5"
     path.write_text(json.dumps(configuration(fleet, deadline_s=AMPLE_DEADLINE_S)))
-    listening = gateway_process.listener("127.0.0.1:0")
+    listening = bind_listener("127.0.0.1:0")
     command = [*SERVE, "--config", str(path), "--listen-fd", str(listening.fileno()), "--standby"]
 
     def start() -> subprocess.Popen[bytes]:
--- a/tests/test_rolling.py
+++ b/tests/test_rolling.py
@@ -6,9 +6,17 @@
 from msgspec.structs import replace
 
 from saffronstack.cli.rollout import line_of
-from saffronstack.fleet.control.gate import Gate
-from saffronstack.fleet.control.messages import Figures, GatewayState
-from saffronstack.fleet.control.slots import CRASHES, Follow, Go, Kill, Seen, Slot, Spawn, Term
+from saffronstack.fleet.control.command_fence import CommandFence
+from saffronstack.fleet.control.errors import (
+    OutOfOrderError,
+    StaleTokenError,
+    TokenLostError,
+    WrongIncarnationError,
+)
+from saffronstack.fleet.control.gateway_actions import AllowServing, Kill, ServeAfter, StartProcess, Terminate
+from saffronstack.fleet.control.gateway_reconciler import MAX_CRASHES, GatewayReconciler
+from saffronstack.fleet.control.messages import GatewayMetrics, GatewayStatus
+from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
 from saffronstack.fleet.rollout import controller
 from saffronstack.fleet.rollout.comparison import Look, Verdict
 from saffronstack.fleet.rollout.controller import Controller, Record, Word, first
@@ -20,116 +28,146 @@
 OLD, NEW = Release(version="1", digest="old"), Release(version="2", digest="new")
 
 
-# ---- one gateway's slot
+# ---- one gateway's reconciler
 
 
-def running(release: str = "old") -> Slot:
-    slot = Slot(drain_s=5.0, start_s=10.0)
-    assert slot.want(0.0, release) == [Spawn(1, release)]
-    assert slot.prepared(0.1, 1) == [Go(1)] and slot.up(0.2, 1) == []
-    assert slot.seen().runs == release
-    return slot
+def running(release: str = "old") -> GatewayReconciler:
+    reconciler = GatewayReconciler(drain_timeout_s=5.0, start_timeout_s=10.0)
+    assert reconciler.set_desired(0.0, release) == [StartProcess(1, release)]
+    assert reconciler.on_prepared(0.1, 1) == [AllowServing(1)] and reconciler.on_serving(0.2, 1) == []
+    assert reconciler.observe().running_release == release
+    return reconciler
 
 
 def test_the_new_life_is_prepared_before_the_old_one_is_told_to_end_and_goes_after_it_has() -> None:
-    slot = running()
-    assert slot.want(1.0, "new") == [Spawn(2, "new")] and slot.seen().runs == "old"
-    assert slot.prepared(1.5, 2) == [Follow(2, 1), Term(1)] and slot.seen().runs == ""
-    assert slot.tick(2.0) == []  # it answers what it took
-    assert slot.ended(2.5, 1, "status 0") == [Go(2)]
-    assert slot.up(2.6, 2) == [] and slot.seen().runs == "new" and slot.restarts == 0
+    reconciler = running()
+    assert (
+        reconciler.set_desired(1.0, "new") == [StartProcess(2, "new")]
+        and reconciler.observe().running_release == "old"
+    )
+    assert (
+        reconciler.on_prepared(1.5, 2) == [ServeAfter(2, 1), Terminate(1)]
+        and reconciler.observe().running_release == ""
+    )
+    assert reconciler.reconcile(2.0) == []  # it answers what it took
+    assert reconciler.on_ended(2.5, 1, "status 0") == [AllowServing(2)]
+    assert (
+        reconciler.on_serving(2.6, 2) == []
+        and reconciler.observe().running_release == "new"
+        and reconciler.restarts == 0
+    )
 
 
 def test_one_that_does_not_end_is_killed_at_the_end_of_its_time() -> None:
-    slot = running()
-    slot.want(1.0, "new")
-    slot.prepared(1.5, 2)
-    assert slot.due_s() == 6.5 and slot.tick(6.4) == [] and slot.tick(6.5) == [Kill(1)]
-    assert slot.ended(6.6, 1, "status -9") == [Go(2)]
+    reconciler = running()
+    reconciler.set_desired(1.0, "new")
+    reconciler.on_prepared(1.5, 2)
+    assert (
+        reconciler.next_deadline_s() == 6.5
+        and reconciler.reconcile(6.4) == []
+        and reconciler.reconcile(6.5) == [Kill(1)]
+    )
+    assert reconciler.on_ended(6.6, 1, "status -9") == [AllowServing(2)]
 
 
 def test_a_release_that_can_not_be_prepared_costs_nothing_and_is_given_up() -> None:
-    slot = running()
-    slot.want(1.0, "new")
-    assert slot.ended(1.1, 2, "status 1") == [] and slot.seen().runs == "old"
-    (again,) = slot.tick(2.0)
-    assert again == Spawn(3, "new")
-    assert slot.ended(2.1, 3, "status 1") == []
-    seen = slot.seen()
-    assert seen.refused == "new" and seen.runs == "old" and "status 1" in seen.why
-    assert slot.tick(100.0) == []  # nothing is tried for ever
-    assert slot.want(101.0, "new") == [Spawn(4, "new")]  # but by a new order
+    reconciler = running()
+    reconciler.set_desired(1.0, "new")
+    assert reconciler.on_ended(1.1, 2, "status 1") == [] and reconciler.observe().running_release == "old"
+    (again,) = reconciler.reconcile(2.0)
+    assert again == StartProcess(3, "new")
+    assert reconciler.on_ended(2.1, 3, "status 1") == []
+    seen = reconciler.observe()
+    assert seen.failed_release == "new" and seen.running_release == "old" and "status 1" in seen.last_error
+    assert reconciler.reconcile(100.0) == []  # nothing is tried for ever
+    assert reconciler.set_desired(101.0, "new") == [StartProcess(4, "new")]  # but by a new order
 
 
 def test_a_release_that_dies_when_it_is_to_go_gives_way_to_the_one_before() -> None:
-    slot = running()
-    slot.want(1.0, "new")
-    slot.prepared(1.5, 2)
-    slot.ended(2.0, 1, "status 0")
-    slot.ended(2.1, 2, "status 2")
-    (spawn,) = slot.tick(3.0)
-    slot.prepared(3.1, spawn.life)
-    (back,) = slot.ended(3.2, spawn.life, "status 2")
-    assert back == Spawn(4, "old") and slot.seen().refused == "new"
-    slot.prepared(3.3, 4)
-    slot.up(3.4, 4)
-    assert slot.seen().runs == "old"
+    reconciler = running()
+    reconciler.set_desired(1.0, "new")
+    reconciler.on_prepared(1.5, 2)
+    reconciler.on_ended(2.0, 1, "status 0")
+    reconciler.on_ended(2.1, 2, "status 2")
+    (spawn,) = reconciler.reconcile(3.0)
+    reconciler.on_prepared(3.1, spawn.incarnation)
+    (back,) = reconciler.on_ended(3.2, spawn.incarnation, "status 2")
+    assert back == StartProcess(4, "old") and reconciler.observe().failed_release == "new"
+    reconciler.on_prepared(3.3, 4)
+    reconciler.on_serving(3.4, 4)
+    assert reconciler.observe().running_release == "old"
 
 
 def test_one_that_ends_again_and_again_is_started_with_pauses_and_then_given_up() -> None:
-    slot = running()
-    slot.want(1.0, "new")
-    slot.prepared(1.1, 2)
-    slot.ended(1.2, 1, "status 0")
-    slot.up(1.3, 2)
+    reconciler = running()
+    reconciler.set_desired(1.0, "new")
+    reconciler.on_prepared(1.1, 2)
+    reconciler.on_ended(1.2, 1, "status 0")
+    reconciler.on_serving(1.3, 2)
     now, pauses = 1.4, []
     life = 2
-    for _ in range(CRASHES - 1):
-        assert slot.ended(now, life, "status 9") == []
-        pauses.append(slot.due_s() - now)
-        now = slot.due_s()
-        (spawn,) = slot.tick(now)
-        life = spawn.life
-        slot.prepared(now, life)
-        slot.up(now, life)
+    for _ in range(MAX_CRASHES - 1):
+        assert reconciler.on_ended(now, life, "status 9") == []
+        pauses.append(reconciler.next_deadline_s() - now)
+        now = reconciler.next_deadline_s()
+        (spawn,) = reconciler.reconcile(now)
+        life = spawn.incarnation
+        reconciler.on_prepared(now, life)
+        reconciler.on_serving(now, life)
     assert pauses == sorted(pauses) and pauses[-1] > 4 * pauses[0]
-    assert slot.ended(now, life, "status 9") == [Spawn(life + 1, "old")]
-    assert slot.seen().refused == "new" and slot.restarts == CRASHES
+    assert reconciler.on_ended(now, life, "status 9") == [StartProcess(life + 1, "old")]
+    assert reconciler.observe().failed_release == "new" and reconciler.restarts == MAX_CRASHES
 
 
 def test_a_daemon_that_forgot_what_was_wanted_ends_nothing() -> None:
-    slot = Slot(drain_s=5.0)
-    slot.adopt(0.0, "old")
-    assert slot.tick(1.0) == [] and slot.seen().runs == "old" and slot.seen().wanted == "old"
-    assert slot.want(2.0, "") == [Term(1)]  # a stop is an order
+    reconciler = GatewayReconciler(drain_timeout_s=5.0)
+    reconciler.adopt(0.0, "old")
+    assert (
+        reconciler.reconcile(1.0) == []
+        and reconciler.observe().running_release == "old"
+        and reconciler.observe().desired_release == "old"
+    )
+    assert reconciler.set_desired(2.0, "") == [Terminate(1)]  # a stop is an order
 
 
 def test_an_order_in_the_midst_of_a_change_takes_its_place() -> None:
-    slot = running()
-    slot.want(1.0, "new")
-    assert slot.want(1.2, "old") == [Kill(2)] and slot.seen().runs == "old" and slot.seen().state == "up"
-    assert slot.ended(1.3, 2, "status -9") == []
+    reconciler = running()
+    reconciler.set_desired(1.0, "new")
+    assert (
+        reconciler.set_desired(1.2, "old") == [Kill(2)]
+        and reconciler.observe().running_release == "old"
+        and reconciler.observe().phase is GatewayPhase.SERVING
+    )
+    assert reconciler.on_ended(1.3, 2, "status -9") == []
 
 
 # ---- who may give orders
 
 
-def test_a_daemon_takes_nothing_older_later_or_meant_for_another_life() -> None:
-    gate = Gate(life=7, token=3)
-    assert gate.refuses(2, 9, 7, True) == "token 2 is older than 3"
-    assert gate.refuses(4, 1, 0, False) == ""  # a look by a later leader
-    gate.take(4, 1)
-    assert "for another life" in gate.refuses(4, 2, 6, True)
-    assert gate.refuses(4, 2, 7, True) == ""
-    gate.take(4, 2)
-    assert "came late" in gate.refuses(4, 2, 7, True) and "older" in gate.refuses(3, 9, 7, True)
-
-
-def test_one_that_lost_its_token_takes_nothing_until_it_learned_it() -> None:
-    gate = Gate(life=7, lost=True)
-    assert "lost" in gate.refuses(9, 1, 7, True)
-    gate.learned(5)
-    assert "older" in gate.refuses(4, 1, 7, True) and gate.refuses(5, 1, 7, True) == ""
+def test_a_daemon_accepts_nothing_older_out_of_order_or_for_another_incarnation() -> None:
+    fence = CommandFence(incarnation=7, token=3)
+    with pytest.raises(StaleTokenError, match=r"^token 2 is older than 3$"):
+        fence.check(2, 9, 7, True)
+    fence.check(4, 1, 0, False)  # a poll by a later leader
+    fence.accept(4, 1)
+    with pytest.raises(WrongIncarnationError, match="for another incarnation"):
+        fence.check(4, 2, 6, True)
+    fence.check(4, 2, 7, True)
+    fence.accept(4, 2)
+    with pytest.raises(OutOfOrderError, match="out of order"):
+        fence.check(4, 2, 7, True)
+    with pytest.raises(StaleTokenError, match="older"):
+        fence.check(3, 9, 7, True)
+
+
+def test_a_daemon_that_lost_its_token_accepts_nothing_until_it_learned_it() -> None:
+    fence = CommandFence(incarnation=7, is_token_lost=True)
+    with pytest.raises(TokenLostError, match="lost"):
+        fence.check(9, 1, 7, True)
+    fence.learn_token(5)
+    with pytest.raises(StaleTokenError, match="older"):
+        fence.check(4, 1, 7, True)
+    fence.check(5, 1, 7, True)
 
 
 # ---- the controller
@@ -145,11 +183,15 @@
     return Controller(record or first(plan, OLD, NEW), FLEET, DAEMON_OF, 0.0, patience_s=20.0)
 
 
-def seen(wanted: str = "old", runs: str | None = None, state: str = "up", refused: str = "") -> Seen:
-    return Seen(wanted, wanted if runs is None else runs, state, 1, 0, refused, "made up")  # type: ignore[arg-type]
+def seen(
+    wanted: str = "old", runs: str | None = None, state: str = "up", refused: str = ""
+) -> ObservedGateway:
+    return ObservedGateway(
+        wanted, wanted if runs is None else runs, GatewayPhase(state), 1, 0, refused, "made up"
+    )
 
 
-def tell(machine: Controller, now: float, **states: Seen) -> list[controller.Action]:
+def tell(machine: Controller, now: float, **states: ObservedGateway) -> list[controller.Action]:
     """A look at both daemons; those not named run the old one."""
     found: list[controller.Action] = []
     for daemon in ("d0", "d1"):
@@ -235,7 +277,9 @@
 
 
 def test_a_daemon_that_says_done_and_did_nothing_is_not_believed() -> None:
-    state = GatewayState("new", "new", "up", 3, 0, figures=Figures(0.4, release="old"))
+    state = GatewayStatus(
+        "new", "new", GatewayPhase.SERVING, 3, 0, metrics=GatewayMetrics(0.4, reported_release="old")
+    )
     assert runs(state) == "old"
     machine = leading()
     changed = tell(machine, 1.0)[-1].gateway  # type: ignore[union-attr]
@@ -243,8 +287,15 @@
     assert tell(machine, 2.0, **done) == []
     (store,) = machine.handle(23.0, controller.Tick())
     assert isinstance(store, controller.Store) and store.record.way == "held" and changed in store.record.why
-    assert runs(GatewayState("new", "new", "up", 3, 0, figures=Figures(9.0, release="old"))) == "new"
-    assert runs(GatewayState("new", "new", "up", 3, 0, figures=Figures(0.4))) == "new"
+    assert (
+        runs(
+            GatewayStatus(
+                "new", "new", GatewayPhase.SERVING, 3, 0, metrics=GatewayMetrics(9.0, reported_release="old")
+            )
+        )
+        == "new"
+    )
+    assert runs(GatewayStatus("new", "new", GatewayPhase.SERVING, 3, 0, metrics=GatewayMetrics(0.4))) == "new"
 
 
 def test_the_next_zone_waits_for_whoever_is_down_in_another() -> None:
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -6,8 +6,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from saffronstack.fleet.control.daemon_client import Daemons
-from saffronstack.fleet.control.messages import DaemonState, Figures, GatewayState, Order
+from saffronstack.fleet.control.daemon_answers import DaemonAnswer
+from saffronstack.fleet.control.daemon_client import DaemonClient
+from saffronstack.fleet.control.messages import DaemonStatus, GatewayCommand, GatewayMetrics, GatewayStatus
+from saffronstack.fleet.control.observed_gateway import GatewayPhase
 from saffronstack.fleet.leases.reading import Reading
 from saffronstack.fleet.rollout.controller import Record, first
 from saffronstack.fleet.rollout.leader import Leader
@@ -52,7 +54,7 @@
         raise AssertionError("the leader does not own it")
 
 
-class ToldDaemons(Daemons):
+class ToldDaemons(DaemonClient):
     """One daemon with one gateway that runs what it is ordered at once. Its figures are read anew
     ``every_s`` seconds; ``until_s``: not after this moment."""
 
@@ -62,21 +64,23 @@
         self._runs, self._life, self._began_s = "old", 1, clock()
         self._histogram = times().encode().decode()
 
-    def ask(self, orders: Mapping[str, Sequence[Order]]) -> dict[str, DaemonState | str]:
-        for order in orders.get("d", ()):
-            self._runs, self._life, self._began_s = order.release, self._life + 1, self._now()
-        return {"d": DaemonState("d", 1, False, 1, {"g": self._state()})}
+    def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
+        for command in commands.get("d", ()):
+            self._runs, self._life, self._began_s = command.release, self._life + 1, self._now()
+        return {"d": DaemonStatus("d", 1, False, 1, {"g": self._state()})}
 
-    def look(self) -> dict[str, DaemonState | str]:
+    def poll(self) -> dict[str, DaemonAnswer]:
         self._now.now_s += ROUND_S
-        return self.ask({})
+        return self.send({})
 
-    def _state(self) -> GatewayState:
+    def _state(self) -> GatewayStatus:
         now = min(self._now(), self._until_s)
         read_s = max(self._began_s, now - (now - self._began_s) % self._every_s)
         calls = {"lookup": {"served": int((read_s - self._began_s) * CALLS_PER_S)}}
-        figures = Figures(self._now() - read_s, calls, {"lookup": self._histogram}, release=self._runs)
-        return GatewayState(self._runs, self._runs, "up", self._life, 0, figures=figures)
+        figures = GatewayMetrics(
+            self._now() - read_s, calls, {"lookup": self._histogram}, reported_release=self._runs
+        )
+        return GatewayStatus(self._runs, self._runs, GatewayPhase.SERVING, self._life, 0, metrics=figures)
 
 
 def led(every_s: float, until_s: float = 1e9) -> tuple[Record, float]:
@@ -99,7 +103,7 @@
 
 
 def test_a_bake_ends_by_figures_of_its_end_not_by_older_ones() -> None:
-    """Figures come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
+    """Metrics come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
     record, took_s = led(every_s=2.9)
     assert record.way == "done", record.notes
     assert BAKE_S < took_s < 2 * BAKE_S + 2.9
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -51,7 +51,7 @@
         assert outcome.harmed == 0.0 and outcome.down_most <= 2, outcome.line()
         assert not outcome.ends["broken"] and not outcome.ends["not_taken"], outcome.line()
         after = rig.states()
-        assert len({state.runs for state in after.values()}) == 1
+        assert len({state.running_release for state in after.values()}) == 1
         assert all(state.pid != before[name] and state.restarts == 0 for name, state in after.items())
 
 
@@ -69,7 +69,7 @@
             assert outcome.reached <= most, (harm, outcome.line())
             assert outcome.breaches == [], (harm, outcome.breaches[:10])
             assert outcome.harmed < 0.01 and outcome.down_most <= 2, (harm, outcome.line())
-        assert len({state.runs for state in rig.states().values()}) == 1
+        assert len({state.running_release for state in rig.states().values()}) == 1
 
 
 @HEAVY
@@ -84,19 +84,21 @@
             both = ("--from", old, "--to", new, "--wait", "1")
             told = rig.run("rollout", "start", str(plan), "--fleet", str(rig.path), *both)
             assert told.returncode == 75 and "a rollout is being led" in told.stderr, told.stderr
-            victim = next(rig.daemon_of[name] for name, state in rig.states().items() if state.runs != before)
+            victim = next(
+                rig.daemon_of[name] for name, state in rig.states().items() if state.running_release != before
+            )
             rig.signal(victim, signal.SIGSTOP)
             told = rig.run("rollout", "abort", "--fleet", str(rig.path))
             assert told.returncode == 0, told.stderr
             eventually(lambda: (found := rig.record()) is not None and found.way == "back", WAIT_S)
             rig.signal(victim, signal.SIGCONT)
 
-        before = next(iter(rig.states().values())).runs
+        before = next(iter(rig.states().values())).running_release
         plan = rig.plan(old)
         outcome = rig.roll(old, new, plan, faults, 150.0)
         assert outcome.way == "returned" and outcome.status == 1, outcome.line()
         assert outcome.breaches == [] and outcome.harmed == 0.0, (outcome.line(), outcome.breaches[:10])
         assert outcome.down_most <= 2, outcome.line()
-        assert {state.runs for state in rig.states().values()} == {before}
+        assert {state.running_release for state in rig.states().values()} == {before}
         again = rig.run("fleet", "reload", "--fleet", str(rig.path), "--wait", "20")
         assert again.returncode == 0, again.stdout + again.stderr
