--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -1,4 +1,4 @@
-"""A small address for a fleet's own pages: one thread for each kept connection, every wait bounded."""
+"""A small HTTP server for the processes of a fleet: one thread for each connection, every wait bounded."""
 
 from __future__ import annotations
 
@@ -17,60 +17,77 @@
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 
 log = structlog.get_logger("saffronstack.fleet")
-CONNECTIONS_MOST = 2048
-MESSAGE_S = 5.0  # a request, once it began, and the writing of its answer
-IDLE_S = 120.0
+MAX_CONNECTIONS = 2048
+LISTEN_BACKLOG = 512
+MESSAGE_TIMEOUT_S = 5.0  # for a request, once it began, and for writing its answer
+IDLE_TIMEOUT_S = 120.0
+ERROR_ANSWER_TIMEOUT_S = 1.0
+ACCEPT_POLL_S = 0.5
+ACCEPT_RETRY_S = 0.05
+JOIN_TIMEOUT_S = 1.0
 LIMITS = Limits(body=4 * 1024 * 1024)
-JSON = [("Content-Type", "application/json")]
-Answerer = Callable[[RequestHead, bytes], tuple[int, bytes]]
+JSON_FIELDS = [("Content-Type", "application/json")]
+RequestHandler = Callable[[RequestHead, bytes], tuple[int, bytes]]
 
 
 class HttpServer:
-    """Listens; whoever owns it answers, on the connection's thread."""
-
-    def __init__(self, name: str, host: str, port: int, answer: Answerer, clock: Callable[[], float]) -> None:
-        """OSError where the address can't be had."""
+    """Accepts connections, and has a handler answer each request on its connection's thread."""
+
+    def __init__(
+        self, name: str, host: str, port: int, handler: RequestHandler, clock: Callable[[], float]
+    ) -> None:
+        """Listen; connections are accepted after ``start``.
+
+        Args:
+            name: For the names of threads.
+            host: To listen on.
+            port: To listen on; 0 for any.
+            handler: Returns status and JSON body for a request; runs on the connection's thread.
+            clock: Seconds.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         self._name = name
-        self._answer = answer
+        self._handler = handler
         self._clock = clock
-        self._listener = socket.create_server((host, port), backlog=512)
-        self._listener.settimeout(0.5)
-        self._lock = threading.Lock()
+        self._listener = socket.create_server((host, port), backlog=LISTEN_BACKLOG)
+        self._listener.settimeout(ACCEPT_POLL_S)
+        self._lock = threading.Lock()  # guards _open and _stopping
         self._open: set[Stream] = set()
         self._stopping = False
-        self._accepting: threading.Thread | None = None
-        self.turned_away = 0
+        self._accept_thread: threading.Thread | None = None
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port listened on."""
+        """Host and port that it listens on."""
         host, port = self._listener.getsockname()[:2]
         return host, port
 
     @property
     def connections(self) -> int:
-        """Connections open now."""
+        """The number of connections that are open."""
         return len(self._open)
 
     def start(self) -> None:
-        """Accept on a thread of its own."""
-        self._accepting = spawn(f"{self._name}-accept", self._accept)
+        """Accept connections on a thread of its own."""
+        self._accept_thread = spawn(f"{self._name}-accept", self._accept_all)
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the listening socket and all connections."""
         with self._lock:
             self._stopping = True
             streams = list(self._open)
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)  # its port is held while a thread waits on it
-        if self._accepting is not None:
-            self._accepting.join(1.0)
+        if self._accept_thread is not None:
+            self._accept_thread.join(JOIN_TIMEOUT_S)
         with contextlib.suppress(OSError):
             self._listener.close()
         for stream in streams:
             stream.abort()
 
-    def _accept(self) -> None:
+    def _accept_all(self) -> None:
         pause = threading.Event()
         while not self._stopping:
             try:
@@ -81,54 +98,61 @@
                 if self._stopping:
                     return
                 log.error("accept failed", error=str(error))
-                pause.wait(0.05)
-                continue
-            stream = Stream(sock)
-            with self._lock:
-                full = len(self._open) >= CONNECTIONS_MOST or self._stopping
-                if not full:
-                    self._open.add(stream)
-            if full:
-                self.turned_away += 1
-                stream.close()
+                pause.wait(ACCEPT_RETRY_S)
                 continue
-            try:
-                spawn(f"{self._name}-peer", lambda stream=stream: self._serve(stream))  # type: ignore[misc]
-            except RuntimeError:
-                self._closed(stream)
+            self._admit(Stream(sock))
+
+    def _admit(self, stream: Stream) -> None:
+        """Serve a connection on a thread of its own, or close it where there are too many."""
+        with self._lock:
+            is_admitted = len(self._open) < MAX_CONNECTIONS and not self._stopping
+            if is_admitted:
+                self._open.add(stream)
+        if not is_admitted:
+            stream.close()
+            return
+        try:
+            spawn(f"{self._name}-connection", lambda: self._serve(stream))
+        except RuntimeError:  # the system has no more threads
+            self._close(stream)
 
-    def _closed(self, stream: Stream) -> None:
+    def _close(self, stream: Stream) -> None:
         with self._lock:
             self._open.discard(stream)
         stream.close()
 
     def _serve(self, stream: Stream) -> None:
-        reader = MessageReader(LIMITS)
         try:
-            while not self._stopping:
-                if not reader.pending:
-                    reader.feed(stream.receive(IDLE_S))
-                until_s = self._clock() + MESSAGE_S
-                head = read_until(stream, reader, reader.request, until_s, self._clock)
-                body = read_until(stream, reader, reader.body, until_s, self._clock)
-                status, content = self._answer(head, body)
-                data = writer.response(status, JSON, content, close=not head.keep_alive)
-                if not stream.send(data, self._clock() + MESSAGE_S, self._clock) or not head.keep_alive:
-                    return
+            self._answer_requests(stream)
         except HttpError as error:
-            with contextlib.suppress(OSError):
-                stream.send(
-                    writer.response(error.status, JSON, problem(error.text), close=True),
-                    self._clock() + 1.0, self._clock,
-                )  # fmt: skip
+            self._answer_error(stream, error)
         except (OSError, PeerClosed):
-            pass  # the other side has left or says nothing more
+            pass  # the peer has left, or sends nothing more
         except Exception:
             log.exception("connection thread failed")
         finally:
-            self._closed(stream)
+            self._close(stream)
+
+    def _answer_requests(self, stream: Stream) -> None:
+        reader = MessageReader(LIMITS)
+        while not self._stopping:
+            if not reader.pending:
+                reader.feed(stream.receive(IDLE_TIMEOUT_S))
+            deadline_s = self._clock() + MESSAGE_TIMEOUT_S
+            head = read_until(stream, reader, reader.request, deadline_s, self._clock)
+            body = read_until(stream, reader, reader.body, deadline_s, self._clock)
+            status, content = self._handler(head, body)
+            answer = writer.response(status, JSON_FIELDS, content, close=not head.keep_alive)
+            is_sent = stream.send(answer, self._clock() + MESSAGE_TIMEOUT_S, self._clock)
+            if not is_sent or not head.keep_alive:
+                return
+
+    def _answer_error(self, stream: Stream, error: HttpError) -> None:
+        answer = writer.response(error.status, JSON_FIELDS, problem(error.text), close=True)
+        with contextlib.suppress(OSError):  # the peer has left
+            stream.send(answer, self._clock() + ERROR_ANSWER_TIMEOUT_S, self._clock)
 
 
 def problem(text: str) -> bytes:
-    """The body of a refusal."""
+    """Encode the body of an answer that is an error."""
     return msgspec.json.encode({"message": text})
