--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -26,8 +26,8 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from saffronstack.core.threads import spawn
-from saffronstack.fleet.rollout.comparison import Limits, Ratio, Unit, Verdict
-from saffronstack.fleet.rollout.judge import look
+from saffronstack.fleet.rollout.canary_analysis import analyze
+from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
 from saffronstack.harness.links import Mode
 from saffronstack.harness.rollout.processes import RolloutRig, Sizes
 from saffronstack.harness.rollout.releases import HARMS
@@ -180,7 +180,7 @@
             for breach in outcome.breaches[:5]:
                 print("  ", breach)
             wanted = {"done"} if outcome.way == "done" else {"returned"}
-            standing = {state.runs for state in rig.states().values()}
+            standing = {state.running_release for state in rig.states().values()}
             fine = fine and outcome.way in wanted and not outcome.breaches and len(standing) == 1
             fine = fine and (outcome.way == "returned" or not harm)
             if len(standing) != 1 or not fine:
@@ -243,18 +243,18 @@
             bad[place] += sum(chance.random() < rate for _ in range(calls[place]))
             of[place] += calls[place]
         units = [
-            Unit(
+            GatewaySample(
                 f"g{place}", f"z{place % 3}", place < new,
                 {
-                    "refused/look": Ratio(bad[place], of[place]),
-                    "late/look": Ratio(bad[place] // 2, of[place]),
+                    "refused/look": FailureRatio(bad[place], of[place]),
+                    "late/look": FailureRatio(bad[place] // 2, of[place]),
                 },
             )
             for place in range(40)
         ]  # fmt: skip
-        found = look(Limits(), units, part / 10, spent)
-        spent = found.spent
-        if found.verdict is Verdict.BAD:
+        found = analyze(AnalysisLimits(), units, part / 10, spent)
+        spent = found.alpha_spent
+        if found.verdict is Verdict.FAILED:
             return True
     return False
 
--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -27,7 +27,8 @@
 from saffronstack.fleet.control.status_poller import poll_daemons
 from saffronstack.fleet.leases.reading import Reading, read_leases
 from saffronstack.fleet.leases.store import Held
-from saffronstack.fleet.rollout.records import decode
+from saffronstack.fleet.rollout.errors import RecordError
+from saffronstack.fleet.rollout.record import RolloutPhase, decode_record
 
 POLL_INTERVAL_S = 0.2
 NOT_AS_DESIRED = 1  # exit status: a daemon is unavailable, or a gateway is not as desired
@@ -109,12 +110,12 @@
     """Return the release that a rollback takes back, with the one that replaces it."""
     shown = reading.leases.get(LEADER_LEASE)
     try:
-        record = decode(shown.value.content) if shown is not None else None
-    except ValueError:
+        record = decode_record(shown.value.content) if shown is not None else None
+    except RecordError:
+        return {}  # of a newer release: its leader commands what is to run
+    if record is None or record.phase is not RolloutPhase.ROLLING_BACK:
         return {}
-    if record is None or record.way != "back":
-        return {}
-    return {record.new.digest: record.old.digest}
+    return {record.new_release.digest: record.old_release.digest}
 
 
 def run_as_leader(fleet: FleetFile, wait_s: float, run: Callable[[Held], int]) -> int:
@@ -215,8 +216,8 @@
 def _command(
     fleet: FleetFile, held: Held, names: Sequence[str], action: str, digest: str, options: CommandOptions
 ) -> int:
-    record = decode(held.value)
-    if record is not None and not record.over:
+    record = decode_record(held.value)
+    if record is not None and not record.is_finished:
         raise CommandError(NOT_GRANTED, f"rollout {record.plan.name!r} is not over: abort it, or let it end")
     client = daemon_client(fleet, held)
     sent = _apply_commands(client, fleet, names, action, digest)
--- a/saffronstack/cli/groups.py
+++ b/saffronstack/cli/groups.py
@@ -140,15 +140,16 @@
     sys.exit(show(path, as_json))
 
 
-def _word(name: str, text: str) -> None:
+def _add_request_command(name: str, text: str) -> None:
     @rollout_group.command(name, help=text)
     @_fleet_file
     def command(path: str) -> None:
-        from saffronstack.cli.rollout import say
+        from saffronstack.cli.rollout import send_request
+        from saffronstack.fleet.rollout.operator_requests import OperatorAction
 
-        sys.exit(say(path, name))
+        sys.exit(send_request(path, OperatorAction(name)))
 
 
-_word("pause", "Begin nothing new until it is resumed.")
-_word("resume", "Go on with one that is paused or held.")
-_word("abort", "Go back to the old release.")
+_add_request_command("pause", "Begin nothing new until it is resumed.")
+_add_request_command("resume", "Go on with one that is paused or held.")
+_add_request_command("abort", "Go back to the old release.")
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -1,4 +1,4 @@
-"""`saffronstack rollout start` and `lead`: the processes that lead a rollout, with the judge's statistics."""
+"""`saffronstack rollout start` and `lead`: the processes that lead a rollout, with the canary statistics."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saffronstack.cli.control import CommandError, daemon_client, run_as_leader
 from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client, signals_of
 from saffronstack.cli.logs import set_up_logs
-from saffronstack.cli.rollout import WORD_S, gateways_of, line_of, recorded
+from saffronstack.cli.rollout import STORE_TIMEOUT_S, read_record, rollout_fleet, summarize
 from saffronstack.config.fleet import FleetFile, load_fleet
 from saffronstack.config.load import ConfigError, convert, read_text
 from saffronstack.core.threads import spawn
@@ -21,29 +21,36 @@
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.leases.reading import read_leases
 from saffronstack.fleet.leases.store import Held
-from saffronstack.fleet.rollout.controller import Record, first
-from saffronstack.fleet.rollout.leader import Leader
-from saffronstack.fleet.rollout.plan import Plan, Release, problems
-from saffronstack.fleet.rollout.records import decode, encode
-
-WENT_BACK = 1  # exit status of a rollout that returned
-HELD = 3
-AGAIN_S = 1.0
+from saffronstack.fleet.rollout.leader import RolloutLeader
+from saffronstack.fleet.rollout.plan import Release, RolloutPlan
+from saffronstack.fleet.rollout.plan_validation import validate_plan
+from saffronstack.fleet.rollout.record import (
+    RolloutPhase,
+    RolloutRecord,
+    create_record,
+    decode_record,
+    encode_record,
+)
+
+# Exit statuses of a rollout that was led, by the phase in which its leader ended.
+EXIT_STATUS = {RolloutPhase.COMPLETED: 0, RolloutPhase.ROLLED_BACK: 1}
+NOT_FINISHED = 3  # it is on hold, or another leader goes on
+RETRY_INTERVAL_S = 1.0
 
 
 def start(path: str, plan_path: str, to: str, old_from: str, log_form: str, wait_s: float) -> int:
-    """Check a plan, record it and lead it: 0 done, 1 it went back, 3 it is held, 2 it can't be started."""
+    """Check a plan, record it and lead it.
+
+    Returns:
+        The exit status: 0 completed, 1 rolled back, 3 not finished, 2 where it can't be started.
+    """
     set_up_logs(log_form, "info")
-    stopping = _stopping()
+    stopping = _stop_on_signals()
     try:
         fleet = load_fleet(path)
-        plan = convert(read_text(plan_path), Plan, plan_path)
+        plan = convert(read_text(plan_path), RolloutPlan, plan_path)
         new, old = read_release(to).release, read_release(old_from).release
-
-        def act(held: Held) -> int:
-            return _start(fleet, held, plan, old, new, stopping)
-
-        return run_as_leader(fleet, wait_s, act)
+        return run_as_leader(fleet, wait_s, lambda held: _start(fleet, held, plan, old, new, stopping))
     except (ConfigError, UnusableReleaseError, ValueError) as error:
         click.echo(f"saffronstack rollout start: {error}", err=True)
         return UNUSABLE
@@ -53,50 +60,67 @@
 
 
 def _start(
-    fleet: FleetFile, held: Held, plan: Plan, old: Release, new: Release, stopping: threading.Event
+    fleet: FleetFile, held: Held, plan: RolloutPlan, old: Release, new: Release, stopping: threading.Event
 ) -> int:
-    record = decode(held.value)
-    running = [record.plan.name] if record is not None and not record.over else []
-    lines = problems(plan, gateways_of(fleet), old, new, running)
     daemons = daemon_client(fleet, held)
-    status = merge_answers(daemons.poll())
-    lines += [f"fleet: daemon {name} gives no answer: {why}" for name, why in status.unavailable.items()]
-    lines += [
-        f"fleet: {name} runs {state.running_release or 'nothing'}, not {plan.base}"
-        for name, state in status.gateways.items() if state.running_release != plan.base
-    ]  # fmt: skip
-    if lines:
-        raise CommandError(UNUSABLE, "; ".join(lines))
-    begun = first(plan, old, new)
-    if not held.put(encode(begun), WORD_S):
+    problems = _plan_problems(fleet, held, plan, old, new) + _fleet_problems(daemons, plan)
+    if problems:
+        raise CommandError(UNUSABLE, "; ".join(problems))
+    record = create_record(plan, old, new)
+    if not held.put(encode_record(record), STORE_TIMEOUT_S):
         raise CommandError(NO_MAJORITY, "the plan could not be stored: nothing was begun")
-    return _lead(fleet, held, daemons, begun, stopping)
+    return _lead(fleet, held, daemons, record, stopping)
 
 
-def _lead(
-    fleet: FleetFile, held: Held, daemons: DaemonClient, record: Record, stopping: threading.Event
-) -> int:
-    shown = ""
+def _plan_problems(fleet: FleetFile, held: Held, plan: RolloutPlan, old: Release, new: Release) -> list[str]:
+    record = decode_record(held.value)
+    running = [record.plan.name] if record is not None and not record.is_finished else []
+    return validate_plan(plan, rollout_fleet(fleet).gateways, old, new, running)
 
-    def show(now: Record, waits: str) -> None:
-        nonlocal shown
-        line = line_of(now) + (f"; waits for {waits}" if waits and not now.over else "")
-        if line != shown:
-            shown = line
-            click.echo(line)
 
-    leader = Leader(
-        gateways_of(fleet), fleet.daemon_of(), daemons, held,
-        lambda: read_leases(fleet.addresses(), fleet.wait_s), show,
+def _fleet_problems(daemons: DaemonClient, plan: RolloutPlan) -> list[str]:
+    """Return the daemons that do not answer, and the gateways that do not run the plan's base."""
+    found = merge_answers(daemons.poll())
+    silent = [f"fleet: daemon {name} gives no answer: {why}" for name, why in found.unavailable.items()]
+    return silent + [
+        f"fleet: {name} runs {status.running_release or 'nothing'}, not {plan.base_digest}"
+        for name, status in found.gateways.items() if status.running_release != plan.base_digest
+    ]  # fmt: skip
+
+
+def _lead(
+    fleet: FleetFile, held: Held, daemons: DaemonClient, record: RolloutRecord, stopping: threading.Event
+) -> int:
+    leader = RolloutLeader(
+        rollout_fleet(fleet), daemons, held, lambda: read_leases(fleet.addresses(), fleet.wait_s),
+        _ProgressPrinter().show,
     )  # fmt: skip
     ended = leader.lead(record, stopping)
-    return {"done": 0, "returned": WENT_BACK}.get(ended.way, HELD)
+    return EXIT_STATUS.get(ended.phase, NOT_FINISHED)
+
+
+class _ProgressPrinter:
+    """Writes a rollout's state whenever it changes."""
+
+    def __init__(self) -> None:
+        self._last_line = ""
+
+    def show(self, record: RolloutRecord, waits_for: str) -> None:
+        waits = f"; waits for {waits_for}" if waits_for and not record.is_finished else ""
+        line = summarize(record) + waits
+        if line != self._last_line:
+            self._last_line = line
+            click.echo(line)
 
 
 def lead(path: str, log_form: str) -> int:
-    """Stand by to lead whatever rollout is recorded, until a signal; 0, or 2 for a bad file."""
+    """Stand by to lead whatever rollout is recorded, until a signal.
+
+    Returns:
+        The exit status: 0, or 2 for an unusable fleet file.
+    """
     set_up_logs(log_form, "info")
-    stopping = _stopping()
+    stopping = _stop_on_signals()
     try:
         fleet = load_fleet(path)
     except ConfigError as error:
@@ -106,40 +130,44 @@
     click.echo("saffronstack stands by to lead")
     try:
         while not stopping.is_set():
-            # A look costs keepers no write; asking for a lease does.
-            held = client.acquire(LEADER_LEASE, AGAIN_S) if _to_lead(fleet) else None
-            if held is None:
-                stopping.wait(AGAIN_S)
-                continue
-            try:
-                record = decode(held.value)
-                if record is not None and not record.over:
-                    _lead(fleet, held, daemon_client(fleet, held), record, stopping)
-            except ValueError as error:
-                click.echo(f"saffronstack rollout lead: {error}", err=True)
-            finally:
-                held.release()
-            stopping.wait(AGAIN_S)
+            # A read costs lease keepers no write; a request for a lease does.
+            held = client.acquire(LEADER_LEASE, RETRY_INTERVAL_S) if _has_open_rollout(fleet) else None
+            if held is not None:
+                _lead_recorded(fleet, held, stopping)
+            stopping.wait(RETRY_INTERVAL_S)
     finally:
         client.close()
     return 0
 
 
-def _to_lead(fleet: FleetFile) -> bool:
+def _lead_recorded(fleet: FleetFile, held: Held, stopping: threading.Event) -> None:
+    """Lead the rollout in the lease's value, and release the lease."""
+    try:
+        record = decode_record(held.value)
+        if record is not None and not record.is_finished:
+            _lead(fleet, held, daemon_client(fleet, held), record, stopping)
+    except ValueError as error:
+        click.echo(f"saffronstack rollout lead: {error}", err=True)
+    finally:
+        held.release()
+
+
+def _has_open_rollout(fleet: FleetFile) -> bool:
     try:
-        record = recorded(fleet)
+        record = read_record(fleet)
     except (CommandError, ValueError):
-        return False
-    return record is not None and not record.over
+        return False  # nothing can be led now; it is read again soon
+    return record is not None and not record.is_finished
 
 
-def _stopping() -> threading.Event:
+def _stop_on_signals() -> threading.Event:
+    """Return an event that SIGTERM and SIGINT set."""
     signals, stopping = signals_of("SIGTERM", "SIGINT"), threading.Event()
 
     def watch() -> None:
         while not stopping.is_set():
             try:
-                signals.get(timeout=AGAIN_S)
+                signals.get(timeout=RETRY_INTERVAL_S)
                 stopping.set()
             except queue.Empty:
                 continue
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -1,9 +1,8 @@
-"""`saffronstack rollout check`, `status` and operators' words: what needs no leader."""
+"""`saffronstack rollout check`, `status` and operators' requests: what needs no leader."""
 
 from __future__ import annotations
 
 import click
-import msgspec
 
 from saffronstack.cli.control import CommandError
 from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client
@@ -13,55 +12,72 @@
 from saffronstack.fleet.control.messages import LEADER_LEASE, OPERATOR_REQUEST_LEASE
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.leases.reading import read_leases
-from saffronstack.fleet.rollout.controller import Record
-from saffronstack.fleet.rollout.plan import Gateway, Plan, problems
-from saffronstack.fleet.rollout.records import Said, decode, encode
+from saffronstack.fleet.rollout.operator_requests import OperatorAction, OperatorRequest, encode_request
+from saffronstack.fleet.rollout.plan import FleetGateway, RolloutFleet, RolloutPlan
+from saffronstack.fleet.rollout.plan_validation import validate_plan
+from saffronstack.fleet.rollout.record import RolloutRecord, decode_record, encode_record
 
-WORD_S = 5.0
+STORE_TIMEOUT_S = 5.0
+NO_ROLLOUT = 1  # exit status
+INVALID_PLAN = 1  # exit status
 
 
-def gateways_of(fleet: FleetFile) -> list[Gateway]:
-    """As a plan sees them."""
-    return [
-        Gateway(name=one.name, zone=one.zone, group=one.group)
+def rollout_fleet(fleet: FleetFile) -> RolloutFleet:
+    """Return the gateways of a fleet file as rollouts see them."""
+    gateways = tuple(
+        FleetGateway(name=one.name, zone=one.zone, group=one.group)
         for daemon in fleet.daemons for one in daemon.gateways
-    ]  # fmt: skip
+    )  # fmt: skip
+    return RolloutFleet(gateways, fleet.daemon_of())
 
 
-def say(path: str, what: str) -> int:
-    """Leave a word for whoever leads: 0 once a majority has it; who leads takes it within seconds."""
+def send_request(path: str, action: OperatorAction) -> int:
+    """Leave a request for the leader, who takes it within seconds.
+
+    Returns:
+        The exit status: 0 once a majority of lease keepers has it, 2 where no rollout is under way or the
+        fleet file is unusable, 69 without a majority.
+    """
     try:
         fleet = load_fleet(path)
-        record = recorded(fleet)
-        if record is None or record.over:
+        record = read_record(fleet)
+        if record is None or record.is_finished:
             raise CommandError(UNUSABLE, "no rollout is under way")
-        client = open_client(fleet)
-        try:
-            held = client.acquire(OPERATOR_REQUEST_LEASE, WORD_S)
-            if held is None:
-                raise CommandError(NO_MAJORITY, f"the word was not left: {client.troubles()}")
-            said = Said(record.plan.name, what, held.token)
-            stored = held.put(msgspec.json.encode(said), WORD_S)
-            held.release()
-        finally:
-            client.close()
-        if not stored:
-            raise CommandError(NO_MAJORITY, "the word may or may not have been left: say it again")
+        _store_request(fleet, record.plan.name, action)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
     except (CommandError, ValueError) as error:
-        click.echo(f"saffronstack rollout {what}: {error}", err=True)
+        click.echo(f"saffronstack rollout {action}: {error}", err=True)
         return error.status if isinstance(error, CommandError) else UNUSABLE
-    click.echo(f"{record.plan.name}: {what} is left for the leader")
+    click.echo(f"{record.plan.name}: {action} is left for the leader")
     return 0
 
 
+def _store_request(fleet: FleetFile, rollout: str, action: OperatorAction) -> None:
+    client = open_client(fleet)
+    try:
+        held = client.acquire(OPERATOR_REQUEST_LEASE, STORE_TIMEOUT_S)
+        if held is None:
+            raise CommandError(NO_MAJORITY, f"the request was not stored: {client.troubles()}")
+        request = OperatorRequest(rollout, action, held.token)
+        is_stored = held.put(encode_request(request), STORE_TIMEOUT_S)
+        held.release()
+    finally:
+        client.close()
+    if not is_stored:
+        raise CommandError(NO_MAJORITY, "the request may or may not have been stored: repeat it")
+
+
 def status(path: str, as_json: bool) -> int:
-    """The rollout as it is recorded; 0, 1 where there is none, 2, or 69 without a majority."""
+    """Show the recorded rollout.
+
+    Returns:
+        The exit status: 0, 1 where there is none, 2 for an unusable fleet file, or 69 without a majority.
+    """
     try:
         fleet = load_fleet(path)
-        record = recorded(fleet)
+        record = read_record(fleet)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
@@ -70,46 +86,56 @@
         return error.status if isinstance(error, CommandError) else UNUSABLE
     if record is None:
         click.echo("no rollout was ever recorded", err=True)
-        return 1
+        return NO_ROLLOUT
     if as_json:
-        click.echo(encode(record).decode())
+        click.echo(encode_record(record).decode())
         return 0
-    click.echo(line_of(record))
-    for note in record.notes:
-        click.echo(f"  {note}")
+    click.echo(summarize(record))
+    for line in record.history:
+        click.echo(f"  {line}")
     return 0
 
 
 def check(path: str, plan_path: str, to: str, old_from: str) -> int:
-    """What stands in a plan's way, as far as files tell: 0, or 1 with a line each."""
+    """Check a plan against the fleet file and both releases.
+
+    Returns:
+        The exit status: 0, or 1 with a line for each problem.
+    """
     try:
         fleet = load_fleet(path)
-        plan = convert(read_text(plan_path), Plan, plan_path)
+        plan = convert(read_text(plan_path), RolloutPlan, plan_path)
         new, old = read_release(to).release, read_release(old_from).release
     except (ConfigError, UnusableReleaseError) as error:
         click.echo(str(error), err=True)
-        return 1
-    lines = problems(plan, gateways_of(fleet), old, new)
-    for line in lines:
-        click.echo(f"{plan_path}: {line}", err=True)
-    if not lines:
-        click.echo(f"{plan_path}: good: {len(plan.stages)} stages, {old.version} to {new.version}")
-    return 1 if lines else 0
+        return INVALID_PLAN
+    problems = validate_plan(plan, rollout_fleet(fleet).gateways, old, new)
+    for problem in problems:
+        click.echo(f"{plan_path}: {problem}", err=True)
+    if problems:
+        return INVALID_PLAN
+    click.echo(f"{plan_path}: good: {len(plan.stages)} stages, {old.version} to {new.version}")
+    return 0
+
 
+def read_record(fleet: FleetFile) -> RolloutRecord | None:
+    """Return the rollout as a majority of lease keepers shows it; None where none was ever recorded.
 
-def recorded(fleet: FleetFile) -> Record | None:
-    """The rollout as a majority of keepers shows it; CommandError without one."""
+    Raises:
+        CommandError: No majority answers.
+        RecordError: The record is of another version.
+    """
     reading = read_leases(fleet.addresses(), fleet.wait_s)
     if not reading.majority:
         raise CommandError(NO_MAJORITY, f"no majority of keepers answers: {reading.troubles}")
     shown = reading.leases.get(LEADER_LEASE)
-    return decode(shown.value.content) if shown is not None else None
+    return decode_record(shown.value.content) if shown is not None else None
 
 
-def line_of(record: Record) -> str:
-    """One line."""
+def summarize(record: RolloutRecord) -> str:
+    """Return a rollout's state as one line."""
     stage = f"stage {record.stage + 1} of {len(record.plan.stages)}"
-    how = "paused, " if record.paused else ""
-    why = f": {record.why}" if record.why else ""
-    versions = f"{record.old.version} to {record.new.version}"
-    return f"{record.plan.name}: {how}{record.way}, {stage}, {versions}{why}"
+    paused = "paused, " if record.is_paused else ""
+    reason = f": {record.reason}" if record.reason else ""
+    versions = f"{record.old_release.version} to {record.new_release.version}"
+    return f"{record.plan.name}: {paused}{record.phase}, {stage}, {versions}{reason}"
--- a/saffronstack/fleet/control/releases.py
+++ b/saffronstack/fleet/control/releases.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from saffronstack.fleet.control.errors import UnusableReleaseError
-from saffronstack.fleet.rollout.plan import Format, Release
+from saffronstack.fleet.rollout.plan import DataFormat, Release
 
 MANIFEST_NAME = "release.json"
 MAX_FILES = 20_000
@@ -31,7 +31,7 @@
 
     version: str
     command: tuple[str, ...] = ("{python}", "-m", "saffronstack.cli.main", "serve")
-    formats: tuple[Format, ...] = ()
+    formats: tuple[DataFormat, ...] = ()
 
 
 class InstalledRelease(Struct, frozen=True):
--- a/saffronstack/fleet/rollout/__init__.py
+++ b/saffronstack/fleet/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A rolling change in stages: plans and their checks, and the judge of old beside new (`docs/rollout.md`)."""
+"""Rolling updates in stages: plans, canary analysis, the controller and its leader (`docs/rollout.md`)."""
--- /dev/null
+++ b/saffronstack/fleet/rollout/canary_sampler.py
@@ -0,0 +1,149 @@
+"""Turns what daemons report of gateways into the samples of a canary analysis. No I/O."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Iterable, Mapping, Sequence
+from dataclasses import dataclass, field
+
+from saffronstack.fleet.control.messages import GatewayStatus
+from saffronstack.fleet.rollout.canary_types import FailureRatio, GatewaySample
+from saffronstack.fleet.rollout.metrics_snapshot import MetricsSnapshot, is_fresh, take_snapshot
+from saffronstack.fleet.rollout.plan import FleetGateway
+
+IN_TIME_SHARE = 0.95  # of the baseline's calls; a call that takes longer than these is late
+FAILURES = ("function_error", "refused", "failed", "unknown")  # names of outcomes on gateways' pages
+
+
+@dataclass(frozen=True, slots=True)
+class _Measured:
+    """A gateway whose metrics are known at both ends."""
+
+    gateway: FleetGateway
+    status: GatewayStatus
+    since_start: MetricsSnapshot
+
+
+@dataclass(slots=True)
+class CanarySampler:
+    """Remembers each gateway's metrics at the start of a bake; times in seconds of one clock."""
+
+    fleet: Sequence[FleetGateway]
+    _started: dict[str, MetricsSnapshot] = field(default_factory=dict)
+    _started_s: float = 0.0
+
+    def begin(self, statuses: Mapping[str, GatewayStatus], now_s: float) -> None:
+        """Start a bake."""
+        self._started_s = now_s
+        self._started = {
+            name: snapshot for name, status in statuses.items()
+            if (snapshot := take_snapshot(status)) is not None
+        }  # fmt: skip
+
+    def covered_s(self, statuses: Mapping[str, GatewayStatus], polled_s: float) -> float:
+        """Return how much of the bake the oldest of the metrics cover.
+
+        Args:
+            statuses: The gateways.
+            polled_s: No later than when daemons reported them.
+
+        Returns:
+            Seconds; infinity where no gateway has fresh metrics: those are not waited for.
+        """
+        ages_s = [
+            status.metrics.age_s for status in statuses.values()
+            if status.metrics is not None and is_fresh(status.metrics)
+        ]  # fmt: skip
+        return max(0.0, polled_s - max(ages_s) - self._started_s) if ages_s else math.inf
+
+    def samples(self, statuses: Mapping[str, GatewayStatus], new_digest: str) -> list[GatewaySample]:
+        """Return what the analysis compares; canaries are the gateways that are to run ``new_digest``."""
+        silent: list[GatewaySample] = []
+        measured: list[_Measured] = []
+        for gateway in self.fleet:
+            status = statuses.get(gateway.name)
+            since_start = self._since_start(gateway.name, status)
+            if status is None or since_start is None:
+                silent.append(self._silent_sample(gateway, status, new_digest))
+            else:
+                measured.append(_Measured(gateway, status, since_start))
+        baseline = (one.since_start for one in measured if one.status.desired_release != new_digest)
+        late_bounds = _late_bounds(baseline)
+        return silent + [self._sample(one, late_bounds, new_digest) for one in measured]
+
+    def _since_start(self, name: str, status: GatewayStatus | None) -> MetricsSnapshot | None:
+        snapshot = take_snapshot(status) if status is not None else None
+        if snapshot is None:
+            return None
+        if name not in self._started:  # it could not be polled when the bake began: it counts from now on
+            self._started[name] = snapshot
+            return None
+        return snapshot.since(self._started[name])
+
+    def _silent_sample(
+        self, gateway: FleetGateway, status: GatewayStatus | None, new_digest: str
+    ) -> GatewaySample:
+        """Which side a gateway without metrics is on is known by its desired release, where that is known."""
+        return GatewaySample(
+            gateway=gateway.name,
+            zone=gateway.zone,
+            is_canary=status is not None and status.desired_release == new_digest,
+            restarts=self._restarts(gateway.name, status),
+            is_silent=True,
+        )
+
+    def _sample(self, measured: _Measured, late_bounds: Mapping[str, int], new_digest: str) -> GatewaySample:
+        since_start = measured.since_start
+        return GatewaySample(
+            gateway=measured.gateway.name,
+            zone=measured.gateway.zone,
+            is_canary=measured.status.desired_release == new_digest,
+            ratios=_failure_ratios(since_start, late_bounds),
+            gauges={"memory_mb": since_start.memory_mb, "descriptors": since_start.open_descriptors},
+            restarts=self._restarts(measured.gateway.name, measured.status),
+        )
+
+    def _restarts(self, name: str, status: GatewayStatus | None) -> int:
+        started = self._started.get(name)
+        if status is None or started is None:
+            return 0
+        return max(0, status.restarts - started.restarts)
+
+
+def _failure_ratios(since_start: MetricsSnapshot, late_bounds: Mapping[str, int]) -> dict[str, FailureRatio]:
+    """Return failures and late calls by class, and failures of all classes: a little harm in each of them
+    shows in the sum first."""
+    ratios: dict[str, FailureRatio] = {}
+    all_outcomes: Counter[str] = Counter()
+    for call_class, outcomes in since_start.outcomes_by_class.items():
+        all_outcomes.update(outcomes)
+        calls = sum(outcomes.values())
+        for failure in FAILURES:
+            ratios[f"{failure}/{call_class}"] = FailureRatio(outcomes.get(failure, 0), calls)
+        if call_class in late_bounds:
+            latencies = since_start.latencies_by_class.get(call_class, Counter())
+            late = sum(count for value, count in latencies.items() if value > late_bounds[call_class])
+            ratios[f"late/{call_class}"] = FailureRatio(late, latencies.total())
+    for failure in FAILURES:
+        ratios[f"{failure}/all"] = FailureRatio(all_outcomes[failure], all_outcomes.total())
+    return ratios
+
+
+def _late_bounds(baseline: Iterable[MetricsSnapshot]) -> dict[str, int]:
+    """Return for each class the latency within which most of the baseline's calls were answered."""
+    merged: dict[str, Counter[int]] = {}
+    for snapshot in baseline:
+        for call_class, latencies in snapshot.latencies_by_class.items():
+            merged.setdefault(call_class, Counter()).update(latencies)
+    bounds = {call_class: _in_time_bound(latencies) for call_class, latencies in merged.items()}
+    return {call_class: bound for call_class, bound in bounds.items() if bound is not None}
+
+
+def _in_time_bound(latencies: Counter[int]) -> int | None:
+    remaining = IN_TIME_SHARE * latencies.total()
+    for value in sorted(latencies):
+        remaining -= latencies[value]
+        if remaining <= 0:
+            return value
+    return None
--- /dev/null
+++ b/saffronstack/fleet/rollout/canary_statistics.py
@@ -0,0 +1,259 @@
+"""Significance tests of canaries against the baseline of their zones. No I/O.
+
+Gateways are the unit, not calls: calls of one gateway are alike, so their counts scatter more than coins do.
+How much more is estimated from the gateways themselves (quasi-binomial dispersion, as in Wedderburn 1974),
+zone by zone, so that what harms a zone harms both sides of the comparison."""
+
+from __future__ import annotations
+
+import math
+from collections import defaultdict
+from collections.abc import Iterable, Mapping, Sequence
+from dataclasses import dataclass
+
+from scipy import stats
+
+from saffronstack.fleet.rollout.canary_types import Comparison, FailureRatio
+
+MIN_DEGREES_OF_FREEDOM = 2  # gateways beyond one a side and zone, to tell how much gateways differ
+
+
+@dataclass(frozen=True, slots=True)
+class RatioRow:
+    """One gateway's failures."""
+
+    zone: str
+    is_canary: bool
+    ratio: FailureRatio
+
+
+@dataclass(frozen=True, slots=True)
+class GaugeRow:
+    """One gateway's value of a gauge."""
+
+    zone: str
+    is_canary: bool
+    value: float
+
+
+@dataclass(frozen=True, slots=True)
+class EventRow:
+    """How often something happened to one gateway."""
+
+    is_canary: bool
+    count: int
+
+
+@dataclass(frozen=True, slots=True)
+class _Cell:
+    """One side of one zone."""
+
+    zone: str
+    is_canary: bool
+
+
+@dataclass(frozen=True, slots=True)
+class _WeightedDifference:
+    """Canaries less baseline, summed over zones by weight, with the sum's variance."""
+
+    difference: float
+    variance: float
+    canary_mean: float
+    baseline_mean: float
+
+
+@dataclass(frozen=True, slots=True)
+class _Dispersion:
+    """How much more gateways scatter than independent calls would."""
+
+    scatter: float
+    degrees_of_freedom: int
+
+    def factor(self) -> float:
+        return max(1.0, self.scatter / self.degrees_of_freedom)
+
+
+def compare_ratios(measure: str, rows: Sequence[RatioRow]) -> Comparison | None:
+    """Compare rates, zone by zone; None where no zone has both sides, or nothing failed.
+
+    The p-value is the greatest of three tests: of the scattered gateways (t), of their rates' angles (t), and
+    of single calls (hypergeometric), which alone is right where few calls failed.
+    """
+    zones = _zones_with_both_sides(_Cell(row.zone, row.is_canary) for row in rows)
+    rows = [row for row in rows if row.zone in zones]
+    # Where nothing failed on either side there is nothing to compare, and no alpha is spent on it: given how
+    # much failed together, on which side it did is what is tested.
+    if not any(row.ratio.failures for row in rows):
+        return None
+    cells: dict[_Cell, list[FailureRatio]] = defaultdict(list)
+    for row in rows:
+        cells[_Cell(row.zone, row.is_canary)].append(row.ratio)
+    totals = {cell: _sum_ratios(ratios) for cell, ratios in cells.items()}
+    rates = _rate_difference(zones, totals)
+    if rates.variance <= 0:
+        return Comparison(measure, rates.canary_mean, rates.baseline_mean, 1.0)
+    by_calls = _hypergeometric_p_value(
+        canary=_sum_ratios(totals[_Cell(zone, True)] for zone in zones),
+        baseline=_sum_ratios(totals[_Cell(zone, False)] for zone in zones),
+    )
+    dispersion = _estimate_dispersion(cells, totals)
+    if dispersion.degrees_of_freedom < MIN_DEGREES_OF_FREEDOM:
+        return Comparison(measure, rates.canary_mean, rates.baseline_mean, 1.0, by_calls)
+    statistic = rates.difference / math.sqrt(dispersion.factor() * rates.variance)
+    by_gateways = float(stats.t.sf(statistic, dispersion.degrees_of_freedom))
+    by_angles = _angle_p_value(measure, rows)
+    p_value = max(by_gateways, by_calls, by_angles)
+    return Comparison(measure, rates.canary_mean, rates.baseline_mean, p_value, by_calls)
+
+
+def _sum_ratios(ratios: Iterable[FailureRatio]) -> FailureRatio:
+    summed = list(ratios)
+    return FailureRatio(sum(one.failures for one in summed), sum(one.total for one in summed))
+
+
+def _rate_difference(zones: Iterable[str], totals: Mapping[_Cell, FailureRatio]) -> _WeightedDifference:
+    difference = variance = weights = canary_rate = baseline_rate = 0.0
+    for zone in zones:
+        canary, baseline = totals[_Cell(zone, True)], totals[_Cell(zone, False)]
+        weight = canary.total * baseline.total / (canary.total + baseline.total)
+        rate = (canary.failures + baseline.failures) / (canary.total + baseline.total)
+        difference += weight * (canary.failures / canary.total - baseline.failures / baseline.total)
+        variance += weight**2 * rate * (1 - rate) * (1 / canary.total + 1 / baseline.total)
+        weights += weight
+        canary_rate += weight * canary.failures / canary.total
+        baseline_rate += weight * baseline.failures / baseline.total
+    return _WeightedDifference(difference, variance, canary_rate / weights, baseline_rate / weights)
+
+
+def _hypergeometric_p_value(canary: FailureRatio, baseline: FailureRatio) -> float:
+    calls, failures = canary.total + baseline.total, canary.failures + baseline.failures
+    return float(stats.hypergeom.sf(canary.failures - 1, calls, failures, canary.total))
+
+
+def _estimate_dispersion(
+    cells: Mapping[_Cell, Sequence[FailureRatio]], totals: Mapping[_Cell, FailureRatio]
+) -> _Dispersion:
+    scatter, degrees_of_freedom = 0.0, 0
+    for cell, ratios in cells.items():
+        failures, total = totals[cell].failures, totals[cell].total
+        rate = (failures + 0.5) / (total + 1)
+        scatter += sum(
+            (one.failures - one.total * failures / total) ** 2 / (one.total * rate * (1 - rate))
+            for one in ratios
+        )  # fmt: skip
+        degrees_of_freedom += len(ratios) - 1
+    return _Dispersion(scatter, degrees_of_freedom)
+
+
+def _angle_p_value(measure: str, rows: Sequence[RatioRow]) -> float:
+    """Compare the angles of rates (Anscombe): rates are skewed, which makes far tails of t too small."""
+    angles = [
+        GaugeRow(
+            row.zone, row.is_canary,
+            math.asin(math.sqrt((row.ratio.failures + 0.375) / (row.ratio.total + 0.75))),
+        )
+        for row in rows
+    ]  # fmt: skip
+    comparison = compare_gauges(measure, angles)
+    assert comparison is not None  # the rows are of zones with both sides
+    return comparison.p_value
+
+
+def compare_gauges(measure: str, rows: Sequence[GaugeRow]) -> Comparison | None:
+    """Compare means, zone by zone, with one variance of all gateways about the mean of their cell.
+
+    Returns None where no zone has both sides.
+    """
+    zones = _zones_with_both_sides(_Cell(row.zone, row.is_canary) for row in rows)
+    cells: dict[_Cell, list[float]] = defaultdict(list)
+    for row in rows:
+        if row.zone in zones and math.isfinite(row.value):
+            cells[_Cell(row.zone, row.is_canary)].append(row.value)
+    zones = _zones_with_both_sides(cells)
+    if not zones:
+        return None
+    means = {cell: sum(values) / len(values) for cell, values in cells.items()}
+    squares = sum((value - means[cell]) ** 2 for cell, values in cells.items() for value in values)
+    degrees_of_freedom = sum(len(values) - 1 for values in cells.values())
+    gauge = _gauge_difference(zones, cells, means)
+    if degrees_of_freedom < MIN_DEGREES_OF_FREEDOM or (squares <= 0 and gauge.difference <= 0):
+        return Comparison(measure, gauge.canary_mean, gauge.baseline_mean, 1.0)
+    if squares <= 0:
+        p_value = 1 / _count_assignments(zones, cells)
+    else:
+        statistic = gauge.difference / math.sqrt(squares / degrees_of_freedom * gauge.variance)
+        p_value = float(stats.t.sf(statistic, degrees_of_freedom))
+    return Comparison(measure, gauge.canary_mean, gauge.baseline_mean, p_value)
+
+
+def _gauge_difference(
+    zones: Iterable[str], cells: Mapping[_Cell, Sequence[float]], means: Mapping[_Cell, float]
+) -> _WeightedDifference:
+    """Return the difference of means; its variance is that for values of variance 1."""
+    difference = variance = weights = canary_mean = baseline_mean = 0.0
+    for zone in zones:
+        canary, baseline = _Cell(zone, True), _Cell(zone, False)
+        canary_count, baseline_count = len(cells[canary]), len(cells[baseline])
+        weight = canary_count * baseline_count / (canary_count + baseline_count)
+        difference += weight * (means[canary] - means[baseline])
+        variance += weight**2 * (1 / canary_count + 1 / baseline_count)
+        weights += weight
+        canary_mean += weight * means[canary]
+        baseline_mean += weight * means[baseline]
+    return _WeightedDifference(difference, variance, canary_mean / weights, baseline_mean / weights)
+
+
+def _count_assignments(zones: Iterable[str], cells: Mapping[_Cell, Sequence[float]]) -> int:
+    """Return in how many ways the canaries of each zone could be chosen: a permutation test's cases."""
+    sizes = [(len(cells[_Cell(zone, True)]), len(cells[_Cell(zone, False)])) for zone in zones]
+    return math.prod(math.comb(canary + baseline, canary) for canary, baseline in sizes)
+
+
+def compare_event_counts(measure: str, rows: Sequence[EventRow]) -> Comparison | None:
+    """Test how likely so many single events fall on the canaries' part of the gateways."""
+    events = _EventTotals.of(rows)
+    if not events.is_comparable:
+        return None
+    p_value = float(stats.binom.sf(events.of_canaries - 1, events.total, events.canaries / len(rows)))
+    return events.comparison(measure, p_value)
+
+
+def compare_affected_gateways(measure: str, rows: Sequence[EventRow]) -> Comparison | None:
+    """Test how likely so many of the affected gateways, each with a count of 1, are canaries."""
+    events = _EventTotals.of(rows)
+    if not events.is_comparable:
+        return None
+    p_value = float(stats.hypergeom.sf(events.of_canaries - 1, len(rows), events.total, events.canaries))
+    return events.comparison(measure, p_value)
+
+
+@dataclass(frozen=True, slots=True)
+class _EventTotals:
+    gateways: int
+    canaries: int
+    total: int
+    of_canaries: int
+
+    @classmethod
+    def of(cls, rows: Sequence[EventRow]) -> _EventTotals:
+        return cls(
+            gateways=len(rows),
+            canaries=sum(row.is_canary for row in rows),
+            total=sum(row.count for row in rows),
+            of_canaries=sum(row.count for row in rows if row.is_canary),
+        )
+
+    @property
+    def is_comparable(self) -> bool:
+        return self.total > 0 and 0 < self.canaries < self.gateways
+
+    def comparison(self, measure: str, p_value: float) -> Comparison:
+        baseline_mean = (self.total - self.of_canaries) / (self.gateways - self.canaries)
+        return Comparison(measure, self.of_canaries / self.canaries, baseline_mean, p_value)
+
+
+def _zones_with_both_sides(cells: Iterable[_Cell]) -> set[str]:
+    sides: dict[str, set[bool]] = defaultdict(set)
+    for cell in cells:
+        sides[cell.zone].add(cell.is_canary)
+    return {zone for zone, seen in sides.items() if len(seen) == 2}
--- /dev/null
+++ b/saffronstack/fleet/rollout/fleet_view.py
@@ -0,0 +1,104 @@
+"""What a rollout's leader knows of each gateway. No I/O."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+
+from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
+from saffronstack.fleet.rollout.events import DaemonReported
+from saffronstack.fleet.rollout.plan import RolloutFleet
+
+MAX_NAMES_SHOWN = 5
+
+
+class FleetView:
+    """The last observation of each gateway, and commands that no later observation has followed yet."""
+
+    def __init__(self, fleet: RolloutFleet) -> None:
+        self._fleet = fleet
+        self._observed: dict[str, ObservedGateway] = {}  # of daemons that answered last
+        self._pending: dict[str, str] = {}  # commanded releases by gateway
+        self._commanded_s: dict[str, float] = {}
+
+    @property
+    def observed(self) -> Mapping[str, ObservedGateway]:
+        """The last observations, of gateways whose daemons answered the last poll."""
+        return self._observed
+
+    @property
+    def pending(self) -> Mapping[str, str]:
+        """Releases that were commanded since the last observation, by gateway."""
+        return self._pending
+
+    def update(self, report: DaemonReported) -> bool:
+        """Take in a daemon's report; return whether anything has changed."""
+        has_changed = False
+        for name, observed in report.gateways.items():
+            if self._fleet.daemon_of.get(name) != report.daemon:
+                continue
+            has_changed |= observed != self._observed.get(name)
+            self._observed[name] = observed
+            self._pending.pop(
+                name, None
+            )  # a poll follows all commands before it: each took effect or never will
+        return has_changed
+
+    def forget_daemon(self, daemon: str) -> None:
+        """Drop the observations of a daemon that did not answer."""
+        for name, owner in self._fleet.daemon_of.items():
+            if owner == daemon:
+                self._observed.pop(name, None)
+
+    def add_command(self, now_s: float, gateway: str, release: str) -> None:
+        """Remember a command that is sent."""
+        self._pending[gateway], self._commanded_s[gateway] = release, now_s
+
+    def commanded_s(self, gateway: str) -> float:
+        """Return when a gateway was commanded last."""
+        return self._commanded_s.get(gateway, -math.inf)
+
+    def is_settled(self, gateway: str, release: str) -> bool:
+        """Return whether a gateway runs a release, and is to."""
+        observed = self._observed.get(gateway)
+        return (
+            observed is not None
+            and gateway not in self._pending
+            and observed.desired_release == release == observed.running_release
+        )
+
+    def unavailable(self) -> set[str]:
+        """Return the gateways that do not serve, or soon may not.
+
+        These are the unobserved ones, those that do not serve, and those with a command under way. A gateway
+        that gave up a release and runs another one is available.
+        """
+        return {one.name for one in self._fleet.gateways if not self._is_available(one.name)}
+
+    def _is_available(self, gateway: str) -> bool:
+        observed = self._observed.get(gateway)
+        if observed is None or gateway in self._pending:
+            return False
+        is_changing = observed.desired_release not in (observed.running_release, observed.failed_release)
+        return observed.phase is GatewayPhase.SERVING and not is_changing
+
+    def failures_of(self, release: str) -> list[str]:
+        """Return the gateways that gave up a release, a line each."""
+        return [
+            f"{name}: {observed.last_error}" for name, observed in sorted(self._observed.items())
+            if observed.failed_release == release
+        ]  # fmt: skip
+
+    def describe_unsettled(self, targets: Mapping[str, str]) -> str:
+        """Say which gateways do not run their target release yet; empty where all do."""
+        unsettled = [name for name, release in targets.items() if not self.is_settled(name, release)]
+        text = "; ".join(self._describe(name) for name in unsettled[:MAX_NAMES_SHOWN])
+        hidden = len(unsettled) - MAX_NAMES_SHOWN
+        return f"{text} and {hidden} more" if hidden > 0 else text
+
+    def _describe(self, name: str) -> str:
+        observed = self._observed.get(name)
+        if observed is None:
+            return f"{name}: {self._fleet.daemon_of[name]} is silent"
+        error = f" ({observed.last_error})" if observed.last_error else ""
+        return f"{name}: {observed.phase}{error}"
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -1,15 +1,16 @@
-"""Leads a rollout in a process: under the lease, asking daemons, storing what is decided before it is told.
+"""Leads a rollout in a process: polls daemons, stores decisions under the lease, and sends commands.
 
-One round at a time: a look at every daemon at once, each bounded; what the controller makes of it; orders.
-Whoever holds the lease goes on from the record in its value."""
+Whoever holds the lease goes on from the record in its value, one round at a time: a poll of all daemons at
+once, each bounded; what the controller makes of it; commands."""
 
 from __future__ import annotations
 
 import threading
 import time
+from collections import deque
 from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
 
-import msgspec
 import structlog
 
 from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon
@@ -18,160 +19,216 @@
 from saffronstack.fleet.control.observed_gateway import ObservedGateway
 from saffronstack.fleet.leases.reading import Reading
 from saffronstack.fleet.leases.store import Held
-from saffronstack.fleet.rollout import controller
-from saffronstack.fleet.rollout.comparison import Limits
-from saffronstack.fleet.rollout.controller import Controller, Record, Word
-from saffronstack.fleet.rollout.judge import look
-from saffronstack.fleet.rollout.plan import Gateway
-from saffronstack.fleet.rollout.records import Said, encode
-from saffronstack.fleet.rollout.samples import STALE_S, Sampler
+from saffronstack.fleet.rollout.canary_analysis import analyze
+from saffronstack.fleet.rollout.canary_sampler import CanarySampler
+from saffronstack.fleet.rollout.canary_types import AnalysisLimits
+from saffronstack.fleet.rollout.controller import STALL_TIMEOUT_S, RolloutController
+from saffronstack.fleet.rollout.events import (
+    Action,
+    AnalysisCompleted,
+    AnalyzeStage,
+    DaemonReported,
+    DaemonUnreachable,
+    Event,
+    OperatorRequested,
+    RecordStored,
+    SetRelease,
+    StartBake,
+    StoreRecord,
+    Tick,
+)
+from saffronstack.fleet.rollout.metrics_snapshot import is_fresh
+from saffronstack.fleet.rollout.operator_requests import decode_request
+from saffronstack.fleet.rollout.plan import RolloutFleet, RolloutPlan
+from saffronstack.fleet.rollout.record import RolloutRecord, encode_record
 
 log = structlog.get_logger("saffronstack.rollout")
-ROUND_S = 0.5
-STORE_S = 3.0
-WORDS_EVERY_S = 1.0
+ROUND_INTERVAL_S = 0.5
+STORE_TIMEOUT_S = 3.0
+REQUEST_POLL_INTERVAL_S = 1.0
+MAX_COMPARISONS_LOGGED = 3
 
 
-def runs(state: GatewayStatus) -> str:
-    """The release that a gateway runs: by its own word where that is fresh, whatever its daemon says."""
-    figures = state.metrics
-    if (
-        not state.running_release
-        or figures is None
-        or not figures.reported_release
-        or figures.age_s > STALE_S
-    ):
-        return state.running_release
-    return figures.reported_release
+@dataclass(frozen=True, slots=True)
+class LeaderOptions:
+    """Times of a leader.
 
+    Attributes:
+        stall_timeout_s: Without any progress for so long, the rollout is inconclusive.
+        round_interval_s: Between two rounds.
+    """
 
-class Leader:
-    """One holding of the lease."""
+    stall_timeout_s: float = STALL_TIMEOUT_S
+    round_interval_s: float = ROUND_INTERVAL_S
+
+
+DEFAULT_OPTIONS = LeaderOptions()
+
+
+def running_release(status: GatewayStatus) -> str:
+    """Return the release that a gateway runs: by its own page where that is fresh, else by its daemon."""
+    metrics = status.metrics
+    if not status.running_release or metrics is None or not is_fresh(metrics):
+        return status.running_release
+    return metrics.reported_release or status.running_release
+
+
+class RolloutLeader:
+    """One holding of the leader's lease."""
 
     def __init__(
         self,
-        gateways: Sequence[Gateway],
-        daemon_of: dict[str, str],
+        fleet: RolloutFleet,
         daemons: DaemonClient,
-        held: Held,
-        read: Callable[[], Reading],
-        show: Callable[[Record, str], None] = lambda record, waits: None,
+        lease: Held,
+        read_leases: Callable[[], Reading],
+        on_round: Callable[[RolloutRecord, str], None] = lambda record, waits_for: None,
         clock: Callable[[], float] = time.monotonic,
-        patience_s: float = controller.PATIENCE_S,
-        round_s: float = ROUND_S,
+        options: LeaderOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """``read`` asks keepers for operators' words; ``show`` hears of each round."""
-        self._gateways, self._daemon_of = list(gateways), daemon_of
-        self._held, self._read, self._show, self._clock = held, read, show, clock
-        self._patience_s, self._round_s = patience_s, round_s
-        self._daemons = daemons
-        self._sampler = Sampler(self._gateways)
-        self._states: dict[str, GatewayStatus] = {}
-        self._looked_s = 0.0  # when the last look at the daemons began
-        self._words_s = 0.0
-
-    def lead(self, record: Record, stopping: threading.Event) -> Record:
-        """Until it is over, the lease is lost or ``stopping``; the record as it stands then."""
-        machine = Controller(record, self._gateways, self._daemon_of, self._clock(), self._patience_s)
-        # The record may have been read from less than a majority's last word: it is stored anew first.
-        self._carry_out(machine, [controller.Store(record)], adopt=True)
-        while not stopping.is_set() and self._held.left_s() > 0 and not machine.record.over:
-            orders: dict[str, list[GatewayCommand]] = {}
-            self._looked_s = self._clock()
-            for event in [*self._heard(self._daemons.poll()), *self._said(machine.record), controller.Tick()]:
-                for action in self._carry_out(machine, machine.handle(self._clock(), event)):
-                    orders.setdefault(action.daemon, []).append(
-                        GatewayCommand(action.gateway, action.release)
-                    )
-            if orders and self._held.left_s() > 0:
-                for name, answer in self._daemons.send(orders).items():
-                    if isinstance(answer, UnavailableDaemon):
-                        log.warning("order not taken", daemon=name, why=answer.reason)
-                continue  # what came of them is looked at, at once
-            self._show(machine.record, machine.waits_for())
-            stopping.wait(self._round_s)
-        self._show(machine.record, "")
-        return machine.record
-
-    def _carry_out(
-        self, machine: Controller, actions: Sequence[controller.Action], adopt: bool = False
-    ) -> list[controller.Order]:
-        """Do what can be done here and tell the controller; the orders that are left."""
-        orders: list[controller.Order] = []
-        waiting = list(actions)
+        """Create a leader.
+
+        Args:
+            fleet: The gateways and their daemons.
+            daemons: Their client, under this lease's token.
+            lease: The leader's lease, which is held.
+            read_leases: Reads what lease keepers show, for operators' requests.
+            on_round: Called after each round with the record and what the rollout waits for.
+            clock: Seconds.
+            options: Times.
+        """
+        self._fleet, self._daemons, self._lease = fleet, daemons, lease
+        self._read_leases, self._on_round, self._clock = read_leases, on_round, clock
+        self._options = options
+        self._sampler = CanarySampler(fleet.gateways)
+        self._statuses: dict[str, GatewayStatus] = {}
+        self._polled_s = 0.0  # when the last poll of the daemons began
+        self._requests_polled_s = 0.0
+
+    def lead(self, record: RolloutRecord, stopping: threading.Event) -> RolloutRecord:
+        """Lead until the rollout is finished, the lease is lost or ``stopping`` is set.
+
+        Returns:
+            The record as it stands then.
+        """
+        controller = RolloutController(record, self._fleet, self._clock(), self._options.stall_timeout_s)
+        # The record may have been read from less than a majority: it is stored anew first.
+        self._lease.put(encode_record(record), STORE_TIMEOUT_S)
+        while not stopping.is_set() and self._holds_lease() and not controller.record.is_finished:
+            if self._play_round(controller):
+                continue  # what the commands changed is polled at once
+            self._on_round(controller.record, controller.waits_for())
+            stopping.wait(self._options.round_interval_s)
+        self._on_round(controller.record, "")
+        return controller.record
+
+    def _holds_lease(self) -> bool:
+        return self._lease.left_s() > 0
+
+    def _play_round(self, controller: RolloutController) -> bool:
+        """Poll, decide and send commands; return whether any were sent."""
+        self._polled_s = self._clock()
+        reports = self._report_events(self._daemons.poll())
+        events = [*reports, *self._request_events(controller.record), Tick()]
+        commands: dict[str, list[GatewayCommand]] = {}
+        for event in events:
+            for one in self._carry_out(controller, controller.handle(self._clock(), event)):
+                commands.setdefault(one.daemon, []).append(GatewayCommand(one.gateway, one.release))
+        if not commands or not self._holds_lease():
+            return False
+        for daemon, answer in self._daemons.send(commands).items():
+            if isinstance(answer, UnavailableDaemon):
+                log.warning("command not confirmed", daemon=daemon, error=answer.reason)
+        return True
+
+    def _carry_out(self, controller: RolloutController, actions: Sequence[Action]) -> list[SetRelease]:
+        """Do what can be done here and report it to the controller; return the commands that are left."""
+        commands: list[SetRelease] = []
+        waiting = deque(actions)
         while waiting:
-            action = waiting.pop(0)
-            if isinstance(action, controller.Order):
-                orders.append(action)
-                continue
-            if isinstance(action, controller.Store):
-                good = self._held.put(encode(action.record), STORE_S)
-                if adopt or self._held.left_s() <= 0:
-                    return orders
-                if good and action.record.notes[-1:] != machine.record.notes[-1:]:
-                    log.info("rollout", name=action.record.plan.name, note=action.record.notes[-1])
-                event: controller.Event = controller.Stored(action.record, good)
-            elif isinstance(action, controller.Bake):
-                self._sampler.begin(self._states, self._clock())
-                continue
-            else:
-                event = self._judge(machine.record, action)
-            waiting += machine.handle(self._clock(), event)
-        return orders
-
-    def _judge(self, record: Record, asked: controller.Judge) -> controller.Judged:
-        plan = record.plan
-        # Figures reach the leader late, most of all on a busy machine: the bake is over once they cover it.
-        covered_s = self._sampler.covered_s(self._states, self._looked_s)
-        part = min(asked.part, covered_s / plan.stages[asked.stage].bake_s)
-        least = {"memory_mb": plan.memory_least_mb, "descriptors": plan.descriptors_least}
-        limits = Limits(plan.false_stop, plan.calls_least, gross=plan.gross, least=least)
-        units = self._sampler.units(self._states, record.new.digest)
-        found = look(limits, units, part, asked.spent)
+            action = waiting.popleft()
+            match action:
+                case SetRelease():
+                    commands.append(action)
+                case StartBake():
+                    self._sampler.begin(self._statuses, self._clock())
+                case StoreRecord(record):
+                    is_confirmed = self._lease.put(encode_record(record), STORE_TIMEOUT_S)
+                    if not self._holds_lease():
+                        return commands
+                    if is_confirmed:
+                        _log_progress(controller.record, record)
+                    stored = RecordStored(record, is_confirmed)
+                    waiting.extend(controller.handle(self._clock(), stored))
+                case AnalyzeStage():
+                    completed = self._analyze(controller.record, action)
+                    waiting.extend(controller.handle(self._clock(), completed))
+        return commands
+
+    def _analyze(self, record: RolloutRecord, action: AnalyzeStage) -> AnalysisCompleted:
+        # Metrics reach the leader late, most of all on a busy machine: the bake is over once they cover it.
+        covered_s = self._sampler.covered_s(self._statuses, self._polled_s)
+        progress = min(action.progress, covered_s / record.plan.stages[action.stage].bake_s)
+        samples = self._sampler.samples(self._statuses, record.new_release.digest)
+        result = analyze(_limits_of(record.plan), samples, progress, action.alpha_spent)
         log.info(
-            "judged", stage=asked.stage, part=round(part, 2), verdict=found.verdict.value,
-            reasons=found.reasons, worst=[one.line() for one in found.findings[:3]],
+            "canary analysis completed", stage=action.stage, progress=round(progress, 2),
+            verdict=result.verdict.value, reasons=result.reasons,
+            comparisons=[one.describe() for one in result.comparisons[:MAX_COMPARISONS_LOGGED]],
         )  # fmt: skip
-        return controller.Judged(asked.stage, found)
+        return AnalysisCompleted(action.stage, result)
 
-    def _heard(self, answers: Mapping[str, DaemonAnswer]) -> list[controller.Event]:
-        events: list[controller.Event] = []
+    def _report_events(self, answers: Mapping[str, DaemonAnswer]) -> list[Event]:
+        events: list[Event] = []
         for daemon, answer in sorted(answers.items()):
             if isinstance(answer, UnavailableDaemon):
-                for name, keeper in self._daemon_of.items():
-                    if keeper == daemon:
-                        self._states.pop(name, None)
-                events.append(controller.Silent(daemon))
+                for name, owner in self._fleet.daemon_of.items():
+                    if owner == daemon:
+                        self._statuses.pop(name, None)
+                events.append(DaemonUnreachable(daemon))
                 continue
-            self._states |= answer.gateways
-            seen = {
-                name: ObservedGateway(
-                    one.desired_release,
-                    runs(one),
-                    one.phase,
-                    one.incarnation,
-                    one.restarts,
-                    one.failed_release,
-                    one.last_error,
-                )
-                for name, one in answer.gateways.items()
-            }
-            events.append(controller.Heard(daemon, seen))
+            self._statuses |= answer.gateways
+            observed = {name: _observe(status) for name, status in answer.gateways.items()}
+            events.append(DaemonReported(daemon, observed))
         return events
 
-    def _said(self, record: Record) -> list[controller.Event]:
-        """Operators' words, as a majority of keepers shows them."""
-        now = self._clock()
-        if now < self._words_s + WORDS_EVERY_S:
-            return []
-        self._words_s = now
-        shown = self._read().leases.get(OPERATOR_REQUEST_LEASE)
-        if shown is None or not shown.value.content:
-            return []
-        try:
-            said = msgspec.json.decode(shown.value.content, type=Said)
-        except msgspec.MsgspecError:
+    def _request_events(self, record: RolloutRecord) -> list[Event]:
+        """Poll for an operator's request, as a majority of lease keepers shows it."""
+        now_s = self._clock()
+        if now_s < self._requests_polled_s + REQUEST_POLL_INTERVAL_S:
             return []
-        if said.rollout != record.plan.name or said.what not in ("pause", "resume", "abort"):
+        self._requests_polled_s = now_s
+        shown = self._read_leases().leases.get(OPERATOR_REQUEST_LEASE)
+        request = decode_request(shown.value.content) if shown is not None else None
+        if request is None or request.rollout != record.plan.name:
             return []
-        return [Word(said.number, said.what)]  # type: ignore[arg-type]
+        return [OperatorRequested(request.number, request.action)]
+
+
+def _limits_of(plan: RolloutPlan) -> AnalysisLimits:
+    return AnalysisLimits(
+        false_stop_probability=plan.false_stop_probability,
+        min_calls=plan.min_calls,
+        gross_failure_increase=plan.gross_failure_increase,
+        min_differences={
+            "memory_mb": plan.min_memory_growth_mb,
+            "descriptors": plan.min_descriptor_growth,
+        },
+    )
+
+
+def _observe(status: GatewayStatus) -> ObservedGateway:
+    return ObservedGateway(
+        desired_release=status.desired_release,
+        running_release=running_release(status),
+        phase=status.phase,
+        incarnation=status.incarnation,
+        restarts=status.restarts,
+        failed_release=status.failed_release,
+        last_error=status.last_error,
+    )
+
+
+def _log_progress(before: RolloutRecord, stored: RolloutRecord) -> None:
+    if stored.history[-1:] != before.history[-1:]:
+        log.info("rollout progressed", rollout=stored.plan.name, detail=stored.history[-1])
--- /dev/null
+++ b/saffronstack/fleet/rollout/rollout_order.py
@@ -0,0 +1,75 @@
+"""The order in which a rollout updates gateways. No I/O.
+
+It is derived from the plan alone, so that each leader derives the same one."""
+
+from __future__ import annotations
+
+import math
+from collections import defaultdict
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+import xxhash
+
+from saffronstack.fleet.rollout.plan import FleetGateway, RolloutPlan, Stage
+
+ROUNDING_MARGIN = 1e-9  # a share whose product is a whole number up to rounding reaches just that many
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class _Placement:
+    """Where a gateway stands in the interleaved order."""
+
+    fraction: float
+    zone: str
+    index: int
+
+
+def stage_targets(plan: RolloutPlan, fleet: Sequence[FleetGateway]) -> list[tuple[str, ...]]:
+    """Return for each stage all gateways that run the new release by its end, in the order of their update.
+
+    Zones take turns in proportion, so that each zone has canaries and baselines side by side as early as
+    possible; within a zone the order is drawn by the plan's name.
+    """
+    drawn = interleave_zones(plan.name, fleet)
+    targets: list[tuple[str, ...]] = []
+    for stage in plan.stages:
+        before = targets[-1] if targets else ()
+        targets.append(before + _added_by(stage, drawn, before))
+    return targets
+
+
+def _added_by(stage: Stage, drawn: Sequence[FleetGateway], before: tuple[str, ...]) -> tuple[str, ...]:
+    rest = [gateway for gateway in drawn if gateway.name not in before]
+    if stage.groups:
+        return tuple(gateway.name for gateway in rest if gateway.group in stage.groups)
+    size = stage.count or math.ceil(stage.share * len(drawn) - ROUNDING_MARGIN)
+    return tuple(gateway.name for gateway in rest[: max(0, size - len(before))])
+
+
+def interleave_zones(seed: str, fleet: Sequence[FleetGateway]) -> list[FleetGateway]:
+    """Return all gateways, each zone's spread evenly over the whole order."""
+    zones: dict[str, list[FleetGateway]] = defaultdict(list)
+    for gateway in sorted(fleet, key=lambda one: xxhash.xxh3_64_intdigest(f"{seed}/{one.name}".encode())):
+        zones[gateway.zone].append(gateway)
+    placed = {
+        _Placement((index + 0.5) / len(members), zone, index): gateway
+        for zone, members in zones.items()
+        for index, gateway in enumerate(members)
+    }
+    return [placed[placement] for placement in sorted(placed)]
+
+
+def zone_batches(
+    names: Sequence[str], fleet: Sequence[FleetGateway], max_unavailable: int
+) -> list[tuple[str, ...]]:
+    """Return the batches in which gateways go down: limited in size, and never of two zones."""
+    zone_of = {gateway.name: gateway.zone for gateway in fleet}
+    zones: dict[str, list[str]] = defaultdict(list)
+    for name in names:
+        zones[zone_of[name]].append(name)
+    batches: list[tuple[str, ...]] = []
+    for members in zones.values():
+        starts = range(0, len(members), max_unavailable)
+        batches += [tuple(members[start : start + max_unavailable]) for start in starts]
+    return batches
--- a/saffronstack/harness/rollout/processes.py
+++ b/saffronstack/harness/rollout/processes.py
@@ -25,8 +25,7 @@
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.control.status_poller import poll_daemons
 from saffronstack.fleet.leases.reading import read_leases
-from saffronstack.fleet.rollout.controller import Record
-from saffronstack.fleet.rollout.records import decode
+from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, decode_record
 from saffronstack.harness.links import Mode, Wires
 from saffronstack.harness.rollout import releases
 from saffronstack.harness.scenario.clients import Clients
@@ -254,10 +253,10 @@
         """Each gateway by its daemon's own page; those of silent daemons are missing."""
         return merge_answers(poll_daemons(self.daemons, self.sizes.wait_s)).gateways
 
-    def record(self) -> Record | None:
+    def record(self) -> RolloutRecord | None:
         """The rollout as it is recorded; None where it can't be read."""
         shown = read_leases(self.keepers, self.sizes.wait_s).leases.get(LEADER_LEASE)
-        return decode(shown.value.content) if shown is not None else None
+        return decode_record(shown.value.content) if shown is not None else None
 
     def roll(
         self,
@@ -299,7 +298,11 @@
         while time.monotonic() < until_s:
             record = self.record()
             ours = record is not None and record.plan.name == name
-            if ours and record is not None and (record.over or (record.way == "held" and not hold)):
+            if (
+                ours
+                and record is not None
+                and (record.is_finished or (record.phase is RolloutPhase.ON_HOLD and not hold))
+            ):
                 break
             if process.poll() is not None and (not leaders or process.returncode == REFUSED):
                 break
@@ -352,10 +355,11 @@
         traffic = Traffic(rules, tries=tries, seen=list(self.seen), stopped=list(self.stopped))
         found = judge(traffic, Figures(slack_s=0.5, gateways=len(self.gateways)))
         return Outcome(
-            status, record.way if record is not None else "", seconds, len(self.reached), len(operations),
+            status, record.phase.value if record is not None else "", seconds, len(self.reached),
+            len(operations),
             Counter(t.end for t in tries), 1 - len(served) / max(1, len(operations)),
             [f"rule {breach.rule}: {breach.text}" for breach in found] + self.troubles,
-            list(record.notes) if record is not None else [], self.down_most,
+            list(record.history) if record is not None else [], self.down_most,
         )  # fmt: skip
 
     def cut(self, leader: str, daemon: str, mode: Mode) -> None:
--- a/saffronstack/harness/rollout/simulation.py
+++ b/saffronstack/harness/rollout/simulation.py
@@ -1,10 +1,10 @@
 """Rollouts in a world without processes: controllers, daemons and a lease's store, every order of events.
 
-The real decisions (`Controller`, `CommandFence`, `GatewayReconciler`) are driven by steps that a seed or an
-explorer chooses: polls that are lost, commands that arrive late, twice or never, leaders that stop between
-any two actions and are followed by another, daemons that restart or lose their disk, releases that do not
-start, an operator's requests. The invariants are checked after each step, and from any state a leader that is
-left alone must finish the rollout."""
+The real decisions (`RolloutController`, `CommandFence`, `GatewayReconciler`) are driven by steps that a seed
+or an explorer chooses: polls that are lost, commands that arrive late, twice or never, leaders that stop
+between any two actions and are followed by another, daemons that restart or lose their disk, releases that do
+not start, an operator's requests. The invariants are checked after each step, and from any state a leader
+that is left alone must finish the rollout."""
 
 from __future__ import annotations
 
@@ -24,10 +24,13 @@
 )
 from saffronstack.fleet.control.gateway_reconciler import GatewayReconciler
 from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
-from saffronstack.fleet.rollout import controller
-from saffronstack.fleet.rollout.comparison import Look, Verdict
-from saffronstack.fleet.rollout.controller import Controller, Record, Word, first
-from saffronstack.fleet.rollout.plan import Gateway, Plan, Release, Stage
+from saffronstack.fleet.rollout import events
+from saffronstack.fleet.rollout.canary_types import AnalysisResult, Verdict
+from saffronstack.fleet.rollout.controller import RolloutController
+from saffronstack.fleet.rollout.events import OperatorRequested
+from saffronstack.fleet.rollout.operator_requests import OperatorAction
+from saffronstack.fleet.rollout.plan import FleetGateway, Release, RolloutFleet, RolloutPlan, Stage
+from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, create_record
 
 OLD, NEW = Release(version="1", digest="old"), Release(version="2", digest="new")
 STEP_S = 1.0
@@ -70,29 +73,50 @@
 class LeaderModel:
     """One holding of the lease."""
 
-    machine: Controller
+    machine: RolloutController
     token: int
     seq: int = 0
     lives: dict[str, int] = field(default_factory=dict)
 
 
+def break_controller(controller: RolloutController, broken: str) -> None:
+    """Leave one rule of a controller out."""
+    view, scheduler = controller.view, controller.scheduler
+    if broken == "unseen is up":
+        view.unavailable = lambda: {  # type: ignore[method-assign]
+            name
+            for name, seen in view.observed.items()
+            if seen.phase is not GatewayPhase.SERVING
+            or seen.desired_release not in (seen.running_release, seen.failed_release)
+        }
+    if broken == "two zones at once":
+        scheduler._zone_of = dict.fromkeys(scheduler._zone_of, "")
+        scheduler._batches = lambda record, names: [tuple(names)]  # type: ignore[method-assign]
+    if broken == "does not wait":
+        view.is_settled = lambda gateway, release: True  # type: ignore[method-assign]
+        view.unavailable = set  # type: ignore[method-assign]
+
+
 class World:
     """All of it. ``bad``: the new release does not start. ``broken``: one rule is left out."""
 
     def __init__(self, gateways: int, daemons: int, zones: int, bad: bool = False, broken: str = "") -> None:
         self.bad, self.broken = bad, broken
         self.now = 0.0
-        self.fleet = [Gateway(name=f"g{n}", zone=f"z{n % daemons % zones}") for n in range(gateways)]
+        self.fleet = [FleetGateway(name=f"g{n}", zone=f"z{n % daemons % zones}") for n in range(gateways)]
         self.daemon_of = {f"g{n}": f"d{n % daemons}" for n in range(gateways)}
         self.zone_of = {one.name: one.zone for one in self.fleet}
-        plan = Plan(
-            name="world", base=OLD.digest, stages=(Stage(count=1, bake_s=3.0), Stage(share=1.0, bake_s=3.0)),
-            unavailable_most=1 if gateways < 6 else 2, settle_s=0.0,
-        )  # fmt: skip
-        self.most = plan.unavailable_most
-        self.record: Record = first(plan, OLD, NEW)  # what the store holds
+        plan = RolloutPlan(
+            name="world",
+            base_digest=OLD.digest,
+            stages=(Stage(count=1, bake_s=3.0), Stage(share=1.0, bake_s=3.0)),
+            max_unavailable=1 if gateways < 6 else 2,
+            settle_s=0.0,
+        )
+        self.most = plan.max_unavailable
+        self.record: RolloutRecord = create_record(plan, OLD, NEW)  # what the store holds
         self.granted = 0
-        self.word: Word | None = None
+        self.word: OperatorRequested | None = None
         self.sent: list[Sent] = []
         self.found_back: set[int] = set()  # tokens of those that took the lease of a rollout going back
         self._acknowledged: dict[str, int] = {}
@@ -115,29 +139,18 @@
         """The lease passes to another leader; what the one before had sent may still come."""
         self.granted += 1
         record = self.record
-        if self.broken == "begins anew" and record.way == "back":
-            record = first(record.plan, OLD, NEW)
-        machine = Controller(record, self.fleet, self.daemon_of, self.now, patience_s=30.0)
-        if self.broken == "unseen is up":
-            machine._down = lambda: {  # type: ignore[method-assign]
-                name
-                for name, seen in machine._seen.items()
-                if seen.phase is not GatewayPhase.SERVING
-                or seen.desired_release not in (seen.running_release, seen.failed_release)
-            }
-        if self.broken == "two zones at once":
-            machine._zone_of = dict.fromkeys(machine._zone_of, "")
-            machine._batches = lambda wanted: [tuple(wanted)]  # type: ignore[method-assign]
-        if self.broken == "does not wait":
-            machine._settled = lambda name, release: True  # type: ignore[method-assign]
-            machine._down = set  # type: ignore[method-assign]
+        if self.broken == "begins anew" and record.phase is RolloutPhase.ROLLING_BACK:
+            record = create_record(record.plan, OLD, NEW)
+        fleet = RolloutFleet(tuple(self.fleet), self.daemon_of)
+        machine = RolloutController(record, fleet, self.now, stall_timeout_s=30.0)
+        break_controller(machine, self.broken)
         self.leader = LeaderModel(machine, self.granted)
-        if self.record.way in ("back", "returned"):
+        if self.record.is_rolling_back:
             self.found_back.add(self.granted)
         self.store(self.leader, record)
         return True
 
-    def store(self, leader: LeaderModel, record: Record) -> bool:
+    def store(self, leader: LeaderModel, record: RolloutRecord) -> bool:
         """Compare and set by token, as the lease's store does."""
         if leader.token != self.granted:
             return False
@@ -150,21 +163,21 @@
         if leader is None:
             return False
         self.now += STEP_S
-        events: list[controller.Event] = []
+        told: list[events.Event] = []
         for name, daemon in self.daemons.items():  # all looks first: an order is newer than each of them
             leader.seq += 1
             lost = choose(6) == 0  # the look is, or its answer
             if (lost and not choose(2)) or not self._admit(daemon, leader.token, leader.seq) or lost:
-                events.append(controller.Silent(name))
+                told.append(events.DaemonUnreachable(name))
                 continue
             leader.lives[name] = daemon.gate.incarnation
             seen = {gateway: slot.observe() for gateway, slot in daemon.slots.items()}
-            events.append(controller.Heard(name, seen))
-        for event in events:
+            told.append(events.DaemonReported(name, seen))
+        for event in told:
             self._tell(leader, event, choose)
         if self.word is not None:
             self._tell(leader, self.word, choose)
-        self._tell(leader, controller.Tick(), choose)
+        self._tell(leader, events.Tick(), choose)
         return True
 
     def _admit(self, daemon: DaemonModel, token: int, seq: int) -> bool:
@@ -176,19 +189,19 @@
         daemon.disk_token = max(daemon.disk_token, token)
         return True
 
-    def _tell(self, leader: LeaderModel, event: controller.Event, choose: Callable[[int], int]) -> None:
+    def _tell(self, leader: LeaderModel, event: events.Event, choose: Callable[[int], int]) -> None:
         waiting = list(leader.machine.handle(self.now, event))
         while waiting:
             action = waiting.pop(0)
-            if isinstance(action, controller.Order):
+            if isinstance(action, events.SetRelease):
                 leader.seq += 1
                 life = leader.lives.get(action.daemon, 0)
                 self.sent.append(
                     Sent(action.daemon, leader.token, leader.seq, life, action.gateway, action.release)
                 )
-            elif isinstance(action, controller.Store):
+            elif isinstance(action, events.StoreRecord):
                 if self.broken == "told before stored":
-                    waiting += leader.machine.handle(self.now, controller.Stored(action.record, True))
+                    waiting += leader.machine.handle(self.now, events.RecordStored(action.record, True))
                     if choose(3):
                         self.store(leader, action.record)
                     continue
@@ -196,20 +209,22 @@
                 if not good:
                     self.leader = None  # it can't know: whoever follows reads what is there
                     return
-                waiting += leader.machine.handle(self.now, controller.Stored(action.record, True))
-            elif isinstance(action, controller.Judge):
-                verdict = self._verdict(action.part, choose)
+                waiting += leader.machine.handle(self.now, events.RecordStored(action.record, True))
+            elif isinstance(action, events.AnalyzeStage):
+                verdict = self._verdict(action.progress, choose)
                 waiting += leader.machine.handle(
                     self.now,
-                    controller.Judged(action.stage, Look(verdict, action.spent + 0.001, ("made up",))),
+                    events.AnalysisCompleted(
+                        action.stage, AnalysisResult(verdict, action.alpha_spent + 0.001, ("made up",))
+                    ),
                 )
 
     def _verdict(self, part: float, choose: Callable[[int], int]) -> Verdict:
         if part < 1:
-            return Verdict.BAD if choose(12) == 11 else Verdict.WAIT
+            return Verdict.FAILED if choose(12) == 11 else Verdict.RUNNING
         if choose(6) == 0:
-            return Verdict.DOUBT if choose(2) else Verdict.BAD
-        return Verdict.GOOD
+            return Verdict.INCONCLUSIVE if choose(2) else Verdict.FAILED
+        return Verdict.SUCCESSFUL
 
     def deliver(self, number: int, again: bool) -> bool:
         """An order arrives; ``again``: it will once more."""
@@ -308,7 +323,7 @@
     def say(self, what: str) -> bool:
         """An operator leaves a word."""
         number = self.word.number + 1 if self.word is not None else 1
-        self.word = Word(number, what)  # type: ignore[arg-type]
+        self.word = OperatorRequested(number, OperatorAction(what))
         return True
 
     # ---- what must hold
@@ -318,7 +333,7 @@
             raise InvariantError(
                 f"{order.gateway} is told to go forward by one that found a rollout going back"
             )
-        if self.record.over:
+        if self.record.is_finished:
             slot = self.daemons[order.daemon].slots[order.gateway]
             if slot.desired_release != order.release:
                 raise InvariantError(f"{order.gateway} changes after the end")
@@ -342,7 +357,7 @@
     def finish(self) -> None:
         """From here on nothing fails but what has failed, and an operator aborts: it must come to an end, and
         be as it says. Broken where it does not."""
-        if not self.record.over:
+        if not self.record.is_finished:
             self.say("abort")
         for _ in range(FAIR_ROUNDS):
             if self.leader is None or self.leader.token != self.granted:
@@ -357,16 +372,16 @@
                     if not self.progress(gateway, False):
                         break
                     self.check()
-            if self.record.over:
+            if self.record.is_finished:
                 break
         else:
-            raise InvariantError(f"it comes to no end: {self.record.way}, {self.record.why}")
-        target = NEW.digest if self.record.way == "done" else OLD.digest
+            raise InvariantError(f"it comes to no end: {self.record.phase}, {self.record.reason}")
+        target = NEW.digest if self.record.phase is RolloutPhase.COMPLETED else OLD.digest
         for daemon in self.daemons.values():
             for gateway, slot in daemon.slots.items():
                 if slot.observe().running_release != target:
                     raise InvariantError(
-                        f"{self.record.way}, and {gateway} runs {slot.observe().running_release!r}"
+                        f"{self.record.phase}, and {gateway} runs {slot.observe().running_release!r}"
                     )
 
 
@@ -499,13 +514,13 @@
     leader = world.leader
     machine = leader.machine if leader is not None else None
     led = None if machine is None or leader is None else (
-        leader.token, machine.record.way, machine.record.stage, machine.record.paused,
-        tuple(sorted(machine._asked.items())), machine._baking_s is not None,
-        tuple(sorted((name, _seen(seen)) for name, seen in machine._seen.items())),
+        leader.token, machine.record.phase.value, machine.record.stage, machine.record.is_paused,
+        tuple(sorted(machine.view.pending.items())), machine.bake.has_started,
+        tuple(sorted((name, _seen(seen)) for name, seen in machine.view.observed.items())),
     )  # fmt: skip
     sent = [(one.daemon, one.token, one.gateway, one.release, one.life) for one in world.sent]
     record, word = world.record, world.word
-    kept = record.way, record.stage, record.paused, record.word
+    kept = record.phase.value, record.stage, record.is_paused, record.last_request
     return repr((daemons, led, sent, kept, world.granted, word))
 
 
--- a/tests/stored_formats/test_control_formats.py
+++ b/tests/stored_formats/test_control_formats.py
@@ -28,13 +28,13 @@
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
 from saffronstack.fleet.control.releases import ReleaseManifest, compute_digest
 from saffronstack.fleet.http_server import problem
-from saffronstack.fleet.rollout.plan import Format
+from saffronstack.fleet.rollout.plan import DataFormat
 
 DATA = pathlib.Path(__file__).parent / "data" / "control"
 MANIFEST = ReleaseManifest(
     version="1.5",
     command=("{python}", "{release}/run.py"),
-    formats=(Format(part="ledger", reads=(1, 2), writes=2),),
+    formats=(DataFormat(component="ledger", readable_versions=(1, 2), written_version=2),),
 )
 DAEMON_STATUS = DaemonStatus(
     "d1",
--- a/tests/test_rolling.py
+++ b/tests/test_rolling.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 import pytest
 from msgspec.structs import replace
 
-from saffronstack.cli.rollout import line_of
+from saffronstack.cli.rollout import summarize
 from saffronstack.fleet.control.command_fence import CommandFence
 from saffronstack.fleet.control.errors import (
     OutOfOrderError,
@@ -17,12 +19,27 @@
 from saffronstack.fleet.control.gateway_reconciler import MAX_CRASHES, GatewayReconciler
 from saffronstack.fleet.control.messages import GatewayMetrics, GatewayStatus
 from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
-from saffronstack.fleet.rollout import controller
-from saffronstack.fleet.rollout.comparison import Look, Verdict
-from saffronstack.fleet.rollout.controller import Controller, Record, Word, first
-from saffronstack.fleet.rollout.leader import runs
-from saffronstack.fleet.rollout.plan import Gateway, Plan, Release, Stage
-from saffronstack.fleet.rollout.records import decode, encode
+from saffronstack.fleet.rollout import events, record_updates
+from saffronstack.fleet.rollout.canary_types import AnalysisResult, Verdict
+from saffronstack.fleet.rollout.controller import RolloutController
+from saffronstack.fleet.rollout.events import OperatorRequested
+from saffronstack.fleet.rollout.leader import running_release
+from saffronstack.fleet.rollout.operator_requests import OperatorAction
+from saffronstack.fleet.rollout.plan import (
+    FleetGateway,
+    InconclusivePolicy,
+    Release,
+    RolloutFleet,
+    RolloutPlan,
+    Stage,
+)
+from saffronstack.fleet.rollout.record import (
+    RolloutPhase,
+    RolloutRecord,
+    create_record,
+    decode_record,
+    encode_record,
+)
 from saffronstack.harness.rollout.simulation import BROKEN, InvariantError, explore, wander
 
 OLD, NEW = Release(version="1", digest="old"), Release(version="2", digest="new")
@@ -173,14 +190,15 @@
 # ---- the controller
 
 
-FLEET = [Gateway(name=f"g{n}", zone=f"z{n % 2}") for n in range(4)]
+FLEET = [FleetGateway(name=f"g{n}", zone=f"z{n % 2}") for n in range(4)]
 DAEMON_OF = {f"g{n}": f"d{n % 2}" for n in range(4)}
 
 
-def leading(record: Record | None = None, **changed: object) -> Controller:
+def leading(record: RolloutRecord | None = None, **changed: object) -> RolloutController:
     stages = Stage(count=1, bake_s=10.0), Stage(share=1.0, bake_s=10.0)
-    plan = Plan(**{"name": "p", "base": "old", "stages": stages, "settle_s": 0.0, **changed})  # type: ignore[arg-type]
-    return Controller(record or first(plan, OLD, NEW), FLEET, DAEMON_OF, 0.0, patience_s=20.0)
+    plan = RolloutPlan(**{"name": "p", "base_digest": "old", "stages": stages, "settle_s": 0.0, **changed})  # type: ignore[arg-type]
+    fleet = RolloutFleet(tuple(FLEET), DAEMON_OF)
+    return RolloutController(record or create_record(plan, OLD, NEW), fleet, 0.0, stall_timeout_s=20.0)
 
 
 def seen(
@@ -191,29 +209,31 @@
     )
 
 
-def tell(machine: Controller, now: float, **states: ObservedGateway) -> list[controller.Action]:
+def tell(machine: RolloutController, now: float, **states: ObservedGateway) -> Sequence[events.Action]:
     """A look at both daemons; those not named run the old one."""
-    found: list[controller.Action] = []
+    found: list[events.Action] = []
     for daemon in ("d0", "d1"):
         mine = {name: states.get(name, seen()) for name, keeper in DAEMON_OF.items() if keeper == daemon}
-        found += machine.handle(now, controller.Heard(daemon, mine))
+        found += machine.handle(now, events.DaemonReported(daemon, mine))
     return found
 
 
-def stored(machine: Controller, now: float, actions: list[controller.Action]) -> list[controller.Action]:
+def stored(
+    machine: RolloutController, now: float, actions: Sequence[events.Action]
+) -> Sequence[events.Action]:
     (store,) = actions
-    assert isinstance(store, controller.Store), actions
-    return machine.handle(now, controller.Stored(store.record, True))
+    assert isinstance(store, events.StoreRecord), actions
+    return machine.handle(now, events.RecordStored(store.record, True))
 
 
 def test_nothing_is_ordered_before_all_were_seen_and_one_at_a_time_then() -> None:
     machine = leading()
-    assert machine.handle(1.0, controller.Heard("d0", {"g0": seen(), "g2": seen()})) == []
-    (order,) = machine.handle(1.1, controller.Heard("d1", {"g1": seen(), "g3": seen()}))
-    assert isinstance(order, controller.Order) and order.release == "new"
+    assert machine.handle(1.0, events.DaemonReported("d0", {"g0": seen(), "g2": seen()})) == []
+    (order,) = machine.handle(1.1, events.DaemonReported("d1", {"g1": seen(), "g3": seen()}))
+    assert isinstance(order, events.SetRelease) and order.release == "new"
     assert tell(machine, 2.0, **{order.gateway: seen("new", "old", "changing")}) == []
     (bake,) = tell(machine, 3.0, **{order.gateway: seen("new")})[:1]
-    assert bake == controller.Bake(0)
+    assert bake == events.StartBake(0)
 
 
 def test_the_bake_begins_once_the_stage_has_stood_for_a_while() -> None:
@@ -223,84 +243,97 @@
     assert tell(machine, 6.0, **{changed: seen("new", "", "down")}) == []  # and anew after this
     assert tell(machine, 7.0, **{changed: seen("new")}) == []
     assert tell(machine, 11.9, **{changed: seen("new")}) == []
-    assert tell(machine, 12.0, **{changed: seen("new")})[:1] == [controller.Bake(0)]
+    assert tell(machine, 12.0, **{changed: seen("new")})[:1] == [events.StartBake(0)]
 
 
 def test_what_is_decided_is_stored_before_it_is_told_and_again_where_that_is_open() -> None:
     machine = leading()
     order = tell(machine, 1.0)[-1]
-    assert isinstance(order, controller.Order)
-    (store,) = machine.handle(2.0, Word(1, "abort"))
-    assert isinstance(store, controller.Store) and store.record.way == "back"
+    assert isinstance(order, events.SetRelease)
+    (store,) = machine.handle(2.0, OperatorRequested(1, OperatorAction.ABORT))
+    assert isinstance(store, events.StoreRecord) and store.record.phase is RolloutPhase.ROLLING_BACK
     assert tell(machine, 3.0, **{order.gateway: seen("new")}) == []  # nothing is told meanwhile
-    (again,) = machine.handle(4.0, controller.Stored(store.record, False))
+    (again,) = machine.handle(4.0, events.RecordStored(store.record, False))
     assert again == store
-    (back,) = machine.handle(5.0, controller.Stored(store.record, True))
-    assert back == controller.Order(DAEMON_OF[order.gateway], order.gateway, "old")
+    (back,) = machine.handle(5.0, events.RecordStored(store.record, True))
+    assert back == events.SetRelease(DAEMON_OF[order.gateway], order.gateway, "old")
 
 
 def test_another_leader_goes_on_from_the_record_alone() -> None:
     machine = leading()
     changed = tell(machine, 1.0)[-1].gateway  # type: ignore[union-attr]
     tell(machine, 2.0, **{changed: seen("new")})
-    good = machine.handle(13.0, controller.Judged(0, Look(Verdict.GOOD, 0.01, ())))
+    good = machine.handle(13.0, events.AnalysisCompleted(0, AnalysisResult(Verdict.SUCCESSFUL, 0.01, ())))
     orders = stored(machine, 14.0, good)
-    assert machine.record.stage == 1 and isinstance(orders[0], controller.Order)
-    other = leading(decode(encode(machine.record)))
+    assert machine.record.stage == 1 and isinstance(orders[0], events.SetRelease)
+    other = leading(decode_record(encode_record(machine.record)))
     found = tell(other, 20.0, **{changed: seen("new")})
-    assert [one.gateway for one in found if isinstance(one, controller.Order)] != [changed]
+    assert [one.gateway for one in found if isinstance(one, events.SetRelease)] != [changed]
     assert other.record == machine.record
 
 
-@pytest.mark.parametrize("on_doubt", ["hold", "back"])
-def test_doubt_holds_or_goes_back_as_the_plan_says_and_an_operator_resumes(on_doubt: str) -> None:
-    machine = leading(on_doubt=on_doubt)
+@pytest.mark.parametrize("policy", InconclusivePolicy)
+def test_doubt_holds_or_goes_back_as_the_plan_says_and_an_operator_resumes(
+    policy: InconclusivePolicy,
+) -> None:
+    machine = leading(on_inconclusive=policy)
     changed = tell(machine, 1.0)[-1].gateway  # type: ignore[union-attr]
     tell(machine, 2.0, **{changed: seen("new")})
-    doubt = machine.handle(13.0, controller.Judged(0, Look(Verdict.DOUBT, 0.01, ("too few calls",))))
+    doubt = machine.handle(
+        13.0, events.AnalysisCompleted(0, AnalysisResult(Verdict.INCONCLUSIVE, 0.01, ("too few calls",)))
+    )
     stored(machine, 13.1, doubt)
-    assert machine.record.way == ("held" if on_doubt == "hold" else "back")
-    assert "too few calls" in machine.record.why
-    if on_doubt == "hold":
+    assert machine.record.phase is (
+        RolloutPhase.ON_HOLD if policy is InconclusivePolicy.HOLD else RolloutPhase.ROLLING_BACK
+    )
+    assert "too few calls" in machine.record.reason
+    if policy is InconclusivePolicy.HOLD:
         assert tell(machine, 14.0, **{changed: seen("new")}) == []
-        stored(machine, 15.0, machine.handle(15.0, Word(1, "resume")))
-        assert line_of(machine.record).startswith("p: forward")
-        assert machine.handle(15.1, Word(1, "resume")) == []  # one word counts once
+        stored(machine, 15.0, machine.handle(15.0, OperatorRequested(1, OperatorAction.RESUME)))
+        assert summarize(machine.record).startswith("p: forward")
+        assert machine.handle(15.1, OperatorRequested(1, OperatorAction.RESUME)) == []  # one word counts once
 
 
 def test_a_release_that_a_daemon_gave_up_goes_back_at_once() -> None:
     machine = leading()
     changed = tell(machine, 1.0)[-1].gateway  # type: ignore[union-attr]
     actions = tell(machine, 2.0, **{changed: seen("new", "old", "up", refused="new")})
-    (store,) = [one for one in actions if isinstance(one, controller.Store)]
-    assert store.record.way == "back" and "could not be run" in store.record.why
+    (store,) = [one for one in actions if isinstance(one, events.StoreRecord)]
+    assert store.record.phase is RolloutPhase.ROLLING_BACK and "could not be run" in store.record.reason
 
 
 def test_a_daemon_that_says_done_and_did_nothing_is_not_believed() -> None:
     state = GatewayStatus(
         "new", "new", GatewayPhase.SERVING, 3, 0, metrics=GatewayMetrics(0.4, reported_release="old")
     )
-    assert runs(state) == "old"
+    assert running_release(state) == "old"
     machine = leading()
     changed = tell(machine, 1.0)[-1].gateway  # type: ignore[union-attr]
-    done = {changed: seen("new", runs(state))}
+    done = {changed: seen("new", running_release(state))}
     assert tell(machine, 2.0, **done) == []
-    (store,) = machine.handle(23.0, controller.Tick())
-    assert isinstance(store, controller.Store) and store.record.way == "held" and changed in store.record.why
+    (store,) = machine.handle(23.0, events.Tick())
+    assert (
+        isinstance(store, events.StoreRecord)
+        and store.record.phase is RolloutPhase.ON_HOLD
+        and changed in store.record.reason
+    )
     assert (
-        runs(
+        running_release(
             GatewayStatus(
                 "new", "new", GatewayPhase.SERVING, 3, 0, metrics=GatewayMetrics(9.0, reported_release="old")
             )
         )
         == "new"
     )
-    assert runs(GatewayStatus("new", "new", GatewayPhase.SERVING, 3, 0, metrics=GatewayMetrics(0.4))) == "new"
+    assert (
+        running_release(GatewayStatus("new", "new", GatewayPhase.SERVING, 3, 0, metrics=GatewayMetrics(0.4)))
+        == "new"
+    )
 
 
 def test_the_next_zone_waits_for_whoever_is_down_in_another() -> None:
-    machine = leading(unavailable_most=2, stages=(Stage(share=1.0, bake_s=10.0),))
-    orders = [one for one in tell(machine, 1.0) if isinstance(one, controller.Order)]
+    machine = leading(max_unavailable=2, stages=(Stage(share=1.0, bake_s=10.0),))
+    orders = [one for one in tell(machine, 1.0) if isinstance(one, events.SetRelease)]
     assert len({DAEMON_OF[one.gateway] for one in orders}) == 1 and len(orders) == 2
     # One of them comes up, the other stays down: nobody of the other zone is touched.
     up, down = (one.gateway for one in orders)
@@ -312,32 +345,39 @@
     changed = tell(machine, 1.0)[-1].gateway  # type: ignore[union-attr]
     hung = {changed: seen("new", "", "changing")}
     tell(machine, 2.0, **hung)
-    (store,) = machine.handle(23.0, controller.Tick())
-    assert isinstance(store, controller.Store) and store.record.way == "held" and changed in store.record.why
-    machine.handle(23.1, controller.Stored(store.record, True))
-    stored(machine, 24.0, machine.handle(24.0, Word(1, "abort")))
+    (store,) = machine.handle(23.0, events.Tick())
+    assert (
+        isinstance(store, events.StoreRecord)
+        and store.record.phase is RolloutPhase.ON_HOLD
+        and changed in store.record.reason
+    )
+    machine.handle(23.1, events.RecordStored(store.record, True))
+    stored(machine, 24.0, machine.handle(24.0, OperatorRequested(1, OperatorAction.ABORT)))
     back = {changed: seen("old", "", "changing")}
     tell(machine, 25.0, **back)
-    (told,) = machine.handle(50.0, controller.Tick())
-    assert isinstance(told, controller.Store) and "going back" in told.record.notes[-1]
+    (told,) = machine.handle(50.0, events.Tick())
+    assert isinstance(told, events.StoreRecord) and "going back" in told.record.history[-1]
 
 
 def test_a_record_of_another_version_is_refused_and_none_is_none() -> None:
-    assert decode(b"") is None
+    assert decode_record(b"") is None
     with pytest.raises(ValueError, match="version 9"):
-        decode(b'{"version": 9}')
+        decode_record(b'{"version": 9}')
     with pytest.raises(ValueError, match="can't be read"):
-        decode(b"\xff")
+        decode_record(b"\xff")
 
 
 def test_a_record_with_the_longest_history_fits_the_lease_s_value() -> None:
     record = leading().record
     for number in range(30):
         record = replace(
-            record, notes=(*record.notes, f"{number}" + "x" * controller.NOTE_MOST)[-controller.NOTES_MOST :]
+            record,
+            history=(*record.history, f"{number}" + "x" * record_updates.MAX_LINE_LENGTH)[
+                -record_updates.MAX_HISTORY_LINES :
+            ],
         )
-    record = replace(record, why="y" * controller.WHY_MOST)
-    assert len(encode(record)) < 4096
+    record = replace(record, reason="y" * record_updates.MAX_REASON_LENGTH)
+    assert len(encode_record(record)) < 4096
 
 
 # ---- every order
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -11,17 +11,17 @@
 from saffronstack.fleet.control.messages import DaemonStatus, GatewayCommand, GatewayMetrics, GatewayStatus
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
 from saffronstack.fleet.leases.reading import Reading
-from saffronstack.fleet.rollout.controller import Record, first
-from saffronstack.fleet.rollout.leader import Leader
-from saffronstack.fleet.rollout.plan import Gateway, Plan, Release, Stage
+from saffronstack.fleet.rollout.leader import LeaderOptions, RolloutLeader
+from saffronstack.fleet.rollout.plan import FleetGateway, Release, RolloutFleet, RolloutPlan, Stage
+from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, create_record
 from saffronstack.invoke.figures import times
 
 ROUND_S = 0.5
 CALLS_PER_S = 30
 BAKE_S = 2.0
 OLD, NEW = Release(version="1", digest="old"), Release(version="2", digest="new")
-PLAN = Plan(
-    name="plan", base="old", stages=(Stage(share=1.0, bake_s=BAKE_S),), settle_s=0.0, calls_least=20
+PLAN = RolloutPlan(
+    name="plan", base_digest="old", stages=(Stage(share=1.0, bake_s=BAKE_S),), settle_s=0.0, min_calls=20
 )  # fmt: skip
 
 
@@ -83,39 +83,39 @@
         return GatewayStatus(self._runs, self._runs, GatewayPhase.SERVING, self._life, 0, metrics=figures)
 
 
-def led(every_s: float, until_s: float = 1e9) -> tuple[Record, float]:
+def led(every_s: float, until_s: float = 1e9) -> tuple[RolloutRecord, float]:
     """The record at the end of a rollout, and how long it took on the clock."""
     clock = Clock()
     began_s = clock()
     stopping = threading.Event()
-    gateway = Gateway(name="g", zone="east")
+    gateway = FleetGateway(name="g", zone="east")
 
-    def stop_when_held(record: Record, waits: str) -> None:
-        if record.way == "held":
+    def stop_when_held(record: RolloutRecord, waits: str) -> None:
+        if record.phase is RolloutPhase.ON_HOLD:
             stopping.set()
 
-    leader = Leader(
-        [gateway], {"g": "d"}, ToldDaemons(clock, every_s, until_s), Lease(), lambda: Reading(True, {}),
-        stop_when_held, clock, round_s=0.0,
+    leader = RolloutLeader(
+        RolloutFleet((gateway,), {"g": "d"}), ToldDaemons(clock, every_s, until_s), Lease(),
+        lambda: Reading(True, {}), stop_when_held, clock, LeaderOptions(round_interval_s=0.0),
     )  # fmt: skip
-    record = leader.lead(first(PLAN, OLD, NEW), stopping)
+    record = leader.lead(create_record(PLAN, OLD, NEW), stopping)
     return record, clock() - began_s
 
 
 def test_a_bake_ends_by_figures_of_its_end_not_by_older_ones() -> None:
     """Metrics come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
     record, took_s = led(every_s=2.9)
-    assert record.way == "done", record.notes
+    assert record.phase is RolloutPhase.COMPLETED, record.history
     assert BAKE_S < took_s < 2 * BAKE_S + 2.9
 
 
 def test_figures_that_are_fresh_make_no_bake_longer() -> None:
     record, took_s = led(every_s=ROUND_S)
-    assert record.way == "done", record.notes
+    assert record.phase is RolloutPhase.COMPLETED, record.history
     assert took_s <= BAKE_S + 4 * ROUND_S
 
 
 def test_a_gateway_that_tells_no_figures_any_more_is_not_waited_for() -> None:
     record, took_s = led(every_s=ROUND_S, until_s=101.0)
-    assert record.way == "held" and "could not be asked" in record.notes[-1], record.notes
+    assert record.phase is RolloutPhase.ON_HOLD and "could not be asked" in record.history[-1], record.history
     assert took_s < BAKE_S + 4.0
--- a/tests/test_rollout_plan.py
+++ b/tests/test_rollout_plan.py
@@ -10,27 +10,31 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from saffronstack.fleet.rollout.plan import (
-    Format,
-    Gateway,
-    Plan,
-    Release,
-    Stage,
-    batches,
-    problems,
-    reach,
-    spread,
+from saffronstack.fleet.rollout.plan import DataFormat, FleetGateway, Release, RolloutPlan, Stage
+from saffronstack.fleet.rollout.plan_validation import validate_plan
+from saffronstack.fleet.rollout.rollout_order import interleave_zones, stage_targets, zone_batches
+
+OLD = Release(
+    version="1.4",
+    digest="aa",
+    formats=(DataFormat(component="ledger", readable_versions=(1, 2), written_version=2),),
 )
-
-OLD = Release(version="1.4", digest="aa", formats=(Format(part="ledger", reads=(1, 2), writes=2),))
-NEW = Release(version="1.5", digest="bb", formats=(Format(part="ledger", reads=(2, 3), writes=2),))
-FLEET = [Gateway(name=f"g{n:02}", zone="abc"[n % 3], group="ring0" if n < 2 else "rest") for n in range(40)]
+NEW = Release(
+    version="1.5",
+    digest="bb",
+    formats=(DataFormat(component="ledger", readable_versions=(2, 3), written_version=2),),
+)
+FLEET = [
+    FleetGateway(name=f"g{n:02}", zone="abc"[n % 3], group="ring0" if n < 2 else "rest") for n in range(40)
+]
 STAGES = (Stage(count=1), Stage(share=0.1), Stage(share=0.5), Stage(share=1.0))
-PLAN = Plan(name="to-1.5", base="aa", stages=STAGES, unavailable_most=4)
+PLAN = RolloutPlan(name="to-1.5", base_digest="aa", stages=STAGES, max_unavailable=4)
 
 
-def refused(plan: Plan = PLAN, fleet: list[Gateway] = FLEET, old: Release = OLD, new: Release = NEW) -> str:
-    return "\n".join(problems(plan, fleet, old, new))
+def refused(
+    plan: RolloutPlan = PLAN, fleet: list[FleetGateway] = FLEET, old: Release = OLD, new: Release = NEW
+) -> str:
+    return "\n".join(validate_plan(plan, fleet, old, new))
 
 
 def test_a_sound_plan_is_not_refused() -> None:
@@ -41,7 +45,7 @@
 @pytest.mark.parametrize(
     ("change", "line"),
     [
-        ({"base": "zz"}, "base: made on 'zz', and the fleet runs 'aa': the plan is stale"),
+        ({"base_digest": "zz"}, "base: made on 'zz', and the fleet runs 'aa': the plan is stale"),
         ({"stages": ()}, "stages: none"),
         ({"stages": (Stage(count=1, share=0.5),)}, "stages[0]: count and share given"),
         ({"stages": (Stage(),)}, "stages[0]: nothing given; one of count, share, groups"),
@@ -51,10 +55,10 @@
         ({"stages": (Stage(count=1, bake_s=0.0),)}, "stages[0].bake_s: 0 s"),
         ({"stages": (Stage(share=0.5), Stage(share=0.2))}, "stages[1]: reaches 20 gateways, and the stage"),
         ({"stages": (Stage(share=0.5),)}, "stages: the last one reaches 20 of 40 gateways"),
-        ({"unavailable_most": 0}, "unavailable_most: 0"),
-        ({"unavailable_most": 40}, "40 of 40 gateways would be all"),
-        ({"false_stop": 0.7}, "false_stop: 0.7"),
-        ({"calls_least": 0}, "calls_least: 0"),
+        ({"max_unavailable": 0}, "unavailable_most: 0"),
+        ({"max_unavailable": 40}, "40 of 40 gateways would be all"),
+        ({"false_stop_probability": 0.7}, "false_stop: 0.7"),
+        ({"min_calls": 0}, "calls_least: 0"),
     ],
 )  # fmt: skip
 def test_what_can_not_be_is_refused_with_its_place(change: dict[str, Any], line: str) -> None:
@@ -62,18 +66,22 @@
 
 
 def test_a_format_that_can_not_be_read_back_is_refused_unless_that_is_meant() -> None:
-    writes = replace(NEW, formats=(Format(part="ledger", reads=(2, 3), writes=3),))
+    writes = replace(
+        NEW, formats=(DataFormat(component="ledger", readable_versions=(2, 3), written_version=3),)
+    )
     assert "release.formats[0] (ledger).writes: 1.4 can't read format 3 back" in refused(new=writes)
-    assert refused(replace(PLAN, one_way=True), new=writes) == ""
-    reads = replace(NEW, formats=(Format(part="ledger", reads=(3,), writes=2),))
+    assert refused(replace(PLAN, allow_irreversible=True), new=writes) == ""
+    reads = replace(NEW, formats=(DataFormat(component="ledger", readable_versions=(3,), written_version=2),))
     assert "reads: format 2, which 1.4 wrote, is missing" in refused(new=reads)
-    more = replace(NEW, formats=(*NEW.formats, Format(part="copies", reads=(1,), writes=1)))
+    more = replace(
+        NEW, formats=(*NEW.formats, DataFormat(component="copies", readable_versions=(1,), written_version=1))
+    )
     assert refused(new=more) == ""  # a part that the old one does not know, and leaves alone
     assert "ledger, which 1.4 writes, is unknown to 1.5" in refused(new=replace(NEW, formats=()))
 
 
 def test_two_rollouts_at_once_a_fleet_with_a_name_twice_and_no_change_are_refused() -> None:
-    assert problems(PLAN, FLEET, OLD, NEW, ["other"]) == [
+    assert validate_plan(PLAN, FLEET, OLD, NEW, ["other"]) == [
         "name: a rollout is under way already, 'other': end or abort it"
     ]
     assert "fleet: 'g00' stands twice" in refused(fleet=[*FLEET, FLEET[0]])
@@ -82,29 +90,33 @@
 
 
 def test_a_stage_holds_the_one_before_and_each_zone_has_its_part_of_both_sides() -> None:
-    one, tenth, half, all_ = reach(PLAN, FLEET)
+    one, tenth, half, all_ = stage_targets(PLAN, FLEET)
     assert [len(stage) for stage in (one, tenth, half, all_)] == [1, 4, 20, 40]
     assert tenth[:1] == one and half[:4] == tenth and all_[:20] == half
     assert set(all_) == {gateway.name for gateway in FLEET}
     zone_of = {gateway.name: gateway.zone for gateway in FLEET}
     assert set(Counter(zone_of[name] for name in tenth)) == {"a", "b", "c"}
     assert max(Counter(zone_of[name] for name in half).values()) <= 7
-    assert len({reach(replace(PLAN, name=f"p{n}"), FLEET)[0] for n in range(8)}) > 3  # not always the same
-    assert reach(PLAN, FLEET[::-1]) == reach(PLAN, FLEET)  # whoever leads, and however the file is sorted
+    assert (
+        len({stage_targets(replace(PLAN, name=f"p{n}"), FLEET)[0] for n in range(8)}) > 3
+    )  # not always the same
+    assert stage_targets(PLAN, FLEET[::-1]) == stage_targets(
+        PLAN, FLEET
+    )  # whoever leads, and however the file is sorted
 
 
 def test_groups_come_first_where_a_stage_names_them() -> None:
-    first, rest = reach(replace(PLAN, stages=(Stage(groups=("ring0",)), Stage(share=1.0))), FLEET)
+    first, rest = stage_targets(replace(PLAN, stages=(Stage(groups=("ring0",)), Stage(share=1.0))), FLEET)
     assert set(first) == {"g00", "g01"} and len(rest) == 40
 
 
 @settings(deadline=None, max_examples=100, derandomize=True)
 @given(st.lists(st.sampled_from("abcd"), min_size=1, max_size=60), st.integers(1, 7))
 def test_never_two_zones_at_once_nor_more_than_may_be_down(zones: list[str], most: int) -> None:
-    fleet = [Gateway(name=f"g{n}", zone=zone) for n, zone in enumerate(zones)]
+    fleet = [FleetGateway(name=f"g{n}", zone=zone) for n, zone in enumerate(zones)]
     zone_of = {gateway.name: gateway.zone for gateway in fleet}
-    changed = [gateway.name for gateway in spread("p", fleet)]
-    found = batches(changed, fleet, most)
+    changed = [gateway.name for gateway in interleave_zones("p", fleet)]
+    found = zone_batches(changed, fleet, most)
     assert sorted(name for batch in found for name in batch) == sorted(changed)  # each once
     for batch in found:
         assert 1 <= len(batch) <= most and len({zone_of[name] for name in batch}) == 1
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from saffronstack.fleet.rollout.record import RolloutPhase
 from saffronstack.harness.links import Mode
 from saffronstack.harness.rollout.processes import RolloutRig, Sizes
 from tests.support.stack import eventually
@@ -23,7 +24,7 @@
 def stage(rig: RolloutRig, wanted: int) -> Callable[[], bool]:
     def reached() -> bool:
         record = rig.record()
-        return record is not None and (record.stage >= wanted or record.over)
+        return record is not None and (record.stage >= wanted or record.is_finished)
 
     return reached
 
@@ -90,7 +91,10 @@
             rig.signal(victim, signal.SIGSTOP)
             told = rig.run("rollout", "abort", "--fleet", str(rig.path))
             assert told.returncode == 0, told.stderr
-            eventually(lambda: (found := rig.record()) is not None and found.way == "back", WAIT_S)
+            eventually(
+                lambda: (found := rig.record()) is not None and found.phase is RolloutPhase.ROLLING_BACK,
+                WAIT_S,
+            )
             rig.signal(victim, signal.SIGCONT)
 
         before = next(iter(rig.states().values())).running_release
