--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -29,9 +29,12 @@
 from saffronstack.fleet.rollout.canary_analysis import analyze
 from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
 from saffronstack.harness.links import Mode
+from saffronstack.harness.rollout.defects import Defect
+from saffronstack.harness.rollout.exploration import explore
 from saffronstack.harness.rollout.processes import RolloutRig, Sizes
+from saffronstack.harness.rollout.random_walk import walk_randomly
 from saffronstack.harness.rollout.releases import HARMS
-from saffronstack.harness.rollout.simulation import BROKEN, InvariantError, explore, wander
+from saffronstack.harness.rollout.simulated_world import InvariantError, WorldSize
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
 
@@ -259,9 +262,9 @@
     return False
 
 
-def _walk(asked: tuple[int, str]) -> str:
+def _walk(asked: tuple[int, Defect]) -> str:
     try:
-        wander(asked[0], 250, asked[1])
+        walk_randomly(asked[0], 250, asked[1])
     except InvariantError as error:
         return f"seed {asked[0]}: {error}"
     return ""
@@ -273,7 +276,7 @@
         began = time.monotonic()
         found = [
             line
-            for line in pool.map(_walk, ((seed, "") for seed in range(asked.seeds)), chunksize=100)
+            for line in pool.map(_walk, ((seed, Defect.NONE) for seed in range(asked.seeds)), chunksize=100)
             if line
         ]
         print(
@@ -282,21 +285,23 @@
         )
         for line in found[:5]:
             print("  ", line)
-        for broken in BROKEN:
+        for defect in Defect:
+            if defect is Defect.NONE:
+                continue
             tried = min(3000, asked.seeds)
             hits = [
                 line
-                for line in pool.map(_walk, ((seed, broken) for seed in range(tried)), chunksize=100)
+                for line in pool.map(_walk, ((seed, defect) for seed in range(tried)), chunksize=100)
                 if line
             ]
-            print(f"  {broken}: found by {len(hits)} of {tried} walks", flush=True)
-        for size in ((2, 2, 2), (3, 2, 2)):
+            print(f"  {defect.value}: found by {len(hits)} of {tried} walks", flush=True)
+        for size in (WorldSize(2, 2, 2), WorldSize(3, 2, 2)):
             told = explore(asked.states, 60, size=size)
             print(
-                f"every order, {size[0]} gateways: {told.states} states, {told.depth} steps: "
-                f"{told.broken or 'no breach'}"
+                f"every order, {size.gateways} gateways: {told.states} states, {told.depth} steps: "
+                f"{told.violation or 'no breach'}"
             )
-            found += [told.broken] if told.broken else []
+            found += [told.violation] if told.violation else []
     return not found
 
 
--- /dev/null
+++ b/saffronstack/harness/rollout/exploration.py
@@ -0,0 +1,172 @@
+"""Explores a simulated rollout in every order of steps."""
+
+from __future__ import annotations
+
+import copy
+import functools
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+
+from saffronstack.fleet.control.gateway_reconciler import IncarnationPhase
+from saffronstack.fleet.control.observed_gateway import ObservedGateway
+from saffronstack.fleet.rollout.operator_requests import OperatorAction
+from saffronstack.harness.rollout.defects import Defect
+from saffronstack.harness.rollout.invariants import InvariantChecker
+from saffronstack.harness.rollout.simulated_daemon import SimulatedDaemon
+from saffronstack.harness.rollout.simulated_world import (
+    InvariantError,
+    SimulatedLeader,
+    SimulatedWorld,
+    WorldSize,
+    draw_harm,
+    draw_no_fault,
+)
+
+MAX_COMMANDS_TRIED = 4  # of those in flight
+MAX_DAEMON_INCARNATION = 3
+DEFAULT_SIZE = WorldSize(gateways=3, daemons=2, zones=2)
+
+
+@dataclass(frozen=True, slots=True)
+class Exploration:
+    """What an exploration came to: its size, and the first violation with the steps that led to it."""
+
+    states: int
+    depth: int
+    violation: str = ""
+    path: tuple[str, ...] = ()
+
+
+@dataclass(slots=True)
+class _Node:
+    """A state that was reached, and how."""
+
+    world: SimulatedWorld
+    checker: InvariantChecker
+    path: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class _Step:
+    name: str
+    run: Callable[[SimulatedWorld], object]
+
+
+def explore(
+    max_states: int, max_depth: int, defect: Defect = Defect.NONE, size: WorldSize = DEFAULT_SIZE
+) -> Exploration:
+    """Explore breadth first, to a depth or a number of states, and stop at the first violation."""
+    world = SimulatedWorld(size, defect=defect)
+    start = _Node(world, InvariantChecker(world))
+    world.change_leader()
+    start.checker.check()
+    known = {state_key(world)}
+    layer = [start]
+    for depth in range(1, max_depth + 1):
+        following: list[_Node] = []
+        for node in layer:
+            for step in _possible_steps(node.world):
+                try:
+                    reached = _take(node, step)
+                except InvariantError as error:
+                    return Exploration(len(known), depth, str(error), (*node.path, step.name))
+                key = state_key(reached.world)
+                if key in known:
+                    continue
+                known.add(key)
+                if len(known) >= max_states:
+                    return Exploration(len(known), depth)
+                following.append(reached)
+        if not following:
+            return Exploration(len(known), depth)
+        layer = following
+    return Exploration(len(known), max_depth)
+
+
+def _take(node: _Node, step: _Step) -> _Node:
+    """Return the state after a step; from it a leader that is left alone must finish the rollout."""
+    reached = copy.deepcopy(node)
+    step.run(reached.world)
+    reached.checker.check()
+    copy.deepcopy(reached).checker.finish()
+    reached.path = (*node.path, step.name)
+    return reached
+
+
+def _possible_steps(world: SimulatedWorld) -> Iterator[_Step]:
+    yield _Step("round", lambda world: world.play_round(draw_no_fault))
+    yield _Step("round that finds harm", lambda world: world.play_round(draw_harm))
+    yield _Step("another leader", SimulatedWorld.change_leader)
+    yield _Step("abort", _abort_once)
+    for index, _ in enumerate(world.in_flight[:MAX_COMMANDS_TRIED]):
+        yield _Step(f"command {index} arrives", functools.partial(_deliver, index, False))
+        yield _Step(f"command {index} arrives, and will again", functools.partial(_deliver, index, True))
+    for gateway, daemon_name in world.daemon_of.items():
+        if not _is_gateway_calm(world.daemons[daemon_name], gateway):
+            yield _Step(f"{gateway} advances", functools.partial(_advance, gateway, False))
+            yield _Step(f"{gateway} fails", functools.partial(_advance, gateway, True))
+    for name, daemon in world.daemons.items():
+        if daemon.is_calm() and daemon.fence.incarnation < MAX_DAEMON_INCARNATION:
+            yield _Step(f"{name} restarts", functools.partial(_restart, name))
+
+
+def _abort_once(world: SimulatedWorld) -> bool:
+    return world.request is None and world.leave_request(OperatorAction.ABORT)
+
+
+def _deliver(index: int, is_repeated: bool, world: SimulatedWorld) -> bool:
+    return world.deliver(index, is_repeated)
+
+
+def _advance(gateway: str, fails: bool, world: SimulatedWorld) -> bool:
+    return world.advance_gateway(gateway, fails)
+
+
+def _restart(name: str, world: SimulatedWorld) -> bool:
+    return world.restart_daemon(name, is_disk_lost=False)
+
+
+def _is_gateway_calm(daemon: SimulatedDaemon, gateway: str) -> bool:
+    return all(phase is IncarnationPhase.SERVING for phase in daemon.processes[gateway].values())
+
+
+def state_key(world: SimulatedWorld) -> str:
+    """Return what tells one state from another; times and counts that only grow are left out."""
+    daemons = [(name, *_daemon_key(daemon)) for name, daemon in world.daemons.items()]
+    in_flight = [
+        (one.daemon, one.token, one.gateway, one.release, one.incarnation) for one in world.in_flight
+    ]  # fmt: skip
+    record = world.record
+    stored = record.phase.value, record.stage, record.is_paused, record.last_request
+    request = world.request
+    return repr((daemons, _leader_key(world.leader), in_flight, stored, world.granted_token, request))
+
+
+def _daemon_key(daemon: SimulatedDaemon) -> tuple[object, ...]:
+    gateways = tuple(
+        (
+            gateway, _observed_key(reconciler.observe()),
+            tuple(sorted(phase.value for phase in daemon.processes[gateway].values())),
+        )
+        for gateway, reconciler in daemon.reconcilers.items()
+    )  # fmt: skip
+    releases = tuple(sorted(daemon.stored_releases.items()))
+    return daemon.fence.token, daemon.fence.incarnation, releases, gateways
+
+
+def _leader_key(leader: SimulatedLeader | None) -> tuple[object, ...] | None:
+    if leader is None:
+        return None
+    controller = leader.controller
+    record, view = controller.record, controller.view
+    observed = sorted((name, _observed_key(one)) for name, one in view.observed.items())
+    return (
+        leader.token, record.phase.value, record.stage, record.is_paused,
+        tuple(sorted(view.pending.items())), controller.bake.has_started, tuple(observed),
+    )  # fmt: skip
+
+
+def _observed_key(observed: ObservedGateway) -> tuple[str, str, str, str]:
+    return (
+        observed.desired_release, observed.running_release, observed.phase.value, observed.failed_release
+    )  # fmt: skip
--- /dev/null
+++ b/saffronstack/harness/rollout/random_walk.py
@@ -0,0 +1,96 @@
+"""Random walks through a simulated rollout."""
+
+from __future__ import annotations
+
+import random
+
+from saffronstack.fleet.rollout.operator_requests import OperatorAction
+from saffronstack.harness.rollout.defects import Defect
+from saffronstack.harness.rollout.invariants import InvariantChecker
+from saffronstack.harness.rollout.simulated_world import SimulatedWorld, WorldSize
+
+SIZES = (WorldSize(2, 1, 1), WorldSize(2, 2, 2), WorldSize(3, 2, 2), WorldSize(4, 2, 2), WorldSize(6, 3, 3))
+MAX_RESTARTS = 3
+UNUSABLE_PROBABILITY = 0.15
+REPEAT_PROBABILITY = 0.15
+PROCESS_FAILURE_PROBABILITY = 0.05
+DISK_LOSS_PROBABILITY = 0.3
+
+
+class RandomWalk:
+    """One walk, drawn from a seed."""
+
+    def __init__(self, seed: int, defect: Defect = Defect.NONE) -> None:
+        self._random = random.Random(seed)
+        size = self._random.choice(SIZES)
+        is_new_unusable = self._random.random() < UNUSABLE_PROBABILITY
+        self.world = SimulatedWorld(size, is_new_unusable, defect)
+        self.checker = InvariantChecker(self.world)
+        self._restarts = 0
+        self._steps = {
+            self._play_round: 30,
+            self._deliver: 20,
+            self._lose: 3,
+            self._advance_gateway: 40,
+            self.world.change_leader: 2,
+            self._restart_daemon: 1.0,
+            self._leave_request: 0.3,
+        }
+
+    def run(self, step_count: int) -> int:
+        """Walk and come to the end; return how many steps were possible.
+
+        Raises:
+            InvariantError: Something that must be true is not.
+        """
+        self.world.change_leader()
+        self.checker.check()
+        possible = 0
+        for _ in range(step_count):
+            step = self._random.choices(list(self._steps), list(self._steps.values()))[0]
+            possible += step()
+            self.checker.check()
+        self.checker.finish()
+        return possible
+
+    def _play_round(self) -> bool:
+        return self.world.play_round(self._random.randrange)
+
+    def _deliver(self) -> bool:
+        index = self._draw_command()
+        return self.world.deliver(index, self._random.random() < REPEAT_PROBABILITY)
+
+    def _lose(self) -> bool:
+        return self.world.lose(self._draw_command())
+
+    def _draw_command(self) -> int:
+        return self._random.randrange(max(1, len(self.world.in_flight)))
+
+    def _advance_gateway(self) -> bool:
+        gateway = self._random.choice(list(self.world.daemon_of))
+        return self.world.advance_gateway(gateway, self._random.random() < PROCESS_FAILURE_PROBABILITY)
+
+    def _restart_daemon(self) -> bool:
+        """Restart a daemon between changes.
+
+        One that is replaced in the midst of a change leaves its gateway down until it is back, which is not
+        the leader's doing; the rig of processes kills daemons at any moment.
+        """
+        if self._restarts == MAX_RESTARTS:
+            return False
+        self._restarts += 1
+        self.checker.calm_gateways()
+        name = self._random.choice(list(self.world.daemons))
+        return self.world.restart_daemon(name, self._random.random() < DISK_LOSS_PROBABILITY)
+
+    def _leave_request(self) -> bool:
+        return self.world.leave_request(self._random.choice(list(OperatorAction)))
+
+
+def walk_randomly(seed: int, step_count: int, defect: Defect = Defect.NONE) -> int:
+    """Walk once; return how many steps were possible.
+
+    Raises:
+        InvariantError: Something that must be true is not.
+    """
+    return RandomWalk(seed, defect).run(step_count)
--- /dev/null
+++ b/saffronstack/harness/rollout/simulated_world.py
@@ -0,0 +1,295 @@
+"""A rollout without processes: a leader, daemons and the lease's store, in virtual time.
+
+The real decisions (`RolloutController`, `CommandFence`, `GatewayReconciler`) are driven by steps that
+`random_walk` or `exploration` choose: polls that are lost, commands that arrive late, twice or never, leaders
+that stop between any two actions and are followed by another, daemons that restart or lose their disk,
+releases that do not start, an operator's requests. `invariants` holds what must be true after each step."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from saffronstack.fleet.control.errors import RejectedRequestError
+from saffronstack.fleet.rollout import events
+from saffronstack.fleet.rollout.canary_types import AnalysisResult, Verdict
+from saffronstack.fleet.rollout.controller import RolloutController
+from saffronstack.fleet.rollout.operator_requests import OperatorAction
+from saffronstack.fleet.rollout.plan import FleetGateway, Release, RolloutFleet, RolloutPlan, Stage
+from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, create_record
+from saffronstack.harness.rollout.defects import Defect, apply_defect
+from saffronstack.harness.rollout.simulated_daemon import SimulatedDaemon
+
+OLD, NEW = Release(version="1", digest="old"), Release(version="2", digest="new")
+STEP_S = 1.0
+BAKE_S = 3.0
+STALL_TIMEOUT_S = 30.0
+ALPHA_PER_ANALYSIS = 0.001
+
+# Draws a number from 0 up to but without its argument; each kind of draw has an argument of its own.
+Draw = Callable[[int], int]
+POLL_LOST_DRAW = 6  # 0: the poll or its answer is lost
+ANSWER_LOST_DRAW = 2  # 0: it was the poll
+STORE_UNCONFIRMED_DRAW = 5  # 0: the record is stored, and the leader does not learn it
+STORE_AFTERWARDS_DRAW = 3  # 0: a record whose commands are out is never stored
+HARM_DRAW = 12  # HARM_DRAW - 1: the analysis finds harm in the midst of a bake
+UNCLEAR_DRAW = 6  # 0: the bake's last analysis is no success
+INCONCLUSIVE_DRAW = 2  # 0: it has failed
+
+
+class InvariantError(Exception):
+    """Something that must be true is not; the text says what."""
+
+
+@dataclass(frozen=True, slots=True)
+class WorldSize:
+    """How many gateways, on how many daemons, in how many zones."""
+
+    gateways: int
+    daemons: int
+    zones: int
+
+
+@dataclass(frozen=True, slots=True)
+class InFlightCommand:
+    """A command on its way; it may still arrive whatever became of its sender."""
+
+    daemon: str
+    token: int
+    sequence: int
+    incarnation: int
+    gateway: str
+    release: str
+
+
+@dataclass(slots=True)
+class SimulatedLeader:
+    """One holding of the lease; ``incarnations`` are the daemons' as it saw them last."""
+
+    controller: RolloutController
+    token: int
+    sequence: int = 0
+    incarnations: dict[str, int] = field(default_factory=dict)
+
+
+class SimulatedWorld:
+    """A fleet in the midst of a rollout; each step returns whether it was possible.
+
+    Attributes:
+        now_s: The virtual time.
+        record: The record that the lease's store holds.
+        granted_token: The fencing token that was granted last.
+        leader: The present holder of the lease; None once it does not know what is stored.
+        request: The operator's last request.
+        in_flight: Commands on their way.
+        tokens_of_rollback: Tokens of leaders that took the lease of a rollout that rolls back.
+    """
+
+    def __init__(self, size: WorldSize, is_new_unusable: bool = False, defect: Defect = Defect.NONE) -> None:
+        """Create a world before its first leader; with ``is_new_unusable`` the new release does not start."""
+        self.defect = defect
+        self._unusable_release = NEW.digest if is_new_unusable else ""
+        self.now_s = 0.0
+        names = [f"g{number}" for number in range(size.gateways)]
+        self.daemon_of = {f"g{number}": f"d{number % size.daemons}" for number in range(size.gateways)}
+        self.zone_of = {
+            f"g{number}": f"z{number % size.daemons % size.zones}" for number in range(size.gateways)
+        }
+        gateways = tuple(FleetGateway(name=name, zone=self.zone_of[name]) for name in names)
+        self._fleet = RolloutFleet(gateways, self.daemon_of)
+        self.record: RolloutRecord = create_record(_create_plan(size), OLD, NEW)
+        self.granted_token = 0
+        self.leader: SimulatedLeader | None = None
+        self.request: events.OperatorRequested | None = None
+        self.in_flight: list[InFlightCommand] = []
+        self.tokens_of_rollback: set[int] = set()
+        self.daemons = {name: SimulatedDaemon() for name in sorted(set(self.daemon_of.values()))}
+        for gateway, daemon in self.daemon_of.items():
+            self.daemons[daemon].add_gateway(gateway, OLD.digest)
+
+    # ---- steps
+
+    def change_leader(self) -> bool:
+        """Grant the lease to another leader; commands of the one before may still arrive."""
+        self.granted_token += 1
+        record = self.record
+        if self.defect is Defect.ROLLOUT_RESTARTED and record.phase is RolloutPhase.ROLLING_BACK:
+            record = create_record(record.plan, OLD, NEW)
+        controller = RolloutController(record, self._fleet, self.now_s, STALL_TIMEOUT_S)
+        apply_defect(controller, self.defect)
+        self.leader = SimulatedLeader(controller, self.granted_token)
+        if self.record.is_rolling_back:
+            self.tokens_of_rollback.add(self.granted_token)
+        self._store(self.leader, record)
+        return True
+
+    def play_round(self, draw: Draw) -> bool:
+        """Let the leader poll all daemons and send what it decides."""
+        leader = self.leader
+        if leader is None:
+            return False
+        self.now_s += STEP_S
+        reports = [self._poll(leader, name, draw) for name in self.daemons]  # commands are newer than each
+        for report in reports:
+            self._tell(leader, report, draw)
+        if self.request is not None:
+            self._tell(leader, self.request, draw)
+        self._tell(leader, events.Tick(), draw)
+        return True
+
+    def deliver(self, index: int, is_repeated: bool) -> bool:
+        """Let a command arrive; with ``is_repeated`` it will arrive again."""
+        if index >= len(self.in_flight):
+            return False
+        command = self.in_flight[index] if is_repeated else self.in_flight.pop(index)
+        daemon = self.daemons[command.daemon]
+        fence = daemon.fence
+        is_late_accepted = self.defect is Defect.LATE_COMMAND_ACCEPTED
+        sequence = fence.sequence + 1 if is_late_accepted else command.sequence
+        is_incarnation_ignored = self.defect is Defect.INCARNATION_IGNORED
+        incarnation = fence.incarnation if is_incarnation_ignored else command.incarnation
+        try:
+            fence.check(command.token, sequence, incarnation, has_commands=True)
+        except RejectedRequestError:
+            return True  # it has arrived, and does not count
+        self._check_accepted(command)
+        fence.accept(command.token, sequence)
+        daemon.stored_token = max(daemon.stored_token, command.token)
+        daemon.set_desired(self.now_s, command.gateway, command.release)
+        return True
+
+    def lose(self, index: int) -> bool:
+        """Lose a command."""
+        if index >= len(self.in_flight):
+            return False
+        del self.in_flight[index]
+        return True
+
+    def advance_gateway(self, gateway: str, fails: bool) -> bool:
+        """Let a gateway's processes do their next step, or let time pass where there is none."""
+        daemon = self.daemons[self.daemon_of[gateway]]
+        if daemon.advance_process(self.now_s, gateway, fails, self._unusable_release):
+            return True
+        self.now_s += STEP_S
+        daemon.reconcile(self.now_s, gateway)
+        return False
+
+    def restart_daemon(self, name: str, is_disk_lost: bool) -> bool:
+        """Replace a daemon; one whose disk is lost has recovered the token from the lease keepers."""
+        daemon = self.daemons[name]
+        token = self.granted_token if is_disk_lost else daemon.stored_token
+        if self.defect is Defect.TOKEN_FORGOTTEN:
+            token = 0
+        daemon.restart(self.now_s, token, is_disk_lost)
+        return True
+
+    def leave_request(self, action: OperatorAction) -> bool:
+        """Leave an operator's request."""
+        number = self.request.number + 1 if self.request is not None else 1
+        self.request = events.OperatorRequested(number, action)
+        return True
+
+    # ---- a leader's round
+
+    def _poll(self, leader: SimulatedLeader, name: str, draw: Draw) -> events.Event:
+        leader.sequence += 1
+        daemon = self.daemons[name]
+        is_lost = draw(POLL_LOST_DRAW) == 0
+        has_arrived = not is_lost or draw(ANSWER_LOST_DRAW) != 0
+        if not has_arrived or not daemon.accept_poll(leader.token, leader.sequence) or is_lost:
+            return events.DaemonUnreachable(name)
+        leader.incarnations[name] = daemon.fence.incarnation
+        return events.DaemonReported(
+            name, {gateway: reconciler.observe() for gateway, reconciler in daemon.reconcilers.items()}
+        )
+
+    def _tell(self, leader: SimulatedLeader, event: events.Event, draw: Draw) -> None:
+        """Report an event to the leader's controller, and carry out what it decides."""
+        waiting = deque(leader.controller.handle(self.now_s, event))
+        while waiting:
+            action = waiting.popleft()
+            match action:
+                case events.SetRelease():
+                    self._send(leader, action)
+                case events.StoreRecord(record):
+                    if not self._store_drawn(leader, record, draw):
+                        self.leader = None  # it can't know what is stored; the next leader reads it
+                        return
+                    stored = events.RecordStored(record, is_confirmed=True)
+                    waiting.extend(leader.controller.handle(self.now_s, stored))
+                    if self.defect is Defect.COMMANDED_BEFORE_STORED and draw(STORE_AFTERWARDS_DRAW):
+                        self._store(leader, record)
+                case events.AnalyzeStage():
+                    completed = _analyze(action, draw)
+                    waiting.extend(leader.controller.handle(self.now_s, completed))
+                case events.StartBake():
+                    pass  # the analyses are drawn, and need no metrics
+
+    def _send(self, leader: SimulatedLeader, action: events.SetRelease) -> None:
+        leader.sequence += 1
+        self.in_flight.append(
+            InFlightCommand(
+                daemon=action.daemon,
+                token=leader.token,
+                sequence=leader.sequence,
+                incarnation=leader.incarnations.get(action.daemon, 0),
+                gateway=action.gateway,
+                release=action.release,
+            )
+        )
+
+    def _store(self, leader: SimulatedLeader, record: RolloutRecord) -> bool:
+        """Compare and set by the fencing token, as the lease's store does."""
+        if leader.token != self.granted_token:
+            return False
+        self.record = record
+        return True
+
+    def _store_drawn(self, leader: SimulatedLeader, record: RolloutRecord, draw: Draw) -> bool:
+        """Store a record; return whether the leader takes it for stored."""
+        if self.defect is Defect.COMMANDED_BEFORE_STORED:
+            return True
+        return self._store(leader, record) and draw(STORE_UNCONFIRMED_DRAW) != 0
+
+    def _check_accepted(self, command: InFlightCommand) -> None:
+        if command.release == NEW.digest and command.token in self.tokens_of_rollback:
+            raise InvariantError(f"{command.gateway}: a leader of a rollback commands the new release")
+        if self.record.is_finished:
+            reconciler = self.daemons[command.daemon].reconcilers[command.gateway]
+            if reconciler.desired_release != command.release:
+                raise InvariantError(f"{command.gateway}: changes after the end of the rollout")
+
+
+def _create_plan(size: WorldSize) -> RolloutPlan:
+    return RolloutPlan(
+        name="world",
+        base_digest=OLD.digest,
+        stages=(Stage(count=1, bake_s=BAKE_S), Stage(share=1.0, bake_s=BAKE_S)),
+        max_unavailable=1 if size.gateways < 6 else 2,
+        settle_s=0.0,
+    )
+
+
+def _analyze(action: events.AnalyzeStage, draw: Draw) -> events.AnalysisCompleted:
+    spent = action.alpha_spent + ALPHA_PER_ANALYSIS
+    result = AnalysisResult(_draw_verdict(action.progress, draw), spent, ("simulated",))
+    return events.AnalysisCompleted(action.stage, result)
+
+
+def _draw_verdict(progress: float, draw: Draw) -> Verdict:
+    if progress < 1:
+        return Verdict.FAILED if draw(HARM_DRAW) == HARM_DRAW - 1 else Verdict.RUNNING
+    if draw(UNCLEAR_DRAW) == 0:
+        return Verdict.INCONCLUSIVE if draw(INCONCLUSIVE_DRAW) else Verdict.FAILED
+    return Verdict.SUCCESSFUL
+
+
+def draw_no_fault(count: int) -> int:
+    """Draw for a round in which nothing is lost and the analysis finds no harm."""
+    return 0 if count == HARM_DRAW else count - 1
+
+
+def draw_harm(count: int) -> int:
+    """Draw for a round in which nothing is lost and the analysis finds harm."""
+    return count - 1
--- /dev/null
+++ b/tests/test_gateway_reconciler.py
@@ -0,0 +1,117 @@
+"""How one gateway's processes are reconciled with its desired release."""
+
+from __future__ import annotations
+
+import pytest
+
+from saffronstack.fleet.control.gateway_actions import AllowServing, Kill, ServeAfter, StartProcess, Terminate
+from saffronstack.fleet.control.gateway_reconciler import MAX_CRASHES, GatewayReconciler
+from saffronstack.fleet.control.observed_gateway import GatewayPhase
+
+
+@pytest.fixture
+def serving() -> GatewayReconciler:
+    """A gateway whose first incarnation serves the old release."""
+    reconciler = GatewayReconciler(drain_timeout_s=5.0, start_timeout_s=10.0)
+    assert reconciler.set_desired(0.0, "old") == [StartProcess(1, "old")]
+    assert reconciler.on_prepared(0.1, 1) == [AllowServing(1)]
+    assert reconciler.on_serving(0.2, 1) == []
+    assert reconciler.observe().running_release == "old"
+    return reconciler
+
+
+@pytest.fixture
+def draining(serving: GatewayReconciler) -> GatewayReconciler:
+    """The same, draining for a prepared successor with the new release."""
+    serving.set_desired(1.0, "new")
+    serving.on_prepared(1.5, 2)
+    return serving
+
+
+def test_a_successor_is_prepared_before_the_current_one_drains_and_serves_after_its_end(
+    serving: GatewayReconciler,
+) -> None:
+    assert serving.set_desired(1.0, "new") == [StartProcess(2, "new")]
+    assert serving.observe().running_release == "old"
+    assert serving.on_prepared(1.5, 2) == [ServeAfter(2, 1), Terminate(1)]
+    assert serving.observe().running_release == ""
+    assert serving.reconcile(2.0) == []  # it answers the calls it has accepted
+    assert serving.on_ended(2.5, 1, "status 0") == [AllowServing(2)]
+    assert serving.on_serving(2.6, 2) == []
+    assert serving.observe().running_release == "new"
+    assert serving.restarts == 0
+
+
+def test_an_incarnation_that_drains_for_too_long_is_killed(draining: GatewayReconciler) -> None:
+    assert draining.next_deadline_s() == 6.5
+    assert draining.reconcile(6.4) == []
+    assert draining.reconcile(6.5) == [Kill(1)]
+    assert draining.on_ended(6.6, 1, "status -9") == [AllowServing(2)]
+
+
+def test_a_release_that_can_not_be_prepared_costs_no_call_and_is_given_up(
+    serving: GatewayReconciler,
+) -> None:
+    serving.set_desired(1.0, "new")
+    assert serving.on_ended(1.1, 2, "status 1") == []
+    assert serving.observe().running_release == "old"
+    assert serving.reconcile(2.0) == [StartProcess(3, "new")]
+    assert serving.on_ended(2.1, 3, "status 1") == []
+    observed = serving.observe()
+    assert observed.failed_release == "new"
+    assert observed.running_release == "old"
+    assert "status 1" in observed.last_error
+    assert serving.reconcile(100.0) == []  # it is not retried for ever
+    assert serving.set_desired(101.0, "new") == [StartProcess(4, "new")]  # but by a new command
+
+
+def test_a_release_that_fails_to_serve_is_replaced_by_the_previous_one(draining: GatewayReconciler) -> None:
+    draining.on_ended(2.0, 1, "status 0")
+    draining.on_ended(2.1, 2, "status 2")
+    (retry,) = draining.reconcile(3.0)
+    draining.on_prepared(3.1, retry.incarnation)
+    (fallback,) = draining.on_ended(3.2, retry.incarnation, "status 2")
+    assert fallback == StartProcess(4, "old")
+    assert draining.observe().failed_release == "new"
+    draining.on_prepared(3.3, 4)
+    draining.on_serving(3.4, 4)
+    assert draining.observe().running_release == "old"
+
+
+def test_a_release_that_keeps_crashing_is_restarted_with_backoff_and_then_given_up(
+    draining: GatewayReconciler,
+) -> None:
+    draining.on_ended(1.2, 1, "status 0")
+    draining.on_serving(1.3, 2)
+    now_s, pauses_s = 1.4, []
+    incarnation = 2
+    for _ in range(MAX_CRASHES - 1):
+        assert draining.on_ended(now_s, incarnation, "status 9") == []
+        pauses_s.append(draining.next_deadline_s() - now_s)
+        now_s = draining.next_deadline_s()
+        (restart,) = draining.reconcile(now_s)
+        incarnation = restart.incarnation
+        draining.on_prepared(now_s, incarnation)
+        draining.on_serving(now_s, incarnation)
+    assert pauses_s == sorted(pauses_s)
+    assert pauses_s[-1] > 4 * pauses_s[0]
+    assert draining.on_ended(now_s, incarnation, "status 9") == [StartProcess(incarnation + 1, "old")]
+    assert draining.observe().failed_release == "new"
+    assert draining.restarts == MAX_CRASHES
+
+
+def test_an_adopted_incarnation_goes_on_until_a_command_stops_it() -> None:
+    reconciler = GatewayReconciler(drain_timeout_s=5.0)
+    reconciler.adopt(0.0, "old")
+    assert reconciler.reconcile(1.0) == []
+    assert reconciler.observe().running_release == "old"
+    assert reconciler.observe().desired_release == "old"
+    assert reconciler.set_desired(2.0, "") == [Terminate(1)]
+
+
+def test_a_command_during_a_change_replaces_it(serving: GatewayReconciler) -> None:
+    serving.set_desired(1.0, "new")
+    assert serving.set_desired(1.2, "old") == [Kill(2)]
+    assert serving.observe().running_release == "old"
+    assert serving.observe().phase is GatewayPhase.SERVING
+    assert serving.on_ended(1.3, 2, "status -9") == []
