--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -25,7 +25,6 @@
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.rollout.canary_analysis import analyze
 from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
 from saffronstack.harness.links import Mode
@@ -37,6 +36,7 @@
 from saffronstack.harness.rollout.simulated_world import InvariantError, WorldSize
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
+from saffronstack.runtime.threads import spawn
 
 BAKE_S = 10.0
 
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -13,7 +13,6 @@
 from saffronstack.cli.rollout import STORE_TIMEOUT_S, read_record, rollout_fleet, summarize
 from saffronstack.config.fleet import FleetFile, load_fleet
 from saffronstack.config.load import ConfigError, convert, read_text
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.control.daemon_answers import merge_answers
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.errors import UnusableReleaseError
@@ -31,6 +30,7 @@
     decode_record,
     encode_record,
 )
+from saffronstack.runtime.threads import spawn
 
 # Exit statuses of a rollout that was led, by the phase in which its leader ended.
 EXIT_STATUS = {RolloutPhase.COMPLETED: 0, RolloutPhase.ROLLED_BACK: 1}
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -12,7 +12,6 @@
 import msgspec
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.control.command_fence import CommandFence
 from saffronstack.fleet.control.control_endpoint import ControlEndpoint, PendingRequest
 from saffronstack.fleet.control.daemon_options import DaemonOptions
@@ -25,6 +24,7 @@
 from saffronstack.fleet.control.releases import find_release
 from saffronstack.fleet.http_server import HttpServer, problem
 from saffronstack.fleet.leases.reading import Reading
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.daemon")
 RECONCILE_INTERVAL_S = 0.05
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from saffronstack.core.threads import Crew
 from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
 from saffronstack.fleet.control.messages import CONTROL_PATH, ControlRequest, DaemonStatus, GatewayCommand
 from saffronstack.http1 import writer
+from saffronstack.runtime.threads import Crew
 
 REQUEST_TIMEOUT_S = 2.5  # a daemon answers within 2 s
 WAIT_MARGIN_S = 0.5
--- a/saffronstack/fleet/control/lease_observer.py
+++ b/saffronstack/fleet/control/lease_observer.py
@@ -5,8 +5,8 @@
 import threading
 from collections.abc import Callable
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases.reading import Reading
+from saffronstack.runtime.threads import spawn
 
 READ_INTERVAL_S = 1.0
 
--- a/saffronstack/fleet/control/managed_gateway.py
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -10,7 +10,6 @@
 
 import structlog
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.handover import take
 from saffronstack.fleet.control import process_launcher
 from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
@@ -29,6 +28,7 @@
 from saffronstack.fleet.control.metrics_poller import MetricsPoller
 from saffronstack.fleet.control.process_discovery import find_serving_process
 from saffronstack.fleet.control.releases import find_release
+from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.daemon")
 
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
 from saffronstack.fleet.control.gateway_process import GatewayProcess
 from saffronstack.fleet.control.messages import STATUS_PATH, GatewayMetrics
 from saffronstack.http1 import writer
+from saffronstack.runtime.threads import spawn
 
 POLL_INTERVAL_S = 0.5
 POLL_TIMEOUT_S = 1.0
--- a/saffronstack/fleet/control/process_launcher.py
+++ b/saffronstack/fleet/control/process_launcher.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import IO
 
-from saffronstack.core.threads import spawn
 from saffronstack.daemon.handover import MARK
 from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
+from saffronstack.runtime.threads import spawn
 
 # Lines that `saffronstack serve --standby` writes, by what they contain.
 PREPARED_LINE, SERVING_LINE = "prepared", "takes calls"
--- a/saffronstack/fleet/control/status_poller.py
+++ b/saffronstack/fleet/control/status_poller.py
@@ -6,10 +6,10 @@
 import time
 from collections.abc import Mapping
 
-from saffronstack.core.threads import spawn
 from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
 from saffronstack.fleet.control.messages import STATUS_PATH
 from saffronstack.http1 import writer
+from saffronstack.runtime.threads import spawn
 
 JOIN_MARGIN_S = 0.5  # over the exchange's own bound
 
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -6,12 +6,9 @@
 import time
 from collections.abc import Callable
 
-from saffronstack.choice import Router
-from saffronstack.core.engine import Engine
-from saffronstack.core.logs import Log, PlainLog
-from saffronstack.core.threads import spawn
 from saffronstack.directory.membership import Change
 from saffronstack.directory.resolver import Resolver
+from saffronstack.engine.engine import Engine
 from saffronstack.hosts.dispatcher import HostDispatcher
 from saffronstack.hosts.link import LinkLimits
 from saffronstack.hosts.pool import LinkBudget
@@ -23,6 +20,9 @@
 from saffronstack.platform.connection import FrontLimits
 from saffronstack.platform.front import Front
 from saffronstack.platform.shutdown import limits_for
+from saffronstack.routing.router import Router
+from saffronstack.runtime.logs import Log, PlainLog
+from saffronstack.runtime.threads import spawn
 
 NAME = "_work._tcp.fleet.local"  # what the directory lists the hosts under
 IDLE_PART = 0.8  # of the told idle time a link stays open: a host that closes it first may cross a send
@@ -68,21 +68,21 @@
         self.hosts = HostDispatcher(
             LinkLimits(
                 config.streams,
-                settings.allow.connect_timeout_s or CONNECT_S,
+                settings.permissions.connect_timeout_s or CONNECT_S,
                 config.idle_s * IDLE_PART,
             ),
             LinkBudget(self.budget.links),
             self.writer,
             self.engine.tell,
             clock,
-            settings.order_timeout_s or ORDER_S,
+            settings.load_command_timeout_s or ORDER_S,
             self._log,
         )
         self.directory = Resolver(self.membership, NAME, config.nameserver, self._changed, self._log, clock)
-        self.beliefs = Beliefs(max(cls.aim_s for cls in settings.classes))
+        self.beliefs = Beliefs(max(cls.latency_objective_s for cls in settings.classes))
         self._stopping = threading.Event()
         self._ready = False
-        advice_s = settings.allow.max_retry_advice_s if settings.allow.retry_advice else 0.0
+        advice_s = settings.permissions.max_retry_after_s if settings.permissions.retry_after else 0.0
         self.front = Front(
             config.listen,
             self.engine,
--- a/tests/stored_formats/__init__.py
+++ b/tests/stored_formats/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes that earlier versions wrote, and the tests that the present code reads and writes them unchanged."""
+"""Files and messages that commit 0684301 wrote, read and written again by the present code."""
