--- a/saffronstack/cli/groups.py
+++ b/saffronstack/cli/groups.py
@@ -52,27 +52,30 @@
 @click.option("--release", required=True, type=click.Path(file_okay=False), help="Its directory.")
 def fleet_start(path: str, names: tuple[str, ...], wait_s: float, as_json: bool, release: str) -> None:
     """Run a release on the gateways named, or on all, at once; `rollout` changes it in stages."""
-    from saffronstack.cli.control import order
+    from saffronstack.cli.control import CommandOptions, command_gateways
 
-    sys.exit(order(path, names, "start", release, wait_s, as_json))
+    options = CommandOptions(wait_s, as_json)
+    sys.exit(command_gateways(path, names, "start", release, options))
 
 
 @fleet_group.command("stop")
 @_many
 def fleet_stop(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
     """End the gateways named, or all, once what they took is answered."""
-    from saffronstack.cli.control import order
+    from saffronstack.cli.control import CommandOptions, command_gateways
 
-    sys.exit(order(path, names, "stop", "", wait_s, as_json))
+    options = CommandOptions(wait_s, as_json)
+    sys.exit(command_gateways(path, names, "stop", "", options))
 
 
 @fleet_group.command("reload")
 @_many
 def fleet_reload(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
     """Have them reread their configurations (SIGHUP)."""
-    from saffronstack.cli.control import order
+    from saffronstack.cli.control import CommandOptions, command_gateways
 
-    sys.exit(order(path, names, "reload", "", wait_s, as_json))
+    options = CommandOptions(wait_s, as_json)
+    sys.exit(command_gateways(path, names, "reload", "", options))
 
 
 @fleet_group.command("digest")
@@ -137,15 +140,16 @@
     sys.exit(show(path, as_json))
 
 
-def _word(name: str, text: str) -> None:
+def _add_request_command(name: str, text: str) -> None:
     @rollout_group.command(name, help=text)
     @_fleet_file
     def command(path: str) -> None:
-        from saffronstack.cli.rollout import say
+        from saffronstack.cli.rollout import send_request
+        from saffronstack.fleet.rollout.operator_requests import OperatorAction
 
-        sys.exit(say(path, name))
+        sys.exit(send_request(path, OperatorAction(name)))
 
 
-_word("pause", "Begin nothing new until it is resumed.")
-_word("resume", "Go on with one that is paused or held.")
-_word("abort", "Go back to the old release.")
+_add_request_command("pause", "Begin nothing new until it is resumed.")
+_add_request_command("resume", "Go on with one that is paused or held.")
+_add_request_command("abort", "Go back to the old release.")
