--- a/tests/test_decision_digest.py
+++ b/tests/routing/test_decision_digest.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-SCRIPT = pathlib.Path(__file__).parent.parent / "benchmarks" / "decision_digest.py"
+SCRIPT = pathlib.Path(__file__).parents[2] / "benchmarks" / "decision_digest.py"
 SECONDS = 15.0
 DIGESTS = {
     "single": "2972e4bd5ca452e3",
--- /dev/null
+++ b/tests/routing/test_load_commands.py
@@ -0,0 +1,56 @@
+"""Load commands, where a worker rejects requests for functions that it has not loaded."""
+
+from __future__ import annotations
+
+from saffronstack.routing.events import CacheStatus, LoadCommandResult, Result
+from saffronstack.routing.settings import RuleSettings
+from tests.support.routing import (
+    DRAINING,
+    attempts_sent,
+    endpoint,
+    incremental,
+    load_commands,
+    rejecting_gateway,
+)
+
+
+def test_a_request_waits_for_a_load_command_where_workers_do_not_load() -> None:
+    gateway = rejecting_gateway()
+    number, actions = gateway.request(100.0, concurrency=2.0)
+    ordered = load_commands(actions)[0]
+    assert not attempts_sent(actions) and ordered.instances == 1
+    actions = gateway.record(
+        gateway.router.handle(101.0, LoadCommandResult(ordered.worker_id, 1, 1, Result.OK, 1.0))
+    )
+    assert [(a.request_id, a.worker_id) for a in attempts_sent(actions)] == [(number, ordered.worker_id)]
+
+
+def test_load_commands_stay_within_the_rule() -> None:
+    """2 free and a tenth of the requests in 5 s: the order at the limit passes, the next does not."""
+    gateway = rejecting_gateway(
+        rules=RuleSettings(load_command_burst=2.0, load_commands_per_request=0.1, load_command_window_s=5.0)
+    )
+    times: list[float] = []
+    taken: list[float] = []
+    for step in range(400):
+        now = 100.0 + step * 0.05
+        taken.append(now)
+        number, actions = gateway.request(now, function_id=step)
+        while attempts_sent(actions):
+            actions = gateway.finish(now, number, Result.NOT_LOADED, CacheStatus.UNKNOWN)
+        for ordered in load_commands(actions):
+            times.append(now)
+            span = sum(t > now - 5.0 for t in times)
+            assert span <= 2.0 + 0.1 * sum(t > now - 5.0 for t in taken) + 1e-9
+            gateway.router.handle(
+                now, LoadCommandResult(ordered.worker_id, ordered.function_id, 1, Result.OK, 0.5)
+            )
+    assert len(times) > 2
+
+
+def test_a_draining_worker_gets_no_load_command() -> None:
+    gateway = rejecting_gateway()
+    gateway.router.handle(100.0, incremental(endpoint(1, state=DRAINING)))
+    for function in range(10):
+        _, actions = gateway.request(100.1, function_id=function)
+        assert all(a.worker_id == 2 for a in load_commands(actions))
--- /dev/null
+++ b/tests/routing/test_load_shedding.py
@@ -0,0 +1,107 @@
+"""Load shedding: rejecting a fraction of the requests at once."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections.abc import Callable
+
+import pytest
+
+from saffronstack.routing.events import CacheStatus, Result
+from saffronstack.routing.settings import TenantSettings
+from tests.support.routing import (
+    Gateway,
+    attempts_sent,
+    final_answers,
+    find_shared_instances,
+    learn_shared_instances,
+    make_router,
+)
+
+
+def test_workers_at_capacity_shed_load_and_timely_responses_end_that() -> None:
+    gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
+    find_shared_instances(gateway, 60)
+    for step in range(80):
+        number, actions = gateway.request(110.0 + step * 0.01, function_id=step)
+        while attempts_sent(actions):
+            actions = gateway.finish(110.0 + step * 0.01, number, Result.AT_CAPACITY, CacheStatus.UNKNOWN)
+    assert gateway.router.components.load_shedder.shed_fraction > 0.2
+    rejected = sum(
+        len(final_answers(gateway.request(111.0, function_id=2000 + step)[1])) for step in range(100)
+    )
+    assert 10 < rejected < 90
+    for step in range(200):
+        number, actions = gateway.request(112.0 + step * 0.1, function_id=step)
+        if attempts_sent(actions):
+            gateway.finish(112.05 + step * 0.1, number)
+    assert gateway.router.components.load_shedder.shed_fraction < 0.05
+
+
+def rejected_fraction(
+    gateway: Gateway, at: float, rate: float, seconds: float, response_time_s: Callable[[], float]
+) -> float:
+    """Return the fraction of so many requests a second that is rejected at once."""
+    requests = rejected = 0
+    in_flight: list[tuple[float, int, float]] = []
+    for step in range(int(rate * seconds)):
+        now = at + step / rate
+        while in_flight and in_flight[0][0] <= now:
+            ended_s, number, took_s = heapq.heappop(in_flight)
+            gateway.finish(ended_s, number, elapsed_s=took_s, concurrency=0)
+        number, actions = gateway.request(now, function_id=10_000 + gateway.serial)
+        requests += 1
+        rejected += bool(final_answers(actions))
+        if attempts_sent(actions):
+            took_s = response_time_s()
+            heapq.heappush(in_flight, (now + took_s, number, took_s))
+    while in_flight:
+        ended_s, number, took_s = heapq.heappop(in_flight)
+        gateway.finish(ended_s, number, elapsed_s=took_s, concurrency=0)
+    return rejected / requests
+
+
+@pytest.mark.parametrize("rate", [6.0, 60.0])
+def test_a_gateway_sheds_soon_in_an_overload_and_no_longer_than_that(rate: float) -> None:
+    gateway = Gateway(make_router(*range(1, 9), gateway_count=100))
+    learn_shared_instances(gateway)
+    assert rejected_fraction(gateway, 110.0, rate, 5.0, lambda: 0.05) == 0.0
+    rejected_fraction(gateway, 120.0, rate, 3.0, lambda: 2.5)  # far over the latency objective
+    assert rejected_fraction(gateway, 126.0, rate, 3.0, lambda: 2.5) > 0.25
+    rejected_fraction(gateway, 132.0, rate, 4.0, lambda: 0.05)
+    assert rejected_fraction(gateway, 137.0, rate, 5.0, lambda: 0.05) == 0.0
+
+
+def test_one_late_response_in_five_sheds_hardly_anything() -> None:
+    gateway = Gateway(make_router(*range(1, 9), gateway_count=100))
+    learn_shared_instances(gateway)
+    chance = random.Random(5)
+    assert (
+        rejected_fraction(gateway, 110.0, 6.0, 120.0, lambda: chance.choices((1.0, 0.05), (1, 4))[0]) < 0.05
+    )
+
+
+@pytest.mark.parametrize("responds_to_others", [True, False])
+def test_a_timeout_counts_as_overload_where_the_worker_responds_to_others(responds_to_others: bool) -> None:
+    """A silent worker may be cut off: others could serve, and shedding would lose that."""
+    gateway = Gateway(make_router(1, gateway_count=100))
+    learn_shared_instances(gateway)
+    for step in range(3):
+        now = 110.0 + 4 * step
+        lost, actions = gateway.request(now, function_id=5000 + step)
+        assert attempts_sent(actions)
+        if responds_to_others:
+            other, _ = gateway.request(now + 0.1, function_id=6000 + step)
+            gateway.finish(now + 0.2, other, concurrency=0, elapsed_s=0.1)
+        gateway.finish(now + 3.0, lost, Result.TIMEOUT, CacheStatus.UNKNOWN, elapsed_s=3.0, is_final=True)
+    assert (gateway.router.components.load_shedder.shed_fraction > 0) is responds_to_others
+
+
+def test_a_gateway_with_most_of_the_traffic_does_not_take_its_tenants_for_over_quota() -> None:
+    tenants = (TenantSettings("a", 0.5, 100.0), TenantSettings("b", 0.5, 100.0))
+    subject = make_router(1, 2, tenants=tenants, over_quota_weight=0.05, gateway_count=200)
+    gateway = Gateway(subject)
+    for step in range(400):
+        gateway.request(100.0 + step * 0.01, function_id=step, tenant=step % 2)
+    assert subject.components.load_shedder.quota_factor(104.0, 0) > 0.8
--- /dev/null
+++ b/tests/routing/test_placement.py
@@ -0,0 +1,98 @@
+"""Placement: at which worker a function is loaded."""
+
+from __future__ import annotations
+
+from saffronstack.routing.events import CacheStatus, EndpointUpdate, EndpointUpdateKind, LoadReport
+from saffronstack.routing.router import Router
+from tests.helpers import settings
+from tests.support.routing import (
+    Gateway,
+    attempts_sent,
+    endpoint,
+    find_shared_instances,
+    make_gateways,
+    make_router,
+)
+
+
+def test_gateways_rank_the_same_worker_first() -> None:
+    first, second = (Gateway(Router(settings(), seed)) for seed in (1, 2))
+    for gateway in (first, second):
+        gateway.router.handle(
+            100.0, EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(endpoint(w) for w in range(1, 9)))
+        )
+    met = 0
+    for function in range(30):
+        one, a = first.request(100.0, function_id=function)
+        two, b = second.request(100.0, function_id=function)
+        met += attempts_sent(a)[0].worker_id == attempts_sent(b)[0].worker_id
+        first.finish(100.05, one)
+        second.finish(100.05, two)
+    assert met == 30
+
+
+def test_a_popular_function_spreads_where_instances_are_shared() -> None:
+    gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
+    find_shared_instances(gateway)
+    used = set()
+    for step in range(30):
+        now = 104.0 + step * 0.1
+        number, actions = gateway.request(now, function_id=1)
+        used |= {send.worker_id for send in attempts_sent(actions)}
+        if attempts_sent(actions):
+            gateway.finish(now + 0.05, number)
+            gateway.router.functions[1].warm_instances.clear()
+    assert len(used) > 3
+
+
+def test_a_worker_with_high_cpu_utilization_gets_fewer_loads_and_recovers() -> None:
+    """Hundreds of gateways with little traffic each load some workers at 0.9 and others at 0.1 for as long as
+    the functions live: own counts do not show it, load reports do."""
+
+    def loads(utilization: dict[int, float], later_s: float = 0.0) -> list[int]:
+        got = [0] * 9
+        for gateway in make_gateways(20, 8):
+            for step in range(120):  # each worker responds some times
+                now = 99.0 + step * 0.01
+                number, _ = gateway.request(now, function_id=5000 + step, memory_mb=1.0)
+                gateway.finish(
+                    now,
+                    number,
+                    load_report=LoadReport(cpu_utilization=utilization.get(gateway.where[number], 0.5)),
+                )
+            for worker in gateway.router.workers.values():
+                worker.placed_mb = 0.0  # memory aside
+            for function in range(40):
+                number, actions = gateway.request(100.2 + later_s, function_id=function, memory_mb=1.0)
+                got[attempts_sent(actions)[0].worker_id] += 1
+                gateway.finish(100.2 + later_s, number)
+        return got
+
+    even, reported = loads({}), loads({1: 1.0, 2: 0.0})
+    assert reported[1] < 0.5 * even[1] and reported[2] > 1.3 * even[2]
+    assert loads({1: 1.0, 2: 0.0}, later_s=120.0)[1] > 0.8 * even[1]  # old reports say nothing
+
+
+def test_instances_with_a_free_slot_do_not_widen_the_spread() -> None:
+    """Nearly every attempt of hundreds of gateways finds an instance: a spread that grew on that alone had no
+    end. Where no CPU utilization is reported, nothing else evens the load, and it grows on each instance."""
+
+    def spread_after(concurrency: int | None, utilization: float | None = 0.5) -> float:
+        gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
+        for function in range(200):
+            number, actions = gateway.request(100.0 + function * 0.1, function_id=1000 + function)
+            if attempts_sent(actions):
+                end = 100.05 + function * 0.1
+                gateway.finish(
+                    end,
+                    number,
+                    cache_status=CacheStatus.WARM,
+                    concurrency=concurrency,
+                    load_report=LoadReport(cpu_utilization=utilization),
+                )
+        assert gateway.router.components.shared_instances.fraction > 0.2
+        return gateway.router.components.placement.spread
+
+    assert spread_after(0) == 1.0
+    assert spread_after(1) == spread_after(None) == 10.0  # every slot in use; a site that does not report it
+    assert spread_after(0, utilization=None) == 10.0
--- a/tests/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -1,4 +1,4 @@
-"""Random legal events under varied settings: one final answer, the repeat rules, drains and determinism."""
+"""Random legal events under varied settings: one final answer, the retry rules, drains and determinism."""
 
 from __future__ import annotations
 
@@ -33,69 +33,68 @@
     Settings,
     TenantSettings,
 )
+from tests.helpers import CLASSES, settings
 
-from .helpers import CLASSES, settings
-
-PROVED = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
+NEVER_EXECUTED = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 
 
 @dataclass
 class World:
     """Plays clients, workers and clock for one router and checks the rules at each action."""
 
-    decider: Router
+    router: Router
     config: Settings
     now: float = 100.0
     ready: dict[int, bool] = field(default_factory=dict)
     owed: dict[int, Request] = field(default_factory=dict)
     sent: dict[int, int] = field(default_factory=dict)
-    first_maybe: dict[int, tuple[int, float]] = field(default_factory=dict)
-    out: list[tuple[int, int, int, float]] = field(default_factory=list)
-    orders: list[tuple[int, int]] = field(default_factory=list)
-    wakes: list[tuple[float, int]] = field(default_factory=list)
+    maybe_executed: dict[int, tuple[int, float]] = field(default_factory=dict)
+    in_flight: list[tuple[int, int, int, float]] = field(default_factory=list)
+    load_commands: list[tuple[int, int]] = field(default_factory=list)
+    timers: list[tuple[float, int]] = field(default_factory=list)
     log: list[str] = field(default_factory=list)
 
     def tell(self, event: Event) -> None:
-        for action in self.decider.handle(self.now, event):
+        for action in self.router.handle(self.now, event):
             self.log.append(repr(action))
             self.check(action)
 
     def check(self, action: Action) -> None:
         if isinstance(action, SendAttempt):
-            ask = self.owed[action.request_id]  # nothing is sent after the final answer
-            assert self.ready[action.worker_id] and self.now < ask.deadline_s
-            assert all(number != action.request_id for number, *_ in self.out)  # never two at once
-            self.may_repeat(action.request_id, action.worker_id)
+            request = self.owed[action.request_id]  # nothing is sent after the final answer
+            assert self.ready[action.worker_id] and self.now < request.deadline_s
+            assert all(number != action.request_id for number, *_ in self.in_flight)  # never two at once
+            self.check_retry(action.request_id, action.worker_id)
             attempt = self.sent.get(action.request_id, 0)
             assert attempt < self.config.permissions.max_attempts
             self.sent[action.request_id] = attempt + 1
-            self.out.append((action.request_id, attempt, action.worker_id, self.now))
+            self.in_flight.append((action.request_id, attempt, action.worker_id, self.now))
         elif isinstance(action, LoadFunction):
             assert self.ready[action.worker_id] and self.config.permissions.load_commands
-            self.orders.append((action.worker_id, action.function_id))
+            self.load_commands.append((action.worker_id, action.function_id))
         elif isinstance(action, Reject | Fail):
-            ask = self.owed.pop(action.request_id)  # exactly one
-            cls = CLASSES[ask.class_index]
-            if isinstance(action, Reject) and action.request_id in self.first_maybe:
-                everywhere = (
+            request = self.owed.pop(action.request_id)  # exactly one
+            cls = CLASSES[request.class_index]
+            if isinstance(action, Reject) and action.request_id in self.maybe_executed:
+                is_harmless = (
                     cls.idempotency is Idempotency.WITH_KEY
                     and cls.deduplication_scope is DeduplicationScope.ALL
                 )
-                assert cls.idempotency is Idempotency.IDEMPOTENT or everywhere
+                assert cls.idempotency is Idempotency.IDEMPOTENT or is_harmless
         elif isinstance(action, SetTimer):
-            self.wakes.append((self.now + action.delay_s, action.timer_id))
+            self.timers.append((self.now + action.delay_s, action.timer_id))
 
-    def may_repeat(self, request: int, worker: int) -> None:
-        maybe = self.first_maybe.get(request)
+    def check_retry(self, request: int, worker: int) -> None:
+        first = self.maybe_executed.get(request)
         cls = CLASSES[self.owed[request].class_index]
-        if maybe is None or cls.idempotency is Idempotency.IDEMPOTENT:
+        if first is None or cls.idempotency is Idempotency.IDEMPOTENT:
             return
         assert cls.idempotency is Idempotency.WITH_KEY
-        assert self.now < maybe[1] + cls.deduplication_window_s
+        assert self.now < first[1] + cls.deduplication_window_s
         if cls.deduplication_scope is DeduplicationScope.ZONE:
-            assert worker % 2 == maybe[0] % 2
+            assert worker % 2 == first[0] % 2
         if cls.deduplication_scope is DeduplicationScope.CELL:
-            assert worker % 3 == maybe[0] % 3
+            assert worker % 3 == first[0] % 3
 
     def list(self, workers: dict[int, WorkerState], kind: EndpointUpdateKind, since_s: float) -> None:
         if kind is EndpointUpdateKind.SNAPSHOT:
@@ -108,9 +107,9 @@
         self.tell(EndpointUpdate(kind, tuple(entries)))
 
     def finish(self, place: int, result: Result, found: CacheStatus) -> None:
-        request, attempt, worker, sent_s = self.out.pop(place % len(self.out))
-        if result not in PROVED:
-            self.first_maybe.setdefault(request, (worker, sent_s))
+        request, attempt, worker, sent_s = self.in_flight.pop(place % len(self.in_flight))
+        if result not in NEVER_EXECUTED:
+            self.maybe_executed.setdefault(request, (worker, sent_s))
         done = result is Result.OK
         if done:
             self.owed.pop(request, None)
@@ -123,18 +122,20 @@
     def pass_time(self, seconds: float) -> None:
         end = self.now + seconds
         while True:
-            due = [(then, 0, ref) for then, ref in self.wakes]
-            due += [(self.owed[n].deadline_s - 0.01, 1, n) for n, *_ in self.out if n in self.owed]
+            due = [(then, 0, ref) for then, ref in self.timers]
+            due += [(self.owed[n].deadline_s - 0.01, 1, n) for n, *_ in self.in_flight if n in self.owed]
             due = [one for one in due if one[0] <= end]
             if not due:
                 break
             then, kind, number = min(due)
             self.now = max(self.now, then)
             if kind == 0:
-                self.wakes.remove((then, number))
+                self.timers.remove((then, number))
                 self.tell(TimerFired(number))
             else:
-                self.finish([n for n, *_ in self.out].index(number), Result.TIMEOUT, CacheStatus.UNKNOWN)
+                self.finish(
+                    [n for n, *_ in self.in_flight].index(number), Result.TIMEOUT, CacheStatus.UNKNOWN
+                )
         self.now = end
 
 
@@ -178,10 +179,12 @@
     for kind, number in steps:
         if kind == "a":
             serial += 1
-            ask = Request(serial, number % 5, number % 7, world.now + 3, number % 2, 500.0, 1.0 + number % 4)
-            world.owed[serial] = ask
-            world.tell(ask)
-        elif kind == "o" and world.out:
+            request = Request(
+                serial, number % 5, number % 7, world.now + 3, number % 2, 500.0, 1.0 + number % 4
+            )
+            world.owed[serial] = request
+            world.tell(request)
+        elif kind == "o" and world.in_flight:
             results = [r for r in Result if r is not Result.CANCELLED]
             found = list(CacheStatus)[number % 4]
             world.finish(number, results[(number // 7) % len(results)], found)
@@ -194,8 +197,8 @@
             world.list(
                 {1 + number % 8: state}, EndpointUpdateKind.INCREMENTAL, world.now if number % 2 else 0.0
             )
-        elif kind == "L" and world.orders:
-            worker, function = world.orders.pop()
+        elif kind == "L" and world.load_commands:
+            worker, function = world.load_commands.pop()
             result = (Result.OK, Result.AT_CAPACITY, Result.ERROR)[number % 3]
             world.tell(LoadCommandResult(worker, function, number % 2, result, 0.5))
     world.pass_time(10.0)
--- /dev/null
+++ b/tests/routing/test_retry_policy.py
@@ -0,0 +1,122 @@
+"""Retries: idempotency, deduplication windows, the retry budget and the final answer."""
+
+from __future__ import annotations
+
+import pytest
+
+from saffronstack.routing.actions import Fail, Reject
+from saffronstack.routing.events import CacheStatus, Result, TimerFired
+from saffronstack.routing.router import Router
+from saffronstack.routing.settings import PermissionSettings
+from tests.helpers import KEYED_ALL, KEYED_CELL, KEYED_ZONE, SAFE, UNSAFE, settings
+from tests.support.routing import Gateway, attempts_sent, endpoint, final_answers, make_router, snapshot
+
+MAYBE_EXECUTED = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
+NEVER_EXECUTED = [Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_LOADED]
+
+
+@pytest.mark.parametrize("result", MAYBE_EXECUTED)
+def test_a_non_idempotent_request_that_may_have_executed_fails(result: Result) -> None:
+    gateway = Gateway(make_router(1, 2))
+    number, _ = gateway.request(100.0, UNSAFE)
+    assert gateway.finish(100.1, number, result) == [Fail(number)]
+
+
+@pytest.mark.parametrize("result", NEVER_EXECUTED)
+def test_a_non_idempotent_request_that_never_executed_is_retried_then_rejected(result: Result) -> None:
+    gateway = Gateway(make_router(1, 2))
+    number, first = gateway.request(100.0, UNSAFE)
+    second = gateway.finish(100.1, number, result)
+    assert {a.worker_id for a in attempts_sent(first) + attempts_sent(second)} == {1, 2}
+    last = gateway.finish(100.2, number, result)
+    while not final_answers(last):
+        last = gateway.finish(100.2, number, result)
+    assert [type(a) for a in final_answers(last)] == [Reject]
+
+
+def test_an_idempotent_request_that_may_have_executed_is_retried() -> None:
+    gateway = Gateway(make_router(1, 2))
+    number, _ = gateway.request(100.0, SAFE)
+    assert len(attempts_sent(gateway.finish(100.1, number, Result.RESET))) == 1
+
+
+@pytest.mark.parametrize(("cls", "allowed"), [(KEYED_ZONE, {2, 3}), (KEYED_CELL, {2})])
+def test_a_request_with_a_key_is_retried_within_its_deduplication_scope(cls: int, allowed: set[int]) -> None:
+    lines = [
+        endpoint(1, zone=0, cell=0),
+        endpoint(2, zone=0, cell=0),
+        endpoint(3, zone=0, cell=1),
+        endpoint(4, zone=1, cell=2),
+    ]
+    for function in range(40):
+        gateway = Gateway(Router(settings(), 5))
+        gateway.router.handle(100.0, snapshot(*lines))
+        number, first = gateway.request(100.0, cls, function)
+        if attempts_sent(first)[0].worker_id != 1:
+            continue
+        seen = set()
+        actions = gateway.finish(100.1, number, Result.ERROR)
+        while attempts_sent(actions):
+            seen.add(attempts_sent(actions)[0].worker_id)
+            actions = gateway.finish(100.2, number, Result.AT_CAPACITY)
+        assert seen <= allowed and seen
+        assert final_answers(actions) == [Fail(number)]
+        return
+    pytest.fail("no function sent the first attempt to worker 1")
+
+
+def test_a_request_with_a_key_is_not_retried_after_its_window() -> None:
+    gateway = Gateway(make_router(1, 2))
+    number, _ = gateway.request(100.0, KEYED_ALL)
+    actions = gateway.finish(102.0, number, Result.ERROR)
+    assert not attempts_sent(actions) and len(final_answers(actions)) == 1
+
+
+def test_attempts_stay_within_the_permitted_number() -> None:
+    gateway = Gateway(make_router(*range(1, 9), permissions=PermissionSettings(max_attempts=3)))
+    number, _ = gateway.request(100.0)
+    gateway.finish(100.1, number, Result.AT_CAPACITY)
+    gateway.finish(100.2, number, Result.AT_CAPACITY)
+    actions = gateway.finish(100.3, number, Result.AT_CAPACITY)
+    assert not attempts_sent(actions) and len(final_answers(actions)) == 1
+
+
+def test_retries_stay_within_their_budget() -> None:
+    gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
+    attempts = 0
+    for step in range(100):
+        now = 100.0 + step
+        number, actions = gateway.request(now, function_id=step)
+        while attempts_sent(actions):
+            attempts += 1
+            actions = gateway.finish(now, number, Result.AT_CAPACITY, CacheStatus.UNKNOWN)
+        gateway.router.handle(now + 0.9, TimerFired(number))
+    assert attempts <= 100 + 10 + 20
+
+
+def test_a_timeout_is_retried_only_where_that_is_harmless() -> None:
+    for cls, again in ((SAFE, True), (UNSAFE, False), (KEYED_CELL, True)):
+        gateway = Gateway(make_router(1, 2, 3))
+        number, _ = gateway.request(100.0, cls)
+        actions = gateway.finish(101.0, number, Result.TIMEOUT, CacheStatus.UNKNOWN)
+        assert bool(attempts_sent(actions)) is again
+        assert bool(final_answers(actions)) is not again
+
+
+def test_a_request_that_finds_all_workers_at_capacity_is_rejected_with_retry_after() -> None:
+    allow = PermissionSettings(max_attempts=6, max_retry_after_s=0.3)
+    gateway = Gateway(make_router(1, 2, permissions=allow))
+    number, actions = gateway.request(100.0)
+    while attempts_sent(actions):
+        actions = gateway.finish(100.1, number, Result.AT_CAPACITY)
+    assert actions == [Reject(number, 0.3)]
+
+
+def test_a_request_begins_few_loads_before_it_is_rejected() -> None:
+    gateway = Gateway(make_router(*range(1, 9), permissions=PermissionSettings(max_attempts=8)))
+    number, actions = gateway.request(100.0)
+    tries = 0
+    while attempts_sent(actions):
+        tries += 1
+        actions = gateway.finish(100.0 + tries * 0.01, number, Result.AT_CAPACITY)
+    assert tries == 3 and [type(action) for action in actions] == [Reject]
--- /dev/null
+++ b/tests/routing/test_slow_start.py
@@ -0,0 +1,115 @@
+"""Slow start: the budget of a worker that is warming up."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, LoadReport, Request
+from saffronstack.routing.router import Router
+from saffronstack.routing.settings import RuleSettings
+from tests.helpers import SAFE, settings
+from tests.support.routing import (
+    REMOVED,
+    SLOW_START,
+    Gateway,
+    attempts_sent,
+    endpoint,
+    incremental,
+    make_gateways,
+    make_router,
+)
+
+
+def test_a_worker_that_returns_is_used_again() -> None:
+    rules = RuleSettings(
+        slow_start_min_fraction=0.2, slow_start_s=10.0, overload_multiple=2.0, overload_window_s=1.0
+    )
+    gateway = Gateway(make_router(1, rules=rules))
+    gateway.router.handle(101.0, incremental(endpoint(1, REMOVED)))
+    gateway.router.handle(102.0, incremental(endpoint(1, started_s=101.9), endpoint(2)))
+    count = 0
+    for step in range(2000):
+        now = 102.0 + step * 0.01
+        number, actions = gateway.request(now, function_id=step)
+        count += attempts_sent(actions)[0].worker_id == 1
+        gateway.finish(now, number)
+    assert count > 10
+
+
+def warming_gateway(instances: int, restart: bool) -> Gateway:
+    rules = RuleSettings(
+        slow_start_min_fraction=0.2, slow_start_s=10.0, overload_multiple=2.0, overload_window_s=1.0
+    )
+    subject = Router(settings(rules=rules, gateway_count=instances), 3)
+    subject.handle(100.0, EndpointUpdate(EndpointUpdateKind.CACHED, tuple(endpoint(w) for w in range(2, 6))))
+    if restart:
+        subject = Router(settings(rules=rules, gateway_count=instances), 4)
+        subject.handle(
+            120.0,
+            EndpointUpdate(
+                EndpointUpdateKind.CACHED, (endpoint(1, started_s=119.5), *(endpoint(w) for w in range(2, 6)))
+            ),
+        )
+    return Gateway(subject)
+
+
+@pytest.mark.parametrize("restart", [False, True])
+def test_no_window_holds_more_attempts_than_the_budget(restart: bool) -> None:
+    """100 requests a second over 5 workers, 20 for each: a warming_up one may get 2 x 0.2 x 20 at first."""
+    gateway = warming_gateway(3, restart)
+    times: list[float] = []
+    for step in range(3000):
+        now = (120.0 if restart else 100.0) + step * 0.01
+        if step == 2000 and not restart:
+            gateway.router.handle(now, incremental(endpoint(1, started_s=now - 0.5)))
+        number, actions = gateway.request(now, function_id=step)
+        times += [now for a in attempts_sent(actions) if a.worker_id == 1]
+        gateway.finish(now + 0.005, number)
+    start = 119.5
+    warming_up = [t for t in times if t < start + 10.0]
+    assert warming_up
+    for first in warming_up:
+        share = 0.2 + 0.8 * min(1.0, (first - start) / 10.0)
+        assert sum(first <= t < first + 1.0 for t in times) <= 2.0 * share * 20.0 + 1
+
+
+@pytest.mark.parametrize("utilization", [None, 0.4])
+def test_many_gateways_together_do_not_overload_a_worker_that_is_warming_up(
+    utilization: float | None,
+) -> None:
+    gateways = make_gateways(200, 10, SLOW_START)
+    chance = random.Random(3)
+    rate = 200.0  # so that each of ten workers carries 20 a second
+
+    def serve(start: float, seconds: float, watched: int) -> dict[int, int]:
+        sent: dict[int, int] = {}
+        for step in range(int(seconds * rate)):
+            now = start + step / rate
+            gateway = chance.choice(gateways)
+            number, actions = gateway.request(now, function_id=int(40 * chance.random() ** 2))
+            for send in attempts_sent(actions):
+                if send.worker_id == watched:
+                    sent[int(now)] = sent.get(int(now), 0) + 1
+                gateway.finish(
+                    now,
+                    number,
+                    load_report=None if utilization is None else LoadReport(cpu_utilization=utilization),
+                )
+        return sent
+
+    serve(100.0, 30.0, 0)
+    for gateway in gateways:
+        gateway.router.handle(130.0, incremental(endpoint(11, started_s=130.0)))
+    sent = serve(130.0, 18.0, 11)
+    assert sum(sent.values()) > 20  # it is used
+    for second, count in sent.items():
+        capacity = 20.0 * (0.15 + 0.85 * (second + 1 - 130) / 18.0)
+        assert count <= 2.0 * capacity + 2
+
+
+def test_a_restarted_gateway_starts_from_the_endpoint_list_alone() -> None:
+    subject = Router(settings(rules=SLOW_START, gateway_count=200), 1)
+    subject.handle(100.0, EndpointUpdate(EndpointUpdateKind.CACHED, (endpoint(1, started_s=99.0),)))
+    assert not attempts_sent(subject.handle(100.0, Request(1, SAFE, 1, 103.0, memory_mb=500.0)))
--- a/tests/test_settings.py
+++ b/tests/routing/test_validation.py
@@ -9,8 +9,7 @@
 
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import ClassSettings, Idempotency, RuleSettings
-
-from .helpers import CLASSES, settings
+from tests.helpers import CLASSES, settings
 
 ODD: dict[str, Any] = {"idempotency": "odd"}
 
--- /dev/null
+++ b/tests/routing/test_warm_pool.py
@@ -0,0 +1,108 @@
+"""The warm pool: which loaded instance a request takes, and when instances end."""
+
+from __future__ import annotations
+
+from saffronstack.routing.events import CacheStatus, Result
+from saffronstack.routing.state import Function
+from tests.support.routing import (
+    DRAINING,
+    Gateway,
+    add_warm_instances,
+    attempts_sent,
+    endpoint,
+    find_shared_instances,
+    incremental,
+    make_router,
+)
+
+
+def test_the_most_recently_freed_instance_is_taken_first() -> None:
+    gateway = Gateway(make_router(1, 2, 3))
+    workers = list(gateway.router.workers.values())
+    function = gateway.router.functions.setdefault(1, Function())
+    function.warm_instances += [(workers[2], 100.0), (workers[0], 100.1)]
+    _, actions = gateway.request(101.2)
+    assert attempts_sent(actions)[0].worker_id == 1
+    _, actions = gateway.request(101.2)
+    assert attempts_sent(actions)[0].worker_id == 3
+
+
+def test_instances_expire_after_the_keep_alive() -> None:
+    gateway = Gateway(make_router(1))
+    number, _ = gateway.request(100.0)
+    gateway.finish(100.1, number)
+    assert gateway.router.functions[1].warm_instances
+    gateway.request(110.2)
+    assert not gateway.router.functions[1].warm_instances
+
+
+def test_a_response_that_shows_a_load_drops_older_instances_of_its_worker() -> None:
+    gateway = Gateway(make_router(1))
+    first, _ = gateway.request(100.0)
+    second, _ = gateway.request(100.0)
+    gateway.finish(100.1, first)
+    third, _ = gateway.request(100.2)  # takes the only instance
+    gateway.finish(100.3, second)  # an older instance when the load is reported
+    gateway.finish(101.0, third, cache_status=CacheStatus.STARTED_LOAD)
+    assert all(freed >= 100.2 for _, freed in gateway.router.functions[1].warm_instances)
+
+
+def test_a_failed_attempt_drops_the_instances_of_its_worker() -> None:
+    gateway = Gateway(make_router(1))
+    first, _ = gateway.request(100.0)
+    second, _ = gateway.request(100.0)
+    gateway.finish(100.1, first)
+    gateway.finish(100.2, second, Result.ERROR)
+    assert all(freed >= 100.1 for _, freed in gateway.router.functions[1].warm_instances)
+
+
+def test_an_instance_whose_connection_ends_returns_to_the_pool() -> None:
+    """A reset says nothing of the instance; when it was dropped, requests waited for needless loads."""
+    gateway = Gateway(make_router(1, 2))
+    first, _ = gateway.request(100.0)
+    home = gateway.where[first]
+    gateway.finish(100.1, first)
+    second, _ = gateway.request(101.0)
+    retried = attempts_sent(gateway.finish(101.0, second, Result.RESET, CacheStatus.UNKNOWN))
+    assert [send.worker_id for send in retried] == [
+        home
+    ]  # no other instance is known, and a load takes longer
+    gateway.finish(101.1, second)
+    _, actions = gateway.request(101.2)
+    assert attempts_sent(actions)[0].worker_id == home
+
+
+def test_a_worker_that_only_breaks_connections_is_passed_over() -> None:
+    gateway = Gateway(make_router(1, 2, 3))
+    first, _ = gateway.request(100.0)
+    home = gateway.where[first]
+    gateway.finish(100.1, first)
+    second, _ = gateway.request(101.0)
+    gateway.finish(101.0, second, Result.CONNECT_FAILED, CacheStatus.UNKNOWN)
+    third = attempts_sent(gateway.finish(101.1, second, Result.CONNECT_FAILED, CacheStatus.UNKNOWN))
+    assert [send.worker_id for send in third] != [home] and third
+
+
+def test_a_finished_load_frees_all_its_concurrency_slots() -> None:
+    gateway = Gateway(make_router(1, 2))
+    number, _ = gateway.request(100.0, concurrency=4.0)
+    gateway.finish(101.0, number, cache_status=CacheStatus.STARTED_LOAD)
+    assert len(gateway.router.functions[1].warm_instances) == 4
+
+
+def test_the_pool_of_a_function_keeps_only_its_freshest_instances() -> None:
+    """Thousands of entries at a worker that can't be used made each choice walk them all."""
+    gateway = Gateway(make_router(1, 2))
+    add_warm_instances(gateway, 1, count=5000)
+    gateway.router.handle(100.1, incremental(endpoint(1, state=DRAINING)))
+    gateway.request(100.2)
+    assert len(gateway.router.functions[1].warm_instances) <= 100
+
+
+def test_a_late_response_returns_no_instance_where_instances_are_shared() -> None:
+    gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
+    find_shared_instances(gateway)
+    for elapsed_s, entries in ((0.1, 1), (1.0, 0)):
+        number, _ = gateway.request(104.0, function_id=int(10 * elapsed_s))
+        gateway.finish(104.0 + elapsed_s, number, elapsed_s=elapsed_s)
+        assert len(gateway.router.functions[int(10 * elapsed_s)].warm_instances) == entries
--- a/tests/support/slow_start.py
+++ b/tests/support/slow_start.py
@@ -1,4 +1,4 @@
-"""Many front ends and workers in simulated time: what reaches young workers, beside what they may get."""
+"""Many gateways and workers in simulated time: attempts at starting workers, beside their budget."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from saffronstack.routing.settings import RuleSettings
 from tests.helpers import settings
 
-COLD_SHARE, COLD_S, TIP_MULTIPLE, TIP_AFTER_S = 0.23, 14.0, 3.0, 1.0
+MIN_FRACTION, SLOW_START_S, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S = 0.23, 14.0, 3.0, 1.0
 RULES = RuleSettings(
     response_slack_s=0.01,
     drain_grace_s=1.0,
-    slow_start_min_fraction=COLD_SHARE,
-    slow_start_s=COLD_S,
-    overload_multiple=TIP_MULTIPLE,
-    overload_window_s=TIP_AFTER_S,
+    slow_start_min_fraction=MIN_FRACTION,
+    slow_start_s=SLOW_START_S,
+    overload_multiple=OVERLOAD_MULTIPLE,
+    overload_window_s=OVERLOAD_WINDOW_S,
 )
 WORK_S = 0.075
 LOAD_S = 0.6
@@ -45,7 +45,7 @@
 
 
 def budget(allowed: float) -> float:
-    """What a worker bears that may get so many requests: chance has its part, more where they are few."""
+    """Return the bound where so many attempts are allowed: chance adds a part, more where they are few."""
     if allowed < 30:
         return allowed + 3 * math.sqrt(allowed) + 3
     return allowed + 2 * math.sqrt(allowed) + 2
@@ -53,52 +53,54 @@
 
 @dataclass
 class Load:
-    """What a scenario asks of the fleet."""
+    """Load and faults of a scenario."""
 
-    front_ends: int
+    gateways: int
     load: float  # of the fleet's warm capacity
     workers: int = 12
     replaced: int = 1  # workers that are replaced at ``start_s``
     gap_s: float = 0.0  # between the end of the old ones and the list that names the new ones
-    spread_s: float = 1.0  # front ends hear of the new ones within this time
-    restarted: float = 0.0  # part of the front ends that start anew at that moment
-    resets: float = 0.0  # part of the attempts at young workers that end in a reset
+    spread_s: float = 1.0  # gateways learn of the new ones within this time
+    restarted: float = 0.0  # fraction of the gateways that restart at that moment
+    resets: float = 0.0  # fraction of the attempts at starting workers that end in a reset
     retries: int = 0  # of a client whose request was refused
-    released: bool = False  # all copies go void at that moment
-    collapse_s: float = 0.0  # so long after their start the young workers are the only ones left; 0: never
+    released: bool = False  # all instances are lost at that moment
+    collapse_s: float = (
+        0.0  # this long after their start the starting workers are the only ones left; 0: never
+    )
     start_s: float = 20.0
     end_s: float = 32.0
 
 
 @dataclass
 class World:
-    """One run: `play` it, then `worst` tells the largest part of its budget that a young worker got."""
+    """One run: `play` it, then `worst` is the largest part of its budget that a starting worker got."""
 
     scenario: Load
     seed: int
     now: float = 0.0
-    sends: dict[int, list[float]] = field(default_factory=dict)
+    attempts: dict[int, list[float]] = field(default_factory=dict)
     served: int = 0
     asked: int = 0
-    overdrawn: int = 0  # sends to young workers for which their front end had no credit
+    overdrawn: int = 0  # attempts at starting workers without credit at their gateway
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
         self._order = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._requests = count(1)
-        self._copies: dict[int, set[int]] = {}
-        self._left: dict[int, tuple[int, int, int]] = {}  # request: front end, function, retries left
+        self._instances: dict[int, set[int]] = {}
+        self._left: dict[int, tuple[int, int, int]] = {}  # request: gateway, function, retries left
         self._finished: deque[float] = deque()
         self._settings = settings(
-            gateway_count=self.scenario.front_ends,
+            gateway_count=self.scenario.gateways,
             rules=RULES,
             memory_mb_by_worker_kind=(64000.0,),
             keep_alive_s=10.0,
         )
         self.old = list(range(1, self.scenario.workers + 1))
-        self.young = list(range(101, 101 + self.scenario.replaced))
-        self.routers = [self._router(place) for place in range(self.scenario.front_ends)]
+        self.starting = list(range(101, 101 + self.scenario.replaced))
+        self.routers = [self._router(place) for place in range(self.scenario.gateways)]
         weights = [self.random.expovariate(1.0) for _ in self.routers]
         self._weights = [weight / sum(weights) for weight in weights]
 
@@ -111,7 +113,7 @@
     def play(self) -> None:
         """Run it to its end."""
         scenario = self.scenario
-        for place in range(scenario.front_ends):
+        for place in range(scenario.gateways):
             self._tell(
                 place, EndpointUpdateKind.SNAPSHOT, [WorkerEndpoint(w, WorkerState.READY) for w in self.old]
             )
@@ -148,8 +150,8 @@
         scenario = self.scenario
         gone = self.old[: scenario.replaced]
         if scenario.released:
-            self._copies.clear()
-        for place in range(scenario.front_ends):
+            self._instances.clear()
+        for place in range(scenario.gateways):
             if self.random.random() < scenario.restarted:
                 self.routers[place] = self._router(place)
                 kept = [WorkerEndpoint(w, WorkerState.READY) for w in self.old[scenario.replaced :]]
@@ -165,14 +167,14 @@
 
     def _hears(self, place: int, started_s: float) -> Callable[[], None]:
         def hear() -> None:
-            young = [WorkerEndpoint(w, WorkerState.READY, started_s=started_s) for w in self.young]
-            self._tell(place, EndpointUpdateKind.INCREMENTAL, young)
+            starting = [WorkerEndpoint(w, WorkerState.READY, started_s=started_s) for w in self.starting]
+            self._tell(place, EndpointUpdateKind.INCREMENTAL, starting)
 
         return hear
 
     def _collapse(self) -> None:
         draining = [WorkerEndpoint(w, WorkerState.DRAINING) for w in self.old[self.scenario.replaced :]]
-        for place in range(self.scenario.front_ends):
+        for place in range(self.scenario.gateways):
             self._tell(place, EndpointUpdateKind.INCREMENTAL, draining)
 
     def _handle(self, place: int, event: Event) -> None:
@@ -195,44 +197,44 @@
         function = self._left[request][1]
         router = self.routers[place]
         attempt = len(router.components.requests[request].attempts) - 1
-        copies = self._copies.setdefault(worker, set())
-        warm = function in copies
-        copies.add(function)
-        if worker in self.young:
-            self.sends.setdefault(worker, []).append(self.now)
+        instances = self._instances.setdefault(worker, set())
+        warm = function in instances
+        instances.add(function)
+        if worker in self.starting:
+            self.attempts.setdefault(worker, []).append(self.now)
             known = router.workers[worker]
             self.overdrawn += known.send_credit < 0.0 and self.now < known.slow_start_ends_s
-        reset = worker in self.young and self.random.random() < self.scenario.resets
+        reset = worker in self.starting and self.random.random() < self.scenario.resets
         took_s = 0.002 if reset else self.random.expovariate(1 / WORK_S) + (0.0 if warm else LOAD_S)
         sent_s = self.now
 
         def end() -> None:
             if router is not self.routers[place]:
-                return  # that front end has ended
+                return  # that gateway has stopped
             found = CacheStatus.WARM if warm else CacheStatus.STARTED_LOAD
             busy = LoadReport(cpu_utilization=min(1.0, self.scenario.load))
             result = Result.RESET if reset else Result.OK
             self.served += not reset
-            told = AttemptOutcome(
+            outcome = AttemptOutcome(
                 request, attempt, worker, result, self.now - sent_s, not reset, found, 0, busy
             )
-            self._handle(place, told)
+            self._handle(place, outcome)
 
         self.at(sent_s + took_s, end)
 
     def shares(self) -> Iterator[tuple[float, int, float]]:
-        """For each window that begins with a send to a young worker: part of the budget, count, budget."""
+        """Yield part of the budget, count and budget for each window that begins with an attempt."""
         started_s = self.scenario.start_s + self.scenario.gap_s
-        for times in self.sends.values():
+        for times in self.attempts.values():
             last = 0
             for first, begun_s in enumerate(times):
-                while last < len(times) and times[last] < begun_s + TIP_AFTER_S:
+                while last < len(times) and times[last] < begun_s + OVERLOAD_WINDOW_S:
                     last += 1
-                age = min(1.0, max(0.0, begun_s - started_s) / COLD_S)
-                capacity = CAPACITY * (COLD_SHARE + (1 - COLD_SHARE) * age)
-                bound = budget(TIP_MULTIPLE * capacity * TIP_AFTER_S)
+                age = min(1.0, max(0.0, begun_s - started_s) / SLOW_START_S)
+                capacity = CAPACITY * (MIN_FRACTION + (1 - MIN_FRACTION) * age)
+                bound = budget(OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW_S)
                 yield (last - first) / bound, last - first, bound
 
     def worst(self) -> float:
-        """The largest part of its budget that a young worker got in any window."""
+        """Return the largest part of its budget that a starting worker got in any window."""
         return max((share for share, _, _ in self.shares()), default=0.0)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,8 +18,8 @@
 from saffronstack.routing.router import Router
 from saffronstack.standin.platform import Directory, Entry
 from saffronstack.standin.worker import hold_port
-from tests.helpers import router_tables
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, config_text, echo, gateway
+from tests.support.routing import router_tables
 from tests.support.stack import eventually
 
 
