--- a/tests/routing/test_idle_sweep.py
+++ b/tests/routing/test_idle_sweep.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
+from saffronstack.routing.components import Components
 from saffronstack.routing.events import CacheStatus, Result
+from saffronstack.routing.state import Function
+from tests.helpers import settings
 from tests.support.routing import (
     REMOVED,
     Gateway,
@@ -12,6 +15,7 @@
     make_router,
     router_tables,
 )
+from tests.support.routing_state import make_request, make_worker
 
 
 def test_workers_and_functions_that_are_gone_leave_no_state() -> None:
@@ -37,3 +41,23 @@
         if worker == 200:
             early = most
     assert most <= early + 10
+
+
+def test_a_function_stays_while_it_is_requested_and_goes_when_it_is_not() -> None:
+    parts = Components(settings(), 1)
+    parts.rates.record(100.0, make_request(function_id=1))
+    parts.functions[1] = Function()
+    parts.idle_sweep.sweep(101.0)
+    assert list(parts.functions) == [1]
+    parts.idle_sweep.sweep(200.0)
+    assert not parts.functions and not parts.rates.by_function
+
+
+def test_a_sweep_keeps_functions_in_use_and_drops_their_expired_instances() -> None:
+    parts = Components(settings(), 1)
+    function = parts.functions[1] = Function(warm_attempts_in_flight=1)
+    parts.warm_pool.release(100.0, function, make_worker(), 1)
+    function.load_rejected_until_s = {1: 105.0}
+    parts.idle_sweep.sweep(200.0)
+    assert parts.functions == {1: function}
+    assert not function.warm_instances and not function.load_rejected_until_s
--- a/tests/routing/test_load_commands.py
+++ b/tests/routing/test_load_commands.py
@@ -2,8 +2,13 @@
 
 from __future__ import annotations
 
+from saffronstack.routing.actions import LoadFunction
+from saffronstack.routing.components import Components
 from saffronstack.routing.events import CacheStatus, LoadCommandResult, Result
-from saffronstack.routing.settings import RuleSettings
+from saffronstack.routing.load_commands import MAX_INSTANCES
+from saffronstack.routing.settings import MissMode, PermissionSettings, RuleSettings
+from saffronstack.routing.state import Function
+from tests.helpers import settings
 from tests.support.routing import (
     DRAINING,
     attempts_sent,
@@ -12,6 +17,7 @@
     load_commands,
     rejecting_gateway,
 )
+from tests.support.routing_state import make_request, make_worker
 
 
 def test_a_request_waits_for_a_load_command_where_workers_do_not_load() -> None:
@@ -54,3 +60,43 @@
     for function in range(10):
         _, actions = gateway.request(100.1, function_id=function)
         assert all(a.worker_id == 2 for a in load_commands(actions))
+
+
+def make_parts(permitted: bool = True, miss_mode: MissMode = MissMode.REJECT) -> Components:
+    """Return the parts of a router where load commands may be permitted."""
+    permissions = PermissionSettings(load_commands=permitted)
+    return Components(settings(miss_mode=miss_mode, permissions=permissions), 1)
+
+
+def test_commands_need_the_permission_and_workers_that_do_not_load_by_themselves() -> None:
+    assert make_parts().load_commands.may_send(100.0)
+    assert not make_parts(permitted=False).load_commands.may_send(100.0)
+    assert not make_parts(miss_mode=MissMode.LOAD).load_commands.may_send(100.0)
+
+
+def test_a_command_asks_for_one_more_instance_where_all_slots_are_in_use() -> None:
+    parts, worker, request = make_parts(), make_worker(), make_request()
+    parts.memory.begin_attempt(worker, request)
+    command = parts.load_commands.send(100.0, request, worker, Function())
+    assert command == LoadFunction(1, 1, 2)
+
+
+def test_a_command_asks_for_a_bounded_number_of_instances() -> None:
+    parts, worker, request = make_parts(), make_worker(), make_request()
+    for _ in range(40):
+        parts.memory.begin_attempt(worker, request)
+    assert parts.load_commands.send(100.0, request, worker, Function()).instances == MAX_INSTANCES
+
+
+def test_a_result_that_no_command_awaits_is_ignored() -> None:
+    gateway = rejecting_gateway()
+    assert gateway.router.handle(100.0, LoadCommandResult(1, 5, 1, Result.OK, 0.5)) == []
+
+
+def test_a_worker_that_rejected_a_load_is_passed_over_for_a_while() -> None:
+    gateway = rejecting_gateway()
+    _, actions = gateway.request(100.0)
+    (command,) = load_commands(actions)
+    worker = command.worker_id
+    actions = gateway.router.handle(100.1, LoadCommandResult(worker, 1, 0, Result.ERROR, 0.1))
+    assert [again.worker_id for again in load_commands(actions)] == [3 - worker]
--- a/tests/routing/test_load_control.py
+++ b/tests/routing/test_load_control.py
@@ -2,8 +2,15 @@
 
 from __future__ import annotations
 
+import pytest
+
 from saffronstack.routing.events import CacheStatus, Result, TimerFired
+from saffronstack.routing.load_control import DECREASE_FACTOR, MIN_LOADS, LoadControl
+from saffronstack.routing.shared_instances import SharedInstances
+from saffronstack.routing.state import Function
+from tests.helpers import settings
 from tests.support.routing import Gateway, attempts_sent, final_answers, find_shared_instances, make_router
+from tests.support.routing_state import make_fleet, make_pending, make_request, make_worker
 
 
 def test_loads_are_limited_and_held_requests_are_answered_in_time() -> None:
@@ -55,3 +62,51 @@
     for function in range(20):
         sent += len(attempts_sent(gateway.request(104.0, function_id=function)[1]))
     assert sent == 20
+
+
+def make_control(workers: int = 10, gateways: int = 1) -> LoadControl:
+    """Return load control over so many ready workers."""
+    fleet = make_fleet(*(make_worker(number) for number in range(workers)))
+    return LoadControl(settings(gateway_count=gateways), fleet, SharedInstances())
+
+
+def test_a_gateway_among_many_may_always_have_some_loads_in_progress() -> None:
+    assert make_control(workers=10, gateways=200).limit() == MIN_LOADS
+
+
+def test_the_limit_grows_with_the_fleet() -> None:
+    assert make_control(workers=10).limit() == 30.0
+
+
+def test_loads_are_counted_at_function_and_worker() -> None:
+    control, worker, function = make_control(), make_worker(), Function()
+    control.begin(worker, function, 7)
+    control.begin(worker, function, 7)
+    control.end(worker, function, 7)
+    assert (control.loads_in_progress, function.loads_in_progress, worker.loads_in_progress) == (1, 1, {7: 1})
+    control.end(worker, function, 7)
+    assert (control.loads_in_progress, function.loads_in_progress, worker.loads_in_progress) == (0, 0, {})
+
+
+@pytest.mark.parametrize("result", [Result.AT_CAPACITY, Result.TIMEOUT])
+def test_the_limit_falls_once_in_the_interval(result: Result) -> None:
+    control = make_control()
+    for now in (100.0, 100.1, 100.2):
+        control.observe(now, result, 0.0)
+    assert control.loads_per_worker == pytest.approx(3.0 * DECREASE_FACTOR)
+
+
+def test_an_error_says_nothing_of_loads() -> None:
+    control = make_control()
+    control.observe(100.0, Result.ERROR, 5.0)
+    assert control.loads_per_worker == 3.0
+
+
+def test_a_request_waits_for_a_busy_instance_unless_it_has_waited() -> None:
+    control, function, request = make_control(), Function(), make_request()
+    assert control.may_load(100.0, request, function, True)  # nothing to wait for
+    function.warm_attempts_in_flight = 1
+    assert not control.may_load(100.0, request, function, True)
+    assert control.may_load(100.0, request, function, False)
+    function.waiting.append(make_pending())
+    assert control.may_load(100.0, request, function, True)  # another one waits for that instance
--- a/tests/routing/test_load_shedding.py
+++ b/tests/routing/test_load_shedding.py
@@ -5,11 +5,16 @@
 import heapq
 import random
 from collections.abc import Callable
+from typing import Any
 
 import pytest
 
 from saffronstack.routing.events import CacheStatus, Result
+from saffronstack.routing.load_shedding import INCREASE_STEP, MAX_STEP_SCALE, TOLERATED_FRACTION, LoadShedder
+from saffronstack.routing.rate_estimator import RequestRates
 from saffronstack.routing.settings import TenantSettings
+from saffronstack.routing.shared_instances import SharedInstances
+from tests.helpers import settings
 from tests.support.routing import (
     Gateway,
     attempts_sent,
@@ -18,6 +23,7 @@
     learn_shared_instances,
     make_router,
 )
+from tests.support.routing_state import make_attempt, make_outcome, make_pending, make_request, make_worker
 
 
 def test_workers_at_capacity_shed_load_and_timely_responses_end_that() -> None:
@@ -105,3 +111,58 @@
     for step in range(400):
         gateway.request(100.0 + step * 0.01, function_id=step, tenant=step % 2)
     assert subject.components.load_shedder.quota_factor(104.0, 0) > 0.8
+
+
+def make_shedder(shared: SharedInstances | None = None, **changes: Any) -> tuple[LoadShedder, RequestRates]:
+    """Return a load shedder and the rates that it reads."""
+    rates = RequestRates()
+    return LoadShedder(settings(**changes), rates, shared or SharedInstances(), random.Random(1)), rates
+
+
+def test_a_tenant_without_settings_is_never_over_its_quota() -> None:
+    shedder, _ = make_shedder()
+    assert shedder.quota_factor(100.0, 3) == 1.0
+
+
+def test_traffic_over_the_quota_weighs_less() -> None:
+    tenants = (TenantSettings("a", 0.9, 90.0), TenantSettings("b", 0.1, 1.0))
+    shedder, rates = make_shedder(tenants=tenants, over_quota_weight=0.2)
+    for _ in range(100):
+        rates.record(100.0, make_request(tenant=1))
+    assert 0.2 < shedder.quota_factor(100.0, 1) < 0.4
+    assert shedder.quota_factor(100.0, 0) == 1.0
+
+
+def test_nothing_is_shed_where_instances_are_not_shared() -> None:
+    shedder, _ = make_shedder()
+    shedder.shed_fraction = shedder.mean_priority_weight = 0.75
+    assert not any(shedder.sheds(make_pending()) for _ in range(100))
+
+
+def test_the_lightest_requests_are_shed_first() -> None:
+    shared = SharedInstances()
+    shared.fraction = 1.0
+    shedder, _ = make_shedder(shared)
+    shedder.shed_fraction, shedder.mean_priority_weight = 0.65, 1.0
+    light, heavy = (sum(shedder.sheds(make_pending(weight=w)) for _ in range(200)) for w in (0.6, 3.0))
+    assert heavy < 50 < 120 < light
+
+
+def test_a_tolerated_part_of_the_fraction_sheds_nothing() -> None:
+    shared = SharedInstances()
+    shared.fraction = 1.0
+    shedder, _ = make_shedder(shared)
+    shedder.shed_fraction, shedder.mean_priority_weight = TOLERATED_FRACTION, 1.0
+    assert not any(shedder.sheds(make_pending()) for _ in range(100))
+
+
+def test_steps_are_larger_where_responses_are_few() -> None:
+    shedder, _ = make_shedder()
+    late = make_outcome(elapsed_s=2.0)
+    shedder.observe(100.0, make_attempt(make_worker()), late)
+    assert shedder.shed_fraction == pytest.approx(INCREASE_STEP * MAX_STEP_SCALE)
+    for _ in range(200):
+        shedder.observe(100.0, make_attempt(make_worker()), make_outcome())
+    assert shedder.shed_fraction == 0.0
+    shedder.observe(100.0, make_attempt(make_worker()), late)
+    assert shedder.shed_fraction == pytest.approx(INCREASE_STEP)
--- a/tests/routing/test_membership.py
+++ b/tests/routing/test_membership.py
@@ -4,6 +4,11 @@
 
 import pytest
 
+from saffronstack.routing.actions import WatchEndpoints
+from saffronstack.routing.components import Components
+from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind
+from saffronstack.routing.router import Router
+from tests.helpers import settings
 from tests.support.routing import (
     DRAINING,
     REMOVED,
@@ -59,3 +64,35 @@
     gateway.router.handle(102.0, snapshot(*(endpoint(w) for w in range(391, 401))))
     number, actions = gateway.request(102.0, function_id=2)
     assert attempts_sent(actions)[0].worker_id > 390
+
+
+def test_totals_count_ready_workers_alone() -> None:
+    parts = Components(settings(), 1)
+    update = snapshot(endpoint(1, capacity=2.0), endpoint(2, DRAINING), endpoint(3))
+    parts.membership.apply(100.0, update)
+    assert (parts.fleet.ready_count, parts.fleet.ready_capacity) == (2, 3.0)
+
+
+def test_a_failed_update_changes_nothing() -> None:
+    parts = Components(settings(), 1)
+    parts.membership.apply(100.0, snapshot(endpoint(1)))
+    parts.membership.apply(101.0, EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert parts.fleet.ready_count == 1
+
+
+def test_a_removed_worker_is_forgotten_once_nothing_is_in_flight_there() -> None:
+    parts = Components(settings(), 1)
+    parts.membership.apply(100.0, snapshot(endpoint(1)))
+    parts.fleet.workers[1].attempts_in_flight = 1
+    parts.membership.apply(101.0, incremental(endpoint(1, REMOVED)))
+    assert 1 in parts.fleet.workers
+    parts.fleet.workers[1].attempts_in_flight = 0
+    parts.membership.forget_removed()
+    assert not parts.fleet.workers
+
+
+@pytest.mark.parametrize("kind", [EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED])
+def test_a_stale_list_starts_a_subscription_where_one_is_needed(kind: EndpointUpdateKind) -> None:
+    update = EndpointUpdate(kind)
+    assert Router(settings(must_subscribe=True), 1).handle(100.0, update) == [WatchEndpoints()]
+    assert Router(settings(), 1).handle(100.0, update) == []
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -2,9 +2,13 @@
 
 from __future__ import annotations
 
-from saffronstack.routing.events import Result
-from saffronstack.routing.state import Function
+from typing import Any
+
+from saffronstack.routing.events import CacheStatus, Result
+from saffronstack.routing.outlier_detection import MIN_SLOWNESS_SAMPLES, TRIAL_INTERVAL_S, OutlierDetection
+from saffronstack.routing.state import Function, Worker
 from tests.support.routing import Gateway, add_warm_instances, attempts_sent, make_router
+from tests.support.routing_state import make_attempt, make_fleet, make_outcome, make_worker
 
 
 def test_a_worker_that_is_not_reached_is_ejected_and_returns_after_a_trial() -> None:
@@ -46,3 +50,49 @@
 
 def test_ejection_is_capped() -> None:
     assert len(ejected_after({w: (Result.ERROR if w > 2 else Result.OK, 0.05) for w in range(1, 7)})) <= 2
+
+
+def observe(detection: OutlierDetection, worker: Worker, now: float, **outcome: Any) -> None:
+    """Hand in the outcome of an attempt at a warm instance."""
+    detection.observe(now, make_attempt(worker), make_outcome(**outcome))
+
+
+def test_a_few_slow_responses_are_chance() -> None:
+    workers = [make_worker(number) for number in range(1, 7)]
+    detection = OutlierDetection(make_fleet(*workers))
+    for worker in workers:
+        observe(detection, worker, 100.0, elapsed_s=0.1)
+    for step in range(MIN_SLOWNESS_SAMPLES - 2):
+        observe(detection, workers[0], 101.0 + step, elapsed_s=1.0)
+    assert not workers[0].is_ejected
+
+
+def test_a_failed_load_is_no_error_of_the_worker() -> None:
+    worker = make_worker()
+    detection = OutlierDetection(make_fleet(worker))
+    observe(detection, worker, 100.0, result=Result.ERROR, cache_status=CacheStatus.LOAD_FAILED)
+    assert worker.error_fraction == 0.0
+
+
+def test_a_cancelled_attempt_neither_counts_as_unreached_nor_ends_a_row() -> None:
+    worker = make_worker()
+    detection = OutlierDetection(make_fleet(worker))
+    observe(detection, worker, 100.0, result=Result.RESET)
+    observe(detection, worker, 101.0, result=Result.CANCELLED)
+    assert worker.consecutive_unreached == 1
+    observe(detection, worker, 102.0, result=Result.ERROR)
+    assert worker.consecutive_unreached == 0
+
+
+def test_a_trial_delays_the_next_one() -> None:
+    worker = make_worker()
+    OutlierDetection(make_fleet(worker)).start_trial(100.0, worker)
+    assert worker.next_trial_s == 100.0 + TRIAL_INTERVAL_S
+
+
+def test_without_ready_workers_nothing_is_evaluated() -> None:
+    worker = make_worker(is_ready=False)
+    detection = OutlierDetection(make_fleet(worker))
+    observe(detection, worker, 100.0, result=Result.RESET)
+    observe(detection, worker, 101.0, result=Result.RESET)
+    assert not worker.is_ejected
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
+from saffronstack.routing.components import Components
 from saffronstack.routing.events import CacheStatus, EndpointUpdate, EndpointUpdateKind, LoadReport
+from saffronstack.routing.placement import MAX_LOADS_AT_WORKER, rendezvous_rank
 from saffronstack.routing.router import Router
+from saffronstack.routing.state import Function, Worker
 from tests.helpers import settings
 from tests.support.routing import (
     Gateway,
@@ -13,6 +16,7 @@
     make_gateways,
     make_router,
 )
+from tests.support.routing_state import make_request, make_worker
 
 
 def test_gateways_rank_the_same_worker_first() -> None:
@@ -96,3 +100,56 @@
     assert spread_after(0) == 1.0
     assert spread_after(1) == spread_after(None) == 10.0  # every slot in use; a site that does not report it
     assert spread_after(0, utilization=None) == 10.0
+
+
+def make_parts(*workers: Worker) -> Components:
+    """Return the parts of a router that knows these workers."""
+    parts = Components(settings(), 1)
+    parts.fleet.workers.update({worker.endpoint.worker_id: worker for worker in workers})
+    parts.fleet.ready_count = len(workers)
+    parts.fleet.ready_capacity = sum(worker.endpoint.capacity for worker in workers)
+    return parts
+
+
+def choose(parts: Components, function: Function | None = None, function_id: int = 1) -> int:
+    """Return the number of the worker at which a function is loaded."""
+    request = make_request(function_id=function_id)
+    workers = list(parts.fleet.workers.values())
+    return parts.placement.choose(100.0, request, function or Function(), workers).endpoint.worker_id
+
+
+def test_ranks_follow_the_capacity() -> None:
+    small, large = make_worker(1, capacity=1.0), make_worker(2, capacity=3.0)
+    first = sum(rendezvous_rank(large, f) < rendezvous_rank(small, f) for f in range(1000))
+    assert 700 < first < 800
+
+
+def test_a_full_worker_is_passed_over() -> None:
+    parts = make_parts(make_worker(1), make_worker(2))
+    favourite = choose(parts)
+    parts.fleet.workers[favourite].placed_mb = 7800.0
+    assert choose(parts) == 3 - favourite
+
+
+def test_where_no_worker_has_room_the_one_with_fewest_attempts_is_chosen() -> None:
+    workers = make_worker(1, kind=0), make_worker(2, kind=0)
+    for worker, attempts in zip(workers, (2, 1), strict=True):
+        worker.placed_mb, worker.attempts_in_flight = 8000.0, attempts
+    assert choose(make_parts(*workers)) == 2
+
+
+def test_a_worker_with_many_loads_in_progress_is_passed_over() -> None:
+    parts = make_parts(make_worker(1), make_worker(2))
+    favourite = choose(parts)
+    loads = {function: 1 for function in range(10, 10 + MAX_LOADS_AT_WORKER)}
+    parts.fleet.workers[favourite].loads_in_progress = loads
+    assert choose(parts) == 3 - favourite
+
+
+def test_a_worker_that_rejected_a_load_is_chosen_only_where_there_is_no_other() -> None:
+    parts, function = make_parts(make_worker(1), make_worker(2)), Function()
+    favourite = choose(parts)
+    function.load_rejected_until_s = {favourite: 100.5}
+    assert choose(parts, function) == 3 - favourite
+    function.load_rejected_until_s = {1: 100.5, 2: 100.5}
+    assert choose(parts, function) == favourite
--- a/tests/routing/test_request_queue.py
+++ b/tests/routing/test_request_queue.py
@@ -4,6 +4,8 @@
 
 from saffronstack.routing.actions import Reject, SetTimer
 from saffronstack.routing.events import TimerFired
+from saffronstack.routing.request_queue import DEADLINE_MARGIN_S, RequestQueue, hold_end_s
+from saffronstack.routing.state import Function, PendingRequest
 from tests.support.routing import (
     REMOVED,
     Gateway,
@@ -14,6 +16,7 @@
     incremental,
     make_router,
 )
+from tests.support.routing_state import make_pending, make_request
 
 
 def test_a_held_request_takes_the_instance_that_a_finished_one_frees() -> None:
@@ -51,3 +54,54 @@
     for number in held:
         answers = final_answers(gateway.router.handle(100.2, TimerFired(number)))
         assert len(answers) == 1
+
+
+def queue_of(*waiting: PendingRequest) -> tuple[RequestQueue, Function]:
+    """Return a queue that holds these requests of one function back."""
+    queue, function = RequestQueue({pending.request.request_id: pending for pending in waiting}), Function()
+    for pending in waiting:
+        queue.hold(100.0, pending, function)
+    return queue, function
+
+
+def test_a_request_is_held_back_for_half_of_its_time_at_most() -> None:
+    assert hold_end_s(100.0, make_request(deadline_s=110.0)) == 104.8
+    assert hold_end_s(100.0, make_request(deadline_s=100.06)) == 100.06 - DEADLINE_MARGIN_S
+
+
+def test_the_first_timer_comes_while_the_objective_can_be_met_and_the_next_at_the_end() -> None:
+    pending = make_pending()
+    queue, function = RequestQueue({}), Function()
+    assert queue.hold(100.0, pending, function) == SetTimer(0.15, 1)
+    assert queue.hold(100.2, pending, function).delay_s == 103.0 - 100.2
+
+
+def test_the_newest_request_is_taken_first() -> None:
+    older, newer = make_pending(make_request(1)), make_pending(make_request(2))
+    queue, function = queue_of(older, newer)
+    assert queue.take_newest(function) is newer
+    assert queue.take_newest(function) is older
+    assert queue.take_newest(function) is None and not queue.functions
+
+
+def test_requests_of_clients_that_disconnected_are_dropped() -> None:
+    function, queue = Function(), RequestQueue({})
+    queue.hold(100.0, make_pending(), function)
+    assert queue.take_newest(function) is None and not function.waiting
+
+
+def test_a_withdrawn_request_leaves_the_queue() -> None:
+    pending = make_pending()
+    queue, function = queue_of(pending)
+    assert queue.withdraw(pending, function) and not queue.functions
+    assert not queue.withdraw(pending, function)
+
+
+def test_load_slots_go_where_most_weight_waits() -> None:
+    queue, light = queue_of(make_pending(make_request(1), weight=2.0))
+    heavy = Function()
+    for number in (2, 3):
+        queue.hold(100.0, make_pending(make_request(number, function_id=2), weight=1.5), heavy)
+    assert queue.heaviest_without_load() is heavy
+    heavy.loads_in_progress = 1
+    assert queue.heaviest_without_load() is light
--- a/tests/routing/test_retry_policy.py
+++ b/tests/routing/test_retry_policy.py
@@ -4,12 +4,14 @@
 
 import pytest
 
-from saffronstack.routing.actions import Fail, Reject
-from saffronstack.routing.events import CacheStatus, Result, TimerFired
+from saffronstack.routing.actions import Action, Fail, Reject
+from saffronstack.routing.events import CacheStatus, PriorAttempt, Result, TimerFired
+from saffronstack.routing.retry_policy import MAX_SAVED_RETRIES, RETRIES_PER_REQUEST, RetryPolicy
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import PermissionSettings
 from tests.helpers import KEYED_ALL, KEYED_CELL, KEYED_ZONE, SAFE, UNSAFE, settings
 from tests.support.routing import Gateway, attempts_sent, endpoint, final_answers, make_router, snapshot
+from tests.support.routing_state import make_attempt, make_pending, make_worker
 
 MAYBE_EXECUTED = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
 NEVER_EXECUTED = [Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_LOADED]
@@ -120,3 +122,42 @@
         tries += 1
         actions = gateway.finish(100.0 + tries * 0.01, number, Result.AT_CAPACITY)
     assert tries == 3 and [type(action) for action in actions] == [Reject]
+
+
+def test_the_budget_saves_up_a_bounded_number_of_retries() -> None:
+    policy, pending = RetryPolicy(settings()), make_pending()
+    policy.record_attempt(pending)  # a first attempt costs nothing
+    assert policy.saved_retries == MAX_SAVED_RETRIES
+    pending.attempts.append(make_attempt(make_worker()))
+    policy.record_attempt(pending)
+    policy.record_request()
+    assert policy.saved_retries == MAX_SAVED_RETRIES - 1 + RETRIES_PER_REQUEST
+
+
+def test_a_request_with_an_attempt_in_flight_is_not_rejected() -> None:
+    pending = make_pending()
+    pending.attempts_in_flight = 1
+    assert RetryPolicy(settings()).final_answer(pending) == Fail(1)
+
+
+def resumed(cls: int, prior_worker: int, sent_s: float = 99.9) -> list[Action]:
+    """Return the actions on a request that is resumed after a restart."""
+    gateway = Gateway(Router(settings(), 1))
+    gateway.router.handle(100.0, snapshot(*(endpoint(w, zone=w % 2, cell=w % 3) for w in range(1, 7))))
+    return gateway.request(100.0, cls, prior_attempt=PriorAttempt(prior_worker, sent_s))[1]
+
+
+def test_a_resumed_request_counts_its_earlier_attempt() -> None:
+    assert resumed(UNSAFE, 2) == [Fail(1)]
+    assert attempts_sent(resumed(SAFE, 2))
+    assert resumed(KEYED_ALL, 2, sent_s=90.0) == [Reject(1, 0.0)]  # its window has passed
+
+
+def test_a_resumed_request_stays_in_the_scope_of_its_earlier_worker() -> None:
+    assert [send.worker_id % 2 for send in attempts_sent(resumed(KEYED_ZONE, 2))] == [0]
+    assert [send.worker_id % 3 for send in attempts_sent(resumed(KEYED_CELL, 2))] == [2]
+
+
+def test_no_worker_is_in_the_scope_of_one_that_is_not_known() -> None:
+    assert resumed(KEYED_ZONE, 99) == [Fail(1)]
+    assert attempts_sent(resumed(KEYED_ALL, 99))
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -6,9 +6,13 @@
 
 import pytest
 
+from saffronstack.routing.cpu_utilization import CpuUtilization
 from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, LoadReport, Request
+from saffronstack.routing.rate_estimator import RATE_WINDOW_S, RequestRates
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import RuleSettings
+from saffronstack.routing.slow_start import SlowStart
+from saffronstack.routing.state import Worker
 from tests.helpers import SAFE, settings
 from tests.support.routing import (
     REMOVED,
@@ -20,6 +24,7 @@
     make_gateways,
     make_router,
 )
+from tests.support.routing_state import make_fleet, make_worker
 
 
 def test_a_worker_that_returns_is_used_again() -> None:
@@ -113,3 +118,54 @@
     subject = Router(settings(rules=SLOW_START, gateway_count=200), 1)
     subject.handle(100.0, EndpointUpdate(EndpointUpdateKind.CACHED, (endpoint(1, started_s=99.0),)))
     assert not attempts_sent(subject.handle(100.0, Request(1, SAFE, 1, 103.0, memory_mb=500.0)))
+
+
+def make_slow_start(rules: RuleSettings, *workers: Worker, rate: float = 0.0) -> SlowStart:
+    """Return slow start over these workers, after so many own requests a second."""
+    rates = RequestRates()
+    rates.total.reset(100.0, rate * RATE_WINDOW_S)
+    return SlowStart(settings(rules=rules), make_fleet(*workers), rates, CpuUtilization(), random.Random(1))
+
+
+def test_capacity_grows_from_its_least_fraction_to_all() -> None:
+    worker = make_worker(started_s=100.0)
+    slow_start = make_slow_start(SLOW_START, worker)
+    slow_start.begin(100.0, worker)
+    assert worker.slow_start_ends_s == 118.0
+    fractions = [slow_start.capacity_fraction(now, worker) for now in (100.0, 109.0, 118.0)]
+    assert fractions == pytest.approx([0.15, 0.575, 1.0])
+
+
+@pytest.mark.parametrize(("rules", "started_s"), [(SLOW_START, 0.0), (RuleSettings(), 100.0)])
+def test_a_worker_without_slow_start_always_gets_attempts(rules: RuleSettings, started_s: float) -> None:
+    worker = make_worker(started_s=started_s)
+    slow_start = make_slow_start(rules, worker)
+    slow_start.begin(100.0, worker)
+    worker.send_credit = -5.0
+    assert slow_start.grants_attempt(100.0, worker)
+
+
+def test_credit_starts_below_one_attempt_and_grows_with_the_own_rate() -> None:
+    worker, other = make_worker(1, started_s=100.0), make_worker(2)
+    slow_start = make_slow_start(SLOW_START, worker, other, rate=50.0)
+    slow_start.begin(100.0, worker)
+    assert 0.0 <= worker.send_credit < 1.0
+    assert not slow_start.grants_attempt(100.0, worker)
+    assert slow_start.grants_attempt(105.0, worker)
+    assert worker.send_credit == 1.0  # and no more is saved up
+
+
+def test_without_own_requests_no_credit_grows() -> None:
+    worker = make_worker(started_s=100.0)
+    slow_start = make_slow_start(SLOW_START, worker)
+    assert slow_start.attempt_rate(105.0, worker) == 0.0
+
+
+def test_workers_that_leave_take_no_requests_back() -> None:
+    worker, leaving = make_worker(1, started_s=100.0), make_worker(2, capacity=9.0)
+    slow_start = make_slow_start(SLOW_START, worker, leaving, rate=50.0)
+    slow_start.begin(100.0, worker)
+    slow_start.observe_fleet(100.0, [worker, leaving])
+    before = slow_start.attempt_rate(100.0, worker)
+    slow_start.observe_fleet(100.0, [worker])
+    assert slow_start.attempt_rate(100.0, worker) == before
--- a/tests/routing/test_warm_pool.py
+++ b/tests/routing/test_warm_pool.py
@@ -2,8 +2,16 @@
 
 from __future__ import annotations
 
+import random
+
+from saffronstack.routing.cpu_utilization import CpuUtilization
+from saffronstack.routing.eligibility import Eligibility
 from saffronstack.routing.events import CacheStatus, Result
+from saffronstack.routing.rate_estimator import RequestRates
+from saffronstack.routing.slow_start import SlowStart
 from saffronstack.routing.state import Function
+from saffronstack.routing.warm_pool import DEFAULT_KEEP_ALIVE_S, WarmPool, keep_alive_s
+from tests.helpers import settings
 from tests.support.routing import (
     DRAINING,
     Gateway,
@@ -14,6 +22,7 @@
     incremental,
     make_router,
 )
+from tests.support.routing_state import make_attempt, make_fleet, make_pending, make_worker
 
 
 def test_the_most_recently_freed_instance_is_taken_first() -> None:
@@ -106,3 +115,64 @@
         number, _ = gateway.request(104.0, function_id=int(10 * elapsed_s))
         gateway.finish(104.0 + elapsed_s, number, elapsed_s=elapsed_s)
         assert len(gateway.router.functions[int(10 * elapsed_s)].warm_instances) == entries
+
+
+def make_pool(function: Function) -> WarmPool:
+    """Return a pool with a keep-alive of ten seconds over one function."""
+    chance = random.Random(1)
+    slow_start = SlowStart(settings(), make_fleet(), RequestRates(), CpuUtilization(), chance)
+    return WarmPool({1: function}, Eligibility(slow_start), 10.0)
+
+
+def test_the_keep_alive_has_a_default() -> None:
+    assert keep_alive_s(settings(keep_alive_s=3.0)) == 3.0
+    assert keep_alive_s(settings(keep_alive_s=0.0)) == DEFAULT_KEEP_ALIVE_S
+
+
+def test_a_restored_instance_takes_its_old_place() -> None:
+    function, worker, other = Function(), make_worker(1), make_worker(2)
+    pool = make_pool(function)
+    pool.release(100.0, function, worker, 1)
+    pool.release(102.0, function, worker, 1)
+    pool.restore(function, other, 101.0)
+    assert [freed_s for _, freed_s in function.warm_instances] == [100.0, 101.0, 102.0]
+
+
+def test_instances_at_a_worker_that_is_at_its_limit_are_passed_over() -> None:
+    function, at_limit, other = Function(), make_worker(1), make_worker(2)
+    at_limit.concurrency_limit, at_limit.warm_attempts_in_flight = 2.0, 2
+    pool = make_pool(function)
+    pool.release(100.0, function, other, 1)
+    pool.release(101.0, function, at_limit, 1)
+    assert pool.take(102.0, function, make_pending(), 1.0) == (other, 100.0)
+    assert pool.take(102.0, function, make_pending(), 1.0) is None
+
+
+def test_a_load_drops_only_the_older_instances_of_its_worker() -> None:
+    function, worker, other = Function(), make_worker(1), make_worker(2)
+    pool = make_pool(function)
+    for now, holder in ((100.0, worker), (101.0, other), (102.0, worker)):
+        pool.release(now, function, holder, 1)
+    pool.discard_older(function, worker, 101.0)
+    assert function.warm_instances == [(other, 101.0), (worker, 102.0)]
+
+
+def test_a_restart_drops_all_instances_of_the_worker() -> None:
+    function, worker, other = Function(), make_worker(1), make_worker(2)
+    pool = make_pool(function)
+    pool.release(100.0, function, worker, 2)
+    pool.release(100.0, function, other, 1)
+    pool.void_worker(worker)
+    assert function.warm_instances == [(other, 100.0)]
+
+
+def test_a_repeat_place_survives_the_removal_of_expired_instances() -> None:
+    function, worker, expired = Function(), make_worker(1), make_worker(2)
+    pool, pending = make_pool(function), make_pending()
+    broken = make_attempt(worker)
+    broken.connection_lost = True
+    pending.attempts.append(broken)
+    pool.release(80.0, function, expired, 3)
+    pool.release(100.0, function, worker, 1)
+    assert pool.take(101.0, function, pending, 1.0) == (worker, 100.0)
+    assert function.warm_instances == []
