--- a/saffronstack/harness/rollout/processes.py
+++ b/saffronstack/harness/rollout/processes.py
@@ -19,12 +19,12 @@
 
 from saffronstack.audit.rules import judge
 from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Stopped, Traffic, Try
-from saffronstack.fleet.control.messages import LEAD, GatewayState
-from saffronstack.fleet.control.releases import read as read_release
-from saffronstack.fleet.control.status_client import ask_status, flat
-from saffronstack.fleet.leases.reading import read_leases
-from saffronstack.fleet.rollout.controller import Record
-from saffronstack.fleet.rollout.records import decode
+from saffronstack.fleet.control.daemon_answers import merge_answers
+from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayStatus
+from saffronstack.fleet.control.releases import read_release
+from saffronstack.fleet.control.status_poller import poll_daemons
+from saffronstack.fleet.leases.quorum_read import read_leases
+from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, decode_record
 from saffronstack.harness.links import Mode, Wires
 from saffronstack.harness.rollout import releases
 from saffronstack.harness.scenario.clients import Clients
@@ -249,14 +249,14 @@
         path.write_text(json.dumps(content | changed))
         return path
 
-    def states(self) -> dict[str, GatewayState]:
+    def states(self) -> dict[str, GatewayStatus]:
         """Each gateway by its daemon's own page; those of silent daemons are missing."""
-        return flat(ask_status(self.daemons, self.sizes.wait_s))[0]
+        return merge_answers(poll_daemons(self.daemons, self.sizes.wait_s)).gateways
 
-    def record(self) -> Record | None:
+    def record(self) -> RolloutRecord | None:
         """The rollout as it is recorded; None where it can't be read."""
-        shown = read_leases(self.keepers, self.sizes.wait_s).leases.get(LEAD)
-        return decode(shown.value.content) if shown is not None else None
+        shown = read_leases(self.keepers, self.sizes.wait_s).leases.get(LEADER_LEASE)
+        return decode_record(shown.value.content) if shown is not None else None
 
     def roll(
         self,
@@ -298,7 +298,11 @@
         while time.monotonic() < until_s:
             record = self.record()
             ours = record is not None and record.plan.name == name
-            if ours and record is not None and (record.over or (record.way == "held" and not hold)):
+            if (
+                ours
+                and record is not None
+                and (record.is_finished or (record.phase is RolloutPhase.ON_HOLD and not hold))
+            ):
                 break
             if process.poll() is not None and (not leaders or process.returncode == REFUSED):
                 break
@@ -330,13 +334,13 @@
         """What daemons tell, seen from aside: how many are down at once, who ever ran the new one."""
         while not over.is_set():
             states = self.states()
-            self.reached |= {name for name, state in states.items() if state.runs == digest}
+            self.reached |= {name for name, state in states.items() if state.running_release == digest}
             for name, state in states.items():
                 if state.restarts > self._restarts.get(name, 0):  # it ended by itself, as a bad release does
                     now = time.monotonic()
                     self.stopped.append(Stopped(int(name[1:]), now - ENDED_S, True, now + ENDED_S))
                 self._restarts[name] = state.restarts
-            down = sum(not state.runs for state in states.values())
+            down = sum(not state.running_release for state in states.values())
             self.down_most = max(self.down_most, down)
             over.wait(0.1)
 
@@ -351,10 +355,11 @@
         traffic = Traffic(rules, tries=tries, seen=list(self.seen), stopped=list(self.stopped))
         found = judge(traffic, Figures(slack_s=0.5, gateways=len(self.gateways)))
         return Outcome(
-            status, record.way if record is not None else "", seconds, len(self.reached), len(operations),
+            status, record.phase.value if record is not None else "", seconds, len(self.reached),
+            len(operations),
             Counter(t.end for t in tries), 1 - len(served) / max(1, len(operations)),
             [f"rule {breach.rule}: {breach.text}" for breach in found] + self.troubles,
-            list(record.notes) if record is not None else [], self.down_most,
+            list(record.history) if record is not None else [], self.down_most,
         )  # fmt: skip
 
     def cut(self, leader: str, daemon: str, mode: Mode) -> None:
