--- a/saffronstack/cli/infleet.py
+++ b/saffronstack/cli/fleet_services.py
@@ -1,9 +1,9 @@
-"""A gateway's part in its fleet: a keeper and the fleet's tasks in the same process."""
+"""What a gateway process does for its fleet beside serving calls: a lease server, and the scheduled tasks."""
 
 from __future__ import annotations
 
 from saffronstack.cli.leases import bounds_of, job_of, open_client
-from saffronstack.config.fleet import load_fleet
+from saffronstack.config.fleet import FleetFile, load_fleet
 from saffronstack.config.load import ConfigError
 from saffronstack.config.schema import InFleet
 from saffronstack.fleet.leases.client import LeaseClient
@@ -12,24 +12,22 @@
 from saffronstack.fleet.tasks.runner import TaskRunner
 
 
-class FleetPart:
-    """What runs beside a gateway's calls; none of it is on a call's path."""
+class FleetServices:
+    """The fleet's services in this process, running; none of them is on the path of a call."""
 
     def __init__(self, config: InFleet) -> None:
-        """Starts it. ConfigError with the reason; OSError where an address or a directory can't be had."""
+        """Start the services that ``config`` names.
+
+        Raises:
+            ConfigError: The fleet's file or the lease server's state can't be used.
+            OSError: The lease server's address or directory is not available.
+        """
         self._node: KeeperNode | None = None
         self._client: LeaseClient | None = None
         self._runners: list[TaskRunner] = []
         fleet = load_fleet(config.path)
         if config.keeper is not None and config.state_directory is not None:
-            try:
-                self._node = KeeperNode(
-                    config.keeper, fleet.fleet, fleet.addresses(), bounds_of(fleet), fleet.wait_s,
-                    config.state_directory,
-                )  # fmt: skip
-            except (ForeignStateError, ValueError) as error:
-                raise ConfigError(f"fleet: {error}") from error
-            self._node.start()
+            self._node = _start_node(fleet, config.keeper, config.state_directory)
         if config.tasks:
             client = self._client = open_client(fleet)
             self._runners = [
@@ -40,10 +38,21 @@
                 runner.start()
 
     def stop(self) -> bool:
-        """End it; whether each task's run ended in time."""
+        """Stop the services; return whether the runs of all tasks ended in time."""
         clean = all([runner.stop() for runner in self._runners])
         if self._client is not None:
             self._client.close()
         if self._node is not None:
             self._node.stop()
         return clean
+
+
+def _start_node(fleet: FleetFile, name: str, state_directory: str) -> KeeperNode:
+    try:
+        node = KeeperNode(
+            name, fleet.fleet, fleet.addresses(), bounds_of(fleet), fleet.wait_s, state_directory,
+        )  # fmt: skip
+    except (ForeignStateError, ValueError) as error:
+        raise ConfigError(f"fleet: {error}") from error
+    node.start()
+    return node
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -27,8 +27,11 @@
 from saffronstack.fleet.leases.node import KeeperNode
 from saffronstack.fleet.leases.reading import read_leases
 from saffronstack.fleet.leases.store import Held
-from saffronstack.fleet.tasks.jobs import FleetUsage, Job, Sweep, Takeover
+from saffronstack.fleet.tasks.fleet_usage import FleetUsageTask
+from saffronstack.fleet.tasks.garbage_collection import GarbageCollectionTask
+from saffronstack.fleet.tasks.orphan_takeover import OrphanTakeoverTask
 from saffronstack.fleet.tasks.runner import TaskRunner
+from saffronstack.fleet.tasks.task import Task
 from saffronstack.http1.messages import HttpError
 
 log = structlog.get_logger("saffronstack.keeper")
@@ -193,13 +196,13 @@
     return 0 if clean else 1
 
 
-def job_of(task: TaskEntry, client: LeaseClient) -> Job:
+def job_of(task: TaskEntry, client: LeaseClient) -> Task:
     """What a task of the file does."""
     if task.kind == "usage":
-        return FleetUsage(task.usage, task.output)
+        return FleetUsageTask(task.usage, task.output)
     if task.kind == "takeover":
-        return Takeover(task.ledgers, task.config, client)
-    return Sweep(task.outputs, task.ledgers)
+        return OrphanTakeoverTask(task.ledgers, task.config, client)
+    return GarbageCollectionTask(task.outputs, task.ledgers)
 
 
 def _signals(*wanted: int) -> queue.SimpleQueue[int]:
--- a/saffronstack/cli/tenure.py
+++ b/saffronstack/cli/tenure.py
@@ -31,7 +31,7 @@
         self._home, self._token, self._client, self._held = home, token, client, held
         self._ended = threading.Event()
         self.files = FencedFiles(home, token)
-        place = home.enter(token)
+        place = home.take_ownership(token)
         assert config.ledger is not None
         config = msgspec.structs.replace(
             config, ledger=msgspec.structs.replace(config.ledger, directory=str(place))
@@ -44,7 +44,7 @@
         """End this process at once where a later holder has entered: what it still does counts nothing, and
         what it took is that one's to finish. A lease that ran out meanwhile is asked for again."""
         while not self._ended.wait(LOOK_S):
-            if self._home.above(self._token):
+            if self._home.has_later_owner(self._token):
                 log.error("taken over by a later holder", home=str(self._home.directory), token=self._token)
                 os._exit(TAKEN_OVER)
             if self._client is not None and self._held is not None and self._held.left_s() <= 0:
@@ -57,7 +57,7 @@
         """Nothing is under way any more. Where it ended otherwise, another one looks after what is open."""
         self._ended.set()
         if clean:
-            self._home.leave(self._token)
+            self._home.mark_clean_shutdown(self._token)
         if self._client is not None:
             self._client.close()
 
--- a/saffronstack/fleet/tasks/__init__.py
+++ b/saffronstack/fleet/tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Work of a whole fleet that one process does at a time, under a lease (`docs/leases.md`)."""
+"""Scheduled tasks of a fleet: each runs in one process at a time, under a lease (`docs/leases.md`)."""
--- a/saffronstack/fleet/tasks/ledger_directory.py
+++ b/saffronstack/fleet/tasks/ledger_directory.py
@@ -1,116 +1,154 @@
-"""The home of a gateway's ledger in a shared directory: who may write it, by token, and where.
+"""A gateway's ledger on a shared file system: which process owns it, by fencing token, and where it writes.
 
-Each holder of the gateway's lease works in a place of its own. It first puts up a *fence* with its token,
-durably, and then copies what the one before had written. A holder looks for a greater fence after each sync
-and before it lets anyone know of what it wrote: so whatever it did let know of, the copy has, and what it
-writes later nobody reads. That holds while a file made on one machine is seen at once on the others."""
+Each owner (a holder of the gateway's lease) writes to a subdirectory of its own. It first creates a *fence*
+file with its token, durably, and then copies the segments of the owner before it. An owner checks for a
+greater fence after each sync, before it acknowledges what it wrote. So the copy has all that was
+acknowledged, and nobody reads what a superseded owner writes later. This relies on a file that one machine
+creates being visible at once on the others.
+
+Names in the directory, which processes of other versions read as well: ``fence-TOKEN``, ``place-TOKEN`` (the
+owner's subdirectory) and ``left-TOKEN`` (clean shutdown).
+"""
 
 from __future__ import annotations
 
-import errno
 import os
 import pathlib
 import re
 import shutil
 
 from saffronstack.durable.segments import Files
+from saffronstack.fleet.tasks.errors import OwnershipLostError, StaleOwnerError
 
-FENCE = re.compile(r"fence-(\d{20})")
-COPIED = "*.seg"
+FENCE_NAME = re.compile(r"fence-(\d{20})")
+SEGMENT_GLOB = "*.seg"
 
 
 class LedgerDirectory:
-    """The directory of one gateway."""
+    """The ledger directory of one gateway."""
 
     def __init__(self, directory: str) -> None:
+        """Use ``directory``; the first owner creates it."""
         self.directory = pathlib.Path(directory)
 
-    def enter(self, token: int) -> pathlib.Path:
-        """Become the one that writes: the place to write in. OSError, so under a greater fence."""
+    def take_ownership(self, token: int) -> pathlib.Path:
+        """Fence off all earlier owners and copy what they wrote.
+
+        Args:
+            token: Fencing token of the lease that the caller holds.
+
+        Returns:
+            The subdirectory that the caller may write to.
+
+        Raises:
+            StaleOwnerError: A later owner exists already.
+            OSError: The fence or the copy can't be written.
+        """
         self.directory.mkdir(parents=True, exist_ok=True)
-        if self.above(token):
-            raise PermissionError(errno.ESTALE, f"{self.directory}: a later holder has entered already")
-        before = self._place_before(token)
-        place = self._place(token)
-        fence = self.directory / f"fence-{token:020d}"
-        descriptor = os.open(fence, os.O_WRONLY | os.O_CREAT, 0o600)
-        os.close(descriptor)
-        self._sync()
-        if place.is_dir():
-            return place
-        partial = place.with_suffix(".new")
-        shutil.rmtree(partial, ignore_errors=True)
-        partial.mkdir()
-        if before is not None:
-            for path in sorted(before.glob(COPIED)):
-                with open(shutil.copy2(path, partial / path.name), "rb") as copied:
-                    os.fsync(copied.fileno())
-        os.replace(partial, place)
-        self._sync()
-        return place
-
-    def leave(self, token: int) -> None:
-        """All is written and nothing of it under way: nobody needs to take this over."""
-        (self.directory / f"left-{token:020d}").touch()
-        self._sync()
-
-    def above(self, token: int) -> bool:
-        """Whether a later holder has entered."""
-        return any(other > token for other in self._fences())
-
-    def abandoned(self) -> bool:
-        """Whether its last holder has not left in order, so that calls may be open with nobody at them."""
-        last = max(self._fences(), default=None)
-        return last is not None and not (self.directory / f"left-{last:020d}").exists()
-
-    def sweep(self) -> int:
-        """Remove places and fences of holders before the last one that has its place; how many."""
-        removed = 0
-        fences = sorted(self._fences())
-        last = next((token for token in reversed(fences) if self._place(token).is_dir()), None)
-        for token in fences:
-            if last is not None and token < last:
-                shutil.rmtree(self._place(token), ignore_errors=True)
-                (self.directory / f"left-{token:020d}").unlink(missing_ok=True)
-                removed += 1
-        return removed
-
-    def place(self) -> pathlib.Path | None:
-        """Where the last holder wrote; None before the first."""
-        fences = sorted(self._fences(), reverse=True)
-        return next((place for token in fences if (place := self._place(token)).is_dir()), None)
-
-    def _place(self, token: int) -> pathlib.Path:
+        if self.has_later_owner(token):
+            raise StaleOwnerError(self.directory)
+        source = self._source_before(token)
+        target = self._owner_path(token)
+        self._create_fence(token)
+        if target.is_dir():
+            return target
+        _copy_segments(source, target)
+        self._sync_names()
+        return target
+
+    def mark_clean_shutdown(self, token: int) -> None:
+        """Record that the owner ended with no call in flight, so that nobody needs to take over."""
+        self._clean_shutdown_path(token).touch()
+        self._sync_names()
+
+    def has_later_owner(self, token: int) -> bool:
+        """Return whether an owner with a greater token exists."""
+        return any(other > token for other in self._owner_tokens())
+
+    def is_orphaned(self) -> bool:
+        """Return whether the last owner ended without a clean shutdown, or has not ended."""
+        last = max(self._owner_tokens(), default=None)
+        return last is not None and not self._clean_shutdown_path(last).exists()
+
+    def current_path(self) -> pathlib.Path | None:
+        """Return the subdirectory of the last owner that has one; None before the first owner."""
+        return self._newest_path(self._owner_tokens())
+
+    def remove_superseded(self) -> int:
+        """Remove the subdirectories of all owners before the last one that has its own.
+
+        Returns:
+            How many owners were superseded; their fences stay.
+        """
+        tokens = sorted(self._owner_tokens())
+        last = next((token for token in reversed(tokens) if self._owner_path(token).is_dir()), None)
+        superseded = [token for token in tokens if last is not None and token < last]
+        for token in superseded:
+            shutil.rmtree(self._owner_path(token), ignore_errors=True)
+            self._clean_shutdown_path(token).unlink(missing_ok=True)
+        return len(superseded)
+
+    def _owner_path(self, token: int) -> pathlib.Path:
         return self.directory / f"place-{token:020d}"
 
-    def _place_before(self, token: int) -> pathlib.Path | None:
-        """Where the newest state is: a holder that died between fence and copy has none of its own."""
-        earlier = sorted((other for other in self._fences() if other < token), reverse=True)
-        for other in earlier:
-            if self._place(other).is_dir():
-                return self._place(other)
-        return self.directory if any(self.directory.glob(COPIED)) else None
+    def _clean_shutdown_path(self, token: int) -> pathlib.Path:
+        return self.directory / f"left-{token:020d}"
+
+    def _source_before(self, token: int) -> pathlib.Path | None:
+        """Return where the newest segments before ``token`` are.
+
+        An owner that died between fence and copy has no subdirectory. Before the first owner, the segments
+        of a gateway that ran without a fleet are in the directory itself.
+        """
+        newest = self._newest_path([other for other in self._owner_tokens() if other < token])
+        if newest is not None:
+            return newest
+        return self.directory if any(self.directory.glob(SEGMENT_GLOB)) else None
 
-    def _fences(self) -> list[int]:
-        matches = [FENCE.fullmatch(entry.name) for entry in os.scandir(self.directory)]
+    def _newest_path(self, tokens: list[int]) -> pathlib.Path | None:
+        paths = (self._owner_path(token) for token in sorted(tokens, reverse=True))
+        return next((path for path in paths if path.is_dir()), None)
+
+    def _owner_tokens(self) -> list[int]:
+        matches = [FENCE_NAME.fullmatch(entry.name) for entry in os.scandir(self.directory)]
         return [int(match[1]) for match in matches if match]
 
-    def _sync(self) -> None:
-        descriptor = os.open(self.directory, os.O_RDONLY)
-        try:
-            os.fsync(descriptor)
-        finally:
-            os.close(descriptor)
+    def _create_fence(self, token: int) -> None:
+        fence = self.directory / f"fence-{token:020d}"
+        os.close(os.open(fence, os.O_WRONLY | os.O_CREAT, 0o600))
+        self._sync_names()
+
+    def _sync_names(self) -> None:
+        Files().sync_directory(self.directory)
+
+
+def _copy_segments(source: pathlib.Path | None, target: pathlib.Path) -> None:
+    """Create ``target`` with durable copies of the segments in ``source``; it appears when it is complete."""
+    partial = target.with_suffix(".new")
+    shutil.rmtree(partial, ignore_errors=True)
+    partial.mkdir()
+    if source is not None:
+        for path in sorted(source.glob(SEGMENT_GLOB)):
+            with open(shutil.copy2(path, partial / path.name), "rb") as copied:
+                os.fsync(copied.fileno())
+    os.replace(partial, target)
 
 
 class FencedFiles(Files):
-    """File operations of one holder: under a greater fence a sync fails, and what was written is nobody's."""
+    """File operations of one owner; a sync fails once a later owner exists."""
 
-    def __init__(self, home: LedgerDirectory, token: int) -> None:
-        self._home, self._token = home, token
+    def __init__(self, ledger: LedgerDirectory, token: int) -> None:
+        """Guard the files that the owner with ``token`` writes."""
+        self._ledger = ledger
+        self._token = token
 
     def sync(self, descriptor: int) -> None:
-        """On the disk, and still this holder's to write. OSError (ESTALE) where it is not."""
+        """Sync the file's data to disk, then check that it still counts.
+
+        Raises:
+            OwnershipLostError: A later owner exists; it may not have what was written.
+            OSError: The sync failed.
+        """
         super().sync(descriptor)
-        if self._home.above(self._token):
-            raise OSError(errno.ESTALE, f"{self._home.directory}: taken over by a later holder")
+        if self._ledger.has_later_owner(self._token):
+            raise OwnershipLostError(self._ledger.directory)
--- /dev/null
+++ b/saffronstack/fleet/tasks/orphan_takeover.py
@@ -0,0 +1,82 @@
+"""The task that finishes deferred calls which dead gateways left open (orphaned calls)."""
+
+from __future__ import annotations
+
+import pathlib
+import subprocess
+import sys
+
+import structlog
+
+from saffronstack.fleet.leases.store import Held, LeaseStore
+from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
+from saffronstack.fleet.tasks.task import TaskRun
+
+log = structlog.get_logger("saffronstack.tasks")
+POLL_INTERVAL_S = 0.1
+LEASE_WAIT_S = 0.5  # a gateway that is alive renews its lease, so it is not granted however long we wait
+
+
+class OrphanTakeoverTask:
+    """Finishes the open calls in ledgers whose gateway died without a clean shutdown."""
+
+    def __init__(self, root: str, config: str, store: LeaseStore) -> None:
+        """Configure the task.
+
+        Args:
+            root: Directory with one ledger directory for each gateway, under the gateway's name.
+            config: Path of a gateway configuration with the functions and workers of all gateways.
+            store: Where the leases of the gateways are acquired.
+        """
+        self._root = pathlib.Path(root)
+        self._config = config
+        self._store = store
+
+    def execute(self, run: TaskRun) -> str:
+        """See `Task.execute`."""
+        finished: list[str] = []
+        paths = sorted(path for path in self._root.iterdir() if path.is_dir()) if self._root.is_dir() else []
+        for path in paths:
+            if not run.may_continue():
+                break
+            if self._take_over(path, run):
+                finished.append(path.name)
+        return f"finished the calls of {', '.join(finished)}" if finished else "no orphaned calls"
+
+    def _take_over(self, path: pathlib.Path, run: TaskRun) -> bool:
+        """Finish the calls of one gateway if it is dead; return whether that was done to the end."""
+        ledger = LedgerDirectory(str(path))
+        if not ledger.is_orphaned():
+            return False
+        lease = self._store.acquire(f"gateway/{path.name}", LEASE_WAIT_S)
+        if lease is None:  # the gateway is alive
+            return False
+        try:
+            # It may have been restarted and shut down cleanly between the check and the grant.
+            return ledger.is_orphaned() and self._finish_open_calls(path, lease, run)
+        finally:
+            lease.release()
+
+    def _finish_open_calls(self, path: pathlib.Path, lease: Held, run: TaskRun) -> bool:
+        """Run a gateway on the dead one's ledger until no call is open; return whether it got there."""
+        log.warning("taking over orphaned ledger", gateway=path.name, token=lease.token)
+        process = self._start_gateway(path, lease.token)
+        try:
+            while process.poll() is None and run.may_continue() and lease.left_s() > 0:
+                run.wait(POLL_INTERVAL_S)
+            return process.poll() == 0
+        finally:
+            if process.poll() is None:
+                # The next owner takes the ledger with a greater token and finds all that was recorded.
+                process.kill()
+            process.wait()
+
+    def _start_gateway(self, path: pathlib.Path, token: int) -> subprocess.Popen[bytes]:
+        return subprocess.Popen(
+            [
+                sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", self._config,
+                "--listen", "127.0.0.1:0", "--ledger-home", str(path), "--ledger-token", str(token),
+                "--finish", "--log", "json",
+            ],
+            stdout=subprocess.DEVNULL, stdin=subprocess.DEVNULL,
+        )  # fmt: skip
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -1,133 +1,198 @@
-"""Runs the tasks whose leases this process holds."""
+"""Runs one scheduled task while this process holds the task's lease."""
 
 from __future__ import annotations
 
 import threading
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import structlog
 
 from saffronstack.fleet.leases.store import Held, LeaseStore
-from saffronstack.fleet.tasks.jobs import Job
-from saffronstack.fleet.tasks.schedule import Action, Begin, GiveBack, Phase, Stop, TaskSchedule
+from saffronstack.fleet.tasks.schedule import (
+    Action,
+    CancelRun,
+    ReleaseLease,
+    StartRun,
+    TaskSchedule,
+    TaskState,
+)
+from saffronstack.fleet.tasks.task import Task
 from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.tasks")
-ACQUIRE_S = 5.0
-LOOK_S = 0.1
+LEASE_WAIT_S = 5.0  # for one attempt to acquire the lease
+POLL_INTERVAL_S = 0.1
 
 
-class _Turn:
-    """One run; `jobs.Turn`."""
+class _LeasedRun:
+    """One run of a task under a lease; implements `TaskRun`."""
 
-    def __init__(self, turn: int, token: int, held: Held | None) -> None:
-        self.turn, self.token = turn, token
-        self._held = held
-        self._stopped = threading.Event()
+    def __init__(self, number: int, token: int, lease: Held | None) -> None:
+        self.number = number
+        self.token = token
+        self._lease = lease
+        self._cancelled = threading.Event()
 
-    def still(self) -> bool:
-        """See `jobs.Turn`."""
-        return not self._stopped.is_set() and self._held is not None and self._held.left_s() > 0
+    def may_continue(self) -> bool:
+        """See `TaskRun.may_continue`."""
+        return not self._cancelled.is_set() and self._lease is not None and self._lease.left_s() > 0
 
-    def pause(self, seconds: float) -> None:
-        """See `jobs.Turn`."""
-        self._stopped.wait(seconds)
+    def wait(self, seconds: float) -> None:
+        """See `TaskRun.wait`."""
+        self._cancelled.wait(seconds)
 
-    def stop(self) -> None:
-        """It is over for this run."""
-        self._stopped.set()
+    def cancel(self) -> None:
+        """Ask the task to return soon. Any thread may call it."""
+        self._cancelled.set()
+
+
+@dataclass(frozen=True, slots=True)
+class _EndedRun:
+    """What the thread of a run reports when it ends."""
+
+    number: int
+    succeeded: bool
 
 
 class TaskRunner:
-    """One task in this process: wants its lease, runs it when it is due, stops it when the lease is lost."""
+    """Runs one task: acquires its lease, starts runs that are due, cancels a run when the lease is lost.
+
+    A thread of its own makes all decisions; each run has another thread.
+    """
 
     def __init__(
         self,
         name: str,
-        job: Job,
+        task: Task,
         period_s: float,
-        budget_s: float,
+        run_timeout_s: float,
         store: LeaseStore,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """Prepare the runner; `start` starts it.
+
+        Args:
+            name: The task's name; its lease is ``task/NAME``.
+            task: What to run.
+            period_s: Time between runs.
+            run_timeout_s: How long a run may take before it is cancelled.
+            store: Where the lease is acquired.
+            clock: Monotonic clock in seconds.
+        """
         self.name = name
-        self._job, self._store, self._clock = job, store, clock
-        self._turns = TaskSchedule(period_s, budget_s)
-        self._lock = threading.Condition()
-        self._held: Held | None = None
-        self._lost: str = ""
-        self._run: _Turn | None = None
-        self._ended: list[tuple[int, bool]] = []
-        self._stopping = False
-        self.last = ""  # what the last run said
+        self._task = task
+        self._store = store
+        self._clock = clock
+        self._schedule = TaskSchedule(period_s, run_timeout_s)
+        self._lease: Held | None = None  # the deciding thread's alone
+        self._reported = threading.Condition()  # guards the four fields below
+        self._lease_lost_reason = ""
+        self._ended_runs: list[_EndedRun] = []
+        self._current_run: _LeasedRun | None = None
+        self._is_stopping = False
 
     def start(self) -> None:
-        """Begin on a thread of its own."""
-        self._thread = spawn(f"task-{self.name}", self._keep)
+        """Start the deciding thread."""
+        self._thread = spawn(f"task-{self.name}", self._run_loop)
 
     def stop(self, timeout_s: float = 10.0) -> bool:
-        """Stop a run, give the lease back; whether the run ended in time."""
-        with self._lock:
-            self._stopping = True
-            if self._run is not None:
-                self._run.stop()
-            self._lock.notify_all()
+        """Cancel the run, release the lease and wait for both.
+
+        Args:
+            timeout_s: How long to wait.
+
+        Returns:
+            Whether the run ended in time.
+        """
+        with self._reported:
+            self._is_stopping = True
+            if self._current_run is not None:
+                self._current_run.cancel()
+            self._reported.notify_all()
         self._thread.join(timeout_s)
         return not self._thread.is_alive()
 
-    def _keep(self) -> None:
-        while True:
-            with self._lock:
-                if self._stopping and self._turns.phase not in (Phase.RUNNING, Phase.STOPPING):
-                    break
-            if self._held is None and self._turns.phase is Phase.OUT and not self._stopping:
-                self._held = self._store.acquire(f"task/{self.name}", ACQUIRE_S, self._on_lost)
-                if self._held is not None:
-                    self._carry_out(self._turns.gained(self._clock(), self._held.token))
-            with self._lock:
-                lost, self._lost = self._lost, ""
-                ended, self._ended = self._ended, []
-            now = self._clock()
-            if lost and self._held is not None:
-                self._held = None
-                self._carry_out(self._turns.lost(now, lost))
-            for turn, good in ended:
-                self._carry_out(self._turns.ended(now, turn, good))
-            self._carry_out(self._turns.tick(now))
-            with self._lock:
-                self._lock.wait_for(lambda: bool(self._lost or self._ended or self._stopping), LOOK_S)
-        if self._held is not None:
-            self._held.release()
-
-    def _on_lost(self, why: str) -> None:
-        with self._lock:
-            self._lost = why
-            self._lock.notify_all()
+    def _run_loop(self) -> None:
+        while not self._has_stopped():
+            self._acquire_lease_if_needed()
+            now_s = self._clock()
+            self._handle_reports(now_s)
+            self._carry_out(self._schedule.tick(now_s))
+            with self._reported:
+                self._reported.wait_for(self._has_reports, POLL_INTERVAL_S)
+        if self._lease is not None:
+            self._lease.release()
+
+    def _has_stopped(self) -> bool:
+        with self._reported:
+            is_stopping = self._is_stopping
+        return is_stopping and self._schedule.state not in (TaskState.RUNNING, TaskState.CANCELLING)
+
+    def _has_reports(self) -> bool:
+        return bool(self._lease_lost_reason or self._ended_runs or self._is_stopping)
+
+    def _acquire_lease_if_needed(self) -> None:
+        if self._lease is not None or self._schedule.state is not TaskState.STANDBY or self._is_stopping:
+            return
+        self._lease = self._store.acquire(f"task/{self.name}", LEASE_WAIT_S, self._report_lease_lost)
+        if self._lease is not None:
+            self._carry_out(self._schedule.lease_acquired(self._clock(), self._lease.token))
+
+    def _handle_reports(self, now_s: float) -> None:
+        with self._reported:
+            lost_reason, self._lease_lost_reason = self._lease_lost_reason, ""
+            ended_runs, self._ended_runs = self._ended_runs, []
+        if lost_reason and self._lease is not None:
+            self._lease = None
+            self._carry_out(self._schedule.lease_lost(now_s, lost_reason))
+        for ended in ended_runs:
+            self._carry_out(self._schedule.run_ended(now_s, ended.number, ended.succeeded))
+
+    def _report_lease_lost(self, reason: str) -> None:
+        """Note the loss of the lease; called on a thread of the lease store."""
+        with self._reported:
+            self._lease_lost_reason = reason
+            self._reported.notify_all()
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Begin):
-                run = _Turn(action.turn, action.token, self._held)
-                self._run = run
-                spawn(f"run-{self.name}", lambda run=run: self._play(run))  # type: ignore[misc]
-            elif isinstance(action, Stop):
-                log.warning("task stopped", task=self.name, why=action.why)
-                if self._run is not None:
-                    self._run.stop()
-            elif isinstance(action, GiveBack) and self._held is not None:
-                self._held.release()
-                self._held = None
-
-    def _play(self, run: _Turn) -> None:
-        good = False
+            match action:
+                case StartRun():
+                    self._start_run(action)
+                case CancelRun():
+                    self._cancel_run(action.reason)
+                case ReleaseLease():
+                    self._release_lease()
+
+    def _start_run(self, action: StartRun) -> None:
+        run = _LeasedRun(action.run_number, action.token, self._lease)
+        with self._reported:
+            self._current_run = run
+        spawn(f"run-{self.name}", lambda: self._execute(run))
+
+    def _cancel_run(self, reason: str) -> None:
+        log.warning("task run cancelled", task=self.name, reason=reason)
+        if self._current_run is not None:
+            self._current_run.cancel()
+
+    def _release_lease(self) -> None:
+        if self._lease is not None:
+            self._lease.release()
+            self._lease = None
+
+    def _execute(self, run: _LeasedRun) -> None:
+        """Run the task to its end; on a thread of its own."""
+        fields = {"task": self.name, "token": run.token, "run": run.number}
         try:
-            self.last = self._job.run(run)
-            good = True
-            log.info("task ran", task=self.name, token=run.token, turn=run.turn, what=self.last)
-        except Exception as error:
-            self.last = f"{type(error).__name__}: {error}"
-            log.error("task failed", task=self.name, token=run.token, turn=run.turn, why=self.last)
-        with self._lock:
-            self._ended.append((run.turn, good))
-            self._lock.notify_all()
+            summary = self._task.execute(run)
+        except Exception as error:  # whatever a task raises: the run failed, and is retried after a backoff
+            succeeded = False
+            log.error("task run failed", **fields, error=f"{type(error).__name__}: {error}")
+        else:
+            succeeded = True
+            log.info("task run completed", **fields, summary=summary)
+        with self._reported:
+            self._ended_runs.append(_EndedRun(run.number, succeeded))
+            self._reported.notify_all()
--- a/saffronstack/fleet/tasks/schedule.py
+++ b/saffronstack/fleet/tasks/schedule.py
@@ -1,101 +1,124 @@
-"""When a task's holder runs it, and when it must stop. No I/O; times in seconds of one clock.
+"""Decides when a lease holder starts a run of a task and when it cancels one.
 
-A lease is kept between runs, so that one process runs a task again and again; another one that gains it runs
-at once, since it does not know how long ago the last run was: every task may run once too often."""
+Free of I/O, clocks and threads; all times are in seconds of one monotonic clock. A lease is kept between
+runs, so that one process runs a task again and again. Whoever acquires it starts a run at once, since it
+does not know when the last one was.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-AGAIN_FIRST_S = 1.0  # after a failed run, doubled for each in a row, up to the period
-END_S = 5.0  # how long a run that was told to stop may take
+FIRST_RETRY_DELAY_S = 1.0  # doubled with each failed run in a row, up to the period
+MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two small
+CANCEL_TIMEOUT_S = 5.0  # after that, the lease is released although the run has not ended
 
 
-class Phase(Enum):
-    """Where a task stands in this process."""
+class TaskState(Enum):
+    """The state of a task in this process."""
 
-    OUT = "out"  # another process may hold it
-    WAITING = "waiting"
+    STANDBY = "standby"  # no lease: another process may hold it
+    WAITING = "waiting"  # lease held, next run not due yet
     RUNNING = "running"
-    STOPPING = "stopping"
+    CANCELLING = "cancelling"
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """Start a run; ``turn`` tells it from earlier ones."""
+class StartRun:
+    """Start a run."""
 
-    turn: int
+    run_number: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """Tell the run to stop: nothing that it does from now on counts."""
+class CancelRun:
+    """Cancel the run."""
 
-    turn: int
-    why: str
+    run_number: int
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class GiveBack:
-    """Give the lease back: a run does not end. Its token guards what it still does."""
+class ReleaseLease:
+    """Release the lease, although a run may not have ended: its fencing token guards what it still writes."""
 
 
-Action = Begin | Stop | GiveBack
+Action = StartRun | CancelRun | ReleaseLease
 
 
 class TaskSchedule:
-    """One task in one process."""
-
-    def __init__(self, period_s: float, budget_s: float) -> None:
-        self.period_s, self.budget_s = period_s, budget_s
-        self.phase = Phase.OUT
-        self.turn = 0
-        self.token = 0
-        self.failures = 0
-        self.due_s = 0.0
-        self._until_s = 0.0
-
-    def gained(self, now: float, token: int) -> list[Action]:
-        """The lease is held; of no use while a run of an earlier holding has not ended."""
-        if self.phase is not Phase.OUT:
-            return [GiveBack()]
-        self.token, self.phase, self.due_s = token, Phase.WAITING, now
-        return self.tick(now)
-
-    def lost(self, now: float, why: str) -> list[Action]:
-        """The lease is held no more."""
-        self.token = 0
-        if self.phase is Phase.RUNNING:
-            return self._stop(now, why)
-        if self.phase is Phase.WAITING:
-            self.phase = Phase.OUT
+    """State machine of one task in one process. Not thread-safe."""
+
+    def __init__(self, period_s: float, run_timeout_s: float) -> None:
+        """Start in standby.
+
+        Args:
+            period_s: Time between the end of a successful run and the start of the next.
+            run_timeout_s: How long a run may take before it is cancelled.
+        """
+        self.period_s = period_s
+        self.run_timeout_s = run_timeout_s
+        self.state = TaskState.STANDBY
+        self._run_number = 0
+        self._token = 0
+        self._failed_runs = 0  # in a row
+        self._next_run_s = 0.0
+        self._deadline_s = 0.0  # of the run, or of its cancellation
+
+    def lease_acquired(self, now_s: float, token: int) -> list[Action]:
+        """Handle a lease that was granted with the given fencing token."""
+        if self.state is not TaskState.STANDBY:  # a run under an earlier lease has not ended
+            return [ReleaseLease()]
+        self._token = token
+        self.state = TaskState.WAITING
+        self._next_run_s = now_s
+        return self.tick(now_s)
+
+    def lease_lost(self, now_s: float, reason: str) -> list[Action]:
+        """Handle the loss of the lease."""
+        self._token = 0
+        if self.state is TaskState.RUNNING:
+            return self._cancel_run(now_s, reason)
+        if self.state is TaskState.WAITING:
+            self.state = TaskState.STANDBY
         return []
 
-    def ended(self, now: float, turn: int, good: bool) -> list[Action]:
-        """A run ended by itself or as it was told; one of another turn changes nothing."""
-        if turn != self.turn or self.phase not in (Phase.RUNNING, Phase.STOPPING):
+    def run_ended(self, now_s: float, run_number: int, succeeded: bool) -> list[Action]:
+        """Handle the end of a run, cancelled or not; that of an earlier run changes nothing."""
+        if run_number != self._run_number or self.state not in (TaskState.RUNNING, TaskState.CANCELLING):
             return []
-        self.failures = 0 if good else self.failures + 1
-        again_s = AGAIN_FIRST_S * 2.0 ** min(self.failures - 1, 16) if self.failures else self.period_s
-        self.due_s = now + min(self.period_s, again_s)
-        self.phase = Phase.WAITING if self.token else Phase.OUT
+        self._failed_runs = 0 if succeeded else self._failed_runs + 1
+        self._next_run_s = now_s + self._delay_s()
+        self.state = TaskState.WAITING if self._token else TaskState.STANDBY
         return []
 
-    def tick(self, now: float) -> list[Action]:
-        """Time has passed."""
-        if self.phase is Phase.WAITING and self.token and now >= self.due_s:
-            self.turn += 1
-            self.phase, self._until_s = Phase.RUNNING, now + self.budget_s
-            return [Begin(self.turn, self.token)]
-        if self.phase is Phase.RUNNING and now >= self._until_s:
-            return self._stop(now, f"it took longer than its {self.budget_s:g} s")
-        if self.phase is Phase.STOPPING and now >= self._until_s and self.token:
-            self.token = 0  # the run goes on without a lease; nothing new begins here before it ends
-            return [GiveBack()]
+    def tick(self, now_s: float) -> list[Action]:
+        """Handle the passing of time."""
+        if self.state is TaskState.WAITING and self._token and now_s >= self._next_run_s:
+            return self._start_run(now_s)
+        if self.state is TaskState.RUNNING and now_s >= self._deadline_s:
+            return self._cancel_run(now_s, f"the run took longer than its {self.run_timeout_s:g} s")
+        if self.state is TaskState.CANCELLING and now_s >= self._deadline_s and self._token:
+            self._token = 0  # nothing starts here before the run has ended
+            return [ReleaseLease()]
         return []
 
-    def _stop(self, now: float, why: str) -> list[Action]:
-        self.phase, self._until_s = Phase.STOPPING, now + END_S
-        return [Stop(self.turn, why)]
+    def _delay_s(self) -> float:
+        """Return the time to the next run: the period, or the backoff after failed runs."""
+        if not self._failed_runs:
+            return self.period_s
+        doublings = min(self._failed_runs - 1, MAX_BACKOFF_DOUBLINGS)
+        return min(self.period_s, FIRST_RETRY_DELAY_S * 2.0**doublings)
+
+    def _start_run(self, now_s: float) -> list[Action]:
+        self._run_number += 1
+        self.state = TaskState.RUNNING
+        self._deadline_s = now_s + self.run_timeout_s
+        return [StartRun(self._run_number, self._token)]
+
+    def _cancel_run(self, now_s: float, reason: str) -> list[Action]:
+        self.state = TaskState.CANCELLING
+        self._deadline_s = now_s + CANCEL_TIMEOUT_S
+        return [CancelRun(self._run_number, reason)]
--- /dev/null
+++ b/tests/fleet/tasks/fakes.py
@@ -0,0 +1,69 @@
+"""A lease store and runs of a task that tests control."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable
+
+from saffronstack.fleet.tasks.task import TaskRun
+
+
+class FakeLease:
+    """A lease that is held until a test or its holder ends it; `store.Held`."""
+
+    def __init__(self, lease: str, token: int) -> None:
+        self.lease, self.token, self.value, self.is_held = lease, token, b"", True
+
+    def left_s(self) -> float:
+        return 10.0 if self.is_held else 0.0
+
+    def put(self, content: bytes, wait_s: float) -> bool:
+        return False
+
+    def release(self) -> None:
+        self.is_held = False
+
+
+class FakeLeaseStore:
+    """A `store.LeaseStore` that grants each lease at once, with tokens 1, 2 and so on."""
+
+    def __init__(self) -> None:
+        self.granted: list[FakeLease] = []
+        self.lost_callbacks: list[Callable[[str], None] | None] = []
+
+    def acquire(
+        self, lease: str, wait_s: float, lost: Callable[[str], None] | None = None
+    ) -> FakeLease | None:
+        self.granted.append(FakeLease(lease, len(self.granted) + 1))
+        self.lost_callbacks.append(lost)
+        return self.granted[-1]
+
+    def close(self) -> None:
+        pass
+
+
+class BlockingTask:
+    """A task whose runs last until they are cancelled."""
+
+    def __init__(self) -> None:
+        self.tokens: list[int] = []
+        self.ended = threading.Event()
+
+    def execute(self, run: TaskRun) -> str:
+        self.tokens.append(run.token)
+        while run.may_continue():
+            run.wait(5.0)
+        self.ended.set()
+        return "stopped"
+
+
+class UncancelledRun:
+    """A run for tasks that a test executes itself."""
+
+    token, number = 4, 1
+
+    def may_continue(self) -> bool:
+        return True
+
+    def wait(self, seconds: float) -> None:
+        pass
--- /dev/null
+++ b/tests/fleet/tasks/test_ledger_directory.py
@@ -0,0 +1,64 @@
+"""Owners of a gateway's ledger, one after the other."""
+
+from __future__ import annotations
+
+import errno
+import os
+import pathlib
+
+import pytest
+
+from saffronstack.fleet.tasks.errors import OwnershipLostError, StaleOwnerError
+from saffronstack.fleet.tasks.ledger_directory import FencedFiles, LedgerDirectory
+
+SEGMENT = "ledger-0000000001.seg"
+
+
+@pytest.fixture
+def ledger(tmp_path: pathlib.Path) -> LedgerDirectory:
+    """A ledger without an owner."""
+    return LedgerDirectory(str(tmp_path / "g1"))
+
+
+def test_a_later_owner_fences_the_earlier_one_and_has_all_that_it_acknowledged(
+    ledger: LedgerDirectory,
+) -> None:
+    first = ledger.take_ownership(3)
+    files = FencedFiles(ledger, 3)
+    (first / SEGMENT).write_bytes(b"acknowledged")
+    descriptor = os.open(first / SEGMENT, os.O_WRONLY | os.O_APPEND)
+    files.sync(descriptor)
+    assert ledger.is_orphaned()
+    second = ledger.take_ownership(5)
+    assert (second / SEGMENT).read_bytes() == b"acknowledged"
+    files.write(descriptor, b", and more")
+    with pytest.raises(OSError, match="taken over") as raised:
+        files.sync(descriptor)
+    assert raised.value.errno == errno.ESTALE
+    assert isinstance(raised.value, OwnershipLostError)
+    os.close(descriptor)
+    assert (second / SEGMENT).read_bytes() == b"acknowledged"
+    with pytest.raises(OSError, match="a later holder has entered") as rejected:
+        ledger.take_ownership(4)
+    assert isinstance(rejected.value, StaleOwnerError)
+
+
+def test_superseded_owners_are_removed_after_a_clean_shutdown(ledger: LedgerDirectory) -> None:
+    first, second = ledger.take_ownership(3), ledger.take_ownership(5)
+    ledger.mark_clean_shutdown(5)
+    assert not ledger.is_orphaned() and ledger.current_path() == second
+    assert ledger.remove_superseded() == 1 and not first.exists()
+
+
+def test_an_owner_that_died_between_fence_and_copy_loses_nothing(ledger: LedgerDirectory) -> None:
+    (ledger.take_ownership(3) / SEGMENT).write_bytes(b"x")
+    (ledger.directory / f"fence-{5:020d}").touch()  # and no subdirectory of its own
+    assert (ledger.take_ownership(6) / SEGMENT).read_bytes() == b"x"
+
+
+def test_the_first_owner_copies_the_ledger_of_a_gateway_that_ran_without_a_fleet(
+    ledger: LedgerDirectory,
+) -> None:
+    ledger.directory.mkdir()
+    (ledger.directory / SEGMENT).write_bytes(b"from before there were homes")
+    assert (ledger.take_ownership(1) / SEGMENT).exists()
--- /dev/null
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -0,0 +1,127 @@
+"""A gateway that is stopped, taken over, and wakes."""
+
+from __future__ import annotations
+
+import json
+import os
+import pathlib
+import signal
+import subprocess
+import sys
+from collections import Counter
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+import pytest
+
+from saffronstack.deferred.book import Book
+from saffronstack.deferred.ledger import CODEC
+from saffronstack.deferred.records import Finished
+from saffronstack.durable.journal import read_back
+from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
+from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.model import Profile
+from tests.support.stack import Stack, configuration, eventually
+from tests.test_lease_keepers import keepers
+
+SAFFRON = [sys.executable, "-m", "saffronstack.cli.main"]
+OPEN_CALLS = int(os.environ.get("SAFFRONSTACK_OPEN", "150"))
+
+
+class FinalRecords(Book):
+    """Open calls as read back from a ledger, and how many final records each call has."""
+
+    def __init__(self) -> None:
+        super().__init__(OPEN_CALLS * 2)
+        self.count_by_call: Counter[str] = Counter()
+
+    def apply(self, record: object) -> None:
+        if isinstance(record, Finished):
+            self.count_by_call[record.id] += 1
+        super().apply(record)  # type: ignore[arg-type]
+
+
+@pytest.fixture
+def workers() -> Iterator[StandInFleet]:
+    fleet = StandInFleet(2, lambda n: Profile(load_s=0.01, work_s=0.05))
+    yield fleet
+    fleet.stop()
+
+
+@contextmanager
+def serving(command: list[str], workers: StandInFleet) -> Iterator[tuple[subprocess.Popen[bytes], Stack]]:
+    """A gateway process that `command` starts, and a client's view of it."""
+    process = subprocess.Popen(command, stdout=subprocess.PIPE)
+    assert process.stdout is not None
+    address = process.stdout.readline().decode().strip().rpartition("/")[2]
+    yield process, Stack(None, workers, {}, address)  # type: ignore[arg-type]
+    process.stdout.close()
+
+
+def runs_by_call(workers: StandInFleet) -> Counter[str]:
+    return Counter(event["id"] for worker in workers.workers for event in worker.runs())
+
+
+def run_tasks_until_taken_over(shared: str, ledger: LedgerDirectory) -> subprocess.Popen[bytes]:
+    """Start a process that runs the fleet's tasks, and wait until the ledger's next owner ended cleanly."""
+    tasks = subprocess.Popen([*SAFFRON, "tasks", "run", "--fleet", shared], stdout=subprocess.PIPE)
+
+    def is_finished() -> bool:
+        path = ledger.current_path()
+        return not ledger.is_orphaned() and path is not None and path.name != "place-" + "0" * 19 + "1"
+
+    eventually(is_finished, timeout_s=90.0)
+    return tasks
+
+
+@pytest.mark.xdist_group("leases")
+def test_a_stopped_gateways_open_calls_are_finished_by_another_and_it_wakes_to_nothing(
+    tmp_path: pathlib.Path, workers: StandInFleet
+) -> None:
+    """SAFFRONSTACK_OPEN=1000 plays it at full size. Judged from the workers and the last owner's ledger."""
+    ledgers = tmp_path / "ledgers"
+    path = tmp_path / "gateway.json5"
+    path.write_text(json.dumps(configuration(workers, ledgers / "g1")))
+    takeover = {
+        "name": "takeover", "kind": "takeover", "period_s": 0.5, "budget_s": 120,
+        "ledgers": str(ledgers), "config": str(path),
+    }  # fmt: skip
+    with keepers(tmp_path / "keepers", lease_s=2.0) as three:
+        shared = three.file(tasks=[takeover])
+        serve = [
+            *SAFFRON, "serve", "--config", str(path), "--fleet", shared, "--name", "g1",
+            "--log-level", "error",
+        ]  # fmt: skip
+        ledger = LedgerDirectory(str(ledgers / "g1"))
+        with serving(serve, workers) as (gateway, stack):
+            kinds = ("record-sale", "identify-copy")
+            ids = [
+                stack.call(kinds[n % 4 == 3], kind="Event").headers.get("x-amzn-requestid")
+                for n in range(OPEN_CALLS)
+            ]
+            assert stack.runs("record-sale") + stack.runs("identify-copy") < OPEN_CALLS  # most are open
+            os.kill(gateway.pid, signal.SIGSTOP)
+            tasks = run_tasks_until_taken_over(shared, ledger)
+            before = runs_by_call(workers)
+            os.kill(gateway.pid, signal.SIGCONT)
+            assert gateway.wait(10.0) == 3  # it notices the later owner, and ends
+        tasks.terminate()
+        assert tasks.wait(20.0) == 0
+        assert tasks.stdout is not None
+        tasks.stdout.close()
+        current = ledger.current_path()
+        assert current is not None
+        finals = FinalRecords()
+        assert not read_back(current, finals, CODEC).in_doubt
+        assert not finals.open
+        assert set(finals.count_by_call) == set(ids) and set(finals.count_by_call.values()) == {1}
+        runs = runs_by_call(workers)
+        sales = [call for n, call in enumerate(ids) if n % 4 != 3]
+        # No call that is not idempotent ran twice, before and after the stopped gateway woke.
+        assert max(runs[call] for call in sales) == 1
+        assert runs == before
+        # The restarted gateway finds every final record.
+        with serving(serve, workers) as (restarted, stack):
+            assert all(stack.get(f"/deferred/{call}").status == 200 for call in ids)
+            restarted.terminate()
+            assert restarted.wait(30) == 0
