--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -59,7 +59,7 @@
 
 
 def runs_by_call(workers: StandInFleet) -> Counter[str]:
-    return Counter(event["id"] for worker in workers.workers for event in worker.runs())
+    return Counter(str(event["id"]) for worker in workers.workers for event in worker.runs())
 
 
 def run_tasks_until_taken_over(shared: str, ledger: LedgerDirectory) -> subprocess.Popen[bytes]:
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -10,9 +10,9 @@
 import pytest
 
 from saffronstack.config.schema import Worker
-from saffronstack.fleet.tasks.jobs import FleetUsage
+from saffronstack.fleet.tasks.fleet_usage import FleetUsageTask
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
-from saffronstack.fleet.tasks.published import Published
+from saffronstack.fleet.tasks.result_store import ResultStore
 from saffronstack.roster.keeping import Kept
 from saffronstack.roster.parsing import Version, version
 from saffronstack.roster.reading import read
@@ -93,29 +93,29 @@
 # ---- tasks
 
 
-class Turn:
+class Run:
     """One run of a task."""
 
     token = 12
-    turn = 4
+    number = 4
 
-    def still(self) -> bool:
+    def may_continue(self) -> bool:
         return True
 
-    def pause(self, seconds: float) -> None:
+    def wait(self, seconds: float) -> None:
         pass
 
 
 def test_published_results_are_read() -> None:
-    result = Published(str(RESULTS / "any")).newest()
-    assert result is not None and (result.token, result.turn, bytes(result.content)) == (3, 2, b"[]")
-    usage = Published(str(RESULTS / "fleet_usage")).newest()
-    assert usage is not None and (usage.token, usage.turn) == (12, 4)
+    result = ResultStore(str(RESULTS / "any")).newest()
+    assert result is not None and (result.token, result.run_number, bytes(result.content)) == (3, 2, b"[]")
+    usage = ResultStore(str(RESULTS / "fleet_usage")).newest()
+    assert usage is not None and (usage.token, usage.run_number) == (12, 4)
     assert set(msgspec.json.decode(usage.content)) == {"kib_ms_by_tenant", "logs", "unread", "notes"}
 
 
 def test_results_are_published_as_they_were(tmp_path: pathlib.Path) -> None:
-    results = Published(str(tmp_path))
+    results = ResultStore(str(tmp_path))
     results.publish(3, 1, {"text": "first", "numbers": [1, 2.5, None]})
     results.publish(3, 2, [])
     kept = {path.name: path.read_bytes() for path in (RESULTS / "any").iterdir()}
@@ -126,7 +126,7 @@
 def test_the_fleets_usage_is_published_as_it_was(tmp_path: pathlib.Path) -> None:
     for number, log in enumerate(USAGE_LOGS):
         shutil.copytree(log, tmp_path / f"usage_{number}")
-    FleetUsage([f"{tmp_path}/usage_*"], str(tmp_path / "output")).run(Turn())
+    FleetUsageTask([f"{tmp_path}/usage_*"], str(tmp_path / "output")).execute(Run())
     (kept,) = (RESULTS / "fleet_usage").iterdir()
     assert (tmp_path / "output" / kept.name).read_bytes() == kept.read_bytes()
 
@@ -140,11 +140,11 @@
         return sorted(str(path.relative_to(tmp_path)) for path in tmp_path.rglob("*"))
 
     for token in (3, 5, 70):
-        (home.enter(token) / f"ledger-{token:010d}.seg").write_bytes(b"x")
-        assert home.abandoned()
+        (home.take_ownership(token) / f"ledger-{token:010d}.seg").write_bytes(b"x")
+        assert home.is_orphaned()
         if token != 5:
-            home.leave(token)
+            home.mark_clean_shutdown(token)
         assert names() == expected[str(token)]
-    assert not home.abandoned() and home.above(69) and not home.above(70)
-    home.sweep()
+    assert not home.is_orphaned() and home.has_later_owner(69) and not home.has_later_owner(70)
+    home.remove_superseded()
     assert names() == expected["swept"]
