--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -24,10 +24,12 @@
 from saffronstack.cli.logs import set_up_logs
 from saffronstack.cli.tenure import Tenure, enter
 from saffronstack.config.schema import Config, Ledger
-from saffronstack.daemon.handover import MARK, HandOver
-from saffronstack.daemon.liveness import SHOW_S, STOPPED_S
-from saffronstack.daemon.members import Members, member_directory, stranded
-from saffronstack.daemon.supervisor import StartError, Supervisor, command_of
+from saffronstack.daemon.errors import StartupError
+from saffronstack.daemon.heartbeat_monitor import HEARTBEAT_INTERVAL_S, STOPPED_TIMEOUT_S
+from saffronstack.daemon.listener_handover import OWNER_VARIABLE, ListenerHandover
+from saffronstack.daemon.process_group import ProcessGroup
+from saffronstack.daemon.state_directories import find_stranded_ledgers, process_directory
+from saffronstack.daemon.supervisor import Supervisor, gateway_command
 from saffronstack.durable.journal import JournalError
 from saffronstack.gateway import Gateway
 from saffronstack.runtime.threads import spawn
@@ -66,7 +68,9 @@
     log_form: str
     log_level: str
     member: str = ""  # INDEX/COUNT of a process under a supervisor
-    stopped_s: float = STOPPED_S  # silence after which the supervisor replaces a stopped process; 0: never
+    stopped_s: float = (
+        STOPPED_TIMEOUT_S  # silence after which the supervisor replaces a stopped process; 0: never
+    )
     fleet: str = ""  # the fleet's file, where the ledger may be taken over
     name: str = ""  # this gateway's in the fleet
     ledger_home: str = ""  # in place of fleet and name: a home that was entered under this token
@@ -135,13 +139,13 @@
     return before > 0 and _has_ended(before)
 
 
-def _hand_over(listener: socket.socket | None) -> HandOver | None:
+def _hand_over(listener: socket.socket | None) -> ListenerHandover | None:
     """The daemon that made this socket may be replaced; the next one asks for it."""
-    mark = os.environ.get(MARK, "")
+    mark = os.environ.get(OWNER_VARIABLE, "")
     if listener is None or not mark:
         return None
     try:
-        return HandOver(mark, listener)
+        return ListenerHandover(mark, listener)
     except OSError as error:
         log.warning("a daemon that comes anew gets no socket from this gateway", error=str(error))
         return None
@@ -175,7 +179,7 @@
                 os.write(1, b"alive\n")
             except OSError:
                 return  # the supervisor is gone, and so will this process be
-        pause.wait(SHOW_S)
+        pause.wait(HEARTBEAT_INTERVAL_S)
 
 
 @dataclass
@@ -185,7 +189,7 @@
     standins: StandInFleet | None = None
     tenure: Tenure | None = None
     fleet: FleetServices | None = None
-    members: Members | None = None
+    members: ProcessGroup | None = None
     listener: socket.socket | None = None
 
     def stop(self, clean: bool) -> bool:
@@ -294,7 +298,7 @@
     assert options.path is not None
     try:
         config = _overridden(configs.load(options.path), options)
-        left = stranded(config.ledger.directory, count) if config.ledger is not None else []
+        left = find_stranded_ledgers(config.ledger.directory, count) if config.ledger is not None else []
         if left:
             raise ValueError(
                 f"deferred calls may be open in {', '.join(left)}: start as many processes as before, "
@@ -314,13 +318,15 @@
         ]
         if options.ledger:
             arguments += ["--ledger", options.ledger]
-        supervisor = Supervisor(command_of(arguments), count, host, int(port), stopped_s=options.stopped_s)
+        supervisor = Supervisor(
+            gateway_command(arguments), count, host, int(port), stopped_timeout_s=options.stopped_s
+        )
         supervisor.start()
-    except (configs.ConfigError, StartError, OSError, ValueError) as error:
+    except (configs.ConfigError, StartupError, OSError, ValueError) as error:
         click.echo(f"saffronstack serve: {error}", err=True)
         return 2
     _announce(f"saffronstack takes calls on http://{supervisor.host}:{supervisor.port}")
-    number = supervisor.watch(signals)
+    number = supervisor.run_until_signal(signals)
     log.info("stopping", signal=signal.Signals(number).name)
     longest_s = max(cls.deadline_s for cls in config.classes) + config.limits.write_timeout_s + 15.0
     status = supervisor.stop(longest_s)
@@ -328,7 +334,7 @@
     return 0 if status == 0 else 1
 
 
-def _member(config: Config, member: str) -> tuple[Config, Members | None]:
+def _member(config: Config, member: str) -> tuple[Config, ProcessGroup | None]:
     """One process's own configuration: its place among all front ends, its ledger, its seed."""
     if not member:
         return config, None
@@ -339,12 +345,12 @@
     directory = directory or ""  # where processes find each other
     ledger = config.ledger
     if ledger is not None:
-        ledger = msgspec.structs.replace(ledger, directory=member_directory(directory, index))
+        ledger = msgspec.structs.replace(ledger, directory=process_directory(directory, index))
     metering = config.metering
     if metering is not None:
-        metering = msgspec.structs.replace(metering, directory=member_directory(metering.directory, index))
+        metering = msgspec.structs.replace(metering, directory=process_directory(metering.directory, index))
     if operations is not None and operations.directory is not None:
-        place = member_directory(operations.directory, index)
+        place = process_directory(operations.directory, index)
         operations = msgspec.structs.replace(operations, directory=place)
     own = msgspec.structs.replace(
         config,
@@ -355,7 +361,7 @@
         self_index=config.self_index * count + index,
         seed=config.seed * count + index,
     )
-    return own, Members(index, count, directory, time.monotonic)
+    return own, ProcessGroup(index, count, directory, time.monotonic)
 
 
 def _overridden(config: Config, options: Options) -> Config:
--- a/saffronstack/daemon/__init__.py
+++ b/saffronstack/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway of several processes on one address: the member's part and the supervisor's."""
+"""A gateway of several processes on one address: the supervisor, and what each process knows of the rest."""
--- /dev/null
+++ b/saffronstack/daemon/listener_handover.py
@@ -0,0 +1,109 @@
+"""Graceful takeover of a listening socket, from the process that serves it to one that comes later.
+
+A daemon that dies leaves its gateways serving on sockets that it created. The next daemon requests the
+socket from each of them, so that connections which wait in its queue are not lost when that gateway ends: a
+second socket on the same address would have a queue of its own. The transport is a Unix socket with an
+abstract name, for processes of the same user alone. The name, the message and the environment variable are
+shared with processes of other versions.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import socket
+import struct
+import threading
+
+import xxhash
+
+from saffronstack.runtime.threads import spawn
+
+ACCEPT_TIMEOUT_S = 0.5
+REQUEST_TIMEOUT_S = 1.0
+BACKLOG = 4
+OWNER_VARIABLE = "SAFFRON_LIFE"  # in a gateway's environment: whose it is, and which release
+_MESSAGE = b"listener"
+_MAX_MESSAGE_BYTES = 64
+_CREDENTIALS = struct.Struct("3i")  # process id, user id, group id
+
+
+def socket_name(owner: str, pid: int) -> str:
+    """Return the abstract name at which a gateway process hands over its listener."""
+    return "\0saffronstack-" + xxhash.xxh3_128_hexdigest(f"{owner}/{pid}".encode())
+
+
+class ListenerHandover:
+    """Hands this process's listening socket to any process that requests it, on a thread of its own."""
+
+    def __init__(self, owner: str, listener: socket.socket) -> None:
+        """Start to answer requests.
+
+        Args:
+            owner: Whose gateway this is; the requesting process must know it.
+            listener: The socket to hand over; it stays open here.
+
+        Raises:
+            OSError: The name is in use.
+        """
+        self._listener = listener
+        self._stopping = threading.Event()
+        self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        try:
+            self._socket.bind(socket_name(owner, os.getpid()))
+            self._socket.listen(BACKLOG)
+            self._socket.settimeout(ACCEPT_TIMEOUT_S)
+        except OSError:
+            self._socket.close()
+            raise
+        spawn("hand-over", self._serve)
+
+    def stop(self) -> None:
+        """Answer no further requests. Does not wait for the thread, which ends within `ACCEPT_TIMEOUT_S`."""
+        self._stopping.set()
+
+    def _serve(self) -> None:
+        with self._socket:
+            while not self._stopping.is_set():
+                try:
+                    peer, _ = self._socket.accept()
+                except OSError:  # nobody came in time
+                    continue
+                # A peer that goes away meanwhile, or a listener that was just closed.
+                with peer, contextlib.suppress(OSError, ValueError):
+                    self._send_listener(peer)
+
+    def _send_listener(self, peer: socket.socket) -> None:
+        if _is_same_user(peer) and self._listener.fileno() >= 0:
+            peer.settimeout(REQUEST_TIMEOUT_S)
+            socket.send_fds(peer, [_MESSAGE], [self._listener.fileno()])
+
+
+def request_listener(owner: str, pid: int) -> socket.socket | None:
+    """Request the listening socket of another process.
+
+    Args:
+        owner: Whose gateway it is.
+        pid: Its process id.
+
+    Returns:
+        The socket; None if the process does not hand it over within `REQUEST_TIMEOUT_S`.
+    """
+    try:
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
+            connection.settimeout(REQUEST_TIMEOUT_S)
+            connection.connect(socket_name(owner, pid))
+            if not _is_same_user(connection):
+                return None
+            _, descriptors, _, _ = socket.recv_fds(connection, _MAX_MESSAGE_BYTES, 1)
+    except OSError:  # there is no such process, or it is stuck
+        return None
+    if not descriptors:
+        return None
+    os.set_inheritable(descriptors[0], False)
+    return socket.socket(fileno=descriptors[0])
+
+
+def _is_same_user(peer: socket.socket) -> bool:
+    raw = peer.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
+    return int(_CREDENTIALS.unpack(raw)[1]) == os.geteuid()
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -1,4 +1,4 @@
-"""The parent of a gateway's processes: starts them on one address, hands on signals, revives the dead."""
+"""The parent of a gateway's processes: starts them on one address, forwards signals, restarts after exits."""
 
 from __future__ import annotations
 
@@ -13,30 +13,34 @@
 
 import structlog
 
-from saffronstack.daemon.liveness import STOPPED_S, Liveness
-from saffronstack.daemon.restarts import Restarts
+from saffronstack.daemon.errors import StartupError
+from saffronstack.daemon.heartbeat_monitor import STOPPED_TIMEOUT_S, HeartbeatMonitor
+from saffronstack.daemon.restart_backoff import RestartBackoff
 from saffronstack.runtime.threads import spawn
 
-START_S = 30.0
-POLL_S = 0.05
+STARTUP_TIMEOUT_S = 30.0
+FAILED_STARTUP_STOP_S = 2.0  # for the other processes to end when one did not start
+POLL_INTERVAL_S = 0.05
+MIN_EXIT_WAIT_S = 0.1
 log = structlog.get_logger("saffronstack.supervisor")
 
 
-class StartError(Exception):
-    """A process did not come up at the first start; what it said is on standard error."""
-
-
 @dataclass(eq=False, slots=True)
-class _Member:
+class _SupervisedProcess:
+    """One place among the gateway's processes, and the process that has it now."""
+
     index: int
     process: subprocess.Popen[bytes] | None = None
     started_s: float = 0.0
-    again_s: float | None = None
-    restarts: Restarts = field(default_factory=Restarts)
+    restart_at_s: float | None = None  # None: it runs, or its exit has not been noticed
+    backoff: RestartBackoff = field(default_factory=RestartBackoff)
+
+    def is_running(self) -> bool:
+        return self.process is not None and self.process.poll() is None
 
 
 class Supervisor:
-    """Runs ``count`` processes of ``command``, each with its member's number behind ``--member``."""
+    """Runs several processes of one command; each learns its index behind ``--member``."""
 
     def __init__(
         self,
@@ -45,14 +49,25 @@
         host: str,
         port: int,
         clock: Callable[[], float] = time.monotonic,
-        stopped_s: float = STOPPED_S,
+        stopped_timeout_s: float = STOPPED_TIMEOUT_S,
     ) -> None:
-        """Takes the address for all: a bound socket that never listens keeps the port while members come and
-        go. OSError where it can't be had. ``stopped_s``: silence after which a stopped one is replaced."""
-        self._life = Liveness(count, stopped_s)
+        """Reserve the address: a bound socket that never listens keeps the port while processes come and go.
+
+        Args:
+            command: Command line of a process; `gateway_command`.
+            count: How many to run.
+            host: Address to listen on.
+            port: Its port; 0 takes a free one.
+            clock: Monotonic clock in seconds.
+            stopped_timeout_s: Silence after which a stopped process is replaced; 0: never.
+
+        Raises:
+            OSError: The address is not available.
+        """
+        self._monitor = HeartbeatMonitor(count, stopped_timeout_s)
         self._command = list(command)
         self._clock = clock
-        self._members = [_Member(index) for index in range(count)]
+        self._processes = [_SupervisedProcess(index) for index in range(count)]
         self._placeholder = socket.socket()
         self._placeholder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._placeholder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -60,46 +75,57 @@
         self.host, self.port = self._placeholder.getsockname()[:2]
 
     def start(self) -> None:
-        """Start all; they take calls when this returns. StartError where one does not come up."""
-        waiting = [(member, self._spawn(member)) for member in self._members]
-        until_s = self._clock() + START_S
-        for member, lines in waiting:
+        """Start all processes and wait until they accept requests.
+
+        Raises:
+            StartupError: A process did not start in time; all are stopped.
+        """
+        starting = [(supervised, self._spawn(supervised)) for supervised in self._processes]
+        deadline_s = self._clock() + STARTUP_TIMEOUT_S
+        for supervised, lines in starting:
             try:
-                line = lines.get(timeout=max(0.0, until_s - self._clock()))
+                line = lines.get(timeout=max(0.0, deadline_s - self._clock()))
             except queue.Empty:
                 line = b""
             if not line:
-                self.stop(2.0)
-                raise StartError(f"process {member.index} did not come up")
+                self.stop(FAILED_STARTUP_STOP_S)
+                raise StartupError(supervised.index)
+
+    def run_until_signal(self, signals: queue.SimpleQueue[int]) -> int:
+        """Keep all processes running; forward SIGHUP to them, and return at any other signal.
+
+        Args:
+            signals: Numbers of signals as they arrive.
 
-    def watch(self, signals: queue.SimpleQueue[int]) -> int:
-        """Keep them running until a signal other than SIGHUP comes; that signal."""
+        Returns:
+            The signal that ended it.
+        """
         while True:
             try:
-                number = signals.get(timeout=POLL_S)
+                number = signals.get(timeout=POLL_INTERVAL_S)
             except queue.Empty:
-                self._replace_silent()
-                self._revive()
+                self._kill_unresponsive()
+                self._restart_exited()
                 continue
             if number != signal.SIGHUP:
                 return number
-            for member in self._members:
-                if member.process is not None and member.process.poll() is None:
-                    member.process.send_signal(signal.SIGHUP)
+            self._forward_hangup()
 
     def stop(self, timeout_s: float) -> int:
-        """Have all end; the worst of their exit statuses, 1 for one that had to be killed."""
-        members = [member.process for member in self._members if member.process is not None]
-        running = [
-            process for process in members if process.poll() is None
-        ]  # one that died says nothing of the end
+        """Stop all processes gracefully, and kill those that take longer than ``timeout_s``.
+
+        Returns:
+            The worst of their exit statuses, 1 for one that was killed. One that exited before does not
+            count.
+        """
+        running = [one.process for one in self._processes if one.process is not None and one.is_running()]
         for process in running:
             process.send_signal(signal.SIGTERM)
-        until_s = self._clock() + timeout_s
+        deadline_s = self._clock() + timeout_s
         worst = 0
         for process in running:
             try:
-                status = process.wait(max(0.1, until_s - self._clock()))
+                status = process.wait(max(MIN_EXIT_WAIT_S, deadline_s - self._clock()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 status = 1
@@ -107,78 +133,97 @@
         self._placeholder.close()
         return worst
 
-    def _spawn(self, member: _Member) -> queue.SimpleQueue[bytes]:
-        """Start one. It ends with this process: its standard input is a pipe that ends with us."""
+    def _forward_hangup(self) -> None:
+        for supervised in self._processes:
+            if supervised.process is not None and supervised.is_running():
+                supervised.process.send_signal(signal.SIGHUP)
+
+    def _spawn(self, supervised: _SupervisedProcess) -> queue.SimpleQueue[bytes]:
+        """Start a process. It ends with this one: its standard input is a pipe that closes then.
+
+        Returns:
+            A queue that gets the process's first line, or an empty one if it ends before.
+        """
         command = [
             *self._command,
             "--member",
-            f"{member.index}/{len(self._members)}",
+            f"{supervised.index}/{len(self._processes)}",
             "--listen",
             f"{self.host}:{self.port}",
         ]
         process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-        member.process, member.started_s, member.again_s = process, self._clock(), None
-        self._life.started(member.index)
+        supervised.process = process
+        supervised.started_s = self._clock()
+        supervised.restart_at_s = None
+        self._monitor.process_started(supervised.index)
         lines: queue.SimpleQueue[bytes] = queue.SimpleQueue()
-        spawn("member-lines", lambda: self._read(member, process, lines))
+        spawn("member-lines", lambda: self._read_lines(supervised, process, lines))
         return lines
 
-    def _read(
-        self, member: _Member, process: subprocess.Popen[bytes], lines: queue.SimpleQueue[bytes]
+    def _read_lines(
+        self,
+        supervised: _SupervisedProcess,
+        process: subprocess.Popen[bytes],
+        lines: queue.SimpleQueue[bytes],
     ) -> None:
-        """Its first line says that it takes calls, each later one that it lives."""
+        """Read what a process writes: its first line says that it accepts requests, each is a heartbeat."""
         assert process.stdout is not None
-        first = True
+        is_first = True
         with process.stdout as stream:
             for line in stream:
-                if first:
+                if is_first:
                     lines.put(line)
-                    first = False
-                if member.process is process:
-                    self._life.heard(member.index, self._clock())
+                    is_first = False
+                if supervised.process is process:
+                    self._monitor.heartbeat_received(supervised.index, self._clock())
         lines.put(b"")
 
-    def _replace_silent(self) -> None:
-        """End those that show no life; `_revive` starts them again as after any other end."""
-        for index, silent_s in self._life.silent(self._clock(), self._is_stopped):
-            process = self._members[index].process
-            self._life.started(index)
-            if process is not None and process.poll() is None:
-                log.error("process shows no life and is replaced", index=index, silent_s=round(silent_s, 2))
-                process.kill()
+    def _kill_unresponsive(self) -> None:
+        """Kill processes that send no heartbeats; `_restart_exited` restarts them as after any other exit."""
+        for unresponsive in self._monitor.check(self._clock(), self._is_stopped):
+            index = unresponsive.index
+            supervised = self._processes[index]
+            self._monitor.process_started(index)
+            if supervised.process is not None and supervised.is_running():
+                silent_s = round(unresponsive.silent_s, 2)
+                log.error("unresponsive process killed", process=index, silent_s=silent_s)
+                supervised.process.kill()
 
     def _is_stopped(self, index: int) -> bool:
-        """Whether the system has it stopped (by a signal; a debugger's is another state). False where the
-        system does not say."""
-        process = self._members[index].process
+        """Return whether the system reports the process as stopped by a signal; False if it does not say.
+
+        A process that a debugger stopped has another state.
+        """
+        process = self._processes[index].process
         if process is None:
             return False
         try:
             with open(f"/proc/{process.pid}/stat", "rb") as stat:
                 return stat.read().rpartition(b")")[2].split()[0] == b"T"
-        except (OSError, IndexError):
+        except (OSError, IndexError):  # no /proc on this system, or the process has just ended
             return False
 
-    def _revive(self) -> None:
-        now = self._clock()
-        for member in self._members:
-            process = member.process
-            if process is None or process.poll() is None:
+    def _restart_exited(self) -> None:
+        now_s = self._clock()
+        for supervised in self._processes:
+            process = supervised.process
+            if process is None or supervised.is_running():
                 continue
-            if member.again_s is None:
-                member.again_s = member.restarts.ended(member.started_s, now)
+            if supervised.restart_at_s is None:
+                supervised.restart_at_s = supervised.backoff.process_exited(supervised.started_s, now_s)
+                restart_in_s = round(supervised.restart_at_s - now_s, 2)
                 log.error(
-                    "process ended",
-                    index=member.index,
+                    "process exited",
+                    process=supervised.index,
                     status=process.returncode,
-                    again_in_s=round(member.again_s - now, 2),
+                    restart_in_s=restart_in_s,
                 )
-            elif now >= member.again_s:
+            elif now_s >= supervised.restart_at_s:
                 if process.stdin is not None:
                     process.stdin.close()
-                self._spawn(member)
+                self._spawn(supervised)
 
 
-def command_of(arguments: Sequence[str]) -> list[str]:
-    """The command line of a member, from the interpreter that runs this."""
+def gateway_command(arguments: Sequence[str]) -> list[str]:
+    """Return the command line of a gateway process, from the interpreter that runs this one."""
     return [sys.executable, "-m", "saffronstack.cli.main", *arguments]
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -17,7 +17,7 @@
 import structlog
 import xxhash
 
-from saffronstack.daemon.handover import take
+from saffronstack.daemon.listener_handover import request_listener
 from saffronstack.fleet.control import gateway_process, slots
 from saffronstack.fleet.control.desired_state import Kept, Wanted
 from saffronstack.fleet.control.figures_poller import Watcher, serving
@@ -141,7 +141,7 @@
             return
 
     def _adopt(self, name: str, serves: Process) -> None:
-        listening = take(f"{self._mark(name)}/{serves.release}", serves.pid)
+        listening = request_listener(f"{self._mark(name)}/{serves.release}", serves.pid)
         if listening is not None:
             self._listeners[name].close()
             self._listeners[name] = listening
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.messages import TARGET, Control, DaemonState, Order
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import Crew
--- a/saffronstack/fleet/control/figures_poller.py
+++ b/saffronstack/fleet/control/figures_poller.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.gateway_process import Process
 from saffronstack.fleet.control.messages import Figures
 from saffronstack.http1 import writer
--- a/saffronstack/fleet/control/gateway_process.py
+++ b/saffronstack/fleet/control/gateway_process.py
@@ -18,7 +18,7 @@
 
 import structlog
 
-from saffronstack.daemon.handover import MARK
+from saffronstack.daemon.listener_handover import OWNER_VARIABLE
 from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.daemon")
@@ -131,7 +131,7 @@
         child = subprocess.Popen(
             [*command, "--listen-fd", str(listening.fileno()), "--standby"],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=said, pass_fds=(listening.fileno(),),
-            start_new_session=True, env={**os.environ, MARK: f"{mark}/{release}"},
+            start_new_session=True, env={**os.environ, OWNER_VARIABLE: f"{mark}/{release}"},
         )  # fmt: skip
     process = Process(child.pid, release, os.pidfd_open(child.pid), child)
     assert child.stdout is not None
@@ -155,7 +155,7 @@
 def left(mark: str) -> list[Process]:
     """Processes that carry a mark, the newest last: an earlier daemon's. Only this user's are looked at."""
     found: list[tuple[int, Process]] = []
-    wanted = f"{MARK}={mark}/".encode()
+    wanted = f"{OWNER_VARIABLE}={mark}/".encode()
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit() or int(entry.name) == os.getpid():
             continue
--- a/saffronstack/fleet/control/slots.py
+++ b/saffronstack/fleet/control/slots.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from saffronstack.daemon.restarts import Restarts
+from saffronstack.daemon.restart_backoff import RestartBackoff
 
 START_S = 30.0  # a life that is not prepared, or does not take calls, so long after it was asked to
 TRIES = 2  # starts of a release that may fail before it is given up for the one before
@@ -100,7 +100,7 @@
     next: Life | None = None
     _again_s: float = 0.0
     _failed: int = 0  # starts of the wanted release that failed in a row
-    _ends: Restarts = field(default_factory=Restarts)
+    _ends: RestartBackoff = field(default_factory=RestartBackoff)
     _numbers: int = 0
 
     def want(self, now: float, release: str) -> list[Action]:
@@ -110,7 +110,7 @@
         if self.current is not None and self.current.release != release:
             self.before = self.current.release
         self.wanted, self.refused, self.why = release, "", ""
-        self._failed, self._again_s, self._ends = 0, now, Restarts()
+        self._failed, self._again_s, self._ends = 0, now, RestartBackoff()
         return self.tick(now)
 
     def adopt(self, now: float, release: str) -> int:
@@ -164,8 +164,8 @@
         if life.phase == "up":
             self.restarts += 1
             self.why = f"{life.release} ended: {why}"
-            self._again_s = self._ends.ended(life.began_s, now)
-            if self._ends.ends >= CRASHES and life.release == self._target():
+            self._again_s = self._ends.process_exited(life.began_s, now)
+            if self._ends.exits >= CRASHES and life.release == self._target():
                 self._give_up(life.release)
         return self.tick(now)
 
@@ -219,7 +219,7 @@
         if life.release == self._target():
             self._failed += 1
             self.why = f"{life.release} did not start: {why}"
-            self._again_s = self._ends.ended(now, now)
+            self._again_s = self._ends.process_exited(now, now)
             if self._failed >= TRIES:
                 self._give_up(life.release)
         return self.tick(now)
@@ -228,4 +228,4 @@
         """The one before takes its place, where there is one; the daemon's master hears of it."""
         if release == self.wanted and self.before and self.before != release:
             self.refused = release
-            self._failed, self._again_s, self._ends = 0, 0.0, Restarts()
+            self._failed, self._again_s, self._ends = 0, 0.0, RestartBackoff()
--- a/saffronstack/fleet/control/status_client.py
+++ b/saffronstack/fleet/control/status_client.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.messages import DaemonState, GatewayState
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import spawn
--- a/saffronstack/fleet/leases/reading.py
+++ b/saffronstack/fleet/leases/reading.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.leases.messages import Written
 from saffronstack.fleet.leases.server import LeaseLine
 from saffronstack.http1 import writer
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -11,7 +11,7 @@
 
 from saffronstack.config.build import Functions, PlaceNumbers, budgets_of, settings_of, specs_of, workers_of
 from saffronstack.config.schema import Config, Worker
-from saffronstack.daemon.members import Members
+from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
 from saffronstack.durable.segments import Files
@@ -55,7 +55,7 @@
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
         files: Files | None = None,
-        members: Members | None = None,
+        members: ProcessGroup | None = None,
         listener: socket.socket | None = None,
     ) -> None:
         """``members``: it is one process of several on one address, and ``config`` its own. ``listener``: a
@@ -90,7 +90,7 @@
                 config, self.ledger, self.engine, self.functions, clock, wall, config.seed, self.limits
             )
         self.operations = self._open_operations(files)
-        self.members = members or Members(0, 1, "", clock)
+        self.members = members or ProcessGroup(0, 1, "", clock)
         self.slots = self._share_operations()
         self.pages = Pages(self)
         self.app = self._make_app()
@@ -280,7 +280,7 @@
             self.deferred.start()
         if self.peers is not None:
             self.peers.start()
-            self.members.publish(self._peer_address())
+            self.members.publish_address(self._peer_address())
         if self.slots is not None:
             self.slots.start()
         self.server.start()
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -15,7 +15,7 @@
 
 from saffronstack.config.build import Functions, Known
 from saffronstack.config.schema import Config
-from saffronstack.daemon.members import FORWARDED, Members
+from saffronstack.daemon.process_group import FORWARDED_HEADER, ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.durable.runs import RunDamagedError
 from saffronstack.engine.engine import Engine
@@ -78,7 +78,7 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
         pages: Mapping[str, Page],
-        members: Members,
+        members: ProcessGroup,
         limits: BudgetLimits | None = None,
         account: Account | None = None,
         operations: Operations | None = None,
@@ -103,7 +103,7 @@
 
     def answer(self, head: RequestHead, body: bytes, client_there: Callable[[], bool]) -> Response:
         """The answer to one request; ClientLeftError where nobody waits for it any more."""
-        request_id = self._members.mark(response_id())
+        request_id = self._members.add_owner(response_id())
         try:
             path, query = names.parse_target(head.target)
             if (page := self._pages.get(path)) is not None:
@@ -208,7 +208,7 @@
         rule = self._caller.rule(asked)
         if self._router is None or not token or not (rule.owned or kind == "Event"):
             return here()
-        if FORWARDED in head.headers:
+        if FORWARDED_HEADER in head.headers:
             try:
                 return here()
             except NotHeldError:
@@ -271,8 +271,8 @@
         """A GET that another process of this gateway has to answer; its signature is checked there."""
         fields = _passed_on(head.headers.items, ("host", "authorization"))
         answer = None
-        if index < self._members.count and FORWARDED not in head.headers:
-            answer = self._members.ask(index, head.target, fields)
+        if index < self._members.count and FORWARDED_HEADER not in head.headers:
+            answer = self._members.request_from(index, head.target, fields)
         if answer is None:
             raise errors.service(f"Process {index} of this gateway does not answer now.", 503)
         found, body = answer
@@ -284,8 +284,8 @@
             return self._method(request_id, "GET")
         tenant = self._tenant(head, body)
         found = self._deferred.lookup(wanted) if self._deferred is not None else None
-        owner = self._members.owner(wanted)
-        if found is None and owner is not None and FORWARDED not in head.headers:
+        owner = self._members.other_owner(wanted)
+        if found is None and owner is not None and FORWARDED_HEADER not in head.headers:
             return self._elsewhere(owner, head)
         if found is None or (self.access.secrets and found.tenant != tenant):
             raise InvokeError(404, "ResourceNotFoundException", f"No deferred call has the id {wanted[:64]}")
@@ -326,11 +326,11 @@
             found = usage.statement(self._account, self._limits, tenant, self._clock())
         except (RunDamagedError, OSError) as error:
             raise errors.service(f"Usage can't be read now: {error}") from error
-        if FORWARDED not in head.headers:
+        if FORWARDED_HEADER not in head.headers:
             fields = _passed_on(head.headers.items, ("host", "authorization"))
 
             def ask(index: int) -> bytes | None:
-                answer = self._members.ask(index, head.target, fields)
+                answer = self._members.request_from(index, head.target, fields)
                 return answer[1] if answer is not None and answer[0].status == 200 else None
 
             found = usage.gather(found, self._members.count, self._members.index, ask)
@@ -357,7 +357,7 @@
 
 def _until(head: RequestHead) -> float:
     """Until when a send that another process passed on may be begun; what is no number says nothing."""
-    if FORWARDED not in head.headers:
+    if FORWARDED_HEADER not in head.headers:
         return math.inf
     try:
         return float(head.headers.get(UNTIL))
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -9,7 +9,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-from saffronstack.daemon.members import Members
+from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.engine.engine import Engine
@@ -58,7 +58,7 @@
     engine: Engine
     app: App
     server: Server
-    members: Members
+    members: ProcessGroup
     ledger: Ledger | None
     deferred: DeferredCalls | None
     meter: Meter | None
--- a/saffronstack/invoke/routing.py
+++ b/saffronstack/invoke/routing.py
@@ -6,7 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saffronstack.daemon.members import FORWARDED, NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
+from saffronstack.daemon.process_group import FORWARDED_HEADER
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import RequestHead
 from saffronstack.invoke import errors
@@ -19,7 +21,7 @@
 UNTIL = "x-saffron-until"  # seconds of the machine's monotonic clock, which its processes share
 LOOK_AGAIN_S = 0.05
 ROUTE_S = 2.0  # how long an owner is looked for, while none answers
-HELD_BACK = ("connection", "transfer-encoding", "content-length", "expect", FORWARDED, UNTIL)
+HELD_BACK = ("connection", "transfer-encoding", "content-length", "expect", FORWARDED_HEADER, UNTIL)
 PASSED_BACK = ("content-type", "retry-after", "x-saffron-repeated")
 MISDIRECTED = 421
 
@@ -84,7 +86,7 @@
     def _pass_on(self, address: str, sent: Sent) -> Response | None:
         """The owner's answer, None where it is not the owner."""
         fields = [(name, value) for name, value in sent.head.headers.items if name not in HELD_BACK]
-        fields += [(FORWARDED, self.slots.member), (UNTIL, f"{sent.latest_s:.6f}")]
+        fields += [(FORWARDED_HEADER, self.slots.member), (UNTIL, f"{sent.latest_s:.6f}")]
         request = writer.request(sent.head.method, sent.head.target, fields, sent.body)
         self.passed_on += 1
         found, body = exchange(address, request, sent.latest_s, self._clock)
