--- a/saffronstack/cli/fleet_services.py
+++ b/saffronstack/cli/fleet_services.py
@@ -39,12 +39,12 @@
 
     def stop(self) -> bool:
         """Stop the services; return whether the runs of all tasks ended in time."""
-        clean = all([runner.stop() for runner in self._runners])
+        ended_in_time = [runner.stop() for runner in self._runners]
         if self._client is not None:
             self._client.close()
         if self._node is not None:
             self._node.stop()
-        return clean
+        return all(ended_in_time)
 
 
 def _start_node(fleet: FleetFile, name: str, state_directory: str) -> KeeperNode:
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -36,6 +36,7 @@
     backoff: RestartBackoff = field(default_factory=RestartBackoff)
 
     def is_running(self) -> bool:
+        """Return whether there is a process that has not exited."""
         return self.process is not None and self.process.poll() is None
 
 
--- a/tests/daemon/test_graceful_takeover.py
+++ b/tests/daemon/test_graceful_takeover.py
@@ -54,7 +54,8 @@
         # The daemon's end: its pipes close. The one that serves goes on, the one that follows waits for it.
         second.follow(first)
         for life in made:
-            assert life._child is not None and life._child.stdin is not None
+            assert life._child is not None
+            assert life._child.stdin is not None
             life._child.stdin.close()
         client = Client(address, 10.0)
         assert client.invoke("identify-copy", b"{}").status == 200
@@ -87,12 +88,15 @@
 
     with start() as first, start() as second, listening:
         for life in (first, second):
-            assert life.stdout is not None and life.stdout.readline() == b"saffronstack is prepared\n"
-        assert first.stdin is not None and first.stdout is not None
+            assert life.stdout is not None
+            assert life.stdout.readline() == b"saffronstack is prepared\n"
+        assert first.stdin is not None
+        assert first.stdout is not None
         first.stdin.write(b"go\n")
         first.stdin.flush()
         assert first.stdout.readline().startswith(b"saffronstack takes calls")
-        assert second.stdin is not None and second.stdout is not None
+        assert second.stdin is not None
+        assert second.stdout is not None
         second.stdin.write(b"after %d\n" % first.pid)
         second.stdin.flush()
         second.stdin.close()  # the daemon has died, and with it both of its ends
@@ -113,4 +117,5 @@
         [*SERVE, "--with-standins", "--listen", "127.0.0.1:0", "--standby"], input="", capture_output=True,
         text=True, timeout=60.0, check=False,
     )  # fmt: skip
-    assert ran.returncode == 0 and ran.stdout.strip() == "saffronstack is prepared"
+    assert ran.returncode == 0
+    assert ran.stdout.strip() == "saffronstack is prepared"
--- a/tests/daemon/test_heartbeat_monitor.py
+++ b/tests/daemon/test_heartbeat_monitor.py
@@ -41,7 +41,8 @@
         monitor.heartbeat_received(index, 0.0)
     assert check_until(monitor, 0.0, STOPPED_TIMEOUT_S, {1}) == []
     found = check_until(monitor, STOPPED_TIMEOUT_S, 5.0, {1})
-    assert [detection.index for detection in found] == [1] and found[0].at_s < STOPPED_TIMEOUT_S + 0.2
+    assert [detection.index for detection in found] == [1]
+    assert found[0].at_s < STOPPED_TIMEOUT_S + 0.2
 
 
 def test_a_slow_process_is_replaced_late() -> None:
--- a/tests/daemon/test_listener_handover.py
+++ b/tests/daemon/test_listener_handover.py
@@ -16,7 +16,8 @@
     assert request_listener("fleet/d1/x/g1/other", os.getpid()) is None
     assert request_listener("fleet/d1/x/g1/r1", 1) is None
     received = request_listener("fleet/d1/x/g1/r1", os.getpid())
-    assert received is not None and received.getsockname() == listener.getsockname()
+    assert received is not None
+    assert received.getsockname() == listener.getsockname()
     listener.close()
     received.settimeout(10.0)
     connection, _ = received.accept()
--- a/tests/daemon/test_stopped_process.py
+++ b/tests/daemon/test_stopped_process.py
@@ -90,11 +90,13 @@
         clients.stop()
         assert replaced_s - stopped_s < 15.0
         late = [call.succeeded for call in clients.since(since_s)]
-        assert len(late) > 100 and sum(late) >= 0.95 * len(late)
+        assert len(late) > 100
+        assert sum(late) >= 0.95 * len(late)
         # Silent for a second, killed: the calls that it had been handed are the only ones that fail.
         assert sum(not call.succeeded for call in clients.since(stopped_s)) <= 4 * CLIENTS
         indexes = list(range(PROCESSES))
         eventually(lambda: [process_status(stack, n).get("process") for n in indexes] == [0, 1, 2])
         runs = [event["id"] for worker in two_fast_workers.workers for event in worker.runs("record-sale")]
         sales = Counter(runs)
-        assert sales and max(sales.values()) == 1  # no call that is not idempotent ran twice
+        assert sales
+        assert max(sales.values()) == 1
--- a/tests/fleet/tasks/test_fleet_usage.py
+++ b/tests/fleet/tasks/test_fleet_usage.py
@@ -61,7 +61,8 @@
     for _ in range(2):
         assert task.execute(UncancelledRun()).startswith("2 logs")
         totals.append(published_totals(tmp_path / "out"))
-    assert totals[0] == totals[1] and sum(totals[0].values()) > 0
+    assert totals[0] == totals[1]
+    assert sum(totals[0].values()) > 0
     # A log that two patterns match counts once.
     patterns = [str(tmp_path / "g*" / "usage"), str(tmp_path / "g0" / "usage")]
     FleetUsageTask(patterns, str(tmp_path / "out2")).execute(UncancelledRun())
--- a/tests/fleet/tasks/test_ledger_directory.py
+++ b/tests/fleet/tasks/test_ledger_directory.py
@@ -46,8 +46,10 @@
 def test_superseded_owners_are_removed_after_a_clean_shutdown(ledger: LedgerDirectory) -> None:
     first, second = ledger.take_ownership(3), ledger.take_ownership(5)
     ledger.mark_clean_shutdown(5)
-    assert not ledger.is_orphaned() and ledger.current_path() == second
-    assert ledger.remove_superseded() == 1 and not first.exists()
+    assert not ledger.is_orphaned()
+    assert ledger.current_path() == second
+    assert ledger.remove_superseded() == 1
+    assert not first.exists()
 
 
 def test_an_owner_that_died_between_fence_and_copy_loses_nothing(ledger: LedgerDirectory) -> None:
--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -25,6 +25,7 @@
 from tests.test_lease_keepers import keepers
 
 SAFFRON = [sys.executable, "-m", "saffronstack.cli.main"]
+TAKEN_OVER = 3  # exit status of a gateway that lost its ledger to a later owner
 OPEN_CALLS = int(os.environ.get("SAFFRONSTACK_OPEN", "150"))
 
 
@@ -74,6 +75,31 @@
     return tasks
 
 
+def open_deferred_calls(stack: Stack) -> list[str]:
+    """Have the gateway accept `OPEN_CALLS` deferred calls; their ids. One in four is idempotent."""
+    kinds = ("record-sale", "identify-copy")
+    ids = [
+        stack.call(kinds[n % 4 == 3], kind="Event").headers.get("x-amzn-requestid") for n in range(OPEN_CALLS)
+    ]
+    assert stack.runs("record-sale") + stack.runs("identify-copy") < OPEN_CALLS  # most are open
+    return ids
+
+
+def assert_one_final_record_each(path: pathlib.Path | None, ids: list[str]) -> None:
+    """Check the ledger in ``path``: no call is open, and each has exactly one final record."""
+    assert path is not None
+    finals = FinalRecords()
+    assert not read_back(path, finals, CODEC).in_doubt
+    assert not finals.open
+    assert set(finals.count_by_call) == set(ids)
+    assert set(finals.count_by_call.values()) == {1}
+
+
+def assert_ends_cleanly(process: subprocess.Popen[bytes], timeout_s: float) -> None:
+    process.terminate()
+    assert process.wait(timeout_s) == 0
+
+
 @pytest.mark.xdist_group("leases")
 def test_a_stopped_gateways_open_calls_are_finished_by_another_and_it_wakes_to_nothing(
     tmp_path: pathlib.Path, workers: StandInFleet
@@ -86,42 +112,30 @@
         "name": "takeover", "kind": "takeover", "period_s": 0.5, "budget_s": 120,
         "ledgers": str(ledgers), "config": str(path),
     }  # fmt: skip
-    with keepers(tmp_path / "keepers", lease_s=2.0) as three:
-        shared = three.file(tasks=[takeover])
+    with keepers(tmp_path / "keepers", lease_s=2.0) as lease_servers:
+        shared = lease_servers.file(tasks=[takeover])
         serve = [
             *SAFFRON, "serve", "--config", str(path), "--fleet", shared, "--name", "g1",
             "--log-level", "error",
         ]  # fmt: skip
         ledger = LedgerDirectory(str(ledgers / "g1"))
         with serving(serve, workers) as (gateway, stack):
-            kinds = ("record-sale", "identify-copy")
-            ids = [
-                stack.call(kinds[n % 4 == 3], kind="Event").headers.get("x-amzn-requestid")
-                for n in range(OPEN_CALLS)
-            ]
-            assert stack.runs("record-sale") + stack.runs("identify-copy") < OPEN_CALLS  # most are open
+            ids = open_deferred_calls(stack)
             os.kill(gateway.pid, signal.SIGSTOP)
             tasks = run_tasks_until_taken_over(shared, ledger)
-            before = runs_by_call(workers)
+            runs_before = runs_by_call(workers)
             os.kill(gateway.pid, signal.SIGCONT)
-            assert gateway.wait(10.0) == 3  # it notices the later owner, and ends
-        tasks.terminate()
-        assert tasks.wait(20.0) == 0
+            assert gateway.wait(10.0) == TAKEN_OVER  # it notices the later owner, and ends
+        assert_ends_cleanly(tasks, 20.0)
         assert tasks.stdout is not None
         tasks.stdout.close()
-        current = ledger.current_path()
-        assert current is not None
-        finals = FinalRecords()
-        assert not read_back(current, finals, CODEC).in_doubt
-        assert not finals.open
-        assert set(finals.count_by_call) == set(ids) and set(finals.count_by_call.values()) == {1}
+        assert_one_final_record_each(ledger.current_path(), ids)
         runs = runs_by_call(workers)
         sales = [call for n, call in enumerate(ids) if n % 4 != 3]
         # No call that is not idempotent ran twice, before and after the stopped gateway woke.
         assert max(runs[call] for call in sales) == 1
-        assert runs == before
+        assert runs == runs_before
         # The restarted gateway finds every final record.
         with serving(serve, workers) as (restarted, stack):
             assert all(stack.get(f"/deferred/{call}").status == 200 for call in ids)
-            restarted.terminate()
-            assert restarted.wait(30) == 0
+            assert_ends_cleanly(restarted, 30.0)
--- a/tests/fleet/tasks/test_result_store.py
+++ b/tests/fleet/tasks/test_result_store.py
@@ -35,7 +35,8 @@
 def test_a_late_result_of_an_older_token_is_not_current(store: ResultStore, tmp_path: pathlib.Path) -> None:
     write_late_result(tmp_path)
     newest = store.newest()
-    assert newest is not None and json.loads(bytes(newest.content)) == {"a": 2}
+    assert newest is not None
+    assert json.loads(bytes(newest.content)) == {"a": 2}
 
 
 def test_the_newest_results_are_retained(store: ResultStore, tmp_path: pathlib.Path) -> None:
@@ -44,4 +45,5 @@
         store.publish(7, run_number, {})
     assert store.remove_expired() == 9 - RETAINED_RESULTS
     newest = store.newest()
-    assert newest is not None and newest.run_number == 7
+    assert newest is not None
+    assert newest.run_number == 7
--- a/tests/fleet/tasks/test_runner.py
+++ b/tests/fleet/tasks/test_runner.py
@@ -18,4 +18,5 @@
     report_lost("cut off")
     assert task.ended.wait(10.0)
     eventually(lambda: task.tokens == [1, 2])
-    assert runner.stop() and not store.granted[-1].is_held
+    assert runner.stop()
+    assert not store.granted[-1].is_held
