--- a/saffronstack/fleet/control/managed_gateway.py
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from saffronstack.daemon.handover import take
+from saffronstack.daemon.listener_handover import request_listener
 from saffronstack.fleet.control import process_launcher
 from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
 from saffronstack.fleet.control.errors import UnusableReleaseError
@@ -85,7 +85,7 @@
         process = find_serving_process(self._mark, self.spec.listen, self._clock, stopping)
         if process is None:
             return
-        listener = take(f"{self._mark}/{process.release}", process.pid)
+        listener = request_listener(f"{self._mark}/{process.release}", process.pid)
         if listener is not None:  # connections that wait in its queue are kept
             self._listener.close()
             self._listener = listener
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,6 +9,7 @@
 
 from __future__ import annotations
 
+import hashlib
 import os
 import pathlib
 import shutil
@@ -18,10 +19,25 @@
 
 from tests.support.known_red import KnownRed
 
-MEMORY, ROOM = "/dev/shm", 2 << 30
+MEMORY = pathlib.Path("/dev/shm")
+MIN_FREE_BYTES = 2 << 30
 
-if os.access(MEMORY, os.W_OK) and shutil.disk_usage(MEMORY).free > ROOM:
-    os.environ.setdefault("PYTEST_DEBUG_TEMPROOT", MEMORY)
+
+def _use_memory_for_files() -> None:
+    """Let pytest make its directories in memory, in one root for each checkout.
+
+    A run removes the directories of earlier runs under its root. Runs of several checkouts at once shared a
+    root, and then removed each other's: all tests that wanted a directory failed at their set-up.
+    """
+    if not os.access(MEMORY, os.W_OK) or shutil.disk_usage(MEMORY).free <= MIN_FREE_BYTES:
+        return
+    checkout = hashlib.sha256(str(pathlib.Path(__file__).resolve()).encode()).hexdigest()[:12]
+    root = MEMORY / f"saffronstack-tests-{checkout}"
+    root.mkdir(exist_ok=True)
+    os.environ.setdefault("PYTEST_DEBUG_TEMPROOT", str(root))
+
+
+_use_memory_for_files()
 
 
 def pytest_configure(config: pytest.Config) -> None:
