--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -33,7 +33,7 @@
 from saffronstack.harness.rollout.simulation import BROKEN, InvariantError, explore, wander
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 BAKE_S = 10.0
 
@@ -204,7 +204,7 @@
             lambda at: asked.rate, lambda name: name, ("corner-books", "campus-app"), "reload",
         )  # fmt: skip
         over = threading.Event()
-        traffic = spawn("traffic", lambda: clients.play(3600.0, over))
+        traffic = start_thread("traffic", lambda: clients.play(3600.0, over))
         statuses = []
         for gateway in rig.gateways:
             ran = rig.run("fleet", "reload", "--fleet", str(rig.path), gateway, "--wait", "20")
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -43,7 +43,7 @@
     quantile,
 )  # fmt: skip
 from saffronstack.harness.fleet.plan import FleetPlan
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import Faults, Profile, Store
 from saffronstack.standin.platform import Directory, Entry, LinesHost
 
@@ -99,7 +99,7 @@
                          "working": working}
                     )  # fmt: skip
 
-    sampler = spawn("sampler", sample)
+    sampler = start_thread("sampler", sample)
     for order in sys.stdin:
         told = json.loads(order)
         for host in hosts:
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -19,7 +19,7 @@
 
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
@@ -101,10 +101,10 @@
             number = 0
             while not over.wait(1.0 / asked.accepts):
                 number += 1
-                spawn("accept", lambda n=number: accept(n))  # type: ignore[misc]
+                start_thread("accept", lambda n=number: accept(n))  # type: ignore[misc]
 
-        threads = [spawn("caller", lambda n=n: call(n)) for n in range(asked.callers)]  # type: ignore[misc]
-        threads.append(spawn("accepts", accepts))
+        threads = [start_thread("caller", lambda n=n: call(n)) for n in range(asked.callers)]  # type: ignore[misc]
+        threads.append(start_thread("accepts", accepts))
         time.sleep(2.0)
         phases[0].calls.clear()
         for phase, seconds, told in ((0, asked.before, ""), (1, asked.stall, "hang"), (2, asked.before, "")):
--- a/benchmarks/stopped.py
+++ b/benchmarks/stopped.py
@@ -23,7 +23,7 @@
 
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
 
@@ -62,7 +62,7 @@
             state = msgspec.json.decode(client.request("GET", "/status?process=1").body)
             client.close()
             pid = int(state.get("pid", 0)) if state.get("process") == 1 else 0
-        callers = [spawn("caller", call) for _ in range(clients)]
+        callers = [start_thread("caller", call) for _ in range(clients)]
         time.sleep(4.0)
         at = time.monotonic()
         os.kill(pid, signal.SIGSTOP)
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -23,7 +23,7 @@
 from saffronstack.fleet.rollout.leader import Leader
 from saffronstack.fleet.rollout.plan import Plan, Release, problems
 from saffronstack.fleet.rollout.records import decode, encode
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 WENT_BACK = 1  # exit status of a rollout that returned
 HELD = 3
@@ -141,5 +141,5 @@
             except queue.Empty:
                 continue
 
-    spawn("signals", watch)
+    start_thread("signals", watch)
     return stopping
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -30,7 +30,7 @@
 from saffronstack.daemon.supervisor import StartError, Supervisor, command_of
 from saffronstack.durable.journal import JournalError
 from saffronstack.gateway import Gateway
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 
 log = structlog.get_logger("saffronstack.serve")
@@ -108,7 +108,7 @@
             continue
         signals.put(signal.SIGTERM)
 
-    spawn("parent", watch)
+    start_thread("parent", watch)
 
 
 def _announce(line: str) -> None:
@@ -218,9 +218,9 @@
     _announce(f"saffronstack takes calls on http://{host}:{port}")
     if parts.members is not None:
         _end_with_parent(signals)
-        spawn("life", lambda: _show_life(gateway, leaving))
+        start_thread("life", lambda: _show_life(gateway, leaving))
     if parts.tenure is not None:
-        spawn("tenure", parts.tenure.watch)
+        start_thread("tenure", parts.tenure.watch)
     number = _wait_for_end(gateway, options, signals)
     log.info("stopping", signal=signal.Signals(number).name)
     leaving.set()
--- a/saffronstack/daemon/handover.py
+++ b/saffronstack/daemon/handover.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 LOOK_S = 0.5
 ASK_S = 1.0
@@ -42,7 +42,7 @@
         except OSError:
             self._socket.close()
             raise
-        spawn("hand-over", self._run)
+        start_thread("hand-over", self._run)
 
     def stop(self) -> None:
         """Give it to nobody any more."""
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -15,7 +15,7 @@
 
 from saffronstack.daemon.liveness import STOPPED_S, Liveness
 from saffronstack.daemon.restarts import Restarts
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 START_S = 30.0
 POLL_S = 0.05
@@ -120,7 +120,7 @@
         member.process, member.started_s, member.again_s = process, self._clock(), None
         self._life.started(member.index)
         lines: queue.SimpleQueue[bytes] = queue.SimpleQueue()
-        spawn("member-lines", lambda: self._read(member, process, lines))
+        start_thread("member-lines", lambda: self._read(member, process, lines))
         return lines
 
     def _read(
--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -24,7 +24,7 @@
 from saffronstack.engine.timers import Timers
 from saffronstack.metering.limits import BudgetLimits
 from saffronstack.routing.settings import Idempotency
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 IDLE_S = 0.5
 BUDGET_WAIT_S = 0.1  # at least this long between looks at a budget that is used up
@@ -159,7 +159,7 @@
             self._due.set(0.0, live)
         if book.open:
             log.info("deferred calls taken up", open=len(book.open), in_doubt=self._ledger.found.in_doubt)
-        spawn("deferred", self._run)
+        start_thread("deferred", self._run)
 
     def stop(self, timeout_s: float) -> bool:
         """Start no more tries, let those under way end, keep the rest for the next start."""
--- a/saffronstack/directory/resolver.py
+++ b/saffronstack/directory/resolver.py
@@ -12,8 +12,8 @@
 
 from saffronstack.directory.dns import DnsError, answer_of, query_message
 from saffronstack.directory.membership import Change, Membership, listed_of, newer
-from saffronstack.runtime.logs import Log
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import Logger
+from saffronstack.runtime.threads import start_thread
 
 ANSWER_BYTES = 16 * 1024  # more than any answer holds
 SILENT_S = 3.0  # without a good answer for so long, the log says so, once
@@ -53,7 +53,7 @@
         name: str,
         server: tuple[str, int],
         on_change: Callable[[Change], None],
-        log: Log,
+        log: Logger,
         clock: Callable[[], float] = time.monotonic,
         every_s: float = 0.25,
         timeout_s: float = 0.2,
@@ -84,7 +84,7 @@
 
     def start(self) -> None:
         """Start its thread."""
-        spawn("directory", self._run)
+        start_thread("directory", self._run)
 
     def stop(self) -> None:
         """Ask no more."""
--- a/saffronstack/durable/journal.py
+++ b/saffronstack/durable/journal.py
@@ -21,7 +21,7 @@
 from saffronstack.durable.segments import Files
 from saffronstack.durable.stalls import Stall
 from saffronstack.durable.timed import TimedFiles
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 BATCH_BYTES = 8 * 1024 * 1024
 BATCH_RECORDS = 4096
@@ -251,7 +251,7 @@
         self._ended = threading.Event()
         for line in found.lines:
             log.warning("journal read back", directory=directory, what=line)
-        spawn("journal", self._run)
+        start_thread("journal", self._run)
 
     @property
     def stalled_s(self) -> float:
--- a/saffronstack/engine/decision_record.py
+++ b/saffronstack/engine/decision_record.py
@@ -28,7 +28,7 @@
 from saffronstack.routing.actions import Action
 from saffronstack.routing.events import Event
 from saffronstack.routing.settings import Settings
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 VERSION = 1
 FLUSH_S = 0.5
@@ -61,7 +61,7 @@
         self._broken = False
         self._ended = threading.Event()
         self._queue.put(self._encode({"version": VERSION, "seed": seed, "settings": to_stored(settings)}))
-        spawn("record", self._write)
+        start_thread("record", self._write)
 
     def record(self, now: float, event: Event, actions: list[Action]) -> None:
         """One decision. A record with a gap can't be replayed: where the disk can't follow, it ends."""
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -50,8 +50,8 @@
     TimerFired,
 )
 from saffronstack.routing.settings import Idempotency, Settings
-from saffronstack.runtime.logs import Log, PlainLog
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import KeyValueLogger, Logger
+from saffronstack.runtime.threads import start_thread
 
 NEVER_RAN = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 LIST_PART = 200  # workers of a change that are decided on at once
@@ -128,7 +128,7 @@
         recorder: Recorder | None = None,
         backstop_s: float = 0.05,
         max_open_calls: int = 20000,
-        log: Log | None = None,
+        log: Logger | None = None,
     ) -> None:
         """``clock`` is monotonic, in seconds. ``backstop_s``: how long past a call's deadline the engine
         answers by itself, should the module have given no answer."""
@@ -136,7 +136,7 @@
         self.counts = Counts()
         self.backstop_s = backstop_s
         self.max_open_calls = max_open_calls
-        self._log: Log = log or PlainLog("engine")
+        self._log: Logger = log or KeyValueLogger("engine")
         self._router = Router(settings, seed)
         self._clock = clock
         self._recorder = recorder
@@ -157,7 +157,7 @@
     def start(self, dispatcher: Dispatcher) -> None:
         """Start the decision thread; ``dispatcher`` carries out what it decides."""
         self._dispatcher = dispatcher
-        spawn("decisions", self._run)
+        start_thread("decisions", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
         """End the decision thread after what is queued; whether it ended in time.
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -29,7 +29,7 @@
 from saffronstack.fleet.http_server import HttpServer, problem
 from saffronstack.fleet.leases.reading import Reading
 from saffronstack.http1.messages import RequestHead
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.daemon")
 TICK_S = 0.05
@@ -115,8 +115,8 @@
             self._take_up(name)
         if self._gate.lost:
             log.warning("nothing is known of what was wanted: orders wait until keepers told the token")
-        spawn("daemon", self._run)
-        spawn("learn", self._learning)
+        start_thread("daemon", self._run)
+        start_thread("learn", self._learning)
         for watcher in self._watchers.values():
             watcher.start()
         self._server.start()
@@ -148,7 +148,7 @@
         number = self._slots[name].adopt(self._clock(), serves.release)
         self._processes[name, number] = serves
         self._watchers[name].watch(number, serves)
-        spawn("life-end", lambda: self._adopted_ended(name, number, serves))
+        start_thread("life-end", lambda: self._adopted_ended(name, number, serves))
         log.info("taken up", gateway=name, pid=serves.pid, release=serves.release)
 
     def stop(self, end_gateways: bool) -> bool:
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -11,7 +11,7 @@
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
 from saffronstack.fleet.control.messages import TARGET, Control, DaemonState, Order
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import Crew
+from saffronstack.runtime.threads import IdleThreadPool
 
 ASK_S = 2.5  # a look or an order; a daemon answers within 2 s
 
@@ -28,7 +28,7 @@
         self._addresses, self._clock = dict(addresses), clock
         self._seq = 0
         self._lives: dict[str, int] = {}  # of daemons, as last seen
-        self._crew = Crew("ask-daemon")
+        self._crew = IdleThreadPool("ask-daemon")
         self._lock = threading.Condition()
 
     def ask(self, orders: Mapping[str, Sequence[Order]]) -> dict[str, DaemonState | str]:
--- a/saffronstack/fleet/control/figures_poller.py
+++ b/saffronstack/fleet/control/figures_poller.py
@@ -12,7 +12,7 @@
 from saffronstack.fleet.control.gateway_process import Process
 from saffronstack.fleet.control.messages import Figures
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 EVERY_S = 0.5
 WAIT_S = 1.0
@@ -55,7 +55,7 @@
 
     def start(self) -> None:
         """Begin."""
-        spawn("figures", self._run)
+        start_thread("figures", self._run)
 
     def stop(self) -> None:
         """End."""
--- a/saffronstack/fleet/control/gateway_process.py
+++ b/saffronstack/fleet/control/gateway_process.py
@@ -19,7 +19,7 @@
 import structlog
 
 from saffronstack.daemon.handover import MARK
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.daemon")
 PREPARED, TAKES_CALLS = "prepared", "takes calls"
@@ -136,8 +136,8 @@
     process = Process(child.pid, release, os.pidfd_open(child.pid), child)
     assert child.stdout is not None
     stream = child.stdout
-    spawn("life-lines", lambda: _read(gateway, number, stream, tell))
-    spawn("life-end", lambda: tell(Told(gateway, number, "ended", process.wait())))
+    start_thread("life-lines", lambda: _read(gateway, number, stream, tell))
+    start_thread("life-end", lambda: tell(Told(gateway, number, "ended", process.wait())))
     return process
 
 
--- a/saffronstack/fleet/control/status_client.py
+++ b/saffronstack/fleet/control/status_client.py
@@ -10,7 +10,7 @@
 from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
 from saffronstack.fleet.control.messages import DaemonState, GatewayState
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 JOIN_S = 0.5  # over the exchange's own bound
 
@@ -27,7 +27,7 @@
         except (NotSentError, NoAnswerError, msgspec.MsgspecError) as error:
             found[name] = str(error) or type(error).__name__
 
-    threads = [spawn("ask", lambda n=name, a=addr: ask(n, a)) for name, addr in addresses.items()]  # type: ignore[misc]
+    threads = [start_thread("ask", lambda n=name, a=addr: ask(n, a)) for name, addr in addresses.items()]  # type: ignore[misc]
     until_s = time.monotonic() + wait_s + JOIN_S
     for thread in threads:
         thread.join(max(0.0, until_s - time.monotonic()))
--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -14,7 +14,7 @@
 from saffronstack.http1.messages import HttpError, Limits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.fleet")
 CONNECTIONS_MOST = 2048
@@ -54,7 +54,7 @@
 
     def start(self) -> None:
         """Accept on a thread of its own."""
-        self._accepting = spawn(f"{self._name}-accept", self._accept)
+        self._accepting = start_thread(f"{self._name}-accept", self._accept)
 
     def stop(self) -> None:
         """Close everything."""
@@ -93,7 +93,7 @@
                 stream.close()
                 continue
             try:
-                spawn(f"{self._name}-peer", lambda stream=stream: self._serve(stream))  # type: ignore[misc]
+                start_thread(f"{self._name}-peer", lambda stream=stream: self._serve(stream))  # type: ignore[misc]
             except RuntimeError:
                 self._closed(stream)
 
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -12,7 +12,7 @@
 from saffronstack.fleet.leases.holder import Candidate, CandidateAction, Gained, Lost, Stored
 from saffronstack.fleet.leases.links import KeeperLink
 from saffronstack.fleet.leases.messages import Bounds, Message, Say, WakeAt
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.leases")
 IDLE_S = 0.5
@@ -89,7 +89,7 @@
         }
         for link in self._links.values():
             link.start()
-        spawn("leases", self._keep_time)
+        start_thread("leases", self._keep_time)
 
     # ---- what its owner asks
 
--- a/saffronstack/fleet/leases/links.py
+++ b/saffronstack/fleet/leases/links.py
@@ -14,7 +14,7 @@
 from saffronstack.http1.messages import HttpError, Limits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 LIMITS = Limits(body=4 * 1024 * 1024)
 BATCH = 256  # messages in one envelope
@@ -113,7 +113,7 @@
 
     def start(self) -> None:
         """Carry on a thread of its own."""
-        spawn(f"link-{self.keeper}", self._run)
+        start_thread(f"link-{self.keeper}", self._run)
 
     def stop(self, wait_s: float = 0.0) -> None:
         """Carry nothing more, after what waits has had ``wait_s`` to leave."""
@@ -145,7 +145,7 @@
                 return
             self._listening = True
         try:
-            spawn(f"ear-{self.keeper}", self._hear)
+            start_thread(f"ear-{self.keeper}", self._hear)
         except RuntimeError:  # no more threads: it asks now and then all the same
             with self._lock:
                 self._listening = False
--- a/saffronstack/fleet/leases/reading.py
+++ b/saffronstack/fleet/leases/reading.py
@@ -12,7 +12,7 @@
 from saffronstack.fleet.leases.messages import Written
 from saffronstack.fleet.leases.server import LeaseLine
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 JOIN_S = 0.5  # over the exchange's own bound
 
@@ -55,7 +55,7 @@
             troubles[keeper] = str(error) or type(error).__name__
 
     threads = [
-        spawn("read-leases", lambda k=keeper, a=address: ask(k, a))  # type: ignore[misc]
+        start_thread("read-leases", lambda k=keeper, a=address: ask(k, a))  # type: ignore[misc]
         for keeper, address in addresses.items()
     ]
     until_s = time.monotonic() + wait_s + JOIN_S
--- a/saffronstack/fleet/leases/service.py
+++ b/saffronstack/fleet/leases/service.py
@@ -11,7 +11,7 @@
 from saffronstack.fleet.leases.disk import KeeperDisk
 from saffronstack.fleet.leases.keeper import Keeper
 from saffronstack.fleet.leases.messages import Bounds, Message, Record, Save, Saved, Say, WakeAt
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.keeper")
 AGAIN_S = 0.5  # after a save that failed
@@ -68,8 +68,8 @@
 
     def start(self) -> None:
         """Save and keep time on threads of its own."""
-        self._saving = spawn("keeper-disk", self._save_all)
-        spawn("keeper-clock", self._keep_time)
+        self._saving = start_thread("keeper-disk", self._save_all)
+        start_thread("keeper-clock", self._keep_time)
 
     def stop(self, wait_s: float = SAVING_MOST_S) -> None:
         """Answer nobody any more and end a save under way: after this another keeper may use the directory.
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -11,7 +11,7 @@
 from saffronstack.fleet.leases.store import Held, LeaseStore
 from saffronstack.fleet.tasks.jobs import Job
 from saffronstack.fleet.tasks.schedule import Action, Begin, GiveBack, Phase, Stop, TaskSchedule
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.tasks")
 ACQUIRE_S = 5.0
@@ -64,7 +64,7 @@
 
     def start(self) -> None:
         """Begin on a thread of its own."""
-        self._thread = spawn(f"task-{self.name}", self._keep)
+        self._thread = start_thread(f"task-{self.name}", self._keep)
 
     def stop(self, timeout_s: float = 10.0) -> bool:
         """Stop a run, give the lease back; whether the run ended in time."""
@@ -110,7 +110,7 @@
             if isinstance(action, Begin):
                 run = _Turn(action.turn, action.token, self._held)
                 self._run = run
-                spawn(f"run-{self.name}", lambda run=run: self._play(run))  # type: ignore[misc]
+                start_thread(f"run-{self.name}", lambda run=run: self._play(run))  # type: ignore[misc]
             elif isinstance(action, Stop):
                 log.warning("task stopped", task=self.name, why=action.why)
                 if self._run is not None:
--- a/saffronstack/harness/fleet/clients.py
+++ b/saffronstack/harness/fleet/clients.py
@@ -13,7 +13,7 @@
 from saffronstack.audit.traffic import Try
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.resp.reader import RespLimits, RespReader, encode
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.stamps import Stamped
 
 if TYPE_CHECKING:
@@ -95,7 +95,7 @@
                 return t
             # After the first bytes: a thread may be long in starting, and a gateway waits 2 s for them.
             if fresh:
-                spawn("caller", line.read)
+                start_thread("caller", line.read)
         return t
 
     def answered(self, line: Line, tag: int, word: str, now: float) -> None:
@@ -141,7 +141,7 @@
         """Until its time is over."""
         end_s = time.monotonic() + self._seconds
         threads = [
-            spawn("impatient", lambda n=n: self._client(random.Random(n), end_s))  # type: ignore[misc]
+            start_thread("impatient", lambda n=n: self._client(random.Random(n), end_s))  # type: ignore[misc]
             for n in range(self._clients)
         ]
         for thread in threads:
--- a/saffronstack/harness/fleet/cluster.py
+++ b/saffronstack/harness/fleet/cluster.py
@@ -20,7 +20,7 @@
 from saffronstack.harness.fleet.clients import Caller
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.harness.fleet.plan import FleetPlan
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.platform import Directory, Entry, LinesHost
 
 START_S = 60.0
@@ -53,7 +53,7 @@
         self.most_s = 0.0
         self._near, self._far = socket.socketpair()
         self._ended = False
-        self._threads = [spawn("lag-writer", self._write), spawn("lag-reader", self._read)]
+        self._threads = [start_thread("lag-writer", self._write), start_thread("lag-reader", self._read)]
 
     def _write(self) -> None:
         while not self._ended:
@@ -166,7 +166,7 @@
         shares = [chance.random() ** (plan.uneven - 1) + 0.1 for _ in self.gateways]
         popular = plan.popularity()
         self.began_s = time.monotonic()
-        threads = [spawn("step", lambda at=at, step=step: self._step(at, step)) for at, step in steps]  # type: ignore[misc]
+        threads = [start_thread("step", lambda at=at, step=step: self._step(at, step)) for at, step in steps]  # type: ignore[misc]
         at, request, looked_s = 0.0, len(self.tries), 0.0
         while at < seconds:
             at += chance.expovariate(plan.rate)
--- a/saffronstack/harness/leases/judge.py
+++ b/saffronstack/harness/leases/judge.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 from typing import Any
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 
 @dataclass
@@ -53,7 +53,7 @@
         self._owner = ""
         self._taken: list[tuple[float, float, int, str]] = []
         self._told = Judgement()
-        spawn("resource", self._accept)
+        start_thread("resource", self._accept)
 
     def close(self) -> None:
         """Take no more."""
@@ -68,7 +68,7 @@
                 continue
             except OSError:
                 return
-            spawn("holder", lambda sock=sock: self._serve(sock))  # type: ignore[misc]
+            start_thread("holder", lambda sock=sock: self._serve(sock))  # type: ignore[misc]
 
     def _serve(self, sock: socket.socket) -> None:
         with sock, sock.makefile("rb") as lines:
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -29,7 +29,7 @@
 from saffronstack.fleet.leases.messages import Bounds, KeeperAction, Message, Say, Take
 from saffronstack.fleet.leases.node import KeeperNode
 from saffronstack.fleet.leases.store import Held
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 ACT_S = 0.03
 MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
@@ -254,7 +254,7 @@
             continue
         os._exit(0)
 
-    spawn("parent", end_with_rig)
+    start_thread("parent", end_with_rig)
     print("ready", flush=True)
     Actor(told).run()
 
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -22,7 +22,7 @@
 from saffronstack.harness.links import Wires
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.http1.messages import HttpError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.worker import hold_port
 
 FLEET = "rig"
@@ -128,7 +128,7 @@
         assert process.stdout is not None
         lines: queue.SimpleQueue[bytes] = queue.SimpleQueue()
         stdout: IO[bytes] = process.stdout
-        spawn("ready", lambda: lines.put(stdout.readline()))
+        start_thread("ready", lambda: lines.put(stdout.readline()))
         try:
             line = lines.get(timeout=START_S)
         except queue.Empty:
--- a/saffronstack/harness/leases/rig.py
+++ b/saffronstack/harness/leases/rig.py
@@ -22,7 +22,7 @@
 from saffronstack.harness.leases.schedule import Fault
 from saffronstack.harness.links import Mode
 from saffronstack.harness.scenario.processes import ScenarioError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 
 @dataclass
@@ -43,7 +43,7 @@
         """Play a schedule; the disk of one keeper at a time lies, the others being well (see the note)."""
         if not self.wait_votes():
             raise ScenarioError("the keepers do not vote")
-        spawn("talk", self._watch_talk)
+        start_thread("talk", self._watch_talk)
         began_s, began_real = time.monotonic(), holder_clock()
         for fault in faults:
             self._pause(max(0.0, began_s + fault.at_s - time.monotonic()))
@@ -225,7 +225,7 @@
             except Exception as error:
                 self._failed = self._failed or repr(error)
 
-        self._healing.append(spawn("heal", run))
+        self._healing.append(start_thread("heal", run))
 
     def _resume(self, keepers: Sequence[str]) -> None:
         for keeper in keepers:
--- a/saffronstack/harness/links.py
+++ b/saffronstack/harness/links.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 READ = 64 * 1024
 HOLD_MOST = 1 << 20  # bytes that a direction keeps before it stops reading
@@ -73,7 +73,7 @@
         self._order = 0
         self._ended = False
         self.pairs: dict[tuple[str, str], Pair] = {}
-        self._thread = spawn("wires", self._run)
+        self._thread = start_thread("wires", self._run)
 
     def pair(self, first: str, second: str, target: str) -> str:
         """The address under which ``first`` reaches ``second`` at ``target``."""
--- a/saffronstack/harness/rollout/processes.py
+++ b/saffronstack/harness/rollout/processes.py
@@ -30,7 +30,7 @@
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.harness.scenario.processes import ScenarioError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
@@ -185,12 +185,12 @@
         self.processes[name] = process
         assert process.stdout is not None
         said: list[bytes] = []
-        reader = spawn("said", lambda: said.append(process.stdout.readline()))  # type: ignore[union-attr]
+        reader = start_thread("said", lambda: said.append(process.stdout.readline()))  # type: ignore[union-attr]
         reader.join(START_S)
         if not said or not said[0]:
             raise ScenarioError(f"{name} did not start; see {self._folder / name}.log")
         stream = process.stdout
-        spawn("drain", lambda: [None for _ in stream])
+        start_thread("drain", lambda: [None for _ in stream])
 
     def start_keeper(self, name: str) -> None:
         """Start a keeper, for the first time or again."""
@@ -281,8 +281,8 @@
             ("corner-books", "campus-app"), name,
         )  # fmt: skip
         over = threading.Event()
-        traffic = spawn("traffic", lambda: self._play(clients, over))
-        watcher = spawn("watch", lambda: self._watch(read_release(new).release.digest, over))
+        traffic = start_thread("traffic", lambda: self._play(clients, over))
+        watcher = start_thread("watch", lambda: self._watch(read_release(new).release.digest, over))
         for number in range(leaders):
             self.start(f"leader-{number}", "rollout", "lead", "--fleet", str(fleet or self.path))
         time.sleep(quiet_s)  # some traffic first
@@ -293,7 +293,7 @@
         with open(self._folder / "rollout.log", "ab") as log:
             process = subprocess.Popen(command, stdout=log, stderr=log)
         self.processes["rollout"] = process
-        harm = spawn("faults", lambda: self._harm(faults))
+        harm = start_thread("faults", lambda: self._harm(faults))
         until_s = time.monotonic() + most_s
         while time.monotonic() < until_s:
             record = self.record()
--- a/saffronstack/harness/scenario/clients.py
+++ b/saffronstack/harness/scenario/clients.py
@@ -16,7 +16,7 @@
 from saffronstack.client import Answer, Client
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.http1.messages import HttpError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 PATIENCE_S = 3.0  # the classes' deadline in the sample configuration
 PAUSE_MOST_S = 4.0
@@ -51,7 +51,7 @@
         self._tenants = tenants
         self._queue: queue.Queue[tuple[str, str, bool, str] | None] = queue.Queue(maxsize=mix.clients * 4)
         self._lock = threading.Lock()
-        self._threads = [spawn("client", partial(self._run, n)) for n in range(mix.clients)]
+        self._threads = [start_thread("client", partial(self._run, n)) for n in range(mix.clients)]
 
     def play(self, seconds: float, over: threading.Event | None = None) -> None:
         """Send for so long, or until it is over, at random moments; what no thread is free for is dropped and
--- a/saffronstack/harness/scenario/director.py
+++ b/saffronstack/harness/scenario/director.py
@@ -14,7 +14,7 @@
 from saffronstack.audit.traffic import Stopped, Told
 from saffronstack.harness.scenario.plan import Plan, Trouble
 from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StandInHost
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import Faults
 
 LIST_LATE_S = 1.0  # how late the list tells of workers that died by themselves
@@ -58,7 +58,7 @@
         for trouble in self._plan.troubles:
             if trouble.at_s >= self._plan.seconds:
                 continue  # of a day played short
-            self._threads.append(spawn(trouble.kind, lambda t=trouble: self._one(start_s, t)))  # type: ignore[misc]
+            self._threads.append(start_thread(trouble.kind, lambda t=trouble: self._one(start_s, t)))  # type: ignore[misc]
 
     def end(self, timeout_s: float) -> None:
         """Wait until all troubles are over."""
--- a/saffronstack/harness/scenario/processes.py
+++ b/saffronstack/harness/scenario/processes.py
@@ -12,7 +12,7 @@
 import time
 from typing import IO, Any
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.worker import hold_port
 
 START_S = 20.0
@@ -32,7 +32,7 @@
             lines.put(line)
         lines.put(b"")
 
-    spawn("lines", read)
+    start_thread("lines", read)
     return lines
 
 
--- a/saffronstack/harness/scenario/relay.py
+++ b/saffronstack/harness/scenario/relay.py
@@ -9,7 +9,7 @@
 import threading
 from collections.abc import Callable
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 
 class Relay:
@@ -37,7 +37,7 @@
         self.address = f"{host}:{port}"
         self.lost = 0
         self._ended = threading.Event()
-        spawn("relay", self._accept)
+        start_thread("relay", self._accept)
 
     def close(self) -> None:
         """Take no more connections."""
@@ -52,7 +52,7 @@
                 continue
             except OSError:
                 return
-            spawn("relayed", lambda sock=sock: self._serve(sock))  # type: ignore[misc]
+            start_thread("relayed", lambda sock=sock: self._serve(sock))  # type: ignore[misc]
 
     def _serve(self, client: socket.socket) -> None:
         client.settimeout(20)
--- a/saffronstack/hosts/deadlines.py
+++ b/saffronstack/hosts/deadlines.py
@@ -9,7 +9,7 @@
 from itertools import count
 from typing import Protocol
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 STEP_S = 0.01  # time-outs that lie closer together are looked at at once
 IDLE_S = 5.0
@@ -44,7 +44,7 @@
 
     def start(self) -> None:
         """Start its thread."""
-        spawn("deadlines", self._run)
+        start_thread("deadlines", self._run)
 
     def stop(self) -> None:
         """End it."""
--- a/saffronstack/hosts/dispatcher.py
+++ b/saffronstack/hosts/dispatcher.py
@@ -16,7 +16,7 @@
 from saffronstack.net.read_loop import ReadLoop
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.routing.events import AttemptOutcome, Result
-from saffronstack.runtime.logs import Log, PlainLog
+from saffronstack.runtime.logs import KeyValueLogger, Logger
 
 ORDER = 0  # the call number that orders have among what is out; calls count from 1
 
@@ -33,7 +33,7 @@
         tell: Tell,
         clock: Callable[[], float],
         order_timeout_s: float,
-        log: Log | None = None,
+        log: Logger | None = None,
     ) -> None:
         self._limits = limits
         self._budget = budget
@@ -46,7 +46,7 @@
         self._out: dict[tuple[int, int], Item] = {}
         self._orders = count(1)
         self.deadlines = Deadlines(clock, self)
-        self.reader = ReadLoop(clock, log or PlainLog("hosts"))
+        self.reader = ReadLoop(clock, log or KeyValueLogger("hosts"))
 
     def start(self) -> None:
         """Start its threads."""
--- a/saffronstack/hosts/link.py
+++ b/saffronstack/hosts/link.py
@@ -15,7 +15,7 @@
 from saffronstack.net.stream import Stream
 from saffronstack.net.write_buffer import OutgoingMessage, Sent, WriteBuffer, WriteLoop
 from saffronstack.routing.events import Result
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 MAX_ANSWERED_TAGS = 64  # tags answered last: a second answer may still come, and none is used again meanwhile
 MAX_ABANDONED_TAGS = 32  # tags given up on a link that may still be answered; then it takes nothing new
@@ -67,7 +67,7 @@
 
     def start(self) -> None:
         """Connect on a thread of its own; RuntimeError where there is none."""
-        spawn("link", self._run)
+        start_thread("link", self._run)
 
     @property
     def open(self) -> int:
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -18,7 +18,7 @@
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.invoke import errors
 from saffronstack.invoke.app import App, ClientLeftError, response_id
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.front")
 BACKLOG = 1024
@@ -96,7 +96,7 @@
 
     def start(self) -> None:
         """Accept connections on a thread of its own."""
-        self._accepts = spawn("accept", self._accept)
+        self._accepts = start_thread("accept", self._accept)
 
     def drain(self, timeout_s: float) -> bool:
         """Accept nothing more, end idle connections, let the others finish; whether all ended in time."""
@@ -145,7 +145,7 @@
             self._turn_away(sock)
             return True
         try:
-            spawn("client", lambda: self._serve(sock))
+            start_thread("client", lambda: self._serve(sock))
         except RuntimeError:
             self._closed()
             self._turn_away(sock)
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -46,7 +46,7 @@
     wire,
 )
 from saffronstack.routing.events import Result
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 ASK_EVERY_S = 1.0
 INVITE_EVERY_S = 0.1  # records come with an answer this often; reading them on each costs a fifth of the rate
@@ -150,7 +150,7 @@
 
     def start(self) -> None:
         """Start the thread. Records that were counted but never confirmed are acknowledged again."""
-        spawn("meter", self._run)
+        start_thread("meter", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
         """Take what is queued, write it, end; whether that was in time."""
@@ -381,7 +381,7 @@
             finally:
                 self._merging.clear()
 
-        spawn("merge", merge)
+        start_thread("merge", merge)
 
     def _ask_all(self) -> None:
         self._merge_runs()
--- a/saffronstack/net/read_loop.py
+++ b/saffronstack/net/read_loop.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from saffronstack.runtime.logs import Log
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import Logger
+from saffronstack.runtime.threads import start_thread
 
 LOOK_S = 1.0  # how often every socket is looked at, come what may
 
@@ -41,7 +41,7 @@
 class ReadLoop:
     """One thread that reads for every handler handed to it, until it is over."""
 
-    def __init__(self, clock: Callable[[], float], log: Log, read_bytes: int = 8 * 1024) -> None:
+    def __init__(self, clock: Callable[[], float], log: Logger, read_bytes: int = 8 * 1024) -> None:
         self._clock = clock
         self._log = log
         self._read_bytes = read_bytes
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         """Start its thread."""
-        self._runner = spawn("reader", self._run)
+        self._runner = start_thread("reader", self._run)
 
     def stop(self, timeout_s: float = 2.0) -> bool:
         """End it, and with it all that it holds; whether it ended in time."""
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 LOOK_S = 0.25  # how often the writer looks for sockets that take nothing, while there are any
 IDLE_S = 5.0  # how often it looks up without any
@@ -186,7 +186,7 @@
 
     def start(self) -> None:
         """Start its thread."""
-        self._runner = spawn("writer", self._run)
+        self._runner = start_thread("writer", self._run)
 
     def stop(self, timeout_s: float = 2.0) -> bool:
         """End it; whether it ended in time."""
--- a/saffronstack/operations/service.py
+++ b/saffronstack/operations/service.py
@@ -30,7 +30,7 @@
     unpack,
 )
 from saffronstack.routing.settings import Idempotency
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 CHECK_CLIENT_S = 0.2  # how often a waiting thread looks whether its client is still there
 EXPIRE_EVERY_S = 30.0
@@ -183,7 +183,7 @@
         """Take up what earlier lives noted, and ``known`` besides; where slots are shared, with each slot."""
         if self._holds is None:
             self.restore([*known, *(self.notes.state.known() if self.notes is not None else ())])
-        spawn("operations", self._run)
+        start_thread("operations", self._run)
 
     def share(self, holds: Callable[[int], bool]) -> None:
         """From now on operations are run only in slots that ``holds`` says are held here; safe ones
--- a/saffronstack/operations/slots.py
+++ b/saffronstack/operations/slots.py
@@ -18,7 +18,7 @@
 import structlog
 
 from saffronstack.operations.owners import SLOTS, owner
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 TICK_S = 0.1
 AGAIN_S = 1.0  # pause before a slot is tried again whose former holders' notes can't be read
@@ -107,7 +107,7 @@
         line = msgspec.json.encode(Peer(self.member, self._address()))
         os.pwrite(self._live_fd, line.ljust(LIVE_MOST), 0)
         self.tick()
-        spawn("slots", self._run)
+        start_thread("slots", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
         """Give every slot back, with what stands in memory; whether that was in time."""
--- a/saffronstack/platform/__main__.py
+++ b/saffronstack/platform/__main__.py
@@ -9,7 +9,7 @@
 
 from saffronstack.platform.config import ConfigError, read
 from saffronstack.platform.service import Service
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 
 SIGNALS = {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
 
@@ -18,7 +18,7 @@
     """Run until SIGTERM or SIGINT; SIGHUP rereads the configuration. 0 at the end, 2 where it can't run."""
     # Blocked here and so in every thread: the main thread takes them one by one, and none is an interruption.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    log = PlainLog(os.environ.get("LB_NAME", "gateway"))
+    log = KeyValueLogger(os.environ.get("LB_NAME", "gateway"))
     path = os.environ.get("LB_CONFIG", "")
     if not path:
         log.warning("LB_CONFIG names no configuration")
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -21,8 +21,8 @@
 from saffronstack.platform.eviction import EvictionOrder
 from saffronstack.platform.identifiers import OpenIds
 from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits
-from saffronstack.runtime.logs import Log
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import Logger
+from saffronstack.runtime.threads import start_thread
 
 BACKLOG = 512  # connections that the machine holds until they are accepted
 ACCEPTS_AT_ONCE = 64  # before connections that stand are read again
@@ -50,7 +50,7 @@
         writer: WriteLoop,
         limits: FrontLimits,
         clock: Callable[[], float],
-        log: Log,
+        log: Logger,
         ready: Callable[[], bool],
         advice_max_s: float,
     ) -> None:
@@ -118,7 +118,7 @@
 
     def start(self) -> None:
         """Take connections."""
-        spawn("clients", self._run)
+        start_thread("clients", self._run)
 
     def begin_shutdown(self, limits: ShutdownLimits) -> None:
         """Drain: connections and requests are still taken until it is quiet; asked again, nothing changes."""
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -21,8 +21,8 @@
 from saffronstack.platform.connection import FrontLimits
 from saffronstack.platform.front import Front
 from saffronstack.platform.shutdown import limits_for
-from saffronstack.runtime.logs import Log, PlainLog
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import KeyValueLogger, Logger
+from saffronstack.runtime.threads import start_thread
 
 NAME = "_work._tcp.fleet.local"  # what the directory lists the hosts under
 IDLE_PART = 0.8  # of the told idle time a link stays open: a host that closes it first may cross a send
@@ -45,14 +45,14 @@
         config: PlatformConfig,
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
-        log: Log | None = None,
+        log: Logger | None = None,
     ) -> None:
         """OSError where the address can't be had, ConfigError where the list of the start can't be read.
 
         ``config`` stays in force until the end; `reread` moves the directory's address alone."""
         self.config = config
         self._clock, self._wall = clock, wall
-        self._log = log or PlainLog(config.name or "gateway")
+        self._log = log or KeyValueLogger(config.name or "gateway")
         settings = config.settings
         self.budget = divide(config.limits.sockets, config.limits.memory_mb, config.max_open_calls)
         self.membership, self._start_list = config.membership()
@@ -104,7 +104,7 @@
         self.directory.start()
         self._ready = True
         self.front.start()
-        spawn("beliefs", self._compare)
+        start_thread("beliefs", self._compare)
 
     def _compare(self) -> None:
         """Hold the module's beliefs against the links; the log hears of what was found, and not often."""
--- a/saffronstack/roster/service.py
+++ b/saffronstack/roster/service.py
@@ -17,7 +17,7 @@
 from saffronstack.roster.membership import STEP_S, Change, Sizes, Source, change, merge
 from saffronstack.roster.parsing import RosterError, Version, version
 from saffronstack.roster.reading import NotReadyError, read
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 QUIET_S = (
     0.2  # what can't be used is looked at again after this before it is called bad: it may be half-written
@@ -93,7 +93,7 @@
                     "roster from its last good copy", generation=last.generation, workers=len(last.workers)
                 )
         self._merge(now, hand_on=False)
-        spawn("roster", self._run)
+        start_thread("roster", self._run)
         return dict(self._told)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
--- a/saffronstack/roster/watching.py
+++ b/saffronstack/roster/watching.py
@@ -9,7 +9,7 @@
 import structlog
 import watchfiles
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 DEBOUNCE_MS = 20
 AGAIN_S = 1.0  # before a watch that failed is set up anew
@@ -26,7 +26,7 @@
 
     def start(self) -> None:
         """Watch on a thread of its own."""
-        spawn("watch", self._run)
+        start_thread("watch", self._run)
 
     def stop(self) -> None:
         """End it."""
--- a/saffronstack/runtime/logs.py
+++ b/saffronstack/runtime/logs.py
@@ -1,4 +1,4 @@
-"""Where the core's few log lines go: whatever the program that assembles it keeps logs with."""
+"""The logger interface of the gateway's packages, and a logger that needs no library."""
 
 from __future__ import annotations
 
@@ -8,45 +8,51 @@
 from typing import Protocol, TextIO
 
 
-class Log(Protocol):
-    """The part of a structured logger that is used here."""
+class Logger(Protocol):
+    """The methods of a structured logger that are used here."""
 
     def info(self, event: str, **fields: object) -> object:
-        """Something that an operator may want to know."""
+        """Log an event that an operator may want to know of."""
         ...
 
     def warning(self, event: str, **fields: object) -> object:
-        """Something that an operator should look at."""
+        """Log an event that an operator should look at."""
         ...
 
     def exception(self, event: str, **fields: object) -> object:
-        """A fault, with the stack of the exception that is being handled."""
+        """Log a fault with the stack of the exception that is being handled."""
         ...
 
 
-class PlainLog:
-    """Lines of ``key=value`` on a stream, without a logging library: those cost small gateways memory."""
+class KeyValueLogger:
+    """Write lines of ``key=value`` to a stream; logging libraries cost small gateways memory."""
 
     def __init__(self, name: str, stream: TextIO | None = None) -> None:
+        """Create a logger whose lines name their source.
+
+        Args:
+            name: Name of the source.
+            stream: Where the lines go; None for standard error.
+        """
         self._name = name
         self._stream = stream
 
     def info(self, event: str, **fields: object) -> None:
-        """Something that an operator may want to know."""
-        self._line("info", event, fields)
+        """Log an event that an operator may want to know of."""
+        self._write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Something that an operator should look at."""
-        self._line("warning", event, fields)
+        """Log an event that an operator should look at."""
+        self._write("warning", event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """A fault, with the stack of the exception that is being handled."""
-        self._line("error", event, fields, traceback.format_exc())
+        """Log a fault with the stack of the exception that is being handled."""
+        self._write("error", event, fields, traceback.format_exc())
 
-    def _line(self, level: str, event: str, fields: dict[str, object], more: str = "") -> None:
-        words = "".join(f" {name}={value!r}" for name, value in fields.items())
-        line = f"{time.time():.3f} {level} {self._name}: {event}{words}\n{more}"
+    def _write(self, level: str, event: str, fields: dict[str, object], stack: str = "") -> None:
+        pairs = "".join(f" {name}={value!r}" for name, value in fields.items())
+        line = f"{time.time():.3f} {level} {self._name}: {event}{pairs}\n{stack}"
         try:  # one write, so that lines of several threads do not mix
             (self._stream or sys.stderr).write(line)
         except (OSError, ValueError):
-            return  # whoever reads the log has gone: no reason to end a call
+            return  # the reader of the log has closed it, which must not fail a request
--- a/saffronstack/runtime/threads.py
+++ b/saffronstack/runtime/threads.py
@@ -1,4 +1,4 @@
-"""Threads with small stacks: the gateway holds one for each connection and each attempt."""
+"""Threads with small stacks: a gateway runs one for each connection and each attempt."""
 
 from __future__ import annotations
 
@@ -6,58 +6,87 @@
 import threading
 from collections.abc import Callable
 
-# Room for the deepest path here (a JSON parser on a front thread) with a wide margin; the default of
-# 8 MiB of address space for each of thousands of threads would meet the limits of small machines.
+# Enough for the deepest call path (a JSON parser on a connection's thread) with a wide margin. The default of
+# 8 MiB of address space for each of thousands of threads would exceed the limits of small machines.
 STACK_BYTES = 256 * 1024
-_starting = threading.Lock()
+DEFAULT_IDLE_TIMEOUT_S = 5.0
+DEFAULT_MAX_IDLE_THREADS = 32
+_stack_size_lock = threading.Lock()  # guards the stack size of new threads, which the interpreter has one of
 
 
-def spawn(name: str, run: Callable[[], object], daemon: bool = True) -> threading.Thread:
-    """A started thread with the small stack; RuntimeError where the system has no more threads."""
+def start_thread(name: str, run: Callable[[], object], daemon: bool = True) -> threading.Thread:
+    """Start a thread with a small stack.
+
+    Raises:
+        RuntimeError: The system has no more threads.
+    """
     thread = threading.Thread(target=run, name=name, daemon=daemon)
-    with _starting:  # the stack size is the interpreter's, so it is set and put back around the start
-        before = threading.stack_size(STACK_BYTES)
+    with _stack_size_lock:
+        previous_bytes = threading.stack_size(STACK_BYTES)
         try:
             thread.start()
         finally:
-            threading.stack_size(before)
+            threading.stack_size(previous_bytes)
     return thread
 
 
-class Crew:
-    """Threads that wait a while for more work after theirs. A thread that has to be started first waits until
-    the system lets it run, and on a loaded machine all that start one wait for each other."""
+class IdleThreadPool:
+    """Run each task at once, on an idle thread if there is one and on a new thread otherwise.
+
+    A new thread has to be scheduled before its creator goes on, and on a loaded machine threads that start
+    at the same time wait for each other. A thread that has finished its task therefore waits for another.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        idle_s: float = DEFAULT_IDLE_TIMEOUT_S,
+        max_idle: int = DEFAULT_MAX_IDLE_THREADS,
+    ) -> None:
+        """Create a pool without threads.
+
+        Args:
+            name: Name of its threads.
+            idle_s: Time after which an idle thread ends.
+            max_idle: Threads that may be idle at one time.
+        """
+        self._name = name
+        self._idle_s = idle_s
+        self._max_idle = max_idle
+        self._idle_lock = threading.Lock()  # guards the number of idle threads
+        self._idle = 0  # threads that wait and have not been given a task
+        self._tasks: queue.SimpleQueue[Callable[[], object]] = queue.SimpleQueue()
 
-    def __init__(self, name: str, idle_s: float = 5.0, max_idle: int = 32) -> None:
-        """One ends after ``idle_s`` seconds without work; ``max_idle`` wait at one time."""
-        self._name, self._idle_s, self._max_idle = name, idle_s, max_idle
-        self._lock = threading.Lock()
-        self._idle = 0  # threads that wait and that no work was handed to
-        self._work: queue.SimpleQueue[Callable[[], object]] = queue.SimpleQueue()
+    def run(self, task: Callable[[], object]) -> None:
+        """Run a task at once; an exception that it does not handle ends its thread.
 
-    def run(self, work: Callable[[], object]) -> None:
-        """Have it done at once; RuntimeError where the system has no more threads. ``work`` handles its own
-        exceptions: one that leaves it ends its thread."""
-        with self._lock:
+        Raises:
+            RuntimeError: The system has no more threads.
+        """
+        with self._idle_lock:
             if self._idle:
                 self._idle -= 1
-                self._work.put(work)
+                self._tasks.put(task)
                 return
-        spawn(self._name, lambda: self._serve(work))
-
-    def _serve(self, work: Callable[[], object]) -> None:
-        while True:
-            work()
-            del work  # what it held is not kept while the thread waits
-            with self._lock:
-                if self._idle >= self._max_idle:
-                    return
-                self._idle += 1
-            try:
-                work = self._work.get(timeout=self._idle_s)
-            except queue.Empty:
-                with self._lock:
-                    if self._idle:
-                        self._idle -= 1
-                        return
-                work = self._work.get()  # handed over just now, to one of those that wait
+        start_thread(self._name, lambda: self._run_tasks(task))
+
+    def _run_tasks(self, task: Callable[[], object] | None) -> None:
+        while task is not None:
+            task()
+            task = None  # an idle thread does not keep alive what its last task refers to
+            task = self._wait_for_task()
+
+    def _wait_for_task(self) -> Callable[[], object] | None:
+        """Return the next task, or None where this thread should end."""
+        with self._idle_lock:
+            if self._idle >= self._max_idle:
+                return None
+            self._idle += 1
+        try:
+            return self._tasks.get(timeout=self._idle_s)
+        except queue.Empty:
+            with self._idle_lock:
+                if self._idle:
+                    self._idle -= 1
+                    return None
+            return self._tasks.get()  # a task was given meanwhile to one of the waiting threads
--- a/saffronstack/standin/host.py
+++ b/saffronstack/standin/host.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Faults, Profile
 from saffronstack.standin.worker import Entry
@@ -20,7 +20,7 @@
     def __init__(self, path: str) -> None:
         self._file = open(path, "ab")  # noqa: SIM115 - open as long as the process
         self._queue: queue.SimpleQueue[Entry] = queue.SimpleQueue()
-        spawn("log", self._run)
+        start_thread("log", self._run)
 
     def write(self, entry: Entry) -> None:
         """One line more."""
--- a/saffronstack/standin/platform.py
+++ b/saffronstack/standin/platform.py
@@ -20,7 +20,7 @@
 import msgspec
 import xxhash
 
-from saffronstack.runtime.threads import Crew, spawn
+from saffronstack.runtime.threads import IdleThreadPool, start_thread
 from saffronstack.standin.model import Faults, Model, Profile, QueueFullError, Store, WorkerDiedError
 from saffronstack.standin.stamps import Stamped, note_times
 
@@ -85,7 +85,7 @@
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._sock.getsockname()[1]}"
-        spawn("directory", self._run)
+        start_thread("directory", self._run)
 
     def _run(self) -> None:
         while True:
@@ -174,7 +174,7 @@
         self.reset_calls = 0  # so many of the next calls have their link reset once they have run
         self._store, self._catalog, self._log, self._clock = store, catalog, log, clock
         self._attempts = count()
-        self._crew = Crew("host-call", max_idle=64)
+        self._crew = IdleThreadPool("host-call", max_idle=64)
         self._free = threading.Event()
         self._free.set()
         self._lock = threading.Lock()
@@ -197,7 +197,7 @@
         self._listener = socket.create_server(("127.0.0.1", self._port), backlog=512)
         note_times(self._listener)
         self._port = self._listener.getsockname()[1]
-        spawn(f"host-{self.name}", partial(self._accept, self._listener, self.model))
+        start_thread(f"host-{self.name}", partial(self._accept, self._listener, self.model))
 
     def stop(self) -> None:
         """Die: all links are reset, nothing that is under way ends."""
@@ -241,7 +241,7 @@
         with self._lock:
             self._listener = fresh
         if not cut:
-            spawn(f"host-{self.name}", partial(self._accept, fresh, self.model))
+            start_thread(f"host-{self.name}", partial(self._accept, fresh, self.model))
             return
         for _ in range(FILL_MOST):
             filler = socket.socket()
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -20,7 +20,7 @@
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.metering.records import Asked, Ref
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import (
     Faults,
     Model,
@@ -123,7 +123,9 @@
         self._listener = socket.create_server((self._host, self._port), backlog=512)
         self._listener.settimeout(0.2)
         self._note("start")
-        spawn(f"standin-{self.name}", lambda: self._accept(self._listener, self.model, self.incarnation))
+        start_thread(
+            f"standin-{self.name}", lambda: self._accept(self._listener, self.model, self.incarnation)
+        )
 
     def stop(self) -> None:
         """Die at once: the listener and every connection close, every call under way is lost."""
@@ -164,7 +166,7 @@
                     sock.close()
                     return
                 self._connections.add(sock)
-            spawn("standin-connection", lambda sock=sock: self._serve(sock, model, incarnation))  # type: ignore[misc]
+            start_thread("standin-connection", lambda sock=sock: self._serve(sock, model, incarnation))  # type: ignore[misc]
 
     def _serve(self, sock: socket.socket, model: Model, incarnation: str) -> None:
         stream = Stream(sock)
--- a/saffronstack/workers/pool.py
+++ b/saffronstack/workers/pool.py
@@ -17,7 +17,7 @@
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.routing.events import AttemptOutcome, Result
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.workers import protocol
 
 log = structlog.get_logger("saffronstack.workers")
@@ -168,7 +168,7 @@
         if self._threads >= self.limits.connections:
             return Result.AT_CAPACITY, "all connections to the worker are in use"
         try:
-            spawn(f"worker-{self.spec.name}", self._run)
+            start_thread(f"worker-{self.spec.name}", self._run)
         except RuntimeError:
             return None if self._threads else (Result.NOT_STARTED, "no thread could be started")
         self._threads += 1
--- /dev/null
+++ b/tests/runtime/test_threads.py
@@ -0,0 +1,78 @@
+"""A pool of threads that wait for further tasks."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable
+
+import pytest
+
+from saffronstack.runtime import threads
+from saffronstack.runtime.threads import IdleThreadPool
+
+WAIT_S = 20.0
+
+
+@pytest.fixture
+def started(monkeypatch: pytest.MonkeyPatch) -> list[threading.Thread]:
+    """Each thread that a pool started."""
+    found: list[threading.Thread] = []
+    start_thread = threads.start_thread
+
+    def counted(name: str, run: Callable[[], object]) -> threading.Thread:
+        found.append(start_thread(name, run))
+        return found[-1]
+
+    monkeypatch.setattr(threads, "start_thread", counted)
+    return found
+
+
+def wait_for_idle(pool: IdleThreadPool, number: int) -> None:
+    end = threading.Event()
+    while pool._idle != number:
+        assert not end.wait(0.001)
+
+
+def test_an_idle_thread_runs_the_next_task(started: list[threading.Thread]) -> None:
+    pool, done = IdleThreadPool("pool", idle_s=WAIT_S), threading.Semaphore(0)
+    for _ in range(20):
+        pool.run(done.release)
+        assert done.acquire(timeout=WAIT_S)
+        wait_for_idle(pool, 1)
+    assert len(started) == 1
+
+
+def test_a_task_never_waits_for_another(started: list[threading.Thread]) -> None:
+    pool, barrier = IdleThreadPool("pool", idle_s=WAIT_S), threading.Barrier(12)
+    ended = threading.Semaphore(0)
+
+    def task() -> None:
+        barrier.wait(WAIT_S)  # each needs all others to run at the same time
+        ended.release()
+
+    for _ in range(3):
+        for _ in range(12):
+            pool.run(task)
+        for _ in range(12):
+            assert ended.acquire(timeout=WAIT_S)
+        wait_for_idle(pool, 12)
+    assert len(started) == 12
+
+
+def test_idle_threads_end_and_their_number_is_bounded(started: list[threading.Thread]) -> None:
+    pool, barrier = IdleThreadPool("pool", idle_s=0.01, max_idle=3), threading.Barrier(8)
+    for _ in range(8):
+        pool.run(lambda: barrier.wait(WAIT_S))
+    for thread in started:
+        thread.join(WAIT_S)
+        assert not thread.is_alive()
+    assert pool._idle == 0
+
+
+def test_a_task_given_while_a_thread_stops_waiting_is_run() -> None:
+    pool, done = IdleThreadPool("pool", idle_s=0.0005), threading.Semaphore(0)
+    for _ in range(400):
+        pool.run(done.release)
+        threading.Event().wait(0.0005)
+    for _ in range(400):
+        assert done.acquire(timeout=WAIT_S)
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -16,7 +16,7 @@
 from saffronstack.platform.config import parse
 from saffronstack.platform.service import Service
 from saffronstack.resp.reader import RespLimits, RespReader, encode
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.standin.platform import Directory, Entry
 
 WAIT_S = 10.0  # a bound, never waited out where things go right
@@ -190,7 +190,7 @@
 def gateway(directory: Directory, sockets: int = 384) -> Iterator[Service]:
     """A gateway that runs in this process, among the directory's hosts."""
     config = parse(config_text(directory.address, directory.entries, sockets))
-    service = Service(config, log=PlainLog("test", io.StringIO()))
+    service = Service(config, log=KeyValueLogger("test", io.StringIO()))
     service.start()
     try:
         yield service
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,8 +12,8 @@
 from saffronstack.directory import resolver as module
 from saffronstack.directory.membership import Change, Membership, take_known
 from saffronstack.directory.resolver import JITTER, Resolver
-from saffronstack.runtime.logs import PlainLog
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import KeyValueLogger
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.platform import Directory, Entry, dns_answer
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 from tests.support.stack import eventually
@@ -32,7 +32,7 @@
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
         self.address: tuple[str, int] = self._sock.getsockname()
-        spawn("server", self._run)
+        start_thread("server", self._run)
 
     def _run(self) -> None:
         while True:
@@ -57,7 +57,7 @@
         self.membership = Membership(["east"], ["std"])
         self.log = io.StringIO()
         self.resolver = Resolver(
-            self.membership, NAME, server, self._apply, PlainLog("test", self.log), every_s=every_s,
+            self.membership, NAME, server, self._apply, KeyValueLogger("test", self.log), every_s=every_s,
             timeout_s=every_s, seed=1,
         )  # fmt: skip
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -18,7 +18,7 @@
 from saffronstack.platform.connection import ClientConnection
 from saffronstack.platform.service import Service
 from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits, limits_for
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.standin.platform import Directory, Entry
 from tests.helpers import settings
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, config_text, echo, gateway
@@ -300,7 +300,7 @@
     path.write_bytes(other_customer(config_text(directory.address, directory.entries), moved.address))
     with gateway(directory) as service:
         log = io.StringIO()
-        service._log = PlainLog("test", log)
+        service._log = KeyValueLogger("test", log)
         in_force = service.config
         client = Client(service.front.address)
         before = client.call(subject=1)
@@ -340,7 +340,7 @@
     path.write_bytes(BAD_FILES[kind])
     with gateway(Directory(Entry("s-1", host.address))) as service:
         log = io.StringIO()
-        service._log = PlainLog("test", log)
+        service._log = KeyValueLogger("test", log)
         assert not service.reread(str(path))
         assert str(path) in log.getvalue() and "can't be used" in log.getvalue()
         assert Client(service.front.address).ask() == ("OK", b"x")
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -11,7 +11,7 @@
 
 from saffronstack.invoke import server
 from saffronstack.net.stream import READ_SIZE, Stream
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from tests.support.stack import AMPLE_DEADLINE_S, Stack, eventually, read_all, running
 
 WAIT_S = 20.0
@@ -89,7 +89,7 @@
 def draining(stack: Stack) -> Callable[..., bool]:
     """Drain the gateway's front on a thread; whether it has ended well within so many seconds."""
     found: list[bool] = []
-    thread = spawn("drain", lambda: found.append(stack.gateway.server.drain(WAIT_S)))
+    thread = start_thread("drain", lambda: found.append(stack.gateway.server.drain(WAIT_S)))
 
     def ended(within_s: float = WAIT_S) -> bool:
         thread.join(within_s)
--- a/tests/test_lease_keepers.py
+++ b/tests/test_lease_keepers.py
@@ -28,7 +28,7 @@
 from saffronstack.fleet.leases.messages import Ask, Bounds, Found, Promise, Record, Saved, Take, Told, Written
 from saffronstack.fleet.leases.node import KeeperNode
 from saffronstack.fleet.leases.service import KeeperService
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import configuration, eventually
@@ -315,7 +315,7 @@
         with pytest.raises(ValueError, match="wanted by this process already"):
             first.acquire("task/usage", 0.1)
         got: list[object] = []
-        waiter = spawn("waiter", lambda: got.append(second.acquire("task/usage", 20.0)))
+        waiter = start_thread("waiter", lambda: got.append(second.acquire("task/usage", 20.0)))
         eventually(lambda: second.holder_of("task/usage").startswith("p1."))
         eventually(lambda: bool(fleet.nodes["k0"].service._mail))  # it listens for its turn
         began_s = time.monotonic()
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -15,7 +15,7 @@
 from saffronstack.harness.leases.rig import LeaseRig
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
 from saffronstack.harness.links import Mode, Wires
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 FLEET = pytest.mark.xdist_group("leases")  # heavy ones play one at a time
 
@@ -124,7 +124,7 @@
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        spawn("echo", self.run)
+        start_thread("echo", self.run)
 
     def run(self) -> None:
         while True:
@@ -132,7 +132,7 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            spawn("echoes", lambda sock=sock: self.serve(sock))  # type: ignore[misc]
+            start_thread("echoes", lambda sock=sock: self.serve(sock))  # type: ignore[misc]
 
     @staticmethod
     def serve(sock: socket.socket) -> None:
@@ -169,7 +169,7 @@
     assert sock.recv(100) == b"late\n" and time.monotonic() - began_s >= 0.3
     wires.set(forth)
     large = bytes(range(256)) * 20_000
-    spawn("sender", lambda: sock.sendall(large))
+    start_thread("sender", lambda: sock.sendall(large))
     received = b""
     while len(received) < len(large):
         received += sock.recv(65536)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -12,7 +12,7 @@
 from saffronstack.client import Client
 from saffronstack.daemon.liveness import GAP_S, STOPPED_S, STUCK_FACTOR, Liveness
 from saffronstack.http1.messages import HttpError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from tests.support.stack import eventually
@@ -96,7 +96,7 @@
                 ending.wait(0.005)
 
         callers = [
-            spawn("caller", lambda n=n: call(("identify-copy", "record-sale")[n % 2]))  # type: ignore[misc]
+            start_thread("caller", lambda n=n: call(("identify-copy", "record-sale")[n % 2]))  # type: ignore[misc]
             for n in range(CLIENTS)
         ]
         eventually(lambda: sum(good for _, good in told) > 50)
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -22,7 +22,7 @@
 from saffronstack.resp.frames import CallFrame, FrameError, frame_of
 from saffronstack.resp.reader import RespError, RespReader, encode
 from saffronstack.routing.events import CacheStatus
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.standin.platform import Entry, dns_answer
 
 FIELDS = b"req=9b1f03aa5c7e2d41,timeout=1500,subject=7f3a9c21e0b4d655"
@@ -136,7 +136,9 @@
 
 
 def resolver(membership: Membership, heard: list[Change]) -> Resolver:
-    return Resolver(membership, NAME, ("127.0.0.1", 9), heard.append, PlainLog("test"), lambda: 0.0, seed=1)
+    return Resolver(
+        membership, NAME, ("127.0.0.1", 9), heard.append, KeyValueLogger("test"), lambda: 0.0, seed=1
+    )
 
 
 def test_only_whole_good_new_answers_are_taken() -> None:
--- a/tests/test_read_loop.py
+++ b/tests/test_read_loop.py
@@ -11,7 +11,7 @@
 import pytest
 
 from saffronstack.net.read_loop import ReadLoop
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.standin.platform import Directory, Entry
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 
@@ -51,7 +51,7 @@
     """A reader whose clock passes a second at each look, and its log."""
     told = io.StringIO()
     now = iter(range(10**9))
-    reader = ReadLoop(lambda: float(next(now)), PlainLog("test", told))
+    reader = ReadLoop(lambda: float(next(now)), KeyValueLogger("test", told))
     reader.start()
     yield reader, told
     assert reader.stop()
@@ -85,7 +85,7 @@
 
 
 def test_a_stop_ends_all_that_is_held_and_takes_nothing_more() -> None:
-    reader = ReadLoop(lambda: 0.0, PlainLog("test", io.StringIO()))
+    reader = ReadLoop(lambda: 0.0, KeyValueLogger("test", io.StringIO()))
     reader.start()
     pairs = [socket.socketpair() for _ in range(2)]
     held, late = (Fake(far) for _, far in pairs)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -19,7 +19,7 @@
 from saffronstack.durable.segments import Files
 from saffronstack.durable.stalls import AFTER_S, LEAST_S, MOST_S, Stall
 from saffronstack.durable.timed import TimedFiles
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
@@ -166,7 +166,7 @@
         with lock:
             sent.append(one)
 
-    first = [spawn("sale", lambda n=n: defer(f"first-{n}")) for n in range(4)]  # type: ignore[misc]
+    first = [start_thread("sale", lambda n=n: defer(f"first-{n}")) for n in range(4)]  # type: ignore[misc]
     eventually(lambda: served.status()["deferred"]["ledger_stalled_s"] > 0)  # type: ignore[index]
     later = [served.defer(f"later-{n}") for n in range(8)]
     for one in later:  # long before a commit's time is up
@@ -204,7 +204,7 @@
     served.start()
     served.disk("hang")
     waiting: list[Sent] = []
-    thread = spawn("sale", lambda: waiting.append(served.defer("waits")))
+    thread = start_thread("sale", lambda: waiting.append(served.defer("waits")))
     eventually(lambda: served.status()["deferred"]["ledger_stalled_s"] > 0)  # type: ignore[index]
     assert served.defer("refused").answer.status == 429
     served.disk("")
@@ -241,7 +241,7 @@
     assert sell("before").answer.status == 200
     served.disk("hang")
     first: list[Sent] = []
-    thread = spawn("sale", lambda: first.append(sell("first")))
+    thread = start_thread("sale", lambda: first.append(sell("first")))
     eventually(lambda: served.status()["notes"]["stalled_s"] > 0)  # type: ignore[index]
     later = [sell(f"later-{n}") for n in range(4)]
     for one in later:
