--- a/saffronstack/cli/main.py
+++ b/saffronstack/cli/main.py
@@ -9,7 +9,7 @@
 
 from saffronstack import config as configs
 from saffronstack.cli.groups import fleet_group, rollout_group
-from saffronstack.engine.decision_record import RecordError, replay
+from saffronstack.engine.decision_record import DecisionRecordError, replay
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
@@ -121,7 +121,7 @@
     """Feed a record of decisions to a fresh module; fails at the first decision that differs."""
     try:
         events, actions = replay(path)
-    except (RecordError, OSError) as error:
+    except (DecisionRecordError, OSError) as error:
         click.echo(f"{path}: {error}", err=True)
         sys.exit(1)
     click.echo(f"{path}: {events} events, {actions} actions, all decided alike")
--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -19,10 +19,11 @@
 from saffronstack.deferred.records import Accepted, AnyRecord, Attempted, Dropped, Finished, Voided
 from saffronstack.deferred.recovery import Condition, Finish, MayHaveRun, Policy, State, Try, Wait
 from saffronstack.durable.journal import Ticket
-from saffronstack.engine.calls import Call, Ending, Final, Prior
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.timers import Timers
 from saffronstack.metering.limits import BudgetLimits
+from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 from saffronstack.runtime.threads import start_thread
 
@@ -96,8 +97,8 @@
         self._owner = owner
         self._live = live
 
-    def may_send(self, attempt: int, worker: int) -> bool:
-        return self._owner.note_attempt(self._live, worker)
+    def may_send(self, attempt: int, worker_id: int) -> bool:
+        return self._owner.note_attempt(self._live, worker_id)
 
 
 class DeferredCalls:
@@ -129,7 +130,7 @@
         self._budgets = limits
         self._tenants = {tenant.name: place for place, tenant in enumerate(config.tenants)}
         self._classes = {cls.name: cls for cls in config.classes}
-        self._queue: queue.SimpleQueue[_Live | tuple[_Live, Final] | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[_Live | tuple[_Live, FinalAnswer] | None] = queue.SimpleQueue()
         self._due: Timers[_Live] = Timers()
         self._live: dict[str, _Live] = {}
         self._waiting: deque[_Live] = deque()  # due, behind the bound on calls under way
@@ -252,7 +253,7 @@
         finally:
             self._ended.set()
 
-    def _take(self, item: _Live | tuple[_Live, Final] | None) -> None:
+    def _take(self, item: _Live | tuple[_Live, FinalAnswer] | None) -> None:
         if isinstance(item, _Live):
             self._live[item.accepted.id] = item
             self._waiting.append(item)
@@ -314,26 +315,28 @@
             accepted.tenant,
             accepted.key,
             accepted.context,
-            prior=None if ran is None else Prior(ran.worker, ran.sent_at - self._offset),
+            prior_attempt=None if ran is None else PriorAttempt(ran.worker, ran.sent_at - self._offset),
             guard=None if known.effect is Idempotency.IDEMPOTENT else _Guard(self, live),
-            on_final=lambda call, final: self._queue.put((live, final)),
+            on_final_answer=lambda call, final: self._queue.put((live, final)),
             class_name=known.config.call_class,
         )
         live.running = True
         self._running += 1
         if not self._engine.submit(call):
-            call.settle(Final(Ending.REFUSED, stay_away_s=0.5, prior=call.prior))
+            call.finish(
+                FinalAnswer(FinalStatus.REJECTED, retry_after_s=0.5, prior_attempt=call.prior_attempt)
+            )
 
-    def _answered(self, live: _Live, final: Final) -> None:
+    def _answered(self, live: _Live, final: FinalAnswer) -> None:
         live.running = False
         self._running -= 1
         live.attempts += final.attempts
         ran = live.state.ran
-        if final.ending is Ending.SERVED:
+        if final.status is FinalStatus.SERVED:
             pass  # the answer ends the doubt about earlier attempts
-        elif final.prior is not None:
-            ran = MayHaveRun(final.prior.worker, final.prior.sent_s + self._offset)
-        elif final.ending is Ending.FAILED and ran is None:  # no promise, though nothing was seen to run
+        elif final.prior_attempt is not None:
+            ran = MayHaveRun(final.prior_attempt.worker_id, final.prior_attempt.sent_s + self._offset)
+        elif final.status is FinalStatus.FAILED and ran is None:  # no promise, though nothing was seen to run
             ran = MayHaveRun(0, self.now())
         elif live.noted and ran is None:
             live.noted = False
@@ -345,15 +348,15 @@
         state, step = recovery.after_answer(
             replace(live.state, ran=ran),
             policy,
-            final.ending,
+            final.status,
             bool(final.function_error),
-            final.stay_away_s,
+            final.retry_after_s,
             self.now(),
             self._random.random(),
         )
         live.state = state
         if isinstance(step, Finish):
-            served = final.ending is Ending.SERVED
+            served = final.status is FinalStatus.SERVED
             self._finish(
                 live,
                 step.condition,
@@ -362,7 +365,7 @@
                 "" if served else _REASONS[step.condition],
             )
         elif isinstance(step, Wait):  # not beside an attempt of this try that is still out
-            self._due.set(max(step.until, final.out_until_s + self._offset), live)
+            self._due.set(max(step.until, final.attempt_in_flight_until_s + self._offset), live)
 
     def _finish(
         self, live: _Live, condition: Condition, response: bytes | None, error: str, reason: str
--- a/saffronstack/deferred/recovery.py
+++ b/saffronstack/deferred/recovery.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from saffronstack.engine.calls import Ending
+from saffronstack.engine.calls import FinalStatus
 from saffronstack.routing.settings import Idempotency
 
 WINDOW_MARGIN_S = 0.1  # an attempt must arrive this long before its window ends
@@ -112,15 +112,15 @@
 def after_answer(
     state: State,
     policy: Policy,
-    ending: Ending,
+    ending: FinalStatus,
     function_error: bool,
-    stay_away_s: float,
+    retry_after_s: float,
     now: float,
     chance: float,
 ) -> tuple[State, Step]:
     """After a try; ``state.ran`` already tells whether any attempt may have run. ``chance`` in 0..1 spreads
     the pauses of calls that were refused together."""
-    if ending is Ending.SERVED:
+    if ending is FinalStatus.SERVED:
         if not function_error:
             return state, Finish(Condition.SUCCESS)
         errors = state.errors + 1
@@ -133,7 +133,7 @@
     step = next_step(state, policy, now)
     if isinstance(step, Finish):
         return state, step
-    pause_s = min(PAUSE_MOST_S, max(stay_away_s, PAUSE_FIRST_S * 2 ** min(refusals - 1, 10)))
+    pause_s = min(PAUSE_MOST_S, max(retry_after_s, PAUSE_FIRST_S * 2 ** min(refusals - 1, 10)))
     return state, _pause(state, policy, now, pause_s, chance)
 
 
--- a/saffronstack/engine/calls.py
+++ b/saffronstack/engine/calls.py
@@ -1,4 +1,4 @@
-"""A call in the gateway's hands, and its one final answer."""
+"""Calls that a gateway has accepted, their final answers, and the messages of the threads that serve them."""
 
 from __future__ import annotations
 
@@ -8,67 +8,104 @@
 from enum import Enum
 from typing import Protocol
 
-from saffronstack.routing.events import AttemptOutcome, LoadReport, Result
+from saffronstack.routing.events import AttemptOutcome, LoadReport, PriorAttempt, Result
 
 
-class Ending(Enum):
-    """How a call ended."""
+class FinalStatus(Enum):
+    """How a call ended; the values appear in metrics, status pages and stored files.
 
-    SERVED = "served"  # a worker's answer
-    REFUSED = "refused"  # trying again does no harm
-    FAILED = "failed"  # it may have run, or not: no promise
-    GONE = "gone"  # the client left; nobody hears of it
+    Attributes:
+        SERVED: A worker responded.
+        REJECTED: The call had no effect, so a retry is harmless.
+        FAILED: The call may or may not have been executed.
+        CLIENT_DISCONNECTED: The client has gone, so that nobody receives an answer.
+    """
 
-
-@dataclass(frozen=True, slots=True)
-class Prior:
-    """The first attempt of a call that may have run: where, and when it was sent (monotonic seconds)."""
-
-    worker: int
-    sent_s: float
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    CLIENT_DISCONNECTED = "gone"
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
-    """The final answer of a call."""
-
-    ending: Ending
+class FinalAnswer:
+    """The final answer of a call.
+
+    Attributes:
+        status: How the call ended.
+        payload: Body of the worker's response.
+        function_error: "Handled" or "Unhandled" where the function itself failed.
+        log_tail: Last part of the function's log, in base64.
+        retry_after_s: How long the client should wait before a retry; 0 where nothing is advised.
+        reason: Why the call was not served.
+        prior_attempt: The first attempt that may have executed.
+        attempts: Number of attempts.
+        worker: Name of the worker that served it.
+        attempt_in_flight_until_s: Where an attempt is still in flight, when it will have ended (monotonic).
+    """
+
+    status: FinalStatus
     payload: bytes = b""
-    function_error: str = ""  # "Handled" or "Unhandled" where the function itself failed
-    log_tail: str = ""  # base64
-    stay_away_s: float = 0.0
+    function_error: str = ""
+    log_tail: str = ""
+    retry_after_s: float = 0.0
     reason: str = ""
-    prior: Prior | None = None
+    prior_attempt: PriorAttempt | None = None
     attempts: int = 0
     worker: str = ""
-    out_until_s: float = (
-        0.0  # an attempt is still out, until then at the latest (monotonic): no other may be yet
-    )
+    attempt_in_flight_until_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class FunctionSpec:
-    """What the core needs of a function."""
+    """Properties of a function that the engine needs.
+
+    Attributes:
+        name: Name in the configuration.
+        number: Number that the router knows it by.
+        class_index: Index of its request class in the settings.
+        memory_mb: Memory of one instance.
+        concurrency: Requests that one instance executes at once.
+        load_time_s: Usual time to load it, if known.
+    """
 
     name: str
     number: int
     class_index: int
     memory_mb: float
-    lanes: int = 1
-    load_s: float | None = None
+    concurrency: int = 1
+    load_time_s: float | None = None
 
 
-class SendGuard(Protocol):
-    """Asked on a worker thread right before an attempt's first byte goes out."""
+class AttemptGuard(Protocol):
+    """A check that a worker's thread makes right before it sends the first byte of an attempt."""
 
-    def may_send(self, attempt: int, worker: int) -> bool:
-        """False: the attempt must not be sent. It may wait, with a time-out of its own."""
+    def may_send(self, attempt: int, worker_id: int) -> bool:
+        """Return whether the attempt may be sent; this may block, for a bounded time."""
         ...
 
 
 @dataclass(eq=False, slots=True)
 class Call:
-    """One call. ``deadline_s``, monotonic, is when the gateway wants it answered, ahead of its client's."""
+    """One call of a client.
+
+    Attributes:
+        number: Number that the router knows it by.
+        request_id: Identifier that the client sees.
+        function: The function to execute.
+        payload: Body of the request.
+        deadline_s: When the gateway should answer (monotonic), ahead of the client's own time-out.
+        tenant: Index of its tenant in the settings.
+        tenant_name: Name of its tenant.
+        key: Idempotency key; the request id where the client sent none.
+        client_context: Context that the client sent for the function.
+        wants_log: Whether the client asked for the tail of the log.
+        prior_attempt: Attempt of an earlier incarnation of the gateway, for a resumed deferred call.
+        guard: Check before each attempt.
+        on_final_answer: Called once with the final answer, on whichever thread finished the call.
+        final_answer: The final answer, once there is one.
+        class_name: Name of its request class.
+    """
 
     number: int
     request_id: str
@@ -77,45 +114,55 @@
     deadline_s: float
     tenant: int = 0
     tenant_name: str = ""
-    key: str = ""  # idempotency key; the request id where the client named none
+    key: str = ""
     client_context: str = ""
     wants_log: bool = False
-    prior: Prior | None = None  # of an earlier life of a deferred call
-    guard: SendGuard | None = None
-    on_final: Callable[[Call, Final], None] | None = None
-    final: Final | None = None
+    prior_attempt: PriorAttempt | None = None
+    guard: AttemptGuard | None = None
+    on_final_answer: Callable[[Call, FinalAnswer], None] | None = None
+    final_answer: FinalAnswer | None = None
     class_name: str = ""
-    _claim: threading.Lock = field(default_factory=threading.Lock)
-    _done: threading.Lock = field(default_factory=threading.Lock)
+    _finish_claim: threading.Lock = field(default_factory=threading.Lock)  # held by the thread that finishes
+    _unfinished: threading.Lock = field(default_factory=threading.Lock)  # held until the call is finished
 
     def __post_init__(self) -> None:
-        self._done.acquire()
+        self._unfinished.acquire()
+
+    def finish(self, final_answer: FinalAnswer) -> bool:
+        """Give the final answer; only the first attempt to do so succeeds. Any thread may call this.
 
-    def settle(self, final: Final) -> bool:
-        """Give the final answer; True for the first of all who try, from whatever thread."""
-        if not self._claim.acquire(blocking=False):
+        Returns:
+            Whether this was the first.
+        """
+        if not self._finish_claim.acquire(blocking=False):
             return False
-        self.final = final
-        self._done.release()
-        if self.on_final is not None:
-            self.on_final(self, final)
+        self.final_answer = final_answer
+        self._unfinished.release()
+        if self.on_final_answer is not None:
+            self.on_final_answer(self, final_answer)
         return True
 
     @property
-    def settled(self) -> bool:
-        """Whether it has its final answer: nothing more may be sent for it."""
-        return self._claim.locked()
+    def is_finished(self) -> bool:
+        """Whether the call has its final answer, so that nothing more may be sent for it."""
+        return self._finish_claim.locked()
 
-    def wait(self, timeout_s: float) -> Final | None:
-        """The final answer, None where it has not come within ``timeout_s`` seconds."""
-        if self._done.acquire(timeout=max(0.0, timeout_s)):
-            self._done.release()
-        return self.final
+    def wait(self, timeout_s: float) -> FinalAnswer | None:
+        """Wait for the final answer; None if it has not come in time."""
+        if self._unfinished.acquire(timeout=max(0.0, timeout_s)):
+            self._unfinished.release()
+        return self.final_answer
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a worker answered to an attempt that it served."""
+class WorkerResponse:
+    """Response of a worker that served an attempt.
+
+    Attributes:
+        payload: Its body.
+        function_error: "Handled" or "Unhandled" where the function itself failed.
+        log_tail: Last part of the function's log, in base64.
+    """
 
     payload: bytes
     function_error: str = ""
@@ -123,57 +170,76 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptEnd:
-    """How an attempt ended, as its worker thread saw it."""
+class AttemptResult:
+    """How an attempt ended, as the thread that served it saw it.
+
+    Attributes:
+        call: Its call.
+        outcome: The event for the router.
+        response: The worker's response, if it served the attempt.
+        reason: Why it did not.
+        incarnation: Incarnation that the worker last reported.
+        memory_time_kib_us: Memory times time that the worker reports for the attempt, in KiB microseconds;
+            0 where it reports none.
+    """
 
     call: Call
     outcome: AttemptOutcome
-    answer: Answer | None = None
+    response: WorkerResponse | None = None
     reason: str = ""
-    incarnation: str = ""  # of the worker, as last heard
-    held: int = 0  # what the worker says the call held, in KiB microseconds; 0 where it does not say
+    incarnation: str = ""
+    memory_time_kib_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerSeen:
-    """What a worker's answer says of the process behind it; uptime in seconds."""
+class WorkerObservation:
+    """The incarnation and uptime that a worker reported with a response."""
 
-    worker: int
+    worker_id: int
     incarnation: str
     uptime_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class OrderEnd:
-    """How a probe or an order ended."""
-
-    worker: int
+class CommandResult:
+    """How a health check or a load command ended.
+
+    Attributes:
+        worker_id: Number of the worker.
+        result: Its result.
+        elapsed_s: Time from its start to its end.
+        function_id: Number of the function to load; None for a health check.
+        instances: Instances that the worker holds now.
+        load_report: Load of the worker, if reported.
+    """
+
+    worker_id: int
     result: Result
     elapsed_s: float
-    function: int | None = None  # None: a probe
-    copies: int = 0
-    report: LoadReport | None = None
+    function_id: int | None = None
+    instances: int = 0
+    load_report: LoadReport | None = None
 
 
 class Dispatcher(Protocol):
-    """Carries out what the module decides; every call returns at once."""
+    """Carries out the router's decisions on the workers. No method blocks."""
 
-    def send(self, call: Call, attempt: int, worker: int, timeout_s: float) -> None:
-        """Start an attempt; its `AttemptEnd` is told to the engine exactly once."""
+    def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
+        """Start an attempt; the engine is notified of exactly one `AttemptResult`."""
         ...
 
     def cancel(self, call: Call, attempt: int) -> None:
         """Stop waiting for an attempt."""
         ...
 
-    def probe(self, worker: int) -> None:
-        """Ask a worker for its report; ends in one `OrderEnd`."""
+    def check_health(self, worker_id: int) -> None:
+        """Send a health check; the engine is notified of exactly one `CommandResult`."""
         ...
 
-    def load(self, worker: int, function: FunctionSpec, copies: int) -> None:
-        """Order copies; ends in one `OrderEnd`."""
+    def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
+        """Send a load command; the engine is notified of exactly one `CommandResult`."""
         ...
 
-    def unload(self, worker: int, function: FunctionSpec) -> None:
-        """Order idle copies out; no end is told."""
+    def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
+        """Tell a worker to drop idle instances; nothing is notified."""
         ...
--- a/saffronstack/engine/decision_record.py
+++ b/saffronstack/engine/decision_record.py
@@ -39,7 +39,7 @@
 log = structlog.get_logger("saffronstack.record")
 
 
-class RecordError(ValueError):
+class DecisionRecordError(ValueError):
     """The record can't be read, or its replay differs; the text says where."""
 
 
@@ -47,10 +47,12 @@
     try:
         return parse(raw)
     except (KeyError, IndexError, TypeError, msgspec.ValidationError) as error:
-        raise RecordError(f"entry {number}: not an event or action of this version: {error}") from error
+        raise DecisionRecordError(
+            f"entry {number}: not an event or action of this version: {error}"
+        ) from error
 
 
-class Recorder:
+class DecisionRecorder:
     """Writes a record on a thread of its own; the decision thread only encodes and queues."""
 
     def __init__(self, path: str, settings: Settings, seed: int) -> None:
@@ -116,7 +118,7 @@
             try:
                 more = reader.read(1 << 16)
             except zstandard.ZstdError as error:
-                raise RecordError(f"byte {file.tell()}: not a zstandard stream: {error}") from error
+                raise DecisionRecordError(f"byte {file.tell()}: not a zstandard stream: {error}") from error
             if not more:
                 return None
             held += more
@@ -126,7 +128,7 @@
     while (head := take(_LENGTH.size)) is not None:
         (length,) = _LENGTH.unpack(head)
         if length > MAX_VALUE_BYTES:
-            raise RecordError(f"a value of {length} bytes, {MAX_VALUE_BYTES} at most")
+            raise DecisionRecordError(f"a value of {length} bytes, {MAX_VALUE_BYTES} at most")
         value = take(length)
         if value is None:
             return
@@ -134,31 +136,36 @@
 
 
 def replay(path: str) -> tuple[int, int]:
-    """Feed a record to a fresh `Router`; how many events and actions agreed. RecordError at the first that
-    differs, naming entry, event and both lists of actions; OSError where the file can't be read."""
+    """Feed a record to a fresh `Router` and return how many events and actions agreed.
+
+    Raises:
+        DecisionRecordError: The record can't be read, or a decision differs; the text names entry, event and
+            both lists of actions.
+        OSError: The file can't be read.
+    """
     with open(path, "rb") as file:
         values = _values(file)
         first = next(values, None)
         if first is None:
-            raise RecordError("the record holds nothing")
+            raise DecisionRecordError("the record holds nothing")
         try:
             head = msgspec.msgpack.decode(first)
             if head["version"] != VERSION:
-                raise RecordError(f"version {head['version']}, not {VERSION}")
+                raise DecisionRecordError(f"version {head['version']}, not {VERSION}")
             router = Router(from_stored(head["settings"], Settings), int(head["seed"]))
         except (KeyError, TypeError, msgspec.MsgspecError) as error:
-            raise RecordError(f"the record's head: {error}") from error
+            raise DecisionRecordError(f"the record's head: {error}") from error
         events = actions = 0
         for number, value in enumerate(values, 1):
             try:
                 now, event, recorded = msgspec.msgpack.decode(value)
             except (msgspec.MsgspecError, ValueError, TypeError) as error:
-                raise RecordError(f"entry {number}: {error}") from error
+                raise DecisionRecordError(f"entry {number}: {error}") from error
             told = _parse(event, event_from_tagged, number)
             expected = [_parse(action, action_from_tagged, number) for action in recorded]
             decided = router.handle(now, told)
             if decided != expected:
-                raise RecordError(
+                raise DecisionRecordError(
                     f"entry {number}, at {now:.6f}, {told}: recorded {expected}, decided {decided}"
                 )
             events += 1
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -15,18 +15,17 @@
 
 from saffronstack.choice import Router
 from saffronstack.engine.calls import (
-    AttemptEnd,
+    AttemptResult,
     Call,
+    CommandResult,
     Dispatcher,
-    Ending,
-    Final,
+    FinalAnswer,
+    FinalStatus,
     FunctionSpec,
-    OrderEnd,
-    Prior,
-    WorkerSeen,
+    WorkerObservation,
 )
 from saffronstack.engine.timers import Timers
-from saffronstack.engine.worker_registry import Roster, WorkerSpec
+from saffronstack.engine.worker_registry import WorkerRegistry, WorkerSpec
 from saffronstack.routing.actions import (
     Action,
     CancelAttempt,
@@ -59,7 +58,7 @@
 IDLE_S = 1.0  # the decision thread looks up at least this often
 
 
-class Recorder(Protocol):
+class DecisionSink(Protocol):
     """Hears every event and what was decided on it, in their order, on the decision thread."""
 
     def record(self, now: float, event: Event, actions: list[Action]) -> None:
@@ -74,13 +73,13 @@
     call: Call
     sent: dict[int, tuple[int, float]] = field(default_factory=dict)  # attempts out: worker, when
     made: int = 0
-    prior: Prior | None = None  # the first attempt that may have run
+    prior: PriorAttempt | None = None  # the first attempt that may have run
     left: bool = False  # the module knows that the client has gone
 
-    def may_have_run(self) -> Prior | None:
+    def may_have_run(self) -> PriorAttempt | None:
         """The first attempt that may have run; one that is still out counts."""
         if self.prior is None and self.sent:
-            return Prior(*self.sent[min(self.sent)])
+            return PriorAttempt(*self.sent[min(self.sent)])
         return self.prior
 
 
@@ -113,7 +112,7 @@
     events: int = 0
     backstops: int = 0
     faults: int = 0
-    endings: dict[str, int] = field(default_factory=lambda: {ending.value: 0 for ending in Ending})
+    endings: dict[str, int] = field(default_factory=lambda: {ending.value: 0 for ending in FinalStatus})
     results: dict[str, int] = field(default_factory=lambda: {result.value: 0 for result in Result})
 
 
@@ -125,7 +124,7 @@
         settings: Settings,
         seed: int,
         clock: Callable[[], float],
-        recorder: Recorder | None = None,
+        recorder: DecisionSink | None = None,
         backstop_s: float = 0.05,
         max_open_calls: int = 20000,
         log: Logger | None = None,
@@ -145,7 +144,7 @@
         self._timers: Timers[TimerFired | int] = Timers()  # numbers of calls: they hold no payload
         self._open: dict[int, _Open] = {}
         self._functions: dict[int, FunctionSpec] = {}
-        self._roster = Roster()
+        self._roster = WorkerRegistry()
         self._numbers = count(1)
         self._now = clock()
         self._submitting = threading.Lock()  # no call is queued once `stop` has been called
@@ -183,16 +182,16 @@
 
     def leave(self, call: Call) -> None:
         """The client of a call has left."""
-        self.end(call, Final(Ending.GONE))
+        self.end(call, FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
 
-    def end(self, call: Call, final: Final) -> bool:
+    def end(self, call: Call, final: FinalAnswer) -> bool:
         """Answer a call in the module's place; whether this was its final answer."""
-        if not call.settle(final):
+        if not call.finish(final):
             return False
         self._queue.put(ClientDisconnected(call.number))
         return True
 
-    def tell(self, what: AttemptEnd | OrderEnd | WorkerSeen) -> None:
+    def tell(self, what: AttemptResult | CommandResult | WorkerObservation) -> None:
         """What a worker's thread saw."""
         self._queue.put(what)
 
@@ -276,7 +275,7 @@
     def _take(self, item: object) -> None:
         if isinstance(item, Call):
             self._arrived(item)
-        elif isinstance(item, AttemptEnd):
+        elif isinstance(item, AttemptResult):
             self._ended(item)
         elif isinstance(item, ClientDisconnected):
             self._decide(item)
@@ -285,17 +284,19 @@
                 opened.left = True
                 self._count(opened.call)
                 self._close(opened)
-        elif isinstance(item, OrderEnd):
-            if item.function is None:
-                self._decide(HealthCheckResult(item.worker, item.result, item.elapsed_s, item.report))
+        elif isinstance(item, CommandResult):
+            if item.function_id is None:
+                self._decide(HealthCheckResult(item.worker_id, item.result, item.elapsed_s, item.load_report))
             else:
                 self._decide(
-                    LoadCommandResult(item.worker, item.function, item.copies, item.result, item.elapsed_s)
+                    LoadCommandResult(
+                        item.worker_id, item.function_id, item.instances, item.result, item.elapsed_s
+                    )
                 )
-        elif isinstance(item, WorkerSeen):
+        elif isinstance(item, WorkerObservation):
             update = self._roster.worker_seen(self._now, item)
             if update is not None:
-                self._log.info("worker started anew", worker=item.worker, incarnation=item.incarnation)
+                self._log.info("worker started anew", worker=item.worker_id, incarnation=item.incarnation)
                 self._decide(update)
         elif isinstance(item, _Inspection):
             item.look(self._now, self._router)
@@ -306,7 +307,7 @@
 
     def _arrived(self, call: Call) -> None:
         self.counts.calls += 1
-        if call.settled:  # withdrawn before it was looked at: it costs no decision
+        if call.is_finished:  # withdrawn before it was looked at: it costs no decision
             self._count(call)
             return
         spec = call.function
@@ -314,7 +315,7 @@
         self._functions[spec.number] = spec
         if len(self._functions) > MAX_FUNCTIONS:  # the one that was called longest ago
             del self._functions[next(iter(self._functions))]
-        self._open[call.number] = _Open(call, prior=call.prior)
+        self._open[call.number] = _Open(call, prior=call.prior_attempt)
         self._timers.set(call.deadline_s + self.backstop_s, call.number)
         self._decide(
             Request(
@@ -324,24 +325,24 @@
                 call.deadline_s,
                 call.tenant,
                 spec.memory_mb,
-                float(spec.lanes),
-                spec.load_s,
-                prior_attempt=None
-                if call.prior is None
-                else PriorAttempt(call.prior.worker, call.prior.sent_s),
+                float(spec.concurrency),
+                spec.load_time_s,
+                prior_attempt=call.prior_attempt,
             )
         )
 
-    def _ended(self, end: AttemptEnd) -> None:
+    def _ended(self, end: AttemptResult) -> None:
         outcome = end.outcome
         self.counts.results[outcome.result.value] += 1
         opened = self._open.get(outcome.request_id)
         if opened is not None:
             worker, sent_s = opened.sent.pop(outcome.attempt, (outcome.worker_id, self._now))
             if outcome.result not in NEVER_RAN and opened.prior is None:
-                opened.prior = Prior(worker, sent_s)
-            if end.answer is not None and end.call.final is not None and outcome.result is Result.OK:
-                self.counts.endings[Ending.SERVED.value] += end.call.final.ending is Ending.SERVED
+                opened.prior = PriorAttempt(worker, sent_s)
+            if end.response is not None and end.call.final_answer is not None and outcome.result is Result.OK:
+                self.counts.endings[FinalStatus.SERVED.value] += (
+                    end.call.final_answer.status is FinalStatus.SERVED
+                )
         self._decide(outcome)
         self._close(opened)
 
@@ -373,23 +374,23 @@
         elif isinstance(action, SetTimer):
             self._timers.set(self._now + action.delay_s, TimerFired(action.timer_id))
         elif isinstance(action, Reject):
-            self._answer(action.request_id, Ending.REFUSED, action.retry_after_s)
+            self._answer(action.request_id, FinalStatus.REJECTED, action.retry_after_s)
         elif isinstance(action, Fail):
-            self._answer(action.request_id, Ending.FAILED, 0.0)
+            self._answer(action.request_id, FinalStatus.FAILED, 0.0)
         elif isinstance(action, LoadFunction):
             self.counts.orders += 1
             spec = self._functions.get(action.function_id)
             if spec is not None:
-                dispatcher.load(action.worker_id, spec, action.instances)
+                dispatcher.load_function(action.worker_id, spec, action.instances)
             else:
-                self.tell(OrderEnd(action.worker_id, Result.ERROR, 0.0, action.function_id))
+                self.tell(CommandResult(action.worker_id, Result.ERROR, 0.0, action.function_id))
         elif isinstance(action, UnloadFunction):
             self.counts.orders += 1
             spec = self._functions.get(action.function_id)
             if spec is not None:
-                dispatcher.unload(action.worker_id, spec)
+                dispatcher.unload_function(action.worker_id, spec)
         elif isinstance(action, CheckHealth):
-            dispatcher.probe(action.worker_id)
+            dispatcher.check_health(action.worker_id)
         elif isinstance(action, CancelAttempt):
             opened_ = self._open.get(action.request_id)
             if opened_ is not None:
@@ -398,20 +399,20 @@
             self._log.info("module", text=action.text)
         # Watch and FetchList: this list is told without asking.
 
-    def _answer(self, request: int, ending: Ending, stay_away_s: float) -> None:
+    def _answer(self, request: int, ending: FinalStatus, retry_after_s: float) -> None:
         opened = self._open.get(request)
         if opened is None:
             return
-        reason = "no worker could take it" if ending is Ending.REFUSED else "it may have run"
+        reason = "no worker could take it" if ending is FinalStatus.REJECTED else "it may have run"
         call = opened.call
-        if call.settle(
-            Final(
+        if call.finish(
+            FinalAnswer(
                 ending,
-                stay_away_s=stay_away_s,
+                retry_after_s=retry_after_s,
                 reason=reason,
-                prior=opened.may_have_run(),
+                prior_attempt=opened.may_have_run(),
                 attempts=opened.made,
-                out_until_s=call.deadline_s if opened.sent else 0.0,
+                attempt_in_flight_until_s=call.deadline_s if opened.sent else 0.0,
             )
         ):
             self._count(call)
@@ -420,35 +421,37 @@
     def _backstop(self, opened: _Open) -> None:
         """Past the deadline and unanswered: the engine's own answer, by the same rule as the module's."""
         call = opened.call
-        if call.settled:
+        if call.is_finished:
             return
         self.counts.backstops += 1
         self._log.warning("answered by the backstop", request_id=call.request_id)
         ran = opened.may_have_run() is not None
         safe = self.settings.classes[call.function.class_index].idempotency is Idempotency.IDEMPOTENT
-        ending = Ending.FAILED if ran and not safe else Ending.REFUSED
+        ending = FinalStatus.FAILED if ran and not safe else FinalStatus.REJECTED
         self._answer(call.number, ending, 0.0)
         self._decide(ClientDisconnected(call.number))
 
     def _count(self, call: Call) -> None:
-        if call.final is not None:
-            self.counts.endings[call.final.ending.value] += 1
+        if call.final_answer is not None:
+            self.counts.endings[call.final_answer.status.value] += 1
 
     def _close(self, opened: _Open | None) -> None:
         """Forget a call that is over. One whose client left is over only once the module knows: until
         then the module may still send for it, and the worker's thread turns that away."""
-        if opened is None or opened.sent or not opened.call.settled:
+        if opened is None or opened.sent or not opened.call.is_finished:
             return
-        final = opened.call.final
-        if opened.left or final is None or final.ending is not Ending.GONE:
+        final = opened.call.final_answer
+        if opened.left or final is None or final.status is not FinalStatus.CLIENT_DISCONNECTED:
             self._open.pop(opened.call.number, None)
 
     def _abandon(self) -> None:
         """The thread ends: what is still open gets an answer that promises nothing it can't keep."""
         for opened in list(self._open.values()):
             ran = opened.may_have_run()
-            ending = Ending.FAILED if ran is not None else Ending.REFUSED
-            opened.call.settle(Final(ending, reason="the gateway stops", prior=ran, attempts=opened.made))
+            ending = FinalStatus.FAILED if ran is not None else FinalStatus.REJECTED
+            opened.call.finish(
+                FinalAnswer(ending, reason="the gateway stops", prior_attempt=ran, attempts=opened.made)
+            )
         self._open.clear()
         while True:
             try:
@@ -456,4 +459,4 @@
             except queue.Empty:
                 return
             if isinstance(item, Call):
-                item.settle(Final(Ending.REFUSED, reason="the gateway stops"))
+                item.finish(FinalAnswer(FinalStatus.REJECTED, reason="the gateway stops"))
--- a/saffronstack/engine/worker_registry.py
+++ b/saffronstack/engine/worker_registry.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from saffronstack.engine.calls import WorkerSeen
+from saffronstack.engine.calls import WorkerObservation
 from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, WorkerEndpoint, WorkerState
 
 EARLIEST_S = 1e-6  # a start time of 0 would mean "long ago" to the module
@@ -27,7 +27,7 @@
     started_at: float = 0.0
 
 
-class Roster:
+class WorkerRegistry:
     """Owned by the decision thread. A worker that left and returns counts as started anew."""
 
     def __init__(self) -> None:
@@ -81,20 +81,20 @@
         state = WorkerState.DRAINING if spec.draining else WorkerState.READY
         return WorkerEndpoint(spec.number, state, spec.size, spec.kind, spec.zone, spec.cell, since_s)
 
-    def worker_seen(self, now: float, seen: WorkerSeen) -> EndpointUpdate | None:
+    def worker_seen(self, now: float, seen: WorkerObservation) -> EndpointUpdate | None:
         """A worker named its incarnation; a change where it started anew behind the list's back."""
-        entry = self.entries.get(seen.worker)
-        if entry is None or self._incarnations.get(seen.worker) == seen.incarnation:
+        entry = self.entries.get(seen.worker_id)
+        if entry is None or self._incarnations.get(seen.worker_id) == seen.incarnation:
             return None
-        first = seen.worker not in self._incarnations
-        self._incarnations[seen.worker] = seen.incarnation
+        first = seen.worker_id not in self._incarnations
+        self._incarnations[seen.worker_id] = seen.incarnation
         since_s = max(EARLIEST_S, now - seen.uptime_s)
         # The first incarnation heard is no news of a start: the list says when workers started. A gateway
         # that starts beside a young fleet would hold back most of its calls (docs/gateway-design.md).
         if first or since_s <= entry.started_s + 0.5:
             return None
         self.version += 1
-        entry = self.entries[seen.worker] = replace(entry, started_s=since_s)
+        entry = self.entries[seen.worker_id] = replace(entry, started_s=since_s)
         return EndpointUpdate(EndpointUpdateKind.INCREMENTAL, (entry,), self.version)
 
     def _since(self, now: float, wall: float, started_at: float) -> float:
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -15,7 +15,7 @@
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
 from saffronstack.durable.segments import Files
-from saffronstack.engine.decision_record import Recorder
+from saffronstack.engine.decision_record import DecisionRecorder
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
@@ -65,7 +65,7 @@
         self.config = config
         self._clock, self._wall = clock, wall
         settings = settings_of(config)
-        self._recorder = Recorder(record_to, settings, config.seed) if record_to else None
+        self._recorder = DecisionRecorder(record_to, settings, config.seed) if record_to else None
         self.engine = Engine(
             settings,
             config.seed,
--- a/saffronstack/hosts/dispatcher.py
+++ b/saffronstack/hosts/dispatcher.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from itertools import count
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.calls import AttemptResult, Call, CommandResult, FunctionSpec, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
 from saffronstack.hosts.deadlines import Deadlines
@@ -124,15 +124,17 @@
 
     # ---- the engine's dispatcher
 
-    def send(self, call: Call, attempt: int, worker: int, timeout_s: float) -> None:
+    def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
         """Start an attempt."""
         deadline_s = call.deadline_s
         if timeout_s > 0:
             deadline_s = min(deadline_s, self._clock() + timeout_s)
-        pool = self._pools.get(worker)
+        pool = self._pools.get(worker_id)
         if pool is None:
-            outcome = AttemptOutcome(call.number, attempt, worker, Result.NOT_STARTED, 0.0, call.settled)
-            self._tell(AttemptEnd(call, outcome, reason="the host has left the list"))
+            outcome = AttemptOutcome(
+                call.number, attempt, worker_id, Result.NOT_STARTED, 0.0, call.is_finished
+            )
+            self._tell(AttemptResult(call, outcome, reason="the host has left the list"))
             return
         item = Attempt(call, attempt, pool, deadline_s, self._ended, self._clock)
         self._submit((call.number, attempt), item, pool)
@@ -144,8 +146,8 @@
             return
         self.deadlines.set(item.deadline_s, key)  # once a link has it: one that has none can't be given up
 
-    def _ended(self, what: AttemptEnd | OrderEnd | WorkerSeen) -> None:
-        if isinstance(what, AttemptEnd):
+    def _ended(self, what: AttemptResult | CommandResult | WorkerObservation) -> None:
+        if isinstance(what, AttemptResult):
             self._out.pop((what.call.number, what.outcome.attempt), None)
         self._tell(what)
 
@@ -166,34 +168,34 @@
         if item is not None and item.link is not None:
             item.link.give_up(item, result, reason)
 
-    def probe(self, worker: int) -> None:
-        """Ask whether the connection works; ends in one `OrderEnd`."""
-        self._order(worker, None, 0)
+    def check_health(self, worker_id: int) -> None:
+        """Ask whether the connection works; ends in one `CommandResult`."""
+        self._order(worker_id, None, 0)
 
-    def load(self, worker: int, function: FunctionSpec, copies: int) -> None:
-        """Order copies; ends in one `OrderEnd`."""
-        self._order(worker, function, copies)
+    def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
+        """Order instances; ends in one `CommandResult`."""
+        self._order(worker_id, function, instances)
 
-    def _order(self, worker: int, function: FunctionSpec | None, copies: int) -> None:
-        pool = self._pools.get(worker)
+    def _order(self, worker_id: int, function: FunctionSpec | None, copies: int) -> None:
+        pool = self._pools.get(worker_id)
         if pool is None:
             number = None if function is None else function.number
-            self._tell(OrderEnd(worker, Result.CONNECT_FAILED, 0.0, number))
+            self._tell(CommandResult(worker_id, Result.CONNECT_FAILED, 0.0, number))
             return
         ticket = next(self._orders)
         key = ORDER, ticket
         deadline_s = self._clock() + self._order_timeout_s
 
-        def ended(what: AttemptEnd | OrderEnd | WorkerSeen) -> None:
+        def ended(what: AttemptResult | CommandResult | WorkerObservation) -> None:
             self._out.pop(key, None)
             self._tell(what)
 
         order = Order(f"order-{ticket}", function, copies, pool, deadline_s, ended, self._clock)
         self._submit(key, order, pool)
 
-    def unload(self, worker: int, function: FunctionSpec) -> None:
+    def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
         """Order idle copies out; no end is told."""
-        pool = self._pools.get(worker)
+        pool = self._pools.get(worker_id)
         if pool is None or pool.closed:
             return
         for link in pool.links:
--- a/saffronstack/hosts/items.py
+++ b/saffronstack/hosts/items.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 from saffronstack.engine.calls import (
-    Answer,
-    AttemptEnd,
+    AttemptResult,
     Call,
-    Ending,
-    Final,
+    CommandResult,
+    FinalAnswer,
+    FinalStatus,
     FunctionSpec,
-    OrderEnd,
-    WorkerSeen,
+    WorkerObservation,
+    WorkerResponse,
 )
 from saffronstack.hosts import codec
 from saffronstack.net.write_buffer import OutgoingMessage, Sent
@@ -22,7 +22,7 @@
 LINE_BYTES = 256  # of a request's line beside its body
 LEAST_WAIT_MS = 1  # the host is told how long the gateway waits, and zero would be no time at all
 
-Tell = Callable[[AttemptEnd | OrderEnd | WorkerSeen], None]
+Tell = Callable[[AttemptResult | CommandResult | WorkerObservation], None]
 
 
 class Host(Protocol):
@@ -140,7 +140,7 @@
         only now, with the time that is left now: it may have waited for a connection or in an outbox."""
         call = self.call
         wait_ms = int((self.deadline_s - self.clock()) * 1000)
-        if call.settled or wait_ms < LEAST_WAIT_MS or not super().may_start():
+        if call.is_finished or wait_ms < LEAST_WAIT_MS or not super().may_start():
             return False
         self.data = codec.call_line(
             call.request_id, call.class_name, call.function.name, wait_ms, call.payload
@@ -158,9 +158,11 @@
             self.host.broken += 1
         elif result is Result.OK:
             self.host.answers += 1
-            kept = Answer(answer.body)
-            final = Final(Ending.SERVED, answer.body, attempts=self.number + 1, worker=self.host.name)
-            self.call.settle(final)
+            kept = WorkerResponse(answer.body)
+            final = FinalAnswer(
+                FinalStatus.SERVED, answer.body, attempts=self.number + 1, worker=self.host.name
+            )
+            self.call.finish(final)
         crowd = (answer.crowd or 0) if result in (Result.OK, Result.AT_CAPACITY) else None
         self._end(result, answer.found, crowd, answer.report, kept)
 
@@ -175,7 +177,7 @@
         found: CacheStatus = CacheStatus.UNKNOWN,
         crowd: int | None = None,
         report: LoadReport | None = None,
-        answer: Answer | None = None,
+        answer: WorkerResponse | None = None,
         reason: str = "",
     ) -> None:
         outcome = AttemptOutcome(
@@ -184,12 +186,12 @@
             self.host.number,
             result,
             self.clock() - self.sent_s,
-            self.call.settled,
+            self.call.is_finished,
             found,
             crowd,
             report,
         )
-        self.tell(AttemptEnd(self.call, outcome, answer, reason))
+        self.tell(AttemptResult(self.call, outcome, answer, reason))
 
 
 class Order(Item):
@@ -227,4 +229,4 @@
 
     def _end(self, result: Result, copies: int, report: LoadReport | None) -> None:
         number = None if self.function is None else self.function.number
-        self.tell(OrderEnd(self.host.number, result, self.clock() - self.sent_s, number, copies, report))
+        self.tell(CommandResult(self.host.number, result, self.clock() - self.sent_s, number, copies, report))
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -8,7 +8,7 @@
 from saffronstack.config.build import Known
 from saffronstack.config.schema import Config
 from saffronstack.deferred.calls import CommitError, DeferredCalls, LedgerFullError, Submission
-from saffronstack.engine.calls import Call, Ending, Final, Prior
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.engine import Engine
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
@@ -29,6 +29,7 @@
     Rule,
 )
 from saffronstack.operations.table import Answer, Fate, Packed, pack
+from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 
 UNWRITTEN = "the disk took it and has not answered; it is taken back as soon as it does"
@@ -99,11 +100,13 @@
         if self._operations is None or not asked.token:
             call = self._make(asked, asked.request_id, self._place(asked), None, None)
             final = self._run(call, client_there, None)
-            if final.ending is Ending.GONE:
+            if final.status is FinalStatus.CLIENT_DISCONNECTED:
                 raise ClientLeftError
             if _ran_unnamed(asked, final):
-                final = Final(Ending.FAILED, reason="it may have run, and its client named no operation")
-            if final.ending is Ending.REFUSED:
+                final = FinalAnswer(
+                    FinalStatus.FAILED, reason="it may have run, and its client named no operation"
+                )
+            if final.status is FinalStatus.REJECTED:
                 raise _refusal(final)
             return _response(final, asked.headers(asked.request_id), asked.wants_log)
 
@@ -111,7 +114,7 @@
         if rule.effect is Idempotency.IDEMPOTENT:
             return self._safe(self._operations, asked, rule, client_there)
 
-        def run(live: Live, prior: Prior | None) -> Done | NotDone:
+        def run(live: Live, prior: PriorAttempt | None) -> Done | NotDone:
             return self._perform(asked, client_there, live, prior)
 
         return self._once(self._operations, asked, "RequestResponse", rule, run, asked.until_s, client_there)
@@ -161,12 +164,12 @@
         try:
             call = self._make(asked, asked.request_id, self._place(asked), None, None)
             final = self._run(call, client_there, None, lambda: not entry.waiters)
-            if final.ending is Ending.GONE:
+            if final.status is FinalStatus.CLIENT_DISCONNECTED:
                 raise ClientLeftError
-            if final.ending is Ending.REFUSED:
+            if final.status is FinalStatus.REJECTED:
                 raise _refusal(final)
             response = _response(final, asked.headers(asked.request_id), asked.wants_log)
-            if final.ending is Ending.SERVED and len(response.body) <= operations.answer_bytes:
+            if final.status is FinalStatus.SERVED and len(response.body) <= operations.answer_bytes:
                 kept = response
             return response
         finally:
@@ -174,7 +177,7 @@
             recent.end(entry, kept, size, now + rule.window_s, now)
 
     def _perform(
-        self, asked: Asked, client_there: Callable[[], bool], live: Live, prior: Prior | None
+        self, asked: Asked, client_there: Callable[[], bool], live: Live, prior: PriorAttempt | None
     ) -> Done | NotDone:
         request_id = live.opened.request_id
         try:
@@ -182,15 +185,17 @@
             final = self._run(call, client_there, live)
         except InvokeError as error:
             return NotDone(error, prior)
-        if final.ending is Ending.GONE:
+        if final.status is FinalStatus.CLIENT_DISCONNECTED:
             return NotDone(ClientLeftError(), prior)
-        if final.ending is Ending.REFUSED:
-            return NotDone(_refusal(final), final.prior, final.out_until_s)
+        if final.status is FinalStatus.REJECTED:
+            return NotDone(_refusal(final), final.prior_attempt, final.attempt_in_flight_until_s)
         answer = _response(final, asked.headers(request_id), asked.wants_log)
-        return Done(Answer(answer.status, answer.headers, answer.body), unknown=final.ending is Ending.FAILED)
+        return Done(
+            Answer(answer.status, answer.headers, answer.body), unknown=final.status is FinalStatus.FAILED
+        )
 
     def _make(
-        self, asked: Asked, request_id: str, place: int, prior: Prior | None, live: Live | None
+        self, asked: Asked, request_id: str, place: int, prior: PriorAttempt | None, live: Live | None
     ) -> Call:
         known = asked.known
         deadline_s = asked.until_s - self._config.answer_margin_s * 0.8
@@ -225,7 +230,7 @@
         client_there: Callable[[], bool],
         live: Live | None,
         alone: Callable[[], bool] = lambda: True,
-    ) -> Final:
+    ) -> FinalAnswer:
         """Hand a call to the engine and wait for its final answer, watching the client meanwhile. One that
         left takes the call along where it was ``alone`` and nothing of it can have had an effect."""
         if not self._engine.submit(call):
@@ -236,7 +241,7 @@
             if final is not None:
                 return final
             if self._clock() >= latest_s:  # the engine itself is stuck: an answer all the same
-                call.settle(Final(Ending.FAILED, reason="the gateway did not decide in time"))
+                call.finish(FinalAnswer(FinalStatus.FAILED, reason="the gateway did not decide in time"))
             elif not client_there() and alone() and (live is None or live.may_leave()):
                 self._engine.leave(call)
 
@@ -266,7 +271,7 @@
         rule = self.rule(asked)
         digest = asked.name("Event").digest()
 
-        def run(live: Live, prior: Prior | None) -> Done | NotDone:
+        def run(live: Live, prior: PriorAttempt | None) -> Done | NotDone:
             opened = live.opened
             if self._clock() >= asked.until_s:
                 return NotDone(errors.too_many("It came too late to be begun.", 1.0))
@@ -321,7 +326,7 @@
         asked: Asked,
         kind: str,
         rule: Rule,
-        run: Callable[[Live, Prior | None], Done | NotDone],
+        run: Callable[[Live, PriorAttempt | None], Done | NotDone],
         latest_s: float,
         client_there: Callable[[], bool],
     ) -> Response:
@@ -356,15 +361,17 @@
         )
 
 
-def _ran_unnamed(asked: Asked, final: Final) -> bool:
+def _ran_unnamed(asked: Asked, final: FinalAnswer) -> bool:
     """Whether a refusal is no harmless one: the keyed call may have run, and its repeat, which its client
     does not name alike, would come with another key."""
     keyed = asked.known.effect is Idempotency.WITH_KEY
-    return final.ending is Ending.REFUSED and keyed and not asked.token and final.prior is not None
+    return (
+        final.status is FinalStatus.REJECTED and keyed and not asked.token and final.prior_attempt is not None
+    )
 
 
-def _refusal(final: Final) -> InvokeError:
-    return errors.too_many(f"Rate exceeded: {final.reason or 'refused'}.", final.stay_away_s)
+def _refusal(final: FinalAnswer) -> InvokeError:
+    return errors.too_many(f"Rate exceeded: {final.reason or 'refused'}.", final.retry_after_s)
 
 
 def _unknown(headers: tuple[tuple[str, str], ...], reason: str) -> Response:
@@ -372,9 +379,9 @@
     return Response(200, (*headers, failed, REPEATED), errors.outcome_unknown(reason))
 
 
-def _response(final: Final, headers: tuple[tuple[str, str], ...], wants_log: bool) -> Response:
+def _response(final: FinalAnswer, headers: tuple[tuple[str, str], ...], wants_log: bool) -> Response:
     """The answer of a call that was served or failed."""
-    if final.ending is Ending.SERVED:
+    if final.status is FinalStatus.SERVED:
         extra = (("X-Amz-Function-Error", final.function_error),) if final.function_error else ()
         tail = (("X-Amz-Log-Result", final.log_tail),) if wants_log and final.log_tail else ()
         return Response(200, (*headers, *extra, *tail), final.payload)
--- a/saffronstack/invoke/errors.py
+++ b/saffronstack/invoke/errors.py
@@ -53,9 +53,9 @@
     return InvokeError(413, "RequestTooLargeException", message)
 
 
-def too_many(message: str, stay_away_s: float) -> InvokeError:
+def too_many(message: str, retry_after_s: float) -> InvokeError:
     """Come again later; it is harmless. ``Retry-After`` counts whole seconds, so it is rounded up."""
-    wait = str(max(1, math.ceil(stay_away_s)))
+    wait = str(max(1, math.ceil(retry_after_s)))
     return InvokeError(429, "TooManyRequestsException", message, headers=(("Retry-After", wait),))
 
 
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -18,7 +18,7 @@
 from saffronstack.durable.journal import Codec, Journal, JournalError, Ticket, read_back
 from saffronstack.durable.runs import RunDamagedError
 from saffronstack.durable.segments import Files
-from saffronstack.engine.calls import AttemptEnd
+from saffronstack.engine.calls import AttemptResult
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.metering.account import Account, Bounds
@@ -186,7 +186,7 @@
             return
         self._queue.put(lambda: self._header(worker, text))
 
-    def ended(self, end: AttemptEnd) -> None:
+    def ended(self, end: AttemptResult) -> None:
         """An attempt's end: one that may have run and brought no answer is charged until its record comes."""
         outcome = end.outcome
         if outcome.result in LOST:
@@ -195,7 +195,9 @@
         elif outcome.result in ANSWERED:
             call = end.call
             gross = int(call.function.memory_mb * 1024) * int(outcome.elapsed_s * 1e6)
-            told = 0 < end.held <= TOLD_MOST * gross  # else it does not say, or can't be believed
+            told = (
+                0 < end.memory_time_kib_us <= TOLD_MOST * gross
+            )  # else it does not say, or can't be believed
             self._answered_calls.note(
                 outcome.worker_id,
                 AnsweredCall(
@@ -204,7 +206,7 @@
                     call.tenant_name,
                     call.class_name,
                     call.function.name,
-                    end.held if told else gross,
+                    end.memory_time_kib_us if told else gross,
                     told,
                     end.incarnation,
                 ),
@@ -303,7 +305,7 @@
         self.refused += 1
         log.warning("usage refused", worker=worker, why=why)
 
-    def _lost(self, end: AttemptEnd, now: float, wall: float) -> None:
+    def _lost(self, end: AttemptResult, now: float, wall: float) -> None:
         """Charge it until its worker says more. A connection that never told its worker's life was to the one
         that is known; without any, nothing there was ever charged."""
         call, outcome = end.call, end.outcome
@@ -323,7 +325,7 @@
                 wall,
                 self.steady(now),
                 memory_kib,
-                spec.lanes,
+                spec.concurrency,
             )
         )
 
--- a/saffronstack/operations/service.py
+++ b/saffronstack/operations/service.py
@@ -10,7 +10,6 @@
 import structlog
 
 from saffronstack.durable.journal import JournalError, Ticket
-from saffronstack.engine.calls import Prior
 from saffronstack.operations import notes as records
 from saffronstack.operations.notes import NotesLog
 from saffronstack.operations.owners import slot_of
@@ -29,6 +28,7 @@
     Turned,
     unpack,
 )
+from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 from saffronstack.runtime.threads import start_thread
 
@@ -62,7 +62,7 @@
     that may have run; ``error`` is raised for whoever waits."""
 
     error: Exception
-    prior: Prior | None = None
+    prior: PriorAttempt | None = None
     out_until_s: float = 0.0  # of the clock: one of its attempts may be out until then
 
 
@@ -138,7 +138,7 @@
 # Runs an operation to its end on the thread that began it; the prior tells where and when (monotonic seconds)
 # an
 # earlier try may have run.
-Begun = Callable[[Live, Prior | None], Done | NotDone]
+Begun = Callable[[Live, PriorAttempt | None], Done | NotDone]
 
 
 class Operations:
@@ -282,7 +282,7 @@
     def _begin(self, live: Live, run: Begun) -> Answer:
         opened = live.opened
         again = opened.again
-        prior = None if again is None else Prior(again.worker, again.sent_at - self._offset)
+        prior = None if again is None else PriorAttempt(again.worker, again.sent_at - self._offset)
         result: Done | NotDone | None = None
         try:
             if again is not None and (pause_s := again.busy_until - self.now()) > 0:
@@ -357,7 +357,7 @@
         with self._lock:
             now = self.now()
             busy = refused.out_until_s + self._offset if refused.out_until_s else 0.0
-            packed = self.table.leave(live.opened, prior.worker, prior.sent_s + self._offset, now, busy)
+            packed = self.table.leave(live.opened, prior.worker_id, prior.sent_s + self._offset, now, busy)
         self._note_end(live, packed, now)
 
     def _close(self, live: Live, fate: Fate, answer: Answer | None) -> None:
@@ -429,15 +429,15 @@
 
 
 class Guard:
-    """A `SendGuard`: marks an operation as sent, and notes it durably where its class wants that."""
+    """A `AttemptGuard`: marks an operation as sent, and notes it durably where its class wants that."""
 
     def __init__(self, owner: Operations, live: Live) -> None:
         self._owner = owner
         self._live = live
 
-    def may_send(self, attempt: int, worker: int) -> bool:
+    def may_send(self, attempt: int, worker_id: int) -> bool:
         """False: the attempt must not leave. Waits for the disk, bounded."""
         live = self._live
-        if live.rule.durable and not self._owner.note(live, worker):
+        if live.rule.durable and not self._owner.note(live, worker_id):
             return False
         return live.going()
--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from saffronstack.engine.calls import Call, Ending, Final
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import OutgoingMessage, WriteBuffer, WriteLoop
 from saffronstack.platform.calls import CallMaker
@@ -18,7 +18,7 @@
 from saffronstack.resp.reader import RespError, RespReader, encode
 
 SERVED, REFUSED, FAILED, UP = b"OK", b"BUSY", b"FAILED", b"UP"
-WORDS = {Ending.SERVED: SERVED, Ending.REFUSED: REFUSED, Ending.FAILED: FAILED}
+WORDS = {FinalStatus.SERVED: SERVED, FinalStatus.REJECTED: REFUSED, FinalStatus.FAILED: FAILED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -245,12 +245,12 @@
         if not services.ids.add(call.request_id):
             self._write(frame.tag, FAILED)
             return
-        call.on_final = self._on_final
+        call.on_final_answer = self._on_final
         with self._lock:
             self._open[frame.tag] = call
             self._tag_of[call.number] = frame.tag
         if not services.engine.submit(call):
-            call.settle(Final(Ending.REFUSED, stay_away_s=limits.busy_holdoff_s))
+            call.finish(FinalAnswer(FinalStatus.REJECTED, retry_after_s=limits.busy_holdoff_s))
 
     def _unreadable(self, error: RespError | frames.FrameError, now: float) -> None:
         """No further request can be read: an error where there is a tag; what is open keeps its time."""
@@ -264,7 +264,7 @@
 
     # ---- any thread
 
-    def _on_final(self, call: Call, final: Final) -> None:
+    def _on_final(self, call: Call, final: FinalAnswer) -> None:
         """Write the one final answer, on whatever thread settled the call."""
         with self._lock:
             tag = self._tag_of.pop(call.number, None)
@@ -275,17 +275,17 @@
         if tag is None:
             return
         try:
-            if final.ending is not Ending.GONE:
+            if final.status is not FinalStatus.CLIENT_DISCONNECTED:
                 self._answer(tag, final)
         finally:
             with self._lock:
                 self._answering -= 1
 
-    def _answer(self, tag: int, final: Final) -> None:
+    def _answer(self, tag: int, final: FinalAnswer) -> None:
         fields = b""
-        if final.ending is Ending.REFUSED and final.stay_away_s > 0:
-            fields = self._services.holdoff(final.stay_away_s)
-        self._write(tag, WORDS[final.ending], fields, final.payload)
+        if final.status is FinalStatus.REJECTED and final.retry_after_s > 0:
+            fields = self._services.holdoff(final.retry_after_s)
+        self._write(tag, WORDS[final.status], fields, final.payload)
 
     def _write(self, tag: int, word: bytes, fields: bytes = b"", body: bytes = b"") -> None:
         self._write_buffer.send(OutgoingMessage(encode((b"%d" % tag, word, fields, body))))
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -109,10 +109,10 @@
         """How far a shutdown has come."""
         return self._shutdown.phase
 
-    def _holdoff(self, stay_away_s: float) -> bytes:
+    def _holdoff(self, retry_after_s: float) -> bytes:
         """The advice to keep away, as a field; empty where clients are given none."""
-        stay_away_s = min(stay_away_s, self._advice_max_s)
-        return b"holdoff=%d" % max(1, round(stay_away_s * 1000)) if stay_away_s > 0 else b""
+        retry_after_s = min(retry_after_s, self._advice_max_s)
+        return b"holdoff=%d" % max(1, round(retry_after_s * 1000)) if retry_after_s > 0 else b""
 
     # ---- from any thread
 
--- a/saffronstack/workers/fleet.py
+++ b/saffronstack/workers/fleet.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd
+from saffronstack.engine.calls import AttemptResult, Call, CommandResult, FunctionSpec
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import AttemptOutcome, Result
 from saffronstack.workers.pool import AttemptJob, Heed, OrderJob, PoolLimits, Tell, UsageJob, WorkerPool
@@ -97,27 +97,29 @@
             pool.submit(job)
 
     def _ended(self, what: object) -> None:
-        if isinstance(what, AttemptEnd):
+        if isinstance(what, AttemptResult):
             with self._lock:
                 self._out.pop((what.call.number, what.outcome.attempt), None)
         self._tell(what)  # type: ignore[arg-type]
 
     # ---- the dispatcher
 
-    def send(self, call: Call, attempt: int, worker: int, timeout_s: float) -> None:
+    def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
         """Start an attempt."""
         deadline_s = call.deadline_s
         if timeout_s > 0:
             deadline_s = min(deadline_s, self._clock() + timeout_s)
-        job = AttemptJob(call, attempt, deadline_s, worker)
+        job = AttemptJob(call, attempt, deadline_s, worker_id)
         with self._lock:
-            pool = self._pools.get(worker)
+            pool = self._pools.get(worker_id)
             if pool is not None:
                 pool.attempts += 1
                 self._out[call.number, attempt] = job
         if pool is None:
-            outcome = AttemptOutcome(call.number, attempt, worker, Result.NOT_STARTED, 0.0, call.settled)
-            self._tell(AttemptEnd(call, outcome, reason="the worker has left the list"))
+            outcome = AttemptOutcome(
+                call.number, attempt, worker_id, Result.NOT_STARTED, 0.0, call.is_finished
+            )
+            self._tell(AttemptResult(call, outcome, reason="the worker has left the list"))
             return
         pool.submit(job)
 
@@ -128,23 +130,23 @@
         if job is not None:
             job.cancel()
 
-    def probe(self, worker: int) -> None:
+    def check_health(self, worker_id: int) -> None:
         """Ask a worker for its report."""
-        self._order(worker, OrderJob(None))
+        self._order(worker_id, OrderJob(None))
 
-    def load(self, worker: int, function: FunctionSpec, copies: int) -> None:
-        """Order copies."""
-        self._order(worker, OrderJob(function, copies))
+    def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
+        """Order instances."""
+        self._order(worker_id, OrderJob(function, instances))
 
-    def unload(self, worker: int, function: FunctionSpec) -> None:
+    def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
         """Order idle copies out."""
-        self._order(worker, OrderJob(function, unload=True))
+        self._order(worker_id, OrderJob(function, unload=True))
 
-    def _order(self, worker: int, job: OrderJob) -> None:
+    def _order(self, worker_id: int, job: OrderJob) -> None:
         with self._lock:
-            pool = self._pools.get(worker)
+            pool = self._pools.get(worker_id)
         if pool is not None:
             pool.submit(job)
         elif not job.unload:
             number = None if job.function is None else job.function.number
-            self._tell(OrderEnd(worker, Result.CONNECT_FAILED, 0.0, number))
+            self._tell(CommandResult(worker_id, Result.CONNECT_FAILED, 0.0, number))
--- a/saffronstack/workers/pool.py
+++ b/saffronstack/workers/pool.py
@@ -11,7 +11,15 @@
 
 import structlog
 
-from saffronstack.engine.calls import AttemptEnd, Call, Ending, Final, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.calls import (
+    AttemptResult,
+    Call,
+    CommandResult,
+    FinalAnswer,
+    FinalStatus,
+    FunctionSpec,
+    WorkerObservation,
+)
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.http1.messages import HttpError, Limits, ResponseHead
 from saffronstack.http1.reader import MessageReader
@@ -22,7 +30,7 @@
 
 log = structlog.get_logger("saffronstack.workers")
 USAGE_S = 2.0  # how long a worker may take to answer a question about usage
-Tell = Callable[[AttemptEnd | OrderEnd | WorkerSeen], None]
+Tell = Callable[[AttemptResult | CommandResult | WorkerObservation], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +91,7 @@
         """The usage header of an answer."""
         ...
 
-    def ended(self, end: AttemptEnd) -> None:
+    def ended(self, end: AttemptResult) -> None:
         """An attempt's end."""
         ...
 
@@ -246,14 +254,14 @@
     def _refuse(self, job: AttemptJob | OrderJob | UsageJob, result: Result, reason: str) -> None:
         if isinstance(job, AttemptJob):
             outcome = AttemptOutcome(
-                job.call.number, job.number, self.spec.number, result, 0.0, job.call.settled
+                job.call.number, job.number, self.spec.number, result, 0.0, job.call.is_finished
             )
-            self._tell(AttemptEnd(job.call, outcome, reason=reason))
+            self._tell(AttemptResult(job.call, outcome, reason=reason))
         elif isinstance(job, UsageJob):
             job.done(None)
         elif not job.unload:
             number = None if job.function is None else job.function.number
-            self._tell(OrderEnd(self.spec.number, result, 0.0, number))
+            self._tell(CommandResult(self.spec.number, result, 0.0, number))
 
     def _connected(self, connection: Connection | None, deadline_s: float) -> Connection:
         """A usable connection; OSError where none can be made in time."""
@@ -273,32 +281,32 @@
         judged, connection = self._exchange(job, connection)
         final = None
         if judged.answer is not None:
-            final = Final(
-                Ending.SERVED,
+            final = FinalAnswer(
+                FinalStatus.SERVED,
                 judged.answer.payload,
                 judged.answer.function_error,
                 judged.answer.log_tail,
                 attempts=job.number + 1,
                 worker=self.spec.name,
             )
-            call.settle(final)
+            call.finish(final)
         if judged.incarnation and judged.incarnation != self._incarnation:
             self._incarnation = judged.incarnation
-            self._tell(WorkerSeen(self.spec.number, judged.incarnation, judged.uptime_s))
+            self._tell(WorkerObservation(self.spec.number, judged.incarnation, judged.uptime_s))
         outcome = AttemptOutcome(
             call.number,
             job.number,
             self.spec.number,
             judged.result,
             self._clock() - started_s,
-            call.settled,
+            call.is_finished,
             judged.found,
             judged.crowd,
             judged.report,
         )
         if judged.usage and self._heed is not None:
             self._heed.heard(self.spec, judged.usage)
-        end = AttemptEnd(call, outcome, judged.answer, judged.reason, self._incarnation, judged.held)
+        end = AttemptResult(call, outcome, judged.answer, judged.reason, self._incarnation, judged.held)
         if self._heed is not None:
             self._heed.ended(end)
         self._tell(end)
@@ -309,7 +317,7 @@
 
     def _stands(self, job: AttemptJob) -> bool:
         """Whether the attempt may still go out: asked right before its first byte."""
-        return not (self.closed or job.cancelled or job.call.settled) and self._clock() < job.deadline_s
+        return not (self.closed or job.cancelled or job.call.is_finished) and self._clock() < job.deadline_s
 
     def _exchange(
         self, job: AttemptJob, connection: Connection | None
@@ -387,7 +395,9 @@
             result = Result.RESET
         if not job.unload:
             number = None if job.function is None else job.function.number
-            self._tell(OrderEnd(self.spec.number, result, self._clock() - started_s, number, copies, report))
+            self._tell(
+                CommandResult(self.spec.number, result, self._clock() - started_s, number, copies, report)
+            )
         if connection is not None and not connection.keep:
             connection.close()
             connection = None
--- a/saffronstack/workers/protocol.py
+++ b/saffronstack/workers/protocol.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote
 
-from saffronstack.engine.calls import Answer, Call, FunctionSpec
+from saffronstack.engine.calls import Call, FunctionSpec, WorkerResponse
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import Headers, ResponseHead
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
@@ -30,7 +30,7 @@
     found: CacheStatus = CacheStatus.UNKNOWN
     crowd: int | None = None
     report: LoadReport | None = None
-    answer: Answer | None = None
+    answer: WorkerResponse | None = None
     incarnation: str = ""
     uptime_s: float = 0.0
     reason: str = ""
@@ -65,7 +65,7 @@
     return [
         ("X-Saffron-Function", spec.name),
         ("X-Saffron-Memory-Mb", f"{spec.memory_mb:g}"),
-        ("X-Saffron-Lanes", str(spec.lanes)),
+        ("X-Saffron-Lanes", str(spec.concurrency)),
     ]
 
 
@@ -108,7 +108,7 @@
     reason = ""
     if head.status == 200:
         result = Result.OK
-        answer = Answer(body, headers.get("x-amz-function-error"), headers.get("x-amz-log-result"))
+        answer = WorkerResponse(body, headers.get("x-amz-function-error"), headers.get("x-amz-log-result"))
     elif head.status == 429 and not_run:
         result = Result.AT_CAPACITY
     elif head.status == 404 and not_run:
--- a/tests/stored_formats/capture_decision_record.py
+++ b/tests/stored_formats/capture_decision_record.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 api = importlib.import_module("saffronstack.interface")
-record = importlib.import_module("saffronstack.engine.decision_record")
+record = importlib.import_module("saffronstack.core.record")
 choice = importlib.import_module("saffronstack.choice")
 random_events = importlib.import_module("tests.test_random_events")
 
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -13,7 +13,7 @@
 from saffronstack import Settings
 from saffronstack.engine import decision_record as record
 from saffronstack.engine import decision_record_format as record_format
-from saffronstack.engine.decision_record import Recorder, replay
+from saffronstack.engine.decision_record import DecisionRecorder, replay
 from saffronstack.engine.decision_record_format import action_from_tagged, event_from_tagged, from_stored
 
 DATA = pathlib.Path(__file__).parent / "data" / "decision_record"
@@ -68,7 +68,7 @@
     """Read the values into the present types and record these: the one place that knows their names."""
     head = msgspec.msgpack.decode(values[0])
     settings = from_stored(head["settings"], Settings)
-    recorder = Recorder(str(path), settings, head["seed"])
+    recorder = DecisionRecorder(str(path), settings, head["seed"])
     for value in values[1:]:
         now, event, actions = msgspec.msgpack.decode(value)
         recorder.record(now, event_from_tagged(event), [action_from_tagged(action) for action in actions])
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -275,7 +275,7 @@
     taken = engine.submit(call)
     interposed.stopper.join(WAIT_S)
     assert engine._stopped.is_set()
-    assert taken and call.settled
+    assert taken and call.is_finished
     assert not engine.submit(Call(2, "1" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0))
 
 
--- a/tests/test_platform_links.py
+++ b/tests/test_platform_links.py
@@ -11,7 +11,7 @@
 import pytest
 
 from saffronstack.choice import Router
-from saffronstack.engine.calls import AttemptEnd, Call, Ending, Final, FunctionSpec
+from saffronstack.engine.calls import AttemptResult, Call, FinalAnswer, FinalStatus, FunctionSpec
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
 from saffronstack.hosts.dispatcher import HostDispatcher
@@ -34,7 +34,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, room: int = 1_000_000) -> None:
         self.now = 100.0
-        self.ends: list[AttemptEnd] = []
+        self.ends: list[AttemptResult] = []
         self.sockets: list[Full] = []
         self.links: list[Link] = []
         self.room = room
@@ -120,7 +120,7 @@
         "0000000000000001"
     )  # its answer may still come, and would be taken for a new one's
     link._on_answer(codec.answer_of(b'{"what":"OK","tag":"0000000000000001","blob":"eA=="}'))
-    assert len(fleet.ends) == 1 and not call.settled and link.accepts("0000000000000001")
+    assert len(fleet.ends) == 1 and not call.is_finished and link.accepts("0000000000000001")
 
 
 def test_a_link_with_many_answers_owed_for_nothing_takes_nothing_new(fleet: Fleet) -> None:
@@ -318,7 +318,7 @@
     link = fleet.links[0]
     shut: list[bool] = []
     monkeypatch.setattr(link, "abort", lambda: shut.append(True))
-    call.settle(Final(Ending.GONE))
+    call.finish(FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
     fleet.dispatcher.cancel(call, 0)
     assert shut == [True]
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
     after_answer,
     next_step,
 )
-from saffronstack.engine.calls import Ending
+from saffronstack.engine.calls import FinalStatus
 from saffronstack.routing.settings import Idempotency
 
 times = st.floats(0, 100, allow_nan=False)
@@ -60,7 +60,7 @@
 @given(
     states,
     policies,
-    st.sampled_from([Ending.SERVED, Ending.REFUSED, Ending.FAILED]),
+    st.sampled_from([FinalStatus.SERVED, FinalStatus.REJECTED, FinalStatus.FAILED]),
     st.booleans(),
     st.floats(0, 10),
     times,
@@ -68,7 +68,7 @@
 )
 @settings(derandomize=True, max_examples=500)
 def test_every_answer_leads_on(
-    state: State, policy: Policy, ending: Ending, error: bool, stay: float, now: float, chance: float
+    state: State, policy: Policy, ending: FinalStatus, error: bool, stay: float, now: float, chance: float
 ) -> None:
     after, step = after_answer(state, policy, ending, error, stay, now, chance)
     assert not isinstance(step, Try)
@@ -76,7 +76,7 @@
         assert now <= step.until <= max(now, state.accepted_at + policy.maximum_age_s)
         if state.ran is not None:
             assert policy.effect is not Idempotency.NON_IDEMPOTENT
-    if ending is Ending.SERVED and not error:
+    if ending is FinalStatus.SERVED and not error:
         assert step == Finish(Condition.SUCCESS)
     assert after.accepted_at == state.accepted_at
 
@@ -84,11 +84,13 @@
 @given(
     states,
     policies,
-    st.lists(st.tuples(st.sampled_from([Ending.REFUSED, Ending.FAILED]), st.floats(0, 1)), max_size=60),
+    st.lists(
+        st.tuples(st.sampled_from([FinalStatus.REJECTED, FinalStatus.FAILED]), st.floats(0, 1)), max_size=60
+    ),
 )
 @settings(derandomize=True, max_examples=200)
 def test_every_call_comes_to_an_end(
-    state: State, policy: Policy, answers: list[tuple[Ending, float]]
+    state: State, policy: Policy, answers: list[tuple[FinalStatus, float]]
 ) -> None:
     now = state.accepted_at
     for ending, chance in answers:
@@ -125,14 +127,14 @@
 
 
 def test_errors_of_the_function_are_tried_again_only_where_safe() -> None:
-    state, step = after_answer(State(0.0), SAFE, Ending.SERVED, True, 0.0, 1.0, 0.5)
+    state, step = after_answer(State(0.0), SAFE, FinalStatus.SERVED, True, 0.0, 1.0, 0.5)
     assert step == Wait(2.0)
-    state, step = after_answer(state, SAFE, Ending.SERVED, True, 0.0, 2.0, 0.5)
+    state, step = after_answer(state, SAFE, FinalStatus.SERVED, True, 0.0, 2.0, 0.5)
     assert step == Wait(4.0)
-    assert after_answer(state, SAFE, Ending.SERVED, True, 0.0, 4.0, 0.5)[1] == Finish(
+    assert after_answer(state, SAFE, FinalStatus.SERVED, True, 0.0, 4.0, 0.5)[1] == Finish(
         Condition.RETRIES_EXHAUSTED
     )
-    assert after_answer(State(0.0), UNSAFE, Ending.SERVED, True, 0.0, 1.0, 0.5)[1] == Finish(
+    assert after_answer(State(0.0), UNSAFE, FinalStatus.SERVED, True, 0.0, 1.0, 0.5)[1] == Finish(
         Condition.RETRIES_EXHAUSTED
     )
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -23,7 +23,7 @@
 from saffronstack import config as configs
 from saffronstack.cli.main import main
 from saffronstack.config.schema import Worker
-from saffronstack.engine.worker_registry import Roster, WorkerSpec
+from saffronstack.engine.worker_registry import WorkerRegistry, WorkerSpec
 from saffronstack.gateway import Gateway
 from saffronstack.roster.guards import Flaps, GuardSettings, judge
 from saffronstack.roster.keeping import Kept
@@ -253,7 +253,7 @@
 
 
 def test_the_core_takes_changes_as_it_takes_lists() -> None:
-    roster, whole = Roster(), Roster()
+    roster, whole = WorkerRegistry(), WorkerRegistry()
     specs = [WorkerSpec(n, f"w{n}", "h", n) for n in range(6)]
     roster.told(0.0, 100.0, specs[:4])
     update = roster.changed(1.0, 101.0, [specs[4], WorkerSpec(1, "w1", "h", 1, draining=True)], [0, 77])
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.calls import AttemptResult, Call, CommandResult, FunctionSpec, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import CacheStatus, Result
 from saffronstack.workers.fleet import Fleet
@@ -95,10 +95,10 @@
     return Call(number, f"id-{number}", SPEC, b"", time.monotonic() + left_s)
 
 
-def end_of(ends: queue.SimpleQueue[object]) -> AttemptEnd:
+def end_of(ends: queue.SimpleQueue[object]) -> AttemptResult:
     while True:
         item = ends.get(timeout=5)
-        if isinstance(item, AttemptEnd):
+        if isinstance(item, AttemptResult):
             return item
 
 
@@ -133,7 +133,7 @@
     fleet.send(made, 0, 9, 0.0)
     end = end_of(ends)
     assert end.outcome.result is result
-    assert end.outcome.is_final == made.settled == (result is Result.OK)
+    assert end.outcome.is_final == made.is_finished == (result is Result.OK)
     if result is Result.OK:
         assert (end.outcome.cache_status, end.outcome.concurrency) == (CacheStatus.WARM, 3)
     assert worker.requests == 1
@@ -162,7 +162,7 @@
     assert end_of(ends).outcome.result is Result.NOT_STARTED
 
     class Never:
-        def may_send(self, attempt: int, worker: int) -> bool:
+        def may_send(self, attempt: int, worker_id: int) -> bool:
             return False
 
     guarded = call(2)
@@ -172,9 +172,9 @@
     fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port, draining=True)])
     fleet.send(call(3), 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED
-    fleet.load(9, SPEC, 2)
+    fleet.load_function(9, SPEC, 2)
     order = ends.get(timeout=5)
-    assert isinstance(order, OrderEnd)
+    assert isinstance(order, CommandResult)
     assert order.result is Result.AT_CAPACITY
     assert worker.requests == 0
     fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port)])
@@ -251,16 +251,16 @@
 
     worker = Scripted(script)
     fleet = told(worker.port, ends)
-    heard: list[WorkerSeen] = []
+    heard: list[WorkerObservation] = []
     for number in range(1, 4):
         fleet.send(call(number), 0, 9, 0.0)
         item = ends.get(timeout=5)
-        if isinstance(item, WorkerSeen):
+        if isinstance(item, WorkerObservation):
             heard.append(item)
             item = ends.get(timeout=5)
-        assert isinstance(item, AttemptEnd)
+        assert isinstance(item, AttemptResult)
         assert (item.outcome.concurrency, item.outcome.load_report) == (None, None)
-    assert heard == [WorkerSeen(9, "a", 1.5), WorkerSeen(9, "b", 1.5)]
+    assert heard == [WorkerObservation(9, "a", 1.5), WorkerObservation(9, "b", 1.5)]
     fleet.end()
     worker.listener.close()
 
@@ -284,12 +284,14 @@
     found = []
     for copies in (2, 3, 0, 1):
         if copies:
-            fleet.load(9, SPEC, copies)
+            fleet.load_function(9, SPEC, copies)
         else:
-            fleet.probe(9)
+            fleet.check_health(9)
         end = ends.get(timeout=5)
-        assert isinstance(end, OrderEnd)
-        found.append((end.result, end.copies, end.report.requests_in_flight if end.report else None))
+        assert isinstance(end, CommandResult)
+        found.append(
+            (end.result, end.instances, end.load_report.requests_in_flight if end.load_report else None)
+        )
     assert found == [
         (Result.OK, 2, None),
         (Result.AT_CAPACITY, 1, None),
