--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -157,7 +157,7 @@
                 noted=first is not None,
             )
             self._live[call.accepted.id] = live
-            self._due.set(0.0, live)
+            self._due.add(0.0, live)
         if book.open:
             log.info("deferred calls taken up", open=len(book.open), in_doubt=self._ledger.found.in_doubt)
         start_thread("deferred", self._run)
@@ -236,7 +236,7 @@
     def _run(self) -> None:
         try:
             while not (self._stopping and not self._running and self._queue.empty()):
-                due_s = self._due.next_s()
+                due_s = self._due.next_due_s()
                 wait_s = IDLE_S if due_s is None else min(IDLE_S, max(0.0, due_s - self.now()))
                 if self._waiting and self._running < self._limits.in_flight:
                     wait_s = 0.0
@@ -246,7 +246,7 @@
                     pass
                 else:
                     self._take(item)
-                while not self._stopping and (live := self._due.due(self.now())) is not None:
+                while not self._stopping and (live := self._due.pop_due(self.now())) is not None:
                     self._look(live)
                 while self._waiting and self._running < self._limits.in_flight and not self._stopping:
                     self._begin(self._waiting.popleft())
@@ -270,7 +270,7 @@
             if live.delivery is not None:
                 self._take(_Live(live.delivery, State(live.delivery.at)))
         elif live.ticket is not None and not live.ticket.done.is_set():
-            self._due.set(self.now() + 0.02, live)
+            self._due.add(self.now() + 0.02, live)
         else:
             self._write_final(live)
 
@@ -302,11 +302,11 @@
             admission = self._budgets.admit(accepted.tenant, accepted.function, self._clock())
             if not admission.taken:
                 wait_s = max(BUDGET_WAIT_S, admission.wait_s) * (1.0 + 0.1 * self._random.random())
-                self._due.set(min(self.now() + wait_s, step.until), live)
+                self._due.add(min(self.now() + wait_s, step.until), live)
                 return
             place = len(self._tenants) if admission.over else place
         call = Call(
-            self._engine.next_number(),
+            self._engine.next_call_number(),
             accepted.id,
             known.spec,
             accepted.payload,
@@ -343,7 +343,7 @@
             self._ledger.append(Voided(live.accepted.id))
         known, policy = self._known(live)
         if policy is None or known is None:
-            self._due.set(0.0, live)
+            self._due.add(0.0, live)
             return
         state, step = recovery.after_answer(
             replace(live.state, ran=ran),
@@ -365,7 +365,7 @@
                 "" if served else _REASONS[step.condition],
             )
         elif isinstance(step, Wait):  # not beside an attempt of this try that is still out
-            self._due.set(max(step.until, final.attempt_in_flight_until_s + self._offset), live)
+            self._due.add(max(step.until, final.attempt_in_flight_until_s + self._offset), live)
 
     def _finish(
         self, live: _Live, condition: Condition, response: bytes | None, error: str, reason: str
@@ -401,7 +401,7 @@
             delivery_id = str(uuid.uuid5(uuid.NAMESPACE_OID, accepted.id))
             live.delivery = Accepted(delivery_id, target, accepted.tenant, content, "", delivery_id, now)
             live.ticket = self._ledger.append(finished, live.delivery)
-        self._due.set(now + (COMMIT_AGAIN_S if self._ledger.failing else 0.01), live)
+        self._due.add(now + (COMMIT_AGAIN_S if self._ledger.failing else 0.01), live)
 
 
 _REASONS = {
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -54,7 +54,7 @@
 
 NEVER_RAN = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
 LIST_PART = 200  # workers of a change that are decided on at once
-MAX_FUNCTIONS = 4096  # functions that orders can name; those called last
+MAX_FUNCTIONS = 4096  # functions that load_commands can name; those called last
 IDLE_S = 1.0  # the decision thread looks up at least this often
 
 
@@ -102,18 +102,18 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class EngineStatistics:
     """What the engine counted since it started; read by anyone, written by the decision thread."""
 
     calls: int = 0
-    sends: int = 0
-    repeats: int = 0
-    orders: int = 0
+    attempts: int = 0
+    retries: int = 0
+    load_commands: int = 0
     events: int = 0
-    backstops: int = 0
+    deadline_answers: int = 0
     faults: int = 0
-    endings: dict[str, int] = field(default_factory=lambda: {ending.value: 0 for ending in FinalStatus})
-    results: dict[str, int] = field(default_factory=lambda: {result.value: 0 for result in Result})
+    final_answers: dict[str, int] = field(default_factory=lambda: {ending.value: 0 for ending in FinalStatus})
+    attempt_results: dict[str, int] = field(default_factory=lambda: {result.value: 0 for result in Result})
 
 
 class Engine:
@@ -125,15 +125,15 @@
         seed: int,
         clock: Callable[[], float],
         recorder: DecisionSink | None = None,
-        backstop_s: float = 0.05,
+        deadline_grace_s: float = 0.05,
         max_open_calls: int = 20000,
         log: Logger | None = None,
     ) -> None:
-        """``clock`` is monotonic, in seconds. ``backstop_s``: how long past a call's deadline the engine
+        """``clock`` is monotonic, in seconds. ``deadline_grace_s``: how long past a deadline the engine
         answers by itself, should the module have given no answer."""
         self.settings = settings
-        self.counts = Counts()
-        self.backstop_s = backstop_s
+        self.statistics = EngineStatistics()
+        self.deadline_grace_s = deadline_grace_s
         self.max_open_calls = max_open_calls
         self._log: Logger = log or KeyValueLogger("engine")
         self._router = Router(settings, seed)
@@ -167,7 +167,7 @@
             self._queue.put(None)
         return self._stopped.wait(timeout_s)
 
-    def next_number(self) -> int:
+    def next_call_number(self) -> int:
         """A number for a new call, never given before by this engine."""
         return next(self._numbers)
 
@@ -180,18 +180,18 @@
             self._queue.put(call)
             return True
 
-    def leave(self, call: Call) -> None:
+    def disconnect(self, call: Call) -> None:
         """The client of a call has left."""
-        self.end(call, FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
+        self.finish(call, FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
 
-    def end(self, call: Call, final: FinalAnswer) -> bool:
+    def finish(self, call: Call, final: FinalAnswer) -> bool:
         """Answer a call in the module's place; whether this was its final answer."""
         if not call.finish(final):
             return False
         self._queue.put(ClientDisconnected(call.number))
         return True
 
-    def tell(self, what: AttemptResult | CommandResult | WorkerObservation) -> None:
+    def notify(self, what: AttemptResult | CommandResult | WorkerObservation) -> None:
         """What a worker's thread saw."""
         self._queue.put(what)
 
@@ -200,11 +200,11 @@
         anything."""
         self._queue.put(_Inspection(look))
 
-    def update_workers(self, specs: Iterable[WorkerSpec], wall_s: float) -> None:
+    def replace_workers(self, specs: Iterable[WorkerSpec], wall_s: float) -> None:
         """The whole list of workers, told at ``wall_s`` (Unix seconds)."""
         self._queue.put(_WholeList(tuple(specs), wall_s))
 
-    def change_workers(self, specs: Iterable[WorkerSpec], gone: Iterable[int], wall_s: float) -> None:
+    def update_workers(self, specs: Iterable[WorkerSpec], gone: Iterable[int], wall_s: float) -> None:
         """Workers that are new or changed, those that drain first, and numbers of those that are gone, told
         at ``wall_s``. A long list goes in parts, so that calls are decided between them."""
         changed, left = tuple(specs), tuple(gone)
@@ -218,7 +218,7 @@
         return len(self._open)
 
     @property
-    def queued(self) -> int:
+    def queued_events(self) -> int:
         """Events that wait for the decision thread."""
         return self._queue.qsize()
 
@@ -227,7 +227,7 @@
     def _run(self) -> None:
         try:
             while True:
-                due_s = self._timers.next_s(self._awaited)
+                due_s = self._timers.next_due_s(self._awaited)
                 wait_s = IDLE_S if due_s is None else min(IDLE_S, due_s - self._clock())
                 item: object = self
                 try:  # noqa: SIM105 - the loop is the program's narrowest place, and a context costs more
@@ -260,11 +260,11 @@
         return not isinstance(due, int) or due in self._open
 
     def _fault(self) -> None:
-        self.counts.faults += 1
+        self.statistics.faults += 1
         self._log.exception("step of the decision thread failed")
 
     def _fire(self) -> None:
-        while (due := self._timers.due(self._now)) is not None:
+        while (due := self._timers.pop_due(self._now)) is not None:
             if isinstance(due, int):
                 opened = self._open.get(due)
                 if opened is not None:
@@ -294,19 +294,19 @@
                     )
                 )
         elif isinstance(item, WorkerObservation):
-            update = self._roster.worker_seen(self._now, item)
+            update = self._roster.observe_worker(self._now, item)
             if update is not None:
                 self._log.info("worker started anew", worker=item.worker_id, incarnation=item.incarnation)
                 self._decide(update)
         elif isinstance(item, _Inspection):
             item.look(self._now, self._router)
         elif isinstance(item, _ListChange):
-            self._decide(self._roster.changed(self._now, item.wall_s, item.specs, item.gone))
+            self._decide(self._roster.apply_changes(self._now, item.wall_s, item.specs, item.gone))
         elif isinstance(item, _WholeList):
-            self._decide(self._roster.told(self._now, item.wall_s, item.specs))
+            self._decide(self._roster.apply_snapshot(self._now, item.wall_s, item.specs))
 
     def _arrived(self, call: Call) -> None:
-        self.counts.calls += 1
+        self.statistics.calls += 1
         if call.is_finished:  # withdrawn before it was looked at: it costs no decision
             self._count(call)
             return
@@ -316,7 +316,7 @@
         if len(self._functions) > MAX_FUNCTIONS:  # the one that was called longest ago
             del self._functions[next(iter(self._functions))]
         self._open[call.number] = _Open(call, prior=call.prior_attempt)
-        self._timers.set(call.deadline_s + self.backstop_s, call.number)
+        self._timers.add(call.deadline_s + self.deadline_grace_s, call.number)
         self._decide(
             Request(
                 call.number,
@@ -333,26 +333,26 @@
 
     def _ended(self, end: AttemptResult) -> None:
         outcome = end.outcome
-        self.counts.results[outcome.result.value] += 1
+        self.statistics.attempt_results[outcome.result.value] += 1
         opened = self._open.get(outcome.request_id)
         if opened is not None:
             worker, sent_s = opened.sent.pop(outcome.attempt, (outcome.worker_id, self._now))
             if outcome.result not in NEVER_RAN and opened.prior is None:
                 opened.prior = PriorAttempt(worker, sent_s)
             if end.response is not None and end.call.final_answer is not None and outcome.result is Result.OK:
-                self.counts.endings[FinalStatus.SERVED.value] += (
+                self.statistics.final_answers[FinalStatus.SERVED.value] += (
                     end.call.final_answer.status is FinalStatus.SERVED
                 )
         self._decide(outcome)
         self._close(opened)
 
     def _decide(self, event: Event) -> None:
-        self.counts.events += 1
+        self.statistics.events += 1
         try:
             actions = self._router.handle(self._now, event)
         except Exception:
-            # The calls it concerns are answered by their backstops; the others go on.
-            self.counts.faults += 1
+            # The calls it concerns are answered by their deadline_answers; the others go on.
+            self.statistics.faults += 1
             self._log.exception("decision failed", kind=type(event).__name__)
             return
         if self._recorder is not None:
@@ -368,24 +368,24 @@
             attempt = opened.made
             opened.made += 1
             opened.sent[attempt] = action.worker_id, self._now
-            self.counts.sends += 1
-            self.counts.repeats += attempt > 0
+            self.statistics.attempts += 1
+            self.statistics.retries += attempt > 0
             dispatcher.send(opened.call, attempt, action.worker_id, action.timeout_s)
         elif isinstance(action, SetTimer):
-            self._timers.set(self._now + action.delay_s, TimerFired(action.timer_id))
+            self._timers.add(self._now + action.delay_s, TimerFired(action.timer_id))
         elif isinstance(action, Reject):
             self._answer(action.request_id, FinalStatus.REJECTED, action.retry_after_s)
         elif isinstance(action, Fail):
             self._answer(action.request_id, FinalStatus.FAILED, 0.0)
         elif isinstance(action, LoadFunction):
-            self.counts.orders += 1
+            self.statistics.load_commands += 1
             spec = self._functions.get(action.function_id)
             if spec is not None:
                 dispatcher.load_function(action.worker_id, spec, action.instances)
             else:
-                self.tell(CommandResult(action.worker_id, Result.ERROR, 0.0, action.function_id))
+                self.notify(CommandResult(action.worker_id, Result.ERROR, 0.0, action.function_id))
         elif isinstance(action, UnloadFunction):
-            self.counts.orders += 1
+            self.statistics.load_commands += 1
             spec = self._functions.get(action.function_id)
             if spec is not None:
                 dispatcher.unload_function(action.worker_id, spec)
@@ -423,7 +423,7 @@
         call = opened.call
         if call.is_finished:
             return
-        self.counts.backstops += 1
+        self.statistics.deadline_answers += 1
         self._log.warning("answered by the backstop", request_id=call.request_id)
         ran = opened.may_have_run() is not None
         safe = self.settings.classes[call.function.class_index].idempotency is Idempotency.IDEMPOTENT
@@ -433,7 +433,7 @@
 
     def _count(self, call: Call) -> None:
         if call.final_answer is not None:
-            self.counts.endings[call.final_answer.status.value] += 1
+            self.statistics.final_answers[call.final_answer.status.value] += 1
 
     def _close(self, opened: _Open | None) -> None:
         """Forget a call that is over. One whose client left is over only once the module knows: until
--- a/saffronstack/engine/timers.py
+++ b/saffronstack/engine/timers.py
@@ -1,4 +1,4 @@
-"""A heap of what comes due; owned by the decision thread alone."""
+"""Items with due times, in a heap that its owner's thread alone uses."""
 
 from __future__ import annotations
 
@@ -7,33 +7,37 @@
 from itertools import count
 from typing import Generic, TypeVar
 
-T = TypeVar("T")
+Item = TypeVar("Item")
 
 
-class Timers(Generic[T]):
-    """Things with a time, given back in order of time and, at one time, of setting."""
+class Timers(Generic[Item]):
+    """Items in the order of their due times; items with the same time keep the order they were added in."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[float, int, T]] = []
-        self._ticket = count()
+        self._heap: list[tuple[float, int, Item]] = []
+        self._sequence = count()
 
     def __len__(self) -> int:
         return len(self._heap)
 
-    def set(self, due_s: float, what: T) -> None:
-        """Give ``what`` back at ``due_s`` (clock time, seconds)."""
-        heapq.heappush(self._heap, (due_s, next(self._ticket), what))
+    def add(self, due_s: float, item: Item) -> None:
+        """Add an item that is due at a time of the owner's clock."""
+        heapq.heappush(self._heap, (due_s, next(self._sequence), item))
 
-    def next_s(self, stands: Callable[[T], bool] | None = None) -> float | None:
-        """When the next comes due; those at the head that do not stand any more are dropped unseen."""
+    def next_due_s(self, is_pending: Callable[[Item], bool] | None = None) -> float | None:
+        """Return when the next item is due, or None.
+
+        Args:
+            is_pending: Whether an item still matters; items at the head that do not are dropped.
+        """
         heap = self._heap
-        if stands is not None:
-            while heap and not stands(heap[0][2]):
+        if is_pending is not None:
+            while heap and not is_pending(heap[0][2]):
                 heapq.heappop(heap)
         return heap[0][0] if heap else None
 
-    def due(self, now: float) -> T | None:
-        """One that is due, or None."""
+    def pop_due(self, now: float) -> Item | None:
+        """Remove and return an item that is due, or None."""
         if self._heap and self._heap[0][0] <= now:
             return heapq.heappop(self._heap)[2]
         return None
--- a/saffronstack/engine/worker_registry.py
+++ b/saffronstack/engine/worker_registry.py
@@ -1,4 +1,4 @@
-"""The workers as the gateway was told of them, and as they were heard; turned into list updates. No I/O."""
+"""The workers that discovery reported, with what they reported of themselves, as updates for the router."""
 
 from __future__ import annotations
 
@@ -8,19 +8,33 @@
 from saffronstack.engine.calls import WorkerObservation
 from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, WorkerEndpoint, WorkerState
 
-EARLIEST_S = 1e-6  # a start time of 0 would mean "long ago" to the module
+EARLIEST_START_S = 1e-6  # the router takes a start time of 0 for "long ago"
+RESTART_TOLERANCE_S = 0.5  # a later start time than the known one, by less than this, is no restart
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerSpec:
-    """One worker as told; ``started_at`` in Unix seconds, 0 for long ago."""
+    """One worker as discovery reported it.
+
+    Attributes:
+        number: Number that the router knows it by.
+        name: Name in the endpoint list.
+        host: Host name or address.
+        port: TCP port.
+        is_draining: Whether it is shutting down gracefully.
+        capacity: Capacity relative to other workers.
+        kind: Index of its kind.
+        zone: Index of its zone.
+        cell: Index of its cell.
+        started_at: When it started, in Unix seconds; 0 means long ago.
+    """
 
     number: int
     name: str
     host: str
     port: int
-    draining: bool = False
-    size: float = 1.0
+    is_draining: bool = False
+    capacity: float = 1.0
     kind: int = 0
     zone: int = 0
     cell: int = 0
@@ -28,78 +42,90 @@
 
 
 class WorkerRegistry:
-    """Owned by the decision thread. A worker that left and returns counts as started anew."""
+    """Known workers, on the decision thread. A worker that is removed and returns counts as started anew."""
 
     def __init__(self) -> None:
         self.version = 0
         self.specs: dict[int, WorkerSpec] = {}
-        self.entries: dict[int, WorkerEndpoint] = {}
+        self.endpoints: dict[int, WorkerEndpoint] = {}
         self._incarnations: dict[int, str] = {}
 
-    def told(self, now: float, wall: float, specs: Iterable[WorkerSpec]) -> EndpointUpdate:
-        """The whole list was told anew at ``now`` (monotonic) and ``wall`` (Unix seconds)."""
+    def apply_snapshot(self, now: float, unix_s: float, specs: Iterable[WorkerSpec]) -> EndpointUpdate:
+        """Replace all workers.
+
+        Args:
+            now: Time on the router's clock.
+            unix_s: The same moment in Unix seconds.
+            specs: The complete list.
+        """
         self.version += 1
         listed = {spec.number: spec for spec in specs}
-        entries = {number: self._entry(now, wall, spec) for number, spec in listed.items()}
+        endpoints = {number: self._endpoint(now, unix_s, spec) for number, spec in listed.items()}
         self.specs = listed
-        gone = [
-            replace(entry, state=WorkerState.REMOVED)
-            for number, entry in self.entries.items()
-            if number not in entries
-        ]
-        self.entries = entries
-        for entry in gone:
-            self._incarnations.pop(entry.worker_id, None)
-        return EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(entries.values()), self.version)
-
-    def changed(
-        self, now: float, wall: float, specs: Iterable[WorkerSpec], gone: Iterable[int]
+        for number in self.endpoints:
+            if number not in endpoints:
+                self._incarnations.pop(number, None)
+        self.endpoints = endpoints
+        return EndpointUpdate(EndpointUpdateKind.SNAPSHOT, tuple(endpoints.values()), self.version)
+
+    def apply_changes(
+        self, now: float, unix_s: float, specs: Iterable[WorkerSpec], removed: Iterable[int]
     ) -> EndpointUpdate:
-        """Some workers are new or changed, some are gone; the others stay as they are."""
+        """Add or change some workers and remove others.
+
+        Args:
+            now: Time on the router's clock.
+            unix_s: The same moment in Unix seconds.
+            specs: Workers that are new or changed.
+            removed: Numbers of workers that have left.
+        """
         self.version += 1
         changes = []
-        for number in gone:
+        for number in removed:
             self.specs.pop(number, None)
             self._incarnations.pop(number, None)
-            entry = self.entries.pop(number, None)
-            if entry is not None:
-                changes.append(replace(entry, state=WorkerState.REMOVED))
+            endpoint = self.endpoints.pop(number, None)
+            if endpoint is not None:
+                changes.append(replace(endpoint, state=WorkerState.REMOVED))
         for spec in specs:
-            entry = self.entries[spec.number] = self._entry(now, wall, spec)
+            endpoint = self.endpoints[spec.number] = self._endpoint(now, unix_s, spec)
             self.specs[spec.number] = spec
-            changes.append(entry)
+            changes.append(endpoint)
         return EndpointUpdate(EndpointUpdateKind.INCREMENTAL, tuple(changes), self.version)
 
-    def _entry(self, now: float, wall: float, spec: WorkerSpec) -> WorkerEndpoint:
-        since_s = self._since(now, wall, spec.started_at)
-        known = self.entries.get(spec.number)
-        if known is not None:  # what the worker itself said of its start may be later than the list's
-            since_s = max(since_s, known.started_s)
-            told = self.specs.get(spec.number)
-            if told is not None and told.started_at == spec.started_at:
-                since_s = known.started_s  # the same start: clocks that drift make no new one
-        state = WorkerState.DRAINING if spec.draining else WorkerState.READY
-        return WorkerEndpoint(spec.number, state, spec.size, spec.kind, spec.zone, spec.cell, since_s)
-
-    def worker_seen(self, now: float, seen: WorkerObservation) -> EndpointUpdate | None:
-        """A worker named its incarnation; a change where it started anew behind the list's back."""
-        entry = self.entries.get(seen.worker_id)
-        if entry is None or self._incarnations.get(seen.worker_id) == seen.incarnation:
+    def observe_worker(self, now: float, observation: WorkerObservation) -> EndpointUpdate | None:
+        """Note the incarnation that a worker reported; return an update if the worker has restarted."""
+        number = observation.worker_id
+        endpoint = self.endpoints.get(number)
+        if endpoint is None or self._incarnations.get(number) == observation.incarnation:
             return None
-        first = seen.worker_id not in self._incarnations
-        self._incarnations[seen.worker_id] = seen.incarnation
-        since_s = max(EARLIEST_S, now - seen.uptime_s)
-        # The first incarnation heard is no news of a start: the list says when workers started. A gateway
-        # that starts beside a young fleet would hold back most of its calls (docs/gateway-design.md).
-        if first or since_s <= entry.started_s + 0.5:
+        is_first = number not in self._incarnations
+        self._incarnations[number] = observation.incarnation
+        started_s = max(EARLIEST_START_S, now - observation.uptime_s)
+        # The first incarnation that is observed does not mean a restart: start times come with the endpoint
+        # list. A gateway that starts beside a young fleet would otherwise hold back most calls
+        # (docs/gateway-design.md).
+        if is_first or started_s <= endpoint.started_s + RESTART_TOLERANCE_S:
             return None
         self.version += 1
-        entry = self.entries[seen.worker_id] = replace(entry, started_s=since_s)
-        return EndpointUpdate(EndpointUpdateKind.INCREMENTAL, (entry,), self.version)
-
-    def _since(self, now: float, wall: float, started_at: float) -> float:
-        """A start on the module's clock; one past the cold time, or one in the future, is bounded."""
-        if not started_at:
-            return 0.0
-        age_s = max(0.0, wall - started_at)
-        return max(EARLIEST_S, now - age_s)
+        endpoint = self.endpoints[number] = replace(endpoint, started_s=started_s)
+        return EndpointUpdate(EndpointUpdateKind.INCREMENTAL, (endpoint,), self.version)
+
+    def _endpoint(self, now: float, unix_s: float, spec: WorkerSpec) -> WorkerEndpoint:
+        started_s = _start_on_router_clock(now, unix_s, spec.started_at)
+        known = self.endpoints.get(spec.number)
+        if known is not None:  # the worker itself may have reported a later start than the list
+            started_s = max(started_s, known.started_s)
+            previous = self.specs.get(spec.number)
+            if previous is not None and previous.started_at == spec.started_at:
+                started_s = known.started_s  # drift between the clocks must not look like a restart
+        state = WorkerState.DRAINING if spec.is_draining else WorkerState.READY
+        return WorkerEndpoint(spec.number, state, spec.capacity, spec.kind, spec.zone, spec.cell, started_s)
+
+
+def _start_on_router_clock(now: float, unix_s: float, started_at: float) -> float:
+    """Convert a start in Unix seconds; one in the future becomes the present."""
+    if not started_at:
+        return 0.0
+    age_s = max(0.0, unix_s - started_at)
+    return max(EARLIEST_START_S, now - age_s)
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -71,7 +71,7 @@
             config.seed,
             clock,
             self._recorder,
-            backstop_s=config.answer_margin_s / 2,
+            deadline_grace_s=config.answer_margin_s / 2,
             max_open_calls=config.limits.open_calls,
             log=structlog.get_logger("saffronstack.engine"),
         )
@@ -136,7 +136,7 @@
             self.config.order_timeout_s,
             Limits(body=self.config.limits.response_bytes),
         )
-        return Fleet(limits, self.engine.tell, self._clock, self.meter)
+        return Fleet(limits, self.engine.notify, self._clock, self.meter)
 
     def _make_app(self) -> App:
         return App(
@@ -227,7 +227,7 @@
         self.fleet.changed(specs, gone)
         if self.meter is not None:
             self.meter.roster(list(specs_of(workers.values(), self.config, self._numbers)))
-        self.engine.change_workers(specs, gone, self._wall())
+        self.engine.update_workers(specs, gone, self._wall())
 
     def _share_operations(self) -> Slots | None:
         """Where several processes serve one address, each runs the operations of the slots it holds."""
@@ -269,7 +269,7 @@
         if self.meter is not None:
             self.meter.roster(list(specs))
             self.meter.start()
-        self.engine.update_workers(specs, self._wall())
+        self.engine.replace_workers(specs, self._wall())
         self.engine.start(self.fleet)
         if self.roster is not None:
             self._watch.start()
@@ -307,7 +307,7 @@
         self.fleet.told(specs)
         if self.meter is not None:
             self.meter.roster(list(specs))
-        self.engine.update_workers(specs, self._wall())
+        self.engine.replace_workers(specs, self._wall())
         return left
 
     def stop(self) -> bool:
--- a/saffronstack/hosts/dispatcher.py
+++ b/saffronstack/hosts/dispatcher.py
@@ -90,7 +90,7 @@
                     )
                     self._pools[spec.number] = known
                 known.spec = spec
-                known.closed = spec.draining
+                known.closed = spec.is_draining
             max_links = max(1, min(self._limits.streams, self._budget.max_links // max(1, len(self._pools))))
             for pool in self._pools.values():
                 pool.max_links = max_links
--- a/saffronstack/hosts/pool.py
+++ b/saffronstack/hosts/pool.py
@@ -57,7 +57,7 @@
         self.spec = spec
         self.number = spec.number
         self.name = spec.name
-        self.closed = spec.draining  # nothing new leaves, whatever was queued
+        self.closed = spec.is_draining  # nothing new leaves, whatever was queued
         self.max_links = 1
         self._limits = limits
         self._budget = budget
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -209,7 +209,7 @@
         ):
             guard = self._operations.guard(live)
         return Call(
-            self._engine.next_number(),
+            self._engine.next_call_number(),
             request_id,
             known.spec,
             asked.payload,
@@ -243,7 +243,7 @@
             if self._clock() >= latest_s:  # the engine itself is stuck: an answer all the same
                 call.finish(FinalAnswer(FinalStatus.FAILED, reason="the gateway did not decide in time"))
             elif not client_there() and alone() and (live is None or live.may_leave()):
-                self._engine.leave(call)
+                self._engine.disconnect(call)
 
     def _place(self, asked: Asked) -> int:
         """The tenant's place among the module's; InvokeError where its budget allows no load it needs."""
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -77,7 +77,7 @@
 def busiest(passed: list[tuple[WorkerSpec, int, int]]) -> float:
     """The most open attempts that a worker which takes calls has, as a multiple of its share by size; 0
     where none are open."""
-    taking = [(spec.size, out) for spec, _, out in passed if not spec.draining and spec.size > 0]
+    taking = [(spec.capacity, out) for spec, _, out in passed if not spec.is_draining and spec.capacity > 0]
     total, size = sum(out for _, out in taking), sum(size for size, _ in taking)
     return max(out / (total * own / size) for own, out in taking) if total else 0.0
 
@@ -91,9 +91,9 @@
     def collect(self) -> Iterable[Metric]:
         """The metrics now."""
         gateway = self._gateway
-        counts = gateway.engine.counts
-        yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.endings)
-        yield _labelled("attempts_ended", "Attempts by result", "result", counts.results)
+        counts = gateway.engine.statistics
+        yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.final_answers)
+        yield _labelled("attempts_ended", "Attempts by result", "result", counts.attempt_results)
         yield from _worker_metrics(gateway.fleet.passed())
         for figure in _counters(gateway):
             yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
@@ -125,13 +125,13 @@
 
 
 def _counters(gateway: Parts) -> Iterator[Figure]:
-    counts, server = gateway.engine.counts, gateway.server
+    counts, server = gateway.engine.statistics, gateway.server
     yield Figure("calls", "Calls taken by the engine", counts.calls)
-    yield Figure("sends", "Attempts begun", counts.sends)
-    yield Figure("repeats", "Attempts after a call's first", counts.repeats)
-    yield Figure("orders", "Orders to load or unload", counts.orders)
+    yield Figure("sends", "Attempts begun", counts.attempts)
+    yield Figure("repeats", "Attempts after a call's first", counts.retries)
+    yield Figure("orders", "Orders to load or unload", counts.load_commands)
     yield Figure("events", "Events decided on", counts.events)
-    yield Figure("backstops", "Calls that the engine itself answered", counts.backstops)
+    yield Figure("backstops", "Calls that the engine itself answered", counts.deadline_answers)
     yield Figure("decision_faults", "Events on which the decision failed", counts.faults)
     yield Figure("connections_accepted", "Client connections accepted", server.accepted)
     yield Figure("connections_turned_away", "Client connections turned away", server.turned_away)
@@ -147,7 +147,7 @@
 def _gauges(gateway: Parts) -> Iterator[Figure]:
     passed = gateway.fleet.passed()
     yield Figure("open_calls", "Calls open in the engine", gateway.engine.open_calls)
-    yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued)
+    yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued_events)
     yield Figure("client_connections", "Client connections open", gateway.server.connections)
     yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connections)
     yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(passed))
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -39,7 +39,7 @@
     def status(self) -> Response:
         """What `saffronstack status` shows."""
         gateway = self._gateway
-        counts = gateway.engine.counts
+        counts = gateway.engine.statistics
         content: dict[str, object] = {
             "pid": os.getpid(),
             "release": os.environ.get(MARK, "").rpartition("/")[2],
@@ -48,12 +48,12 @@
             "draining": gateway.draining,
             "open_calls": gateway.engine.open_calls,
             "calls": counts.calls,
-            "sends": counts.sends,
-            "repeats": counts.repeats,
-            "backstops": counts.backstops,
+            "sends": counts.attempts,
+            "repeats": counts.retries,
+            "backstops": counts.deadline_answers,
             "decision_faults": counts.faults,
-            "endings": counts.endings,
-            "attempts": counts.results,
+            "endings": counts.final_answers,
+            "attempts": counts.attempt_results,
             "client_connections": gateway.server.connections,
             "worker_connections": gateway.fleet.connections,
             "workers": gateway.fleet.size,
--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -134,7 +134,7 @@
         with self._lock:
             calls = list(self._open.values())
         for call in calls:
-            self._services.engine.leave(call)
+            self._services.engine.disconnect(call)
         self._write_buffer.end()
         with contextlib.suppress(OSError):
             self._sock.close()
@@ -230,7 +230,7 @@
         with self._lock:
             call = self._open.get(tag)
         if call is not None:
-            self._services.engine.leave(call)
+            self._services.engine.disconnect(call)
 
     def _call(self, frame: frames.CallFrame, now: float) -> None:
         services, limits = self._services, self._limits
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -60,7 +60,7 @@
             settings,
             config.seed,
             clock,
-            backstop_s=MARGIN_S,
+            deadline_grace_s=MARGIN_S,
             max_open_calls=self.budget.calls,
             log=self._log,
         )
@@ -73,7 +73,7 @@
             ),
             LinkBudget(self.budget.links),
             self.writer,
-            self.engine.tell,
+            self.engine.notify,
             clock,
             settings.load_command_timeout_s or ORDER_S,
             self._log,
@@ -86,7 +86,7 @@
         self.front = Front(
             config.listen,
             self.engine,
-            CallMaker(settings, self.engine.next_number),
+            CallMaker(settings, self.engine.next_call_number),
             self.writer,
             FrontLimits(connections=self.budget.clients),
             clock,
@@ -123,7 +123,7 @@
     def _changed(self, change: Change) -> None:
         """Links first, so that nothing leaves for a host that drains or is gone."""
         self.hosts.changed(change.changed, change.gone)
-        self.engine.change_workers(change.changed, change.gone, self._wall())
+        self.engine.update_workers(change.changed, change.gone, self._wall())
 
     def reread(self, path: str) -> bool:
         """Ask the directory that a new configuration names; False, and no change, where it can't be used."""
@@ -157,12 +157,12 @@
 
     def summary(self) -> dict[str, object]:
         """Figures for the log's last line."""
-        counts = self.engine.counts
+        counts = self.engine.statistics
         return {
             "calls": counts.calls,
-            "endings": counts.endings,
-            "repeats": counts.repeats,
-            "backstops": counts.backstops,
+            "endings": counts.final_answers,
+            "repeats": counts.retries,
+            "backstops": counts.deadline_answers,
             "faults": counts.faults,
             "peak_connections": self.front.peak_connections,
             "evicted": self.front.evicted,
--- a/saffronstack/workers/fleet.py
+++ b/saffronstack/workers/fleet.py
@@ -55,7 +55,7 @@
             if known is None:
                 known = WorkerPool(spec, self._limits, self._ended, self._clock, self._heed)
                 self._pools[spec.number] = known
-            if spec.draining:
+            if spec.is_draining:
                 known.close()
             else:
                 known.reopen()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -293,7 +293,7 @@
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if way in ("close", "reset"):
             client.sock.close()
-        eventually(lambda: service.engine.queued >= 2 and service.front.open_calls == 0)
+        eventually(lambda: service.engine.queued_events >= 2 and service.front.open_calls == 0)
         go_on.set()
         assert other.ask(subject=6)[0] == "OK"
         assert host.next()["with"]["k"] == f"{6:016x}"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -134,7 +134,7 @@
     assert (known.spec.name, known.spec.memory_mb) == ("scan-12", 64)
     assert functions.get("other") is None
     first, second = workers_of(config)
-    assert (first.draining, second.draining, second.started_at) == (False, True, 5)
+    assert (first.is_draining, second.is_draining, second.started_at) == (False, True, 5)
     assert first.zone != second.zone
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -206,7 +206,11 @@
     pools = {2**32 - 1: pool, 0: gone, 1: more}
     events = [{"rev": serial, "pool": pool} for serial, pool in pools.items()]
     change = take_known(client.membership, {"rev": 1, "notices": events})
-    assert {spec.name: spec.draining for spec in change.changed} == {"s-1": False, "s-2": True, "s-3": False}
+    assert {spec.name: spec.is_draining for spec in change.changed} == {
+        "s-1": False,
+        "s-2": True,
+        "s-3": False,
+    }
     assert client.membership.serial == 1
     query = b"\0\7\1\0\0\1\0\0\0\0\0\0" + dns_query_name()
     assert not client.resolver.apply(dns_answer(query, 2**32 - 1, LIST), [7])
@@ -219,7 +223,7 @@
     take_known(client.membership, {"rev": 41, "notices": [{"rev": 41, "pool": pool}]})
     query = b"\0\7\1\0\0\1\0\0\0\0\0\0" + dns_query_name()
     assert not client.resolver.apply(dns_answer(query, 40, LIST), [7])
-    assert [spec.draining for spec in client.membership.specs] == [True]
+    assert [spec.is_draining for spec in client.membership.specs] == [True]
 
 
 @pytest.mark.parametrize("refused", [True, False])
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -61,7 +61,7 @@
         outcome = AttemptOutcome(
             call.number, attempt, worker, result, 0.01, call.is_finished, CacheStatus.WARM
         )
-        self.engine.tell(AttemptResult(call, outcome, answer))
+        self.engine.notify(AttemptResult(call, outcome, answer))
 
     def cancel(self, call: Call, attempt: int) -> None: ...
 
@@ -76,7 +76,7 @@
     script = Script(results)
     engine = Engine(settings(), 1, time.monotonic, recorder)
     script.engine = engine
-    engine.update_workers(WORKERS, time.time())
+    engine.replace_workers(WORKERS, time.time())
     engine.start(script)
     return engine, script
 
@@ -87,7 +87,7 @@
 
 def make(engine: Engine, class_index: int, deadline_s: float = 1.0, **more: object) -> Call:
     spec = FunctionSpec(f"f{class_index}", 5 + class_index, class_index, 100.0)
-    number = engine.next_number()
+    number = engine.next_call_number()
     return Call(number, f"r{number}", spec, b"{}", time.monotonic() + deadline_s, **more)  # type: ignore[arg-type]
 
 
@@ -116,7 +116,7 @@
     assert len(script.sent) == attempts
     eventually(lambda: engine.open_calls == 0)
     assert engine.stop()
-    assert engine.counts.endings[ending.value] == 1
+    assert engine.statistics.final_answers[ending.value] == 1
 
 
 def test_the_backstop_answers_by_the_class() -> None:
@@ -139,11 +139,11 @@
     call = make(engine, SAFE)
     engine.submit(call)
     eventually(lambda: script.sent)
-    engine.leave(call)
+    engine.disconnect(call)
     script.end(*script.sent[0], Result.RESET)
     eventually(lambda: engine.open_calls == 0)
     assert len(script.sent) == 1
-    assert engine.counts.endings["gone"] == 1
+    assert engine.statistics.final_answers["gone"] == 1
     assert engine.stop()
 
 
@@ -181,7 +181,7 @@
         final = call.wait(3)
         assert final is not None
         assert final.status is ending
-    assert engine.counts.faults == 1
+    assert engine.statistics.faults == 1
     assert engine.stop()
 
 
@@ -225,8 +225,8 @@
     for call in calls:
         engine.submit(call)
         call.wait(3)
-    engine.tell(CommandResult(1, Result.OK, 0.1))
-    engine.tell(WorkerObservation(2, "x", 0.5))
+    engine.notify(CommandResult(1, Result.OK, 0.1))
+    engine.notify(WorkerObservation(2, "x", 0.5))
     eventually(lambda: pathlib.Path(path).stat().st_size > 200)  # as a kill would leave it
     (tmp_path / "cut.rec").write_bytes(pathlib.Path(path).read_bytes())
     assert replay(str(tmp_path / "cut.rec"))[0] >= 60
@@ -247,32 +247,32 @@
 
 def test_a_worker_heard_anew_is_told_once() -> None:
     roster = WorkerRegistry()
-    roster.told(100.0, 1000.0, WORKERS)
-    assert roster.worker_seen(101.0, WorkerObservation(1, "a", 500.0)) is None
-    assert roster.worker_seen(102.0, WorkerObservation(1, "a", 501.0)) is None
-    update = roster.worker_seen(110.0, WorkerObservation(1, "b", 2.0))
+    roster.apply_snapshot(100.0, 1000.0, WORKERS)
+    assert roster.observe_worker(101.0, WorkerObservation(1, "a", 500.0)) is None
+    assert roster.observe_worker(102.0, WorkerObservation(1, "a", 501.0)) is None
+    update = roster.observe_worker(110.0, WorkerObservation(1, "b", 2.0))
     assert update is not None
     assert update.endpoints[0].started_s == pytest.approx(108.0)
-    assert roster.worker_seen(111.0, WorkerObservation(1, "b", 3.0)) is None
+    assert roster.observe_worker(111.0, WorkerObservation(1, "b", 3.0)) is None
     assert (
-        roster.worker_seen(111.0, WorkerObservation(2, "c", 1.0)) is None
+        roster.observe_worker(111.0, WorkerObservation(2, "c", 1.0)) is None
     )  # the first heard of it: the list has the word
-    again = roster.told(112.0, 1012.0, WORKERS)
+    again = roster.apply_snapshot(112.0, 1012.0, WORKERS)
     assert {entry.worker_id: entry.started_s for entry in again.endpoints}[1] == pytest.approx(108.0)
 
 
 def test_told_starts_are_on_the_modules_clock() -> None:
     roster = WorkerRegistry()
     spec = WorkerSpec(1, "w", "127.0.0.1", 1, started_at=995.0)
-    assert roster.told(100.0, 1000.0, [spec]).endpoints[0].started_s == pytest.approx(95.0)
+    assert roster.apply_snapshot(100.0, 1000.0, [spec]).endpoints[0].started_s == pytest.approx(95.0)
     ahead = WorkerSpec(2, "w", "127.0.0.1", 1, started_at=2000.0)
-    assert roster.told(100.0, 1000.0, [ahead]).endpoints[0].started_s == pytest.approx(100.0)
+    assert roster.apply_snapshot(100.0, 1000.0, [ahead]).endpoints[0].started_s == pytest.approx(100.0)
 
 
 def test_timers_keep_order() -> None:
     timers: Timers[str] = Timers()
     for due, name in ((2.0, "c"), (1.0, "a"), (1.0, "b")):
-        timers.set(due, name)
-    assert timers.next_s() == 1.0
-    assert [timers.due(1.5), timers.due(1.5), timers.due(1.5)] == ["a", "b", None]
+        timers.add(due, name)
+    assert timers.next_due_s() == 1.0
+    assert [timers.pop_due(1.5), timers.pop_due(1.5), timers.pop_due(1.5)] == ["a", "b", None]
     assert len(timers) == 1
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -153,7 +153,7 @@
         sock.sendall(request("identify-copy"))
         eventually(lambda: any(e["what"] == "arrive" for w in stack.fleet.workers for e in w.log))
         sock.close()
-        eventually(lambda: stack.gateway.engine.counts.endings["gone"] == 1)
+        eventually(lambda: stack.gateway.engine.statistics.final_answers["gone"] == 1)
         eventually(lambda: stack.gateway.engine.open_calls == 0, DEADLINE_S + 2)
         assert sum(e["what"] == "arrive" for w in stack.fleet.workers for e in w.log) == 1
         eventually(lambda: stack.gateway.server.connections == 0)
@@ -215,7 +215,7 @@
             b"POST /2015-03-31/functions/identify-copy/invocations HTTP/1.1\r\nHost: a\r\n"
             b"Content-Length: %d\r\n\r\n" % len(payload) + payload
         )
-        eventually(lambda: stack.gateway.engine.counts.endings["served"] == 1)
+        eventually(lambda: stack.gateway.engine.statistics.final_answers["served"] == 1)
         eventually(lambda: stack.gateway.server.connections == 0, 5)
         sock.close()
         assert stack.call("identify-copy").status == 200
--- a/tests/test_invoke_api.py
+++ b/tests/test_invoke_api.py
@@ -196,8 +196,8 @@
 
 
 def test_the_spread_is_the_busiest_workers_share_by_size() -> None:
-    small, large = WorkerSpec(1, "s", "h", 1, size=1.0), WorkerSpec(2, "l", "h", 2, size=3.0)
-    drains = WorkerSpec(3, "d", "h", 3, draining=True, size=4.0)
+    small, large = WorkerSpec(1, "s", "h", 1, capacity=1.0), WorkerSpec(2, "l", "h", 2, capacity=3.0)
+    drains = WorkerSpec(3, "d", "h", 3, is_draining=True, capacity=4.0)
     assert busiest([]) == 0.0 and busiest([(small, 9, 0), (large, 9, 0)]) == 0.0
     assert busiest([(small, 9, 1), (large, 9, 3)]) == 1.0  # each has its share
     assert busiest([(small, 9, 2), (large, 9, 2), (drains, 9, 40)]) == 2.0
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -134,7 +134,7 @@
             b"POST /2015-03-31/functions/record-sale/invocations HTTP/1.1\r\nHost: a\r\n"
             b"Content-Length: 2\r\n\r\n{}"
         )
-        eventually(lambda: stack.gateway.engine.counts.sends == 1)
+        eventually(lambda: stack.gateway.engine.statistics.attempts == 1)
         drained = {**stack.content, "workers": [{**entry, "state": "draining"}]}
         stack.gateway.reread(configs.parse(json.dumps(drained)))
         listener.settimeout(0.1)
@@ -154,6 +154,6 @@
                 continue
         assert client.recv(65536).startswith(b"HTTP/1.1 429")
         assert seen == b""
-        assert stack.gateway.engine.counts.results["moot"] == 1
+        assert stack.gateway.engine.statistics.attempt_results["moot"] == 1
         for sock in [client, *accepted, *fillers, listener]:
             sock.close()
--- a/tests/test_platform_links.py
+++ b/tests/test_platform_links.py
@@ -92,7 +92,7 @@
     fleet = Fleet(monkeypatch, room=30)
     fleet.call(1)
     fleet.call(2)
-    fleet.dispatcher.changed([WorkerSpec(7, "s-7", "127.0.0.1", 1, draining=True)], [])
+    fleet.dispatcher.changed([WorkerSpec(7, "s-7", "127.0.0.1", 1, is_draining=True)], [])
     fleet.sockets[0].room = 100_000
     write_buffer = fleet.links[0]._write_buffer
     assert write_buffer is not None and write_buffer.flush()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -255,16 +255,20 @@
 def test_the_core_takes_changes_as_it_takes_lists() -> None:
     roster, whole = WorkerRegistry(), WorkerRegistry()
     specs = [WorkerSpec(n, f"w{n}", "h", n) for n in range(6)]
-    roster.told(0.0, 100.0, specs[:4])
-    update = roster.changed(1.0, 101.0, [specs[4], WorkerSpec(1, "w1", "h", 1, draining=True)], [0, 77])
+    roster.apply_snapshot(0.0, 100.0, specs[:4])
+    update = roster.apply_changes(
+        1.0, 101.0, [specs[4], WorkerSpec(1, "w1", "h", 1, is_draining=True)], [0, 77]
+    )
     assert update.kind is EndpointUpdateKind.INCREMENTAL
     assert [(e.worker_id, e.state) for e in update.endpoints] == [
         (0, WorkerState.REMOVED),
         (4, WorkerState.READY),
         (1, WorkerState.DRAINING),
     ]
-    whole.told(1.0, 101.0, [WorkerSpec(1, "w1", "h", 1, draining=True), specs[2], specs[3], specs[4]])
-    assert roster.entries == whole.entries
+    whole.apply_snapshot(
+        1.0, 101.0, [WorkerSpec(1, "w1", "h", 1, is_draining=True), specs[2], specs[3], specs[4]]
+    )
+    assert roster.endpoints == whole.endpoints
     assert roster.specs == whole.specs
 
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -169,7 +169,7 @@
     guarded.guard = Never()
     fleet.send(guarded, 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED
-    fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port, draining=True)])
+    fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port, is_draining=True)])
     fleet.send(call(3), 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED
     fleet.load_function(9, SPEC, 2)
