--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-import saffronstack.engine.engine as engine
+import saffronstack.engine.decision_loop as decision_loop
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.routing.actions import Action, Fail, Reject, SendAttempt
 from saffronstack.routing.events import (
@@ -211,7 +211,7 @@
     def made(settings: Settings, seed: int) -> Plain:
         return Plain(policy, settings, seed, truth)
 
-    engine.Router = made  # type: ignore[misc, assignment]
+    decision_loop.Router = made  # type: ignore[misc, assignment]
     from saffronstack.platform.__main__ import main as run
 
     return run()
--- a/saffronstack/engine/__init__.py
+++ b/saffronstack/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The engine between fronts and workers: one decision thread, one `Router`. It knows no HTTP."""
+"""The engine between front ends and workers: one decision thread with one router, free of protocols."""
--- /dev/null
+++ b/saffronstack/engine/call_finisher.py
@@ -0,0 +1,63 @@
+"""Final answers that the gateway itself gives: decided by the router, forced by a deadline or by shutdown."""
+
+from __future__ import annotations
+
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
+from saffronstack.engine.engine_statistics import EngineStatistics
+from saffronstack.engine.open_calls import OpenCall, OpenCalls
+from saffronstack.routing.settings import Idempotency, Settings
+
+REJECTED_REASON = "no worker could take it"
+FAILED_REASON = "it may have run"
+SHUTDOWN_REASON = "the gateway stops"
+
+
+class CallFinisher:
+    """Finishes open calls, on the decision thread. An answer that comes too late changes nothing."""
+
+    def __init__(self, settings: Settings, open_calls: OpenCalls, statistics: EngineStatistics) -> None:
+        self._settings = settings
+        self._open_calls = open_calls
+        self._statistics = statistics
+
+    def finish(self, call_number: int, status: FinalStatus, retry_after_s: float = 0.0) -> None:
+        """Give the answer that the router decided on."""
+        open_call = self._open_calls.get(call_number)
+        if open_call is None:
+            return
+        call = open_call.call
+        final_answer = FinalAnswer(
+            status,
+            retry_after_s=retry_after_s,
+            reason=REJECTED_REASON if status is FinalStatus.REJECTED else FAILED_REASON,
+            prior_attempt=open_call.possibly_executed_attempt(),
+            attempts=open_call.attempts,
+            attempt_in_flight_until_s=call.deadline_s if open_call.attempts_in_flight else 0.0,
+        )
+        if call.finish(final_answer):
+            self.count(call)
+        self._open_calls.remove_if_over(open_call)
+
+    def finish_overdue(self, open_call: OpenCall) -> None:
+        """Answer a call that the router left without an answer, by the same rule as the router's."""
+        call = open_call.call
+        may_have_executed = open_call.possibly_executed_attempt() is not None
+        class_settings = self._settings.classes[call.function.class_index]
+        is_harmless = class_settings.idempotency is Idempotency.IDEMPOTENT or not may_have_executed
+        self.finish(call.number, FinalStatus.REJECTED if is_harmless else FinalStatus.FAILED)
+
+    def finish_all_at_shutdown(self) -> None:
+        """Answer all open calls, promising that a call had no effect only where no attempt was sent."""
+        for open_call in self._open_calls.remove_all():
+            prior_attempt = open_call.possibly_executed_attempt()
+            status = FinalStatus.REJECTED if prior_attempt is None else FinalStatus.FAILED
+            open_call.call.finish(
+                FinalAnswer(
+                    status, reason=SHUTDOWN_REASON, prior_attempt=prior_attempt, attempts=open_call.attempts
+                )
+            )
+
+    def count(self, call: Call) -> None:
+        """Count the final answer of a call, if it has one."""
+        if call.final_answer is not None:
+            self._statistics.final_answers[call.final_answer.status.value] += 1
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -1,123 +1,38 @@
-"""The engine: turns what happens into events, gives them to one `Router`, carries out its actions.
-
-One decision thread owns the Router, the timers and the open calls. Everything reaches it through one
-queue, so events have one order on one clock that never goes back. It never waits for I/O.
-"""
+"""The engine: accepts calls and runs the decision thread that routes them to workers."""
 
 from __future__ import annotations
 
-import queue
 import threading
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from functools import partial
 from itertools import count
-from typing import Protocol
 
 from saffronstack.choice import Router
-from saffronstack.engine.calls import (
-    AttemptResult,
-    Call,
-    CommandResult,
-    Dispatcher,
-    FinalAnswer,
-    FinalStatus,
-    FunctionSpec,
-    WorkerObservation,
-)
-from saffronstack.engine.timers import Timers
-from saffronstack.engine.worker_registry import WorkerRegistry, WorkerSpec
-from saffronstack.routing.actions import (
-    Action,
-    CancelAttempt,
-    CheckHealth,
-    Fail,
-    LoadFunction,
-    Reject,
-    SendAttempt,
-    SetTimer,
-    UnloadFunction,
-    WriteLog,
-)
-from saffronstack.routing.events import (
-    ClientDisconnected,
-    Event,
-    HealthCheckResult,
-    LoadCommandResult,
-    PriorAttempt,
-    Request,
-    Result,
-    TimerFired,
+from saffronstack.engine.calls import Call, Dispatcher, FinalAnswer, FinalStatus
+from saffronstack.engine.decision_loop import DecisionLoop
+from saffronstack.engine.engine_statistics import EngineStatistics
+from saffronstack.engine.messages import (
+    DecisionSink,
+    EndpointChange,
+    EndpointSnapshot,
+    Inspection,
+    Shutdown,
+    WorkerMessage,
 )
-from saffronstack.routing.settings import Idempotency, Settings
+from saffronstack.engine.worker_registry import WorkerSpec
+from saffronstack.routing.events import ClientDisconnected
+from saffronstack.routing.settings import Settings
 from saffronstack.runtime.logs import KeyValueLogger, Logger
 from saffronstack.runtime.threads import start_thread
 
-NEVER_RAN = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
-LIST_PART = 200  # workers of a change that are decided on at once
-MAX_FUNCTIONS = 4096  # functions that load_commands can name; those called last
-IDLE_S = 1.0  # the decision thread looks up at least this often
-
-
-class DecisionSink(Protocol):
-    """Hears every event and what was decided on it, in their order, on the decision thread."""
-
-    def record(self, now: float, event: Event, actions: list[Action]) -> None:
-        """One decision."""
-        ...
-
-
-@dataclass(eq=False, slots=True)
-class _Open:
-    """A call between its arrival and its final answer, or its last attempt's end."""
-
-    call: Call
-    sent: dict[int, tuple[int, float]] = field(default_factory=dict)  # attempts out: worker, when
-    made: int = 0
-    prior: PriorAttempt | None = None  # the first attempt that may have run
-    left: bool = False  # the module knows that the client has gone
-
-    def may_have_run(self) -> PriorAttempt | None:
-        """The first attempt that may have run; one that is still out counts."""
-        if self.prior is None and self.sent:
-            return PriorAttempt(*self.sent[min(self.sent)])
-        return self.prior
-
-
-@dataclass(frozen=True, slots=True)
-class _WholeList:
-    specs: tuple[WorkerSpec, ...]
-    wall_s: float
-
-
-@dataclass(frozen=True, slots=True)
-class _ListChange:
-    specs: tuple[WorkerSpec, ...]
-    gone: tuple[int, ...]
-    wall_s: float
-
-
-@dataclass(frozen=True, slots=True)
-class _Inspection:
-    look: Callable[[float, Router], None]
-
-
-@dataclass(slots=True)
-class EngineStatistics:
-    """What the engine counted since it started; read by anyone, written by the decision thread."""
-
-    calls: int = 0
-    attempts: int = 0
-    retries: int = 0
-    load_commands: int = 0
-    events: int = 0
-    deadline_answers: int = 0
-    faults: int = 0
-    final_answers: dict[str, int] = field(default_factory=lambda: {ending.value: 0 for ending in FinalStatus})
-    attempt_results: dict[str, int] = field(default_factory=lambda: {result.value: 0 for result in Result})
+DEFAULT_DEADLINE_GRACE_S = 0.05
+DEFAULT_MAX_OPEN_CALLS = 20_000
+STOP_TIMEOUT_S = 5.0
+MAX_WORKERS_PER_UPDATE = 200  # a longer list is split, so that calls are decided between its parts
 
 
 class Engine:
-    """Start it, submit calls, tell it what the workers' threads saw, stop it."""
+    """Gives each accepted call exactly one final answer. All methods may be called on any thread."""
 
     def __init__(
         self,
@@ -125,338 +40,109 @@
         seed: int,
         clock: Callable[[], float],
         recorder: DecisionSink | None = None,
-        deadline_grace_s: float = 0.05,
-        max_open_calls: int = 20000,
+        deadline_grace_s: float = DEFAULT_DEADLINE_GRACE_S,
+        max_open_calls: int = DEFAULT_MAX_OPEN_CALLS,
         log: Logger | None = None,
     ) -> None:
-        """``clock`` is monotonic, in seconds. ``deadline_grace_s``: how long past a deadline the engine
-        answers by itself, should the module have given no answer."""
+        """Create an engine without its thread.
+
+        Args:
+            settings: Settings of the router.
+            seed: Seed of the router's random numbers.
+            clock: Monotonic clock, in seconds.
+            recorder: Receives each decision, on the decision thread.
+            deadline_grace_s: Time after a call's deadline when the engine answers it, if the router has not.
+            max_open_calls: Calls that may be open at one time.
+            log: Where log events go; None for standard error.
+        """
         self.settings = settings
-        self.statistics = EngineStatistics()
-        self.deadline_grace_s = deadline_grace_s
         self.max_open_calls = max_open_calls
-        self._log: Logger = log or KeyValueLogger("engine")
-        self._router = Router(settings, seed)
-        self._clock = clock
-        self._recorder = recorder
-        self._dispatcher: Dispatcher | None = None
-        self._queue: queue.SimpleQueue[object] = queue.SimpleQueue()
-        self._timers: Timers[TimerFired | int] = Timers()  # numbers of calls: they hold no payload
-        self._open: dict[int, _Open] = {}
-        self._functions: dict[int, FunctionSpec] = {}
-        self._roster = WorkerRegistry()
-        self._numbers = count(1)
-        self._now = clock()
-        self._submitting = threading.Lock()  # no call is queued once `stop` has been called
-        self._stopping = False
-        self._stopped = threading.Event()
-
-    # ---- from any thread
+        logger: Logger = log or KeyValueLogger("engine")
+        self._loop = DecisionLoop(settings, seed, clock, deadline_grace_s, recorder, logger)
+        self._messages = self._loop.messages
+        self._call_numbers = count(1)
+        self._submit_lock = threading.Lock()  # no call is queued behind the message that ends the thread
+        self._is_stopping = False
 
     def start(self, dispatcher: Dispatcher) -> None:
         """Start the decision thread; ``dispatcher`` carries out what it decides."""
-        self._dispatcher = dispatcher
-        start_thread("decisions", self._run)
+        start_thread("decisions", partial(self._loop.run, dispatcher))
+
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
+        """Reject further calls and end the decision thread after the messages that are queued.
 
-    def stop(self, timeout_s: float = 5.0) -> bool:
-        """End the decision thread after what is queued; whether it ended in time.
+        Once the thread has ended, each accepted call has its final answer.
 
-        From here on no call is taken, and once the thread has ended each that was has its final answer."""
-        with self._submitting:
-            self._stopping = True
-            self._queue.put(None)
-        return self._stopped.wait(timeout_s)
+        Returns:
+            Whether the thread ended in time.
+        """
+        with self._submit_lock:
+            self._is_stopping = True
+            self._messages.put(Shutdown())
+        return self._loop.stopped.wait(timeout_s)
 
     def next_call_number(self) -> int:
-        """A number for a new call, never given before by this engine."""
-        return next(self._numbers)
+        """Return a number for a new call, different from all earlier ones."""
+        return next(self._call_numbers)
 
     def submit(self, call: Call) -> bool:
-        """Take a call: it gets exactly one final answer. False: too many are open or the engine stops, and
-        nothing was taken."""
-        with self._submitting:
-            if len(self._open) >= self.max_open_calls or self._stopping:
+        """Accept a call, which then gets exactly one final answer.
+
+        Returns:
+            False if the call was not accepted, since too many are open or the engine is stopping.
+        """
+        with self._submit_lock:
+            if len(self._loop.state.open_calls) >= self.max_open_calls or self._is_stopping:
                 return False
-            self._queue.put(call)
+            self._messages.put(call)
             return True
 
     def disconnect(self, call: Call) -> None:
-        """The client of a call has left."""
-        self.finish(call, FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
-
-    def finish(self, call: Call, final: FinalAnswer) -> bool:
-        """Answer a call in the module's place; whether this was its final answer."""
-        if not call.finish(final):
-            return False
-        self._queue.put(ClientDisconnected(call.number))
-        return True
-
-    def notify(self, what: AttemptResult | CommandResult | WorkerObservation) -> None:
-        """What a worker's thread saw."""
-        self._queue.put(what)
+        """Finish a call whose client has gone."""
+        if call.finish(FinalAnswer(FinalStatus.CLIENT_DISCONNECTED)):
+            self._messages.put(ClientDisconnected(call.number))
+
+    def notify(self, message: WorkerMessage) -> None:
+        """Pass on what a worker's thread has seen."""
+        self._messages.put(message)
+
+    def inspect(self, inspect: Callable[[float, Router], None]) -> None:
+        """Have a function read the router's state between two events, on the decision thread.
+
+        Args:
+            inspect: Gets the time and the router; it must neither block nor change anything.
+        """
+        self._messages.put(Inspection(inspect))
+
+    def replace_workers(self, specs: Iterable[WorkerSpec], unix_s: float) -> None:
+        """Set the complete list of workers, as known at ``unix_s`` (Unix seconds)."""
+        self._messages.put(EndpointSnapshot(tuple(specs), unix_s))
+
+    def update_workers(self, specs: Iterable[WorkerSpec], removed: Iterable[int], unix_s: float) -> None:
+        """Add, change and remove some workers.
+
+        Args:
+            specs: Workers that are new or changed, draining ones first.
+            removed: Numbers of workers that have left.
+            unix_s: When this was known, in Unix seconds.
+        """
+        changed = tuple(specs)
+        self._messages.put(EndpointChange(changed[:MAX_WORKERS_PER_UPDATE], tuple(removed), unix_s))
+        for start in range(MAX_WORKERS_PER_UPDATE, len(changed), MAX_WORKERS_PER_UPDATE):
+            part = changed[start : start + MAX_WORKERS_PER_UPDATE]
+            self._messages.put(EndpointChange(part, (), unix_s))
 
-    def inspect(self, look: Callable[[float, Router], None]) -> None:
-        """Have ``look`` see the module between two events, on the decision thread; it must not wait or change
-        anything."""
-        self._queue.put(_Inspection(look))
-
-    def replace_workers(self, specs: Iterable[WorkerSpec], wall_s: float) -> None:
-        """The whole list of workers, told at ``wall_s`` (Unix seconds)."""
-        self._queue.put(_WholeList(tuple(specs), wall_s))
-
-    def update_workers(self, specs: Iterable[WorkerSpec], gone: Iterable[int], wall_s: float) -> None:
-        """Workers that are new or changed, those that drain first, and numbers of those that are gone, told
-        at ``wall_s``. A long list goes in parts, so that calls are decided between them."""
-        changed, left = tuple(specs), tuple(gone)
-        self._queue.put(_ListChange(changed[:LIST_PART], left, wall_s))
-        for at in range(LIST_PART, len(changed), LIST_PART):
-            self._queue.put(_ListChange(changed[at : at + LIST_PART], (), wall_s))
+    @property
+    def statistics(self) -> EngineStatistics:
+        """Counters since the engine was created."""
+        return self._loop.state.statistics
 
     @property
     def open_calls(self) -> int:
-        """Calls without a final answer or with an attempt out."""
-        return len(self._open)
+        """Number of calls without a final answer or with an attempt in flight."""
+        return len(self._loop.state.open_calls)
 
     @property
     def queued_events(self) -> int:
-        """Events that wait for the decision thread."""
-        return self._queue.qsize()
-
-    # ---- the decision thread
-
-    def _run(self) -> None:
-        try:
-            while True:
-                due_s = self._timers.next_due_s(self._awaited)
-                wait_s = IDLE_S if due_s is None else min(IDLE_S, due_s - self._clock())
-                item: object = self
-                try:  # noqa: SIM105 - the loop is the program's narrowest place, and a context costs more
-                    item = self._queue.get(timeout=wait_s) if wait_s > 0 else self._queue.get_nowait()
-                except queue.Empty:
-                    pass  # only the timers
-                if item is None:
-                    if self._queue.empty():
-                        return
-                    self._queue.put(None)
-                    continue
-                self._now = max(self._now, self._clock())
-                # Whatever goes wrong with one item, the thread goes on: every other call depends on it.
-                if due_s is not None and due_s <= self._now:
-                    try:
-                        self._fire()
-                    except Exception:
-                        self._fault()
-                if item is not self:
-                    try:
-                        self._take(item)
-                    except Exception:
-                        self._fault()
-        finally:
-            self._abandon()
-            self._stopped.set()
-
-    def _awaited(self, due: TimerFired | int) -> bool:
-        """Whether a timer is still for something: nearly all calls end long before their backstop."""
-        return not isinstance(due, int) or due in self._open
-
-    def _fault(self) -> None:
-        self.statistics.faults += 1
-        self._log.exception("step of the decision thread failed")
-
-    def _fire(self) -> None:
-        while (due := self._timers.pop_due(self._now)) is not None:
-            if isinstance(due, int):
-                opened = self._open.get(due)
-                if opened is not None:
-                    self._backstop(opened)
-            else:
-                self._decide(due)
-
-    def _take(self, item: object) -> None:
-        if isinstance(item, Call):
-            self._arrived(item)
-        elif isinstance(item, AttemptResult):
-            self._ended(item)
-        elif isinstance(item, ClientDisconnected):
-            self._decide(item)
-            opened = self._open.get(item.request_id)
-            if opened is not None:
-                opened.left = True
-                self._count(opened.call)
-                self._close(opened)
-        elif isinstance(item, CommandResult):
-            if item.function_id is None:
-                self._decide(HealthCheckResult(item.worker_id, item.result, item.elapsed_s, item.load_report))
-            else:
-                self._decide(
-                    LoadCommandResult(
-                        item.worker_id, item.function_id, item.instances, item.result, item.elapsed_s
-                    )
-                )
-        elif isinstance(item, WorkerObservation):
-            update = self._roster.observe_worker(self._now, item)
-            if update is not None:
-                self._log.info("worker started anew", worker=item.worker_id, incarnation=item.incarnation)
-                self._decide(update)
-        elif isinstance(item, _Inspection):
-            item.look(self._now, self._router)
-        elif isinstance(item, _ListChange):
-            self._decide(self._roster.apply_changes(self._now, item.wall_s, item.specs, item.gone))
-        elif isinstance(item, _WholeList):
-            self._decide(self._roster.apply_snapshot(self._now, item.wall_s, item.specs))
-
-    def _arrived(self, call: Call) -> None:
-        self.statistics.calls += 1
-        if call.is_finished:  # withdrawn before it was looked at: it costs no decision
-            self._count(call)
-            return
-        spec = call.function
-        self._functions.pop(spec.number, None)
-        self._functions[spec.number] = spec
-        if len(self._functions) > MAX_FUNCTIONS:  # the one that was called longest ago
-            del self._functions[next(iter(self._functions))]
-        self._open[call.number] = _Open(call, prior=call.prior_attempt)
-        self._timers.add(call.deadline_s + self.deadline_grace_s, call.number)
-        self._decide(
-            Request(
-                call.number,
-                spec.class_index,
-                spec.number,
-                call.deadline_s,
-                call.tenant,
-                spec.memory_mb,
-                float(spec.concurrency),
-                spec.load_time_s,
-                prior_attempt=call.prior_attempt,
-            )
-        )
-
-    def _ended(self, end: AttemptResult) -> None:
-        outcome = end.outcome
-        self.statistics.attempt_results[outcome.result.value] += 1
-        opened = self._open.get(outcome.request_id)
-        if opened is not None:
-            worker, sent_s = opened.sent.pop(outcome.attempt, (outcome.worker_id, self._now))
-            if outcome.result not in NEVER_RAN and opened.prior is None:
-                opened.prior = PriorAttempt(worker, sent_s)
-            if end.response is not None and end.call.final_answer is not None and outcome.result is Result.OK:
-                self.statistics.final_answers[FinalStatus.SERVED.value] += (
-                    end.call.final_answer.status is FinalStatus.SERVED
-                )
-        self._decide(outcome)
-        self._close(opened)
-
-    def _decide(self, event: Event) -> None:
-        self.statistics.events += 1
-        try:
-            actions = self._router.handle(self._now, event)
-        except Exception:
-            # The calls it concerns are answered by their deadline_answers; the others go on.
-            self.statistics.faults += 1
-            self._log.exception("decision failed", kind=type(event).__name__)
-            return
-        if self._recorder is not None:
-            self._recorder.record(self._now, event, actions)
-        for action in actions:
-            self._carry_out(action)
-
-    def _carry_out(self, action: Action) -> None:
-        dispatcher = self._dispatcher
-        assert dispatcher is not None
-        if isinstance(action, SendAttempt):
-            opened = self._open[action.request_id]
-            attempt = opened.made
-            opened.made += 1
-            opened.sent[attempt] = action.worker_id, self._now
-            self.statistics.attempts += 1
-            self.statistics.retries += attempt > 0
-            dispatcher.send(opened.call, attempt, action.worker_id, action.timeout_s)
-        elif isinstance(action, SetTimer):
-            self._timers.add(self._now + action.delay_s, TimerFired(action.timer_id))
-        elif isinstance(action, Reject):
-            self._answer(action.request_id, FinalStatus.REJECTED, action.retry_after_s)
-        elif isinstance(action, Fail):
-            self._answer(action.request_id, FinalStatus.FAILED, 0.0)
-        elif isinstance(action, LoadFunction):
-            self.statistics.load_commands += 1
-            spec = self._functions.get(action.function_id)
-            if spec is not None:
-                dispatcher.load_function(action.worker_id, spec, action.instances)
-            else:
-                self.notify(CommandResult(action.worker_id, Result.ERROR, 0.0, action.function_id))
-        elif isinstance(action, UnloadFunction):
-            self.statistics.load_commands += 1
-            spec = self._functions.get(action.function_id)
-            if spec is not None:
-                dispatcher.unload_function(action.worker_id, spec)
-        elif isinstance(action, CheckHealth):
-            dispatcher.check_health(action.worker_id)
-        elif isinstance(action, CancelAttempt):
-            opened_ = self._open.get(action.request_id)
-            if opened_ is not None:
-                dispatcher.cancel(opened_.call, action.attempt)
-        elif isinstance(action, WriteLog):
-            self._log.info("module", text=action.text)
-        # Watch and FetchList: this list is told without asking.
-
-    def _answer(self, request: int, ending: FinalStatus, retry_after_s: float) -> None:
-        opened = self._open.get(request)
-        if opened is None:
-            return
-        reason = "no worker could take it" if ending is FinalStatus.REJECTED else "it may have run"
-        call = opened.call
-        if call.finish(
-            FinalAnswer(
-                ending,
-                retry_after_s=retry_after_s,
-                reason=reason,
-                prior_attempt=opened.may_have_run(),
-                attempts=opened.made,
-                attempt_in_flight_until_s=call.deadline_s if opened.sent else 0.0,
-            )
-        ):
-            self._count(call)
-        self._close(opened)
-
-    def _backstop(self, opened: _Open) -> None:
-        """Past the deadline and unanswered: the engine's own answer, by the same rule as the module's."""
-        call = opened.call
-        if call.is_finished:
-            return
-        self.statistics.deadline_answers += 1
-        self._log.warning("answered by the backstop", request_id=call.request_id)
-        ran = opened.may_have_run() is not None
-        safe = self.settings.classes[call.function.class_index].idempotency is Idempotency.IDEMPOTENT
-        ending = FinalStatus.FAILED if ran and not safe else FinalStatus.REJECTED
-        self._answer(call.number, ending, 0.0)
-        self._decide(ClientDisconnected(call.number))
-
-    def _count(self, call: Call) -> None:
-        if call.final_answer is not None:
-            self.statistics.final_answers[call.final_answer.status.value] += 1
-
-    def _close(self, opened: _Open | None) -> None:
-        """Forget a call that is over. One whose client left is over only once the module knows: until
-        then the module may still send for it, and the worker's thread turns that away."""
-        if opened is None or opened.sent or not opened.call.is_finished:
-            return
-        final = opened.call.final_answer
-        if opened.left or final is None or final.status is not FinalStatus.CLIENT_DISCONNECTED:
-            self._open.pop(opened.call.number, None)
-
-    def _abandon(self) -> None:
-        """The thread ends: what is still open gets an answer that promises nothing it can't keep."""
-        for opened in list(self._open.values()):
-            ran = opened.may_have_run()
-            ending = FinalStatus.FAILED if ran is not None else FinalStatus.REJECTED
-            opened.call.finish(
-                FinalAnswer(ending, reason="the gateway stops", prior_attempt=ran, attempts=opened.made)
-            )
-        self._open.clear()
-        while True:
-            try:
-                item = self._queue.get_nowait()
-            except queue.Empty:
-                return
-            if isinstance(item, Call):
-                item.finish(FinalAnswer(FinalStatus.REJECTED, reason="the gateway stops"))
+        """Number of messages that wait for the decision thread."""
+        return self._messages.qsize()
--- /dev/null
+++ b/saffronstack/engine/open_calls.py
@@ -0,0 +1,99 @@
+"""State of the calls between their arrival and the end of their last attempt."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from saffronstack.engine.calls import Call, FinalStatus
+from saffronstack.routing.events import AttemptOutcome, PriorAttempt, Result
+
+NEVER_EXECUTED = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
+
+
+@dataclass(eq=False, slots=True)
+class OpenCall:
+    """A call with its attempts; used by the decision thread alone.
+
+    Attributes:
+        call: The call.
+        attempts_in_flight: Attempts without a result, by their index.
+        attempts: Number of attempts so far.
+        prior_attempt: The first attempt that has ended and may have executed.
+        router_knows_disconnect: Whether the router was notified that the client has gone.
+    """
+
+    call: Call
+    attempts_in_flight: dict[int, PriorAttempt] = field(default_factory=dict)
+    attempts: int = 0
+    prior_attempt: PriorAttempt | None = None
+    router_knows_disconnect: bool = False
+
+    def start_attempt(self, worker_id: int, now: float) -> int:
+        """Note an attempt that is sent now, and return its index."""
+        attempt = self.attempts
+        self.attempts += 1
+        self.attempts_in_flight[attempt] = PriorAttempt(worker_id, now)
+        return attempt
+
+    def end_attempt(self, outcome: AttemptOutcome, now: float) -> None:
+        """Note the result of an attempt."""
+        ended = self.attempts_in_flight.pop(outcome.attempt, None)
+        if self.prior_attempt is None and outcome.result not in NEVER_EXECUTED:
+            self.prior_attempt = PriorAttempt(outcome.worker_id, now) if ended is None else ended
+
+    def possibly_executed_attempt(self) -> PriorAttempt | None:
+        """Return the first attempt that may have executed; one in flight may have."""
+        if self.prior_attempt is None and self.attempts_in_flight:
+            return self.attempts_in_flight[min(self.attempts_in_flight)]
+        return self.prior_attempt
+
+    @property
+    def is_over(self) -> bool:
+        """Whether nothing more can happen to the call.
+
+        A call whose client has disconnected is over only when the router knows it: until then the router may
+        start further attempts, which the worker's thread withdraws before their first byte.
+        """
+        if self.attempts_in_flight or not self.call.is_finished:
+            return False
+        final_answer = self.call.final_answer
+        return (
+            self.router_knows_disconnect
+            or final_answer is None
+            or final_answer.status is not FinalStatus.CLIENT_DISCONNECTED
+        )
+
+
+class OpenCalls:
+    """The open calls by number; changed by the decision thread alone, counted by any thread."""
+
+    def __init__(self) -> None:
+        self._calls: dict[int, OpenCall] = {}
+
+    def __len__(self) -> int:
+        return len(self._calls)
+
+    def __contains__(self, number: int) -> bool:
+        return number in self._calls
+
+    def add(self, call: Call) -> None:
+        """Add a call that has arrived."""
+        self._calls[call.number] = OpenCall(call, prior_attempt=call.prior_attempt)
+
+    def __getitem__(self, number: int) -> OpenCall:
+        return self._calls[number]
+
+    def get(self, number: int) -> OpenCall | None:
+        """Return the open call with this number, if there is one."""
+        return self._calls.get(number)
+
+    def remove_if_over(self, open_call: OpenCall) -> None:
+        """Forget a call to which nothing more can happen."""
+        if open_call.is_over:
+            self._calls.pop(open_call.call.number, None)
+
+    def remove_all(self) -> list[OpenCall]:
+        """Forget all calls and return them."""
+        removed = list(self._calls.values())
+        self._calls.clear()
+        return removed
--- /dev/null
+++ b/saffronstack/engine/recent_functions.py
@@ -0,0 +1,29 @@
+"""The functions that were called last, for load commands that name a function by its number."""
+
+from __future__ import annotations
+
+from saffronstack.engine.calls import FunctionSpec
+
+MAX_FUNCTIONS = 4096  # bounds the memory where clients call ever new functions
+
+
+class RecentFunctions:
+    """At most `MAX_FUNCTIONS` functions; the one that was called longest ago is forgotten first."""
+
+    def __init__(self) -> None:
+        self._functions: dict[int, FunctionSpec] = {}
+
+    def __len__(self) -> int:
+        return len(self._functions)
+
+    def add(self, function: FunctionSpec) -> None:
+        """Remember a function that is called now."""
+        functions = self._functions
+        functions.pop(function.number, None)
+        functions[function.number] = function
+        if len(functions) > MAX_FUNCTIONS:
+            del functions[next(iter(functions))]
+
+    def get(self, number: int) -> FunctionSpec | None:
+        """Return the function with this number, if it is known."""
+        return self._functions.get(number)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -167,14 +167,14 @@
 def test_a_failing_decision_costs_only_its_call(monkeypatch: pytest.MonkeyPatch) -> None:
     engine, _ = started([])
     bad, good = make(engine, SAFE, 0.05), make(engine, SAFE)
-    handle = engine._router.handle
+    handle = engine._loop.router.handle
 
     def failing(now: float, event: Event) -> list[Action]:
         if isinstance(event, Request) and event.request_id == bad.number:
             raise RuntimeError("a fault in the module")
         return handle(now, event)
 
-    monkeypatch.setattr(engine._router, "handle", failing)
+    monkeypatch.setattr(engine._loop.router, "handle", failing)
     engine.submit(bad)
     engine.submit(good)
     for call, ending in ((good, FinalStatus.SERVED), (bad, FinalStatus.REJECTED)):
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -244,15 +244,15 @@
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
-        self.queue: Any = engine._queue
+        self.queue: Any = engine._messages
         self.stopper = threading.Thread(target=engine.stop)
 
     def put(self, item: object) -> None:
         if isinstance(item, Call):
             self.stopper.start()
-            lock = getattr(self.engine, "_submitting", None)
+            lock = getattr(self.engine, "_submit_lock", None)
             if lock is None or not lock.locked():  # taking a call and stopping are not one step
-                assert self.engine._stopped.wait(WAIT_S)
+                assert self.engine._loop.stopped.wait(WAIT_S)
         self.queue.put(item)
 
     def __getattr__(self, name: str) -> Any:
@@ -270,11 +270,11 @@
     engine = Engine(settings(), 1, lambda: 100.0)
     engine.start(NoWorkers())
     interposed = Interposed(engine)
-    engine._queue = interposed  # type: ignore[assignment]
+    engine._messages = interposed  # type: ignore[assignment]
     call = Call(1, "0" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0)
     taken = engine.submit(call)
     interposed.stopper.join(WAIT_S)
-    assert engine._stopped.is_set()
+    assert engine._loop.stopped.is_set()
     assert taken and call.is_finished
     assert not engine.submit(Call(2, "1" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -350,7 +350,7 @@
     host = ScriptedHost()
     directory = Directory(Entry("s-0", host.address))
     with gateway(directory) as service:
-        router, engine = service.engine._router, service.engine
+        router, engine = service.engine._loop.router, service.engine
 
         def known() -> int:
             tables: list[Any] = [router.workers, router.functions, router.counts, router.holdings]
@@ -381,7 +381,7 @@
         engine.inspect(sweep)  # on the thread that owns it
         assert swept.wait(WAIT_S)
         assert len(router.functions) == 0 and len(router.workers) <= 2
-        assert known() <= 20 and len(engine._functions) <= 4096
+        assert known() <= 20 and len(engine._loop.state.functions) <= 4096
 
 
 def _listed(entry: Entry) -> Any:
