--- a/saffronstack/cli/main.py
+++ b/saffronstack/cli/main.py
@@ -9,7 +9,8 @@
 
 from saffronstack import config as configs
 from saffronstack.cli.groups import fleet_group, rollout_group
-from saffronstack.engine.decision_record import DecisionRecordError, replay
+from saffronstack.engine.decision_record_stream import DecisionRecordError
+from saffronstack.engine.decision_replay import replay_decisions
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
@@ -120,11 +121,11 @@
 def replay_command(path: str) -> None:
     """Feed a record of decisions to a fresh module; fails at the first decision that differs."""
     try:
-        events, actions = replay(path)
+        replayed = replay_decisions(path)
     except (DecisionRecordError, OSError) as error:
         click.echo(f"{path}: {error}", err=True)
         sys.exit(1)
-    click.echo(f"{path}: {events} events, {actions} actions, all decided alike")
+    click.echo(f"{path}: {replayed.events} events, {replayed.actions} actions, all decided alike")
 
 
 @main.command()
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -15,7 +15,7 @@
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
 from saffronstack.durable.segments import Files
-from saffronstack.engine.decision_record import DecisionRecorder
+from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
--- /dev/null
+++ b/tests/engine/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of saffronstack/engine/, one file for each module."""
--- /dev/null
+++ b/tests/engine/test_open_calls.py
@@ -0,0 +1,84 @@
+"""An open call knows its attempts, and when nothing more can happen to it."""
+
+from __future__ import annotations
+
+import pytest
+
+from saffronstack.engine.calls import FinalAnswer, FinalStatus
+from saffronstack.engine.open_calls import NEVER_EXECUTED, OpenCall, OpenCalls
+from saffronstack.routing.events import AttemptOutcome, PriorAttempt, Result
+from tests.support.engine import new_call
+
+
+def outcome(attempt: int, result: Result) -> AttemptOutcome:
+    return AttemptOutcome(1, attempt, 7, result, 0.1)
+
+
+def test_attempts_are_counted_from_zero() -> None:
+    open_call = OpenCall(new_call(1))
+    assert [open_call.start_attempt(7, 1.0), open_call.start_attempt(8, 2.0)] == [0, 1]
+    assert open_call.attempts_in_flight == {0: PriorAttempt(7, 1.0), 1: PriorAttempt(8, 2.0)}
+
+
+def test_the_first_attempt_in_flight_may_have_executed() -> None:
+    open_call = OpenCall(new_call(1))
+    assert open_call.possibly_executed_attempt() is None
+    open_call.start_attempt(7, 1.0)
+    open_call.start_attempt(8, 2.0)
+    assert open_call.possibly_executed_attempt() == PriorAttempt(7, 1.0)
+
+
+@pytest.mark.parametrize("result", list(Result))
+def test_a_result_tells_whether_the_attempt_may_have_executed(result: Result) -> None:
+    open_call = OpenCall(new_call(1))
+    open_call.start_attempt(7, 1.0)
+    open_call.end_attempt(outcome(0, result), 3.0)
+    expected = None if result in NEVER_EXECUTED else PriorAttempt(7, 1.0)
+    assert open_call.possibly_executed_attempt() == expected
+    assert not open_call.attempts_in_flight
+
+
+def test_the_first_possibly_executed_attempt_stays_the_first() -> None:
+    open_call = OpenCall(new_call(1))
+    open_call.start_attempt(7, 1.0)
+    open_call.start_attempt(8, 2.0)
+    open_call.end_attempt(outcome(1, Result.RESET), 3.0)
+    open_call.end_attempt(outcome(0, Result.RESET), 4.0)
+    assert open_call.possibly_executed_attempt() == PriorAttempt(8, 2.0)
+
+
+def test_a_call_is_over_once_it_is_finished_and_no_attempt_is_in_flight() -> None:
+    open_call = OpenCall(new_call(1))
+    assert not open_call.is_over
+    open_call.start_attempt(7, 1.0)
+    open_call.call.finish(FinalAnswer(FinalStatus.SERVED))
+    assert not open_call.is_over
+    open_call.end_attempt(outcome(0, Result.OK), 2.0)
+    assert open_call.is_over
+
+
+def test_a_disconnected_call_is_over_once_the_router_knows() -> None:
+    open_call = OpenCall(new_call(1))
+    open_call.call.finish(FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
+    assert not open_call.is_over
+    open_call.router_knows_disconnect = True
+    assert open_call.is_over
+
+
+def test_only_calls_that_are_over_are_removed() -> None:
+    open_calls = OpenCalls()
+    open_calls.add(new_call(1))
+    open_calls.add(new_call(2))
+    open_calls[1].call.finish(FinalAnswer(FinalStatus.SERVED))
+    for number in (1, 2):
+        open_calls.remove_if_over(open_calls[number])
+    assert 1 not in open_calls
+    assert 2 in open_calls
+    assert [open_call.call.number for open_call in open_calls.remove_all()] == [2]
+    assert len(open_calls) == 0
+
+
+def test_a_resumed_call_keeps_its_prior_attempt() -> None:
+    open_calls = OpenCalls()
+    open_calls.add(new_call(1, prior_attempt=PriorAttempt(3, 0.5)))
+    assert open_calls[1].possibly_executed_attempt() == PriorAttempt(3, 0.5)
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -11,10 +11,11 @@
 import zstandard
 
 from saffronstack import Settings
-from saffronstack.engine import decision_record as record
 from saffronstack.engine import decision_record_format as record_format
-from saffronstack.engine.decision_record import DecisionRecorder, replay
 from saffronstack.engine.decision_record_format import action_from_tagged, event_from_tagged, from_stored
+from saffronstack.engine.decision_record_stream import read_values
+from saffronstack.engine.decision_recorder import DecisionRecorder
+from saffronstack.engine.decision_replay import ReplayResult, replay_decisions
 
 DATA = pathlib.Path(__file__).parent / "data" / "decision_record"
 RECORDS = sorted(path.name for path in DATA.glob("*.record"))
@@ -85,14 +86,14 @@
 @pytest.mark.parametrize("name", RECORDS)
 def test_the_product_reads_the_same_values(name: str) -> None:
     with (DATA / name).open("rb") as file:
-        assert list(record._values(file)) == raw_values(DATA / name)
+        assert list(read_values(file)) == raw_values(DATA / name)
 
 
 def test_a_record_of_real_decisions_replays() -> None:
     decisions = decoded_values("replayable.record")[1:]
     events, actions = len(decisions), sum(len(recorded) for _, _, recorded in decisions)
     assert events > 300 and actions > 300
-    assert replay(str(DATA / "replayable.record")) == (events, actions)
+    assert replay_decisions(str(DATA / "replayable.record")) == ReplayResult(events, actions)
 
 
 def test_the_kept_record_holds_every_kind_of_event_and_action() -> None:
