--- a/saffronstack/engine/action_executor.py
+++ b/saffronstack/engine/action_executor.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 
 from saffronstack.engine.call_finisher import CallFinisher
-from saffronstack.engine.calls import CommandResult, Dispatcher, FinalStatus
+from saffronstack.engine.calls import FinalStatus
+from saffronstack.engine.dispatch import CommandResult, Dispatcher
 from saffronstack.engine.engine_state import EngineState
 from saffronstack.routing.actions import (
     Action,
--- a/saffronstack/engine/decision_loop.py
+++ b/saffronstack/engine/decision_loop.py
@@ -9,15 +9,8 @@
 from saffronstack.choice import Router
 from saffronstack.engine.action_executor import ActionExecutor
 from saffronstack.engine.call_finisher import SHUTDOWN_REASON, CallFinisher
-from saffronstack.engine.calls import (
-    AttemptResult,
-    Call,
-    CommandResult,
-    Dispatcher,
-    FinalAnswer,
-    FinalStatus,
-    WorkerObservation,
-)
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, Dispatcher, WorkerObservation
 from saffronstack.engine.engine_state import CallNumber, EngineState
 from saffronstack.engine.messages import (
     DecisionSink,
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -8,8 +8,9 @@
 from itertools import count
 
 from saffronstack.choice import Router
-from saffronstack.engine.calls import Call, Dispatcher, FinalAnswer, FinalStatus
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.decision_loop import DecisionLoop
+from saffronstack.engine.dispatch import Dispatcher
 from saffronstack.engine.engine_statistics import EngineStatistics
 from saffronstack.engine.messages import (
     DecisionSink,
--- a/saffronstack/engine/messages.py
+++ b/saffronstack/engine/messages.py
@@ -7,7 +7,8 @@
 from typing import Protocol
 
 from saffronstack.choice import Router
-from saffronstack.engine.calls import AttemptResult, Call, CommandResult, WorkerObservation
+from saffronstack.engine.calls import Call
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.actions import Action
 from saffronstack.routing.events import ClientDisconnected, Event
--- a/saffronstack/engine/worker_registry.py
+++ b/saffronstack/engine/worker_registry.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from saffronstack.engine.calls import WorkerObservation
+from saffronstack.engine.dispatch import WorkerObservation
 from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, WorkerEndpoint, WorkerState
 
 EARLIEST_START_S = 1e-6  # the router takes a start time of 0 for "long ago"
--- a/saffronstack/hosts/dispatcher.py
+++ b/saffronstack/hosts/dispatcher.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable, Iterable
 from itertools import count
 
-from saffronstack.engine.calls import AttemptResult, Call, CommandResult, FunctionSpec, WorkerObservation
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
 from saffronstack.hosts.deadlines import Deadlines
--- a/saffronstack/hosts/items.py
+++ b/saffronstack/hosts/items.py
@@ -5,16 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from saffronstack.engine.calls import (
-    AttemptResult,
-    Call,
-    CommandResult,
-    FinalAnswer,
-    FinalStatus,
-    FunctionSpec,
-    WorkerObservation,
-    WorkerResponse,
-)
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation, WorkerResponse
 from saffronstack.hosts import codec
 from saffronstack.net.write_buffer import OutgoingMessage, Sent
 from saffronstack.routing.events import AttemptOutcome, CacheStatus, LoadReport, Result
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -18,7 +18,7 @@
 from saffronstack.durable.journal import Codec, Journal, JournalError, Ticket, read_back
 from saffronstack.durable.runs import RunDamagedError
 from saffronstack.durable.segments import Files
-from saffronstack.engine.calls import AttemptResult
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.metering.account import Account, Bounds
--- a/saffronstack/workers/fleet.py
+++ b/saffronstack/workers/fleet.py
@@ -6,7 +6,8 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from saffronstack.engine.calls import AttemptResult, Call, CommandResult, FunctionSpec
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import AttemptOutcome, Result
 from saffronstack.workers.pool import AttemptJob, Heed, OrderJob, PoolLimits, Tell, UsageJob, WorkerPool
--- a/saffronstack/workers/pool.py
+++ b/saffronstack/workers/pool.py
@@ -11,15 +11,8 @@
 
 import structlog
 
-from saffronstack.engine.calls import (
-    AttemptResult,
-    Call,
-    CommandResult,
-    FinalAnswer,
-    FinalStatus,
-    FunctionSpec,
-    WorkerObservation,
-)
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.http1.messages import HttpError, Limits, ResponseHead
 from saffronstack.http1.reader import MessageReader
--- a/saffronstack/workers/protocol.py
+++ b/saffronstack/workers/protocol.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 from urllib.parse import quote
 
-from saffronstack.engine.calls import Call, FunctionSpec, WorkerResponse
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import WorkerResponse
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import Headers, ResponseHead
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
--- a/tests/engine/test_action_executor.py
+++ b/tests/engine/test_action_executor.py
@@ -9,7 +9,8 @@
 
 from saffronstack.engine.action_executor import ActionExecutor
 from saffronstack.engine.call_finisher import CallFinisher
-from saffronstack.engine.calls import Call, CommandResult, FinalStatus, FunctionSpec
+from saffronstack.engine.calls import Call, FinalStatus, FunctionSpec
+from saffronstack.engine.dispatch import CommandResult
 from saffronstack.engine.engine_state import EngineState
 from saffronstack.routing.actions import (
     Action,
--- a/tests/engine/test_decision_records.py
+++ b/tests/engine/test_decision_records.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from saffronstack.engine.calls import CommandResult, WorkerObservation
 from saffronstack.engine.decision_record_stream import DecisionRecordError
 from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.engine.decision_replay import replay_decisions
+from saffronstack.engine.dispatch import CommandResult, WorkerObservation
 from saffronstack.routing.actions import Reject
 from saffronstack.routing.events import Result, TimerFired
 from tests.helpers import settings
--- a/tests/engine/test_worker_registry.py
+++ b/tests/engine/test_worker_registry.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from saffronstack.engine.calls import WorkerObservation
+from saffronstack.engine.dispatch import WorkerObservation
 from saffronstack.engine.worker_registry import WorkerRegistry, WorkerSpec
 from saffronstack.routing.events import EndpointUpdateKind, WorkerState
 from tests.support.engine import WORKERS
--- a/tests/support/engine.py
+++ b/tests/support/engine.py
@@ -4,14 +4,8 @@
 
 import time
 
-from saffronstack.engine.calls import (
-    AttemptResult,
-    Call,
-    FinalAnswer,
-    FinalStatus,
-    FunctionSpec,
-    WorkerResponse,
-)
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, WorkerResponse
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.messages import DecisionSink
 from saffronstack.engine.worker_registry import WorkerSpec
--- a/tests/test_platform_links.py
+++ b/tests/test_platform_links.py
@@ -11,7 +11,8 @@
 import pytest
 
 from saffronstack.choice import Router
-from saffronstack.engine.calls import AttemptResult, Call, FinalAnswer, FinalStatus, FunctionSpec
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
 from saffronstack.hosts.dispatcher import HostDispatcher
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -11,7 +11,8 @@
 
 import pytest
 
-from saffronstack.engine.calls import AttemptResult, Call, CommandResult, FunctionSpec, WorkerObservation
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import CacheStatus, Result
 from saffronstack.workers.fleet import Fleet
