--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -130,8 +130,8 @@
         changed = tuple(specs)
         self._messages.put(EndpointChange(changed[:MAX_WORKERS_PER_UPDATE], tuple(removed), unix_s))
         for start in range(MAX_WORKERS_PER_UPDATE, len(changed), MAX_WORKERS_PER_UPDATE):
-            part = changed[start : start + MAX_WORKERS_PER_UPDATE]
-            self._messages.put(EndpointChange(part, (), unix_s))
+            chunk = changed[start : start + MAX_WORKERS_PER_UPDATE]
+            self._messages.put(EndpointChange(chunk, (), unix_s))
 
     @property
     def statistics(self) -> EngineStatistics:
