--- a/saffronstack/engine/decision_loop.py
+++ b/saffronstack/engine/decision_loop.py
@@ -6,7 +6,6 @@
 import threading
 from collections.abc import Callable
 
-from saffronstack.choice import Router
 from saffronstack.engine.action_executor import ActionExecutor
 from saffronstack.engine.call_finisher import SHUTDOWN_REASON, CallFinisher
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
@@ -30,6 +29,7 @@
     Result,
     TimerFired,
 )
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import Settings
 from saffronstack.runtime.logs import Logger
 
--- a/saffronstack/engine/decision_replay.py
+++ b/saffronstack/engine/decision_replay.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from saffronstack.choice import Router
 from saffronstack.engine.decision_record_format import action_from_tagged, event_from_tagged, from_stored
 from saffronstack.engine.decision_record_stream import VERSION, DecisionRecordError, read_values
 from saffronstack.routing.actions import Action
 from saffronstack.routing.events import Event
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import Settings
 
 Parsed = TypeVar("Parsed")
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -7,7 +7,6 @@
 from functools import partial
 from itertools import count
 
-from saffronstack.choice import Router
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.decision_loop import DecisionLoop
 from saffronstack.engine.dispatch import Dispatcher
@@ -22,6 +21,7 @@
 )
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import ClientDisconnected
+from saffronstack.routing.router import Router
 from saffronstack.routing.settings import Settings
 from saffronstack.runtime.logs import KeyValueLogger, Logger
 from saffronstack.runtime.threads import start_thread
--- a/saffronstack/engine/messages.py
+++ b/saffronstack/engine/messages.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from saffronstack.choice import Router
 from saffronstack.engine.calls import Call
 from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.actions import Action
 from saffronstack.routing.events import ClientDisconnected, Event
+from saffronstack.routing.router import Router
 
 
 @dataclass(frozen=True, slots=True)
