--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -16,7 +16,7 @@
 from saffronstack.daemon.errors import StartupError
 from saffronstack.daemon.heartbeat_monitor import STOPPED_TIMEOUT_S, HeartbeatMonitor
 from saffronstack.daemon.restart_backoff import RestartBackoff
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 STARTUP_TIMEOUT_S = 30.0
 FAILED_STARTUP_STOP_S = 2.0  # for the other processes to end when one did not start
@@ -158,7 +158,7 @@
         supervised.restart_at_s = None
         self._monitor.process_started(supervised.index)
         lines: queue.SimpleQueue[bytes] = queue.SimpleQueue()
-        spawn("member-lines", lambda: self._read_lines(supervised, process, lines))
+        start_thread("member-lines", lambda: self._read_lines(supervised, process, lines))
         return lines
 
     def _read_lines(
--- a/saffronstack/fleet/control/process_launcher.py
+++ b/saffronstack/fleet/control/process_launcher.py
@@ -13,7 +13,7 @@
 
 from saffronstack.daemon.listener_handover import OWNER_VARIABLE
 from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 # Lines that `saffronstack serve --standby` writes, by what they contain.
 PREPARED_LINE, SERVING_LINE = "prepared", "takes calls"
@@ -86,8 +86,8 @@
     process = GatewayProcess(child.pid, spec.release, os.pidfd_open(child.pid), child)
     assert child.stdout is not None
     output = child.stdout
-    spawn("gateway-output", lambda: _report_output(spec, output, report))
-    spawn("gateway-end", lambda: report_end(spec.gateway, spec.incarnation, process, report))
+    start_thread("gateway-output", lambda: _report_output(spec, output, report))
+    start_thread("gateway-end", lambda: report_end(spec.gateway, spec.incarnation, process, report))
     return process
 
 
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -18,7 +18,7 @@
 from saffronstack.http1.messages import HttpError, Limits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 HTTP_LIMITS = Limits(body=4 * 1024 * 1024)
 MAX_BATCH = 256  # messages in one envelope
@@ -130,7 +130,7 @@
 
     def start(self) -> None:
         """Start the sending thread."""
-        spawn(f"lease-link-{self.server}", self._run)
+        start_thread(f"lease-link-{self.server}", self._run)
 
     def stop(self, flush_s: float = 0.0) -> None:
         """Stop the threads, after what is in the outbox had ``flush_s`` seconds to be sent."""
@@ -162,7 +162,7 @@
                 return
             self._is_polling = True
         try:
-            spawn(f"lease-poll-{self.server}", self._poll)
+            start_thread(f"lease-poll-{self.server}", self._poll)
         except RuntimeError:  # no more threads: the candidate prepares now and then all the same
             with self._lock:
                 self._is_polling = False
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -19,7 +19,7 @@
     TaskState,
 )
 from saffronstack.fleet.tasks.task import Task
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.tasks")
 LEASE_WAIT_S = 5.0  # for one attempt to acquire the lease
@@ -95,7 +95,7 @@
 
     def start(self) -> None:
         """Start the deciding thread."""
-        self._thread = spawn(f"task-{self.name}", self._run_loop)
+        self._thread = start_thread(f"task-{self.name}", self._run_loop)
 
     def stop(self, timeout_s: float = 10.0) -> bool:
         """Cancel the run, release the lease and wait for both.
@@ -170,7 +170,7 @@
         run = _LeasedRun(action.run_number, action.token, self._lease)
         with self._reported:
             self._current_run = run
-        spawn(f"run-{self.name}", lambda: self._execute(run))
+        start_thread(f"run-{self.name}", lambda: self._execute(run))
 
     def _cancel_run(self, reason: str) -> None:
         log.warning("task run cancelled", task=self.name, reason=reason)
--- a/tests/daemon/test_http_exchange.py
+++ b/tests/daemon/test_http_exchange.py
@@ -11,7 +11,7 @@
 from saffronstack.daemon.errors import NoAnswerError, NotSentError
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 REQUEST = writer.request("GET", "/status", [])
 TIMEOUT_S = 10.0
@@ -36,7 +36,7 @@
             connection.recv(65536)
             connection.sendall(response)
 
-    spawn("respond-once", respond)
+    start_thread("respond-once", respond)
 
 
 def test_a_response_is_returned_with_head_and_body(listener: socket.socket) -> None:
--- a/tests/daemon/test_stopped_process.py
+++ b/tests/daemon/test_stopped_process.py
@@ -12,7 +12,7 @@
 
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from tests.support.stack import Stack, eventually
 from tests.support.supervised import PROCESSES, process_status, supervised
@@ -37,7 +37,7 @@
         self._address = address
         self._ending = threading.Event()
         self._threads = [
-            spawn("caller", lambda n=n: self._run(("identify-copy", "record-sale")[n % 2]))  # type: ignore[misc]
+            start_thread("caller", lambda n=n: self._run(("identify-copy", "record-sale")[n % 2]))  # type: ignore[misc]
             for n in range(CLIENTS)
         ]
 
