--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -21,8 +21,10 @@
 choice routing/settings routing/events routing/actions routing/validation
 engine/engine engine/calls engine/timers engine/worker_registry resp/reader resp/frames
 platform/calls platform/connection platform/eviction platform/front platform/identifiers
-upstream/multiplexed/exchange upstream/multiplexed/connection upstream/multiplexed/connection_pool
-upstream/multiplexed/dispatcher upstream/multiplexed/deadlines net/write_buffer net/read_loop
+upstream/deadlines upstream/events upstream/pool_registry upstream/multiplexed/exchange
+upstream/multiplexed/in_flight upstream/multiplexed/line_reader upstream/multiplexed/connection
+upstream/multiplexed/connection_budget upstream/multiplexed/connection_pool upstream/multiplexed/dispatcher
+net/write_buffer net/read_loop
 """
 MODULES = [f"saffronstack/{name}.py" for name in NAMES.split()]
 MYPY = "mypy>=1.8,<3"
--- a/saffronstack/net/read_loop.py
+++ b/saffronstack/net/read_loop.py
@@ -1,7 +1,8 @@
-"""Reads without a thread for each socket: one thread waits for all and reads what has come.
+"""Reads for many sockets on one thread, which waits for all of them.
 
-What a thread costs is the machine's: hundreds of gateways with dozens of links each met its 32,768 process
-numbers. A socket that mostly waits needs no thread to wait on."""
+A thread for each socket would meet the machine's bound on threads: hundreds of gateways with dozens of
+connections each had used up its 32,768 process numbers.
+"""
 
 from __future__ import annotations
 
@@ -15,111 +16,117 @@
 from saffronstack.runtime.logs import Log
 from saffronstack.runtime.threads import spawn
 
-LOOK_S = 1.0  # how often every socket is looked at, come what may
+TICK_S = 1.0  # how often every handler's `on_tick` is called
+STOP_TIMEOUT_S = 2.0
+READ_BYTES = 8 * 1024
 
 
 class ReadHandler(Protocol):
-    """A connected socket as the reader sees it; all but `fileno` on the reader's thread alone."""
+    """A connected socket as the read loop sees it; all but `fileno` run on the loop's thread alone."""
 
     def fileno(self) -> int:
-        """The socket's; it stays open until `on_end`."""
+        """Return the socket's descriptor, which stays open until `on_released`."""
         ...
 
     def on_readable(self, buffer: bytearray, view: memoryview) -> bool:
-        """Take what has come, once and without waiting; False where it is over. All share the buffer."""
+        """Read once, without blocking, into a buffer that all handlers share; return False at the end."""
         ...
 
-    def on_tick(self, now: float) -> bool:
-        """Asked each second; False where it is over."""
+    def on_tick(self, now_s: float) -> bool:
+        """Return False where the socket is to be released; called each second."""
         ...
 
-    def on_end(self) -> None:
-        """The reader has let go of it: it may be closed."""
+    def on_released(self) -> None:
+        """Clean up: the loop does not use the socket any more, which may be closed."""
         ...
 
 
 class ReadLoop:
-    """One thread that reads for every handler handed to it, until it is over."""
+    """One thread that reads for every watched handler until it is released."""
 
-    def __init__(self, clock: Callable[[], float], log: Log, read_bytes: int = 8 * 1024) -> None:
+    def __init__(self, clock: Callable[[], float], log: Log, read_bytes: int = READ_BYTES) -> None:
+        """Create a loop that reads up to ``read_bytes`` at once."""
         self._clock = clock
         self._log = log
         self._read_bytes = read_bytes
-        self._lock = threading.Lock()
-        self._new: list[ReadHandler] = []
-        self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self._stopping = False
-        self._runner: threading.Thread | None = None
+        self._lock = threading.Lock()  # guards the new handlers, and the descriptor against its reuse
+        self._new_handlers: list[ReadHandler] = []
+        self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self._is_stopping = False
+        self._loop_thread: threading.Thread | None = None  # `_thread` would not compile: a keyword of C
 
     def start(self) -> None:
-        """Start its thread."""
-        self._runner = spawn("reader", self._run)
+        """Start the thread."""
+        self._loop_thread = spawn("reader", self._run)
 
-    def stop(self, timeout_s: float = 2.0) -> bool:
-        """End it, and with it all that it holds; whether it ended in time."""
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
+        """Stop the thread and release every handler; return whether it ended within ``timeout_s`` seconds."""
         with self._lock:
-            self._stopping = True
+            self._is_stopping = True
             with contextlib.suppress(OSError):
-                if self._wake >= 0:
-                    os.eventfd_write(self._wake, 1)
-        if self._runner is None:
+                if self._wake_fd >= 0:
+                    os.eventfd_write(self._wake_fd, 1)
+        if self._loop_thread is None:
             return True
-        self._runner.join(timeout_s)
-        return not self._runner.is_alive()
+        self._loop_thread.join(timeout_s)
+        return not self._loop_thread.is_alive()
 
     def watch(self, handler: ReadHandler) -> bool:
-        """Read for it until it is over. False: the reader has stopped, the caller ends it."""
+        """Read for a handler until it is released; return False where the loop was stopped."""
         with self._lock:
-            if self._stopping:
+            if self._is_stopping:
                 return False
-            self._new.append(handler)
-            os.eventfd_write(self._wake, 1)
+            self._new_handlers.append(handler)
+            os.eventfd_write(self._wake_fd, 1)
             return True
 
     def _run(self) -> None:
         poll = select.poll()
-        poll.register(self._wake, select.POLLIN)
-        held: dict[int, ReadHandler] = {}
+        poll.register(self._wake_fd, select.POLLIN)
+        handlers: dict[int, ReadHandler] = {}
         buffer = bytearray(self._read_bytes)
         view = memoryview(buffer)
-        looked_s = self._clock()
-        while not self._stopping:
-            for fd, _ in poll.poll(LOOK_S * 1000):
-                if fd == self._wake:
-                    with contextlib.suppress(OSError):
-                        os.eventfd_read(self._wake)
-                elif fd in held and not self._read(held[fd], buffer, view):
-                    self._let_go(poll, held, fd)
-            with self._lock:
-                new, self._new = self._new, []
-            for handler in new:
-                held[handler.fileno()] = handler
-                poll.register(handler.fileno(), select.POLLIN)
-            now = self._clock()
-            if now - looked_s >= LOOK_S:
-                looked_s = now
-                for fd in [fd for fd, handler in held.items() if not handler.on_tick(now)]:
-                    self._let_go(poll, held, fd)
+        ticked_s = self._clock()
+        while not self._is_stopping:
+            for fd, _ in poll.poll(TICK_S * 1000):
+                if fd == self._wake_fd:
+                    with contextlib.suppress(OSError):  # another wake-up was read with this one
+                        os.eventfd_read(self._wake_fd)
+                elif fd in handlers and not self._read(handlers[fd], buffer, view):
+                    self._release(poll, handlers, fd)
+            self._add_new(poll, handlers)
+            now_s = self._clock()
+            if now_s - ticked_s >= TICK_S:
+                ticked_s = now_s
+                for fd in [fd for fd, handler in handlers.items() if not handler.on_tick(now_s)]:
+                    self._release(poll, handlers, fd)
         with self._lock:
-            left = [*held.values(), *self._new]
-            os.close(self._wake)
-            self._wake = -1
-        for handler in left:
-            self._end(handler)
+            remaining = [*handlers.values(), *self._new_handlers]
+            os.close(self._wake_fd)
+            self._wake_fd = -1
+        for handler in remaining:
+            self._notify_released(handler)
 
-    def _let_go(self, poll: select.poll, held: dict[int, ReadHandler], fd: int) -> None:
-        poll.unregister(fd)  # before it is closed: its number may be another's at once
-        self._end(held.pop(fd))
+    def _add_new(self, poll: select.poll, handlers: dict[int, ReadHandler]) -> None:
+        with self._lock:
+            new_handlers, self._new_handlers = self._new_handlers, []
+        for handler in new_handlers:
+            handlers[handler.fileno()] = handler
+            poll.register(handler.fileno(), select.POLLIN)
+
+    def _release(self, poll: select.poll, handlers: dict[int, ReadHandler], fd: int) -> None:
+        poll.unregister(fd)  # before it is closed: its number may be another socket's at once
+        self._notify_released(handlers.pop(fd))
 
     def _read(self, handler: ReadHandler, buffer: bytearray, view: memoryview) -> bool:
         try:
             return handler.on_readable(buffer, view)
-        except Exception:  # the others go on: all answers pass here
+        except Exception:  # a fault of one handler must not stop the others
             self._log.exception("reading a socket failed")
             return False
 
-    def _end(self, handler: ReadHandler) -> None:
+    def _notify_released(self, handler: ReadHandler) -> None:
         try:
-            handler.on_end()
-        except Exception:
-            self._log.exception("ending a socket failed")
+            handler.on_released()
+        except Exception:  # a fault of one handler must not stop the others
+            self._log.exception("releasing a socket failed")
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -1,4 +1,7 @@
-"""Writes that never wait: what a socket does not take at once goes to a bounded outbox with one writer."""
+"""Writes that never block: what a socket does not take at once waits in a bounded buffer.
+
+One thread, the write loop, empties the buffers of all sockets.
+"""
 
 from __future__ import annotations
 
@@ -14,39 +17,47 @@
 
 from saffronstack.runtime.threads import spawn
 
-LOOK_S = 0.25  # how often the writer looks for sockets that take nothing, while there are any
-IDLE_S = 5.0  # how often it looks up without any
+STALL_CHECK_S = 0.25  # how often the write loop looks for sockets that take nothing, while it watches any
+IDLE_WAIT_S = 5.0  # how long it waits at most while it watches none
+STOP_TIMEOUT_S = 2.0
 
 
-class Sent(Enum):
-    """How much of a message has left."""
+class SendProgress(Enum):
+    """How much of a message the socket has taken."""
 
     NOTHING = 0
-    PART = 1
-    WHOLE = 2
+    PARTIAL = 1
+    COMPLETE = 2
 
 
 class OutgoingMessage:
-    """Bytes that leave in one run, after what was put in before."""
+    """Bytes that are sent in one run, after those of earlier messages."""
 
-    __slots__ = ("data", "sent", "size")
+    __slots__ = ("data", "progress", "size")
 
     def __init__(self, data: bytes, size: int | None = None) -> None:
-        """``size``: what it counts for in an outbox, where its bytes are known only once they leave."""
+        """Create a message.
+
+        Args:
+            data: Its bytes.
+            size: What it counts for in a write buffer, where ``data`` is known only once it is sent.
+        """
         self.data = data
         self.size = len(data) if size is None else size
-        self.sent = Sent.NOTHING
+        self.progress = SendProgress.NOTHING
 
-    def may_start(self) -> bool:
-        """Asked right before the first byte: whether it may still leave. It must not wait, and may set
-        ``data`` to what is true at this moment."""
+    def prepare_to_send(self) -> bool:
+        """Return whether the message may still be sent; called right before its first byte is.
+
+        It must not block, and may set ``data`` to what is true at this moment.
+        """
         return True
 
     def on_blocked(self) -> None:
-        """It stood, but not one byte was taken: it is asked again later."""
+        """Note that it was prepared but not one byte was taken: it is prepared again later."""
 
     def on_dropped(self) -> None:
-        """It did not stand: no byte of it leaves."""
+        """Note that it was not to be sent any more: no byte of it is."""
 
 
 class WriteBuffer:
@@ -55,162 +66,181 @@
     def __init__(
         self,
         sock: socket.socket,
-        writer: WriteLoop,
+        write_loop: WriteLoop,
         max_bytes: int,
-        stall_s: float,
+        stall_timeout_s: float,
         clock: Callable[[], float],
     ) -> None:
-        """Over ``max_bytes`` in the outbox, or when nothing is taken for ``stall_s``, it breaks: the socket
-        is shut down, which its reader sees."""
+        """Create a buffer without messages.
+
+        Where more than ``max_bytes`` wait, or the peer takes nothing for ``stall_timeout_s`` seconds, it
+        breaks: the socket is shut down, which its reader sees.
+        """
         self._sock = sock
-        self._writer = writer
+        self._write_loop = write_loop
         self._max_bytes = max_bytes
-        self._stall_s = stall_s
+        self._stall_timeout_s = stall_timeout_s
         self._clock = clock
-        self._lock = threading.Lock()
+        self._lock = threading.Lock()  # guards all below, and orders the writes to the socket
         self._queue: deque[OutgoingMessage] = deque()
-        self._bytes = 0  # of all messages that wait, what has left of the first one included
-        self._taken_s = 0.0
-        self._at = 0  # bytes of the first message that have left
-        self.broken = False
+        self._queued_bytes = 0  # of all queued messages, what was sent of the first one included
+        self._last_progress_s = 0.0
+        self._sent_bytes = 0  # of the first message
+        self.is_broken = False
 
     def send(self, message: OutgoingMessage) -> bool:
-        """Send it, now or by the writer. False: the buffer is broken; ``message.sent`` says what has left."""
+        """Send a message, now or by the write loop.
+
+        Returns:
+            False where the buffer is broken; ``message.progress`` then says what was sent.
+        """
         with self._lock:
-            if self.broken:
+            if self.is_broken:
                 return False
             if self._queue:
-                if self._bytes - self._at + message.size > self._max_bytes:
+                if not self._has_room_for(message):
                     self._break()
                     return False
-                self._queue.append(message)
-                self._bytes += message.size
+                self._enqueue(message)
                 return True
-            if self._push(message):
+            if self._send_available(message):
                 return True
-            if self.broken:
+            if self.is_broken:
                 return False
-            if message.size - self._at > self._max_bytes:
+            if not self._has_room_for(message):
                 self._break()
                 return False
-            self._queue.append(message)
-            self._bytes += message.size
-            self._taken_s = self._clock()
-        self._writer.watch(self)
+            self._enqueue(message)
+            self._last_progress_s = self._clock()
+        self._write_loop.watch(self)
         return True
 
+    def _has_room_for(self, message: OutgoingMessage) -> bool:
+        return self._queued_bytes - self._sent_bytes + message.size <= self._max_bytes
+
+    def _enqueue(self, message: OutgoingMessage) -> None:
+        self._queue.append(message)
+        self._queued_bytes += message.size
+
     def flush(self) -> bool:
-        """Write what can be written; True where nothing is left to do (broken counts)."""
+        """Write what the socket takes; return True where nothing is left to do, or it is broken."""
         with self._lock:
-            while self._queue and not self.broken:
+            while self._queue and not self.is_broken:
                 message = self._queue[0]
-                before = self._at
-                done = self._push(message)
-                if done or self._at > before:
-                    self._taken_s = self._clock()
-                if not done:
+                sent_before = self._sent_bytes
+                is_done = self._send_available(message)
+                if is_done or self._sent_bytes > sent_before:
+                    self._last_progress_s = self._clock()
+                if not is_done:
                     break
                 self._queue.popleft()
-                self._bytes -= message.size
-            return self.broken or not self._queue
+                self._queued_bytes -= message.size
+            return self.is_broken or not self._queue
 
-    def _push(self, message: OutgoingMessage) -> bool:
-        """Try without waiting; True where nothing of it is left to write. The caller holds the lock."""
-        if message.sent is Sent.NOTHING and not message.may_start():
+    def _send_available(self, message: OutgoingMessage) -> bool:
+        """Send what the socket takes without blocking; the caller holds the lock.
+
+        Returns:
+            True where nothing of the message is left to send.
+        """
+        if message.progress is SendProgress.NOTHING and not message.prepare_to_send():
             message.on_dropped()
             return True
         data = message.data
+        remaining = memoryview(data)[self._sent_bytes :] if self._sent_bytes else data
         try:
-            sent = self._sock.send(memoryview(data)[self._at :] if self._at else data, socket.MSG_DONTWAIT)
+            sent = self._sock.send(remaining, socket.MSG_DONTWAIT)
         except BlockingIOError:
-            if message.sent is Sent.NOTHING:
+            if message.progress is SendProgress.NOTHING:
                 message.on_blocked()
             return False
-        except OSError:
+        except OSError:  # the peer has gone; whoever reads the socket reports why
             self._break()
             return False
-        self._at += sent
-        if self._at >= len(data):
-            self._at = 0
-            message.sent = Sent.WHOLE
+        self._sent_bytes += sent
+        if self._sent_bytes >= len(data):
+            self._sent_bytes = 0
+            message.progress = SendProgress.COMPLETE
             return True
-        message.sent = Sent.PART
+        message.progress = SendProgress.PARTIAL
         return False
 
-    def overdue(self) -> bool:
-        """Break it where the peer has taken nothing for too long; whether it is broken."""
+    def break_if_stalled(self) -> bool:
+        """Break it where the peer has taken nothing for too long; return whether it is broken."""
         with self._lock:
-            if self._queue and not self.broken and self._clock() - self._taken_s > self._stall_s:
+            is_waiting = bool(self._queue) and not self.is_broken
+            if is_waiting and self._clock() - self._last_progress_s > self._stall_timeout_s:
                 self._break()
-            return self.broken
+            return self.is_broken
 
     @property
-    def waiting(self) -> bool:
-        """Whether something has not left yet."""
-        return bool(self._queue) and not self.broken
+    def has_pending(self) -> bool:
+        """Whether some message was not sent completely yet."""
+        return bool(self._queue) and not self.is_broken
 
     def fileno(self) -> int:
-        """The socket's; -1 once closed."""
+        """Return the socket's descriptor, -1 once it is closed."""
         return self._sock.fileno()
 
-    def end(self) -> None:
-        """Nothing more leaves."""
+    def discard(self) -> None:
+        """Send nothing more; returns once a write that is under way has ended."""
         with self._lock:
-            self.broken = True
-            self._queue.clear()
-            self._bytes = 0
+            self._clear()
 
     def abort(self) -> None:
-        """Nothing more leaves, and the reader sees the end."""
+        """Send nothing more and shut the socket down, which its reader sees."""
         with self._lock:
             self._break()
 
     def _break(self) -> None:
-        self.broken = True
-        self._queue.clear()
-        self._bytes = 0
-        with contextlib.suppress(OSError):
+        self._clear()
+        with contextlib.suppress(OSError):  # closed already
             self._sock.shutdown(socket.SHUT_RDWR)
 
+    def _clear(self) -> None:
+        self.is_broken = True
+        self._queue.clear()
+        self._queued_bytes = 0
+
 
 class WriteLoop:
     """One thread that writes for every buffer whose socket was full."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._lock = threading.Lock()
-        self._new: list[WriteBuffer] = []
-        self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self._stopping = False
-        self._runner: threading.Thread | None = None
+        self._lock = threading.Lock()  # guards the new buffers, and the descriptor against its reuse
+        self._new_buffers: list[WriteBuffer] = []
+        self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self._is_stopping = False
+        self._loop_thread: threading.Thread | None = None  # `_thread` would not compile: a keyword of C
 
     def start(self) -> None:
-        """Start its thread."""
-        self._runner = spawn("writer", self._run)
+        """Start the thread."""
+        self._loop_thread = spawn("writer", self._run)
 
-    def stop(self, timeout_s: float = 2.0) -> bool:
-        """End it; whether it ended in time."""
-        self._stopping = True
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
+        """Stop the thread; return whether it ended within ``timeout_s`` seconds."""
+        self._is_stopping = True
         self._wake_up()
-        if self._runner is None:
+        if self._loop_thread is None:
             return True
-        self._runner.join(timeout_s)
-        return not self._runner.is_alive()
+        self._loop_thread.join(timeout_s)
+        return not self._loop_thread.is_alive()
 
     def watch(self, buffer: WriteBuffer) -> None:
-        """Write for it until its outbox is empty."""
+        """Write for a buffer until it is empty or broken."""
         with self._lock:
-            self._new.append(buffer)
+            self._new_buffers.append(buffer)
         self._wake_up()
 
     def _wake_up(self) -> None:
         with self._lock, contextlib.suppress(OSError):
-            if self._wake >= 0:  # once closed, its number may be another file's
-                os.eventfd_write(self._wake, 1)
+            if self._wake_fd >= 0:  # once closed, its number may be another file's
+                os.eventfd_write(self._wake_fd, 1)
 
     @staticmethod
     def _flush(buffer: WriteBuffer) -> bool:
-        """As `WriteBuffer.flush`; a fault of a message ends its buffer alone: all answers pass here."""
+        """Flush a buffer; a fault of one of its messages breaks it alone, and not the loop."""
         try:
             return buffer.flush()
         except Exception:
@@ -220,35 +250,43 @@
 
     def _run(self) -> None:
         poll = select.epoll()
-        poll.register(self._wake, select.EPOLLIN)
+        poll.register(self._wake_fd, select.EPOLLIN)
         watched: dict[int, WriteBuffer] = {}
-        looked_s = self._clock()
-        while not self._stopping:
-            for fd, _ in poll.poll(LOOK_S if watched else IDLE_S):
-                if fd == self._wake:
-                    with contextlib.suppress(OSError):
-                        os.eventfd_read(self._wake)
+        checked_s = self._clock()
+        while not self._is_stopping:
+            for fd, _ in poll.poll(STALL_CHECK_S if watched else IDLE_WAIT_S):
+                if fd == self._wake_fd:
+                    with contextlib.suppress(OSError):  # another wake-up was read with this one
+                        os.eventfd_read(self._wake_fd)
                 elif fd in watched and self._flush(watched[fd]):
                     self._forget(poll, watched, fd)
-            with self._lock:
-                new, self._new = self._new, []
-            for buffer in new:
-                fd = buffer.fileno()
-                if fd >= 0 and not self._flush(buffer):
-                    watched[fd] = buffer  # one that had the number before is closed
-                    with contextlib.suppress(OSError):  # closed meanwhile: the next look forgets it
-                        poll.register(fd, select.EPOLLOUT)
-            # Not on each wake: a crowd of peers that take nothing would cost whoever else is written to.
-            now = self._clock()
-            if now - looked_s >= LOOK_S:
-                looked_s = now
-                for fd, buffer in list(watched.items()):
-                    if buffer.fileno() != fd or buffer.overdue():
-                        self._forget(poll, watched, fd)
+            self._add_new(poll, watched)
+            # Not on each wake-up: many peers that take nothing would slow down writing to all others.
+            now_s = self._clock()
+            if now_s - checked_s >= STALL_CHECK_S:
+                checked_s = now_s
+                self._break_stalled(poll, watched)
         poll.close()
         with self._lock:
-            os.close(self._wake)
-            self._wake = -1
+            os.close(self._wake_fd)
+            self._wake_fd = -1
+
+    def _add_new(self, poll: select.epoll, watched: dict[int, WriteBuffer]) -> None:
+        """Write for buffers that came since the last round, and watch those whose sockets are still full."""
+        with self._lock:
+            new_buffers, self._new_buffers = self._new_buffers, []
+        for buffer in new_buffers:
+            fd = buffer.fileno()
+            if fd >= 0 and not self._flush(buffer):
+                watched[fd] = buffer  # a buffer that had the number before is closed
+                with contextlib.suppress(OSError):  # closed meanwhile: the next check forgets it
+                    poll.register(fd, select.EPOLLOUT)
+
+    def _break_stalled(self, poll: select.epoll, watched: dict[int, WriteBuffer]) -> None:
+        """Break buffers whose peers take nothing, and forget those that are closed or broken."""
+        for fd, buffer in list(watched.items()):
+            if buffer.fileno() != fd or buffer.break_if_stalled():
+                self._forget(poll, watched, fd)
 
     @staticmethod
     def _forget(poll: select.epoll, watched: dict[int, WriteBuffer], fd: int) -> None:
--- a/saffronstack/platform/beliefs.py
+++ b/saffronstack/platform/beliefs.py
@@ -25,18 +25,18 @@
     """What the links to a host show."""
 
     name: str
-    closed: bool
-    answers: int
-    broken: int
+    is_closed: bool
+    succeeded: int
+    failed: int
 
     @property
-    def open(self) -> int:
-        """Items without an end."""
+    def in_flight(self) -> int:
+        """Exchanges in flight."""
         ...
 
     @property
-    def silent_s(self) -> float:
-        """How long the host has said nothing on any link, though an item waits."""
+    def unresponsive_s(self) -> float:
+        """How long nothing was received on any connection while an exchange waits."""
         ...
 
 
@@ -88,10 +88,10 @@
             if worker is None:
                 self._note(found, now, number, host.name, "unknown", False, True)
                 continue
-            if worker.in_flight != host.open:
-                self._note(found, now, number, host.name, "open_attempts", worker.in_flight, host.open)
-            if worker.ready == host.closed:
-                self._note(found, now, number, host.name, "ready", worker.ready, not host.closed)
+            if worker.in_flight != host.in_flight:
+                self._note(found, now, number, host.name, "open_attempts", worker.in_flight, host.in_flight)
+            if worker.ready == host.is_closed:
+                self._note(found, now, number, host.name, "ready", worker.ready, not host.is_closed)
             self._health(found, now, number, worker, host)
         for number, worker in believed.items():
             if number not in passed and worker.ready:
@@ -109,14 +109,14 @@
     ) -> None:  # fmt: skip
         if not worker.ejected:
             self._out.pop(number, None)
-            silent_s = host.silent_s
+            silent_s = host.unresponsive_s
             if silent_s > self.silent_s:
                 self._note(found, now, number, host.name, "silent", "in use", f"silent {silent_s:.1f} s")
             return
-        out = self._out.setdefault(number, _Out(host.answers, host.broken))
-        if host.broken != out.broken:
-            self._out[number] = _Out(host.answers, host.broken)
-        elif host.answers - out.answers >= PROOF:
+        out = self._out.setdefault(number, _Out(host.succeeded, host.failed))
+        if host.failed != out.broken:
+            self._out[number] = _Out(host.succeeded, host.failed)
+        elif host.succeeded - out.answers >= PROOF:
             self._note(found, now, number, host.name, "ejected", "out", f"{PROOF} answers, none broken")
 
     def _note(
--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -96,7 +96,7 @@
     def unanswered(self) -> bool:
         """Whether a call was read whose answer has not gone to the kernel. Looked at in the order in which an
         answer passes, so that none is missed between two of these places."""
-        return bool(self._open) or self._answering > 0 or self._write_buffer.waiting
+        return bool(self._open) or self._answering > 0 or self._write_buffer.has_pending
 
     @property
     def idle(self) -> bool:
@@ -135,7 +135,7 @@
             calls = list(self._open.values())
         for call in calls:
             self._services.engine.leave(call)
-        self._write_buffer.end()
+        self._write_buffer.discard()
         with contextlib.suppress(OSError):
             self._sock.close()
 
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -20,9 +20,9 @@
 from saffronstack.platform.shutdown import limits_for
 from saffronstack.runtime.logs import Log, PlainLog
 from saffronstack.runtime.threads import spawn
-from saffronstack.upstream.multiplexed.connection import LinkLimits
-from saffronstack.upstream.multiplexed.connection_pool import LinkBudget
-from saffronstack.upstream.multiplexed.dispatcher import HostDispatcher
+from saffronstack.upstream.multiplexed.connection import ConnectionLimits
+from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
+from saffronstack.upstream.multiplexed.dispatcher import MultiplexedDispatcher
 
 NAME = "_work._tcp.fleet.local"  # what the directory lists the hosts under
 IDLE_PART = 0.8  # of the told idle time a link stays open: a host that closes it first may cross a send
@@ -65,13 +65,13 @@
             log=self._log,
         )
         self.writer = WriteLoop(clock)
-        self.hosts = HostDispatcher(
-            LinkLimits(
+        self.hosts = MultiplexedDispatcher(
+            ConnectionLimits(
                 config.streams,
                 settings.permissions.connect_timeout_s or CONNECT_S,
                 config.idle_s * IDLE_PART,
             ),
-            LinkBudget(self.budget.links),
+            ConnectionBudget(self.budget.links),
             self.writer,
             self.engine.tell,
             clock,
@@ -122,7 +122,7 @@
 
     def _changed(self, change: Change) -> None:
         """Links first, so that nothing leaves for a host that drains or is gone."""
-        self.hosts.changed(change.changed, change.gone)
+        self.hosts.update_workers(change.changed, change.gone)
         self.engine.change_workers(change.changed, change.gone, self._wall())
 
     def reread(self, path: str) -> bool:
--- a/saffronstack/upstream/multiplexed/codec.py
+++ b/saffronstack/upstream/multiplexed/codec.py
@@ -1,4 +1,8 @@
-"""The hosts' JSON lines: requests and orders to bytes, bytes to answers. No I/O, every length bounded."""
+"""Encodes messages to multiplexed workers and decodes their responses: JSON lines. No I/O.
+
+The keys and words below are the platform's and keep its spelling; everything else in this package uses the
+terms of docs/glossary.md.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +14,39 @@
 
 from saffronstack import settings
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
-
-RESULTS = {
+from saffronstack.upstream.errors import LineProtocolError
+
+# Words of messages to workers.
+WORD_REQUEST = "CALL"
+WORD_CANCEL = "CANCEL"
+WORD_PING = "PING"
+WORD_LOAD = "LOAD"
+WORD_UNLOAD = "UNLOAD"
+# Words of responses.
+RESULT_BY_WORD = {
     "OK": Result.OK,
     "MISS": Result.NOT_LOADED,
     "BUSY": Result.AT_CAPACITY,
     "ERR": Result.ERROR,
     "VOID": Result.NOT_STARTED,
 }
-UP = "UP"
-_FOUND = {
+WORD_PING_REPLY = "UP"
+# Keys of the fields of a message.
+FIELD_CLASS = "c"
+FIELD_FUNCTION = "k"
+FIELD_WAIT_MS = "w"
+FIELD_INSTANCES = "units"
+FIELD_CONCURRENCY = "ahead"
+FIELD_CACHE_STATUS = "note"
+FIELD_LOAD_REPORT = "load"
+_CACHE_STATUS_BY_NOTE = {
     "up": CacheStatus.WARM,
     "fresh": CacheStatus.STARTED_LOAD,
     "behind": CacheStatus.JOINED_LOAD,
     "crashed": CacheStatus.LOAD_FAILED,
 }
-# What hosts call the values of a load report, by what the settings call them.
-_REPORT_WORDS = {
+# A load report's names on the wire, and the names that the settings have for the same values.
+_REPORT_KEYS = {
     "inflight": "rif",
     "queue": "q",
     "util": "busy",
@@ -34,34 +54,31 @@
     "qps": "rate",
     "eps": "fail_rate",
 }
-MAX_CROWD = 1_000_000
-MAX_COPIES = 255
-MAX_LINE_PARTS = 64
-
+MAX_REPORT_VALUES = 8
+MAX_CONCURRENCY = 1_000_000
+MAX_INSTANCES = 255
+MAX_QUOTED_CHARACTERS = 20  # of an unknown word, in an error message
 
-class HostError(ValueError):
-    """A line that no sound host writes: the link that carried it is of no more use."""
 
-
-class _Command(msgspec.Struct, rename={"fields": "with"}):
+class _Request(msgspec.Struct, rename={"fields": "with"}):
     what: str
     tag: str
     fields: dict[str, str | int]
     blob: bytes
 
 
-class _Order(msgspec.Struct, rename={"fields": "with"}):
+class _Command(msgspec.Struct, rename={"fields": "with"}):
     what: str
     tag: str
     fields: dict[str, str | int]
 
 
-class _Bare(msgspec.Struct):
+class _BareMessage(msgspec.Struct):
     what: str
     tag: str
 
 
-class _Answer(msgspec.Struct, rename={"fields": "with"}):
+class _Response(msgspec.Struct, rename={"fields": "with"}):
     what: str
     tag: str | int
     fields: dict[str, str | int | float] = {}
@@ -69,110 +86,107 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_decode = msgspec.json.Decoder(_Answer).decode
+_decode = msgspec.json.Decoder(_Response).decode
 
 
 @dataclass(frozen=True, slots=True)
-class HostAnswer:
-    """One answer; what it says of copies, crowd and load is checked and bounded."""
+class WorkerResponse:
+    """One response of a worker, its numbers checked and bounded.
+
+    Attributes:
+        word: A key of `RESULT_BY_WORD`, or `WORD_PING_REPLY`.
+        tag: The tag of the exchange that it answers.
+        body: The response body.
+        cache_status: Whether the function was loaded when the request came.
+        concurrency: Requests that the instance executed beside this one; None where not reported.
+        load_report: The worker's load; None where not reported.
+        instances: Loaded instances, after a load command.
+    """
 
     word: str
     tag: str
     body: bytes
-    found: CacheStatus
-    crowd: int | None
-    report: LoadReport | None
-    copies: int
+    cache_status: CacheStatus
+    concurrency: int | None
+    load_report: LoadReport | None
+    instances: int
+
 
+def encode_request(tag: str, class_name: str, function: str, wait_ms: int, body: bytes) -> bytes:
+    """Encode a request; ``wait_ms`` is how long the gateway waits for the response, in milliseconds."""
+    fields: dict[str, str | int] = {
+        FIELD_CLASS: class_name,
+        FIELD_FUNCTION: function,
+        FIELD_WAIT_MS: wait_ms,
+    }
+    return _encode(_Request(WORD_REQUEST, tag, fields, body)) + b"\n"
 
-def call_line(tag: str, class_name: str, function: str, wait_ms: int, body: bytes) -> bytes:
-    """A request."""
-    return _encode(_Command("CALL", tag, {"c": class_name, "k": function, "w": wait_ms}, body)) + b"\n"
 
+def encode_cancel(tag: str) -> bytes:
+    """Encode the message that a request is cancelled."""
+    return _encode(_BareMessage(WORD_CANCEL, tag)) + b"\n"
 
-def cancel_line(tag: str) -> bytes:
-    """A request is given up."""
-    return _encode(_Bare("CANCEL", tag)) + b"\n"
 
+def encode_ping(tag: str) -> bytes:
+    """Encode a health check of the connection."""
+    return _encode(_BareMessage(WORD_PING, tag)) + b"\n"
 
-def ping_line(tag: str) -> bytes:
-    """Whether the connection works."""
-    return _encode(_Bare("PING", tag)) + b"\n"
 
+def encode_load_command(tag: str, function: str, instances: int) -> bytes:
+    """Encode a command to load so many instances; 0 only asks how many are loaded."""
+    fields: dict[str, str | int] = {FIELD_FUNCTION: function, FIELD_INSTANCES: instances}
+    return _encode(_Command(WORD_LOAD, tag, fields)) + b"\n"
 
-def load_line(tag: str, function: str, copies: int) -> bytes:
-    """An order to hold copies; 0 only asks."""
-    return _encode(_Order("LOAD", tag, {"k": function, "units": copies})) + b"\n"
 
+def encode_unload_command(function: str) -> bytes:
+    """Encode a command to unload the idle instances of a function; it has no response."""
+    return _encode(_BareMessage(WORD_UNLOAD, function)) + b"\n"
 
-def unload_line(function: str) -> bytes:
-    """An order to unload idle copies."""
-    return _encode(_Bare("UNLOAD", function)) + b"\n"
 
+def decode_response(line: bytes) -> WorkerResponse:
+    """Decode one line from a worker.
 
-def answer_of(line: bytes) -> HostAnswer:
-    """What a line says; HostError."""
+    Raises:
+        LineProtocolError: The line is not a response, or one of its numbers is out of range.
+    """
     try:
-        read = _decode(line)
+        message = _decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise HostError(str(error)) from error
-    fields = read.fields
-    if read.what not in RESULTS and read.what != UP:
-        raise HostError(f"an unknown word {read.what[:20]!r}")
-    crowd = int(_number(fields, "ahead", MAX_CROWD)) if "ahead" in fields else None
-    copies = int(_number(fields, "units", MAX_COPIES)) if "units" in fields else 0
-    found = _FOUND.get(str(fields.get("note", "")), CacheStatus.UNKNOWN)
-    load = fields.get("load")
-    report = None if load is None else _report(str(load))
-    return HostAnswer(read.what, str(read.tag), read.blob, found, crowd, report, copies)
-
-
-def _number(fields: Mapping[str, str | int | float], name: str, maximum: float) -> float:
+        raise LineProtocolError(str(error)) from error
+    if message.what not in RESULT_BY_WORD and message.what != WORD_PING_REPLY:
+        raise LineProtocolError(f"unknown word {message.what[:MAX_QUOTED_CHARACTERS]!r}")
+    fields = message.fields
+    concurrency = None
+    if FIELD_CONCURRENCY in fields:
+        concurrency = int(_bounded_number(fields, FIELD_CONCURRENCY, MAX_CONCURRENCY))
+    instances = 0
+    if FIELD_INSTANCES in fields:
+        instances = int(_bounded_number(fields, FIELD_INSTANCES, MAX_INSTANCES))
+    cache_status = _CACHE_STATUS_BY_NOTE.get(str(fields.get(FIELD_CACHE_STATUS, "")), CacheStatus.UNKNOWN)
+    load = fields.get(FIELD_LOAD_REPORT)
+    load_report = None if load is None else _decode_load_report(str(load))
+    return WorkerResponse(
+        message.what, str(message.tag), message.blob, cache_status, concurrency, load_report, instances
+    )
+
+
+def _bounded_number(fields: Mapping[str, str | int | float], name: str, maximum: float) -> float:
     try:
         value = float(fields[name])
     except (ValueError, OverflowError) as error:
-        raise HostError(f"{name} is no number") from error
+        raise LineProtocolError(f"{name} is not a number") from error
     if not 0 <= value <= maximum:
-        raise HostError(f"{name} is out of range")
+        raise LineProtocolError(f"{name} is out of range: {value}, expected 0 to {maximum}")
     return value
 
 
-def _report(text: str) -> LoadReport:
-    """A load report; values that are no numbers are left out: they decide nothing about an answer."""
+def _decode_load_report(text: str) -> LoadReport:
+    """Decode a load report; values that are not numbers are dropped, as they don't affect the response."""
     values: list[tuple[str, float]] = []
-    for pair in text.split(";")[:8]:
+    for pair in text.split(";")[:MAX_REPORT_VALUES]:
         name, _, value = pair.partition(":")
         try:
-            values.append((_REPORT_WORDS.get(name, name), float(value)))
+            values.append((_REPORT_KEYS.get(name, name), float(value)))
         except ValueError:
             continue
     return settings.report((name, value) for name, value in values if math.isfinite(value))
-
-
-class LineReader:
-    """Lines out of bytes that come in any pieces."""
-
-    def __init__(self, max_bytes: int) -> None:
-        self._max_bytes = max_bytes
-        self._parts: list[bytes] = []
-        self._bytes = 0
-
-    def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now; HostError once one is too long."""
-        lines = data.split(b"\n")
-        if len(lines) == 1:
-            self._parts.append(data)
-            self._bytes += len(data)
-            if len(self._parts) > MAX_LINE_PARTS:  # bytes that trickle in must not cost an object each
-                self._parts = [b"".join(self._parts)]
-            if self._bytes > self._max_bytes:
-                raise HostError(f"a line over {self._max_bytes} bytes")
-            return []
-        if self._parts:
-            lines[0] = b"".join([*self._parts, lines[0]])
-        rest = lines.pop()
-        self._parts = [rest] if rest else []
-        self._bytes = len(rest)
-        if self._bytes > self._max_bytes or max(map(len, lines)) > self._max_bytes:
-            raise HostError(f"a line over {self._max_bytes} bytes")
-        return lines
--- a/saffronstack/upstream/multiplexed/connection.py
+++ b/saffronstack/upstream/multiplexed/connection.py
@@ -1,194 +1,181 @@
-"""One connection to a host, carrying many requests: a thread connects it, the reader reads and ends it."""
+"""One multiplexed connection to a worker: connects on a thread of its own, is read by the read loop."""
 
 from __future__ import annotations
 
 import contextlib
-import math
 import socket
-import threading
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from saffronstack.net.read_loop import ReadLoop
 from saffronstack.net.stream import Stream
-from saffronstack.net.write_buffer import OutgoingMessage, Sent, WriteBuffer, WriteLoop
+from saffronstack.net.write_buffer import OutgoingMessage, SendProgress, WriteBuffer, WriteLoop
 from saffronstack.routing.events import Result
 from saffronstack.runtime.threads import spawn
+from saffronstack.upstream.errors import LineProtocolError
 from saffronstack.upstream.multiplexed import codec
-from saffronstack.upstream.multiplexed.exchange import Item
-
-MAX_ANSWERED_TAGS = 64  # tags answered last: a second answer may still come, and none is used again meanwhile
-MAX_ABANDONED_TAGS = 32  # tags given up on a link that may still be answered; then it takes nothing new
+from saffronstack.upstream.multiplexed.exchange import PendingExchange
+from saffronstack.upstream.multiplexed.in_flight import Admission, InFlightTable
+from saffronstack.upstream.multiplexed.line_reader import LineReader
 
 
 @dataclass(frozen=True, slots=True)
-class LinkLimits:
-    """Bounds of one link; times in seconds, sizes in bytes."""
+class ConnectionLimits:
+    """Bounds of one connection; times in seconds, sizes in bytes.
+
+    Attributes:
+        streams: Exchanges in flight at once.
+        connect_timeout_s: Time to establish the connection.
+        idle_timeout_s: Silence after which a connection with nothing in flight is closed.
+        line_bytes: Length of a response line.
+        write_buffer_bytes: Bytes that wait for the socket to take them.
+        stall_timeout_s: How long the worker may take none of them before the connection is broken.
+    """
 
     streams: int = 32
     connect_timeout_s: float = 0.25
-    idle_s: float = 24.0
+    idle_timeout_s: float = 24.0
     line_bytes: int = 128 * 1024
-    outbox_bytes: int = 256 * 1024
-    stall_s: float = 3.0
+    write_buffer_bytes: int = 256 * 1024
+    stall_timeout_s: float = 3.0
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionContext:
+    """What all connections of a dispatcher share."""
+
+    limits: ConnectionLimits
+    write_loop: WriteLoop
+    read_loop: ReadLoop
+    clock: Callable[[], float]
 
 
-class Link:
-    """Whoever takes an item out of ``_open`` under the lock ends it: so it ends once."""
+class MultiplexedConnection:
+    """Carries many exchanges at once; a response is matched to its exchange by tag."""
 
     def __init__(
         self,
         address: tuple[str, int],
-        limits: LinkLimits,
-        writer: WriteLoop,
-        reader: ReadLoop,
-        clock: Callable[[], float],
-        on_end: Callable[[Link], None],
+        context: ConnectionContext,
+        on_closed: Callable[[MultiplexedConnection], None],
     ) -> None:
-        """``on_end`` hears that it is closed and everything on it ended."""
+        """Prepare a connection; `start` opens it.
+
+        Args:
+            address: Host and port of the worker.
+            context: What is shared with other connections.
+            on_closed: Called once it is closed and every exchange on it has ended.
+        """
         self._address = address
-        self._limits = limits
-        self._writer = writer
-        self._reader = reader
-        self._lines = codec.LineReader(limits.line_bytes)
-        self._clock = clock
-        self._on_end = on_end
-        self._lock = threading.Lock()
-        self._open: dict[str, Item] = {}
-        self._early: list[Item] = []  # until it is connected
-        self._abandoned: set[str] = set()
-        self._answered: dict[str, None] = {}  # in the order of their answers
+        self._context = context
+        self._limits = context.limits
+        self._clock = context.clock
+        self._on_closed = on_closed
+        self._lines = LineReader(self._limits.line_bytes)
+        self._in_flight = InFlightTable(self._limits.streams)
         self._stream: Stream | None = None
         self._write_buffer: WriteBuffer | None = None
-        self._closed = False  # takes nothing more
-        self._retired = False  # takes nothing more, and closes once nothing is open
-        self.reason = ""  # why it ended, where it broke
-        self.last_received_s = clock()
+        self.close_reason = ""  # where it broke
+        self.last_received_s = self._clock()
 
     def start(self) -> None:
-        """Connect on a thread of its own; RuntimeError where there is none."""
-        spawn("link", self._run)
+        """Connect on a new thread.
+
+        Raises:
+            RuntimeError: The system has no more threads.
+        """
+        spawn("upstream-connect", self._run)
 
     @property
-    def open(self) -> int:
-        """Items without an end."""
-        return len(self._open)
+    def in_flight(self) -> int:
+        """Exchanges in flight."""
+        return len(self._in_flight)
 
     @property
-    def oldest_sent_s(self) -> float:
-        """When its oldest open item was sent (clock time); infinite without one."""
-        with self._lock:
-            oldest = next(iter(self._open.values()), None)
-        return math.inf if oldest is None else oldest.sent_s
-
-    def accepts(self, tag: str) -> bool:
-        """Whether an item under this tag can go out on it."""
-        return not (
-            self._closed
-            or self._retired
-            or len(self._open) >= self._limits.streams
-            or tag in self._open
-            or tag in self._abandoned
-            or tag in self._answered
-            or len(self._abandoned) >= MAX_ABANDONED_TAGS
-        )
+    def oldest_submitted_s(self) -> float:
+        """When its oldest exchange in flight was submitted (clock time); infinite without one."""
+        return self._in_flight.oldest_submitted_s
+
+    def can_accept(self, tag: str) -> bool:
+        """Return whether an exchange with this tag can be submitted."""
+        return self._in_flight.can_accept(tag)
 
     # ---- from any thread
 
-    def submit(self, item: Item) -> bool:
-        """Send it; it ends exactly once. False: nothing was taken, the link is closed."""
-        with self._lock:
-            if not self.accepts(item.tag):
-                return False
-            self._open[item.tag] = item
-            item.link = self
-            write_buffer = self._write_buffer
-            if write_buffer is None:
-                self._early.append(item)
-                return True
-        self._write(write_buffer, item)
-        return True
+    def submit(self, exchange: PendingExchange) -> bool:
+        """Send an exchange, which then ends exactly once; False where it was not accepted."""
+        admission = self._in_flight.add(exchange, self)
+        if admission is Admission.SEND_NOW:
+            assert self._write_buffer is not None
+            self._write(self._write_buffer, exchange)
+        return admission is not Admission.REJECTED
 
-    def _write(self, write_buffer: WriteBuffer, item: Item) -> None:
-        if not write_buffer.send(item) and self._finish(item):
-            item.on_failed(item.lost(), "the link takes nothing more")
+    def _write(self, write_buffer: WriteBuffer, exchange: PendingExchange) -> None:
+        if not write_buffer.send(exchange) and self._in_flight.remove(exchange):
+            exchange.on_failure(exchange.result_when_lost(), "the connection accepts nothing more")
 
     def post(self, data: bytes) -> bool:
-        """Send bytes that are not answered; False where it takes nothing."""
+        """Send bytes that have no response; return False where they are not accepted."""
         write_buffer = self._write_buffer
         return write_buffer is not None and write_buffer.send(OutgoingMessage(data))
 
-    def give_up(self, item: Item, result: Result, reason: str) -> None:
-        """Stop waiting for it. One that never left never ran; the host is told of one that did."""
-        if not self._finish(item, abandon=True):
+    def give_up(self, exchange: PendingExchange, result: Result, reason: str) -> None:
+        """End an exchange without its response; the worker is notified where any of it was sent."""
+        if not self._in_flight.remove(exchange, abandon=True):
             return
-        if not item.started:
+        if not exchange.is_started:
             result = Result.NOT_STARTED if result is Result.CANCELLED else Result.CONNECT_FAILED
-        elif item.sent is Sent.PART and not self._open:
-            self.abort()  # the host takes no bytes: the rest of the line must not follow when it does
+        elif exchange.progress is SendProgress.PARTIAL and self.in_flight == 0:
+            self.abort()  # the worker takes no bytes: the rest of the line must not follow once it does
         else:
-            self.post(codec.cancel_line(item.tag))
-        item.on_failed(result, reason)
-        self._maybe_close()
-
-    def claim(self, item: Item) -> bool:
-        """Whether its first byte may leave. From here on it counts as one that may have run: giving up and
-        leaving are decided under one lock, or a call could be taken for one that never left."""
-        with self._lock:
-            item.started = not item.finished
-            return item.started
-
-    def unclaim(self, item: Item) -> None:
-        """Not one byte of it was taken after all: it never left."""
-        with self._lock:
-            item.started = False
-
-    def on_dropped(self, item: Item) -> None:
-        """It no longer stood when its first byte was to leave."""
-        if self._finish(item):
-            item.on_failed(Result.NOT_STARTED, "no longer wanted when it was to be sent")
-            self._maybe_close()
-
-    def retire(self) -> None:
-        """Take nothing more; close once nothing is open."""
-        self._retired = True
-        self._maybe_close()
+            self.post(codec.encode_cancel(exchange.tag))
+        exchange.on_failure(result, reason)
+        self._abort_if_spent()
+
+    def claim(self, exchange: PendingExchange) -> bool:
+        """Return whether the first byte of an exchange may be sent."""
+        return self._in_flight.claim(exchange)
+
+    def unclaim(self, exchange: PendingExchange) -> None:
+        """Take back a claim: not one byte was sent."""
+        self._in_flight.unclaim(exchange)
+
+    def on_dropped(self, exchange: PendingExchange) -> None:
+        """End an exchange that was no longer wanted when its first byte was to be sent."""
+        if self._in_flight.remove(exchange):
+            exchange.on_failure(Result.NOT_STARTED, "no longer wanted when it was to be sent")
+            self._abort_if_spent()
+
+    def close_gracefully(self) -> None:
+        """Accept nothing more; close once nothing is in flight."""
+        self._in_flight.is_draining = True
+        self._abort_if_spent()
 
     def abort(self) -> None:
-        """Close it now; what is open ends as lost."""
-        self._closed = True
+        """Close it now; what is in flight ends as lost."""
+        self._in_flight.is_closed = True
         stream = self._stream
         if stream is not None:
             stream.abort()
 
-    def _finish(self, item: Item, abandon: bool = False) -> bool:
-        """Whether the caller is the one who ends the item."""
-        with self._lock:
-            if self._open.get(item.tag) is not item:
-                return False
-            del self._open[item.tag]
-            item.finished = True
-            if abandon and item.started:
-                self._abandoned.add(item.tag)
-        return True
-
-    def _maybe_close(self) -> None:
-        if (self._retired or len(self._abandoned) >= MAX_ABANDONED_TAGS) and not self._open:
+    def _abort_if_spent(self) -> None:
+        if self._in_flight.is_spent():
             self.abort()
 
-    # ---- its thread, until it is connected
+    # ---- on the thread that connects
 
     def _run(self) -> None:
-        watched = False
+        is_watched = False
         try:
-            watched = self._connect() and self._reader.watch(self)
+            is_watched = self._connect() and self._context.read_loop.watch(self)
         except OSError as error:
-            self.reason = str(error)
+            self.close_reason = str(error)
         finally:
-            if not watched:
-                self._end()
+            if not is_watched:
+                self._close()
 
     def _connect(self) -> bool:
+        """Establish the connection and send what was queued; return whether it is still wanted."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.settimeout(self._limits.connect_timeout_s)
@@ -196,89 +183,66 @@
         except OSError:
             sock.close()
             raise
-        stream = Stream(sock)
+        limits = self._limits
         write_buffer = WriteBuffer(
-            sock, self._writer, self._limits.outbox_bytes, self._limits.stall_s, self._clock
+            sock, self._context.write_loop, limits.write_buffer_bytes, limits.stall_timeout_s, self._clock
         )
         self.last_received_s = self._clock()
-        with self._lock:
-            self._stream, self._write_buffer = stream, write_buffer
-            early, self._early = self._early, []
-            if self._closed:  # given up while it connected: nothing may leave on it
-                return False
-        for item in early:
-            self._write(write_buffer, item)
-        return not self._closed
+        self._stream, self._write_buffer = Stream(sock), write_buffer
+        for exchange in self._in_flight.on_connected():
+            self._write(write_buffer, exchange)
+        return not self._in_flight.is_closed
 
-    # ---- the reader's thread
+    # ---- on the read loop's thread
 
     def fileno(self) -> int:
-        """The socket's."""
+        """Return the socket's descriptor."""
         assert self._stream is not None
         return self._stream.sock.fileno()
 
     def on_readable(self, buffer: bytearray, view: memoryview) -> bool:
-        """Take what has come; False where the link is over."""
+        """Handle the responses that have come; return False where the connection is over."""
         assert self._stream is not None
         try:
-            came = self._stream.sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
-            if not came:
-                self.reason = "closed by the host"
+            received = self._stream.sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
+            if not received:
+                self.close_reason = "closed by the worker"
                 return False
             self.last_received_s = self._clock()
-            for line in self._lines.feed(bytes(view[:came])):
-                self._on_answer(codec.answer_of(line))
-        except BlockingIOError:
+            for line in self._lines.feed(bytes(view[:received])):
+                self._on_response(codec.decode_response(line))
+        except BlockingIOError:  # nothing has come
             return True
-        except codec.HostError as error:
-            self.reason = f"unreadable: {error}"
+        except LineProtocolError as error:
+            self.close_reason = f"invalid response: {error}"
             return False
         except OSError as error:
-            self.reason = str(error)
+            self.close_reason = str(error)
             return False
         return True
 
-    def on_tick(self, now: float) -> bool:
-        """False where nothing has been open for as long as a link may be idle."""
-        return now - self.last_received_s < self._limits.idle_s or not self._done()
-
-    def on_end(self) -> None:
-        """The reader has let go of it."""
-        self._end()
-
-    def _done(self) -> bool:
-        """Whether nothing is open; nothing can be submitted from then on."""
-        with self._lock:
-            self._closed = self._closed or not self._open
-            return self._closed
-
-    def _on_answer(self, answer: codec.HostAnswer) -> None:
-        with self._lock:
-            item = self._open.pop(answer.tag, None)
-            if item is None:  # late, or no one's: dropped
-                self._abandoned.discard(answer.tag)
-                return
-            item.finished = True
-            self._answered[answer.tag] = None
-            if len(self._answered) > MAX_ANSWERED_TAGS:
-                del self._answered[next(iter(self._answered))]
-        item.on_answer(answer)
-        self._maybe_close()
-
-    def _end(self) -> None:
-        with self._lock:
-            self._closed = True
-            lost, self._open = list(self._open.values()), {}
-            for item in lost:  # from here on no first byte leaves: `claim` asks under the same lock
-                item.finished = True
-            self._early = []
-            self._abandoned = set()
-            self._answered = {}
+    def on_tick(self, now_s: float) -> bool:
+        """Return False once it was idle for the time-out; it accepts nothing from then on."""
+        has_timed_out = now_s - self.last_received_s >= self._limits.idle_timeout_s
+        return not (has_timed_out and self._in_flight.close_if_idle())
+
+    def on_released(self) -> None:
+        """Close it: the read loop has released it."""
+        self._close()
+
+    def _on_response(self, response: codec.WorkerResponse) -> None:
+        exchange = self._in_flight.pop_answered(response.tag)
+        if exchange is not None:
+            exchange.on_response(response)
+            self._abort_if_spent()
+
+    def _close(self) -> None:
+        lost = self._in_flight.close()
         if self._write_buffer is not None:
-            self._write_buffer.end()  # after a write that is under way: what has left of an item is known now
+            self._write_buffer.discard()  # waits for a write that is under way: now `progress` is final
         if self._stream is not None:
             self._stream.close()
-        for item in lost:
+        for exchange in lost:
             with contextlib.suppress(Exception):  # the others must end all the same
-                item.on_failed(item.lost(), self.reason or "the link ended")
-        self._on_end(self)
+                exchange.on_failure(exchange.result_when_lost(), self.close_reason or "the connection closed")
+        self._on_closed(self)
--- a/saffronstack/upstream/multiplexed/connection_pool.py
+++ b/saffronstack/upstream/multiplexed/connection_pool.py
@@ -1,4 +1,4 @@
-"""One host's links, and the budget of descriptors that all hosts' links share."""
+"""The multiplexed connections to one worker, and the choice among them."""
 
 from __future__ import annotations
 
@@ -7,139 +7,133 @@
 from collections.abc import Callable
 
 from saffronstack.engine.worker_registry import WorkerSpec
-from saffronstack.net.read_loop import ReadLoop
-from saffronstack.net.write_buffer import WriteLoop
-from saffronstack.upstream.multiplexed.connection import Link, LinkLimits
-from saffronstack.upstream.multiplexed.exchange import Item
+from saffronstack.upstream.multiplexed.connection import ConnectionContext, MultiplexedConnection
+from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
+from saffronstack.upstream.multiplexed.exchange import PendingExchange
 
+MAX_SUBMIT_TRIES = 8  # a connection may close between its choice and the sending
 
-class LinkBudget:
-    """How many links may be open at all hosts together."""
 
-    def __init__(self, max_links: int) -> None:
-        self.max_links = max_links
-        self._lock = threading.Lock()
-        self._in_use = 0
+class MultiplexedPool:
+    """The connections to one worker, opened as exchanges need them.
 
-    @property
-    def in_use(self) -> int:
-        """Links that are open or closing."""
-        return self._in_use
-
-    def acquire(self, at_all_costs: bool = False) -> bool:
-        """One more, unless there is no room; a host's first link is had at all costs."""
-        with self._lock:
-            if self._in_use >= self.max_links and not at_all_costs:
-                return False
-            self._in_use += 1
-            return True
-
-    def release(self) -> None:
-        """One fewer."""
-        with self._lock:
-            self._in_use -= 1
-
-
-class HostPool:
-    """Submitted to by the decision thread alone; links leave it on the reader's thread."""
+    Exchanges are submitted by the decision thread alone; connections leave on the read loop's thread.
+    """
 
     def __init__(
         self,
         spec: WorkerSpec,
-        limits: LinkLimits,
-        budget: LinkBudget,
-        writer: WriteLoop,
-        reader: ReadLoop,
-        clock: Callable[[], float],
-        close_idle_link: Callable[[], None],
+        context: ConnectionContext,
+        budget: ConnectionBudget,
+        close_idle_connection: Callable[[], None],
     ) -> None:
-        """``close_idle_link`` closes a link somewhere that nothing uses, where the budget is spent."""
+        """Create a pool without connections.
+
+        Args:
+            spec: The worker.
+            context: What all connections share.
+            budget: Bounds the connections to all workers together.
+            close_idle_connection: Closes an unused connection to any worker; called at the limit.
+        """
         self.spec = spec
-        self.number = spec.number
+        self.worker_id = spec.number
         self.name = spec.name
-        self.closed = spec.draining  # nothing new leaves, whatever was queued
-        self.max_links = 1
-        self._limits = limits
+        self.is_closed = spec.draining  # nothing new is sent, whatever was queued
+        self.max_connections = 1
+        self._context = context
         self._budget = budget
-        self._writer = writer
-        self._reader = reader
-        self._clock = clock
-        self._close_idle_link = close_idle_link
-        self._lock = threading.Lock()
-        self._links: list[Link] = []
-        self.answers = 0  # attempts that were served; written by the reader's thread
-        self.broken = 0  # attempts that ended in an error, or without an answer
+        self._close_idle_connection = close_idle_connection
+        self._lock = threading.Lock()  # guards the list of connections
+        self._connections: list[MultiplexedConnection] = []
+        self.succeeded = 0  # attempts; written by the read loop's thread
+        self.failed = 0  # attempts that ended in an error, or without a response
 
     @property
-    def open(self) -> int:
-        """Items without an end, on all its links."""
-        return sum(link.open for link in self.links)
+    def in_flight(self) -> int:
+        """Exchanges in flight on all connections."""
+        return sum(connection.in_flight for connection in self.connections)
 
     @property
-    def silent_s(self) -> float:
-        """How long the host has said nothing on any link, a connection included, though an item waits; 0
-        without one."""
-        links = self.links
-        oldest_s = min((link.oldest_sent_s for link in links), default=math.inf)
-        last_received_s = max((link.last_received_s for link in links), default=0.0)
-        return max(0.0, self._clock() - max(oldest_s, last_received_s))
+    def unresponsive_s(self) -> float:
+        """How long, in seconds, nothing was received on any connection while an exchange waits.
+
+        Establishing a connection counts as receiving; 0 where no exchange waits.
+        """
+        connections = self.connections
+        oldest_s = min((connection.oldest_submitted_s for connection in connections), default=math.inf)
+        last_received_s = max((connection.last_received_s for connection in connections), default=0.0)
+        return max(0.0, self._context.clock() - max(oldest_s, last_received_s))
 
     @property
-    def links(self) -> list[Link]:
-        """Those that stand now, least recently opened first."""
+    def connections(self) -> list[MultiplexedConnection]:
+        """The connections as they are now, the latest opened last."""
         with self._lock:
-            return list(self._links)
+            return list(self._connections)
+
+    def update(self, spec: WorkerSpec) -> None:
+        """Take a changed entry of the endpoint list."""
+        self.spec = spec
+        self.is_closed = spec.draining
+
+    def submit(self, exchange: PendingExchange) -> bool:
+        """Send an exchange on an idle connection, a new one, or the one with the fewest in flight.
 
-    def submit(self, item: Item) -> bool:
-        """Send it on a link that nothing else is open on, a new one, or the one with least on it.
+        What breaks a connection breaks all that is in flight on it, so attempts share one only where no
+        further connection may be opened.
 
-        What breaks a link breaks all that is open on it, so calls share one only where the budget is spent.
-        False: no link can be had, nothing was sent."""
-        for _ in range(8):  # a link may close between its choice and the sending
-            link = self._choose(item.tag)
-            if link is None:
+        Returns:
+            False where no connection is available: nothing was sent.
+        """
+        for _ in range(MAX_SUBMIT_TRIES):
+            connection = self._choose(exchange.tag)
+            if connection is None:
                 return False
-            if link.submit(item):
+            if connection.submit(exchange):
                 return True
         return False
 
-    def _choose(self, tag: str) -> Link | None:
-        best: Link | None = None
-        for link in reversed(self.links):
-            if link.accepts(tag):
-                if not link.open:
-                    return link
-                if best is None or link.open < best.open:
-                    best = link
-        if best is None or len(self._links) < self.max_links:
-            best = self._open(at_all_costs=best is None) or best
+    def post(self, data: bytes) -> bool:
+        """Send bytes that have no response on any connection; return False where none accepts them."""
+        return any(connection.post(data) for connection in self.connections)
+
+    def _choose(self, tag: str) -> MultiplexedConnection | None:
+        best: MultiplexedConnection | None = None
+        for connection in reversed(self.connections):
+            if connection.can_accept(tag):
+                if not connection.in_flight:
+                    return connection
+                if best is None or connection.in_flight < best.in_flight:
+                    best = connection
+        if best is None or len(self._connections) < self.max_connections:
+            best = self._open(is_required=best is None) or best
         return best
 
-    def _open(self, at_all_costs: bool) -> Link | None:
-        if not self._budget.acquire():
-            self._close_idle_link()
-            if not at_all_costs:
+    def _open(self, is_required: bool) -> MultiplexedConnection | None:
+        """Open a connection; None where the budget is spent, unless one is required, or no thread starts."""
+        if not self._budget.try_acquire():
+            self._close_idle_connection()
+            if not is_required:
                 return None
-            self._budget.acquire(at_all_costs=True)
+            self._budget.acquire_over_limit()
         address = self.spec.host, self.spec.port
-        link = Link(address, self._limits, self._writer, self._reader, self._clock, self._link_ended)
+        connection = MultiplexedConnection(address, self._context, self._on_connection_closed)
         with self._lock:
-            self._links.append(link)
+            self._connections.append(connection)
         try:
-            link.start()
-        except RuntimeError:  # no thread to be had
-            self._link_ended(link)
+            connection.start()
+        except RuntimeError:  # the system has no more threads
+            self._on_connection_closed(connection)
             return None
-        return link
+        return connection
 
-    def _link_ended(self, link: Link) -> None:
+    def _on_connection_closed(self, connection: MultiplexedConnection) -> None:
         with self._lock:
-            if link in self._links:
-                self._links.remove(link)
+            if connection in self._connections:
+                self._connections.remove(connection)
         self._budget.release()
 
-    def end(self) -> None:
-        """The host is gone: links close once nothing is open on them."""
-        self.closed = True
-        for link in self.links:
-            link.retire()
+    def stop(self) -> None:
+        """Send nothing new; connections close once nothing is in flight on them."""
+        self.is_closed = True
+        for connection in self.connections:
+            connection.close_gracefully()
--- a/saffronstack/upstream/multiplexed/dispatcher.py
+++ b/saffronstack/upstream/multiplexed/dispatcher.py
@@ -1,201 +1,203 @@
-"""Carries out the engine's actions on the hosts' links."""
+"""Carries out the engine's actions over multiplexed connections."""
 
 from __future__ import annotations
 
-import threading
 from collections.abc import Callable, Iterable
 from itertools import count
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.net.read_loop import ReadLoop
 from saffronstack.net.write_buffer import WriteLoop
-from saffronstack.routing.events import AttemptOutcome, Result
+from saffronstack.routing.events import Result
 from saffronstack.runtime.logs import Log, PlainLog
+from saffronstack.upstream.deadlines import DeadlineTimer, ExchangeKey, attempt_deadline_s
+from saffronstack.upstream.events import EngineEvent, EventSink, unsent_attempt, unsent_command
 from saffronstack.upstream.multiplexed import codec
-from saffronstack.upstream.multiplexed.connection import LinkLimits
-from saffronstack.upstream.multiplexed.connection_pool import HostPool, LinkBudget
-from saffronstack.upstream.multiplexed.deadlines import Deadlines
-from saffronstack.upstream.multiplexed.exchange import Attempt, Item, Order, Tell
+from saffronstack.upstream.multiplexed.connection import ConnectionContext, ConnectionLimits
+from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
+from saffronstack.upstream.multiplexed.connection_pool import MultiplexedPool
+from saffronstack.upstream.multiplexed.exchange import (
+    AttemptExchange,
+    CommandExchange,
+    ExchangeContext,
+    PendingExchange,
+)
+from saffronstack.upstream.pool_registry import PoolRegistry
 
-ORDER = 0  # the call number that orders have among what is out; calls count from 1
+COMMAND_CALL_NUMBER = 0  # the call number in the keys of commands; calls count from 1
+COMMAND_TAG_PREFIX = "order-"
 
 
-class HostDispatcher:
-    """Pools by host number. `changed` is called before the engine hears of the same change, so that nothing
-    new leaves for a host that drains or is gone."""
+class MultiplexedDispatcher:
+    """Sends attempts and commands to workers, each of which it reports the end of exactly once.
+
+    Actions come from the decision thread; ends are reported from the threads of the read loop, of the
+    deadlines, and of connections that fail to open.
+    """
 
     def __init__(
         self,
-        limits: LinkLimits,
-        budget: LinkBudget,
-        writer: WriteLoop,
-        tell: Tell,
+        limits: ConnectionLimits,
+        budget: ConnectionBudget,
+        write_loop: WriteLoop,
+        report: EventSink,
         clock: Callable[[], float],
-        order_timeout_s: float,
+        command_timeout_s: float,
         log: Log | None = None,
     ) -> None:
+        """Create a dispatcher without workers.
+
+        Args:
+            limits: Bounds of each connection.
+            budget: Bounds the connections to all workers together.
+            write_loop: Writes what sockets do not take at once; started and stopped by its owner.
+            report: Is told how each attempt and command ended.
+            clock: Monotonic time in seconds.
+            command_timeout_s: How long a load command or a health check may take.
+            log: Hears of faults; standard error if None.
+        """
+        log = log or PlainLog("upstream")
         self._limits = limits
         self._budget = budget
-        self._writer = writer
-        self._tell = tell
+        self._report = report
         self._clock = clock
-        self._order_timeout_s = order_timeout_s
-        self._lock = threading.Lock()
-        self._pools: dict[int, HostPool] = {}
-        self._out: dict[tuple[int, int], Item] = {}
-        self._orders = count(1)
-        self.deadlines = Deadlines(clock, self)
-        self.reader = ReadLoop(clock, log or PlainLog("hosts"))
+        self._command_timeout_s = command_timeout_s
+        self._exchanges: dict[ExchangeKey, PendingExchange] = {}
+        self._command_numbers = count(1)
+        self.deadlines = DeadlineTimer(clock, self, log)
+        self.read_loop = ReadLoop(clock, log)
+        self._connection_context = ConnectionContext(limits, write_loop, self.read_loop, clock)
+        self._attempt_context = ExchangeContext(self._on_attempt_end, clock)
+        self._pools = PoolRegistry[MultiplexedPool](self._create_pool)
+
+    def _create_pool(self, spec: WorkerSpec) -> MultiplexedPool:
+        return MultiplexedPool(spec, self._connection_context, self._budget, self._close_idle_connection)
 
     def start(self) -> None:
-        """Start its threads."""
+        """Start the threads of deadlines and of the read loop."""
         self.deadlines.start()
-        self.reader.start()
+        self.read_loop.start()
 
     def stop(self) -> None:
-        """End every pool and its threads."""
+        """Close every connection and stop the threads."""
         self.deadlines.stop()
-        with self._lock:
-            pools, self._pools = list(self._pools.values()), {}
+        for pool in self._pools.clear():
+            for connection in pool.connections:
+                connection.abort()
+        self.read_loop.stop()
+
+    def update_workers(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> None:
+        """Apply an incremental update of the endpoint list.
+
+        It must come before the engine hears of it, so that nothing new is sent to a worker that drains or
+        was removed.
+
+        Args:
+            specs: Workers that are new or changed.
+            removed: Numbers of workers that were removed.
+        """
+        self._pools.update(specs, removed)
+        pools = self._pools.snapshot().values()
+        share = self._budget.max_connections // max(1, len(pools))
         for pool in pools:
-            pool.end()
-            for link in pool.links:
-                link.abort()
-        self.reader.stop()
-
-    def changed(self, specs: Iterable[WorkerSpec], gone: Iterable[int]) -> None:
-        """Hosts that are new or changed, and numbers of those that are gone. A number that returns at
-        another address is another host: nothing of the old one serves it."""
-        ended = []
-        with self._lock:
-            for number in gone:
-                pool = self._pools.pop(number, None)
-                if pool is not None:
-                    ended.append(pool)
-            for spec in specs:
-                known = self._pools.get(spec.number)
-                if known is not None and (known.spec.host, known.spec.port) != (spec.host, spec.port):
-                    ended.append(known)
-                    known = None
-                if known is None:
-                    known = HostPool(
-                        spec,
-                        self._limits,
-                        self._budget,
-                        self._writer,
-                        self.reader,
-                        self._clock,
-                        self._close_idle_link,
-                    )
-                    self._pools[spec.number] = known
-                known.spec = spec
-                known.closed = spec.draining
-            max_links = max(1, min(self._limits.streams, self._budget.max_links // max(1, len(self._pools))))
-            for pool in self._pools.values():
-                pool.max_links = max_links
-        for pool in ended:
-            pool.end()
+            pool.max_connections = max(1, min(self._limits.streams, share))
 
     @property
-    def out(self) -> int:
-        """Attempts and orders without an end."""
-        return len(self._out)
+    def in_flight(self) -> int:
+        """Attempts and commands that have not ended."""
+        return len(self._exchanges)
 
     @property
-    def links(self) -> int:
-        """Links that are open or closing."""
+    def connection_count(self) -> int:
+        """Connections that are open or closing."""
         return self._budget.in_use
 
-    def pools(self) -> dict[int, HostPool]:
-        """The hosts that are held, with what passed on their links."""
-        with self._lock:
-            return dict(self._pools)
+    def pools(self) -> dict[int, MultiplexedPool]:
+        """Return the pools of the listed workers, by worker number."""
+        return self._pools.snapshot()
 
-    def _close_idle_link(self) -> None:
-        """Close one link that nothing uses, at the host with most links."""
-        with self._lock:
-            pools = sorted(self._pools.values(), key=lambda pool: -len(pool.links))
+    def _close_idle_connection(self) -> None:
+        """Close one connection that nothing uses, to the worker that has most connections."""
+        pools = sorted(self._pools.snapshot().values(), key=lambda pool: -len(pool.connections))
         for pool in pools:
-            for link in pool.links:
-                if not link.open:
-                    link.retire()
+            for connection in pool.connections:
+                if not connection.in_flight:
+                    connection.close_gracefully()
                     return
 
-    # ---- the engine's dispatcher
+    # ---- the engine's actions, on the decision thread
 
     def send(self, call: Call, attempt: int, worker: int, timeout_s: float) -> None:
-        """Start an attempt."""
-        deadline_s = call.deadline_s
-        if timeout_s > 0:
-            deadline_s = min(deadline_s, self._clock() + timeout_s)
+        """Start an attempt of a call, with a time-out of its own where ``timeout_s`` is over 0."""
         pool = self._pools.get(worker)
         if pool is None:
-            outcome = AttemptOutcome(call.number, attempt, worker, Result.NOT_STARTED, 0.0, call.settled)
-            self._tell(AttemptEnd(call, outcome, reason="the host has left the list"))
-            return
-        item = Attempt(call, attempt, pool, deadline_s, self._ended, self._clock)
-        self._submit((call.number, attempt), item, pool)
-
-    def _submit(self, key: tuple[int, int], item: Item, pool: HostPool) -> None:
-        self._out[key] = item
-        if not pool.submit(item):
-            item.on_failed(Result.NOT_STARTED, "no link to the host can be had")
+            reason = "the worker is not listed any more"
+            self._report(unsent_attempt(call, attempt, worker, Result.NOT_STARTED, reason))
             return
-        self.deadlines.set(item.deadline_s, key)  # once a link has it: one that has none can't be given up
-
-    def _ended(self, what: AttemptEnd | OrderEnd | WorkerSeen) -> None:
-        if isinstance(what, AttemptEnd):
-            self._out.pop((what.call.number, what.outcome.attempt), None)
-        self._tell(what)
+        deadline_s = attempt_deadline_s(call, timeout_s, self._clock())
+        exchange = AttemptExchange(call, attempt, pool, deadline_s, self._attempt_context)
+        self._submit((call.number, attempt), exchange, pool)
 
     def cancel(self, call: Call, attempt: int) -> None:
-        """Stop waiting for an attempt; the host is told."""
+        """Stop waiting for an attempt and notify its worker."""
         self._give_up((call.number, attempt), Result.CANCELLED, "cancelled")
 
-    def awaits(self, key: tuple[int, int]) -> bool:
-        """Whether it has no end yet."""
-        return key in self._out
-
-    def expire(self, key: tuple[int, int]) -> None:
-        """It is overdue, unless it has ended already."""
-        self._give_up(key, Result.TIMEOUT, "no answer in time")
-
-    def _give_up(self, key: tuple[int, int], result: Result, reason: str) -> None:
-        item = self._out.get(key)
-        if item is not None and item.link is not None:
-            item.link.give_up(item, result, reason)
-
     def probe(self, worker: int) -> None:
-        """Ask whether the connection works; ends in one `OrderEnd`."""
-        self._order(worker, None, 0)
+        """Check that a connection to the worker works; ends in one `OrderEnd`."""
+        self._send_command(worker, None, 0)
 
     def load(self, worker: int, function: FunctionSpec, copies: int) -> None:
-        """Order copies; ends in one `OrderEnd`."""
-        self._order(worker, function, copies)
+        """Command a worker to load so many instances; ends in one `OrderEnd`."""
+        self._send_command(worker, function, copies)
+
+    def unload(self, worker: int, function: FunctionSpec) -> None:
+        """Command a worker to unload idle instances; no end is reported."""
+        pool = self._pools.get(worker)
+        if pool is not None and not pool.is_closed:
+            pool.post(codec.encode_unload_command(function.name))
 
-    def _order(self, worker: int, function: FunctionSpec | None, copies: int) -> None:
+    def _send_command(self, worker: int, function: FunctionSpec | None, instances: int) -> None:
         pool = self._pools.get(worker)
         if pool is None:
-            number = None if function is None else function.number
-            self._tell(OrderEnd(worker, Result.CONNECT_FAILED, 0.0, number))
+            self._report(unsent_command(worker, Result.CONNECT_FAILED, function))
             return
-        ticket = next(self._orders)
-        key = ORDER, ticket
-        deadline_s = self._clock() + self._order_timeout_s
+        number = next(self._command_numbers)
+        key = COMMAND_CALL_NUMBER, number
+
+        def on_end(event: EngineEvent) -> None:
+            self._exchanges.pop(key, None)
+            self._report(event)
+
+        deadline_s = self._clock() + self._command_timeout_s
+        context = ExchangeContext(on_end, self._clock)
+        tag = f"{COMMAND_TAG_PREFIX}{number}"
+        self._submit(key, CommandExchange(tag, function, instances, pool, deadline_s, context), pool)
+
+    def _submit(self, key: ExchangeKey, exchange: PendingExchange, pool: MultiplexedPool) -> None:
+        self._exchanges[key] = exchange
+        if not pool.submit(exchange):
+            exchange.on_failure(Result.NOT_STARTED, "no connection to the worker is available")
+            return
+        # Only once a connection has it: one without a connection can't be given up.
+        self.deadlines.schedule(exchange.deadline_s, key)
 
-        def ended(what: AttemptEnd | OrderEnd | WorkerSeen) -> None:
-            self._out.pop(key, None)
-            self._tell(what)
+    def _on_attempt_end(self, event: EngineEvent) -> None:
+        if isinstance(event, AttemptEnd):
+            self._exchanges.pop((event.call.number, event.outcome.attempt), None)
+        self._report(event)
 
-        order = Order(f"order-{ticket}", function, copies, pool, deadline_s, ended, self._clock)
-        self._submit(key, order, pool)
+    # ---- the deadlines' owner
 
-    def unload(self, worker: int, function: FunctionSpec) -> None:
-        """Order idle copies out; no end is told."""
-        pool = self._pools.get(worker)
-        if pool is None or pool.closed:
-            return
-        for link in pool.links:
-            if link.post(codec.unload_line(function.name)):
-                return
+    def is_pending(self, key: ExchangeKey) -> bool:
+        """Return whether an exchange has not ended."""
+        return key in self._exchanges
+
+    def expire(self, key: ExchangeKey) -> None:
+        """End an exchange whose deadline has passed, unless it has ended already."""
+        self._give_up(key, Result.TIMEOUT, "no response in time")
+
+    def _give_up(self, key: ExchangeKey, result: Result, reason: str) -> None:
+        exchange = self._exchanges.get(key)
+        if exchange is not None and exchange.connection is not None:
+            exchange.connection.give_up(exchange, result, reason)
--- a/saffronstack/upstream/multiplexed/exchange.py
+++ b/saffronstack/upstream/multiplexed/exchange.py
@@ -1,230 +1,243 @@
-"""What goes out to hosts and is answered: attempts and orders, each with exactly one end."""
+"""What is sent to a worker and answered: attempts and commands, each with exactly one end."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Protocol
 
-from saffronstack.engine.calls import (
-    Answer,
-    AttemptEnd,
-    Call,
-    Ending,
-    Final,
-    FunctionSpec,
-    OrderEnd,
-    WorkerSeen,
-)
-from saffronstack.net.write_buffer import OutgoingMessage, Sent
+from saffronstack.engine.calls import Answer, AttemptEnd, Call, Ending, Final, FunctionSpec, OrderEnd
+from saffronstack.net.write_buffer import OutgoingMessage, SendProgress
 from saffronstack.routing.events import AttemptOutcome, CacheStatus, LoadReport, Result
+from saffronstack.upstream.events import EventSink, function_id
 from saffronstack.upstream.multiplexed import codec
 
-LINE_BYTES = 256  # of a request's line beside its body
-LEAST_WAIT_MS = 1  # the host is told how long the gateway waits, and zero would be no time at all
+REQUEST_OVERHEAD_BYTES = 256  # of a request's line beside its body
+MIN_WAIT_MS = 1  # the worker is told how long the gateway waits, and zero would be no time at all
 
-Tell = Callable[[AttemptEnd | OrderEnd | WorkerSeen], None]
 
+class ExchangeWorker(Protocol):
+    """What an exchange needs of the worker that it is sent to."""
 
-class Host(Protocol):
-    """What an item needs of the host that it goes to."""
-
-    number: int
+    worker_id: int
     name: str
-    answers: int
-    broken: int
+    succeeded: int
+    failed: int
 
     @property
-    def closed(self) -> bool:
-        """Told as draining or gone: nothing new leaves for it."""
+    def is_closed(self) -> bool:
+        """Whether the worker drains or was removed: nothing new is sent to it."""
         ...
 
 
-class Carrier(Protocol):
-    """The link that an item goes out on."""
+class ExchangeConnection(Protocol):
+    """The connection that an exchange was submitted to."""
 
-    def claim(self, item: Item) -> bool:
-        """Whether its first byte may leave."""
+    def claim(self, exchange: PendingExchange) -> bool:
+        """Return whether the first byte may be sent."""
         ...
 
-    def unclaim(self, item: Item) -> None:
-        """Not one byte of it was taken after all."""
+    def unclaim(self, exchange: PendingExchange) -> None:
+        """Take back a claim: the socket took not one byte."""
         ...
 
-    def on_dropped(self, item: Item) -> None:
-        """It no longer stood when its first byte was to leave."""
+    def on_dropped(self, exchange: PendingExchange) -> None:
+        """End an exchange that was no longer wanted when its first byte was to be sent."""
         ...
 
-    def give_up(self, item: Item, result: Result, reason: str) -> None:
-        """Stop waiting for it."""
+    def give_up(self, exchange: PendingExchange, result: Result, reason: str) -> None:
+        """Stop waiting for the response."""
         ...
 
 
-class Item(OutgoingMessage):
-    """Something that goes out on a link under a tag. `Link` calls `ended` exactly once."""
+@dataclass(frozen=True, slots=True)
+class ExchangeContext:
+    """What all exchanges of a dispatcher share: who hears of their ends, and the clock."""
+
+    report: EventSink
+    clock: Callable[[], float]
+
+
+class PendingExchange(OutgoingMessage):
+    """A message that is sent under a tag and awaits its response.
+
+    Exactly one of `on_response` and `on_failure` is called, once.
+    """
 
-    __slots__ = ("clock", "deadline_s", "finished", "host", "link", "sent_s", "started", "tag", "tell")
+    __slots__ = (
+        "clock",
+        "connection",
+        "deadline_s",
+        "is_finished",
+        "is_started",
+        "report",
+        "submitted_s",
+        "tag",
+        "worker",
+    )
 
     def __init__(
         self,
         data: bytes,
         tag: str,
-        host: Host,
+        worker: ExchangeWorker,
         deadline_s: float,
-        tell: Tell,
-        clock: Callable[[], float],
+        context: ExchangeContext,
         size: int | None = None,
     ) -> None:
+        """Create an exchange that expires at ``deadline_s`` (clock time); ``size`` is `OutgoingMessage`'s."""
         super().__init__(data, size)
         self.tag = tag
-        self.host = host
+        self.worker = worker
         self.deadline_s = deadline_s
-        self.tell = tell
-        self.clock = clock
-        self.sent_s = clock()
-        self.link: Carrier | None = None
-        self.finished = False  # its end is told, or it is given up: no byte may leave any more
-        self.started = False  # its first byte may have left
+        self.report = context.report
+        self.clock = context.clock
+        self.submitted_s = context.clock()
+        self.connection: ExchangeConnection | None = None
+        self.is_finished = False  # it has ended or was given up: no byte may be sent any more
+        self.is_started = False  # its first byte may have been sent
 
-    def may_start(self) -> bool:
-        """Whether its first byte may leave now."""
-        return not self.host.closed and self.clock() < self.deadline_s and self.still_wanted()
+    def prepare_to_send(self) -> bool:
+        """Return whether the first byte may be sent now."""
+        return not self.worker.is_closed and self.clock() < self.deadline_s and self.claim()
 
-    def still_wanted(self) -> bool:
-        """Whether nobody gave it up before its first byte; from then on nobody takes it for unsent."""
-        return self.link is None or self.link.claim(self)
+    def claim(self) -> bool:
+        """Return whether it was not given up; from then on nobody may report it as not sent."""
+        return self.connection is None or self.connection.claim(self)
 
     def on_blocked(self) -> None:
-        """It is unsent still: whoever gives it up now may say so."""
-        if self.link is not None:
-            self.link.unclaim(self)
+        """Record that it is still unsent: whoever gives it up now may report that."""
+        if self.connection is not None:
+            self.connection.unclaim(self)
 
     def on_dropped(self) -> None:
-        """It did not stand: no byte of it leaves."""
-        if self.link is not None:
-            self.link.on_dropped(self)
+        """End it: it was no longer wanted, and no byte of it is sent."""
+        if self.connection is not None:
+            self.connection.on_dropped(self)
 
-    def on_answer(self, answer: codec.HostAnswer) -> None:
-        """The host's answer came."""
+    def on_response(self, response: codec.WorkerResponse) -> None:
+        """End it with the worker's response; runs on the read loop's thread."""
         raise NotImplementedError
 
-    def on_failed(self, result: Result, reason: str) -> None:
-        """It ended without an answer."""
+    def on_failure(self, result: Result, reason: str) -> None:
+        """End it without a response."""
         raise NotImplementedError
 
-    def lost(self) -> Result:
-        """How it ends where its link ends under it: a line that never left whole was never read."""
-        return Result.RESET if self.sent is Sent.WHOLE else Result.CONNECT_FAILED
+    def result_when_lost(self) -> Result:
+        """Return the result where the connection breaks: a worker never reads a line that is not complete."""
+        return Result.RESET if self.progress is SendProgress.COMPLETE else Result.CONNECT_FAILED
 
 
-class Attempt(Item):
+class AttemptExchange(PendingExchange):
     """One attempt of a call."""
 
-    __slots__ = ("call", "number")
+    __slots__ = ("attempt", "call")
 
     def __init__(
-        self,
-        call: Call,
-        number: int,
-        host: Host,
-        deadline_s: float,
-        tell: Tell,
-        clock: Callable[[], float],
+        self, call: Call, attempt: int, worker: ExchangeWorker, deadline_s: float, context: ExchangeContext
     ) -> None:
-        size = LINE_BYTES + len(call.payload) * 4 // 3  # in base64
-        super().__init__(b"", call.request_id, host, deadline_s, tell, clock, size)
+        size = REQUEST_OVERHEAD_BYTES + len(call.payload) * 4 // 3  # in base64
+        super().__init__(b"", call.request_id, worker, deadline_s, context, size)
         self.call = call
-        self.number = number
+        self.attempt = attempt
 
-    def may_start(self) -> bool:
-        """Nothing is sent for a call that has its final answer, or too late to be of use. The line is written
-        only now, with the time that is left now: it may have waited for a connection or in an outbox."""
+    def prepare_to_send(self) -> bool:
+        """Return whether the first byte may be sent now; encode the request if so.
+
+        Nothing is sent for a call that has its final answer, or too late to be of use. The line is encoded
+        only now, with the time that is left now: it may have waited for a connection or in a write buffer.
+        """
         call = self.call
         wait_ms = int((self.deadline_s - self.clock()) * 1000)
-        if call.settled or wait_ms < LEAST_WAIT_MS or not super().may_start():
+        if call.settled or wait_ms < MIN_WAIT_MS or not super().prepare_to_send():
             return False
-        self.data = codec.call_line(
+        self.data = codec.encode_request(
             call.request_id, call.class_name, call.function.name, wait_ms, call.payload
         )
         return True
 
-    def on_answer(self, answer: codec.HostAnswer) -> None:
-        """Served calls are answered here, on the link's thread: the decision thread need not come first."""
-        result = codec.RESULTS.get(answer.word)
-        if result is None:  # UP, to something that was no PING
-            self.on_failed(self.lost(), "an answer that belongs to no call")
+    def on_response(self, response: codec.WorkerResponse) -> None:
+        """End the attempt; a successful one answers the call here, ahead of the decision thread."""
+        result = codec.RESULT_BY_WORD.get(response.word)
+        if result is None:  # the reply to a ping, under the tag of a request
+            self.on_failure(self.result_when_lost(), "the response belongs to no request")
             return
-        kept = None
+        answer = None
         if result is Result.ERROR:
-            self.host.broken += 1
+            self.worker.failed += 1
         elif result is Result.OK:
-            self.host.answers += 1
-            kept = Answer(answer.body)
-            final = Final(Ending.SERVED, answer.body, attempts=self.number + 1, worker=self.host.name)
-            self.call.settle(final)
-        crowd = (answer.crowd or 0) if result in (Result.OK, Result.AT_CAPACITY) else None
-        self._end(result, answer.found, crowd, answer.report, kept)
-
-    def on_failed(self, result: Result, reason: str) -> None:
-        """It ended without an answer."""
-        self.host.broken += 1
-        self._end(result, reason=reason)
-
-    def _end(
+            self.worker.succeeded += 1
+            answer = Answer(response.body)
+            self.call.settle(
+                Final(Ending.SERVED, response.body, attempts=self.attempt + 1, worker=self.worker.name)
+            )
+        concurrency = (response.concurrency or 0) if result in (Result.OK, Result.AT_CAPACITY) else None
+        outcome = self._outcome(result, response.cache_status, concurrency, response.load_report)
+        self.report(AttemptEnd(self.call, outcome, answer))
+
+    def on_failure(self, result: Result, reason: str) -> None:
+        """End the attempt without a response."""
+        self.worker.failed += 1
+        self.report(AttemptEnd(self.call, self._outcome(result), reason=reason))
+
+    def _outcome(
         self,
         result: Result,
-        found: CacheStatus = CacheStatus.UNKNOWN,
-        crowd: int | None = None,
-        report: LoadReport | None = None,
-        answer: Answer | None = None,
-        reason: str = "",
-    ) -> None:
-        outcome = AttemptOutcome(
+        cache_status: CacheStatus = CacheStatus.UNKNOWN,
+        concurrency: int | None = None,
+        load_report: LoadReport | None = None,
+    ) -> AttemptOutcome:
+        return AttemptOutcome(
             self.call.number,
-            self.number,
-            self.host.number,
+            self.attempt,
+            self.worker.worker_id,
             result,
-            self.clock() - self.sent_s,
+            self.clock() - self.submitted_s,
             self.call.settled,
-            found,
-            crowd,
-            report,
+            cache_status,
+            concurrency,
+            load_report,
         )
-        self.tell(AttemptEnd(self.call, outcome, answer, reason))
 
 
-class Order(Item):
-    """An order to load, or a question whether a connection works (no function)."""
+class CommandExchange(PendingExchange):
+    """A load command, or a health check of the connection (no function)."""
 
-    __slots__ = ("copies", "function")
+    __slots__ = ("function", "instances")
 
     def __init__(
         self,
         tag: str,
         function: FunctionSpec | None,
-        copies: int,
-        host: Host,
+        instances: int,
+        worker: ExchangeWorker,
         deadline_s: float,
-        tell: Tell,
-        clock: Callable[[], float],
+        context: ExchangeContext,
     ) -> None:
-        line = codec.ping_line(tag) if function is None else codec.load_line(tag, function.name, copies)
-        super().__init__(line, tag, host, deadline_s, tell, clock)
+        if function is None:
+            line = codec.encode_ping(tag)
+        else:
+            line = codec.encode_load_command(tag, function.name, instances)
+        super().__init__(line, tag, worker, deadline_s, context)
         self.function = function
-        self.copies = copies
+        self.instances = instances
 
-    def may_start(self) -> bool:
-        """Asking alone is no load: it may go to a host that drains."""
-        return super().may_start() if self.copies else self.still_wanted()
+    def prepare_to_send(self) -> bool:
+        """Return whether it may be sent; a mere question puts no load on a worker that drains."""
+        return super().prepare_to_send() if self.instances else self.claim()
 
-    def on_answer(self, answer: codec.HostAnswer) -> None:
-        """Whether the copies stand."""
-        result = codec.RESULTS.get(answer.word, Result.OK if answer.word == codec.UP else Result.ERROR)
-        self._end(result, answer.copies, answer.report)
+    def on_response(self, response: codec.WorkerResponse) -> None:
+        """End it with the number of instances that are loaded."""
+        result = codec.RESULT_BY_WORD.get(response.word)
+        if result is None:
+            result = Result.OK if response.word == codec.WORD_PING_REPLY else Result.ERROR
+        self._end(result, response.instances, response.load_report)
 
-    def on_failed(self, result: Result, reason: str) -> None:
-        """It ended without an answer."""
+    def on_failure(self, result: Result, reason: str) -> None:
+        """End it without a response."""
         self._end(result, 0, None)
 
-    def _end(self, result: Result, copies: int, report: LoadReport | None) -> None:
-        number = None if self.function is None else self.function.number
-        self.tell(OrderEnd(self.host.number, result, self.clock() - self.sent_s, number, copies, report))
+    def _end(self, result: Result, instances: int, load_report: LoadReport | None) -> None:
+        elapsed_s = self.clock() - self.submitted_s
+        number = function_id(self.function)
+        self.report(OrderEnd(self.worker.worker_id, result, elapsed_s, number, instances, load_report))
--- /dev/null
+++ b/saffronstack/upstream/multiplexed/in_flight.py
@@ -0,0 +1,146 @@
+"""The exchanges in flight on one connection: who may send them, and who ends each of them, exactly once."""
+
+from __future__ import annotations
+
+import math
+import threading
+from enum import Enum
+
+from saffronstack.upstream.multiplexed.exchange import ExchangeConnection, PendingExchange
+
+MAX_ANSWERED_TAGS = 64  # the last tags answered: a second response may come, so none is reused meanwhile
+MAX_ABANDONED_TAGS = 32  # tags given up that may still be answered; at the limit nothing new is accepted
+
+
+class Admission(Enum):
+    """What became of an exchange that was added."""
+
+    REJECTED = 0  # not accepted
+    SEND_NOW = 1  # accepted; the caller sends it
+    QUEUED = 2  # accepted; it is sent once the connection is established
+
+
+class InFlightTable:
+    """Exchanges by tag. Whoever removes one, under the lock, is the one to end it: so it ends once.
+
+    Any thread may call any method.
+    """
+
+    def __init__(self, max_exchanges: int) -> None:
+        self._max_exchanges = max_exchanges
+        self._lock = threading.Lock()  # guards all below
+        self._exchanges: dict[str, PendingExchange] = {}
+        self._queued: list[PendingExchange] = []
+        self._abandoned_tags: set[str] = set()
+        self._answered_tags: dict[str, None] = {}  # in the order of their responses
+        self._is_connected = False
+        self.is_closed = False  # accepts nothing; set without the lock too, as it never goes back
+        self.is_draining = False  # accepts nothing, and is to be closed once nothing is in flight
+
+    def __len__(self) -> int:
+        """Return the number of exchanges in flight."""
+        return len(self._exchanges)
+
+    @property
+    def oldest_submitted_s(self) -> float:
+        """When the oldest exchange in flight was submitted (clock time); infinite without one."""
+        with self._lock:
+            oldest = next(iter(self._exchanges.values()), None)
+        return math.inf if oldest is None else oldest.submitted_s
+
+    def can_accept(self, tag: str) -> bool:
+        """Return whether an exchange with this tag can be added."""
+        return not (
+            self.is_closed
+            or self.is_draining
+            or len(self._exchanges) >= self._max_exchanges
+            or tag in self._exchanges
+            or tag in self._abandoned_tags
+            or tag in self._answered_tags
+            or len(self._abandoned_tags) >= MAX_ABANDONED_TAGS
+        )
+
+    def add(self, exchange: PendingExchange, connection: ExchangeConnection) -> Admission:
+        """Add an exchange and tie it to its connection, unless it can't be accepted."""
+        with self._lock:
+            if not self.can_accept(exchange.tag):
+                return Admission.REJECTED
+            self._exchanges[exchange.tag] = exchange
+            exchange.connection = connection
+            if self._is_connected:
+                return Admission.SEND_NOW
+            self._queued.append(exchange)
+            return Admission.QUEUED
+
+    def on_connected(self) -> list[PendingExchange]:
+        """Accept exchanges for sending at once; return those queued, none where it was closed meanwhile."""
+        with self._lock:
+            self._is_connected = True
+            queued, self._queued = self._queued, []
+            return [] if self.is_closed else queued
+
+    def claim(self, exchange: PendingExchange) -> bool:
+        """Return whether the first byte may be sent; from here on the exchange may have been executed.
+
+        Giving up and sending are decided under one lock, or a request could be taken for one never sent.
+        """
+        with self._lock:
+            exchange.is_started = not exchange.is_finished
+            return exchange.is_started
+
+    def unclaim(self, exchange: PendingExchange) -> None:
+        """Take back a claim: not one byte was sent after all."""
+        with self._lock:
+            exchange.is_started = False
+
+    def remove(self, exchange: PendingExchange, abandon: bool = False) -> bool:
+        """Remove an exchange; return whether the caller is the one to end it.
+
+        Args:
+            exchange: The exchange.
+            abandon: Whether its response may still come, so that its tag must not be reused.
+        """
+        with self._lock:
+            if self._exchanges.get(exchange.tag) is not exchange:
+                return False
+            del self._exchanges[exchange.tag]
+            exchange.is_finished = True
+            if abandon and exchange.is_started:
+                self._abandoned_tags.add(exchange.tag)
+        return True
+
+    def pop_answered(self, tag: str) -> PendingExchange | None:
+        """Remove the exchange that a response belongs to; None where it was given up or never sent."""
+        with self._lock:
+            exchange = self._exchanges.pop(tag, None)
+            if exchange is None:
+                self._abandoned_tags.discard(tag)
+                return None
+            exchange.is_finished = True
+            self._answered_tags[tag] = None
+            if len(self._answered_tags) > MAX_ANSWERED_TAGS:
+                del self._answered_tags[next(iter(self._answered_tags))]
+        return exchange
+
+    def close_if_idle(self) -> bool:
+        """Close it unless something is in flight; return whether it is closed."""
+        with self._lock:
+            self.is_closed = self.is_closed or not self._exchanges
+            return self.is_closed
+
+    def close(self) -> list[PendingExchange]:
+        """Close it and return what was in flight; no first byte is sent from here on."""
+        with self._lock:
+            self.is_closed = True
+            lost, self._exchanges = list(self._exchanges.values()), {}
+            for exchange in lost:  # `claim` looks at this under the same lock
+                exchange.is_finished = True
+            self._queued = []
+            self._abandoned_tags = set()
+            self._answered_tags = {}
+        return lost
+
+    def is_spent(self) -> bool:
+        """Return whether nothing is in flight and nothing will be accepted any more."""
+        is_ending = self.is_draining or len(self._abandoned_tags) >= MAX_ABANDONED_TAGS
+        return is_ending and not self._exchanges
--- /dev/null
+++ b/saffronstack/upstream/pool_registry.py
@@ -0,0 +1,94 @@
+"""The connection pools of all workers, kept in step with the endpoint list."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable, Iterable
+from typing import Generic, Protocol, TypeVar
+
+from saffronstack.engine.worker_registry import WorkerSpec
+
+
+class WorkerPool(Protocol):
+    """The connections to one worker."""
+
+    spec: WorkerSpec
+
+    def update(self, spec: WorkerSpec) -> None:
+        """Take a changed entry of the endpoint list, at the same address; it may start or end draining."""
+        ...
+
+    def stop(self) -> None:
+        """Send nothing new; connections close once nothing is in flight on them."""
+        ...
+
+
+PoolT = TypeVar("PoolT", bound=WorkerPool)
+
+
+class PoolRegistry(Generic[PoolT]):
+    """One pool for each listed worker, by worker number.
+
+    Once a change returns, nothing new is sent to workers that drain or were removed. Any thread may call.
+    """
+
+    def __init__(self, create_pool: Callable[[WorkerSpec], PoolT]) -> None:
+        self._create_pool = create_pool
+        self._lock = threading.Lock()  # guards changes of the pools; single look-ups do without
+        self._pools: dict[int, PoolT] = {}
+
+    def __len__(self) -> int:
+        """Return the number of workers."""
+        return len(self._pools)
+
+    def get(self, worker_id: int) -> PoolT | None:
+        """Return the pool of a worker, None where it is not listed."""
+        return self._pools.get(worker_id)
+
+    def snapshot(self) -> dict[int, PoolT]:
+        """Return the pools as they are now."""
+        with self._lock:
+            return dict(self._pools)
+
+    def replace_all(self, specs: Iterable[WorkerSpec]) -> None:
+        """Apply a complete endpoint list."""
+        listed = {spec.number: spec for spec in specs}
+        with self._lock:
+            removed = [number for number in self._pools if number not in listed]
+            stopped = self._apply(listed.values(), removed)
+        for pool in stopped:
+            pool.stop()
+
+    def update(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> None:
+        """Apply an incremental update: workers that are new or changed, and numbers of those removed."""
+        with self._lock:
+            stopped = self._apply(specs, removed)
+        for pool in stopped:
+            pool.stop()
+
+    def clear(self) -> list[PoolT]:
+        """Remove and stop every pool; return them."""
+        with self._lock:
+            pools = list(self._pools.values())
+            self._pools = {}
+        for pool in pools:
+            pool.stop()
+        return pools
+
+    def _apply(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> list[PoolT]:
+        """Change the pools and return those that are to be stopped; the caller holds the lock."""
+        stopped: list[PoolT] = []
+        for number in removed:
+            gone = self._pools.pop(number, None)
+            if gone is not None:
+                stopped.append(gone)
+        for spec in specs:
+            pool = self._pools.get(spec.number)
+            if pool is not None and (pool.spec.host, pool.spec.port) != (spec.host, spec.port):
+                stopped.append(pool)  # another address is another worker: it shares nothing with the old one
+                pool = None
+            if pool is None:
+                pool = self._create_pool(spec)
+                self._pools[spec.number] = pool
+            pool.update(spec)
+        return stopped
