--- a/tests/upstream/multiplexed/test_connection.py
+++ b/tests/upstream/multiplexed/test_connection.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from saffronstack.choice import Router
 from saffronstack.engine.calls import AttemptEnd, Call, Ending, Final, FunctionSpec
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.net.write_buffer import SendProgress, WriteBuffer, WriteLoop
 from saffronstack.routing.events import Result
+from saffronstack.routing.router import Router
 from saffronstack.standin.platform import Directory, Entry
 from saffronstack.upstream.multiplexed import codec
 from saffronstack.upstream.multiplexed.connection import ConnectionLimits, MultiplexedConnection
