--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -37,8 +37,9 @@
 from saffronstack.roster.membership import Change
 from saffronstack.roster.service import RosterService
 from saffronstack.roster.watching import Watch
-from saffronstack.upstream.http.connection_pool import PoolLimits, UsageJob
-from saffronstack.upstream.http.dispatcher import Fleet
+from saffronstack.upstream.http.dispatcher import HttpDispatcher
+from saffronstack.upstream.http.jobs import UsageJob
+from saffronstack.upstream.http.worker_context import HttpPoolLimits
 
 log = structlog.get_logger("saffronstack.gateway")
 REREAD = ("keys", "workers")  # what a reread may change; the rest needs a restart
@@ -128,15 +129,15 @@
             offset_s,
         )
 
-    def _make_fleet(self) -> Fleet:
-        limits = PoolLimits(
+    def _make_fleet(self) -> HttpDispatcher:
+        limits = HttpPoolLimits(
             self.config.limits.worker_connections,
             self.config.allow.connect_timeout_s,
             self.config.limits.worker_idle_s,
             self.config.order_timeout_s,
             Limits(body=self.config.limits.response_bytes),
         )
-        return Fleet(limits, self.engine.tell, self._clock, self.meter)
+        return HttpDispatcher(limits, self.engine.tell, self._clock, self.meter)
 
     def _make_app(self) -> App:
         return App(
@@ -224,7 +225,7 @@
         """On the roster's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
         specs = specs_of(changed.entries, self.config, self._numbers)
         gone = [worker_number(name) for name in changed.gone]
-        self.fleet.changed(specs, gone)
+        self.fleet.update_workers(specs, gone)
         if self.meter is not None:
             self.meter.roster(list(specs_of(workers.values(), self.config, self._numbers)))
         self.engine.change_workers(specs, gone, self._wall())
@@ -254,7 +255,7 @@
         return f"{host}:{port}"
 
     def _ask_usage(self, worker: int, body: bytes, done: Callable[[bytes | None], None]) -> None:
-        self.fleet.ask_usage(worker, UsageJob(body, done))
+        self.fleet.poll_usage(worker, UsageJob(body, done))
 
     def _memory_kib(self, worker: WorkerSpec) -> int:
         return int(self.config.kinds[worker.kind].memory_mb * 1024)
@@ -265,7 +266,7 @@
         if self.roster is not None:
             listed = self.roster.start(self._clock())
             specs = specs_of(listed.values(), self.config, self._numbers)
-        self.fleet.told(specs)
+        self.fleet.replace_workers(specs)
         if self.meter is not None:
             self.meter.roster(list(specs))
             self.meter.start()
@@ -304,7 +305,7 @@
             self.roster.static(config.workers)
             return left
         specs = workers_of(config, self._numbers)
-        self.fleet.told(specs)
+        self.fleet.replace_workers(specs)
         if self.meter is not None:
             self.meter.roster(list(specs))
         self.engine.update_workers(specs, self._wall())
@@ -329,7 +330,7 @@
             clean = self.operations.stop() and clean
         if self.meter is not None:
             clean = self.meter.stop() and clean
-        self.fleet.end()
+        self.fleet.stop()
         if self.ledger is not None:
             clean = self.ledger.close() and clean
         if self._recorder is not None:
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator, Mapping
+from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -34,21 +34,40 @@
     value: float
 
 
+class WorkerTraffic(Protocol):
+    """The attempts that a worker was given since it was listed, and those of them in flight."""
+
+    @property
+    def spec(self) -> WorkerSpec:
+        """The worker."""
+        ...
+
+    @property
+    def attempts(self) -> int:
+        """Attempts that it was given."""
+        ...
+
+    @property
+    def in_flight(self) -> int:
+        """Those of them that have not ended."""
+        ...
+
+
 class Connections(Protocol):
     """Who holds connections to workers."""
 
     @property
-    def connections(self) -> int:
-        """How many."""
+    def connection_count(self) -> int:
+        """Connections at most."""
         ...
 
     @property
-    def size(self) -> int:
-        """Workers of the list."""
+    def worker_count(self) -> int:
+        """Workers that are listed."""
         ...
 
-    def passed(self) -> list[tuple[WorkerSpec, int, int]]:
-        """Each worker, the attempts that it was given, and those of them open."""
+    def traffic(self) -> Sequence[WorkerTraffic]:
+        """Return the attempts of each listed worker."""
         ...
 
 
@@ -74,12 +93,15 @@
         ...
 
 
-def busiest(passed: list[tuple[WorkerSpec, int, int]]) -> float:
-    """The most open attempts that a worker which takes calls has, as a multiple of its share by size; 0
-    where none are open."""
-    taking = [(spec.size, out) for spec, _, out in passed if not spec.draining and spec.size > 0]
-    total, size = sum(out for _, out in taking), sum(size for size, _ in taking)
-    return max(out / (total * own / size) for own, out in taking) if total else 0.0
+def busiest(traffic: Sequence[WorkerTraffic]) -> float:
+    """Return the most attempts in flight at a worker that takes calls, as a multiple of its share by size.
+
+    It is 0 where none are in flight.
+    """
+    taking = [worker for worker in traffic if not worker.spec.draining and worker.spec.size > 0]
+    total = sum(worker.in_flight for worker in taking)
+    size = sum(worker.spec.size for worker in taking)
+    return max(worker.in_flight / (total * worker.spec.size / size) for worker in taking) if total else 0.0
 
 
 class GatewayCollector(Collector):
@@ -94,7 +116,7 @@
         counts = gateway.engine.counts
         yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.endings)
         yield _labelled("attempts_ended", "Attempts by result", "result", counts.results)
-        yield from _worker_metrics(gateway.fleet.passed())
+        yield from _worker_metrics(gateway.fleet.traffic())
         for figure in _counters(gateway):
             yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
         if gateway.deferred is not None:
@@ -114,12 +136,12 @@
     return family
 
 
-def _worker_metrics(passed: list[tuple[WorkerSpec, int, int]]) -> Iterator[Metric]:
+def _worker_metrics(traffic: Sequence[WorkerTraffic]) -> Iterator[Metric]:
     given = CounterMetricFamily(PREFIX + "worker_attempts", "Attempts given to a worker", labels=["worker"])
     out = GaugeMetricFamily(PREFIX + "worker_out", "Open attempts at a worker", labels=["worker"])
-    for spec, attempts, open_ in passed:
-        given.add_metric([spec.name], attempts)
-        out.add_metric([spec.name], open_)
+    for worker in traffic:
+        given.add_metric([worker.spec.name], worker.attempts)
+        out.add_metric([worker.spec.name], worker.in_flight)
     yield given
     yield out
 
@@ -145,12 +167,12 @@
 
 
 def _gauges(gateway: Parts) -> Iterator[Figure]:
-    passed = gateway.fleet.passed()
+    traffic = gateway.fleet.traffic()
     yield Figure("open_calls", "Calls open in the engine", gateway.engine.open_calls)
     yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued)
     yield Figure("client_connections", "Client connections open", gateway.server.connections)
-    yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connections)
-    yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(passed))
+    yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connection_count)
+    yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(traffic))
     if gateway.deferred is not None and gateway.ledger is not None:
         ledger = gateway.ledger
         yield Figure("deferred_open", "Deferred calls open", gateway.deferred.open_calls)
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -55,8 +55,8 @@
             "endings": counts.endings,
             "attempts": counts.results,
             "client_connections": gateway.server.connections,
-            "worker_connections": gateway.fleet.connections,
-            "workers": gateway.fleet.size,
+            "worker_connections": gateway.fleet.connection_count,
+            "workers": gateway.fleet.worker_count,
             "classes": gateway.app.figures.counts(),
             "times": gateway.app.figures.encoded(),
         }
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -171,22 +171,22 @@
 
     # ---- from the workers' threads
 
-    def invite(self, worker: int) -> str:
+    def gateway_name_for(self, worker_id: int) -> str:
         """The name by which a worker may give records with its answer; empty where it just gave some."""
         now = self._clock()
-        if now - self._invited.get(worker, -1e9) < INVITE_EVERY_S:
+        if now - self._invited.get(worker_id, -1e9) < INVITE_EVERY_S:
             return ""
-        self._invited[worker] = now
+        self._invited[worker_id] = now
         return self.journal.state.gateway
 
-    def heard(self, worker: WorkerSpec, text: str) -> None:
+    def on_usage_records(self, worker: WorkerSpec, text: str) -> None:
         """The usage header of an answer."""
         if self._queue.qsize() > QUEUE_MOST:
             self.dropped += 1
             return
         self._queue.put(lambda: self._header(worker, text))
 
-    def ended(self, end: AttemptEnd) -> None:
+    def on_attempt_end(self, end: AttemptEnd) -> None:
         """An attempt's end: one that may have run and brought no answer is charged until its record comes."""
         outcome = end.outcome
         if outcome.result in LOST:
--- /dev/null
+++ b/saffronstack/upstream/http/attempt_runner.py
@@ -0,0 +1,125 @@
+"""Carries out attempts: sends the request of a call to a worker and reports how the attempt ended."""
+
+from __future__ import annotations
+
+from saffronstack.engine.calls import AttemptEnd, Ending, Final, WorkerSeen
+from saffronstack.http1.messages import HttpError
+from saffronstack.http1.sockets import PeerClosed
+from saffronstack.routing.events import AttemptOutcome, Result
+from saffronstack.upstream.http import protocol
+from saffronstack.upstream.http.connection import ConnectionSlot, HttpConnection
+from saffronstack.upstream.http.jobs import AttemptJob
+from saffronstack.upstream.http.protocol import AttemptResponse
+from saffronstack.upstream.http.worker_context import WorkerContext
+
+MAX_SENDS = 2  # a connection that was kept alive may turn out closed before anything was sent on it
+NO_LONGER_WANTED = AttemptResponse(Result.NOT_STARTED, reason="no longer wanted when it was to be sent")
+
+
+class AttemptRunner:
+    """Runs attempts on the threads of one worker's pool, several at once."""
+
+    def __init__(self, context: WorkerContext) -> None:
+        self._context = context
+
+    def run(self, job: AttemptJob, slot: ConnectionSlot) -> None:
+        """Carry out an attempt and report its end."""
+        context = self._context
+        started_s = context.clock()
+        response = self._send(job, slot)
+        if response.answer is not None:
+            self._answer_call(job, response)
+        if response.incarnation and response.incarnation != context.incarnation:
+            context.incarnation = response.incarnation
+            context.report(WorkerSeen(context.spec.number, response.incarnation, response.uptime_s))
+        outcome = AttemptOutcome(
+            job.call.number,
+            job.attempt,
+            context.spec.number,
+            response.result,
+            context.clock() - started_s,
+            job.call.settled,
+            response.cache_status,
+            response.concurrency,
+            response.load_report,
+        )
+        self._report(job, response, outcome)
+        slot.release()
+
+    def _answer_call(self, job: AttemptJob, response: AttemptResponse) -> None:
+        answer = response.answer
+        assert answer is not None
+        final = Final(
+            Ending.SERVED,
+            answer.payload,
+            answer.function_error,
+            answer.log_tail,
+            attempts=job.attempt + 1,
+            worker=self._context.spec.name,
+        )
+        job.call.settle(final)
+
+    def _report(self, job: AttemptJob, response: AttemptResponse, outcome: AttemptOutcome) -> None:
+        context = self._context
+        observer = context.usage_observer
+        if response.usage_records and observer is not None:
+            observer.on_usage_records(context.spec, response.usage_records)
+        end = AttemptEnd(
+            job.call, outcome, response.answer, response.reason, context.incarnation, response.memory_time
+        )
+        if observer is not None:
+            observer.on_attempt_end(end)
+        context.report(end)
+
+    def _may_send(self, job: AttemptJob) -> bool:
+        """Return whether the attempt is still wanted; checked right before its first byte."""
+        is_over = self._context.is_closed or job.is_cancelled or job.call.settled
+        return not is_over and self._context.clock() < job.deadline_s
+
+    def _send(self, job: AttemptJob, slot: ConnectionSlot) -> AttemptResponse:
+        """Send the request on a connection that takes it, and return what came of it."""
+        if not self._may_send(job):
+            return NO_LONGER_WANTED
+        guard = job.call.guard
+        for _ in range(MAX_SENDS):
+            try:
+                connection = slot.acquire(job.deadline_s)
+            except OSError as error:
+                return AttemptResponse(Result.CONNECT_FAILED, reason=str(error))
+            if guard is not None:
+                if not guard.may_send(job.attempt, self._context.spec.number):
+                    return AttemptResponse(Result.NOT_STARTED, reason="the ledger could not note it")
+                guard = None  # asked once, however often it is sent
+            if not self._may_send(job):
+                return NO_LONGER_WANTED
+            response = self._exchange(job, connection)
+            if response is not None:
+                return response
+        return AttemptResponse(Result.CONNECT_FAILED, reason="the connection took no byte")
+
+    def _exchange(self, job: AttemptJob, connection: HttpConnection) -> AttemptResponse | None:
+        """Send the request and await its response; return None where not one byte was sent."""
+        clock = self._context.clock
+        job.connection = connection  # before anything else: a cancellation from here on breaks it
+        request = self._encode(job)
+        try:
+            if not connection.send(request, job.deadline_s, clock):
+                return None
+            head, body = connection.receive(job.deadline_s, clock)
+        except TimeoutError:
+            if job.is_cancelled:
+                return AttemptResponse(Result.CANCELLED, reason="cancelled")
+            return AttemptResponse(Result.TIMEOUT, reason="no answer in time")
+        except (HttpError, OSError, PeerClosed) as error:
+            result = Result.CANCELLED if job.is_cancelled else Result.RESET
+            return AttemptResponse(result, reason=str(error))
+        finally:
+            job.connection = None
+        return protocol.interpret_attempt(head, body)
+
+    def _encode(self, job: AttemptJob) -> bytes:
+        context = self._context
+        observer = context.usage_observer
+        gateway = "" if observer is None else observer.gateway_name_for(context.spec.number)
+        time_left_s = job.deadline_s - context.clock()
+        return protocol.encode_invocation(context.host, job.call, job.attempt, time_left_s, gateway)
--- /dev/null
+++ b/saffronstack/upstream/http/connection.py
@@ -0,0 +1,114 @@
+"""One HTTP/1.1 connection to a worker, and the slot in which a thread keeps it alive between requests."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from types import TracebackType
+
+from saffronstack.http1.messages import Limits, ResponseHead
+from saffronstack.http1.reader import MessageReader
+from saffronstack.http1.sockets import Stream, read_until
+from saffronstack.upstream.errors import ConnectTimeoutError
+
+
+class HttpConnection:
+    """An open connection, used by one thread at a time; `abort` may be called from any."""
+
+    def __init__(self, sock: socket.socket, limits: Limits) -> None:
+        self._stream = Stream(sock)
+        self._reader = MessageReader(limits)
+        self.keep_alive = True  # whether it may carry another request
+
+    def is_reusable(self) -> bool:
+        """Return whether it is still open and has received nothing that belongs to no request."""
+        return not self._reader.pending and self._stream.silent()
+
+    def send(self, data: bytes, deadline_s: float, clock: Callable[[], float]) -> bool:
+        """Send a request; a connection that did not take all of it is not kept alive.
+
+        Returns:
+            False where the socket took not one byte, so that the worker can't have read any.
+
+        Raises:
+            OSError: It took some bytes and failed; TimeoutError where ``deadline_s`` (clock time) passed.
+        """
+        keep_alive, self.keep_alive = self.keep_alive, False
+        if not self._stream.send(data, deadline_s, clock):
+            return False
+        self.keep_alive = keep_alive
+        return True
+
+    def receive(self, deadline_s: float, clock: Callable[[], float]) -> tuple[ResponseHead, bytes]:
+        """Return the response's head and body.
+
+        Raises:
+            TimeoutError: It was not complete at ``deadline_s`` (clock time).
+            PeerClosed: The worker closed the connection before.
+            OSError: The connection failed.
+            HttpError: It is not a valid response.
+        """
+        self.keep_alive = False
+        head = read_until(self._stream, self._reader, self._reader.response, deadline_s, clock)
+        body = read_until(self._stream, self._reader, self._reader.body, deadline_s, clock)
+        self.keep_alive = head.keep_alive
+        return head, body
+
+    def abort(self) -> None:
+        """Break it under the thread that uses it."""
+        self.keep_alive = False
+        self._stream.abort()
+
+    def close(self) -> None:
+        """Close it."""
+        self._stream.close()
+
+
+class ConnectionSlot:
+    """Holds at most one connection for one thread, and closes it when the thread leaves the context."""
+
+    def __init__(
+        self, address: tuple[str, int], connect_timeout_s: float, limits: Limits, clock: Callable[[], float]
+    ) -> None:
+        self._address = address
+        self._connect_timeout_s = connect_timeout_s
+        self._limits = limits
+        self._clock = clock
+        self._connection: HttpConnection | None = None
+
+    def __enter__(self) -> ConnectionSlot:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.close()
+
+    def acquire(self, deadline_s: float) -> HttpConnection:
+        """Return the connection that was kept alive, or a new one.
+
+        Raises:
+            OSError: No connection can be opened; TimeoutError where it can't within the connect time-out
+                or until ``deadline_s`` (clock time).
+        """
+        if self._connection is not None:
+            if self._connection.is_reusable():
+                return self._connection
+            self.close()
+        time_left_s = min(self._connect_timeout_s, deadline_s - self._clock())
+        if time_left_s <= 0:
+            raise ConnectTimeoutError("no time left to connect")
+        sock = socket.create_connection(self._address, timeout=time_left_s)
+        self._connection = HttpConnection(sock, self._limits)
+        return self._connection
+
+    def release(self) -> None:
+        """Close the connection unless it may carry another request."""
+        if self._connection is not None and not self._connection.keep_alive:
+            self.close()
+
+    def close(self) -> None:
+        """Close the connection, if there is one."""
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
--- a/saffronstack/upstream/http/dispatcher.py
+++ b/saffronstack/upstream/http/dispatcher.py
@@ -1,158 +1,160 @@
-"""All workers' pools: the dispatcher that carries out the engine's actions."""
+"""Carries out the engine's actions over HTTP/1.1 connection pools."""
 
 from __future__ import annotations
 
 import threading
 from collections import Counter
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd
+from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec
 from saffronstack.engine.worker_registry import WorkerSpec
-from saffronstack.routing.events import AttemptOutcome, Result
-from saffronstack.upstream.http.connection_pool import (
+from saffronstack.routing.events import Result
+from saffronstack.upstream.deadlines import ExchangeKey, attempt_deadline_s
+from saffronstack.upstream.events import EngineEvent, EventSink, unsent_attempt, unsent_command
+from saffronstack.upstream.http.connection_pool import HttpPool
+from saffronstack.upstream.http.jobs import (
     AttemptJob,
-    Heed,
-    OrderJob,
-    PoolLimits,
-    Tell,
+    CommandJob,
+    HealthCheckJob,
+    LoadJob,
+    UnloadJob,
     UsageJob,
-    WorkerPool,
+    function_of,
 )
+from saffronstack.upstream.http.usage_observer import UsageObserver
+from saffronstack.upstream.http.worker_context import HttpPoolLimits, WorkerContext
+from saffronstack.upstream.pool_registry import PoolRegistry
 
 
-class Fleet:
-    """Pools by worker number; the list is changed by `told`, before the engine hears of the same list."""
+@dataclass(frozen=True, slots=True)
+class WorkerTraffic:
+    """The attempts that a worker was given since it was listed, and those of them in flight."""
+
+    spec: WorkerSpec
+    attempts: int
+    in_flight: int
+
+
+class HttpDispatcher:
+    """Sends attempts and commands to workers and reports how each ended.
+
+    Actions come from the decision thread; ends are reported from the pools' threads. A change of the
+    endpoint list must come before the engine hears of it, so that nothing new is sent to a worker that
+    drains or was removed.
+    """
 
     def __init__(
-        self, limits: PoolLimits, tell: Tell, clock: Callable[[], float], heed: Heed | None = None
+        self,
+        limits: HttpPoolLimits,
+        report: EventSink,
+        clock: Callable[[], float],
+        usage_observer: UsageObserver | None = None,
     ) -> None:
+        """Create a dispatcher without workers.
+
+        Args:
+            limits: Bounds of the connections to each worker.
+            report: Is told how each attempt and command ended.
+            clock: Monotonic time in seconds.
+            usage_observer: Takes part in metering; None without metering.
+        """
         self._limits = limits
-        self._tell = tell
-        self._heed = heed
+        self._report = report
+        self._usage_observer = usage_observer
         self._clock = clock
-        self._lock = threading.Lock()
-        self._pools: dict[int, WorkerPool] = {}
-        self._out: dict[tuple[int, int], AttemptJob] = {}
+        self._pools = PoolRegistry[HttpPool](self._create_pool)
+        self._lock = threading.Lock()  # guards the attempts in flight and the pools' counts of attempts
+        self._in_flight: dict[ExchangeKey, AttemptJob] = {}
 
-    def told(self, specs: Iterable[WorkerSpec]) -> None:
-        """The whole list. From this moment nothing new leaves for a worker that drains or is gone."""
-        with self._lock:
-            told = {spec.number: spec for spec in specs}
-            self._gone([number for number in self._pools if number not in told])
-            self._listed(told.values())
+    def _create_pool(self, spec: WorkerSpec) -> HttpPool:
+        context = WorkerContext(
+            spec, self._limits, self._on_event, self._clock, self._usage_observer, spec.draining
+        )
+        return HttpPool(context)
 
-    def changed(self, specs: Iterable[WorkerSpec], gone: Iterable[int]) -> None:
-        """Some workers are new or changed, some gone; from this moment nothing new leaves for those that
-        drain or are gone."""
-        with self._lock:
-            self._gone(gone)
-            self._listed(specs)
-
-    def _gone(self, numbers: Iterable[int]) -> None:
-        for number in numbers:
-            pool = self._pools.pop(number, None)
-            if pool is not None:
-                pool.end()
-
-    def _listed(self, specs: Iterable[WorkerSpec]) -> None:
-        for spec in specs:
-            known = self._pools.get(spec.number)
-            if known is not None and (spec.host, spec.port) != (known.spec.host, known.spec.port):
-                known.end()
-                known = None
-            if known is None:
-                known = WorkerPool(spec, self._limits, self._ended, self._clock, self._heed)
-                self._pools[spec.number] = known
-            if spec.draining:
-                known.close()
-            else:
-                known.reopen()
-
-    def end(self) -> None:
-        """End every pool."""
-        self.told(())
+    def replace_workers(self, specs: Iterable[WorkerSpec]) -> None:
+        """Apply a complete endpoint list."""
+        self._pools.replace_all(specs)
+
+    def update_workers(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> None:
+        """Apply an incremental update: workers that are new or changed, and numbers of those removed."""
+        self._pools.update(specs, removed)
+
+    def stop(self) -> None:
+        """Stop every pool; jobs that were begun are carried out."""
+        self._pools.clear()
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Threads of all pools, each with a connection at most."""
-        with self._lock:
-            return sum(pool.threads for pool in self._pools.values())
+        return sum(pool.threads for pool in self._pools.snapshot().values())
 
     @property
-    def size(self) -> int:
-        """How many workers the list has."""
-        with self._lock:
-            return len(self._pools)
-
-    def specs(self) -> list[WorkerSpec]:
-        """The workers of the list."""
-        with self._lock:
-            return [pool.spec for pool in self._pools.values()]
-
-    def passed(self) -> list[tuple[WorkerSpec, int, int]]:
-        """Each worker of the list, the attempts that it was given since it came, and those of them open."""
-        with self._lock:
-            out = Counter(job.worker for job in self._out.values())
-            return [(pool.spec, pool.attempts, out[number]) for number, pool in self._pools.items()]
+    def worker_count(self) -> int:
+        """Workers that are listed."""
+        return len(self._pools)
 
-    def ask_usage(self, worker: int, job: UsageJob) -> None:
-        """Ask a worker for its records of usage; ``job.done`` hears the answer."""
+    def traffic(self) -> list[WorkerTraffic]:
+        """Return the attempts of each listed worker."""
+        pools = self._pools.snapshot()
         with self._lock:
-            pool = self._pools.get(worker)
+            in_flight = Counter(job.worker_id for job in self._in_flight.values())
+            return [
+                WorkerTraffic(pool.spec, pool.attempts, in_flight[number]) for number, pool in pools.items()
+            ]
+
+    def poll_usage(self, worker_id: int, job: UsageJob) -> None:
+        """Poll a worker for its usage records."""
+        pool = self._pools.get(worker_id)
         if pool is None:
-            job.done(None)
+            job.on_response(None)
         else:
             pool.submit(job)
 
-    def _ended(self, what: object) -> None:
-        if isinstance(what, AttemptEnd):
+    def _on_event(self, event: EngineEvent) -> None:
+        if isinstance(event, AttemptEnd):
             with self._lock:
-                self._out.pop((what.call.number, what.outcome.attempt), None)
-        self._tell(what)  # type: ignore[arg-type]
+                self._in_flight.pop((event.call.number, event.outcome.attempt), None)
+        self._report(event)
 
-    # ---- the dispatcher
+    # ---- the engine's actions, on the decision thread
 
     def send(self, call: Call, attempt: int, worker: int, timeout_s: float) -> None:
-        """Start an attempt."""
-        deadline_s = call.deadline_s
-        if timeout_s > 0:
-            deadline_s = min(deadline_s, self._clock() + timeout_s)
-        job = AttemptJob(call, attempt, deadline_s, worker)
-        with self._lock:
-            pool = self._pools.get(worker)
-            if pool is not None:
-                pool.attempts += 1
-                self._out[call.number, attempt] = job
+        """Start an attempt of a call, with a time-out of its own where ``timeout_s`` is over 0."""
+        pool = self._pools.get(worker)
         if pool is None:
-            outcome = AttemptOutcome(call.number, attempt, worker, Result.NOT_STARTED, 0.0, call.settled)
-            self._tell(AttemptEnd(call, outcome, reason="the worker has left the list"))
+            reason = "the worker has left the list"
+            self._report(unsent_attempt(call, attempt, worker, Result.NOT_STARTED, reason))
             return
+        job = AttemptJob(call, attempt, attempt_deadline_s(call, timeout_s, self._clock()), worker)
+        with self._lock:
+            pool.attempts += 1
+            self._in_flight[call.number, attempt] = job
         pool.submit(job)
 
     def cancel(self, call: Call, attempt: int) -> None:
         """Stop waiting for an attempt."""
         with self._lock:
-            job = self._out.get((call.number, attempt))
+            job = self._in_flight.get((call.number, attempt))
         if job is not None:
             job.cancel()
 
     def probe(self, worker: int) -> None:
-        """Ask a worker for its report."""
-        self._order(worker, OrderJob(None))
+        """Ask a worker for its load report."""
+        self._submit_command(worker, HealthCheckJob())
 
     def load(self, worker: int, function: FunctionSpec, copies: int) -> None:
-        """Order copies."""
-        self._order(worker, OrderJob(function, copies))
+        """Command a worker to load so many instances."""
+        self._submit_command(worker, LoadJob(function, copies))
 
     def unload(self, worker: int, function: FunctionSpec) -> None:
-        """Order idle copies out."""
-        self._order(worker, OrderJob(function, unload=True))
+        """Command a worker to unload idle instances; no end is reported."""
+        self._submit_command(worker, UnloadJob(function))
 
-    def _order(self, worker: int, job: OrderJob) -> None:
-        with self._lock:
-            pool = self._pools.get(worker)
+    def _submit_command(self, worker_id: int, job: CommandJob) -> None:
+        pool = self._pools.get(worker_id)
         if pool is not None:
             pool.submit(job)
-        elif not job.unload:
-            number = None if job.function is None else job.function.number
-            self._tell(OrderEnd(worker, Result.CONNECT_FAILED, 0.0, number))
+        elif not isinstance(job, UnloadJob):
+            self._report(unsent_command(worker_id, Result.CONNECT_FAILED, function_of(job)))
--- a/saffronstack/upstream/http/protocol.py
+++ b/saffronstack/upstream/http/protocol.py
@@ -1,4 +1,4 @@
-"""The words spoken with workers (docs/worker-protocol.md): requests out, answers judged. No I/O."""
+"""Requests to workers and what their responses mean (docs/worker-protocol.md). No I/O."""
 
 from __future__ import annotations
 
@@ -10,149 +10,233 @@
 from saffronstack.http1.messages import Headers, ResponseHead
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
 
-INVOKE_PATH = "/2015-03-31/functions/function/invocations"
+INVOCATION_PATH = "/2015-03-31/functions/function/invocations"
 USAGE_PATH = "/saffron/v1/usage"
-COPIES_PATH = "/saffron/v1/copies/"
-REPORT_PATH = "/saffron/v1/report"
-FOUND = {
+INSTANCES_PATH = "/saffron/v1/copies/"
+LOAD_REPORT_PATH = "/saffron/v1/report"
+# Request headers.
+HEADER_REQUEST_ID = "X-Amzn-RequestId"
+HEADER_ATTEMPT = "X-Saffron-Attempt"
+HEADER_IDEMPOTENCY_KEY = "Idempotency-Key"
+HEADER_TIME_LEFT_MS = "X-Saffron-Left-Ms"
+HEADER_TENANT = "X-Saffron-Tenant"
+HEADER_CLASS = "X-Saffron-Class"
+HEADER_GATEWAY = "X-Saffron-Gateway"
+HEADER_CLIENT_CONTEXT = "X-Amz-Client-Context"
+HEADER_LOG_TYPE = "X-Amz-Log-Type"
+HEADER_FUNCTION = "X-Saffron-Function"
+HEADER_MEMORY_MB = "X-Saffron-Memory-Mb"
+HEADER_CONCURRENCY_LIMIT = "X-Saffron-Lanes"
+# Response headers.
+HEADER_CACHE_STATUS = "x-saffron-found"
+HEADER_CONCURRENCY = "x-saffron-crowd"
+HEADER_INCARNATION = "x-saffron-incarnation"
+HEADER_UPTIME_MS = "x-saffron-uptime-ms"
+HEADER_EXECUTED = "x-saffron-ran"
+HEADER_FUNCTION_ERROR = "x-amz-function-error"
+HEADER_LOG_TAIL = "x-amz-log-result"
+HEADER_USAGE_RECORDS = "x-saffron-usage"
+HEADER_MEMORY_TIME = "x-saffron-held"
+HEADER_REQUESTS_IN_FLIGHT = "x-saffron-in-hand"
+HEADER_REQUESTS_QUEUED = "x-saffron-waiting"
+HEADER_CPU_UTILIZATION = "x-saffron-busy"
+HEADER_LOADS_IN_PROGRESS = "x-saffron-loads"
+NOT_EXECUTED = "no"  # the value of `HEADER_EXECUTED` that proves that the function was not executed
+CACHE_STATUS_BY_WORD = {
     "warm": CacheStatus.WARM,
     "began-load": CacheStatus.STARTED_LOAD,
     "awaited-load": CacheStatus.JOINED_LOAD,
     "load-failed": CacheStatus.LOAD_FAILED,
 }
+MAX_INCARNATION_CHARACTERS = 64
+MAX_INTEGER_DIGITS = 18
+MAX_NUMBER_CHARACTERS = 20
+MAX_NUMBER = 1e15
+MAX_INSTANCE_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """What an answer to an attempt means."""
+class AttemptResponse:
+    """What the response to an attempt means, or why there is none.
+
+    Attributes:
+        result: How the attempt ended.
+        cache_status: Whether the function was loaded when the request came.
+        concurrency: Requests that the instance executed beside this one; None where not reported.
+        load_report: The worker's load; None where not reported.
+        answer: The function's answer to a successful attempt.
+        incarnation: The worker process that answered; empty where not reported.
+        uptime_s: How long that process has run, in seconds.
+        reason: Why the attempt failed.
+        usage_records: Records of what its instances used, in base64.
+        memory_time: What this call used, in KiB microseconds; 0 where not reported.
+    """
 
     result: Result
-    found: CacheStatus = CacheStatus.UNKNOWN
-    crowd: int | None = None
-    report: LoadReport | None = None
+    cache_status: CacheStatus = CacheStatus.UNKNOWN
+    concurrency: int | None = None
+    load_report: LoadReport | None = None
     answer: Answer | None = None
     incarnation: str = ""
     uptime_s: float = 0.0
     reason: str = ""
-    usage: str = ""  # records of what its copies held, base64
-    held: int = 0  # what this call held in all, in KiB microseconds; 0 where not told
+    usage_records: str = ""
+    memory_time: int = 0
 
 
-def invoke(host: str, call: Call, attempt: int, left_s: float, gateway: str = "") -> bytes:
-    """The request of an attempt; ``left_s`` is how long its answer is still wanted."""
-    spec = call.function
+@dataclass(frozen=True, slots=True)
+class CommandResponse:
+    """What the response to a health check or a load command means."""
+
+    result: Result
+    instances: int = 0
+    load_report: LoadReport | None = None
+
+
+def encode_invocation(host: str, call: Call, attempt: int, time_left_s: float, gateway: str = "") -> bytes:
+    """Encode the request of an attempt.
+
+    Args:
+        host: Host and port of the worker.
+        call: The call.
+        attempt: The number of the attempt, from 0.
+        time_left_s: How long the gateway waits for the response, in seconds.
+        gateway: The name by which the worker may send usage records with its response; empty for none.
+    """
     headers = [
         ("Host", host),
         ("Content-Type", "application/json"),
-        ("X-Amzn-RequestId", call.request_id),
-        ("X-Saffron-Attempt", str(attempt)),
-        ("Idempotency-Key", call.key or call.request_id),
-        ("X-Saffron-Left-Ms", str(max(0, int(left_s * 1000)))),
-        ("X-Saffron-Tenant", call.tenant_name),
-        ("X-Saffron-Class", call.class_name),
-        *_function(spec),
+        (HEADER_REQUEST_ID, call.request_id),
+        (HEADER_ATTEMPT, str(attempt)),
+        (HEADER_IDEMPOTENCY_KEY, call.key or call.request_id),
+        (HEADER_TIME_LEFT_MS, str(max(0, int(time_left_s * 1000)))),
+        (HEADER_TENANT, call.tenant_name),
+        (HEADER_CLASS, call.class_name),
+        *_function_headers(call.function),
     ]
-    if gateway:  # it meters: the worker may send records of usage with its answer
-        headers.append(("X-Saffron-Gateway", gateway))
+    if gateway:
+        headers.append((HEADER_GATEWAY, gateway))
     if call.client_context:
-        headers.append(("X-Amz-Client-Context", call.client_context))
+        headers.append((HEADER_CLIENT_CONTEXT, call.client_context))
     if call.wants_log:
-        headers.append(("X-Amz-Log-Type", "Tail"))
-    return writer.request("POST", INVOKE_PATH, headers, call.payload)
+        headers.append((HEADER_LOG_TYPE, "Tail"))
+    return writer.request("POST", INVOCATION_PATH, headers, call.payload)
 
 
-def _function(spec: FunctionSpec) -> list[tuple[str, str]]:
+def _function_headers(function: FunctionSpec) -> list[tuple[str, str]]:
     return [
-        ("X-Saffron-Function", spec.name),
-        ("X-Saffron-Memory-Mb", f"{spec.memory_mb:g}"),
-        ("X-Saffron-Lanes", str(spec.lanes)),
+        (HEADER_FUNCTION, function.name),
+        (HEADER_MEMORY_MB, f"{function.memory_mb:g}"),
+        (HEADER_CONCURRENCY_LIMIT, str(function.lanes)),
     ]
 
 
-def order(host: str, spec: FunctionSpec, copies: int) -> bytes:
-    """An order to hold so many copies; 0 only asks."""
-    target = COPIES_PATH + quote(spec.name, safe="")
-    headers = [("Host", host), *_function(spec)]
-    if not copies:
+def encode_load_command(host: str, function: FunctionSpec, instances: int) -> bytes:
+    """Encode a command to load so many instances; 0 only asks how many are loaded."""
+    target = _instances_target(function)
+    headers = [("Host", host), *_function_headers(function)]
+    if not instances:
         return writer.request("GET", target, headers)
-    return writer.request("PUT", f"{target}?count={copies}", headers)
+    return writer.request("PUT", f"{target}?count={instances}", headers)
 
 
-def unload(host: str, spec: FunctionSpec) -> bytes:
-    """An order to drop idle copies."""
-    return writer.request(
-        "DELETE", COPIES_PATH + quote(spec.name, safe=""), [("Host", host), *_function(spec)]
-    )
+def encode_unload_command(host: str, function: FunctionSpec) -> bytes:
+    """Encode a command to unload idle instances."""
+    headers = [("Host", host), *_function_headers(function)]
+    return writer.request("DELETE", _instances_target(function), headers)
+
+
+def _instances_target(function: FunctionSpec) -> str:
+    return INSTANCES_PATH + quote(function.name, safe="")
 
 
-def probe(host: str) -> bytes:
-    """A question for the worker's report."""
-    return writer.request("GET", REPORT_PATH, [("Host", host)])
+def encode_health_check(host: str) -> bytes:
+    """Encode a request for the worker's load report."""
+    return writer.request("GET", LOAD_REPORT_PATH, [("Host", host)])
 
 
-def usage(host: str, body: bytes) -> bytes:
-    """Acknowledge records of usage and ask for more; ``body`` is MessagePack."""
+def encode_usage_poll(host: str, body: bytes) -> bytes:
+    """Encode a poll for usage records that acknowledges earlier ones; ``body`` is MessagePack."""
     return writer.request("POST", USAGE_PATH, [("Host", host)], body)
 
 
-def judge(head: ResponseHead, body: bytes) -> Judged:
-    """An answer to an attempt. Only an answer that says so itself proves that the function did not run."""
+def interpret_attempt(head: ResponseHead, body: bytes) -> AttemptResponse:
+    """Interpret the response to an attempt.
+
+    Only a response that says so itself proves that the function was not executed.
+    """
     headers = head.headers
-    found = FOUND.get(headers.get("x-saffron-found"), CacheStatus.UNKNOWN)
-    crowd = _number(headers.get("x-saffron-crowd"))
-    incarnation = headers.get("x-saffron-incarnation")[:64]
-    uptime_s = (_number(headers.get("x-saffron-uptime-ms")) or 0.0) / 1000
-    not_run = headers.get("x-saffron-ran") == "no"
-    report = report_of(headers)
+    concurrency = _number(headers.get(HEADER_CONCURRENCY))
+    result = _attempt_result(head)
     answer = None
-    reason = ""
-    if head.status == 200:
-        result = Result.OK
-        answer = Answer(body, headers.get("x-amz-function-error"), headers.get("x-amz-log-result"))
-    elif head.status == 429 and not_run:
-        result = Result.AT_CAPACITY
-    elif head.status == 404 and not_run:
-        result = Result.NOT_LOADED
-    else:
-        result, reason = Result.ERROR, f"worker answered {head.status}"
-    return Judged(
+    if result is Result.OK:
+        answer = Answer(body, headers.get(HEADER_FUNCTION_ERROR), headers.get(HEADER_LOG_TAIL))
+    return AttemptResponse(
         result,
-        found,
-        None if crowd is None else int(crowd),
-        report,
+        CACHE_STATUS_BY_WORD.get(headers.get(HEADER_CACHE_STATUS), CacheStatus.UNKNOWN),
+        None if concurrency is None else int(concurrency),
+        decode_load_report(headers),
         answer,
-        incarnation,
-        uptime_s,
-        reason,
-        headers.get("x-saffron-usage"),
-        _whole(headers.get("x-saffron-held")),
+        headers.get(HEADER_INCARNATION)[:MAX_INCARNATION_CHARACTERS],
+        (_number(headers.get(HEADER_UPTIME_MS)) or 0.0) / 1000,
+        f"worker answered {head.status}" if result is Result.ERROR else "",
+        headers.get(HEADER_USAGE_RECORDS),
+        _integer(headers.get(HEADER_MEMORY_TIME)),
     )
 
 
-def report_of(headers: Headers) -> LoadReport | None:
-    """The load report of an answer's headers, None where it holds none."""
-    values = [_number(headers.get(f"x-saffron-{name}")) for name in ("in-hand", "waiting", "busy", "loads")]
+def _attempt_result(head: ResponseHead) -> Result:
+    if head.status == 200:
+        return Result.OK
+    if head.headers.get(HEADER_EXECUTED) == NOT_EXECUTED:
+        if head.status == 429:
+            return Result.AT_CAPACITY
+        if head.status == 404:
+            return Result.NOT_LOADED
+    return Result.ERROR
+
+
+def interpret_command(head: ResponseHead, body: bytes) -> CommandResponse:
+    """Interpret the response to a health check or a load command."""
+    if head.status in (200, 204):
+        result = Result.OK
+    elif head.status == 429:
+        result = Result.AT_CAPACITY
+    else:
+        result = Result.ERROR
+    instances = int(body) if body.isdigit() and len(body) <= MAX_INSTANCE_DIGITS else 0
+    return CommandResponse(result, instances, decode_load_report(head.headers))
+
+
+def decode_load_report(headers: Headers) -> LoadReport | None:
+    """Return the load report in a response's headers, None where there is none."""
+    requests_in_flight = _number(headers.get(HEADER_REQUESTS_IN_FLIGHT))
+    requests_queued = _number(headers.get(HEADER_REQUESTS_QUEUED))
+    cpu_utilization = _number(headers.get(HEADER_CPU_UTILIZATION))
+    loads_in_progress = _number(headers.get(HEADER_LOADS_IN_PROGRESS))
+    values = (requests_in_flight, requests_queued, cpu_utilization, loads_in_progress)
     if all(value is None for value in values):
         return None
     return LoadReport(
-        requests_in_flight=values[0],
-        requests_queued=values[1],
-        cpu_utilization=values[2],
-        loads_in_progress=values[3],
+        requests_in_flight=requests_in_flight,
+        requests_queued=requests_queued,
+        cpu_utilization=cpu_utilization,
+        loads_in_progress=loads_in_progress,
     )
 
 
-def _whole(text: str) -> int:
-    """A whole number; whatever else a worker writes counts as not told."""
-    return int(text) if text.isascii() and text.isdigit() and len(text) <= 18 else 0
+def _integer(text: str) -> int:
+    """Return a natural number; whatever else a worker writes counts as not reported."""
+    is_number = text.isascii() and text.isdigit() and len(text) <= MAX_INTEGER_DIGITS
+    return int(text) if is_number else 0
 
 
 def _number(text: str) -> float | None:
-    """A finite number of at least 0; whatever else a worker writes counts as not told."""
-    if not text or len(text) > 20:
+    """Return a finite number of at least 0; whatever else a worker writes counts as not reported."""
+    if not text or len(text) > MAX_NUMBER_CHARACTERS:
         return None
     try:
         value = float(text)
     except ValueError:
         return None
-    return value if 0 <= value < 1e15 else None
+    return value if 0 <= value < MAX_NUMBER else None
--- a/tests/stored_formats/test_worker_message_formats.py
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -12,7 +12,7 @@
 from saffronstack.http1.messages import Limits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.upstream.http import protocol
-from saffronstack.upstream.http.protocol import Judged
+from saffronstack.upstream.http.protocol import AttemptResponse
 from tests.stored_formats.stored_files import DATA
 
 MESSAGES = DATA / "worker_messages"
@@ -33,13 +33,13 @@
     class_name="sale",
 )
 REQUESTS = {
-    "invoke": protocol.invoke(HOST, COMPLETE, 2, 1.2345, "gateway-one"),
-    "invoke-plain": protocol.invoke(HOST, PLAIN, 0, -1.0),
-    "order": protocol.order(HOST, SPEC, 2),
-    "order-asks": protocol.order(HOST, SPEC, 0),
-    "unload": protocol.unload(HOST, SPEC),
-    "probe": protocol.probe(HOST),
-    "usage": protocol.usage(HOST, b"\x80"),
+    "invoke": protocol.encode_invocation(HOST, COMPLETE, 2, 1.2345, "gateway-one"),
+    "invoke-plain": protocol.encode_invocation(HOST, PLAIN, 0, -1.0),
+    "order": protocol.encode_load_command(HOST, SPEC, 2),
+    "order-asks": protocol.encode_load_command(HOST, SPEC, 0),
+    "unload": protocol.encode_unload_command(HOST, SPEC),
+    "probe": protocol.encode_health_check(HOST),
+    "usage": protocol.encode_usage_poll(HOST, b"\x80"),
 }
 ANSWERS: list[dict[str, Any]] = json.loads((MESSAGES / "judged.json").read_text())
 
@@ -53,30 +53,30 @@
     assert set(REQUESTS) == {path.stem for path in MESSAGES.glob("*.http")}
 
 
-def judged(answer: str) -> Judged:
+def judged(answer: str) -> AttemptResponse:
     parser = MessageReader(Limits())
     parser.feed(answer.encode())
     head = parser.response()
     assert head is not None
-    return protocol.judge(head, parser.body() or b"")
+    return protocol.interpret_attempt(head, parser.body() or b"")
 
 
 @pytest.mark.parametrize("number", range(len(ANSWERS)))
 def test_an_answer_of_a_worker_is_understood_the_same(number: int) -> None:
     found = judged(ANSWERS[number]["answer"])
-    report, answer = found.report, found.answer
+    report, answer = found.load_report, found.answer
     assert ANSWERS[number]["understood"] == {
         "result": found.result.value,
-        "found": found.found.value,
-        "crowd": found.crowd,
+        "found": found.cache_status.value,
+        "crowd": found.concurrency,
         "report": report and list(dataclasses.astuple(report)),
         "payload": answer and answer.payload.decode(),
         "function_error": answer and answer.function_error,
         "log_tail": answer and answer.log_tail,
         "incarnation": found.incarnation,
         "uptime_s": found.uptime_s,
-        "usage": found.usage,
-        "held": found.held,
+        "usage": found.usage_records,
+        "held": found.memory_time,
     }
 
 
--- a/tests/test_invoke_api.py
+++ b/tests/test_invoke_api.py
@@ -20,6 +20,7 @@
 from saffronstack.invoke import names, sigv4
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.metrics import busiest
+from saffronstack.upstream.http.dispatcher import WorkerTraffic
 from tests.support.stack import AMPLE_DEADLINE_S, Stack, eventually, read_all, running
 
 KEYS = [
@@ -198,9 +199,10 @@
 def test_the_spread_is_the_busiest_workers_share_by_size() -> None:
     small, large = WorkerSpec(1, "s", "h", 1, size=1.0), WorkerSpec(2, "l", "h", 2, size=3.0)
     drains = WorkerSpec(3, "d", "h", 3, draining=True, size=4.0)
-    assert busiest([]) == 0.0 and busiest([(small, 9, 0), (large, 9, 0)]) == 0.0
-    assert busiest([(small, 9, 1), (large, 9, 3)]) == 1.0  # each has its share
-    assert busiest([(small, 9, 2), (large, 9, 2), (drains, 9, 40)]) == 2.0
+    assert busiest([]) == 0.0 and busiest([WorkerTraffic(small, 9, 0), WorkerTraffic(large, 9, 0)]) == 0.0
+    assert busiest([WorkerTraffic(small, 9, 1), WorkerTraffic(large, 9, 3)]) == 1.0  # each has its share
+    draining = WorkerTraffic(drains, 9, 40)
+    assert busiest([WorkerTraffic(small, 9, 2), WorkerTraffic(large, 9, 2), draining]) == 2.0
 
 
 # ---- what an SDK retries by itself
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -51,7 +51,7 @@
     kept = tmp_path / "kept"
     shutil.copytree(tmp_path / "first", kept)
     time.sleep(0.4)  # the first life's attempts end at the workers; its records reach no disk
-    gateway.fleet.end()
+    gateway.fleet.stop()
     gateway.stop()
     return fleet, ids, kept
 
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -415,8 +415,8 @@
         meter = stack.gateway.meter
         assert meter is not None
         eventually(lambda: meter.refused and settled(stack))
-        meter.heard(meter._workers["worker-1"], "!!")
-        meter.heard(meter._workers["worker-1"], "AAAA")
+        meter.on_usage_records(meter._workers["worker-1"], "!!")
+        meter.on_usage_records(meter._workers["worker-1"], "AAAA")
         eventually(lambda: meter.refused >= 3)
         assert stack.call("identify-copy").status == 200
 
--- a/tests/upstream/http/test_dispatcher.py
+++ b/tests/upstream/http/test_dispatcher.py
@@ -14,8 +14,8 @@
 from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import CacheStatus, Result
-from saffronstack.upstream.http.connection_pool import PoolLimits
-from saffronstack.upstream.http.dispatcher import Fleet
+from saffronstack.upstream.http.dispatcher import HttpDispatcher
+from saffronstack.upstream.http.worker_context import HttpPoolLimits
 
 SPEC = FunctionSpec("f", 5, 0, 64.0)
 Script = Callable[[socket.socket], None]
@@ -85,9 +85,9 @@
     time.sleep(1.0)
 
 
-def told(port: int, ends: queue.SimpleQueue[object], **limits: float) -> Fleet:
-    fleet = Fleet(PoolLimits(**limits), ends.put, time.monotonic)  # type: ignore[arg-type]
-    fleet.told([WorkerSpec(9, "w", "127.0.0.1", port)])
+def told(port: int, ends: queue.SimpleQueue[object], **limits: float) -> HttpDispatcher:
+    fleet = HttpDispatcher(HttpPoolLimits(**limits), ends.put, time.monotonic)  # type: ignore[arg-type]
+    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", port)])
     return fleet
 
 
@@ -137,7 +137,7 @@
     if result is Result.OK:
         assert (end.outcome.cache_status, end.outcome.concurrency) == (CacheStatus.WARM, 3)
     assert worker.requests == 1
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -150,7 +150,7 @@
     assert end_of(ends).outcome.result is Result.CONNECT_FAILED
     fleet.send(call(2), 0, 77, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED  # on no list
-    fleet.end()
+    fleet.stop()
 
 
 def test_what_is_no_longer_wanted_is_not_sent() -> None:
@@ -169,7 +169,7 @@
     guarded.guard = Never()
     fleet.send(guarded, 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED
-    fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port, draining=True)])
+    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", worker.port, draining=True)])
     fleet.send(call(3), 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED
     fleet.load(9, SPEC, 2)
@@ -177,10 +177,10 @@
     assert isinstance(order, OrderEnd)
     assert order.result is Result.AT_CAPACITY
     assert worker.requests == 0
-    fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port)])
+    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", worker.port)])
     fleet.send(call(4), 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.OK
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -196,7 +196,7 @@
     fleet.cancel(made, 0)
     assert end_of(ends).outcome.result is Result.CANCELLED
     assert time.monotonic() - start < 0.9
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -209,7 +209,7 @@
     first = end_of(ends)
     assert (first.call.number, first.outcome.result) == (2, Result.AT_CAPACITY)
     assert end_of(ends).outcome.result is Result.TIMEOUT
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -222,7 +222,7 @@
         assert end_of(ends).outcome.result is Result.OK
         time.sleep(0.02)
     assert worker.connections == worker.requests == 5
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -235,7 +235,7 @@
         assert end_of(ends).outcome.result is Result.OK
         time.sleep(0.02)
     assert worker.connections == 3
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -261,7 +261,7 @@
         assert isinstance(item, AttemptEnd)
         assert (item.outcome.concurrency, item.outcome.load_report) == (None, None)
     assert heard == [WorkerSeen(9, "a", 1.5), WorkerSeen(9, "b", 1.5)]
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -296,5 +296,5 @@
         (Result.OK, 0, 4.0),
         (Result.ERROR, 0, None),
     ]
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
