--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -9,9 +9,6 @@
 from saffronstack.directory.membership import Change
 from saffronstack.directory.resolver import Resolver
 from saffronstack.engine.engine import Engine
-from saffronstack.hosts.dispatcher import HostDispatcher
-from saffronstack.hosts.link import LinkLimits
-from saffronstack.hosts.pool import LinkBudget
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.platform.beliefs import Beliefs
 from saffronstack.platform.budget import divide
@@ -23,6 +20,9 @@
 from saffronstack.routing.router import Router
 from saffronstack.runtime.logs import KeyValueLogger, Logger
 from saffronstack.runtime.threads import start_thread
+from saffronstack.upstream.multiplexed.connection import ConnectionLimits
+from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
+from saffronstack.upstream.multiplexed.dispatcher import MultiplexedDispatcher
 
 NAME = "_work._tcp.fleet.local"  # what the directory lists the hosts under
 IDLE_PART = 0.8  # of the told idle time a link stays open: a host that closes it first may cross a send
@@ -65,13 +65,13 @@
             log=self._log,
         )
         self.writer = WriteLoop(clock)
-        self.hosts = HostDispatcher(
-            LinkLimits(
+        self.hosts = MultiplexedDispatcher(
+            ConnectionLimits(
                 config.streams,
                 settings.permissions.connect_timeout_s or CONNECT_S,
                 config.idle_s * IDLE_PART,
             ),
-            LinkBudget(self.budget.links),
+            ConnectionBudget(self.budget.links),
             self.writer,
             self.engine.notify,
             clock,
@@ -122,7 +122,7 @@
 
     def _changed(self, change: Change) -> None:
         """Links first, so that nothing leaves for a host that drains or is gone."""
-        self.hosts.changed(change.changed, change.gone)
+        self.hosts.update_workers(change.changed, change.gone)
         self.engine.update_workers(change.changed, change.gone, self._wall())
 
     def reread(self, path: str) -> bool:
--- /dev/null
+++ b/saffronstack/upstream/http/protocol.py
@@ -0,0 +1,243 @@
+"""Requests to workers and what their responses mean (docs/worker-protocol.md). No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from urllib.parse import quote
+
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import WorkerResponse
+from saffronstack.http1 import writer
+from saffronstack.http1.messages import Headers, ResponseHead
+from saffronstack.routing.events import CacheStatus, LoadReport, Result
+
+INVOCATION_PATH = "/2015-03-31/functions/function/invocations"
+USAGE_PATH = "/saffron/v1/usage"
+INSTANCES_PATH = "/saffron/v1/copies/"
+LOAD_REPORT_PATH = "/saffron/v1/report"
+# Request headers.
+HEADER_REQUEST_ID = "X-Amzn-RequestId"
+HEADER_ATTEMPT = "X-Saffron-Attempt"
+HEADER_IDEMPOTENCY_KEY = "Idempotency-Key"
+HEADER_TIME_LEFT_MS = "X-Saffron-Left-Ms"
+HEADER_TENANT = "X-Saffron-Tenant"
+HEADER_CLASS = "X-Saffron-Class"
+HEADER_GATEWAY = "X-Saffron-Gateway"
+HEADER_CLIENT_CONTEXT = "X-Amz-Client-Context"
+HEADER_LOG_TYPE = "X-Amz-Log-Type"
+HEADER_FUNCTION = "X-Saffron-Function"
+HEADER_MEMORY_MB = "X-Saffron-Memory-Mb"
+HEADER_CONCURRENCY_LIMIT = "X-Saffron-Lanes"
+# Response headers.
+HEADER_CACHE_STATUS = "x-saffron-found"
+HEADER_CONCURRENCY = "x-saffron-crowd"
+HEADER_INCARNATION = "x-saffron-incarnation"
+HEADER_UPTIME_MS = "x-saffron-uptime-ms"
+HEADER_EXECUTED = "x-saffron-ran"
+HEADER_FUNCTION_ERROR = "x-amz-function-error"
+HEADER_LOG_TAIL = "x-amz-log-result"
+HEADER_USAGE_RECORDS = "x-saffron-usage"
+HEADER_MEMORY_TIME = "x-saffron-held"
+HEADER_REQUESTS_IN_FLIGHT = "x-saffron-in-hand"
+HEADER_REQUESTS_QUEUED = "x-saffron-waiting"
+HEADER_CPU_UTILIZATION = "x-saffron-busy"
+HEADER_LOADS_IN_PROGRESS = "x-saffron-loads"
+NOT_EXECUTED = "no"  # the value of `HEADER_EXECUTED` that proves that the function was not executed
+CACHE_STATUS_BY_WORD = {
+    "warm": CacheStatus.WARM,
+    "began-load": CacheStatus.STARTED_LOAD,
+    "awaited-load": CacheStatus.JOINED_LOAD,
+    "load-failed": CacheStatus.LOAD_FAILED,
+}
+MAX_INCARNATION_CHARACTERS = 64
+MAX_INTEGER_DIGITS = 18
+MAX_NUMBER_CHARACTERS = 20
+MAX_NUMBER = 1e15
+MAX_INSTANCE_DIGITS = 3
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptResponse:
+    """What the response to an attempt means, or why there is none.
+
+    Attributes:
+        result: How the attempt ended.
+        cache_status: Whether the function was loaded when the request came.
+        concurrency: Requests that the instance executed beside this one; None where not reported.
+        load_report: The worker's load; None where not reported.
+        answer: The function's answer to a successful attempt.
+        incarnation: The worker process that answered; empty where not reported.
+        uptime_s: How long that process has run, in seconds.
+        reason: Why the attempt failed.
+        usage_records: Records of what its instances used, in base64.
+        memory_time: What this call used, in KiB microseconds; 0 where not reported.
+    """
+
+    result: Result
+    cache_status: CacheStatus = CacheStatus.UNKNOWN
+    concurrency: int | None = None
+    load_report: LoadReport | None = None
+    answer: WorkerResponse | None = None
+    incarnation: str = ""
+    uptime_s: float = 0.0
+    reason: str = ""
+    usage_records: str = ""
+    memory_time: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class CommandResponse:
+    """What the response to a health check or a load command means."""
+
+    result: Result
+    instances: int = 0
+    load_report: LoadReport | None = None
+
+
+def encode_invocation(host: str, call: Call, attempt: int, time_left_s: float, gateway: str = "") -> bytes:
+    """Encode the request of an attempt.
+
+    Args:
+        host: Host and port of the worker.
+        call: The call.
+        attempt: The number of the attempt, from 0.
+        time_left_s: How long the gateway waits for the response, in seconds.
+        gateway: The name by which the worker may send usage records with its response; empty for none.
+    """
+    headers = [
+        ("Host", host),
+        ("Content-Type", "application/json"),
+        (HEADER_REQUEST_ID, call.request_id),
+        (HEADER_ATTEMPT, str(attempt)),
+        (HEADER_IDEMPOTENCY_KEY, call.key or call.request_id),
+        (HEADER_TIME_LEFT_MS, str(max(0, int(time_left_s * 1000)))),
+        (HEADER_TENANT, call.tenant_name),
+        (HEADER_CLASS, call.class_name),
+        *_function_headers(call.function),
+    ]
+    if gateway:
+        headers.append((HEADER_GATEWAY, gateway))
+    if call.client_context:
+        headers.append((HEADER_CLIENT_CONTEXT, call.client_context))
+    if call.wants_log:
+        headers.append((HEADER_LOG_TYPE, "Tail"))
+    return writer.request("POST", INVOCATION_PATH, headers, call.payload)
+
+
+def _function_headers(function: FunctionSpec) -> list[tuple[str, str]]:
+    return [
+        (HEADER_FUNCTION, function.name),
+        (HEADER_MEMORY_MB, f"{function.memory_mb:g}"),
+        (HEADER_CONCURRENCY_LIMIT, str(function.concurrency)),
+    ]
+
+
+def encode_load_command(host: str, function: FunctionSpec, instances: int) -> bytes:
+    """Encode a command to load so many instances; 0 only asks how many are loaded."""
+    target = _instances_target(function)
+    headers = [("Host", host), *_function_headers(function)]
+    if not instances:
+        return writer.request("GET", target, headers)
+    return writer.request("PUT", f"{target}?count={instances}", headers)
+
+
+def encode_unload_command(host: str, function: FunctionSpec) -> bytes:
+    """Encode a command to unload idle instances."""
+    headers = [("Host", host), *_function_headers(function)]
+    return writer.request("DELETE", _instances_target(function), headers)
+
+
+def _instances_target(function: FunctionSpec) -> str:
+    return INSTANCES_PATH + quote(function.name, safe="")
+
+
+def encode_health_check(host: str) -> bytes:
+    """Encode a request for the worker's load report."""
+    return writer.request("GET", LOAD_REPORT_PATH, [("Host", host)])
+
+
+def encode_usage_poll(host: str, body: bytes) -> bytes:
+    """Encode a poll for usage records that acknowledges earlier ones; ``body`` is MessagePack."""
+    return writer.request("POST", USAGE_PATH, [("Host", host)], body)
+
+
+def interpret_attempt(head: ResponseHead, body: bytes) -> AttemptResponse:
+    """Interpret the response to an attempt.
+
+    Only a response that says so itself proves that the function was not executed.
+    """
+    headers = head.headers
+    concurrency = _number(headers.get(HEADER_CONCURRENCY))
+    result = _attempt_result(head)
+    answer = None
+    if result is Result.OK:
+        answer = WorkerResponse(body, headers.get(HEADER_FUNCTION_ERROR), headers.get(HEADER_LOG_TAIL))
+    return AttemptResponse(
+        result,
+        CACHE_STATUS_BY_WORD.get(headers.get(HEADER_CACHE_STATUS), CacheStatus.UNKNOWN),
+        None if concurrency is None else int(concurrency),
+        decode_load_report(headers),
+        answer,
+        headers.get(HEADER_INCARNATION)[:MAX_INCARNATION_CHARACTERS],
+        (_number(headers.get(HEADER_UPTIME_MS)) or 0.0) / 1000,
+        f"worker answered {head.status}" if result is Result.ERROR else "",
+        headers.get(HEADER_USAGE_RECORDS),
+        _integer(headers.get(HEADER_MEMORY_TIME)),
+    )
+
+
+def _attempt_result(head: ResponseHead) -> Result:
+    if head.status == 200:
+        return Result.OK
+    if head.headers.get(HEADER_EXECUTED) == NOT_EXECUTED:
+        if head.status == 429:
+            return Result.AT_CAPACITY
+        if head.status == 404:
+            return Result.NOT_LOADED
+    return Result.ERROR
+
+
+def interpret_command(head: ResponseHead, body: bytes) -> CommandResponse:
+    """Interpret the response to a health check or a load command."""
+    if head.status in (200, 204):
+        result = Result.OK
+    elif head.status == 429:
+        result = Result.AT_CAPACITY
+    else:
+        result = Result.ERROR
+    instances = int(body) if body.isdigit() and len(body) <= MAX_INSTANCE_DIGITS else 0
+    return CommandResponse(result, instances, decode_load_report(head.headers))
+
+
+def decode_load_report(headers: Headers) -> LoadReport | None:
+    """Return the load report in a response's headers, None where there is none."""
+    requests_in_flight = _number(headers.get(HEADER_REQUESTS_IN_FLIGHT))
+    requests_queued = _number(headers.get(HEADER_REQUESTS_QUEUED))
+    cpu_utilization = _number(headers.get(HEADER_CPU_UTILIZATION))
+    loads_in_progress = _number(headers.get(HEADER_LOADS_IN_PROGRESS))
+    values = (requests_in_flight, requests_queued, cpu_utilization, loads_in_progress)
+    if all(value is None for value in values):
+        return None
+    return LoadReport(
+        requests_in_flight=requests_in_flight,
+        requests_queued=requests_queued,
+        cpu_utilization=cpu_utilization,
+        loads_in_progress=loads_in_progress,
+    )
+
+
+def _integer(text: str) -> int:
+    """Return a natural number; whatever else a worker writes counts as not reported."""
+    is_number = text.isascii() and text.isdigit() and len(text) <= MAX_INTEGER_DIGITS
+    return int(text) if is_number else 0
+
+
+def _number(text: str) -> float | None:
+    """Return a finite number of at least 0; whatever else a worker writes counts as not reported."""
+    if not text or len(text) > MAX_NUMBER_CHARACTERS:
+        return None
+    try:
+        value = float(text)
+    except ValueError:
+        return None
+    return value if 0 <= value < MAX_NUMBER else None
