--- /dev/null
+++ b/saffronstack/discovery/changes.py
@@ -0,0 +1,25 @@
+"""Incremental updates of an endpoint list, as both kinds of discovery report them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Generic, TypeVar
+
+EndpointT = TypeVar("EndpointT")
+IdT = TypeVar("IdT")
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointChanges(Generic[EndpointT, IdT]):
+    """The difference between two endpoint lists; false where there is none.
+
+    Attributes:
+        updated: Endpoints that are new or changed.
+        removed: Identifiers of endpoints that are no longer listed.
+    """
+
+    updated: tuple[EndpointT, ...] = ()
+    removed: tuple[IdT, ...] = ()
+
+    def __bool__(self) -> bool:
+        return bool(self.updated or self.removed)
--- a/saffronstack/discovery/dns/__init__.py
+++ b/saffronstack/discovery/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The directory of hosts: DNS messages without I/O, membership, and the resolver over UDP."""
+"""Discovery over DNS: a resolver polls a server for SRV records and keeps the endpoint list current."""
--- a/saffronstack/discovery/dns/endpoint_list.py
+++ b/saffronstack/discovery/dns/endpoint_list.py
@@ -1,23 +1,36 @@
-"""The hosts that the directory lists: lists in, what is new, changed and gone out. No I/O."""
+"""The endpoint list of DNS discovery: snapshots and incremental updates in, differences out. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import TypeAlias
 
-from saffronstack.discovery.dns.messages import SRV, Answer, DnsError
+from saffronstack.discovery.changes import EndpointChanges
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
 
-HALF = 1 << 31  # serials are compared as RFC 1982 has it: the newer one is less than half the circle ahead
-DRAINING = 1  # the priority of a host that drains
-WEIGHT_TIMES = 10.0
+WORKER_NUMBERS = 1 << 32
+MILLISECONDS_PER_S = 1000
+
+WorkerChanges: TypeAlias = EndpointChanges[WorkerSpec, int]
 
 
 @dataclass(frozen=True, slots=True)
-class ListedHost:
-    """One host as listed; ``since_ms`` is the Unix millisecond of its start, 0 for long ago."""
+class ListedEndpoint:
+    """One worker as discovery lists it.
+
+    Attributes:
+        name: Name of the worker, unique in the list.
+        host: IPv4 address.
+        port: TCP port.
+        zone: Name of its zone.
+        kind: Name of its kind.
+        cell: Number of its cell.
+        is_draining: Whether it is shutting down gracefully.
+        weight: Capacity relative to other workers.
+        started_ms: When it started, in Unix milliseconds; 0 means long ago.
+    """
 
     name: str
     host: str
@@ -25,158 +38,106 @@
     zone: str
     kind: str
     cell: int = 0
-    draining: bool = False
+    is_draining: bool = False
     weight: float = 1.0
-    since_ms: int = 0
+    started_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """What a list changed; both may be empty."""
+class EndpointSnapshot:
+    """A complete list and the serial number under which the server has it."""
+
+    serial: int
+    endpoints: tuple[ListedEndpoint, ...]
+
 
-    changed: tuple[WorkerSpec, ...] = ()
-    gone: tuple[int, ...] = ()
+@dataclass(frozen=True, slots=True)
+class _KnownWorker:
+    """An endpoint and what the gateway was told of it."""
 
-    def __bool__(self) -> bool:
-        return bool(self.changed or self.gone)
+    endpoint: ListedEndpoint
+    spec: WorkerSpec
 
+    def has_address_of(self, endpoint: ListedEndpoint) -> bool:
+        return (self.endpoint.host, self.endpoint.port) == (endpoint.host, endpoint.port)
 
-def newer(serial: int, than: int) -> bool:
-    """Whether a serial number comes after another."""
-    return serial != than and (serial - than) % (2 * HALF) < HALF
 
+class EndpointList:
+    """The present endpoint list; one thread owns it. It remembers nothing of former lists.
 
-class Membership:
-    """The list that is held; one thread owns it. What it remembers is the present list and no more."""
+    Attributes:
+        serial: Serial number of the present list.
+    """
 
     def __init__(self, zones: Iterable[str], kinds: Iterable[str]) -> None:
-        self._zones = {name: place for place, name in enumerate(zones)}
-        self._kinds = {name: place for place, name in enumerate(kinds)}
-        self._held: dict[str, tuple[ListedHost, WorkerSpec]] = {}
+        """Start with an empty list; names of zones and kinds are known by their index from then on."""
+        self._zone_indexes = {name: index for index, name in enumerate(zones)}
+        self._kind_indexes = {name: index for index, name in enumerate(kinds)}
+        self._workers: dict[str, _KnownWorker] = {}
         self.serial = 0
 
     @property
     def specs(self) -> tuple[WorkerSpec, ...]:
-        """The hosts that are held."""
-        return tuple(spec for _, spec in self._held.values())
-
-    def holds(self, listed: Iterable[ListedHost]) -> bool:
-        """Whether the list that is held is this one, in whatever order."""
-        return {one.name: one for one in listed} == {name: one for name, (one, _) in self._held.items()}
-
-    def replace(self, serial: int, listed: Iterable[ListedHost]) -> Change:
-        """A whole list: what is missing is gone."""
-        fresh = {one.name: one for one in listed}
+        """The listed workers."""
+        return tuple(worker.spec for worker in self._workers.values())
+
+    def matches(self, endpoints: Iterable[ListedEndpoint]) -> bool:
+        """Return whether the present list has just these endpoints, in whatever order."""
+        present = {name: worker.endpoint for name, worker in self._workers.items()}
+        return {endpoint.name: endpoint for endpoint in endpoints} == present
+
+    def apply_snapshot(self, snapshot: EndpointSnapshot) -> WorkerChanges:
+        """Replace the list by a complete one and return what changed."""
+        listed = {endpoint.name: endpoint for endpoint in snapshot.endpoints}
+        missing = [name for name in self._workers if name not in listed]
+        return self.apply_update(snapshot.serial, listed.values(), missing)
+
+    def apply_update(
+        self, serial: int, endpoints: Iterable[ListedEndpoint], removed: Iterable[str]
+    ) -> WorkerChanges:
+        """Apply an incremental update and return what changed.
+
+        Args:
+            serial: Serial number of the list with the update.
+            endpoints: Endpoints that are new or may have changed.
+            removed: Names of endpoints that are gone; names that are not listed are ignored.
+        """
         self.serial = serial
-        return self._apply(fresh.values(), [name for name in self._held if name not in fresh])
-
-    def update(self, serial: int, listed: Iterable[ListedHost], gone: Iterable[str]) -> Change:
-        """Changes alone."""
-        self.serial = serial
-        return self._apply(listed, [name for name in gone if name in self._held])
-
-    def _apply(self, listed: Iterable[ListedHost], gone: Iterable[str]) -> Change:
-        left = [self._held.pop(name)[1].number for name in gone]
-        changed = []
-        for one in listed:
-            known = self._held.get(one.name)
-            if known is not None and known[0] == one:
+        listed = [name for name in removed if name in self._workers]
+        removed_numbers = [self._workers.pop(name).spec.number for name in listed]
+        updated = []
+        for endpoint in endpoints:
+            known = self._workers.get(endpoint.name)
+            if known is not None and known.endpoint == endpoint:
                 continue
-            if known is not None and (known[0].host, known[0].port) != (one.host, one.port):
-                left.append(known[1].number)  # another host under an old name
+            if known is not None and not known.has_address_of(endpoint):
+                removed_numbers.append(known.spec.number)  # another worker under a former one's name
                 known = None
-            spec = self._spec(one, known[1].number if known is not None else None)
-            self._held[one.name] = one, spec
-            changed.append(spec)
-        return Change(tuple(changed), tuple(left))
-
-    def _spec(self, one: ListedHost, number: int | None) -> WorkerSpec:
-        if number is None:  # the same at every gateway, so that their ranks agree
-            number = worker_number(one.name)
-            taken = {spec.number for _, spec in self._held.values()}
-            while number in taken:
-                number = (number + 1) % (1 << 32)
+            number = known.spec.number if known is not None else self._free_number(endpoint.name)
+            spec = self._make_spec(endpoint, number)
+            self._workers[endpoint.name] = _KnownWorker(endpoint, spec)
+            updated.append(spec)
+        return EndpointChanges(tuple(updated), tuple(removed_numbers))
+
+    def _free_number(self, name: str) -> int:
+        """Return a worker's number: the same at every gateway, so that they rank workers alike."""
+        number = worker_number(name)
+        taken = {worker.spec.number for worker in self._workers.values()}
+        while number in taken:
+            number = (number + 1) % WORKER_NUMBERS
+        return number
+
+    def _make_spec(self, endpoint: ListedEndpoint, number: int) -> WorkerSpec:
+        unknown_kind, unknown_zone = len(self._kind_indexes), len(self._zone_indexes)
         return WorkerSpec(
             number,
-            one.name,
-            one.host,
-            one.port,
-            one.draining,
-            one.weight,
-            self._kinds.get(one.kind, len(self._kinds)),
-            self._zones.get(one.zone, len(self._zones)),
-            one.cell,
-            one.since_ms / 1000,
-        )
-
-
-def listed_of(answer: Answer, ident: int, name: str) -> tuple[int, list[ListedHost]]:
-    """Serial and list of a good answer to this very question; DnsError."""
-    if answer.ident != ident or answer.question != (name, SRV):
-        raise DnsError("an answer to another question")
-    if answer.serial is None:
-        raise DnsError("no serial number")
-    listed = []
-    for service in answer.services:
-        address = answer.addresses.get(service.target)
-        if address is None:
-            raise DnsError(f"no address for {service.target[:60]}")
-        labels = service.target.split(".")
-        texts = answer.texts.get(service.target, {})
-        listed.append(
-            ListedHost(
-                labels[0],
-                address,
-                service.port,
-                labels[1] if len(labels) > 1 else "",
-                texts.get("kind", ""),
-                _whole_number(texts.get("cell", "0")),
-                service.priority >= DRAINING,
-                service.weight / WEIGHT_TIMES,
-                _whole_number(texts.get("started", "0")),
-            )
-        )
-    return answer.serial, listed
-
-
-def _whole_number(text: str) -> int:
-    if not text.isdigit() or len(text) > 16:
-        raise DnsError(f"no whole number: {text[:20]!r}")
-    return int(text)
-
-
-def take_known(membership: Membership, known: Mapping[str, Any]) -> Change:
-    """The events of the start, in their order; ValueError, KeyError or TypeError where they can't be read."""
-    for place, event in enumerate(known.get("notices") or ()):
-        serial, listed, gone = _event(event)
-        if place == 0 or event["pool"].get("snapshot"):
-            membership.replace(serial, listed)
-        else:
-            membership.update(serial, listed, gone)
-    last = int(known.get("rev", membership.serial))
-    if newer(last, membership.serial):
-        membership.serial = last
-    return Change(membership.specs)
-
-
-def _event(event: Mapping[str, Any]) -> tuple[int, list[ListedHost], list[str]]:
-    listed, gone = [], []
-    for one in event["pool"].get("endpoints") or ():
-        if one["status"] == "Gone":
-            gone.append(str(one["name"]).lower())
-            continue
-        host, _, port = str(one["address"]).rpartition(":")
-        listed.append(
-            ListedHost(
-                str(one["name"]).lower(),
-                host,
-                int(port),
-                str(one.get("zone", "")),
-                str(one.get("type", "")),
-                int(one.get("group", 0)),
-                one["status"] != "Ready",
-                float(one.get("weight", 1)),
-                int(one.get("since_ms", 0)),
-            )
+            endpoint.name,
+            endpoint.host,
+            endpoint.port,
+            endpoint.is_draining,
+            endpoint.weight,
+            self._kind_indexes.get(endpoint.kind, unknown_kind),
+            self._zone_indexes.get(endpoint.zone, unknown_zone),
+            endpoint.cell,
+            endpoint.started_ms / MILLISECONDS_PER_S,
         )
-    return int(event["rev"]), listed, gone
--- a/saffronstack/discovery/dns/messages.py
+++ b/saffronstack/discovery/dns/messages.py
@@ -1,29 +1,67 @@
-"""DNS messages (RFC 1035, 2782): one question out, answers in. No I/O; whatever comes, nothing but DnsError.
+"""DNS messages (RFC 1035, RFC 2782): queries are encoded, responses decoded. No I/O.
 
-dnspython was weighed: its import costs a small gateway 12 MB (docs/gateway-design.md)."""
+Whatever bytes come, `decode_response` raises nothing but `DnsMessageError`. dnspython was considered: its
+import costs a small gateway 12 MB (docs/gateway-design.md).
+"""
 
 from __future__ import annotations
 
+import enum
 import struct
 from dataclasses import dataclass, field
 
-A, SOA, TXT, SRV, INTERNET = 1, 6, 16, 33, 1
+from saffronstack.discovery.errors import DiscoveryError
+
+INTERNET_CLASS = 1
+MAX_LABEL_BYTES = 63
 MAX_NAME_BYTES = 255
-MAX_POINTERS = 32
+MAX_POINTERS = 32  # that one name may follow
 MAX_RECORDS = 4096
-_HEADER = struct.Struct(">HHHHHH")
-_QUESTION = struct.Struct(">HH")
-_RECORD = struct.Struct(">HHIH")
-_SERVICE = struct.Struct(">HHH")
-_RESPONSE, _TRUNCATED, _RECURSE = 0x8000, 0x0200, 0x0100
+_HEADER = struct.Struct(">HHHHHH")  # identifier, flags, number of questions, of records by section
+_QUESTION = struct.Struct(">HH")  # type, class
+_RECORD = struct.Struct(">HHIH")  # type, class, time to live, bytes of data
+_SERVICE = struct.Struct(">HHH")  # priority, weight, port
+_SERIAL = struct.Struct(">I")
+_IPV4_BYTES = 4
+_SOA_NUMBERS_BYTES = 20  # five numbers of 32 bits, the serial first
+_POINTER_MARK = 0xC0  # the two highest bits of a length byte mark a compression pointer
+_FLAG_RESPONSE = 0x8000
+_FLAG_TRUNCATED = 0x0200
+_FLAG_RECURSION_DESIRED = 0x0100
+_RESPONSE_CODE_MASK = 0x000F
+
+
+class RecordType(enum.IntEnum):
+    """Types of records that discovery reads."""
+
+    A = 1
+    SOA = 6
+    TXT = 16
+    SRV = 33
+
+
+class Section(enum.IntEnum):
+    """Sections of a response, in their order."""
+
+    ANSWER = 0
+    AUTHORITY = 1
+    ADDITIONAL = 2
 
 
-class DnsError(ValueError):
-    """A message that can't be used; the text says why."""
+class DnsMessageError(DiscoveryError, ValueError):
+    """A message can't be used; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Service:
+class Question:
+    """What a query asks for."""
+
+    name: str
+    record_type: int
+
+
+@dataclass(frozen=True, slots=True)
+class ServiceRecord:
     """One SRV record."""
 
     priority: int
@@ -33,117 +71,171 @@
 
 
 @dataclass(slots=True)
-class Answer:
-    """What one message holds; names are lower case, without the last dot."""
-
-    ident: int
-    question: tuple[str, int]
+class DnsResponse:
+    """The content of one response; names are in lower case, without the final dot.
+
+    Attributes:
+        message_id: Identifier of the query that it answers.
+        question: The question, repeated by the server.
+        serial: Serial number of the zone, from the SOA record; None without one.
+        services: The SRV records that answer the question.
+        addresses: IPv4 addresses by name.
+        attributes: Key-value pairs of TXT records (RFC 6763, 6.3) by name.
+    """
+
+    message_id: int
+    question: Question
     serial: int | None = None
-    services: list[Service] = field(default_factory=list)
+    services: list[ServiceRecord] = field(default_factory=list)
     addresses: dict[str, str] = field(default_factory=dict)
-    texts: dict[str, dict[str, str]] = field(default_factory=dict)
+    attributes: dict[str, dict[str, str]] = field(default_factory=dict)
+
 
+def encode_query(message_id: int, name: str, record_type: RecordType = RecordType.SRV) -> bytes:
+    """Return a query for one name.
 
-def query_message(ident: int, name: str, kind: int = SRV) -> bytes:
-    """A question; ValueError for a name that no message can hold."""
+    Raises:
+        ValueError: No message can hold the name.
+    """
     labels = b"".join(bytes([len(label)]) + label.encode("ascii") for label in name.split("."))
-    return _HEADER.pack(ident, _RECURSE, 1, 0, 0, 0) + labels + b"\0" + _QUESTION.pack(kind, INTERNET)
+    header = _HEADER.pack(message_id, _FLAG_RECURSION_DESIRED, 1, 0, 0, 0)
+    return header + labels + b"\0" + _QUESTION.pack(record_type, INTERNET_CLASS)
+
 
+def decode_response(message: bytes) -> DnsResponse:
+    """Return the content of a complete and successful response.
 
-def answer_of(message: bytes) -> Answer:
-    """A whole, good answer; DnsError for anything else."""
+    Raises:
+        DnsMessageError: It is anything else.
+    """
     try:
-        return _answer(message)
+        return _decode(_MessageReader(message))
     except (struct.error, IndexError, UnicodeDecodeError) as error:
-        raise DnsError("cut short or unreadable") from error
-
-
-def _answer(message: bytes) -> Answer:
-    ident, flags, questions, *sections = _HEADER.unpack_from(message)
-    if not flags & _RESPONSE:
-        raise DnsError("not an answer")
-    if flags & _TRUNCATED:
-        raise DnsError("truncated")
-    if flags & 15:
-        raise DnsError(f"the directory reports failure {flags & 15}")
-    if questions != 1 or sum(sections) > MAX_RECORDS:
-        raise DnsError("counts that no good answer has")
-    name, at = _name(message, _HEADER.size)
-    kind, _ = _QUESTION.unpack_from(message, at)
-    at += _QUESTION.size
-    answer = Answer(ident, (name, kind))
-    for section, records in enumerate(sections):
+        raise DnsMessageError("message is cut short or unreadable") from error
+
+
+class _MessageReader:
+    """Reads a message from its start to its end; `position` is that of the next byte."""
+
+    def __init__(self, message: bytes) -> None:
+        self.position = 0
+        self._message = message
+
+    @property
+    def at_end(self) -> bool:
+        return self.position == len(self._message)
+
+    def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
+        """Read numbers of fixed size; struct.error where too few bytes are left."""
+        values: tuple[int, ...] = layout.unpack_from(self._message, self.position)
+        self.position += layout.size
+        return values
+
+    def take(self, size: int) -> bytes:
+        """Read some bytes."""
+        data = self._message[self.position : self.position + size]
+        self.position += size
+        return data
+
+    def has_bytes(self, size: int) -> bool:
+        """Return whether so many bytes are left."""
+        return self.position + size <= len(self._message)
+
+    def read_name(self) -> str:
+        """Read a name and follow its compression pointers (RFC 1035, 4.1.4)."""
+        message, position = self._message, self.position
+        labels: list[str] = []
+        end = -1  # of the name where it stands: behind its first pointer
+        pointers = name_bytes = 0
+        while size := message[position]:
+            if size >= _POINTER_MARK:
+                target = (size & ~_POINTER_MARK) << 8 | message[position + 1]
+                end = position + 2 if end < 0 else end
+                pointers += 1
+                if target >= position or pointers > MAX_POINTERS:  # backwards only, or it could loop
+                    raise DnsMessageError("name has a pointer that leads forwards, or too many of them")
+                position = target
+                continue
+            if size > MAX_LABEL_BYTES:
+                raise DnsMessageError("name has a label of unknown type")
+            label = message[position + 1 : position + 1 + size]
+            name_bytes += size + 1
+            if len(label) < size or name_bytes > MAX_NAME_BYTES:
+                raise DnsMessageError("name is cut short or too long")
+            labels.append(label.decode("ascii").lower())
+            position += 1 + size
+        self.position = position + 1 if end < 0 else end
+        return ".".join(labels)
+
+
+def _decode(reader: _MessageReader) -> DnsResponse:
+    message_id, flags, questions, *records_by_section = reader.unpack(_HEADER)
+    _check_header(flags, questions, sum(records_by_section))
+    name = reader.read_name()
+    record_type, _ = reader.unpack(_QUESTION)
+    response = DnsResponse(message_id, Question(name, record_type))
+    for section, records in zip(Section, records_by_section, strict=True):
         for _ in range(records):
-            name, at = _name(message, at)
-            kind, _, _, length = _RECORD.unpack_from(message, at)
-            at += _RECORD.size
-            if at + length > len(message):
-                raise DnsError("cut short")
-            _record(answer, section, message, name, kind, at, at + length)
-            at += length
-    if at != len(message):
-        raise DnsError("bytes follow the last record")
-    return answer
-
-
-def _record(answer: Answer, section: int, message: bytes, name: str, kind: int, at: int, end: int) -> None:
-    if kind == SRV and section == 0:
-        priority, weight, port = _SERVICE.unpack_from(message, at)
-        target, stop = _name(message, at + _SERVICE.size)
-        _whole(stop, end)
-        answer.services.append(Service(priority, weight, port, target))
-    elif kind == A:
-        _whole(at + 4, end)
-        answer.addresses[name] = ".".join(map(str, message[at:end]))
-    elif kind == TXT:
-        texts = answer.texts.setdefault(name, {})
-        while at < end:
-            length = message[at]
-            _within(at + 1 + length, end)
-            key, _, value = message[at + 1 : at + 1 + length].decode("ascii").partition("=")
-            texts[key] = value
-            at += 1 + length
-    elif kind == SOA and section == 1:
-        _, at = _name(message, at)
-        _, at = _name(message, at)
-        _whole(at + 20, end)
-        (answer.serial,) = struct.unpack_from(">I", message, at)
-
-
-def _whole(at: int, end: int) -> None:
-    if at != end:
-        raise DnsError("a record of another length")
-
-
-def _within(at: int, end: int) -> None:
-    if at > end:
-        raise DnsError("a text that is cut short")
-
-
-def _name(message: bytes, at: int) -> tuple[str, int]:
-    """A name, and where the bytes after it begin."""
-    labels: list[str] = []
-    after = -1
-    jumps = length = 0
-    while True:
-        size = message[at]
-        if size >= 0xC0:
-            target = (size & 0x3F) << 8 | message[at + 1]
-            if after < 0:
-                after = at + 2
-            jumps += 1
-            if target >= at or jumps > MAX_POINTERS:  # pointers lead back, or they could lead in circles
-                raise DnsError("a name that leads nowhere")
-            at = target
-            continue
-        if size > 63:
-            raise DnsError("a label of no known form")
-        at += 1
-        if not size:
-            return ".".join(labels), after if after >= 0 else at
-        label = message[at : at + size]
-        length += size + 1
-        if len(label) < size or length > MAX_NAME_BYTES:
-            raise DnsError("a name that is cut short or too long")
-        labels.append(label.decode("ascii").lower())
-        at += size
+            _decode_record(reader, response, section)
+    if not reader.at_end:
+        raise DnsMessageError("bytes follow the last record")
+    return response
+
+
+def _check_header(flags: int, questions: int, records: int) -> None:
+    if not flags & _FLAG_RESPONSE:
+        raise DnsMessageError("message is not a response")
+    if flags & _FLAG_TRUNCATED:
+        raise DnsMessageError("response is truncated")
+    if code := flags & _RESPONSE_CODE_MASK:
+        raise DnsMessageError(f"server reports failure {code}")
+    if questions != 1 or records > MAX_RECORDS:
+        raise DnsMessageError("response has a wrong number of questions or records")
+
+
+def _decode_record(reader: _MessageReader, response: DnsResponse, section: Section) -> None:
+    name = reader.read_name()
+    record_type, _, _, data_bytes = reader.unpack(_RECORD)
+    if not reader.has_bytes(data_bytes):
+        raise DnsMessageError("record is cut short")
+    end = reader.position + data_bytes
+    match record_type:
+        case RecordType.SRV if section is Section.ANSWER:
+            priority, weight, port = reader.unpack(_SERVICE)
+            response.services.append(ServiceRecord(priority, weight, port, reader.read_name()))
+            _require_end(reader, end)
+        case RecordType.A:
+            response.addresses[name] = ".".join(map(str, reader.take(_IPV4_BYTES)))
+            _require_end(reader, end)
+        case RecordType.TXT:
+            response.attributes.setdefault(name, {}).update(_decode_attributes(reader, end))
+        case RecordType.SOA if section is Section.AUTHORITY:
+            response.serial = _decode_serial(reader, end)
+        case _:
+            reader.position = end  # no other record says anything of endpoints
+
+
+def _decode_attributes(reader: _MessageReader, end: int) -> dict[str, str]:
+    attributes = {}
+    while reader.position < end:
+        (size,) = reader.take(1)
+        if reader.position + size > end:
+            raise DnsMessageError("text in a TXT record is cut short")
+        key, _, value = reader.take(size).decode("ascii").partition("=")
+        attributes[key] = value
+    return attributes
+
+
+def _decode_serial(reader: _MessageReader, end: int) -> int:
+    reader.read_name()  # primary server
+    reader.read_name()  # mailbox of whoever is responsible
+    if reader.position + _SOA_NUMBERS_BYTES != end:
+        raise DnsMessageError("record has a wrong length")
+    (serial,) = reader.unpack(_SERIAL)
+    reader.position = end
+    return serial
+
+
+def _require_end(reader: _MessageReader, end: int) -> None:
+    if reader.position != end:
+        raise DnsMessageError("record has a wrong length")
--- a/saffronstack/discovery/dns/resolver.py
+++ b/saffronstack/discovery/dns/resolver.py
@@ -1,212 +1,224 @@
-"""Asks the directory over UDP, again and again; takes whole, good answers alone."""
+"""Polls the discovery server over UDP and applies complete and valid responses to the endpoint list."""
 
 from __future__ import annotations
 
+import enum
 import random
 import socket
-import threading
 import time
-from collections import deque
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from saffronstack.discovery.dns.endpoint_list import Change, Membership, listed_of, newer
-from saffronstack.discovery.dns.messages import DnsError, answer_of, query_message
+from saffronstack.discovery.background_thread import BackgroundThread
+from saffronstack.discovery.dns.endpoint_list import EndpointList, WorkerChanges
+from saffronstack.discovery.dns.messages import DnsMessageError, decode_response, encode_query
+from saffronstack.discovery.dns.serial_numbers import is_newer
+from saffronstack.discovery.dns.server_socket import ServerSocket
+from saffronstack.discovery.dns.service_records import parse_snapshot
 from saffronstack.runtime.logs import Log
-from saffronstack.runtime.threads import spawn
 
-ANSWER_BYTES = 16 * 1024  # more than any answer holds
-SILENT_S = 3.0  # without a good answer for so long, the log says so, once
-JITTER = 0.1  # of the pause between two queries: many gateways must not ask at one moment
-QUERIES_KEPT = 64  # an answer may come after later queries were sent
-UNANSWERED_MIN = 4  # queries in a row without a good answer, after which the socket is replaced; then doubled
-UNANSWERED_MAX = 64
+MAX_RESPONSE_BYTES = 16 * 1024  # more than any response holds
+MESSAGE_ID_BITS = 16
+MESSAGE_ID_BYTES = 2
+SILENCE_WARNING_S = 3.0  # without a valid response for so long, the log says so, once
+POLL_JITTER = 0.1  # fraction of the interval: many gateways must not poll at one moment
+MAX_REJECTION_REASONS = 32  # that are counted one by one
+MAX_REASON_LENGTH = 60
 
 
-def connected(server: tuple[str, int]) -> socket.socket:
-    """A socket that hears this server alone: the system drops what comes from anywhere else. OSError."""
-    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    try:
-        sock.connect(server)
-    except OSError:
-        sock.close()
-        raise
-    return sock
+class Rejection(enum.StrEnum):
+    """Why a well-formed response is not applied."""
+
+    UNKNOWN_QUERY = "response to no recent query"
+    FORMER_SERVER = "response of a server that is no longer asked"
+    STALE_LIST = "list is older than the present one"
+    CONFLICTING_LIST = "another list under the serial of the present one"
+
+
+@dataclass(frozen=True, slots=True)
+class ResolverOptions:
+    """Times of polling. Both together stay well inside a worker's drain, though responses get lost.
+
+    Attributes:
+        interval_s: Between two queries.
+        timeout_s: After which a query counts as unanswered.
+        seed: Of message identifiers and jitter; None for a random one.
+    """
+
+    interval_s: float = 0.25
+    timeout_s: float = 0.2
+    seed: int | None = None
 
 
 @dataclass(slots=True)
-class Counts:
-    """What the resolver counted; written by its thread."""
+class ResolverCounts:
+    """Counters, written by the resolver's thread."""
 
-    asked: int = 0
-    good: int = 0
+    queries: int = 0
+    accepted: int = 0
     unanswered: int = 0
-    refused: dict[str, int] = field(default_factory=dict)
+    rejected: dict[str, int] = field(default_factory=dict)  # by reason
 
 
 class Resolver:
-    """One thread, one socket; `point` may be called from any thread."""
+    """Keeps an endpoint list current on a thread of its own; `set_server` may be called from any thread.
+
+    Attributes:
+        last_accepted_s: When the last valid response came, on the resolver's clock.
+        counts: Counters since the start.
+    """
 
     def __init__(
         self,
-        membership: Membership,
+        endpoint_list: EndpointList,
         name: str,
         server: tuple[str, int],
-        on_change: Callable[[Change], None],
+        on_change: Callable[[WorkerChanges], None],
         log: Log,
         clock: Callable[[], float] = time.monotonic,
-        every_s: float = 0.25,
-        timeout_s: float = 0.2,
-        seed: int | None = None,
+        options: ResolverOptions = ResolverOptions(),
     ) -> None:
-        """``on_change`` hears of changes, on the resolver's thread. ``every_s`` between queries, and
-        ``timeout_s`` after which one is asked again: together well inside a drain's grace, though answers
-        get lost."""
-        self._membership = membership
+        """Prepare polling of a server.
+
+        Args:
+            endpoint_list: The list to keep current, owned by the resolver's thread from `start` on.
+            name: Service to ask for, as ``_work._tcp.fleet.local``.
+            server: Address of the discovery server.
+            on_change: Called on the resolver's thread with each change of the list.
+            log: Where silence of the server and faults are written.
+            clock: Monotonic time in seconds.
+            options: Times of polling.
+        """
+        self._endpoint_list = endpoint_list
         self._name = name
         self._server = server
-        self._connected_to: tuple[str, int] | None = None  # by the present socket
         self._on_change = on_change
         self._log = log
         self._clock = clock
-        self._every_s = every_s
-        self._timeout_s = timeout_s
-        self._random = random.Random(seed)
-        self._stopping = threading.Event()
-        self._last = b""
-        self._last_serial: int | None = None  # of the list that was taken last from an answer
-        self._identifiers: deque[int] = deque(maxlen=QUERIES_KEPT)  # of queries on the present socket
-        self._unanswered = 0  # queries in a row
-        self._patience = UNANSWERED_MIN
-        self._silent = False
-        self.last_good_s = clock()
-        self.counts = Counts()
+        self._options = options
+        self._random = random.Random(options.seed)
+        self._thread = BackgroundThread("dns-discovery", self._run)
+        self._socket = ServerSocket()
+        self._last_message = b""  # that was accepted, behind its identifier
+        self._last_serial: int | None = None  # of the list that came last in a response
+        self._is_silent = False
+        self.last_accepted_s = clock()
+        self.counts = ResolverCounts()
 
     def start(self) -> None:
-        """Start its thread."""
-        spawn("directory", self._run)
+        """Start polling."""
+        self._thread.start()
 
     def stop(self) -> None:
-        """Ask no more."""
-        self._stopping.set()
+        """Ask the thread to end; it does within an interval."""
+        self._thread.request_stop()
 
     def set_server(self, server: tuple[str, int]) -> None:
-        """Ask there from the next question on; the numbers of events go on."""
+        """Poll another server from the next query on; its serial numbers continue those of the former."""
         self._server = server
 
     def _run(self) -> None:
-        sock: socket.socket | None = None
-        while not self._stopping.is_set():
-            begun_s = self._clock()
-            try:
-                sock = self._socket(sock)
-                good = self.query(sock)
-            except OSError as error:  # nobody listens there, or no descriptor is to be had
-                self._refused(f"{type(error).__name__}")
-                good = False
-            except Exception:  # membership must go on whatever one answer did
-                self._log.exception("step of the directory's thread failed")
-                good = False
-            self._count(good)
-            self._log_silence(good)
-            pause_s = self._every_s * self._random.uniform(1 - JITTER, 1 + JITTER)
-            self._stopping.wait(max(0.0, pause_s - (self._clock() - begun_s)))
-        if sock is not None:
-            sock.close()
-
-    def _socket(self, sock: socket.socket | None) -> socket.socket:
-        """The socket to ask on: the present one, or a fresh one where the server has moved or nothing good
-        has come for long, since the port or the path to it may be dead. It is closed only once there is
-        another. OSError where none can be had."""
-        server = self._server
-        if sock is not None and self._connected_to == server and self._unanswered < self._patience:
-            return sock
-        moved = self._connected_to != server
+        while not self._thread.stopping.is_set():
+            started_s = self._clock()
+            is_answered = self._poll()
+            self._socket.record_result(is_answered)
+            self._log_silence(is_answered)
+            interval_s = self._options.interval_s * self._random.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
+            self._thread.stopping.wait(max(0.0, interval_s - (self._clock() - started_s)))
+        self._socket.close()
+
+    def _poll(self) -> bool:
         try:
-            fresh = connected(server)
-        except OSError:
-            if sock is None or moved:
-                raise
-            return sock  # no descriptor is to be had: the present one may answer yet
-        if sock is not None:
-            sock.close()
-        self._patience = UNANSWERED_MIN if moved else min(UNANSWERED_MAX, 2 * self._patience)
-        self._unanswered = 0
-        self._identifiers.clear()
-        self._connected_to = server
-        return fresh
-
-    def _count(self, good: bool) -> None:
-        if good:
-            self._unanswered = 0
-            self._patience = UNANSWERED_MIN
-        else:
-            self._unanswered += 1
-
-    def query(self, sock: socket.socket) -> bool:
-        """One query on a connected socket, and a good answer within the time-out, to it or to one of those
-        before it on this socket; whether one was taken."""
-        identifier = self._random.getrandbits(16)
-        self._identifiers.append(identifier)
-        self.counts.asked += 1
-        sock.send(query_message(identifier, self._name))
-        until_s = self._clock() + self._timeout_s
-        while (left := until_s - self._clock()) > 0:
-            sock.settimeout(left)
+            return self.query(self._socket.open(self._server))
+        except OSError as error:  # nobody listens there, or no descriptor is free
+            self._count_rejection(type(error).__name__)
+        except Exception:  # discovery must continue whatever one response did
+            self._log.exception("discovery poll failed")
+        return False
+
+    def query(self, udp_socket: socket.socket) -> bool:
+        """Send one query on a connected socket and wait for a response, up to the timeout.
+
+        A response to an earlier query on this socket is as good.
+
+        Returns:
+            Whether a valid response came.
+
+        Raises:
+            OSError: The socket can't be used, or nobody listens at the server's port.
+        """
+        message_id = self._random.getrandbits(MESSAGE_ID_BITS)
+        self._socket.message_ids.append(message_id)
+        self.counts.queries += 1
+        udp_socket.send(encode_query(message_id, self._name))
+        deadline_s = self._clock() + self._options.timeout_s
+        while (remaining_s := deadline_s - self._clock()) > 0:
+            udp_socket.settimeout(remaining_s)
             try:
-                message = sock.recv(ANSWER_BYTES)
+                message = udp_socket.recv(MAX_RESPONSE_BYTES)
             except TimeoutError:
                 break
-            if self._connected_to != self._server:
-                self._refused("an answer from a server that is not asked any more")
+            if self._socket.server != self._server:
+                self._count_rejection(Rejection.FORMER_SERVER)
                 break
-            if self.apply(message, self._identifiers):
+            if self.handle_response(message, self._socket.message_ids):
                 return True
         self.counts.unanswered += 1
         return False
 
-    def apply(self, message: bytes, identifiers: Collection[int]) -> bool:
-        """Whether it is a good answer to one of these queries; it is taken whole or not at all."""
-        identifier = int.from_bytes(message[:2], "big")
-        if identifier not in identifiers:
-            self._refused("an answer to no query of ours")
+    def handle_response(self, message: bytes, message_ids: Collection[int]) -> bool:
+        """Apply a response completely, or reject it.
+
+        Args:
+            message: A datagram.
+            message_ids: Identifiers of the queries that it may answer.
+
+        Returns:
+            Whether it was accepted.
+        """
+        message_id = int.from_bytes(message[:MESSAGE_ID_BYTES], "big")
+        if message_id not in message_ids:
+            self._count_rejection(Rejection.UNKNOWN_QUERY)
             return False
-        if message[2:] == self._last:
-            self.counts.good += 1
+        if message[MESSAGE_ID_BYTES:] == self._last_message:
+            self.counts.accepted += 1
             return True
+        present = self._endpoint_list
         try:
-            serial, listed = listed_of(answer_of(message), identifier, self._name)
-        except DnsError as error:
-            self._refused(str(error))
+            snapshot = parse_snapshot(decode_response(message), message_id, self._name)
+        except DnsMessageError as error:
+            self._count_rejection(str(error))
             return False
-        if serial != self._membership.serial and not newer(serial, self._membership.serial):
-            self._refused("an older list than the one that is held")
+        if snapshot.serial != present.serial and not is_newer(snapshot.serial, present.serial):
+            self._count_rejection(Rejection.STALE_LIST)
             return False
-        if serial == self._last_serial and not self._membership.holds(listed):
-            self._refused("another list under the serial of the one that is held")
+        if snapshot.serial == self._last_serial and not present.matches(snapshot.endpoints):
+            self._count_rejection(Rejection.CONFLICTING_LIST)
             return False
-        change = self._membership.replace(serial, listed)
-        self._last = message[2:]
-        self._last_serial = serial
-        self.counts.good += 1
-        if change:
-            self._on_change(change)
+        changes = present.apply_snapshot(snapshot)
+        self._last_message = message[MESSAGE_ID_BYTES:]
+        self._last_serial = snapshot.serial
+        self.counts.accepted += 1
+        if changes:
+            self._on_change(changes)
         return True
 
-    def _refused(self, why: str) -> None:
-        why = why.split(":")[0][:60]
-        refused = self.counts.refused
-        if why in refused or len(refused) < 32:
-            refused[why] = refused.get(why, 0) + 1
+    def _count_rejection(self, reason: str) -> None:
+        reason = str(reason).split(":")[0][:MAX_REASON_LENGTH]  # without what the server chose
+        rejected = self.counts.rejected
+        if reason in rejected or len(rejected) < MAX_REJECTION_REASONS:
+            rejected[reason] = rejected.get(reason, 0) + 1
 
-    def _log_silence(self, good: bool) -> None:
+    def _log_silence(self, is_answered: bool) -> None:
         now = self._clock()
-        if good:
-            if self._silent:
-                self._log.info("the directory answers again", after_s=round(now - self.last_good_s, 1))
-            self._silent = False
-            self.last_good_s = now
-        elif not self._silent and now - self.last_good_s > SILENT_S:
-            self._silent = True
-            refused = self.counts.refused
-            self._log.warning("no good answer from the directory", for_s=SILENT_S, refused=refused)
+        silent_s = now - self.last_accepted_s
+        if is_answered:
+            if self._is_silent:
+                self._log.info("discovery server responds again", elapsed_s=round(silent_s, 1))
+            self._is_silent = False
+            self.last_accepted_s = now
+        elif not self._is_silent and silent_s > SILENCE_WARNING_S:
+            self._is_silent = True
+            self._log.warning(
+                "discovery server is silent", elapsed_s=SILENCE_WARNING_S, rejected=self.counts.rejected
+            )
--- /dev/null
+++ b/saffronstack/discovery/dns/serial_numbers.py
@@ -0,0 +1,11 @@
+"""Serial numbers of DNS zones, which wrap around (RFC 1982)."""
+
+from __future__ import annotations
+
+SERIAL_NUMBERS = 1 << 32
+_HALF = SERIAL_NUMBERS // 2  # a later serial number is ahead by less than half of the circle
+
+
+def is_newer(serial: int, other: int) -> bool:
+    """Return whether a serial number comes after another one."""
+    return serial != other and (serial - other) % SERIAL_NUMBERS < _HALF
--- a/saffronstack/platform/config.py
+++ b/saffronstack/platform/config.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from saffronstack.discovery.dns.endpoint_list import Change, Membership, take_known
+from saffronstack.discovery.dns.endpoint_list import EndpointList, WorkerChanges
+from saffronstack.discovery.dns.startup_events import apply_startup_events
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.validation import validate_settings
 from saffronstack.settings import SettingsError, parse_settings
@@ -48,11 +49,11 @@
     idle_s: float  # idle connections to hosts are closed after this long
     max_open_calls: int
 
-    def membership(self) -> tuple[Membership, Change]:
+    def membership(self) -> tuple[EndpointList, WorkerChanges]:
         """The list of the start; ConfigError."""
-        membership = Membership(self.zones, self.kinds)
+        endpoint_list = EndpointList(self.zones, self.kinds)
         try:
-            return membership, take_known(membership, self.known)
+            return endpoint_list, apply_startup_events(endpoint_list, self.known)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
             raise ConfigError(f"known: {error!r}") from error
 
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from saffronstack.choice import Router
-from saffronstack.discovery.dns.endpoint_list import Change
+from saffronstack.discovery.dns.endpoint_list import WorkerChanges
 from saffronstack.discovery.dns.resolver import Resolver
 from saffronstack.engine.engine import Engine
 from saffronstack.hosts.dispatcher import HostDispatcher
@@ -120,10 +120,10 @@
     def _look(self, now: float, router: Router) -> None:
         self.beliefs.look(now, router.workers, self.hosts.pools())
 
-    def _changed(self, change: Change) -> None:
+    def _changed(self, changes: WorkerChanges) -> None:
         """Links first, so that nothing leaves for a host that drains or is gone."""
-        self.hosts.changed(change.changed, change.gone)
-        self.engine.change_workers(change.changed, change.gone, self._wall())
+        self.hosts.changed(changes.updated, changes.removed)
+        self.engine.change_workers(changes.updated, changes.removed, self._wall())
 
     def reread(self, path: str) -> bool:
         """Ask the directory that a new configuration names; False, and no change, where it can't be used."""
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,6 +15,8 @@
 import pytest
 
 from saffronstack.choice import Router
+from saffronstack.discovery.dns.endpoint_list import EndpointSnapshot
+from saffronstack.discovery.dns.resolver import Rejection
 from saffronstack.platform.beliefs import Beliefs
 from saffronstack.standin.platform import Directory, Entry
 from saffronstack.standin.worker import hold_port
@@ -312,7 +314,7 @@
         directory.serial, directory.entries = 1, [entries[0]]
         directory.wait()
         assert service.membership.specs == held and service.membership.serial == 2
-        assert service.directory.counts.refused["an older list than the one that is held"] > 0
+        assert service.directory.counts.rejected[Rejection.STALE_LIST] > 0
         directory.serial = 2
         directory.tell(entries[0])
         assert [spec.name for spec in service.membership.specs] == ["s-1"]
@@ -356,7 +358,7 @@
             tables: list[Any] = [router.workers, router.functions, router.counts, router.holdings]
             tables += [router.held, router.pending, router.flying]
             tables += [service.front._connections, service.front.ids]
-            tables += [service.hosts._pools, service.hosts._out, service.membership._held]
+            tables += [service.hosts._pools, service.hosts._out, service.membership._workers]
             return sum(map(len, tables))
 
         for place in range(1, many + 1):
@@ -364,8 +366,8 @@
             assert client.ask(subject=place)[0] == "OK"
             client.sock.close()
             directory.entries = [Entry(f"s-{place}", host.address)]
-            service._changed(service.membership.replace(place + 1, []))
-            service._changed(service.membership.update(place + 1, [_listed(directory.entries[0])], []))
+            service._changed(service.membership.apply_snapshot(EndpointSnapshot(place + 1, ())))
+            service._changed(service.membership.apply_update(place + 1, [_listed(directory.entries[0])], []))
             if place == 300:
                 early = known()
         assert known() <= early + 3 * many  # functions of the last keep-alives, and their counts
@@ -385,7 +387,7 @@
 
 
 def _listed(entry: Entry) -> Any:
-    from saffronstack.discovery.dns.endpoint_list import ListedHost
+    from saffronstack.discovery.dns.endpoint_list import ListedEndpoint
 
     host, _, port = entry.address.rpartition(":")
-    return ListedHost(entry.name, host, int(port), "east", "std")
+    return ListedEndpoint(entry.name, host, int(port), "east", "std")
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -5,15 +5,12 @@
 import contextlib
 import json
 import socket
-import struct
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saffronstack.discovery.dns.endpoint_list import Change, ListedHost, Membership, listed_of, newer
-from saffronstack.discovery.dns.messages import DnsError, answer_of, query_message
-from saffronstack.discovery.dns.resolver import Resolver
+from saffronstack.discovery.dns.messages import decode_response, encode_query
 from saffronstack.hosts import codec
 from saffronstack.hosts.codec import HostError, LineReader
 from saffronstack.net.write_buffer import OutgoingMessage, Sent, WriteBuffer, WriteLoop
@@ -22,7 +19,6 @@
 from saffronstack.resp.frames import CallFrame, FrameError, frame_of
 from saffronstack.resp.reader import RespError, RespReader, encode
 from saffronstack.routing.events import CacheStatus
-from saffronstack.runtime.logs import PlainLog
 from saffronstack.standin.platform import Entry, dns_answer
 
 FIELDS = b"req=9b1f03aa5c7e2d41,timeout=1500,subject=7f3a9c21e0b4d655"
@@ -108,71 +104,6 @@
     assert len(reader._parts) <= codec.MAX_LINE_PARTS + 1
 
 
-def test_a_list_from_the_directory() -> None:
-    asked = query_message(5, NAME)
-    serial, listed = listed_of(answer_of(dns_answer(asked, 41, LIST)), 5, NAME)
-    assert serial == 41 and [one.name for one in listed] == ["s-1", "s-2"]
-    assert listed[1] == ListedHost("s-2", "127.0.0.2", 200, "east", "std", 0, True, 1.0, 1700000000000)
-
-
-def test_an_answer_cut_anywhere_is_refused() -> None:
-    message = dns_answer(query_message(5, NAME), 41, LIST)
-    for cut in range(len(message)):
-        with pytest.raises(DnsError):
-            listed_of(answer_of(message[:cut]), 5, NAME)
-
-
-@given(st.binary(max_size=120))
-def test_whatever_the_directory_sends_is_an_answer_or_an_error(message: bytes) -> None:
-    with contextlib.suppress(DnsError):
-        answer_of(message)
-
-
-@given(st.integers(0, 300), st.binary(min_size=1, max_size=8))
-def test_an_answer_with_noise_inside_is_an_answer_or_an_error(at: int, noise: bytes) -> None:
-    message = dns_answer(query_message(5, NAME), 41, LIST)
-    with contextlib.suppress(DnsError):
-        listed_of(answer_of(message[:at] + noise + message[at + len(noise) :]), 5, NAME)
-
-
-def resolver(membership: Membership, heard: list[Change]) -> Resolver:
-    return Resolver(membership, NAME, ("127.0.0.1", 9), heard.append, PlainLog("test"), lambda: 0.0, seed=1)
-
-
-def test_only_whole_good_new_answers_are_taken() -> None:
-    membership, heard = Membership(["east"], ["std"]), list[Change]()
-    told = resolver(membership, heard)
-    good = dns_answer(query_message(7, NAME), 10, LIST)
-    assert told.apply(good, [7]) and len(heard) == 1 and len(heard[0].changed) == 2
-    assert told.apply(good, [7]) and len(heard) == 1  # the same again changes nothing
-    refused = [
-        good[:-3],  # cut short
-        good[:2] + struct.pack(">H", 0x8602) + good[4:],  # truncated by its own word
-        good[:2] + struct.pack(">H", 0x8403) + good[4:],  # a failure
-        dns_answer(query_message(8, NAME), 11, []),  # under another id
-        dns_answer(query_message(7, "_other._tcp.fleet.local"), 11, []),
-        dns_answer(query_message(7, NAME), 9, LIST[:1]),  # an older list
-    ]
-    assert not any(told.apply(message, [7]) for message in refused)
-    assert len(heard) == 1 and len(membership.specs) == 2
-    assert sum(told.counts.refused.values()) == len(refused)
-    assert told.apply(dns_answer(query_message(7, NAME), 11, LIST[:1]), [7])
-    assert heard[1].gone and membership.serial == 11
-
-
-def test_numbers_go_round() -> None:
-    assert newer(1, 2**32 - 1) and not newer(2**32 - 1, 1) and not newer(5, 5)
-
-
-def test_a_name_that_returns_at_another_address_is_another_host() -> None:
-    membership = Membership(["east"], ["std"])
-    first = ListedHost("s-1", "127.0.0.1", 100, "east", "std")
-    (old,) = membership.replace(1, [first]).changed
-    change = membership.replace(2, [ListedHost("s-1", "127.0.0.1", 101, "east", "std")])
-    assert change.gone == (old.number,) and change.changed[0].port == 101
-    assert not membership.replace(3, [ListedHost("s-1", "127.0.0.1", 101, "east", "std")])
-
-
 class Full:
     """A socket that takes so many bytes, and no more until told."""
 
@@ -251,5 +182,5 @@
 
 def test_stand_in_answers_are_dns(  # the stand-in itself, against the system's own reading of an address
 ) -> None:
-    answer = answer_of(dns_answer(query_message(5, NAME), 41, LIST))
+    answer = decode_response(dns_answer(encode_query(5, NAME), 41, LIST))
     assert answer.addresses["s-1.east.hosts"] == socket.inet_ntoa(b"\x7f\0\0\1")
--- a/tests/test_platform_run.py
+++ b/tests/test_platform_run.py
@@ -22,8 +22,8 @@
     "shutil", "tempfile", "structlog", "click", "watchfiles", "zstandard",
 }  # fmt: skip
 OTHERS = {
-    "invoke", "deferred", "operations", "metering", "durable", "roster", "daemon", "harness", "standin",
-    "cli", "fleet",
+    "invoke", "deferred", "operations", "metering", "durable", "discovery.files", "daemon", "harness",
+    "standin", "cli", "fleet",
 }  # fmt: skip
 
 
@@ -86,7 +86,8 @@
         assert program.wait(WAIT_S) == 0
         told.seek(0)
         modules = {line.rsplit("|", 1)[1].strip() for line in told if line.startswith("import time:")}
-        parts = {name.split(".")[1] for name in modules if name.startswith("saffronstack.")}
+        ours = [name.split(".") for name in modules if name.startswith("saffronstack.")]
+        parts = {".".join(names[1:depth]) for names in ours for depth in (2, 3)}
         assert "platform" in parts and not parts & OTHERS  # to the end: nothing is imported late either
         assert not modules & UNWANTED, modules & UNWANTED
     finally:
