--- a/saffronstack/cli/roster.py
+++ b/saffronstack/cli/roster.py
@@ -10,11 +10,12 @@
 
 from saffronstack import config as configs
 from saffronstack.config.schema import Config, Worker
-from saffronstack.discovery.files.change_guards import GuardSettings, judge
-from saffronstack.discovery.files.file_reader import NotReadyError, read
-from saffronstack.discovery.files.last_known_good import Kept
-from saffronstack.discovery.files.merging import change
-from saffronstack.discovery.files.parsing import RosterError, Version, version
+from saffronstack.discovery.errors import DiscoveryError
+from saffronstack.discovery.files.change_guards import GuardSettings, review_version
+from saffronstack.discovery.files.file_reader import read_version
+from saffronstack.discovery.files.merging import compare_lists
+from saffronstack.discovery.files.parsing import WorkerListVersion, parse_version
+from saffronstack.discovery.files.state_directory import StateDirectory
 
 FIELDS = tuple(field.name for field in structs.fields(Worker))
 
@@ -23,21 +24,15 @@
     """What stands in the way, for the person who called."""
 
 
-def _version(path: str, kinds: tuple[str, ...] | None) -> Version:
+def _version(path: str, kinds: tuple[str, ...] | None) -> WorkerListVersion:
     """The version at a path; without ``kinds`` any kind will do."""
     try:
-        text = read(pathlib.Path(path))
-        known = kinds if kinds is not None else _Any()
-        return version(text.parts, text.digest, known, text.generation)
-    except (NotReadyError, RosterError) as error:
+        text = read_version(pathlib.Path(path))
+        return parse_version(text.parts, text.digest, kinds, text.generation)
+    except DiscoveryError as error:
         raise UnusableError(str(error)) from error
 
 
-class _Any(tuple[str, ...]):
-    def __contains__(self, kind: object) -> bool:
-        return True
-
-
 def _config(path: str) -> Config:
     try:
         config = configs.load(path)
@@ -48,12 +43,12 @@
     return config
 
 
-def _kept(config_path: str) -> tuple[Config, Kept]:
+def _state_directory(config_path: str) -> StateDirectory:
     config = _config(config_path)
     assert config.roster is not None
     directory = pathlib.Path(config.roster.state_directory)
     try:
-        return config, Kept(directory)
+        return StateDirectory(directory)
     except OSError as error:
         raise UnusableError(f"{directory}: {error.strerror}") from error
 
@@ -71,14 +66,15 @@
     if config is None or config.roster is None:
         return 0
     guards = GuardSettings(
-        config.roster.allow_empty,
-        config.roster.removed_share,
-        config.roster.removed_free,
-        config.roster.allow_older,
+        allow_empty=config.roster.allow_empty,
+        max_removed_fraction=config.roster.removed_share,
+        always_removable=config.roster.removed_free,
+        allow_older=config.roster.allow_older,
     )
-    held = judge(guards, Kept(pathlib.Path(config.roster.state_directory)).last(), found, False)
-    if held is not None:
-        click.echo(f"{path}: would be held: {held.reason}")
+    current = StateDirectory(pathlib.Path(config.roster.state_directory)).last()
+    approval = review_version(guards, current, found, is_approved=False)
+    if approval is not None:
+        click.echo(f"{path}: would be held: {approval.reason}")
         return 1
     return 0
 
@@ -86,10 +82,10 @@
 def diff(before: str, after: str) -> int:
     """What changes from one list to another, in meaning; 0 where nothing does, else 1."""
     first, second = _version(before, None).by_name(), _version(after, None).by_name()
-    found = change(first, second)
-    for name in found.gone:
+    changes = compare_lists(first, second)
+    for name in changes.removed:
         click.echo(f"- {name} at {first[name].address}")
-    for worker in sorted(found.entries, key=lambda one: one.id):
+    for worker in sorted(changes.updated, key=lambda one: one.id):
         known = first.get(worker.id)
         if known is None:
             click.echo(f"+ {worker.id} at {worker.address}, size {worker.size:g}, {worker.state}")
@@ -100,56 +96,58 @@
             if getattr(known, name) != getattr(worker, name)
         ]
         click.echo(f"~ {worker.id}: {', '.join(changed)}")
-    return 1 if found else 0
+    return 1 if changes else 0
 
 
 def show(config_path: str) -> int:
     """The list applied last, and what operators said."""
-    _, kept = _kept(config_path)
-    last = kept.last()
+    state = _state_directory(config_path)
+    last = state.last()
     if last is None:
         click.echo("no list was applied yet")
         return 1
     click.echo(f"generation {last.generation}, digest {last.digest}, {len(last.workers)} workers")
-    drains = kept.drains()
+    drains = state.drains()
     for worker in last.workers:
-        state = "draining (operator)" if worker.id in drains else worker.state
-        click.echo(f"  {worker.id:<24} {worker.address:<24} {worker.kind:<12} size {worker.size:<6g} {state}")
+        worker_state = "draining (operator)" if worker.id in drains else worker.state
+        click.echo(
+            f"  {worker.id:<24} {worker.address:<24} {worker.kind:<12} size {worker.size:<6g} {worker_state}"
+        )
     for name in sorted(drains - {worker.id for worker in last.workers}):
         click.echo(f"  {name:<24} not listed, drained by an operator")
-    if kept.pinned():
-        click.echo(f"pinned to {kept.pinned()}: the file is not followed")
+    if state.pinned():
+        click.echo(f"pinned to {state.pinned()}: the file is not followed")
     return 0
 
 
 def drain(config_path: str, workers: tuple[str, ...], undo: bool) -> int:
     """Drain workers, whatever any source says, or no longer."""
-    _, kept = _kept(config_path)
-    names = kept.drains() - set(workers) if undo else kept.drains() | set(workers)
-    known = kept.last()
+    state = _state_directory(config_path)
+    names = state.drains() - set(workers) if undo else state.drains() | set(workers)
+    known = state.last()
     listed = {worker.id for worker in known.workers} if known is not None else set()
     for name in workers:
         if name not in listed and not undo:
             click.echo(f"{name}: in no list that was applied; it is drained should it come", err=True)
-    kept.tell("drains", "\n".join(sorted(names)))
+    state.tell("drains", "\n".join(sorted(names)))
     click.echo(f"drained by operators: {', '.join(sorted(names)) or 'none'}")
     return 0
 
 
 def accept(config_path: str, digest: str) -> int:
     """Let a held version be applied: this one and no other."""
-    _, kept = _kept(config_path)
-    kept.tell("accept", digest)
+    state = _state_directory(config_path)
+    state.tell("accept", digest)
     click.echo(f"{digest}: accepted; a gateway that holds it applies it within a second")
     return 0
 
 
 def history(config_path: str, back: int | None, follow: bool) -> int:
     """The versions that are kept; go back to one, or follow the file again."""
-    _, kept = _kept(config_path)
-    found = kept.history()
+    state = _state_directory(config_path)
+    found = state.history()
     if follow:
-        kept.tell("pinned", "")
+        state.tell("pinned", "")
         click.echo("the file is followed")
         return 0
     if back is not None:
@@ -158,7 +156,7 @@
             raise UnusableError(
                 f"no version {back} is kept; there are {', '.join(str(n) for n, _, _ in found)}"
             )
-        kept.tell("pinned", chosen.digest)
+        state.tell("pinned", chosen.digest)
         click.echo(f"back to version {back}, generation {chosen.generation}; --follow ends it")
         return 0
     for number, at, one in found:
--- a/saffronstack/discovery/files/__init__.py
+++ b/saffronstack/discovery/files/__init__.py
@@ -1,2 +1,1 @@
-"""Who the workers are: lists from files and configuration, checked, guarded, merged, applied whole or not at
-all."""
+"""Discovery by watched files: lists of workers are read, checked, guarded, merged and applied completely."""
--- a/saffronstack/discovery/files/file_watcher.py
+++ b/saffronstack/discovery/files/file_watcher.py
@@ -1,56 +1,69 @@
-"""Events of the file system, as hints: whatever is missed, the slow look finds."""
+"""Watches a path for events of the file system. They are hints: polling finds what a watch misses."""
 
 from __future__ import annotations
 
 import pathlib
-import threading
 from collections.abc import Callable
 
 import structlog
 import watchfiles
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.discovery.background_thread import BackgroundThread
 
-DEBOUNCE_MS = 20
-AGAIN_S = 1.0  # before a watch that failed is set up anew
+DEBOUNCE_MS = 20  # events within this time are one
+POLL_STEP_MS = 5  # between looks at collected events
+MAX_WAIT_MS = 1000  # after which the watch looks whether it is to stop or to watch elsewhere
+RETRY_S = 1.0  # after which a watch is set up anew where none of the paths exists
+RESTART_S = 0.01  # the same where some do
 log = structlog.get_logger("saffronstack.roster")
 
 
-class Watch:
-    """Calls back when something under a file's directory, or where its links lead, changes."""
+class FileWatcher:
+    """Reports changes in a file's directory, and where symbolic links of the file lead."""
 
-    def __init__(self, path: pathlib.Path, changed: Callable[[], None]) -> None:
+    def __init__(self, path: pathlib.Path, on_event: Callable[[], None]) -> None:
+        """Prepare the watch; ``on_event`` is called on its thread, also without an event now and then."""
         self._path = path
-        self._changed = changed
-        self._stopping = threading.Event()
+        self._on_event = on_event
+        self._thread = BackgroundThread("file-watcher", self._run)
 
     def start(self) -> None:
-        """Watch on a thread of its own."""
-        spawn("watch", self._run)
+        """Start watching."""
+        self._thread.start()
 
     def stop(self) -> None:
-        """End it."""
-        self._stopping.set()
+        """Ask the thread to end; it does within about a second."""
+        self._thread.request_stop()
 
     def _run(self) -> None:
-        while not self._stopping.is_set():
-            places = {self._path.parent, self._path.resolve().parent, self._path.resolve()}
-            there = [place for place in places if place.exists()]
+        stopping = self._thread.stopping
+        while not stopping.is_set():
+            paths = self._watched_paths()
+            existing = [path for path in paths if path.exists()]
             try:
-                for _ in watchfiles.watch(
-                    *there,
-                    watch_filter=None,
-                    debounce=DEBOUNCE_MS,
-                    step=5,
-                    stop_event=self._stopping,
-                    rust_timeout=1000,
-                    yield_on_timeout=True,
-                    recursive=False,
-                    raise_interrupt=False,
-                ):
-                    self._changed()
-                    if {self._path.parent, self._path.resolve().parent, self._path.resolve()} != places:
-                        break  # a link leads elsewhere now
+                self._watch(paths, existing)
             except (OSError, RuntimeError) as error:
-                log.warning("roster not watched for a moment", error=str(error))
-            self._stopping.wait(AGAIN_S if not there else 0.01)
+                log.warning("worker file watch interrupted", error=str(error))
+            stopping.wait(RESTART_S if existing else RETRY_S)
+
+    def _watch(self, paths: set[pathlib.Path], existing: list[pathlib.Path]) -> None:
+        """Report events until the thread is to stop, or the file's links lead elsewhere."""
+        events = watchfiles.watch(
+            *existing,
+            watch_filter=None,
+            debounce=DEBOUNCE_MS,
+            step=POLL_STEP_MS,
+            stop_event=self._thread.stopping,
+            rust_timeout=MAX_WAIT_MS,
+            yield_on_timeout=True,
+            recursive=False,
+            raise_interrupt=False,
+        )
+        for _ in events:
+            self._on_event()
+            if self._watched_paths() != paths:
+                return
+
+    def _watched_paths(self) -> set[pathlib.Path]:
+        resolved = self._path.resolve()
+        return {self._path.parent, resolved.parent, resolved}
--- a/saffronstack/discovery/files/line_numbers.py
+++ b/saffronstack/discovery/files/line_numbers.py
@@ -1,8 +1,9 @@
-"""Where in a JSON5 text a value stands, so that a complaint can name its line. No I/O."""
+"""Line numbers of the values in a JSON5 text, so that an error can name its line. No I/O."""
 
 from __future__ import annotations
 
 import re
+from dataclasses import dataclass
 from functools import lru_cache
 
 _TOKEN = re.compile(
@@ -12,57 +13,102 @@
 )
 
 
-def lines(text: str) -> dict[str, int]:
-    """Lines, from 1, by place: ``workers[3].address``; the whole is the empty place. What is no JSON5 ends
-    it: the places before it stand."""
-    found = {"": 1}
-    stack: list[tuple[str, str, int]] = []  # opening mark, place, number of the next element
-    place, key, expect_key = "", "", False
-    line, at = 1, 0
-    while at < len(text):
-        match = _TOKEN.match(text, at)
-        if match is None:
-            return found
-        token, kind = match[0], match.lastgroup
-        at = match.end()
-        if kind == "mark" and token in "}]":
-            if not stack:
-                return found
-            _, place, _ = stack.pop()
-            expect_key = False
-        elif kind == "mark" and token == ",":
-            if stack:
-                opening, inner, number = stack[-1]
-                stack[-1] = opening, inner, number + 1
-                expect_key = opening == "{"
-        elif kind == "mark" and token == ":":
-            expect_key = False
-        elif kind != "skip" and expect_key and token != "{" and token != "[":
-            key = token[1:-1] if kind == "text" else token
-            inner = stack[-1][1]
-            found.setdefault(f"{inner}.{key}" if inner else key, line)
-        elif kind != "skip":
-            if stack:
-                opening, inner, number = stack[-1]
-                place = f"{inner}[{number}]" if opening == "[" else f"{inner}.{key}" if inner else key
-            found.setdefault(place, line)
-            if token in ("{", "["):
-                stack.append((token, place, 0))
-                expect_key = token == "{"
-        line += token.count("\n")
-    return found
-
-
-@lru_cache(maxsize=1)
-def _known(text: str) -> dict[str, int]:
-    """The last text's, for all that is complained of it."""
-    return lines(text)
-
-
-def line_of(text: str, place: str) -> int:
-    """The line of a place, or of the nearest one around it."""
-    known = _known(text)
-    while place not in known:
-        cut = max(place.rfind("."), place.rfind("["))
-        place = place[:cut] if cut > 0 else ""
-    return known[place]
+def locate_values(text: str) -> dict[str, int]:
+    """Return line numbers, from 1, by path.
+
+    A path is as ``workers[3].address``; that of the whole text is empty. Where the text is not JSON5, paths
+    before the error are returned.
+    """
+    scanner = _Scanner()
+    scanner.scan(text)
+    return scanner.lines
+
+
+def find_line(text: str, path: str) -> int:
+    """Return the line of a path, or of the innermost value around it that is known."""
+    lines = _locate_cached(text)
+    while path not in lines:
+        parent_end = max(path.rfind("."), path.rfind("["))
+        path = path[:parent_end] if parent_end > 0 else ""
+    return lines[path]
+
+
+@lru_cache(maxsize=1)  # all errors in a text ask for it in turn
+def _locate_cached(text: str) -> dict[str, int]:
+    return locate_values(text)
+
+
+@dataclass(slots=True)
+class _Container:
+    """An object or array that is open where the scanner stands."""
+
+    path: str
+    is_object: bool
+    index: int = 0  # of the next element
+
+    def path_of(self, key: str) -> str:
+        """Return the path of a key's value, or of the next element."""
+        if not self.is_object:
+            return f"{self.path}[{self.index}]"
+        return f"{self.path}.{key}" if self.path else key
+
+
+class _Scanner:
+    """Goes through the tokens of a text once."""
+
+    def __init__(self) -> None:
+        self.lines = {"": 1}
+        self._open: list[_Container] = []
+        self._line = 1
+        self._path = ""  # of the value that was read last
+        self._key = ""
+        self._expects_key = False
+
+    def scan(self, text: str) -> None:
+        """Collect the lines of all values, up to the first thing that is not JSON5."""
+        position = 0
+        while position < len(text):
+            match = _TOKEN.match(text, position)
+            if match is None:
+                return
+            token = match[0]
+            if match.lastgroup == "mark" and token in "}]" and not self._open:
+                return
+            self._take(token, str(match.lastgroup))
+            self._line += token.count("\n")
+            position = match.end()
+
+    def _take(self, token: str, kind: str) -> None:
+        if kind == "skip":
+            return
+        if kind == "mark":
+            self._take_mark(token)
+        elif self._expects_key:
+            self._key = token[1:-1] if kind == "text" else token
+            self.lines.setdefault(self._open[-1].path_of(self._key), self._line)
+        else:
+            self._take_value()
+
+    def _take_mark(self, mark: str) -> None:
+        match mark:
+            case ":":
+                self._expects_key = False
+            case ",":
+                self._start_next_element()
+            case "{" | "[":
+                self._take_value()
+                self._open.append(_Container(self._path, is_object=mark == "{"))
+                self._expects_key = mark == "{"
+            case _:
+                self._path = self._open.pop().path
+                self._expects_key = False
+
+    def _start_next_element(self) -> None:
+        if self._open:
+            self._open[-1].index += 1
+            self._expects_key = self._open[-1].is_object
+
+    def _take_value(self) -> None:
+        if self._open:
+            self._path = self._open[-1].path_of(self._key)
+        self.lines.setdefault(self._path, self._line)
--- a/saffronstack/discovery/files/merging.py
+++ b/saffronstack/discovery/files/merging.py
@@ -1,120 +1,108 @@
-"""One list out of all sources. Free of I/O.
+"""Merges the workers of several sources into one list, and compares lists. No I/O.
 
-Sources have a priority; a complete one hides those below it, others add. For a worker that several name, the
-highest source's entry counts; a drain from any source wins, also from one that is hidden or held. What
-sources contradict each other in is reported, and decided by priority. Sizes move in steps.
+Sources have a priority; a complete one hides those below it, others add to them. Where several list a worker,
+the entry of the highest source counts; a drain from any source counts, also from one that is hidden or whose
+version waits for approval. Contradictions are reported, and decided by priority.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from typing import TypeAlias
 
 from msgspec import structs
 
 from saffronstack.config.schema import Worker
+from saffronstack.discovery.changes import EndpointChanges
 
-STEP = 1.5  # a size changes by at most this factor
-STEP_S = 1.0  # in this time
+WorkerChanges: TypeAlias = EndpointChanges[Worker, str]
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
-    """What one source says. ``drains`` are names beyond those of its workers that it wants drained."""
+class WorkerSource:
+    """What one source says.
+
+    Attributes:
+        name: Name in reports of contradictions.
+        priority: The highest counts.
+        workers: The workers that it lists.
+        drains: Names of workers to drain, beyond those that it lists as draining.
+        is_complete: Whether it lists all workers there are, and hides sources below it.
+        is_known: Whether it has said anything yet; it hides nothing before.
+    """
 
     name: str
     priority: int
     workers: tuple[Worker, ...] = ()
     drains: frozenset[str] = frozenset()
-    complete: bool = False
-    known: bool = True  # False: it has never told anything; it hides nothing then
+    is_complete: bool = False
+    is_known: bool = True
+
+    def draining_names(self) -> frozenset[str]:
+        """Return the names of all workers that it wants drained."""
+        return self.drains | {worker.id for worker in self.workers if worker.state == "draining"}
 
 
 @dataclass(frozen=True, slots=True)
-class Merged:
-    """The list, and what the sources disagree in."""
+class MergedList:
+    """The workers of all sources by name, and the contradictions between sources."""
 
     workers: dict[str, Worker]
     conflicts: tuple[str, ...]
 
 
-def merge(sources: Iterable[Source], held: Iterable[str] = ()) -> Merged:
-    """The list of all sources; ``held`` are workers that count as draining for another reason."""
+def merge_sources(sources: Iterable[WorkerSource], draining: Iterable[str] = ()) -> MergedList:
+    """Return the list of all sources.
+
+    Args:
+        sources: The sources, in any order.
+        draining: Names of workers that count as draining for another reason.
+    """
     ordered = sorted(sources, key=lambda source: (-source.priority, source.name))
-    found: dict[str, Worker] = {}
-    owner: dict[str, str] = {}
-    at: dict[str, str] = {}
-    conflicts: list[str] = []
-    drains = set(held)
-    hidden = False
+    merger = _Merger()
     for source in ordered:
-        drains |= source.drains
-        drains |= {worker.id for worker in source.workers if worker.state == "draining"}
-        if hidden:
-            continue
         for worker in source.workers:
-            first = found.get(worker.id)
-            if first is not None:
-                if first.address != worker.address:
-                    here = f"{owner[worker.id]} says {first.address}"
-                    conflicts.append(f"{worker.id}: {here}, {source.name} {worker.address}")
-                continue
-            if worker.address in at:
-                conflicts.append(
-                    f"{worker.address}: {owner[at[worker.address]]} says {at[worker.address]}, "
-                    f"{source.name} {worker.id}"
-                )
-                continue
-            found[worker.id] = worker
-            owner[worker.id] = source.name
-            at[worker.address] = worker.id
-        hidden = source.complete and source.known
-    for name in drains & set(found):
-        found[name] = structs.replace(found[name], state="draining")
-    return Merged(found, tuple(conflicts))
-
-
-@dataclass(frozen=True, slots=True)
-class Change:
-    """From one list to the next."""
-
-    entries: tuple[Worker, ...]  # new, or changed
-    gone: tuple[str, ...]
-
-    def __bool__(self) -> bool:
-        return bool(self.entries or self.gone)
-
-
-def change(before: Mapping[str, Worker], after: Mapping[str, Worker]) -> Change:
-    """What differs; drains first, since they hurry."""
-    entries = [worker for name, worker in after.items() if before.get(name) != worker]
-    entries.sort(key=lambda worker: worker.state != "draining")
-    return Change(tuple(entries), tuple(name for name in before if name not in after))
-
-
-@dataclass(slots=True)
-class Sizes:
-    """Sizes on their way: a worker that is to take much more gets it step by step."""
-
-    _now: dict[str, float] = field(default_factory=dict)
-    _stepped_s: float = 0.0
-    moving: bool = False
-
-    def step(self, workers: Mapping[str, Worker], now: float) -> dict[str, Worker]:
-        """The list with the sizes of this moment. New workers begin with theirs: slow start is the
-        module's."""
-        may = now - self._stepped_s >= STEP_S
-        if may:
-            self._stepped_s = now
-        found = {}
-        self.moving = False
-        for name, worker in workers.items():
-            size = self._now.get(name, worker.size)
-            if size != worker.size and may:
-                size = min(worker.size, size * STEP) if worker.size > size else max(worker.size, size / STEP)
-            self.moving = self.moving or size != worker.size
-            found[name] = worker if size == worker.size else structs.replace(worker, size=size)
-            self._now[name] = size
-        for name in set(self._now) - set(workers):
-            del self._now[name]
-        return found
+            merger.add(source.name, worker)
+        if source.is_complete and source.is_known:
+            break  # it hides those below
+    workers = merger.workers
+    names = set(draining).union(*(source.draining_names() for source in ordered))
+    for name in names & workers.keys():
+        workers[name] = structs.replace(workers[name], state="draining")
+    return MergedList(workers, tuple(merger.conflicts))
+
+
+class _Merger:
+    """Takes workers by falling priority of their sources."""
+
+    def __init__(self) -> None:
+        self.workers: dict[str, Worker] = {}
+        self.conflicts: list[str] = []
+        self._sources: dict[str, str] = {}  # by worker
+        self._names: dict[str, str] = {}  # by address
+
+    def add(self, source: str, worker: Worker) -> None:
+        """Take a worker, unless its name or its address is taken."""
+        known = self.workers.get(worker.id)
+        if known is not None:
+            if known.address != worker.address:
+                first = f"{self._sources[worker.id]} says {known.address}"
+                self.conflicts.append(f"{worker.id}: {first}, {source} {worker.address}")
+            return
+        if worker.address in self._names:
+            name = self._names[worker.address]
+            self.conflicts.append(
+                f"{worker.address}: {self._sources[name]} says {name}, {source} {worker.id}"
+            )
+            return
+        self.workers[worker.id] = worker
+        self._sources[worker.id] = source
+        self._names[worker.address] = worker.id
+
+
+def compare_lists(before: Mapping[str, Worker], after: Mapping[str, Worker]) -> WorkerChanges:
+    """Return what differs between two lists; draining workers come first, since they are urgent."""
+    updated = [worker for name, worker in after.items() if before.get(name) != worker]
+    updated.sort(key=lambda worker: worker.state != "draining")
+    return EndpointChanges(tuple(updated), tuple(name for name in before if name not in after))
--- a/saffronstack/discovery/files/parsing.py
+++ b/saffronstack/discovery/files/parsing.py
@@ -1,10 +1,10 @@
-"""A roster file's text, checked: its workers, or why it can't be used, with file, line and reason. No I/O."""
+"""Worker files: their text is parsed and checked, with file, line and reason of all errors. No I/O."""
 
 from __future__ import annotations
 
 import ipaddress
 import re
-from collections.abc import Collection, Iterable
+from collections.abc import Collection, Iterable, Iterator
 from dataclasses import dataclass
 from typing import Annotated
 
@@ -12,122 +12,181 @@
 
 from saffronstack.config.load import ConfigError, convert
 from saffronstack.config.schema import Struct, Worker
-from saffronstack.discovery.files.line_numbers import line_of
-from saffronstack.engine.identifiers import worker_number
+from saffronstack.discovery.errors import DiscoveryError
+from saffronstack.discovery.files.line_numbers import find_line
 
-SIZE_LEAST, SIZE_MOST = 0.01, 100.0
-_PLACE = re.compile(r"^(?P<place>[A-Za-z_][\w.\[\]]*)(?: \([^)]*\))?: ")
-_JSON_LINE = re.compile(r"<string>:(\d+)")
+MIN_CAPACITY, MAX_CAPACITY = 0.01, 100.0  # relative to other workers
+MAX_PORT = 65535
+_SCHEMA_ERROR_PATH = re.compile(r"^(?P<path>[A-Za-z_][\w.\[\]]*)(?: \([^)]*\))?: ")
+_JSON5_ERROR_LINE = re.compile(r"<string>:(\d+)")
+_DIGITS_AND_DOTS = re.compile(r"[0-9.]+")
 
 
-class RosterFile(Struct, frozen=True, kw_only=True):
-    """One file. ``generation`` rises with each version; 0 where nobody counts."""
+class WorkerFile(Struct, frozen=True, kw_only=True):
+    """One file. ``generation`` rises with each version; 0 where it is not counted."""
 
     generation: Annotated[int, msgspec.Meta(ge=0)] = 0
     workers: tuple[Worker, ...]
 
 
 class Manifest(Struct, frozen=True, kw_only=True):
-    """What a directory's version is made of: file names and the xxh3-128 of their bytes, in hexadecimal."""
+    """The files of a directory's version: names and the xxh3-128 of their bytes, in hexadecimal."""
 
     generation: Annotated[int, msgspec.Meta(ge=1)]
     files: dict[str, Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{32}$")]]
 
 
-class RosterError(ValueError):
-    """A version that can't be used; the text names file, line and reason."""
+class InvalidWorkerFileError(DiscoveryError, ValueError):
+    """A version can't be used; the text names file, line and reason, one error a line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Version:
-    """A whole list, checked."""
+class SourceFile:
+    """A file of a version."""
+
+    name: str
+    text: str
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerListVersion:
+    """A complete and valid list of workers.
+
+    Attributes:
+        generation: Number that its writer gave it; 0 without one.
+        digest: xxh3-128 of the file or the manifest, in hexadecimal.
+        workers: The listed workers.
+    """
 
     generation: int
     digest: str
     workers: tuple[Worker, ...]
 
     def by_name(self) -> dict[str, Worker]:
-        """Workers by their names."""
+        """Return the workers by their names."""
         return {worker.id: worker for worker in self.workers}
 
 
-def manifest(text: str, name: str) -> Manifest:
-    """A directory's manifest; RosterError."""
+@dataclass(frozen=True, slots=True)
+class _FieldError:
+    """Why a worker's field can't be used."""
+
+    field: str
+    reason: str
+
+
+def parse_manifest(file: SourceFile) -> Manifest:
+    """Return a directory's manifest.
+
+    Raises:
+        InvalidWorkerFileError: It is none, or names files of other directories.
+    """
     try:
-        found = convert(text, Manifest, name)
+        manifest = convert(file.text, Manifest, file.name)
     except ConfigError as error:
-        raise RosterError(_with_line(str(error), text, name)) from error
-    for file in found.files:
-        if "/" in file or file.startswith("."):
-            raise RosterError(f"{name}: files: {file!r} is no plain file name")
-    return found
-
-
-def version(
-    texts: Iterable[tuple[str, str]], digest: str, kinds: Collection[str], generation: int = 0
-) -> Version:
-    """The version that some files (name and text) make together; ``generation`` is the manifest's. ``kinds``:
-    those the gateway knows. RosterError with every problem found, a line each."""
-    workers: list[Worker] = []
-    problems: list[str] = []
-    places: dict[str, str] = {}  # what was seen, and where first
-    for name, text in texts:
+        raise InvalidWorkerFileError(_add_line(str(error), file)) from error
+    for name in manifest.files:
+        if "/" in name or name.startswith("."):
+            raise InvalidWorkerFileError(f"{file.name}: files: {name!r} is no plain file name")
+    return manifest
+
+
+def parse_version(
+    files: Iterable[SourceFile], digest: str, kinds: Collection[str] | None, generation: int = 0
+) -> WorkerListVersion:
+    """Return the version that some files make together.
+
+    Args:
+        files: All files of the version.
+        digest: What tells it from any other version.
+        kinds: Kinds of workers that the gateway knows; None allows any.
+        generation: That of the manifest; 0 takes the first one in a file.
+
+    Raises:
+        InvalidWorkerFileError: It can't be used; the text has every error found.
+    """
+    parser = _VersionParser(kinds, generation)
+    for file in files:
+        parser.parse(file)
+    if parser.errors:
+        raise InvalidWorkerFileError("\n".join(parser.errors))
+    return WorkerListVersion(parser.generation, digest, tuple(parser.workers))
+
+
+class _VersionParser:
+    """Collects the workers of several files, and what is wrong with them."""
+
+    def __init__(self, kinds: Collection[str] | None, generation: int) -> None:
+        self.generation = generation
+        self.workers: list[Worker] = []
+        self.errors: list[str] = []
+        self._kinds = kinds
+        self._first_lines: dict[str, str] = {}  # file and line by what may be listed once
+
+    def parse(self, file: SourceFile) -> None:
         try:
-            found = convert(text, RosterFile, name)
+            content = convert(file.text, WorkerFile, file.name)
         except ConfigError as error:
-            problems += [_with_line(line, text, name) for line in str(error).splitlines()]
-            continue
-        if generation and found.generation not in (0, generation):
-            problems.append(
-                f"{name}:{line_of(text, 'generation')}: generation {found.generation}, "
-                f"the manifest's is {generation}"
+            self.errors += [_add_line(line, file) for line in str(error).splitlines()]
+            return
+        if self.generation and content.generation not in (0, self.generation):
+            self.errors.append(
+                f"{_line_of(file, 'generation')}: generation {content.generation}, "
+                f"the manifest's is {self.generation}"
             )
-        for number, worker in enumerate(found.workers):
-            place = f"workers[{number}]"
-            for field, why in _wrong(worker, kinds):
-                problems.append(
-                    f"{name}:{line_of(text, f'{place}.{field}')}: {place} ({worker.id}).{field}: {why}"
-                )
-            here = f"{name}:{line_of(text, place)}"
-            for what, mark in (
-                (f"worker {worker.id!r}", f"id {worker.id}"),
-                (f"address {worker.address}", f"at {worker.address}"),
-                (f"the number of {worker.id!r}", f"number {worker_number(worker.id)}"),
-            ):
-                if mark in places and not (mark.startswith("number") and f"id {worker.id}" in places):
-                    problems.append(f"{here}: {place}: {what} stands at {places[mark]} already")
-                places.setdefault(mark, here)
-            workers.append(worker)
-        generation = generation or found.generation
-    if problems:
-        raise RosterError("\n".join(problems))
-    return Version(generation, digest, tuple(workers))
-
-
-def _wrong(worker: Worker, kinds: Collection[str]) -> list[tuple[str, str]]:
-    found = []
+        for index, worker in enumerate(content.workers):
+            self._add(file, f"workers[{index}]", worker)
+        self.generation = self.generation or content.generation
+
+    def _add(self, file: SourceFile, path: str, worker: Worker) -> None:
+        for error in _check_worker(worker, self._kinds):
+            line = _line_of(file, f"{path}.{error.field}")
+            self.errors.append(f"{line}: {path} ({worker.id}).{error.field}: {error.reason}")
+        line = _line_of(file, path)
+        for value in (f"worker {worker.id!r}", f"address {worker.address}"):
+            self._require_unique(value, line, path)
+        self.workers.append(worker)
+
+    def _require_unique(self, value: str, line: str, path: str) -> None:
+        if value in self._first_lines:
+            self.errors.append(f"{line}: {path}: {value} stands at {self._first_lines[value]} already")
+        self._first_lines.setdefault(value, line)
+
+
+def _check_worker(worker: Worker, kinds: Collection[str] | None) -> Iterator[_FieldError]:
     host, _, port = worker.address.rpartition(":")
-    if not 0 < int(port) < 65536:
-        found.append(("address", f"no port {port}"))
-    if re.fullmatch(r"[0-9.]+", host):
-        try:
-            address = ipaddress.ip_address(host)
-        except ValueError:
-            found.append(("address", f"{host} is no IP address"))
-        else:
-            if address.is_unspecified or address.is_multicast:
-                found.append(("address", f"no worker can be at {host}"))
-    if not SIZE_LEAST <= worker.size <= SIZE_MOST:
-        found.append(("size", f"{worker.size:g} is not between {SIZE_LEAST:g} and {SIZE_MOST:g}"))
-    if worker.kind not in kinds:
-        found.append(("kind", f"no kind is named {worker.kind!r}; a new one needs a restart"))
-    return found
-
-
-def _with_line(problem: str, text: str, name: str) -> str:
-    """A complaint of the schema's, with its line."""
-    rest = problem.removeprefix(f"{name}: ")
-    if match := _JSON_LINE.search(rest):
-        return f"{name}:{match[1]}: {rest}"
-    match = _PLACE.match(rest)
-    return f"{name}:{line_of(text, match['place']) if match else 1}: {rest}"
+    if not 0 < int(port) <= MAX_PORT:
+        yield _FieldError("address", f"no port {port}")
+    if reason := _check_host(host):
+        yield _FieldError("address", reason)
+    if not MIN_CAPACITY <= worker.size <= MAX_CAPACITY:
+        yield _FieldError("size", f"{worker.size:g} is not between {MIN_CAPACITY:g} and {MAX_CAPACITY:g}")
+    if kinds is not None and worker.kind not in kinds:
+        yield _FieldError("kind", f"no kind is named {worker.kind!r}; a new one needs a restart")
+
+
+def _check_host(host: str) -> str:
+    """Return why a host can't be used, empty where it can; host names are left to the resolver."""
+    if not _DIGITS_AND_DOTS.fullmatch(host):
+        return ""
+    try:
+        address = ipaddress.ip_address(host)
+    except ValueError:
+        return f"{host} is no IP address"
+    if address.is_unspecified or address.is_multicast:
+        return f"no worker can be at {host}"
+    return ""
+
+
+def _line_of(file: SourceFile, path: str) -> str:
+    return f"{file.name}:{find_line(file.text, path)}"
+
+
+def _add_line(error: str, file: SourceFile) -> str:
+    """Return an error of the schema with its line."""
+    detail = error.removeprefix(f"{file.name}: ")
+    if match := _JSON5_ERROR_LINE.search(detail):
+        return f"{file.name}:{match[1]}: {detail}"
+    match = _SCHEMA_ERROR_PATH.match(detail)
+    line = find_line(file.text, match["path"]) if match else 1
+    return f"{file.name}:{line}: {detail}"
--- a/saffronstack/discovery/files/service.py
+++ b/saffronstack/discovery/files/service.py
@@ -1,289 +1,221 @@
-"""The roster in service: looks at its file, decides, merges, and hands on what changed."""
+"""The service that polls the worker file and reports changes of the list in force."""
 
 from __future__ import annotations
 
 import pathlib
 import queue
-import threading
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
 
+import msgspec
 import structlog
 
 from saffronstack.config.schema import Worker
-from saffronstack.discovery.files.change_guards import Flaps, GuardSettings, judge
-from saffronstack.discovery.files.file_reader import NotReadyError, read
-from saffronstack.discovery.files.last_known_good import Kept
-from saffronstack.discovery.files.merging import STEP_S, Change, Sizes, Source, change, merge
-from saffronstack.discovery.files.parsing import RosterError, Version, version
-from saffronstack.runtime.threads import spawn
-
-QUIET_S = (
-    0.2  # what can't be used is looked at again after this before it is called bad: it may be half-written
-)
-SETTLE_S = 5.0  # a file that never stands still for so long is said
-SOON_S = 0.05
-OPERATOR, FILE, CONFIG = 30, 20, 0  # priorities
+from saffronstack.discovery.background_thread import BackgroundThread
+from saffronstack.discovery.files.capacity_ramp import STEP_INTERVAL_S
+from saffronstack.discovery.files.change_guards import GuardSettings
+from saffronstack.discovery.files.merging import WorkerChanges, WorkerSource
+from saffronstack.discovery.files.state_directory import StateDirectory
+from saffronstack.discovery.files.version_selector import VersionSelector
+from saffronstack.discovery.files.worker_list import WorkerList
+
+SETTLING_POLL_S = 0.05  # between polls while a file is being written
+STOP_TIMEOUT_S = 5.0
+OPERATOR_PRIORITY, FILE_PRIORITY, CONFIGURATION_PRIORITY = 30, 20, 0
 log = structlog.get_logger("saffronstack.roster")
 
 
-@dataclass(slots=True)
-class State:
-    """What `roster show` and `/status` tell."""
-
-    applied: Version | None = None
-    applied_s: float = 0.0
-    from_copy: bool = False  # of the last good version, until the file was read
-    refused: str = ""
-    held: str = ""
-    held_digest: str = ""
-    conflicts: tuple[str, ...] = ()
-    counts: dict[str, int] = field(
-        default_factory=lambda: dict.fromkeys(("applied", "refused", "held", "unready", "looks"), 0)
-    )
-
-
-class RosterService:
-    """One thread looks and decides; ``apply`` is called on it, one change after another."""
+@dataclass(frozen=True, slots=True)
+class FileDiscoveryOptions:
+    """What a service watches, and how.
+
+    Attributes:
+        path: The file, or a directory with a manifest.
+        kinds: Kinds of workers that the gateway knows.
+        guards: What needs no operator's approval.
+        poll_s: Seconds between polls, where no event of the file system comes before.
+    """
+
+    path: pathlib.Path
+    kinds: tuple[str, ...]
+    guards: GuardSettings = field(default_factory=GuardSettings)
+    poll_s: float = 1.0
+
+
+class FileDiscoveryCounts(
+    msgspec.Struct,
+    frozen=True,
+    rename={"pending": "held", "rejected": "refused", "not_ready": "unready", "polls": "looks"},
+):
+    """Counters since the start; the renamed fields keep their keys in JSON."""
+
+    applied: int
+    rejected: int
+    pending: int
+    not_ready: int
+    polls: int
+
+
+class FileDiscoveryStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "is_from_stored_copy": "from_copy",
+        "rejection": "refused",
+        "pending_reason": "held",
+        "pending_digest": "held_digest",
+    },
+):
+    """The state of the service as ``/status`` shows it; the renamed fields keep their keys in JSON."""
+
+    generation: int | None
+    digest: str
+    workers: int
+    draining: int
+    is_from_stored_copy: bool
+    rejection: str
+    pending_reason: str
+    pending_digest: str
+    conflicts: tuple[str, ...]
+    counts: FileDiscoveryCounts
+
+
+class FileDiscovery:
+    """Polls on a thread of its own, where it reports one change after another."""
 
     def __init__(
         self,
-        path: pathlib.Path,
-        kept: Kept,
-        kinds: tuple[str, ...],
-        static: tuple[Worker, ...],
-        guards: GuardSettings,
-        apply: Callable[[Change, dict[str, Worker]], None],
+        options: FileDiscoveryOptions,
+        state_directory: StateDirectory,
+        configured_workers: tuple[Worker, ...],
+        on_change: Callable[[WorkerChanges, dict[str, Worker]], None],
         clock: Callable[[], float],
-        wall: Callable[[], float],
-        poll_s: float = 1.0,
+        unix_clock: Callable[[], float],
     ) -> None:
-        """``static`` are the configuration's workers: in force until the file has told a list."""
-        self.state = State()
-        self._path = path
-        self._kept = kept
-        self._kinds = kinds
-        self._static = static
-        self._guards = guards
-        self._apply = apply
+        """Prepare the service.
+
+        Args:
+            options: What it watches, and how.
+            state_directory: Where versions are stored, and what operators asked for.
+            configured_workers: Workers of the configuration, in force until the file lists any.
+            on_change: Called on the service's thread with each change and the complete list.
+            clock: Monotonic time in seconds.
+            unix_clock: Unix time in seconds.
+        """
+        self._poll_s = options.poll_s
+        self._state_directory = state_directory
+        self._configured_workers = configured_workers
+        self._on_change = on_change
         self._clock = clock
-        self._wall = wall
-        self._poll_s = poll_s
-        self._flaps = Flaps(guards)
-        self._sizes = Sizes()
-        self._listed: dict[str, Worker] = {}  # as the sources have it
-        self._told: dict[str, Worker] = {}  # as it was handed on
-        self._held_drains: frozenset[str] = frozenset()
-        self._bad: tuple[str, float] | None = None  # what can't be used, and since when it stands so
-        self._unready_since: float | None = None
-        self._unready_said = False
-        self._wake: queue.SimpleQueue[None] = queue.SimpleQueue()
-        self._stopping = threading.Event()
-        self._ended = threading.Event()
+        self._versions = VersionSelector(
+            options.path, options.kinds, options.guards, state_directory, unix_clock
+        )
+        self._list = WorkerList(options.guards.flapping)
+        self._polls = 0
+        self._wake_ups: queue.SimpleQueue[None] = queue.SimpleQueue()
+        self._thread = BackgroundThread("file-discovery", self._run)
 
     def start(self, now: float) -> dict[str, Worker]:
-        """The workers to begin with: the file's, or the last good version's until the file can be used."""
-        self.look(now, hand_on=False)
-        if self.state.applied is None:
-            last = self._kept.last()
-            if last is not None:
-                self.state.applied, self.state.from_copy = last, True
-                log.warning(
-                    "roster from its last good copy", generation=last.generation, workers=len(last.workers)
-                )
-        self._merge(now, hand_on=False)
-        spawn("roster", self._run)
-        return dict(self._told)
-
-    def stop(self, timeout_s: float = 5.0) -> bool:
-        """End the thread; whether it ended in time."""
-        self._stopping.set()
-        self._wake.put(None)
-        return self._ended.wait(timeout_s)
+        """Start polling; return the workers to begin with, as `load` does."""
+        workers = self.load(now)
+        self._thread.start()
+        return workers
+
+    def load(self, now: float) -> dict[str, Worker]:
+        """Return the workers to begin with: the file's, or those of the last known good version."""
+        self._poll_sources(now)
+        self._update_list(now)
+        self._versions.use_stored_copy()
+        self._update_list(now)
+        return dict(self._list.workers)
+
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
+        """End the thread; return whether it ended in time."""
+        self._thread.request_stop()
+        self.wake()
+        return self._thread.join(timeout_s)
 
     def wake(self) -> None:
-        """Something may have changed; from any thread."""
-        self._wake.put(None)
-
-    def static(self, workers: tuple[Worker, ...]) -> None:
-        """The configuration's workers were reread; from any thread."""
-        self._static = workers
-        self._wake.put(None)
-
-    def status(self) -> dict[str, Any]:
-        """How it stands, for people."""
-        state = self.state
-        applied = state.applied
-        return {
-            "generation": applied.generation if applied else None,
-            "digest": applied.digest if applied else "",
-            "workers": len(self._told),
-            "draining": sum(worker.state == "draining" for worker in self._told.values()),
-            "from_copy": state.from_copy,
-            "refused": state.refused,
-            "held": state.held,
-            "held_digest": state.held_digest,
-            "conflicts": list(state.conflicts),
-            "counts": dict(state.counts),
-        }
+        """Poll soon, since something may have changed; from any thread."""
+        self._wake_ups.put(None)
+
+    def set_configured_workers(self, workers: tuple[Worker, ...]) -> None:
+        """Take the workers of a configuration that was read again; from any thread."""
+        self._configured_workers = workers
+        self.wake()
+
+    def status(self) -> FileDiscoveryStatus:
+        """Return the state of the service; from any thread."""
+        versions, workers = self._versions, self._list.workers
+        applied = versions.applied
+        return FileDiscoveryStatus(
+            generation=applied.generation if applied else None,
+            digest=applied.digest if applied else "",
+            workers=len(workers),
+            draining=sum(worker.state == "draining" for worker in workers.values()),
+            is_from_stored_copy=versions.is_from_stored_copy,
+            rejection=versions.settling.rejection,
+            pending_reason=versions.pending_reason,
+            pending_digest=versions.pending_digest,
+            conflicts=self._list.conflicts,
+            counts=FileDiscoveryCounts(
+                applied=versions.applied_count,
+                rejected=versions.settling.rejected_count,
+                pending=versions.pending_count,
+                not_ready=versions.settling.not_ready_count,
+                polls=self._polls,
+            ),
+        )
 
-    # ---- the thread
+    def poll(self, now: float) -> None:
+        """Read, check and merge all sources, and report what changed."""
+        self._poll_sources(now)
+        changes = self._update_list(now)
+        if changes:
+            self._on_change(changes, self._list.workers)
 
     def _run(self) -> None:
+        while not self._thread.stopping.is_set():
+            self._wait_for_wake_up()
+            if self._thread.stopping.is_set():
+                return
+            try:
+                self.poll(self._clock())
+            except Exception:  # discovery must continue whatever one poll met
+                log.exception("worker file poll failed")
+
+    def _wait_for_wake_up(self) -> None:
+        """Wait until it is time to poll; wake-ups that came together are one."""
         try:
-            while not self._stopping.is_set():
-                try:
-                    self._wake.get(timeout=self._pause_s())
-                    while True:  # events that came together are one look
-                        self._wake.get_nowait()
-                except queue.Empty:
-                    pass
-                if self._stopping.is_set():
-                    return
-                try:
-                    self.look(self._clock())
-                except Exception:
-                    log.exception("roster not looked at")
-        finally:
-            self._ended.set()
+            self._wake_ups.get(timeout=self._pause_s())
+            while True:
+                self._wake_ups.get_nowait()
+        except queue.Empty:
+            return  # the pause is over, or all wake-ups are taken
 
     def _pause_s(self) -> float:
-        unsettled = self._unready_since is not None and not self._unready_said
-        if unsettled or (self._bad is not None and not self.state.refused):
-            return SOON_S
-        if self._sizes.moving:
-            return min(self._poll_s, STEP_S)
+        if self._versions.settling.is_settling:
+            return SETTLING_POLL_S
+        if self._list.is_ramping:
+            return min(self._poll_s, STEP_INTERVAL_S)
         return self._poll_s
 
-    def look(self, now: float, hand_on: bool = True) -> None:
-        """Read, check, decide; hand on what changed."""
-        self.state.counts["looks"] += 1
-        pinned = self._kept.pinned()
-        if pinned:
-            self._pin(pinned, now)
-        else:
-            self._look_at_file(now)
-        self._merge(now, hand_on)
-
-    def _look_at_file(self, now: float) -> None:
-        try:
-            text = read(self._path)
-        except NotReadyError as error:
-            self._unready(str(error), now)
-            return
-        except RosterError as error:
-            self._refuse(str(error), str(error), now)
-            return
-        self._unready_since = None
-        applied = self.state.applied
-        if applied is not None and text.digest == applied.digest and not self.state.from_copy:
-            self._settled()
-            return
-        if self._bad is not None and self._bad[0] == text.digest and self.state.refused:
-            return  # it was refused, and is the same still
-        try:
-            found = version(text.parts, text.digest, self._kinds, text.generation)
-        except RosterError as error:
-            self._refuse(text.digest, str(error), now)
-            return
-        self._bad = None
-        self._judge(found, now)
-
-    def _judge(self, found: Version, now: float) -> None:
-        state = self.state
-        accepted = self._kept.accepted() == found.digest
-        held = judge(self._guards, state.applied, found, accepted)
-        if held is not None:
-            if state.held_digest != found.digest:
-                state.counts["held"] += 1
-                log.error("roster held", reason=held.reason, digest=found.digest, generation=found.generation)
-            state.held, state.held_digest, state.refused = held.reason, found.digest, ""
-            self._held_drains = frozenset(w.id for w in found.workers if w.state == "draining")
-            return
-        self._settled()
-        if accepted:
-            self._kept.tell("accept", "")
-        self._use(found, now)
-
-    def _use(self, found: Version, now: float) -> None:
-        state = self.state
-        state.applied, state.applied_s, state.from_copy = found, now, False
-        state.counts["applied"] += 1
-        self._kept.keep(found, self._wall())
-        log.info(
-            "roster applied", generation=found.generation, workers=len(found.workers), digest=found.digest
-        )
-
-    def _pin(self, digest: str, now: float) -> None:
-        applied = self.state.applied
-        if applied is not None and applied.digest == digest:
-            return
-        found = next((v for _, _, v in self._kept.history() if v.digest == digest), None)
-        if found is None:
-            self._refuse(f"pinned {digest}", f"no kept version has the digest {digest}", now)
-        else:
-            self._settled()
-            self._use(found, now)
-
-    def _settled(self) -> None:
-        state = self.state
-        state.refused = state.held = state.held_digest = ""
-        self._held_drains = frozenset()
-        self._bad = None
-
-    def _unready(self, reason: str, now: float) -> None:
-        """It is being written, or not there. One that never stands still is said."""
-        if self._unready_since is None:
-            self._unready_since, self._unready_said = now, False
-            self.state.counts["unready"] += 1
-        if now - self._unready_since >= SETTLE_S and not self._unready_said:
-            self._unready_said, self._bad = True, None
-            self._say(f"{reason}; so for {SETTLE_S:g} s")
-
-    def _refuse(self, what: str, reason: str, now: float) -> None:
-        """What can't be used is bad once it stands unchanged for a moment; before, it may be half-written."""
-        self._unready_since = None
-        if self._bad is None or self._bad[0] != what:
-            self._bad = what, now
-            if self.state.refused:
-                self.state.refused = ""
-        if now - self._bad[1] >= QUIET_S and not self.state.refused:
-            self._say(reason)
-
-    def _say(self, reason: str) -> None:
-        self.state.counts["refused"] += 1
-        self.state.refused = reason
-        log.error("roster refused; the last good one stays", reason=reason)
-
-    def _merge(self, now: float, hand_on: bool) -> None:
-        applied = self.state.applied
-        file = Source(
-            "file",
-            FILE,
-            applied.workers if applied is not None else (),
-            self._held_drains,
-            complete=True,
-            known=applied is not None,
+    def _poll_sources(self, now: float) -> None:
+        self._polls += 1
+        self._versions.poll(now)
+
+    def _update_list(self, now: float) -> WorkerChanges:
+        applied = self._versions.applied
+        sources = (
+            WorkerSource("operator", OPERATOR_PRIORITY, drains=self._state_directory.drains()),
+            WorkerSource(
+                "file",
+                FILE_PRIORITY,
+                applied.workers if applied is not None else (),
+                self._versions.pending_drains,
+                is_complete=True,
+                is_known=applied is not None,
+            ),
+            WorkerSource("configuration", CONFIGURATION_PRIORITY, self._configured_workers),
         )
-        operator = Source("operator", OPERATOR, drains=self._kept.drains())
-        static = Source("configuration", CONFIG, self._static)
-        plain = merge([operator, file, static])
-        for name, worker in plain.workers.items():
-            before = self._listed.get(name)
-            if before is not None and before.state != worker.state:
-                self._flaps.changed(name, now)
-        for name in self._listed.keys() ^ plain.workers.keys():
-            if self._listed:
-                self._flaps.changed(name, now)
-        self._listed = plain.workers
-        held = self._flaps.held(now)
-        merged = merge([operator, file, static], held) if held else plain
-        if merged.conflicts != self.state.conflicts and merged.conflicts:
-            log.warning("roster's sources disagree", conflicts=list(merged.conflicts[:20]))
-        self.state.conflicts = merged.conflicts
-        wanted = self._sizes.step(merged.workers, now)
-        changed = change(self._told, wanted)
-        self._told = wanted
-        if changed and hand_on:
-            self._apply(changed, wanted)
+        return self._list.update(sources, now)
--- /dev/null
+++ b/saffronstack/discovery/files/state_directory.py
@@ -0,0 +1,152 @@
+"""The state directory: versions that were applied, and what operators asked for on the command line.
+
+On disk: ``versions/NUMBER-DIGEST.json`` holds a checksum's line and a version in JSON; the files ``accept``,
+``pinned`` and ``drains`` hold what operators asked for.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import pathlib
+import re
+from dataclasses import dataclass
+from typing import Literal, NamedTuple, TypeAlias
+
+import msgspec
+import structlog
+import xxhash
+
+from saffronstack.config.schema import Worker
+from saffronstack.discovery.files.atomic_write import write_atomically
+from saffronstack.discovery.files.parsing import WorkerListVersion
+
+MAX_VERSIONS = 20
+MAX_OVERRIDE_CHARACTERS = 1 << 20
+OverrideName: TypeAlias = Literal["accept", "pinned", "drains"]  # these are file names
+_FILE_NAME = re.compile(r"(\d{8})-([0-9a-f]{32})\.json")
+log = structlog.get_logger("saffronstack.roster")
+
+
+class _StoredContent(msgspec.Struct, frozen=True):
+    """A version as it is stored; the names of its fields are keys on disk."""
+
+    generation: int
+    digest: str
+    applied_at: float  # Unix seconds
+    workers: tuple[Worker, ...]
+
+    def version(self) -> WorkerListVersion:
+        return WorkerListVersion(self.generation, self.digest, self.workers)
+
+
+class StoredVersion(NamedTuple):
+    """A version that was applied, when (Unix seconds), and its number: the latest has the highest."""
+
+    number: int
+    applied_at: float
+    version: WorkerListVersion
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class _VersionFile:
+    number: int
+    digest: str
+    path: pathlib.Path
+
+
+class StateDirectory:
+    """A state directory. Gateways write versions; the command line writes what operators ask for."""
+
+    def __init__(self, directory: pathlib.Path) -> None:
+        """Open a directory and create what is missing.
+
+        Raises:
+            OSError: It can't be created.
+        """
+        self._directory = directory
+        self._versions = directory / "versions"
+        self._versions.mkdir(parents=True, exist_ok=True)
+
+    # ---- versions
+
+    def keep(self, version: WorkerListVersion, applied_at: float) -> None:
+        """Store a version that was applied at a time in Unix seconds, and delete the oldest ones.
+
+        A failure to write is logged: the version is in force all the same.
+        """
+        body = msgspec.json.encode(
+            _StoredContent(version.generation, version.digest, applied_at, version.workers)
+        )
+        files = self._find_versions()
+        number = files[-1].number + 1 if files else 1
+        path = self._versions / f"{number:08d}-{version.digest}.json"
+        try:
+            write_atomically(path, xxhash.xxh3_128_hexdigest(body).encode() + b"\n" + body)
+            for file in self._find_versions()[:-MAX_VERSIONS]:
+                file.path.unlink()
+        except OSError as error:
+            log.error("worker list version not stored", error=str(error))
+
+    def last(self) -> WorkerListVersion | None:
+        """Return the last known good version: the latest one that can still be read."""
+        for file in reversed(self._find_versions()):
+            content = _read_content(file.path)
+            if content is not None and content.digest == file.digest:
+                return content.version()
+        return None
+
+    def history(self) -> list[StoredVersion]:
+        """Return all stored versions that can be read, the oldest first."""
+        stored = []
+        for file in self._find_versions():
+            content = _read_content(file.path)
+            if content is not None:
+                stored.append(StoredVersion(file.number, content.applied_at, content.version()))
+        return stored
+
+    def _find_versions(self) -> list[_VersionFile]:
+        matches = ((_FILE_NAME.fullmatch(path.name), path) for path in self._versions.iterdir())
+        return sorted(_VersionFile(int(match[1]), match[2], path) for match, path in matches if match)
+
+    # ---- overrides by operators
+
+    def accepted(self) -> str:
+        """Return the digest of the version that an operator approved; empty without one."""
+        return self._read_override("accept")
+
+    def pinned(self) -> str:
+        """Return the digest of the stored version that stands in place of the file; empty without one."""
+        return self._read_override("pinned")
+
+    def drains(self) -> frozenset[str]:
+        """Return the names of workers that operators drain."""
+        return frozenset(self._read_override("drains").split())
+
+    def tell(self, name: OverrideName, text: str) -> None:
+        """Set an override by an operator; an empty text takes it back.
+
+        Raises:
+            OSError: It can't be written.
+        """
+        if text:
+            write_atomically(self._directory / name, text.encode())
+        else:
+            with contextlib.suppress(FileNotFoundError):  # there was none
+                (self._directory / name).unlink()
+
+    def _read_override(self, name: OverrideName) -> str:
+        try:
+            return (self._directory / name).read_text()[:MAX_OVERRIDE_CHARACTERS].strip()
+        except (OSError, UnicodeDecodeError):  # none is set, or it is no text of ours
+            return ""
+
+
+def _read_content(path: pathlib.Path) -> _StoredContent | None:
+    """Return a stored version; None where the file is damaged or has just been deleted."""
+    try:
+        checksum, _, body = path.read_bytes().partition(b"\n")
+        if xxhash.xxh3_128_hexdigest(body).encode() != checksum:
+            return None
+        return msgspec.json.decode(body, type=_StoredContent)
+    except (OSError, msgspec.MsgspecError):
+        return None
--- /dev/null
+++ b/saffronstack/discovery/files/worker_list.py
@@ -0,0 +1,61 @@
+"""The list of workers in force: all sources merged, flapping workers drained, capacities moved in steps."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+import structlog
+
+from saffronstack.config.schema import Worker
+from saffronstack.discovery.files.capacity_ramp import CapacityRamp
+from saffronstack.discovery.files.flap_detection import FlapDetector, FlapSettings
+from saffronstack.discovery.files.merging import WorkerChanges, WorkerSource, compare_lists, merge_sources
+
+MAX_LOGGED_CONFLICTS = 20
+log = structlog.get_logger("saffronstack.roster")
+
+
+class WorkerList:
+    """Kept current on one thread; times in seconds of any one clock.
+
+    Attributes:
+        workers: The list in force, by name.
+        conflicts: Contradictions between the sources.
+    """
+
+    def __init__(self, flap_settings: FlapSettings) -> None:
+        self.workers: dict[str, Worker] = {}
+        self.conflicts: tuple[str, ...] = ()
+        self._listed: dict[str, Worker] = {}  # as the sources have it
+        self._flaps = FlapDetector(flap_settings)
+        self._capacities = CapacityRamp()
+
+    @property
+    def is_ramping(self) -> bool:
+        """Whether capacities have not reached their listed values: `update` is to be called again soon."""
+        return self._capacities.is_moving
+
+    def update(self, sources: Sequence[WorkerSource], now: float) -> WorkerChanges:
+        """Build the list anew and return what changed."""
+        merged = merge_sources(sources)
+        self._record_state_changes(merged.workers, now)
+        self._listed = merged.workers
+        flapping = self._flaps.find_flapping(now)
+        if flapping:
+            merged = merge_sources(sources, flapping)
+        if merged.conflicts and merged.conflicts != self.conflicts:
+            log.warning("worker sources conflict", conflicts=list(merged.conflicts[:MAX_LOGGED_CONFLICTS]))
+        self.conflicts = merged.conflicts
+        workers = self._capacities.advance(merged.workers, now)
+        changes = compare_lists(self.workers, workers)
+        self.workers = workers
+        return changes
+
+    def _record_state_changes(self, listed: Mapping[str, Worker], now: float) -> None:
+        if not self._listed:
+            return  # the first list is no change
+        for name in self._listed.keys() & listed.keys():
+            if self._listed[name].state != listed[name].state:
+                self._flaps.record_change(name, now)
+        for name in self._listed.keys() ^ listed.keys():
+            self._flaps.record_change(name, now)
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -15,10 +15,11 @@
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
 from saffronstack.discovery.files.change_guards import GuardSettings
-from saffronstack.discovery.files.file_watcher import Watch
-from saffronstack.discovery.files.last_known_good import Kept
-from saffronstack.discovery.files.merging import Change
-from saffronstack.discovery.files.service import RosterService
+from saffronstack.discovery.files.file_watcher import FileWatcher
+from saffronstack.discovery.files.flap_detection import FlapSettings
+from saffronstack.discovery.files.merging import WorkerChanges
+from saffronstack.discovery.files.service import FileDiscovery, FileDiscoveryOptions
+from saffronstack.discovery.files.state_directory import StateDirectory
 from saffronstack.durable.segments import Files
 from saffronstack.engine.decision_record import Recorder
 from saffronstack.engine.engine import Engine
@@ -190,40 +191,33 @@
             config.commit_timeout_s,
         )
 
-    def _open_roster(self) -> RosterService | None:
+    def _open_roster(self) -> FileDiscovery | None:
         config = self.config.roster
         if config is None:
             return None
         guards = GuardSettings(
-            config.allow_empty,
-            config.removed_share,
-            config.removed_free,
-            config.allow_older,
-            config.flaps,
-            config.flap_span_s,
-            config.flap_quiet_s,
+            allow_empty=config.allow_empty,
+            max_removed_fraction=config.removed_share,
+            always_removable=config.removed_free,
+            allow_older=config.allow_older,
+            flapping=FlapSettings(config.flaps, config.flap_span_s, config.flap_quiet_s),
         )
         kinds = tuple(kind.name for kind in self.config.kinds)
-        kept = Kept(pathlib.Path(config.state_directory))
-        path = pathlib.Path(config.path)
-        service = RosterService(
-            path,
-            kept,
-            kinds,
+        service = FileDiscovery(
+            FileDiscoveryOptions(pathlib.Path(config.path), kinds, guards, config.poll_s),
+            StateDirectory(pathlib.Path(config.state_directory)),
             self.config.workers,
-            guards,
             self._workers_changed,
             self._clock,
             self._wall,
-            config.poll_s,
         )
-        self._watch = Watch(path, service.wake)
+        self._watcher = FileWatcher(pathlib.Path(config.path), service.wake)
         return service
 
-    def _workers_changed(self, changed: Change, workers: dict[str, Worker]) -> None:
-        """On the roster's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
-        specs = specs_of(changed.entries, self.config, self._numbers)
-        gone = [worker_number(name) for name in changed.gone]
+    def _workers_changed(self, changes: WorkerChanges, workers: dict[str, Worker]) -> None:
+        """On discovery's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
+        specs = specs_of(changes.updated, self.config, self._numbers)
+        gone = [worker_number(name) for name in changes.removed]
         self.fleet.changed(specs, gone)
         if self.meter is not None:
             self.meter.roster(list(specs_of(workers.values(), self.config, self._numbers)))
@@ -272,7 +266,7 @@
         self.engine.update_workers(specs, self._wall())
         self.engine.start(self.fleet)
         if self.roster is not None:
-            self._watch.start()
+            self._watcher.start()
         if self.operations is not None:
             names = list(self.ledger.state.names.values()) if self.ledger is not None else []
             self.operations.start((named.operation, named.packed) for named in names)
@@ -301,7 +295,7 @@
         else:
             self.app.access = Access.of(config)
         if self.roster is not None:
-            self.roster.static(config.workers)
+            self.roster.set_configured_workers(config.workers)
             return left
         specs = workers_of(config, self._numbers)
         self.fleet.told(specs)
@@ -322,7 +316,7 @@
         if self.deferred is not None:
             clean = self.deferred.stop(longest_s + 1.0) and clean
         if self.roster is not None:
-            self._watch.stop()
+            self._watcher.stop()
             clean = self.roster.stop() and clean
         clean = self.engine.stop() and clean
         if self.operations is not None:
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -12,7 +12,7 @@
 from saffronstack.daemon.members import Members
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger
-from saffronstack.discovery.files.service import RosterService
+from saffronstack.discovery.files.service import FileDiscovery
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.invoke.app import App
@@ -65,7 +65,7 @@
     limits: BudgetLimits | None
     operations: Operations | None
     slots: Slots | None
-    roster: RosterService | None
+    roster: FileDiscovery | None
     draining: bool
 
     @property
@@ -189,17 +189,17 @@
         yield Figure("operations_notes_failing", "1 while notes can't be written", failing)
 
 
-def _roster_gauges(roster: RosterService) -> Iterator[Figure]:
-    status, state = roster.status(), roster.state
-    yield Figure("roster_workers", "Workers of the list", status["workers"])
-    yield Figure("roster_draining", "Workers that are told as draining", status["draining"])
-    yield Figure("roster_generation", "Generation of the list in force", status["generation"] or 0)
-    yield Figure("roster_refused", "1 while the file can't be used", float(bool(state.refused)))
-    yield Figure("roster_held", "1 while a version waits for an operator", float(bool(state.held)))
-    copy = float(state.from_copy)
+def _roster_gauges(roster: FileDiscovery) -> Iterator[Figure]:
+    status = roster.status()
+    yield Figure("roster_workers", "Workers of the list", status.workers)
+    yield Figure("roster_draining", "Workers that are told as draining", status.draining)
+    yield Figure("roster_generation", "Generation of the list in force", status.generation or 0)
+    yield Figure("roster_refused", "1 while the file can't be used", float(bool(status.rejection)))
+    yield Figure("roster_held", "1 while a version waits for an operator", float(bool(status.pending_reason)))
+    copy = float(status.is_from_stored_copy)
     yield Figure("roster_from_copy", "1 while the last good copy stands for the file", copy)
-    yield Figure("roster_conflicts", "Contradictions between sources", len(state.conflicts))
-    yield Figure("roster_versions", "Versions applied since the start", state.counts["applied"])
+    yield Figure("roster_conflicts", "Contradictions between sources", len(status.conflicts))
+    yield Figure("roster_versions", "Versions applied since the start", status.counts.applied)
 
 
 def _usage_counters(meter: Meter, limits: BudgetLimits | None) -> Iterator[Figure]:
--- /dev/null
+++ b/tests/discovery/files/test_gateway_rewrites.py
@@ -0,0 +1,165 @@
+"""A gateway whose worker file is rewritten thousands of times, with faults."""
+
+from __future__ import annotations
+
+import json
+import os
+import pathlib
+import random
+import socket
+import threading
+import time
+from collections.abc import Callable
+from typing import Any
+
+from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.model import Profile
+from tests.discovery.files.support import entry, file_text, gateway_with_worker_file
+from tests.support.stack import eventually
+
+
+class Phantom:
+    """An address at which no worker ever was; whoever connects is counted."""
+
+    def __init__(self) -> None:
+        self._listener = socket.create_server(("127.0.0.1", 0), backlog=64)
+        self._listener.settimeout(0.2)
+        self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
+        self.connections = 0
+        self._ended = threading.Event()
+        threading.Thread(target=self._run, daemon=True).start()
+
+    def _run(self) -> None:
+        while not self._ended.is_set():
+            try:
+                sock, _ = self._listener.accept()
+            except TimeoutError:
+                continue
+            except OSError:
+                return
+            self.connections += 1
+            sock.close()
+
+    def close(self) -> None:
+        self._ended.set()
+        self._listener.close()
+
+
+class FileRewriter:
+    """Replaces the workers' file by good versions and by faulty ones that list phantoms."""
+
+    def __init__(
+        self, path: pathlib.Path, entries: list[dict[str, Any]], ghosts: list[dict[str, Any]]
+    ) -> None:
+        self.generation = 1
+        self.draining_since: dict[str, float] = {}
+        self._random = random.Random(12)
+        self._path = path
+        self._entries = entries
+        self._good = entries
+        self._ghosts = ghosts
+        self._rewrites: dict[str, Callable[[], object]] = {
+            "good": self._write_good,
+            "cut": self._write_cut,
+            "empty": lambda: self._path.write_text(file_text(generation=self.generation + 1)),
+            "shape": lambda: self._path.write_text(json.dumps({"workers": {"ghost": ghosts[0]}})),
+            "ghosts": self._write_unknown_kind,
+            "twice": self._write_duplicate,
+            "old": lambda: self._path.write_text(file_text(*self._good, *ghosts, generation=1)),
+            "bytes": lambda: self._path.write_bytes(b'{"workers": [\xff'),
+        }
+
+    def rewrite(self) -> None:
+        """Write one version, good or faulty, at random."""
+        kinds = ["good", "good", "cut", "empty", "shape", "ghosts", "twice", "old", "bytes"]
+        self._rewrites[self._random.choice(kinds)]()
+
+    def replace(self, entries: list[dict[str, Any]]) -> None:
+        """Replace the file atomically by the next generation."""
+        other = self._path.with_name("new")
+        other.write_text(file_text(*entries, generation=self.generation))
+        os.replace(other, self._path)
+
+    def _write_good(self) -> None:
+        self.generation += 1
+        self._good = [
+            {**one, "state": "draining" if self._random.random() < 0.15 else "ready"} for one in self._entries
+        ]
+        for one in self._good:  # told at once when written; ready again ends it
+            if one["state"] == "draining":
+                self.draining_since.setdefault(one["id"], time.monotonic())
+            else:
+                self.draining_since.pop(one["id"], None)
+        self.replace(self._good)
+
+    def _write_cut(self) -> None:
+        text = file_text(*self._good, *self._ghosts, generation=self.generation + 1)
+        self._path.write_text(text[: self._random.randrange(1, len(text) - 2)])
+
+    def _write_unknown_kind(self) -> None:
+        ghost = {**self._ghosts[0], "kind": "phantom"}
+        self._path.write_text(file_text(*self._good, ghost, generation=self.generation + 1))
+
+    def _write_duplicate(self) -> None:
+        ghosts = [self._ghosts[0], {**self._ghosts[1], "id": "ghost-0"}]
+        self._path.write_text(file_text(*self._good, *ghosts, generation=self.generation + 1))
+
+
+def test_five_thousand_rewrites_with_faults_never_route_to_a_phantom(tmp_path: pathlib.Path) -> None:
+    fleet = StandInFleet(6, lambda n: Profile(work_s=0.001, load_s=0.005))
+    entries = fleet.entries()
+    phantoms = [Phantom() for _ in range(2)]
+    ghosts = [{**entry(f"g{n}"), "id": f"ghost-{n}", "address": p.address} for n, p in enumerate(phantoms)]
+    rewriter = FileRewriter(tmp_path / "roster.json5", entries, ghosts)
+    stopping = threading.Event()
+    statuses: list[int] = []
+    late: list[str] = []
+
+    def watch_drains() -> None:
+        """A call that arrives at a worker long after it was told as draining is a lost drain."""
+        seen = dict.fromkeys((one["id"] for one in entries), 0)
+        while not stopping.is_set():
+            for one in fleet.workers:
+                for line in one.log[seen[one.name] :]:
+                    seen[one.name] += 1
+                    since = rewriter.draining_since.get(one.name)
+                    if line["what"] == "arrive" and since is not None and float(str(line["t"])) > since + 2.0:
+                        late.append(one.name)
+            time.sleep(0.01)
+
+    with gateway_with_worker_file(tmp_path, fleet, file_text(*entries, generation=1), flaps=1000) as stack:
+
+        def calls() -> None:
+            client = stack.client()
+            while not stopping.is_set():
+                statuses.append(client.invoke("identify-copy", b"{}").status)
+            client.close()
+
+        threads = [threading.Thread(target=calls) for _ in range(3)] + [threading.Thread(target=watch_drains)]
+        for thread in threads:
+            thread.start()
+        roster = stack.gateway.roster
+        assert roster is not None
+        for n in range(5000):
+            rewriter.rewrite()
+            if n % 7 == 0:
+                time.sleep(0.004)
+        rewriter.generation += 1
+        rewriter.replace(entries)
+        eventually(lambda: roster.status().generation == rewriter.generation)
+        assert roster.status().rejection == ""
+        rewriter.draining_since.clear()
+        assert stack.call("identify-copy").status == 200
+        stopping.set()
+        for thread in threads:
+            thread.join(10)
+        counts = roster.status().counts
+    assert [phantom.connections for phantom in phantoms] == [0, 0]
+    assert late == []
+    assert len(statuses) > 500
+    assert statuses.count(200) / len(statuses) > 0.9
+    assert counts.polls > 200
+    assert counts.applied > 20
+    for phantom in phantoms:
+        phantom.close()
+    fleet.stop()
--- /dev/null
+++ b/tests/discovery/files/test_merging.py
@@ -0,0 +1,60 @@
+"""One list out of all sources, and the difference of two lists."""
+
+from __future__ import annotations
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from saffronstack.discovery.files.merging import WorkerSource, compare_lists, merge_sources
+from tests.discovery.files.support import worker
+
+CONFIGURATION = WorkerSource("configuration", 0, (worker("w1"), worker("w8"), worker("w9", 5)))
+FILE = WorkerSource("file", 20, (worker("w1", 99), worker("w2"), worker("w3", 5)), is_complete=True)
+NAMES = st.integers(1, 12).map(lambda number: f"w{number}")
+LISTS = st.lists(NAMES, unique=True, max_size=12)
+
+
+def test_a_complete_source_hides_those_below_and_drains_of_any_count() -> None:
+    operator = WorkerSource("operator", 30, drains=frozenset({"w2", "w77"}))
+    merged = merge_sources([CONFIGURATION, FILE, operator])
+    assert list(merged.workers) == ["w1", "w2", "w3"]
+    assert merged.workers["w1"].address == "127.0.0.1:99"
+    assert merged.workers["w2"].state == "draining"
+    assert merged.conflicts == ()
+
+
+def test_contradictions_are_decided_by_priority_and_reported() -> None:
+    merged = merge_sources([CONFIGURATION, WorkerSource("etcd", 20, FILE.workers)])
+    assert list(merged.workers) == ["w1", "w2", "w3", "w8"]
+    assert len(merged.conflicts) == 2  # w1's address, and who is at port 5
+
+
+def test_a_drain_of_a_hidden_source_counts() -> None:
+    hidden = WorkerSource("configuration", 0, (worker("w1", state="draining"),))
+    assert merge_sources([hidden, FILE]).workers["w1"].state == "draining"
+
+
+def test_a_source_that_is_not_known_yet_hides_nothing() -> None:
+    unknown = WorkerSource("file", 20, is_complete=True, is_known=False)
+    merged = merge_sources([CONFIGURATION, unknown], draining=["w8"])
+    assert merged.workers["w8"].state == "draining"
+    assert len(merged.workers) == 3
+
+
+@given(LISTS, LISTS, st.sets(NAMES))
+@settings(derandomize=True, max_examples=200)
+def test_changes_add_up_to_the_list(before: list[str], after: list[str], drains: set[str]) -> None:
+    old = {name: worker(name) for name in before}
+    source = WorkerSource("s", 1, tuple(worker(name) for name in after), frozenset(drains))
+    new = merge_sources([source]).workers
+    changes = compare_lists(old, new)
+    state = dict(old)
+    for name in changes.removed:
+        del state[name]
+    for updated in changes.updated:
+        state[updated.id] = updated
+    assert state == new
+    states = [updated.state for updated in changes.updated]
+    assert states == sorted(states, key=lambda s: s != "draining")  # drains first
+    assert not compare_lists(new, new)
+    assert all(new[name].state == "draining" for name in drains & set(new))
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -10,9 +10,10 @@
 import pytest
 
 from saffronstack.config.schema import Worker
-from saffronstack.discovery.files.file_reader import read
-from saffronstack.discovery.files.last_known_good import Kept
-from saffronstack.discovery.files.parsing import Version, version
+from saffronstack.discovery.files.file_reader import read_version as read
+from saffronstack.discovery.files.parsing import WorkerListVersion as Version
+from saffronstack.discovery.files.parsing import parse_version as version
+from saffronstack.discovery.files.state_directory import StateDirectory as Kept
 from saffronstack.fleet.tasks.jobs import FleetUsage
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.fleet.tasks.published import Published
