--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -25,12 +25,15 @@
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 
-from saffronstack.fleet.rollout.comparison import Limits, Ratio, Unit, Verdict
-from saffronstack.fleet.rollout.judge import look
+from saffronstack.fleet.rollout.canary_analysis import analyze
+from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
 from saffronstack.harness.links import Mode
+from saffronstack.harness.rollout.defects import Defect
+from saffronstack.harness.rollout.exploration import explore
 from saffronstack.harness.rollout.processes import RolloutRig, Sizes
+from saffronstack.harness.rollout.random_walk import walk_randomly
 from saffronstack.harness.rollout.releases import HARMS
-from saffronstack.harness.rollout.simulation import BROKEN, InvariantError, explore, wander
+from saffronstack.harness.rollout.simulated_world import InvariantError, WorldSize
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.runtime.threads import spawn
@@ -180,7 +183,7 @@
             for breach in outcome.breaches[:5]:
                 print("  ", breach)
             wanted = {"done"} if outcome.way == "done" else {"returned"}
-            standing = {state.runs for state in rig.states().values()}
+            standing = {state.running_release for state in rig.states().values()}
             fine = fine and outcome.way in wanted and not outcome.breaches and len(standing) == 1
             fine = fine and (outcome.way == "returned" or not harm)
             if len(standing) != 1 or not fine:
@@ -243,25 +246,25 @@
             bad[place] += sum(chance.random() < rate for _ in range(calls[place]))
             of[place] += calls[place]
         units = [
-            Unit(
+            GatewaySample(
                 f"g{place}", f"z{place % 3}", place < new,
                 {
-                    "refused/look": Ratio(bad[place], of[place]),
-                    "late/look": Ratio(bad[place] // 2, of[place]),
+                    "refused/look": FailureRatio(bad[place], of[place]),
+                    "late/look": FailureRatio(bad[place] // 2, of[place]),
                 },
             )
             for place in range(40)
         ]  # fmt: skip
-        found = look(Limits(), units, part / 10, spent)
-        spent = found.spent
-        if found.verdict is Verdict.BAD:
+        found = analyze(AnalysisLimits(), units, part / 10, spent)
+        spent = found.alpha_spent
+        if found.verdict is Verdict.FAILED:
             return True
     return False
 
 
-def _walk(asked: tuple[int, str]) -> str:
+def _walk(asked: tuple[int, Defect]) -> str:
     try:
-        wander(asked[0], 250, asked[1])
+        walk_randomly(asked[0], 250, asked[1])
     except InvariantError as error:
         return f"seed {asked[0]}: {error}"
     return ""
@@ -273,7 +276,7 @@
         began = time.monotonic()
         found = [
             line
-            for line in pool.map(_walk, ((seed, "") for seed in range(asked.seeds)), chunksize=100)
+            for line in pool.map(_walk, ((seed, Defect.NONE) for seed in range(asked.seeds)), chunksize=100)
             if line
         ]
         print(
@@ -282,21 +285,23 @@
         )
         for line in found[:5]:
             print("  ", line)
-        for broken in BROKEN:
+        for defect in Defect:
+            if defect is Defect.NONE:
+                continue
             tried = min(3000, asked.seeds)
             hits = [
                 line
-                for line in pool.map(_walk, ((seed, broken) for seed in range(tried)), chunksize=100)
+                for line in pool.map(_walk, ((seed, defect) for seed in range(tried)), chunksize=100)
                 if line
             ]
-            print(f"  {broken}: found by {len(hits)} of {tried} walks", flush=True)
-        for size in ((2, 2, 2), (3, 2, 2)):
+            print(f"  {defect.value}: found by {len(hits)} of {tried} walks", flush=True)
+        for size in (WorldSize(2, 2, 2), WorldSize(3, 2, 2)):
             told = explore(asked.states, 60, size=size)
             print(
-                f"every order, {size[0]} gateways: {told.states} states, {told.depth} steps: "
-                f"{told.broken or 'no breach'}"
+                f"every order, {size.gateways} gateways: {told.states} states, {told.depth} steps: "
+                f"{told.violation or 'no breach'}"
             )
-            found += [told.broken] if told.broken else []
+            found += [told.violation] if told.violation else []
     return not found
 
 
