--- a/saffronstack/discovery/changes.py
+++ b/saffronstack/discovery/changes.py
@@ -22,4 +22,5 @@
     removed: tuple[IdT, ...] = ()
 
     def __bool__(self) -> bool:
+        """Return whether anything changed."""
         return bool(self.updated or self.removed)
--- a/saffronstack/discovery/dns/endpoint_list.py
+++ b/saffronstack/discovery/dns/endpoint_list.py
@@ -59,6 +59,7 @@
     spec: WorkerSpec
 
     def has_address_of(self, endpoint: ListedEndpoint) -> bool:
+        """Return whether an endpoint is at the same address and port."""
         return (self.endpoint.host, self.endpoint.port) == (endpoint.host, endpoint.port)
 
 
--- a/saffronstack/discovery/dns/messages.py
+++ b/saffronstack/discovery/dns/messages.py
@@ -123,6 +123,7 @@
 
     @property
     def at_end(self) -> bool:
+        """Whether all bytes were read."""
         return self.position == len(self._message)
 
     def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
--- a/saffronstack/discovery/dns/server_socket.py
+++ b/saffronstack/discovery/dns/server_socket.py
@@ -36,6 +36,7 @@
     """
 
     def __init__(self) -> None:
+        """Start without a socket; `open` makes the first."""
         self.server: tuple[str, int] | None = None
         self.message_ids: deque[int] = deque(maxlen=REMEMBERED_QUERIES)
         self._socket: socket.socket | None = None
--- a/saffronstack/discovery/files/capacity_ramp.py
+++ b/saffronstack/discovery/files/capacity_ramp.py
@@ -20,6 +20,7 @@
     """
 
     def __init__(self) -> None:
+        """Start without workers."""
         self.is_moving = False
         self._capacities: dict[str, float] = {}  # of the moment, by worker
         self._last_step_s = 0.0
--- a/saffronstack/discovery/files/file_watcher.py
+++ b/saffronstack/discovery/files/file_watcher.py
@@ -15,7 +15,7 @@
 MAX_WAIT_MS = 1000  # after which the watch looks whether it is to stop or to watch elsewhere
 RETRY_S = 1.0  # after which a watch is set up anew where none of the paths exists
 RESTART_S = 0.01  # the same where some do
-log = structlog.get_logger("saffronstack.roster")
+log = structlog.get_logger("saffronstack.discovery")
 
 
 class FileWatcher:
--- a/saffronstack/discovery/files/flap_detection.py
+++ b/saffronstack/discovery/files/flap_detection.py
@@ -25,6 +25,7 @@
     """Remembers the latest changes of each worker; times in seconds of any one clock."""
 
     def __init__(self, settings: FlapSettings) -> None:
+        """Start without changes; ``settings`` say when a worker flaps."""
         self._settings = settings
         self._changes: dict[str, deque[float]] = {}  # times of the latest changes, by worker
         self._last_change_s: dict[str, float] = {}  # of workers that flap
--- a/saffronstack/discovery/files/parsing.py
+++ b/saffronstack/discovery/files/parsing.py
@@ -124,6 +124,7 @@
         self._first_lines: dict[str, str] = {}  # file and line by what may be listed once
 
     def parse(self, file: SourceFile) -> None:
+        """Take the workers of one file, and note its errors."""
         try:
             content = convert(file.text, WorkerFile, file.name)
         except ConfigError as error:
--- a/saffronstack/discovery/files/service.py
+++ b/saffronstack/discovery/files/service.py
@@ -22,7 +22,7 @@
 SETTLING_POLL_S = 0.05  # between polls while a file is being written
 STOP_TIMEOUT_S = 5.0
 OPERATOR_PRIORITY, FILE_PRIORITY, CONFIGURATION_PRIORITY = 30, 20, 0
-log = structlog.get_logger("saffronstack.roster")
+log = structlog.get_logger("saffronstack.discovery")
 
 
 @dataclass(frozen=True, slots=True)
--- a/saffronstack/discovery/files/settling.py
+++ b/saffronstack/discovery/files/settling.py
@@ -26,6 +26,7 @@
     """
 
     def __init__(self) -> None:
+        """Start with a file of which nothing is known."""
         self.rejection = ""
         self.not_ready_count = 0
         self.rejected_count = 0
--- a/saffronstack/discovery/files/state_directory.py
+++ b/saffronstack/discovery/files/state_directory.py
@@ -24,7 +24,7 @@
 MAX_OVERRIDE_CHARACTERS = 1 << 20
 OverrideName: TypeAlias = Literal["accept", "pinned", "drains"]  # these are file names
 _FILE_NAME = re.compile(r"(\d{8})-([0-9a-f]{32})\.json")
-log = structlog.get_logger("saffronstack.roster")
+log = structlog.get_logger("saffronstack.discovery")
 
 
 class _StoredContent(msgspec.Struct, frozen=True):
@@ -36,6 +36,7 @@
     workers: tuple[Worker, ...]
 
     def version(self) -> WorkerListVersion:
+        """Return the version that was stored."""
         return WorkerListVersion(self.generation, self.digest, self.workers)
 
 
--- a/saffronstack/discovery/files/version_selector.py
+++ b/saffronstack/discovery/files/version_selector.py
@@ -13,7 +13,7 @@
 from saffronstack.discovery.files.settling import FileSettling
 from saffronstack.discovery.files.state_directory import StateDirectory
 
-log = structlog.get_logger("saffronstack.roster")
+log = structlog.get_logger("saffronstack.discovery")
 
 
 class VersionSelector:
--- a/saffronstack/discovery/files/worker_list.py
+++ b/saffronstack/discovery/files/worker_list.py
@@ -12,7 +12,7 @@
 from saffronstack.discovery.files.merging import WorkerChanges, WorkerSource, compare_lists, merge_sources
 
 MAX_LOGGED_CONFLICTS = 20
-log = structlog.get_logger("saffronstack.roster")
+log = structlog.get_logger("saffronstack.discovery")
 
 
 class WorkerList:
@@ -24,6 +24,7 @@
     """
 
     def __init__(self, flap_settings: FlapSettings) -> None:
+        """Start without workers; ``flap_settings`` say when one flaps."""
         self.workers: dict[str, Worker] = {}
         self.conflicts: tuple[str, ...] = ()
         self._listed: dict[str, Worker] = {}  # as the sources have it
--- /dev/null
+++ b/tests/discovery/dns/test_server_socket.py
@@ -0,0 +1,57 @@
+"""When the socket to the discovery server is replaced."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Iterator
+from contextlib import closing
+
+import pytest
+
+from saffronstack.discovery.dns import server_socket
+from saffronstack.discovery.dns.server_socket import MIN_QUERIES_BEFORE_REPLACEMENT, ServerSocket
+
+SERVER, OTHER = ("127.0.0.1", 9), ("127.0.0.1", 10)
+
+
+@pytest.fixture
+def sockets() -> Iterator[ServerSocket]:
+    with closing(ServerSocket()) as sockets:
+        yield sockets
+
+
+def fail(server: tuple[str, int]) -> socket.socket:
+    raise OSError(24, "Too many open files")
+
+
+def queries_until_replaced(sockets: ServerSocket) -> int:
+    present, queries = sockets.open(SERVER), 0
+    while sockets.open(SERVER) is present:
+        sockets.record_result(is_answered=False)
+        queries += 1
+    return queries
+
+
+def test_a_silent_socket_is_replaced_ever_more_rarely(sockets: ServerSocket) -> None:
+    assert [queries_until_replaced(sockets) for _ in range(6)] == [4, 8, 16, 32, 64, 64]
+    sockets.record_result(is_answered=True)
+    assert queries_until_replaced(sockets) == MIN_QUERIES_BEFORE_REPLACEMENT
+
+
+def test_a_server_that_moves_gets_a_socket_that_knows_no_queries(sockets: ServerSocket) -> None:
+    first = sockets.open(SERVER)
+    sockets.message_ids.append(5)
+    assert sockets.open(OTHER) is not first
+    assert sockets.server == OTHER and not sockets.message_ids and first.fileno() == -1
+
+
+def test_without_a_descriptor_the_present_socket_is_used_unless_the_server_moved(
+    sockets: ServerSocket, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    present = sockets.open(SERVER)
+    for _ in range(MIN_QUERIES_BEFORE_REPLACEMENT):
+        sockets.record_result(is_answered=False)
+    monkeypatch.setattr(server_socket, "connect_udp", fail)
+    assert sockets.open(SERVER) is present
+    with pytest.raises(OSError, match="Too many open files"):
+        sockets.open(OTHER)
