--- /dev/null
+++ b/tests/discovery/dns/test_resolver.py
@@ -0,0 +1,218 @@
+"""The resolver where the server is silent, refuses, answers late, is behind, contradicts itself or moves."""
+
+from __future__ import annotations
+
+import socket
+import struct
+import threading
+
+import pytest
+
+from saffronstack.discovery.dns import server_socket
+from saffronstack.discovery.dns.resolver import POLL_JITTER, Rejection, ResolverOptions
+from saffronstack.standin.platform import dns_answer
+from tests.discovery.dns.conftest import StartDiscovery
+from tests.discovery.dns.support import ENTRIES, DiscoveryServer, ObservedResolver, response
+from tests.support.platform import WAIT_S
+from tests.support.stack import eventually
+
+INTERVAL_S = ResolverOptions().interval_s
+
+
+# ---- responses that the test hands over
+
+
+def test_only_complete_valid_and_new_responses_are_accepted(observed: ObservedResolver) -> None:
+    valid = response(10, ENTRIES)
+    assert observed.handle(valid) and len(observed.changes) == 1 and len(observed.changes[0].updated) == 2
+    assert observed.handle(valid) and len(observed.changes) == 1  # the same again changes nothing
+    rejected = [
+        valid[:-3],  # cut short
+        valid[:2] + struct.pack(">H", 0x8602) + valid[4:],  # truncated, by its flags
+        valid[:2] + struct.pack(">H", 0x8403) + valid[4:],  # a failure
+        response(11, [], message_id=8),
+        response(11, [], name="_other._tcp.fleet.local"),
+        response(9, ENTRIES[:1]),  # an older list
+    ]
+    assert not any(observed.handle(message) for message in rejected)
+    assert len(observed.changes) == 1 and len(observed.endpoint_list.specs) == 2
+    assert sum(observed.resolver.counts.rejected.values()) == len(rejected)
+    assert observed.handle(response(11, ENTRIES[:1]))
+    assert observed.changes[1].removed and observed.endpoint_list.serial == 11
+
+
+def test_another_list_under_the_same_serial_is_rejected_but_in_another_order_accepted(
+    observed: ObservedResolver,
+) -> None:
+    assert observed.handle(response(5, ENTRIES)) and len(observed.changes) == 1
+    assert observed.handle(response(5, ENTRIES[::-1])) and len(observed.changes) == 1
+    assert not observed.handle(response(5, ENTRIES[:1]))
+    assert len(observed.endpoint_list.specs) == 2
+    assert observed.handle(response(6, ENTRIES[:1])) and observed.changes[-1].removed
+
+
+# ---- a server on the network
+
+
+def test_a_port_that_gets_no_responses_is_replaced(start_discovery: StartDiscovery) -> None:
+    """The server answers, but nothing reaches the port that was asked from first."""
+    first: list[int] = []
+
+    def respond(query: bytes, port: int) -> list[bytes]:
+        first.append(port)
+        return [] if port == first[0] else [dns_answer(query, 5, ENTRIES)]
+
+    server, observed = start_discovery(respond)
+    assert len(observed.wait().updated) == 2
+    assert len(set(server.ports)) >= 2
+
+
+def test_while_the_server_is_silent_the_list_stays_and_polling_continues(
+    start_discovery: StartDiscovery,
+) -> None:
+    silent, polled = threading.Event(), threading.Semaphore(0)
+    serial = [5]
+
+    def respond(query: bytes, port: int) -> list[bytes]:
+        polled.release()
+        return [] if silent.is_set() else [dns_answer(query, serial[0], ENTRIES[: 7 - serial[0]])]
+
+    server, observed = start_discovery(respond)
+    observed.wait()
+    silent.set()
+    for _ in range(40):
+        assert polled.acquire(timeout=WAIT_S)
+    assert len(observed.endpoint_list.specs) == 2
+    assert 2 <= len(set(server.ports)) <= 8  # replaced now and then, ever more rarely
+    serial[0] = 6
+    silent.clear()
+    assert observed.wait().removed
+
+
+def test_responses_that_always_come_after_the_next_query_are_accepted(
+    start_discovery: StartDiscovery,
+) -> None:
+    queries: list[bytes] = []
+
+    def respond(query: bytes, port: int) -> list[bytes]:
+        queries.append(query)
+        return [dns_answer(queries[-2], 5, ENTRIES)] if len(queries) > 1 else []
+
+    _, observed = start_discovery(respond)
+    assert len(observed.wait().updated) == 2
+
+
+def test_a_response_of_the_former_server_is_rejected_once_it_has_moved(
+    start_discovery: StartDiscovery,
+) -> None:
+    """It is on its way when the new address is set."""
+    second = DiscoveryServer(lambda query, port: [dns_answer(query, 6, ENTRIES[:1])])
+    asked, ready = threading.Event(), threading.Event()
+
+    def respond(query: bytes, port: int) -> list[bytes]:
+        assert ready.wait(WAIT_S)
+        if asked.is_set():
+            return []
+        observed.resolver.set_server(second.address)
+        asked.set()
+        return [dns_answer(query, 9, ENTRIES)]
+
+    _, observed = start_discovery(respond)
+    ready.set()
+    assert [spec.name for spec in observed.wait().updated] == ["s-1"]
+    assert observed.endpoint_list.serial == 6
+    assert observed.resolver.counts.rejected[Rejection.FORMER_SERVER] == 1
+    second.close()
+
+
+def test_a_server_that_is_behind_is_rejected_until_it_has_caught_up(start_discovery: StartDiscovery) -> None:
+    serial, polled = [7], threading.Semaphore(0)
+
+    def respond(query: bytes, port: int) -> list[bytes]:
+        polled.release()
+        return [dns_answer(query, serial[0], ENTRIES if serial[0] == 7 else ENTRIES[:1])]
+
+    _, observed = start_discovery(respond)
+    observed.wait()
+    serial[0] = 3
+    for _ in range(10):
+        assert polled.acquire(timeout=WAIT_S)
+    assert len(observed.endpoint_list.specs) == 2 and observed.endpoint_list.serial == 7
+    serial[0] = 8
+    assert observed.wait().removed and observed.endpoint_list.serial == 8
+
+
+@pytest.mark.parametrize("is_refused", [True, False])
+def test_queries_keep_their_interval_with_jitter_whether_refused_or_unanswered(
+    monkeypatch: pytest.MonkeyPatch, observed: ObservedResolver, is_refused: bool
+) -> None:
+    """A refusal comes at once, and used to be polled after 20 times a second."""
+    now, pauses = [0.0], list[float]()
+    resolver = observed.resolver
+    monkeypatch.setattr(resolver, "_clock", lambda: now[0])
+
+    class FortyWaits(threading.Event):
+        def wait(self, timeout: float | None = None) -> bool:
+            assert timeout is not None
+            pauses.append(timeout)
+            now[0] += timeout
+            if len(pauses) == 40:
+                self.set()
+            return self.is_set()
+
+    def query(udp_socket: socket.socket) -> bool:
+        if is_refused:
+            raise ConnectionRefusedError
+        now[0] += 0.2
+        return False
+
+    monkeypatch.setattr(resolver._thread, "stopping", FortyWaits())
+    monkeypatch.setattr(resolver, "query", query)
+    resolver._run()
+    least_s, most_s = 40 * INTERVAL_S * (1 - POLL_JITTER), 40 * INTERVAL_S * (1 + POLL_JITTER)
+    assert least_s <= now[0] <= most_s + 0.2
+    assert len({round(pause, 6) for pause in pauses}) > 20
+
+
+def test_without_a_free_descriptor_the_present_socket_stays_in_use(
+    monkeypatch: pytest.MonkeyPatch, start_discovery: StartDiscovery
+) -> None:
+    silent, taken = threading.Event(), threading.Event()
+    attempts: list[tuple[str, int]] = []
+
+    def respond(query: bytes, port: int) -> list[bytes]:
+        return [] if silent.is_set() else [dns_answer(query, 6 if taken.is_set() else 5, ENTRIES[:1])]
+
+    server, observed = start_discovery(respond)
+    observed.wait()
+    taken.set()
+    silent.set()
+
+    def fail(address: tuple[str, int]) -> socket.socket:
+        attempts.append(address)
+        raise OSError(24, "Too many open files")
+
+    monkeypatch.setattr(server_socket, "connect_udp", fail)
+    # On a busy machine a socket may have been replaced before; the one after two more queries is the last.
+    before = len(server.ports)
+    eventually(lambda: len(server.ports) >= before + 2, WAIT_S)
+    queries, present = len(server.ports), server.ports[-1]
+    eventually(lambda: attempts and len(server.ports) >= queries + 20, WAIT_S)
+    silent.clear()
+    eventually(lambda: observed.endpoint_list.serial == 6, WAIT_S)
+    assert set(server.ports[queries:]) == {present}
+
+
+def test_silence_and_its_end_are_logged_once(
+    observed: ObservedResolver, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    now = [0.0]
+    monkeypatch.setattr(observed.resolver, "_clock", lambda: now[0])
+    observed.resolver.last_accepted_s = 0.0
+    for now[0], is_answered in ((2.0, False), (3.5, False), (4.0, False), (4.5, True), (5.0, True)):
+        observed.resolver._log_silence(is_answered)
+    lines = [line.split(": ", 1)[1] for line in observed.log.getvalue().splitlines()]
+    assert lines == [
+        "discovery server is silent elapsed_s=3.0 rejected={}",
+        "discovery server responds again elapsed_s=4.5",
+    ]
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -16,11 +16,11 @@
 from saffronstack.config import fleet as fleet_files
 from saffronstack.config import schema
 from saffronstack.config.build import settings_of, workers_of
+from saffronstack.discovery.files import parsing
 from saffronstack.engine.decision_record_format import event_from_tagged
 from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.harness.scenario import plan as day_files
 from saffronstack.platform import config as platform
-from saffronstack.roster import parsing
 from saffronstack.settings import parse_settings, report
 from tests.stored_formats import settings_samples
 from tests.stored_formats.stored_files import DATA, command_lines, plain_schema, record_values
@@ -29,7 +29,7 @@
 KINDS = {
     "gateway": schema.Config,
     "fleet": fleet_files.FleetFile,
-    "roster": parsing.RosterFile,
+    "roster": parsing.WorkerFile,
     "manifest": parsing.Manifest,
     "day": day_files.Plan,
 }
--- a/tests/stored_formats/test_platform_message_formats.py
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from saffronstack.directory.dns import query_message
+from saffronstack.discovery.dns.messages import encode_query
 from saffronstack.platform import connection
 from saffronstack.platform.calls import CallMaker
 from saffronstack.resp import frames
@@ -26,7 +26,7 @@
     "ping": codec.encode_ping("t2"),
     "load": codec.encode_load_command("t3", "00000000000000ff", 2),
     "unload": codec.encode_unload_command("00000000000000ff"),
-    "query": query_message(4711, "_call._tcp.hosts.example"),
+    "query": encode_query(4711, "_call._tcp.hosts.example"),
     "reply": encode((b"17", b"BUSY", b"holdoff=250", b"")),
 }
 
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -12,12 +12,13 @@
 from saffronstack import config as configs
 from saffronstack.cli.tenure import TAKEN_OVER, enter
 from saffronstack.config.schema import Worker
+from saffronstack.discovery.files.file_reader import read_version as read
+from saffronstack.discovery.files.parsing import WorkerListVersion as Version
+from saffronstack.discovery.files.parsing import parse_version as version
+from saffronstack.discovery.files.state_directory import StateDirectory as Kept
 from saffronstack.fleet.tasks.fleet_usage import FleetUsageTask
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.fleet.tasks.result_store import ResultStore
-from saffronstack.roster.keeping import Kept
-from saffronstack.roster.parsing import Version, version
-from saffronstack.roster.reading import read
 from tests.stored_formats import settings_samples
 from tests.stored_formats.stored_files import DATA
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -29,13 +29,16 @@
     }
     | POLICY,
     "upstream/http": {"upstream", "upstream/http", "engine", "runtime", "http1"} | POLICY,
-    "directory": {"directory", "engine", "runtime"},
+    "discovery": {"discovery", "runtime"},
+    "discovery/dns": {"discovery/dns", "discovery", "engine", "runtime"},
+    "discovery/files": {"discovery/files", "discovery", "config", "engine", "runtime"},
     "platform": {
         "platform",
         "resp",
         "upstream",
         "upstream/multiplexed",
-        "directory",
+        "discovery/dns",
+        "discovery",
         "net",
         "engine",
         "runtime",
@@ -48,11 +51,11 @@
     "durable": {"durable", "engine", "runtime"},
     "deferred": {"deferred", "metering", "durable", "config", "engine", "runtime"} | POLICY,
     "daemon": {"daemon", "engine", "runtime", "http1"},
-    "roster": {"roster", "config", "engine", "runtime"},
     "operations": {"operations", "durable", "engine", "runtime", "http1"} | POLICY,
     "invoke": {
         "invoke",
-        "roster",
+        "discovery/files",
+        "discovery",
         "operations",
         "metering",
         "daemon",
@@ -80,8 +83,11 @@
     return subpackage if subpackage in SUBPACKAGES else words[1]
 
 
+PACKAGES = {"saffronstack", *(f"saffronstack.{part.partition('/')[0]}" for part in SUBPACKAGES)}
+
+
 def imported(path: pathlib.Path) -> set[str]:
-    """Parts of the package that a file imports when it runs."""
+    """Return the parts of the package that a file imports when it runs."""
     found = set()
     tree = ast.parse(path.read_text())
     guarded = {
@@ -97,7 +103,7 @@
         if isinstance(node, ast.ImportFrom) and node.module:
             names = (
                 [f"{node.module}.{alias.name}" for alias in node.names]
-                if node.module in ("saffronstack", "saffronstack.upstream")
+                if node.module in PACKAGES
                 else [node.module]
             )
         elif isinstance(node, ast.Import):
@@ -147,7 +153,16 @@
     modules = set(listed.split())
     parts = {part_of(name) for name in modules if name.startswith("saffronstack.")}
     assert parts <= MAY["platform"] - {"http1"} | POLICY, parts
-    assert not modules & {"structlog", "asyncio", "ssl", "json5", "click", "dns", "prometheus_client"}
+    assert not modules & {
+        "structlog",
+        "asyncio",
+        "ssl",
+        "json5",
+        "click",
+        "dns",
+        "prometheus_client",
+        "watchfiles",
+    }
 
 
 @pytest.mark.parametrize(
