--- /dev/null
+++ b/saffronstack/cli/lease_servers.py
@@ -0,0 +1,136 @@
+"""`saffronstack keeper`: the lease servers of a fleet."""
+
+from __future__ import annotations
+
+import queue
+import signal
+import sys
+
+import click
+import msgspec
+
+from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, lease_fleet_of, signals_of
+from saffronstack.cli.logs import set_up_logs
+from saffronstack.client import Client
+from saffronstack.config.fleet import load_fleet
+from saffronstack.config.load import ConfigError
+from saffronstack.fleet.leases.disk import AcceptorDisk
+from saffronstack.fleet.leases.errors import ForeignStateError, UnknownServerError
+from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.leases.messages import DiskState
+from saffronstack.http1.messages import HttpError
+
+SIGNAL_POLL_S = 1.0
+
+
+def establish(path: str, name: str, directory: str) -> int:
+    """Create the state directory of a server of a new fleet.
+
+    Args:
+        path: The fleet's file.
+        name: The server's name in it.
+        directory: The state directory.
+
+    Returns:
+        The exit status: 0, or 2 with the reason on standard error."""
+    try:
+        fleet = load_fleet(path)
+        servers = lease_fleet_of(fleet).limits.servers
+        if name not in servers:
+            raise UnknownServerError(f"{path}: {name!r} is none of the keepers {', '.join(servers)}")
+        AcceptorDisk(directory, fleet.fleet, name, servers).establish()
+    except (ConfigError, OSError, ValueError) as error:
+        click.echo(f"saffronstack keeper establish: {error}", err=True)
+        return UNUSABLE
+    click.echo(f"{directory}: keeper {name} of a new fleet {fleet.fleet}")
+    return 0
+
+
+def run_server(path: str, name: str, directory: str, log_form: str) -> int:
+    """Run a lease server until SIGTERM or SIGINT.
+
+    Args:
+        path: The fleet's file.
+        name: The server's name in it.
+        directory: The state directory.
+        log_form: How logs are written, ``console`` or ``json``.
+
+    Returns:
+        The exit status: 0, or 2 where the server can't start."""
+    set_up_logs(log_form, "info")
+    signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
+    try:
+        fleet = load_fleet(path)
+        server = LeaseServer(name, lease_fleet_of(fleet), directory)
+        host, port = server.start()
+    except (ConfigError, ForeignStateError, OSError, ValueError) as error:
+        click.echo(f"saffronstack keeper: {error}", err=True)
+        return UNUSABLE
+    click.echo(f"saffronstack keeper {name} of fleet {fleet.fleet} on http://{host}:{port}")
+    sys.stdout.flush()
+    _wait_for_signal(signals)
+    server.stop()
+    return 0
+
+
+def _wait_for_signal(signals: queue.SimpleQueue[int]) -> None:
+    while True:
+        try:
+            signals.get(timeout=SIGNAL_POLL_S)
+        except queue.Empty:  # no signal yet
+            continue
+        return
+
+
+def show_status(path: str, as_json: bool) -> int:
+    """Print the state of each server of a fleet.
+
+    Args:
+        path: The fleet's file.
+        as_json: Print one JSON line for each server.
+
+    Returns:
+        The exit status: 0 where a majority votes, 69 where none does, 2 for a bad file."""
+    try:
+        fleet = load_fleet(path)
+    except ConfigError as error:
+        click.echo(str(error), err=True)
+        return UNUSABLE
+    voting = 0
+    for name, address in fleet.addresses().items():
+        status = _request_status(address, fleet.wait_s)
+        voting += bool(status.get("votes"))
+        if as_json:
+            click.echo(msgspec.json.encode({"keeper": name, "address": address, **status}).decode())
+        else:
+            click.echo(f"{name} {address}: {_describe(status)}")
+    majority = len(fleet.keepers) // 2 + 1
+    if voting < majority:
+        click.echo(f"no majority: {voting} of {len(fleet.keepers)} vote, {majority} are needed", err=True)
+        return NO_MAJORITY
+    return 0
+
+
+def _request_status(address: str, timeout_s: float) -> dict[str, object]:
+    """Return a server's status page as it is, which may be of another version, or only an ``error``."""
+    client = Client(address, timeout_s)
+    try:
+        page = msgspec.json.decode(client.request("GET", "/status").body)
+    except (OSError, HttpError, msgspec.MsgspecError) as error:
+        return {"error": str(error) or type(error).__name__}
+    finally:
+        client.close()
+    return page if isinstance(page, dict) else {"error": "no status"}
+
+
+def _describe(status: dict[str, object]) -> str:
+    if "error" in status:
+        return f"no answer: {status['error']}"
+    description = "votes" if status["votes"] else "does not vote"
+    if status["disk"] == DiskState.REPLACED.value:
+        description += ": another came in its place; stop it, and give it an empty directory if it is the one"
+    elif not status["votes"]:
+        wait_s = status["votes_in_s"]
+        description += f" for {wait_s} s" if wait_s else ": others must tell it what they hold"
+    disk_error = f", disk: {status['trouble']}" if status["trouble"] else ""
+    return f"{description}, disk {status['disk']}, {status['leases']} leases{disk_error}"
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -1,4 +1,4 @@
-"""`saffronstack keeper` and `saffronstack lease`: keepers of a fleet's leases, and work under a lease."""
+"""`saffronstack lease` and `saffronstack tasks`: commands and tasks that run under leases of a fleet."""
 
 from __future__ import annotations
 
@@ -15,31 +15,41 @@
 
 import click
 import msgspec
-import structlog
 
 from saffronstack.cli.logs import set_up_logs
-from saffronstack.client import Client
 from saffronstack.config.fleet import FleetFile, TaskEntry, load_fleet
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.fleet.leases.disk import AcceptorDisk
-from saffronstack.fleet.leases.errors import ForeignStateError, UnknownServerError
-from saffronstack.fleet.leases.lease_server import LeaseServer
 from saffronstack.fleet.leases.limits import LeaseFleet, LeaseLimits
-from saffronstack.fleet.leases.quorum_read import read_leases
+from saffronstack.fleet.leases.messages import LeaseValue
+from saffronstack.fleet.leases.quorum_read import LeaseStatus, QuorumRead, read_leases
 from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.tasks.jobs import FleetUsage, Job, Sweep, Takeover
 from saffronstack.fleet.tasks.runner import TaskRunner
-from saffronstack.http1.messages import HttpError
 
-log = structlog.get_logger("saffronstack.keeper")
 NO_MAJORITY = 69  # EX_UNAVAILABLE of sysexits.h
 NOT_GRANTED = 75  # EX_TEMPFAIL
 LOST = 76
 UNUSABLE = 2
-TERM_PART = 0.4  # of the lease's time that is left when the command is asked to end
-KILL_PART = 0.15  # and when it is killed: a lease lives on a renewal each third of its time
-LOOK_S = 0.02
+CANNOT_EXECUTE = 126  # as shells report it
+NOT_FOUND = 127
+SIGNAL_STATUS = 128  # plus the signal that ended a command
+TERM_FRACTION = 0.4  # of the lease: with so little left the command is asked to end
+KILL_FRACTION = 0.15  # and with so little it is killed; leases are renewed after a third of their time
+POLL_S = 0.02
+SIGNAL_POLL_S = 1.0
+
+
+class LeaseStatusLine(msgspec.Struct, frozen=True, rename={"is_held": "held", "remaining_s": "left_s"}):
+    """One line of `saffronstack lease list --json`."""
+
+    lease: str
+    holder: str
+    token: int
+    is_held: bool
+    granted_by: int
+    remaining_s: float
+    value: LeaseValue
 
 
 def lease_fleet_of(fleet: FleetFile) -> LeaseFleet:
@@ -49,127 +59,99 @@
     return LeaseFleet(fleet.fleet, addresses, limits, fleet.wait_s)
 
 
-def establish(path: str, name: str, directory: str) -> int:
-    """Make a directory that of a keeper of a new fleet; 0, or 2 with the reason."""
-    try:
-        fleet = load_fleet(path)
-        servers = lease_fleet_of(fleet).limits.servers
-        if name not in servers:
-            raise UnknownServerError(f"{path}: {name!r} is none of the keepers {', '.join(servers)}")
-        AcceptorDisk(directory, fleet.fleet, name, servers).establish()
-    except (ConfigError, OSError, ValueError) as error:
-        click.echo(f"saffronstack keeper establish: {error}", err=True)
-        return UNUSABLE
-    click.echo(f"{directory}: keeper {name} of a new fleet {fleet.fleet}")
-    return 0
+def open_client(fleet: FleetFile) -> LeaseClient:
+    """Open this process's client of the fleet's lease servers."""
+    return LeaseClient(lease_fleet_of(fleet), process_name(), fleet.lease_s, secrets.randbits(31))
 
 
-def run_keeper(path: str, name: str, directory: str, log_form: str) -> int:
-    """Keep leases until a signal; 0, or 2 where it can't start."""
-    set_up_logs(log_form, "info")
-    signals = _signals(signal.SIGTERM, signal.SIGINT)
-    try:
-        fleet = load_fleet(path)
-        server = LeaseServer(name, lease_fleet_of(fleet), directory)
-        host, port = server.start()
-    except (ConfigError, ForeignStateError, OSError, ValueError) as error:
-        click.echo(f"saffronstack keeper: {error}", err=True)
-        return UNUSABLE
-    click.echo(f"saffronstack keeper {name} of fleet {fleet.fleet} on http://{host}:{port}")
-    sys.stdout.flush()
-    while True:
-        try:
-            signals.get(timeout=1.0)
-            break
-        except queue.Empty:
-            continue
-    server.stop()
-    return 0
+def process_name() -> str:
+    """Return a name that no other process has or had."""
+    return f"{socket.gethostname()}-{os.getpid()}-{secrets.token_hex(4)}"
 
 
-def _ask(address: str, target: str, wait_s: float) -> object:
-    client = Client(address, wait_s)
-    try:
-        return msgspec.json.decode(client.request("GET", target).body)
-    finally:
-        client.close()
+def signals_of(*names: str) -> queue.SimpleQueue[int]:
+    """Return a queue that receives these signals, named as ``SIGTERM``, instead of their default action."""
+    signals: queue.SimpleQueue[int] = queue.SimpleQueue()
 
+    def enqueue(number: int, _frame: FrameType | None) -> None:
+        signals.put(number)
 
-def keeper_status(path: str, as_json: bool) -> int:
-    """How each keeper stands; 0 where a majority votes, 69 where not, 2 for a bad file."""
-    try:
-        fleet = load_fleet(path)
-    except ConfigError as error:
-        click.echo(str(error), err=True)
-        return UNUSABLE
-    votes = 0
-    for name, address in fleet.addresses().items():
-        try:
-            told = _ask(address, "/status", fleet.wait_s)
-            state = dict(told) if isinstance(told, dict) else {"error": "no status"}
-        except (OSError, HttpError, msgspec.MsgspecError) as error:
-            state = {"error": str(error) or type(error).__name__}
-        votes += bool(state.get("votes"))
-        if as_json:
-            click.echo(msgspec.json.encode({"keeper": name, "address": address, **state}).decode())
-        elif "error" in state:
-            click.echo(f"{name} {address}: no answer: {state['error']}")
-        else:
-            how = "votes" if state["votes"] else "does not vote"
-            if state["disk"] == "replaced":
-                how += ": another came in its place; stop it, and give it an empty directory if it is the one"
-            elif not state["votes"]:
-                how += (
-                    f" for {state['votes_in_s']} s"
-                    if state["votes_in_s"]
-                    else ": others must tell it what they hold"
-                )
-            trouble = f", disk: {state['trouble']}" if state["trouble"] else ""
-            click.echo(f"{name} {address}: {how}, disk {state['disk']}, {state['leases']} leases{trouble}")
-    majority = len(fleet.keepers) // 2 + 1
-    if votes < majority:
-        click.echo(f"no majority: {votes} of {len(fleet.keepers)} vote, {majority} are needed", err=True)
-        return NO_MAJORITY
-    return 0
+    for name in names:
+        signal.signal(signal.Signals[name], enqueue)
+    return signals
+
+
+# ---- lease list, lease show
 
 
 def lease_list(path: str, only: str, as_json: bool) -> int:
-    """What a majority of keepers shows of each lease; 0, 1 for an unknown one, 69 without a majority."""
+    """Print each lease as a majority of servers shows it.
+
+    Args:
+        path: The fleet's file.
+        only: The one lease to print; empty for all.
+        as_json: Print one JSON line for each lease.
+
+    Returns:
+        The exit status: 0, 1 for an unknown lease, 69 without a majority, 2 for a bad file."""
     try:
         fleet = load_fleet(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
-    reading = read_leases(fleet.addresses(), fleet.wait_s)
-    for keeper, trouble in reading.errors.items():
-        click.echo(f"{fleet.addresses()[keeper]}: no answer: {trouble}", err=True)
-    if not reading.has_majority:
-        answered = len(fleet.keepers) - len(reading.errors)
+    read = read_leases(fleet.addresses(), fleet.wait_s)
+    for server, error_text in read.errors.items():
+        click.echo(f"{fleet.addresses()[server]}: no answer: {error_text}", err=True)
+    if not read.has_majority:
+        answered = len(fleet.keepers) - len(read.errors)
         click.echo(f"no majority: {answered} of {len(fleet.keepers)} answered", err=True)
         return NO_MAJORITY
-    if only and only not in reading.leases:
+    if only and only not in read.leases:
         click.echo(f"{only}: no keeper knows it", err=True)
         return 1
-    for lease, shown in sorted(reading.leases.items()):
-        if only and lease != only:
-            continue
-        if as_json:
-            told = {
-                "lease": lease, "holder": shown.holder, "token": shown.token, "held": bool(shown.holder),
-                "granted_by": shown.granted_by, "left_s": shown.remaining_s, "value": shown.value,
-            }  # fmt: skip
-            click.echo(msgspec.json.encode(told).decode())
-        elif shown.holder:
-            click.echo(f"{lease}: held by {shown.holder}, token {shown.token}, {shown.remaining_s} s left")
-        else:
-            click.echo(f"{lease}: free, last token {shown.token}")
+    for status in _selected(read, only):
+        click.echo(_json_line(status) if as_json else _text_line(status))
     return 0
 
 
+def _selected(read: QuorumRead, only: str) -> list[LeaseStatus]:
+    return [status for lease, status in sorted(read.leases.items()) if only in ("", lease)]
+
+
+def _json_line(status: LeaseStatus) -> str:
+    line = LeaseStatusLine(
+        status.lease,
+        status.holder,
+        status.token,
+        bool(status.holder),
+        status.granted_by,
+        status.remaining_s,
+        status.value,
+    )
+    return msgspec.json.encode(line).decode()
+
+
+def _text_line(status: LeaseStatus) -> str:
+    if status.holder:
+        held = f"held by {status.holder}, token {status.token}, {status.remaining_s} s left"
+        return f"{status.lease}: {held}"
+    return f"{status.lease}: free, last token {status.token}"
+
+
+# ---- tasks run
+
+
 def run_tasks(path: str, log_form: str) -> int:
-    """Run the tasks of the fleet's file until a signal; 0, 1 where a run did not end, 2 for a bad file."""
+    """Run the tasks of a fleet's file, each while this process holds its lease, until SIGTERM or SIGINT.
+
+    Args:
+        path: The fleet's file.
+        log_form: How logs are written, ``console`` or ``json``.
+
+    Returns:
+        The exit status: 0, 1 where a run did not end in time, 2 for a bad file."""
     set_up_logs(log_form, "info")
-    signals = _signals(signal.SIGTERM, signal.SIGINT)
+    signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
     try:
         fleet = load_fleet(path)
     except ConfigError as error:
@@ -186,9 +168,9 @@
     sys.stdout.flush()
     while True:
         try:
-            signals.get(timeout=1.0)
+            signals.get(timeout=SIGNAL_POLL_S)
             break
-        except queue.Empty:
+        except queue.Empty:  # no signal yet
             continue
     clean = all([runner.stop() for runner in runners])
     client.close()
@@ -196,44 +178,33 @@
 
 
 def job_of(task: TaskEntry, client: LeaseClient) -> Job:
-    """What a task of the file does."""
-    if task.kind == "usage":
-        return FleetUsage(task.usage, task.output)
-    if task.kind == "takeover":
-        return Takeover(task.ledgers, task.config, client)
-    return Sweep(task.outputs, task.ledgers)
+    """Return the job that a task of the file describes."""
+    match task.kind:
+        case "usage":
+            return FleetUsage(task.usage, task.output)
+        case "takeover":
+            return Takeover(task.ledgers, task.config, client)
+        case "sweep":
+            return Sweep(task.outputs, task.ledgers)
 
 
-def _signals(*wanted: int) -> queue.SimpleQueue[int]:
-    signals: queue.SimpleQueue[int] = queue.SimpleQueue()
+# ---- lease run
 
-    def note(number: int, _frame: FrameType | None) -> None:
-        signals.put(number)
 
-    for number in wanted:
-        signal.signal(number, note)
-    return signals
-
-
-def signals_of(*names: str) -> queue.SimpleQueue[int]:
-    """Signals by name, as they come."""
-    return _signals(*(signal.Signals[name] for name in names))
-
-
-def open_client(fleet: FleetFile) -> LeaseClient:
-    """This process's leases."""
-    return LeaseClient(lease_fleet_of(fleet), process_name(), fleet.lease_s, secrets.randbits(31))
-
-
-def process_name() -> str:
-    """A name for this life of this process."""
-    return f"{socket.gethostname()}-{os.getpid()}-{secrets.token_hex(4)}"
+def lease_run(path: str, lease: str, wait_s: float, command: Sequence[str]) -> int:
+    """Run a command while the lease is held.
 
+    Args:
+        path: The fleet's file.
+        lease: The lease's name.
+        wait_s: How long to wait for the lease, in seconds.
+        command: The command and its arguments.
 
-def lease_run(path: str, lease: str, wait_s: float, command: Sequence[str]) -> int:
-    """Run a command while the lease is held; its exit status, or one of those above."""
+    Returns:
+        The command's exit status, or 69 without a majority, 75 where the lease was not granted in time, 76
+        where it was lost, 2 for a bad file."""
     set_up_logs("console", "warning")
-    signals = _signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name, signal.SIGHUP.name)
     try:
         fleet = load_fleet(path)
     except ConfigError as error:
@@ -243,19 +214,23 @@
     try:
         held = client.acquire(lease, wait_s)
         if held is None:
-            reached = sum(not trouble for trouble in client.link_errors().values())
-            if reached < len(fleet.keepers) // 2 + 1:
-                troubles = client.link_errors().items()
-                lines = "; ".join(f"{keeper}: {trouble}" for keeper, trouble in troubles if trouble)
-                click.echo(f"saffronstack lease run: no majority of keepers answers: {lines}", err=True)
-                return NO_MAJORITY
-            click.echo(f"saffronstack lease run: {lease} was not granted within {wait_s:g} s", err=True)
-            return NOT_GRANTED
+            return _report_not_granted(client, lease, wait_s)
         return _run_under(held, fleet.lease_s, command, signals)
     finally:
         client.close()
 
 
+def _report_not_granted(client: LeaseClient, lease: str, wait_s: float) -> int:
+    errors = client.link_errors()
+    answered = sum(not error for error in errors.values())
+    if answered >= len(errors) // 2 + 1:
+        click.echo(f"saffronstack lease run: {lease} was not granted within {wait_s:g} s", err=True)
+        return NOT_GRANTED
+    text = "; ".join(f"{server}: {error}" for server, error in errors.items() if error)
+    click.echo(f"saffronstack lease run: no majority of keepers answers: {text}", err=True)
+    return NO_MAJORITY
+
+
 def _run_under(
     held: HeldLease, lease_s: float, command: Sequence[str], signals: queue.SimpleQueue[int]
 ) -> int:
@@ -264,32 +239,40 @@
         process = subprocess.Popen(list(command), env=environment, start_new_session=True)
     except OSError as error:
         click.echo(f"saffronstack lease run: {command[0]}: {error.strerror}", err=True)
-        return 127 if isinstance(error, FileNotFoundError) else 126
-    asked = False
+        return NOT_FOUND if isinstance(error, FileNotFoundError) else CANNOT_EXECUTE
+    is_ending = False  # whether the command was asked to end, its lease being about to expire
     while True:
-        try:
-            status = process.wait(LOOK_S)
-        except subprocess.TimeoutExpired:
-            status = None
-        if status is not None and not asked:
-            held.release()
-            return status if status >= 0 else 128 - status
+        status = _wait(process)
         if status is not None:
-            click.echo(f"saffronstack lease run: {held.lease} was lost; the command was ended", err=True)
-            return LOST
+            return _finish(held, status, is_ending)
         with contextlib.suppress(queue.Empty):
-            _signal(process, signals.get_nowait())
-        # Renewed each third of its time, it never has so little left while a majority answers.
-        left_s = held.remaining_s()
-        if left_s < KILL_PART * lease_s:
-            _signal(process, signal.SIGKILL)
-            asked = True
-        elif left_s < TERM_PART * lease_s and not asked:
-            _signal(process, signal.SIGTERM)
-            asked = True
-
-
-def _signal(process: subprocess.Popen[bytes], number: int) -> None:
-    """To all of its group: what it started acts under the lease too."""
-    with contextlib.suppress(ProcessLookupError):
+            _signal_group(process, signals.get_nowait())
+        # Renewed after a third of its time, it never has so little left while a majority answers.
+        remaining_s = held.remaining_s()
+        if remaining_s < KILL_FRACTION * lease_s:
+            _signal_group(process, signal.SIGKILL)
+            is_ending = True
+        elif remaining_s < TERM_FRACTION * lease_s and not is_ending:
+            _signal_group(process, signal.SIGTERM)
+            is_ending = True
+
+
+def _wait(process: subprocess.Popen[bytes]) -> int | None:
+    try:
+        return process.wait(POLL_S)
+    except subprocess.TimeoutExpired:
+        return None
+
+
+def _finish(held: HeldLease, status: int, is_ending: bool) -> int:
+    if is_ending:
+        click.echo(f"saffronstack lease run: {held.lease} was lost; the command was ended", err=True)
+        return LOST
+    held.release()
+    return status if status >= 0 else SIGNAL_STATUS - status
+
+
+def _signal_group(process: subprocess.Popen[bytes], number: int) -> None:
+    """Signal the command with all that it started: that works under the lease too."""
+    with contextlib.suppress(ProcessLookupError):  # it has just ended
         os.killpg(process.pid, number)
--- a/saffronstack/cli/main.py
+++ b/saffronstack/cli/main.py
@@ -326,9 +326,9 @@
 @click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
 def keeper_run(path: str, name: str, state: str, log_form: str) -> None:
     """Keep leases in the foreground until SIGTERM or SIGINT."""
-    from saffronstack.cli.leases import run_keeper
+    from saffronstack.cli.lease_servers import run_server
 
-    sys.exit(run_keeper(path, name, state, log_form))
+    sys.exit(run_server(path, name, state, log_form))
 
 
 @keeper.command("establish")
@@ -337,7 +337,7 @@
 @click.option("--state", required=True, type=click.Path(file_okay=False), help="Its directory.")
 def keeper_establish(path: str, name: str, state: str) -> None:
     """Once, for each keeper of a fleet that is new as a whole; never for one that is replaced."""
-    from saffronstack.cli.leases import establish
+    from saffronstack.cli.lease_servers import establish
 
     sys.exit(establish(path, name, state))
 
@@ -347,9 +347,9 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON line for each keeper.")
 def keeper_status(path: str, as_json: bool) -> None:
     """How each keeper stands: 0 where a majority votes, 69 where none does."""
-    from saffronstack.cli.leases import keeper_status as ask
+    from saffronstack.cli.lease_servers import show_status
 
-    sys.exit(ask(path, as_json))
+    sys.exit(show_status(path, as_json))
 
 
 @main.group()
--- a/saffronstack/fleet/leases/acceptor.py
+++ b/saffronstack/fleet/leases/acceptor.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from saffronstack.fleet.leases.errors import UnknownServerError
-from saffronstack.fleet.leases.lease_table import LeaseEntry, LeaseTable, value_order
+from saffronstack.fleet.leases.lease_table import LeaseEntry, LeaseTable, recency_key
 from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
@@ -100,7 +100,7 @@
 
     def _handle_prepare(self, now: float, request: PrepareRequest) -> list[AcceptorAction]:
         self.recovery.detect_replacement(request.incarnations)
-        if not self.can_vote(now) or not self.table.has_room_for(request.lease):
+        if not self.can_vote(now) or not self.table.has_capacity_for(request.lease):
             return []
         entry = self.table.entry(request.lease)
         remaining_s = self.remaining_s(now, request.lease)
@@ -136,7 +136,7 @@
 
     def _handle_accept(self, now: float, request: AcceptRequest) -> list[AcceptorAction]:
         self.recovery.detect_replacement(request.incarnations)
-        if not self.can_vote(now) or not self.table.has_room_for(request.lease):
+        if not self.can_vote(now) or not self.table.has_capacity_for(request.lease):
             return []
         if not self._is_within_limits(request):
             return []
@@ -178,7 +178,7 @@
             accepted_ballot=request.ballot,
             holder=request.candidate,
             duration_s=max(request.duration_s, before.duration_s if is_renewal else 0.0),
-            value=max(before.value, request.value, key=value_order),
+            value=max(before.value, request.value, key=recency_key),
         )
         observed_writes = self.table.merged_observed_writes(request.observed_writes)
         if record == before and observed_writes == self.table.observed_writes:
--- a/saffronstack/fleet/leases/acceptor_service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -4,7 +4,6 @@
 
 import threading
 from collections.abc import Callable
-from dataclasses import dataclass, field
 
 import structlog
 
@@ -12,6 +11,7 @@
 from saffronstack.fleet.leases.acceptor import Acceptor
 from saffronstack.fleet.leases.disk import AcceptorDisk
 from saffronstack.fleet.leases.limits import LeaseLimits
+from saffronstack.fleet.leases.mailboxes import Mailboxes
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
     AcceptorState,
@@ -29,25 +29,9 @@
 IDLE_S = 1.0  # the longest sleep of a thread without work
 MIN_SLEEP_S = 0.01
 MAX_PENDING_ANSWERS = 1024  # requests that wait for the disk at one time
-MAX_MAILBOXES = 4096
-MAX_MAILBOX_MESSAGES = 64
-MAILBOX_EXPIRY_S = 2.0  # a process that polled so lately will poll again
 STOP_TIMEOUT_S = 2.0  # that a stop waits for a write in progress
 
 
-@dataclass(slots=True)
-class _Mailbox:
-    """Notifications for one process that polls for them."""
-
-    messages: list[Message] = field(default_factory=list)
-    pollers: int = 0
-    last_polled_s: float = 0.0
-
-    def is_expired(self, now: float) -> bool:
-        """Return whether nobody will fetch the messages."""
-        return not self.pollers and now - self.last_polled_s > MAILBOX_EXPIRY_S
-
-
 class AcceptorService:
     """Owns the acceptor, the thread that writes its state and the one that runs its timers.
 
@@ -86,7 +70,7 @@
         self._unsaved_state: AcceptorState | None = None
         self._persisted_write = loaded.state.last_write
         self._pending_answers = 0
-        self._mailboxes: dict[str, _Mailbox] = {}
+        self.mailboxes = Mailboxes()
         self._timer_s: float | None = None
         self._is_stopping = False
         self._disk_error = ""  # of the last write; empty where it succeeded
@@ -159,30 +143,19 @@
     def poll(self, sender: str, timeout_s: float) -> list[Message]:
         """Return the notifications for a process; waits up to ``timeout_s`` until there are some."""
         with self._lock:
-            mailbox = self._mailboxes.get(sender)
+            mailbox = self.mailboxes.open(sender)
             if mailbox is None:
-                if len(self._mailboxes) >= MAX_MAILBOXES:
-                    return []
-                mailbox = self._mailboxes[sender] = _Mailbox()
-            mailbox.pollers += 1
+                return []
             try:
                 self._lock.wait_for(lambda: bool(mailbox.messages) or self._is_stopping, timeout_s)
-                messages, mailbox.messages = mailbox.messages, []
+                return mailbox.take_messages()
             finally:
-                mailbox.pollers -= 1
-                mailbox.last_polled_s = self._clock()
-            return messages
+                mailbox.end_poll(self._clock())
 
     def _notify(self, notification: SendMessage) -> None:
         """Send to another server over its link; to a candidate where its process polls, or did just now."""
-        process = notification.receiver.rpartition(".")[0] or notification.receiver
         with self._lock:
-            now = self._clock()
-            for expired in [name for name, box in self._mailboxes.items() if box.is_expired(now)]:
-                del self._mailboxes[expired]
-            mailbox = self._mailboxes.get(process)
-            if mailbox is not None:
-                mailbox.messages = [*mailbox.messages[-MAX_MAILBOX_MESSAGES:], notification.message]
+            if self.mailboxes.put(notification, self._clock()):
                 self._lock.notify_all()
                 return
         self._send(notification.receiver, notification.message)
--- a/saffronstack/fleet/leases/candidate.py
+++ b/saffronstack/fleet/leases/candidate.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from saffronstack.fleet.leases.errors import InvalidLeaseDurationError, NotHolderError
-from saffronstack.fleet.leases.lease_table import value_order
+from saffronstack.fleet.leases.lease_table import recency_key
 from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptRequest,
@@ -103,7 +103,7 @@
         self.expires_s = 0.0
         self.value = LeaseValue()
         self.holder = ""  # another candidate that holds it, as the last response said
-        self._is_wanted = False
+        self._is_requested = False
         self._random = random.Random(seed)
         self._ballot = 0
         self._highest_ballot = 0
@@ -125,7 +125,7 @@
 
     def acquire(self, now: float) -> list[CandidateAction]:
         """Start to acquire the lease, and keep it renewed."""
-        self._is_wanted = True
+        self._is_requested = True
         return self._prepare(now) if self.state is CandidateState.IDLE else []
 
     def is_holder(self, now: float) -> bool:
@@ -145,7 +145,7 @@
     def release(self, now: float) -> list[CandidateAction]:
         """Give the lease up at once, so that the next candidate need not wait until it expires."""
         was_holder, ballot = self.is_holder(now), self._ballot
-        self._is_wanted, self.state, self.expires_s = False, CandidateState.IDLE, 0.0
+        self._is_requested, self.state, self.expires_s = False, CandidateState.IDLE, 0.0
         actions: list[CandidateAction] = [*self._broadcast(ReleaseRequest(self.lease, self.name, ballot))]
         return [*actions, LeaseLost(self.token, "given back")] if was_holder else actions
 
@@ -216,7 +216,7 @@
         promises = [one for one in self._valid_approvals() if isinstance(one, PrepareResponse)]
         if len(promises) < self.limits.majority:
             return []
-        self.value = max((promise.value for promise in promises), key=value_order)
+        self.value = max((promise.value for promise in promises), key=recency_key)
         self.state = CandidateState.ACQUIRING
         self._start_round(now)
         observed_writes = tuple((promise.server, promise.last_write) for promise in promises)
@@ -311,7 +311,7 @@
         self._pending_value = None
         self.state = CandidateState.IDLE
         actions: list[CandidateAction] = [LeaseLost(token, reason)]
-        return [*actions, *self._prepare(now)] if self._is_wanted else actions
+        return [*actions, *self._prepare(now)] if self._is_requested else actions
 
     def _broadcast(self, message: PrepareRequest | AcceptRequest | ReleaseRequest) -> list[SendMessage]:
         return [SendMessage(server, message) for server in self.limits.servers]
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -6,6 +6,7 @@
 import threading
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import structlog
 
@@ -17,7 +18,7 @@
     LeaseLost,
     ValueStored,
 )
-from saffronstack.fleet.leases.errors import LeaseAlreadyWantedError
+from saffronstack.fleet.leases.errors import LeaseAlreadyRequestedError
 from saffronstack.fleet.leases.limits import LeaseFleet, LeaseLimits
 from saffronstack.fleet.leases.messages import CatchUpRequest, CatchUpResponse, Message, SendMessage, SetTimer
 from saffronstack.fleet.leases.server_link import LeaseServerLink
@@ -58,7 +59,7 @@
         self._client.release(self)
 
 
-class _WantedLease:
+class _RequestedLease:
     """One lease that this process waits for or holds."""
 
     def __init__(self, candidate: Candidate, on_lost: Callable[[str], None] | None) -> None:
@@ -69,6 +70,15 @@
         self.has_ended = False
 
 
+@dataclass(frozen=True, slots=True, order=True)
+class _Timer:
+    """When to tick a lease's candidate; timers of one deadline are ordered by their serial number."""
+
+    deadline_s: float
+    serial: int
+    lease: str
+
+
 class LeaseClient:
     """The leases of one process on the fleet's lease servers; a `store.LeaseStore`.
 
@@ -96,8 +106,8 @@
         self._process, self._limits, self._lease_s, self._seed = process, fleet.limits, lease_s, seed
         self._clock = clock
         self._lock = threading.Condition()
-        self._wanted: dict[str, _WantedLease] = {}
-        self._timers: list[tuple[float, int, str]] = []  # a heap of time, serial number and lease
+        self._requested: dict[str, _RequestedLease] = {}
+        self._timers: list[_Timer] = []  # a heap
         self._serial = 0
         self._lost_callbacks: list[tuple[Callable[[str], None], str]] = []
         self._is_stopping = False
@@ -119,18 +129,18 @@
         """Acquire a lease, see `store.LeaseStore`.
 
         Raises:
-            LeaseAlreadyWantedError: This process waits for the lease or holds it already."""
+            LeaseAlreadyRequestedError: This process waits for the lease or holds it already."""
         with self._lock:
             if self._is_stopping:
                 return None
-            if lease in self._wanted:
-                raise LeaseAlreadyWantedError(f"lease {lease!r} is wanted by this process already")
-            wanted = self._wanted[lease] = _WantedLease(self._new_candidate(lease), on_lost)
-            self._apply(lease, wanted.candidate.acquire(self._clock()))
-            self._lock.wait_for(lambda: wanted.held is not None or self._is_stopping, wait_s)
-            if wanted.held is None:
+            if lease in self._requested:
+                raise LeaseAlreadyRequestedError(f"lease {lease!r} is wanted by this process already")
+            requested = self._requested[lease] = _RequestedLease(self._new_candidate(lease), on_lost)
+            self._apply(lease, requested.candidate.acquire(self._clock()))
+            self._lock.wait_for(lambda: requested.held is not None or self._is_stopping, wait_s)
+            if requested.held is None:
                 self._drop(lease)
-            return wanted.held
+            return requested.held
 
     def _new_candidate(self, lease: str) -> Candidate:
         """Each candidate has a name of its own, so that its ballots are its own."""
@@ -141,25 +151,26 @@
     def remaining_s(self, held: _ClientLease) -> float:
         """Return for how many seconds a lease is held; 0 where it is not."""
         with self._lock:
-            wanted = self._wanted.get(held.lease)
-            if wanted is None or wanted.held is not held:
+            requested = self._requested.get(held.lease)
+            if requested is None or requested.held is not held:
                 return 0.0
             now = self._clock()
-            return wanted.candidate.expires_s - now if wanted.candidate.is_holder(now) else 0.0
+            return requested.candidate.expires_s - now if requested.candidate.is_holder(now) else 0.0
 
     def put(self, held: _ClientLease, content: bytes, wait_s: float) -> bool:
         """Store a lease's value, see `store.HeldLease`."""
         with self._lock:
-            wanted = self._wanted.get(held.lease)
+            requested = self._requested.get(held.lease)
             now = self._clock()
-            if wanted is None or wanted.held is not held or not wanted.candidate.is_holder(now):
+            if requested is None or requested.held is not held or not requested.candidate.is_holder(now):
                 return False
-            self._apply(held.lease, wanted.candidate.store_value(now, content))
-            version = wanted.candidate.value.version
+            self._apply(held.lease, requested.candidate.store_value(now, content))
+            version = requested.candidate.value.version
             self._lock.wait_for(
-                lambda: wanted.stored_version >= version or wanted.has_ended or self._is_stopping, wait_s
+                lambda: requested.stored_version >= version or requested.has_ended or self._is_stopping,
+                wait_s,
             )
-            if wanted.stored_version < version:
+            if requested.stored_version < version:
                 return False
             held.value = content
             return True
@@ -167,14 +178,14 @@
     def release(self, held: _ClientLease) -> None:
         """Release a lease, see `store.HeldLease`."""
         with self._lock:
-            wanted = self._wanted.get(held.lease)
-            if wanted is not None and wanted.held is held:
+            requested = self._requested.get(held.lease)
+            if requested is not None and requested.held is held:
                 self._drop(held.lease)
 
     def close(self) -> None:
         """Release all leases; waits at most `FLUSH_S` until the releases were sent."""
         with self._lock:
-            for lease in list(self._wanted):
+            for lease in list(self._requested):
                 self._drop(lease)
         deadline_s = time.monotonic() + FLUSH_S
         for link in self._links.values():
@@ -190,57 +201,57 @@
     def holder_of(self, lease: str) -> str:
         """Return the candidate that holds a lease that this process waits for, as the last response said."""
         with self._lock:
-            wanted = self._wanted.get(lease)
-            return wanted.candidate.holder if wanted is not None else ""
+            requested = self._requested.get(lease)
+            return requested.candidate.holder if requested is not None else ""
 
     # ---- actions of candidates; the lock is held
 
     def _drop(self, lease: str) -> None:
-        wanted = self._wanted.pop(lease)
-        wanted.has_ended = True
-        self._apply(lease, wanted.candidate.release(self._clock()))
+        requested = self._requested.pop(lease)
+        requested.has_ended = True
+        self._apply(lease, requested.candidate.release(self._clock()))
         self._lock.notify_all()
 
     def _apply(self, lease: str, actions: list[CandidateAction]) -> None:
-        wanted = self._wanted.get(lease)
+        requested = self._requested.get(lease)
         for action in actions:
             match action:
                 case SendMessage(receiver=server, message=message):
                     self._links[server].send(message)
                 case SetTimer(deadline_s=deadline_s):
                     self._serial += 1
-                    heapq.heappush(self._timers, (deadline_s, self._serial, lease))
+                    heapq.heappush(self._timers, _Timer(deadline_s, self._serial, lease))
                     self._lock.notify_all()
                 case _:
-                    if wanted is not None:
-                        self._report(lease, wanted, action)
+                    if requested is not None:
+                        self._report(lease, requested, action)
 
-    def _report(self, lease: str, wanted: _WantedLease, action: CandidateAction) -> None:
+    def _report(self, lease: str, requested: _RequestedLease, action: CandidateAction) -> None:
         """Hand what a candidate reports to whoever waits for it."""
         match action:
             case LeaseAcquired(token=token, value=value):
-                if wanted.held is None:
-                    wanted.held = _ClientLease(self, lease, token, value.content)
+                if requested.held is None:
+                    requested.held = _ClientLease(self, lease, token, value.content)
                     self._lock.notify_all()
             case ValueStored(value=value):
-                wanted.stored_version = max(wanted.stored_version, value.version)
+                requested.stored_version = max(requested.stored_version, value.version)
                 self._lock.notify_all()
             case LeaseLost():
-                self._lose(lease, wanted, action)
+                self._lose(lease, requested, action)
 
-    def _lose(self, lease: str, wanted: _WantedLease, lost: LeaseLost) -> None:
+    def _lose(self, lease: str, requested: _RequestedLease, lost: LeaseLost) -> None:
         """End a lease for its owner: what it acquires next is another lease with another token."""
-        if wanted.held is None or wanted.has_ended:
+        if requested.held is None or requested.has_ended:
             return
         log.warning("lease lost", lease=lease, token=lost.token, reason=lost.reason)
-        if self._wanted.get(lease) is wanted:
+        if self._requested.get(lease) is requested:
             self._drop(lease)
-        if wanted.on_lost is not None:
-            self._lost_callbacks.append((wanted.on_lost, lost.reason))
+        if requested.on_lost is not None:
+            self._lost_callbacks.append((requested.on_lost, lost.reason))
 
     def _update_polling(self) -> None:
         """Poll the servers while a candidate waits: they notify the first waiter of a release."""
-        is_waiting = any(wanted.candidate.is_waiting for wanted in self._wanted.values())
+        is_waiting = any(requested.candidate.is_waiting for requested in self._requested.values())
         for link in self._links.values():
             link.set_polling(is_waiting)
 
@@ -253,9 +264,9 @@
             for message in messages:
                 if isinstance(message, CatchUpRequest | CatchUpResponse):
                     continue  # between servers alone
-                wanted = self._wanted.get(message.lease)
-                if wanted is not None:
-                    self._apply(message.lease, wanted.candidate.handle(now, server, message))
+                requested = self._requested.get(message.lease)
+                if requested is not None:
+                    self._apply(message.lease, requested.candidate.handle(now, server, message))
             self._update_polling()
             self._lock.notify_all()
 
@@ -277,13 +288,13 @@
                     log.exception("lease lost callback failed")
 
     def _tick(self, now: float) -> None:
-        while self._timers and self._timers[0][0] <= now:
-            _, _, lease = heapq.heappop(self._timers)
-            wanted = self._wanted.get(lease)
-            if wanted is not None:
-                self._apply(lease, wanted.candidate.tick(now))
+        while self._timers and self._timers[0].deadline_s <= now:
+            lease = heapq.heappop(self._timers).lease
+            requested = self._requested.get(lease)
+            if requested is not None:
+                self._apply(lease, requested.candidate.tick(now))
 
     def _sleep_s(self, now: float) -> float:
         if not self._timers:
             return IDLE_S
-        return min(IDLE_S, max(MIN_SLEEP_S, self._timers[0][0] - now))
+        return min(IDLE_S, max(MIN_SLEEP_S, self._timers[0].deadline_s - now))
--- a/saffronstack/fleet/leases/errors.py
+++ b/saffronstack/fleet/leases/errors.py
@@ -19,7 +19,7 @@
     """A value was stored under a lease that the candidate does not hold."""
 
 
-class LeaseAlreadyWantedError(LeaseError, ValueError):
+class LeaseAlreadyRequestedError(LeaseError, ValueError):
     """This process waits for the lease or holds it already."""
 
 
--- a/saffronstack/fleet/leases/lease_table.py
+++ b/saffronstack/fleet/leases/lease_table.py
@@ -62,7 +62,7 @@
         self.incarnations = dict(state.incarnations)
         self.leases = {record.lease: LeaseEntry(record, expires_s) for record in state.records}
 
-    def has_room_for(self, lease: str) -> bool:
+    def has_capacity_for(self, lease: str) -> bool:
         """Return whether the lease is known or may be added."""
         return lease in self.leases or len(self.leases) < self.limits.max_leases
 
@@ -116,6 +116,6 @@
         )
 
 
-def value_order(value: LeaseValue) -> tuple[int, int]:
+def recency_key(value: LeaseValue) -> tuple[int, int]:
     """Return the key by which the newer of two values is the greater."""
     return value.token, value.version
--- /dev/null
+++ b/saffronstack/fleet/leases/mailboxes.py
@@ -0,0 +1,66 @@
+"""Notifications of a lease server for the processes that poll for them. Not thread-safe: the owner locks."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from saffronstack.fleet.leases.messages import Message, SendMessage
+
+MAX_MAILBOXES = 4096
+MAX_MESSAGES = 64  # older ones that wait for the same process
+EXPIRY_S = 2.0  # a process that polled so lately will poll again
+
+
+@dataclass(slots=True)
+class Mailbox:
+    """The notifications for one process."""
+
+    messages: list[Message] = field(default_factory=list)
+    pollers: int = 0
+    last_polled_s: float = 0.0
+
+    def take_messages(self) -> list[Message]:
+        """Remove and return all messages."""
+        messages, self.messages = self.messages, []
+        return messages
+
+    def end_poll(self, now: float) -> None:
+        """Note the end of a poll at ``now`` (local clock, seconds)."""
+        self.pollers -= 1
+        self.last_polled_s = now
+
+    def is_expired(self, now: float) -> bool:
+        """Return whether nobody will fetch the messages."""
+        return not self.pollers and now - self.last_polled_s > EXPIRY_S
+
+
+class Mailboxes:
+    """The mailboxes of all processes that poll, or did until just now."""
+
+    def __init__(self) -> None:
+        self._by_process: dict[str, Mailbox] = {}
+
+    def __contains__(self, process: str) -> bool:
+        return process in self._by_process
+
+    def open(self, process: str) -> Mailbox | None:
+        """Begin a poll of a process and return its mailbox; None where there are too many."""
+        mailbox = self._by_process.get(process)
+        if mailbox is None:
+            if len(self._by_process) >= MAX_MAILBOXES:
+                return None
+            mailbox = self._by_process[process] = Mailbox()
+        mailbox.pollers += 1
+        return mailbox
+
+    def put(self, notification: SendMessage, now: float) -> bool:
+        """Keep a notification for the receiver's process; return whether that has a mailbox."""
+        for expired in [process for process, box in self._by_process.items() if box.is_expired(now)]:
+            del self._by_process[expired]
+        # A process polls for all its candidates, which are named after it.
+        process = notification.receiver.rpartition(".")[0] or notification.receiver
+        mailbox = self._by_process.get(process)
+        if mailbox is None:
+            return False
+        mailbox.messages = [*mailbox.messages[-MAX_MESSAGES:], notification.message]
+        return True
--- a/saffronstack/fleet/leases/recovery.py
+++ b/saffronstack/fleet/leases/recovery.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from saffronstack.fleet.leases.lease_table import LeaseEntry, LeaseTable, value_order
+from saffronstack.fleet.leases.lease_table import LeaseEntry, LeaseTable, recency_key
 from saffronstack.fleet.leases.limits import LeaseLimits
 from saffronstack.fleet.leases.messages import (
     AcceptorAction,
@@ -76,10 +76,10 @@
             return []
         self._requested_s = now
         request = CatchUpRequest(self.table.server, self.nonce, self.table.incarnation)
-        requests = [SendMessage(server, request) for server in self._servers_to_ask()]
+        requests = [SendMessage(server, request) for server in self._servers_to_request()]
         return [*requests, SetTimer(now + RETRY_S)]
 
-    def _servers_to_ask(self) -> list[str]:
+    def _servers_to_request(self) -> list[str]:
         """A server that was in recovery itself, or was replaced since it answered, is asked again."""
         answered = {response.server for response in self._current_responses()}
         servers = self.table.limits.servers
@@ -229,7 +229,7 @@
         holder="",
         duration_s=max(record.duration_s for record in records),
         released_ballot=max(record.released_ballot for record in records),
-        value=max((record.value for record in records), key=value_order),
+        value=max((record.value for record in records), key=recency_key),
     )
     entry.expires_s = 0.0
 
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -123,7 +123,7 @@
         self._outbox: dict[tuple[str, str], Message] = {}
         self._is_stopping = False
         self._is_sending = False
-        self._is_poll_wanted = False
+        self._is_poll_enabled = False
         self._is_polling = False
         self._backoff_s = 0.0
         self.last_error = "not asked yet"  # of the last exchange; empty where it succeeded
@@ -152,13 +152,13 @@
                 self._outbox[key] = message
                 self._lock.notify_all()
 
-    def set_polling(self, wanted: bool) -> None:
+    def set_polling(self, enabled: bool) -> None:
         """Poll the server for notifications while a candidate of the process waits for a lease."""
         with self._lock:
-            if wanted == self._is_poll_wanted:
+            if enabled == self._is_poll_enabled:
                 return
-            self._is_poll_wanted = wanted
-            if not wanted or self._is_polling or self._is_stopping:
+            self._is_poll_enabled = enabled
+            if not enabled or self._is_polling or self._is_stopping:
                 return
             self._is_polling = True
         try:
@@ -170,7 +170,7 @@
     def _poll(self) -> None:
         while True:
             with self._lock:
-                if not self._is_poll_wanted or self._is_stopping:
+                if not self._is_poll_enabled or self._is_stopping:
                     self._is_polling = False
                     break
             try:
--- a/tests/test_lease_keepers.py
+++ b/tests/test_lease_keepers.py
@@ -46,7 +46,7 @@
 from tests.support.stack import configuration, eventually
 
 NAMES = ("k0", "k1", "k2")
-BOUNDS = LeaseLimits(NAMES, max_lease_s=0.6)
+LIMITS = LeaseLimits(NAMES, max_lease_s=0.6)
 STATE = AcceptorState(
     (AcceptorRecord("l", 7, "a", 7, "a", 5.0, 6, LeaseValue(7, 2, b"x")),), 41, (("k1", 9),)
 )
@@ -59,7 +59,7 @@
 # ---- disks
 
 
-def test_what_was_saved_is_read_back_and_an_empty_directory_is_lost_not_new(tmp_path: pathlib.Path) -> None:
+def test_a_saved_state_is_loaded_and_an_empty_directory_is_lost_not_new(tmp_path: pathlib.Path) -> None:
     assert disk(tmp_path / "none").load().disk_state is DiskState.LOST
     one = disk(tmp_path / "k")
     one.establish()
@@ -70,7 +70,7 @@
     assert disk(tmp_path / "k").load().state == STATE
 
 
-def test_each_flipped_bit_and_each_cut_of_one_copy_costs_nothing(tmp_path: pathlib.Path) -> None:
+def test_the_other_copy_survives_each_flipped_bit_and_each_truncation(tmp_path: pathlib.Path) -> None:
     one = disk(tmp_path)
     one.save(AcceptorState(last_write=40))
     one.save(STATE)
@@ -86,7 +86,7 @@
         (tmp_path / name).write_bytes(good)
 
 
-def test_both_copies_damaged_or_in_each_others_place_are_lost(tmp_path: pathlib.Path) -> None:
+def test_a_state_is_lost_with_both_copies_damaged_or_swapped(tmp_path: pathlib.Path) -> None:
     one = disk(tmp_path)
     one.save(STATE)
     first, second = ((tmp_path / name).read_bytes() for name in COPIES)
@@ -125,7 +125,7 @@
         super().sync_directory(directory)
 
 
-def test_a_save_cut_at_any_step_leaves_this_or_what_was(tmp_path: pathlib.Path) -> None:
+def test_a_save_interrupted_at_any_step_leaves_the_new_or_the_old_state(tmp_path: pathlib.Path) -> None:
     before = AcceptorState(last_write=40)
     seen = set()
     for steps in range(12):
@@ -144,7 +144,7 @@
     assert seen == {(False, 40), (False, 41), (True, 41)}
 
 
-def test_another_keepers_state_another_fleets_or_other_keepers_are_refused(tmp_path: pathlib.Path) -> None:
+def test_the_state_of_another_server_or_fleet_or_set_of_servers_is_rejected(tmp_path: pathlib.Path) -> None:
     disk(tmp_path).save(STATE)
     with pytest.raises(ForeignStateError, match="keeper 'k0', not of 'k1'"):
         disk(tmp_path, keeper="k1").load()
@@ -178,7 +178,7 @@
 def voting(tmp_path: pathlib.Path, gate: Gate) -> AcceptorService:
     one = disk(tmp_path, gate)
     one.save(AcceptorState(last_write=3))
-    service = AcceptorService("k0", BOUNDS, one, 5, time.monotonic, lambda to, message: None)
+    service = AcceptorService("k0", LIMITS, one, 5, time.monotonic, lambda to, message: None)
     service.start()
 
     def votes() -> bool:
@@ -191,7 +191,7 @@
     return service
 
 
-def test_a_stalled_disk_makes_a_keeper_silent_and_nothing_leaves_before_it_is_saved(
+def test_a_server_with_a_stalled_disk_is_silent_and_answers_only_what_is_persisted(
     tmp_path: pathlib.Path,
 ) -> None:
     gate = Gate()
@@ -210,7 +210,7 @@
     service.stop()
 
 
-def test_a_full_disk_makes_a_keeper_silent_until_there_is_room(tmp_path: pathlib.Path) -> None:
+def test_a_server_with_a_full_disk_is_silent_until_there_is_space(tmp_path: pathlib.Path) -> None:
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.full = True
@@ -237,7 +237,7 @@
         super().sync(descriptor)
 
 
-def test_a_stop_ends_the_save_under_way_before_it_returns(tmp_path: pathlib.Path) -> None:
+def test_stop_waits_for_the_write_in_progress(tmp_path: pathlib.Path) -> None:
     """Else the copies change under the keeper that is started next on this directory."""
     gate = Held()
     service = voting(tmp_path, gate)
@@ -252,7 +252,7 @@
     assert first <= second, "the second copy was not written when the stop returned"
 
 
-def test_a_stop_leaves_a_disk_that_hangs_to_itself_within_its_bound(tmp_path: pathlib.Path) -> None:
+def test_stop_leaves_a_stalled_disk_alone_after_its_timeout(tmp_path: pathlib.Path) -> None:
     gate = Gate()
     service = voting(tmp_path, gate)
     gate.open_.clear()
@@ -321,7 +321,7 @@
         made.stop()
 
 
-def test_one_holds_renews_stores_a_value_and_a_release_hands_over_at_once(tmp_path: pathlib.Path) -> None:
+def test_a_holder_stores_a_value_and_its_release_notifies_the_first_waiter(tmp_path: pathlib.Path) -> None:
     with keepers(tmp_path, lease_s=30.0) as fleet:
         first, second = fleet.client("p1"), fleet.client("p2")
         held = first.acquire("task/usage", 10.0)
@@ -331,7 +331,7 @@
         got: list[object] = []
         waiter = spawn("waiter", lambda: got.append(second.acquire("task/usage", 20.0)))
         eventually(lambda: second.holder_of("task/usage").startswith("p1."))
-        eventually(lambda: bool(fleet.nodes["k0"].service._mailboxes))  # it listens for its turn
+        eventually(lambda: "p2" in fleet.nodes["k0"].service.mailboxes)  # it listens for its turn
         began_s = time.monotonic()
         held.release()
         waiter.join(20.0)
@@ -345,7 +345,7 @@
         second.close()
 
 
-def test_a_holder_is_told_when_no_majority_renews_and_gets_it_again_later(tmp_path: pathlib.Path) -> None:
+def test_a_holder_is_notified_of_a_lost_lease_and_acquires_it_again(tmp_path: pathlib.Path) -> None:
     with keepers(tmp_path) as fleet:
         client = fleet.client("p1")
         why: list[str] = []
@@ -364,7 +364,7 @@
         client.close()
 
 
-def test_a_dead_keeper_is_replaced_by_an_empty_one_of_its_name_without_losing_a_lease(
+def test_a_dead_server_is_replaced_by_an_empty_one_without_losing_a_lease(
     tmp_path: pathlib.Path,
 ) -> None:
     with keepers(tmp_path, lease_s=3.0) as fleet:
@@ -389,7 +389,7 @@
         client.close()
 
 
-def test_one_that_dies_before_it_learned_what_it_lost_finds_it_lost_again(tmp_path: pathlib.Path) -> None:
+def test_a_lost_state_is_still_lost_after_a_crash_during_recovery(tmp_path: pathlib.Path) -> None:
     """It has saved nothing: taken for one that never promised, it would vote beside the one it replaced."""
     with keepers(tmp_path) as fleet:
         for node in list(fleet.nodes.values()):
@@ -404,7 +404,7 @@
             fleet.nodes.pop("k2").stop()
 
 
-def test_pages_and_bad_requests_of_a_keeper(tmp_path: pathlib.Path) -> None:
+def test_pages_and_bad_requests_of_a_lease_server(tmp_path: pathlib.Path) -> None:
     with keepers(tmp_path) as fleet:
         client = Client(fleet.addresses["k0"], 5.0)
         ask = Envelope("f", "p", (PrepareRequest("l", "p", 1),))
@@ -430,7 +430,7 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=timeout, check=False)
 
 
-def test_a_command_runs_under_a_lease_and_ends_when_it_is_lost(tmp_path: pathlib.Path) -> None:
+def test_a_command_runs_under_a_lease_and_is_ended_when_that_is_lost(tmp_path: pathlib.Path) -> None:
     with keepers(tmp_path, lease_s=4.0) as fleet:
         path = fleet.file(lease_s=4.0, longest_s=4.0)
         show = 'echo "$SAFFRON_LEASE $SAFFRON_LEASE_TOKEN"; exit 7'
@@ -466,7 +466,7 @@
         assert mark.stat().st_size == size  # it ignored SIGTERM and was killed, with what it had started
 
 
-def test_a_signal_reaches_the_command_and_its_status_comes_back(tmp_path: pathlib.Path) -> None:
+def test_a_signal_is_forwarded_to_the_command_and_its_status_returned(tmp_path: pathlib.Path) -> None:
     with keepers(tmp_path, lease_s=2.0) as fleet:
         mark = tmp_path / "up"
         script = f"trap 'exit 9' TERM; touch {mark}; while :; do sleep 0.05; done"
@@ -479,7 +479,7 @@
         assert running.wait(10.0) == 9
 
 
-def test_a_keeper_process_starts_says_where_and_refuses_what_is_not_its_own(tmp_path: pathlib.Path) -> None:
+def test_a_lease_server_process_prints_its_address_and_rejects_foreign_state(tmp_path: pathlib.Path) -> None:
     held = [hold_port("127.0.0.1") for _ in NAMES]
     entries = [
         {"name": name, "address": f"127.0.0.1:{sock.getsockname()[1]}"}
@@ -532,7 +532,7 @@
         ({"fleet": "no name"}, "fleet"),
     ],
 )
-def test_a_file_that_can_not_be_kept_is_refused_with_place_and_reason(
+def test_an_invalid_fleet_file_is_rejected_with_place_and_reason(
     tmp_path: pathlib.Path, changes: dict[str, object], told: str
 ) -> None:
     path = tmp_path / "fleet.json5"
@@ -546,7 +546,7 @@
         assert checked.returncode == 1 and told in checked.stderr
 
 
-def test_gateways_keep_leases_and_run_tasks_beside_their_calls(tmp_path: pathlib.Path) -> None:
+def test_gateways_serve_leases_and_run_tasks_beside_their_calls(tmp_path: pathlib.Path) -> None:
     """Three gateways, each a keeper; one of them runs the fleet's sweep at a time."""
     standins = StandInFleet(2)
     held = [hold_port("127.0.0.1") for _ in NAMES]
