--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -26,17 +26,18 @@
 from saffronstack.cli.leases import lease_fleet_of
 from saffronstack.config.fleet import FleetFile, KeeperEntry
 from saffronstack.fleet.leases.client import LeaseClient
-from saffronstack.harness.leases.explorer import Budget, Explored, explore
+from saffronstack.harness.leases.model_checker import Exploration, explore
+from saffronstack.harness.leases.model_state import NO_FAULTS, FaultBudget
 from saffronstack.harness.leases.rig import LeaseRig, Report
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
-from saffronstack.harness.leases.simulation import World
+from saffronstack.harness.leases.simulation import Simulation
 from saffronstack.standin.worker import hold_port
 
 
 def one_seed(seed: int) -> tuple[int, list[str], int, float]:
     """A seed of the world: breaches, leases gained, seconds held."""
-    outcome = World(seed, keepers=(3, 5, 7)[seed % 3], candidates=3 + seed % 3).run(120.0)
-    return seed, outcome.breaches, outcome.gained, outcome.held_s
+    outcome = Simulation(seed, servers=(3, 5, 7)[seed % 3], candidates=3 + seed % 3).run(120.0)
+    return seed, outcome.breaches, outcome.acquired, outcome.held_s
 
 
 def seeds(count: int) -> int:
@@ -55,24 +56,23 @@
     return 1 if bad else 0
 
 
-NONE = Budget(portions=0, late=0, again=0, restarts=0, lies=0, halves=0, returns=0)
 BUDGETS = {
-    "all faults": Budget(),
-    "restarts and lies": replace(NONE, restarts=2, lies=1, halves=4),
-    "restart, portions": replace(NONE, portions=2, restarts=1, halves=3),
-    "late answers": replace(NONE, portions=1, late=2, halves=4),
-    "old requests": replace(NONE, portions=1, again=1, halves=3),
-    "given back, old requests": replace(NONE, again=1, halves=2, returns=2),
-    "lie, late": replace(NONE, late=1, restarts=1, lies=1, halves=3),
-    "portions": replace(NONE, portions=6, halves=3),
+    "all faults": FaultBudget(),
+    "restarts and lies": replace(NO_FAULTS, restarts=2, disk_faults=1, time_steps=4),
+    "restart, portions": replace(NO_FAULTS, partial_deliveries=2, restarts=1, time_steps=3),
+    "late answers": replace(NO_FAULTS, partial_deliveries=1, late_responses=2, time_steps=4),
+    "old requests": replace(NO_FAULTS, partial_deliveries=1, duplicates=1, time_steps=3),
+    "given back, old requests": replace(NO_FAULTS, duplicates=1, time_steps=2, releases=2),
+    "lie, late": replace(NO_FAULTS, late_responses=1, restarts=1, disk_faults=1, time_steps=3),
+    "portions": replace(NO_FAULTS, partial_deliveries=6, time_steps=3),
 }
 
 
-def one_budget(job: tuple[str, int, int]) -> tuple[str, Explored, float]:
+def one_budget(job: tuple[str, int, int]) -> tuple[str, Exploration, float]:
     """One exploration."""
     name, depth, most = job
     began_s = time.monotonic()
-    return name, explore(depth, BUDGETS[name], most=most), time.monotonic() - began_s
+    return name, explore(depth, BUDGETS[name], max_states=most), time.monotonic() - began_s
 
 
 def explored(depth: int, most: int) -> int:
@@ -81,8 +81,8 @@
     with multiprocessing.Pool() as pool:
         for name, found, took_s in pool.imap_unordered(one_budget, [(name, depth, most) for name in BUDGETS]):
             print(
-                f"{name}: every order to {found.whole} steps, {found.states} states, {took_s:.0f} s: "
-                f"{found.breach or 'no breach'}",
+                f"{name}: every order to {found.completed_depth} steps, {found.states} states, "
+                f"{took_s:.0f} s: {found.breach or 'no breach'}",
                 flush=True,
             )
             for line in found.trail:
--- /dev/null
+++ b/saffronstack/harness/leases/model_state.py
@@ -0,0 +1,322 @@
+"""A state of the model that `model_checker` explores: acceptors, candidates, disks and messages."""
+
+from __future__ import annotations
+
+import copy
+import random
+from collections.abc import Callable, Hashable
+from dataclasses import dataclass, replace
+from typing import Any
+
+from saffronstack.fleet.leases.acceptor import Acceptor
+from saffronstack.fleet.leases.candidate import Candidate, CandidateAction, LeaseAcquired
+from saffronstack.fleet.leases.limits import LeaseLimits
+from saffronstack.fleet.leases.messages import (
+    AcceptorAction,
+    AcceptorState,
+    AcceptRequest,
+    AcceptResponse,
+    DiskState,
+    Message,
+    PersistState,
+    PrepareRequest,
+    PrepareResponse,
+    ReleaseRequest,
+    SendMessage,
+)
+
+LEASE = "l"
+LEASE_S = 1.0
+TIME_STEP_S = 0.5
+DRIFT = 0.2  # wide, so that a slow and a fast clock differ after a few steps
+MAX_OLD_REQUESTS = 6
+MAX_STORED_STATES = 3
+
+Factory = Callable[..., Any]  # makes an acceptor or a candidate, or a broken variant of one
+
+
+@dataclass(frozen=True)
+class FaultBudget:
+    """How many faults of each kind a run may have."""
+
+    partial_deliveries: int = (
+        2  # a request that reaches less than a majority; to a majority or all is no fault
+    )
+    late_responses: int = 1
+    duplicates: int = 1
+    restarts: int = 1
+    disk_faults: int = 1  # of the restarts, with an older or a lost disk
+    time_steps: int = 4  # of half a lease each
+    releases: int = 1
+    replacements: int = 0  # servers replaced while paused that wake up: requests reach either machine
+
+    def less(self, **used: int) -> FaultBudget:
+        """Return the budget that remains after some faults."""
+        return replace(self, **{name: getattr(self, name) - count for name, count in used.items()})
+
+
+NO_FAULTS = FaultBudget(
+    partial_deliveries=0,
+    late_responses=0,
+    duplicates=0,
+    restarts=0,
+    disk_faults=0,
+    time_steps=0,
+    releases=0,
+    replacements=0,
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Letter:
+    """A message that is on its way, or may be delivered again."""
+
+    sender: str
+    receiver: str
+    message: Message
+
+
+class _FixedJitter(random.Random):
+    """Makes all backoffs equal: orders are what is explored."""
+
+    def random(self) -> float:
+        """Return the middle of the range."""
+        return 0.5
+
+
+@dataclass(eq=False)
+class ModelState:
+    """One state. Acceptors and candidates are shared between states and copied by whoever changes one."""
+
+    limits: LeaseLimits
+    acceptors: dict[str, Acceptor]
+    disks: dict[str, tuple[AcceptorState, ...]]  # the newest last
+    candidates: dict[str, Candidate]
+    requests: dict[tuple[str, str], Message]  # the newest of a candidate to a server, not yet delivered
+    late_responses: tuple[Letter, ...]
+    old_requests: tuple[Letter, ...]  # delivered or replaced by newer ones; may be delivered again
+    budget: FaultBudget
+    time_steps: int
+    token: int  # the greatest that was acquired
+    trail: tuple[str, ...]  # the steps that led here
+    replaced: dict[str, Acceptor]  # machines that were replaced while paused, and woke up
+
+    def copy(self) -> ModelState:
+        """Return a state to be changed by a step."""
+        return ModelState(
+            self.limits,
+            dict(self.acceptors),
+            dict(self.disks),
+            dict(self.candidates),
+            dict(self.requests),
+            self.late_responses,
+            self.old_requests,
+            self.budget,
+            self.time_steps,
+            self.token,
+            self.trail,
+            dict(self.replaced),
+        )
+
+    def own_acceptor(self, server: str, is_replaced: bool = False) -> Acceptor:
+        """Return a copy of an acceptor that belongs to this state alone."""
+        place = self.replaced if is_replaced else self.acceptors
+        acceptor = place[server] = copy.copy(place[server])
+        table = acceptor.table = copy.copy(acceptor.table)
+        table.leases = {lease: replace(entry, waiters={}) for lease, entry in table.leases.items()}
+        table.observed_writes, table.incarnations = dict(table.observed_writes), dict(table.incarnations)
+        recovery = acceptor.recovery = copy.copy(acceptor.recovery)
+        recovery.table, recovery.responses = table, dict(recovery.responses)
+        return acceptor
+
+    def own_candidate(self, name: str) -> Candidate:
+        """Return a copy of a candidate that belongs to this state alone."""
+        candidate = self.candidates[name] = copy.copy(self.candidates[name])
+        candidate._approvals, candidate._rejections = dict(candidate._approvals), dict(candidate._rejections)
+        candidate._incarnations = dict(candidate._incarnations)
+        return candidate
+
+    # Clocks: servers run fast, candidates slow; by less than the limit between any two.
+
+    def server_now(self) -> float:
+        """Return the time of the servers' clocks."""
+        return self.time_steps * TIME_STEP_S * (1 + DRIFT / 2.1)
+
+    def candidate_now(self) -> float:
+        """Return the time of the candidates' clocks."""
+        return self.time_steps * TIME_STEP_S * (1 - DRIFT / 2.1)
+
+    # ---- what a step does
+
+    def apply(self, name: str, actions: list[CandidateAction]) -> str:
+        """Carry out the actions of a candidate; return the breach of the lease's rules, or nothing."""
+        for action in actions:
+            if isinstance(action, SendMessage):
+                key = name, action.receiver
+                if key in self.requests and self.budget.duplicates:
+                    self.keep_old(Letter(*key, self.requests[key]))
+                self.requests[key] = action.message
+            elif isinstance(action, LeaseAcquired):
+                if action.token <= self.token:
+                    return f"{name} acquired token {action.token} after {self.token}"
+                self.token = action.token
+        return self.find_breach()
+
+    def keep_old(self, letter: Letter) -> None:
+        """Keep a request that may be delivered again."""
+        self.old_requests = (*self.old_requests, letter)[-MAX_OLD_REQUESTS:]
+
+    def find_breach(self) -> str:
+        """Return the breach where two candidates hold the lease, or one under an older token."""
+        now = self.candidate_now()
+        holders = [name for name, candidate in self.candidates.items() if candidate.is_holder(now)]
+        if len(holders) > 1:
+            return f"{' and '.join(holders)} hold at once"
+        for name in holders:
+            if self.candidates[name].token < self.token:
+                return f"{name} holds under token {self.candidates[name].token} after {self.token}"
+        return ""
+
+    def deliver(self, letter: Letter, is_replaced: bool = False) -> list[AcceptorAction]:
+        """Deliver a message to a server, or to the machine that it replaced; what that persists is stored."""
+        acceptor = self.own_acceptor(letter.receiver, is_replaced)
+        actions = acceptor.handle(self.server_now(), letter.sender, letter.message)
+        if not is_replaced:
+            self.store(letter.receiver, actions)
+        return actions
+
+    def store(self, server: str, actions: list[AcceptorAction]) -> None:
+        """Store the states that a server persists."""
+        for action in actions:
+            if isinstance(action, PersistState):
+                self.disks[server] = (*self.disks[server], action.state)[-MAX_STORED_STATES:]
+
+    # ---- identity
+
+    def key(self) -> int:
+        """Return a hash that is equal for states that differ in their trails or servers' names alone."""
+        views = {server: self._view_of(server) for server in self.acceptors}
+        order = sorted(views, key=lambda server: hash(views[server]))
+        place = {server: number for number, server in enumerate(order)}
+        references = repr([self._references_of(server, place) for server in order])
+        candidates = tuple(
+            (
+                candidate.state,
+                candidate.token,
+                candidate.expires_s,
+                candidate._ballot,
+                candidate._highest_ballot,
+                candidate._sequence,
+                candidate._backoff_s,
+                candidate._round_started_s,
+                candidate._deadline_s,
+            )
+            for candidate in self.candidates.values()
+        )
+        ordered = tuple(views[server] for server in order)
+        return hash((ordered, references, candidates, self.budget, self.time_steps, self.token))
+
+    def _references_of(self, server: str, place: dict[str, int]) -> Hashable:
+        """Return what a server and its messages say of other servers, by their places in the order."""
+        acceptor = self.acceptors[server]
+        observed = sorted((place[other], write) for other, write in acceptor.table.observed_writes.items())
+        responses = sorted(
+            (place[other], response.observed_write, response.is_recovered, response.observed_incarnation)
+            for other, response in acceptor.recovery.responses.items()
+        )
+        requests = [self.requests.get((name, server)) for name in self.candidates]
+        reported = [
+            sorted((place[other], write) for other, write in request.observed_writes)
+            if isinstance(request, AcceptRequest)
+            else []
+            for request in requests
+        ]
+        incarnations = [
+            sorted((place[other], number) for other, number in acceptor.table.incarnations.items())
+        ]
+        for candidate in self.candidates.values():
+            response = candidate._approvals.get(server) or candidate._rejections.get(server)
+            known = response.incarnations if response else ()
+            incarnations.append(sorted((place[other], number) for other, number in known))
+            incarnations.append([(place[server], candidate._incarnations.get(server, 0))])
+        return tuple(map(repr, (observed, responses, reported, incarnations)))
+
+    def _view_of(self, server: str) -> Hashable:
+        """Return what concerns one server, without any server's name."""
+        table, recovery = self.acceptors[server].table, self.acceptors[server].recovery
+        links = tuple(
+            (
+                _without_servers(self.requests.get((name, server))),
+                _without_servers(candidate._approvals.get(server)),
+                _without_servers(candidate._rejections.get(server)),
+                _between(self.late_responses, server, name),
+                _between(self.old_requests, name, server),
+            )
+            for name, candidate in self.candidates.items()
+        )
+        return (
+            (recovery.disk_state, recovery.has_recovered, recovery.votes_from_s),
+            (table.last_write, table.incarnation),
+            tuple((entry.record, entry.expires_s) for entry in table.leases.values()),
+            tuple((state.last_write, state.records) for state in self.disks[server]),
+            links,
+            self._view_of_replaced(server),
+        )
+
+    def _view_of_replaced(self, server: str) -> Hashable:
+        acceptor = self.replaced.get(server)
+        if acceptor is None:
+            return ()
+        entries = ((entry.record, entry.expires_s) for entry in acceptor.table.leases.values())
+        return acceptor.recovery.disk_state, acceptor.recovery.has_recovered, *entries
+
+
+def _between(letters: tuple[Letter, ...], sender: str, receiver: str) -> Hashable:
+    return tuple(
+        _without_servers(letter.message)
+        for letter in letters
+        if (letter.sender, letter.receiver) == (sender, receiver)
+    )
+
+
+def _without_servers(message: Message | None) -> Hashable:
+    """Return a message without the names of servers, which its place tells."""
+    match message:
+        case PrepareResponse():
+            grant = message.remaining_s, message.value, message.last_write
+            return message.ballot, message.is_promised, message.highest_ballot, message.incarnation, *grant
+        case AcceptResponse():
+            round_ = message.ballot, message.sequence, message.is_accepted, message.highest_ballot
+            return *round_, message.remaining_s, message.incarnation
+        case AcceptRequest():
+            return message.ballot, message.sequence, message.value
+        case PrepareRequest() | ReleaseRequest():
+            return type(message).__name__, message.ballot
+        case _:
+            return None
+
+
+def initial_state(budget: FaultBudget, make_acceptor: Factory, make_candidate: Factory) -> ModelState:
+    """Return the state of three new servers, and two candidates that have not begun."""
+    limits = LeaseLimits(("k0", "k1", "k2"), max_lease_s=LEASE_S, max_clock_drift=DRIFT)
+    state = ModelState(
+        limits,
+        acceptors={
+            server: make_acceptor(server, limits, DiskState.NEW, AcceptorState(), 0.0, 0)
+            for server in limits.servers
+        },
+        disks=dict.fromkeys(limits.servers, (AcceptorState(),)),
+        candidates={},
+        requests={},
+        late_responses=(),
+        old_requests=(),
+        budget=budget,
+        time_steps=0,
+        token=0,
+        trail=(),
+        replaced={},
+    )
+    for name in ("a", "b"):
+        candidate = state.candidates[name] = make_candidate(name, LEASE, LEASE_S, limits, 1)
+        candidate._random = _FixedJitter()
+    return state
--- /dev/null
+++ b/saffronstack/harness/leases/simulated_fleet.py
@@ -0,0 +1,272 @@
+"""Acceptors, candidates and a resource in virtual time, on links that lose, delay and duplicate messages."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from itertools import count
+
+from saffronstack.fleet.leases.acceptor import Acceptor
+from saffronstack.fleet.leases.candidate import Candidate, CandidateAction, LeaseAcquired, LeaseLost
+from saffronstack.fleet.leases.limits import LeaseLimits
+from saffronstack.fleet.leases.messages import (
+    AcceptorAction,
+    AcceptorState,
+    DiskState,
+    Message,
+    PersistState,
+    SendMessage,
+    SetTimer,
+)
+
+LEASE = "task/usage"
+ACT_INTERVAL_S = 0.1
+MAX_BREACHES = 10
+MAX_STORED_STATES = 20
+LOST_HOLDER_EXIT_CHANCE = 0.1  # a process that lost its lease ends
+SLOW_ACT_CHANCE = 0.05
+ACT_DELAY_S = 0.02
+SLOW_ACT_DELAY_S = 6.0
+
+AcceptorFactory = Callable[[str, LeaseLimits, DiskState, AcceptorState, float, int], Acceptor]
+CandidateFactory = Callable[[str, str, float, LeaseLimits, int], Candidate]
+
+
+@dataclass(frozen=True)
+class FaultRates:
+    """What goes wrong, as probabilities; times in seconds of the simulation."""
+
+    loss: float = 0.1
+    duplication: float = 0.05
+    delay: float = 0.05  # a message takes up to ``delay_s``
+    delay_s: float = 8.0
+    latency_s: float = 0.01
+    process_fault_interval_s: float = 1.5  # the mean time between faults of processes
+    down_s: float = 2.0
+    rolled_back_disk: float = 0.15  # of the restarts
+    lost_disk: float = 0.15  # of the restarts
+    pause_s: float = 4.0  # a candidate is stopped for up to this long
+    partition_s: float = 3.0  # a server is cut off, one way or both
+    replacement: float = 0.1  # of the restarts: another machine replaces one that was only paused
+    replaced_awake_s: float = 30.0  # which is awake for up to this long, and reached by half of the others
+    one_disk_at_a_time: bool = True  # no second disk fails before the first server has recovered
+
+
+@dataclass
+class SimulationResult:
+    """What the judge found."""
+
+    seed: int
+    breaches: list[str] = field(default_factory=list)
+    acquired: int = 0
+    held_s: float = 0.0
+    acts: int = 0
+    rejected: int = 0  # acts under an older token, rejected by the resource
+
+    def add_breach(self, now: float, text: str) -> None:
+        """Note a breach of the lease's rules, up to a bound."""
+        if len(self.breaches) < MAX_BREACHES:
+            self.breaches.append(f"{now:.3f} s: {text}")
+
+
+class EventQueue:
+    """Virtual time: events in the order of their times."""
+
+    def __init__(self) -> None:
+        self.now = 0.0
+        self._serial = count()
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+
+    def schedule(self, after_s: float, event: Callable[[], None]) -> None:
+        """Run an event after some seconds of virtual time."""
+        heapq.heappush(self._events, (self.now + after_s, next(self._serial), event))
+
+    def run_next(self, until_s: float) -> bool:
+        """Run the next event; return False where there is none before ``until_s``."""
+        if not self._events or self._events[0][0] >= until_s:
+            return False
+        self.now, _, event = heapq.heappop(self._events)
+        event()
+        return True
+
+
+class Resource:
+    """What the lease protects: it rejects acts under an older token."""
+
+    def __init__(self, result: SimulationResult) -> None:
+        self._result = result
+        self._token = 0
+        self._owner = ""
+
+    def act(self, now: float, token: int, name: str) -> None:
+        """Accept or reject an act."""
+        if token < self._token:
+            self._result.rejected += 1
+            return
+        if token == self._token and name != self._owner:
+            self._result.add_breach(now, f"{name} and {self._owner} acted under one token, {token}")
+        self._token, self._owner = token, name
+        self._result.acts += 1
+
+
+class SimulatedFleet:
+    """Servers and candidates whose clocks run at rates of their own within the drift limit."""
+
+    def __init__(
+        self,
+        seed: int,
+        *,
+        servers: int = 3,
+        candidates: int = 3,
+        lease_s: float = 3.0,
+        faults: FaultRates | None = None,
+        make_acceptor: AcceptorFactory = Acceptor,
+        make_candidate: CandidateFactory = Candidate,
+    ) -> None:
+        """Set up new servers and candidates; all that follows is drawn from the seed."""
+        self.random = random.Random(seed)
+        self.faults = faults or FaultRates()
+        self.limits = LeaseLimits(tuple(f"k{number}" for number in range(servers)), max_lease_s=lease_s)
+        self.result = SimulationResult(seed)
+        self.make_acceptor, self._make_candidate = make_acceptor, make_candidate
+        self._lease_s = lease_s
+        self.events = EventQueue()
+        self._resource = Resource(self.result)
+        self._clock_rates = {name: self._draw_clock_rate() for name in self.limits.servers}
+        # What each server persisted, the newest last; with nothing, the disk is lost at each start.
+        self.disks: dict[str, list[AcceptorState]] = {name: [AcceptorState()] for name in self.limits.servers}
+        self.acceptors: dict[str, Acceptor | None] = {
+            name: make_acceptor(name, self.limits, DiskState.NEW, AcceptorState(), 0.0, 0)
+            for name in self.limits.servers
+        }
+        self.partitioned: set[tuple[str, str]] = set()  # sender and receiver
+        self.replaced: dict[str, Acceptor] = {}
+        self.unaware: set[tuple[str, str]] = set()  # who still reaches a server that was replaced
+        self.candidates: dict[str, Candidate] = {}
+        self.paused_until_s: dict[str, float] = {}
+        self._process_numbers = count()
+        self.acquired_by: dict[int, str] = {}  # the candidate of each token
+        for _ in range(candidates):
+            self._start_candidate()
+
+    @property
+    def now(self) -> float:
+        """Return the virtual time."""
+        return self.events.now
+
+    def _draw_clock_rate(self) -> float:
+        return 1 + self.limits.max_clock_drift * (self.random.random() - 0.5)
+
+    def clock(self, name: str) -> float:
+        """Return the time of a process's own clock."""
+        return self.now * self._clock_rates[name]
+
+    # ---- messages
+
+    def _send(self, sender: str, receiver: str, message: Message) -> None:
+        faults, chance = self.faults, self.random
+        if (sender, receiver) in self.partitioned or chance.random() < faults.loss:
+            return
+        for _ in range(1 + (chance.random() < faults.duplication)):
+            delay_s = faults.latency_s * chance.expovariate(1.0)
+            if chance.random() < faults.delay:
+                delay_s += chance.random() * faults.delay_s
+            self.events.schedule(delay_s, lambda: self._deliver(sender, receiver, message))
+
+    def _deliver(self, sender: str, receiver: str, message: Message) -> None:
+        if receiver in self.acceptors:
+            self._deliver_to_server(sender, receiver, message)
+        elif receiver in self.paused_until_s:  # it finds the message when it wakes
+            wait_s = self.paused_until_s[receiver] - self.now
+            self.events.schedule(wait_s, lambda: self._deliver(sender, receiver, message))
+        elif receiver in self.candidates:
+            candidate = self.candidates[receiver]
+            actions = candidate.handle(self.clock(receiver), sender, message)
+            self._apply_of_candidate(receiver, actions)
+
+    def _deliver_to_server(self, sender: str, server: str, message: Message) -> None:
+        replaced = self.replaced.get(server)
+        if replaced is not None and (sender, server) in self.unaware:
+            actions = replaced.handle(self.clock(server), sender, message)
+            self.apply(server, [action for action in actions if isinstance(action, SendMessage)])
+            return
+        acceptor = self.acceptors[server]
+        if acceptor is not None:
+            self.apply(server, acceptor.handle(self.clock(server), sender, message))
+
+    def apply(self, server: str, actions: list[AcceptorAction]) -> None:
+        """Carry out the actions of an acceptor."""
+        for action in actions:
+            match action:
+                case PersistState():
+                    self.disks[server].append(action.state)
+                    del self.disks[server][:-MAX_STORED_STATES]
+                case SendMessage():
+                    self._send(server, action.receiver, action.message)
+                case SetTimer():
+                    self._set_timer(server, action)
+
+    def _apply_of_candidate(self, name: str, actions: list[CandidateAction]) -> None:
+        for action in actions:
+            match action:
+                case SendMessage():
+                    self._send(name, action.receiver, action.message)
+                case SetTimer():
+                    self._set_timer(name, action)
+                case LeaseAcquired():
+                    self._note_acquired(name, action.token)
+                case LeaseLost():
+                    if self.random.random() < LOST_HOLDER_EXIT_CHANCE:
+                        self.events.schedule(0.0, lambda: self.replace_candidate(name))
+
+    def _note_acquired(self, name: str, token: int) -> None:
+        self.result.acquired += 1
+        owner = self.acquired_by.setdefault(token, name)
+        newest = max(self.acquired_by)
+        if owner != name or token < newest:
+            self.result.add_breach(self.now, f"{name} acquired token {token}, after {newest}")
+
+    def _set_timer(self, name: str, timer: SetTimer) -> None:
+        after_s = max(0.0, timer.deadline_s / self._clock_rates[name] - self.now) + 1e-6
+        self.events.schedule(after_s, lambda: self.tick(name))
+
+    def tick(self, name: str) -> None:
+        """Fire the timer of a process; a paused one handles it when it wakes."""
+        acceptor = self.acceptors.get(name)
+        if acceptor is not None:
+            self.apply(name, acceptor.tick(self.clock(name)))
+        elif name in self.paused_until_s:
+            self.events.schedule(self.paused_until_s[name] - self.now, lambda: self.tick(name))
+        elif name in self.candidates:
+            self._apply_of_candidate(name, self.candidates[name].tick(self.clock(name)))
+
+    # ---- candidates and the resource
+
+    def _start_candidate(self) -> None:
+        name = f"c{next(self._process_numbers)}"
+        self._clock_rates[name] = self._draw_clock_rate()
+        seed = self.random.randrange(2**31)
+        candidate = self._make_candidate(name, LEASE, self._lease_s, self.limits, seed)
+        self.candidates[name] = candidate
+        self._apply_of_candidate(name, candidate.acquire(self.clock(name)))
+
+    def replace_candidate(self, name: str) -> None:
+        """End a candidate, and start another."""
+        if self.candidates.pop(name, None) is not None:
+            self.paused_until_s.pop(name, None)
+            self._start_candidate()
+
+    def act(self) -> None:
+        """Let holders act on the resource; an act that was decided before a pause comes after it."""
+        for name, candidate in self.candidates.items():
+            if name not in self.paused_until_s and candidate.is_holder(self.clock(name)):
+                fraction = self.random.random()
+                delay_s = ACT_DELAY_S if self.random.random() < 1 - SLOW_ACT_CHANCE else SLOW_ACT_DELAY_S
+                self._schedule_act(fraction * delay_s, candidate.token, name)
+                self.result.held_s += ACT_INTERVAL_S
+        self.events.schedule(ACT_INTERVAL_S, self.act)
+
+    def _schedule_act(self, after_s: float, token: int, name: str) -> None:
+        self.events.schedule(after_s, lambda: self._resource.act(self.now, token, name))
