--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -22,17 +22,21 @@
 import tempfile
 import threading
 import time
+from collections import Counter
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 
 from saffronstack.fleet.rollout.canary_analysis import analyze
 from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
+from saffronstack.fleet.rollout.record import RolloutPhase
 from saffronstack.harness.links import Mode
 from saffronstack.harness.rollout.defects import Defect
 from saffronstack.harness.rollout.exploration import explore
-from saffronstack.harness.rollout.processes import RolloutRig, Sizes
+from saffronstack.harness.rollout.process_rig import RolloutRig
 from saffronstack.harness.rollout.random_walk import walk_randomly
-from saffronstack.harness.rollout.releases import HARMS
+from saffronstack.harness.rollout.rig_layout import RigSizes
+from saffronstack.harness.rollout.rollout_run import RolloutRun, RunOptions
+from saffronstack.harness.rollout.sample_releases import FAULTS
 from saffronstack.harness.rollout.simulated_world import InvariantError, WorldSize
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
@@ -41,9 +45,9 @@
 BAKE_S = 10.0
 
 
-def sizes(asked: argparse.Namespace) -> Sizes:
+def sizes(asked: argparse.Namespace) -> RigSizes:
     """Of the rig that was asked for."""
-    return Sizes(
+    return RigSizes(
         gateways=asked.gateways, daemons=asked.daemons, workers=asked.workers, rate=asked.rate,
         clients=max(48, int(asked.rate)), seed=asked.seed,
     )  # fmt: skip
@@ -58,7 +62,7 @@
     if unjudged:
         stages = [{"share": 1.0, "bake_s": 0.1}]
     most = max(2, len(rig.gateways) // 20)
-    return rig.plan(
+    return rig.write_plan(
         old, stages=stages, unavailable_most=most, calls_least=50, settle_s=0.1 if unjudged else 2.0
     )
 
@@ -68,14 +72,14 @@
     with tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name:
         began = time.monotonic()
         with RolloutRig(pathlib.Path(name), sizes(asked)) as rig:
-            old, new = rig.make("1"), rig.make("2")
+            old, new = rig.make_release("1"), rig.make_release("2")
             rig.deploy(old)
             print(f"{asked.gateways} gateways up after {time.monotonic() - began:.1f} s", flush=True)
-            outcome = rig.roll(old, new, plan(rig, old), most_s=900.0)
-    print("good:", outcome.line())
+            outcome = RolloutRun(rig, old, new, plan(rig, old), RunOptions(timeout_s=900.0)).play()
+    print("good:", outcome.summary())
     for breach in outcome.breaches[:10]:
         print("  ", breach)
-    return outcome.way == "done" and not outcome.breaches and outcome.harmed == 0
+    return outcome.phase is RolloutPhase.COMPLETED and not outcome.breaches and outcome.harmed_share == 0
 
 
 def harms(asked: argparse.Namespace) -> bool:
@@ -85,18 +89,17 @@
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
         RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
     ):
-        old = rig.make("1")
+        old = rig.make_release("1")
         rig.deploy(old)
-        for number, harm in enumerate(asked.only or HARMS):
-            rig.reached.clear()
-            rig.down_most = 0
-            new = rig.make(f"2.{number}", harm)
-            outcome = rig.roll(old, new, plan(rig, old, asked.unjudged), most_s=600.0)
-            print(f"{harm}: {outcome.line()}", flush=True)
+        for number, harm in enumerate(asked.only or FAULTS):
+            new = rig.make_release(f"2.{number}", harm)
+            options = RunOptions(timeout_s=600.0)
+            outcome = RolloutRun(rig, old, new, plan(rig, old, asked.unjudged), options).play()
+            print(f"{harm}: {outcome.summary()}", flush=True)
             for breach in outcome.breaches[:3]:
                 print("  ", breach)
-            fine = fine and (asked.unjudged or outcome.way == "returned")
-            if outcome.way != "returned":  # put the old one back for the next
+            fine = fine and (asked.unjudged or outcome.phase is RolloutPhase.ROLLED_BACK)
+            if outcome.phase is not RolloutPhase.ROLLED_BACK:  # put the old one back for the next
                 rig.deploy(old)
     return fine
 
@@ -141,7 +144,7 @@
         return kind, lambda: rig.kill(keeper), lambda: rig.start_keeper(keeper)
 
     def gateway() -> None:
-        states = rig.states()
+        states = rig.statuses()
         if states:
             os.kill(states[chance.choice(list(states))].pid, signal.SIGKILL)
 
@@ -151,20 +154,21 @@
 def faults(asked: argparse.Namespace) -> bool:
     """Changes back and forth while faults of a seed come one after the other."""
     chance = random.Random(asked.seed)
-    fine, ways = True, {"done": 0, "returned": 0, "held": 0}
+    fine = True
+    phases: Counter[str] = Counter()
     counted: dict[str, int] = {}
     with (
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
         RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
     ):
-        runs = rig.make("0")
+        runs = rig.make_release("0")
         rig.deploy(runs)
-        relayed = rig.behind_wires("leader")
+        relayed = rig.write_relayed_fleet_file("leader")
         until_s, number = time.monotonic() + asked.seconds, 0
         while time.monotonic() < until_s:
             number += 1
             harm = chance.choice(("", "", "", "does not start", "dies", "refuses"))
-            new = rig.make(str(number), harm)
+            new = rig.make_release(str(number), harm)
 
             def harass(rig: RolloutRig) -> None:
                 for _ in range(asked.each):
@@ -175,23 +179,23 @@
                     time.sleep(chance.uniform(0.2, 4.0))
                     end()
 
-            path = rig.plan(runs, on_doubt="back")
-            rig.reached.clear()
-            outcome = rig.roll(runs, new, path, harass, 240.0, 2, relayed, hold=True)
-            ways[outcome.way] = ways.get(outcome.way, 0) + 1
-            print(f"{number} ({harm or 'good'}): {outcome.line()}", flush=True)
+            path = rig.write_plan(runs, on_doubt="back")
+            options = RunOptions(harass, 240.0, 2, relayed, waits_on_hold=True)
+            outcome = RolloutRun(rig, runs, new, path, options).play()
+            phases[str(outcome.phase)] += 1
+            print(f"{number} ({harm or 'good'}): {outcome.summary()}", flush=True)
             for breach in outcome.breaches[:5]:
                 print("  ", breach)
-            wanted = {"done"} if outcome.way == "done" else {"returned"}
-            standing = {state.running_release for state in rig.states().values()}
-            fine = fine and outcome.way in wanted and not outcome.breaches and len(standing) == 1
-            fine = fine and (outcome.way == "returned" or not harm)
+            is_finished = outcome.phase in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK)
+            standing = {state.running_release for state in rig.statuses().values()}
+            fine = fine and is_finished and not outcome.breaches and len(standing) == 1
+            fine = fine and (outcome.phase is RolloutPhase.ROLLED_BACK or not harm)
             if len(standing) != 1 or not fine:
                 print("   stands:", standing)
                 break
-            if outcome.way == "done":
+            if outcome.phase is RolloutPhase.COMPLETED:
                 runs = new
-    print(f"faults: {counted}; {ways}")
+    print(f"faults: {counted}; {dict(phases)}")
     return fine
 
 
@@ -201,7 +205,7 @@
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
         RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
     ):
-        rig.deploy(rig.make("1"))
+        rig.deploy(rig.make_release("1"))
         clients = Clients(
             list(rig.gateways.values()), Mix(rate=asked.rate, deferred_share=0.0, clients=64), asked.seed,
             lambda at: asked.rate, lambda name: name, ("corner-books", "campus-app"), "reload",
@@ -210,7 +214,7 @@
         traffic = spawn("traffic", lambda: clients.play(3600.0, over))
         statuses = []
         for gateway in rig.gateways:
-            ran = rig.run("fleet", "reload", "--fleet", str(rig.path), gateway, "--wait", "20")
+            ran = rig.run("fleet", "reload", "--fleet", str(rig.fleet_path), gateway, "--wait", "20")
             statuses.append(ran.returncode)
         over.set()
         traffic.join(10.0)
--- a/saffronstack/fleet/control/managed_gateway.py
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -126,7 +126,7 @@
                 self._carry_out(self._reconciler.on_ended(now_s, event.incarnation, event.reason))
                 log.info(
                     "gateway process ended", gateway=self.spec.name, incarnation=event.incarnation,
-                    error=event.reason,
+                    reason=event.reason,
                 )  # fmt: skip
 
     def reconcile_if_due(self) -> None:
--- /dev/null
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -0,0 +1,209 @@
+"""Daemons, lease keepers and leaders as processes, with the gateways that the daemons start.
+
+`rollout_run` plays a rollout on it under load."""
+
+from __future__ import annotations
+
+import pathlib
+import signal
+import subprocess
+import sys
+import time
+from typing import Any
+
+import msgspec
+
+from saffronstack.audit.traffic import Seen
+from saffronstack.fleet.control.daemon_answers import merge_answers
+from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayStatus
+from saffronstack.fleet.control.releases import read_release
+from saffronstack.fleet.control.status_poller import poll_daemons
+from saffronstack.fleet.leases.reading import read_leases
+from saffronstack.fleet.rollout.record import RolloutRecord, decode_record
+from saffronstack.harness.links import Mode, Wires
+from saffronstack.harness.rollout.fleet_watcher import FleetObservations
+from saffronstack.harness.rollout.rig_layout import RigLayout, RigSizes
+from saffronstack.harness.rollout.sample_releases import write_release
+from saffronstack.harness.scenario.processes import ScenarioError
+from saffronstack.runtime.threads import spawn
+from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.model import Profile
+
+SAFFRONSTACK = [sys.executable, "-m", "saffronstack.cli.main"]
+START_TIMEOUT_S = 60.0
+COMMAND_TIMEOUT_S = 60.0
+DEPLOY_TIMEOUT_S = 90.0
+END_MARGIN_S = 10.0  # over a gateway's drain
+MIN_WAIT_S = 0.1
+MEMORY_MB = 8192.0
+
+
+class RolloutRig:
+    """Use it as a context. Workers and clients are in this process, all else in processes of its own."""
+
+    def __init__(self, folder: pathlib.Path, sizes: RigSizes) -> None:
+        self.sizes = sizes
+        self.layout = RigLayout(folder, sizes)
+        self.worker_log: list[Seen] = []
+        profile = Profile(memory_mb=MEMORY_MB, cores=8, work_s=0.01, load_s=0.1, keep_alive_s=30.0, queue=256)
+        self._workers = StandInFleet(
+            sizes.workers, lambda number: profile, seed=sizes.seed,
+            log=lambda entry: self.worker_log.append(msgspec.convert(entry, Seen, strict=False)),
+        )  # fmt: skip
+        self.wires = Wires()
+        self.fleet_path = self.layout.write_fleet_file("fleet.json5", self.daemons)
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.observations = FleetObservations()
+
+    def __enter__(self) -> RolloutRig:
+        for name, address in self.gateways.items():
+            content = sample(self._workers.entries(), address, memory_mb=MEMORY_MB)
+            content["instances"] = self.sizes.gateways
+            self.layout.write_json(f"{name}.json5", content)
+        for name in self.keepers:
+            self.run("keeper", "establish", *self._keeper_options(name))
+            self.start_keeper(name)
+        for name in self.daemons:
+            self.start_daemon(name)
+        return self
+
+    def __exit__(self, *exc: object) -> None:
+        for name in self.daemons:  # SIGINT ends their gateways too
+            self.signal(name, signal.SIGCONT)
+            self.signal(name, signal.SIGINT)
+        deadline_s = time.monotonic() + self.sizes.drain_s + END_MARGIN_S
+        for name, process in self.processes.items():
+            if name not in self.daemons:
+                process.kill()
+            try:
+                process.wait(max(MIN_WAIT_S, deadline_s - time.monotonic()))
+            except subprocess.TimeoutExpired:
+                process.kill()
+                process.wait()
+        self._workers.stop()
+        self.wires.close()
+        self.layout.close()
+
+    @property
+    def keepers(self) -> dict[str, str]:
+        """Addresses of lease keepers by name."""
+        return self.layout.keepers
+
+    @property
+    def daemons(self) -> dict[str, str]:
+        """Addresses of daemons by name."""
+        return self.layout.daemons
+
+    @property
+    def gateways(self) -> dict[str, str]:
+        """Addresses of gateways by name."""
+        return self.layout.gateways
+
+    @property
+    def daemon_of(self) -> dict[str, str]:
+        """The daemon of each gateway."""
+        return self.layout.daemon_of
+
+    # ---- processes
+
+    def start(self, name: str, *arguments: str) -> None:
+        """Start a process of the program and wait for its first line.
+
+        Raises:
+            ScenarioError: It writes none in time.
+        """
+        with open(self.layout.log_path(name), "ab") as log_file:
+            process = subprocess.Popen(
+                [*SAFFRONSTACK, *arguments], stdout=subprocess.PIPE, stderr=log_file
+            )  # fmt: skip
+        self.processes[name] = process
+        assert process.stdout is not None
+        output = process.stdout
+        first_lines: list[bytes] = []
+        reader = spawn("first-line", lambda: first_lines.append(output.readline()))
+        reader.join(START_TIMEOUT_S)
+        if not first_lines or not first_lines[0]:
+            raise ScenarioError(f"{name} did not start; see {self.layout.log_path(name)}")
+        spawn("drain-output", lambda: [None for _ in output])
+
+    def start_keeper(self, name: str) -> None:
+        """Start a lease keeper, for the first time or again."""
+        self.start(name, "keeper", "run", *self._keeper_options(name))
+
+    def start_daemon(self, name: str) -> None:
+        """Start a daemon, for the first time or again."""
+        self.start(name, "fleet", "daemon", "--fleet", str(self.fleet_path), "--name", name, "--log", "json")
+
+    def lose_disk(self, name: str) -> None:
+        """Kill a daemon and remove its desired state."""
+        self.kill(name)
+        (self.layout.state_directory(name) / "wanted").unlink(missing_ok=True)
+
+    def signal(self, name: str, number: signal.Signals) -> None:
+        """Send a signal to a process that still runs."""
+        process = self.processes[name]
+        if process.poll() is None:
+            process.send_signal(number)
+
+    def kill(self, name: str) -> None:
+        """Kill a process (SIGKILL)."""
+        self.processes[name].kill()
+        self.processes[name].wait()
+
+    def run(self, *arguments: str, timeout_s: float = COMMAND_TIMEOUT_S) -> subprocess.CompletedProcess[str]:
+        """Run a command of the program to its end."""
+        command = [*SAFFRONSTACK, *arguments]
+        return subprocess.run(command, capture_output=True, text=True, timeout=timeout_s, check=False)
+
+    def _keeper_options(self, name: str) -> list[str]:
+        state = str(self.layout.state_directory(name))
+        return ["--fleet", str(self.fleet_path), "--name", name, "--state", state]
+
+    # ---- releases, plans and what is observed
+
+    def make_release(self, version: str, fault: str = "") -> str:
+        """Write a release, with a fault by name; return its directory."""
+        return write_release(self.layout.releases, version, fault)
+
+    def deploy(self, release: str) -> None:
+        """Start the first release on all gateways.
+
+        Raises:
+            ScenarioError: They do not come up.
+        """
+        options = ("--fleet", str(self.fleet_path), "--release", release, "--wait", "60")
+        ran = self.run("fleet", "start", *options, timeout_s=DEPLOY_TIMEOUT_S)
+        if ran.returncode:
+            raise ScenarioError(f"fleet start: {ran.stdout}{ran.stderr}")
+
+    def write_plan(self, base: str, **changed: Any) -> pathlib.Path:
+        """Write a plan file for a fleet that runs the release in ``base``."""
+        content: dict[str, Any] = {
+            "name": f"plan-{time.monotonic_ns()}", "base": read_release(base).release.digest,
+            "stages": [
+                {"count": 2, "bake_s": 4.0}, {"share": 0.5, "bake_s": 4.0}, {"share": 1.0, "bake_s": 2.0},
+            ],
+            "unavailable_most": 2, "calls_least": 20, "memory_least_mb": 1.5, "settle_s": 1.5,
+        }  # fmt: skip
+        return self.layout.write_json("plan.json5", content | changed)
+
+    def statuses(self) -> dict[str, GatewayStatus]:
+        """Poll all daemons for their gateways; those of unavailable daemons are missing."""
+        return merge_answers(poll_daemons(self.daemons, self.sizes.wait_s)).gateways
+
+    def record(self) -> RolloutRecord | None:
+        """Return the recorded rollout; None where it can't be read."""
+        shown = read_leases(self.keepers, self.sizes.wait_s).leases.get(LEADER_LEASE)
+        return decode_record(shown.value.content) if shown is not None else None
+
+    # ---- links between a leader and daemons
+
+    def cut(self, leader: str, daemon: str, mode: Mode) -> None:
+        """Hold, lose or pass what a leader and a daemon send each other."""
+        self.wires.set(self.wires.between({leader}, {daemon}), mode)
+        self.wires.set(self.wires.between({daemon}, {leader}), mode)
+
+    def write_relayed_fleet_file(self, leader: str) -> pathlib.Path:
+        """Write a fleet file by which a leader reaches daemons through relays."""
+        relayed = {name: self.wires.pair(leader, name, address) for name, address in self.daemons.items()}
+        return self.layout.write_fleet_file(f"fleet-{leader}.json5", relayed)
--- /dev/null
+++ b/saffronstack/harness/rollout/rig_layout.py
@@ -0,0 +1,105 @@
+"""The names, addresses and files of a rig of processes."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from saffronstack.standin.worker import hold_port
+
+FLEET = "rig"
+ZONES = ("east", "west", "south")
+KEEPERS = 3
+
+
+@dataclass(frozen=True)
+class RigSizes:
+    """How large a rig is.
+
+    Attributes:
+        gateways: Spread evenly over the daemons.
+        daemons: Each in one zone.
+        workers: Shared by all gateways.
+        rate: Calls a second over all gateways.
+        clients: Connections at most.
+        lease_s: The length of leases.
+        wait_s: How long processes wait for lease keepers and daemons.
+        drain_s: How long a gateway may answer the calls that it has accepted.
+        attempts: Of a client for one operation.
+        seed: Of the load and the workers.
+    """
+
+    gateways: int = 12
+    daemons: int = 4
+    workers: int = 6
+    rate: float = 120.0
+    clients: int = 48
+    lease_s: float = 3.0
+    wait_s: float = 1.0
+    drain_s: float = 8.0
+    attempts: int = 4
+    seed: int = 1
+
+
+class RigLayout:
+    """Holds a free port for each process; close it at the end."""
+
+    def __init__(self, folder: pathlib.Path, sizes: RigSizes) -> None:
+        self.folder, self.sizes = folder, sizes
+        self.releases = folder / "releases"
+        count = KEEPERS + sizes.daemons + sizes.gateways
+        self._ports = [hold_port("127.0.0.1") for _ in range(count)]
+        addresses = iter([f"127.0.0.1:{port.getsockname()[1]}" for port in self._ports])
+        self.keepers = {f"k{number}": next(addresses) for number in range(KEEPERS)}
+        self.daemons = {f"d{number}": next(addresses) for number in range(sizes.daemons)}
+        self.gateways = {f"g{number}": next(addresses) for number in range(sizes.gateways)}
+        self.daemon_of = {f"g{number}": f"d{number % sizes.daemons}" for number in range(sizes.gateways)}
+
+    def close(self) -> None:
+        """Release the ports."""
+        for port in self._ports:
+            port.close()
+
+    def state_directory(self, process: str) -> pathlib.Path:
+        """Return where a keeper or a daemon stores its state."""
+        return self.folder / f"state-{process}"
+
+    def log_path(self, process: str) -> pathlib.Path:
+        """Return where the output of a process goes."""
+        return self.folder / f"{process}.log"
+
+    def write_fleet_file(self, name: str, daemons: Mapping[str, str]) -> pathlib.Path:
+        """Write a fleet file in which daemons have these addresses."""
+        sizes = self.sizes
+        entries = [
+            self._daemon_entry(daemon, address, ZONES[number % len(ZONES)])
+            for number, (daemon, address) in enumerate(daemons.items())
+        ]
+        content = {
+            "fleet": FLEET, "lease_s": sizes.lease_s, "longest_s": 2 * sizes.lease_s, "wait_s": sizes.wait_s,
+            "keepers": [{"name": name, "address": address} for name, address in self.keepers.items()],
+            "daemons": entries,
+        }  # fmt: skip
+        return self.write_json(name, content)
+
+    def write_json(self, name: str, content: Mapping[str, Any]) -> pathlib.Path:
+        """Write a configuration file."""
+        path = self.folder / name
+        path.write_text(json.dumps(content, indent=1))
+        return path
+
+    def _daemon_entry(self, daemon: str, address: str, zone: str) -> dict[str, Any]:
+        gateways = [
+            {
+                "name": gateway, "listen": self.gateways[gateway], "zone": zone,
+                "config": str(self.folder / f"{gateway}.json5"), "drain_s": self.sizes.drain_s,
+            }
+            for gateway, owner in self.daemon_of.items() if owner == daemon
+        ]  # fmt: skip
+        return {
+            "name": daemon, "address": address, "releases": str(self.releases),
+            "state_directory": str(self.state_directory(daemon)), "gateways": gateways,
+        }  # fmt: skip
--- /dev/null
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -0,0 +1,211 @@
+"""Plays one rollout on a rig under load, and judges it from the clients' and the workers' sockets."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import subprocess
+import threading
+import time
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from saffronstack.audit.rules import judge
+from saffronstack.audit.traffic import Figures, FunctionRule, Traffic
+from saffronstack.fleet.control.releases import read_release
+from saffronstack.fleet.rollout.record import RolloutPhase
+from saffronstack.harness.rollout.fleet_watcher import FleetWatcher
+from saffronstack.harness.rollout.process_rig import SAFFRONSTACK, RolloutRig
+from saffronstack.harness.scenario.clients import Clients
+from saffronstack.harness.scenario.plan import Mix
+from saffronstack.runtime.threads import spawn
+
+NOT_STARTED = 2  # exit status of a plan that can't be started
+POLL_INTERVAL_S = 0.1
+MAX_PLAY_S = 3600.0
+FAULTS_JOIN_S = 30.0
+CLIENTS_END_S = 30.0
+TRAFFIC_JOIN_S = 60.0
+LEADER_END_S = 5.0
+SLACK_S = 0.5  # of the judge
+TENANTS = ("corner-books", "campus-app")
+RULES = {
+    "identify-copy": FunctionRule("safe"),
+    "suggest-price": FunctionRule("safe"),
+    "adjust-setting": FunctionRule("keyed", "all", 10.0),
+    "record-sale": FunctionRule("unsafe"),
+}
+
+
+def no_faults(rig: RolloutRig) -> None:
+    """Cause no faults."""
+
+
+@dataclass(frozen=True)
+class RunOptions:
+    """How a rollout is played.
+
+    Attributes:
+        faults: Runs on a thread beside it.
+        timeout_s: When the run ends, wherever the rollout is.
+        standby_leaders: Processes that stand by to lead.
+        fleet_path: The leaders' fleet file; the rig's own where it is None.
+        quiet_s: Of load before the rollout starts.
+        waits_on_hold: Whether the run goes on while the rollout is on hold, for an operator to end that.
+    """
+
+    faults: Callable[[RolloutRig], None] = no_faults
+    timeout_s: float = 180.0
+    standby_leaders: int = 0
+    fleet_path: pathlib.Path | None = None
+    quiet_s: float = 1.0
+    waits_on_hold: bool = False
+
+
+DEFAULT_OPTIONS = RunOptions()
+
+
+@dataclass
+class RolloutOutcome:
+    """What a rollout came to.
+
+    Attributes:
+        status: The exit status of the process that started it.
+        phase: Of the record; None where there is none.
+        elapsed_s: From the first load to the end.
+        reached: Gateways that ever ran the new release.
+        max_unavailable: Gateways that did not serve at one time.
+        operations: That clients wanted done.
+        harmed_share: Of the operations, those that no attempt served.
+        attempt_ends: How the clients' attempts ended.
+        breaches: Of the rules, and troubles of the run itself.
+        history: Of the record.
+    """
+
+    status: int
+    phase: RolloutPhase | None
+    elapsed_s: float
+    reached: int
+    max_unavailable: int
+    operations: int
+    harmed_share: float
+    attempt_ends: Counter[str] = field(default_factory=Counter)
+    breaches: list[str] = field(default_factory=list)
+    history: list[str] = field(default_factory=list)
+
+    def summary(self) -> str:
+        """Return a line for a person."""
+        return (
+            f"{self.phase} (status {self.status}) after {self.elapsed_s:.1f} s; "
+            f"{self.reached} gateways reached, {self.max_unavailable} down at once; "
+            f"{self.operations} operations, {self.harmed_share:.4f} harmed, "
+            f"attempts {dict(self.attempt_ends)}; breaches {len(self.breaches)}; {'; '.join(self.history)}"
+        )
+
+
+class RolloutRun:
+    """One rollout from the release in ``old`` to that in ``new``, both directories."""
+
+    def __init__(
+        self, rig: RolloutRig, old: str, new: str, plan: pathlib.Path, options: RunOptions = DEFAULT_OPTIONS
+    ) -> None:
+        self._rig, self._old, self._new, self._plan, self._options = rig, old, new, plan, options
+        self._name = str(json.loads(plan.read_text())["name"])
+        self._fleet_path = str(options.fleet_path or rig.fleet_path)
+        self._troubles: list[str] = []
+        sizes = rig.sizes
+        self._clients = Clients(
+            list(rig.gateways.values()),
+            Mix(rate=sizes.rate, deferred_share=0.0, tries=sizes.attempts, clients=sizes.clients),
+            sizes.seed, lambda at: sizes.rate, lambda name: name, TENANTS, self._name,
+        )  # fmt: skip
+        rig.observations.reset()
+        self._watcher = FleetWatcher(rig.observations, rig.statuses, read_release(new).release.digest)
+
+    def play(self) -> RolloutOutcome:
+        """Play it to its end, and judge it."""
+        started_s = time.monotonic()
+        is_over = threading.Event()
+        traffic = spawn("traffic", lambda: self._play_clients(is_over))
+        self._watcher.start()
+        for number in range(self._options.standby_leaders):
+            self._rig.start(f"leader-{number}", "rollout", "lead", "--fleet", self._fleet_path)
+        time.sleep(self._options.quiet_s)
+        leader = self._start_rollout()
+        faults = spawn("faults", self._cause_faults)
+        self._wait_for_end(leader)
+        faults.join(FAULTS_JOIN_S)
+        elapsed_s = time.monotonic() - started_s
+        is_over.set()
+        traffic.join(TRAFFIC_JOIN_S)
+        self._watcher.stop()
+        return self._judge(_end_process(leader), elapsed_s)
+
+    def _start_rollout(self) -> subprocess.Popen[bytes]:
+        command = [
+            *SAFFRONSTACK, "rollout", "start", str(self._plan), "--fleet", self._fleet_path,
+            "--from", self._old, "--to", self._new, "--log", "json",
+        ]  # fmt: skip
+        with open(self._rig.layout.log_path("rollout"), "ab") as log_file:
+            process = subprocess.Popen(command, stdout=log_file, stderr=log_file)
+        self._rig.processes["rollout"] = process
+        return process
+
+    def _cause_faults(self) -> None:
+        try:
+            self._options.faults(self._rig)
+        except Exception as error:
+            self._troubles.append(f"faults: {error!r}")
+
+    def _play_clients(self, is_over: threading.Event) -> None:
+        self._clients.play(MAX_PLAY_S, is_over)
+        if not self._clients.end(CLIENTS_END_S):
+            self._troubles.append("clients did not end")
+
+    def _wait_for_end(self, leader: subprocess.Popen[bytes]) -> None:
+        """Wait until the rollout has ended, nobody leads it, or time is up."""
+        deadline_s = time.monotonic() + self._options.timeout_s
+        while time.monotonic() < deadline_s and not self._has_ended():
+            has_exited = leader.poll() is not None
+            if has_exited and (not self._options.standby_leaders or leader.returncode == NOT_STARTED):
+                return
+            time.sleep(POLL_INTERVAL_S)
+
+    def _has_ended(self) -> bool:
+        record = self._rig.record()
+        if record is None or record.plan.name != self._name:
+            return False
+        is_on_hold = record.phase is RolloutPhase.ON_HOLD
+        return record.is_finished or (is_on_hold and not self._options.waits_on_hold)
+
+    def _judge(self, status: int, elapsed_s: float) -> RolloutOutcome:
+        record, attempts = self._rig.record(), self._clients.tries
+        observations = self._rig.observations
+        operations = {one.op for one in attempts}
+        served = {one.op for one in attempts if one.end in ("served", "accepted")}
+        traffic = Traffic(
+            RULES, tries=attempts, seen=list(self._rig.worker_log), stopped=list(observations.crashes)
+        )
+        breaches = judge(traffic, Figures(slack_s=SLACK_S, gateways=len(self._rig.gateways)))
+        return RolloutOutcome(
+            status=status,
+            phase=record.phase if record is not None else None,
+            elapsed_s=elapsed_s,
+            reached=len(observations.reached),
+            max_unavailable=observations.max_unavailable,
+            operations=len(operations),
+            harmed_share=1 - len(served) / max(1, len(operations)),
+            attempt_ends=Counter(one.end for one in attempts),
+            breaches=[f"rule {breach.rule}: {breach.text}" for breach in breaches] + self._troubles,
+            history=list(record.history) if record is not None else [],
+        )
+
+
+def _end_process(process: subprocess.Popen[bytes]) -> int:
+    """Return the exit status of a leader; one that leads on, or is stopped, is killed."""
+    try:
+        return process.wait(LEADER_END_S)
+    except subprocess.TimeoutExpired:
+        process.kill()
+        return process.wait()
--- a/saffronstack/harness/rollout/releases.py
+++ b/saffronstack/harness/rollout/sample_releases.py
@@ -1,4 +1,4 @@
-"""Release directories for the rig: good ones, and ones with one known harm."""
+"""Release directories for tests: good ones, and ones with one known fault."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 import pathlib
 from typing import Any
 
-PLAIN = ["{python}", "-m", "saffronstack.cli.main", "serve", "--log", "json"]
-# Each replaces or wraps one thing of the program and then runs it.
-HARMS = {
+SERVE_COMMAND = ["{python}", "-m", "saffronstack.cli.main", "serve", "--log", "json"]
+# By what a release does: code that replaces or wraps one thing of the program before it runs.
+FAULTS = {
     "does not start": "raise SystemExit('a release that does not start')",
     "dies when it begins": (
         "from saffronstack.gateway import Gateway\n"
@@ -19,39 +19,39 @@
     "fails one class": (
         "import random\n"
         "from saffronstack.invoke import errors\nfrom saffronstack.invoke.calling import Caller\n"
-        "whole = Caller.call\n"
+        "original = Caller.call\n"
         "def call(self, asked, there):\n"
         "    if asked.known.config.call_class == 'sale' and random.random() < 0.3:\n"
         "        raise errors.service('a fault of this release')\n"
-        "    return whole(self, asked, there)\n"
+        "    return original(self, asked, there)\n"
         "Caller.call = call"
     ),
     "refuses": (
         "import random\n"
         "from saffronstack.invoke import errors\nfrom saffronstack.invoke.calling import Caller\n"
-        "whole = Caller.call\n"
+        "original = Caller.call\n"
         "def call(self, asked, there):\n"
         "    if random.random() < 0.25:\n"
         "        raise errors.too_many('a fault of this release', 1.0)\n"
-        "    return whole(self, asked, there)\n"
+        "    return original(self, asked, there)\n"
         "Caller.call = call"
     ),
     "slower": (
         "import time\n"
         "from saffronstack.invoke.calling import Caller\n"
-        "whole = Caller.call\n"
+        "original = Caller.call\n"
         "def call(self, asked, there):\n"
-        "    answer = whole(self, asked, there)\n"
+        "    answer = original(self, asked, there)\n"
         "    time.sleep(0.05)\n"
         "    return answer\n"
         "Caller.call = call"
     ),
     "leaks": (
         "from saffronstack.invoke.calling import Caller\n"
-        "whole, kept = Caller.call, []\n"
+        "original, leaked = Caller.call, []\n"
         "def call(self, asked, there):\n"
-        "    kept.append(bytes(1) * 200_000)\n"
-        "    return whole(self, asked, there)\n"
+        "    leaked.append(bytes(1) * 200_000)\n"
+        "    return original(self, asked, there)\n"
         "Caller.call = call"
     ),
     "hangs on SIGTERM": (
@@ -63,13 +63,16 @@
 }
 
 
-def make(root: pathlib.Path, version: str, harm: str = "", formats: tuple[dict[str, Any], ...] = ()) -> str:
-    """A release directory under ``root``; its path."""
+def write_release(
+    root: pathlib.Path, version: str, fault: str = "", formats: tuple[dict[str, Any], ...] = ()
+) -> str:
+    """Write a release directory under ``root``, with a fault by name; return its path."""
     path = root / version
     path.mkdir(parents=True)
-    command = list(PLAIN)
-    if harm:
-        (path / "gateway.py").write_text(f"{HARMS[harm]}\nfrom saffronstack.cli.main import main\nmain()\n")
+    command = list(SERVE_COMMAND)
+    if fault:
+        program = f"{FAULTS[fault]}\nfrom saffronstack.cli.main import main\nmain()\n"
+        (path / "gateway.py").write_text(program)
         command[1:3] = ["{release}/gateway.py"]
     manifest = {"version": version, "command": command, "formats": list(formats)}
     (path / "release.json").write_text(json.dumps(manifest))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -30,7 +30,7 @@
 from saffronstack.fleet.leases.messages import Written
 from saffronstack.fleet.leases.reading import Reading, Shown, agree
 from saffronstack.fleet.leases.server import LeaseLine
-from saffronstack.harness.rollout import releases as made
+from saffronstack.harness.rollout.sample_releases import write_release
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import eventually
 
@@ -38,7 +38,7 @@
 
 
 def test_a_release_s_digest_covers_names_contents_and_what_may_run(tmp_path: pathlib.Path) -> None:
-    path = pathlib.Path(made.make(tmp_path, "1"))
+    path = pathlib.Path(write_release(tmp_path, "1"))
     first = read_release(str(path))
     assert first.command[0] != "{python}" and first.release.version == "1"
     (path / "more").write_text("x")
@@ -131,7 +131,7 @@
 
 def test_orders_count_by_token_number_and_life_and_outlive_the_daemon(tmp_path: pathlib.Path) -> None:
     root = tmp_path / "releases"
-    digest = read_release(made.make(root, "bad", "does not start")).release.digest
+    digest = read_release(write_release(root, "bad", "does not start")).release.digest
     with daemon(tmp_path) as one:
         eventually(lambda: ask(one, ControlRequest("f", 4, 1))[0] != 503)
         status, state = ask(one, ControlRequest("f", 5, 1))
@@ -185,8 +185,8 @@
     tmp_path: pathlib.Path,
 ) -> None:
     root = tmp_path / "releases"
-    old = read_release(made.make(root, "old", "does not start")).release.digest
-    new = read_release(made.make(root, "new", "does not start")).release.digest
+    old = read_release(write_release(root, "old", "does not start")).release.digest
+    new = read_release(write_release(root, "new", "does not start")).release.digest
     DesiredStateFile(str(tmp_path / "state"), "f", "d1").write(DesiredState("f", "d1", 3, {"g1": new}))
     with daemon(tmp_path, replacements=lambda reading: {new: old}) as one:
         eventually(lambda: ask(one, ControlRequest("f", 4, 1))[0] == 200)
