--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -25,8 +25,8 @@
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.control.status_poller import poll_daemons
-from saffronstack.fleet.leases.reading import Reading, read_leases
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.quorum_read import QuorumRead, read_leases
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.rollout.errors import RecordError
 from saffronstack.fleet.rollout.record import RolloutPhase, decode_record
 
@@ -106,7 +106,7 @@
             continue  # the wait is cut short so that the handler of a signal can run
 
 
-def rolled_back_releases(reading: Reading) -> dict[str, str]:
+def rolled_back_releases(reading: QuorumRead) -> dict[str, str]:
     """Return the release that a rollback takes back, with the one that replaces it."""
     shown = reading.leases.get(LEADER_LEASE)
     try:
@@ -118,7 +118,7 @@
     return {record.new_release.digest: record.old_release.digest}
 
 
-def run_as_leader(fleet: FleetFile, wait_s: float, run: Callable[[Held], int]) -> int:
+def run_as_leader(fleet: FleetFile, wait_s: float, run: Callable[[HeldLease], int]) -> int:
     """Run a function while holding the leader's lease, and return its exit status.
 
     Raises:
@@ -128,7 +128,7 @@
     try:
         held = client.acquire(LEADER_LEASE, wait_s)
         if held is None:
-            raise _not_granted(fleet, client.troubles(), wait_s)
+            raise _not_granted(fleet, client.link_errors(), wait_s)
         try:
             return run(held)
         finally:
@@ -147,10 +147,10 @@
     )
 
 
-def daemon_client(fleet: FleetFile, held: Held) -> DaemonClient:
+def daemon_client(fleet: FleetFile, held: HeldLease) -> DaemonClient:
     """Create a client of the fleet's daemons that sends under a lease."""
     addresses = {one.name: one.address for one in fleet.daemons}
-    return DaemonClient(fleet.fleet, addresses, held.token, lambda: held.left_s() > 0)
+    return DaemonClient(fleet.fleet, addresses, held.token, lambda: held.remaining_s() > 0)
 
 
 def command_gateways(
@@ -214,7 +214,7 @@
 
 
 def _command(
-    fleet: FleetFile, held: Held, names: Sequence[str], action: str, digest: str, options: CommandOptions
+    fleet: FleetFile, held: HeldLease, names: Sequence[str], action: str, digest: str, options: CommandOptions
 ) -> int:
     record = decode_record(held.value)
     if record is not None and not record.is_finished:
@@ -228,7 +228,7 @@
             name for name in names
             if not _has_reached(status.gateways.get(name), sent.targets.get(name))
         ]  # fmt: skip
-        if not late or time.monotonic() >= deadline_s or held.left_s() <= 0:
+        if not late or time.monotonic() >= deadline_s or held.remaining_s() <= 0:
             break
         time.sleep(POLL_INTERVAL_S)
     unavailable = status.unavailable | sent.rejected
--- a/saffronstack/cli/leading.py
+++ b/saffronstack/cli/leading.py
@@ -18,8 +18,8 @@
 from saffronstack.fleet.control.errors import UnusableReleaseError
 from saffronstack.fleet.control.messages import LEADER_LEASE
 from saffronstack.fleet.control.releases import read_release
-from saffronstack.fleet.leases.reading import read_leases
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.quorum_read import read_leases
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.rollout.leader import RolloutLeader
 from saffronstack.fleet.rollout.plan import Release, RolloutPlan
 from saffronstack.fleet.rollout.plan_validation import validate_plan
@@ -60,7 +60,12 @@
 
 
 def _start(
-    fleet: FleetFile, held: Held, plan: RolloutPlan, old: Release, new: Release, stopping: threading.Event
+    fleet: FleetFile,
+    held: HeldLease,
+    plan: RolloutPlan,
+    old: Release,
+    new: Release,
+    stopping: threading.Event,
 ) -> int:
     daemons = daemon_client(fleet, held)
     problems = _plan_problems(fleet, held, plan, old, new) + _fleet_problems(daemons, plan)
@@ -72,7 +77,9 @@
     return _lead(fleet, held, daemons, record, stopping)
 
 
-def _plan_problems(fleet: FleetFile, held: Held, plan: RolloutPlan, old: Release, new: Release) -> list[str]:
+def _plan_problems(
+    fleet: FleetFile, held: HeldLease, plan: RolloutPlan, old: Release, new: Release
+) -> list[str]:
     record = decode_record(held.value)
     running = [record.plan.name] if record is not None and not record.is_finished else []
     return validate_plan(plan, rollout_fleet(fleet).gateways, old, new, running)
@@ -89,7 +96,7 @@
 
 
 def _lead(
-    fleet: FleetFile, held: Held, daemons: DaemonClient, record: RolloutRecord, stopping: threading.Event
+    fleet: FleetFile, held: HeldLease, daemons: DaemonClient, record: RolloutRecord, stopping: threading.Event
 ) -> int:
     leader = RolloutLeader(
         rollout_fleet(fleet), daemons, held, lambda: read_leases(fleet.addresses(), fleet.wait_s),
@@ -140,7 +147,7 @@
     return 0
 
 
-def _lead_recorded(fleet: FleetFile, held: Held, stopping: threading.Event) -> None:
+def _lead_recorded(fleet: FleetFile, held: HeldLease, stopping: threading.Event) -> None:
     """Lead the rollout in the lease's value, and release the lease."""
     try:
         record = decode_record(held.value)
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -11,7 +11,7 @@
 from saffronstack.fleet.control.errors import UnusableReleaseError
 from saffronstack.fleet.control.messages import LEADER_LEASE, OPERATOR_REQUEST_LEASE
 from saffronstack.fleet.control.releases import read_release
-from saffronstack.fleet.leases.reading import read_leases
+from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.rollout.operator_requests import OperatorAction, OperatorRequest, encode_request
 from saffronstack.fleet.rollout.plan import FleetGateway, RolloutFleet, RolloutPlan
 from saffronstack.fleet.rollout.plan_validation import validate_plan
@@ -59,7 +59,7 @@
     try:
         held = client.acquire(OPERATOR_REQUEST_LEASE, STORE_TIMEOUT_S)
         if held is None:
-            raise CommandError(NO_MAJORITY, f"the request was not stored: {client.troubles()}")
+            raise CommandError(NO_MAJORITY, f"the request was not stored: {client.link_errors()}")
         request = OperatorRequest(rollout, action, held.token)
         is_stored = held.put(encode_request(request), STORE_TIMEOUT_S)
         held.release()
@@ -126,8 +126,8 @@
         RecordError: The record is of another version.
     """
     reading = read_leases(fleet.addresses(), fleet.wait_s)
-    if not reading.majority:
-        raise CommandError(NO_MAJORITY, f"no majority of keepers answers: {reading.troubles}")
+    if not reading.has_majority:
+        raise CommandError(NO_MAJORITY, f"no majority of keepers answers: {reading.errors}")
     shown = reading.leases.get(LEADER_LEASE)
     return decode_record(shown.value.content) if shown is not None else None
 
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -23,7 +23,7 @@
 from saffronstack.fleet.control.messages import LEADER_LEASE, ControlRequest, DaemonStatus, GatewayCommand
 from saffronstack.fleet.control.releases import find_release
 from saffronstack.fleet.http_server import HttpServer, problem
-from saffronstack.fleet.leases.reading import Reading
+from saffronstack.fleet.leases.quorum_read import QuorumRead
 from saffronstack.runtime.threads import spawn
 
 log = structlog.get_logger("saffronstack.daemon")
@@ -36,7 +36,7 @@
 Replacements = Mapping[str, str]
 
 
-def no_replacements(reading: Reading) -> Replacements:
+def no_replacements(reading: QuorumRead) -> Replacements:
     """Replace no release."""
     return {}
 
@@ -47,8 +47,8 @@
     def __init__(
         self,
         options: DaemonOptions,
-        read_leases: Callable[[], Reading],
-        replacements: Callable[[Reading], Replacements] = no_replacements,
+        read_leases: Callable[[], QuorumRead],
+        replacements: Callable[[QuorumRead], Replacements] = no_replacements,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         """Read the desired state and bind the addresses.
@@ -69,7 +69,9 @@
         stored = self._state_file.read()
         self._desired = stored or DesiredState(options.fleet, options.name)
         self._fence = CommandFence(secrets.randbits(62) + 1, self._desired.token, stored is None)
-        self._queue: queue.SimpleQueue[PendingRequest | ProcessEvent | Reading | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[PendingRequest | ProcessEvent | QuorumRead | None] = (
+            queue.SimpleQueue()
+        )
         self._has_started_gateways = False
         self._has_majority_reading = False
         self._stopping = threading.Event()
@@ -181,13 +183,13 @@
             except Exception:
                 log.exception("daemon step failed")
 
-    def _handle(self, item: PendingRequest | ProcessEvent | Reading | None) -> None:
+    def _handle(self, item: PendingRequest | ProcessEvent | QuorumRead | None) -> None:
         match item:
             case PendingRequest():
                 self._answer(item)
             case ProcessEvent():
                 self._gateways[item.gateway].handle(item)
-            case Reading():
+            case QuorumRead():
                 self._apply_reading(item)
             case None:
                 pass  # woken to stop, or to reconcile
@@ -231,15 +233,15 @@
         self._state_file.write(desired)
         self._desired = desired
 
-    def _apply_reading(self, reading: Reading) -> None:
+    def _apply_reading(self, reading: QuorumRead) -> None:
         """Start the desired releases by the first reading, and correct them by the first of a majority.
 
         The desired state on the disk may be older than a rollout that went back meanwhile, so a machine that
         comes back to one starts the old release; without lease keepers it starts what it ran before.
         """
-        if self._has_majority_reading or (self._has_started_gateways and not reading.majority):
+        if self._has_majority_reading or (self._has_started_gateways and not reading.has_majority):
             return
-        if reading.majority:
+        if reading.has_majority:
             self._recover_token(reading)
             self._replace_releases(self._replacements(reading))
             self._has_majority_reading = True
@@ -249,7 +251,7 @@
             if name in self._gateways:
                 self._gateways[name].set_desired(release)
 
-    def _recover_token(self, reading: Reading) -> None:
+    def _recover_token(self, reading: QuorumRead) -> None:
         if not self._fence.is_token_lost:
             return
         shown = reading.leases.get(LEADER_LEASE)
--- a/saffronstack/fleet/control/lease_observer.py
+++ b/saffronstack/fleet/control/lease_observer.py
@@ -5,7 +5,7 @@
 import threading
 from collections.abc import Callable
 
-from saffronstack.fleet.leases.reading import Reading
+from saffronstack.fleet.leases.quorum_read import QuorumRead
 from saffronstack.runtime.threads import spawn
 
 READ_INTERVAL_S = 1.0
@@ -14,7 +14,7 @@
 class LeaseObserver:
     """A thread that reports what the lease keepers show."""
 
-    def __init__(self, read: Callable[[], Reading], report: Callable[[Reading], None]) -> None:
+    def __init__(self, read: Callable[[], QuorumRead], report: Callable[[QuorumRead], None]) -> None:
         """``read`` is bounded; ``report`` gets each reading on the observer's thread."""
         self._read, self._report = read, report
         self._stopping = threading.Event()
--- /dev/null
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -0,0 +1,315 @@
+"""An acceptor with its disk and its clock: no answer leaves before the state behind it is persisted."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import structlog
+
+from saffronstack.fleet.leases.acceptor import Acceptor
+from saffronstack.fleet.leases.disk import AcceptorDisk
+from saffronstack.fleet.leases.limits import LeaseLimits
+from saffronstack.fleet.leases.messages import (
+    AcceptorAction,
+    AcceptorState,
+    CatchUpRequest,
+    CatchUpResponse,
+    Message,
+    PersistState,
+    SendMessage,
+    SetTimer,
+)
+from saffronstack.fleet.leases.reports import AcceptorStatus, LeaseReport
+from saffronstack.runtime.threads import spawn
+
+log = structlog.get_logger("saffronstack.keeper")
+SAVE_RETRY_S = 0.5
+IDLE_S = 1.0  # the longest sleep of a thread without work
+MIN_SLEEP_S = 0.01
+MAX_PENDING_ANSWERS = 1024  # requests that wait for the disk at one time
+MAX_MAILBOXES = 4096
+MAX_MAILBOX_MESSAGES = 64
+MAILBOX_EXPIRY_S = 2.0  # a process that polled so lately will poll again
+STOP_TIMEOUT_S = 2.0  # that a stop waits for a write in progress
+
+
+@dataclass(slots=True)
+class _Mailbox:
+    """Notifications for one process that polls for them."""
+
+    messages: list[Message] = field(default_factory=list)
+    pollers: int = 0
+    last_polled_s: float = 0.0
+
+    def is_expired(self, now: float) -> bool:
+        """Return whether nobody will fetch the messages."""
+        return not self.pollers and now - self.last_polled_s > MAILBOX_EXPIRY_S
+
+
+class AcceptorService:
+    """Owns the acceptor, the thread that writes its state and the one that runs its timers.
+
+    The lock guards the acceptor and all fields; it is held for decisions alone, never during I/O."""
+
+    def __init__(
+        self,
+        name: str,
+        limits: LeaseLimits,
+        disk: AcceptorDisk,
+        nonce: int,
+        clock: Callable[[], float],
+        send: Callable[[str, Message], None],
+    ) -> None:
+        """Load the state from the disk.
+
+        Args:
+            name: The name of this server.
+            limits: The limits of the fleet.
+            disk: The state directory.
+            nonce: Distinguishes this start from earlier ones.
+            clock: The monotonic clock, in seconds.
+            send: Sends a message to another server; must not block.
+
+        Raises:
+            ForeignStateError: The state is that of another server or fleet.
+            OSError: The directory can't be read."""
+        self._clock = clock
+        self._disk = disk
+        self._send = send
+        loaded = disk.load()
+        for warning in loaded.warnings:
+            log.warning("lease state file unreadable", error=warning)
+        self._acceptor = Acceptor(name, limits, loaded.disk_state, loaded.state, clock(), nonce)
+        self._lock = threading.Condition()
+        self._unsaved_state: AcceptorState | None = None
+        self._persisted_write = loaded.state.last_write
+        self._pending_answers = 0
+        self._mailboxes: dict[str, _Mailbox] = {}
+        self._timer_s: float | None = None
+        self._is_stopping = False
+        self._disk_error = ""  # of the last write; empty where it succeeded
+        self._writer: threading.Thread | None = None
+
+    def start(self) -> None:
+        """Start the writer and the timer thread."""
+        self._writer = spawn("acceptor-disk", self._write_states)
+        spawn("acceptor-timer", self._run_timers)
+
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
+        """Answer nobody any more, and end a write in progress, so that another server may use the directory.
+
+        A disk that takes longer than ``timeout_s`` is logged and left alone."""
+        with self._lock:
+            self._is_stopping = True
+            self._lock.notify_all()
+        if self._writer is None:
+            return
+        self._writer.join(timeout_s)
+        if self._writer.is_alive():
+            log.error("lease server stopped during a state write", timeout_s=timeout_s)
+
+    # ---- requests
+
+    def handle_request(self, sender: str, messages: tuple[Message, ...], timeout_s: float) -> list[Message]:
+        """Handle the messages of one request and return the answers to its sender.
+
+        Returns nothing where the disk does not persist the state within ``timeout_s``: an acceptor with a
+        stalled disk is silent, not wrong."""
+        with self._lock:
+            if self._is_stopping or self._pending_answers >= MAX_PENDING_ANSWERS:
+                return []
+            answers, notifications = self._decide(sender, messages)
+            if not self._wait_until_persisted(messages, timeout_s):
+                return []
+        for notification in notifications:
+            self._notify(notification)
+        return answers
+
+    def _decide(self, sender: str, messages: tuple[Message, ...]) -> tuple[list[Message], list[SendMessage]]:
+        """Return the answers to the sender, and the messages to others; the lock is held."""
+        answers: list[Message] = []
+        notifications: list[SendMessage] = []
+        now = self._clock()
+        for message in messages:
+            speaker = _speaker(sender, message)
+            for action in self._acceptor.handle(now, speaker, message):
+                match action:
+                    case SendMessage(receiver=receiver) if receiver == speaker:
+                        answers.append(action.message)
+                    case SendMessage():
+                        notifications.append(action)
+                    case _:
+                        self._apply(action)
+        return answers, notifications
+
+    def _wait_until_persisted(self, messages: tuple[Message, ...], timeout_s: float) -> bool:
+        """Wait for the writes that the answers rest on; the lock is held.
+
+        An answer that writes nothing itself may rest on what another request still waits to have written."""
+        write = max((self._acceptor.write_of(_lease_of(message)) for message in messages), default=0)
+        self._pending_answers += 1
+        try:
+            self._lock.wait_for(lambda: self._persisted_write >= write or self._is_stopping, timeout_s)
+        finally:
+            self._pending_answers -= 1
+        return self._persisted_write >= write
+
+    def poll(self, sender: str, timeout_s: float) -> list[Message]:
+        """Return the notifications for a process; waits up to ``timeout_s`` until there are some."""
+        with self._lock:
+            mailbox = self._mailboxes.get(sender)
+            if mailbox is None:
+                if len(self._mailboxes) >= MAX_MAILBOXES:
+                    return []
+                mailbox = self._mailboxes[sender] = _Mailbox()
+            mailbox.pollers += 1
+            try:
+                self._lock.wait_for(lambda: bool(mailbox.messages) or self._is_stopping, timeout_s)
+                messages, mailbox.messages = mailbox.messages, []
+            finally:
+                mailbox.pollers -= 1
+                mailbox.last_polled_s = self._clock()
+            return messages
+
+    def _notify(self, notification: SendMessage) -> None:
+        """Send to another server over its link; to a candidate where its process polls, or did just now."""
+        process = notification.receiver.rpartition(".")[0] or notification.receiver
+        with self._lock:
+            now = self._clock()
+            for expired in [name for name, box in self._mailboxes.items() if box.is_expired(now)]:
+                del self._mailboxes[expired]
+            mailbox = self._mailboxes.get(process)
+            if mailbox is not None:
+                mailbox.messages = [*mailbox.messages[-MAX_MAILBOX_MESSAGES:], notification.message]
+                self._lock.notify_all()
+                return
+        self._send(notification.receiver, notification.message)
+
+    def handle_responses(self, server: str, messages: tuple[Message, ...]) -> None:
+        """Handle what another server answered; does not block."""
+        with self._lock:
+            if self._is_stopping:
+                return
+            now = self._clock()
+            for message in messages:
+                for action in self._acceptor.handle(now, server, message):
+                    if isinstance(action, PersistState):
+                        self._unsaved_state = action.state
+            self._lock.notify_all()
+
+    # ---- pages
+
+    def lease_reports(self) -> list[LeaseReport]:
+        """Return what this acceptor knows of each lease."""
+        with self._lock:
+            now = self._clock()
+            return [
+                LeaseReport(
+                    record.lease,
+                    record.holder,
+                    record.accepted_ballot,
+                    round(self._acceptor.remaining_s(now, record.lease), 3),
+                    record.value,
+                )
+                for record in self._acceptor.records()
+            ]
+
+    def status(self) -> AcceptorStatus:
+        """Return the state of the acceptor and its disk."""
+        with self._lock:
+            now, acceptor = self._clock(), self._acceptor
+            recovery, table = acceptor.recovery, acceptor.table
+            return AcceptorStatus(
+                server=acceptor.name,
+                can_vote=acceptor.can_vote(now),
+                disk_state=recovery.disk_state.value,
+                incarnation=table.incarnation,
+                has_recovered=recovery.has_recovered,
+                votes_in_s=round(max(0.0, recovery.votes_from_s - now), 3),
+                leases=len(table.leases),
+                last_write=table.last_write,
+                persisted_write=self._persisted_write,
+                disk_error=self._disk_error,
+            )
+
+    # ---- threads
+
+    def _apply(self, action: AcceptorAction) -> None:
+        """Hand a state to the writer or a time to the timer thread; the lock is held."""
+        match action:
+            case PersistState(state=state):
+                self._unsaved_state = state
+            case SetTimer(deadline_s=deadline_s):
+                self._timer_s = deadline_s if self._timer_s is None else min(self._timer_s, deadline_s)
+        self._lock.notify_all()
+
+    def _run_timers(self) -> None:
+        """Tick the acceptor, which asks the other servers until it has recovered."""
+        while True:
+            with self._lock:
+                if self._is_stopping:
+                    return
+                requests = self._tick()
+                if not requests:
+                    self._lock.wait(self._sleep_s())
+            for request in requests:
+                self._send(request.receiver, request.message)
+
+    def _tick(self) -> list[SendMessage]:
+        """Return the requests to send now; the lock is held."""
+        self._timer_s = None
+        # An incarnation that others know but the disk does not would be another machine's after a crash.
+        is_persisted = self._persisted_write >= self._acceptor.table.last_write
+        requests: list[SendMessage] = []
+        for action in self._acceptor.tick(self._clock()):
+            match action:
+                case SendMessage():
+                    if is_persisted:
+                        requests.append(action)
+                case SetTimer():
+                    self._apply(action)
+        return requests
+
+    def _sleep_s(self) -> float:
+        if self._timer_s is None:
+            return IDLE_S
+        return min(IDLE_S, max(MIN_SLEEP_S, self._timer_s - self._clock()))
+
+    def _write_states(self) -> None:
+        """Write the newest state; states that were replaced while the disk was busy are skipped."""
+        while True:
+            with self._lock:
+                self._lock.wait_for(lambda: self._unsaved_state is not None or self._is_stopping, IDLE_S)
+                if self._is_stopping:
+                    return
+                state, self._unsaved_state = self._unsaved_state, None
+            if state is not None:
+                self._write(state)
+
+    def _write(self, state: AcceptorState) -> None:
+        try:
+            self._disk.save(state)
+        except OSError as error:
+            log.error("lease state write failed", error=str(error))
+            with self._lock:
+                self._disk_error = str(error)
+                self._unsaved_state = self._unsaved_state or state
+                self._lock.wait_for(lambda: self._is_stopping, SAVE_RETRY_S)
+            return
+        with self._lock:
+            self._disk_error = ""
+            self._persisted_write = max(self._persisted_write, state.last_write)
+            self._lock.notify_all()
+
+
+def _lease_of(message: Message) -> str:
+    return "" if isinstance(message, CatchUpRequest | CatchUpResponse) else message.lease
+
+
+def _speaker(sender: str, message: Message) -> str:
+    """Return who a message is from: a process sends for all its candidates, which are named after it."""
+    if isinstance(message, CatchUpRequest | CatchUpResponse):
+        return sender
+    return message.candidate if message.candidate.startswith(f"{sender}.") else sender
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -17,8 +17,8 @@
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.messages import OPERATOR_REQUEST_LEASE, GatewayCommand, GatewayStatus
 from saffronstack.fleet.control.observed_gateway import ObservedGateway
-from saffronstack.fleet.leases.reading import Reading
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.quorum_read import QuorumRead
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.fleet.rollout.canary_analysis import analyze
 from saffronstack.fleet.rollout.canary_sampler import CanarySampler
 from saffronstack.fleet.rollout.canary_types import AnalysisLimits
@@ -80,8 +80,8 @@
         self,
         fleet: RolloutFleet,
         daemons: DaemonClient,
-        lease: Held,
-        read_leases: Callable[[], Reading],
+        lease: HeldLease,
+        read_leases: Callable[[], QuorumRead],
         on_round: Callable[[RolloutRecord, str], None] = lambda record, waits_for: None,
         clock: Callable[[], float] = time.monotonic,
         options: LeaderOptions = DEFAULT_OPTIONS,
@@ -123,7 +123,7 @@
         return controller.record
 
     def _holds_lease(self) -> bool:
-        return self._lease.left_s() > 0
+        return self._lease.remaining_s() > 0
 
     def _play_round(self, controller: RolloutController) -> bool:
         """Poll, decide and send commands; return whether any were sent."""
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -21,14 +21,21 @@
 
 from msgspec.structs import replace
 
-from saffronstack.cli.leases import bounds_of
+from saffronstack.cli.leases import lease_fleet_of
 from saffronstack.config.fleet import load_fleet
 from saffronstack.durable.segments import Files
+from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
-from saffronstack.fleet.leases.holder import Candidate
-from saffronstack.fleet.leases.messages import Bounds, KeeperAction, Message, Say, Take
-from saffronstack.fleet.leases.node import KeeperNode
-from saffronstack.fleet.leases.store import Held
+from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.leases.limits import LeaseLimits
+from saffronstack.fleet.leases.messages import (
+    AcceptorAction,
+    AcceptRequest,
+    Message,
+    ObservedWrites,
+    SendMessage,
+)
+from saffronstack.fleet.leases.store import HeldLease
 from saffronstack.runtime.threads import spawn
 
 ACT_S = 0.03
@@ -97,8 +104,8 @@
 def keep(told: dict[str, Any]) -> None:
     """Be a keeper until standard input ends."""
     fleet = load_fleet(told["fleet"])
-    node = KeeperNode(
-        told["name"], fleet.fleet, fleet.addresses(), bounds_of(fleet), fleet.wait_s, told["state"],
+    node = LeaseServer(
+        told["name"], lease_fleet_of(fleet), told["state"],
         clock=clock_at(told.get("rate", 1.0), time.monotonic),
         files=LyingFiles(pathlib.Path(told["disk"])) if "disk" in told else None,
     )  # fmt: skip
@@ -123,22 +130,24 @@
         os.write(self._descriptor, line.encode() + b"\n")
 
 
-def trace_keeper(node: KeeperNode, path: pathlib.Path) -> None:
+def trace_keeper(node: LeaseServer, path: pathlib.Path) -> None:
     """Note each decision of a keeper, and what it began with."""
-    trace, machine = Trace(path), node.service._machine
+    trace, machine = Trace(path), node.service._acceptor
+    table, recovery = machine.table, machine.recovery
     handle, tick = machine.handle, machine.tick
-    trace.note(began=machine.found.value, write=machine.write, records=repr(machine.records()))
+    trace.note(began=recovery.disk_state.value, write=table.last_write, records=repr(machine.records()))
 
-    def handled(now: float, sender: str, message: Message) -> list[KeeperAction]:
+    def handled(now: float, sender: str, message: Message) -> list[AcceptorAction]:
         actions = handle(now, sender, message)
-        said = [repr(action.message) for action in actions if isinstance(action, Say)]
-        trace.note(now=now, heard=repr(message), said=said, sure=machine.sure, write=machine.write)
+        said = [repr(action.message) for action in actions if isinstance(action, SendMessage)]
+        sure, write = recovery.has_recovered, table.last_write
+        trace.note(now=now, heard=repr(message), said=said, sure=sure, write=write)
         return actions
 
-    def ticked(now: float) -> list[KeeperAction]:
-        before = machine.sure
+    def ticked(now: float) -> list[AcceptorAction]:
+        before = recovery.has_recovered
         actions = tick(now)
-        if machine.sure is not before:
+        if recovery.has_recovered is not before:
             trace.note(now=now, settled=True, records=repr(machine.records()))
         return actions
 
@@ -155,9 +164,13 @@
         self._random = random.Random(int(told["seed"]))
         clock, steps = clock_at(rate, holder_clock), Steps(pathlib.Path(told.get("steps", "")))
         self.client = LeaseClient(
-            fleet.fleet, self.name, fleet.addresses(), bounds_of(fleet), fleet.lease_s, fleet.wait_s,
-            int(told["seed"]), lambda: clock() + steps(), BROKEN.get(told.get("broken", ""), Candidate),
-        )  # fmt: skip
+            lease_fleet_of(fleet),
+            self.name,
+            fleet.lease_s,
+            int(told["seed"]),
+            lambda: clock() + steps(),
+            BROKEN.get(told.get("broken", ""), Candidate),
+        )
         host, _, port = str(told["resource"]).rpartition(":")
         self._lock = threading.Lock()
         self._sock = socket.create_connection((host, int(port)), timeout=20.0)
@@ -169,10 +182,10 @@
             answer: dict[str, Any] = json.loads(self._reader.readline() or b"{}")
             return answer
 
-    def believed_until(self, held: Held) -> float:
+    def believed_until(self, held: HeldLease) -> float:
         """In the machine's own time, until when it believes to hold, asked for before it is said; 0 where it
         does not believe so any more. One that was stopped in the midst of an act wakes to that."""
-        return until_of(holder_clock(), held.left_s(), self._rate)
+        return until_of(holder_clock(), held.remaining_s(), self._rate)
 
     def run(self) -> None:
         """Until killed."""
@@ -183,17 +196,17 @@
             gained_s = holder_clock()
             self._say(do="gained", token=held.token, at=gained_s, until=self.believed_until(held))
             ends_s = holder_clock() + self._random.expovariate(1 / 6.0)
-            while held.left_s() > 0 and holder_clock() < ends_s:
+            while held.remaining_s() > 0 and holder_clock() < ends_s:
                 self._act(held)
                 time.sleep(0.02)
-            if held.left_s() > 0:
+            if held.remaining_s() > 0:
                 # Said before it is done: the next one may act before a word that comes after it.
                 self._say(do="released", token=held.token, at=holder_clock())
                 held.release()
             time.sleep(self._random.random() * 0.2)
 
-    def _act(self, held: Held) -> None:
-        left_s = held.left_s()
+    def _act(self, held: HeldLease) -> None:
+        left_s = held.remaining_s()
         if left_s < ACT_S + MARGIN_S:
             return
         if self._random.random() < LATE_PART:
@@ -216,11 +229,11 @@
 class Late(Candidate):
     """Believes in its lease for twice the time that it has keepers grant."""
 
-    def _take(self, witness: tuple[tuple[str, int], ...] = ()) -> Take:
-        return replace(super()._take(witness), length_s=self.length_s / 2)
+    def _accept_request(self, observed_writes: ObservedWrites = ()) -> AcceptRequest:
+        return replace(super()._accept_request(observed_writes), duration_s=self.lease_s / 2)
 
 
-class One(Bounds):
+class One(LeaseLimits):
     """One keeper's word is a majority."""
 
     __slots__ = ()
@@ -234,8 +247,10 @@
 class Few(Candidate):
     """One keeper's word is enough for it."""
 
-    def __init__(self, name: str, lease: str, length_s: float, bounds: Bounds, seed: int) -> None:
-        super().__init__(name, lease, length_s, One(bounds.keepers, bounds.longest_s, bounds.drift), seed)
+    def __init__(self, name: str, lease: str, length_s: float, bounds: LeaseLimits, seed: int) -> None:
+        super().__init__(
+            name, lease, length_s, One(bounds.servers, bounds.max_lease_s, bounds.max_clock_drift), seed
+        )
 
 
 # Candidates that the judge of the processes must find.
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -18,7 +18,7 @@
 from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayStatus
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.control.status_poller import poll_daemons
-from saffronstack.fleet.leases.reading import read_leases
+from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.rollout.record import RolloutRecord, decode_record
 from saffronstack.harness.links import Mode, Wires
 from saffronstack.harness.rollout.fleet_watcher import FleetObservations
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -10,7 +10,7 @@
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.messages import DaemonStatus, GatewayCommand, GatewayMetrics, GatewayStatus
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
-from saffronstack.fleet.leases.reading import Reading
+from saffronstack.fleet.leases.quorum_read import QuorumRead
 from saffronstack.fleet.rollout.leader import LeaderOptions, RolloutLeader
 from saffronstack.fleet.rollout.plan import FleetGateway, Release, RolloutFleet, RolloutPlan, Stage
 from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, create_record
@@ -43,7 +43,7 @@
     token: int = 1
     value: bytes = b""
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return 10.0
 
     def put(self, content: bytes, wait_s: float) -> bool:
@@ -96,7 +96,7 @@
 
     leader = RolloutLeader(
         RolloutFleet((gateway,), {"g": "d"}), ToldDaemons(clock, every_s, until_s), Lease(),
-        lambda: Reading(True, {}), stop_when_held, clock, LeaderOptions(round_interval_s=0.0),
+        lambda: QuorumRead(True, {}), stop_when_held, clock, LeaderOptions(round_interval_s=0.0),
     )  # fmt: skip
     record = leader.lead(create_record(PLAN, OLD, NEW), stopping)
     return record, clock() - began_s
