--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -137,10 +137,10 @@
         client.close()
 
 
-def _not_granted(fleet: FleetFile, troubles: Mapping[str, str], wait_s: float) -> CommandError:
+def _not_granted(fleet: FleetFile, link_errors: Mapping[str, str], wait_s: float) -> CommandError:
     """Say why the lease was not granted: no majority of keepers, or another leader."""
-    if sum(not trouble for trouble in troubles.values()) <= len(fleet.keepers) // 2:
-        reasons = "; ".join(f"{keeper}: {why}" for keeper, why in troubles.items() if why)
+    if sum(not error for error in link_errors.values()) <= len(fleet.keepers) // 2:
+        reasons = "; ".join(f"{keeper}: {error}" for keeper, error in link_errors.items() if error)
         return CommandError(NO_MAJORITY, f"no majority of keepers answers: {reasons}")
     return CommandError(
         NOT_GRANTED, f"{LEADER_LEASE} was not granted within {wait_s:g} s: a rollout is being led"
@@ -188,7 +188,7 @@
     known = fleet.daemon_of()
     unknown = [name for name in names if name not in known]
     if unknown:
-        raise ValueError(f"no gateway of the fleet: {', '.join(unknown)}")
+        raise ConfigError(f"no gateway of the fleet: {', '.join(unknown)}")
     return list(names) or list(known)
 
 
--- a/saffronstack/cli/groups.py
+++ b/saffronstack/cli/groups.py
@@ -115,7 +115,7 @@
 @click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
 def rollout_start(path: str, plan: str, new: str, old: str, wait_s: float, log_form: str) -> None:
     """Start a rollout and lead it: 0 done, 1 it went back, 3 held or handed on, 2 it can't be started."""
-    from saffronstack.cli.leading import start
+    from saffronstack.cli.rollout_leader import start
 
     sys.exit(start(path, plan, new, old, log_form, wait_s))
 
@@ -125,7 +125,7 @@
 @click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
 def rollout_lead(path: str, log_form: str) -> None:
     """Stand by to go on with a rollout whose leader is gone."""
-    from saffronstack.cli.leading import lead
+    from saffronstack.cli.rollout_leader import lead
 
     sys.exit(lead(path, log_form))
 
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -20,7 +20,7 @@
 import structlog
 
 from saffronstack import config as configs
-from saffronstack.cli.infleet import FleetPart
+from saffronstack.cli.fleet_membership import FleetMembership
 from saffronstack.cli.logs import set_up_logs
 from saffronstack.cli.tenure import Tenure, enter
 from saffronstack.config.schema import Config, Ledger
@@ -184,7 +184,7 @@
 
     standins: StandInFleet | None = None
     tenure: Tenure | None = None
-    fleet: FleetPart | None = None
+    fleet: FleetMembership | None = None
     members: Members | None = None
     listener: socket.socket | None = None
 
@@ -253,7 +253,7 @@
     if config.fleet is not None and not options.finish:
         if parts.members is not None:
             raise configs.ConfigError("fleet: goes with one process, and not with --processes")
-        parts.fleet = FleetPart(config.fleet)
+        parts.fleet = FleetMembership(config.fleet)
     return Gateway(
         config,
         record_to=options.record_to,
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -56,8 +56,7 @@
         Args:
             options: What the daemon is and which gateways it runs.
             read_leases: Reads what lease keepers show, bounded.
-            replacements: Says which releases are replaced, by a reading: those that a rollout has taken back
-                while the daemon was away.
+            replacements: Which releases are replaced, by a reading: those that a rollout has taken back.
             clock: Seconds.
 
         Raises:
@@ -72,8 +71,7 @@
         self._queue: queue.SimpleQueue[PendingRequest | ProcessEvent | QuorumRead | None] = (
             queue.SimpleQueue()
         )
-        self._has_started_gateways = False
-        self._has_majority_reading = False
+        self._has_started_gateways, self._has_majority_reading = False, False
         self._stopping = threading.Event()
         self._thread: threading.Thread | None = None
         self._lease_observer = LeaseObserver(read_leases, self._queue.put)
@@ -81,13 +79,16 @@
         try:
             for spec in options.gateways:
                 self._gateways[spec.name] = ManagedGateway(spec, options, self._queue.put, clock)
-            endpoint = ControlEndpoint(options.fleet, self._validate, self._queue.put, self._status)
-            host, _, port = options.address.rpartition(":")
-            self._server = HttpServer("daemon", host, int(port), endpoint.handle, clock)
+            self._server = self._create_server()
         except OSError:
             self._close_gateways()
             raise
 
+    def _create_server(self) -> HttpServer:
+        endpoint = ControlEndpoint(self._options.fleet, self._validate, self._queue.put, self._status)
+        host, _, port = self._options.address.rpartition(":")
+        return HttpServer("daemon", host, int(port), endpoint.handle, self._clock)
+
     @property
     def address(self) -> tuple[str, int]:
         """Host and port on which it accepts control requests."""
--- a/saffronstack/harness/rollout/exploration.py
+++ b/saffronstack/harness/rollout/exploration.py
@@ -132,41 +132,40 @@
 
 def state_key(world: SimulatedWorld) -> str:
     """Return what tells one state from another; times and counts that only grow are left out."""
-    daemons = [(name, *_daemon_key(daemon)) for name, daemon in world.daemons.items()]
-    in_flight = [
-        (one.daemon, one.token, one.gateway, one.release, one.incarnation) for one in world.in_flight
-    ]  # fmt: skip
     record = world.record
-    stored = record.phase.value, record.stage, record.is_paused, record.last_request
-    request = world.request
-    return repr((daemons, _leader_key(world.leader), in_flight, stored, world.granted_token, request))
-
-
-def _daemon_key(daemon: SimulatedDaemon) -> tuple[object, ...]:
-    gateways = tuple(
+    parts = (
+        [f"{name} {_daemon_key(daemon)}" for name, daemon in world.daemons.items()],
+        _leader_key(world.leader) if world.leader is not None else "no leader",
+        [(one.daemon, one.token, one.gateway, one.release, one.incarnation) for one in world.in_flight],
+        (record.phase, record.stage, record.is_paused, record.last_request),
+        world.granted_token,
+        world.request,
+    )
+    return repr(parts)
+
+
+def _daemon_key(daemon: SimulatedDaemon) -> str:
+    gateways = [
         (
             gateway, _observed_key(reconciler.observe()),
-            tuple(sorted(phase.value for phase in daemon.processes[gateway].values())),
+            sorted(phase.value for phase in daemon.processes[gateway].values()),
         )
         for gateway, reconciler in daemon.reconcilers.items()
-    )  # fmt: skip
-    releases = tuple(sorted(daemon.stored_releases.items()))
-    return daemon.fence.token, daemon.fence.incarnation, releases, gateways
+    ]  # fmt: skip
+    releases = sorted(daemon.stored_releases.items())
+    return repr((daemon.fence.token, daemon.fence.incarnation, releases, gateways))
 
 
-def _leader_key(leader: SimulatedLeader | None) -> tuple[object, ...] | None:
-    if leader is None:
-        return None
+def _leader_key(leader: SimulatedLeader) -> str:
     controller = leader.controller
     record, view = controller.record, controller.view
     observed = sorted((name, _observed_key(one)) for name, one in view.observed.items())
-    return (
-        leader.token, record.phase.value, record.stage, record.is_paused,
-        tuple(sorted(view.pending.items())), controller.bake.has_started, tuple(observed),
-    )  # fmt: skip
+    pending = sorted(view.pending.items())
+    is_baking = controller.bake.has_started
+    return repr((leader.token, record.phase, record.stage, record.is_paused, pending, is_baking, observed))
 
 
-def _observed_key(observed: ObservedGateway) -> tuple[str, str, str, str]:
-    return (
-        observed.desired_release, observed.running_release, observed.phase.value, observed.failed_release
-    )  # fmt: skip
+def _observed_key(observed: ObservedGateway) -> str:
+    return repr((
+        observed.desired_release, observed.running_release, observed.phase, observed.failed_release
+    ))  # fmt: skip
--- /dev/null
+++ b/tests/test_fleet_daemon.py
@@ -0,0 +1,189 @@
+"""A daemon on its address: which control requests it accepts, and what it starts with."""
+
+from __future__ import annotations
+
+import itertools
+import json
+import pathlib
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack
+from typing import Any
+
+import msgspec
+import pytest
+
+from saffronstack.client import Client
+from saffronstack.fleet.control.daemon import Daemon
+from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
+from saffronstack.fleet.control.desired_state import DesiredState, DesiredStateFile
+from saffronstack.fleet.control.messages import (
+    CONTROL_PATH,
+    LEADER_LEASE,
+    ControlRequest,
+    DaemonStatus,
+    GatewayCommand,
+)
+from saffronstack.fleet.control.releases import read_release
+from saffronstack.fleet.leases.messages import LeaseValue
+from saffronstack.fleet.leases.quorum_read import LeaseStatus, QuorumRead
+from saffronstack.harness.rollout.sample_releases import write_release
+from saffronstack.standin.worker import hold_port
+from tests.support.stack import eventually
+
+EMPTY = QuorumRead(True, {})
+LEADER = LeaseStatus(LEADER_LEASE, "p", 9, 3, 5.0, LeaseValue())
+UNUSABLE = "does not start"  # the fault of all releases here
+
+
+class DaemonRig:
+    """Daemons with one gateway, one after the other, on one state directory."""
+
+    def __init__(self, folder: pathlib.Path, gateway_address: str) -> None:
+        self._folder = folder
+        self._options = DaemonOptions(
+            fleet="f",
+            name="d1",
+            address="127.0.0.1:0",
+            gateways=(GatewaySpec("g1", gateway_address, str(folder / "g1.json5"), 5.0),),
+            releases_directory=str(folder / "releases"),
+            state_directory=str(folder / "state"),
+        )
+        self.state_file = DesiredStateFile(self._options.state_directory, "f", "d1")
+        self.sequences = itertools.count(1)
+        self._daemon: Daemon | None = None
+
+    def write_release(self, version: str) -> str:
+        """Install a release that does not start; return its digest."""
+        directory = write_release(self._folder / "releases", version, UNUSABLE)
+        return read_release(directory).release.digest
+
+    def start(self, read: QuorumRead = EMPTY, **more: Any) -> None:
+        """Start a daemon, after the end of the one before."""
+        self.stop()
+        self._daemon = Daemon(self._options, lambda: read, **more)
+        self._daemon.start()
+
+    def stop(self) -> None:
+        """End the daemon and its gateway."""
+        if self._daemon is not None:
+            assert self._daemon.stop(end_gateways=True)
+        self._daemon = None
+
+    def post(self, request: ControlRequest) -> tuple[int, Any]:
+        """Send a request; return the answer's status, and its message or the daemon's status."""
+        assert self._daemon is not None
+        host, port = self._daemon.address
+        client = Client(f"{host}:{port}", 10.0)
+        try:
+            answer = client.request("POST", CONTROL_PATH, msgspec.json.encode(request))
+        finally:
+            client.close()
+        if answer.status != 200:
+            return answer.status, json.loads(answer.body)["message"]
+        return 200, msgspec.json.decode(answer.body, type=DaemonStatus)
+
+    def poll(self, token: int) -> DaemonStatus:
+        """Poll the daemon's status under a token, until it accepts a request."""
+
+        def post() -> DaemonStatus | None:
+            status, content = self.post(ControlRequest("f", token, next(self.sequences)))
+            return content if status == 200 else None
+
+        status: DaemonStatus = eventually(post)
+        return status
+
+
+@pytest.fixture
+def rig(tmp_path: pathlib.Path) -> Iterator[DaemonRig]:
+    with ExitStack() as stack:
+        held_port = stack.enter_context(hold_port("127.0.0.1"))
+        rig = DaemonRig(tmp_path, f"127.0.0.1:{held_port.getsockname()[1]}")
+        stack.callback(rig.stop)
+        yield rig
+
+
+@pytest.fixture
+def command(rig: DaemonRig) -> Callable[..., ControlRequest]:
+    """A daemon that accepted token 5, and commands to run an installed release."""
+    digest = rig.write_release("1")
+    rig.start()
+    incarnation = rig.poll(5).incarnation
+
+    def create(**changed: Any) -> ControlRequest:
+        commands = (GatewayCommand("g1", digest),)
+        valid = ControlRequest("f", 5, next(rig.sequences), incarnation, commands)
+        return msgspec.structs.replace(valid, **changed)
+
+    return create
+
+
+def test_a_poll_returns_the_token_that_was_accepted(rig: DaemonRig) -> None:
+    rig.start()
+    status = rig.poll(5)
+    assert status.token == 5
+    assert not status.is_token_lost
+
+
+@pytest.mark.parametrize(
+    ("changed", "status", "reason"),
+    [
+        ({"fleet": "other"}, 403, "not of 'other'"),
+        ({"token": 4, "sequence": 9}, 409, "token 4 is older than 5"),
+        ({"sequence": 1}, 409, "out of order"),
+        ({"incarnation": 1}, 409, "another incarnation"),
+        ({"commands": (GatewayCommand("g9", "ab"),)}, 400, "none of this daemon's"),
+        ({"commands": (GatewayCommand("g1", "ab"),)}, 400, "no release has"),
+    ],
+)
+def test_a_request_that_does_not_count_is_rejected_and_changes_nothing(
+    rig: DaemonRig,
+    command: Callable[..., ControlRequest],
+    changed: dict[str, Any],
+    status: int,
+    reason: str,
+) -> None:
+    answer = rig.post(command(**changed))
+    assert answer[0] == status
+    assert reason in answer[1]
+    assert rig.poll(6).gateways["g1"].desired_release == ""
+
+
+def test_a_command_sets_the_desired_release_and_outlives_the_daemon(
+    rig: DaemonRig, command: Callable[..., ControlRequest]
+) -> None:
+    request = command()
+    digest = request.commands[0].release
+    status, answer = rig.post(request)
+    assert status == 200
+    assert answer.gateways["g1"].desired_release == digest
+    rig.start()
+    assert rig.poll(6).gateways["g1"].desired_release == digest
+    assert rig.post(ControlRequest("f", 5, next(rig.sequences)))[0] == 409
+
+
+def test_a_release_that_does_not_start_is_reported(
+    rig: DaemonRig, command: Callable[..., ControlRequest]
+) -> None:
+    assert rig.post(command())[0] == 200
+    eventually(lambda: "did not start" in rig.poll(6).gateways["g1"].last_error)
+
+
+def test_a_lost_token_is_learned_from_lease_keepers_before_any_request_counts(rig: DaemonRig) -> None:
+    rig.start(QuorumRead(False, {LEADER_LEASE: LEADER}))
+    status, reason = rig.post(ControlRequest("f", 99, 1))
+    assert status == 409
+    assert "keepers have not told" in reason
+    rig.start(QuorumRead(True, {LEADER_LEASE: LEADER}))
+    assert rig.poll(9).token == 9
+    assert rig.post(ControlRequest("f", 8, next(rig.sequences))) == (409, "token 8 is older than 9")
+
+
+def test_a_daemon_that_returns_to_a_rollback_starts_with_the_old_release(rig: DaemonRig) -> None:
+    old, new = rig.write_release("old"), rig.write_release("new")
+    rig.state_file.write(DesiredState("f", "d1", 3, {"g1": new}))
+    rig.start(replacements=lambda read: {new: old})
+    eventually(lambda: rig.poll(4).gateways["g1"].desired_release == old)
+    rig.stop()
+    stored = rig.state_file.read()
+    assert stored is not None
+    assert stored.releases == {"g1": old}
