--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,14 +1,14 @@
-"""Rolling changes at full size: daemons, keepers, leaders and gateways as processes, under load, on loopback.
-
-    python benchmarks/rollout.py good                      # a good change, its time, and nothing lost
-    python benchmarks/rollout.py harms --gateways 40       # each bad release: how far it came, how long, harm
-    python benchmarks/rollout.py harms --unjudged          # the same rolled without the judge
-    python benchmarks/rollout.py faults --seconds 300      # good and bad changes, faults of a seed between
-    python benchmarks/rollout.py reload --gateways 20      # all reloaded in turn under load
-    python benchmarks/rollout.py false-stops --runs 1000   # the judge alone on seeded fleets without harm
+"""Rollouts at full size: daemons, lease keepers, leaders and gateways as processes, under load, on loopback.
+
+    python benchmarks/rollout.py good                      # a good release, its time, and nothing lost
+    python benchmarks/rollout.py harms --gateways 40       # each bad release: its reach, its time, its harm
+    python benchmarks/rollout.py harms --unjudged          # the same without canary analysis
+    python benchmarks/rollout.py faults --seconds 300      # good and bad releases, faults of a seed between
+    python benchmarks/rollout.py reload --gateways 20      # all gateways reloaded in turn under load
+    python benchmarks/rollout.py false-stops --runs 1000   # the canary analysis on fleets without harm
     python benchmarks/rollout.py orders --seeds 20000      # every order of events, in virtual time
 
-Prints lines a person can read; ends with 1 where something that must hold did not."""
+Prints lines a person can read; exits with 1 where something that must hold did not."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 from collections import Counter
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
 
 from saffronstack.fleet.rollout.canary_analysis import analyze
 from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
@@ -46,7 +47,7 @@
 
 
 def sizes(asked: argparse.Namespace) -> RigSizes:
-    """Of the rig that was asked for."""
+    """Return the sizes of the rig that the arguments ask for."""
     return RigSizes(
         gateways=asked.gateways, daemons=asked.daemons, workers=asked.workers, rate=asked.rate,
         clients=max(48, int(asked.rate)), seed=asked.seed,
@@ -54,21 +55,25 @@
 
 
 def plan(rig: RolloutRig, old: str, unjudged: bool = False, bake_s: float = BAKE_S) -> pathlib.Path:
-    """One, a tenth, half, all."""
+    """Write a plan of four stages, or of one without an analysis."""
     stages = [
         {"count": max(1, len(rig.gateways) // 20), "bake_s": bake_s}, {"share": 0.2, "bake_s": bake_s},
         {"share": 0.5, "bake_s": bake_s}, {"share": 1.0, "bake_s": bake_s / 2},
     ]  # fmt: skip
     if unjudged:
         stages = [{"share": 1.0, "bake_s": 0.1}]
-    most = max(2, len(rig.gateways) // 20)
+    max_unavailable = max(2, len(rig.gateways) // 20)
     return rig.write_plan(
-        old, stages=stages, unavailable_most=most, calls_least=50, settle_s=0.1 if unjudged else 2.0
+        old,
+        stages=stages,
+        unavailable_most=max_unavailable,
+        calls_least=50,
+        settle_s=0.1 if unjudged else 2.0,
     )
 
 
 def good(asked: argparse.Namespace) -> bool:
-    """One good change."""
+    """Play one good release."""
     with tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name:
         began = time.monotonic()
         with RolloutRig(pathlib.Path(name), sizes(asked)) as rig:
@@ -83,7 +88,7 @@
 
 
 def harms(asked: argparse.Namespace) -> bool:
-    """Each bad release."""
+    """Play each bad release."""
     fine = True
     with (
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
@@ -104,103 +109,110 @@
     return fine
 
 
-def _pick(chance: random.Random, rig: RolloutRig) -> tuple[str, Callable[[], None], Callable[[], None]]:
-    daemon = chance.choice(list(rig.daemons))
-    kind = chance.choice(
-        (
-            "kill leader",
+@dataclass(frozen=True)
+class Fault:
+    """Something that goes wrong for a while: how it begins and how it ends."""
+
+    name: str
+    begin: Callable[[], None]
+    end: Callable[[], None] = lambda: None
+
+
+def _signal_leaders(rig: RolloutRig, number: signal.Signals) -> None:
+    for name in [name for name in rig.processes if name.startswith(("rollout", "leader"))]:
+        rig.signal(name, number)
+
+
+def _kill_some_gateway(rig: RolloutRig, chance: random.Random) -> None:
+    statuses = rig.statuses()
+    if statuses:
+        os.kill(statuses[chance.choice(list(statuses))].pid, signal.SIGKILL)
+
+
+def _draw_fault(chance: random.Random, rig: RolloutRig) -> Fault:
+    daemon, keeper = chance.choice(list(rig.daemons)), chance.choice(list(rig.keepers))
+    mode = chance.choice((Mode.HOLD, Mode.LOSE))
+    return chance.choice((
+        Fault("kill leader", lambda: rig.kill("rollout")),
+        Fault(
             "stop leader",
-            "kill daemon",
+            lambda: _signal_leaders(rig, signal.SIGSTOP), lambda: _signal_leaders(rig, signal.SIGCONT),
+        ),
+        Fault("kill daemon", lambda: rig.kill(daemon), lambda: rig.start_daemon(daemon)),
+        Fault(
             "stop daemon",
-            "cut",
-            "disk lost",
-            "kill keeper",
-            "kill gateway",
-        )
-    )
-
-    def leader(number: signal.Signals) -> None:
-        for name in [name for name in rig.processes if name.startswith(("rollout", "leader"))]:
-            rig.signal(name, number)
-
-    def nothing() -> None:
-        return
-
-    if kind == "kill leader":
-        return kind, lambda: rig.kill("rollout"), nothing
-    if kind == "stop leader":
-        return kind, lambda: leader(signal.SIGSTOP), lambda: leader(signal.SIGCONT)
-    if kind == "kill daemon":
-        return kind, lambda: rig.kill(daemon), lambda: rig.start_daemon(daemon)
-    if kind == "stop daemon":
-        return kind, lambda: rig.signal(daemon, signal.SIGSTOP), lambda: rig.signal(daemon, signal.SIGCONT)
-    if kind == "cut":
-        mode = chance.choice((Mode.HOLD, Mode.LOSE))
-        return kind, lambda: rig.cut("leader", daemon, mode), lambda: rig.cut("leader", daemon, Mode.PASS)
-    if kind == "disk lost":
-        return kind, lambda: rig.lose_disk(daemon), lambda: rig.start_daemon(daemon)
-    if kind == "kill keeper":
-        keeper = chance.choice(list(rig.keepers))
-        return kind, lambda: rig.kill(keeper), lambda: rig.start_keeper(keeper)
-
-    def gateway() -> None:
-        states = rig.statuses()
-        if states:
-            os.kill(states[chance.choice(list(states))].pid, signal.SIGKILL)
-
-    return kind, gateway, nothing
+            lambda: rig.signal(daemon, signal.SIGSTOP), lambda: rig.signal(daemon, signal.SIGCONT),
+        ),
+        Fault("cut", lambda: rig.cut("leader", daemon, mode), lambda: rig.cut("leader", daemon, Mode.PASS)),
+        Fault("disk lost", lambda: rig.lose_disk(daemon), lambda: rig.start_daemon(daemon)),
+        Fault("kill keeper", lambda: rig.kill(keeper), lambda: rig.start_keeper(keeper)),
+        Fault("kill gateway", lambda: _kill_some_gateway(rig, chance)),
+    ))  # fmt: skip
+
+
+class FaultyRollouts:
+    """Rollouts back and forth while faults of a seed come one after the other."""
+
+    def __init__(self, rig: RolloutRig, seed: int, faults_each: int) -> None:
+        self._rig, self._faults_each = rig, faults_each
+        self._random = random.Random(seed)
+        self._relayed = rig.write_relayed_fleet_file("leader")
+        self._running = rig.make_release("0")
+        self._number = 0
+        self.fault_counts: Counter[str] = Counter()
+        self.phases: Counter[str] = Counter()
+        rig.deploy(self._running)
+
+    def play_one(self) -> bool:
+        """Play one rollout; return whether all that must hold did."""
+        self._number += 1
+        release_fault = self._random.choice(("", "", "", "does not start", "dies", "refuses"))
+        new = self._rig.make_release(str(self._number), release_fault)
+        plan_path = self._rig.write_plan(self._running, on_doubt="back")
+        options = RunOptions(self._cause_faults, 240.0, 2, self._relayed, waits_on_hold=True)
+        outcome = RolloutRun(self._rig, self._running, new, plan_path, options).play()
+        self.phases[str(outcome.phase)] += 1
+        print(f"{self._number} ({release_fault or 'good'}): {outcome.summary()}", flush=True)
+        for breach in outcome.breaches[:5]:
+            print("  ", breach)
+        running = {status.running_release for status in self._rig.statuses().values()}
+        is_completed = outcome.phase is RolloutPhase.COMPLETED
+        is_rolled_back = outcome.phase is RolloutPhase.ROLLED_BACK
+        is_expected = is_rolled_back or (is_completed and not release_fault)
+        is_fine = is_expected and not outcome.breaches and len(running) == 1
+        if not is_fine:
+            print("   runs:", running)
+        if is_completed:
+            self._running = new
+        return is_fine
+
+    def _cause_faults(self, rig: RolloutRig) -> None:
+        for _ in range(self._faults_each):
+            time.sleep(self._random.uniform(1.0, 4.0))
+            fault = _draw_fault(self._random, rig)
+            self.fault_counts[fault.name] += 1
+            fault.begin()
+            time.sleep(self._random.uniform(0.2, 4.0))
+            fault.end()
 
 
 def faults(asked: argparse.Namespace) -> bool:
-    """Changes back and forth while faults of a seed come one after the other."""
-    chance = random.Random(asked.seed)
-    fine = True
-    phases: Counter[str] = Counter()
-    counted: dict[str, int] = {}
+    """Good and bad rollouts, with faults between, until the time is over or something does not hold."""
     with (
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
         RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
     ):
-        runs = rig.make_release("0")
-        rig.deploy(runs)
-        relayed = rig.write_relayed_fleet_file("leader")
-        until_s, number = time.monotonic() + asked.seconds, 0
-        while time.monotonic() < until_s:
-            number += 1
-            harm = chance.choice(("", "", "", "does not start", "dies", "refuses"))
-            new = rig.make_release(str(number), harm)
-
-            def harass(rig: RolloutRig) -> None:
-                for _ in range(asked.each):
-                    time.sleep(chance.uniform(1.0, 4.0))
-                    kind, begin, end = _pick(chance, rig)
-                    counted[kind] = counted.get(kind, 0) + 1
-                    begin()
-                    time.sleep(chance.uniform(0.2, 4.0))
-                    end()
-
-            path = rig.write_plan(runs, on_doubt="back")
-            options = RunOptions(harass, 240.0, 2, relayed, waits_on_hold=True)
-            outcome = RolloutRun(rig, runs, new, path, options).play()
-            phases[str(outcome.phase)] += 1
-            print(f"{number} ({harm or 'good'}): {outcome.summary()}", flush=True)
-            for breach in outcome.breaches[:5]:
-                print("  ", breach)
-            is_finished = outcome.phase in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK)
-            standing = {state.running_release for state in rig.statuses().values()}
-            fine = fine and is_finished and not outcome.breaches and len(standing) == 1
-            fine = fine and (outcome.phase is RolloutPhase.ROLLED_BACK or not harm)
-            if len(standing) != 1 or not fine:
-                print("   stands:", standing)
-                break
-            if outcome.phase is RolloutPhase.COMPLETED:
-                runs = new
-    print(f"faults: {counted}; {dict(phases)}")
-    return fine
+        rollouts = FaultyRollouts(rig, asked.seed, asked.each)
+        deadline_s = time.monotonic() + asked.seconds
+        is_fine = True
+        while is_fine and time.monotonic() < deadline_s:
+            is_fine = rollouts.play_one()
+    print(f"faults: {dict(rollouts.fault_counts)}; {dict(rollouts.phases)}")
+    return is_fine
 
 
 def reload(asked: argparse.Namespace) -> bool:
-    """All gateways reread their settings, one after the other, under load."""
+    """Have all gateways reload their settings, one after the other, under load."""
     with (
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
         RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
@@ -228,7 +240,7 @@
 
 
 def false_stops(asked: argparse.Namespace) -> bool:
-    """The judge alone: fleets whose gateways differ, with and without a host fault that hits both sides."""
+    """Analyze fleets whose gateways differ, with and without a host fault that hits both sides."""
     for fault in (False, True):
         for new in (1, 4, 20):
             stopped = sum(_bake(seed, new, fault) for seed in range(asked.runs))
@@ -239,78 +251,81 @@
     return True
 
 
-def _bake(seed: int, new: int, fault: bool) -> bool:
+def _bake(seed: int, canaries: int, has_host_fault: bool) -> bool:
+    """Analyze a bake of 40 gateways without harm; return whether it was stopped."""
     chance = random.Random(seed)
     rates = [chance.gammavariate(9.0, 0.02 / 9.0) for _ in range(40)]
     calls = [int(chance.uniform(0.3, 2.0) * 40) for _ in range(40)]
-    bad, of, spent = [0] * 40, [0] * 40, 0.0
-    for part in range(1, 11):
+    failures, totals, spent = [0] * 40, [0] * 40, 0.0
+    for tenth in range(1, 11):
         for place in range(40):
-            rate = rates[place] + (0.2 if fault and 3 <= part <= 5 and place % 3 == 0 else 0.0)
-            bad[place] += sum(chance.random() < rate for _ in range(calls[place]))
-            of[place] += calls[place]
-        units = [
+            is_hit = has_host_fault and 3 <= tenth <= 5 and place % 3 == 0
+            rate = rates[place] + (0.2 if is_hit else 0.0)
+            failures[place] += sum(chance.random() < rate for _ in range(calls[place]))
+            totals[place] += calls[place]
+        samples = [
             GatewaySample(
-                f"g{place}", f"z{place % 3}", place < new,
+                f"g{place}", f"z{place % 3}", place < canaries,
                 {
-                    "refused/look": FailureRatio(bad[place], of[place]),
-                    "late/look": FailureRatio(bad[place] // 2, of[place]),
+                    "refused/look": FailureRatio(failures[place], totals[place]),
+                    "late/look": FailureRatio(failures[place] // 2, totals[place]),
                 },
             )
             for place in range(40)
         ]  # fmt: skip
-        found = analyze(AnalysisLimits(), units, part / 10, spent)
-        spent = found.alpha_spent
-        if found.verdict is Verdict.FAILED:
+        result = analyze(AnalysisLimits(), samples, tenth / 10, spent)
+        spent = result.alpha_spent
+        if result.verdict is Verdict.FAILED:
             return True
     return False
 
 
-def _walk(asked: tuple[int, Defect]) -> str:
-    try:
-        walk_randomly(asked[0], 250, asked[1])
-    except InvariantError as error:
-        return f"seed {asked[0]}: {error}"
-    return ""
+@dataclass(frozen=True)
+class Walk:
+    """A walk by chance through a simulated rollout."""
+
+    seed: int
+    defect: Defect
+
+    def violation(self) -> str:
+        """Walk; return what did not hold, or nothing."""
+        try:
+            walk_randomly(self.seed, 250, self.defect)
+        except InvariantError as error:
+            return f"seed {self.seed}: {error}"
+        return ""
+
+
+def _walk_all(pool: ProcessPoolExecutor, count: int, defect: Defect) -> list[str]:
+    walks = [Walk(seed, defect) for seed in range(count)]
+    return [violation for violation in pool.map(Walk.violation, walks, chunksize=100) if violation]
 
 
 def orders(asked: argparse.Namespace) -> bool:
-    """Walks by chance and every order, without processes; and how many seeds each broken variant takes."""
+    """Walks by chance and every order, without processes; and how many seeds each defect takes."""
     with ProcessPoolExecutor(asked.jobs) as pool:
-        began = time.monotonic()
-        found = [
-            line
-            for line in pool.map(_walk, ((seed, Defect.NONE) for seed in range(asked.seeds)), chunksize=100)
-            if line
-        ]
+        started_s = time.monotonic()
+        violations = _walk_all(pool, asked.seeds, Defect.NONE)
+        elapsed_s = time.monotonic() - started_s
+        print(f"{asked.seeds} walks of 250 steps: {len(violations)} breaches, {elapsed_s:.0f} s", flush=True)
+        for line in violations[:5]:
+            print("  ", line)
+        tried = min(3000, asked.seeds)
+        for defect in [one for one in Defect if one is not Defect.NONE]:
+            hits = len(_walk_all(pool, tried, defect))
+            print(f"  {defect.value}: found by {hits} of {tried} walks", flush=True)
+    for size in (WorldSize(2, 2, 2), WorldSize(3, 2, 2)):
+        explored = explore(asked.states, 60, size=size)
         print(
-            f"{asked.seeds} walks of 250 steps: {len(found)} breaches, {time.monotonic() - began:.0f} s",
-            flush=True,
+            f"every order, {size.gateways} gateways: {explored.states} states, {explored.depth} steps: "
+            f"{explored.violation or 'no breach'}"
         )
-        for line in found[:5]:
-            print("  ", line)
-        for defect in Defect:
-            if defect is Defect.NONE:
-                continue
-            tried = min(3000, asked.seeds)
-            hits = [
-                line
-                for line in pool.map(_walk, ((seed, defect) for seed in range(tried)), chunksize=100)
-                if line
-            ]
-            print(f"  {defect.value}: found by {len(hits)} of {tried} walks", flush=True)
-        for size in (WorldSize(2, 2, 2), WorldSize(3, 2, 2)):
-            told = explore(asked.states, 60, size=size)
-            print(
-                f"every order, {size.gateways} gateways: {told.states} states, {told.depth} steps: "
-                f"{told.violation or 'no breach'}"
-            )
-            found += [told.violation] if told.violation else []
-    return not found
+        violations += [explored.violation] if explored.violation else []
+    return not violations
 
 
 def main() -> int:
-    """See above."""
+    """Run one of the benchmarks; return the exit status."""
     plain = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
     what = {
