--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -1,4 +1,4 @@
-"""A leader's rounds with daemons that are told in the test, on a clock that is passed in."""
+"""A leader's rounds with a simulated daemon, on a manual clock."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 @dataclass
-class Clock:
-    """Moves when it is told to."""
+class ManualClock:
+    """Moves only by hand."""
 
     now_s: float = 100.0
 
@@ -54,68 +54,74 @@
         raise AssertionError("the leader does not own it")
 
 
-class ToldDaemons(DaemonClient):
-    """One daemon with one gateway that runs what it is ordered at once. Its figures are read anew
-    ``every_s`` seconds; ``until_s``: not after this moment."""
+class SimulatedDaemonClient(DaemonClient):
+    """One daemon with one gateway that runs at once what it is commanded. Its metrics are polled every
+    ``interval_s`` seconds, and not after ``last_poll_s``."""
 
-    def __init__(self, clock: Clock, every_s: float, until_s: float) -> None:
+    def __init__(self, clock: ManualClock, interval_s: float, last_poll_s: float) -> None:
         super().__init__("fleet", {}, 1, lambda: True, clock)
-        self._now, self._every_s, self._until_s = clock, every_s, until_s
-        self._runs, self._life, self._began_s = "old", 1, clock()
+        self._manual_clock, self._interval_s, self._last_poll_s = clock, interval_s, last_poll_s
+        self._release, self._incarnation, self._started_s = "old", 1, clock()
         self._histogram = times().encode().decode()
 
     def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
         for command in commands.get("d", ()):
-            self._runs, self._life, self._began_s = command.release, self._life + 1, self._now()
-        return {"d": DaemonStatus("d", 1, False, 1, {"g": self._state()})}
+            self._release, self._incarnation, self._started_s = (
+                command.release,
+                self._incarnation + 1,
+                self._manual_clock(),
+            )
+        return {"d": DaemonStatus("d", 1, False, 1, {"g": self._status()})}
 
     def poll(self) -> dict[str, DaemonAnswer]:
-        self._now.now_s += ROUND_S
+        self._manual_clock.now_s += ROUND_S
         return self.send({})
 
-    def _state(self) -> GatewayStatus:
-        now = min(self._now(), self._until_s)
-        read_s = max(self._began_s, now - (now - self._began_s) % self._every_s)
-        calls = {"lookup": {"served": int((read_s - self._began_s) * CALLS_PER_S)}}
-        figures = GatewayMetrics(
-            self._now() - read_s, calls, {"lookup": self._histogram}, reported_release=self._runs
+    def _status(self) -> GatewayStatus:
+        now = min(self._manual_clock(), self._last_poll_s)
+        read_s = max(self._started_s, now - (now - self._started_s) % self._interval_s)
+        calls = {"lookup": {"served": int((read_s - self._started_s) * CALLS_PER_S)}}
+        metrics = GatewayMetrics(
+            self._manual_clock() - read_s, calls, {"lookup": self._histogram}, reported_release=self._release
+        )
+        return GatewayStatus(
+            self._release, self._release, GatewayPhase.SERVING, self._incarnation, 0, metrics=metrics
         )
-        return GatewayStatus(self._runs, self._runs, GatewayPhase.SERVING, self._life, 0, metrics=figures)
 
 
-def led(every_s: float, until_s: float = 1e9) -> tuple[RolloutRecord, float]:
+def lead_rollout(interval_s: float, last_poll_s: float = 1e9) -> tuple[RolloutRecord, float]:
     """The record at the end of a rollout, and how long it took on the clock."""
-    clock = Clock()
-    began_s = clock()
+    clock = ManualClock()
+    started_s = clock()
     stopping = threading.Event()
     gateway = FleetGateway(name="g", zone="east")
 
-    def stop_when_held(record: RolloutRecord, waits: str) -> None:
+    def stop_on_hold(record: RolloutRecord, waits: str) -> None:
         if record.phase is RolloutPhase.ON_HOLD:
             stopping.set()
 
     leader = RolloutLeader(
-        RolloutFleet((gateway,), {"g": "d"}), ToldDaemons(clock, every_s, until_s), Lease(),
-        lambda: QuorumRead(True, {}), stop_when_held, clock, LeaderOptions(round_interval_s=0.0),
+        RolloutFleet((gateway,), {"g": "d"}), SimulatedDaemonClient(clock, interval_s, last_poll_s), Lease(),
+        lambda: QuorumRead(True, {}), stop_on_hold, clock, LeaderOptions(round_interval_s=0.0),
     )  # fmt: skip
     record = leader.lead(create_record(PLAN, OLD, NEW), stopping)
-    return record, clock() - began_s
+    return record, clock() - started_s
 
 
-def test_a_bake_ends_by_figures_of_its_end_not_by_older_ones() -> None:
+def test_a_bake_ends_once_metrics_cover_it() -> None:
     """Metrics come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
-    record, took_s = led(every_s=2.9)
+    record, elapsed_s = lead_rollout(interval_s=2.9)
     assert record.phase is RolloutPhase.COMPLETED, record.history
-    assert BAKE_S < took_s < 2 * BAKE_S + 2.9
+    assert BAKE_S < elapsed_s < 2 * BAKE_S + 2.9
 
 
-def test_figures_that_are_fresh_make_no_bake_longer() -> None:
-    record, took_s = led(every_s=ROUND_S)
+def test_fresh_metrics_make_no_bake_longer() -> None:
+    record, elapsed_s = lead_rollout(interval_s=ROUND_S)
     assert record.phase is RolloutPhase.COMPLETED, record.history
-    assert took_s <= BAKE_S + 4 * ROUND_S
+    assert elapsed_s <= BAKE_S + 4 * ROUND_S
 
 
-def test_a_gateway_that_tells_no_figures_any_more_is_not_waited_for() -> None:
-    record, took_s = led(every_s=ROUND_S, until_s=101.0)
+def test_a_gateway_that_reports_no_metrics_any_more_is_not_waited_for() -> None:
+    record, elapsed_s = lead_rollout(interval_s=ROUND_S, last_poll_s=101.0)
     assert record.phase is RolloutPhase.ON_HOLD and "could not be asked" in record.history[-1], record.history
-    assert took_s < BAKE_S + 4.0
+    assert elapsed_s < BAKE_S + 4.0
--- a/tests/test_rollout_plan.py
+++ b/tests/test_rollout_plan.py
@@ -1,4 +1,4 @@
-"""Plans of a rolling change: what is refused, how far a stage reaches, in which order gateways go down."""
+"""Plans of a rollout: what is rejected, how far a stage reaches, in which order gateways go down."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 PLAN = RolloutPlan(name="to-1.5", base_digest="aa", stages=STAGES, max_unavailable=4)
 
 
-def refused(
+def problems(
     plan: RolloutPlan = PLAN, fleet: list[FleetGateway] = FLEET, old: Release = OLD, new: Release = NEW
 ) -> str:
     return "\n".join(validate_plan(plan, fleet, old, new))
 
 
-def test_a_sound_plan_is_not_refused() -> None:
-    assert refused() == ""
-    assert refused(replace(PLAN, stages=(Stage(groups=("ring0",)), Stage(share=1.0)))) == ""
+def test_a_valid_plan_has_no_problems() -> None:
+    assert problems() == ""
+    assert problems(replace(PLAN, stages=(Stage(groups=("ring0",)), Stage(share=1.0)))) == ""
 
 
 @pytest.mark.parametrize(
@@ -61,35 +61,35 @@
         ({"min_calls": 0}, "calls_least: 0"),
     ],
 )  # fmt: skip
-def test_what_can_not_be_is_refused_with_its_place(change: dict[str, Any], line: str) -> None:
-    assert line in refused(replace(PLAN, **change))
+def test_a_problem_is_reported_with_its_place(change: dict[str, Any], line: str) -> None:
+    assert line in problems(replace(PLAN, **change))
 
 
-def test_a_format_that_can_not_be_read_back_is_refused_unless_that_is_meant() -> None:
+def test_a_format_that_can_not_be_read_back_is_rejected_unless_the_plan_allows_it() -> None:
     writes = replace(
         NEW, formats=(DataFormat(component="ledger", readable_versions=(2, 3), written_version=3),)
     )
-    assert "release.formats[0] (ledger).writes: 1.4 can't read format 3 back" in refused(new=writes)
-    assert refused(replace(PLAN, allow_irreversible=True), new=writes) == ""
+    assert "release.formats[0] (ledger).writes: 1.4 can't read format 3 back" in problems(new=writes)
+    assert problems(replace(PLAN, allow_irreversible=True), new=writes) == ""
     reads = replace(NEW, formats=(DataFormat(component="ledger", readable_versions=(3,), written_version=2),))
-    assert "reads: format 2, which 1.4 wrote, is missing" in refused(new=reads)
+    assert "reads: format 2, which 1.4 wrote, is missing" in problems(new=reads)
     more = replace(
         NEW, formats=(*NEW.formats, DataFormat(component="copies", readable_versions=(1,), written_version=1))
     )
-    assert refused(new=more) == ""  # a part that the old one does not know, and leaves alone
-    assert "ledger, which 1.4 writes, is unknown to 1.5" in refused(new=replace(NEW, formats=()))
+    assert problems(new=more) == ""  # a part that the old one does not know, and leaves alone
+    assert "ledger, which 1.4 writes, is unknown to 1.5" in problems(new=replace(NEW, formats=()))
 
 
-def test_two_rollouts_at_once_a_fleet_with_a_name_twice_and_no_change_are_refused() -> None:
+def test_a_second_rollout_a_name_twice_and_a_plan_without_a_change_are_rejected() -> None:
     assert validate_plan(PLAN, FLEET, OLD, NEW, ["other"]) == [
         "name: a rollout is under way already, 'other': end or abort it"
     ]
-    assert "fleet: 'g00' stands twice" in refused(fleet=[*FLEET, FLEET[0]])
-    assert refused(fleet=[]) == "fleet: no gateway"
-    assert "1.4 is what runs already" in refused(new=OLD)
+    assert "fleet: 'g00' stands twice" in problems(fleet=[*FLEET, FLEET[0]])
+    assert problems(fleet=[]) == "fleet: no gateway"
+    assert "1.4 is what runs already" in problems(new=OLD)
 
 
-def test_a_stage_holds_the_one_before_and_each_zone_has_its_part_of_both_sides() -> None:
+def test_a_stage_contains_the_one_before_and_canaries_of_each_zone() -> None:
     one, tenth, half, all_ = stage_targets(PLAN, FLEET)
     assert [len(stage) for stage in (one, tenth, half, all_)] == [1, 4, 20, 40]
     assert tenth[:1] == one and half[:4] == tenth and all_[:20] == half
@@ -105,18 +105,18 @@
     )  # whoever leads, and however the file is sorted
 
 
-def test_groups_come_first_where_a_stage_names_them() -> None:
+def test_a_stage_of_groups_reaches_their_gateways() -> None:
     first, rest = stage_targets(replace(PLAN, stages=(Stage(groups=("ring0",)), Stage(share=1.0))), FLEET)
     assert set(first) == {"g00", "g01"} and len(rest) == 40
 
 
 @settings(deadline=None, max_examples=100, derandomize=True)
 @given(st.lists(st.sampled_from("abcd"), min_size=1, max_size=60), st.integers(1, 7))
-def test_never_two_zones_at_once_nor_more_than_may_be_down(zones: list[str], most: int) -> None:
+def test_a_batch_has_one_zone_and_no_more_than_may_be_down(zones: list[str], max_unavailable: int) -> None:
     fleet = [FleetGateway(name=f"g{n}", zone=zone) for n, zone in enumerate(zones)]
     zone_of = {gateway.name: gateway.zone for gateway in fleet}
     changed = [gateway.name for gateway in interleave_zones("p", fleet)]
-    found = zone_batches(changed, fleet, most)
+    found = zone_batches(changed, fleet, max_unavailable)
     assert sorted(name for batch in found for name in batch) == sorted(changed)  # each once
     for batch in found:
-        assert 1 <= len(batch) <= most and len({zone_of[name] for name in batch}) == 1
+        assert 1 <= len(batch) <= max_unavailable and len({zone_of[name] for name in batch}) == 1
