--- a/tests/stored_formats/test_gateway_page_formats.py
+++ b/tests/stored_formats/test_gateway_page_formats.py
@@ -13,7 +13,7 @@
 
 from saffronstack import config as configs
 from saffronstack.client import Client
-from saffronstack.daemon.members import Members
+from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.gateway import Gateway
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -31,7 +31,7 @@
     folder = tmp_path_factory.mktemp("gateway")
     fleet = StandInFleet(2, lambda number: Profile(load_s=0.01, work_s=0.005))
     content = complete_configuration(configuration(fleet, folder / "ledger"), folder, fleet.entries())
-    members = Members(0, 2, str(folder), time.monotonic)
+    members = ProcessGroup(0, 2, str(folder), time.monotonic)
     running = Gateway(configs.parse(json.dumps(content)), members=members)
     running.start()
     yield running
