--- /dev/null
+++ b/saffronstack/fleet/leases/http_endpoint.py
@@ -0,0 +1,64 @@
+"""The HTTP endpoint of a lease server: messages of candidates and other servers, pages for operators."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from saffronstack.fleet.http_server import HttpServer, problem
+from saffronstack.fleet.leases import codec
+from saffronstack.fleet.leases.acceptor_service import AcceptorService
+from saffronstack.fleet.leases.codec import MESSAGES_TARGET, Envelope
+from saffronstack.fleet.leases.errors import DecodeError
+from saffronstack.fleet.leases.reports import ServerStatus
+from saffronstack.http1.messages import RequestHead
+
+PERSIST_TIMEOUT_S = 2.0  # how long an answer waits for the disk; its candidate has ended the round by then
+MAX_POLL_S = 5.0  # the longest poll; a process polls again after it
+
+
+class LeaseHttpEndpoint(HttpServer):
+    """Serves candidates, other lease servers and operators."""
+
+    def __init__(
+        self, host: str, port: int, fleet: str, service: AcceptorService, clock: Callable[[], float]
+    ) -> None:
+        """Listen on an address.
+
+        Raises:
+            OSError: The address can't be bound."""
+        super().__init__("keeper", host, port, self._reply, clock)
+        self._fleet = fleet
+        self._service = service
+
+    def _reply(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
+        """Answer a request, on its connection's thread, with a status and a body."""
+        match head.method, head.target:
+            case "POST", target if target == MESSAGES_TARGET:
+                return self._reply_to_messages(body)
+            case "GET", "/status":
+                return 200, msgspec.json.encode(self._status())
+            case "GET", "/leases":
+                return 200, msgspec.json.encode(self._service.lease_reports())
+            case "GET", target:
+                return 404, problem(f"nothing is at {target}")
+            case _:
+                return 405, problem("POST /lease/messages, GET /leases, GET /status")
+
+    def _reply_to_messages(self, body: bytes) -> tuple[int, bytes]:
+        try:
+            envelope = codec.decode(body)
+        except DecodeError as error:
+            return 400, problem(str(error))
+        if envelope.fleet != self._fleet:
+            return 403, problem(f"this keeper is of fleet {self._fleet!r}, not of {envelope.fleet!r}")
+        if envelope.messages:
+            answers = self._service.handle_request(envelope.sender, envelope.messages, PERSIST_TIMEOUT_S)
+        else:
+            answers = self._service.poll(envelope.sender, min(MAX_POLL_S, max(0.0, envelope.poll_s)))
+        return 200, codec.encode(Envelope(self._fleet, "", tuple(answers)))
+
+    def _status(self) -> ServerStatus:
+        acceptor = self._service.status()
+        return ServerStatus(**msgspec.structs.asdict(acceptor), connections=self.connections)
--- a/saffronstack/fleet/tasks/orphan_takeover.py
+++ b/saffronstack/fleet/tasks/orphan_takeover.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from saffronstack.fleet.leases.store import Held, LeaseStore
+from saffronstack.fleet.leases.store import HeldLease, LeaseStore
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.fleet.tasks.task import TaskRun
 
@@ -57,12 +57,12 @@
         finally:
             lease.release()
 
-    def _finish_open_calls(self, path: pathlib.Path, lease: Held, run: TaskRun) -> bool:
+    def _finish_open_calls(self, path: pathlib.Path, lease: HeldLease, run: TaskRun) -> bool:
         """Run a gateway on the dead one's ledger until no call is open; return whether it got there."""
         log.warning("taking over orphaned ledger", gateway=path.name, token=lease.token)
         process = self._start_gateway(path, lease.token)
         try:
-            while process.poll() is None and run.may_continue() and lease.left_s() > 0:
+            while process.poll() is None and run.may_continue() and lease.remaining_s() > 0:
                 run.wait(POLL_INTERVAL_S)
             return process.poll() == 0
         finally:
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from saffronstack.fleet.leases.store import Held, LeaseStore
+from saffronstack.fleet.leases.store import HeldLease, LeaseStore
 from saffronstack.fleet.tasks.schedule import (
     Action,
     CancelRun,
@@ -29,7 +29,7 @@
 class _LeasedRun:
     """One run of a task under a lease; implements `TaskRun`."""
 
-    def __init__(self, number: int, token: int, lease: Held | None) -> None:
+    def __init__(self, number: int, token: int, lease: HeldLease | None) -> None:
         self.number = number
         self.token = token
         self._lease = lease
@@ -37,7 +37,7 @@
 
     def may_continue(self) -> bool:
         """See `TaskRun.may_continue`."""
-        return not self._cancelled.is_set() and self._lease is not None and self._lease.left_s() > 0
+        return not self._cancelled.is_set() and self._lease is not None and self._lease.remaining_s() > 0
 
     def wait(self, seconds: float) -> None:
         """See `TaskRun.wait`."""
@@ -86,7 +86,7 @@
         self._store = store
         self._clock = clock
         self._schedule = TaskSchedule(period_s, run_timeout_s)
-        self._lease: Held | None = None  # the deciding thread's alone
+        self._lease: HeldLease | None = None  # the deciding thread's alone
         self._reported = threading.Condition()  # guards the four fields below
         self._lease_lost_reason = ""
         self._ended_runs: list[_EndedRun] = []
--- a/tests/fleet/tasks/fakes.py
+++ b/tests/fleet/tasks/fakes.py
@@ -9,12 +9,12 @@
 
 
 class FakeLease:
-    """A lease that is held until a test or its holder ends it; `store.Held`."""
+    """A lease that is held until a test or its holder ends it; `store.HeldLease`."""
 
     def __init__(self, lease: str, token: int) -> None:
         self.lease, self.token, self.value, self.is_held = lease, token, b"", True
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return 10.0 if self.is_held else 0.0
 
     def put(self, content: bytes, wait_s: float) -> bool:
--- a/tests/test_rollout_leader.py
+++ b/tests/test_rollout_leader.py
@@ -6,20 +6,22 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from saffronstack.fleet.control.daemon_client import Daemons
-from saffronstack.fleet.control.messages import DaemonState, Figures, GatewayState, Order
-from saffronstack.fleet.leases.reading import Reading
-from saffronstack.fleet.rollout.controller import Record, first
-from saffronstack.fleet.rollout.leader import Leader
-from saffronstack.fleet.rollout.plan import Gateway, Plan, Release, Stage
+from saffronstack.fleet.control.daemon_answers import DaemonAnswer
+from saffronstack.fleet.control.daemon_client import DaemonClient
+from saffronstack.fleet.control.messages import DaemonStatus, GatewayCommand, GatewayMetrics, GatewayStatus
+from saffronstack.fleet.control.observed_gateway import GatewayPhase
+from saffronstack.fleet.leases.quorum_read import QuorumRead
+from saffronstack.fleet.rollout.leader import LeaderOptions, RolloutLeader
+from saffronstack.fleet.rollout.plan import FleetGateway, Release, RolloutFleet, RolloutPlan, Stage
+from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, create_record
 from saffronstack.invoke.figures import times
 
 ROUND_S = 0.5
 CALLS_PER_S = 30
 BAKE_S = 2.0
 OLD, NEW = Release(version="1", digest="old"), Release(version="2", digest="new")
-PLAN = Plan(
-    name="plan", base="old", stages=(Stage(share=1.0, bake_s=BAKE_S),), settle_s=0.0, calls_least=20
+PLAN = RolloutPlan(
+    name="plan", base_digest="old", stages=(Stage(share=1.0, bake_s=BAKE_S),), settle_s=0.0, min_calls=20
 )  # fmt: skip
 
 
@@ -41,7 +43,7 @@
     token: int = 1
     value: bytes = b""
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return 10.0
 
     def put(self, content: bytes, wait_s: float) -> bool:
@@ -52,7 +54,7 @@
         raise AssertionError("the leader does not own it")
 
 
-class ToldDaemons(Daemons):
+class ToldDaemons(DaemonClient):
     """One daemon with one gateway that runs what it is ordered at once. Its figures are read anew
     ``every_s`` seconds; ``until_s``: not after this moment."""
 
@@ -62,56 +64,58 @@
         self._runs, self._life, self._began_s = "old", 1, clock()
         self._histogram = times().encode().decode()
 
-    def ask(self, orders: Mapping[str, Sequence[Order]]) -> dict[str, DaemonState | str]:
-        for order in orders.get("d", ()):
-            self._runs, self._life, self._began_s = order.release, self._life + 1, self._now()
-        return {"d": DaemonState("d", 1, False, 1, {"g": self._state()})}
+    def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
+        for command in commands.get("d", ()):
+            self._runs, self._life, self._began_s = command.release, self._life + 1, self._now()
+        return {"d": DaemonStatus("d", 1, False, 1, {"g": self._state()})}
 
-    def look(self) -> dict[str, DaemonState | str]:
+    def poll(self) -> dict[str, DaemonAnswer]:
         self._now.now_s += ROUND_S
-        return self.ask({})
+        return self.send({})
 
-    def _state(self) -> GatewayState:
+    def _state(self) -> GatewayStatus:
         now = min(self._now(), self._until_s)
         read_s = max(self._began_s, now - (now - self._began_s) % self._every_s)
         calls = {"lookup": {"served": int((read_s - self._began_s) * CALLS_PER_S)}}
-        figures = Figures(self._now() - read_s, calls, {"lookup": self._histogram}, release=self._runs)
-        return GatewayState(self._runs, self._runs, "up", self._life, 0, figures=figures)
+        figures = GatewayMetrics(
+            self._now() - read_s, calls, {"lookup": self._histogram}, reported_release=self._runs
+        )
+        return GatewayStatus(self._runs, self._runs, GatewayPhase.SERVING, self._life, 0, metrics=figures)
 
 
-def led(every_s: float, until_s: float = 1e9) -> tuple[Record, float]:
+def led(every_s: float, until_s: float = 1e9) -> tuple[RolloutRecord, float]:
     """The record at the end of a rollout, and how long it took on the clock."""
     clock = Clock()
     began_s = clock()
     stopping = threading.Event()
-    gateway = Gateway(name="g", zone="east")
+    gateway = FleetGateway(name="g", zone="east")
 
-    def stop_when_held(record: Record, waits: str) -> None:
-        if record.way == "held":
+    def stop_when_held(record: RolloutRecord, waits: str) -> None:
+        if record.phase is RolloutPhase.ON_HOLD:
             stopping.set()
 
-    leader = Leader(
-        [gateway], {"g": "d"}, ToldDaemons(clock, every_s, until_s), Lease(), lambda: Reading(True, {}),
-        stop_when_held, clock, round_s=0.0,
+    leader = RolloutLeader(
+        RolloutFleet((gateway,), {"g": "d"}), ToldDaemons(clock, every_s, until_s), Lease(),
+        lambda: QuorumRead(True, {}), stop_when_held, clock, LeaderOptions(round_interval_s=0.0),
     )  # fmt: skip
-    record = leader.lead(first(PLAN, OLD, NEW), stopping)
+    record = leader.lead(create_record(PLAN, OLD, NEW), stopping)
     return record, clock() - began_s
 
 
 def test_a_bake_ends_by_figures_of_its_end_not_by_older_ones() -> None:
-    """Figures come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
+    """Metrics come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
     record, took_s = led(every_s=2.9)
-    assert record.way == "done", record.notes
+    assert record.phase is RolloutPhase.COMPLETED, record.history
     assert BAKE_S < took_s < 2 * BAKE_S + 2.9
 
 
 def test_figures_that_are_fresh_make_no_bake_longer() -> None:
     record, took_s = led(every_s=ROUND_S)
-    assert record.way == "done", record.notes
+    assert record.phase is RolloutPhase.COMPLETED, record.history
     assert took_s <= BAKE_S + 4 * ROUND_S
 
 
 def test_a_gateway_that_tells_no_figures_any_more_is_not_waited_for() -> None:
     record, took_s = led(every_s=ROUND_S, until_s=101.0)
-    assert record.way == "held" and "could not be asked" in record.notes[-1], record.notes
+    assert record.phase is RolloutPhase.ON_HOLD and "could not be asked" in record.history[-1], record.history
     assert took_s < BAKE_S + 4.0
