--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -26,7 +26,7 @@
 from saffronstack.config.schema import Config, Ledger
 from saffronstack.daemon.errors import StartupError
 from saffronstack.daemon.heartbeat_monitor import HEARTBEAT_INTERVAL_S, STOPPED_TIMEOUT_S
-from saffronstack.daemon.listener_handover import OWNER_VARIABLE, ListenerHandover
+from saffronstack.daemon.listener_handover import MARK_VARIABLE, ListenerHandover
 from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.daemon.state_directories import find_stranded_ledgers, process_directory
 from saffronstack.daemon.supervisor import Supervisor, gateway_command
@@ -141,7 +141,7 @@
 
 def _hand_over(listener: socket.socket | None) -> ListenerHandover | None:
     """The daemon that made this socket may be replaced; the next one asks for it."""
-    mark = os.environ.get(OWNER_VARIABLE, "")
+    mark = os.environ.get(MARK_VARIABLE, "")
     if listener is None or not mark:
         return None
     try:
--- a/saffronstack/daemon/listener_handover.py
+++ b/saffronstack/daemon/listener_handover.py
@@ -22,25 +22,25 @@
 ACCEPT_TIMEOUT_S = 0.5
 REQUEST_TIMEOUT_S = 1.0
 BACKLOG = 4
-OWNER_VARIABLE = "SAFFRON_LIFE"  # in a gateway's environment: whose it is, and which release
+MARK_VARIABLE = "SAFFRON_LIFE"  # in a gateway's environment: its process mark
 _MESSAGE = b"listener"
 _MAX_MESSAGE_BYTES = 64
 _CREDENTIALS = struct.Struct("3i")  # process id, user id, group id
 
 
-def socket_name(owner: str, pid: int) -> str:
+def socket_name(mark: str, pid: int) -> str:
     """Return the abstract name at which a gateway process hands over its listener."""
-    return "\0saffronstack-" + xxhash.xxh3_128_hexdigest(f"{owner}/{pid}".encode())
+    return "\0saffronstack-" + xxhash.xxh3_128_hexdigest(f"{mark}/{pid}".encode())
 
 
 class ListenerHandover:
     """Hands this process's listening socket to any process that requests it, on a thread of its own."""
 
-    def __init__(self, owner: str, listener: socket.socket) -> None:
+    def __init__(self, mark: str, listener: socket.socket) -> None:
         """Start to answer requests.
 
         Args:
-            owner: Whose gateway this is; the requesting process must know it.
+            mark: Identifies this process as its daemon's, with its release; who requests it must know it.
             listener: The socket to hand over; it stays open here.
 
         Raises:
@@ -50,7 +50,7 @@
         self._stopping = threading.Event()
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            self._socket.bind(socket_name(owner, os.getpid()))
+            self._socket.bind(socket_name(mark, os.getpid()))
             self._socket.listen(BACKLOG)
             self._socket.settimeout(ACCEPT_TIMEOUT_S)
         except OSError:
@@ -79,11 +79,11 @@
             socket.send_fds(peer, [_MESSAGE], [self._listener.fileno()])
 
 
-def request_listener(owner: str, pid: int) -> socket.socket | None:
+def request_listener(mark: str, pid: int) -> socket.socket | None:
     """Request the listening socket of another process.
 
     Args:
-        owner: Whose gateway it is.
+        mark: The process's mark.
         pid: Its process id.
 
     Returns:
@@ -92,7 +92,7 @@
     try:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
             connection.settimeout(REQUEST_TIMEOUT_S)
-            connection.connect(socket_name(owner, pid))
+            connection.connect(socket_name(mark, pid))
             if not _is_same_user(connection):
                 return None
             _, descriptors, _, _ = socket.recv_fds(connection, _MAX_MESSAGE_BYTES, 1)
--- a/saffronstack/fleet/control/process_discovery.py
+++ b/saffronstack/fleet/control/process_discovery.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saffronstack.daemon.listener_handover import OWNER_VARIABLE
+from saffronstack.daemon.listener_handover import MARK_VARIABLE
 from saffronstack.fleet.control.gateway_process import GatewayProcess
 from saffronstack.fleet.control.metrics_poller import find_serving_pid
 
@@ -32,7 +32,7 @@
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit() or int(entry.name) == os.getpid():
             continue
-        one = _read_process(entry, f"{OWNER_VARIABLE}={mark}/".encode())
+        one = _read_process(entry, f"{MARK_VARIABLE}={mark}/".encode())
         if one is not None:
             found.append(one)
     return [one.process for one in sorted(found, key=lambda one: one.started_ticks)]
--- a/saffronstack/fleet/control/process_launcher.py
+++ b/saffronstack/fleet/control/process_launcher.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import IO
 
-from saffronstack.daemon.listener_handover import OWNER_VARIABLE
+from saffronstack.daemon.listener_handover import MARK_VARIABLE
 from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
 from saffronstack.runtime.threads import spawn
 
@@ -81,7 +81,7 @@
         child = subprocess.Popen(
             [*spec.command, "--listen-fd", str(listener.fileno()), "--standby"],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log_file, pass_fds=(listener.fileno(),),
-            start_new_session=True, env={**os.environ, OWNER_VARIABLE: f"{spec.mark}/{spec.release}"},
+            start_new_session=True, env={**os.environ, MARK_VARIABLE: f"{spec.mark}/{spec.release}"},
         )  # fmt: skip
     process = GatewayProcess(child.pid, spec.release, os.pidfd_open(child.pid), child)
     assert child.stdout is not None
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -8,7 +8,7 @@
 import msgspec
 from prometheus_client import CollectorRegistry, generate_latest
 
-from saffronstack.daemon.listener_handover import OWNER_VARIABLE
+from saffronstack.daemon.listener_handover import MARK_VARIABLE
 from saffronstack.invoke.app import Page, Response
 from saffronstack.invoke.metrics import GatewayCollector, Parts
 
@@ -42,7 +42,7 @@
         counts = gateway.engine.counts
         content: dict[str, object] = {
             "pid": os.getpid(),
-            "release": os.environ.get(OWNER_VARIABLE, "").rpartition("/")[2],
+            "release": os.environ.get(MARK_VARIABLE, "").rpartition("/")[2],
             "process": gateway.members.index,
             "processes": gateway.members.count,
             "draining": gateway.draining,
--- a/tests/daemon/test_graceful_takeover.py
+++ b/tests/daemon/test_graceful_takeover.py
@@ -7,10 +7,13 @@
 import signal
 import subprocess
 import sys
+from collections.abc import Iterator
+
+import pytest
 
 from saffronstack.client import Client
 from saffronstack.daemon.listener_handover import request_listener
-from saffronstack.fleet.control.gateway_process import ProcessEvent, ProcessEventKind
+from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
 from saffronstack.fleet.control.process_discovery import find_processes
 from saffronstack.fleet.control.process_launcher import LaunchSpec, bind_listener, launch
 from saffronstack.standin.fleet import StandInFleet
@@ -23,94 +26,119 @@
 ]  # fmt: skip
 
 
-def test_a_gateway_goes_on_without_its_daemon_and_one_that_follows_comes_by_itself(
-    tmp_path: pathlib.Path,
+@pytest.fixture
+def config_path(tmp_path: pathlib.Path, one_worker: StandInFleet) -> pathlib.Path:
+    """A gateway's configuration."""
+    path = tmp_path / "g1.json5"
+    path.write_text(json.dumps(configuration(one_worker, deadline_s=AMPLE_DEADLINE_S)))
+    return path
+
+
+@pytest.fixture
+def address() -> Iterator[str]:
+    """A free port that nothing else takes while the test runs."""
+    with hold_port("127.0.0.1") as holder:
+        yield f"127.0.0.1:{holder.getsockname()[1]}"
+
+
+class EventLog:
+    """Events of gateway processes, as they are reported."""
+
+    def __init__(self) -> None:
+        self.events: list[ProcessEvent] = []
+
+    def wait_for(self, kind: ProcessEventKind, incarnation: int) -> None:
+        eventually(
+            lambda: any(event.kind is kind and event.incarnation == incarnation for event in self.events)
+        )
+
+    def end_reasons(self) -> list[str]:
+        return [event.reason for event in self.events if event.kind is ProcessEventKind.ENDED]
+
+
+def close_input(process: GatewayProcess) -> None:
+    """Close the pipe from the daemon, as the daemon's end does."""
+    assert process._child is not None
+    assert process._child.stdin is not None
+    process._child.stdin.close()
+
+
+def write_line(process: subprocess.Popen[bytes], line: bytes) -> None:
+    assert process.stdin is not None
+    process.stdin.write(line)
+    process.stdin.flush()
+
+
+def read_line(process: subprocess.Popen[bytes]) -> bytes:
+    assert process.stdout is not None
+    return process.stdout.readline()
+
+
+def test_a_gateway_serves_on_without_its_daemon_and_its_successor_takes_over(
+    tmp_path: pathlib.Path, config_path: pathlib.Path, address: str
 ) -> None:
-    fleet = StandInFleet(1)
-    told: list[ProcessEvent] = []
-    with hold_port("127.0.0.1") as held:
-        address = f"127.0.0.1:{held.getsockname()[1]}"
-        path = tmp_path / "g1.json5"
-        path.write_text(json.dumps(configuration(fleet, deadline_s=AMPLE_DEADLINE_S)))
-        listening = bind_listener(address)
-        mark = f"test/{tmp_path}"
-        made = [
-            launch(
-                LaunchSpec("g1", n, f"r{n}", [*SERVE, "--config", str(path)], mark, tmp_path / "log"),
-                listening,
-                told.append,
-            )
+    log = EventLog()
+    mark = f"test/{tmp_path}"
+    command = [*SERVE, "--config", str(config_path)]
+    with bind_listener(address) as listener:
+        first, second = (
+            launch(LaunchSpec("g1", n, f"r{n}", command, mark, tmp_path / "log"), listener, log.events.append)
             for n in (1, 2)
-        ]
-        first, second = made
-        eventually(
-            lambda: {one.incarnation for one in told if one.kind is ProcessEventKind.PREPARED} == {1, 2}
         )
+        for incarnation in (1, 2):
+            log.wait_for(ProcessEventKind.PREPARED, incarnation)
         first.allow_serving()
-        eventually(lambda: any(one.kind is ProcessEventKind.SERVING and one.incarnation == 1 for one in told))
-        assert [one.release for one in find_processes(mark)] == ["r1", "r2"]
-        # The daemon's end: its pipes close. The one that serves goes on, the one that follows waits for it.
+        log.wait_for(ProcessEventKind.SERVING, 1)
+        assert [process.release for process in find_processes(mark)] == ["r1", "r2"]
+        # The daemon ends: its pipes close. The first process serves on, the second waits for its end.
         second.serve_after(first)
-        for life in made:
-            assert life._child is not None
-            assert life._child.stdin is not None
-            life._child.stdin.close()
+        close_input(first)
+        close_input(second)
         client = Client(address, 10.0)
         assert client.invoke("identify-copy", b"{}").status == 200
-        taken = request_listener(f"{mark}/r1", first.pid)
-        assert taken is not None
+        received = request_listener(f"{mark}/r1", first.pid)
+        assert received is not None
         first.send_signal(signal.SIGTERM)
-        eventually(lambda: any(one.kind is ProcessEventKind.ENDED and one.incarnation == 1 for one in told))
-        eventually(lambda: any(one.kind is ProcessEventKind.SERVING and one.incarnation == 2 for one in told))
+        log.wait_for(ProcessEventKind.ENDED, 1)
+        log.wait_for(ProcessEventKind.SERVING, 2)
         assert client.invoke("identify-copy", b"{}").status == 200
         client.close()
         second.send_signal(signal.SIGTERM)
-        eventually(lambda: any(one.kind is ProcessEventKind.ENDED and one.incarnation == 2 for one in told))
-        taken.close()
-        listening.close()
-    fleet.stop()
-    assert [one.reason for one in told if one.kind is ProcessEventKind.ENDED] == ["status 0", "status 0"]
+        log.wait_for(ProcessEventKind.ENDED, 2)
+        received.close()
+    assert log.end_reasons() == ["status 0", "status 0"]
 
 
-def test_one_that_follows_serves_on_though_nobody_reads_what_it_says(tmp_path: pathlib.Path) -> None:
-    fleet = StandInFleet(1)
-    path = tmp_path / "g1.json5"
-    path.write_text(json.dumps(configuration(fleet, deadline_s=AMPLE_DEADLINE_S)))
-    listening = bind_listener("127.0.0.1:0")
-    command = [*SERVE, "--config", str(path), "--listen-fd", str(listening.fileno()), "--standby"]
+def test_a_successor_serves_though_nobody_reads_its_output(config_path: pathlib.Path) -> None:
+    listener = bind_listener("127.0.0.1:0")
+    command = [*SERVE, "--config", str(config_path), "--listen-fd", str(listener.fileno()), "--standby"]
 
     def start() -> subprocess.Popen[bytes]:
         return subprocess.Popen(
-            command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, pass_fds=(listening.fileno(),)
+            command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, pass_fds=(listener.fileno(),)
         )
 
-    with start() as first, start() as second, listening:
-        for life in (first, second):
-            assert life.stdout is not None
-            assert life.stdout.readline() == b"saffronstack is prepared\n"
-        assert first.stdin is not None
-        assert first.stdout is not None
-        first.stdin.write(b"go\n")
-        first.stdin.flush()
-        assert first.stdout.readline().startswith(b"saffronstack takes calls")
+    with start() as first, start() as second, listener:
+        for process in (first, second):
+            assert read_line(process) == b"saffronstack is prepared\n"
+        write_line(first, b"go\n")
+        assert read_line(first).startswith(b"saffronstack takes calls")
+        write_line(second, b"after %d\n" % first.pid)
         assert second.stdin is not None
         assert second.stdout is not None
-        second.stdin.write(b"after %d\n" % first.pid)
-        second.stdin.flush()
         second.stdin.close()  # the daemon has died, and with it both of its ends
         second.stdout.close()
         first.send_signal(signal.SIGTERM)
         assert first.wait(30.0) == 0
-        host, port = listening.getsockname()
+        host, port = listener.getsockname()
         client = Client(f"{host}:{port}", 30.0)
         assert client.invoke("identify-copy", b"{}").status == 200
         client.close()
         second.send_signal(signal.SIGTERM)
         assert second.wait(30.0) == 0
-    fleet.stop()
 
 
-def test_one_that_was_only_prepared_ends_with_its_daemon() -> None:
+def test_a_gateway_that_was_only_prepared_ends_with_its_daemon() -> None:
     ran = subprocess.run(
         [*SERVE, "--with-standins", "--listen", "127.0.0.1:0", "--standby"], input="", capture_output=True,
         text=True, timeout=60.0, check=False,
--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -223,7 +223,7 @@
 
 def test_the_handover_socket_has_the_same_name() -> None:
     assert listener_handover.socket_name("daemon-1/release-2", 4711) == NUMBERS["handover_socket"]
-    assert NUMBERS["handover_environment"] == listener_handover.OWNER_VARIABLE == "SAFFRON_LIFE"
+    assert NUMBERS["handover_environment"] == listener_handover.MARK_VARIABLE == "SAFFRON_LIFE"
 
 
 def test_a_listening_socket_is_handed_over_in_the_same_message() -> None:
