--- a/saffronstack/daemon/listener_handover.py
+++ b/saffronstack/daemon/listener_handover.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 ACCEPT_TIMEOUT_S = 0.5
 REQUEST_TIMEOUT_S = 1.0
@@ -56,7 +56,7 @@
         except OSError:
             self._socket.close()
             raise
-        spawn("hand-over", self._serve)
+        start_thread("hand-over", self._serve)
 
     def stop(self) -> None:
         """Answer no further requests. Does not wait for the thread, which ends within `ACCEPT_TIMEOUT_S`."""
--- a/saffronstack/fleet/control/managed_gateway.py
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -28,7 +28,7 @@
 from saffronstack.fleet.control.metrics_poller import MetricsPoller
 from saffronstack.fleet.control.process_discovery import find_serving_process
 from saffronstack.fleet.control.releases import find_release
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.daemon")
 
@@ -92,7 +92,7 @@
         incarnation = self._reconciler.adopt(self._clock(), process.release)
         self._processes[incarnation] = process
         self._metrics_poller.watch(incarnation, process)
-        spawn(
+        start_thread(
             "gateway-end",
             lambda: process_launcher.report_end(self.spec.name, incarnation, process, self._report),
         )
--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -14,7 +14,7 @@
 from saffronstack.http1.messages import HttpError, Limits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.fleet")
 MAX_CONNECTIONS = 2048
@@ -71,7 +71,7 @@
 
     def start(self) -> None:
         """Accept connections on a thread of its own."""
-        self._accept_thread = spawn(f"{self._name}-accept", self._accept_all)
+        self._accept_thread = start_thread(f"{self._name}-accept", self._accept_all)
 
     def stop(self) -> None:
         """Close the listening socket and all connections."""
@@ -112,7 +112,7 @@
             stream.close()
             return
         try:
-            spawn(f"{self._name}-connection", lambda: self._serve(stream))
+            start_thread(f"{self._name}-connection", lambda: self._serve(stream))
         except RuntimeError:  # the system has no more threads
             self._close(stream)
 
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -20,7 +20,7 @@
 from saffronstack.fleet.leases.limits import LeaseFleet, LeaseLimits
 from saffronstack.fleet.leases.messages import CatchUpRequest, CatchUpResponse, Message, SendMessage, SetTimer
 from saffronstack.fleet.leases.server_link import LeaseServerLink
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.leases")
 IDLE_S = 0.5  # the longest sleep of the timer thread
@@ -109,7 +109,7 @@
         }
         for link in self._links.values():
             link.start()
-        spawn("lease-timer", self._run_timers)
+        start_thread("lease-timer", self._run_timers)
 
     # ---- requests of the owner
 
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -21,8 +21,8 @@
 from saffronstack.platform.front import Front
 from saffronstack.platform.shutdown import limits_for
 from saffronstack.routing.router import Router
-from saffronstack.runtime.logs import Log, PlainLog
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import KeyValueLogger, Logger
+from saffronstack.runtime.threads import start_thread
 
 NAME = "_work._tcp.fleet.local"  # what the directory lists the hosts under
 IDLE_PART = 0.8  # of the told idle time a link stays open: a host that closes it first may cross a send
@@ -45,14 +45,14 @@
         config: PlatformConfig,
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
-        log: Log | None = None,
+        log: Logger | None = None,
     ) -> None:
         """OSError where the address can't be had, ConfigError where the list of the start can't be read.
 
         ``config`` stays in force until the end; `reread` moves the directory's address alone."""
         self.config = config
         self._clock, self._wall = clock, wall
-        self._log = log or PlainLog(config.name or "gateway")
+        self._log = log or KeyValueLogger(config.name or "gateway")
         settings = config.settings
         self.budget = divide(config.limits.sockets, config.limits.memory_mb, config.max_open_calls)
         self.membership, self._start_list = config.membership()
@@ -60,7 +60,7 @@
             settings,
             config.seed,
             clock,
-            backstop_s=MARGIN_S,
+            deadline_grace_s=MARGIN_S,
             max_open_calls=self.budget.calls,
             log=self._log,
         )
@@ -73,7 +73,7 @@
             ),
             LinkBudget(self.budget.links),
             self.writer,
-            self.engine.tell,
+            self.engine.notify,
             clock,
             settings.load_command_timeout_s or ORDER_S,
             self._log,
@@ -86,7 +86,7 @@
         self.front = Front(
             config.listen,
             self.engine,
-            CallMaker(settings, self.engine.next_number),
+            CallMaker(settings, self.engine.next_call_number),
             self.writer,
             FrontLimits(connections=self.budget.clients),
             clock,
@@ -104,7 +104,7 @@
         self.directory.start()
         self._ready = True
         self.front.start()
-        spawn("beliefs", self._compare)
+        start_thread("beliefs", self._compare)
 
     def _compare(self) -> None:
         """Hold the module's beliefs against the links; the log hears of what was found, and not often."""
@@ -123,7 +123,7 @@
     def _changed(self, change: Change) -> None:
         """Links first, so that nothing leaves for a host that drains or is gone."""
         self.hosts.changed(change.changed, change.gone)
-        self.engine.change_workers(change.changed, change.gone, self._wall())
+        self.engine.update_workers(change.changed, change.gone, self._wall())
 
     def reread(self, path: str) -> bool:
         """Ask the directory that a new configuration names; False, and no change, where it can't be used."""
@@ -157,12 +157,12 @@
 
     def summary(self) -> dict[str, object]:
         """Figures for the log's last line."""
-        counts = self.engine.counts
+        counts = self.engine.statistics
         return {
             "calls": counts.calls,
-            "endings": counts.endings,
-            "repeats": counts.repeats,
-            "backstops": counts.backstops,
+            "endings": counts.final_answers,
+            "repeats": counts.retries,
+            "backstops": counts.deadline_answers,
             "faults": counts.faults,
             "peak_connections": self.front.peak_connections,
             "evicted": self.front.evicted,
--- a/tests/fleet/tasks/fakes.py
+++ b/tests/fleet/tasks/fakes.py
@@ -32,10 +32,10 @@
         self.lost_callbacks: list[Callable[[str], None] | None] = []
 
     def acquire(
-        self, lease: str, wait_s: float, lost: Callable[[str], None] | None = None
+        self, lease: str, wait_s: float, on_lost: Callable[[str], None] | None = None
     ) -> FakeLease | None:
         self.granted.append(FakeLease(lease, len(self.granted) + 1))
-        self.lost_callbacks.append(lost)
+        self.lost_callbacks.append(on_lost)
         return self.granted[-1]
 
     def close(self) -> None:
--- a/tests/test_platform_links.py
+++ b/tests/test_platform_links.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from saffronstack.engine.calls import AttemptEnd, Call, Ending, Final, FunctionSpec
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.hosts import codec
 from saffronstack.hosts.dispatcher import HostDispatcher
@@ -34,7 +35,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, room: int = 1_000_000) -> None:
         self.now = 100.0
-        self.ends: list[AttemptEnd] = []
+        self.ends: list[AttemptResult] = []
         self.sockets: list[Full] = []
         self.links: list[Link] = []
         self.room = room
@@ -92,7 +93,7 @@
     fleet = Fleet(monkeypatch, room=30)
     fleet.call(1)
     fleet.call(2)
-    fleet.dispatcher.changed([WorkerSpec(7, "s-7", "127.0.0.1", 1, draining=True)], [])
+    fleet.dispatcher.changed([WorkerSpec(7, "s-7", "127.0.0.1", 1, is_draining=True)], [])
     fleet.sockets[0].room = 100_000
     write_buffer = fleet.links[0]._write_buffer
     assert write_buffer is not None and write_buffer.flush()
@@ -120,7 +121,7 @@
         "0000000000000001"
     )  # its answer may still come, and would be taken for a new one's
     link._on_answer(codec.answer_of(b'{"what":"OK","tag":"0000000000000001","blob":"eA=="}'))
-    assert len(fleet.ends) == 1 and not call.settled and link.accepts("0000000000000001")
+    assert len(fleet.ends) == 1 and not call.is_finished and link.accepts("0000000000000001")
 
 
 def test_a_link_with_many_answers_owed_for_nothing_takes_nothing_new(fleet: Fleet) -> None:
@@ -318,7 +319,7 @@
     link = fleet.links[0]
     shut: list[bool] = []
     monkeypatch.setattr(link, "abort", lambda: shut.append(True))
-    call.settle(Final(Ending.GONE))
+    call.finish(FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
     fleet.dispatcher.cancel(call, 0)
     assert shut == [True]
 
