--- a/saffronstack/routing/dispatcher.py
+++ b/saffronstack/routing/dispatcher.py
@@ -38,13 +38,13 @@
         self._load_commands = components.load_commands
         self._queue = components.request_queue
 
-    def dispatch(self, now: float, pending: PendingRequest, is_patient: bool = True) -> None:
+    def dispatch(self, now: float, pending: PendingRequest, can_wait: bool = True) -> None:
         """Send the next attempt of a request if its retry policy allows one, or hold it back.
 
         Args:
             now: Present time in seconds.
             pending: The request; no attempt of it is in flight.
-            is_patient: Whether the request can still wait for a busy instance.
+            can_wait: Whether the request can still wait for a busy instance.
         """
         function_id = pending.request.function_id
         function = self._functions.get(function_id)
@@ -58,7 +58,7 @@
         usable_fraction = self._limiter.usable_fraction(weight, mean_weight)
         instance = self._warm_pool.take(now, function, pending, usable_fraction)
         if instance is None:
-            self._dispatch_without_instance(now, pending, function, is_patient)
+            self._dispatch_without_instance(now, pending, function, can_wait)
             return
         worker, freed_s = instance
         expects_warm = function_id not in worker.loads_in_progress
@@ -76,7 +76,7 @@
             self._serve_free_load_slots(now)
 
     def _dispatch_without_instance(
-        self, now: float, pending: PendingRequest, function: Function, is_patient: bool
+        self, now: float, pending: PendingRequest, function: Function, can_wait: bool
     ) -> None:
         # Only now all workers are looked at: most requests find an instance, and fleets may be large.
         is_eligible = self._eligibility.is_eligible
@@ -84,7 +84,7 @@
         load_attempts = sum(not attempt.expects_warm for attempt in pending.attempts)
         if not eligible or load_attempts >= MAX_LOAD_ATTEMPTS:
             self.answer(pending)
-        elif self._load_control.may_load(now, pending.request, function, is_patient):
+        elif self._load_control.may_load(now, pending.request, function, can_wait):
             worker = self._placement.choose(now, pending.request, function, eligible)
             if self._load_commands.may_send(now):
                 self.actions.append(self._load_commands.send(now, pending.request, worker, function))
@@ -145,7 +145,7 @@
             if self._load_control.loads_in_progress <= loads:
                 break
 
-    def _dispatch_newest(self, now: float, function: Function, is_patient: bool) -> None:
+    def _dispatch_newest(self, now: float, function: Function, can_wait: bool) -> None:
         pending = self._queue.take_newest(function)
         if pending is not None:
-            self.dispatch(now, pending, is_patient)
+            self.dispatch(now, pending, can_wait)
--- a/saffronstack/routing/eligibility.py
+++ b/saffronstack/routing/eligibility.py
@@ -27,7 +27,7 @@
             return False
         return now >= worker.slow_start_ends_s or self._slow_start.grants_attempt(now, worker)
 
-    def can_repeat(self, now: float, pending: PendingRequest, worker: Worker) -> bool:
+    def can_retry_after_disconnect(self, now: float, pending: PendingRequest, worker: Worker) -> bool:
         """Return whether a request may go again to a worker where its own connection was lost."""
         if not worker.is_ready or worker.is_ejected:
             return False
--- a/saffronstack/routing/load_control.py
+++ b/saffronstack/routing/load_control.py
@@ -66,14 +66,14 @@
         """Return whether another load is within the limit."""
         return self.loads_in_progress < self.limit()
 
-    def may_load(self, now: float, request: Request, function: Function, is_patient: bool) -> bool:
+    def may_load(self, now: float, request: Request, function: Function, can_wait: bool) -> bool:
         """Return whether a request may begin a load.
 
         Args:
             now: Present time in seconds.
             request: The request.
             function: Its function.
-            is_patient: Whether the request can still wait for a busy instance.
+            can_wait: Whether the request can still wait for a busy instance.
         """
         if self._shared.are_common():
             return True
@@ -87,7 +87,7 @@
         slots = at_limit + function.warm_attempts_in_flight + loading
         if len(function.waiting) >= WAITING_PER_SLOT * slots:
             return True
-        return not is_patient and not function.loads_in_progress
+        return not can_wait and not function.loads_in_progress
 
     def begin(self, worker: Worker, function: Function, function_id: int) -> None:
         """Note that a load begins."""
--- a/saffronstack/routing/load_shedding.py
+++ b/saffronstack/routing/load_shedding.py
@@ -76,8 +76,8 @@
             return 1.0
         quota_rps = tenants[tenant].quota_rps
         by_rate = quota_rps / self._settings.gateway_count * RATE_WINDOW_S
-        by_part = quota_rps / self._quotas * self._rates.total.value(now)
-        fair = max(by_rate, by_part)
+        by_fraction = quota_rps / self._quotas * self._rates.total.value(now)
+        fair = max(by_rate, by_fraction)
         within = min(1.0, fair / max(1.0, self._rates.of_tenant(now, tenant)))
         return within + (1 - within) * self._settings.over_quota_weight
 
--- a/saffronstack/routing/outcome_feedback.py
+++ b/saffronstack/routing/outcome_feedback.py
@@ -10,7 +10,7 @@
 RESPONSES = (Result.OK, Result.AT_CAPACITY, Result.ERROR)  # results that show the worker to be alive
 CONNECTION_LOSSES = (Result.RESET, Result.CONNECT_FAILED)
 LOADED = (CacheStatus.STARTED_LOAD, CacheStatus.JOINED_LOAD)
-FOUND_WARM = (CacheStatus.WARM, CacheStatus.UNKNOWN)
+WARM_OR_UNKNOWN = (CacheStatus.WARM, CacheStatus.UNKNOWN)
 
 
 class OutcomeFeedback:
@@ -37,7 +37,7 @@
         if attempt.expects_warm:
             function.warm_attempts_in_flight -= 1
             worker.warm_attempts_in_flight -= 1
-            if outcome.cache_status in FOUND_WARM:
+            if outcome.cache_status in WARM_OR_UNKNOWN:
                 self._limiter.observe(now, attempt, outcome)
         self._observe_worker(now, attempt, outcome)
         if not attempt.expects_warm:
--- a/saffronstack/routing/placement.py
+++ b/saffronstack/routing/placement.py
@@ -76,22 +76,25 @@
             eligible = accepting or eligible
         candidates = self._below_attempts_bound(eligible) or eligible
         needed_mb = request.memory_mb
-        with_room = [w for w in candidates if self._memory.memory_mb(w) - w.placed_mb >= needed_mb]
-        if not with_room:
-            return min(candidates, key=lambda w: (w.attempts_in_flight, rendezvous_rank(w, function_id)))
+        with_free_memory = [w for w in candidates if self._memory.memory_mb(w) - w.placed_mb >= needed_mb]
+        if not with_free_memory:
+            return min(
+                candidates,
+                key=lambda worker: (worker.attempts_in_flight, rendezvous_rank(worker, function_id)),
+            )
         first = heapq.nsmallest(
             self._spread_over(now, function_id),
-            with_room,
-            key=lambda w: rendezvous_rank(w, function_id) / self._rank_weight(now, w),
+            with_free_memory,
+            key=lambda worker: rendezvous_rank(worker, function_id) / self._rank_weight(now, worker),
         )
         # The better of two, not the best of all: gateways that learn of load late would all choose the same.
         if len(first) > 2:
             first = self._random.sample(first, 2)
         return min(
             first,
-            key=lambda w: (
-                w.attempts_in_flight,
-                -round(CPU_STEPS * self._cpu.relative_idle(now, w)),
+            key=lambda worker: (
+                worker.attempts_in_flight,
+                -round(CPU_STEPS * self._cpu.relative_idle(now, worker)),
                 self._random.random(),
             ),
         )
@@ -143,9 +146,9 @@
         if not self._shared.are_common():
             return 1
         requests = self._rates.of_function(now, function_id)
-        part = requests / (self._rates.total.value(now) + PRIOR_REQUESTS)
-        least = 2 if self._cpu.fleet_mean else 1
-        return max(least, round(self.spread * part * self._fleet.ready_count))
+        fraction = requests / (self._rates.total.value(now) + PRIOR_REQUESTS)
+        minimum = 2 if self._cpu.fleet_mean else 1
+        return max(minimum, round(self.spread * fraction * self._fleet.ready_count))
 
     def _rank_weight(self, now: float, worker: Worker) -> float:
         """Return the weight of a worker in the ranking, by free memory and idle CPU.
--- a/saffronstack/routing/request_queue.py
+++ b/saffronstack/routing/request_queue.py
@@ -14,7 +14,7 @@
 # early may yet be served elsewhere.
 HOLD_FRACTION = 0.48
 DEADLINE_MARGIN_S = 0.05  # a request that is held back is answered this long before its deadline
-PATIENCE_FRACTION = 0.3  # of the latency objective, after which it may load an instance all the same
+LOAD_DELAY_FRACTION = 0.3  # of the latency objective, after which it may load an instance all the same
 
 
 def hold_end_s(now: float, request: Request) -> float:
@@ -38,15 +38,15 @@
 
     def may_hold(self, now: float, pending: PendingRequest) -> bool:
         """Return whether a request has time left to be held back."""
-        return now < self._held_until_s(pending)
+        return now < self._hold_end_s(pending)
 
     def hold(self, now: float, pending: PendingRequest, function: Function) -> SetTimer:
         """Hold a request back; returns the timer at which to look at it again."""
         function.waiting.append(pending)
         self.functions[pending.request.function_id] = function
-        delay_s = self._held_until_s(pending) - now
+        delay_s = self._hold_end_s(pending) - now
         if not pending.has_hold_timer:
-            delay_s = min(delay_s, PATIENCE_FRACTION * pending.request_class.latency_objective_s)
+            delay_s = min(delay_s, LOAD_DELAY_FRACTION * pending.request_class.latency_objective_s)
         pending.has_hold_timer = True
         return SetTimer(max(0.0, delay_s), pending.request.request_id)
 
@@ -71,17 +71,19 @@
 
     def functions_with_instances(self) -> list[Function]:
         """Return the functions that have warm instances, by the weight of their newest request."""
-        found = [f for f in self.functions.values() if f.waiting and f.warm_instances]
-        return sorted(found, key=lambda f: -f.waiting[-1].priority_weight)
+        candidates = [f for f in self.functions.values() if f.waiting and f.warm_instances]
+        return sorted(candidates, key=lambda function: -function.waiting[-1].priority_weight)
 
     def heaviest_without_load(self) -> Function | None:
         """Return the function without any load in progress for which most weight is held back."""
-        found = [f for f in self.functions.values() if f.waiting and not f.loads_in_progress]
-        if not found:
+        candidates = [f for f in self.functions.values() if f.waiting and not f.loads_in_progress]
+        if not candidates:
             return None
-        return max(found, key=lambda f: sum(pending.priority_weight for pending in f.waiting))
+        return max(
+            candidates, key=lambda function: sum(pending.priority_weight for pending in function.waiting)
+        )
 
-    def _held_until_s(self, pending: PendingRequest) -> float:
+    def _hold_end_s(self, pending: PendingRequest) -> float:
         if pending.attempts:
             return pending.request.deadline_s - DEADLINE_MARGIN_S
         return pending.hold_ends_s
--- a/saffronstack/routing/router.py
+++ b/saffronstack/routing/router.py
@@ -5,6 +5,7 @@
 from saffronstack.routing.actions import Action, CancelAttempt, WatchEndpoints
 from saffronstack.routing.components import Components
 from saffronstack.routing.dispatcher import Dispatcher
+from saffronstack.routing.errors import UnknownRequestClassError
 from saffronstack.routing.events import (
     AttemptOutcome,
     ClientDisconnected,
@@ -45,7 +46,7 @@
             seed: Seed of the random choices; equal seeds and events give equal actions.
 
         Raises:
-            ValueError: A setting is impossible; the message names it.
+            InvalidSettingsError: A setting is impossible; the message names it.
         """
         validate_settings(settings)
         self.components = Components(settings, seed)
@@ -65,7 +66,7 @@
             event: What happened.
 
         Raises:
-            ValueError: A request names a class that is not in the settings.
+            UnknownRequestClassError: A request names a class that is not in the settings.
         """
         dispatcher = self._dispatcher
         dispatcher.actions = []
@@ -85,7 +86,10 @@
 
     def _on_request(self, now: float, request: Request) -> None:
         if not 0 <= request.class_index < len(self._settings.classes):
-            raise ValueError(f"class_index {request.class_index} names no class")
+            last = len(self._settings.classes) - 1
+            raise UnknownRequestClassError(
+                f"class_index {request.class_index} names no class, expected 0 to {last}"
+            )
         parts = self.components
         if now >= parts.idle_sweep.next_sweep_s:
             parts.idle_sweep.sweep(now)
@@ -155,7 +159,7 @@
             return
         function = self.functions.get(pending.request.function_id)
         if function is not None and self.components.request_queue.withdraw(pending, function):
-            self._dispatcher.dispatch(now, pending, is_patient=False)
+            self._dispatcher.dispatch(now, pending, can_wait=False)
 
     def _on_disconnect(self, event: ClientDisconnected) -> None:
         """Cancel the attempts of a client that is gone where the site permits that: they crowd out others."""
--- a/saffronstack/routing/slow_start.py
+++ b/saffronstack/routing/slow_start.py
@@ -23,7 +23,7 @@
 MAX_RATE_MULTIPLE = 2.0  # ... but never over this multiple, for utilization that is reported too low
 # Standard deviations of the number of attempts in one overload window that are kept free for chance: gateways
 # that send independently add up by chance.
-SPARE_DEVIATIONS = 2.5
+SAFETY_DEVIATIONS = 2.5
 
 
 class SlowStart:
@@ -69,9 +69,9 @@
         """Return the fraction of its capacity that a worker of its age has at least."""
         if now >= worker.slow_start_ends_s:
             return 1.0
-        least = self._rules.slow_start_min_fraction
+        minimum = self._rules.slow_start_min_fraction
         age_s = max(0.0, now - worker.endpoint.started_s)
-        return least + (1 - least) * age_s / self._rules.slow_start_s
+        return minimum + (1 - minimum) * age_s / self._rules.slow_start_s
 
     def grants_attempt(self, now: float, worker: Worker) -> bool:
         """Return whether a worker may get an attempt now; updates its credit."""
@@ -86,22 +86,22 @@
     def attempt_rate(self, now: float, worker: Worker) -> float:
         """Return the attempts a second that this gateway may send to a worker that is warming up.
 
-        The own rate for each unit of capacity is at most this gateway's part of what such a worker carries;
-        a starting worker can do its capacity fraction of that, more where utilization is low. The fewer
+        The own rate for each unit of capacity is at most this gateway's part of what such a worker carries.
+        A starting worker can do its capacity fraction of that, more where utilization is low. The fewer
         attempts an overload window holds over all gateways, the more of it stays free for chance. It could
-        hurt by using a starting worker less than it can bear.
+        hurt by using a starting worker less than it could be.
         """
         rules = self._rules
-        rate = self._rates.total.value(now) / RATE_WINDOW_S
+        own_rate = self._rates.total.value(now) / RATE_WINDOW_S
         capacity = max(self._fleet.ready_capacity, self._capacity_in_use.value(now))
         fraction = self.capacity_fraction(now, worker)
-        part = fraction * rate * worker.endpoint.capacity / capacity if capacity > 0 else 0.0
-        pace = self._rate_multiple() * part * min(1.0, rules.overload_multiple or 1.0)
+        worker_rate = fraction * own_rate * worker.endpoint.capacity / capacity if capacity > 0 else 0.0
+        pace = self._rate_multiple() * worker_rate * min(1.0, rules.overload_multiple or 1.0)
         window_s = rules.overload_window_s * self._gateway_count
-        if part * window_s <= 0:
+        if worker_rate * window_s <= 0:
             return pace
-        spare = SPARE_DEVIATIONS / 2 * math.sqrt(max(0.0, 1 - pace * rules.overload_window_s))
-        mean = (math.sqrt(spare**2 + rules.overload_multiple * part * window_s) - spare) ** 2
+        margin = SAFETY_DEVIATIONS / 2 * math.sqrt(max(0.0, 1 - pace * rules.overload_window_s))
+        mean = (math.sqrt(margin**2 + rules.overload_multiple * worker_rate * window_s) - margin) ** 2
         return min(pace, mean / window_s)
 
     def _rate_multiple(self) -> float:
--- a/saffronstack/routing/validation.py
+++ b/saffronstack/routing/validation.py
@@ -1,10 +1,11 @@
-"""Validation of the settings: impossible values raise `ValueError` naming the field."""
+"""Validation of the settings: impossible values raise `InvalidSettingsError` naming the field."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
 
+from saffronstack.routing.errors import InvalidSettingsError
 from saffronstack.routing.settings import (
     ClassSettings,
     CostSettings,
@@ -19,14 +20,16 @@
 def _require_non_negative(prefix: str, values: Iterable[tuple[str, float]]) -> None:
     for name, value in values:
         if not math.isfinite(value) or value < 0:
-            raise ValueError(f"{prefix}{name} must be a finite number of at least 0, not {value!r}")
+            raise InvalidSettingsError(f"{prefix}{name} must be a finite number of at least 0, not {value!r}")
 
 
 def _validate_class(prefix: str, settings: ClassSettings) -> None:
     if not isinstance(settings.idempotency, Idempotency):
-        raise ValueError(f"{prefix}idempotency must be an Idempotency, not {settings.idempotency!r}")
+        raise InvalidSettingsError(
+            f"{prefix}idempotency must be an Idempotency, not {settings.idempotency!r}"
+        )
     if not isinstance(settings.deduplication_scope, DeduplicationScope):
-        raise ValueError(
+        raise InvalidSettingsError(
             f"{prefix}deduplication_scope must be a DeduplicationScope, not {settings.deduplication_scope!r}"
         )
     _require_non_negative(
@@ -40,7 +43,7 @@
         ],
     )
     if settings.deadline_s <= 0:
-        raise ValueError(f"{prefix}deadline_s must be above 0, not {settings.deadline_s!r}")
+        raise InvalidSettingsError(f"{prefix}deadline_s must be above 0, not {settings.deadline_s!r}")
 
 
 def _validate_rules(rules: RuleSettings) -> None:
@@ -90,14 +93,14 @@
     """Check that every value of the settings is possible.
 
     Raises:
-        ValueError: A value is impossible; the message starts with the path of its field.
+        InvalidSettingsError: A value is impossible; the message starts with the path of its field.
     """
     if not settings.classes:
-        raise ValueError("classes must name at least one class")
+        raise InvalidSettingsError("classes must name at least one class")
     if settings.gateway_count < 1:
-        raise ValueError(f"gateway_count must be at least 1, not {settings.gateway_count!r}")
+        raise InvalidSettingsError(f"gateway_count must be at least 1, not {settings.gateway_count!r}")
     if not settings.gateway_index >= 0:
-        raise ValueError(f"gateway_index must be at least 0, not {settings.gateway_index!r}")
+        raise InvalidSettingsError(f"gateway_index must be at least 0, not {settings.gateway_index!r}")
     for place, class_settings in enumerate(settings.classes):
         _validate_class(f"classes[{place}].", class_settings)
     for place, tenant in enumerate(settings.tenants):
--- a/saffronstack/routing/warm_pool.py
+++ b/saffronstack/routing/warm_pool.py
@@ -56,19 +56,23 @@
         """
         instances = function.warm_instances
         del instances[:-MAX_ENTRIES]
-        repeat_at = -1
+        retry_place = -1
         for place in range(len(instances) - 1, -1, -1):
             worker, freed_s = instances[place]
             if now - freed_s > self._keep_alive_s:
                 del instances[: place + 1]
-                repeat_at = max(-1, repeat_at - place - 1)
+                retry_place = max(-1, retry_place - place - 1)
                 break
             has_capacity = worker.warm_attempts_in_flight < worker.concurrency_limit * usable_fraction
             if has_capacity and self._eligibility.is_eligible(now, pending, worker):
                 return instances.pop(place)
-            if pending.attempts and repeat_at < 0 and self._eligibility.can_repeat(now, pending, worker):
-                repeat_at = place
-        return None if repeat_at < 0 else instances.pop(repeat_at)
+            if (
+                pending.attempts
+                and retry_place < 0
+                and self._eligibility.can_retry_after_disconnect(now, pending, worker)
+            ):
+                retry_place = place
+        return None if retry_place < 0 else instances.pop(retry_place)
 
     def release(self, now: float, function: Function, worker: Worker, count: int) -> None:
         """Add instances, or concurrency slots of one, that are free from now on."""
--- a/tests/routing/test_eligibility.py
+++ b/tests/routing/test_eligibility.py
@@ -54,8 +54,8 @@
     worker, pending = make_worker(), make_pending()
     attempt = make_attempt(worker)
     pending.attempts.append(attempt)
-    assert not eligibility.can_repeat(100.0, pending, worker)
+    assert not eligibility.can_retry_after_disconnect(100.0, pending, worker)
     attempt.connection_lost = True
-    assert eligibility.can_repeat(100.0, pending, worker)
+    assert eligibility.can_retry_after_disconnect(100.0, pending, worker)
     worker.is_ejected = True
-    assert not eligibility.can_repeat(100.0, pending, worker)
+    assert not eligibility.can_retry_after_disconnect(100.0, pending, worker)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -5,6 +5,7 @@
 import pytest
 
 from saffronstack.routing.actions import CancelAttempt, Reject, SendAttempt
+from saffronstack.routing.errors import UnknownRequestClassError
 from saffronstack.routing.events import AttemptOutcome, CacheStatus, ClientDisconnected, Request, Result
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import PermissionSettings
@@ -108,5 +109,5 @@
 
 
 def test_a_request_of_an_unknown_class_raises_an_error() -> None:
-    with pytest.raises(ValueError, match="class_index 9 names no class"):
+    with pytest.raises(UnknownRequestClassError, match="class_index 9 names no class"):
         make_router(1).handle(100.0, Request(1, 9, 1, 103.0))
--- a/tests/routing/test_validation.py
+++ b/tests/routing/test_validation.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from saffronstack.routing.errors import InvalidSettingsError
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import ClassSettings, Idempotency, RuleSettings
 from tests.helpers import CLASSES, settings
@@ -28,5 +29,5 @@
     ],
 )
 def test_impossible_values_raise(field: str, changes: dict[str, Any]) -> None:
-    with pytest.raises(ValueError, match=field):
+    with pytest.raises(InvalidSettingsError, match=field):
         Router(settings(**changes), 1)
