--- a/saffronstack/bench/__init__.py
+++ b/saffronstack/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: the simulator's wire, and the process that speaks it."""
+"""Adapter to the simulator: its wire format, and the process that speaks it."""
--- a/saffronstack/bench/simhost.py
+++ b/saffronstack/bench/simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: reads batches from standard input, lets one router per instance decide, answers."""
+"""The process that the simulator starts: one router per instance decides on batches of events."""
 
 from __future__ import annotations
 
@@ -10,45 +10,51 @@
 from saffronstack.bench import wire
 from saffronstack.routing.router import Router
 
+MALFORMED_INPUT_STATUS = 2
+
 
 class Host:
     """Independent routers, one for each running instance."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
-        self.report_names: dict[int, tuple[str, ...]] = {}
+        self.load_report_fields: dict[int, tuple[str, ...]] = {}
 
     def batch(self, now: float, body: bytes, records: int) -> bytes:
-        """The records of the reply to one batch."""
-        reader = wire.Reader(body, self.report_names)
-        out: list[bytes] = []
+        """Handle the records of one batch and return those of its reply.
+
+        Raises:
+            WireError: The batch is malformed.
+        """
+        reader = wire.Reader(body, self.load_report_fields)
+        reply: list[bytes] = []
         for _ in range(records):
-            instance, event = reader.record()
+            instance, event = reader.read_record()
             try:
-                self._one(now, instance, event, out)
+                self._handle_event(now, instance, event, reply)
             except wire.WireError:
                 raise
-            except Exception as error:  # the wire has a word of its own for a failed module
+            except Exception as error:  # the simulator has a record for decision code that fails
                 traceback.print_exc(file=sys.stderr)
-                out.append(wire.encode_fault(instance, f"{type(error).__name__}: {error}"))
-        if reader.at != len(body):
-            raise wire.WireError(f"{len(body) - reader.at} bytes follow the last record")
-        return b"".join(out)
-
-    def _one(self, now: float, instance: int, event: wire.Told, out: list[bytes]) -> None:
-        if isinstance(event, wire.Started):
-            settings, names = wire.parse_settings(event.settings_text)
-            self.report_names[instance] = names
-            self.routers[instance] = Router(settings, event.seed)
-        elif isinstance(event, wire.Stopped):
+                reply.append(wire.encode_fault(instance, f"{type(error).__name__}: {error}"))
+        if reader.offset != len(body):
+            raise wire.WireError(f"{len(body) - reader.offset} bytes follow the last record")
+        return b"".join(reply)
+
+    def _handle_event(self, now: float, instance: int, event: wire.WireEvent, reply: list[bytes]) -> None:
+        if isinstance(event, wire.InstanceStarted):
+            parsed = wire.parse_settings(event.settings_text)
+            self.load_report_fields[instance] = parsed.load_report_fields
+            self.routers[instance] = Router(parsed.settings, event.seed)
+        elif isinstance(event, wire.InstanceStopped):
             self.routers.pop(instance, None)
         else:
             router = self.routers.get(instance)
             if router is not None:
-                out.extend(wire.encode(instance, action) for action in router.handle(now, event))
+                reply.extend(wire.encode(instance, action) for action in router.handle(now, event))
 
 
-def _exactly(source: BinaryIO, count: int) -> bytes:
+def _read_exactly(source: BinaryIO, count: int) -> bytes:
     content = source.read(count)
     if len(content) != count:
         raise wire.WireError(f"truncated batch: {len(content)} of {count} bytes")
@@ -56,24 +62,28 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends.
+
+    Raises:
+        WireError: A batch is malformed.
+    """
     host = Host()
     while first := source.read(1):
-        header = first + _exactly(source, wire.BATCH_HEADER.size - 1)
+        header = first + _read_exactly(source, wire.BATCH_HEADER.size - 1)
         now, length, records, number = wire.BATCH_HEADER.unpack(header)
-        reply = host.batch(now, _exactly(source, length), records)
+        reply = host.batch(now, _read_exactly(source, length), records)
         sink.write(wire.REPLY_HEADER.pack(len(reply), number) + reply)
         sink.flush()
 
 
 def main() -> int:
-    """Run the adapter; 0 at the end of input, 2 after a malformed batch."""
+    """Run the adapter and return its exit status: 0 at the end of input, 2 after a malformed batch."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
         print(f"saffronstack.bench.simhost: {error}", file=sys.stderr)
-        return 2
+        return MALFORMED_INPUT_STATUS
     return 0
 
 
--- a/saffronstack/bench/wire.py
+++ b/saffronstack/bench/wire.py
@@ -1,4 +1,4 @@
-"""The codec of the simulator's wire: bytes to events, actions to bytes. No decision is made here."""
+"""Codec of the simulator's wire format: bytes to events, and actions to bytes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from saffronstack import settings
 from saffronstack.routing.actions import (
     Action,
     CancelAttempt,
@@ -40,43 +39,42 @@
     WorkerEndpoint,
     WorkerState,
 )
-from saffronstack.routing.settings import Settings
+from saffronstack.settings_parser import ParsedSettings, SettingsError, parse_load_report
+from saffronstack.settings_parser import parse_settings as parse_settings_object
 
 
 class WireError(ValueError):
-    """The bytes do not follow the wire."""
+    """Bytes that do not follow the wire format; the text says where."""
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
-    """An instance begins, knowing nothing."""
+class InstanceStarted:
+    """A gateway instance starts, without any state."""
 
     seed: int
     settings_text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
-    """An instance was killed."""
+class InstanceStopped:
+    """A gateway instance was killed."""
 
 
-Told = Event | Started | Stopped
+WireEvent = Event | InstanceStarted | InstanceStopped
 
 BATCH_HEADER = struct.Struct("<dIII")
 REPLY_HEADER = struct.Struct("<II")
-_U16 = struct.Struct("<H")
-_U32 = struct.Struct("<I")
-_F32 = struct.Struct("<f")
-_STARTED = struct.Struct("<QI")
-_LIST = struct.Struct("<IBI")
-_ENTRY = struct.Struct("<fHIBdBB")
+_INSTANCE = struct.Struct("<H")
+_INSTANCE_STARTED = struct.Struct("<QI")
+_ENDPOINT_UPDATE = struct.Struct("<IBI")
+_ENDPOINT = struct.Struct("<fHIBdBB")
 _REQUEST = struct.Struct("<QHIQddfffB")
-_OUTCOME = struct.Struct("<QIBBdBIB")
-_PROBED = struct.Struct("<dBIB")
-_WOKEN = struct.Struct("<Q")
-_LOADED = struct.Struct("<BBQdI")
-_PEER = struct.Struct("<HH")
-_STREAM = struct.Struct("<QBId")
+_ATTEMPT_OUTCOME = struct.Struct("<QIBBdBIB")
+_HEALTH_CHECK_RESULT = struct.Struct("<dBIB")
+_IDENTIFIER = struct.Struct("<Q")
+_LOAD_COMMAND_RESULT = struct.Struct("<BBQdI")
+_GOSSIP_MESSAGE = struct.Struct("<HH")
+_STREAM_STARTED = struct.Struct("<QBId")
 
 RESULTS = {
     10: Result.OK,
@@ -89,197 +87,266 @@
     80: Result.NOT_STARTED,
     90: Result.NOT_LOADED,
 }
-_FOUND = {found.value: found for found in CacheStatus}
-_CROWD_RESULTS = (Result.OK, Result.AT_CAPACITY)
+_CACHE_STATUSES = {status.value: status for status in CacheStatus}
+_RESULTS_WITH_CONCURRENCY = (Result.OK, Result.AT_CAPACITY)
+_MAX_WORKER_STATE = 2
+_MAX_UPDATE_KIND = 3
 
+# The note of an outcome: three bits of cache status, then the concurrency.
+_CACHE_STATUS_BITS = 3
+_CACHE_STATUS_MASK = 7
 
-def parse_settings(text: str) -> tuple[Settings, tuple[str, ...]]:
-    """The settings, and what the values of a load report are called; WireError where they can't be."""
+# The flags of a request.
+_HAS_WORK = 1
+_IS_RETRY = 2
+_IS_WRITE = 4
+
+
+def parse_settings(text: str) -> ParsedSettings:
+    """Parse the settings that an instance starts with.
+
+    Raises:
+        WireError: They can't be used.
+    """
     try:
-        return settings.parse_settings(text)
-    except settings.SettingsError as error:
+        return parse_settings_object(text)
+    except SettingsError as error:
         raise WireError(str(error)) from error
 
 
 class Reader:
-    """Reads the records of one batch; report names are looked up by instance."""
+    """Reads the records of one batch."""
 
-    def __init__(self, body: bytes, report_names: dict[int, tuple[str, ...]]) -> None:
+    def __init__(self, body: bytes, load_report_fields: dict[int, tuple[str, ...]]) -> None:
+        """Create a reader at the start of a batch.
+
+        Args:
+            body: The batch without its header.
+            load_report_fields: Names of the values of load reports, by instance.
+        """
         self.body = body
-        self.at = 0
-        self.report_names = report_names
+        self.offset = 0
+        self.load_report_fields = load_report_fields
+
+    def read_record(self) -> tuple[int, WireEvent]:
+        """Read the next record: the number of an instance, and the event.
+
+        Raises:
+            WireError: The bytes are no record.
+        """
+        if self.offset >= len(self.body):
+            raise WireError(f"truncated: no record at byte {self.offset}")
+        start = self.offset
+        code = self.body[start]
+        self.offset += 1
+        read = _READERS.get(code)
+        if read is None:
+            raise WireError(f"unknown record {code} at byte {start}")
+        (instance,) = self._unpack(_INSTANCE)
+        return instance, read(self, instance)
 
-    def _take(self, form: struct.Struct) -> tuple[Any, ...]:
-        end = self.at + form.size
+    def _unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
+        end = self.offset + layout.size
         if end > len(self.body):
-            raise WireError(f"truncated record at byte {self.at}")
-        values = form.unpack_from(self.body, self.at)
-        self.at = end
+            raise WireError(f"truncated record at byte {self.offset}")
+        values = layout.unpack_from(self.body, self.offset)
+        self.offset = end
         return values
 
-    def _bytes(self, count: int) -> bytes:
-        end = self.at + count
+    def _read_bytes(self, count: int) -> bytes:
+        end = self.offset + count
         if end > len(self.body):
-            raise WireError(f"truncated content at byte {self.at}")
-        content = self.body[self.at : end]
-        self.at = end
+            raise WireError(f"truncated content at byte {self.offset}")
+        content = self.body[self.offset : end]
+        self.offset = end
         return content
 
-    def _report(self, instance: int, count: int) -> LoadReport | None:
-        values = struct.unpack(f"<{count}f", self._bytes(4 * count))
+    def _read_load_report(self, instance: int, count: int) -> LoadReport | None:
+        values = struct.unpack(f"<{count}f", self._read_bytes(4 * count))
         if not count:
             return None
-        return settings.report(zip(self.report_names.get(instance, ()), values, strict=False))
+        return parse_load_report(zip(self.load_report_fields.get(instance, ()), values, strict=False))
 
     def _result(self, code: int) -> Result:
         result = RESULTS.get(code)
         if result is None:
-            raise WireError(f"unknown outcome {code} before byte {self.at}")
+            raise WireError(f"unknown outcome {code} before byte {self.offset}")
         return result
 
-    def record(self) -> tuple[int, Told]:
-        """The next record: instance and event."""
-        if self.at >= len(self.body):
-            raise WireError(f"truncated: no record at byte {self.at}")
-        start = self.at
-        code = self.body[start]
-        self.at += 1
-        read = _READERS.get(code)
-        if read is None:
-            raise WireError(f"unknown record {code} at byte {start}")
-        (instance,) = self._take(_U16)
-        return instance, read(self, instance)
-
-    def _started(self, instance: int) -> Told:
-        seed, count = self._take(_STARTED)
+    def _read_instance_started(self, instance: int) -> WireEvent:
+        seed, count = self._unpack(_INSTANCE_STARTED)
         try:
-            return Started(seed, self._bytes(count).decode())
+            return InstanceStarted(seed, self._read_bytes(count).decode())
         except UnicodeDecodeError as error:
             raise WireError("settings: not UTF-8") from error
 
-    def _list(self, instance: int) -> Told:
-        version, kind, count = self._take(_LIST)
-        workers = []
+    def _read_instance_stopped(self, instance: int) -> WireEvent:
+        return InstanceStopped()
+
+    def _read_endpoint_update(self, instance: int) -> WireEvent:
+        version, kind, count = self._unpack(_ENDPOINT_UPDATE)
+        endpoints = []
         for _ in range(count):
-            size, cell, worker, hardware, since, zone, state = self._take(_ENTRY)
-            if state > 2:
-                raise WireError(f"unknown condition {state} before byte {self.at}")
-            workers.append(WorkerEndpoint(worker, WorkerState(state), size, hardware, zone, cell, since))
-        if kind > 3:
-            raise WireError(f"unknown list scope {kind} before byte {self.at}")
-        return EndpointUpdate(EndpointUpdateKind(kind), tuple(workers), version)
-
-    def _request(self, instance: int) -> Told:
-        (request, cls, tenant, function, deadline, work, memory, lanes, load_ms, marks) = self._take(_REQUEST)
+            capacity, cell, worker_id, worker_kind, started_s, zone, state = self._unpack(_ENDPOINT)
+            if state > _MAX_WORKER_STATE:
+                raise WireError(f"unknown condition {state} before byte {self.offset}")
+            endpoints.append(
+                WorkerEndpoint(worker_id, WorkerState(state), capacity, worker_kind, zone, cell, started_s)
+            )
+        if kind > _MAX_UPDATE_KIND:
+            raise WireError(f"unknown list scope {kind} before byte {self.offset}")
+        return EndpointUpdate(EndpointUpdateKind(kind), tuple(endpoints), version)
+
+    def _read_request(self, instance: int) -> WireEvent:
+        (
+            request_id,
+            class_index,
+            tenant,
+            function_id,
+            deadline_s,
+            work_s,
+            memory_mb,
+            concurrency,
+            load_time_ms,
+            flags,
+        ) = self._unpack(_REQUEST)
         return Request(
-            request,
-            cls,
-            function,
-            deadline,
+            request_id,
+            class_index,
+            function_id,
+            deadline_s,
             tenant,
-            memory,
-            lanes,
-            load_ms / 1000 if load_ms > 0 else None,
-            work if marks & 1 else None,
-            bool(marks & 2),
-            bool(marks & 4),
+            memory_mb,
+            concurrency,
+            load_time_ms / 1000 if load_time_ms > 0 else None,
+            work_s if flags & _HAS_WORK else None,
+            bool(flags & _IS_RETRY),
+            bool(flags & _IS_WRITE),
         )
 
-    def _outcome(self, instance: int) -> Told:
-        request, note, code, finished, elapsed, attempt, worker, count = self._take(_OUTCOME)
+    def _read_attempt_outcome(self, instance: int) -> WireEvent:
+        request_id, note, code, is_final, elapsed_s, attempt, worker_id, count = self._unpack(
+            _ATTEMPT_OUTCOME
+        )
         result = self._result(code)
-        report = self._report(instance, count)
-        found = _FOUND.get(note & 7, CacheStatus.UNKNOWN)
-        crowd = note >> 3 if result in _CROWD_RESULTS else None
-        return AttemptOutcome(request, attempt, worker, result, elapsed, bool(finished), found, crowd, report)
-
-    def _probed(self, instance: int) -> Told:
-        elapsed, code, worker, count = self._take(_PROBED)
-        return HealthCheckResult(worker, self._result(code), elapsed, self._report(instance, count))
-
-    def _woken(self, instance: int) -> Told:
-        return TimerFired(self._take(_WOKEN)[0])
-
-    def _gone(self, instance: int) -> Told:
-        return ClientDisconnected(self._take(_WOKEN)[0])
-
-    def _stopped(self, instance: int) -> Told:
-        return Stopped()
-
-    def _loaded(self, instance: int) -> Told:
-        copies, code, function, elapsed, worker = self._take(_LOADED)
-        return LoadCommandResult(worker, function, copies, self._result(code), elapsed)
-
-    def _peer(self, instance: int) -> Told:
-        author, count = self._take(_PEER)
-        return GossipMessage(author, self._bytes(count))
-
-    def _stream(self, instance: int) -> Told:
-        request, attempt, worker, elapsed = self._take(_STREAM)
-        return StreamStarted(request, attempt, worker, elapsed)
-
-
-_READERS: dict[int, Callable[[Reader, int], Told]] = {
-    16: Reader._gone,
-    17: Reader._outcome,
-    18: Reader._probed,
-    19: Reader._request,
-    20: Reader._stopped,
-    21: Reader._started,
-    22: Reader._stream,
-    23: Reader._woken,
-    24: Reader._list,
-    25: Reader._peer,
-    26: Reader._loaded,
+        load_report = self._read_load_report(instance, count)
+        return AttemptOutcome(
+            request_id,
+            attempt,
+            worker_id,
+            result,
+            elapsed_s,
+            bool(is_final),
+            _CACHE_STATUSES.get(note & _CACHE_STATUS_MASK, CacheStatus.UNKNOWN),
+            note >> _CACHE_STATUS_BITS if result in _RESULTS_WITH_CONCURRENCY else None,
+            load_report,
+        )
+
+    def _read_health_check_result(self, instance: int) -> WireEvent:
+        elapsed_s, code, worker_id, count = self._unpack(_HEALTH_CHECK_RESULT)
+        return HealthCheckResult(
+            worker_id, self._result(code), elapsed_s, self._read_load_report(instance, count)
+        )
+
+    def _read_load_command_result(self, instance: int) -> WireEvent:
+        instances, code, function_id, elapsed_s, worker_id = self._unpack(_LOAD_COMMAND_RESULT)
+        return LoadCommandResult(worker_id, function_id, instances, self._result(code), elapsed_s)
+
+    def _read_timer_fired(self, instance: int) -> WireEvent:
+        return TimerFired(self._unpack(_IDENTIFIER)[0])
+
+    def _read_client_disconnected(self, instance: int) -> WireEvent:
+        return ClientDisconnected(self._unpack(_IDENTIFIER)[0])
+
+    def _read_gossip_message(self, instance: int) -> WireEvent:
+        sender, count = self._unpack(_GOSSIP_MESSAGE)
+        return GossipMessage(sender, self._read_bytes(count))
+
+    def _read_stream_started(self, instance: int) -> WireEvent:
+        request_id, attempt, worker_id, elapsed_s = self._unpack(_STREAM_STARTED)
+        return StreamStarted(request_id, attempt, worker_id, elapsed_s)
+
+
+_READERS: dict[int, Callable[[Reader, int], WireEvent]] = {
+    16: Reader._read_client_disconnected,
+    17: Reader._read_attempt_outcome,
+    18: Reader._read_health_check_result,
+    19: Reader._read_request,
+    20: Reader._read_instance_stopped,
+    21: Reader._read_instance_started,
+    22: Reader._read_stream_started,
+    23: Reader._read_timer_fired,
+    24: Reader._read_endpoint_update,
+    25: Reader._read_gossip_message,
+    26: Reader._read_load_command_result,
 }
 
-_SEND = struct.Struct("<BHQdI")
-_REFUSE = struct.Struct("<BHQd")
+_SEND_ATTEMPT_CODE = 80
+_REJECT_CODE = 81
+_FAIL_CODE = 82
+_CANCEL_ATTEMPT_CODE = 83
+_SET_TIMER_CODE = 84
+_CHECK_HEALTH_CODE = 85
+_WRITE_LOG_CODE = 88
+_FAULT_CODE = 89
+_WATCH_ENDPOINTS_CODE = 90
+_FETCH_ENDPOINTS_CODE = 91
+_LOAD_FUNCTION_CODE = 92
+_UNLOAD_FUNCTION_CODE = 93
+
+_SEND_ATTEMPT = struct.Struct("<BHQdI")
+_REJECT = struct.Struct("<BHQd")
 _FAIL = struct.Struct("<BHQ")
-_CANCEL = struct.Struct("<BHQB")
-_PROBE = struct.Struct("<BHI")
-_LOAD = struct.Struct("<BHIBQ")
-_UNLOAD = struct.Struct("<BHIQ")
-_WAKE = struct.Struct("<BHdQ")
-_WATCH = struct.Struct("<BHB")
-_BARE = struct.Struct("<BH")
+_CANCEL_ATTEMPT = struct.Struct("<BHQB")
+_CHECK_HEALTH = struct.Struct("<BHI")
+_LOAD_FUNCTION = struct.Struct("<BHIBQ")
+_UNLOAD_FUNCTION = struct.Struct("<BHIQ")
+_SET_TIMER = struct.Struct("<BHdQ")
+_WATCH_ENDPOINTS = struct.Struct("<BHB")
+_FETCH_ENDPOINTS = struct.Struct("<BH")
 _TEXT = struct.Struct("<BHH")
+_MAX_TEXT_BYTES = 65535
 
 
-def encode_text(code: int, instance: int, text: str) -> bytes:
-    """A log line (88) or a fault (89)."""
-    content = text.encode()[:65535]
+def _encode_text(code: int, instance: int, text: str) -> bytes:
+    content = text.encode()[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, instance, len(content)) + content
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """The word that the decision code failed."""
-    return encode_text(89, instance, text)
+    """Encode the record that says that the decision code raised an exception."""
+    return _encode_text(_FAULT_CODE, instance, text)
 
 
 def encode(instance: int, action: Action) -> bytes:
-    """One action as a record."""
+    """Encode one action of an instance."""
     match action:
         case SendAttempt():
-            return _SEND.pack(80, instance, action.request_id, action.timeout_s, action.worker_id)
+            return _SEND_ATTEMPT.pack(
+                _SEND_ATTEMPT_CODE, instance, action.request_id, action.timeout_s, action.worker_id
+            )
         case SetTimer():
-            return _WAKE.pack(84, instance, action.delay_s, action.timer_id)
+            return _SET_TIMER.pack(_SET_TIMER_CODE, instance, action.delay_s, action.timer_id)
         case Reject():
-            return _REFUSE.pack(81, instance, action.request_id, action.retry_after_s)
+            return _REJECT.pack(_REJECT_CODE, instance, action.request_id, action.retry_after_s)
         case Fail():
-            return _FAIL.pack(82, instance, action.request_id)
+            return _FAIL.pack(_FAIL_CODE, instance, action.request_id)
         case CancelAttempt():
-            return _CANCEL.pack(83, instance, action.request_id, action.attempt)
+            return _CANCEL_ATTEMPT.pack(_CANCEL_ATTEMPT_CODE, instance, action.request_id, action.attempt)
         case CheckHealth():
-            return _PROBE.pack(85, instance, action.worker_id)
+            return _CHECK_HEALTH.pack(_CHECK_HEALTH_CODE, instance, action.worker_id)
         case LoadFunction():
-            return _LOAD.pack(92, instance, action.worker_id, action.instances, action.function_id)
+            return _LOAD_FUNCTION.pack(
+                _LOAD_FUNCTION_CODE, instance, action.worker_id, action.instances, action.function_id
+            )
         case UnloadFunction():
-            return _UNLOAD.pack(93, instance, action.worker_id, action.function_id)
+            return _UNLOAD_FUNCTION.pack(
+                _UNLOAD_FUNCTION_CODE, instance, action.worker_id, action.function_id
+            )
         case WatchEndpoints():
-            return _WATCH.pack(90, instance, action.enabled)
+            return _WATCH_ENDPOINTS.pack(_WATCH_ENDPOINTS_CODE, instance, action.enabled)
         case FetchEndpoints():
-            return _BARE.pack(91, instance)
+            return _FETCH_ENDPOINTS.pack(_FETCH_ENDPOINTS_CODE, instance)
         case WriteLog():
-            return encode_text(88, instance, action.text)
+            return _encode_text(_WRITE_LOG_CODE, instance, action.text)
     raise WireError(f"no record for {action!r}")
--- a/saffronstack/hosts/codec.py
+++ b/saffronstack/hosts/codec.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from saffronstack import settings
+from saffronstack import settings_parser
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
 
 RESULTS = {
@@ -146,7 +146,7 @@
             values.append((_REPORT_WORDS.get(name, name), float(value)))
         except ValueError:
             continue
-    return settings.report((name, value) for name, value in values if math.isfinite(value))
+    return settings_parser.parse_load_report((name, value) for name, value in values if math.isfinite(value))
 
 
 class LineReader:
--- a/saffronstack/platform/config.py
+++ b/saffronstack/platform/config.py
@@ -12,7 +12,7 @@
 from saffronstack.directory.membership import Change, Membership, take_known
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.validation import validate_settings
-from saffronstack.settings import SettingsError, parse_settings
+from saffronstack.settings_parser import SettingsError, parse_settings
 
 CONFIG_BYTES = 8 * 1024 * 1024
 DIRECTORY_PORT = 5353
@@ -100,7 +100,7 @@
 
 def _config(raw: Mapping[str, Any]) -> PlatformConfig:
     told = raw["settings"]
-    settings, _ = parse_settings(msgspec.json.encode(told).decode())
+    settings = parse_settings(msgspec.json.encode(told).decode()).settings
     validate_settings(settings)
     permit = told.get("Permissions") or {}
     limits = raw.get("limits") or {}
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -21,7 +21,7 @@
 from saffronstack.harness.scenario import plan as day_files
 from saffronstack.platform import config as platform
 from saffronstack.roster import parsing
-from saffronstack.settings import parse_settings, report
+from saffronstack.settings_parser import parse_load_report, parse_settings
 from tests.stored_formats import settings_samples
 from tests.stored_formats.stored_files import DATA, command_lines, plain_schema, record_values
 
@@ -91,15 +91,15 @@
 
 
 def test_the_benchs_settings_mean_the_same(tmp_path: pathlib.Path) -> None:
-    settings, names = parse_settings(json.dumps(settings_samples.PLATFORM))
+    parsed = parse_settings(json.dumps(settings_samples.PLATFORM))
     expected = msgspec.msgpack.decode(record_values(CONFIGURATION / "platform.record")[0])
-    assert head_of(settings, tmp_path / "bench.record") == expected
-    assert list(names) == settings_samples.PLATFORM["LoadInfo"]["Fields"]
+    assert head_of(parsed.settings, tmp_path / "bench.record") == expected
+    assert list(parsed.load_report_fields) == settings_samples.PLATFORM["LoadInfo"]["Fields"]
 
 
 def test_values_of_a_load_report_keep_their_names_and_units() -> None:
     names = settings_samples.PLATFORM["LoadInfo"]["Fields"]
-    told = report([(name, 1.5 + place) for place, name in enumerate([*names, "unknown"])])
+    told = parse_load_report([(name, 1.5 + place) for place, name in enumerate([*names, "unknown"])])
     _, event, _ = msgspec.msgpack.decode(record_values(CONFIGURATION / "load_report.record")[1])
     expected = event_from_tagged(event)
     assert told in [getattr(expected, field.name) for field in dataclasses.fields(expected)]
--- a/tests/stored_formats/test_platform_message_formats.py
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -14,7 +14,7 @@
 from saffronstack.platform.calls import CallMaker
 from saffronstack.resp import frames
 from saffronstack.resp.reader import encode
-from saffronstack.settings import parse_settings
+from saffronstack.settings_parser import parse_settings
 from tests.stored_formats import settings_samples
 from tests.stored_formats.stored_files import DATA
 
@@ -58,7 +58,7 @@
 
 def understood_frame(words: list[str]) -> Any:
     """Return what a client's frame means; None where it is refused."""
-    maker = CallMaker(parse_settings(json.dumps(settings_samples.PLATFORM))[0], lambda: 1)
+    maker = CallMaker(parse_settings(json.dumps(settings_samples.PLATFORM)).settings, lambda: 1)
     try:
         frame = frames.frame_of(tuple(word.encode() for word in words))
         if not isinstance(frame, frames.CallFrame):
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -18,9 +18,10 @@
     "net": {"net", "engine", "runtime"},
     "fleet": {"fleet", "daemon", "engine", "runtime", "http1", "net", "durable", "metering"},
     "resp": {"resp"},
-    "hosts": {"hosts", "net", "engine", "runtime", "settings"} | POLICY,
+    "hosts": {"hosts", "net", "engine", "runtime", "settings_parser"} | POLICY,
     "directory": {"directory", "engine", "runtime"},
-    "platform": {"platform", "resp", "hosts", "directory", "net", "engine", "runtime", "settings"} | POLICY,
+    "platform": {"platform", "resp", "hosts", "directory", "net", "engine", "runtime", "settings_parser"}
+    | POLICY,
     "http1": {"http1", "net"},
     "engine": {"engine", "runtime"} | POLICY,
     "workers": {"workers", "engine", "runtime", "http1"} | POLICY,
@@ -48,7 +49,7 @@
     "client": {"client", "invoke", "http1"},
     "standin": {"standin", "metering", "engine", "runtime", "http1"},
     "audit": {"audit"},
-    "bench": {"bench", "settings"} | POLICY,
+    "bench": {"bench", "settings_parser"} | POLICY,
 }
 
 
@@ -93,7 +94,7 @@
     import sys
 
     folders = [*(ROOT / "bench").glob("*.py"), *(ROOT / "routing").glob("*.py")]
-    for path in [*folders, ROOT / "settings.py"]:
+    for path in [*folders, ROOT / "settings_parser.py"]:
         for node in ast.walk(ast.parse(path.read_text())):
             module = node.module if isinstance(node, ast.ImportFrom) else None
             names = (
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -58,8 +58,8 @@
 }
 
 
-def read(text: str) -> tuple[int, wire.Told]:
-    return wire.Reader(bytes.fromhex(text.replace(" ", "")), {3: ("q", "busy")}).record()
+def read(text: str) -> tuple[int, wire.WireEvent]:
+    return wire.Reader(bytes.fromhex(text.replace(" ", "")), {3: ("q", "busy")}).read_record()
 
 
 def test_request_example() -> None:
@@ -126,7 +126,8 @@
 
 
 def test_unknown_keys_and_absent_fields_are_accepted() -> None:
-    settings, names = wire.parse_settings(json.dumps({**SETTINGS, "Brand": {"New": 1}}))
+    parsed = wire.parse_settings(json.dumps({**SETTINGS, "Brand": {"New": 1}}))
+    settings, names = parsed.settings, parsed.load_report_fields
     assert names == ("q", "busy") and settings.gateway_count == 3
     assert settings.classes[0].idempotency is Idempotency.IDEMPOTENT and settings.keep_alive_s == 0.0
 
