--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -26,7 +26,10 @@
 routing/state routing/validation routing/warm_pool
 engine/engine engine/calls engine/timers engine/worker_registry resp/reader resp/frames
 platform/calls platform/connection platform/eviction platform/front platform/identifiers
-hosts/items hosts/link hosts/pool hosts/dispatcher hosts/deadlines net/write_buffer net/read_loop
+upstream/deadlines upstream/events upstream/pool_registry upstream/multiplexed/exchange
+upstream/multiplexed/in_flight upstream/multiplexed/line_reader upstream/multiplexed/connection
+upstream/multiplexed/connection_budget upstream/multiplexed/connection_pool upstream/multiplexed/dispatcher
+net/write_buffer net/read_loop
 """
 MODULES = [f"saffronstack/{name}.py" for name in NAMES.split()]
 MYPY = "mypy>=1.8,<3"
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.gateway_process import GatewayProcess
 from saffronstack.fleet.control.messages import STATUS_PATH, GatewayMetrics
 from saffronstack.http1 import writer
--- a/saffronstack/fleet/leases/quorum_read.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.leases.errors import ServerResponseError
 from saffronstack.fleet.leases.messages import LeaseValue
 from saffronstack.fleet.leases.reports import LeaseReport
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -8,7 +8,7 @@
 import msgspec
 from prometheus_client import CollectorRegistry, generate_latest
 
-from saffronstack.daemon.handover import MARK
+from saffronstack.daemon.listener_handover import OWNER_VARIABLE
 from saffronstack.invoke.app import Page, Response
 from saffronstack.invoke.metrics import GatewayCollector, Parts
 
@@ -42,7 +42,7 @@
         counts = gateway.engine.statistics
         content: dict[str, object] = {
             "pid": os.getpid(),
-            "release": os.environ.get(MARK, "").rpartition("/")[2],
+            "release": os.environ.get(OWNER_VARIABLE, "").rpartition("/")[2],
             "process": gateway.members.index,
             "processes": gateway.members.count,
             "draining": gateway.draining,
@@ -55,8 +55,8 @@
             "endings": counts.final_answers,
             "attempts": counts.attempt_results,
             "client_connections": gateway.server.connections,
-            "worker_connections": gateway.fleet.connections,
-            "workers": gateway.fleet.size,
+            "worker_connections": gateway.fleet.connection_count,
+            "workers": gateway.fleet.worker_count,
             "classes": gateway.app.figures.counts(),
             "times": gateway.app.figures.encoded(),
         }
