--- a/tests/test_wire.py
+++ b/tests/bench/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against the byte examples of the wire's page, and malformed input."""
+"""The codec of the simulator's wire against the examples of its page, and malformed input."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     assert event.work_s == pytest.approx(0.012) and event.deadline_s == pytest.approx(8.6522, abs=1e-4)
 
 
-def test_outcome_example() -> None:
+def test_attempt_outcome_example() -> None:
     _, event = read(OUTCOME)
     assert isinstance(event, AttemptOutcome)
     assert (event.request_id, event.worker_id, event.result, event.is_final) == (
@@ -83,13 +83,13 @@
     assert event.load_report.cpu_utilization == pytest.approx(0.62) and event.concurrency == 0
 
 
-def test_crowd_and_found_share_the_note() -> None:
+def test_cache_status_and_concurrency_share_the_note() -> None:
     _, event = read(OUTCOME.replace("00000000 0a", "1a000000 0a"))
     assert isinstance(event, AttemptOutcome)
     assert (event.cache_status, event.concurrency) == (CacheStatus.STARTED_LOAD, 3)
 
 
-def test_list_example() -> None:
+def test_endpoint_update_example() -> None:
     _, event = read(LIST)
     assert isinstance(event, EndpointUpdate) and event.kind is EndpointUpdateKind.CACHED
     assert event.version == 41
@@ -97,7 +97,7 @@
     assert [(w.capacity, w.zone, w.started_s) for w in event.endpoints] == [(1.0, 0, 0.0), (1.5, 1, 6.1)]
 
 
-def test_reminder_and_gone_and_loaded_examples() -> None:
+def test_timer_disconnect_and_load_command_examples() -> None:
     assert read("17 0300 4d00000000000000")[1] == TimerFired(77)
     assert read("10 0500 192b6f0ef8a20b00") == (5, ClientDisconnected(0x0BA2F80E6F2B19))
     _, event = read("1a 0300 01 0a 010ad2557c000000 7b14ae47e17ae43f f211902c")
@@ -144,7 +144,7 @@
     return wire.BATCH_HEADER.pack(8.5, len(body) if length is None else length, records, number) + body
 
 
-def begin(instance: int, settings: dict[str, Any]) -> bytes:
+def instance_started(instance: int, settings: dict[str, Any]) -> bytes:
     text = json.dumps(settings).encode()
     return struct.pack("<BHQI", 21, instance, 5, len(text)) + text
 
@@ -160,15 +160,17 @@
     assert run(header) == bytes.fromhex("0000000001000000")
 
 
-def test_a_short_life_ends_with_a_send() -> None:
-    body = begin(3, SETTINGS) + bytes.fromhex((LIST + REQUEST).replace(" ", ""))
+def test_an_instance_sends_its_first_request() -> None:
+    body = instance_started(3, SETTINGS) + bytes.fromhex((LIST + REQUEST).replace(" ", ""))
     reply = run(batch(body, 3))
     assert reply[8] == 80 and len(reply) == 8 + 23
 
 
-def test_restart_in_the_same_batch_forgets_everything() -> None:
-    start = begin(3, SETTINGS) + bytes.fromhex((LIST + REQUEST).replace(" ", ""))
-    again = bytes([20, 3, 0]) + begin(3, SETTINGS) + bytes.fromhex((LIST + OUTCOME).replace(" ", ""))
+def test_a_restart_in_the_same_batch_forgets_all_state() -> None:
+    start = instance_started(3, SETTINGS) + bytes.fromhex((LIST + REQUEST).replace(" ", ""))
+    again = (
+        bytes([20, 3, 0]) + instance_started(3, SETTINGS) + bytes.fromhex((LIST + OUTCOME).replace(" ", ""))
+    )
     assert run(batch(start, 3), batch(again, 4, number=2))[-8:] == wire.REPLY_HEADER.pack(0, 2)
 
 
@@ -200,10 +202,10 @@
     assert len(capsys.readouterr().err.strip().splitlines()) == 1
 
 
-def test_a_failing_module_is_told_by_the_wires_own_word(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_fault_of_the_router_has_its_own_record(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: object, now: float, event: object) -> list[Action]:
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr(Router, "handle", broken)
-    reply = run(batch(begin(3, SETTINGS) + bytes.fromhex(LIST.replace(" ", "")), 2))
+    reply = run(batch(instance_started(3, SETTINGS) + bytes.fromhex(LIST.replace(" ", "")), 2))
     assert reply[8] == 89 and b"out of luck" in reply
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -53,7 +53,7 @@
     assert final_answer is not None
     assert final_answer.status is status
     assert (final_answer.prior_attempt is not None) == bool(dispatcher.sent)
-    dispatcher.end(*dispatcher.sent[0], Result.OK)  # too late: the answer stands, and nothing stays open
+    dispatcher.end(dispatcher.sent[0], Result.OK)  # too late: the answer stands, and nothing stays open
     eventually(lambda: engine.open_calls == 0)
     assert call.final_answer is final_answer
     assert engine.stop()
@@ -65,7 +65,7 @@
     engine.submit(call)
     eventually(lambda: dispatcher.sent)
     engine.disconnect(call)
-    dispatcher.end(*dispatcher.sent[0], Result.RESET)
+    dispatcher.end(dispatcher.sent[0], Result.RESET)
     eventually(lambda: engine.open_calls == 0)
     assert len(dispatcher.sent) == 1
     assert engine.statistics.final_answers["gone"] == 1
--- a/tests/support/engine.py
+++ b/tests/support/engine.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import time
+from dataclasses import dataclass
 
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus, FunctionSpec
 from saffronstack.engine.dispatch import AttemptResult, WorkerResponse
@@ -15,27 +16,37 @@
 WORKERS = [WorkerSpec(number, f"w{number}", "127.0.0.1", number) for number in (1, 2, 3)]
 
 
+@dataclass(frozen=True, slots=True)
+class SentAttempt:
+    """An attempt that the engine has started."""
+
+    call: Call
+    number: int
+    worker_id: int
+
+
 class ScriptedDispatcher:
     """Ends each attempt with the next given result, at once; after None when `end` is called."""
 
     def __init__(self, results: list[Result | None]) -> None:
         self.results = results
-        self.sent: list[tuple[Call, int, int]] = []
+        self.sent: list[SentAttempt] = []
         self.engine: Engine | None = None
 
     def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
-        self.sent.append((call, attempt, worker_id))
+        self.sent.append(SentAttempt(call, attempt, worker_id))
         result = self.results.pop(0) if self.results else Result.OK
         if result is not None:
-            self.end(call, attempt, worker_id, result)
+            self.end(self.sent[-1], result)
 
-    def end(self, call: Call, attempt: int, worker_id: int, result: Result) -> None:
+    def end(self, attempt: SentAttempt, result: Result) -> None:
         assert self.engine is not None
+        call = attempt.call
         response = WorkerResponse(b"{}") if result is Result.OK else None
         if response is not None:
             call.finish(FinalAnswer(FinalStatus.SERVED, b"{}"))
         outcome = AttemptOutcome(
-            call.number, attempt, worker_id, result, 0.01, call.is_finished, CacheStatus.WARM
+            call.number, attempt.number, attempt.worker_id, result, 0.01, call.is_finished, CacheStatus.WARM
         )
         self.engine.notify(AttemptResult(call, outcome, response))
 
