--- a/saffronstack/platform/config.py
+++ b/saffronstack/platform/config.py
@@ -13,7 +13,7 @@
 from saffronstack.discovery.dns.startup_events import apply_startup_events
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.validation import validate_settings
-from saffronstack.settings import SettingsError, parse_settings
+from saffronstack.settings_parser import SettingsError, parse_settings
 
 CONFIG_BYTES = 8 * 1024 * 1024
 DIRECTORY_PORT = 5353
@@ -101,7 +101,7 @@
 
 def _config(raw: Mapping[str, Any]) -> PlatformConfig:
     told = raw["settings"]
-    settings, _ = parse_settings(msgspec.json.encode(told).decode())
+    settings = parse_settings(msgspec.json.encode(told).decode()).settings
     validate_settings(settings)
     permit = told.get("Permissions") or {}
     limits = raw.get("limits") or {}
--- a/saffronstack/upstream/multiplexed/codec.py
+++ b/saffronstack/upstream/multiplexed/codec.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from saffronstack import settings
+from saffronstack import settings_parser
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
 from saffronstack.upstream.errors import LineProtocolError
 
@@ -189,4 +189,4 @@
             values.append((_REPORT_KEYS.get(name, name), float(value)))
         except ValueError:
             continue
-    return settings.report((name, value) for name, value in values if math.isfinite(value))
+    return settings_parser.parse_load_report((name, value) for name, value in values if math.isfinite(value))
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -25,7 +25,7 @@
         "net",
         "engine",
         "runtime",
-        "settings",
+        "settings_parser",
     }
     | POLICY,
     "upstream/http": {"upstream", "upstream/http", "engine", "runtime", "http1"} | POLICY,
@@ -42,7 +42,7 @@
         "net",
         "engine",
         "runtime",
-        "settings",
+        "settings_parser",
     }
     | POLICY,
     "http1": {"http1", "net"},
@@ -71,7 +71,7 @@
     "client": {"client", "invoke", "http1"},
     "standin": {"standin", "metering", "engine", "runtime", "http1"},
     "audit": {"audit"},
-    "bench": {"bench", "settings"} | POLICY,
+    "bench": {"bench", "settings_parser"} | POLICY,
 }
 SUBPACKAGES = {part for part in MAY if "/" in part}  # with a row of their own beside their package's
 
@@ -133,7 +133,7 @@
     import sys
 
     folders = [*(ROOT / "bench").glob("*.py"), *(ROOT / "routing").glob("*.py")]
-    for path in [*folders, ROOT / "settings.py"]:
+    for path in [*folders, ROOT / "settings_parser.py"]:
         for node in ast.walk(ast.parse(path.read_text())):
             module = node.module if isinstance(node, ast.ImportFrom) else None
             names = (
