--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -69,7 +69,7 @@
         return codec.decode(body).messages
 
     def _connected(self) -> Stream:
-        if self._stream is not None and not self._stream.silent():
+        if self._stream is not None and not self._stream.is_quiet():
             self.close()  # ended while idle; nothing was sent on it
         if self._stream is None:
             host, _, port = self._address.rpartition(":")
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -217,7 +217,7 @@
             self._write(stream, self._app.malformed(error).encode(close=True))
             self._linger(stream)
             return False
-        answer = self._app.answer(head, body, stream.open)
+        answer = self._app.answer(head, body, stream.is_peer_open)
         close = self._draining or not head.keep_alive
         self._write(stream, answer.encode(close))
         if close:
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -98,7 +98,7 @@
             if self.is_broken:
                 return False
             if self._queue:
-                if not self._has_room_for(message):
+                if not self._has_capacity_for(message):
                     self._break()
                     return False
                 self._enqueue(message)
@@ -107,7 +107,7 @@
                 return True
             if self.is_broken:
                 return False
-            if not self._has_room_for(message):
+            if not self._has_capacity_for(message):
                 self._break()
                 return False
             self._enqueue(message)
@@ -115,7 +115,7 @@
         self._write_loop.watch(self)
         return True
 
-    def _has_room_for(self, message: OutgoingMessage) -> bool:
+    def _has_capacity_for(self, message: OutgoingMessage) -> bool:
         return self._queued_bytes - self._sent_bytes + message.size <= self._max_bytes
 
     def _enqueue(self, message: OutgoingMessage) -> None:
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -294,7 +294,7 @@
             self._note("lost", **who)
             return False
         fields = self._fields(head, who, run_id, found, crowd)
-        open_ = stream.open()
+        open_ = stream.is_peer_open()
         self._note("answer", status=200, open=open_, run=run_id, **who)
         return self._answer(stream, model, incarnation, 200, fields, self._payload(who, run_id, body))
 
@@ -340,7 +340,7 @@
     def _hang(self, stream: Stream, model: Model, who: Entry) -> None:
         """Hold the connection without an answer until the peer gives up."""
         end_s = self._clock() + LONGEST_S
-        while self._clock() < end_s and stream.open() and model is self.model and self._listener:
+        while self._clock() < end_s and stream.is_peer_open() and model is self.model and self._listener:
             time.sleep(0.02)
         self._note("abandoned", **who)
 
--- a/saffronstack/upstream/http/attempt_runner.py
+++ b/saffronstack/upstream/http/attempt_runner.py
@@ -121,5 +121,5 @@
         context = self._context
         observer = context.usage_observer
         gateway = "" if observer is None else observer.gateway_name_for(context.spec.number)
-        time_left_s = job.deadline_s - context.clock()
-        return protocol.encode_invocation(context.host, job.call, job.attempt, time_left_s, gateway)
+        remaining_s = job.deadline_s - context.clock()
+        return protocol.encode_invocation(context.host, job.call, job.attempt, remaining_s, gateway)
--- a/saffronstack/upstream/http/connection.py
+++ b/saffronstack/upstream/http/connection.py
@@ -22,7 +22,7 @@
 
     def is_reusable(self) -> bool:
         """Return whether it is still open and has received nothing that belongs to no request."""
-        return not self._reader.pending and self._stream.silent()
+        return not self._reader.pending and self._stream.is_quiet()
 
     def send(self, data: bytes, deadline_s: float, clock: Callable[[], float]) -> bool:
         """Send a request; a connection that did not take all of it is not kept alive.
@@ -95,10 +95,10 @@
             if self._connection.is_reusable():
                 return self._connection
             self.close()
-        time_left_s = min(self._connect_timeout_s, deadline_s - self._clock())
-        if time_left_s <= 0:
+        remaining_s = min(self._connect_timeout_s, deadline_s - self._clock())
+        if remaining_s <= 0:
             raise ConnectTimeoutError("no time left to connect")
-        sock = socket.create_connection(self._address, timeout=time_left_s)
+        sock = socket.create_connection(self._address, timeout=remaining_s)
         self._connection = HttpConnection(sock, self._limits)
         return self._connection
 
--- a/saffronstack/upstream/http/protocol.py
+++ b/saffronstack/upstream/http/protocol.py
@@ -18,7 +18,7 @@
 HEADER_REQUEST_ID = "X-Amzn-RequestId"
 HEADER_ATTEMPT = "X-Saffron-Attempt"
 HEADER_IDEMPOTENCY_KEY = "Idempotency-Key"
-HEADER_TIME_LEFT_MS = "X-Saffron-Left-Ms"
+HEADER_REMAINING_MS = "X-Saffron-Left-Ms"
 HEADER_TENANT = "X-Saffron-Tenant"
 HEADER_CLASS = "X-Saffron-Class"
 HEADER_GATEWAY = "X-Saffron-Gateway"
@@ -93,14 +93,14 @@
     load_report: LoadReport | None = None
 
 
-def encode_invocation(host: str, call: Call, attempt: int, time_left_s: float, gateway: str = "") -> bytes:
+def encode_invocation(host: str, call: Call, attempt: int, remaining_s: float, gateway: str = "") -> bytes:
     """Encode the request of an attempt.
 
     Args:
         host: Host and port of the worker.
         call: The call.
         attempt: The number of the attempt, from 0.
-        time_left_s: How long the gateway waits for the response, in seconds.
+        remaining_s: How long the gateway waits for the response, in seconds.
         gateway: The name by which the worker may send usage records with its response; empty for none.
     """
     headers = [
@@ -109,7 +109,7 @@
         (HEADER_REQUEST_ID, call.request_id),
         (HEADER_ATTEMPT, str(attempt)),
         (HEADER_IDEMPOTENCY_KEY, call.key or call.request_id),
-        (HEADER_TIME_LEFT_MS, str(max(0, int(time_left_s * 1000)))),
+        (HEADER_REMAINING_MS, str(max(0, int(remaining_s * 1000)))),
         (HEADER_TENANT, call.tenant_name),
         (HEADER_CLASS, call.class_name),
         *_function_headers(call.function),
--- a/saffronstack/upstream/multiplexed/connection_pool.py
+++ b/saffronstack/upstream/multiplexed/connection_pool.py
@@ -11,7 +11,7 @@
 from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
 from saffronstack.upstream.multiplexed.exchange import PendingExchange
 
-MAX_SUBMIT_TRIES = 8  # a connection may close between its choice and the sending
+MAX_SUBMIT_ATTEMPTS = 8  # a connection may close between its choice and the sending
 
 
 class MultiplexedPool:
@@ -84,7 +84,7 @@
         Returns:
             False where no connection is available: nothing was sent.
         """
-        for _ in range(MAX_SUBMIT_TRIES):
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
             connection = self._choose(exchange.tag)
             if connection is None:
                 return False
--- a/saffronstack/upstream/multiplexed/line_reader.py
+++ b/saffronstack/upstream/multiplexed/line_reader.py
@@ -28,9 +28,9 @@
             return []
         if self._parts:
             lines[0] = b"".join([*self._parts, lines[0]])
-        rest = lines.pop()
-        self._parts = [rest] if rest else []
-        self._bytes = len(rest)
+        remainder = lines.pop()
+        self._parts = [remainder] if remainder else []
+        self._bytes = len(remainder)
         self._check_length(max(self._bytes, max(map(len, lines))))
         return lines
 
--- a/tests/net/test_write_buffer.py
+++ b/tests/net/test_write_buffer.py
@@ -39,12 +39,8 @@
     first.barred = second.barred = True  # a line that has begun is finished: half of one breaks the link
     sock.room = 100
     assert out.flush() and sock.taken == b"firstthird"
-    assert (
-        first.progress is SendProgress.COMPLETE
-        and second.progress is SendProgress.NOTHING
-        and second.passed
-        and not first.passed
-    )
+    assert first.progress is SendProgress.COMPLETE and not first.passed
+    assert second.progress is SendProgress.NOTHING and second.passed
 
 
 def test_an_outbox_that_overflows_or_stalls_breaks_its_socket() -> None:
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -71,7 +71,7 @@
     def send(self, client: socket.socket, data: bytes) -> None:
         """Send, and see that it has reached the held thread's socket, where it lies unread."""
         client.sendall(data)
-        eventually(lambda: not self.streams[0].silent(), WAIT_S)
+        eventually(lambda: not self.streams[0].is_quiet(), WAIT_S)
 
 
 def connected(stack: Stack) -> socket.socket:
@@ -117,7 +117,7 @@
         crossing.send(client, crosses)
         crossing.go_on.set()
         if later:
-            eventually(lambda: crossing.streams[0].silent(), WAIT_S)  # the head has been read
+            eventually(lambda: crossing.streams[0].is_quiet(), WAIT_S)  # the head has been read
             client.sendall(later)
         assert_last_answer(client)
         assert ended()
--- a/tests/upstream/http/test_dispatcher.py
+++ b/tests/upstream/http/test_dispatcher.py
@@ -7,17 +7,22 @@
 import struct
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 
 import pytest
 
 from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import CacheStatus, Result
+from saffronstack.upstream.events import EngineEvent
 from saffronstack.upstream.http.dispatcher import HttpDispatcher
 from saffronstack.upstream.http.worker_context import HttpPoolLimits
 
 SPEC = FunctionSpec("f", 5, 0, 64.0)
+WORKER_ID = 9
+WAIT_S = 5.0  # a bound, never waited out where things go right
+SHORT_S = 0.4  # a deadline that passes before a worker that waits answers
 Script = Callable[[socket.socket], None]
 
 
@@ -48,7 +53,7 @@
                 self.requests += 1
                 self.script(sock)
         except OSError:
-            pass
+            return  # the gateway broke the connection, as some tests have it
         finally:
             sock.close()
 
@@ -85,21 +90,62 @@
     time.sleep(1.0)
 
 
-def told(port: int, ends: queue.SimpleQueue[object], **limits: float) -> HttpDispatcher:
-    fleet = HttpDispatcher(HttpPoolLimits(**limits), ends.put, time.monotonic)  # type: ignore[arg-type]
-    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", port)])
-    return fleet
+@dataclass
+class Upstream:
+    """A dispatcher with one scripted worker; what it reports goes to a queue."""
 
+    worker: Scripted
+    dispatcher: HttpDispatcher
+    events: queue.SimpleQueue[EngineEvent]
 
-def call(number: int = 1, left_s: float = 0.4) -> Call:
-    return Call(number, f"id-{number}", SPEC, b"", time.monotonic() + left_s)
+    def list_worker(self, draining: bool = False) -> None:
+        """Put the worker on the endpoint list."""
+        spec = WorkerSpec(WORKER_ID, "w", "127.0.0.1", self.worker.port, draining=draining)
+        self.dispatcher.replace_workers([spec])
 
+    def send(self, call: Call) -> AttemptEnd:
+        """Send an attempt and return its end."""
+        self.dispatcher.send(call, 0, WORKER_ID, 0.0)
+        return self.next_end()
 
-def end_of(ends: queue.SimpleQueue[object]) -> AttemptEnd:
-    while True:
-        item = ends.get(timeout=5)
-        if isinstance(item, AttemptEnd):
-            return item
+    def next_end(self) -> AttemptEnd:
+        """Return the next end of an attempt."""
+        while True:
+            event = self.events.get(timeout=WAIT_S)
+            if isinstance(event, AttemptEnd):
+                return event
+
+    def next_command_end(self) -> OrderEnd:
+        """Return the next event, the end of a command."""
+        event = self.events.get(timeout=WAIT_S)
+        assert isinstance(event, OrderEnd)
+        return event
+
+
+Start = Callable[..., Upstream]
+
+
+@pytest.fixture
+def start() -> Iterator[Start]:
+    """Starts dispatchers over a worker with a script, within given limits; all end with the test."""
+    started: list[Upstream] = []
+
+    def start_one(script: Script, limits: HttpPoolLimits | None = None) -> Upstream:
+        events: queue.SimpleQueue[EngineEvent] = queue.SimpleQueue()
+        dispatcher = HttpDispatcher(limits or HttpPoolLimits(), events.put, time.monotonic)
+        upstream = Upstream(Scripted(script), dispatcher, events)
+        upstream.list_worker()
+        started.append(upstream)
+        return upstream
+
+    yield start_one
+    for upstream in started:
+        upstream.dispatcher.stop()
+        upstream.worker.listener.close()
+
+
+def call(number: int = 1, timeout_s: float = WAIT_S) -> Call:
+    return Call(number, f"id-{number}", SPEC, b"", time.monotonic() + timeout_s)
 
 
 OK = b"HTTP/1.1 200 OK\r\nX-Saffron-Found: warm\r\nX-Saffron-Crowd: 3\r\nContent-Length: 2\r\n\r\n{}"
@@ -125,122 +171,107 @@
         (answering(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n{}"), Result.RESET),
     ],
 )
-def test_results_by_what_the_worker_does(script: Script, result: Result) -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
-    worker = Scripted(script)
-    fleet = told(worker.port, ends)
-    made = call()
-    fleet.send(made, 0, 9, 0.0)
-    end = end_of(ends)
+def test_results_by_what_the_worker_does(start: Start, script: Script, result: Result) -> None:
+    upstream = start(script)
+    made = call(timeout_s=SHORT_S if result is Result.TIMEOUT else WAIT_S)
+    end = upstream.send(made)
     assert end.outcome.result is result
     assert end.outcome.is_final == made.settled == (result is Result.OK)
     if result is Result.OK:
         assert (end.outcome.cache_status, end.outcome.concurrency) == (CacheStatus.WARM, 3)
-    assert worker.requests == 1
-    fleet.stop()
-    worker.listener.close()
+    assert upstream.worker.requests == 1
 
 
-def test_nobody_listens() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
+def test_a_worker_that_does_not_listen_is_not_reached(start: Start) -> None:
+    upstream = start(answering(OK))
+    upstream.worker.listener.close()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
-    fleet = told(port, ends)
-    fleet.send(call(), 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.CONNECT_FAILED
-    fleet.send(call(2), 0, 77, 0.0)
-    assert end_of(ends).outcome.result is Result.NOT_STARTED  # on no list
-    fleet.stop()
-
-
-def test_what_is_no_longer_wanted_is_not_sent() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
-    worker = Scripted(answering(OK))
-    fleet = told(worker.port, ends)
-    late = call(1, -0.1)
-    fleet.send(late, 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.NOT_STARTED
+    upstream.dispatcher.replace_workers([WorkerSpec(WORKER_ID, "w", "127.0.0.1", port)])
+    assert upstream.send(call()).outcome.result is Result.CONNECT_FAILED
+
+
+def test_nothing_is_sent_to_a_worker_that_is_not_listed(start: Start) -> None:
+    upstream = start(answering(OK))
+    upstream.dispatcher.send(call(2), 0, 77, 0.0)
+    assert upstream.next_end().outcome.result is Result.NOT_STARTED
+    upstream.dispatcher.load(77, SPEC, 2)
+    assert upstream.next_command_end() == OrderEnd(77, Result.CONNECT_FAILED, 0.0, SPEC.number)
+
+
+def test_an_attempt_past_its_deadline_is_not_sent(start: Start) -> None:
+    upstream = start(answering(OK))
+    assert upstream.send(call(1, -0.1)).outcome.result is Result.NOT_STARTED
+    assert upstream.worker.requests == 0
 
+
+def test_an_attempt_that_its_guard_forbids_is_not_sent(start: Start) -> None:
     class Never:
         def may_send(self, attempt: int, worker: int) -> bool:
             return False
 
-    guarded = call(2)
+    upstream, guarded = start(answering(OK)), call(2)
     guarded.guard = Never()
-    fleet.send(guarded, 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.NOT_STARTED
-    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", worker.port, draining=True)])
-    fleet.send(call(3), 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.NOT_STARTED
-    fleet.load(9, SPEC, 2)
-    order = ends.get(timeout=5)
-    assert isinstance(order, OrderEnd)
-    assert order.result is Result.AT_CAPACITY
-    assert worker.requests == 0
-    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", worker.port)])
-    fleet.send(call(4), 0, 9, 0.0)
-    assert end_of(ends).outcome.result is Result.OK
-    fleet.stop()
-    worker.listener.close()
-
-
-def test_a_cancelled_attempt_ends_at_once() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
-    worker = Scripted(wait)
-    fleet = told(worker.port, ends)
-    made = call(1, 5.0)
-    start = time.monotonic()
-    fleet.send(made, 0, 9, 0.0)
-    while not worker.requests:
+    assert upstream.send(guarded).outcome.result is Result.NOT_STARTED
+    assert upstream.worker.requests == 0
+
+
+def test_nothing_new_is_sent_to_a_worker_while_it_drains(start: Start) -> None:
+    upstream = start(answering(OK))
+    upstream.list_worker(draining=True)
+    assert upstream.send(call(3)).outcome.result is Result.NOT_STARTED
+    upstream.dispatcher.load(WORKER_ID, SPEC, 2)
+    assert upstream.next_command_end().result is Result.AT_CAPACITY
+    assert upstream.worker.requests == 0
+    upstream.list_worker()
+    assert upstream.send(call(4)).outcome.result is Result.OK
+
+
+def test_a_cancelled_attempt_ends_at_once(start: Start) -> None:
+    upstream, made = start(wait), call()
+    started_s = time.monotonic()
+    upstream.dispatcher.send(made, 0, WORKER_ID, 0.0)
+    while not upstream.worker.requests:
         time.sleep(0.005)
-    fleet.cancel(made, 0)
-    assert end_of(ends).outcome.result is Result.CANCELLED
-    assert time.monotonic() - start < 0.9
-    fleet.stop()
-    worker.listener.close()
-
-
-def test_more_attempts_than_connections_are_full() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
-    worker = Scripted(wait)
-    fleet = told(worker.port, ends, connections=1)
-    fleet.send(call(1), 0, 9, 0.0)
-    fleet.send(call(2), 0, 9, 0.0)
-    first = end_of(ends)
+    upstream.dispatcher.cancel(made, 0)
+    assert upstream.next_end().outcome.result is Result.CANCELLED
+    assert time.monotonic() - started_s < 0.9
+
+
+def test_more_attempts_than_connections_are_full(start: Start) -> None:
+    upstream = start(wait, HttpPoolLimits(connections=1))
+    upstream.dispatcher.send(call(1, SHORT_S), 0, WORKER_ID, 0.0)
+    first = upstream.send(call(2, SHORT_S))
     assert (first.call.number, first.outcome.result) == (2, Result.AT_CAPACITY)
-    assert end_of(ends).outcome.result is Result.TIMEOUT
-    fleet.stop()
-    worker.listener.close()
+    assert upstream.next_end().outcome.result is Result.TIMEOUT
 
 
-def test_a_kept_connection_that_the_worker_closed_is_made_anew_and_nothing_is_lost() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
-    worker = Scripted(answering(OK, close))
-    fleet = told(worker.port, ends)
+def test_a_kept_connection_that_the_worker_closed_is_made_anew_and_nothing_is_lost(start: Start) -> None:
+    upstream = start(answering(OK, close))
     for number in range(1, 6):
-        fleet.send(call(number), 0, 9, 0.0)
-        assert end_of(ends).outcome.result is Result.OK
+        assert upstream.send(call(number)).outcome.result is Result.OK
+        time.sleep(0.02)
+    assert upstream.worker.connections == upstream.worker.requests == 5
+
+
+def test_a_connection_that_is_kept_alive_carries_the_next_request(start: Start) -> None:
+    upstream = start(answering(OK))
+    for number in range(1, 4):
+        assert upstream.send(call(number)).outcome.result is Result.OK
         time.sleep(0.02)
-    assert worker.connections == worker.requests == 5
-    fleet.stop()
-    worker.listener.close()
+    assert (upstream.worker.connections, upstream.worker.requests) == (1, 3)
+    assert upstream.dispatcher.connection_count == 1
 
 
-def test_bytes_that_nobody_asked_for_end_a_connection() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
-    worker = Scripted(answering(OK + OK))
-    fleet = told(worker.port, ends)
+def test_bytes_that_nobody_asked_for_end_a_connection(start: Start) -> None:
+    upstream = start(answering(OK + OK))
     for number in range(1, 4):
-        fleet.send(call(number), 0, 9, 0.0)
-        assert end_of(ends).outcome.result is Result.OK
+        assert upstream.send(call(number)).outcome.result is Result.OK
         time.sleep(0.02)
-    assert worker.connections == 3
-    fleet.stop()
-    worker.listener.close()
+    assert upstream.worker.connections == 3
 
 
-def test_a_new_incarnation_is_heard_and_nonsense_is_not() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
+def test_a_new_incarnation_is_heard_and_nonsense_is_not(start: Start) -> None:
     lives = iter(["a", "a", "b"])
 
     def script(sock: socket.socket) -> None:
@@ -249,52 +280,47 @@
             f"{head}X-Saffron-Crowd: -3\r\nX-Saffron-Busy: nan\r\nContent-Length: 0\r\n\r\n".encode()
         )
 
-    worker = Scripted(script)
-    fleet = told(worker.port, ends)
+    upstream = start(script)
     heard: list[WorkerSeen] = []
     for number in range(1, 4):
-        fleet.send(call(number), 0, 9, 0.0)
-        item = ends.get(timeout=5)
-        if isinstance(item, WorkerSeen):
-            heard.append(item)
-            item = ends.get(timeout=5)
-        assert isinstance(item, AttemptEnd)
-        assert (item.outcome.concurrency, item.outcome.load_report) == (None, None)
-    assert heard == [WorkerSeen(9, "a", 1.5), WorkerSeen(9, "b", 1.5)]
-    fleet.stop()
-    worker.listener.close()
-
-
-def test_orders_and_probes() -> None:
-    ends: queue.SimpleQueue[object] = queue.SimpleQueue()
-    answers = iter(
-        [
-            b"200 OK\r\nContent-Length: 1\r\n\r\n2",
-            b"429 x\r\nContent-Length: 1\r\n\r\n1",
-            b"200 OK\r\nX-Saffron-In-Hand: 4\r\nContent-Length: 0\r\n\r\n",
-            b"500 x\r\nContent-Length: 0\r\n\r\n",
-        ]
-    )
+        upstream.dispatcher.send(call(number), 0, WORKER_ID, 0.0)
+        event = upstream.events.get(timeout=WAIT_S)
+        if isinstance(event, WorkerSeen):
+            heard.append(event)
+            event = upstream.events.get(timeout=WAIT_S)
+        assert isinstance(event, AttemptEnd)
+        assert (event.outcome.concurrency, event.outcome.load_report) == (None, None)
+    assert heard == [WorkerSeen(WORKER_ID, "a", 1.5), WorkerSeen(WORKER_ID, "b", 1.5)]
 
-    def script(sock: socket.socket) -> None:
-        sock.sendall(b"HTTP/1.1 " + next(answers))
-
-    worker = Scripted(script)
-    fleet = told(worker.port, ends)
-    found = []
-    for copies in (2, 3, 0, 1):
-        if copies:
-            fleet.load(9, SPEC, copies)
-        else:
-            fleet.probe(9)
-        end = ends.get(timeout=5)
-        assert isinstance(end, OrderEnd)
-        found.append((end.result, end.copies, end.report.requests_in_flight if end.report else None))
-    assert found == [
-        (Result.OK, 2, None),
-        (Result.AT_CAPACITY, 1, None),
-        (Result.OK, 0, 4.0),
-        (Result.ERROR, 0, None),
-    ]
-    fleet.stop()
-    worker.listener.close()
+
+@pytest.mark.parametrize(
+    ("instances", "response", "ended"),
+    [
+        (2, b"200 OK\r\nContent-Length: 1\r\n\r\n2", (Result.OK, 2, None)),
+        (3, b"429 x\r\nContent-Length: 1\r\n\r\n1", (Result.AT_CAPACITY, 1, None)),
+        (0, b"200 OK\r\nX-Saffron-In-Hand: 4\r\nContent-Length: 0\r\n\r\n", (Result.OK, 0, 4.0)),
+        (1, b"500 x\r\nContent-Length: 0\r\n\r\n", (Result.ERROR, 0, None)),
+    ],
+)
+def test_load_commands_and_health_checks_end_as_the_worker_answers(
+    start: Start, instances: int, response: bytes, ended: tuple[Result, int, float | None]
+) -> None:
+    upstream = start(answering(b"HTTP/1.1 " + response))
+    if instances:
+        upstream.dispatcher.load(WORKER_ID, SPEC, instances)
+    else:
+        upstream.dispatcher.probe(WORKER_ID)
+    end = upstream.next_command_end()
+    in_flight = end.report.requests_in_flight if end.report else None
+    assert (end.result, end.copies, in_flight) == ended
+
+
+def test_the_traffic_of_a_worker_counts_attempts_and_those_in_flight(start: Start) -> None:
+    upstream = start(wait)
+    upstream.dispatcher.send(call(1, SHORT_S), 0, WORKER_ID, 0.0)
+    (traffic,) = upstream.dispatcher.traffic()
+    assert (traffic.spec.number, traffic.attempts, traffic.in_flight) == (WORKER_ID, 1, 1)
+    assert upstream.dispatcher.worker_count == 1
+    upstream.next_end()
+    (traffic,) = upstream.dispatcher.traffic()
+    assert (traffic.attempts, traffic.in_flight) == (1, 0)
--- /dev/null
+++ b/tests/upstream/multiplexed/test_in_flight.py
@@ -0,0 +1,140 @@
+"""Exchanges in flight: what is accepted, and who ends each of them."""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+import pytest
+
+from saffronstack.routing.events import Result
+from saffronstack.upstream.multiplexed.exchange import ExchangeContext, PendingExchange
+from saffronstack.upstream.multiplexed.in_flight import MAX_ABANDONED_TAGS, Admission, InFlightTable
+
+
+class FakeWorker:
+    """A worker that takes requests."""
+
+    worker_id, name, succeeded, failed, is_closed = 7, "w-7", 0, 0, False
+
+
+class FakeConnection:
+    """The connection that exchanges are tied to."""
+
+    def claim(self, exchange: PendingExchange) -> bool:
+        return True
+
+    def unclaim(self, exchange: PendingExchange) -> None:
+        pass
+
+    def on_dropped(self, exchange: PendingExchange) -> None:
+        pass
+
+    def give_up(self, exchange: PendingExchange, result: Result, reason: str) -> None:
+        pass
+
+
+CONNECTION = FakeConnection()
+
+
+def exchange(tag: str, now_s: float = 100.0) -> PendingExchange:
+    def report(event: Any) -> None:
+        raise AssertionError("the table reports nothing itself")
+
+    return PendingExchange(b"line", tag, FakeWorker(), now_s + 3.0, ExchangeContext(report, lambda: now_s))
+
+
+@pytest.fixture
+def table() -> InFlightTable:
+    """A connected table for two exchanges."""
+    table = InFlightTable(2)
+    assert table.on_connected() == []
+    return table
+
+
+def test_an_exchange_waits_for_the_connection() -> None:
+    table, first = InFlightTable(2), exchange("a")
+    assert table.add(first, CONNECTION) is Admission.QUEUED and first.connection is CONNECTION
+    assert table.on_connected() == [first]
+    assert table.add(exchange("b"), CONNECTION) is Admission.SEND_NOW
+
+
+def test_a_table_that_was_closed_while_it_connected_hands_out_nothing() -> None:
+    table = InFlightTable(2)
+    table.add(exchange("a"), CONNECTION)
+    table.is_closed = True
+    assert table.on_connected() == [] and len(table) == 1
+
+
+def test_a_full_table_and_a_tag_in_use_are_rejected(table: InFlightTable) -> None:
+    rejected = exchange("a")
+    assert table.add(exchange("a"), CONNECTION) is Admission.SEND_NOW
+    assert table.add(rejected, CONNECTION) is Admission.REJECTED and rejected.connection is None
+    assert table.add(exchange("b"), CONNECTION) is Admission.SEND_NOW
+    assert not table.can_accept("c")
+
+
+def test_each_exchange_is_removed_once(table: InFlightTable) -> None:
+    first, second = exchange("a"), exchange("b")
+    table.add(first, CONNECTION)
+    table.add(second, CONNECTION)
+    assert table.remove(first) and not table.remove(first)
+    assert table.pop_answered("b") is second and table.pop_answered("b") is None
+    assert first.is_finished and second.is_finished and not len(table)
+
+
+def test_nothing_is_claimed_once_it_has_ended(table: InFlightTable) -> None:
+    first = exchange("a")
+    table.add(first, CONNECTION)
+    assert table.claim(first) and first.is_started
+    table.unclaim(first)
+    assert not first.is_started
+    assert table.close() == [first]
+    assert not table.claim(first) and not first.is_started
+    assert not table.can_accept("b")
+
+
+def test_the_tag_of_an_abandoned_request_is_free_once_its_response_has_come(table: InFlightTable) -> None:
+    first = exchange("a")
+    table.add(first, CONNECTION)
+    table.claim(first)
+    assert table.remove(first, abandon=True) and not table.can_accept("a")
+    assert table.pop_answered("a") is None and table.can_accept("a")
+
+
+def test_the_tag_of_a_request_that_was_never_sent_is_free_at_once(table: InFlightTable) -> None:
+    first = exchange("a")
+    table.add(first, CONNECTION)
+    assert table.remove(first, abandon=True) and table.can_accept("a")
+
+
+def test_a_table_is_spent_when_it_drains_or_owes_too_many_responses(table: InFlightTable) -> None:
+    assert not table.is_spent()
+    for number in range(MAX_ABANDONED_TAGS):
+        one = exchange(f"{number}")
+        table.add(one, CONNECTION)
+        table.claim(one)
+        table.remove(one, abandon=True)
+    assert table.is_spent() and not table.can_accept("new")
+    draining = InFlightTable(2)
+    last = exchange("a")
+    draining.add(last, CONNECTION)
+    draining.is_draining = True
+    assert not draining.is_spent()
+    draining.remove(last)
+    assert draining.is_spent()
+
+
+def test_only_an_idle_table_is_closed_for_its_idleness(table: InFlightTable) -> None:
+    first = exchange("a")
+    table.add(first, CONNECTION)
+    assert not table.close_if_idle() and not table.is_closed
+    table.remove(first)
+    assert table.close_if_idle() and table.is_closed
+
+
+def test_the_oldest_exchange_is_the_one_submitted_first(table: InFlightTable) -> None:
+    assert table.oldest_submitted_s == math.inf
+    table.add(exchange("a", now_s=100.0), CONNECTION)
+    table.add(exchange("b", now_s=101.0), CONNECTION)
+    assert table.oldest_submitted_s == 100.0
