--- a/saffronstack/fleet/control/gateway_reconciler.py
+++ b/saffronstack/fleet/control/gateway_reconciler.py
@@ -12,7 +12,7 @@
 import math
 from dataclasses import dataclass, field
 
-from saffronstack.daemon.restarts import Restarts
+from saffronstack.daemon.restart_backoff import RestartBackoff
 from saffronstack.fleet.control.gateway_actions import (
     AllowServing,
     Kill,
@@ -79,7 +79,7 @@
     successor: Incarnation | None = None
     _retry_at_s: float = 0.0
     _failed_starts: int = 0  # of the target release in a row
-    _restart_backoff: Restarts = field(default_factory=Restarts)
+    _restart_backoff: RestartBackoff = field(default_factory=RestartBackoff)
     _last_number: int = 0
 
     def set_desired(self, now_s: float, release: str) -> list[ProcessAction]:
@@ -232,7 +232,7 @@
         if failed.release == self._target():
             self._failed_starts += 1
             self.last_error = f"{failed.release} did not start: {reason}"
-            self._retry_at_s = self._restart_backoff.ended(now_s, now_s)
+            self._retry_at_s = self._restart_backoff.process_exited(now_s, now_s)
             if self._failed_starts >= MAX_FAILED_STARTS:
                 self._give_up(failed.release)
         return self.reconcile(now_s)
@@ -240,8 +240,8 @@
     def _record_crash(self, now_s: float, crashed: Incarnation, reason: str) -> None:
         self.restarts += 1
         self.last_error = f"{crashed.release} ended: {reason}"
-        self._retry_at_s = self._restart_backoff.ended(crashed.started_s, now_s)
-        if self._restart_backoff.ends >= MAX_CRASHES and crashed.release == self._target():
+        self._retry_at_s = self._restart_backoff.process_exited(crashed.started_s, now_s)
+        if self._restart_backoff.exits >= MAX_CRASHES and crashed.release == self._target():
             self._give_up(crashed.release)
 
     def _give_up(self, release: str) -> None:
@@ -252,7 +252,7 @@
             self._reset_retries(0.0)
 
     def _reset_retries(self, retry_at_s: float) -> None:
-        self._failed_starts, self._retry_at_s, self._restart_backoff = 0, retry_at_s, Restarts()
+        self._failed_starts, self._retry_at_s, self._restart_backoff = 0, retry_at_s, RestartBackoff()
 
 
 def _is_serving(incarnation: Incarnation | None) -> bool:
--- a/saffronstack/fleet/control/lease_observer.py
+++ b/saffronstack/fleet/control/lease_observer.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from saffronstack.fleet.leases.quorum_read import QuorumRead
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 READ_INTERVAL_S = 1.0
 
@@ -22,7 +22,7 @@
 
     def start(self) -> None:
         """Start to read."""
-        self._thread = spawn("lease-observer", self._run)
+        self._thread = start_thread("lease-observer", self._run)
 
     def stop(self) -> None:
         """Stop to read, without waiting; any thread may call this."""
--- a/saffronstack/fleet/control/managed_gateway.py
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from saffronstack.daemon.handover import take
+from saffronstack.daemon.listener_handover import request_listener
 from saffronstack.fleet.control import process_launcher
 from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
 from saffronstack.fleet.control.errors import UnusableReleaseError
@@ -28,7 +28,7 @@
 from saffronstack.fleet.control.metrics_poller import MetricsPoller
 from saffronstack.fleet.control.process_discovery import find_serving_process
 from saffronstack.fleet.control.releases import find_release
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.daemon")
 
@@ -85,14 +85,14 @@
         process = find_serving_process(self._mark, self.spec.listen, self._clock, stopping)
         if process is None:
             return
-        listener = take(f"{self._mark}/{process.release}", process.pid)
+        listener = request_listener(f"{self._mark}/{process.release}", process.pid)
         if listener is not None:  # connections that wait in its queue are kept
             self._listener.close()
             self._listener = listener
         incarnation = self._reconciler.adopt(self._clock(), process.release)
         self._processes[incarnation] = process
         self._metrics_poller.watch(incarnation, process)
-        spawn(
+        start_thread(
             "gateway-end",
             lambda: process_launcher.report_end(self.spec.name, incarnation, process, self._report),
         )
--- a/saffronstack/fleet/control/process_launcher.py
+++ b/saffronstack/fleet/control/process_launcher.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import IO
 
-from saffronstack.daemon.handover import MARK
+from saffronstack.daemon.listener_handover import OWNER_VARIABLE
 from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 # Lines that `saffronstack serve --standby` writes, by what they contain.
 PREPARED_LINE, SERVING_LINE = "prepared", "takes calls"
@@ -81,13 +81,13 @@
         child = subprocess.Popen(
             [*spec.command, "--listen-fd", str(listener.fileno()), "--standby"],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log_file, pass_fds=(listener.fileno(),),
-            start_new_session=True, env={**os.environ, MARK: f"{spec.mark}/{spec.release}"},
+            start_new_session=True, env={**os.environ, OWNER_VARIABLE: f"{spec.mark}/{spec.release}"},
         )  # fmt: skip
     process = GatewayProcess(child.pid, spec.release, os.pidfd_open(child.pid), child)
     assert child.stdout is not None
     output = child.stdout
-    spawn("gateway-output", lambda: _report_output(spec, output, report))
-    spawn("gateway-end", lambda: report_end(spec.gateway, spec.incarnation, process, report))
+    start_thread("gateway-output", lambda: _report_output(spec, output, report))
+    start_thread("gateway-end", lambda: report_end(spec.gateway, spec.incarnation, process, report))
     return process
 
 
--- a/saffronstack/fleet/control/status_poller.py
+++ b/saffronstack/fleet/control/status_poller.py
@@ -9,7 +9,7 @@
 from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
 from saffronstack.fleet.control.messages import STATUS_PATH
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 JOIN_MARGIN_S = 0.5  # over the exchange's own bound
 
@@ -23,7 +23,8 @@
         answers[name] = request_status(address, request, time.monotonic() + timeout_s, time.monotonic)
 
     threads = [
-        spawn("poll-daemon", functools.partial(poll, name, address)) for name, address in addresses.items()
+        start_thread("poll-daemon", functools.partial(poll, name, address))
+        for name, address in addresses.items()
     ]
     deadline_s = time.monotonic() + timeout_s + JOIN_MARGIN_S
     for thread in threads:
--- a/saffronstack/fleet/leases/acceptor_service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -22,7 +22,7 @@
     SetTimer,
 )
 from saffronstack.fleet.leases.reports import AcceptorStatus, LeaseReport
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.keeper")
 SAVE_RETRY_S = 0.5
@@ -94,8 +94,8 @@
 
     def start(self) -> None:
         """Start the writer and the timer thread."""
-        self._writer = spawn("acceptor-disk", self._write_states)
-        spawn("acceptor-timer", self._run_timers)
+        self._writer = start_thread("acceptor-disk", self._write_states)
+        start_thread("acceptor-timer", self._run_timers)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
         """Answer nobody any more, and end a write in progress, so that another server may use the directory.
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -36,7 +36,7 @@
     SendMessage,
 )
 from saffronstack.fleet.leases.store import HeldLease
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 ACT_S = 0.03
 MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
@@ -269,7 +269,7 @@
             continue
         os._exit(0)
 
-    spawn("parent", end_with_rig)
+    start_thread("parent", end_with_rig)
     print("ready", flush=True)
     Actor(told).run()
 
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -9,7 +9,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-from saffronstack.daemon.members import Members
+from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.engine.engine import Engine
@@ -77,7 +77,7 @@
     engine: Engine
     app: App
     server: Server
-    members: Members
+    members: ProcessGroup
     ledger: Ledger | None
     deferred: DeferredCalls | None
     meter: Meter | None
@@ -98,10 +98,12 @@
 
     It is 0 where none are in flight.
     """
-    taking = [worker for worker in traffic if not worker.spec.draining and worker.spec.size > 0]
+    taking = [worker for worker in traffic if not worker.spec.is_draining and worker.spec.capacity > 0]
     total = sum(worker.in_flight for worker in taking)
-    size = sum(worker.spec.size for worker in taking)
-    return max(worker.in_flight / (total * worker.spec.size / size) for worker in taking) if total else 0.0
+    size = sum(worker.spec.capacity for worker in taking)
+    return (
+        max(worker.in_flight / (total * worker.spec.capacity / size) for worker in taking) if total else 0.0
+    )
 
 
 class GatewayCollector(Collector):
@@ -113,9 +115,9 @@
     def collect(self) -> Iterable[Metric]:
         """The metrics now."""
         gateway = self._gateway
-        counts = gateway.engine.counts
-        yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.endings)
-        yield _labelled("attempts_ended", "Attempts by result", "result", counts.results)
+        counts = gateway.engine.statistics
+        yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.final_answers)
+        yield _labelled("attempts_ended", "Attempts by result", "result", counts.attempt_results)
         yield from _worker_metrics(gateway.fleet.traffic())
         for figure in _counters(gateway):
             yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
@@ -147,13 +149,13 @@
 
 
 def _counters(gateway: Parts) -> Iterator[Figure]:
-    counts, server = gateway.engine.counts, gateway.server
+    counts, server = gateway.engine.statistics, gateway.server
     yield Figure("calls", "Calls taken by the engine", counts.calls)
-    yield Figure("sends", "Attempts begun", counts.sends)
-    yield Figure("repeats", "Attempts after a call's first", counts.repeats)
-    yield Figure("orders", "Orders to load or unload", counts.orders)
+    yield Figure("sends", "Attempts begun", counts.attempts)
+    yield Figure("repeats", "Attempts after a call's first", counts.retries)
+    yield Figure("orders", "Orders to load or unload", counts.load_commands)
     yield Figure("events", "Events decided on", counts.events)
-    yield Figure("backstops", "Calls that the engine itself answered", counts.backstops)
+    yield Figure("backstops", "Calls that the engine itself answered", counts.deadline_answers)
     yield Figure("decision_faults", "Events on which the decision failed", counts.faults)
     yield Figure("connections_accepted", "Client connections accepted", server.accepted)
     yield Figure("connections_turned_away", "Client connections turned away", server.turned_away)
@@ -169,7 +171,7 @@
 def _gauges(gateway: Parts) -> Iterator[Figure]:
     traffic = gateway.fleet.traffic()
     yield Figure("open_calls", "Calls open in the engine", gateway.engine.open_calls)
-    yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued)
+    yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued_events)
     yield Figure("client_connections", "Client connections open", gateway.server.connections)
     yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connection_count)
     yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(traffic))
--- a/saffronstack/net/read_loop.py
+++ b/saffronstack/net/read_loop.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from saffronstack.runtime.logs import Log
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import Logger
+from saffronstack.runtime.threads import start_thread
 
 TICK_S = 1.0  # how often every handler's `on_tick` is called
 STOP_TIMEOUT_S = 2.0
@@ -44,7 +44,7 @@
 class ReadLoop:
     """One thread that reads for every watched handler until it is released."""
 
-    def __init__(self, clock: Callable[[], float], log: Log, read_bytes: int = READ_BYTES) -> None:
+    def __init__(self, clock: Callable[[], float], log: Logger, read_bytes: int = READ_BYTES) -> None:
         """Create a loop that reads up to ``read_bytes`` at once."""
         self._clock = clock
         self._log = log
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """Start the thread."""
-        self._loop_thread = spawn("reader", self._run)
+        self._loop_thread = start_thread("reader", self._run)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
         """Stop the thread and release every handler; return whether it ended within ``timeout_s`` seconds."""
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 STALL_CHECK_S = 0.25  # how often the write loop looks for sockets that take nothing, while it watches any
 IDLE_WAIT_S = 5.0  # how long it waits at most while it watches none
@@ -216,7 +216,7 @@
 
     def start(self) -> None:
         """Start the thread."""
-        self._loop_thread = spawn("writer", self._run)
+        self._loop_thread = start_thread("writer", self._run)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
         """Stop the thread; return whether it ended within ``timeout_s`` seconds."""
--- a/saffronstack/upstream/deadlines.py
+++ b/saffronstack/upstream/deadlines.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from saffronstack.engine.calls import Call
-from saffronstack.runtime.logs import Log
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import Logger
+from saffronstack.runtime.threads import start_thread
 
 RESOLUTION_S = 0.01  # deadlines that lie closer together are handled in one wake-up
 IDLE_WAIT_S = 5.0  # how long the thread waits while no deadline is set
@@ -50,7 +50,7 @@
     It stores keys and no exchanges, so what has ended is freed long before its deadline.
     """
 
-    def __init__(self, clock: Callable[[], float], owner: DeadlineOwner, log: Log) -> None:
+    def __init__(self, clock: Callable[[], float], owner: DeadlineOwner, log: Logger) -> None:
         self._clock = clock
         self._owner = owner
         self._log = log
@@ -68,7 +68,7 @@
 
     def start(self) -> None:
         """Start the thread."""
-        self._timer_thread = spawn("deadlines", self._run)
+        self._timer_thread = start_thread("deadlines", self._run)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
         """Stop the thread; return whether it ended within ``timeout_s`` seconds."""
--- a/saffronstack/upstream/http/attempt_runner.py
+++ b/saffronstack/upstream/http/attempt_runner.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from saffronstack.engine.calls import AttemptEnd, Ending, Final, WorkerSeen
+from saffronstack.engine.calls import FinalAnswer, FinalStatus
+from saffronstack.engine.dispatch import AttemptResult, WorkerObservation
 from saffronstack.http1.messages import HttpError
 from saffronstack.http1.sockets import PeerClosed
 from saffronstack.routing.events import AttemptOutcome, Result
@@ -23,7 +24,7 @@
         self._context = context
 
     def run(self, job: AttemptJob, slot: ConnectionSlot) -> None:
-        """Carry out an attempt and report its end."""
+        """Carry out an attempt and report its result."""
         context = self._context
         started_s = context.clock()
         response = self._send(job, slot)
@@ -31,14 +32,14 @@
             self._answer_call(job, response)
         if response.incarnation and response.incarnation != context.incarnation:
             context.incarnation = response.incarnation
-            context.report(WorkerSeen(context.spec.number, response.incarnation, response.uptime_s))
+            context.report(WorkerObservation(context.spec.number, response.incarnation, response.uptime_s))
         outcome = AttemptOutcome(
             job.call.number,
             job.attempt,
             context.spec.number,
             response.result,
             context.clock() - started_s,
-            job.call.settled,
+            job.call.is_finished,
             response.cache_status,
             response.concurrency,
             response.load_report,
@@ -49,31 +50,36 @@
     def _answer_call(self, job: AttemptJob, response: AttemptResponse) -> None:
         answer = response.answer
         assert answer is not None
-        final = Final(
-            Ending.SERVED,
+        final = FinalAnswer(
+            FinalStatus.SERVED,
             answer.payload,
             answer.function_error,
             answer.log_tail,
             attempts=job.attempt + 1,
             worker=self._context.spec.name,
         )
-        job.call.settle(final)
+        job.call.finish(final)
 
     def _report(self, job: AttemptJob, response: AttemptResponse, outcome: AttemptOutcome) -> None:
         context = self._context
         observer = context.usage_observer
         if response.usage_records and observer is not None:
             observer.on_usage_records(context.spec, response.usage_records)
-        end = AttemptEnd(
-            job.call, outcome, response.answer, response.reason, context.incarnation, response.memory_time
+        result = AttemptResult(
+            job.call,
+            outcome,
+            response.answer,
+            response.reason,
+            context.incarnation,
+            response.memory_time_kib_us,
         )
         if observer is not None:
-            observer.on_attempt_end(end)
-        context.report(end)
+            observer.on_attempt_result(result)
+        context.report(result)
 
     def _may_send(self, job: AttemptJob) -> bool:
         """Return whether the attempt is still wanted; checked right before its first byte."""
-        is_over = self._context.is_closed or job.is_cancelled or job.call.settled
+        is_over = self._context.is_closed or job.is_cancelled or job.call.is_finished
         return not is_over and self._context.clock() < job.deadline_s
 
     def _send(self, job: AttemptJob, slot: ConnectionSlot) -> AttemptResponse:
--- a/saffronstack/upstream/http/command_runner.py
+++ b/saffronstack/upstream/http/command_runner.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saffronstack.engine.calls import OrderEnd
+from saffronstack.engine.dispatch import CommandResult
 from saffronstack.http1.messages import HttpError
 from saffronstack.routing.events import Result
 from saffronstack.upstream.events import function_id
@@ -29,14 +29,14 @@
         self._context = context
 
     def run(self, job: CommandJob, slot: ConnectionSlot) -> None:
-        """Carry out a health check or a load command; report its end, but for unloading."""
+        """Carry out a health check or a load command; report its result, but not for unloading."""
         context = self._context
         started_s = context.clock()
         response = self._exchange(job, slot, started_s + context.limits.command_timeout_s)
         if not isinstance(job, UnloadJob):
             elapsed_s = context.clock() - started_s
             number = function_id(function_of(job))
-            end = OrderEnd(
+            result = CommandResult(
                 context.spec.number,
                 response.result,
                 elapsed_s,
@@ -44,7 +44,7 @@
                 response.instances,
                 response.load_report,
             )
-            context.report(end)
+            context.report(result)
         slot.release()
 
     def _exchange(self, job: CommandJob, slot: ConnectionSlot, deadline_s: float) -> CommandResponse:
--- a/saffronstack/upstream/http/connection_pool.py
+++ b/saffronstack/upstream/http/connection_pool.py
@@ -10,7 +10,7 @@
 
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import Result
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.upstream.events import unsent_attempt, unsent_command
 from saffronstack.upstream.http.attempt_runner import AttemptRunner
 from saffronstack.upstream.http.command_runner import CommandRunner
@@ -54,7 +54,7 @@
 
     def update(self, spec: WorkerSpec) -> None:
         """Take a changed entry of the endpoint list: nothing new is sent while the worker drains."""
-        self._context.is_closed = spec.draining
+        self._context.is_closed = spec.is_draining
 
     def stop(self) -> None:
         """Send nothing new; idle threads and connections end at once, busy ones after their job."""
@@ -78,7 +78,7 @@
         if self._threads >= self._context.limits.connections:
             return Rejection(Result.AT_CAPACITY, "all connections to the worker are in use")
         try:
-            spawn(f"worker-{self.spec.name}", self._run)
+            start_thread(f"worker-{self.spec.name}", self._run)
         except RuntimeError:  # the system has no more threads: those that there are may come to it
             return None if self._threads else Rejection(Result.NOT_STARTED, "no thread could be started")
         self._threads += 1
--- a/saffronstack/upstream/http/dispatcher.py
+++ b/saffronstack/upstream/http/dispatcher.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import Result
 from saffronstack.upstream.deadlines import ExchangeKey, attempt_deadline_s
@@ -69,7 +70,7 @@
 
     def _create_pool(self, spec: WorkerSpec) -> HttpPool:
         context = WorkerContext(
-            spec, self._limits, self._on_event, self._clock, self._usage_observer, spec.draining
+            spec, self._limits, self._on_event, self._clock, self._usage_observer, spec.is_draining
         )
         return HttpPool(context)
 
@@ -113,21 +114,21 @@
             pool.submit(job)
 
     def _on_event(self, event: EngineEvent) -> None:
-        if isinstance(event, AttemptEnd):
+        if isinstance(event, AttemptResult):
             with self._lock:
                 self._in_flight.pop((event.call.number, event.outcome.attempt), None)
         self._report(event)
 
     # ---- the engine's actions, on the decision thread
 
-    def send(self, call: Call, attempt: int, worker: int, timeout_s: float) -> None:
+    def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
         """Start an attempt of a call, with a time-out of its own where ``timeout_s`` is over 0."""
-        pool = self._pools.get(worker)
+        pool = self._pools.get(worker_id)
         if pool is None:
             reason = "the worker has left the list"
-            self._report(unsent_attempt(call, attempt, worker, Result.NOT_STARTED, reason))
+            self._report(unsent_attempt(call, attempt, worker_id, Result.NOT_STARTED, reason))
             return
-        job = AttemptJob(call, attempt, attempt_deadline_s(call, timeout_s, self._clock()), worker)
+        job = AttemptJob(call, attempt, attempt_deadline_s(call, timeout_s, self._clock()), worker_id)
         with self._lock:
             pool.attempts += 1
             self._in_flight[call.number, attempt] = job
@@ -140,17 +141,17 @@
         if job is not None:
             job.cancel()
 
-    def probe(self, worker: int) -> None:
+    def check_health(self, worker_id: int) -> None:
         """Ask a worker for its load report."""
-        self._submit_command(worker, HealthCheckJob())
+        self._submit_command(worker_id, HealthCheckJob())
 
-    def load(self, worker: int, function: FunctionSpec, copies: int) -> None:
+    def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
         """Command a worker to load so many instances."""
-        self._submit_command(worker, LoadJob(function, copies))
+        self._submit_command(worker_id, LoadJob(function, instances))
 
-    def unload(self, worker: int, function: FunctionSpec) -> None:
+    def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
         """Command a worker to unload idle instances; no end is reported."""
-        self._submit_command(worker, UnloadJob(function))
+        self._submit_command(worker_id, UnloadJob(function))
 
     def _submit_command(self, worker_id: int, job: CommandJob) -> None:
         pool = self._pools.get(worker_id)
--- a/saffronstack/upstream/http/protocol.py
+++ b/saffronstack/upstream/http/protocol.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 from urllib.parse import quote
 
-from saffronstack.engine.calls import Answer, Call, FunctionSpec
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import WorkerResponse
 from saffronstack.http1 import writer
 from saffronstack.http1.messages import Headers, ResponseHead
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
@@ -69,19 +70,19 @@
         uptime_s: How long that process has run, in seconds.
         reason: Why the attempt failed.
         usage_records: Records of what its instances used, in base64.
-        memory_time: What this call used, in KiB microseconds; 0 where not reported.
+        memory_time_kib_us: Memory times time that this call used; 0 where not reported.
     """
 
     result: Result
     cache_status: CacheStatus = CacheStatus.UNKNOWN
     concurrency: int | None = None
     load_report: LoadReport | None = None
-    answer: Answer | None = None
+    answer: WorkerResponse | None = None
     incarnation: str = ""
     uptime_s: float = 0.0
     reason: str = ""
     usage_records: str = ""
-    memory_time: int = 0
+    memory_time_kib_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,7 +128,7 @@
     return [
         (HEADER_FUNCTION, function.name),
         (HEADER_MEMORY_MB, f"{function.memory_mb:g}"),
-        (HEADER_CONCURRENCY_LIMIT, str(function.lanes)),
+        (HEADER_CONCURRENCY_LIMIT, str(function.concurrency)),
     ]
 
 
@@ -170,7 +171,7 @@
     result = _attempt_result(head)
     answer = None
     if result is Result.OK:
-        answer = Answer(body, headers.get(HEADER_FUNCTION_ERROR), headers.get(HEADER_LOG_TAIL))
+        answer = WorkerResponse(body, headers.get(HEADER_FUNCTION_ERROR), headers.get(HEADER_LOG_TAIL))
     return AttemptResponse(
         result,
         CACHE_STATUS_BY_WORD.get(headers.get(HEADER_CACHE_STATUS), CacheStatus.UNKNOWN),
--- a/saffronstack/upstream/http/usage_observer.py
+++ b/saffronstack/upstream/http/usage_observer.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from saffronstack.engine.calls import AttemptEnd
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.worker_registry import WorkerSpec
 
 
@@ -19,6 +19,6 @@
         """Take the usage header of a response."""
         ...
 
-    def on_attempt_end(self, end: AttemptEnd) -> None:
-        """Take the end of an attempt."""
+    def on_attempt_result(self, result: AttemptResult) -> None:
+        """Take the result of an attempt."""
         ...
--- a/saffronstack/upstream/multiplexed/connection.py
+++ b/saffronstack/upstream/multiplexed/connection.py
@@ -11,7 +11,7 @@
 from saffronstack.net.stream import Stream
 from saffronstack.net.write_buffer import OutgoingMessage, SendProgress, WriteBuffer, WriteLoop
 from saffronstack.routing.events import Result
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.upstream.errors import LineProtocolError
 from saffronstack.upstream.multiplexed import codec
 from saffronstack.upstream.multiplexed.exchange import PendingExchange
@@ -84,7 +84,7 @@
         Raises:
             RuntimeError: The system has no more threads.
         """
-        spawn("upstream-connect", self._run)
+        start_thread("upstream-connect", self._run)
 
     @property
     def in_flight(self) -> int:
@@ -230,7 +230,7 @@
         """Close it: the read loop has released it."""
         self._close()
 
-    def _on_response(self, response: codec.WorkerResponse) -> None:
+    def _on_response(self, response: codec.ExchangeResponse) -> None:
         exchange = self._in_flight.pop_answered(response.tag)
         if exchange is not None:
             exchange.on_response(response)
--- a/saffronstack/upstream/multiplexed/connection_pool.py
+++ b/saffronstack/upstream/multiplexed/connection_pool.py
@@ -38,7 +38,7 @@
         self.spec = spec
         self.worker_id = spec.number
         self.name = spec.name
-        self.is_closed = spec.draining  # nothing new is sent, whatever was queued
+        self.is_closed = spec.is_draining  # nothing new is sent, whatever was queued
         self.max_connections = 1
         self._context = context
         self._budget = budget
@@ -73,7 +73,7 @@
     def update(self, spec: WorkerSpec) -> None:
         """Take a changed entry of the endpoint list."""
         self.spec = spec
-        self.is_closed = spec.draining
+        self.is_closed = spec.is_draining
 
     def submit(self, exchange: PendingExchange) -> bool:
         """Send an exchange on an idle connection, a new one, or the one with the fewest in flight.
--- a/saffronstack/upstream/multiplexed/dispatcher.py
+++ b/saffronstack/upstream/multiplexed/dispatcher.py
@@ -5,12 +5,13 @@
 from collections.abc import Callable, Iterable
 from itertools import count
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.net.read_loop import ReadLoop
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.routing.events import Result
-from saffronstack.runtime.logs import Log, PlainLog
+from saffronstack.runtime.logs import KeyValueLogger, Logger
 from saffronstack.upstream.deadlines import DeadlineTimer, ExchangeKey, attempt_deadline_s
 from saffronstack.upstream.events import EngineEvent, EventSink, unsent_attempt, unsent_command
 from saffronstack.upstream.multiplexed import codec
@@ -44,7 +45,7 @@
         report: EventSink,
         clock: Callable[[], float],
         command_timeout_s: float,
-        log: Log | None = None,
+        log: Logger | None = None,
     ) -> None:
         """Create a dispatcher without workers.
 
@@ -57,7 +58,7 @@
             command_timeout_s: How long a load command or a health check may take.
             log: Hears of faults; standard error if None.
         """
-        log = log or PlainLog("upstream")
+        log = log or KeyValueLogger("upstream")
         self._limits = limits
         self._budget = budget
         self._report = report
@@ -68,7 +69,7 @@
         self.deadlines = DeadlineTimer(clock, self, log)
         self.read_loop = ReadLoop(clock, log)
         self._connection_context = ConnectionContext(limits, write_loop, self.read_loop, clock)
-        self._attempt_context = ExchangeContext(self._on_attempt_end, clock)
+        self._attempt_context = ExchangeContext(self._on_attempt_result, clock)
         self._pools = PoolRegistry[MultiplexedPool](self._create_pool)
 
     def _create_pool(self, spec: WorkerSpec) -> MultiplexedPool:
@@ -128,12 +129,12 @@
 
     # ---- the engine's actions, on the decision thread
 
-    def send(self, call: Call, attempt: int, worker: int, timeout_s: float) -> None:
+    def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
         """Start an attempt of a call, with a time-out of its own where ``timeout_s`` is over 0."""
-        pool = self._pools.get(worker)
+        pool = self._pools.get(worker_id)
         if pool is None:
             reason = "the worker is not listed any more"
-            self._report(unsent_attempt(call, attempt, worker, Result.NOT_STARTED, reason))
+            self._report(unsent_attempt(call, attempt, worker_id, Result.NOT_STARTED, reason))
             return
         deadline_s = attempt_deadline_s(call, timeout_s, self._clock())
         exchange = AttemptExchange(call, attempt, pool, deadline_s, self._attempt_context)
@@ -143,24 +144,24 @@
         """Stop waiting for an attempt and notify its worker."""
         self._give_up((call.number, attempt), Result.CANCELLED, "cancelled")
 
-    def probe(self, worker: int) -> None:
-        """Check that a connection to the worker works; ends in one `OrderEnd`."""
-        self._send_command(worker, None, 0)
+    def check_health(self, worker_id: int) -> None:
+        """Check that a connection to the worker works; ends in one `CommandResult`."""
+        self._send_command(worker_id, None, 0)
 
-    def load(self, worker: int, function: FunctionSpec, copies: int) -> None:
-        """Command a worker to load so many instances; ends in one `OrderEnd`."""
-        self._send_command(worker, function, copies)
+    def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
+        """Command a worker to load so many instances; ends in one `CommandResult`."""
+        self._send_command(worker_id, function, instances)
 
-    def unload(self, worker: int, function: FunctionSpec) -> None:
+    def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
         """Command a worker to unload idle instances; no end is reported."""
-        pool = self._pools.get(worker)
+        pool = self._pools.get(worker_id)
         if pool is not None and not pool.is_closed:
             pool.post(codec.encode_unload_command(function.name))
 
-    def _send_command(self, worker: int, function: FunctionSpec | None, instances: int) -> None:
-        pool = self._pools.get(worker)
+    def _send_command(self, worker_id: int, function: FunctionSpec | None, instances: int) -> None:
+        pool = self._pools.get(worker_id)
         if pool is None:
-            self._report(unsent_command(worker, Result.CONNECT_FAILED, function))
+            self._report(unsent_command(worker_id, Result.CONNECT_FAILED, function))
             return
         number = next(self._command_numbers)
         key = COMMAND_CALL_NUMBER, number
@@ -182,8 +183,8 @@
         # Only once a connection has it: one without a connection can't be given up.
         self.deadlines.schedule(exchange.deadline_s, key)
 
-    def _on_attempt_end(self, event: EngineEvent) -> None:
-        if isinstance(event, AttemptEnd):
+    def _on_attempt_result(self, event: EngineEvent) -> None:
+        if isinstance(event, AttemptResult):
             self._exchanges.pop((event.call.number, event.outcome.attempt), None)
         self._report(event)
 
--- a/saffronstack/upstream/multiplexed/exchange.py
+++ b/saffronstack/upstream/multiplexed/exchange.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from saffronstack.engine.calls import Answer, AttemptEnd, Call, Ending, Final, FunctionSpec, OrderEnd
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerResponse
 from saffronstack.net.write_buffer import OutgoingMessage, SendProgress
 from saffronstack.routing.events import AttemptOutcome, CacheStatus, LoadReport, Result
 from saffronstack.upstream.events import EventSink, function_id
@@ -115,7 +116,7 @@
         if self.connection is not None:
             self.connection.on_dropped(self)
 
-    def on_response(self, response: codec.WorkerResponse) -> None:
+    def on_response(self, response: codec.ExchangeResponse) -> None:
         """End it with the worker's response; runs on the read loop's thread."""
         raise NotImplementedError
 
@@ -149,14 +150,14 @@
         """
         call = self.call
         wait_ms = int((self.deadline_s - self.clock()) * 1000)
-        if call.settled or wait_ms < MIN_WAIT_MS or not super().prepare_to_send():
+        if call.is_finished or wait_ms < MIN_WAIT_MS or not super().prepare_to_send():
             return False
         self.data = codec.encode_request(
             call.request_id, call.class_name, call.function.name, wait_ms, call.payload
         )
         return True
 
-    def on_response(self, response: codec.WorkerResponse) -> None:
+    def on_response(self, response: codec.ExchangeResponse) -> None:
         """End the attempt; a successful one answers the call here, ahead of the decision thread."""
         result = codec.RESULT_BY_WORD.get(response.word)
         if result is None:  # the reply to a ping, under the tag of a request
@@ -167,18 +168,20 @@
             self.worker.failed += 1
         elif result is Result.OK:
             self.worker.succeeded += 1
-            answer = Answer(response.body)
-            self.call.settle(
-                Final(Ending.SERVED, response.body, attempts=self.attempt + 1, worker=self.worker.name)
+            answer = WorkerResponse(response.body)
+            self.call.finish(
+                FinalAnswer(
+                    FinalStatus.SERVED, response.body, attempts=self.attempt + 1, worker=self.worker.name
+                )
             )
         concurrency = (response.concurrency or 0) if result in (Result.OK, Result.AT_CAPACITY) else None
         outcome = self._outcome(result, response.cache_status, concurrency, response.load_report)
-        self.report(AttemptEnd(self.call, outcome, answer))
+        self.report(AttemptResult(self.call, outcome, answer))
 
     def on_failure(self, result: Result, reason: str) -> None:
         """End the attempt without a response."""
         self.worker.failed += 1
-        self.report(AttemptEnd(self.call, self._outcome(result), reason=reason))
+        self.report(AttemptResult(self.call, self._outcome(result), reason=reason))
 
     def _outcome(
         self,
@@ -193,7 +196,7 @@
             self.worker.worker_id,
             result,
             self.clock() - self.submitted_s,
-            self.call.settled,
+            self.call.is_finished,
             cache_status,
             concurrency,
             load_report,
@@ -226,7 +229,7 @@
         """Return whether it may be sent; a mere question puts no load on a worker that drains."""
         return super().prepare_to_send() if self.instances else self.claim()
 
-    def on_response(self, response: codec.WorkerResponse) -> None:
+    def on_response(self, response: codec.ExchangeResponse) -> None:
         """End it with the number of instances that are loaded."""
         result = codec.RESULT_BY_WORD.get(response.word)
         if result is None:
@@ -240,4 +243,4 @@
     def _end(self, result: Result, instances: int, load_report: LoadReport | None) -> None:
         elapsed_s = self.clock() - self.submitted_s
         number = function_id(self.function)
-        self.report(OrderEnd(self.worker.worker_id, result, elapsed_s, number, instances, load_report))
+        self.report(CommandResult(self.worker.worker_id, result, elapsed_s, number, instances, load_report))
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -16,8 +16,8 @@
 from saffronstack.config import fleet as fleet_files
 from saffronstack.config import schema
 from saffronstack.config.build import settings_of, workers_of
-from saffronstack.engine.decision_record import Recorder
 from saffronstack.engine.decision_record_format import event_from_tagged
+from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.harness.scenario import plan as day_files
 from saffronstack.platform import config as platform
 from saffronstack.roster import parsing
@@ -41,7 +41,7 @@
 
 def head_of(settings: Settings, path: pathlib.Path) -> Any:
     """Return settings as a decision record holds them."""
-    recorder = Recorder(str(path), settings, 1)
+    recorder = DecisionRecorder(str(path), settings, 1)
     assert recorder.close()
     return msgspec.msgpack.decode(record_values(path)[0])
 
--- a/tests/test_invoke_api.py
+++ b/tests/test_invoke_api.py
@@ -197,8 +197,8 @@
 
 
 def test_the_spread_is_the_busiest_workers_share_by_size() -> None:
-    small, large = WorkerSpec(1, "s", "h", 1, size=1.0), WorkerSpec(2, "l", "h", 2, size=3.0)
-    drains = WorkerSpec(3, "d", "h", 3, draining=True, size=4.0)
+    small, large = WorkerSpec(1, "s", "h", 1, capacity=1.0), WorkerSpec(2, "l", "h", 2, capacity=3.0)
+    drains = WorkerSpec(3, "d", "h", 3, is_draining=True, capacity=4.0)
     assert busiest([]) == 0.0 and busiest([WorkerTraffic(small, 9, 0), WorkerTraffic(large, 9, 0)]) == 0.0
     assert busiest([WorkerTraffic(small, 9, 1), WorkerTraffic(large, 9, 3)]) == 1.0  # each has its share
     draining = WorkerTraffic(drains, 9, 40)
--- a/tests/upstream/http/test_dispatcher.py
+++ b/tests/upstream/http/test_dispatcher.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import CacheStatus, Result
 from saffronstack.upstream.events import EngineEvent
@@ -100,25 +101,25 @@
 
     def list_worker(self, draining: bool = False) -> None:
         """Put the worker on the endpoint list."""
-        spec = WorkerSpec(WORKER_ID, "w", "127.0.0.1", self.worker.port, draining=draining)
+        spec = WorkerSpec(WORKER_ID, "w", "127.0.0.1", self.worker.port, is_draining=draining)
         self.dispatcher.replace_workers([spec])
 
-    def send(self, call: Call) -> AttemptEnd:
+    def send(self, call: Call) -> AttemptResult:
         """Send an attempt and return its end."""
         self.dispatcher.send(call, 0, WORKER_ID, 0.0)
         return self.next_end()
 
-    def next_end(self) -> AttemptEnd:
+    def next_end(self) -> AttemptResult:
         """Return the next end of an attempt."""
         while True:
             event = self.events.get(timeout=WAIT_S)
-            if isinstance(event, AttemptEnd):
+            if isinstance(event, AttemptResult):
                 return event
 
-    def next_command_end(self) -> OrderEnd:
+    def next_command_end(self) -> CommandResult:
         """Return the next event, the end of a command."""
         event = self.events.get(timeout=WAIT_S)
-        assert isinstance(event, OrderEnd)
+        assert isinstance(event, CommandResult)
         return event
 
 
@@ -176,7 +177,7 @@
     made = call(timeout_s=SHORT_S if result is Result.TIMEOUT else WAIT_S)
     end = upstream.send(made)
     assert end.outcome.result is result
-    assert end.outcome.is_final == made.settled == (result is Result.OK)
+    assert end.outcome.is_final == made.is_finished == (result is Result.OK)
     if result is Result.OK:
         assert (end.outcome.cache_status, end.outcome.concurrency) == (CacheStatus.WARM, 3)
     assert upstream.worker.requests == 1
@@ -195,8 +196,8 @@
     upstream = start(answering(OK))
     upstream.dispatcher.send(call(2), 0, 77, 0.0)
     assert upstream.next_end().outcome.result is Result.NOT_STARTED
-    upstream.dispatcher.load(77, SPEC, 2)
-    assert upstream.next_command_end() == OrderEnd(77, Result.CONNECT_FAILED, 0.0, SPEC.number)
+    upstream.dispatcher.load_function(77, SPEC, 2)
+    assert upstream.next_command_end() == CommandResult(77, Result.CONNECT_FAILED, 0.0, SPEC.number)
 
 
 def test_an_attempt_past_its_deadline_is_not_sent(start: Start) -> None:
@@ -207,7 +208,7 @@
 
 def test_an_attempt_that_its_guard_forbids_is_not_sent(start: Start) -> None:
     class Never:
-        def may_send(self, attempt: int, worker: int) -> bool:
+        def may_send(self, attempt: int, worker_id: int) -> bool:
             return False
 
     upstream, guarded = start(answering(OK)), call(2)
@@ -220,7 +221,7 @@
     upstream = start(answering(OK))
     upstream.list_worker(draining=True)
     assert upstream.send(call(3)).outcome.result is Result.NOT_STARTED
-    upstream.dispatcher.load(WORKER_ID, SPEC, 2)
+    upstream.dispatcher.load_function(WORKER_ID, SPEC, 2)
     assert upstream.next_command_end().result is Result.AT_CAPACITY
     assert upstream.worker.requests == 0
     upstream.list_worker()
@@ -281,16 +282,16 @@
         )
 
     upstream = start(script)
-    heard: list[WorkerSeen] = []
+    heard: list[WorkerObservation] = []
     for number in range(1, 4):
         upstream.dispatcher.send(call(number), 0, WORKER_ID, 0.0)
         event = upstream.events.get(timeout=WAIT_S)
-        if isinstance(event, WorkerSeen):
+        if isinstance(event, WorkerObservation):
             heard.append(event)
             event = upstream.events.get(timeout=WAIT_S)
-        assert isinstance(event, AttemptEnd)
+        assert isinstance(event, AttemptResult)
         assert (event.outcome.concurrency, event.outcome.load_report) == (None, None)
-    assert heard == [WorkerSeen(WORKER_ID, "a", 1.5), WorkerSeen(WORKER_ID, "b", 1.5)]
+    assert heard == [WorkerObservation(WORKER_ID, "a", 1.5), WorkerObservation(WORKER_ID, "b", 1.5)]
 
 
 @pytest.mark.parametrize(
@@ -307,12 +308,12 @@
 ) -> None:
     upstream = start(answering(b"HTTP/1.1 " + response))
     if instances:
-        upstream.dispatcher.load(WORKER_ID, SPEC, instances)
+        upstream.dispatcher.load_function(WORKER_ID, SPEC, instances)
     else:
-        upstream.dispatcher.probe(WORKER_ID)
+        upstream.dispatcher.check_health(WORKER_ID)
     end = upstream.next_command_end()
-    in_flight = end.report.requests_in_flight if end.report else None
-    assert (end.result, end.copies, in_flight) == ended
+    in_flight = end.load_report.requests_in_flight if end.load_report else None
+    assert (end.result, end.instances, in_flight) == ended
 
 
 def test_the_traffic_of_a_worker_counts_attempts_and_those_in_flight(start: Start) -> None:
--- a/tests/upstream/test_deadlines.py
+++ b/tests/upstream/test_deadlines.py
@@ -10,7 +10,7 @@
 import pytest
 
 from saffronstack.engine.calls import Call, FunctionSpec
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.upstream.deadlines import DeadlineTimer, ExchangeKey, attempt_deadline_s
 
 WAIT_S = 10.0  # a bound, never waited out where things go right
@@ -35,7 +35,7 @@
 
 
 def timer_of(owner: Owner, log: io.StringIO | None = None) -> DeadlineTimer:
-    return DeadlineTimer(time.monotonic, owner, PlainLog("test", log or io.StringIO()))
+    return DeadlineTimer(time.monotonic, owner, KeyValueLogger("test", log or io.StringIO()))
 
 
 def test_overdue_keys_are_popped_once_in_their_order() -> None:
--- a/tests/upstream/test_pool_registry.py
+++ b/tests/upstream/test_pool_registry.py
@@ -35,7 +35,7 @@
 
 def test_a_worker_that_changes_keeps_its_pool(registry: PoolRegistry[FakePool]) -> None:
     pool = registry.get(1)
-    draining = WorkerSpec(1, "w-1", "127.0.0.1", 1, draining=True)
+    draining = WorkerSpec(1, "w-1", "127.0.0.1", 1, is_draining=True)
     registry.update([draining], [])
     assert pool is not None and registry.get(1) is pool
     assert pool.updates == [FIRST, draining] and not pool.is_stopped
