--- a/saffronstack/upstream/http/command_runner.py
+++ b/saffronstack/upstream/http/command_runner.py
@@ -29,14 +29,14 @@
         self._context = context
 
     def run(self, job: CommandJob, slot: ConnectionSlot) -> None:
-        """Carry out a health check or a load command; report its end, but for unloading."""
+        """Carry out a health check or a load command; report its result, but not for unloading."""
         context = self._context
         started_s = context.clock()
         response = self._exchange(job, slot, started_s + context.limits.command_timeout_s)
         if not isinstance(job, UnloadJob):
             elapsed_s = context.clock() - started_s
             number = function_id(function_of(job))
-            end = CommandResult(
+            result = CommandResult(
                 context.spec.number,
                 response.result,
                 elapsed_s,
@@ -44,7 +44,7 @@
                 response.instances,
                 response.load_report,
             )
-            context.report(end)
+            context.report(result)
         slot.release()
 
     def _exchange(self, job: CommandJob, slot: ConnectionSlot, deadline_s: float) -> CommandResponse:
--- a/saffronstack/upstream/http/usage_observer.py
+++ b/saffronstack/upstream/http/usage_observer.py
@@ -19,6 +19,6 @@
         """Take the usage header of a response."""
         ...
 
-    def on_attempt_end(self, end: AttemptResult) -> None:
-        """Take the end of an attempt."""
+    def on_attempt_result(self, result: AttemptResult) -> None:
+        """Take the result of an attempt."""
         ...
--- a/saffronstack/upstream/multiplexed/connection.py
+++ b/saffronstack/upstream/multiplexed/connection.py
@@ -230,7 +230,7 @@
         """Close it: the read loop has released it."""
         self._close()
 
-    def _on_response(self, response: codec.WorkerResponse) -> None:
+    def _on_response(self, response: codec.ExchangeResponse) -> None:
         exchange = self._in_flight.pop_answered(response.tag)
         if exchange is not None:
             exchange.on_response(response)
--- a/saffronstack/upstream/multiplexed/dispatcher.py
+++ b/saffronstack/upstream/multiplexed/dispatcher.py
@@ -69,7 +69,7 @@
         self.deadlines = DeadlineTimer(clock, self, log)
         self.read_loop = ReadLoop(clock, log)
         self._connection_context = ConnectionContext(limits, write_loop, self.read_loop, clock)
-        self._attempt_context = ExchangeContext(self._on_attempt_end, clock)
+        self._attempt_context = ExchangeContext(self._on_attempt_result, clock)
         self._pools = PoolRegistry[MultiplexedPool](self._create_pool)
 
     def _create_pool(self, spec: WorkerSpec) -> MultiplexedPool:
@@ -100,9 +100,9 @@
         """
         self._pools.update(specs, removed)
         pools = self._pools.snapshot().values()
-        share = self._budget.max_connections // max(1, len(pools))
+        per_worker = self._budget.max_connections // max(1, len(pools))
         for pool in pools:
-            pool.max_connections = max(1, min(self._limits.streams, share))
+            pool.max_connections = max(1, min(self._limits.streams, per_worker))
 
     @property
     def in_flight(self) -> int:
@@ -183,7 +183,7 @@
         # Only once a connection has it: one without a connection can't be given up.
         self.deadlines.schedule(exchange.deadline_s, key)
 
-    def _on_attempt_end(self, event: EngineEvent) -> None:
+    def _on_attempt_result(self, event: EngineEvent) -> None:
         if isinstance(event, AttemptResult):
             self._exchanges.pop((event.call.number, event.outcome.attempt), None)
         self._report(event)
--- a/tests/stored_formats/test_worker_message_formats.py
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -76,7 +76,7 @@
         "incarnation": found.incarnation,
         "uptime_s": found.uptime_s,
         "usage": found.usage_records,
-        "held": found.memory_time,
+        "held": found.memory_time_kib_us,
     }
 
 
