--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -19,12 +19,14 @@
 # What a call passes through, but for what msgspec and the signals need as plain Python.
 NAMES = """
 routing/actions routing/components routing/concurrency_limit routing/cpu_utilization routing/dispatcher
-routing/eligibility routing/events routing/idle_sweep routing/load_commands routing/load_control
-routing/load_shedding routing/membership routing/memory_account routing/outcome_feedback
-routing/outlier_detection routing/placement routing/rate_estimator routing/request_queue
-routing/retry_policy routing/router routing/settings routing/shared_instances routing/slow_start
-routing/state routing/validation routing/warm_pool
-engine/engine engine/calls engine/timers engine/worker_registry resp/reader resp/frames
+routing/eligibility routing/errors routing/events routing/idle_sweep routing/load_commands
+routing/load_control routing/load_shedding routing/membership routing/memory_account
+routing/outcome_feedback routing/outlier_detection routing/placement routing/rate_estimator
+routing/request_queue routing/retry_policy routing/router routing/settings routing/shared_instances
+routing/slow_start routing/state routing/validation routing/warm_pool
+engine/action_executor engine/call_finisher engine/calls engine/decision_loop engine/dispatch engine/engine
+engine/engine_state engine/messages engine/open_calls engine/recent_functions engine/timers
+engine/worker_registry resp/reader resp/frames
 platform/calls platform/connection platform/eviction platform/front platform/identifiers
 upstream/deadlines upstream/events upstream/pool_registry upstream/multiplexed/exchange
 upstream/multiplexed/in_flight upstream/multiplexed/line_reader upstream/multiplexed/connection
