--- /dev/null
+++ b/saffronstack/cli/fleet_services.py
@@ -0,0 +1,56 @@
+"""What a gateway process does for its fleet beside serving calls: a lease server, and the scheduled tasks."""
+
+from __future__ import annotations
+
+from saffronstack.cli.leases import job_of, lease_fleet_of, open_client
+from saffronstack.config.fleet import FleetFile, load_fleet
+from saffronstack.config.load import ConfigError
+from saffronstack.config.schema import InFleet
+from saffronstack.fleet.leases.client import LeaseClient
+from saffronstack.fleet.leases.errors import ForeignStateError
+from saffronstack.fleet.leases.lease_server import LeaseServer
+from saffronstack.fleet.tasks.runner import TaskRunner
+
+
+class FleetServices:
+    """The fleet's services in this process, running; none of them is on the path of a call."""
+
+    def __init__(self, config: InFleet) -> None:
+        """Start the services that ``config`` names.
+
+        Raises:
+            ConfigError: The fleet's file or the lease server's state can't be used.
+            OSError: The lease server's address or directory is not available.
+        """
+        self._lease_server: LeaseServer | None = None
+        self._client: LeaseClient | None = None
+        self._runners: list[TaskRunner] = []
+        fleet = load_fleet(config.path)
+        if config.keeper is not None and config.state_directory is not None:
+            self._lease_server = _start_lease_server(fleet, config.keeper, config.state_directory)
+        if config.tasks:
+            client = self._client = open_client(fleet)
+            self._runners = [
+                TaskRunner(task.name, job_of(task, client), task.period_s, task.budget_s, client)
+                for task in fleet.tasks
+            ]
+            for runner in self._runners:
+                runner.start()
+
+    def stop(self) -> bool:
+        """Stop the services; return whether the runs of all tasks ended in time."""
+        ended_in_time = [runner.stop() for runner in self._runners]
+        if self._client is not None:
+            self._client.close()
+        if self._lease_server is not None:
+            self._lease_server.stop()
+        return all(ended_in_time)
+
+
+def _start_lease_server(fleet: FleetFile, name: str, state_directory: str) -> LeaseServer:
+    try:
+        server = LeaseServer(name, lease_fleet_of(fleet), state_directory)
+    except (ForeignStateError, ValueError) as error:
+        raise ConfigError(f"fleet: {error}") from error
+    server.start()
+    return server
--- /dev/null
+++ b/saffronstack/discovery/dns/endpoint_list.py
@@ -0,0 +1,144 @@
+"""The endpoint list of DNS discovery: snapshots and incremental updates in, differences out. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import TypeAlias
+
+from saffronstack.discovery.changes import EndpointChanges
+from saffronstack.engine.identifiers import worker_number
+from saffronstack.engine.worker_registry import WorkerSpec
+
+WORKER_NUMBERS = 1 << 32
+MILLISECONDS_PER_S = 1000
+
+WorkerChanges: TypeAlias = EndpointChanges[WorkerSpec, int]
+
+
+@dataclass(frozen=True, slots=True)
+class ListedEndpoint:
+    """One worker as discovery lists it.
+
+    Attributes:
+        name: Name of the worker, unique in the list.
+        host: IPv4 address.
+        port: TCP port.
+        zone: Name of its zone.
+        kind: Name of its kind.
+        cell: Number of its cell.
+        is_draining: Whether it is shutting down gracefully.
+        weight: Capacity relative to other workers.
+        started_ms: When it started, in Unix milliseconds; 0 means long ago.
+    """
+
+    name: str
+    host: str
+    port: int
+    zone: str
+    kind: str
+    cell: int = 0
+    is_draining: bool = False
+    weight: float = 1.0
+    started_ms: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointSnapshot:
+    """A complete list and the serial number under which the server has it."""
+
+    serial: int
+    endpoints: tuple[ListedEndpoint, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class _KnownWorker:
+    """An endpoint and what the gateway was told of it."""
+
+    endpoint: ListedEndpoint
+    spec: WorkerSpec
+
+    def has_address_of(self, endpoint: ListedEndpoint) -> bool:
+        """Return whether an endpoint is at the same address and port."""
+        return (self.endpoint.host, self.endpoint.port) == (endpoint.host, endpoint.port)
+
+
+class EndpointList:
+    """The present endpoint list; one thread owns it. It remembers nothing of former lists.
+
+    Attributes:
+        serial: Serial number of the present list.
+    """
+
+    def __init__(self, zones: Iterable[str], kinds: Iterable[str]) -> None:
+        """Start with an empty list; names of zones and kinds are known by their index from then on."""
+        self._zone_indexes = {name: index for index, name in enumerate(zones)}
+        self._kind_indexes = {name: index for index, name in enumerate(kinds)}
+        self._workers: dict[str, _KnownWorker] = {}
+        self.serial = 0
+
+    @property
+    def specs(self) -> tuple[WorkerSpec, ...]:
+        """The listed workers."""
+        return tuple(worker.spec for worker in self._workers.values())
+
+    def matches(self, endpoints: Iterable[ListedEndpoint]) -> bool:
+        """Return whether the present list has just these endpoints, in whatever order."""
+        present = {name: worker.endpoint for name, worker in self._workers.items()}
+        return {endpoint.name: endpoint for endpoint in endpoints} == present
+
+    def apply_snapshot(self, snapshot: EndpointSnapshot) -> WorkerChanges:
+        """Replace the list by a complete one and return what changed."""
+        listed = {endpoint.name: endpoint for endpoint in snapshot.endpoints}
+        missing = [name for name in self._workers if name not in listed]
+        return self.apply_update(snapshot.serial, listed.values(), missing)
+
+    def apply_update(
+        self, serial: int, endpoints: Iterable[ListedEndpoint], removed: Iterable[str]
+    ) -> WorkerChanges:
+        """Apply an incremental update and return what changed.
+
+        Args:
+            serial: Serial number of the list with the update.
+            endpoints: Endpoints that are new or may have changed.
+            removed: Names of endpoints that are gone; names that are not listed are ignored.
+        """
+        self.serial = serial
+        listed = [name for name in removed if name in self._workers]
+        removed_numbers = [self._workers.pop(name).spec.number for name in listed]
+        updated = []
+        for endpoint in endpoints:
+            known = self._workers.get(endpoint.name)
+            if known is not None and known.endpoint == endpoint:
+                continue
+            if known is not None and not known.has_address_of(endpoint):
+                removed_numbers.append(known.spec.number)  # another worker under a former one's name
+                known = None
+            number = known.spec.number if known is not None else self._free_number(endpoint.name)
+            spec = self._make_spec(endpoint, number)
+            self._workers[endpoint.name] = _KnownWorker(endpoint, spec)
+            updated.append(spec)
+        return EndpointChanges(tuple(updated), tuple(removed_numbers))
+
+    def _free_number(self, name: str) -> int:
+        """Return a worker's number: the same at every gateway, so that they rank workers alike."""
+        number = worker_number(name)
+        taken = {worker.spec.number for worker in self._workers.values()}
+        while number in taken:
+            number = (number + 1) % WORKER_NUMBERS
+        return number
+
+    def _make_spec(self, endpoint: ListedEndpoint, number: int) -> WorkerSpec:
+        unknown_kind, unknown_zone = len(self._kind_indexes), len(self._zone_indexes)
+        return WorkerSpec(
+            number,
+            endpoint.name,
+            endpoint.host,
+            endpoint.port,
+            endpoint.is_draining,
+            endpoint.weight,
+            self._kind_indexes.get(endpoint.kind, unknown_kind),
+            self._zone_indexes.get(endpoint.zone, unknown_zone),
+            endpoint.cell,
+            endpoint.started_ms / MILLISECONDS_PER_S,
+        )
--- /dev/null
+++ b/saffronstack/discovery/dns/resolver.py
@@ -0,0 +1,224 @@
+"""Polls the discovery server over UDP and applies complete and valid responses to the endpoint list."""
+
+from __future__ import annotations
+
+import enum
+import random
+import socket
+import time
+from collections.abc import Callable, Collection
+from dataclasses import dataclass, field
+
+from saffronstack.discovery.background_thread import BackgroundThread
+from saffronstack.discovery.dns.endpoint_list import EndpointList, WorkerChanges
+from saffronstack.discovery.dns.messages import DnsMessageError, decode_response, encode_query
+from saffronstack.discovery.dns.serial_numbers import is_newer
+from saffronstack.discovery.dns.server_socket import ServerSocket
+from saffronstack.discovery.dns.service_records import parse_snapshot
+from saffronstack.runtime.logs import Logger
+
+MAX_RESPONSE_BYTES = 16 * 1024  # more than any response holds
+MESSAGE_ID_BITS = 16
+MESSAGE_ID_BYTES = 2
+SILENCE_WARNING_S = 3.0  # without a valid response for so long, the log says so, once
+POLL_JITTER = 0.1  # fraction of the interval: many gateways must not poll at one moment
+MAX_REJECTION_REASONS = 32  # that are counted one by one
+MAX_REASON_LENGTH = 60
+
+
+class Rejection(enum.StrEnum):
+    """Why a well-formed response is not applied."""
+
+    UNKNOWN_QUERY = "response to no recent query"
+    FORMER_SERVER = "response of a server that is no longer asked"
+    STALE_LIST = "list is older than the present one"
+    CONFLICTING_LIST = "another list under the serial of the present one"
+
+
+@dataclass(frozen=True, slots=True)
+class ResolverOptions:
+    """Times of polling. Both together stay well inside a worker's drain, though responses get lost.
+
+    Attributes:
+        interval_s: Between two queries.
+        timeout_s: After which a query counts as unanswered.
+        seed: Of message identifiers and jitter; None for a random one.
+    """
+
+    interval_s: float = 0.25
+    timeout_s: float = 0.2
+    seed: int | None = None
+
+
+@dataclass(slots=True)
+class ResolverCounts:
+    """Counters, written by the resolver's thread."""
+
+    queries: int = 0
+    accepted: int = 0
+    unanswered: int = 0
+    rejected: dict[str, int] = field(default_factory=dict)  # by reason
+
+
+class Resolver:
+    """Keeps an endpoint list current on a thread of its own; `set_server` may be called from any thread.
+
+    Attributes:
+        last_accepted_s: When the last valid response came, on the resolver's clock.
+        counts: Counters since the start.
+    """
+
+    def __init__(
+        self,
+        endpoint_list: EndpointList,
+        name: str,
+        server: tuple[str, int],
+        on_change: Callable[[WorkerChanges], None],
+        log: Logger,
+        clock: Callable[[], float] = time.monotonic,
+        options: ResolverOptions = ResolverOptions(),
+    ) -> None:
+        """Prepare polling of a server.
+
+        Args:
+            endpoint_list: The list to keep current, owned by the resolver's thread from `start` on.
+            name: Service to ask for, as ``_work._tcp.fleet.local``.
+            server: Address of the discovery server.
+            on_change: Called on the resolver's thread with each change of the list.
+            log: Where silence of the server and faults are written.
+            clock: Monotonic time in seconds.
+            options: Times of polling.
+        """
+        self._endpoint_list = endpoint_list
+        self._name = name
+        self._server = server
+        self._on_change = on_change
+        self._log = log
+        self._clock = clock
+        self._options = options
+        self._random = random.Random(options.seed)
+        self._thread = BackgroundThread("dns-discovery", self._run)
+        self._socket = ServerSocket()
+        self._last_message = b""  # that was accepted, behind its identifier
+        self._last_serial: int | None = None  # of the list that came last in a response
+        self._is_silent = False
+        self.last_accepted_s = clock()
+        self.counts = ResolverCounts()
+
+    def start(self) -> None:
+        """Start polling."""
+        self._thread.start()
+
+    def stop(self) -> None:
+        """Ask the thread to end; it does within an interval."""
+        self._thread.request_stop()
+
+    def set_server(self, server: tuple[str, int]) -> None:
+        """Poll another server from the next query on; its serial numbers continue those of the former."""
+        self._server = server
+
+    def _run(self) -> None:
+        while not self._thread.stopping.is_set():
+            started_s = self._clock()
+            is_answered = self._poll()
+            self._socket.record_result(is_answered)
+            self._log_silence(is_answered)
+            interval_s = self._options.interval_s * self._random.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
+            self._thread.stopping.wait(max(0.0, interval_s - (self._clock() - started_s)))
+        self._socket.close()
+
+    def _poll(self) -> bool:
+        try:
+            return self.query(self._socket.open(self._server))
+        except OSError as error:  # nobody listens there, or no descriptor is free
+            self._count_rejection(type(error).__name__)
+        except Exception:  # discovery must continue whatever one response did
+            self._log.exception("discovery poll failed")
+        return False
+
+    def query(self, udp_socket: socket.socket) -> bool:
+        """Send one query on a connected socket and wait for a response, up to the timeout.
+
+        A response to an earlier query on this socket is as good.
+
+        Returns:
+            Whether a valid response came.
+
+        Raises:
+            OSError: The socket can't be used, or nobody listens at the server's port.
+        """
+        message_id = self._random.getrandbits(MESSAGE_ID_BITS)
+        self._socket.message_ids.append(message_id)
+        self.counts.queries += 1
+        udp_socket.send(encode_query(message_id, self._name))
+        deadline_s = self._clock() + self._options.timeout_s
+        while (remaining_s := deadline_s - self._clock()) > 0:
+            udp_socket.settimeout(remaining_s)
+            try:
+                message = udp_socket.recv(MAX_RESPONSE_BYTES)
+            except TimeoutError:
+                break
+            if self._socket.server != self._server:
+                self._count_rejection(Rejection.FORMER_SERVER)
+                break
+            if self.handle_response(message, self._socket.message_ids):
+                return True
+        self.counts.unanswered += 1
+        return False
+
+    def handle_response(self, message: bytes, message_ids: Collection[int]) -> bool:
+        """Apply a response completely, or reject it.
+
+        Args:
+            message: A datagram.
+            message_ids: Identifiers of the queries that it may answer.
+
+        Returns:
+            Whether it was accepted.
+        """
+        message_id = int.from_bytes(message[:MESSAGE_ID_BYTES], "big")
+        if message_id not in message_ids:
+            self._count_rejection(Rejection.UNKNOWN_QUERY)
+            return False
+        if message[MESSAGE_ID_BYTES:] == self._last_message:
+            self.counts.accepted += 1
+            return True
+        present = self._endpoint_list
+        try:
+            snapshot = parse_snapshot(decode_response(message), message_id, self._name)
+        except DnsMessageError as error:
+            self._count_rejection(str(error))
+            return False
+        if snapshot.serial != present.serial and not is_newer(snapshot.serial, present.serial):
+            self._count_rejection(Rejection.STALE_LIST)
+            return False
+        if snapshot.serial == self._last_serial and not present.matches(snapshot.endpoints):
+            self._count_rejection(Rejection.CONFLICTING_LIST)
+            return False
+        changes = present.apply_snapshot(snapshot)
+        self._last_message = message[MESSAGE_ID_BYTES:]
+        self._last_serial = snapshot.serial
+        self.counts.accepted += 1
+        if changes:
+            self._on_change(changes)
+        return True
+
+    def _count_rejection(self, reason: str) -> None:
+        reason = str(reason).split(":")[0][:MAX_REASON_LENGTH]  # without what the server chose
+        rejected = self.counts.rejected
+        if reason in rejected or len(rejected) < MAX_REJECTION_REASONS:
+            rejected[reason] = rejected.get(reason, 0) + 1
+
+    def _log_silence(self, is_answered: bool) -> None:
+        now = self._clock()
+        silent_s = now - self.last_accepted_s
+        if is_answered:
+            if self._is_silent:
+                self._log.info("discovery server responds again", elapsed_s=round(silent_s, 1))
+            self._is_silent = False
+            self.last_accepted_s = now
+        elif not self._is_silent and silent_s > SILENCE_WARNING_S:
+            self._is_silent = True
+            self._log.warning(
+                "discovery server is silent", elapsed_s=SILENCE_WARNING_S, rejected=self.counts.rejected
+            )
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -24,7 +24,7 @@
 from saffronstack.fleet.control.releases import find_release
 from saffronstack.fleet.http_server import HttpServer, problem
 from saffronstack.fleet.leases.quorum_read import QuorumRead
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.daemon")
 RECONCILE_INTERVAL_S = 0.05
@@ -56,8 +56,7 @@
         Args:
             options: What the daemon is and which gateways it runs.
             read_leases: Reads what lease keepers show, bounded.
-            replacements: Says which releases are replaced, by a reading: those that a rollout has taken back
-                while the daemon was away.
+            replacements: Which releases are replaced, by a reading: those that a rollout has taken back.
             clock: Seconds.
 
         Raises:
@@ -72,8 +71,7 @@
         self._queue: queue.SimpleQueue[PendingRequest | ProcessEvent | QuorumRead | None] = (
             queue.SimpleQueue()
         )
-        self._has_started_gateways = False
-        self._has_majority_reading = False
+        self._has_started_gateways, self._has_majority_reading = False, False
         self._stopping = threading.Event()
         self._thread: threading.Thread | None = None
         self._lease_observer = LeaseObserver(read_leases, self._queue.put)
@@ -81,13 +79,16 @@
         try:
             for spec in options.gateways:
                 self._gateways[spec.name] = ManagedGateway(spec, options, self._queue.put, clock)
-            endpoint = ControlEndpoint(options.fleet, self._validate, self._queue.put, self._status)
-            host, _, port = options.address.rpartition(":")
-            self._server = HttpServer("daemon", host, int(port), endpoint.handle, clock)
+            self._server = self._create_server()
         except OSError:
             self._close_gateways()
             raise
 
+    def _create_server(self) -> HttpServer:
+        endpoint = ControlEndpoint(self._options.fleet, self._validate, self._queue.put, self._status)
+        host, _, port = self._options.address.rpartition(":")
+        return HttpServer("daemon", host, int(port), endpoint.handle, self._clock)
+
     @property
     def address(self) -> tuple[str, int]:
         """Host and port on which it accepts control requests."""
@@ -99,7 +100,7 @@
             gateway.adopt_running(self._stopping)
         if self._fence.is_token_lost:
             log.warning("desired state lost, commands are rejected until lease keepers report the token")
-        self._thread = spawn("daemon", self._run)
+        self._thread = start_thread("daemon", self._run)
         self._lease_observer.start()
         for gateway in self._gateways.values():
             gateway.start_metrics()
--- a/saffronstack/fleet/control/daemon_answers.py
+++ b/saffronstack/fleet/control/daemon_answers.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.messages import DaemonStatus, GatewayStatus
 
 MAX_SHOWN_BYTES = 200  # of an answer that is an error
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -18,7 +18,7 @@
 from saffronstack.http1.messages import HttpError, Limits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 HTTP_LIMITS = Limits(body=4 * 1024 * 1024)
 MAX_BATCH = 256  # messages in one envelope
@@ -69,7 +69,7 @@
         return codec.decode(body).messages
 
     def _connected(self) -> Stream:
-        if self._stream is not None and not self._stream.silent():
+        if self._stream is not None and not self._stream.is_quiet():
             self.close()  # ended while idle; nothing was sent on it
         if self._stream is None:
             host, _, port = self._address.rpartition(":")
@@ -123,14 +123,14 @@
         self._outbox: dict[tuple[str, str], Message] = {}
         self._is_stopping = False
         self._is_sending = False
-        self._is_poll_wanted = False
+        self._is_poll_enabled = False
         self._is_polling = False
         self._backoff_s = 0.0
         self.last_error = "not asked yet"  # of the last exchange; empty where it succeeded
 
     def start(self) -> None:
         """Start the sending thread."""
-        spawn(f"lease-link-{self.server}", self._run)
+        start_thread(f"lease-link-{self.server}", self._run)
 
     def stop(self, flush_s: float = 0.0) -> None:
         """Stop the threads, after what is in the outbox had ``flush_s`` seconds to be sent."""
@@ -152,17 +152,17 @@
                 self._outbox[key] = message
                 self._lock.notify_all()
 
-    def set_polling(self, wanted: bool) -> None:
+    def set_polling(self, enabled: bool) -> None:
         """Poll the server for notifications while a candidate of the process waits for a lease."""
         with self._lock:
-            if wanted == self._is_poll_wanted:
+            if enabled == self._is_poll_enabled:
                 return
-            self._is_poll_wanted = wanted
-            if not wanted or self._is_polling or self._is_stopping:
+            self._is_poll_enabled = enabled
+            if not enabled or self._is_polling or self._is_stopping:
                 return
             self._is_polling = True
         try:
-            spawn(f"lease-poll-{self.server}", self._poll)
+            start_thread(f"lease-poll-{self.server}", self._poll)
         except RuntimeError:  # no more threads: the candidate prepares now and then all the same
             with self._lock:
                 self._is_polling = False
@@ -170,7 +170,7 @@
     def _poll(self) -> None:
         while True:
             with self._lock:
-                if not self._is_poll_wanted or self._is_stopping:
+                if not self._is_poll_enabled or self._is_stopping:
                     self._is_polling = False
                     break
             try:
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -11,11 +11,17 @@
 
 from saffronstack.config.build import Functions, PlaceNumbers, budgets_of, settings_of, specs_of, workers_of
 from saffronstack.config.schema import Config, Worker
-from saffronstack.daemon.members import Members
+from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
+from saffronstack.discovery.files.change_guards import GuardSettings
+from saffronstack.discovery.files.file_watcher import FileWatcher
+from saffronstack.discovery.files.flap_detection import FlapSettings
+from saffronstack.discovery.files.merging import WorkerChanges
+from saffronstack.discovery.files.service import FileDiscovery, FileDiscoveryOptions
+from saffronstack.discovery.files.state_directory import StateDirectory
 from saffronstack.durable.segments import Files
-from saffronstack.engine.decision_record import Recorder
+from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
@@ -32,13 +38,9 @@
 from saffronstack.operations.slots import Home, Slots
 from saffronstack.operations.spool import Spool
 from saffronstack.operations.table import Table
-from saffronstack.roster.guards import GuardSettings
-from saffronstack.roster.keeping import Kept
-from saffronstack.roster.membership import Change
-from saffronstack.roster.service import RosterService
-from saffronstack.roster.watching import Watch
-from saffronstack.workers.fleet import Fleet
-from saffronstack.workers.pool import PoolLimits, UsageJob
+from saffronstack.upstream.http.dispatcher import HttpDispatcher
+from saffronstack.upstream.http.jobs import UsageJob
+from saffronstack.upstream.http.worker_context import HttpPoolLimits
 
 log = structlog.get_logger("saffronstack.gateway")
 REREAD = ("keys", "workers")  # what a reread may change; the rest needs a restart
@@ -55,7 +57,7 @@
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
         files: Files | None = None,
-        members: Members | None = None,
+        members: ProcessGroup | None = None,
         listener: socket.socket | None = None,
     ) -> None:
         """``members``: it is one process of several on one address, and ``config`` its own. ``listener``: a
@@ -65,13 +67,13 @@
         self.config = config
         self._clock, self._wall = clock, wall
         settings = settings_of(config)
-        self._recorder = Recorder(record_to, settings, config.seed) if record_to else None
+        self._recorder = DecisionRecorder(record_to, settings, config.seed) if record_to else None
         self.engine = Engine(
             settings,
             config.seed,
             clock,
             self._recorder,
-            backstop_s=config.answer_margin_s / 2,
+            deadline_grace_s=config.answer_margin_s / 2,
             max_open_calls=config.limits.open_calls,
             log=structlog.get_logger("saffronstack.engine"),
         )
@@ -90,7 +92,7 @@
                 config, self.ledger, self.engine, self.functions, clock, wall, config.seed, self.limits
             )
         self.operations = self._open_operations(files)
-        self.members = members or Members(0, 1, "", clock)
+        self.members = members or ProcessGroup(0, 1, "", clock)
         self.slots = self._share_operations()
         self.pages = Pages(self)
         self.app = self._make_app()
@@ -128,15 +130,15 @@
             offset_s,
         )
 
-    def _make_fleet(self) -> Fleet:
-        limits = PoolLimits(
+    def _make_fleet(self) -> HttpDispatcher:
+        limits = HttpPoolLimits(
             self.config.limits.worker_connections,
             self.config.allow.connect_timeout_s,
             self.config.limits.worker_idle_s,
             self.config.order_timeout_s,
             Limits(body=self.config.limits.response_bytes),
         )
-        return Fleet(limits, self.engine.tell, self._clock, self.meter)
+        return HttpDispatcher(limits, self.engine.notify, self._clock, self.meter)
 
     def _make_app(self) -> App:
         return App(
@@ -190,44 +192,37 @@
             config.commit_timeout_s,
         )
 
-    def _open_roster(self) -> RosterService | None:
+    def _open_roster(self) -> FileDiscovery | None:
         config = self.config.roster
         if config is None:
             return None
         guards = GuardSettings(
-            config.allow_empty,
-            config.removed_share,
-            config.removed_free,
-            config.allow_older,
-            config.flaps,
-            config.flap_span_s,
-            config.flap_quiet_s,
+            allow_empty=config.allow_empty,
+            max_removed_fraction=config.removed_share,
+            always_removable=config.removed_free,
+            allow_older=config.allow_older,
+            flapping=FlapSettings(config.flaps, config.flap_span_s, config.flap_quiet_s),
         )
         kinds = tuple(kind.name for kind in self.config.kinds)
-        kept = Kept(pathlib.Path(config.state_directory))
-        path = pathlib.Path(config.path)
-        service = RosterService(
-            path,
-            kept,
-            kinds,
+        service = FileDiscovery(
+            FileDiscoveryOptions(pathlib.Path(config.path), kinds, guards, config.poll_s),
+            StateDirectory(pathlib.Path(config.state_directory)),
             self.config.workers,
-            guards,
             self._workers_changed,
             self._clock,
             self._wall,
-            config.poll_s,
         )
-        self._watch = Watch(path, service.wake)
+        self._watcher = FileWatcher(pathlib.Path(config.path), service.wake)
         return service
 
-    def _workers_changed(self, changed: Change, workers: dict[str, Worker]) -> None:
-        """On the roster's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
-        specs = specs_of(changed.entries, self.config, self._numbers)
-        gone = [worker_number(name) for name in changed.gone]
-        self.fleet.changed(specs, gone)
+    def _workers_changed(self, changes: WorkerChanges, workers: dict[str, Worker]) -> None:
+        """On discovery's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
+        specs = specs_of(changes.updated, self.config, self._numbers)
+        gone = [worker_number(name) for name in changes.removed]
+        self.fleet.update_workers(specs, gone)
         if self.meter is not None:
             self.meter.roster(list(specs_of(workers.values(), self.config, self._numbers)))
-        self.engine.change_workers(specs, gone, self._wall())
+        self.engine.update_workers(specs, gone, self._wall())
 
     def _share_operations(self) -> Slots | None:
         """Where several processes serve one address, each runs the operations of the slots it holds."""
@@ -254,7 +249,7 @@
         return f"{host}:{port}"
 
     def _ask_usage(self, worker: int, body: bytes, done: Callable[[bytes | None], None]) -> None:
-        self.fleet.ask_usage(worker, UsageJob(body, done))
+        self.fleet.poll_usage(worker, UsageJob(body, done))
 
     def _memory_kib(self, worker: WorkerSpec) -> int:
         return int(self.config.kinds[worker.kind].memory_mb * 1024)
@@ -265,14 +260,14 @@
         if self.roster is not None:
             listed = self.roster.start(self._clock())
             specs = specs_of(listed.values(), self.config, self._numbers)
-        self.fleet.told(specs)
+        self.fleet.replace_workers(specs)
         if self.meter is not None:
             self.meter.roster(list(specs))
             self.meter.start()
-        self.engine.update_workers(specs, self._wall())
+        self.engine.replace_workers(specs, self._wall())
         self.engine.start(self.fleet)
         if self.roster is not None:
-            self._watch.start()
+            self._watcher.start()
         if self.operations is not None:
             names = list(self.ledger.state.names.values()) if self.ledger is not None else []
             self.operations.start((named.operation, named.packed) for named in names)
@@ -280,7 +275,7 @@
             self.deferred.start()
         if self.peers is not None:
             self.peers.start()
-            self.members.publish(self._peer_address())
+            self.members.publish_address(self._peer_address())
         if self.slots is not None:
             self.slots.start()
         self.server.start()
@@ -301,13 +296,13 @@
         else:
             self.app.access = Access.of(config)
         if self.roster is not None:
-            self.roster.static(config.workers)
+            self.roster.set_configured_workers(config.workers)
             return left
         specs = workers_of(config, self._numbers)
-        self.fleet.told(specs)
+        self.fleet.replace_workers(specs)
         if self.meter is not None:
             self.meter.roster(list(specs))
-        self.engine.update_workers(specs, self._wall())
+        self.engine.replace_workers(specs, self._wall())
         return left
 
     def stop(self) -> bool:
@@ -322,14 +317,14 @@
         if self.deferred is not None:
             clean = self.deferred.stop(longest_s + 1.0) and clean
         if self.roster is not None:
-            self._watch.stop()
+            self._watcher.stop()
             clean = self.roster.stop() and clean
         clean = self.engine.stop() and clean
         if self.operations is not None:
             clean = self.operations.stop() and clean
         if self.meter is not None:
             clean = self.meter.stop() and clean
-        self.fleet.end()
+        self.fleet.stop()
         if self.ledger is not None:
             clean = self.ledger.close() and clean
         if self._recorder is not None:
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -2,16 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator, Mapping
+from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Protocol
 
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-from saffronstack.daemon.members import Members
+from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger
+from saffronstack.discovery.files.service import FileDiscovery
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.invoke.app import App
@@ -20,7 +21,6 @@
 from saffronstack.metering.meter import Meter
 from saffronstack.operations.service import Operations
 from saffronstack.operations.slots import Slots
-from saffronstack.roster.service import RosterService
 
 PREFIX = "saffronstack_"
 
@@ -34,21 +34,40 @@
     value: float
 
 
+class WorkerTraffic(Protocol):
+    """The attempts that a worker was given since it was listed, and those of them in flight."""
+
+    @property
+    def spec(self) -> WorkerSpec:
+        """The worker."""
+        ...
+
+    @property
+    def attempts(self) -> int:
+        """Attempts that it was given."""
+        ...
+
+    @property
+    def in_flight(self) -> int:
+        """Those of them that have not ended."""
+        ...
+
+
 class Connections(Protocol):
     """Who holds connections to workers."""
 
     @property
-    def connections(self) -> int:
-        """How many."""
+    def connection_count(self) -> int:
+        """Connections at most."""
         ...
 
     @property
-    def size(self) -> int:
-        """Workers of the list."""
+    def worker_count(self) -> int:
+        """Workers that are listed."""
         ...
 
-    def passed(self) -> list[tuple[WorkerSpec, int, int]]:
-        """Each worker, the attempts that it was given, and those of them open."""
+    def traffic(self) -> Sequence[WorkerTraffic]:
+        """Return the attempts of each listed worker."""
         ...
 
 
@@ -58,14 +77,14 @@
     engine: Engine
     app: App
     server: Server
-    members: Members
+    members: ProcessGroup
     ledger: Ledger | None
     deferred: DeferredCalls | None
     meter: Meter | None
     limits: BudgetLimits | None
     operations: Operations | None
     slots: Slots | None
-    roster: RosterService | None
+    roster: FileDiscovery | None
     draining: bool
 
     @property
@@ -74,12 +93,17 @@
         ...
 
 
-def busiest(passed: list[tuple[WorkerSpec, int, int]]) -> float:
-    """The most open attempts that a worker which takes calls has, as a multiple of its share by size; 0
-    where none are open."""
-    taking = [(spec.size, out) for spec, _, out in passed if not spec.draining and spec.size > 0]
-    total, size = sum(out for _, out in taking), sum(size for size, _ in taking)
-    return max(out / (total * own / size) for own, out in taking) if total else 0.0
+def busiest(traffic: Sequence[WorkerTraffic]) -> float:
+    """Return the most attempts in flight at a worker that takes calls, as a multiple of its share by size.
+
+    It is 0 where none are in flight.
+    """
+    taking = [worker for worker in traffic if not worker.spec.is_draining and worker.spec.capacity > 0]
+    total = sum(worker.in_flight for worker in taking)
+    size = sum(worker.spec.capacity for worker in taking)
+    return (
+        max(worker.in_flight / (total * worker.spec.capacity / size) for worker in taking) if total else 0.0
+    )
 
 
 class GatewayCollector(Collector):
@@ -91,10 +115,10 @@
     def collect(self) -> Iterable[Metric]:
         """The metrics now."""
         gateway = self._gateway
-        counts = gateway.engine.counts
-        yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.endings)
-        yield _labelled("attempts_ended", "Attempts by result", "result", counts.results)
-        yield from _worker_metrics(gateway.fleet.passed())
+        counts = gateway.engine.statistics
+        yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.final_answers)
+        yield _labelled("attempts_ended", "Attempts by result", "result", counts.attempt_results)
+        yield from _worker_metrics(gateway.fleet.traffic())
         for figure in _counters(gateway):
             yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
         if gateway.deferred is not None:
@@ -114,24 +138,24 @@
     return family
 
 
-def _worker_metrics(passed: list[tuple[WorkerSpec, int, int]]) -> Iterator[Metric]:
+def _worker_metrics(traffic: Sequence[WorkerTraffic]) -> Iterator[Metric]:
     given = CounterMetricFamily(PREFIX + "worker_attempts", "Attempts given to a worker", labels=["worker"])
     out = GaugeMetricFamily(PREFIX + "worker_out", "Open attempts at a worker", labels=["worker"])
-    for spec, attempts, open_ in passed:
-        given.add_metric([spec.name], attempts)
-        out.add_metric([spec.name], open_)
+    for worker in traffic:
+        given.add_metric([worker.spec.name], worker.attempts)
+        out.add_metric([worker.spec.name], worker.in_flight)
     yield given
     yield out
 
 
 def _counters(gateway: Parts) -> Iterator[Figure]:
-    counts, server = gateway.engine.counts, gateway.server
+    counts, server = gateway.engine.statistics, gateway.server
     yield Figure("calls", "Calls taken by the engine", counts.calls)
-    yield Figure("sends", "Attempts begun", counts.sends)
-    yield Figure("repeats", "Attempts after a call's first", counts.repeats)
-    yield Figure("orders", "Orders to load or unload", counts.orders)
+    yield Figure("sends", "Attempts begun", counts.attempts)
+    yield Figure("repeats", "Attempts after a call's first", counts.retries)
+    yield Figure("orders", "Orders to load or unload", counts.load_commands)
     yield Figure("events", "Events decided on", counts.events)
-    yield Figure("backstops", "Calls that the engine itself answered", counts.backstops)
+    yield Figure("backstops", "Calls that the engine itself answered", counts.deadline_answers)
     yield Figure("decision_faults", "Events on which the decision failed", counts.faults)
     yield Figure("connections_accepted", "Client connections accepted", server.accepted)
     yield Figure("connections_turned_away", "Client connections turned away", server.turned_away)
@@ -145,12 +169,12 @@
 
 
 def _gauges(gateway: Parts) -> Iterator[Figure]:
-    passed = gateway.fleet.passed()
+    traffic = gateway.fleet.traffic()
     yield Figure("open_calls", "Calls open in the engine", gateway.engine.open_calls)
-    yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued)
+    yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued_events)
     yield Figure("client_connections", "Client connections open", gateway.server.connections)
-    yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connections)
-    yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(passed))
+    yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connection_count)
+    yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(traffic))
     if gateway.deferred is not None and gateway.ledger is not None:
         ledger = gateway.ledger
         yield Figure("deferred_open", "Deferred calls open", gateway.deferred.open_calls)
@@ -189,17 +213,17 @@
         yield Figure("operations_notes_failing", "1 while notes can't be written", failing)
 
 
-def _roster_gauges(roster: RosterService) -> Iterator[Figure]:
-    status, state = roster.status(), roster.state
-    yield Figure("roster_workers", "Workers of the list", status["workers"])
-    yield Figure("roster_draining", "Workers that are told as draining", status["draining"])
-    yield Figure("roster_generation", "Generation of the list in force", status["generation"] or 0)
-    yield Figure("roster_refused", "1 while the file can't be used", float(bool(state.refused)))
-    yield Figure("roster_held", "1 while a version waits for an operator", float(bool(state.held)))
-    copy = float(state.from_copy)
+def _roster_gauges(roster: FileDiscovery) -> Iterator[Figure]:
+    status = roster.status()
+    yield Figure("roster_workers", "Workers of the list", status.workers)
+    yield Figure("roster_draining", "Workers that are told as draining", status.draining)
+    yield Figure("roster_generation", "Generation of the list in force", status.generation or 0)
+    yield Figure("roster_refused", "1 while the file can't be used", float(bool(status.rejection)))
+    yield Figure("roster_held", "1 while a version waits for an operator", float(bool(status.pending_reason)))
+    copy = float(status.is_from_stored_copy)
     yield Figure("roster_from_copy", "1 while the last good copy stands for the file", copy)
-    yield Figure("roster_conflicts", "Contradictions between sources", len(state.conflicts))
-    yield Figure("roster_versions", "Versions applied since the start", state.counts["applied"])
+    yield Figure("roster_conflicts", "Contradictions between sources", len(status.conflicts))
+    yield Figure("roster_versions", "Versions applied since the start", status.counts.applied)
 
 
 def _usage_counters(meter: Meter, limits: BudgetLimits | None) -> Iterator[Figure]:
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -8,7 +8,7 @@
 import msgspec
 from prometheus_client import CollectorRegistry, generate_latest
 
-from saffronstack.daemon.handover import MARK
+from saffronstack.daemon.listener_handover import MARK_VARIABLE
 from saffronstack.invoke.app import Page, Response
 from saffronstack.invoke.metrics import GatewayCollector, Parts
 
@@ -39,24 +39,24 @@
     def status(self) -> Response:
         """What `saffronstack status` shows."""
         gateway = self._gateway
-        counts = gateway.engine.counts
+        counts = gateway.engine.statistics
         content: dict[str, object] = {
             "pid": os.getpid(),
-            "release": os.environ.get(MARK, "").rpartition("/")[2],
+            "release": os.environ.get(MARK_VARIABLE, "").rpartition("/")[2],
             "process": gateway.members.index,
             "processes": gateway.members.count,
             "draining": gateway.draining,
             "open_calls": gateway.engine.open_calls,
             "calls": counts.calls,
-            "sends": counts.sends,
-            "repeats": counts.repeats,
-            "backstops": counts.backstops,
+            "sends": counts.attempts,
+            "repeats": counts.retries,
+            "backstops": counts.deadline_answers,
             "decision_faults": counts.faults,
-            "endings": counts.endings,
-            "attempts": counts.results,
+            "endings": counts.final_answers,
+            "attempts": counts.attempt_results,
             "client_connections": gateway.server.connections,
-            "worker_connections": gateway.fleet.connections,
-            "workers": gateway.fleet.size,
+            "worker_connections": gateway.fleet.connection_count,
+            "workers": gateway.fleet.worker_count,
             "classes": gateway.app.figures.counts(),
             "times": gateway.app.figures.encoded(),
         }
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -20,7 +20,7 @@
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.metering.records import Asked, Ref
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import (
     Faults,
     Model,
@@ -123,7 +123,9 @@
         self._listener = socket.create_server((self._host, self._port), backlog=512)
         self._listener.settimeout(0.2)
         self._note("start")
-        spawn(f"standin-{self.name}", lambda: self._accept(self._listener, self.model, self.incarnation))
+        start_thread(
+            f"standin-{self.name}", lambda: self._accept(self._listener, self.model, self.incarnation)
+        )
 
     def stop(self) -> None:
         """Die at once: the listener and every connection close, every call under way is lost."""
@@ -164,7 +166,7 @@
                     sock.close()
                     return
                 self._connections.add(sock)
-            spawn("standin-connection", lambda sock=sock: self._serve(sock, model, incarnation))  # type: ignore[misc]
+            start_thread("standin-connection", lambda sock=sock: self._serve(sock, model, incarnation))  # type: ignore[misc]
 
     def _serve(self, sock: socket.socket, model: Model, incarnation: str) -> None:
         stream = Stream(sock)
@@ -294,7 +296,7 @@
             self._note("lost", **who)
             return False
         fields = self._fields(head, who, run_id, found, crowd)
-        open_ = stream.open()
+        open_ = stream.is_peer_open()
         self._note("answer", status=200, open=open_, run=run_id, **who)
         return self._answer(stream, model, incarnation, 200, fields, self._payload(who, run_id, body))
 
@@ -340,7 +342,7 @@
     def _hang(self, stream: Stream, model: Model, who: Entry) -> None:
         """Hold the connection without an answer until the peer gives up."""
         end_s = self._clock() + LONGEST_S
-        while self._clock() < end_s and stream.open() and model is self.model and self._listener:
+        while self._clock() < end_s and stream.is_peer_open() and model is self.model and self._listener:
             time.sleep(0.02)
         self._note("abandoned", **who)
 
--- /dev/null
+++ b/saffronstack/upstream/multiplexed/codec.py
@@ -0,0 +1,192 @@
+"""Encodes messages to multiplexed workers and decodes their responses: JSON lines. No I/O.
+
+The keys and words below are the platform's and keep its spelling; everything else in this package uses the
+terms of docs/glossary.md.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+import msgspec
+
+from saffronstack import settings_parser
+from saffronstack.routing.events import CacheStatus, LoadReport, Result
+from saffronstack.upstream.errors import LineProtocolError
+
+# Words of messages to workers.
+WORD_REQUEST = "CALL"
+WORD_CANCEL = "CANCEL"
+WORD_PING = "PING"
+WORD_LOAD = "LOAD"
+WORD_UNLOAD = "UNLOAD"
+# Words of responses.
+RESULT_BY_WORD = {
+    "OK": Result.OK,
+    "MISS": Result.NOT_LOADED,
+    "BUSY": Result.AT_CAPACITY,
+    "ERR": Result.ERROR,
+    "VOID": Result.NOT_STARTED,
+}
+WORD_PING_REPLY = "UP"
+# Keys of the fields of a message.
+FIELD_CLASS = "c"
+FIELD_FUNCTION = "k"
+FIELD_WAIT_MS = "w"
+FIELD_INSTANCES = "units"
+FIELD_CONCURRENCY = "ahead"
+FIELD_CACHE_STATUS = "note"
+FIELD_LOAD_REPORT = "load"
+_CACHE_STATUS_BY_NOTE = {
+    "up": CacheStatus.WARM,
+    "fresh": CacheStatus.STARTED_LOAD,
+    "behind": CacheStatus.JOINED_LOAD,
+    "crashed": CacheStatus.LOAD_FAILED,
+}
+# A load report's names on the wire, and the names that the settings have for the same values.
+_REPORT_KEYS = {
+    "inflight": "rif",
+    "queue": "q",
+    "util": "busy",
+    "latency_ms": "lat_ms",
+    "qps": "rate",
+    "eps": "fail_rate",
+}
+MAX_REPORT_VALUES = 8
+MAX_CONCURRENCY = 1_000_000
+MAX_INSTANCES = 255
+MAX_QUOTED_CHARACTERS = 20  # of an unknown word, in an error message
+
+
+class _Request(msgspec.Struct, rename={"fields": "with"}):
+    what: str
+    tag: str
+    fields: dict[str, str | int]
+    blob: bytes
+
+
+class _Command(msgspec.Struct, rename={"fields": "with"}):
+    what: str
+    tag: str
+    fields: dict[str, str | int]
+
+
+class _BareMessage(msgspec.Struct):
+    what: str
+    tag: str
+
+
+class _Response(msgspec.Struct, rename={"fields": "with"}):
+    what: str
+    tag: str | int
+    fields: dict[str, str | int | float] = {}
+    blob: bytes = b""
+
+
+_encode = msgspec.json.Encoder().encode
+_decode = msgspec.json.Decoder(_Response).decode
+
+
+@dataclass(frozen=True, slots=True)
+class ExchangeResponse:
+    """One response of a worker, its numbers checked and bounded.
+
+    Attributes:
+        word: A key of `RESULT_BY_WORD`, or `WORD_PING_REPLY`.
+        tag: The tag of the exchange that it answers.
+        body: The response body.
+        cache_status: Whether the function was loaded when the request came.
+        concurrency: Requests that the instance executed beside this one; None where not reported.
+        load_report: The worker's load; None where not reported.
+        instances: Loaded instances, after a load command.
+    """
+
+    word: str
+    tag: str
+    body: bytes
+    cache_status: CacheStatus
+    concurrency: int | None
+    load_report: LoadReport | None
+    instances: int
+
+
+def encode_request(tag: str, class_name: str, function: str, wait_ms: int, body: bytes) -> bytes:
+    """Encode a request; ``wait_ms`` is how long the gateway waits for the response, in milliseconds."""
+    fields: dict[str, str | int] = {
+        FIELD_CLASS: class_name,
+        FIELD_FUNCTION: function,
+        FIELD_WAIT_MS: wait_ms,
+    }
+    return _encode(_Request(WORD_REQUEST, tag, fields, body)) + b"\n"
+
+
+def encode_cancel(tag: str) -> bytes:
+    """Encode the message that a request is cancelled."""
+    return _encode(_BareMessage(WORD_CANCEL, tag)) + b"\n"
+
+
+def encode_ping(tag: str) -> bytes:
+    """Encode a health check of the connection."""
+    return _encode(_BareMessage(WORD_PING, tag)) + b"\n"
+
+
+def encode_load_command(tag: str, function: str, instances: int) -> bytes:
+    """Encode a command to load so many instances; 0 only asks how many are loaded."""
+    fields: dict[str, str | int] = {FIELD_FUNCTION: function, FIELD_INSTANCES: instances}
+    return _encode(_Command(WORD_LOAD, tag, fields)) + b"\n"
+
+
+def encode_unload_command(function: str) -> bytes:
+    """Encode a command to unload the idle instances of a function; it has no response."""
+    return _encode(_BareMessage(WORD_UNLOAD, function)) + b"\n"
+
+
+def decode_response(line: bytes) -> ExchangeResponse:
+    """Decode one line from a worker.
+
+    Raises:
+        LineProtocolError: The line is not a response, or one of its numbers is out of range.
+    """
+    try:
+        message = _decode(line)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise LineProtocolError(str(error)) from error
+    if message.what not in RESULT_BY_WORD and message.what != WORD_PING_REPLY:
+        raise LineProtocolError(f"unknown word {message.what[:MAX_QUOTED_CHARACTERS]!r}")
+    fields = message.fields
+    concurrency = None
+    if FIELD_CONCURRENCY in fields:
+        concurrency = int(_bounded_number(fields, FIELD_CONCURRENCY, MAX_CONCURRENCY))
+    instances = 0
+    if FIELD_INSTANCES in fields:
+        instances = int(_bounded_number(fields, FIELD_INSTANCES, MAX_INSTANCES))
+    cache_status = _CACHE_STATUS_BY_NOTE.get(str(fields.get(FIELD_CACHE_STATUS, "")), CacheStatus.UNKNOWN)
+    load = fields.get(FIELD_LOAD_REPORT)
+    load_report = None if load is None else _decode_load_report(str(load))
+    return ExchangeResponse(
+        message.what, str(message.tag), message.blob, cache_status, concurrency, load_report, instances
+    )
+
+
+def _bounded_number(fields: Mapping[str, str | int | float], name: str, maximum: float) -> float:
+    try:
+        value = float(fields[name])
+    except (ValueError, OverflowError) as error:
+        raise LineProtocolError(f"{name} is not a number") from error
+    if not 0 <= value <= maximum:
+        raise LineProtocolError(f"{name} is out of range: {value}, expected 0 to {maximum}")
+    return value
+
+
+def _decode_load_report(text: str) -> LoadReport:
+    """Decode a load report; values that are not numbers are dropped, as they don't affect the response."""
+    values: list[tuple[str, float]] = []
+    for pair in text.split(";")[:MAX_REPORT_VALUES]:
+        name, _, value = pair.partition(":")
+        try:
+            values.append((_REPORT_KEYS.get(name, name), float(value)))
+        except ValueError:
+            continue
+    return settings_parser.parse_load_report((name, value) for name, value in values if math.isfinite(value))
--- /dev/null
+++ b/tests/daemon/test_graceful_takeover.py
@@ -0,0 +1,147 @@
+"""A gateway process that takes over from another one on the same listening socket, with or without daemon."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import signal
+import subprocess
+import sys
+from collections.abc import Iterator
+
+import pytest
+
+from saffronstack.client import Client
+from saffronstack.daemon.listener_handover import request_listener
+from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
+from saffronstack.fleet.control.process_discovery import find_processes
+from saffronstack.fleet.control.process_launcher import LaunchSpec, bind_listener, launch
+from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.worker import hold_port
+from tests.support.stack import AMPLE_DEADLINE_S, configuration, eventually
+
+SERVE = [
+    sys.executable, "-m", "saffronstack.cli.main", "serve", "--log-level", "error",
+    "--cpus", "all",  # pinned to one, it waits for whatever else runs there
+]  # fmt: skip
+
+
+@pytest.fixture
+def config_path(tmp_path: pathlib.Path, one_worker: StandInFleet) -> pathlib.Path:
+    """A gateway's configuration."""
+    path = tmp_path / "g1.json5"
+    path.write_text(json.dumps(configuration(one_worker, deadline_s=AMPLE_DEADLINE_S)))
+    return path
+
+
+@pytest.fixture
+def address() -> Iterator[str]:
+    """A free port that nothing else takes while the test runs."""
+    with hold_port("127.0.0.1") as holder:
+        yield f"127.0.0.1:{holder.getsockname()[1]}"
+
+
+class EventLog:
+    """Events of gateway processes, as they are reported."""
+
+    def __init__(self) -> None:
+        self.events: list[ProcessEvent] = []
+
+    def wait_for(self, kind: ProcessEventKind, incarnation: int) -> None:
+        eventually(
+            lambda: any(event.kind is kind and event.incarnation == incarnation for event in self.events)
+        )
+
+    def end_reasons(self) -> list[str]:
+        return [event.reason for event in self.events if event.kind is ProcessEventKind.ENDED]
+
+
+def close_input(process: GatewayProcess) -> None:
+    """Close the pipe from the daemon, as the daemon's end does."""
+    assert process._child is not None
+    assert process._child.stdin is not None
+    process._child.stdin.close()
+
+
+def write_line(process: subprocess.Popen[bytes], line: bytes) -> None:
+    assert process.stdin is not None
+    process.stdin.write(line)
+    process.stdin.flush()
+
+
+def read_line(process: subprocess.Popen[bytes]) -> bytes:
+    assert process.stdout is not None
+    return process.stdout.readline()
+
+
+def test_a_gateway_serves_on_without_its_daemon_and_its_successor_takes_over(
+    tmp_path: pathlib.Path, config_path: pathlib.Path, address: str
+) -> None:
+    log = EventLog()
+    mark = f"test/{tmp_path}"
+    command = [*SERVE, "--config", str(config_path)]
+    with bind_listener(address) as listener:
+        first, second = (
+            launch(LaunchSpec("g1", n, f"r{n}", command, mark, tmp_path / "log"), listener, log.events.append)
+            for n in (1, 2)
+        )
+        for incarnation in (1, 2):
+            log.wait_for(ProcessEventKind.PREPARED, incarnation)
+        first.allow_serving()
+        log.wait_for(ProcessEventKind.SERVING, 1)
+        assert [process.release for process in find_processes(mark)] == ["r1", "r2"]
+        # The daemon ends: its pipes close. The first process serves on, the second waits for its end.
+        second.serve_after(first)
+        close_input(first)
+        close_input(second)
+        client = Client(address, 10.0)
+        assert client.invoke("identify-copy", b"{}").status == 200
+        received = request_listener(f"{mark}/r1", first.pid)
+        assert received is not None
+        first.send_signal(signal.SIGTERM)
+        log.wait_for(ProcessEventKind.ENDED, 1)
+        log.wait_for(ProcessEventKind.SERVING, 2)
+        assert client.invoke("identify-copy", b"{}").status == 200
+        client.close()
+        second.send_signal(signal.SIGTERM)
+        log.wait_for(ProcessEventKind.ENDED, 2)
+        received.close()
+    assert log.end_reasons() == ["status 0", "status 0"]
+
+
+def test_a_successor_serves_though_nobody_reads_its_output(config_path: pathlib.Path) -> None:
+    listener = bind_listener("127.0.0.1:0")
+    command = [*SERVE, "--config", str(config_path), "--listen-fd", str(listener.fileno()), "--standby"]
+
+    def start() -> subprocess.Popen[bytes]:
+        return subprocess.Popen(
+            command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, pass_fds=(listener.fileno(),)
+        )
+
+    with start() as first, start() as second, listener:
+        for process in (first, second):
+            assert read_line(process) == b"saffronstack is prepared\n"
+        write_line(first, b"go\n")
+        assert read_line(first).startswith(b"saffronstack takes calls")
+        write_line(second, b"after %d\n" % first.pid)
+        assert second.stdin is not None
+        assert second.stdout is not None
+        second.stdin.close()  # the daemon has died, and with it both of its ends
+        second.stdout.close()
+        first.send_signal(signal.SIGTERM)
+        assert first.wait(30.0) == 0
+        host, port = listener.getsockname()
+        client = Client(f"{host}:{port}", 30.0)
+        assert client.invoke("identify-copy", b"{}").status == 200
+        client.close()
+        second.send_signal(signal.SIGTERM)
+        assert second.wait(30.0) == 0
+
+
+def test_a_gateway_that_was_only_prepared_ends_with_its_daemon() -> None:
+    ran = subprocess.run(
+        [*SERVE, "--with-standins", "--listen", "127.0.0.1:0", "--standby"], input="", capture_output=True,
+        text=True, timeout=60.0, check=False,
+    )  # fmt: skip
+    assert ran.returncode == 0
+    assert ran.stdout.strip() == "saffronstack is prepared"
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -11,7 +11,7 @@
 
 from saffronstack.invoke import server
 from saffronstack.net.stream import READ_SIZE, Stream
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from tests.support.stack import AMPLE_DEADLINE_S, Stack, eventually, read_all, running
 
 WAIT_S = 20.0
@@ -71,7 +71,7 @@
     def send(self, client: socket.socket, data: bytes) -> None:
         """Send, and see that it has reached the held thread's socket, where it lies unread."""
         client.sendall(data)
-        eventually(lambda: not self.streams[0].silent(), WAIT_S)
+        eventually(lambda: not self.streams[0].is_quiet(), WAIT_S)
 
 
 def connected(stack: Stack) -> socket.socket:
@@ -89,7 +89,7 @@
 def draining(stack: Stack) -> Callable[..., bool]:
     """Drain the gateway's front on a thread; whether it has ended well within so many seconds."""
     found: list[bool] = []
-    thread = spawn("drain", lambda: found.append(stack.gateway.server.drain(WAIT_S)))
+    thread = start_thread("drain", lambda: found.append(stack.gateway.server.drain(WAIT_S)))
 
     def ended(within_s: float = WAIT_S) -> bool:
         thread.join(within_s)
@@ -117,7 +117,7 @@
         crossing.send(client, crosses)
         crossing.go_on.set()
         if later:
-            eventually(lambda: crossing.streams[0].silent(), WAIT_S)  # the head has been read
+            eventually(lambda: crossing.streams[0].is_quiet(), WAIT_S)  # the head has been read
             client.sendall(later)
         assert_last_answer(client)
         assert ended()
