--- /dev/null
+++ b/saffronstack/cli/ledger_ownership.py
@@ -0,0 +1,133 @@
+"""A gateway's ownership of its ledger, where another gateway of the fleet may take that over."""
+
+from __future__ import annotations
+
+import os
+import pathlib
+import threading
+
+import msgspec
+import structlog
+
+from saffronstack.config.fleet import load_fleet
+from saffronstack.config.load import ConfigError
+from saffronstack.config.schema import Config
+from saffronstack.fleet.leases.client import LeaseClient
+from saffronstack.fleet.leases.errors import LeaseNotGrantedError
+from saffronstack.fleet.leases.store import HeldLease
+from saffronstack.fleet.tasks.ledger_directory import FencedFiles, LedgerDirectory
+
+log = structlog.get_logger("saffronstack.serve")
+CHECK_INTERVAL_S = 0.1
+ACQUIRE_LEASES = 3.0  # longest leases that a start waits: an earlier run's own must expire first
+TAKEN_OVER_STATUS = 3  # exit status
+
+
+class LedgerOwnership:
+    """One run's right to write a ledger: a fencing token, and the lease that shows that the run is alive."""
+
+    def __init__(
+        self,
+        directory: LedgerDirectory,
+        token: int,
+        config: Config,
+        client: LeaseClient | None,
+        held: HeldLease | None,
+    ) -> None:
+        """Enter a ledger's directory under a token.
+
+        Args:
+            directory: The ledger's directory, with a place for each owner.
+            token: The fencing token.
+            config: The gateway's configuration; `config` has the place's directories.
+            client: The client of the lease; None where the token was given from outside.
+            held: The lease; None where the token was given from outside.
+
+        Raises:
+            OSError: The directory can't be entered."""
+        self._directory, self._token, self._client, self._held = directory, token, client, held
+        self._is_closed = threading.Event()
+        self.files = FencedFiles(directory, token)
+        place = directory.enter(token)
+        assert config.ledger is not None
+        config = msgspec.structs.replace(
+            config, ledger=msgspec.structs.replace(config.ledger, directory=str(place))
+        )
+        if held is None:  # for another gateway's calls: its other state lies beside them
+            config = _with_directories_in(config, place)
+        self.config = config
+
+    def watch(self) -> None:
+        """End this process at once where a later owner has entered; runs on a thread of its own.
+
+        What this process still does is fenced off, and its calls are the later owner's to finish. A lease
+        that expired without a later owner is acquired again."""
+        while not self._is_closed.wait(CHECK_INTERVAL_S):
+            if self._directory.above(self._token):
+                path = str(self._directory.directory)
+                log.error("ledger taken over by a later owner", ledger=path, token=self._token)
+                os._exit(TAKEN_OVER_STATUS)
+            self._renew_expired_lease()
+
+    def _renew_expired_lease(self) -> None:
+        if self._client is None or self._held is None or self._held.remaining_s() > 0:
+            return
+        held = self._client.acquire(self._held.lease, CHECK_INTERVAL_S)
+        if held is not None:
+            self._held = held
+
+    def close(self, is_clean: bool) -> None:
+        """Give the ledger up; where calls are open (not ``is_clean``), another gateway finishes them."""
+        self._is_closed.set()
+        if is_clean:
+            self._directory.leave(self._token)
+        if self._client is not None:
+            self._client.close()
+
+
+def own_ledger(
+    fleet_path: str, name: str, directory: str, token: int, config: Config
+) -> LedgerOwnership | None:
+    """Take the ownership of a ledger, under a lease of this gateway's own or a token that was given.
+
+    Args:
+        fleet_path: The fleet's file, for a lease of this gateway's own; or empty.
+        name: The gateway's name in the fleet.
+        directory: The ledger's directory, with ``token``; or empty.
+        token: The token that was given.
+        config: The gateway's configuration.
+
+    Returns:
+        The ownership; None without a fleet and without a directory.
+
+    Raises:
+        ConfigError: The fleet's file is invalid, or the configuration has no ledger.
+        LeaseNotGrantedError: The lease was not granted in time.
+        OSError: The directory can't be entered."""
+    if not fleet_path and not directory:
+        return None
+    if config.ledger is None:
+        raise ConfigError("--fleet needs a ledger in the configuration: it is what others may take over")
+    if directory:
+        return LedgerOwnership(LedgerDirectory(directory), token, config, None, None)
+    from saffronstack.cli.leases import open_client
+
+    fleet = load_fleet(fleet_path)
+    client = open_client(fleet)
+    held = client.acquire(f"gateway/{name}", ACQUIRE_LEASES * fleet.longest_s)
+    if held is None:
+        client.close()
+        raise LeaseNotGrantedError(f"the lease gateway/{name} was not granted: {client.link_errors()}")
+    return LedgerOwnership(LedgerDirectory(config.ledger.directory), held.token, config, client, held)
+
+
+def _with_directories_in(config: Config, place: pathlib.Path) -> Config:
+    metering, operations = config.metering, config.operations
+    if metering is not None:
+        metering = msgspec.structs.replace(metering, directory=str(place / "usage"))
+    if operations is not None and operations.directory is not None:
+        operations = msgspec.structs.replace(operations, directory=str(place / "operations"))
+    roster = config.roster
+    if roster is not None:
+        roster = msgspec.structs.replace(roster, state_directory=str(place / "roster"))
+    return msgspec.structs.replace(config, metering=metering, operations=operations, roster=roster)
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -21,8 +21,8 @@
 
 from saffronstack import config as configs
 from saffronstack.cli.infleet import FleetPart
+from saffronstack.cli.ledger_ownership import LedgerOwnership, own_ledger
 from saffronstack.cli.logs import set_up_logs
-from saffronstack.cli.tenure import Tenure, enter
 from saffronstack.config.schema import Config, Ledger
 from saffronstack.core.threads import spawn
 from saffronstack.daemon.handover import MARK, HandOver
@@ -183,7 +183,7 @@
     """What runs beside the gateway in this process, as far as its options ask for it."""
 
     standins: StandInFleet | None = None
-    tenure: Tenure | None = None
+    ownership: LedgerOwnership | None = None
     fleet: FleetPart | None = None
     members: Members | None = None
     listener: socket.socket | None = None
@@ -192,8 +192,8 @@
         """Stop them after the gateway; ``clean``: whether that one ended cleanly. Whether all did."""
         if self.standins is not None:
             self.standins.stop()
-        if self.tenure is not None:
-            self.tenure.end(clean)
+        if self.ownership is not None:
+            self.ownership.close(clean)
         if self.fleet is not None:
             clean = self.fleet.stop() and clean
         return clean
@@ -219,8 +219,8 @@
     if parts.members is not None:
         _end_with_parent(signals)
         spawn("life", lambda: _show_life(gateway, leaving))
-    if parts.tenure is not None:
-        spawn("tenure", parts.tenure.watch)
+    if parts.ownership is not None:
+        spawn("ledger-ownership", parts.ownership.watch)
     number = _wait_for_end(gateway, options, signals)
     log.info("stopping", signal=signal.Signals(number).name)
     leaving.set()
@@ -247,9 +247,11 @@
         parts.listener = socket.socket(fileno=options.listen_fd)
     if options.standby and not _told_to_go():
         return None
-    parts.tenure = enter(options.fleet, options.name, options.ledger_home, options.ledger_token, config)
-    if parts.tenure is not None:
-        config = parts.tenure.config
+    parts.ownership = own_ledger(
+        options.fleet, options.name, options.ledger_home, options.ledger_token, config
+    )
+    if parts.ownership is not None:
+        config = parts.ownership.config
     if config.fleet is not None and not options.finish:
         if parts.members is not None:
             raise configs.ConfigError("fleet: goes with one process, and not with --processes")
@@ -258,7 +260,7 @@
         config,
         record_to=options.record_to,
         members=parts.members,
-        files=parts.tenure.files if parts.tenure is not None else None,
+        files=parts.ownership.files if parts.ownership is not None else None,
         listener=parts.listener,
     )
 
--- a/saffronstack/fleet/leases/errors.py
+++ b/saffronstack/fleet/leases/errors.py
@@ -15,6 +15,10 @@
     """A lease was asked for with a duration that no server grants."""
 
 
+class LeaseNotGrantedError(LeaseError, ValueError):
+    """A lease was not granted in time."""
+
+
 class NotHolderError(LeaseError, ValueError):
     """A value was stored under a lease that the candidate does not hold."""
 
--- a/saffronstack/harness/leases/model_checker.py
+++ b/saffronstack/harness/leases/model_checker.py
@@ -12,7 +12,7 @@
 from saffronstack.fleet.leases.acceptor import Acceptor
 from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.harness.leases.model_state import Factory, FaultBudget, ModelState, initial_state
-from saffronstack.harness.leases.model_steps import steps_from
+from saffronstack.harness.leases.model_steps import Step, steps_from
 
 MAX_STATES = 10_000_000
 
@@ -31,6 +31,11 @@
     breach: str = ""
     trail: tuple[str, ...] = ()
 
+    def with_breach(self, step: Step) -> Exploration:
+        """Note the breach that a step is."""
+        self.breach, self.trail, self.depth = step.breach, step.state.trail, len(step.state.trail)
+        return self
+
 
 def follow(state: ModelState, make_acceptor: Factory, labels: Sequence[str]) -> ModelState:
     """Return the state after steps, each named as a trail names it.
@@ -77,14 +82,12 @@
         if len(state.trail) >= depth:
             continue
         for step in steps_from(state, make_acceptor):
-            trail = step.state.trail
             if step.breach:
-                result.breach, result.trail, result.depth = step.breach, trail, len(trail)
-                return result
+                return result.with_breach(step)
             key = step.state.key()
             if key not in visited:
                 visited.add(key)
-                result.states += 1
-                result.depth = len(trail)
                 queue.append(step.state)
+                result.states += 1
+                result.depth = len(step.state.trail)
     return result
--- a/saffronstack/harness/leases/simulated_fleet.py
+++ b/saffronstack/harness/leases/simulated_fleet.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from itertools import count
+from typing import NamedTuple
 
 from saffronstack.fleet.leases.acceptor import Acceptor
 from saffronstack.fleet.leases.candidate import Candidate, CandidateAction, LeaseAcquired, LeaseLost
@@ -71,24 +72,33 @@
             self.breaches.append(f"{now:.3f} s: {text}")
 
 
+class _Event(NamedTuple):
+    """An event; those of one time run in the order in which they were scheduled."""
+
+    at_s: float
+    serial: int
+    run: Callable[[], None]
+
+
 class EventQueue:
     """Virtual time: events in the order of their times."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._serial = count()
-        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._events: list[_Event] = []  # a heap
 
     def schedule(self, after_s: float, event: Callable[[], None]) -> None:
         """Run an event after some seconds of virtual time."""
-        heapq.heappush(self._events, (self.now + after_s, next(self._serial), event))
+        heapq.heappush(self._events, _Event(self.now + after_s, next(self._serial), event))
 
     def run_next(self, until_s: float) -> bool:
         """Run the next event; return False where there is none before ``until_s``."""
-        if not self._events or self._events[0][0] >= until_s:
+        if not self._events or self._events[0].at_s >= until_s:
             return False
-        self.now, _, event = heapq.heappop(self._events)
-        event()
+        event = heapq.heappop(self._events)
+        self.now = event.at_s
+        event.run()
         return True
 
 
--- /dev/null
+++ b/tests/test_lease_commands.py
@@ -0,0 +1,185 @@
+"""The commands of leases, the fleet's file, and gateways that serve leases."""
+
+from __future__ import annotations
+
+import json
+import os
+import pathlib
+import signal
+import subprocess
+import sys
+
+import pytest
+
+from saffronstack.config.fleet import load_fleet
+from saffronstack.config.load import ConfigError
+from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.worker import hold_port
+from tests.support.lease_servers import NAMES, lease_servers, run_saffron
+from tests.support.stack import configuration, eventually
+
+
+def test_a_command_runs_under_a_lease_and_is_ended_when_that_is_lost(tmp_path: pathlib.Path) -> None:
+    with lease_servers(tmp_path, lease_s=4.0) as fleet:
+        path = fleet.file(lease_s=4.0, longest_s=4.0)
+        show = 'echo "$SAFFRON_LEASE $SAFFRON_LEASE_TOKEN"; exit 7'
+        done = run_saffron("lease", "run", "cron/nightly", "--fleet", path, "--", "/bin/sh", "-c", show)
+        assert done.returncode == 7 and done.stdout.split()[0] == "cron/nightly", done.stderr
+        assert int(done.stdout.split()[1]) > 0
+        missing = run_saffron("lease", "run", "x", "--fleet", path, "--", "/nothing/here")
+        assert missing.returncode == 127 and "/nothing/here" in missing.stderr
+        mark = tmp_path / "went-on"
+        script = f"trap '' TERM; while :; do echo x >> {mark}; sleep 0.05; done"
+        command = [sys.executable, "-m", "saffronstack.cli.main", "lease", "run", "job", "--fleet", path]
+        running = subprocess.Popen(
+            [*command, "--", "/bin/sh", "-c", script], stderr=subprocess.PIPE, text=True
+        )
+        eventually(mark.exists)
+        busy = run_saffron("lease", "run", "job", "--fleet", path, "--wait", "0.3", "--", "true")
+        assert busy.returncode == 75 and "not granted within" in busy.stderr
+        listed = run_saffron("lease", "list", "--fleet", path)
+        assert listed.returncode == 0 and "job: held by" in listed.stdout
+        assert "cron/nightly: free" in listed.stdout
+        shown = json.loads(run_saffron("lease", "show", "job", "--fleet", path, "--json").stdout)
+        assert shown["held"] and shown["token"] > 0
+        assert run_saffron("lease", "show", "nobody", "--fleet", path).returncode == 1
+        assert run_saffron("keeper", "status", "--fleet", path).returncode == 0
+        for name in ("k0", "k1"):
+            fleet.servers.pop(name).stop()
+        assert running.wait(10.0) == 76
+        assert running.stderr is not None and "was lost" in running.stderr.read()
+        size = mark.stat().st_size
+        assert run_saffron("keeper", "status", "--fleet", path).returncode == 69
+        none = run_saffron("lease", "run", "job", "--fleet", path, "--wait", "0.5", "--", "true")
+        assert none.returncode == 69 and "no majority" in none.stderr
+        assert mark.stat().st_size == size  # it ignored SIGTERM and was killed, with what it had started
+
+
+def test_a_signal_is_forwarded_to_the_command_and_its_status_returned(tmp_path: pathlib.Path) -> None:
+    with lease_servers(tmp_path, lease_s=2.0) as fleet:
+        mark = tmp_path / "up"
+        script = f"trap 'exit 9' TERM; touch {mark}; while :; do sleep 0.05; done"
+        running = subprocess.Popen(
+            [sys.executable, "-m", "saffronstack.cli.main", "lease", "run", "job", "--fleet", fleet.file(),
+             "--", "/bin/sh", "-c", script]
+        )  # fmt: skip
+        eventually(mark.exists)
+        running.send_signal(signal.SIGTERM)
+        assert running.wait(10.0) == 9
+
+
+def test_a_lease_server_process_prints_its_address_and_rejects_foreign_state(tmp_path: pathlib.Path) -> None:
+    held = [hold_port("127.0.0.1") for _ in NAMES]
+    entries = [
+        {"name": name, "address": f"127.0.0.1:{sock.getsockname()[1]}"}
+        for name, sock in zip(NAMES, held, strict=True)
+    ]
+    path = tmp_path / "fleet.json5"
+    path.write_text(json.dumps({"fleet": "f", "keepers": entries}))
+    where = ["--fleet", str(path), "--name", "k0", "--state", str(tmp_path / "k0")]
+    assert run_saffron("keeper", "establish", *where).returncode == 0
+    again = run_saffron("keeper", "establish", *where)
+    assert again.returncode == 2 and "there is a keeper's state here" in again.stderr
+    other = run_saffron(
+        "keeper", "run", "--fleet", str(path), "--name", "k1", "--state", str(tmp_path / "k0")
+    )
+    assert other.returncode == 2 and "the state of keeper 'k0', not of 'k1'" in other.stderr
+    unknown = run_saffron(
+        "keeper", "run", "--fleet", str(path), "--name", "k9", "--state", str(tmp_path / "x")
+    )
+    assert unknown.returncode == 2 and "none of the keepers" in unknown.stderr
+    process = subprocess.Popen(
+        [sys.executable, "-m", "saffronstack.cli.main", "keeper", "run", *where], stdout=subprocess.PIPE
+    )
+    assert process.stdout is not None
+    assert entries[0]["address"] in process.stdout.readline().decode()
+    os.kill(process.pid, signal.SIGTERM)
+    assert process.wait(10.0) == 0
+    process.stdout.close()
+    for sock in held:
+        sock.close()
+
+
+@pytest.mark.parametrize(
+    ("changes", "told"),
+    [
+        (
+            {"keepers": [{"name": "a", "address": "h:1"}, {"name": "b", "address": "h:2"}]},
+            "keepers: 2 of them",
+        ),
+        (
+            {"keepers": [{"name": n, "address": "h:1"} for n in "abc"]},
+            "keepers[1].address: h:1 is that of keepers[0] too",
+        ),
+        (
+            {"keepers": [{"name": "a", "address": f"h:{n}"} for n in (1, 2, 3)]},
+            "keepers[1].name: 'a' stands at keepers[0] too",
+        ),
+        (
+            {"keepers": [{"name": n, "address": f"h:{p}"} for n, p in (("a", 1), ("b", 2), ("c", 70000))]},
+            "no port",
+        ),
+        ({"lease_s": 1.5, "wait_s": 1.0}, "lease_s: 1.5 s are under twice the longest wait"),
+        ({"lease_s": 40.0}, "over longest_s"),
+        ({"kepers": []}, "unknown key"),
+        ({"fleet": "no name"}, "fleet"),
+    ],
+)
+def test_an_invalid_fleet_file_is_rejected_with_place_and_reason(
+    tmp_path: pathlib.Path, changes: dict[str, object], told: str
+) -> None:
+    path = tmp_path / "fleet.json5"
+    entries = [{"name": name, "address": f"127.0.0.1:{9000 + n}"} for n, name in enumerate(NAMES)]
+    path.write_text(json.dumps({"fleet": "f", "keepers": entries, **changes}))
+    with pytest.raises(ConfigError) as raised:
+        load_fleet(str(path))
+    assert told in str(raised.value) and str(path) in str(raised.value)
+    if "kepers" not in changes:
+        checked = run_saffron("config", "check", str(path))
+        assert checked.returncode == 1 and told in checked.stderr
+
+
+def test_gateways_serve_leases_and_run_tasks_beside_their_calls(tmp_path: pathlib.Path) -> None:
+    """Three gateways, each a keeper; one of them runs the fleet's sweep at a time."""
+    standins = StandInFleet(2)
+    held = [hold_port("127.0.0.1") for _ in NAMES]
+    entries = [
+        {"name": name, "address": f"127.0.0.1:{sock.getsockname()[1]}"}
+        for name, sock in zip(NAMES, held, strict=True)
+    ]
+    shared = tmp_path / "fleet.json5"
+    task = {
+        "name": "tidy",
+        "kind": "sweep",
+        "period_s": 60,
+        "budget_s": 5,
+        "outputs": [str(tmp_path / "out")],
+    }
+    content = {"fleet": "f", "keepers": entries, "lease_s": 2.0, "longest_s": 2.0, "wait_s": 0.5}
+    shared.write_text(json.dumps({**content, "tasks": [task]}))
+    assert run_saffron("config", "check", str(shared)).stdout.endswith("good: fleet f, 3 keepers, 1 tasks\n")
+    gateways = []
+    for name in NAMES:
+        state = str(tmp_path / name)
+        run_saffron("keeper", "establish", "--fleet", str(shared), "--name", name, "--state", state)
+        part = {"path": str(shared), "keeper": name, "state_directory": state, "tasks": True}
+        path = tmp_path / f"{name}.json5"
+        path.write_text(json.dumps({**configuration(standins, tmp_path / f"ledger-{name}"), "fleet": part}))
+        serve = [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path)]
+        gateways.append(subprocess.Popen([*serve, "--log-level", "error"], stdout=subprocess.PIPE))
+    for gateway in gateways:
+        assert gateway.stdout is not None and b"http://" in gateway.stdout.readline()
+
+    def listed() -> bool:
+        return "task/tidy: held by" in run_saffron("lease", "list", "--fleet", str(shared)).stdout
+
+    eventually(listed)
+    for gateway in gateways:
+        gateway.terminate()
+    assert [gateway.wait(30) for gateway in gateways] == [0, 0, 0]
+    for gateway in gateways:
+        assert gateway.stdout is not None
+        gateway.stdout.close()
+    for sock in held:
+        sock.close()
+    standins.stop()
--- /dev/null
+++ b/tests/test_lease_servers.py
@@ -0,0 +1,117 @@
+"""Lease servers and clients on sockets: changes of holder, lost leases, replaced servers, pages."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import time
+
+import pytest
+
+from saffronstack.client import Client
+from saffronstack.core.threads import spawn
+from saffronstack.fleet.leases import codec
+from saffronstack.fleet.leases.codec import Envelope
+from saffronstack.fleet.leases.disk import COPIES
+from saffronstack.fleet.leases.messages import DiskState, PrepareRequest
+from tests.support.lease_servers import acceptor_disk, lease_servers
+from tests.support.stack import eventually
+
+
+def test_a_holder_stores_a_value_and_its_release_notifies_the_first_waiter(tmp_path: pathlib.Path) -> None:
+    with lease_servers(tmp_path, lease_s=30.0) as fleet:
+        first, second = fleet.client("p1"), fleet.client("p2")
+        held = first.acquire("task/usage", 10.0)
+        assert held is not None and held.put(b"plan 4", 5.0)
+        with pytest.raises(ValueError, match="wanted by this process already"):
+            first.acquire("task/usage", 0.1)
+        got: list[object] = []
+        waiter = spawn("waiter", lambda: got.append(second.acquire("task/usage", 20.0)))
+        eventually(lambda: second.holder_of("task/usage").startswith("p1."))
+        eventually(lambda: "p2" in fleet.servers["k0"].service.mailboxes)  # it polls
+        began_s = time.monotonic()
+        held.release()
+        waiter.join(20.0)
+        # Long before a third of the lease, when it would have prepared again by itself.
+        assert time.monotonic() - began_s < 5.0
+        (other,) = got
+        assert other is not None and other.token > held.token  # type: ignore[attr-defined]
+        assert other.value == b"plan 4" and held.remaining_s() == 0.0  # type: ignore[attr-defined]
+        assert not held.put(b"late", 0.1)
+        first.close()
+        second.close()
+
+
+def test_a_holder_is_notified_of_a_lost_lease_and_acquires_it_again(tmp_path: pathlib.Path) -> None:
+    with lease_servers(tmp_path) as fleet:
+        client = fleet.client("p1")
+        reasons: list[str] = []
+        held = client.acquire("l", 10.0, reasons.append)
+        assert held is not None
+        for name in ("k0", "k1"):
+            fleet.servers.pop(name).stop()
+        eventually(lambda: bool(reasons))
+        assert held.remaining_s() == 0.0 and "no majority" in reasons[0]
+        assert client.acquire("l", 0.2) is None
+        for name in ("k0", "k1"):
+            fleet.start(name)
+        fleet.wait()
+        again = client.acquire("l", 10.0)
+        assert again is not None and again.token > held.token
+        client.close()
+
+
+def test_a_dead_server_is_replaced_by_an_empty_one_without_losing_a_lease(
+    tmp_path: pathlib.Path,
+) -> None:
+    with lease_servers(tmp_path, lease_s=3.0) as fleet:
+        client = fleet.client("p1")
+        reasons: list[str] = []
+        held = client.acquire("l", 10.0, reasons.append)
+        assert held is not None
+        fleet.servers.pop("k2").stop()
+        for name in COPIES:
+            (tmp_path / "k2" / name).unlink()
+        assert acceptor_disk(tmp_path / "k2", server="k2").load().disk_state is DiskState.LOST
+        fleet.start("k2")
+        fleet.wait()
+        fleet.servers.pop("k0").stop()  # the new one is needed from here on
+        service = fleet.servers["k2"].service
+        eventually(lambda: service.lease_reports()[0].remaining_s > 0)  # it grants without a prepare request
+        until_s = time.monotonic() + fleet.lease_s
+        eventually(lambda: time.monotonic() > until_s or reasons)
+        assert held.remaining_s() > 0 and not reasons
+        client.close()
+
+
+def test_a_lost_state_is_still_lost_after_a_crash_during_recovery(tmp_path: pathlib.Path) -> None:
+    """It has persisted nothing: treated as new, it would vote beside the server that it replaced."""
+    with lease_servers(tmp_path) as fleet:
+        for server in list(fleet.servers.values()):
+            server.stop()  # nobody answers its catch-up requests
+        fleet.servers.clear()
+        for name in COPIES:
+            (tmp_path / "k2" / name).unlink()
+        for _ in range(2):
+            fleet.start("k2")
+            status = fleet.servers["k2"].service.status()
+            assert status.disk_state == "lost" and not status.can_vote
+            fleet.servers.pop("k2").stop()
+
+
+def test_pages_and_bad_requests_of_a_lease_server(tmp_path: pathlib.Path) -> None:
+    with lease_servers(tmp_path) as fleet:
+        client = Client(fleet.addresses["k0"], 5.0)
+        ask = Envelope("f", "p", (PrepareRequest("l", "p", 1),))
+        assert client.request("POST", "/lease/messages", codec.encode(ask)).status == 200
+        foreign = client.request("POST", "/lease/messages", codec.encode(Envelope("g", "p")))
+        assert foreign.status == 403 and b"of fleet 'f'" in foreign.body
+        for body in (b"", b"{", b'{"fleet":"f"}', b'{"fleet":"f","sender":"p","messages":[{"type":"Nope"}]}'):
+            assert client.request("POST", "/lease/messages", body).status == 400
+        many = Envelope("f", "p", (PrepareRequest("l", "p", 1),) * 600)
+        assert client.request("POST", "/lease/messages", codec.encode(many)).status == 400
+        assert client.request("GET", "/nothing").status == 404
+        assert client.request("PUT", "/status").status == 405
+        lines = json.loads(client.request("GET", "/leases").body)
+        assert [line["lease"] for line in lines] == ["l"]
+        client.close()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -26,8 +26,8 @@
 from saffronstack.fleet.tasks.schedule import END_S, Begin, GiveBack, Phase, Stop, TaskSchedule
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
+from tests.support.lease_servers import lease_servers
 from tests.support.stack import Stack, configuration, eventually
-from tests.test_lease_keepers import keepers
 
 SAFFRON = [sys.executable, "-m", "saffronstack.cli.main"]
 
@@ -243,7 +243,7 @@
 ) -> None:
     """SAFFRONSTACK_OPEN=1000 plays it at full size. Judged from the workers and the last holder's ledger."""
     fleet = StandInFleet(2, lambda n: Profile(load_s=0.01, work_s=0.05))
-    with keepers(tmp_path / "keepers", lease_s=2.0) as three:
+    with lease_servers(tmp_path / "keepers", lease_s=2.0) as three:
         homes = tmp_path / "ledgers"
         path = tmp_path / "gateway.json5"
         path.write_text(json.dumps(configuration(fleet, homes / "g1")))
