--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -96,7 +96,7 @@
     told = report.judgement
     print(
         f"{report.seconds:.0f} s, {sum(n for kind, n in report.faults.items() if ':' not in kind)} faults; "
-        f"{told.gained} leases gained, {told.acts} acts, {told.refused} refused for older tokens, "
+        f"{told.acquired} leases acquired, {told.acts} acts, {told.rejected} rejected for older tokens, "
         f"{told.overran} overran; held {told.held_s / max(report.seconds, 0.001):.2f} of the time, "
         f"{report.talk_held_s / max(report.talk_s, 0.001):.2f} of the {report.talk_s:.0f} s in which a "
         f"majority could talk; longest without a holder {told.longest_free_s:.1f} s"
--- a/saffronstack/fleet/leases/acceptor_service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -243,6 +243,8 @@
                         requests.append(action)
                 case SetTimer():
                     self._apply(action)
+                case PersistState():
+                    pass  # of a recovery that the timer completed: written with the next change
         return requests
 
     def _sleep_s(self) -> float:
--- /dev/null
+++ b/saffronstack/harness/leases/broken_candidates.py
@@ -0,0 +1,39 @@
+"""Candidates that break a rule of the lease protocol, which the judge of the rig must find."""
+
+from __future__ import annotations
+
+from msgspec.structs import replace
+
+from saffronstack.fleet.leases.candidate import Candidate
+from saffronstack.fleet.leases.limits import LeaseLimits
+from saffronstack.fleet.leases.messages import AcceptRequest, ObservedWrites
+
+
+class LateCandidate(Candidate):
+    """Believes in its lease for twice the time that it has servers grant."""
+
+    def _accept_request(self, observed_writes: ObservedWrites = ()) -> AcceptRequest:
+        return replace(super()._accept_request(observed_writes), duration_s=self.lease_s / 2)
+
+
+class _QuorumOfOne(LeaseLimits):
+    """One server is a majority."""
+
+    __slots__ = ()
+
+    @property
+    def majority(self) -> int:
+        """Return one, the fault that the judge must find."""
+        return 1
+
+
+class MinorityCandidate(Candidate):
+    """Acquires the lease with the approval of one server."""
+
+    def __init__(self, name: str, lease: str, lease_s: float, limits: LeaseLimits, seed: int) -> None:
+        """Create a candidate for which one server is a majority."""
+        quorum_of_one = _QuorumOfOne(limits.servers, limits.max_lease_s, limits.max_clock_drift)
+        super().__init__(name, lease, lease_s, quorum_of_one, seed)
+
+
+BROKEN_CANDIDATES: dict[str, type[Candidate]] = {"late": LateCandidate, "few": MinorityCandidate}
--- a/saffronstack/harness/leases/judge.py
+++ b/saffronstack/harness/leases/judge.py
@@ -1,67 +1,92 @@
-"""The resource that holders act on, and the judge: two never hold at once, and no older token after a newer.
+"""The resource that holders act on, and the judge: two never hold at once, and tokens only grow.
 
-It knows no keeper and no candidate, only what they say on its socket. Times are the machine's own, which all
-processes of a rig share (CLOCK_BOOTTIME, seconds)."""
+It knows no server and no candidate, only what they report on its socket."""
 
 from __future__ import annotations
 
-import json
 import socket
 import threading
 from dataclasses import dataclass, field, replace
 from itertools import pairwise
-from typing import Any
 
 from saffronstack.core.threads import spawn
+from saffronstack.harness.leases.holder_reports import (
+    Acquired,
+    ActBegun,
+    ActEnded,
+    Answer,
+    HolderReport,
+    Released,
+    decode_report,
+    encode_line,
+)
+
+MAX_BREACHES = 20
+ACCEPT_POLL_S = 0.2
+BACKLOG = 128
 
 
 @dataclass
-class Belief:
-    """From when until when one believed to hold under a token; what it said last."""
+class HoldingPeriod:
+    """From when until when a candidate believed that it held the lease, as it reported last."""
 
     name: str
     token: int
-    since: float
-    until: float
+    since_s: float
+    until_s: float
+
+
+@dataclass(frozen=True, order=True)
+class Act:
+    """An act on the resource that ended in its lease's time."""
+
+    began_s: float
+    ended_s: float
+    token: int
+    name: str
 
 
 @dataclass
 class Judgement:
-    """What came of a run."""
+    """The result of a run."""
 
     breaches: list[str] = field(default_factory=list)
     acts: int = 0
-    refused: int = 0  # acts under an older token, turned away
+    rejected: int = 0  # acts under an older token
     overran: int = 0  # acts that a pause carried past their lease
-    gained: int = 0
+    acquired: int = 0
     held_s: float = 0.0
     longest_free_s: float = 0.0
 
+    def add_breach(self, text: str) -> None:
+        """Note a breach of the lease's rules, up to a bound."""
+        if len(self.breaches) < MAX_BREACHES:
+            self.breaches.append(text)
+
 
 class LeaseJudge:
-    """Listens for holders; answers whether an act is taken."""
+    """Listens for holders, and answers whether an act is accepted. The lock guards all that was reported."""
 
     def __init__(self) -> None:
-        self._listener = socket.create_server(("127.0.0.1", 0), backlog=128)
-        self._listener.settimeout(0.2)
+        self._listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
+        self._listener.settimeout(ACCEPT_POLL_S)
         host, port = self._listener.getsockname()[:2]
         self.address = f"{host}:{port}"
         self._lock = threading.Lock()
-        self._ended = False
-        self._beliefs: dict[int, Belief] = {}
-        self._token = 0
-        self._owner = ""
-        self._taken: list[tuple[float, float, int, str]] = []
-        self._told = Judgement()
+        self._is_closed = False
+        self._periods: dict[int, HoldingPeriod] = {}  # by token
+        self._token = 0  # the greatest that the resource saw
+        self._acts: list[Act] = []
+        self._reported = Judgement()
         spawn("resource", self._accept)
 
     def close(self) -> None:
-        """Take no more."""
-        self._ended = True
+        """Stop to listen."""
+        self._is_closed = True
         self._listener.close()
 
     def _accept(self) -> None:
-        while not self._ended:
+        while not self._is_closed:
             try:
                 sock, _ = self._listener.accept()
             except TimeoutError:
@@ -74,77 +99,95 @@
         with sock, sock.makefile("rb") as lines:
             try:
                 for line in lines:
-                    sock.sendall(json.dumps(self.heard(json.loads(line))).encode() + b"\n")
+                    sock.sendall(encode_line(self.handle(decode_report(line))))
             except (OSError, ValueError):
-                return  # killed in the middle of a word
+                return  # the holder was killed while it reported
 
-    def heard(self, said: dict[str, Any]) -> dict[str, Any]:
-        """One word of a holder's, and the answer."""
+    def handle(self, report: HolderReport) -> Answer:
+        """Handle a holder's report."""
         with self._lock:
-            name, token = str(said["name"]), int(said["token"])
-            if said["do"] == "gained":
-                self._told.gained += 1
-                other = self._beliefs.get(token)
-                if other is not None:
-                    self._breach(f"{name} and {other.name} both gained token {token}")
-                self._beliefs[token] = Belief(name, token, float(said["at"]), float(said["until"]))
-                return {}
-            belief = self._beliefs.get(token)
-            if belief is None or belief.name != name:
-                self._breach(f"{name} acts under token {token}, which it did not gain")
-                return {"taken": False}
-            if said["do"] == "released":
-                belief.until = min(belief.until, float(said["at"]))
-                return {}
-            belief.until = max(belief.until, float(said["until"]))
-            if token < self._token:
-                self._told.refused += 1
-                return {"taken": False}
-            self._token = token
-            if said["do"] == "end":
-                # Done in its lease's time by its own clock, or carried past it by a pause.
-                if float(said["ended"]) <= belief.until:
-                    self._told.acts += 1
-                    self._taken.append((float(said["began"]), float(said["ended"]), token, name))
-                else:
-                    self._told.overran += 1
-            return {"taken": True}
-
-    def _breach(self, text: str) -> None:
-        if len(self._told.breaches) < 20:
-            self._told.breaches.append(text)
-
-    def judge(self, since: float, until: float) -> Judgement:
-        """All that was said, between two moments of the machine's time."""
+            if isinstance(report, Acquired):
+                return self._handle_acquired(report)
+            period = self._periods.get(report.token)
+            if period is None or period.name != report.name:
+                self._reported.add_breach(
+                    f"{report.name} acts under token {report.token}, which it did not acquire"
+                )
+                return Answer(is_accepted=False)
+            match report:
+                case Released():
+                    period.until_s = min(period.until_s, report.at_s)
+                    return Answer()
+                case ActBegun() | ActEnded():
+                    return self._handle_act(report, period)
+
+    def _handle_acquired(self, report: Acquired) -> Answer:
+        self._reported.acquired += 1
+        other = self._periods.get(report.token)
+        if other is not None:
+            self._reported.add_breach(f"{report.name} and {other.name} both acquired token {report.token}")
+        self._periods[report.token] = HoldingPeriod(report.name, report.token, report.at_s, report.until_s)
+        return Answer()
+
+    def _handle_act(self, report: ActBegun | ActEnded, period: HoldingPeriod) -> Answer:
+        period.until_s = max(period.until_s, report.until_s)
+        if report.token < self._token:
+            self._reported.rejected += 1
+            return Answer(is_accepted=False)
+        self._token = report.token
+        if isinstance(report, ActEnded):
+            # Done in its lease's time by its own clock, or carried past it by a pause.
+            if report.ended_s <= period.until_s:
+                self._reported.acts += 1
+                self._acts.append(Act(report.began_s, report.ended_s, report.token, report.name))
+            else:
+                self._reported.overran += 1
+        return Answer(is_accepted=True)
+
+    # ---- the judgement
+
+    def judge(self, since_s: float, until_s: float) -> Judgement:
+        """Judge all that was reported, between two times of the machine's clock."""
         with self._lock:
-            kept, told = self._told, replace(self._told, breaches=list(self._told.breaches))
-            self._told = told  # what is found now is said in this judgement alone
-            beliefs = sorted(self._beliefs.values(), key=lambda belief: belief.since)
-            for number, one in enumerate(beliefs):
-                for other in beliefs[number + 1 :]:
-                    if other.since >= one.until:
-                        continue
-                    self._breach(
-                        f"{one.name} (token {one.token}) holds until {one.until:.3f}, "
-                        f"{other.name} (token {other.token}) from {other.since:.3f}"
-                    )
-                    break
-                if number and one.token < max(belief.token for belief in beliefs[:number]):
-                    self._breach(f"{one.name} gained token {one.token} after a greater one")
-            acts = sorted(self._taken)
-            for (_, ended, token, name), (began, _, next_token, next_name) in pairwise(acts):
-                if began < ended and next_token != token:
-                    self._breach(f"acts of {name} ({token}) and {next_name} ({next_token}) overlap")
-            at = since
-            for belief in beliefs:
-                told.longest_free_s = max(told.longest_free_s, min(until, belief.since) - at)
-                told.held_s += max(0.0, min(until, belief.until) - max(at, belief.since))
-                at = max(at, min(until, belief.until))
-            told.longest_free_s = max(told.longest_free_s, until - at)
-            self._told = kept
-            return told
-
-    def held_between(self) -> list[tuple[float, float]]:
-        """From when until when each holder believed to hold."""
+            judgement = replace(self._reported, breaches=list(self._reported.breaches))
+            periods = sorted(self._periods.values(), key=lambda period: period.since_s)
+            _find_overlapping_periods(periods, judgement)
+            _find_overlapping_acts(sorted(self._acts), judgement)
+            _measure(periods, since_s, until_s, judgement)
+            return judgement
+
+    def holding_periods(self) -> list[HoldingPeriod]:
+        """Return from when until when each holder believed that it held the lease."""
         with self._lock:
-            return [(belief.since, belief.until) for belief in self._beliefs.values()]
+            return [replace(period) for period in self._periods.values()]
+
+
+def _find_overlapping_periods(periods: list[HoldingPeriod], judgement: Judgement) -> None:
+    for number, one in enumerate(periods):
+        overlapping = [other for other in periods[number + 1 :] if other.since_s < one.until_s]
+        if overlapping:
+            other = overlapping[0]
+            judgement.add_breach(
+                f"{one.name} (token {one.token}) holds until {one.until_s:.3f}, "
+                f"{other.name} (token {other.token}) from {other.since_s:.3f}"
+            )
+        if number and one.token < max(earlier.token for earlier in periods[:number]):
+            judgement.add_breach(f"{one.name} acquired token {one.token} after a greater one")
+
+
+def _find_overlapping_acts(acts: list[Act], judgement: Judgement) -> None:
+    for one, following in pairwise(acts):
+        if following.began_s < one.ended_s and following.token != one.token:
+            judgement.add_breach(
+                f"acts of {one.name} ({one.token}) and {following.name} ({following.token}) overlap"
+            )
+
+
+def _measure(periods: list[HoldingPeriod], since_s: float, until_s: float, judgement: Judgement) -> None:
+    """Measure for how long the lease was held, and for how long nobody held it at the longest."""
+    at_s = since_s
+    for period in periods:
+        judgement.longest_free_s = max(judgement.longest_free_s, min(until_s, period.since_s) - at_s)
+        judgement.held_s += max(0.0, min(until_s, period.until_s) - max(at_s, period.since_s))
+        at_s = max(at_s, min(until_s, period.until_s))
+    judgement.longest_free_s = max(judgement.longest_free_s, until_s - at_s)
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -1,13 +1,11 @@
-"""A process of the rig: a keeper or a candidate of the program, on a clock and a disk that the rig spoils.
+"""A process of the rig: a lease server or a candidate, on a clock and a disk that the rig spoils.
 
-    python -m saffronstack.harness.leases.peer '{"role": "keeper", ...}'
+    python -m saffronstack.harness.leases.peer '{"role": "server", ...}'
 
-The program itself knows none of this: what it takes as clock and file layer is handed in here."""
+The program itself knows none of this: the clock and the file layer are handed to it here."""
 
 from __future__ import annotations
 
-import contextlib
-import errno
 import json
 import os
 import pathlib
@@ -16,262 +14,214 @@
 import sys
 import threading
 import time
-from collections.abc import Callable
-from typing import Any
 
-from msgspec.structs import replace
+import msgspec
 
 from saffronstack.cli.leases import lease_fleet_of
 from saffronstack.config.fleet import load_fleet
 from saffronstack.core.threads import spawn
-from saffronstack.durable.segments import Files
 from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
 from saffronstack.fleet.leases.lease_server import LeaseServer
-from saffronstack.fleet.leases.limits import LeaseLimits
-from saffronstack.fleet.leases.messages import (
-    AcceptorAction,
-    AcceptRequest,
-    Message,
-    ObservedWrites,
-    SendMessage,
-)
+from saffronstack.fleet.leases.messages import AcceptorAction, Message, SendMessage
 from saffronstack.fleet.leases.store import HeldLease
+from saffronstack.harness.leases.broken_candidates import BROKEN_CANDIDATES
+from saffronstack.harness.leases.faulty_environment import ClockSteps, FaultyFiles, drifting_clock
+from saffronstack.harness.leases.holder_reports import (
+    Acquired,
+    ActBegun,
+    ActEnded,
+    Answer,
+    HolderReport,
+    Released,
+    decode_answer,
+    encode_line,
+)
 
 ACT_S = 0.03
+ACT_INTERVAL_S = 0.02
 MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
-LATE_PART = 0.1  # of the acts are decided, and done after a pause between
-
-
-class LyingFiles(Files):
-    """A disk that does what a file of the rig's says: stalls before it has saved, is full, fails."""
-
-    def __init__(self, orders: pathlib.Path) -> None:
-        self._orders = orders
-
-    def _order(self) -> dict[str, Any]:
-        try:
-            read: dict[str, Any] = json.loads(self._orders.read_text())
-        except (OSError, ValueError):
-            return {}
-        return read
-
-    def open(self, path: pathlib.Path) -> int:
-        """A new file's descriptor."""
-        if self._order().get("full"):
-            raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC), str(path))
-        return super().open(path)
-
-    def sync(self, descriptor: int) -> None:
-        """On the disk when this returns, however long that takes."""
-        order = self._order()
-        if order.get("fails"):
-            raise OSError(errno.EIO, os.strerror(errno.EIO))
-        until_s = time.monotonic() + float(order.get("stall_s", 0.0))
-        while time.monotonic() < until_s and self._order().get("stall_s"):
-            time.sleep(0.02)
-        super().sync(descriptor)
-
-
-def clock_at(rate: float, base: Callable[[], float]) -> Callable[[], float]:
-    """A clock that runs at so many seconds a second."""
-    zero = base()
-    return lambda: zero + (base() - zero) * rate
-
-
-class Steps:
-    """Seconds by which a machine's clock is ahead of the others': it was suspended, says a file of the rig's.
-
-    Forward alone: the clock that holders count by goes on meanwhile and is never set."""
-
-    LOOK_S = 0.01
-
-    def __init__(self, path: pathlib.Path, clock: Callable[[], float] = time.monotonic) -> None:
-        self._path, self._clock = path, clock
-        self._looked_s = -self.LOOK_S
-        self._by_s = 0.0
-
-    def __call__(self) -> float:
-        """The whole of them so far."""
-        now = self._clock()
-        if now >= self._looked_s + self.LOOK_S:
-            self._looked_s = now
-            with contextlib.suppress(OSError, ValueError):  # none yet
-                self._by_s = max(self._by_s, float(self._path.read_text()))
-        return self._by_s
-
-
-def keep(told: dict[str, Any]) -> None:
-    """Be a keeper until standard input ends."""
-    fleet = load_fleet(told["fleet"])
-    node = LeaseServer(
-        told["name"], lease_fleet_of(fleet), told["state"],
-        clock=clock_at(told.get("rate", 1.0), time.monotonic),
-        files=LyingFiles(pathlib.Path(told["disk"])) if "disk" in told else None,
-    )  # fmt: skip
-    if "trace" in told:
-        trace_keeper(node, pathlib.Path(told["trace"]))
-    host, port = node.start()
+LATE_CHANCE = 0.1  # that a pause comes between an act's decision and its beginning
+MAX_LATE_S = 0.05
+MEAN_TERM_S = 6.0  # how long a holder keeps the lease
+MAX_REST_S = 0.2  # between a release and the next attempt
+ACQUIRE_TIMEOUT_S = 60.0
+REPORT_TIMEOUT_S = 20.0
+
+
+class ServerOptions(msgspec.Struct, frozen=True, tag_field="role", tag="server"):
+    """A lease server of the rig: files are those that the rig writes or reads."""
+
+    fleet: str
+    name: str
+    state: str
+    clock_rate: float
+    disk_fault: str
+    trace: str
+
+
+class CandidateOptions(msgspec.Struct, frozen=True, tag_field="role", tag="candidate"):
+    """A candidate of the rig; ``broken`` names one of `BROKEN_CANDIDATES`, or is empty."""
+
+    fleet: str
+    name: str
+    lease: str
+    resource: str  # the judge's address
+    seed: int
+    clock_rate: float
+    clock_steps: str
+    broken: str = ""
+
+
+def run_server(options: ServerOptions) -> None:
+    """Run a lease server until standard input ends."""
+    server = LeaseServer(
+        options.name,
+        lease_fleet_of(load_fleet(options.fleet)),
+        options.state,
+        clock=drifting_clock(options.clock_rate, time.monotonic),
+        files=FaultyFiles(pathlib.Path(options.disk_fault)),
+    )
+    trace_decisions(server, pathlib.Path(options.trace))
+    host, port = server.start()
     print(f"{host}:{port}", flush=True)
+    exit_with_rig()
+
+
+def exit_with_rig() -> None:
+    """Wait until standard input ends, and exit."""
     while sys.stdin.buffer.read(1024):
         continue
     os._exit(0)
 
 
 class Trace:
-    """Lines of what a machine heard and did, in the machine's own time; written whole, one at a time."""
+    """A file of JSON lines with the machine's time; each is written at once."""
 
     def __init__(self, path: pathlib.Path) -> None:
+        """Append to a file."""
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
-    def note(self, **what: Any) -> None:
-        """One line."""
-        line = json.dumps({"at": round(holder_clock(), 4), **what}, default=repr)
+    def write(self, **fields: object) -> None:
+        """Write a line."""
+        line = json.dumps({"at": round(holder_clock(), 4), **fields}, default=repr)
         os.write(self._descriptor, line.encode() + b"\n")
 
 
-def trace_keeper(node: LeaseServer, path: pathlib.Path) -> None:
-    """Note each decision of a keeper, and what it began with."""
-    trace, machine = Trace(path), node.service._acceptor
-    table, recovery = machine.table, machine.recovery
-    handle, tick = machine.handle, machine.tick
-    trace.note(began=recovery.disk_state.value, write=table.last_write, records=repr(machine.records()))
+def trace_decisions(server: LeaseServer, path: pathlib.Path) -> None:
+    """Write each decision of a server's acceptor to a file, and the state that it started with."""
+    trace, acceptor = Trace(path), server.service._acceptor
+    table, recovery = acceptor.table, acceptor.recovery
+    handle, tick = acceptor.handle, acceptor.tick
+    trace.write(
+        started=recovery.disk_state.value, last_write=table.last_write, records=repr(acceptor.records())
+    )
 
-    def handled(now: float, sender: str, message: Message) -> list[AcceptorAction]:
+    def traced_handle(now: float, sender: str, message: Message) -> list[AcceptorAction]:
         actions = handle(now, sender, message)
-        said = [repr(action.message) for action in actions if isinstance(action, SendMessage)]
-        sure, write = recovery.has_recovered, table.last_write
-        trace.note(now=now, heard=repr(message), said=said, sure=sure, write=write)
+        trace.write(
+            now=now,
+            received=repr(message),
+            sent=[repr(action.message) for action in actions if isinstance(action, SendMessage)],
+            has_recovered=recovery.has_recovered,
+            last_write=table.last_write,
+        )
         return actions
 
-    def ticked(now: float) -> list[AcceptorAction]:
-        before = recovery.has_recovered
+    def traced_tick(now: float) -> list[AcceptorAction]:
+        had_recovered = recovery.has_recovered
         actions = tick(now)
-        if recovery.has_recovered is not before:
-            trace.note(now=now, settled=True, records=repr(machine.records()))
+        if recovery.has_recovered is not had_recovered:
+            trace.write(now=now, recovered=True, records=repr(acceptor.records()))
         return actions
 
-    machine.handle, machine.tick = handled, ticked  # type: ignore[method-assign]
+    acceptor.handle, acceptor.tick = traced_handle, traced_tick  # type: ignore[method-assign]
 
 
 class Actor:
-    """A candidate that has the rig's resource do things while it holds, and says what it believes."""
-
-    def __init__(self, told: dict[str, Any]) -> None:
-        fleet = load_fleet(told["fleet"])
-        rate = float(told.get("rate", 1.0))
-        self.name, self.lease, self._rate = str(told["name"]), str(told["lease"]), rate
-        self._random = random.Random(int(told["seed"]))
-        clock, steps = clock_at(rate, holder_clock), Steps(pathlib.Path(told.get("steps", "")))
+    """A candidate that acts on the rig's resource while it holds the lease, and reports what it believes."""
+
+    def __init__(self, options: CandidateOptions) -> None:
+        """Connect to the resource and the lease servers."""
+        fleet = load_fleet(options.fleet)
+        self.name, self.lease, self._clock_rate = options.name, options.lease, options.clock_rate
+        self._random = random.Random(options.seed)
+        clock = drifting_clock(options.clock_rate, holder_clock)
+        steps = ClockSteps(pathlib.Path(options.clock_steps))
         self.client = LeaseClient(
             lease_fleet_of(fleet),
             self.name,
             fleet.lease_s,
-            int(told["seed"]),
+            options.seed,
             lambda: clock() + steps(),
-            BROKEN.get(told.get("broken", ""), Candidate),
+            BROKEN_CANDIDATES.get(options.broken, Candidate),
         )
-        host, _, port = str(told["resource"]).rpartition(":")
-        self._lock = threading.Lock()
-        self._sock = socket.create_connection((host, int(port)), timeout=20.0)
+        host, _, port = options.resource.rpartition(":")
+        self._lock = threading.Lock()  # of the connection
+        self._sock = socket.create_connection((host, int(port)), timeout=REPORT_TIMEOUT_S)
         self._reader = self._sock.makefile("rb")
 
-    def _say(self, **what: Any) -> dict[str, Any]:
+    def _report(self, report: HolderReport) -> Answer:
         with self._lock:
-            self._sock.sendall(json.dumps({"name": self.name, **what}).encode() + b"\n")
-            answer: dict[str, Any] = json.loads(self._reader.readline() or b"{}")
-            return answer
+            self._sock.sendall(encode_line(report))
+            return decode_answer(self._reader.readline())
+
+    def believed_until_s(self, held: HeldLease) -> float:
+        """Return until when (machine's own clock) it believes that it holds the lease; 0 if it does not.
 
-    def believed_until(self, held: HeldLease) -> float:
-        """In the machine's own time, until when it believes to hold, asked for before it is said; 0 where it
-        does not believe so any more. One that was stopped in the midst of an act wakes to that."""
-        return until_of(holder_clock(), held.remaining_s(), self._rate)
+        Read before each report: one that was stopped in the middle of an act wakes after its lease."""
+        return expiry_at(holder_clock(), held.remaining_s(), self._clock_rate)
 
     def run(self) -> None:
-        """Until killed."""
+        """Acquire the lease, act and release it again, until the process is killed."""
         while True:
-            held = self.client.acquire(self.lease, 60.0)
-            if held is None:
-                continue
-            gained_s = holder_clock()
-            self._say(do="gained", token=held.token, at=gained_s, until=self.believed_until(held))
-            ends_s = holder_clock() + self._random.expovariate(1 / 6.0)
-            while held.remaining_s() > 0 and holder_clock() < ends_s:
-                self._act(held)
-                time.sleep(0.02)
-            if held.remaining_s() > 0:
-                # Said before it is done: the next one may act before a word that comes after it.
-                self._say(do="released", token=held.token, at=holder_clock())
-                held.release()
-            time.sleep(self._random.random() * 0.2)
+            held = self.client.acquire(self.lease, ACQUIRE_TIMEOUT_S)
+            if held is not None:
+                self._hold(held)
+                time.sleep(self._random.random() * MAX_REST_S)
+
+    def _hold(self, held: HeldLease) -> None:
+        acquired_s = holder_clock()
+        self._report(Acquired(self.name, held.token, acquired_s, self.believed_until_s(held)))
+        ends_s = holder_clock() + self._random.expovariate(1 / MEAN_TERM_S)
+        while held.remaining_s() > 0 and holder_clock() < ends_s:
+            self._act(held)
+            time.sleep(ACT_INTERVAL_S)
+        if held.remaining_s() > 0:
+            # Reported before it is done: the next holder may act before a report that comes after it.
+            self._report(Released(self.name, held.token, holder_clock()))
+            held.release()
 
     def _act(self, held: HeldLease) -> None:
-        left_s = held.remaining_s()
-        if left_s < ACT_S + MARGIN_S:
+        if held.remaining_s() < ACT_S + MARGIN_S:
             return
-        if self._random.random() < LATE_PART:
-            time.sleep(self._random.random() * 0.05)
-        until_s = self.believed_until(held)
+        if self._random.random() < LATE_CHANCE:
+            time.sleep(self._random.random() * MAX_LATE_S)
+        until_s = self.believed_until_s(held)
         began_s = holder_clock()
-        if not self._say(do="begin", token=held.token, until=until_s).get("taken"):
+        if not self._report(ActBegun(self.name, held.token, until_s)).is_accepted:
             return
         time.sleep(ACT_S)
-        self._say(
-            do="end", token=held.token, began=began_s, ended=holder_clock(), until=self.believed_until(held)
-        )
-
-
-def until_of(now: float, left_s: float, rate: float) -> float:
-    """The moment until which ``left_s`` of a clock of that rate run; 0 where nothing is left."""
-    return now + left_s / rate if left_s > 0 else 0.0
-
-
-class Late(Candidate):
-    """Believes in its lease for twice the time that it has keepers grant."""
+        ended_s = holder_clock()
+        self._report(ActEnded(self.name, held.token, began_s, ended_s, self.believed_until_s(held)))
 
-    def _accept_request(self, observed_writes: ObservedWrites = ()) -> AcceptRequest:
-        return replace(super()._accept_request(observed_writes), duration_s=self.lease_s / 2)
 
-
-class One(LeaseLimits):
-    """One keeper's word is a majority."""
-
-    __slots__ = ()
-
-    @property
-    def majority(self) -> int:
-        """One of any number: the fault that the judge must find."""
-        return 1
-
-
-class Few(Candidate):
-    """One keeper's word is enough for it."""
-
-    def __init__(self, name: str, lease: str, length_s: float, bounds: LeaseLimits, seed: int) -> None:
-        super().__init__(
-            name, lease, length_s, One(bounds.servers, bounds.max_lease_s, bounds.max_clock_drift), seed
-        )
-
-
-# Candidates that the judge of the processes must find.
-BROKEN: dict[str, type[Candidate]] = {"late": Late, "few": Few}
+def expiry_at(now: float, remaining_s: float, clock_rate: float) -> float:
+    """Return when ``remaining_s`` of a clock of that rate are over; 0 where nothing remains."""
+    return now + remaining_s / clock_rate if remaining_s > 0 else 0.0
 
 
 def main() -> None:
     """See above."""
-    told = json.loads(sys.argv[1])
-    if told["role"] == "keeper":
-        keep(told)
+    options: ServerOptions | CandidateOptions = msgspec.json.decode(
+        sys.argv[1], type=ServerOptions | CandidateOptions
+    )
+    if isinstance(options, ServerOptions):
+        run_server(options)
         return
-
-    def end_with_rig() -> None:
-        while sys.stdin.buffer.read(1024):
-            continue
-        os._exit(0)
-
-    spawn("parent", end_with_rig)
+    spawn("parent", exit_with_rig)
     print("ready", flush=True)
-    Actor(told).run()
+    Actor(options).run()
 
 
 if __name__ == "__main__":
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -20,6 +20,7 @@
 from saffronstack.client import Client
 from saffronstack.core.threads import spawn
 from saffronstack.harness.leases.judge import LeaseJudge
+from saffronstack.harness.leases.peer import CandidateOptions, ServerOptions
 from saffronstack.harness.links import Wires
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.http1.messages import HttpError
@@ -30,6 +31,7 @@
 START_S = 20.0
 SETTLE_S = 15.0
 LOOK_S = 0.1
+PEER = (sys.executable, "-m", "saffronstack.harness.leases.peer")
 
 
 @dataclass
@@ -119,10 +121,10 @@
         if done.returncode:
             raise ScenarioError(done.stderr.decode("utf-8", "replace"))
 
-    def _start(self, name: str, told: dict[str, Any]) -> _Process:
+    def _start(self, name: str, options: ServerOptions | CandidateOptions) -> _Process:
         with open(self._directory / f"{name}.log", "ab") as errors:
             process = subprocess.Popen(
-                [sys.executable, "-m", "saffronstack.harness.leases.peer", json.dumps(told)],
+                [*PEER, msgspec.json.encode(options).decode()],
                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=errors,
             )  # fmt: skip
         assert process.stdout is not None
@@ -139,27 +141,32 @@
         return _Process(name, process)
 
     def _start_keeper(self, name: str) -> None:
-        told = {
-            "role": "keeper", "fleet": str(self._fleet(name)), "name": name, "state": str(self._state(name)),
-            "rate": self._rates[name], "disk": str(self._directory / f"disk-{name}.json"),
-            "trace": str(self._directory / f"trace-{name}.jsonl"),
-        }  # fmt: skip
-        self._keepers[name] = self._start(name, told)
+        options = ServerOptions(
+            fleet=str(self._fleet(name)),
+            name=name,
+            state=str(self._state(name)),
+            clock_rate=self._rates[name],
+            disk_fault=str(self._directory / f"disk-{name}.json"),
+            trace=str(self._directory / f"trace-{name}.jsonl"),
+        )
+        self._keepers[name] = self._start(name, options)
 
     def _start_candidate(self) -> _Process:
         with self._lock:
             number, self._lives = self._lives, self._lives + 1
         name = f"c{number}"
         self._write_fleet(name)
-        told: dict[str, Any] = {
-            "role": "candidate", "fleet": str(self._fleet(name)), "name": name, "lease": LEASE,
-            "resource": self.judge.address, "seed": self._random.randrange(2**31),
-            "rate": 1 + 0.009 * (self._random.random() - 0.5),
-            "steps": str(self._steps(name)),
-        }  # fmt: skip
-        if self._broken:
-            told["broken"] = self._broken
-        return self._start(name, told)
+        options = CandidateOptions(
+            fleet=str(self._fleet(name)),
+            name=name,
+            lease=LEASE,
+            resource=self.judge.address,
+            seed=self._random.randrange(2**31),
+            clock_rate=1 + 0.009 * (self._random.random() - 0.5),
+            clock_steps=str(self._steps(name)),
+            broken=self._broken,
+        )
+        return self._start(name, options)
 
     def status(self, keeper: str) -> dict[str, Any]:
         """A keeper's own page, asked past the relays; empty where it does not answer."""
--- a/saffronstack/harness/leases/rig.py
+++ b/saffronstack/harness/leases/rig.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import json
 import os
 import shutil
 import signal
@@ -15,9 +14,12 @@
 from itertools import pairwise
 from typing import Any
 
+import msgspec
+
 from saffronstack.core.threads import spawn
 from saffronstack.fleet.leases.client import holder_clock
 from saffronstack.harness.leases.disk_faults import damage
+from saffronstack.harness.leases.faulty_environment import DiskFault
 from saffronstack.harness.leases.judge import Judgement
 from saffronstack.harness.leases.processes import LeaseProcesses
 from saffronstack.harness.leases.schedule import Fault
@@ -63,12 +65,12 @@
             raise ScenarioError(self._failed)
         report = Report(self._judged(began_real, ended_real), dict(sorted(self._counted.items())))
         report.seconds = ended_real - began_real
-        beliefs = self.judge.held_between()
+        periods = self.judge.holding_periods()
         for (at, talks), (after, _) in pairwise(self._talk):
             if talks:
                 report.talk_s += after - at
                 report.talk_held_s += sum(
-                    max(0.0, min(after, until) - max(at, since)) for since, until in beliefs
+                    max(0.0, min(after, period.until_s) - max(at, period.since_s)) for period in periods
                 )
         return report
 
@@ -181,9 +183,9 @@
         self._later(fault.length_s, lambda: self._heal(keepers, lambda: self._resume(keepers)))
 
     def _fault_disk(self, fault: Fault, keepers: list[str]) -> None:
-        order = {"full": True} if fault.kind == "disk full" else {"stall_s": 10.0}
+        disk_fault = DiskFault(is_full=True) if fault.kind == "disk full" else DiskFault(stall_s=10.0)
         path = self._directory / f"disk-{keepers[0]}.json"
-        path.write_text(json.dumps(order))
+        path.write_bytes(msgspec.json.encode(disk_fault))
         self._later(fault.length_s, lambda: self._heal(keepers, lambda: path.write_text("{}")))
 
     def _cut_keepers(self, fault: Fault, keepers: list[str]) -> None:
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -1,4 +1,4 @@
-"""Keepers and candidates as processes, with faults between them, and what the judge says of it."""
+"""Lease servers and candidates as processes under faults, and the judge."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 import socket
 import threading
 import time
-from typing import Any
 
 import pytest
 
 from saffronstack.core.threads import spawn
+from saffronstack.harness.leases.faulty_environment import ClockSteps
+from saffronstack.harness.leases.holder_reports import Acquired, ActBegun, ActEnded, Answer
 from saffronstack.harness.leases.judge import LeaseJudge
-from saffronstack.harness.leases.peer import Steps, until_of
+from saffronstack.harness.leases.peer import expiry_at
 from saffronstack.harness.leases.rig import LeaseRig
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
 from saffronstack.harness.links import Mode, Wires
@@ -21,7 +22,7 @@
 
 
 @FLEET
-def test_one_acts_at_a_time_through_faults_of_keepers_candidates_links_and_disks(
+def test_one_holder_acts_at_a_time_through_faults_of_servers_candidates_links_and_disks(
     tmp_path: pathlib.Path,
 ) -> None:
     rig = LeaseRig(tmp_path, seed=5, keepers=5, candidates=6, lease_s=1.2, wait_s=0.4)
@@ -31,7 +32,7 @@
         rig.close()
     told = report.judgement
     assert told.breaches == []
-    assert told.gained >= 4 and told.acts > 50 and sum(report.faults.values()) >= 10, report
+    assert told.acquired >= 4 and told.acts > 50 and sum(report.faults.values()) >= 10, report
     assert report.talk_held_s > 0.4 * report.talk_s > 1.0, report
 
 
@@ -67,14 +68,14 @@
     assert set(shrink(faults, lambda fewer: wanted <= set(fewer), 200)) == wanted
 
 
-def test_a_holder_that_wakes_after_its_lease_says_that_it_holds_no_more() -> None:
+def test_a_holder_that_wakes_after_its_lease_reports_that_it_does_not_hold_it() -> None:
     """Its "until now" stood for a lease that had ended seconds ago, and the judge blamed the next holder."""
-    assert until_of(100.0, 0.995, 0.995) == 101.0 and until_of(100.0, 0.0, 1.0) == 0.0
+    assert expiry_at(100.0, 0.995, 0.995) == 101.0 and expiry_at(100.0, 0.0, 1.0) == 0.0
     judge = LeaseJudge()
-    said(judge, "a", "gained", 1, at=0.0, until=5.0)
-    said(judge, "a", "begin", 1, until=5.0)
-    said(judge, "b", "gained", 2, at=6.0, until=9.0)
-    said(judge, "a", "end", 1, began=4.9, ended=8.0, until=until_of(8.0, 0.0, 1.0))
+    judge.handle(Acquired("a", 1, 0.0, 5.0))
+    judge.handle(ActBegun("a", 1, 5.0))
+    judge.handle(Acquired("b", 2, 6.0, 9.0))
+    judge.handle(ActEnded("a", 1, 4.9, 8.0, expiry_at(8.0, 0.0, 1.0)))
     told = judge.judge(0.0, 10.0)
     assert told.breaches == [] and told.overran == 1
     judge.close()
@@ -82,39 +83,35 @@
 
 def test_a_clock_steps_forward_by_what_the_file_says_and_never_back(tmp_path: pathlib.Path) -> None:
     now = [0.0]
-    steps = Steps(tmp_path / "steps", lambda: now[0])
+    steps = ClockSteps(tmp_path / "steps", lambda: now[0])
     assert steps() == 0.0
     for text, wanted in (("2.5", 2.5), ("", 2.5), ("4", 4.0), ("1", 4.0)):
         (tmp_path / "steps").write_text(text)
-        now[0] += Steps.LOOK_S
+        now[0] += ClockSteps.CHECK_INTERVAL_S
         assert steps() == wanted
 
 
-def said(judge: LeaseJudge, name: str, do: str, token: int, **more: float) -> dict[str, Any]:
-    return judge.heard({"name": name, "do": do, "token": token, **more})
-
-
-def test_the_judge_tells_holders_at_once_older_tokens_and_pauses_apart() -> None:
+def test_the_judge_distinguishes_two_holders_older_tokens_and_pauses() -> None:
     judge = LeaseJudge()
-    said(judge, "a", "gained", 1, at=0.0, until=5.0)
-    assert said(judge, "a", "begin", 1, until=5.0) == {"taken": True}
-    assert said(judge, "a", "end", 1, began=1.0, ended=1.1, until=5.0) == {"taken": True}
+    judge.handle(Acquired("a", 1, 0.0, 5.0))
+    assert judge.handle(ActBegun("a", 1, 5.0)) == Answer(True)
+    assert judge.handle(ActEnded("a", 1, 1.0, 1.1, 5.0)) == Answer(True)
     assert judge.judge(0.0, 10.0).breaches == []
-    said(judge, "b", "gained", 2, at=4.0, until=9.0)
+    judge.handle(Acquired("b", 2, 4.0, 9.0))
     (breach,) = judge.judge(0.0, 10.0).breaches
     assert "a (token 1) holds until 5.000, b (token 2) from 4.000" in breach
     judge.close()
     judge = LeaseJudge()
-    said(judge, "a", "gained", 1, at=0.0, until=5.0)
-    said(judge, "a", "begin", 1, until=5.0)
-    said(judge, "b", "gained", 2, at=6.0, until=9.0)
-    said(judge, "b", "begin", 2, until=9.0)
+    judge.handle(Acquired("a", 1, 0.0, 5.0))
+    judge.handle(ActBegun("a", 1, 5.0))
+    judge.handle(Acquired("b", 2, 6.0, 9.0))
+    judge.handle(ActBegun("b", 2, 9.0))
     # a was stopped in the midst of its act and wakes: its token is refused, and nobody is to blame.
-    assert said(judge, "a", "end", 1, began=4.9, ended=7.0, until=5.0) == {"taken": False}
+    assert judge.handle(ActEnded("a", 1, 4.9, 7.0, 5.0)) == Answer(False)
     told = judge.judge(0.0, 10.0)
-    assert told.breaches == [] and told.refused == 1 and told.longest_free_s == 1.0
-    said(judge, "c", "gained", 2, at=9.5, until=9.6)
-    assert "c and b both gained token 2" in judge.judge(0.0, 10.0).breaches[0]
+    assert told.breaches == [] and told.rejected == 1 and told.longest_free_s == 1.0
+    judge.handle(Acquired("c", 2, 9.5, 9.6))
+    assert "c and b both acquired token 2" in judge.judge(0.0, 10.0).breaches[0]
     judge.close()
 
 
