--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -21,8 +21,8 @@
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
+from tests.support.lease_servers import lease_servers
 from tests.support.stack import Stack, configuration, eventually
-from tests.test_lease_keepers import keepers
 
 SAFFRON = [sys.executable, "-m", "saffronstack.cli.main"]
 TAKEN_OVER = 3  # exit status of a gateway that lost its ledger to a later owner
@@ -112,8 +112,8 @@
         "name": "takeover", "kind": "takeover", "period_s": 0.5, "budget_s": 120,
         "ledgers": str(ledgers), "config": str(path),
     }  # fmt: skip
-    with keepers(tmp_path / "keepers", lease_s=2.0) as lease_servers:
-        shared = lease_servers.file(tasks=[takeover])
+    with lease_servers(tmp_path / "keepers", lease_s=2.0) as servers:
+        shared = servers.file(tasks=[takeover])
         serve = [
             *SAFFRON, "serve", "--config", str(path), "--fleet", shared, "--name", "g1",
             "--log-level", "error",
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -10,7 +10,7 @@
 import pytest
 
 from saffronstack import config as configs
-from saffronstack.cli.tenure import TAKEN_OVER, enter
+from saffronstack.cli.ledger_ownership import TAKEN_OVER_STATUS, own_ledger
 from saffronstack.config.schema import Worker
 from saffronstack.discovery.files.file_reader import read_version as read
 from saffronstack.discovery.files.parsing import WorkerListVersion as Version
@@ -160,17 +160,17 @@
         "ledger": {"directory": "own-ledger"},
         "roster": {"path": "roster.json5", "state_directory": "own-roster"},
     }
-    tenure = enter("", "", str(tmp_path), 5, configs.parse(json.dumps(content)))
-    assert tenure is not None
+    ownership = own_ledger("", "", str(tmp_path), 5, configs.parse(json.dumps(content)))
+    assert ownership is not None
     place = tmp_path / f"place-{5:020d}"
-    found = tenure.config
+    found = ownership.config
     assert found.ledger is not None and found.ledger.directory == str(place)
     assert found.metering is not None and found.metering.directory == str(place / "usage")
     assert found.operations is not None and found.operations.directory == str(place / "operations")
     assert found.roster is not None and found.roster.state_directory == str(place / "roster")
-    tenure.end(clean=True)
+    ownership.close(is_clean=True)
     assert (tmp_path / f"left-{5:020d}").exists()
 
 
 def test_one_that_was_taken_over_ends_with_the_same_status() -> None:
-    assert TAKEN_OVER == 3
+    assert TAKEN_OVER_STATUS == 3
