--- a/saffronstack/cli/rollout_leader.py
+++ b/saffronstack/cli/rollout_leader.py
@@ -30,7 +30,7 @@
     decode_record,
     encode_record,
 )
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 # Exit statuses of a rollout that was led, by the phase in which its leader ended.
 EXIT_STATUS = {RolloutPhase.COMPLETED: 0, RolloutPhase.ROLLED_BACK: 1}
@@ -179,5 +179,5 @@
             except queue.Empty:
                 continue
 
-    spawn("signals", watch)
+    start_thread("signals", watch)
     return stopping
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -24,7 +24,7 @@
 from saffronstack.fleet.control.releases import find_release
 from saffronstack.fleet.http_server import HttpServer, problem
 from saffronstack.fleet.leases.quorum_read import QuorumRead
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.daemon")
 RECONCILE_INTERVAL_S = 0.05
@@ -100,7 +100,7 @@
             gateway.adopt_running(self._stopping)
         if self._fence.is_token_lost:
             log.warning("desired state lost, commands are rejected until lease keepers report the token")
-        self._thread = spawn("daemon", self._run)
+        self._thread = start_thread("daemon", self._run)
         self._lease_observer.start()
         for gateway in self._gateways.values():
             gateway.start_metrics()
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -12,7 +12,7 @@
 from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
 from saffronstack.fleet.control.messages import CONTROL_PATH, ControlRequest, DaemonStatus, GatewayCommand
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import Crew
+from saffronstack.runtime.threads import IdleThreadPool
 
 REQUEST_TIMEOUT_S = 2.5  # a daemon answers within 2 s
 WAIT_MARGIN_S = 0.5
@@ -34,7 +34,7 @@
         self._addresses, self._clock = dict(addresses), clock
         self._sequence = 0
         self._incarnations: dict[str, int] = {}  # of daemons, as last seen
-        self._crew = Crew("daemon-request")
+        self._crew = IdleThreadPool("daemon-request")
         self._answered = threading.Condition()  # guards the answers of a round
 
     def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -9,11 +9,12 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.gateway_process import GatewayProcess
 from saffronstack.fleet.control.messages import STATUS_PATH, GatewayMetrics
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 POLL_INTERVAL_S = 0.5
 POLL_TIMEOUT_S = 1.0
@@ -70,7 +71,7 @@
 
     def start(self) -> None:
         """Start polling."""
-        self._thread = spawn("metrics-poller", self._run)
+        self._thread = start_thread("metrics-poller", self._run)
 
     def stop(self) -> None:
         """Stop polling; ``join`` waits for the poll that is under way."""
--- a/saffronstack/fleet/leases/quorum_read.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -8,12 +8,13 @@
 
 import msgspec
 
-from saffronstack.daemon.members import NoAnswerError, NotSentError, exchange
+from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.leases.errors import ServerResponseError
 from saffronstack.fleet.leases.messages import LeaseValue
 from saffronstack.fleet.leases.reports import LeaseReport
 from saffronstack.http1 import writer
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 JOIN_S = 0.5  # in addition to the timeout of the exchange
 REQUEST_ERRORS = (NotSentError, NoAnswerError, ValueError, msgspec.MsgspecError)
@@ -63,7 +64,7 @@
             errors[server] = str(error) or type(error).__name__
 
     threads = [
-        spawn("read-leases", lambda s=server, a=address: read(s, a))  # type: ignore[misc]
+        start_thread("read-leases", lambda s=server, a=address: read(s, a))  # type: ignore[misc]
         for server, address in addresses.items()
     ]
     deadline_s = time.monotonic() + timeout_s + JOIN_S
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -11,11 +11,11 @@
 
 from saffronstack.config.build import Functions, PlaceNumbers, budgets_of, settings_of, specs_of, workers_of
 from saffronstack.config.schema import Config, Worker
-from saffronstack.daemon.members import Members
+from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
 from saffronstack.durable.segments import Files
-from saffronstack.engine.decision_record import Recorder
+from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
@@ -37,8 +37,9 @@
 from saffronstack.roster.membership import Change
 from saffronstack.roster.service import RosterService
 from saffronstack.roster.watching import Watch
-from saffronstack.workers.fleet import Fleet
-from saffronstack.workers.pool import PoolLimits, UsageJob
+from saffronstack.upstream.http.dispatcher import HttpDispatcher
+from saffronstack.upstream.http.jobs import UsageJob
+from saffronstack.upstream.http.worker_context import HttpPoolLimits
 
 log = structlog.get_logger("saffronstack.gateway")
 REREAD = ("keys", "workers")  # what a reread may change; the rest needs a restart
@@ -55,7 +56,7 @@
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
         files: Files | None = None,
-        members: Members | None = None,
+        members: ProcessGroup | None = None,
         listener: socket.socket | None = None,
     ) -> None:
         """``members``: it is one process of several on one address, and ``config`` its own. ``listener``: a
@@ -65,13 +66,13 @@
         self.config = config
         self._clock, self._wall = clock, wall
         settings = settings_of(config)
-        self._recorder = Recorder(record_to, settings, config.seed) if record_to else None
+        self._recorder = DecisionRecorder(record_to, settings, config.seed) if record_to else None
         self.engine = Engine(
             settings,
             config.seed,
             clock,
             self._recorder,
-            backstop_s=config.answer_margin_s / 2,
+            deadline_grace_s=config.answer_margin_s / 2,
             max_open_calls=config.limits.open_calls,
             log=structlog.get_logger("saffronstack.engine"),
         )
@@ -90,7 +91,7 @@
                 config, self.ledger, self.engine, self.functions, clock, wall, config.seed, self.limits
             )
         self.operations = self._open_operations(files)
-        self.members = members or Members(0, 1, "", clock)
+        self.members = members or ProcessGroup(0, 1, "", clock)
         self.slots = self._share_operations()
         self.pages = Pages(self)
         self.app = self._make_app()
@@ -128,15 +129,15 @@
             offset_s,
         )
 
-    def _make_fleet(self) -> Fleet:
-        limits = PoolLimits(
+    def _make_fleet(self) -> HttpDispatcher:
+        limits = HttpPoolLimits(
             self.config.limits.worker_connections,
             self.config.allow.connect_timeout_s,
             self.config.limits.worker_idle_s,
             self.config.order_timeout_s,
             Limits(body=self.config.limits.response_bytes),
         )
-        return Fleet(limits, self.engine.tell, self._clock, self.meter)
+        return HttpDispatcher(limits, self.engine.notify, self._clock, self.meter)
 
     def _make_app(self) -> App:
         return App(
@@ -224,10 +225,10 @@
         """On the roster's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
         specs = specs_of(changed.entries, self.config, self._numbers)
         gone = [worker_number(name) for name in changed.gone]
-        self.fleet.changed(specs, gone)
+        self.fleet.update_workers(specs, gone)
         if self.meter is not None:
             self.meter.roster(list(specs_of(workers.values(), self.config, self._numbers)))
-        self.engine.change_workers(specs, gone, self._wall())
+        self.engine.update_workers(specs, gone, self._wall())
 
     def _share_operations(self) -> Slots | None:
         """Where several processes serve one address, each runs the operations of the slots it holds."""
@@ -254,7 +255,7 @@
         return f"{host}:{port}"
 
     def _ask_usage(self, worker: int, body: bytes, done: Callable[[bytes | None], None]) -> None:
-        self.fleet.ask_usage(worker, UsageJob(body, done))
+        self.fleet.poll_usage(worker, UsageJob(body, done))
 
     def _memory_kib(self, worker: WorkerSpec) -> int:
         return int(self.config.kinds[worker.kind].memory_mb * 1024)
@@ -265,11 +266,11 @@
         if self.roster is not None:
             listed = self.roster.start(self._clock())
             specs = specs_of(listed.values(), self.config, self._numbers)
-        self.fleet.told(specs)
+        self.fleet.replace_workers(specs)
         if self.meter is not None:
             self.meter.roster(list(specs))
             self.meter.start()
-        self.engine.update_workers(specs, self._wall())
+        self.engine.replace_workers(specs, self._wall())
         self.engine.start(self.fleet)
         if self.roster is not None:
             self._watch.start()
@@ -280,7 +281,7 @@
             self.deferred.start()
         if self.peers is not None:
             self.peers.start()
-            self.members.publish(self._peer_address())
+            self.members.publish_address(self._peer_address())
         if self.slots is not None:
             self.slots.start()
         self.server.start()
@@ -304,10 +305,10 @@
             self.roster.static(config.workers)
             return left
         specs = workers_of(config, self._numbers)
-        self.fleet.told(specs)
+        self.fleet.replace_workers(specs)
         if self.meter is not None:
             self.meter.roster(list(specs))
-        self.engine.update_workers(specs, self._wall())
+        self.engine.replace_workers(specs, self._wall())
         return left
 
     def stop(self) -> bool:
@@ -329,7 +330,7 @@
             clean = self.operations.stop() and clean
         if self.meter is not None:
             clean = self.meter.stop() and clean
-        self.fleet.end()
+        self.fleet.stop()
         if self.ledger is not None:
             clean = self.ledger.close() and clean
         if self._recorder is not None:
--- a/saffronstack/harness/rollout/fleet_watcher.py
+++ b/saffronstack/harness/rollout/fleet_watcher.py
@@ -9,7 +9,7 @@
 
 from saffronstack.audit.traffic import Stopped
 from saffronstack.fleet.control.messages import GatewayStatus
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 POLL_INTERVAL_S = 0.1
 JOIN_TIMEOUT_S = 30.0
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         """Start to watch."""
-        self._thread = spawn("fleet-watcher", self._run)
+        self._thread = start_thread("fleet-watcher", self._run)
 
     def stop(self) -> None:
         """Stop to watch, and wait for the thread."""
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -25,7 +25,7 @@
 from saffronstack.harness.rollout.rig_layout import RigLayout, RigSizes
 from saffronstack.harness.rollout.sample_releases import write_release
 from saffronstack.harness.scenario.processes import ScenarioError
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
 
@@ -120,11 +120,11 @@
         assert process.stdout is not None
         output = process.stdout
         first_lines: list[bytes] = []
-        reader = spawn("first-line", lambda: first_lines.append(output.readline()))
+        reader = start_thread("first-line", lambda: first_lines.append(output.readline()))
         reader.join(START_TIMEOUT_S)
         if not first_lines or not first_lines[0]:
             raise ScenarioError(f"{name} did not start; see {self.layout.log_path(name)}")
-        spawn("drain-output", lambda: [None for _ in output])
+        start_thread("drain-output", lambda: [None for _ in output])
 
     def start_keeper(self, name: str) -> None:
         """Start a lease keeper, for the first time or again."""
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -19,7 +19,7 @@
 from saffronstack.harness.rollout.process_rig import SAFFRONSTACK, RolloutRig
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 NOT_STARTED = 2  # exit status of a plan that can't be started
 POLL_INTERVAL_S = 0.1
@@ -127,13 +127,13 @@
         """Play it to its end, and judge it."""
         started_s = time.monotonic()
         is_over = threading.Event()
-        traffic = spawn("traffic", lambda: self._play_clients(is_over))
+        traffic = start_thread("traffic", lambda: self._play_clients(is_over))
         self._watcher.start()
         for number in range(self._options.standby_leaders):
             self._rig.start(f"leader-{number}", "rollout", "lead", "--fleet", self._fleet_path)
         time.sleep(self._options.quiet_s)
         leader = self._start_rollout()
-        faults = spawn("faults", self._cause_faults)
+        faults = start_thread("faults", self._cause_faults)
         self._wait_for_end(leader)
         faults.join(FAULTS_JOIN_S)
         elapsed_s = time.monotonic() - started_s
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -18,7 +18,7 @@
 from saffronstack.durable.journal import Codec, Journal, JournalError, Ticket, read_back
 from saffronstack.durable.runs import RunDamagedError
 from saffronstack.durable.segments import Files
-from saffronstack.engine.calls import AttemptEnd
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.metering.account import Account, Bounds
@@ -46,7 +46,7 @@
     wire,
 )
 from saffronstack.routing.events import Result
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.threads import start_thread
 
 ASK_EVERY_S = 1.0
 INVITE_EVERY_S = 0.1  # records come with an answer this often; reading them on each costs a fifth of the rate
@@ -150,7 +150,7 @@
 
     def start(self) -> None:
         """Start the thread. Records that were counted but never confirmed are acknowledged again."""
-        spawn("meter", self._run)
+        start_thread("meter", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
         """Take what is queued, write it, end; whether that was in time."""
@@ -171,22 +171,22 @@
 
     # ---- from the workers' threads
 
-    def invite(self, worker: int) -> str:
+    def gateway_name_for(self, worker_id: int) -> str:
         """The name by which a worker may give records with its answer; empty where it just gave some."""
         now = self._clock()
-        if now - self._invited.get(worker, -1e9) < INVITE_EVERY_S:
+        if now - self._invited.get(worker_id, -1e9) < INVITE_EVERY_S:
             return ""
-        self._invited[worker] = now
+        self._invited[worker_id] = now
         return self.journal.state.gateway
 
-    def heard(self, worker: WorkerSpec, text: str) -> None:
+    def on_usage_records(self, worker: WorkerSpec, text: str) -> None:
         """The usage header of an answer."""
         if self._queue.qsize() > QUEUE_MOST:
             self.dropped += 1
             return
         self._queue.put(lambda: self._header(worker, text))
 
-    def ended(self, end: AttemptEnd) -> None:
+    def on_attempt_end(self, end: AttemptResult) -> None:
         """An attempt's end: one that may have run and brought no answer is charged until its record comes."""
         outcome = end.outcome
         if outcome.result in LOST:
@@ -195,7 +195,9 @@
         elif outcome.result in ANSWERED:
             call = end.call
             gross = int(call.function.memory_mb * 1024) * int(outcome.elapsed_s * 1e6)
-            told = 0 < end.held <= TOLD_MOST * gross  # else it does not say, or can't be believed
+            told = (
+                0 < end.memory_time_kib_us <= TOLD_MOST * gross
+            )  # else it does not say, or can't be believed
             self._answered_calls.note(
                 outcome.worker_id,
                 AnsweredCall(
@@ -204,7 +206,7 @@
                     call.tenant_name,
                     call.class_name,
                     call.function.name,
-                    end.held if told else gross,
+                    end.memory_time_kib_us if told else gross,
                     told,
                     end.incarnation,
                 ),
@@ -303,7 +305,7 @@
         self.refused += 1
         log.warning("usage refused", worker=worker, why=why)
 
-    def _lost(self, end: AttemptEnd, now: float, wall: float) -> None:
+    def _lost(self, end: AttemptResult, now: float, wall: float) -> None:
         """Charge it until its worker says more. A connection that never told its worker's life was to the one
         that is known; without any, nothing there was ever charged."""
         call, outcome = end.call, end.outcome
@@ -323,7 +325,7 @@
                 wall,
                 self.steady(now),
                 memory_kib,
-                spec.lanes,
+                spec.concurrency,
             )
         )
 
@@ -381,7 +383,7 @@
             finally:
                 self._merging.clear()
 
-        spawn("merge", merge)
+        start_thread("merge", merge)
 
     def _ask_all(self) -> None:
         self._merge_runs()
--- /dev/null
+++ b/saffronstack/upstream/multiplexed/connection_pool.py
@@ -0,0 +1,139 @@
+"""The multiplexed connections to one worker, and the choice among them."""
+
+from __future__ import annotations
+
+import math
+import threading
+from collections.abc import Callable
+
+from saffronstack.engine.worker_registry import WorkerSpec
+from saffronstack.upstream.multiplexed.connection import ConnectionContext, MultiplexedConnection
+from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
+from saffronstack.upstream.multiplexed.exchange import PendingExchange
+
+MAX_SUBMIT_TRIES = 8  # a connection may close between its choice and the sending
+
+
+class MultiplexedPool:
+    """The connections to one worker, opened as exchanges need them.
+
+    Exchanges are submitted by the decision thread alone; connections leave on the read loop's thread.
+    """
+
+    def __init__(
+        self,
+        spec: WorkerSpec,
+        context: ConnectionContext,
+        budget: ConnectionBudget,
+        close_idle_connection: Callable[[], None],
+    ) -> None:
+        """Create a pool without connections.
+
+        Args:
+            spec: The worker.
+            context: What all connections share.
+            budget: Bounds the connections to all workers together.
+            close_idle_connection: Closes an unused connection to any worker; called at the limit.
+        """
+        self.spec = spec
+        self.worker_id = spec.number
+        self.name = spec.name
+        self.is_closed = spec.is_draining  # nothing new is sent, whatever was queued
+        self.max_connections = 1
+        self._context = context
+        self._budget = budget
+        self._close_idle_connection = close_idle_connection
+        self._lock = threading.Lock()  # guards the list of connections
+        self._connections: list[MultiplexedConnection] = []
+        self.succeeded = 0  # attempts; written by the read loop's thread
+        self.failed = 0  # attempts that ended in an error, or without a response
+
+    @property
+    def in_flight(self) -> int:
+        """Exchanges in flight on all connections."""
+        return sum(connection.in_flight for connection in self.connections)
+
+    @property
+    def unresponsive_s(self) -> float:
+        """How long, in seconds, nothing was received on any connection while an exchange waits.
+
+        Establishing a connection counts as receiving; 0 where no exchange waits.
+        """
+        connections = self.connections
+        oldest_s = min((connection.oldest_submitted_s for connection in connections), default=math.inf)
+        last_received_s = max((connection.last_received_s for connection in connections), default=0.0)
+        return max(0.0, self._context.clock() - max(oldest_s, last_received_s))
+
+    @property
+    def connections(self) -> list[MultiplexedConnection]:
+        """The connections as they are now, the latest opened last."""
+        with self._lock:
+            return list(self._connections)
+
+    def update(self, spec: WorkerSpec) -> None:
+        """Take a changed entry of the endpoint list."""
+        self.spec = spec
+        self.is_closed = spec.is_draining
+
+    def submit(self, exchange: PendingExchange) -> bool:
+        """Send an exchange on an idle connection, a new one, or the one with the fewest in flight.
+
+        What breaks a connection breaks all that is in flight on it, so attempts share one only where no
+        further connection may be opened.
+
+        Returns:
+            False where no connection is available: nothing was sent.
+        """
+        for _ in range(MAX_SUBMIT_TRIES):
+            connection = self._choose(exchange.tag)
+            if connection is None:
+                return False
+            if connection.submit(exchange):
+                return True
+        return False
+
+    def post(self, data: bytes) -> bool:
+        """Send bytes that have no response on any connection; return False where none accepts them."""
+        return any(connection.post(data) for connection in self.connections)
+
+    def _choose(self, tag: str) -> MultiplexedConnection | None:
+        best: MultiplexedConnection | None = None
+        for connection in reversed(self.connections):
+            if connection.can_accept(tag):
+                if not connection.in_flight:
+                    return connection
+                if best is None or connection.in_flight < best.in_flight:
+                    best = connection
+        if best is None or len(self._connections) < self.max_connections:
+            best = self._open(is_required=best is None) or best
+        return best
+
+    def _open(self, is_required: bool) -> MultiplexedConnection | None:
+        """Open a connection; None where the budget is spent, unless one is required, or no thread starts."""
+        if not self._budget.try_acquire():
+            self._close_idle_connection()
+            if not is_required:
+                return None
+            self._budget.acquire_over_limit()
+        address = self.spec.host, self.spec.port
+        connection = MultiplexedConnection(address, self._context, self._on_connection_closed)
+        with self._lock:
+            self._connections.append(connection)
+        try:
+            connection.start()
+        except RuntimeError:  # the system has no more threads
+            self._on_connection_closed(connection)
+            return None
+        return connection
+
+    def _on_connection_closed(self, connection: MultiplexedConnection) -> None:
+        with self._lock:
+            if connection in self._connections:
+                self._connections.remove(connection)
+        self._budget.release()
+
+    def stop(self) -> None:
+        """Send nothing new; connections close once nothing is in flight on them."""
+        self.is_closed = True
+        for connection in self.connections:
+            connection.close_gracefully()
--- a/tests/test_read_loop.py
+++ b/tests/net/test_read_loop.py
@@ -11,7 +11,7 @@
 import pytest
 
 from saffronstack.net.read_loop import ReadLoop
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.standin.platform import Directory, Entry
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 
@@ -35,10 +35,10 @@
             self.heard.put(bytes(view[:came]))
         return came > 0
 
-    def on_tick(self, now: float) -> bool:
+    def on_tick(self, now_s: float) -> bool:
         return self.lives
 
-    def on_end(self) -> None:
+    def on_released(self) -> None:
         self.sock.close()
         self.heard.put(None)
 
@@ -51,7 +51,7 @@
     """A reader whose clock passes a second at each look, and its log."""
     told = io.StringIO()
     now = iter(range(10**9))
-    reader = ReadLoop(lambda: float(next(now)), PlainLog("test", told))
+    reader = ReadLoop(lambda: float(next(now)), KeyValueLogger("test", told))
     reader.start()
     yield reader, told
     assert reader.stop()
@@ -85,7 +85,7 @@
 
 
 def test_a_stop_ends_all_that_is_held_and_takes_nothing_more() -> None:
-    reader = ReadLoop(lambda: 0.0, PlainLog("test", io.StringIO()))
+    reader = ReadLoop(lambda: 0.0, KeyValueLogger("test", io.StringIO()))
     reader.start()
     pairs = [socket.socketpair() for _ in range(2)]
     held, late = (Fake(far) for _, far in pairs)
@@ -105,13 +105,13 @@
     with gateway(directory, sockets=512) as service:
         client = Client(service.front.address)
         subject = 0
-        while service.hosts.links < 30:
+        while service.hosts.connection_count < 30:
             subject += 1
             assert subject < 2000 and client.ask(subject=subject)[0] == "OK"
         named = [thread.name for thread in threading.enumerate()]
-        assert named.count("link") <= 1, named  # one that still connects
+        assert named.count("upstream-connect") <= 1, named  # one that still connects
         client.sock.close()
-    assert service.hosts.links == 0
+    assert service.hosts.connection_count == 0
     for host in hosts:
         host.close()
 
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -9,10 +9,11 @@
 import pytest
 
 from saffronstack import Settings
-from saffronstack.engine import decision_record as record
 from saffronstack.engine import decision_record_format as record_format
-from saffronstack.engine.decision_record import Recorder, replay
 from saffronstack.engine.decision_record_format import action_from_tagged, event_from_tagged, from_stored
+from saffronstack.engine.decision_record_stream import read_values
+from saffronstack.engine.decision_recorder import DecisionRecorder
+from saffronstack.engine.decision_replay import ReplayResult, replay_decisions
 from tests.stored_formats.stored_files import DATA, record_values
 
 RECORDED = DATA / "decision_record"
@@ -52,7 +53,7 @@
     """Read the values into the present types and record these: the one place that knows their names."""
     head = msgspec.msgpack.decode(values[0])
     settings = from_stored(head["settings"], Settings)
-    recorder = Recorder(str(path), settings, head["seed"])
+    recorder = DecisionRecorder(str(path), settings, head["seed"])
     for value in values[1:]:
         now, event, actions = msgspec.msgpack.decode(value)
         recorder.record(now, event_from_tagged(event), [action_from_tagged(action) for action in actions])
@@ -69,14 +70,14 @@
 @pytest.mark.parametrize("name", RECORDS)
 def test_the_product_reads_the_same_values(name: str) -> None:
     with (RECORDED / name).open("rb") as file:
-        assert list(record._values(file)) == record_values(RECORDED / name)
+        assert list(read_values(file)) == record_values(RECORDED / name)
 
 
 def test_a_record_of_real_decisions_replays() -> None:
     decisions = decoded_values("replayable.record")[1:]
     events, actions = len(decisions), sum(len(recorded) for _, _, recorded in decisions)
     assert events > 300 and actions > 300
-    assert replay(str(RECORDED / "replayable.record")) == (events, actions)
+    assert replay_decisions(str(RECORDED / "replayable.record")) == ReplayResult(events, actions)
 
 
 def test_the_kept_record_holds_every_kind_of_event_and_action() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,8 +12,8 @@
 from saffronstack.directory import resolver as module
 from saffronstack.directory.membership import Change, Membership, take_known
 from saffronstack.directory.resolver import JITTER, Resolver
-from saffronstack.runtime.logs import PlainLog
-from saffronstack.runtime.threads import spawn
+from saffronstack.runtime.logs import KeyValueLogger
+from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.platform import Directory, Entry, dns_answer
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 from tests.support.stack import eventually
@@ -32,7 +32,7 @@
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
         self.address: tuple[str, int] = self._sock.getsockname()
-        spawn("server", self._run)
+        start_thread("server", self._run)
 
     def _run(self) -> None:
         while True:
@@ -57,7 +57,7 @@
         self.membership = Membership(["east"], ["std"])
         self.log = io.StringIO()
         self.resolver = Resolver(
-            self.membership, NAME, server, self._apply, PlainLog("test", self.log), every_s=every_s,
+            self.membership, NAME, server, self._apply, KeyValueLogger("test", self.log), every_s=every_s,
             timeout_s=every_s, seed=1,
         )  # fmt: skip
 
@@ -206,7 +206,11 @@
     pools = {2**32 - 1: pool, 0: gone, 1: more}
     events = [{"rev": serial, "pool": pool} for serial, pool in pools.items()]
     change = take_known(client.membership, {"rev": 1, "notices": events})
-    assert {spec.name: spec.draining for spec in change.changed} == {"s-1": False, "s-2": True, "s-3": False}
+    assert {spec.name: spec.is_draining for spec in change.changed} == {
+        "s-1": False,
+        "s-2": True,
+        "s-3": False,
+    }
     assert client.membership.serial == 1
     query = b"\0\7\1\0\0\1\0\0\0\0\0\0" + dns_query_name()
     assert not client.resolver.apply(dns_answer(query, 2**32 - 1, LIST), [7])
@@ -219,7 +223,7 @@
     take_known(client.membership, {"rev": 41, "notices": [{"rev": 41, "pool": pool}]})
     query = b"\0\7\1\0\0\1\0\0\0\0\0\0" + dns_query_name()
     assert not client.resolver.apply(dns_answer(query, 40, LIST), [7])
-    assert [spec.draining for spec in client.membership.specs] == [True]
+    assert [spec.is_draining for spec in client.membership.specs] == [True]
 
 
 @pytest.mark.parametrize("refused", [True, False])
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -18,7 +18,7 @@
 from saffronstack.platform.connection import ClientConnection
 from saffronstack.platform.service import Service
 from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits, limits_for
-from saffronstack.runtime.logs import PlainLog
+from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.standin.platform import Directory, Entry
 from tests.helpers import settings
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, config_text, echo, gateway
@@ -132,7 +132,7 @@
         (connection,) = service.front._connections.values()
         connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
         tags = [client.call(subject=place, body=b"y" * 16384) for place in range(1, 25)]
-        eventually(lambda: connection._write_buffer.waiting and not service.front.open_calls)
+        eventually(lambda: connection._write_buffer.has_pending and not service.front.open_calls)
         looked = looks(monkeypatch)
         thread, ended = stopping(service)
         for _ in range(20):
@@ -244,15 +244,15 @@
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
-        self.queue: Any = engine._queue
+        self.queue: Any = engine._messages
         self.stopper = threading.Thread(target=engine.stop)
 
     def put(self, item: object) -> None:
         if isinstance(item, Call):
             self.stopper.start()
-            lock = getattr(self.engine, "_submitting", None)
+            lock = getattr(self.engine, "_submit_lock", None)
             if lock is None or not lock.locked():  # taking a call and stopping are not one step
-                assert self.engine._stopped.wait(WAIT_S)
+                assert self.engine._loop.stopped.wait(WAIT_S)
         self.queue.put(item)
 
     def __getattr__(self, name: str) -> Any:
@@ -270,12 +270,12 @@
     engine = Engine(settings(), 1, lambda: 100.0)
     engine.start(NoWorkers())
     interposed = Interposed(engine)
-    engine._queue = interposed  # type: ignore[assignment]
+    engine._messages = interposed  # type: ignore[assignment]
     call = Call(1, "0" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0)
     taken = engine.submit(call)
     interposed.stopper.join(WAIT_S)
-    assert engine._stopped.is_set()
-    assert taken and call.settled
+    assert engine._loop.stopped.is_set()
+    assert taken and call.is_finished
     assert not engine.submit(Call(2, "1" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0))
 
 
@@ -300,7 +300,7 @@
     path.write_bytes(other_customer(config_text(directory.address, directory.entries), moved.address))
     with gateway(directory) as service:
         log = io.StringIO()
-        service._log = PlainLog("test", log)
+        service._log = KeyValueLogger("test", log)
         in_force = service.config
         client = Client(service.front.address)
         before = client.call(subject=1)
@@ -340,7 +340,7 @@
     path.write_bytes(BAD_FILES[kind])
     with gateway(Directory(Entry("s-1", host.address))) as service:
         log = io.StringIO()
-        service._log = PlainLog("test", log)
+        service._log = KeyValueLogger("test", log)
         assert not service.reread(str(path))
         assert str(path) in log.getvalue() and "can't be used" in log.getvalue()
         assert Client(service.front.address).ask() == ("OK", b"x")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -341,7 +341,7 @@
 
             service.engine.inspect(look)
             assert done.wait(WAIT_S)
-        assert looked and not any(looked) and not service.hosts.out
+        assert looked and not any(looked) and not service.hosts.in_flight
         assert beliefs.looks == 50 and not beliefs._open and not beliefs.tallies
 
 
@@ -351,12 +351,12 @@
     host = ScriptedHost()
     directory = Directory(Entry("s-0", host.address))
     with gateway(directory) as service:
-        router, engine = service.engine._router, service.engine
+        router, engine = service.engine._loop.router, service.engine
 
         def known() -> int:
             tables: list[Any] = [*router_tables(router)]
             tables += [service.front._connections, service.front.ids]
-            tables += [service.hosts._pools, service.hosts._out, service.membership._held]
+            tables += [service.hosts._pools, service.hosts._exchanges, service.membership._held]
             return sum(map(len, tables))
 
         for place in range(1, many + 1):
@@ -381,7 +381,7 @@
         engine.inspect(sweep)  # on the thread that owns it
         assert swept.wait(WAIT_S)
         assert len(router.functions) == 0 and len(router.workers) <= 2
-        assert known() <= 20 and len(engine._functions) <= 4096
+        assert known() <= 20 and len(engine._loop.state.functions) <= 4096
 
 
 def _listed(entry: Entry) -> Any:
--- a/tests/test_workers.py
+++ b/tests/upstream/http/test_dispatcher.py
@@ -11,11 +11,12 @@
 
 import pytest
 
-from saffronstack.engine.calls import AttemptEnd, Call, FunctionSpec, OrderEnd, WorkerSeen
+from saffronstack.engine.calls import Call, FunctionSpec
+from saffronstack.engine.dispatch import AttemptResult, CommandResult, WorkerObservation
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.routing.events import CacheStatus, Result
-from saffronstack.workers.fleet import Fleet
-from saffronstack.workers.pool import PoolLimits
+from saffronstack.upstream.http.dispatcher import HttpDispatcher
+from saffronstack.upstream.http.worker_context import HttpPoolLimits
 
 SPEC = FunctionSpec("f", 5, 0, 64.0)
 Script = Callable[[socket.socket], None]
@@ -85,9 +86,9 @@
     time.sleep(1.0)
 
 
-def told(port: int, ends: queue.SimpleQueue[object], **limits: float) -> Fleet:
-    fleet = Fleet(PoolLimits(**limits), ends.put, time.monotonic)  # type: ignore[arg-type]
-    fleet.told([WorkerSpec(9, "w", "127.0.0.1", port)])
+def told(port: int, ends: queue.SimpleQueue[object], **limits: float) -> HttpDispatcher:
+    fleet = HttpDispatcher(HttpPoolLimits(**limits), ends.put, time.monotonic)  # type: ignore[arg-type]
+    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", port)])
     return fleet
 
 
@@ -95,10 +96,10 @@
     return Call(number, f"id-{number}", SPEC, b"", time.monotonic() + left_s)
 
 
-def end_of(ends: queue.SimpleQueue[object]) -> AttemptEnd:
+def end_of(ends: queue.SimpleQueue[object]) -> AttemptResult:
     while True:
         item = ends.get(timeout=5)
-        if isinstance(item, AttemptEnd):
+        if isinstance(item, AttemptResult):
             return item
 
 
@@ -133,11 +134,11 @@
     fleet.send(made, 0, 9, 0.0)
     end = end_of(ends)
     assert end.outcome.result is result
-    assert end.outcome.is_final == made.settled == (result is Result.OK)
+    assert end.outcome.is_final == made.is_finished == (result is Result.OK)
     if result is Result.OK:
         assert (end.outcome.cache_status, end.outcome.concurrency) == (CacheStatus.WARM, 3)
     assert worker.requests == 1
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -150,7 +151,7 @@
     assert end_of(ends).outcome.result is Result.CONNECT_FAILED
     fleet.send(call(2), 0, 77, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED  # on no list
-    fleet.end()
+    fleet.stop()
 
 
 def test_what_is_no_longer_wanted_is_not_sent() -> None:
@@ -162,25 +163,25 @@
     assert end_of(ends).outcome.result is Result.NOT_STARTED
 
     class Never:
-        def may_send(self, attempt: int, worker: int) -> bool:
+        def may_send(self, attempt: int, worker_id: int) -> bool:
             return False
 
     guarded = call(2)
     guarded.guard = Never()
     fleet.send(guarded, 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED
-    fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port, draining=True)])
+    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", worker.port, is_draining=True)])
     fleet.send(call(3), 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.NOT_STARTED
-    fleet.load(9, SPEC, 2)
+    fleet.load_function(9, SPEC, 2)
     order = ends.get(timeout=5)
-    assert isinstance(order, OrderEnd)
+    assert isinstance(order, CommandResult)
     assert order.result is Result.AT_CAPACITY
     assert worker.requests == 0
-    fleet.told([WorkerSpec(9, "w", "127.0.0.1", worker.port)])
+    fleet.replace_workers([WorkerSpec(9, "w", "127.0.0.1", worker.port)])
     fleet.send(call(4), 0, 9, 0.0)
     assert end_of(ends).outcome.result is Result.OK
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -196,7 +197,7 @@
     fleet.cancel(made, 0)
     assert end_of(ends).outcome.result is Result.CANCELLED
     assert time.monotonic() - start < 0.9
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -209,7 +210,7 @@
     first = end_of(ends)
     assert (first.call.number, first.outcome.result) == (2, Result.AT_CAPACITY)
     assert end_of(ends).outcome.result is Result.TIMEOUT
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -222,7 +223,7 @@
         assert end_of(ends).outcome.result is Result.OK
         time.sleep(0.02)
     assert worker.connections == worker.requests == 5
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -235,7 +236,7 @@
         assert end_of(ends).outcome.result is Result.OK
         time.sleep(0.02)
     assert worker.connections == 3
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
 
 
@@ -251,17 +252,17 @@
 
     worker = Scripted(script)
     fleet = told(worker.port, ends)
-    heard: list[WorkerSeen] = []
+    heard: list[WorkerObservation] = []
     for number in range(1, 4):
         fleet.send(call(number), 0, 9, 0.0)
         item = ends.get(timeout=5)
-        if isinstance(item, WorkerSeen):
+        if isinstance(item, WorkerObservation):
             heard.append(item)
             item = ends.get(timeout=5)
-        assert isinstance(item, AttemptEnd)
+        assert isinstance(item, AttemptResult)
         assert (item.outcome.concurrency, item.outcome.load_report) == (None, None)
-    assert heard == [WorkerSeen(9, "a", 1.5), WorkerSeen(9, "b", 1.5)]
-    fleet.end()
+    assert heard == [WorkerObservation(9, "a", 1.5), WorkerObservation(9, "b", 1.5)]
+    fleet.stop()
     worker.listener.close()
 
 
@@ -284,17 +285,19 @@
     found = []
     for copies in (2, 3, 0, 1):
         if copies:
-            fleet.load(9, SPEC, copies)
+            fleet.load_function(9, SPEC, copies)
         else:
-            fleet.probe(9)
+            fleet.check_health(9)
         end = ends.get(timeout=5)
-        assert isinstance(end, OrderEnd)
-        found.append((end.result, end.copies, end.report.requests_in_flight if end.report else None))
+        assert isinstance(end, CommandResult)
+        found.append(
+            (end.result, end.instances, end.load_report.requests_in_flight if end.load_report else None)
+        )
     assert found == [
         (Result.OK, 2, None),
         (Result.AT_CAPACITY, 1, None),
         (Result.OK, 0, 4.0),
         (Result.ERROR, 0, None),
     ]
-    fleet.end()
+    fleet.stop()
     worker.listener.close()
