--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -257,10 +257,10 @@
         click.echo(str(error), err=True)
         return UNUSABLE
     addresses = {one.name: one.address for one in fleet.daemons}
-    found = merge_answers(poll_daemons(addresses, fleet.wait_s))
-    show(fleet, found, as_json)
-    is_settled = all(one.desired_release == one.running_release for one in found.gateways.values())
-    return 0 if is_settled and not found.unavailable else NOT_AS_DESIRED
+    polled = merge_answers(poll_daemons(addresses, fleet.wait_s))
+    show(fleet, polled, as_json)
+    is_settled = all(one.desired_release == one.running_release for one in polled.gateways.values())
+    return 0 if is_settled and not polled.unavailable else NOT_AS_DESIRED
 
 
 def show(fleet: FleetFile, status: FleetStatus, as_json: bool) -> None:
--- a/saffronstack/cli/rollout_leader.py
+++ b/saffronstack/cli/rollout_leader.py
@@ -87,11 +87,11 @@
 
 def _fleet_problems(daemons: DaemonClient, plan: RolloutPlan) -> list[str]:
     """Return the daemons that do not answer, and the gateways that do not run the plan's base."""
-    found = merge_answers(daemons.poll())
-    silent = [f"fleet: daemon {name} gives no answer: {why}" for name, why in found.unavailable.items()]
+    polled = merge_answers(daemons.poll())
+    silent = [f"fleet: daemon {name} gives no answer: {why}" for name, why in polled.unavailable.items()]
     return silent + [
         f"fleet: {name} runs {status.running_release or 'nothing'}, not {plan.base_digest}"
-        for name, status in found.gateways.items() if status.running_release != plan.base_digest
+        for name, status in polled.gateways.items() if status.running_release != plan.base_digest
     ]  # fmt: skip
 
 
--- a/saffronstack/fleet/control/desired_state.py
+++ b/saffronstack/fleet/control/desired_state.py
@@ -58,15 +58,15 @@
             checksum, content = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
             if xxhash.xxh3_128_digest(content) != checksum:
                 return None
-            found = msgspec.msgpack.decode(content, type=DesiredState)
+            stored = msgspec.msgpack.decode(content, type=DesiredState)
         except (OSError, msgspec.MsgspecError):
             return None
-        if (found.fleet, found.daemon) != (self._fleet, self._daemon):
+        if (stored.fleet, stored.daemon) != (self._fleet, self._daemon):
             raise ForeignDesiredStateError(
-                f"{self.path}: is that of daemon {found.daemon!r} of fleet {found.fleet!r}, "
+                f"{self.path}: is that of daemon {stored.daemon!r} of fleet {stored.fleet!r}, "
                 f"not of {self._daemon!r} of {self._fleet!r}"
             )
-        return found
+        return stored
 
     def write(self, state: DesiredState) -> None:
         """Replace the stored state; it is on the disk when this returns.
--- a/saffronstack/fleet/control/process_discovery.py
+++ b/saffronstack/fleet/control/process_discovery.py
@@ -21,24 +21,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _FoundProcess:
+class _MarkedProcess:
     started_ticks: int
     process: GatewayProcess
 
 
 def find_processes(mark: str) -> list[GatewayProcess]:
     """Return this user's processes that carry a mark, the newest last."""
-    found: list[_FoundProcess] = []
+    marked: list[_MarkedProcess] = []
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit() or int(entry.name) == os.getpid():
             continue
         one = _read_process(entry, f"{OWNER_VARIABLE}={mark}/".encode())
         if one is not None:
-            found.append(one)
-    return [one.process for one in sorted(found, key=lambda one: one.started_ticks)]
+            marked.append(one)
+    return [one.process for one in sorted(marked, key=lambda one: one.started_ticks)]
 
 
-def _read_process(entry: os.DirEntry[str], prefix: bytes) -> _FoundProcess | None:
+def _read_process(entry: os.DirEntry[str], prefix: bytes) -> _MarkedProcess | None:
     """Return a process whose environment has a variable with this prefix, which its release follows."""
     try:
         if entry.stat().st_uid != os.geteuid():
@@ -52,7 +52,7 @@
         release = next(one[len(prefix) :].decode() for one in variables if one.startswith(prefix))
         fields = pathlib.Path(entry.path, "stat").read_text().rpartition(")")[2].split()
         process = GatewayProcess(int(entry.name), release, pidfd, None)
-        return _FoundProcess(int(fields[START_TIME_FIELD]), process)
+        return _MarkedProcess(int(fields[START_TIME_FIELD]), process)
     except (OSError, StopIteration, ValueError, IndexError):
         os.close(pidfd)  # it has ended, or has no such mark
         return None
--- a/saffronstack/fleet/control/releases.py
+++ b/saffronstack/fleet/control/releases.py
@@ -85,8 +85,8 @@
         raise UnusableReleaseError(f"{path / MANIFEST_NAME}: a release has a version and a command")
     release = Release(version=manifest.version, digest=digest, formats=manifest.formats)
     command = tuple(
-        word.replace("{python}", sys.executable).replace("{release}", str(path.resolve()))
-        for word in manifest.command
+        argument.replace("{python}", sys.executable).replace("{release}", str(path.resolve()))
+        for argument in manifest.command
     )
     return InstalledRelease(str(path), release, command)
 
@@ -100,7 +100,7 @@
     """
     for entry in sorted(pathlib.Path(root).iterdir()) if pathlib.Path(root).is_dir() else ():
         if (entry / MANIFEST_NAME).is_file():
-            found = read_release(str(entry))
-            if found.release.digest == digest:
-                return found
+            installed = read_release(str(entry))
+            if installed.release.digest == digest:
+                return installed
     raise UnusableReleaseError(f"{root}: no release has the digest {digest}")
--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -127,7 +127,7 @@
         except HttpError as error:
             self._answer_error(stream, error)
         except (OSError, PeerClosed):
-            pass  # the peer has left, or sends nothing more
+            return  # the peer has left, or sends nothing more
         except Exception:
             log.exception("connection thread failed")
         finally:
--- a/saffronstack/fleet/rollout/canary_analysis.py
+++ b/saffronstack/fleet/rollout/canary_analysis.py
@@ -106,28 +106,28 @@
 
 def compare_samples(samples: Sequence[GatewaySample]) -> list[Comparison]:
     """Compare each measure for which some zone has both canaries and a baseline."""
-    heard = [sample for sample in samples if not sample.is_silent]
+    reporting = [sample for sample in samples if not sample.is_silent]
     comparisons = [
         statistics.compare_ratios(
             measure,
             [
                 statistics.RatioRow(one.zone, one.is_canary, one.ratios[measure])
-                for one in heard
+                for one in reporting
                 if measure in one.ratios and one.ratios[measure].total > 0
             ],
         )
-        for measure in sorted({name for sample in heard for name in sample.ratios})
+        for measure in sorted({name for sample in reporting for name in sample.ratios})
     ]
     comparisons += [
         statistics.compare_gauges(
             measure,
             [
                 statistics.GaugeRow(one.zone, one.is_canary, one.gauges[measure])
-                for one in heard
+                for one in reporting
                 if measure in one.gauges
             ],
         )
-        for measure in sorted({name for sample in heard for name in sample.gauges})
+        for measure in sorted({name for sample in reporting for name in sample.gauges})
     ]
     restarts = [statistics.EventRow(one.is_canary, one.restarts) for one in samples]
     comparisons.append(statistics.compare_event_counts("restarts", restarts))
--- a/saffronstack/fleet/rollout/command_scheduler.py
+++ b/saffronstack/fleet/rollout/command_scheduler.py
@@ -26,9 +26,9 @@
         if record.is_rolling_back:
             return dict.fromkeys(reversed(self._stage_targets[-1]), record.old_release.digest)
         reached = self._stage_targets[record.stage]
-        rest = (gateway.name for gateway in self._fleet.gateways if gateway.name not in reached)
+        remaining = (gateway.name for gateway in self._fleet.gateways if gateway.name not in reached)
         new, old = record.new_release.digest, record.old_release.digest
-        return dict.fromkeys(reached, new) | dict.fromkeys(rest, old)
+        return dict.fromkeys(reached, new) | dict.fromkeys(remaining, old)
 
     def next_commands(
         self, now_s: float, record: RolloutRecord, targets: Mapping[str, str]
@@ -83,5 +83,5 @@
         for stage in self._stage_targets[: record.stage + 1]:
             yield from zone_batches(stage[len(before) :], self._fleet.gateways, limit)
             before = stage
-        rest = [name for name in names if name not in before]
-        yield from zone_batches(rest, self._fleet.gateways, limit)
+        remaining = [name for name in names if name not in before]
+        yield from zone_batches(remaining, self._fleet.gateways, limit)
--- a/saffronstack/fleet/rollout/rollout_order.py
+++ b/saffronstack/fleet/rollout/rollout_order.py
@@ -40,11 +40,11 @@
 
 
 def _added_by(stage: Stage, drawn: Sequence[FleetGateway], before: tuple[str, ...]) -> tuple[str, ...]:
-    rest = [gateway for gateway in drawn if gateway.name not in before]
+    remaining = [gateway for gateway in drawn if gateway.name not in before]
     if stage.groups:
-        return tuple(gateway.name for gateway in rest if gateway.group in stage.groups)
+        return tuple(gateway.name for gateway in remaining if gateway.group in stage.groups)
     size = stage.count or math.ceil(stage.share * len(drawn) - ROUNDING_MARGIN)
-    return tuple(gateway.name for gateway in rest[: max(0, size - len(before))])
+    return tuple(gateway.name for gateway in remaining[: max(0, size - len(before))])
 
 
 def interleave_zones(seed: str, fleet: Sequence[FleetGateway]) -> list[FleetGateway]:
--- a/saffronstack/harness/rollout/exploration.py
+++ b/saffronstack/harness/rollout/exploration.py
@@ -102,11 +102,11 @@
         yield _Step(f"command {index} arrives", functools.partial(_deliver, index, False))
         yield _Step(f"command {index} arrives, and will again", functools.partial(_deliver, index, True))
     for gateway, daemon_name in world.daemon_of.items():
-        if not _is_gateway_calm(world.daemons[daemon_name], gateway):
+        if not _is_gateway_settled(world.daemons[daemon_name], gateway):
             yield _Step(f"{gateway} advances", functools.partial(_advance, gateway, False))
             yield _Step(f"{gateway} fails", functools.partial(_advance, gateway, True))
     for name, daemon in world.daemons.items():
-        if daemon.is_calm() and daemon.fence.incarnation < MAX_DAEMON_INCARNATION:
+        if daemon.is_settled() and daemon.fence.incarnation < MAX_DAEMON_INCARNATION:
             yield _Step(f"{name} restarts", functools.partial(_restart, name))
 
 
@@ -126,7 +126,7 @@
     return world.restart_daemon(name, is_disk_lost=False)
 
 
-def _is_gateway_calm(daemon: SimulatedDaemon, gateway: str) -> bool:
+def _is_gateway_settled(daemon: SimulatedDaemon, gateway: str) -> bool:
     return all(phase is IncarnationPhase.SERVING for phase in daemon.processes[gateway].values())
 
 
--- a/saffronstack/harness/rollout/invariants.py
+++ b/saffronstack/harness/rollout/invariants.py
@@ -50,7 +50,7 @@
         if len({self._world.zone_of[gateway] for gateway in unavailable}) > 1:
             raise InvariantError(f"gateways of two zones are unavailable at once: {unavailable}")
 
-    def calm_gateways(self) -> None:
+    def settle_gateways(self) -> None:
         """Let all processes come to rest, checking after each step."""
         for gateway in self._world.daemon_of:
             for _ in range(MAX_PROCESS_STEPS):
@@ -83,7 +83,7 @@
         while world.in_flight:
             world.deliver(0, is_repeated=False)
             self.check()
-        self.calm_gateways()
+        self.settle_gateways()
 
     def _check_running_releases(self) -> None:
         phase = self._world.record.phase
--- a/saffronstack/harness/rollout/random_walk.py
+++ b/saffronstack/harness/rollout/random_walk.py
@@ -79,7 +79,7 @@
         if self._restarts == MAX_RESTARTS:
             return False
         self._restarts += 1
-        self.checker.calm_gateways()
+        self.checker.settle_gateways()
         name = self._random.choice(list(self.world.daemons))
         return self.world.restart_daemon(name, self._random.random() < DISK_LOSS_PROBABILITY)
 
--- a/saffronstack/harness/rollout/simulated_daemon.py
+++ b/saffronstack/harness/rollout/simulated_daemon.py
@@ -107,20 +107,20 @@
             if desired:
                 self._carry_out(gateway, self.reconcilers[gateway].set_desired(now_s, desired))
 
-    def is_calm(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether no process starts or ends."""
         phases = (phase for processes in self.processes.values() for phase in processes.values())
         return all(phase is IncarnationPhase.SERVING for phase in phases)
 
     def _adopt(self, now_s: float, gateway: str, before: GatewayReconciler) -> GatewayReconciler:
         reconciler = GatewayReconciler(DRAIN_TIMEOUT_S)
-        kept: dict[int, IncarnationPhase] = {}
+        adopted: dict[int, IncarnationPhase] = {}
         for number, phase in self.processes[gateway].items():
             current = before.current
             is_current = current is not None and current.number == number
             if current is not None and is_current and phase is IncarnationPhase.SERVING:
-                kept[reconciler.adopt(now_s, current.release)] = IncarnationPhase.SERVING
-        self.processes[gateway] = kept
+                adopted[reconciler.adopt(now_s, current.release)] = IncarnationPhase.SERVING
+        self.processes[gateway] = adopted
         return reconciler
 
     def _carry_out(self, gateway: str, actions: Iterable[ProcessAction]) -> None:
