--- a/tests/net/test_write_buffer.py
+++ b/tests/net/test_write_buffer.py
@@ -37,7 +37,7 @@
     assert out.send(first) and out.send(second) and out.send(third)
     assert (first.progress, second.progress) == (SendProgress.PARTIAL, SendProgress.NOTHING)
     first.barred = second.barred = True  # a line that has begun is finished: half of one breaks the link
-    sock.room = 100
+    sock.capacity = 100
     assert out.flush() and sock.taken == b"firstthird"
     assert first.progress is SendProgress.COMPLETE and not first.passed
     assert second.progress is SendProgress.NOTHING and second.passed
--- a/tests/net/test_write_loop.py
+++ b/tests/net/test_write_loop.py
@@ -1,4 +1,4 @@
-"""The thread that writes for sockets which were full: what one slow reader costs the others."""
+"""The thread that writes for sockets which were full: slow readers must not delay the others."""
 
 from __future__ import annotations
 
--- a/tests/support/limited_socket.py
+++ b/tests/support/limited_socket.py
@@ -4,18 +4,18 @@
 
 
 class LimitedSocket:
-    """Takes ``room`` bytes and then blocks."""
+    """Takes ``capacity`` bytes and then blocks."""
 
-    def __init__(self, room: int) -> None:
-        self.room = room
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
         self.taken = b""
         self.shut = False
 
     def send(self, data: bytes, flags: int = 0) -> int:
-        if not self.room:
+        if not self.capacity:
             raise BlockingIOError
-        part = bytes(data[: self.room])
-        self.room -= len(part)
+        part = bytes(data[: self.capacity])
+        self.capacity -= len(part)
         self.taken += part
         return len(part)
 
