--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -10,11 +10,11 @@
 import select
 import socket
 import threading
-import traceback
 from collections import deque
 from collections.abc import Callable
 from enum import Enum
 
+from saffronstack.runtime.logs import KeyValueLogger, Logger
 from saffronstack.runtime.threads import start_thread
 
 STALL_CHECK_S = 0.25  # how often the write loop looks for sockets that take nothing, while it watches any
@@ -206,8 +206,10 @@
 class WriteLoop:
     """One thread that writes for every buffer whose socket was full."""
 
-    def __init__(self, clock: Callable[[], float]) -> None:
+    def __init__(self, clock: Callable[[], float], log: Logger | None = None) -> None:
+        """Create a loop that logs faults of messages to ``log``, to standard error if None."""
         self._clock = clock
+        self._log = log or KeyValueLogger("net")
         self._lock = threading.Lock()  # guards the new buffers, and the descriptor against its reuse
         self._new_buffers: list[WriteBuffer] = []
         self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
@@ -238,13 +240,12 @@
             if self._wake_fd >= 0:  # once closed, its number may be another file's
                 os.eventfd_write(self._wake_fd, 1)
 
-    @staticmethod
-    def _flush(buffer: WriteBuffer) -> bool:
+    def _flush(self, buffer: WriteBuffer) -> bool:
         """Flush a buffer; a fault of one of its messages breaks it alone, and not the loop."""
         try:
             return buffer.flush()
         except Exception:
-            traceback.print_exc()
+            self._log.exception("writing to a socket failed")
             buffer.abort()
             return True
 
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -64,7 +64,7 @@
             max_open_calls=self.budget.calls,
             log=self._log,
         )
-        self.writer = WriteLoop(clock)
+        self.writer = WriteLoop(clock, self._log)
         self.hosts = MultiplexedDispatcher(
             ConnectionLimits(
                 config.streams,
--- a/tests/net/test_write_loop.py
+++ b/tests/net/test_write_loop.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import io
 import socket
 import threading
 from collections.abc import Iterator
 from contextlib import contextmanager
 
 from saffronstack.net.write_buffer import STALL_CHECK_S, OutgoingMessage, WriteBuffer, WriteLoop
+from saffronstack.runtime.logs import KeyValueLogger, Logger
 from tests.support.stack import eventually
 
 STALL_S = 2.0
@@ -36,9 +38,9 @@
 
 
 @contextmanager
-def running(clock: Clock) -> Iterator[WriteLoop]:
+def running(clock: Clock, log: Logger | None = None) -> Iterator[WriteLoop]:
     """A loop that ends with the test."""
-    loop = WriteLoop(clock)
+    loop = WriteLoop(clock, log)
     loop.start()
     try:
         _, _, peer = full(loop, clock)
@@ -109,6 +111,22 @@
         assert eventually(lambda: not any(buffer.has_pending for buffer, _, _ in pairs), WAIT_S)
 
 
+def test_a_fault_of_a_message_breaks_its_buffer_alone_and_is_logged() -> None:
+    class Faulty(OutgoingMessage):
+        def prepare_to_send(self) -> bool:
+            raise KeyError("a fault of its own")
+
+    clock, log = Clock(), io.StringIO()
+    with running(clock, KeyValueLogger("test", log)) as loop:
+        broken, _, peer = full(loop, clock)
+        _, _, other = full(loop, clock)
+        assert broken.send(Faulty(b"x"))
+        read(peer, MESSAGE_BYTES)
+        assert peer.recv(1) == b""  # shut down
+        read(other, MESSAGE_BYTES)
+        assert broken.is_broken and "writing to a socket failed\nTraceback" in log.getvalue()
+
+
 def test_messages_sent_while_the_loop_empties_a_buffer_all_leave_in_order() -> None:
     clock = Clock()
     with running(clock) as loop:
--- a/tests/upstream/multiplexed/test_connection.py
+++ b/tests/upstream/multiplexed/test_connection.py
@@ -230,13 +230,13 @@
         ending.set()
         end()
 
-    def end_the_link() -> None:
+    def close_connection() -> None:
         assert claimed.wait(WAIT_S)
         connection._close()
 
     monkeypatch.setattr(sock, "send", late)
     monkeypatch.setattr(write_buffer, "discard", discard)
-    ender = threading.Thread(target=end_the_link)
+    ender = threading.Thread(target=close_connection)
     ender.start()
     upstream.call(2)
     ender.join(WAIT_S)
