--- a/saffronstack/cli/fleet_services.py
+++ b/saffronstack/cli/fleet_services.py
@@ -22,12 +22,12 @@
             ConfigError: The fleet's file or the lease server's state can't be used.
             OSError: The lease server's address or directory is not available.
         """
-        self._node: LeaseServer | None = None
+        self._lease_server: LeaseServer | None = None
         self._client: LeaseClient | None = None
         self._runners: list[TaskRunner] = []
         fleet = load_fleet(config.path)
         if config.keeper is not None and config.state_directory is not None:
-            self._node = _start_node(fleet, config.keeper, config.state_directory)
+            self._lease_server = _start_lease_server(fleet, config.keeper, config.state_directory)
         if config.tasks:
             client = self._client = open_client(fleet)
             self._runners = [
@@ -42,15 +42,15 @@
         ended_in_time = [runner.stop() for runner in self._runners]
         if self._client is not None:
             self._client.close()
-        if self._node is not None:
-            self._node.stop()
+        if self._lease_server is not None:
+            self._lease_server.stop()
         return all(ended_in_time)
 
 
-def _start_node(fleet: FleetFile, name: str, state_directory: str) -> LeaseServer:
+def _start_lease_server(fleet: FleetFile, name: str, state_directory: str) -> LeaseServer:
     try:
-        node = LeaseServer(name, lease_fleet_of(fleet), state_directory)
+        server = LeaseServer(name, lease_fleet_of(fleet), state_directory)
     except (ForeignStateError, ValueError) as error:
         raise ConfigError(f"fleet: {error}") from error
-    node.start()
-    return node
+    server.start()
+    return server
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Callable
 
-from saffronstack.directory.membership import Change
-from saffronstack.directory.resolver import Resolver
+from saffronstack.discovery.dns.endpoint_list import WorkerChanges
+from saffronstack.discovery.dns.resolver import Resolver
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.platform.beliefs import Beliefs
@@ -120,10 +120,10 @@
     def _look(self, now: float, router: Router) -> None:
         self.beliefs.look(now, router.workers, self.hosts.pools())
 
-    def _changed(self, change: Change) -> None:
+    def _changed(self, changes: WorkerChanges) -> None:
         """Links first, so that nothing leaves for a host that drains or is gone."""
-        self.hosts.update_workers(change.changed, change.gone)
-        self.engine.update_workers(change.changed, change.gone, self._wall())
+        self.hosts.update_workers(changes.updated, changes.removed)
+        self.engine.update_workers(changes.updated, changes.removed, self._wall())
 
     def reread(self, path: str) -> bool:
         """Ask the directory that a new configuration names; False, and no change, where it can't be used."""
--- a/tests/stored_formats/test_platform_message_formats.py
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from saffronstack.directory.dns import query_message
+from saffronstack.discovery.dns.messages import encode_query
 from saffronstack.platform import connection
 from saffronstack.platform.calls import CallMaker
 from saffronstack.resp import frames
 from saffronstack.resp.reader import encode
-from saffronstack.settings import parse_settings
+from saffronstack.settings_parser import parse_settings
 from saffronstack.upstream.errors import LineProtocolError
 from saffronstack.upstream.multiplexed import codec
 from tests.stored_formats import settings_samples
@@ -26,7 +26,7 @@
     "ping": codec.encode_ping("t2"),
     "load": codec.encode_load_command("t3", "00000000000000ff", 2),
     "unload": codec.encode_unload_command("00000000000000ff"),
-    "query": query_message(4711, "_call._tcp.hosts.example"),
+    "query": encode_query(4711, "_call._tcp.hosts.example"),
     "reply": encode((b"17", b"BUSY", b"holdoff=250", b"")),
 }
 
@@ -68,7 +68,7 @@
 
 def understood_frame(words: list[str]) -> Any:
     """Return what a client's frame means; None where it is refused."""
-    maker = CallMaker(parse_settings(json.dumps(settings_samples.PLATFORM))[0], lambda: 1)
+    maker = CallMaker(parse_settings(json.dumps(settings_samples.PLATFORM)).settings, lambda: 1)
     try:
         frame = frames.frame_of(tuple(word.encode() for word in words))
         if not isinstance(frame, frames.CallFrame):
