--- a/saffronstack/upstream/http/dispatcher.py
+++ b/saffronstack/upstream/http/dispatcher.py
@@ -41,7 +41,7 @@
     """Sends attempts and commands to workers and reports how each ended.
 
     Actions come from the decision thread; ends are reported from the pools' threads. A change of the
-    endpoint list must come before the engine hears of it, so that nothing new is sent to a worker that
+    endpoint list must come before the engine learns of it, so that nothing new is sent to a worker that
     drains or was removed.
     """
 
@@ -56,7 +56,7 @@
 
         Args:
             limits: Bounds of the connections to each worker.
-            report: Is told how each attempt and command ended.
+            report: Receives the result of each attempt and command.
             clock: Monotonic time in seconds.
             usage_observer: Takes part in metering; None without metering.
         """
--- a/saffronstack/upstream/http/worker_context.py
+++ b/saffronstack/upstream/http/worker_context.py
@@ -38,7 +38,7 @@
     Attributes:
         spec: The worker.
         limits: Bounds of its connections.
-        report: Is told how attempts and commands ended.
+        report: Receives the results of attempts and commands.
         clock: Monotonic time in seconds.
         usage_observer: Takes part in metering; None without metering.
         is_closed: Whether it drains or was removed: nothing new is sent, whatever was queued.
--- a/saffronstack/upstream/multiplexed/dispatcher.py
+++ b/saffronstack/upstream/multiplexed/dispatcher.py
@@ -53,10 +53,10 @@
             limits: Bounds of each connection.
             budget: Bounds the connections to all workers together.
             write_loop: Writes what sockets do not take at once; started and stopped by its owner.
-            report: Is told how each attempt and command ended.
+            report: Receives the result of each attempt and command.
             clock: Monotonic time in seconds.
             command_timeout_s: How long a load command or a health check may take.
-            log: Hears of faults; standard error if None.
+            log: Receives faults; standard error if None.
         """
         log = log or KeyValueLogger("upstream")
         self._limits = limits
@@ -91,7 +91,7 @@
     def update_workers(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> None:
         """Apply an incremental update of the endpoint list.
 
-        It must come before the engine hears of it, so that nothing new is sent to a worker that drains or
+        It must come before the engine learns of it, so that nothing new is sent to a worker that drains or
         was removed.
 
         Args:
--- a/saffronstack/upstream/multiplexed/exchange.py
+++ b/saffronstack/upstream/multiplexed/exchange.py
@@ -14,7 +14,7 @@
 from saffronstack.upstream.multiplexed import codec
 
 REQUEST_OVERHEAD_BYTES = 256  # of a request's line beside its body
-MIN_WAIT_MS = 1  # the worker is told how long the gateway waits, and zero would be no time at all
+MIN_WAIT_MS = 1  # workers get to know how long the gateway waits, and zero would be no time at all
 
 
 class ExchangeWorker(Protocol):
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeContext:
-    """What all exchanges of a dispatcher share: who hears of their ends, and the clock."""
+    """What all exchanges of a dispatcher share: the receiver of their results, and the clock."""
 
     report: EventSink
     clock: Callable[[], float]
--- a/tests/net/test_read_loop.py
+++ b/tests/net/test_read_loop.py
@@ -16,13 +16,13 @@
 from tests.support.platform import WAIT_S, Client, ScriptedHost, gateway
 
 
-class Fake:
+class FakeHandler:
     """A handler over one end of a pair; what it read and its end go to a queue."""
 
     def __init__(self, sock: socket.socket, fault: bool = False) -> None:
         self.sock, self.fault = sock, fault
-        self.heard: queue.Queue[bytes | None] = queue.Queue()
-        self.lives = True
+        self.received: queue.Queue[bytes | None] = queue.Queue()
+        self.is_wanted = True
 
     def fileno(self) -> int:
         return self.sock.fileno()
@@ -32,74 +32,74 @@
         if self.fault:
             raise KeyError("a fault of its own")
         if came:
-            self.heard.put(bytes(view[:came]))
+            self.received.put(bytes(view[:came]))
         return came > 0
 
     def on_tick(self, now_s: float) -> bool:
-        return self.lives
+        return self.is_wanted
 
     def on_released(self) -> None:
         self.sock.close()
-        self.heard.put(None)
+        self.received.put(None)
 
 
-Made = tuple[ReadLoop, io.StringIO]
+RunningLoop = tuple[ReadLoop, io.StringIO]
 
 
 @pytest.fixture
-def made() -> Iterator[Made]:
-    """A reader whose clock passes a second at each look, and its log."""
-    told = io.StringIO()
+def running_loop() -> Iterator[RunningLoop]:
+    """A loop whose clock passes a second at each reading, and its log."""
+    log = io.StringIO()
     now = iter(range(10**9))
-    reader = ReadLoop(lambda: float(next(now)), KeyValueLogger("test", told))
-    reader.start()
-    yield reader, told
-    assert reader.stop()
+    loop = ReadLoop(lambda: float(next(now)), KeyValueLogger("test", log))
+    loop.start()
+    yield loop, log
+    assert loop.stop()
 
 
-def test_each_hears_its_own_and_a_fault_ends_its_socket_alone(made: Made) -> None:
-    reader, told = made
+def test_each_handler_reads_its_own_socket_and_a_fault_releases_it_alone(running_loop: RunningLoop) -> None:
+    loop, log = running_loop
     pairs = [socket.socketpair() for _ in range(3)]
-    fakes = [Fake(far, fault=n == 1) for n, (_, far) in enumerate(pairs)]
-    assert all(reader.watch(fake) for fake in fakes)
+    handlers = [FakeHandler(far, fault=n == 1) for n, (_, far) in enumerate(pairs)]
+    assert all(loop.watch(handler) for handler in handlers)
     for n, (near, _) in enumerate(pairs):
         near.sendall(b"%d" % n)
-    assert [fakes[0].heard.get(timeout=WAIT_S), fakes[2].heard.get(timeout=WAIT_S)] == [b"0", b"2"]
-    assert fakes[1].heard.get(timeout=WAIT_S) is None and "KeyError" in told.getvalue()
+    assert [handlers[n].received.get(timeout=WAIT_S) for n in (0, 2)] == [b"0", b"2"]
+    assert handlers[1].received.get(timeout=WAIT_S) is None and "KeyError" in log.getvalue()
     pairs[0][0].close()
-    assert fakes[0].heard.get(timeout=WAIT_S) is None
+    assert handlers[0].received.get(timeout=WAIT_S) is None
     pairs[2][0].sendall(b"still")
-    assert fakes[2].heard.get(timeout=WAIT_S) == b"still"
+    assert handlers[2].received.get(timeout=WAIT_S) == b"still"
     for near, _ in pairs:
         near.close()
 
 
-def test_one_that_is_over_by_its_own_look_is_let_go(made: Made) -> None:
-    reader, _ = made
+def test_a_handler_that_declines_a_tick_is_released(running_loop: RunningLoop) -> None:
+    loop, _ = running_loop
     near, far = socket.socketpair()
-    fake = Fake(far)
-    fake.lives = False
+    handler = FakeHandler(far)
+    handler.is_wanted = False
     with near:
-        assert reader.watch(fake)
-        assert fake.heard.get(timeout=WAIT_S) is None
+        assert loop.watch(handler)
+        assert handler.received.get(timeout=WAIT_S) is None
 
 
-def test_a_stop_ends_all_that_is_held_and_takes_nothing_more() -> None:
-    reader = ReadLoop(lambda: 0.0, KeyValueLogger("test", io.StringIO()))
-    reader.start()
+def test_a_stop_releases_every_handler_and_accepts_no_other() -> None:
+    loop = ReadLoop(lambda: 0.0, KeyValueLogger("test", io.StringIO()))
+    loop.start()
     pairs = [socket.socketpair() for _ in range(2)]
-    held, late = (Fake(far) for _, far in pairs)
-    assert reader.watch(held)
-    assert reader.stop()
-    assert held.heard.get(timeout=WAIT_S) is None
-    assert not reader.watch(late)
+    watched, late = (FakeHandler(far) for _, far in pairs)
+    assert loop.watch(watched)
+    assert loop.stop()
+    assert watched.received.get(timeout=WAIT_S) is None
+    assert not loop.watch(late)
     for near, _ in pairs:
         near.close()
     late.sock.close()
 
 
-def test_links_take_no_threads_once_they_stand() -> None:
-    """Forty hosts, a link to each at least: what a fleet of gateways adds up to on one machine."""
+def test_established_connections_need_no_threads() -> None:
+    """Forty workers with a connection each: as many as a fleet of gateways has on one machine."""
     hosts = [ScriptedHost() for _ in range(40)]
     directory = Directory(*(Entry(f"s-{n}", host.address) for n, host in enumerate(hosts)))
     with gateway(directory, sockets=512) as service:
@@ -126,7 +126,7 @@
 
     with gateway(directory) as service:
         first = Client(service.front.address)
-        assert first.ask() == ("OK", b"x")  # a link to the host stands
+        assert first.ask() == ("OK", b"x")  # a connection to the worker is established
         before = threading.active_count()
         monkeypatch.setattr("saffronstack.runtime.threads.threading.Thread.start", none)
         crowd = [Client(service.front.address) for _ in range(50)]
--- a/tests/net/test_write_buffer.py
+++ b/tests/net/test_write_buffer.py
@@ -10,20 +10,20 @@
 from tests.support.limited_socket import LimitedSocket
 
 
-class Barred(OutgoingMessage):
+class DroppableMessage(OutgoingMessage):
     """Stands until it is barred."""
 
-    __slots__ = ("barred", "passed")
+    __slots__ = ("is_barred", "is_dropped")
 
     def __init__(self, data: bytes) -> None:
         super().__init__(data)
-        self.barred = self.passed = False
+        self.is_barred = self.is_dropped = False
 
     def prepare_to_send(self) -> bool:
-        return not self.barred
+        return not self.is_barred
 
     def on_dropped(self) -> None:
-        self.passed = True
+        self.is_dropped = True
 
 
 def write_buffer(sock: LimitedSocket, now: list[float], most: int = 100) -> WriteBuffer:
@@ -33,14 +33,14 @@
 def test_what_waits_in_an_outbox_is_asked_again_before_its_first_byte() -> None:
     sock = LimitedSocket(3)
     out = write_buffer(sock, [0.0])
-    first, second, third = Barred(b"first"), Barred(b"second"), Barred(b"third")
+    first, second, third = DroppableMessage(b"first"), DroppableMessage(b"second"), DroppableMessage(b"third")
     assert out.send(first) and out.send(second) and out.send(third)
     assert (first.progress, second.progress) == (SendProgress.PARTIAL, SendProgress.NOTHING)
-    first.barred = second.barred = True  # a line that has begun is finished: half of one breaks the link
+    first.is_barred = second.is_barred = True  # the first has begun, and half of it would be no message
     sock.capacity = 100
     assert out.flush() and sock.taken == b"firstthird"
-    assert first.progress is SendProgress.COMPLETE and not first.passed
-    assert second.progress is SendProgress.NOTHING and second.passed
+    assert first.progress is SendProgress.COMPLETE and not first.is_dropped
+    assert second.progress is SendProgress.NOTHING and second.is_dropped
 
 
 def test_an_outbox_that_overflows_or_stalls_breaks_its_socket() -> None:
--- a/tests/upstream/http/test_dispatcher.py
+++ b/tests/upstream/http/test_dispatcher.py
@@ -272,7 +272,7 @@
     assert upstream.worker.connections == 3
 
 
-def test_a_new_incarnation_is_heard_and_nonsense_is_not(start: Start) -> None:
+def test_a_new_incarnation_is_reported_and_invalid_numbers_are_not(start: Start) -> None:
     lives = iter(["a", "a", "b"])
 
     def script(sock: socket.socket) -> None:
@@ -282,16 +282,16 @@
         )
 
     upstream = start(script)
-    heard: list[WorkerObservation] = []
+    observed: list[WorkerObservation] = []
     for number in range(1, 4):
         upstream.dispatcher.send(call(number), 0, WORKER_ID, 0.0)
         event = upstream.events.get(timeout=WAIT_S)
         if isinstance(event, WorkerObservation):
-            heard.append(event)
+            observed.append(event)
             event = upstream.events.get(timeout=WAIT_S)
         assert isinstance(event, AttemptResult)
         assert (event.outcome.concurrency, event.outcome.load_report) == (None, None)
-    assert heard == [WorkerObservation(WORKER_ID, "a", 1.5), WorkerObservation(WORKER_ID, "b", 1.5)]
+    assert observed == [WorkerObservation(WORKER_ID, "a", 1.5), WorkerObservation(WORKER_ID, "b", 1.5)]
 
 
 @pytest.mark.parametrize(
--- a/tests/upstream/multiplexed/test_connection.py
+++ b/tests/upstream/multiplexed/test_connection.py
@@ -169,7 +169,7 @@
 
 
 def sent_waits_ms(upstream: ThreadlessUpstream) -> list[int]:
-    """Return the times that the worker was told the gateway waits, in milliseconds."""
+    """Return the waiting times that were sent to the worker, in milliseconds."""
     lines = upstream.sockets[0].taken.splitlines()
     return [json.loads(line)["with"]["w"] for line in lines if b'"CALL"' in line]
 
--- a/tests/upstream/test_pool_registry.py
+++ b/tests/upstream/test_pool_registry.py
@@ -11,7 +11,7 @@
 
 
 class FakePool:
-    """Notes what it is told."""
+    """Records updates and its stop."""
 
     def __init__(self, spec: WorkerSpec) -> None:
         self.spec = spec
