--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -28,6 +28,7 @@
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.harness.leases.model_checker import Exploration, explore
 from saffronstack.harness.leases.model_state import NO_FAULTS, FaultBudget
+from saffronstack.harness.leases.processes import RigOptions
 from saffronstack.harness.leases.rig import LeaseRig, Report
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
 from saffronstack.harness.leases.simulation import Simulation
@@ -98,8 +99,8 @@
         f"{report.seconds:.0f} s, {sum(n for kind, n in report.faults.items() if ':' not in kind)} faults; "
         f"{told.acquired} leases acquired, {told.acts} acts, {told.rejected} rejected for older tokens, "
         f"{told.overran} overran; held {told.held_s / max(report.seconds, 0.001):.2f} of the time, "
-        f"{report.talk_held_s / max(report.talk_s, 0.001):.2f} of the {report.talk_s:.0f} s in which a "
-        f"majority could talk; longest without a holder {told.longest_free_s:.1f} s"
+        f"{report.majority_held_s / max(report.majority_s, 0.001):.2f} of the {report.majority_s:.0f} s in "
+        f"which a majority could communicate; longest without a holder {told.longest_free_s:.1f} s"
     )
     print("  " + ", ".join(f"{kind} {count}" for kind, count in report.faults.items()))
     for breach in told.breaches:
@@ -109,7 +110,7 @@
 def run(seed: int, faults: list[Fault], seconds: float, broken: str, keepers: int, candidates: int) -> Report:
     """One run in a directory of its own."""
     with tempfile.TemporaryDirectory() as directory:
-        rig = LeaseRig(pathlib.Path(directory), seed, keepers, candidates, broken=broken)
+        rig = LeaseRig(pathlib.Path(directory), RigOptions(seed, keepers, candidates, broken=broken))
         try:
             return rig.play(faults, seconds, until_breach=bool(broken))
         finally:
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -1,4 +1,4 @@
-"""Keepers and candidates as processes, with their files, disks and relays between each pair."""
+"""Lease servers and candidates as processes, with their files, disks and relays between each pair."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 LEASE = "task/rig"
 START_S = 20.0
 SETTLE_S = 15.0
-LOOK_S = 0.1
+POLL_S = 0.1
 PEER = (sys.executable, "-m", "saffronstack.harness.leases.peer")
 
 
@@ -41,80 +41,104 @@
     stopped: bool = False
 
 
+@dataclass(frozen=True)
+class RigOptions:
+    """The size of a rig and the times of its leases, in seconds.
+
+    ``broken`` names one of `broken_candidates.BROKEN_CANDIDATES` for all candidates, or is empty."""
+
+    seed: int
+    servers: int = 5
+    candidates: int = 24
+    lease_s: float = 2.0
+    wait_s: float = 0.5
+    broken: str = ""
+
+
+@dataclass(frozen=True)
+class MajoritySample:
+    """Whether a majority of servers could communicate at one time."""
+
+    at_s: float
+    has_majority: bool
+
+
 class LeaseProcesses:
-    """One run's processes, files and links."""
-
-    def __init__(
-        self,
-        directory: pathlib.Path,
-        seed: int,
-        keepers: int = 5,
-        candidates: int = 24,
-        lease_s: float = 2.0,
-        wait_s: float = 0.5,
-        broken: str = "",
-    ) -> None:
-        """Starts everything; ScenarioError where a process does not come up."""
+    """The processes, files and links of one run. The lock guards the faults and the numbers of candidates."""
+
+    def __init__(self, directory: pathlib.Path, options: RigOptions) -> None:
+        """Start all servers and candidates.
+
+        Raises:
+            ScenarioError: A process does not start."""
         self._directory = directory
-        self._random = random.Random(seed)
-        self._lease_s, self._wait_s, self._broken = lease_s, wait_s, broken
-        self._names = [f"k{number}" for number in range(keepers)]
+        self._options = options
+        self._random = random.Random(options.seed)
+        self._server_names = [f"k{number}" for number in range(options.servers)]
         self._wires = Wires()
         self.judge = LeaseJudge()
-        self._places = {name: hold_port("127.0.0.1") for name in self._names}
-        self._addresses = {name: f"127.0.0.1:{held.getsockname()[1]}" for name, held in self._places.items()}
-        self._keepers: dict[str, _Process] = {}
-        self._homes = dict.fromkeys(self._names, 0)  # machines that had a keeper's name, each with its disk
-        self._ghosts: list[_Process] = []  # replaced while they paused, and awake
+        self._reserved_ports = {name: hold_port("127.0.0.1") for name in self._server_names}
+        self._addresses = {
+            name: f"127.0.0.1:{port.getsockname()[1]}" for name, port in self._reserved_ports.items()
+        }
+        self._servers: dict[str, _Process] = {}
+        self._machines = dict.fromkeys(self._server_names, 0)  # how many machines had a server's name before
+        self._replaced: list[_Process] = []  # machines replaced while paused, and awake
         self._candidates: list[_Process] = []
-        self._lives = 0
-        self._bad: dict[str, int] = dict.fromkeys(self._names, 0)
-        self._snapshots: dict[str, list[pathlib.Path]] = {name: [] for name in self._names}
-        self._images = 0
-        self._healing: list[threading.Thread] = []
+        self._started_candidates = 0
+        self._active_faults: dict[str, int] = dict.fromkeys(self._server_names, 0)
+        self._snapshots: dict[str, list[pathlib.Path]] = {name: [] for name in self._server_names}
+        self._snapshot_count = 0
+        self._recoveries: list[threading.Thread] = []
         self._lock = threading.Lock()
-        self._ended = False
-        self._down: set[str] = set()
-        self._failed = ""  # why a step of the rig's own did not come off
-        self._counted: dict[str, int] = {}
-        self._talk: list[tuple[float, bool]] = []
-        self._rates = {name: 1 + 0.009 * (self._random.random() - 0.5) for name in self._names}
+        self._is_closed = False
+        self._stopped_servers: set[str] = set()
+        self._failure = ""  # why a step of the rig itself failed
+        self._fault_counts: dict[str, int] = {}
+        self._majority_samples: list[MajoritySample] = []
+        self._clock_rates = {name: 1 + 0.009 * (self._random.random() - 0.5) for name in self._server_names}
         try:
-            for name in self._names:
-                self._write_fleet(name)
-                self._saffron("keeper", "establish", "--fleet", str(self._fleet(name)), "--name", name,
-                              "--state", str(self._state(name)))  # fmt: skip
-            for name in self._names:
-                self._start_keeper(name)
-            for _ in range(candidates):
-                self._candidates.append(self._start_candidate())
+            self._start_all()
         except BaseException:
             self.close()
             raise
 
-    def _state(self, keeper: str) -> pathlib.Path:
-        return self._directory / f"state-{keeper}-{self._homes[keeper]}"
+    def _start_all(self) -> None:
+        for name in self._server_names:
+            self._write_fleet(name)
+            server = ["--name", name, "--state", str(self._state_directory(name))]
+            self._run_saffron("keeper", "establish", "--fleet", str(self._fleet_file(name)), *server)
+        for name in self._server_names:
+            self._start_server(name)
+        for _ in range(self._options.candidates):
+            self._candidates.append(self._start_candidate())
+
+    def _state_directory(self, server: str) -> pathlib.Path:
+        return self._directory / f"state-{server}-{self._machines[server]}"
 
-    def _steps(self, candidate: str) -> pathlib.Path:
+    def _clock_steps_file(self, candidate: str) -> pathlib.Path:
         return self._directory / f"steps-{candidate}"
 
-    def _fleet(self, name: str) -> pathlib.Path:
+    def _fleet_file(self, name: str) -> pathlib.Path:
         return self._directory / f"fleet-{name}.json5"
 
     def _write_fleet(self, name: str) -> None:
-        """What a process is told: others are reached through the rig's relays."""
+        """Write the fleet's file of a process, which reaches others through the rig's relays."""
         entries = []
-        for keeper, address in self._addresses.items():
-            own = address if keeper == name else self._wires.pair(name, keeper, address)
-            entries.append({"name": keeper, "address": own})
+        for server, address in self._addresses.items():
+            own = address if server == name else self._wires.pair(name, server, address)
+            entries.append({"name": server, "address": own})
         content = {
-            "fleet": FLEET, "keepers": entries, "lease_s": self._lease_s, "longest_s": self._lease_s,
-            "wait_s": self._wait_s,
-        }  # fmt: skip
-        self._fleet(name).write_text(json.dumps(content))
+            "fleet": FLEET,
+            "keepers": entries,
+            "lease_s": self._options.lease_s,
+            "longest_s": self._options.lease_s,
+            "wait_s": self._options.wait_s,
+        }
+        self._fleet_file(name).write_text(json.dumps(content))
 
     @staticmethod
-    def _saffron(*arguments: str) -> None:
+    def _run_saffron(*arguments: str) -> None:
         done = subprocess.run(
             [sys.executable, "-m", "saffronstack.cli.main", *arguments], capture_output=True, timeout=START_S
         )
@@ -140,37 +164,37 @@
             raise ScenarioError(f"{name} did not come up; see {self._directory / name}.log")
         return _Process(name, process)
 
-    def _start_keeper(self, name: str) -> None:
+    def _start_server(self, name: str) -> None:
         options = ServerOptions(
-            fleet=str(self._fleet(name)),
+            fleet=str(self._fleet_file(name)),
             name=name,
-            state=str(self._state(name)),
-            clock_rate=self._rates[name],
+            state=str(self._state_directory(name)),
+            clock_rate=self._clock_rates[name],
             disk_fault=str(self._directory / f"disk-{name}.json"),
             trace=str(self._directory / f"trace-{name}.jsonl"),
         )
-        self._keepers[name] = self._start(name, options)
+        self._servers[name] = self._start(name, options)
 
     def _start_candidate(self) -> _Process:
         with self._lock:
-            number, self._lives = self._lives, self._lives + 1
+            number, self._started_candidates = self._started_candidates, self._started_candidates + 1
         name = f"c{number}"
         self._write_fleet(name)
         options = CandidateOptions(
-            fleet=str(self._fleet(name)),
+            fleet=str(self._fleet_file(name)),
             name=name,
             lease=LEASE,
             resource=self.judge.address,
             seed=self._random.randrange(2**31),
             clock_rate=1 + 0.009 * (self._random.random() - 0.5),
-            clock_steps=str(self._steps(name)),
-            broken=self._broken,
+            clock_steps=str(self._clock_steps_file(name)),
+            broken=self._options.broken,
         )
         return self._start(name, options)
 
-    def status(self, keeper: str) -> dict[str, Any]:
-        """A keeper's own page, asked past the relays; empty where it does not answer."""
-        client = Client(self._addresses[keeper], 1.0)
+    def status(self, server: str) -> dict[str, Any]:
+        """Return a server's status page, requested past the relays; empty where it does not answer."""
+        client = Client(self._addresses[server], 1.0)
         try:
             found: dict[str, Any] = msgspec.json.decode(client.request("GET", "/status").body)
         except (OSError, HttpError, msgspec.MsgspecError):
@@ -179,28 +203,28 @@
             client.close()
         return found
 
-    def wait_votes(self, keepers: Sequence[str] | None = None, bound_s: float = SETTLE_S) -> bool:
-        """Until all of them vote; whether they do in time."""
+    def wait_until_voting(self, servers: Sequence[str] | None = None, bound_s: float = SETTLE_S) -> bool:
+        """Wait until all of them vote; return whether they do in time."""
         until_s = time.monotonic() + bound_s
-        wanted = list(keepers or self._names)
+        servers_to_wait_for = list(servers or self._server_names)
         while time.monotonic() < until_s:
-            if all(self.status(keeper).get("votes") for keeper in wanted):
+            if all(self.status(server).get("votes") for server in servers_to_wait_for):
                 return True
-            time.sleep(LOOK_S)
+            time.sleep(POLL_S)
         return False
 
-    def _new_machine(self, keeper: str) -> socket.socket:
-        """An address and a disk of its own for whoever bears the name next; the port that was held before."""
-        self._homes[keeper] += 1
-        self._snapshots[keeper].clear()
-        before, self._places[keeper] = self._places[keeper], hold_port("127.0.0.1")
-        address = f"127.0.0.1:{self._places[keeper].getsockname()[1]}"
-        content = json.loads(self._fleet(keeper).read_text())
+    def _reserve_machine(self, server: str) -> socket.socket:
+        """Reserve an address and a disk for the next machine of a name; return the port reserved before."""
+        self._machines[server] += 1
+        self._snapshots[server].clear()
+        before, self._reserved_ports[server] = self._reserved_ports[server], hold_port("127.0.0.1")
+        address = f"127.0.0.1:{self._reserved_ports[server].getsockname()[1]}"
+        content = json.loads(self._fleet_file(server).read_text())
         for entry in content["keepers"]:
-            if entry["name"] == keeper:
+            if entry["name"] == server:
                 entry["address"] = address
-        self._fleet(keeper).write_text(json.dumps(content))
-        self._addresses[keeper] = address
+        self._fleet_file(server).write_text(json.dumps(content))
+        self._addresses[server] = address
         return before
 
     @staticmethod
@@ -209,7 +233,7 @@
             one.process.send_signal(number)
 
     @staticmethod
-    def _end(one: _Process) -> None:
+    def _kill(one: _Process) -> None:
         one.process.kill()
         one.process.wait(10.0)
         for stream in (one.process.stdin, one.process.stdout):
@@ -217,11 +241,11 @@
                 stream.close()
 
     def close(self) -> None:
-        """End what was started."""
-        self._ended = True
-        for one in [*self._keepers.values(), *self._candidates, *self._ghosts]:
-            self._end(one)
+        """End all processes and relays."""
+        self._is_closed = True
+        for one in [*self._servers.values(), *self._candidates, *self._replaced]:
+            self._kill(one)
         self.judge.close()
         self._wires.close()
-        for held in self._places.values():
+        for held in self._reserved_ports.values():
             held.close()
--- /dev/null
+++ b/saffronstack/harness/leases/rig_faults.py
@@ -0,0 +1,276 @@
+"""The faults that a rig causes among its lease servers, candidates, links and disks."""
+
+from __future__ import annotations
+
+import os
+import shutil
+import signal
+import time
+from collections.abc import Callable, Sequence
+from functools import partial
+
+import msgspec
+
+from saffronstack.core.threads import spawn
+from saffronstack.harness.leases.disk_faults import damage
+from saffronstack.harness.leases.faulty_environment import DiskFault
+from saffronstack.harness.leases.processes import LeaseProcesses
+from saffronstack.harness.leases.schedule import Fault
+from saffronstack.harness.links import Mode, Pair
+from saffronstack.harness.scenario.processes import ScenarioError
+
+RESET_S = 0.1  # for how long a reset counts as a fault
+MAX_SNAPSHOTS = 20  # of each server
+Directions = list[tuple[Pair, bool]]  # of links, as `Wires` takes them
+
+
+class RigFaults(LeaseProcesses):
+    """Causes faults, each on threads that end it when its time is over."""
+
+    @staticmethod
+    def _sleep(seconds: float) -> None:
+        """The day's own pace: faults come at times of the schedule, nothing is synchronised by it."""
+        if seconds > 0:
+            time.sleep(seconds)
+
+    def _count_fault(self, servers: Sequence[str], by: int) -> None:
+        with self._lock:
+            for server in servers:
+                self._active_faults[server] += by
+
+    def cause(self, fault: Fault) -> None:
+        """Cause a fault."""
+        if fault.kind == "lie":
+            self._fail_disk(self._server_names[fault.keepers[0]], fault.how)
+        elif fault.kind in CANDIDATE_FAULTS:
+            numbers = [number for number in fault.candidates if number < len(self._candidates)]
+            CANDIDATE_FAULTS[fault.kind](self, fault, numbers)
+        else:
+            self._cause_at_servers(fault)
+
+    def _cause_at_servers(self, fault: Fault) -> None:
+        servers = self._servers_of(fault)
+        if fault.kind == "replace paused":
+            # Of two machines of one name with lost disks the later counts; the rig ends the one that woke.
+            servers = [server for server in servers if self.status(server).get("votes")]
+        if fault.kind in STOPPING_FAULTS:
+            # One that is down or stopped already is left to the fault that stopped it.
+            with self._lock:
+                servers = [server for server in servers if server not in self._stopped_servers]
+                self._stopped_servers.update(servers)
+        self._count_fault(servers, 1)
+        SERVER_FAULTS[fault.kind](self, fault, servers)
+
+    def _servers_of(self, fault: Fault) -> list[str]:
+        return [self._server_names[number] for number in fault.keepers if number < len(self._server_names)]
+
+    def _kill_candidates(self, fault: Fault, numbers: list[int]) -> None:
+        for number in numbers:
+            self._kill(self._candidates[number])
+            self._wires.drop(self._candidates[number].name)
+            self._candidates[number] = self._start_candidate()
+
+    def _step_clocks(self, fault: Fault, numbers: list[int]) -> None:
+        """Step the clocks of machines that were suspended for as long as the fault."""
+        for number in numbers:
+            path = self._clock_steps_file(self._candidates[number].name)
+            before = float(path.read_text()) if path.exists() else 0.0
+            partial = path.with_suffix(".new")
+            partial.write_text(str(before + fault.length_s))
+            os.replace(partial, path)
+
+    def _stop_candidates(self, fault: Fault, numbers: list[int]) -> None:
+        some = [self._candidates[number] for number in numbers]
+        for one in some:
+            self._signal(one, signal.SIGSTOP)
+        self._schedule(fault.length_s, lambda: [self._signal(one, signal.SIGCONT) for one in some])
+
+    def _cut_candidates(self, fault: Fault, numbers: list[int]) -> None:
+        names = {self._candidates[number].name for number in numbers}
+        servers = set(self._server_names)
+        cut = self._wires.between(names, servers) + self._wires.between(servers, names)
+        self._wires.set(cut, Mode(fault.how))
+        self._schedule(fault.length_s, lambda: self._repair_links(cut, fault.how == "lose"))
+
+    def _others(self, servers: Sequence[str]) -> set[str]:
+        return (set(self._server_names) | {one.name for one in self._candidates}) - set(servers)
+
+    def _links_to(self, servers: Sequence[str]) -> Directions:
+        return self._wires.between(self._others(servers), set(servers))
+
+    def _links_from(self, servers: Sequence[str]) -> Directions:
+        return self._wires.between(set(servers), self._others(servers))
+
+    def _kill_servers(self, fault: Fault, servers: list[str]) -> None:
+        for server in servers:
+            self._snapshot(server)
+            self._kill(self._servers[server])
+        self._schedule(fault.length_s, lambda: self._restart(servers))
+
+    def _replace_servers(self, fault: Fault, servers: list[str]) -> None:
+        for server in servers:
+            self._kill(self._servers[server])
+        self._schedule(fault.length_s, lambda: self._replace(servers))
+
+    def _pause_and_replace_servers(self, fault: Fault, servers: list[str]) -> None:
+        for server in servers:
+            self._signal(self._servers[server], signal.SIGSTOP)
+        peers = sorted(self._others(self._servers_of(fault)))
+        unaware = set(self._random.sample(peers, len(peers) // 2))
+        for server in servers:
+            replace = partial(self._replace_paused, server, unaware, awake_s=fault.length_s)
+            self._schedule(fault.length_s, replace)
+
+    def _stop_servers(self, fault: Fault, servers: list[str]) -> None:
+        for server in servers:
+            self._signal(self._servers[server], signal.SIGSTOP)
+        self._end_after(fault.length_s, servers, lambda: self._resume(servers))
+
+    def _fault_disk(self, fault: Fault, servers: list[str]) -> None:
+        disk_fault = DiskFault(is_full=True) if fault.kind == "disk full" else DiskFault(stall_s=10.0)
+        path = self._directory / f"disk-{servers[0]}.json"
+        path.write_bytes(msgspec.json.encode(disk_fault))
+        self._end_after(fault.length_s, servers, lambda: path.write_text("{}"))
+
+    def _cut_off_servers(self, fault: Fault, servers: list[str]) -> None:
+        links_to, links_from = self._links_to(servers), self._links_from(servers)
+        cut = links_to + links_from if fault.kind == "cut" else self._random.choice((links_to, links_from))
+        self._wires.set(cut, Mode(fault.how))
+        # Streams that lost bytes make no sense: they end by a reset.
+        self._end_after(fault.length_s, servers, lambda: self._repair_links(cut, fault.how == "lose"))
+
+    def _delay_servers(self, fault: Fault, servers: list[str]) -> None:
+        both = self._links_to(servers) + self._links_from(servers)
+        self._wires.set(both, late_s=fault.length_s / 5)
+        self._end_after(fault.length_s, servers, lambda: self._wires.set(both))
+
+    def _reset_servers(self, fault: Fault, servers: list[str]) -> None:
+        self._wires.reset(self._links_to(servers) + self._links_from(servers))
+        self._end_after(RESET_S, servers, lambda: None)
+
+    def _refuse_servers(self, fault: Fault, servers: list[str]) -> None:
+        both = self._links_to(servers) + self._links_from(servers)
+        self._wires.refuse(both, True)
+        self._wires.reset(both)
+        self._end_after(fault.length_s, servers, lambda: self._wires.refuse(both, False))
+
+    def _repair_links(self, cut: Directions, reset: bool) -> None:
+        self._wires.set(cut)
+        if reset:
+            self._wires.reset(cut)
+
+    def _end_after(self, after_s: float, servers: Sequence[str], end: Callable[[], object]) -> None:
+        """End a fault of some servers after its time."""
+
+        def end_fault() -> None:
+            end()
+            self._count_fault(servers, -1)
+
+        self._schedule(after_s, end_fault)
+
+    def _schedule(self, after_s: float, action: Callable[[], object]) -> None:
+        def run() -> None:
+            time.sleep(after_s)
+            try:
+                action()
+            except Exception as error:
+                self._failure = self._failure or repr(error)
+
+        self._recoveries.append(spawn("heal", run))
+
+    def _resume(self, servers: Sequence[str]) -> None:
+        for server in servers:
+            self._signal(self._servers[server], signal.SIGCONT)
+        with self._lock:
+            self._stopped_servers.difference_update(servers)
+
+    def _replace(self, servers: Sequence[str]) -> None:
+        """Start other machines of the same names, each with an empty directory and an address of its own."""
+        for server in servers:
+            held = self._reserve_machine(server)
+            held.close()
+            self._wires.move(server, self._addresses[server])
+        self._restart(servers)
+
+    def _replace_paused(self, server: str, unaware: set[str], awake_s: float) -> None:
+        """Start another machine in the place of a paused one, which wakes up: some still have its address."""
+        replaced = self._servers[server]
+        self._replaced.append(replaced)
+        held = self._reserve_machine(server)
+        aware = (set(self._server_names) | {one.name for one in self._candidates}) - unaware - {server}
+        self._wires.move(server, self._addresses[server], but=unaware)
+        self._wires.reset(self._wires.between(aware, {server}))
+        self._start_server(server)
+        self._signal(replaced, signal.SIGCONT)
+        with self._lock:
+            self._stopped_servers.discard(server)
+        self.wait_until_voting([server])
+        self._count_fault([server], -1)
+        self._sleep(awake_s)
+        self._kill(replaced)
+        held.close()
+        self._wires.move(server, self._addresses[server])
+        self._wires.reset(self._wires.between(unaware, {server}))
+
+    def _restart(self, servers: Sequence[str]) -> None:
+        for server in servers:
+            self._start_server(server)
+        with self._lock:
+            self._stopped_servers.difference_update(servers)
+        # Until they vote again they do not count for a majority.
+        self.wait_until_voting(servers)
+        self._count_fault(servers, -1)
+
+    def _fail_disk(self, server: str, how: str) -> None:
+        """Restart a server with a damaged disk, while all others are well and have recovered."""
+        for thread in self._recoveries:
+            thread.join(20.0)
+        self._recoveries.clear()
+        if not self.wait_until_voting():
+            statuses = [self.status(name) for name in self._server_names]
+            raise ScenarioError(f"with all faults over, not all servers vote: {statuses}")
+        self._count_fault([server], 1)
+        self._kill(self._servers[server])
+        state = self._state_directory(server)
+        damage(state, how, self._random, self._snapshots[server])
+        if how in ("gone", "flip both copies", "swap copies"):
+            self._snapshots[server].clear()  # earlier states are a replaced server's
+        self._fault_counts[f"lie: {how}"] = self._fault_counts.get(f"lie: {how}", 0) + 1
+        self._start_server(server)
+        if not self.wait_until_voting([server]):
+            raise ScenarioError(f"{server} does not vote after a disk fault ({how}): {self.status(server)}")
+        if self.status(server).get("disk") == "lost":
+            self._snapshots[server].clear()  # the server has a new incarnation since
+        self._count_fault([server], -1)
+
+    def _snapshot(self, server: str) -> None:
+        """Copy the state as it is now, to which a disk may be rolled back later."""
+        self._snapshot_count += 1
+        path = self._directory / f"snapshot-{server}-{self._snapshot_count}"
+        if len(self._snapshots[server]) < MAX_SNAPSHOTS:
+            self._signal(self._servers[server], signal.SIGSTOP)  # as a power cut may fall between two writes
+            shutil.copytree(self._state_directory(server), path)
+            self._signal(self._servers[server], signal.SIGCONT)
+            self._snapshots[server].append(path)
+
+
+STOPPING_FAULTS = {"kill keeper", "stop keeper", "replace keeper", "replace paused"}
+CANDIDATE_FAULTS: dict[str, Callable[[RigFaults, Fault, list[int]], None]] = {
+    "kill candidate": RigFaults._kill_candidates,
+    "clock steps": RigFaults._step_clocks,
+    "stop candidate": RigFaults._stop_candidates,
+    "cut candidates": RigFaults._cut_candidates,
+}
+SERVER_FAULTS: dict[str, Callable[[RigFaults, Fault, list[str]], None]] = {
+    "kill keeper": RigFaults._kill_servers,
+    "replace keeper": RigFaults._replace_servers,
+    "replace paused": RigFaults._pause_and_replace_servers,
+    "stop keeper": RigFaults._stop_servers,
+    "disk full": RigFaults._fault_disk,
+    "disk stalls": RigFaults._fault_disk,
+    "cut": RigFaults._cut_off_servers,
+    "cut one way": RigFaults._cut_off_servers,
+    "late": RigFaults._delay_servers,
+    "reset": RigFaults._reset_servers,
+    "refuse": RigFaults._refuse_servers,
+}
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -14,6 +14,7 @@
 from saffronstack.harness.leases.holder_reports import Acquired, ActBegun, ActEnded, Answer
 from saffronstack.harness.leases.judge import LeaseJudge
 from saffronstack.harness.leases.peer import expiry_at
+from saffronstack.harness.leases.processes import RigOptions
 from saffronstack.harness.leases.rig import LeaseRig
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
 from saffronstack.harness.links import Mode, Wires
@@ -25,7 +26,7 @@
 def test_one_holder_acts_at_a_time_through_faults_of_servers_candidates_links_and_disks(
     tmp_path: pathlib.Path,
 ) -> None:
-    rig = LeaseRig(tmp_path, seed=5, keepers=5, candidates=6, lease_s=1.2, wait_s=0.4)
+    rig = LeaseRig(tmp_path, RigOptions(seed=5, servers=5, candidates=6, lease_s=1.2, wait_s=0.4))
     try:
         report = rig.play(schedule(5, 30.0, 5, 6, every_s=1.2), 30.0)
     finally:
@@ -33,13 +34,15 @@
     told = report.judgement
     assert told.breaches == []
     assert told.acquired >= 4 and told.acts > 50 and sum(report.faults.values()) >= 10, report
-    assert report.talk_held_s > 0.4 * report.talk_s > 1.0, report
+    assert report.majority_held_s > 0.4 * report.majority_s > 1.0, report
 
 
 @FLEET
 @pytest.mark.parametrize("broken", ["few", "late"])
 def test_the_judge_finds_broken_candidates_among_the_processes(tmp_path: pathlib.Path, broken: str) -> None:
-    rig = LeaseRig(tmp_path, seed=2, keepers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
+    rig = LeaseRig(
+        tmp_path, RigOptions(seed=2, servers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
+    )
     # What they do wrong shows where a majority is out of reach, or the holder itself.
     kind = {"few": "cut", "late": "cut candidates"}[broken]
     faults = [
