--- /dev/null
+++ b/saffronstack/discovery/dns/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery over DNS: a resolver polls a server for SRV records and keeps the endpoint list current."""
--- /dev/null
+++ b/saffronstack/discovery/files/service.py
@@ -0,0 +1,221 @@
+"""The service that polls the worker file and reports changes of the list in force."""
+
+from __future__ import annotations
+
+import pathlib
+import queue
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import msgspec
+import structlog
+
+from saffronstack.config.schema import Worker
+from saffronstack.discovery.background_thread import BackgroundThread
+from saffronstack.discovery.files.capacity_ramp import STEP_INTERVAL_S
+from saffronstack.discovery.files.change_guards import GuardSettings
+from saffronstack.discovery.files.merging import WorkerChanges, WorkerSource
+from saffronstack.discovery.files.state_directory import StateDirectory
+from saffronstack.discovery.files.version_selector import VersionSelector
+from saffronstack.discovery.files.worker_list import WorkerList
+
+SETTLING_POLL_S = 0.05  # between polls while a file is being written
+STOP_TIMEOUT_S = 5.0
+OPERATOR_PRIORITY, FILE_PRIORITY, CONFIGURATION_PRIORITY = 30, 20, 0
+log = structlog.get_logger("saffronstack.discovery")
+
+
+@dataclass(frozen=True, slots=True)
+class FileDiscoveryOptions:
+    """What a service watches, and how.
+
+    Attributes:
+        path: The file, or a directory with a manifest.
+        kinds: Kinds of workers that the gateway knows.
+        guards: What needs no operator's approval.
+        poll_s: Seconds between polls, where no event of the file system comes before.
+    """
+
+    path: pathlib.Path
+    kinds: tuple[str, ...]
+    guards: GuardSettings = field(default_factory=GuardSettings)
+    poll_s: float = 1.0
+
+
+class FileDiscoveryCounts(
+    msgspec.Struct,
+    frozen=True,
+    rename={"pending": "held", "rejected": "refused", "not_ready": "unready", "polls": "looks"},
+):
+    """Counters since the start; the renamed fields keep their keys in JSON."""
+
+    applied: int
+    rejected: int
+    pending: int
+    not_ready: int
+    polls: int
+
+
+class FileDiscoveryStatus(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "is_from_stored_copy": "from_copy",
+        "rejection": "refused",
+        "pending_reason": "held",
+        "pending_digest": "held_digest",
+    },
+):
+    """The state of the service as ``/status`` shows it; the renamed fields keep their keys in JSON."""
+
+    generation: int | None
+    digest: str
+    workers: int
+    draining: int
+    is_from_stored_copy: bool
+    rejection: str
+    pending_reason: str
+    pending_digest: str
+    conflicts: tuple[str, ...]
+    counts: FileDiscoveryCounts
+
+
+class FileDiscovery:
+    """Polls on a thread of its own, where it reports one change after another."""
+
+    def __init__(
+        self,
+        options: FileDiscoveryOptions,
+        state_directory: StateDirectory,
+        configured_workers: tuple[Worker, ...],
+        on_change: Callable[[WorkerChanges, dict[str, Worker]], None],
+        clock: Callable[[], float],
+        unix_clock: Callable[[], float],
+    ) -> None:
+        """Prepare the service.
+
+        Args:
+            options: What it watches, and how.
+            state_directory: Where versions are stored, and what operators asked for.
+            configured_workers: Workers of the configuration, in force until the file lists any.
+            on_change: Called on the service's thread with each change and the complete list.
+            clock: Monotonic time in seconds.
+            unix_clock: Unix time in seconds.
+        """
+        self._poll_s = options.poll_s
+        self._state_directory = state_directory
+        self._configured_workers = configured_workers
+        self._on_change = on_change
+        self._clock = clock
+        self._versions = VersionSelector(
+            options.path, options.kinds, options.guards, state_directory, unix_clock
+        )
+        self._list = WorkerList(options.guards.flapping)
+        self._polls = 0
+        self._wake_ups: queue.SimpleQueue[None] = queue.SimpleQueue()
+        self._thread = BackgroundThread("file-discovery", self._run)
+
+    def start(self, now: float) -> dict[str, Worker]:
+        """Start polling; return the workers to begin with, as `load` does."""
+        workers = self.load(now)
+        self._thread.start()
+        return workers
+
+    def load(self, now: float) -> dict[str, Worker]:
+        """Return the workers to begin with: the file's, or those of the last known good version."""
+        self._poll_sources(now)
+        self._update_list(now)
+        self._versions.use_stored_copy()
+        self._update_list(now)
+        return dict(self._list.workers)
+
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
+        """End the thread; return whether it ended in time."""
+        self._thread.request_stop()
+        self.wake()
+        return self._thread.join(timeout_s)
+
+    def wake(self) -> None:
+        """Poll soon, since something may have changed; from any thread."""
+        self._wake_ups.put(None)
+
+    def set_configured_workers(self, workers: tuple[Worker, ...]) -> None:
+        """Take the workers of a configuration that was read again; from any thread."""
+        self._configured_workers = workers
+        self.wake()
+
+    def status(self) -> FileDiscoveryStatus:
+        """Return the state of the service; from any thread."""
+        versions, workers = self._versions, self._list.workers
+        applied = versions.applied
+        return FileDiscoveryStatus(
+            generation=applied.generation if applied else None,
+            digest=applied.digest if applied else "",
+            workers=len(workers),
+            draining=sum(worker.state == "draining" for worker in workers.values()),
+            is_from_stored_copy=versions.is_from_stored_copy,
+            rejection=versions.settling.rejection,
+            pending_reason=versions.pending_reason,
+            pending_digest=versions.pending_digest,
+            conflicts=self._list.conflicts,
+            counts=FileDiscoveryCounts(
+                applied=versions.applied_count,
+                rejected=versions.settling.rejected_count,
+                pending=versions.pending_count,
+                not_ready=versions.settling.not_ready_count,
+                polls=self._polls,
+            ),
+        )
+
+    def poll(self, now: float) -> None:
+        """Read, check and merge all sources, and report what changed."""
+        self._poll_sources(now)
+        changes = self._update_list(now)
+        if changes:
+            self._on_change(changes, self._list.workers)
+
+    def _run(self) -> None:
+        while not self._thread.stopping.is_set():
+            self._wait_for_wake_up()
+            if self._thread.stopping.is_set():
+                return
+            try:
+                self.poll(self._clock())
+            except Exception:  # discovery must continue whatever one poll met
+                log.exception("worker file poll failed")
+
+    def _wait_for_wake_up(self) -> None:
+        """Wait until it is time to poll; wake-ups that came together are one."""
+        try:
+            self._wake_ups.get(timeout=self._pause_s())
+            while True:
+                self._wake_ups.get_nowait()
+        except queue.Empty:
+            return  # the pause is over, or all wake-ups are taken
+
+    def _pause_s(self) -> float:
+        if self._versions.settling.is_settling:
+            return SETTLING_POLL_S
+        if self._list.is_ramping:
+            return min(self._poll_s, STEP_INTERVAL_S)
+        return self._poll_s
+
+    def _poll_sources(self, now: float) -> None:
+        self._polls += 1
+        self._versions.poll(now)
+
+    def _update_list(self, now: float) -> WorkerChanges:
+        applied = self._versions.applied
+        sources = (
+            WorkerSource("operator", OPERATOR_PRIORITY, drains=self._state_directory.drains()),
+            WorkerSource(
+                "file",
+                FILE_PRIORITY,
+                applied.workers if applied is not None else (),
+                self._versions.pending_drains,
+                is_complete=True,
+                is_known=applied is not None,
+            ),
+            WorkerSource("configuration", CONFIGURATION_PRIORITY, self._configured_workers),
+        )
+        return self._list.update(sources, now)
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -186,7 +186,7 @@
             return
         self._queue.put(lambda: self._header(worker, text))
 
-    def on_attempt_end(self, end: AttemptResult) -> None:
+    def on_attempt_result(self, end: AttemptResult) -> None:
         """An attempt's end: one that may have run and brought no answer is charged until its record comes."""
         outcome = end.outcome
         if outcome.result in LOST:
--- a/saffronstack/upstream/events.py
+++ b/saffronstack/upstream/events.py
@@ -13,13 +13,13 @@
 
 
 def unsent_attempt(call: Call, attempt: int, worker_id: int, result: Result, reason: str) -> AttemptResult:
-    """Return the end of an attempt that was never handed to a connection."""
+    """Return the result of an attempt that was never handed to a connection."""
     outcome = AttemptOutcome(call.number, attempt, worker_id, result, 0.0, call.is_finished)
     return AttemptResult(call, outcome, reason=reason)
 
 
 def unsent_command(worker_id: int, result: Result, function: FunctionSpec | None) -> CommandResult:
-    """Return the end of a load command, or of a health check (no function), that was never sent."""
+    """Return the result of a load command, or of a health check (no function), that was never sent."""
     return CommandResult(worker_id, result, 0.0, function_id(function))
 
 
--- a/saffronstack/upstream/http/attempt_runner.py
+++ b/saffronstack/upstream/http/attempt_runner.py
@@ -24,7 +24,7 @@
         self._context = context
 
     def run(self, job: AttemptJob, slot: ConnectionSlot) -> None:
-        """Carry out an attempt and report its end."""
+        """Carry out an attempt and report its result."""
         context = self._context
         started_s = context.clock()
         response = self._send(job, slot)
@@ -65,12 +65,17 @@
         observer = context.usage_observer
         if response.usage_records and observer is not None:
             observer.on_usage_records(context.spec, response.usage_records)
-        end = AttemptResult(
-            job.call, outcome, response.answer, response.reason, context.incarnation, response.memory_time
+        result = AttemptResult(
+            job.call,
+            outcome,
+            response.answer,
+            response.reason,
+            context.incarnation,
+            response.memory_time_kib_us,
         )
         if observer is not None:
-            observer.on_attempt_end(end)
-        context.report(end)
+            observer.on_attempt_result(result)
+        context.report(result)
 
     def _may_send(self, job: AttemptJob) -> bool:
         """Return whether the attempt is still wanted; checked right before its first byte."""
@@ -122,5 +127,5 @@
         context = self._context
         observer = context.usage_observer
         gateway = "" if observer is None else observer.gateway_name_for(context.spec.number)
-        time_left_s = job.deadline_s - context.clock()
-        return protocol.encode_invocation(context.host, job.call, job.attempt, time_left_s, gateway)
+        remaining_s = job.deadline_s - context.clock()
+        return protocol.encode_invocation(context.host, job.call, job.attempt, remaining_s, gateway)
--- a/saffronstack/upstream/multiplexed/codec.py
+++ b/saffronstack/upstream/multiplexed/codec.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from saffronstack import settings
+from saffronstack import settings_parser
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
 from saffronstack.upstream.errors import LineProtocolError
 
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerResponse:
+class ExchangeResponse:
     """One response of a worker, its numbers checked and bounded.
 
     Attributes:
@@ -143,7 +143,7 @@
     return _encode(_BareMessage(WORD_UNLOAD, function)) + b"\n"
 
 
-def decode_response(line: bytes) -> WorkerResponse:
+def decode_response(line: bytes) -> ExchangeResponse:
     """Decode one line from a worker.
 
     Raises:
@@ -165,7 +165,7 @@
     cache_status = _CACHE_STATUS_BY_NOTE.get(str(fields.get(FIELD_CACHE_STATUS, "")), CacheStatus.UNKNOWN)
     load = fields.get(FIELD_LOAD_REPORT)
     load_report = None if load is None else _decode_load_report(str(load))
-    return WorkerResponse(
+    return ExchangeResponse(
         message.what, str(message.tag), message.blob, cache_status, concurrency, load_report, instances
     )
 
@@ -189,4 +189,4 @@
             values.append((_REPORT_KEYS.get(name, name), float(value)))
         except ValueError:
             continue
-    return settings.report((name, value) for name, value in values if math.isfinite(value))
+    return settings_parser.parse_load_report((name, value) for name, value in values if math.isfinite(value))
--- a/saffronstack/upstream/multiplexed/exchange.py
+++ b/saffronstack/upstream/multiplexed/exchange.py
@@ -116,7 +116,7 @@
         if self.connection is not None:
             self.connection.on_dropped(self)
 
-    def on_response(self, response: codec.WorkerResponse) -> None:
+    def on_response(self, response: codec.ExchangeResponse) -> None:
         """End it with the worker's response; runs on the read loop's thread."""
         raise NotImplementedError
 
@@ -157,7 +157,7 @@
         )
         return True
 
-    def on_response(self, response: codec.WorkerResponse) -> None:
+    def on_response(self, response: codec.ExchangeResponse) -> None:
         """End the attempt; a successful one answers the call here, ahead of the decision thread."""
         result = codec.RESULT_BY_WORD.get(response.word)
         if result is None:  # the reply to a ping, under the tag of a request
@@ -229,7 +229,7 @@
         """Return whether it may be sent; a mere question puts no load on a worker that drains."""
         return super().prepare_to_send() if self.instances else self.claim()
 
-    def on_response(self, response: codec.WorkerResponse) -> None:
+    def on_response(self, response: codec.ExchangeResponse) -> None:
         """End it with the number of instances that are loaded."""
         result = codec.RESULT_BY_WORD.get(response.word)
         if result is None:
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -5,6 +5,7 @@
 import pytest
 
 from saffronstack.routing.actions import CancelAttempt, Reject, SendAttempt
+from saffronstack.routing.errors import UnknownRequestClassError
 from saffronstack.routing.events import AttemptOutcome, CacheStatus, ClientDisconnected, Request, Result
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import PermissionSettings
@@ -69,12 +70,12 @@
     """Where many leave, entries that went with them made standing instances unknown."""
     gateway = Gateway(make_router(1, 2, permissions=PermissionSettings(max_attempts=6, cancellation=True)))
     first, _ = gateway.request(100.0)
-    home = gateway.where[first]
+    holder = gateway.where[first]
     gateway.finish(100.1, first)
     second, _ = gateway.request(101.0)
     assert gateway.router.handle(101.5, ClientDisconnected(second)) == [CancelAttempt(second, 0)]
     gateway.finish(101.5, second, Result.CANCELLED, CacheStatus.UNKNOWN, is_final=True)
-    assert [worker.endpoint.worker_id for worker, _ in gateway.router.functions[1].warm_instances] == [home]
+    assert [worker.endpoint.worker_id for worker, _ in gateway.router.functions[1].warm_instances] == [holder]
     assert not gateway.router.components.attempts and not gateway.router.components.requests
 
 
@@ -100,13 +101,13 @@
             now = 100.0 + step * 0.03
             number, actions = gateway.request(now, function_id=step % 5)
             decided.append(repr(actions))
-            found = CacheStatus.STARTED_LOAD if step % 3 else CacheStatus.WARM
-            decided.append(repr(gateway.finish(now + 0.01, number, cache_status=found)))
+            cache_status = CacheStatus.STARTED_LOAD if step % 3 else CacheStatus.WARM
+            decided.append(repr(gateway.finish(now + 0.01, number, cache_status=cache_status)))
         return decided
 
     assert play() == play()
 
 
 def test_a_request_of_an_unknown_class_raises_an_error() -> None:
-    with pytest.raises(ValueError, match="class_index 9 names no class"):
+    with pytest.raises(UnknownRequestClassError, match="class_index 9 names no class"):
         make_router(1).handle(100.0, Request(1, 9, 1, 103.0))
