--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts at full size: daemons, lease keepers, leaders and gateways as processes, under load, on loopback.
+"""Rollouts at full size: daemons, lease servers, leaders and gateways as processes, under load, on loopback.
 
     python benchmarks/rollout.py good                      # a good release, its time, and nothing lost
     python benchmarks/rollout.py harms --gateways 40       # each bad release: its reach, its time, its harm
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -35,7 +35,7 @@
     """Leave a request for the leader, who takes it within seconds.
 
     Returns:
-        The exit status: 0 once a majority of lease keepers has it, 2 where no rollout is under way or the
+        The exit status: 0 once a majority of lease servers has it, 2 where no rollout is under way or the
         fleet file is unusable, 69 without a majority.
     """
     try:
@@ -119,7 +119,7 @@
 
 
 def read_record(fleet: FleetFile) -> RolloutRecord | None:
-    """Return the rollout as a majority of lease keepers shows it; None where none was ever recorded.
+    """Return the rollout as a majority of lease servers shows it; None where none was ever recorded.
 
     Raises:
         CommandError: No majority answers.
--- a/saffronstack/cli/rollout_leader.py
+++ b/saffronstack/cli/rollout_leader.py
@@ -137,7 +137,7 @@
     click.echo("saffronstack stands by to lead")
     try:
         while not stopping.is_set():
-            # A read costs lease keepers no write; a request for a lease does.
+            # A read costs lease servers no write; a request for a lease does.
             held = client.acquire(LEADER_LEASE, RETRY_INTERVAL_S) if _has_open_rollout(fleet) else None
             if held is not None:
                 _lead_recorded(fleet, held, stopping)
--- a/saffronstack/fleet/control/command_fence.py
+++ b/saffronstack/fleet/control/command_fence.py
@@ -24,7 +24,7 @@
     Attributes:
         incarnation: Which incarnation of the daemon this is; a random number greater than 0.
         token: The greatest fencing token that was accepted.
-        is_token_lost: Whether the disk has no token and the lease keepers have not reported it yet.
+        is_token_lost: Whether the disk has no token and the lease servers have not reported it yet.
         sequence: The last accepted sequence number under ``token``.
     """
 
@@ -46,7 +46,9 @@
             RejectedRequestError: It does not count.
         """
         if self.is_token_lost:
-            raise TokenLostError("the desired state is lost, and lease keepers have not told the token yet")
+            raise TokenLostError(
+                "the desired state is lost, and lease servers have not reported the token yet"
+            )
         if token < self.token:
             raise StaleTokenError(f"token {token} is older than {self.token}")
         if token == self.token and sequence <= self.sequence:
@@ -59,6 +61,6 @@
         self.token, self.sequence = token, sequence
 
     def learn_token(self, token: int) -> None:
-        """Take the greatest token that lease keepers granted, where this daemon has lost its own."""
+        """Take the greatest token that lease servers granted, where this daemon has lost its own."""
         if self.is_token_lost:
             self.token, self.is_token_lost = max(self.token, token), False
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -55,7 +55,7 @@
 
         Args:
             options: What the daemon is and which gateways it runs.
-            read_leases: Reads what lease keepers show, bounded.
+            read_leases: Reads what lease servers show, bounded.
             replacements: Which releases are replaced, by a reading: those that a rollout has taken back.
             clock: Seconds.
 
@@ -99,7 +99,7 @@
         for gateway in self._gateways.values():
             gateway.adopt_running(self._stopping)
         if self._fence.is_token_lost:
-            log.warning("desired state lost, commands are rejected until lease keepers report the token")
+            log.warning("desired state lost, commands are rejected until lease servers report the token")
         self._thread = start_thread("daemon", self._run)
         self._lease_observer.start()
         for gateway in self._gateways.values():
@@ -196,7 +196,7 @@
                 pass  # woken to stop, or to reconcile
 
     def _answer(self, pending: PendingRequest) -> None:
-        status, body = 503, b""  # stands where a step fails
+        status, body = 503, b""  # the answer where a step fails
         try:
             self._execute(pending.request)
             status, body = 200, msgspec.json.encode(self._status())
@@ -238,7 +238,7 @@
         """Start the desired releases by the first reading, and correct them by the first of a majority.
 
         The desired state on the disk may be older than a rollout that went back meanwhile, so a machine that
-        comes back to one starts the old release; without lease keepers it starts what it ran before.
+        comes back to one starts the old release; without lease servers it starts what it ran before.
         """
         if self._has_majority_reading or (self._has_started_gateways and not reading.has_majority):
             return
--- a/saffronstack/fleet/control/lease_observer.py
+++ b/saffronstack/fleet/control/lease_observer.py
@@ -12,7 +12,7 @@
 
 
 class LeaseObserver:
-    """A thread that reports what the lease keepers show."""
+    """A thread that reports what the lease servers show."""
 
     def __init__(self, read: Callable[[], QuorumRead], report: Callable[[QuorumRead], None]) -> None:
         """``read`` is bounded; ``report`` gets each reading on the observer's thread."""
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -59,7 +59,7 @@
 
 
 class MetricsPoller:
-    """Keeps the newest metrics of one gateway's present incarnation."""
+    """Caches the newest metrics of one gateway's present incarnation."""
 
     def __init__(self, address: str, clock: Callable[[], float] = time.monotonic) -> None:
         self._address, self._clock = address, clock
--- a/saffronstack/fleet/rollout/canary_analysis.py
+++ b/saffronstack/fleet/rollout/canary_analysis.py
@@ -70,7 +70,7 @@
     difference = comparison.canary - comparison.baseline
     kind = comparison.measure.partition("/")[0]
     is_significant = comparison.p_value < alpha and difference >= limits.min_differences.get(kind, 0.0)
-    # Few gateways never tell how much gateways differ, and a release that fails every tenth call must not
+    # Few gateways never show how much gateways differ, and a release that fails every tenth call must not
     # wait for them: no significance by gateways is claimed here, but a difference that no fleet shows by
     # itself.
     is_gross = (
--- a/saffronstack/fleet/rollout/canary_statistics.py
+++ b/saffronstack/fleet/rollout/canary_statistics.py
@@ -15,7 +15,7 @@
 
 from saffronstack.fleet.rollout.canary_types import Comparison, FailureRatio
 
-MIN_DEGREES_OF_FREEDOM = 2  # gateways beyond one a side and zone, to tell how much gateways differ
+MIN_DEGREES_OF_FREEDOM = 2  # gateways beyond one a side and zone, to estimate how much gateways differ
 
 
 @dataclass(frozen=True, slots=True)
--- a/saffronstack/fleet/rollout/canary_types.py
+++ b/saffronstack/fleet/rollout/canary_types.py
@@ -59,7 +59,7 @@
         min_calls: Of the canaries; with fewer the stage is inconclusive.
         max_silent_share: Of the canaries; with more silent ones the stage is inconclusive.
         max_restarts: Unplanned ones of canaries, where the baseline has none; with more the stage fails.
-        gross_failure_increase: So much more of a class's calls failing is harm, however few gateways tell.
+        gross_failure_increase: So much more of a class's calls failing is harm, on however few gateways.
         min_differences: Smaller differences stop nothing, whatever their significance; by measure, the part
             of its name before a slash.
     """
--- a/saffronstack/fleet/rollout/events.py
+++ b/saffronstack/fleet/rollout/events.py
@@ -1,4 +1,4 @@
-"""What a rollout's controller is told, and what it answers."""
+"""Events that a rollout's controller handles, and the actions that it answers with."""
 
 from __future__ import annotations
 
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -92,7 +92,7 @@
             fleet: The gateways and their daemons.
             daemons: Their client, under this lease's token.
             lease: The leader's lease, which is held.
-            read_leases: Reads what lease keepers show, for operators' requests.
+            read_leases: Reads what lease servers show, for operators' requests.
             on_round: Called after each round with the record and what the rollout waits for.
             clock: Seconds.
             options: Times.
@@ -193,7 +193,7 @@
         return events
 
     def _request_events(self, record: RolloutRecord) -> list[Event]:
-        """Poll for an operator's request, as a majority of lease keepers shows it."""
+        """Poll for an operator's request, as a majority of lease servers shows it."""
         now_s = self._clock()
         if now_s < self._requests_polled_s + REQUEST_POLL_INTERVAL_S:
             return []
--- a/saffronstack/fleet/rollout/plan.py
+++ b/saffronstack/fleet/rollout/plan.py
@@ -103,7 +103,7 @@
         on_inconclusive: What becomes of it where the analysis is inconclusive.
         allow_irreversible: The operator accepts that the old release can't read the new one's data.
         false_stop_probability: That a stage without harm is stopped.
-        min_calls: Of the canaries, for a stage to be judged at all.
+        min_calls: Of the canaries, for an analysis of the stage.
         min_memory_growth_mb: Growth in a bake below this stops nothing: young processes grow a little.
         min_descriptor_growth: The same for open file descriptors.
         gross_failure_increase: So much more of a class's calls rejected, failed or unknown stops at once.
--- a/saffronstack/harness/rollout/simulated_world.py
+++ b/saffronstack/harness/rollout/simulated_world.py
@@ -176,7 +176,7 @@
         return False
 
     def restart_daemon(self, name: str, is_disk_lost: bool) -> bool:
-        """Replace a daemon; one whose disk is lost has recovered the token from the lease keepers."""
+        """Replace a daemon; one whose disk is lost has recovered the token from the lease servers."""
         daemon = self.daemons[name]
         token = self.granted_token if is_disk_lost else daemon.stored_token
         if self.defect is Defect.TOKEN_FORGOTTEN:
