--- a/saffronstack/bench/simhost.py
+++ b/saffronstack/bench/simhost.py
@@ -14,7 +14,12 @@
 
 
 class Host:
-    """Independent routers, one for each running instance."""
+    """Independent routers, one for each running instance.
+
+    Attributes:
+        routers: The routers, by instance.
+        load_report_fields: Names of the values of load reports, by instance.
+    """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
--- a/saffronstack/engine/worker_registry.py
+++ b/saffronstack/engine/worker_registry.py
@@ -42,7 +42,13 @@
 
 
 class WorkerRegistry:
-    """Known workers, on the decision thread. A worker that is removed and returns counts as started anew."""
+    """Known workers, on the decision thread. A worker that is removed and returns counts as started anew.
+
+    Attributes:
+        version: Number of the last update; each update has the next one.
+        specs: The workers as discovery last reported them, by number.
+        endpoints: The same workers as the router knows them.
+    """
 
     def __init__(self) -> None:
         self.version = 0
