--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,7 +36,9 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seeds", type=int, nargs="*", default=[1])
     asked = parser.parse_args()
-    told = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True)
+    told = subprocess.run(
+        ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, check=False, capture_output=True, text=True
+    )
     broken = 0
     for name in asked.day:
         for seed in asked.seeds:
--- a/benchmarks/kit.py
+++ b/benchmarks/kit.py
@@ -46,7 +46,9 @@
 def run(arguments: list[str], timeout_s: float, cwd: pathlib.Path = ROOT) -> Run:
     """Run a program of the kit from a checkout's root; OSError where it can't be started."""
     try:
-        done = subprocess.run(arguments, cwd=cwd, capture_output=True, text=True, timeout=timeout_s)
+        done = subprocess.run(
+            arguments, cwd=cwd, check=False, capture_output=True, text=True, timeout=timeout_s
+        )
     except subprocess.TimeoutExpired as expired:
         text = expired.stdout or b""
         return Run(text.decode(errors="replace") if isinstance(text, bytes) else text, None)
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -138,7 +138,8 @@
 
 def losses(directory: pathlib.Path, operations: int, kills: int) -> None:
     """boto3, unchanged, in standard and adaptive mode: a third of the answers lost, a gateway killed
-    often."""
+    often.
+    """
     fleet = StandInFleet(4, lambda n: Profile(work_s=0.005, load_s=0.02))
     held = hold_port("127.0.0.1")
     address = f"127.0.0.1:{held.getsockname()[1]}"
@@ -186,7 +187,7 @@
             try:
                 client.invoke(FunctionName=function, InvocationType=kind, Payload=payload)
                 ended.append((op, function, True))
-            except Exception:
+            except Exception:  # noqa: BLE001 - whatever the SDK raises, the send failed
                 ended.append((op, function, False))
 
     workers = [threading.Thread(target=work, args=(n,)) for n in range(threads)]
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -431,7 +431,9 @@
     parser.add_argument("--client-processes", type=int, default=2)
     parser.add_argument("--chart", default="")
     asked = vars(parser.parse_args())
-    told = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True)
+    told = subprocess.run(
+        ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, check=False, capture_output=True, text=True
+    )
     rows, code = [], 0
     for seed in asked["seeds"]:
         for policy in asked["policy"]:
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -52,7 +52,7 @@
     began_s = time.monotonic()
     command = [str(python), "-m", "pytest", "-q", f"--junitxml={report}", *tests]
     quiet = subprocess.DEVNULL
-    subprocess.run(command, cwd=folder, timeout=RUN_MOST_S, stdout=quiet, stderr=quiet)
+    subprocess.run(command, check=False, cwd=folder, timeout=RUN_MOST_S, stdout=quiet, stderr=quiet)
     took_s = time.monotonic() - began_s
     found: dict[str, tuple[float, str]] = {}
     for case in ElementTree.parse(report).iter("testcase"):
--- a/saffronstack/bench/simhost.py
+++ b/saffronstack/bench/simhost.py
@@ -39,7 +39,7 @@
                 self._handle_event(now, instance, event, reply)
             except wire.WireError:
                 raise
-            except Exception as error:  # the simulator has a record for decision code that fails
+            except Exception as error:  # noqa: BLE001 - the simulator has a record for decision code that fails
                 traceback.print_exc(file=sys.stderr)
                 reply.append(wire.encode_fault(instance, f"{type(error).__name__}: {error}"))
         if reader.offset != len(body):
--- a/saffronstack/discovery/dns/resolver.py
+++ b/saffronstack/discovery/dns/resolver.py
@@ -132,7 +132,7 @@
             return self.query(self._socket.open(self._server))
         except OSError as error:  # nobody listens there, or no descriptor is free
             self._count_rejection(type(error).__name__)
-        except Exception:  # discovery must continue whatever one response did
+        except Exception:  # noqa: BLE001 - discovery must continue whatever one response did
             self._log.exception("discovery poll failed")
         return False
 
--- a/saffronstack/engine/decision_loop.py
+++ b/saffronstack/engine/decision_loop.py
@@ -103,12 +103,12 @@
         if due_s is not None and due_s <= self._now:
             try:
                 self._fire_timers()
-            except Exception:  # whatever a timer meets, all other calls depend on this thread
+            except Exception:  # noqa: BLE001 - whatever a timer meets, all other calls depend on this thread
                 self._note_fault()
         if message is not None:
             try:
                 self._handle(message)
-            except Exception:  # the same for a message
+            except Exception:  # noqa: BLE001 - the same for a message
                 self._note_fault()
         return True
 
@@ -224,7 +224,7 @@
         self.state.statistics.events += 1
         try:
             actions = self.router.handle(self._now, event)
-        except Exception:  # the calls that it concerns are answered at their deadlines; the others go on
+        except Exception:  # noqa: BLE001 - the calls that it concerns are answered at their deadlines; the others go on
             self.state.statistics.faults += 1
             self._log.exception("decision failed", kind=type(event).__name__)
             return
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -187,7 +187,7 @@
         fields = {"task": self.name, "token": run.token, "run": run.number}
         try:
             summary = self._task.execute(run)
-        except Exception as error:  # whatever a task raises: the run failed, and is retried after a backoff
+        except Exception as error:  # noqa: BLE001 - whatever a task raises: the run failed, and is retried after a backoff
             succeeded = False
             log.error("task run failed", **fields, error=f"{type(error).__name__}: {error}")
         else:
--- a/saffronstack/harness/fleet/cluster.py
+++ b/saffronstack/harness/fleet/cluster.py
@@ -1,7 +1,8 @@
 """Many gateways of the platform's front, each a process, among stand-ins, with faults between; and the sums.
 
 Clients send at random moments and stop waiting at their own time; every try is noted as its socket saw it,
-every call and run as the hosts saw it, and `saffronstack.audit` judges both."""
+every call and run as the hosts saw it, and `saffronstack.audit` judges both.
+"""
 
 from __future__ import annotations
 
@@ -137,7 +138,7 @@
             self.told.append(Told(now, name, "gone"))
 
     def kill(self, gateways: Iterable[Gateway]) -> None:
-        """kill -9, all at once."""
+        """Kill -9, all at once."""
         some = list(gateways)
         for gateway in some:
             self.stopped.append(Stopped(gateway.number, time.monotonic(), True))
@@ -195,7 +196,7 @@
         time.sleep(max(0.0, self.began_s + at - time.monotonic()))
         try:
             step()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the verdict names it
             self.faults.append(f"step at {at:.1f} s: {error!r}")
 
     def look(self) -> None:
--- a/saffronstack/harness/leases/rig_faults.py
+++ b/saffronstack/harness/leases/rig_faults.py
@@ -173,7 +173,7 @@
             time.sleep(after_s)
             try:
                 action()
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 - the run fails with it at its end
                 self._failure = self._failure or repr(error)
 
         self._recoveries.append(start_thread("heal", run))
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -155,7 +155,7 @@
     def _cause_faults(self) -> None:
         try:
             self._options.faults(self._rig)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the verdict names it
             self._troubles.append(f"faults: {error!r}")
 
     def _play_clients(self, is_over: threading.Event) -> None:
--- a/saffronstack/net/read_loop.py
+++ b/saffronstack/net/read_loop.py
@@ -121,12 +121,12 @@
     def _read(self, handler: ReadHandler, buffer: bytearray, view: memoryview) -> bool:
         try:
             return handler.on_readable(buffer, view)
-        except Exception:  # a fault of one handler must not stop the others
+        except Exception:  # noqa: BLE001 - a fault of one handler must not stop the others
             self._log.exception("reading a socket failed")
             return False
 
     def _notify_released(self, handler: ReadHandler) -> None:
         try:
             handler.on_released()
-        except Exception:  # a fault of one handler must not stop the others
+        except Exception:  # noqa: BLE001 - a fault of one handler must not stop the others
             self._log.exception("releasing a socket failed")
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -244,7 +244,7 @@
         """Flush a buffer; a fault of one of its messages breaks it alone, and not the loop."""
         try:
             return buffer.flush()
-        except Exception:
+        except Exception:  # noqa: BLE001 - see above
             self._log.exception("writing to a socket failed")
             buffer.abort()
             return True
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -1,7 +1,8 @@
 """The client front: one thread accepts, reads and ends all client connections; see `ClientConnection`.
 
 One thread sees everything in one order: no connection is accepted and not yet read, and none is closed
-while a request lies unread in its socket."""
+while a request lies unread in its socket.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +41,8 @@
     """Listens, and holds client connections within their number.
 
     Over it, the connection that has been idle longest makes room for a new one; where none is idle, the calls
-    of a few more are refused at once; beyond those, connections wait to be accepted."""
+    of a few more are refused at once; beyond those, connections wait to be accepted.
+    """
 
     def __init__(
         self,
@@ -55,7 +57,8 @@
         advice_max_s: float,
     ) -> None:
         """OSError where the address can't be had. ``advice_max_s``: clients are never asked to stay away
-        longer; 0: clients are given no such advice."""
+        longer; 0: clients are given no such advice.
+        """
         self.limits = limits
         self.clock = clock
         self.ids = OpenIds()
@@ -188,7 +191,7 @@
                     os.eventfd_read(self._wake)
             elif self._listening and descriptor == self._listener.fileno():
                 self._accept(now, ACCEPTS_AT_ONCE)
-        except Exception:
+        except Exception:  # noqa: BLE001 - a fault costs its own connection alone
             self._log.exception("step of the clients' thread failed")
             self._discard(descriptor)
 
@@ -206,7 +209,7 @@
                     self._close(connection)
                 elif connection.active_s == now:  # it has something open
                     self._eviction.touch(connection)
-            except Exception:
+            except Exception:  # noqa: BLE001 - a fault costs its own connection alone
                 self._log.exception("step of the clients' thread failed")
                 self._discard(descriptor)
         if self._shutdown.phase in (Phase.ACCEPTING, Phase.DRAINING):
--- a/saffronstack/resp/reader.py
+++ b/saffronstack/resp/reader.py
@@ -104,7 +104,5 @@
 
 def encode(words: tuple[bytes, ...]) -> bytes:
     """Words as an array of bulk strings."""
-    parts = [b"*%d\r\n" % len(words)]
-    for word in words:
-        parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
-    return b"".join(parts)
+    bulk_strings = [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
+    return b"".join([b"*%d\r\n" % len(words), *bulk_strings])
--- a/saffronstack/upstream/deadlines.py
+++ b/saffronstack/upstream/deadlines.py
@@ -117,5 +117,5 @@
         """Expire one exchange; a fault in it must not stop the deadlines of all others."""
         try:
             self._owner.expire(key)
-        except Exception:
+        except Exception:  # noqa: BLE001 - see above
             self._log.exception("expiring an exchange failed", call=key[0], attempt=key[1])
--- a/saffronstack/upstream/multiplexed/line_reader.py
+++ b/saffronstack/upstream/multiplexed/line_reader.py
@@ -31,7 +31,8 @@
         remainder = lines.pop()
         self._parts = [remainder] if remainder else []
         self._bytes = len(remainder)
-        self._check_length(max(self._bytes, max(map(len, lines))))
+        longest_bytes = max(map(len, lines))
+        self._check_length(max(self._bytes, longest_bytes))
         return lines
 
     def _append(self, data: bytes) -> None:
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -274,7 +274,8 @@
             while True:
                 filler.append(os.dup(spare[0]))
         except OSError as error:
-            assert error.errno == errno.EMFILE
+            spent = error.errno
+        assert spent == errno.EMFILE
         try:
             for sock in waiting:
                 sock.settimeout(1)
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -73,6 +73,10 @@
         client.sendall(data)
         eventually(lambda: not self.streams[0].is_quiet(), WAIT_S)
 
+    def has_read_the_head(self) -> bool:
+        """Whether the gateway's thread has read what was sent so far."""
+        return self.streams[0].is_quiet()
+
 
 def connected(stack: Stack) -> socket.socket:
     """A connection that has been answered once and is idle."""
@@ -117,7 +121,7 @@
         crossing.send(client, crosses)
         crossing.go_on.set()
         if later:
-            eventually(lambda: crossing.streams[0].is_quiet(), WAIT_S)  # the head has been read
+            eventually(crossing.has_read_the_head, WAIT_S)
             client.sendall(later)
         assert_last_answer(client)
         assert ended()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -40,7 +40,7 @@
     environment = {key: value for key, value in os.environ.items() if not key.startswith("PYTEST_")}
     run = subprocess.run(
         [sys.executable, "-m", "pytest", "-n", workers, "-p", "no:cacheprovider", str(folder)], cwd=folder,
-        env={**environment, "PYTHONPATH": str(ROOT)}, capture_output=True, text=True, timeout=60,
+        env={**environment, "PYTHONPATH": str(ROOT)}, check=False, capture_output=True, text=True, timeout=60,
     )  # fmt: skip
     return run.returncode, run.stdout + run.stderr
 
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -178,9 +178,13 @@
     with pytest.raises(ConnectionResetError):
         sock.recv(100)
     wires.refuse(forth, True)
+
+    def connect_and_receive() -> None:
+        with socket.create_connection((host, int(port)), timeout=10.0) as late:
+            late.recv(100)
+
     with pytest.raises(ConnectionResetError):
-        late = socket.create_connection((host, int(port)), timeout=10.0)
-        late.recv(100)
+        connect_and_receive()
     wires.refuse(forth, False)
     with socket.create_connection((host, int(port)), timeout=10.0) as again:
         again.sendall(b"x")
--- a/tests/test_spread_run.py
+++ b/tests/test_spread_run.py
@@ -16,7 +16,7 @@
     command = [sys.executable, str(ROOT / "benchmarks" / "spread.py"), *sizes, "--day", "herd"]
     ran = subprocess.run(
         [*command, "--policy", "ours", "late", "--host-processes", "2"],
-        cwd=ROOT, capture_output=True, text=True, timeout=RUN_MOST_S,
+        cwd=ROOT, check=False, capture_output=True, text=True, timeout=RUN_MOST_S,
     )  # fmt: skip
     assert ran.returncode in (0, 1), ran.stderr  # 1: this machine did not bear the rate, and it says so
     ours, late = (json.loads(line) for line in ran.stdout.splitlines())
--- a/tests/upstream/multiplexed/test_codec.py
+++ b/tests/upstream/multiplexed/test_codec.py
@@ -41,7 +41,11 @@
 
 def test_a_line_without_an_end_is_an_error_before_it_fills_memory() -> None:
     reader = LineReader(1000)
-    with pytest.raises(LineProtocolError):
+
+    def feed_endless_line() -> None:
         for _ in range(1100):
             reader.feed(b"x")
+
+    with pytest.raises(LineProtocolError):
+        feed_endless_line()
     assert len(reader._parts) <= line_reader.MAX_LINE_PARTS + 1
