--- a/benchmarks/mixed_lease_versions.py
+++ b/benchmarks/mixed_lease_versions.py
@@ -89,9 +89,11 @@
         self.last_token = 0
 
     def __enter__(self) -> Self:
+        """Return the fleet."""
         return self
 
     def __exit__(self, *_: object) -> None:
+        """End all processes."""
         for holder in self._holders:
             if holder.process.poll() is None:
                 holder.kill()
--- a/saffronstack/cli/lease_servers.py
+++ b/saffronstack/cli/lease_servers.py
@@ -32,7 +32,8 @@
         directory: The state directory.
 
     Returns:
-        The exit status: 0, or 2 with the reason on standard error."""
+        The exit status: 0, or 2 with the reason on standard error.
+    """
     try:
         fleet = load_fleet(path)
         servers = lease_fleet_of(fleet).limits.servers
@@ -56,7 +57,8 @@
         log_form: How logs are written, ``console`` or ``json``.
 
     Returns:
-        The exit status: 0, or 2 where the server can't start."""
+        The exit status: 0, or 2 where the server can't start.
+    """
     set_up_logs(log_form, "info")
     signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
     try:
@@ -90,7 +92,8 @@
         as_json: Print one JSON line for each server.
 
     Returns:
-        The exit status: 0 where a majority votes, 69 where none does, 2 for a bad file."""
+        The exit status: 0 where a majority votes, 69 where none does, 2 for a bad file.
+    """
     try:
         fleet = load_fleet(path)
     except ConfigError as error:
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -93,7 +93,8 @@
         as_json: Print one JSON line for each lease.
 
     Returns:
-        The exit status: 0, 1 for an unknown lease, 69 without a majority, 2 for a bad file."""
+        The exit status: 0, 1 for an unknown lease, 69 without a majority, 2 for a bad file.
+    """
     try:
         fleet = load_fleet(path)
     except ConfigError as error:
@@ -149,7 +150,8 @@
         log_form: How logs are written, ``console`` or ``json``.
 
     Returns:
-        The exit status: 0, 1 where a run did not end in time, 2 for a bad file."""
+        The exit status: 0, 1 where a run did not end in time, 2 for a bad file.
+    """
     set_up_logs(log_form, "info")
     signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
     try:
@@ -172,9 +174,9 @@
             break
         except queue.Empty:  # no signal yet
             continue
-    clean = all([runner.stop() for runner in runners])
+    ended_in_time = [runner.stop() for runner in runners]
     client.close()
-    return 0 if clean else 1
+    return 0 if all(ended_in_time) else 1
 
 
 def job_of(task: TaskEntry, client: LeaseClient) -> Job:
@@ -202,7 +204,8 @@
 
     Returns:
         The command's exit status, or 69 without a majority, 75 where the lease was not granted in time, 76
-        where it was lost, 2 for a bad file."""
+        where it was lost, 2 for a bad file.
+    """
     set_up_logs("console", "warning")
     signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name, signal.SIGHUP.name)
     try:
--- a/saffronstack/cli/ledger_ownership.py
+++ b/saffronstack/cli/ledger_ownership.py
@@ -44,7 +44,8 @@
             held: The lease; None where the token was given from outside.
 
         Raises:
-            OSError: The directory can't be entered."""
+            OSError: The directory can't be entered.
+        """
         self._directory, self._token, self._client, self._held = directory, token, client, held
         self._is_closed = threading.Event()
         self.files = FencedFiles(directory, token)
@@ -61,7 +62,8 @@
         """End this process at once where a later owner has entered; runs on a thread of its own.
 
         What this process still does is fenced off, and its calls are the later owner's to finish. A lease
-        that expired without a later owner is acquired again."""
+        that expired without a later owner is acquired again.
+        """
         while not self._is_closed.wait(CHECK_INTERVAL_S):
             if self._directory.above(self._token):
                 path = str(self._directory.directory)
@@ -103,7 +105,8 @@
     Raises:
         ConfigError: The fleet's file is invalid, or the configuration has no ledger.
         LeaseNotGrantedError: The lease was not granted in time.
-        OSError: The directory can't be entered."""
+        OSError: The directory can't be entered.
+    """
     if not fleet_path and not directory:
         return None
     if config.ledger is None:
--- a/saffronstack/fleet/leases/acceptor.py
+++ b/saffronstack/fleet/leases/acceptor.py
@@ -3,7 +3,8 @@
 An acceptor promises each ballot of a lease to one candidate at most, only greater ballots than before, and
 none while another candidate's grant runs. It grants only to the candidate that it promised last. Any two
 majorities share an acceptor, so two holders at once would have needed a grant beside another's, and a later
-holder's ballot is greater."""
+holder's ballot is greater.
+"""
 
 from __future__ import annotations
 
@@ -54,7 +55,8 @@
             nonce: Distinguishes this start from earlier ones in answers to catch-up requests.
 
         Raises:
-            UnknownServerError: The name is none of the fleet's servers."""
+            UnknownServerError: The name is none of the fleet's servers.
+        """
         if name not in limits.servers:
             raise UnknownServerError(f"server {name!r} is none of {', '.join(limits.servers)}")
         self.name = name
--- a/saffronstack/fleet/leases/acceptor_service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -35,7 +35,8 @@
 class AcceptorService:
     """Owns the acceptor, the thread that writes its state and the one that runs its timers.
 
-    The lock guards the acceptor and all fields; it is held for decisions alone, never during I/O."""
+    The lock guards the acceptor and all fields; it is held for decisions alone, never during I/O.
+    """
 
     def __init__(
         self,
@@ -58,7 +59,8 @@
 
         Raises:
             ForeignStateError: The state is that of another server or fleet.
-            OSError: The directory can't be read."""
+            OSError: The directory can't be read.
+        """
         self._clock = clock
         self._disk = disk
         self._send = send
@@ -84,7 +86,8 @@
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
         """Answer nobody any more, and end a write in progress, so that another server may use the directory.
 
-        A disk that takes longer than ``timeout_s`` is logged and left alone."""
+        A disk that takes longer than ``timeout_s`` is logged and left alone.
+        """
         with self._lock:
             self._is_stopping = True
             self._lock.notify_all()
@@ -100,7 +103,8 @@
         """Handle the messages of one request and return the answers to its sender.
 
         Returns nothing where the disk does not persist the state within ``timeout_s``: an acceptor with a
-        stalled disk is silent, not wrong."""
+        stalled disk is silent, not wrong.
+        """
         with self._lock:
             if self._is_stopping or self._pending_answers >= MAX_PENDING_ANSWERS:
                 return []
@@ -131,7 +135,8 @@
     def _wait_until_persisted(self, messages: tuple[Message, ...], timeout_s: float) -> bool:
         """Wait for the writes that the answers rest on; the lock is held.
 
-        An answer that writes nothing itself may rest on what another request still waits to have written."""
+        An answer that writes nothing itself may rest on what another request still waits to have written.
+        """
         write = max((self._acceptor.write_of(_lease_of(message)) for message in messages), default=0)
         self._pending_answers += 1
         try:
--- a/saffronstack/fleet/leases/candidate.py
+++ b/saffronstack/fleet/leases/candidate.py
@@ -2,7 +2,8 @@
 
 A candidate counts its lease from before it sent the accept requests, while acceptors count from after they
 received them: by its own clock it stops first. No check of the clock holds over a pause between the check and
-the act it protects, so the protected resource must compare the fencing token."""
+the act it protects, so the protected resource must compare the fencing token.
+"""
 
 from __future__ import annotations
 
@@ -92,7 +93,8 @@
             seed: Seeds the jitter of the backoff.
 
         Raises:
-            InvalidLeaseDurationError: No server grants a lease of this duration."""
+            InvalidLeaseDurationError: No server grants a lease of this duration.
+        """
         if not 0 < lease_s <= limits.max_lease_s:
             raise InvalidLeaseDurationError(
                 f"a lease runs for at most {limits.max_lease_s:g} s, and not for {lease_s:g} s"
@@ -136,7 +138,8 @@
         """Store the lease's value; `ValueStored` follows once a majority has it.
 
         Raises:
-            NotHolderError: It does not hold the lease."""
+            NotHolderError: It does not hold the lease.
+        """
         if not self.is_holder(now):
             raise NotHolderError("only a holder writes a lease's value")
         self._pending_value = self.value = LeaseValue(self.token, self.value.version + 1, content)
@@ -223,9 +226,7 @@
         return [*self._broadcast(self._accept_request(observed_writes)), SetTimer(self._deadline_s)]
 
     def _handle_accept_response(self, now: float, response: AcceptResponse) -> list[CandidateAction]:
-        if response.ballot != self._ballot or response.sequence != self._sequence:
-            return []
-        if self.state not in (CandidateState.ACQUIRING, CandidateState.HOLDING):
+        if not self._is_awaited(response):
             return []
         (self._approvals if response.is_accepted else self._rejections)[response.server] = response
         if self.state is CandidateState.ACQUIRING and self._is_rejected():
@@ -240,6 +241,10 @@
             return self._lose_lease(now, "granted too late")
         return self._back_off(now)
 
+    def _is_awaited(self, response: AcceptResponse) -> bool:
+        is_of_this_round = (response.ballot, response.sequence) == (self._ballot, self._sequence)
+        return is_of_this_round and self.state in (CandidateState.ACQUIRING, CandidateState.HOLDING)
+
     def _extend_lease(self, expires_s: float) -> list[CandidateAction]:
         """A majority accepted: the lease was acquired or renewed."""
         is_acquired = self.state is CandidateState.ACQUIRING
@@ -265,7 +270,8 @@
         """Return the approvals of servers that are not known to have been replaced.
 
         Of two machines of one name, the one that was taken for dead may wake up, and whoever still has its
-        address would count its vote."""
+        address would count its vote.
+        """
         return [
             response
             for response in self._approvals.values()
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -35,7 +35,8 @@
 def holder_clock() -> float:
     """Return seconds that also pass while the machine is suspended: a holder must not sleep past its lease.
 
-    Servers count by CLOCK_MONOTONIC, which stands still meanwhile: they grant later, which is harmless."""
+    Servers count by CLOCK_MONOTONIC, which stands still meanwhile: they grant later, which is harmless.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -82,7 +83,8 @@
 class LeaseClient:
     """The leases of one process on the fleet's lease servers; a `store.LeaseStore`.
 
-    The lock guards the candidates and all fields. It is held while candidates decide, never during I/O."""
+    The lock guards the candidates and all fields. It is held while candidates decide, never during I/O.
+    """
 
     def __init__(
         self,
@@ -101,7 +103,8 @@
             lease_s: For how long each grant runs, in seconds.
             seed: Seeds the jitter of backoffs.
             clock: The clock that held leases are counted by, in seconds.
-            make_candidate: Makes the candidate of each lease."""
+            make_candidate: Makes the candidate of each lease.
+        """
         self._make_candidate = make_candidate
         self._process, self._limits, self._lease_s, self._seed = process, fleet.limits, lease_s, seed
         self._clock = clock
@@ -129,7 +132,8 @@
         """Acquire a lease, see `store.LeaseStore`.
 
         Raises:
-            LeaseAlreadyRequestedError: This process waits for the lease or holds it already."""
+            LeaseAlreadyRequestedError: This process waits for the lease or holds it already.
+        """
         with self._lock:
             if self._is_stopping:
                 return None
--- a/saffronstack/fleet/leases/codec.py
+++ b/saffronstack/fleet/leases/codec.py
@@ -47,7 +47,8 @@
     """Decode an envelope from a link.
 
     Raises:
-        DecodeError: The bytes are no envelope, or it holds too many messages."""
+        DecodeError: The bytes are no envelope, or it holds too many messages.
+    """
     try:
         envelope = _envelope_decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -66,7 +67,8 @@
     """Decode the content of a state file.
 
     Raises:
-        DecodeError: The bytes are no state."""
+        DecodeError: The bytes are no state.
+    """
     try:
         return _state_decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/saffronstack/fleet/leases/disk.py
+++ b/saffronstack/fleet/leases/disk.py
@@ -3,7 +3,8 @@
 A write is complete once both copies are on the disk. Whichever one copy is damaged, truncated or an older
 block, the other is at least as new as what was completed. Where neither can be read the state is lost; an
 empty directory counts as lost too, because only `establish` makes a new server. A disk that is rolled back as
-a whole is detected by the other servers (see `recovery`), not here."""
+a whole is detected by the other servers (see `recovery`), not here.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +52,8 @@
 
         Raises:
             StateExistsError: The directory holds a state.
-            OSError: The directory or its files can't be written."""
+            OSError: The directory or its files can't be written.
+        """
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         for name in COPIES:
             if (self.directory / name).exists():
@@ -63,7 +65,8 @@
 
         Raises:
             ForeignStateError: The state is that of another server, fleet or set of servers.
-            OSError: The directory can't be read or made."""
+            OSError: The directory can't be read or made.
+        """
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         warnings: list[str] = []
         copies: list[StoredState] = []
@@ -90,7 +93,8 @@
         """Write both copies.
 
         Raises:
-            OSError: A write failed; the disk then holds this state or the one before."""
+            OSError: A write failed; the disk then holds this state or the one before.
+        """
         content = encode_state(StoredState(self._fleet, self._server, self._servers, state))
         for number, name in enumerate(COPIES):
             self._replace(self.directory / name, _pack(content, number, state.last_write))
--- a/saffronstack/fleet/leases/http_endpoint.py
+++ b/saffronstack/fleet/leases/http_endpoint.py
@@ -27,7 +27,8 @@
         """Listen on an address.
 
         Raises:
-            OSError: The address can't be bound."""
+            OSError: The address can't be bound.
+        """
         super().__init__("keeper", host, port, self._reply, clock)
         self._fleet = fleet
         self._service = service
--- a/saffronstack/fleet/leases/lease_server.py
+++ b/saffronstack/fleet/leases/lease_server.py
@@ -42,7 +42,8 @@
         Raises:
             UnknownServerError: The fleet has no server of this name.
             ForeignStateError: The directory holds the state of another server or fleet.
-            OSError: The directory can't be read, or the address not be bound."""
+            OSError: The directory can't be read, or the address not be bound.
+        """
         addresses = fleet.addresses
         if name not in addresses:
             raise UnknownServerError(f"{name!r} is none of the keepers {', '.join(sorted(addresses))}")
--- a/saffronstack/fleet/leases/lease_table.py
+++ b/saffronstack/fleet/leases/lease_table.py
@@ -27,7 +27,8 @@
     def add_waiter(self, candidate: str, now: float, limits: LeaseLimits) -> None:
         """Queue a candidate that was rejected because of a running grant.
 
-        A waiter prepares again at least once in the longest lease; one that does not has left the queue."""
+        A waiter prepares again at least once in the longest lease; one that does not has left the queue.
+        """
         gone = [waiter for waiter, seen_s in self.waiters.items() if now - seen_s > limits.max_lease_s]
         for waiter in gone:
             del self.waiters[waiter]
@@ -53,7 +54,8 @@
             server: The name of this server.
             limits: The limits of the fleet.
             state: What was read from the disk.
-            expires_s: Until when (local clock) grants of an earlier incarnation of the process may run."""
+            expires_s: Until when (local clock) grants of an earlier incarnation of the process may run.
+        """
         self.server = server
         self.limits = limits
         self.last_write = state.last_write
--- a/saffronstack/fleet/leases/limits.py
+++ b/saffronstack/fleet/leases/limits.py
@@ -31,7 +31,8 @@
 class LeaseFleet:
     """The lease servers of one fleet as the configuration describes them.
 
-    ``timeout_s`` bounds connecting to a server and each exchange with it."""
+    ``timeout_s`` bounds connecting to a server and each exchange with it.
+    """
 
     name: str
     addresses: Mapping[str, str]
--- a/saffronstack/fleet/leases/mailboxes.py
+++ b/saffronstack/fleet/leases/mailboxes.py
@@ -38,9 +38,11 @@
     """The mailboxes of all processes that poll, or did until just now."""
 
     def __init__(self) -> None:
+        """Start without a mailbox."""
         self._by_process: dict[str, Mailbox] = {}
 
     def __contains__(self, process: str) -> bool:
+        """Return whether a process has a mailbox."""
         return process in self._by_process
 
     def open(self, process: str) -> Mailbox | None:
--- a/saffronstack/fleet/leases/messages.py
+++ b/saffronstack/fleet/leases/messages.py
@@ -5,7 +5,8 @@
 that grants or renews the lease. The ballot that a majority accepted is the lease's fencing token.
 
 All times end in ``_s`` and are seconds. Points in time are those of the local monotonic clock; none is sent
-to another process. Names in ``rename`` and ``tag`` are those on the wire and on disk, and never change."""
+to another process. Names in ``rename`` and ``tag`` are those on the wire and on disk, and never change.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +34,8 @@
 class PrepareRequest(Struct, frozen=True, tag="Ask", rename={"ballot": "number", "incarnations": "lives"}):
     """Ask an acceptor to promise that it grants nothing under a smaller ballot any more.
 
-    ``incarnations`` passes on what the candidate knows, so that a server that was replaced learns of it."""
+    ``incarnations`` passes on what the candidate knows, so that a server that was replaced learns of it.
+    """
 
     lease: str
     candidate: str
@@ -59,7 +61,8 @@
     """Answer a `PrepareRequest`: promised, or rejected for a running grant or a ballot that is too small.
 
     ``highest_ballot`` is the greatest ballot ever promised by this server, ``remaining_s`` and ``holder``
-    describe the grant that still runs, ``last_write`` numbers the server's persisted states."""
+    describe the grant that still runs, ``last_write`` numbers the server's persisted states.
+    """
 
     lease: str
     server: str
@@ -90,7 +93,8 @@
     """Acquire or renew the lease for ``duration_s`` from when each acceptor receives the request.
 
     Sent by a candidate whose ballot a majority promised. ``sequence`` counts the candidate's rounds;
-    ``observed_writes`` tells what the promising servers had persisted by then."""
+    ``observed_writes`` tells what the promising servers had persisted by then.
+    """
 
     lease: str
     candidate: str
@@ -151,7 +155,8 @@
     """Ask another server, after a restart, for its records and for what it observed of the sender.
 
     ``incarnation`` counts how often a new machine took the server's name; of two servers of one name the one
-    with the smaller incarnation is the one that was replaced."""
+    with the smaller incarnation is the one that was replaced.
+    """
 
     server: str
     nonce: int
@@ -171,7 +176,8 @@
     """What an acceptor has persisted of one lease.
 
     ``candidate`` is the one that ``promised_ballot`` was promised to, ``released_ballot`` the greatest ballot
-    that was given back."""
+    that was given back.
+    """
 
     lease: str
     promised_ballot: int = 0
@@ -200,7 +206,8 @@
 
     ``is_recovered`` says whether the responder has all that it had persisted, so that its records count,
     unless another server of its name replaced it. ``observed_write`` and ``observed_incarnation`` are the
-    greatest known of the server that asked."""
+    greatest known of the server that asked.
+    """
 
     server: str
     nonce: int
--- a/saffronstack/fleet/leases/quorum_read.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -23,7 +23,8 @@
 class LeaseStatus:
     """One lease by the servers that answered; ``holder`` is empty where no majority shows one.
 
-    ``granted_by`` counts the servers that show the newest grant as running."""
+    ``granted_by`` counts the servers that show the newest grant as running.
+    """
 
     lease: str
     holder: str
@@ -37,7 +38,8 @@
 class QuorumRead:
     """The result of a read; ``errors`` by server.
 
-    Where ``has_majority``, any value that was stored before the read began is among those in ``leases``."""
+    Where ``has_majority``, any value that was stored before the read began is among those in ``leases``.
+    """
 
     has_majority: bool
     leases: dict[str, LeaseStatus]
@@ -52,7 +54,8 @@
         timeout_s: Bounds each exchange, in seconds.
 
     Returns:
-        What the servers that answered in time show."""
+        What the servers that answered in time show.
+    """
     reports: dict[str, list[LeaseReport]] = {}
     errors: dict[str, str] = {}
 
@@ -95,7 +98,8 @@
         errors: Why the other servers did not answer.
 
     Returns:
-        Each reported lease with its holder, where a majority shows one."""
+        Each reported lease with its holder, where a majority shows one.
+    """
     majority = servers // 2 + 1
     by_lease: dict[str, list[LeaseReport]] = {}
     for of_server in reports.values():
--- a/saffronstack/fleet/leases/recovery.py
+++ b/saffronstack/fleet/leases/recovery.py
@@ -11,7 +11,8 @@
   takes the next *incarnation* of its name, and votes once a majority of others has persisted that. The old
   machine learns of it from any majority, and never votes again (*replaced*).
 
-Free of I/O, clocks and threads."""
+Free of I/O, clocks and threads.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +52,8 @@
             table: The acceptor's state, rebuilt in place where it was lost.
             disk_state: What the disk showed.
             now: The local clock's time, in seconds.
-            nonce: Distinguishes answers to this run from those to an earlier one."""
+            nonce: Distinguishes answers to this run from those to an earlier one.
+        """
         self.table = table
         self.disk_state = disk_state
         self.nonce = nonce
@@ -128,7 +130,8 @@
         """Complete the recovery where enough servers have answered.
 
         They are asked only once grants of an earlier run are over: what was on its way then has arrived, or
-        serves nobody."""
+        serves nobody.
+        """
         if self.has_recovered or now < self.votes_from_s or self.disk_state is DiskState.REPLACED:
             return []
         if not self._has_enough_responses(now):
@@ -158,14 +161,16 @@
         """Wait for grants that an acceptor of an earlier incarnation may have made, unknown here.
 
         It can have granted together with one of the others until just now, when the last of a majority of
-        them persisted this incarnation."""
+        them persisted this incarnation.
+        """
         limits = self.table.limits
         self.votes_from_s = now + limits.grant_duration_s(limits.max_lease_s)
 
     def _begin_incarnation(self) -> list[AcceptorAction]:
         """Take the next incarnation as soon as a majority of others answered, where the state was lost.
 
-        A machine of an older incarnation finds this one among any majority that it has to hear."""
+        A machine of an older incarnation finds this one among any majority that it has to hear.
+        """
         is_majority = len(self._valid_responses()) >= self.table.limits.majority
         if self._has_own_incarnation or self.disk_state is not DiskState.LOST or not is_majority:
             return []
@@ -218,7 +223,8 @@
 
     Where all that know the greatest ballot promised it to one candidate, it is promised to that one here too,
     so that its holder can go on renewing: another candidate with a majority for the same ballot through this
-    server's lost promise would have shared a server with those that answered."""
+    server's lost promise would have shared a server with those that answered.
+    """
     promised_ballot = max(record.promised_ballot for record in records)
     candidates = {record.candidate for record in records if record.promised_ballot == promised_ballot}
     entry.record = AcceptorRecord(
@@ -247,7 +253,8 @@
     """Return the servers of which another view knows a greater incarnation.
 
     The views of a majority show every replacement: a server votes under a new incarnation only once a
-    majority of the others has persisted it."""
+    majority of the others has persisted it.
+    """
     known = list(views)
     greatest: dict[str, int] = {}
     for view in known:
--- a/saffronstack/fleet/leases/reports.py
+++ b/saffronstack/fleet/leases/reports.py
@@ -33,7 +33,8 @@
 ):
     """The state of an acceptor.
 
-    ``persisted_write`` is the last write on the disk, ``disk_error`` is empty where that succeeded."""
+    ``persisted_write`` is the last write on the disk, ``disk_error`` is empty where that succeeded.
+    """
 
     server: str
     can_vote: bool
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -1,6 +1,7 @@
 """The link of a process to one lease server: a persistent connection, a thread and a bounded outbox.
 
-Each server has a link of its own, so that a slow one delays no other."""
+Each server has a link of its own, so that a slow one delays no other.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +47,8 @@
         """Send messages, or poll without any, and return the answer.
 
         Raises:
-            OSError, HttpError, PeerClosed, ValueError: The exchange failed; the connection is closed."""
+            OSError, HttpError, PeerClosed, ValueError: The exchange failed; the connection is closed.
+        """
         try:
             return self._exchange(Envelope(self._fleet.name, self._sender, messages, poll_s), poll_s)
         except BaseException:
@@ -93,7 +95,8 @@
 class LeaseServerLink:
     """Sends the messages of one process to one lease server, and hands on its answers.
 
-    The lock guards the outbox and all flags."""
+    The lock guards the outbox and all flags.
+    """
 
     def __init__(
         self,
@@ -112,7 +115,8 @@
             sender: The name of this process.
             on_messages: Receives the server's name and its messages on the link's threads; must not block.
             clock: The monotonic clock, in seconds.
-            seed: Seeds the jitter of the backoff."""
+            seed: Seeds the jitter of the backoff.
+        """
         self.server = server
         self._connection = _Connection(server, fleet, sender, clock)
         self._poll_connection = _Connection(server, fleet, sender, clock)
--- a/saffronstack/fleet/leases/store.py
+++ b/saffronstack/fleet/leases/store.py
@@ -1,7 +1,8 @@
 """The interface of a lease store, as tasks and leaders use it.
 
 Behind it stand this project's own lease servers (`client.LeaseClient`) or any other store with sessions,
-fencing tokens and compare-and-set, such as an etcd client."""
+fencing tokens and compare-and-set, such as an etcd client.
+"""
 
 from __future__ import annotations
 
@@ -30,13 +31,15 @@
     def remaining_s(self) -> float:
         """Return for how many seconds it is held unless renewed; 0 once it is lost.
 
-        No check holds over a pause of the process after it: what is written to must compare the token."""
+        No check holds over a pause of the process after it: what is written to must compare the token.
+        """
         ...
 
     def put(self, content: bytes, wait_s: float) -> bool:
         """Store the value; return whether it is certainly stored after at most ``wait_s`` seconds.
 
-        False leaves open whether it is stored."""
+        False leaves open whether it is stored.
+        """
         ...
 
     def release(self) -> None:
@@ -53,7 +56,8 @@
         """Acquire a lease within ``wait_s`` seconds; None where that fails.
 
         ``on_lost`` is called once with the reason when the lease ends other than by a release, on a thread of
-        the store, and must not block."""
+        the store, and must not block.
+        """
         ...
 
     def close(self) -> None:
--- a/saffronstack/harness/leases/faulty_environment.py
+++ b/saffronstack/harness/leases/faulty_environment.py
@@ -63,7 +63,8 @@
 class ClockSteps:
     """Seconds by which a machine's clock is ahead of the others', because it was suspended.
 
-    A file of the rig's holds them. They only grow: the clock that holders count by is never set back."""
+    A file of the rig's holds them. They only grow: the clock that holders count by is never set back.
+    """
 
     CHECK_INTERVAL_S = 0.01
 
--- a/saffronstack/harness/leases/holder_reports.py
+++ b/saffronstack/harness/leases/holder_reports.py
@@ -1,6 +1,7 @@
 """What the rig's candidates report to its resource, one JSON line each, and the resource's answer.
 
-Times are those of CLOCK_BOOTTIME in seconds, which all processes of a rig share."""
+Times are those of CLOCK_BOOTTIME in seconds, which all processes of a rig share.
+"""
 
 from __future__ import annotations
 
--- a/saffronstack/harness/leases/judge.py
+++ b/saffronstack/harness/leases/judge.py
@@ -1,6 +1,7 @@
 """The resource that holders act on, and the judge: two never hold at once, and tokens only grow.
 
-It knows no server and no candidate, only what they report on its socket."""
+It knows no server and no candidate, only what they report on its socket.
+"""
 
 from __future__ import annotations
 
@@ -68,6 +69,7 @@
     """Listens for holders, and answers whether an act is accepted. The lock guards all that was reported."""
 
     def __init__(self) -> None:
+        """Listen on a free port."""
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
         self._listener.settimeout(ACCEPT_POLL_S)
         host, port = self._listener.getsockname()[:2]
--- a/saffronstack/harness/leases/model_checker.py
+++ b/saffronstack/harness/leases/model_checker.py
@@ -1,7 +1,8 @@
 """Explores every order of a bounded number of steps of three acceptors and two candidates.
 
 In no state do two candidates hold the lease, and the tokens that are acquired only grow. Faults have budgets;
-states that are equal are visited once."""
+states that are equal are visited once.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +42,8 @@
     """Return the state after steps, each named as a trail names it.
 
     Raises:
-        UnknownStepError: One of them can't be taken, or is a breach."""
+        UnknownStepError: One of them can't be taken, or is a breach.
+    """
     for label in labels:
         for step in steps_from(state, make_acceptor):
             if step.state.trail[-1] == label and not step.breach:
@@ -71,7 +73,8 @@
         after: Steps that every trail begins with, so that states far from the start can be reached.
 
     Returns:
-        What was visited, and the breach that was found, if any."""
+        What was visited, and the breach that was found, if any.
+    """
     first = follow(initial_state(budget, make_acceptor, make_candidate), make_acceptor, after)
     visited = {first.key()}
     queue: deque[ModelState] = deque([first])
--- a/saffronstack/harness/leases/model_steps.py
+++ b/saffronstack/harness/leases/model_steps.py
@@ -3,7 +3,8 @@
 A candidate's requests reach some servers, and the responses arrive or are late; late responses arrive; an old
 request is delivered again; a server restarts with its disk as it is, older or lost, or is replaced while
 paused; a server catches up from another; a candidate's timer fires; a lease is released; half a lease passes.
-What is never delivered is lost, so loss needs no step of its own."""
+What is never delivered is lost, so loss needs no step of its own.
+"""
 
 from __future__ import annotations
 
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -2,7 +2,8 @@
 
     python -m saffronstack.harness.leases.peer '{"role": "server", ...}'
 
-The program itself knows none of this: the clock and the file layer are handed to it here."""
+The program itself knows none of this: the clock and the file layer are handed to it here.
+"""
 
 from __future__ import annotations
 
@@ -169,7 +170,8 @@
     def believed_until_s(self, held: HeldLease) -> float:
         """Return until when (machine's own clock) it believes that it holds the lease; 0 if it does not.
 
-        Read before each report: one that was stopped in the middle of an act wakes after its lease."""
+        Read before each report: one that was stopped in the middle of an act wakes after its lease.
+        """
         return expiry_at(holder_clock(), held.remaining_s(), self._clock_rate)
 
     def run(self) -> None:
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -45,7 +45,8 @@
 class RigOptions:
     """The size of a rig and the times of its leases, in seconds.
 
-    ``broken`` names one of `broken_candidates.BROKEN_CANDIDATES` for all candidates, or is empty."""
+    ``broken`` names one of `broken_candidates.BROKEN_CANDIDATES` for all candidates, or is empty.
+    """
 
     seed: int
     servers: int = 5
@@ -70,7 +71,8 @@
         """Start all servers and candidates.
 
         Raises:
-            ScenarioError: A process does not start."""
+            ScenarioError: A process does not start.
+        """
         self._directory = directory
         self._options = options
         self._random = random.Random(options.seed)
@@ -140,7 +142,10 @@
     @staticmethod
     def _run_saffron(*arguments: str) -> None:
         done = subprocess.run(
-            [sys.executable, "-m", "saffronstack.cli.main", *arguments], capture_output=True, timeout=START_S
+            [sys.executable, "-m", "saffronstack.cli.main", *arguments],
+            capture_output=True,
+            timeout=START_S,
+            check=False,
         )
         if done.returncode:
             raise ScenarioError(done.stderr.decode("utf-8", "replace"))
--- a/saffronstack/harness/leases/rig.py
+++ b/saffronstack/harness/leases/rig.py
@@ -1,7 +1,8 @@
 """Plays schedules of faults among lease servers and candidates that are processes, and judges the run.
 
 A schedule is drawn from a seed, can be written to a file and played again in whole or in part: that is how
-one that fails is shrunk."""
+one that fails is shrunk.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +47,8 @@
             until_breach: Stop at the first breach.
 
         Raises:
-            ScenarioError: The servers do not vote at the start or after a fault."""
+            ScenarioError: The servers do not vote at the start or after a fault.
+        """
         if not self.wait_until_voting():
             raise ScenarioError("the lease servers do not vote")
         spawn("rig-samples", self._sample_majority)
--- a/saffronstack/harness/leases/simulated_fleet.py
+++ b/saffronstack/harness/leases/simulated_fleet.py
@@ -84,6 +84,7 @@
     """Virtual time: events in the order of their times."""
 
     def __init__(self) -> None:
+        """Start at time 0 without events."""
         self.now = 0.0
         self._serial = count()
         self._events: list[_Event] = []  # a heap
@@ -106,6 +107,7 @@
     """What the lease protects: it rejects acts under an older token."""
 
     def __init__(self, result: SimulationResult) -> None:
+        """Count acts and breaches in a result."""
         self._result = result
         self._token = 0
         self._owner = ""
--- a/saffronstack/harness/leases/simulation.py
+++ b/saffronstack/harness/leases/simulation.py
@@ -1,7 +1,8 @@
 """Leases in virtual time under faults drawn from a seed, and a judge.
 
 Everything that happens follows from the seed. The judge knows no acceptor: it sees which candidates believe
-that they hold the lease, by the simulation's own time, and what the resource accepted under which token."""
+that they hold the lease, by the simulation's own time, and what the resource accepted under which token.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +29,8 @@
     def _judge(self) -> None:
         """Find two candidates that hold the lease at once, or one under an older token.
 
-        A paused one counts too: by its clock it would still act."""
+        A paused one counts too: by its clock it would still act.
+        """
         holders = [name for name, one in self.candidates.items() if one.is_holder(self.clock(name))]
         if len(holders) > 1:
             self.result.add_breach(self.now, f"{' and '.join(holders)} hold at once")
