--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -220,7 +220,7 @@
         )
         for n in range(count)
     ]
-    assert all(ticket.done.wait(60) and ticket.durable for ticket in tickets)
+    assert all(ticket.done.wait(60) and ticket.is_durable for ticket in tickets)
     print(
         f"wrote {count} open deferred calls in {time.perf_counter() - start:.2f} s, "
         f"{ledger.written_bytes / count:.0f} bytes each"
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -30,7 +30,7 @@
 from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.daemon.state_directories import find_stranded_ledgers, process_directory
 from saffronstack.daemon.supervisor import Supervisor, gateway_command
-from saffronstack.durable.journal import JournalError
+from saffronstack.durable.errors import JournalError
 from saffronstack.gateway import Gateway
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
--- a/saffronstack/cli/usage.py
+++ b/saffronstack/cli/usage.py
@@ -7,8 +7,7 @@
 
 import click
 
-from saffronstack.durable.journal import JournalError
-from saffronstack.durable.runs import RunDamagedError
+from saffronstack.durable.errors import JournalError, RunDamagedError
 from saffronstack.metering.merging import Merged, merge
 from saffronstack.metering.meter import read_usage_log
 from saffronstack.metering.report import FORMS, rows
--- a/saffronstack/deferred/book.py
+++ b/saffronstack/deferred/book.py
@@ -87,7 +87,7 @@
                 return
             del self.names[oldest.operation]
 
-    def doubt(self) -> None:
+    def mark_records_lost(self) -> None:
         """Records are lost: every open call counts as tried, at an unknown place long ago."""
         for call in self.open.values():
             call.attempts.insert(0, Attempted(call.accepted.id, 0, 0.0))
@@ -97,12 +97,12 @@
         if call is not None:
             self.open_bytes -= call.size
 
-    def needed_bytes(self) -> int:
+    def estimate_snapshot_bytes(self) -> int:
         """About how large a snapshot is."""
         finished = sum(len(record.record) + 128 for record in self.finished.values())
         return self.open_bytes + finished + 200 * len(self.names)
 
-    def relieve(self) -> tuple[AnyRecord, ...]:
+    def spill(self) -> tuple[AnyRecord, ...]:
         """Open calls are bounded at the door; nothing leaves memory."""
         return ()
 
--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -18,7 +18,7 @@
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.deferred.records import Accepted, AnyRecord, Attempted, Dropped, Finished, Voided
 from saffronstack.deferred.recovery import Condition, Finish, MayHaveRun, Policy, State, Try, Wait
-from saffronstack.durable.journal import Ticket
+from saffronstack.durable.append_ticket import AppendTicket
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.timers import Timers
@@ -86,7 +86,7 @@
     noted: bool = False  # an attempt was noted in the ledger since the last void
     running: bool = False
     ended: tuple[Condition, bytes | None, str, str] | None = None  # condition, response, error, reason
-    ticket: Ticket[AnyRecord] | None = None
+    ticket: AppendTicket[AnyRecord] | None = None
     delivery: Accepted | None = None  # the destination's call, in the same commit as the final record
 
 
@@ -159,7 +159,11 @@
             self._live[call.accepted.id] = live
             self._due.add(0.0, live)
         if book.open:
-            log.info("deferred calls taken up", open=len(book.open), in_doubt=self._ledger.found.in_doubt)
+            log.info(
+                "deferred calls taken up",
+                open=len(book.open),
+                in_doubt=self._ledger.recovered.has_lost_records,
+            )
         start_thread("deferred", self._run)
 
     def stop(self, timeout_s: float) -> bool:
@@ -180,12 +184,15 @@
         limits, book = self._limits, self._ledger.state
         if self._stopping:
             raise LedgerFullError("The gateway stops.", 1.0)
-        if len(book.open) + self._ledger.queued >= limits.open_calls or book.open_bytes >= limits.open_bytes:
+        if (
+            len(book.open) + self._ledger.queued_appends >= limits.open_calls
+            or book.open_bytes >= limits.open_bytes
+        ):
             raise LedgerFullError(f"{len(book.open)} deferred calls are open.", 2.0)
         if (stalled_s := self._ledger.stalled_s) > 0:
             # Nothing is begun: it would hang as what is before it does, and end as uncertain.
             text = f"the disk has not answered for {stalled_s:.1f} s"
-            raise CommitError(text, self._ledger.come_back_s)
+            raise CommitError(text, self._ledger.retry_after_s)
         accepted = Accepted(
             submission.request_id,
             submission.function,
@@ -202,8 +209,8 @@
         if not ticket.done.wait(limits.commit_timeout_s) and not ticket.revoke():
             self._ledger.append(Dropped(accepted.id))
             text = f"not written within {limits.commit_timeout_s:g} s"
-            raise CommitError(text, self._ledger.come_back_s, begun=True)
-        if not ticket.durable:
+            raise CommitError(text, self._ledger.retry_after_s, begun=True)
+        if not ticket.is_durable:
             raise CommitError(str(ticket.error.strerror) if ticket.error else "not written in time")
         self.taken += 1
         self._queue.put(_Live(accepted, State(accepted.at)))
@@ -229,7 +236,7 @@
         if not ticket.done.wait(self._limits.commit_timeout_s):
             ticket.revoke()
             return False
-        return ticket.durable
+        return ticket.is_durable
 
     # ---- the dispatcher thread
 
@@ -264,7 +271,7 @@
         """A call whose time has come: a try, or the writing of its final record."""
         if live.ended is None:
             self._waiting.append(live)
-        elif live.ticket is not None and live.ticket.durable:
+        elif live.ticket is not None and live.ticket.is_durable:
             self._live.pop(live.accepted.id, None)
             self.finished[live.ended[0].value] += 1
             if live.delivery is not None:
@@ -401,7 +408,7 @@
             delivery_id = str(uuid.uuid5(uuid.NAMESPACE_OID, accepted.id))
             live.delivery = Accepted(delivery_id, target, accepted.tenant, content, "", delivery_id, now)
             live.ticket = self._ledger.append(finished, live.delivery)
-        self._due.add(now + (COMMIT_AGAIN_S if self._ledger.failing else 0.01), live)
+        self._due.add(now + (COMMIT_AGAIN_S if self._ledger.write_error else 0.01), live)
 
 
 _REASONS = {
--- a/saffronstack/durable/__init__.py
+++ b/saffronstack/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Records that outlive the process: a journal with group commit, twice-written blocks, compaction."""
+"""Storage that survives a crash: write-ahead logs with group commit and compaction, and sorted runs."""
--- /dev/null
+++ b/saffronstack/durable/errors.py
@@ -0,0 +1,15 @@
+"""Errors of stored data; their texts name the directory or file, and the byte where there is one."""
+
+from __future__ import annotations
+
+
+class StorageError(Exception):
+    """Stored data cannot be used."""
+
+
+class JournalError(StorageError):
+    """A journal's directory cannot be locked, read or written."""
+
+
+class RunDamagedError(StorageError):
+    """A sorted run is missing or truncated, or neither copy of one of its blocks can be read."""
--- /dev/null
+++ b/saffronstack/durable/segment_writer.py
@@ -0,0 +1,149 @@
+"""Writing a journal's segments: blocks at the end of the newest, rotation, and compaction."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import pathlib
+from collections.abc import Iterable, Iterator
+from typing import Any
+
+from saffronstack.durable import segments
+from saffronstack.durable.block_format import encode_block
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.journal_recovery import RecoveredJournal
+from saffronstack.durable.journal_state import RecordCodec
+
+MAX_BLOCK_BYTES = 8 * 1024 * 1024  # of encoded records; a block ends with the record that reaches it
+
+
+class SegmentWriter:
+    """Appends blocks to the newest segment; owned by the journal's writer thread."""
+
+    def __init__(
+        self,
+        directory: pathlib.Path,
+        files: FileOperations,
+        codec: RecordCodec[Any],
+        recovered: RecoveredJournal[Any],
+    ) -> None:
+        """Continue behind the recovered segments, in a new one that the first block creates."""
+        self._directory = directory
+        self._files = files
+        self._prefix = codec.prefix
+        self._compress = codec.compress
+        self._next_block = recovered.next_block
+        self._next_segment = recovered.next_segment
+        self._descriptor: int | None = None  # of the open segment
+        self.open_bytes = 0  # size of the open segment
+        self.closed_bytes = recovered.closed_bytes  # total size of the others
+        self.written_bytes = 0  # by `write_block` since the start
+        self.commits = 0  # blocks that `write_block` synced since the start
+
+    def write_block(self, records: Iterable[bytes]) -> None:
+        """Append a block with these encoded records, and return once it is on the disk.
+
+        Raises:
+            OSError: The block was not written.
+        """
+        descriptor = self._open_segment()
+        block = encode_block(self._next_block, records, self._compress)
+        try:
+            self._files.write(descriptor, block + block)
+            self._files.sync(descriptor)
+        except OSError:
+            # What reached the disk is unknown: it is truncated, and its number is used again in a new
+            # segment, from which recovery knows that the earlier block of that number failed.
+            with contextlib.suppress(OSError):
+                self._files.truncate(descriptor, self.open_bytes)
+                self._files.sync(descriptor)
+            self.close_segment()
+            raise
+        self.open_bytes += 2 * len(block)
+        self.written_bytes += 2 * len(block)
+        self._next_block += 1
+        self.commits += 1
+
+    def close_segment(self) -> None:
+        """Close the open segment, if any; the next block creates a new one."""
+        if self._descriptor is not None:
+            os.close(self._descriptor)
+            self.closed_bytes += self.open_bytes
+            self._descriptor = None
+            self.open_bytes = 0
+
+    def replace_segments(self, snapshot: Iterable[bytes]) -> int:
+        """Replace all segments by one with the encoded records of a snapshot.
+
+        The new segment gets its name once it is on the disk, and the others are removed after that, so that
+        a kill at any moment leaves a complete journal.
+
+        Returns:
+            The number of segments that were removed.
+
+        Raises:
+            OSError: The snapshot was not written, or a segment not removed.
+        """
+        self.close_segment()
+        older = segments.list_segment_numbers(self._directory)
+        target = self._path(self._next_segment)
+        partial = target.with_suffix(".tmp")
+        next_block = self._next_block
+        size_bytes = 0
+        descriptor = self._files.open(partial)
+        try:
+            for records in split_into_blocks(snapshot):
+                block = encode_block(next_block, records, self._compress)
+                self._files.write(descriptor, block + block)
+                size_bytes += 2 * len(block)
+                next_block += 1
+            self._files.sync(descriptor)
+        except OSError:
+            with contextlib.suppress(OSError):
+                partial.unlink()
+            raise
+        finally:
+            os.close(descriptor)
+        partial.rename(target)
+        self._files.sync_directory(self._directory)
+        self._next_block = next_block
+        self._next_segment += 1
+        for number in older:
+            self._path(number).unlink()
+        self.closed_bytes = size_bytes
+        return len(older)
+
+    def _open_segment(self) -> int:
+        """Return the open segment's descriptor, after creating the segment if there is none."""
+        if self._descriptor is not None:
+            return self._descriptor
+        path = self._path(self._next_segment)
+        descriptor = self._files.open(path)
+        try:
+            self._files.sync_directory(self._directory)
+        except OSError:
+            os.close(descriptor)
+            with contextlib.suppress(OSError):
+                path.unlink()
+            raise
+        self._descriptor = descriptor
+        self.open_bytes = 0
+        self._next_segment += 1
+        return descriptor
+
+    def _path(self, number: int) -> pathlib.Path:
+        return self._directory / segments.segment_name(number, self._prefix)
+
+
+def split_into_blocks(records: Iterable[bytes]) -> Iterator[list[bytes]]:
+    """Yield the encoded records of one block after another."""
+    block: list[bytes] = []
+    size_bytes = 0
+    for record in records:
+        block.append(record)
+        size_bytes += len(record)
+        if size_bytes >= MAX_BLOCK_BYTES:
+            yield block
+            block, size_bytes = [], 0
+    if block:
+        yield block
--- a/saffronstack/fleet/leases/disk.py
+++ b/saffronstack/fleet/leases/disk.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.leases.codec import StoredState, decode_state, encode_state
 from saffronstack.fleet.leases.errors import DecodeError, ForeignStateError, StateExistsError
 from saffronstack.fleet.leases.messages import AcceptorState, DiskState
@@ -39,12 +39,17 @@
     """The state directory of one acceptor. One thread uses it at a time."""
 
     def __init__(
-        self, directory: str, fleet: str, server: str, servers: tuple[str, ...], files: Files | None = None
+        self,
+        directory: str,
+        fleet: str,
+        server: str,
+        servers: tuple[str, ...],
+        files: FileOperations | None = None,
     ) -> None:
         """Use a directory for the state of ``server``, one of ``servers``; ``files`` does the I/O."""
         self.directory = pathlib.Path(directory)
         self._fleet, self._server, self._servers = fleet, server, servers
-        self._files = files or Files()
+        self._files = files or FileOperations()
 
     def establish(self) -> None:
         """Make this the state of a new server in a fleet whose servers are all new.
--- a/saffronstack/fleet/leases/lease_server.py
+++ b/saffronstack/fleet/leases/lease_server.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.disk import AcceptorDisk
 from saffronstack.fleet.leases.errors import UnknownServerError
@@ -27,7 +27,7 @@
         *,
         listen: str = "",
         clock: Callable[[], float] = time.monotonic,
-        files: Files | None = None,
+        files: FileOperations | None = None,
     ) -> None:
         """Load the state and bind the address; nothing is served before `start`.
 
--- a/saffronstack/fleet/tasks/fleet_usage.py
+++ b/saffronstack/fleet/tasks/fleet_usage.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from saffronstack.durable.journal import JournalError
+from saffronstack.durable.errors import JournalError
 from saffronstack.fleet.tasks.result_store import ResultStore
 from saffronstack.fleet.tasks.task import TaskRun
 from saffronstack.metering.account import Account
--- a/saffronstack/fleet/tasks/ledger_directory.py
+++ b/saffronstack/fleet/tasks/ledger_directory.py
@@ -17,7 +17,7 @@
 import re
 import shutil
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.tasks.errors import OwnershipLostError, StaleOwnerError
 
 FENCE_NAME = re.compile(r"fence-(\d{20})")
@@ -119,7 +119,7 @@
         self._sync_names()
 
     def _sync_names(self) -> None:
-        Files().sync_directory(self.directory)
+        FileOperations().sync_directory(self.directory)
 
 
 def _copy_segments(source: pathlib.Path | None, target: pathlib.Path) -> None:
@@ -134,7 +134,7 @@
     os.replace(partial, target)
 
 
-class FencedFiles(Files):
+class FencedFiles(FileOperations):
     """File operations of one owner; a sync fails once a later owner exists."""
 
     def __init__(self, ledger: LedgerDirectory, token: int) -> None:
--- a/saffronstack/fleet/tasks/result_store.py
+++ b/saffronstack/fleet/tasks/result_store.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.tasks.errors import StaleResultError
 
 RETAINED_RESULTS = 3  # for an operator who looks into a result that seems wrong
@@ -71,7 +71,7 @@
             file.flush()
             os.fsync(file.fileno())
         os.replace(partial, path)
-        Files().sync_directory(self._directory)
+        FileOperations().sync_directory(self._directory)
         return path
 
     def newest(self) -> TaskResult | None:
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -20,7 +20,7 @@
 from saffronstack.discovery.files.merging import WorkerChanges
 from saffronstack.discovery.files.service import FileDiscovery, FileDiscoveryOptions
 from saffronstack.discovery.files.state_directory import StateDirectory
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import worker_number
@@ -56,7 +56,7 @@
         record_to: str = "",
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
-        files: Files | None = None,
+        files: FileOperations | None = None,
         members: ProcessGroup | None = None,
         listener: socket.socket | None = None,
     ) -> None:
@@ -105,7 +105,7 @@
         self.draining = False
         self.roster = self._open_roster()
 
-    def _open_meter(self, files: Files | None) -> Meter | None:
+    def _open_meter(self, files: FileOperations | None) -> Meter | None:
         """What usage is counted by, and with it the budgets' limits; None where nothing is metered."""
         config = self.config.metering
         if config is None:
@@ -173,7 +173,7 @@
             limits.idle_timeout_s,
         )
 
-    def _open_operations(self, files: Files | None) -> Operations | None:
+    def _open_operations(self, files: FileOperations | None) -> Operations | None:
         config = self.config.operations
         if config is None:
             return None
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -23,7 +23,7 @@
 
 from saffronstack.cli.leases import lease_fleet_of
 from saffronstack.config.fleet import load_fleet
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
 from saffronstack.fleet.leases.lease_server import LeaseServer
@@ -43,7 +43,7 @@
 LATE_PART = 0.1  # of the acts are decided, and done after a pause between
 
 
-class LyingFiles(Files):
+class LyingFiles(FileOperations):
     """A disk that does what a file of the rig's says: stalls before it has saved, is full, fails."""
 
     def __init__(self, orders: pathlib.Path) -> None:
--- a/saffronstack/harness/scenario/slow_disk.py
+++ b/saffronstack/harness/scenario/slow_disk.py
@@ -12,7 +12,7 @@
 import sys
 import time
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 
 LOOK_S = 0.01
 
@@ -26,16 +26,16 @@
 
 def install(path: pathlib.Path) -> None:
     """From now on all file operations of journals go by the file."""
-    whole = Files.sync
+    whole = FileOperations.sync
 
-    def sync(self: Files, descriptor: int) -> None:
+    def sync(self: FileOperations, descriptor: int) -> None:
         while (word := _told(path)) == "hang":
             time.sleep(LOOK_S)
         if word == "fail":
             raise OSError(errno.EIO, "Input/output error")
         whole(self, descriptor)
 
-    Files.sync = sync  # type: ignore[method-assign]
+    FileOperations.sync = sync  # type: ignore[method-assign]
 
 
 def main() -> None:
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -17,7 +17,7 @@
 from saffronstack.config.schema import Config
 from saffronstack.daemon.process_group import FORWARDED_HEADER, ProcessGroup
 from saffronstack.deferred.calls import DeferredCalls
-from saffronstack.durable.runs import RunDamagedError
+from saffronstack.durable.errors import RunDamagedError
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import LATEST
 from saffronstack.http1.messages import HttpError, RequestHead
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -178,7 +178,7 @@
     if gateway.deferred is not None and gateway.ledger is not None:
         ledger = gateway.ledger
         yield Figure("deferred_open", "Deferred calls open", gateway.deferred.open_calls)
-        yield Figure("ledger_failing", "1 while the ledger can't write", float(bool(ledger.failing)))
+        yield Figure("ledger_failing", "1 while the ledger can't write", float(bool(ledger.write_error)))
         yield Figure("ledger_stalled_seconds", "For how long its disk answers nothing", ledger.stalled_s)
     if gateway.meter is not None:
         yield from _usage_gauges(gateway.meter)
@@ -196,7 +196,7 @@
     yield Figure("usage_runs", "Runs of sums that left memory", account.runs)
     yield Figure("usage_unconfirmed", "Usage records that no worker has confirmed", len(account.unconfirmed))
     yield Figure("usage_provisional", "Charges of lost calls that are not settled", len(account.provisional))
-    yield Figure("usage_log_failing", "1 while the usage log can't write", float(bool(journal.failing)))
+    yield Figure("usage_log_failing", "1 while the usage log can't write", float(bool(journal.write_error)))
     yield Figure("usage_in_doubt", "1 where records of the usage log are lost", float(account.in_doubt))
 
 
@@ -209,7 +209,7 @@
     if operations.spool is not None:
         yield Figure("operations_spooled_bytes", "Answers on disk", operations.spool.bytes)
     if operations.notes is not None:
-        failing = float(bool(operations.notes.failing))
+        failing = float(bool(operations.notes.write_error))
         yield Figure("operations_notes_failing", "1 while notes can't be written", failing)
 
 
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -65,12 +65,12 @@
                 "open": gateway.deferred.open_calls,
                 "taken": gateway.deferred.taken,
                 "finished": gateway.deferred.finished,
-                "ledger_failing": gateway.ledger.failing,
+                "ledger_failing": gateway.ledger.write_error,
                 "ledger_stalled_s": round(gateway.ledger.stalled_s, 3),
             }
         if gateway.operations is not None and gateway.operations.notes is not None:
             notes = gateway.operations.notes
-            content["notes"] = {"failing": notes.failing, "stalled_s": round(notes.stalled_s, 3)}
+            content["notes"] = {"failing": notes.write_error, "stalled_s": round(notes.stalled_s, 3)}
         if gateway.roster is not None:
             content["roster"] = gateway.roster.status()
         if gateway.meter is not None:
@@ -80,6 +80,6 @@
                 "refused": gateway.meter.refused,
                 "unconfirmed": len(account.unconfirmed),
                 "provisional": len(account.provisional),
-                "log_failing": gateway.meter.journal.failing,
+                "log_failing": gateway.meter.journal.write_error,
             }
         return Response(200, (("Content-Type", "application/json"),), msgspec.json.encode(content))
--- a/saffronstack/metering/account.py
+++ b/saffronstack/metering/account.py
@@ -12,7 +12,8 @@
 from itertools import islice
 from typing import TypeVar
 
-from saffronstack.durable.runs import Item, RunDamagedError
+from saffronstack.durable.errors import RunDamagedError
+from saffronstack.durable.sorted_runs import KeyValue
 from saffronstack.metering.archive import Archive, amounts_of, key_of, parts_of, prefix_of, value_of
 from saffronstack.metering.charges import CallCharges
 from saffronstack.metering.ranges import Ranges, spans_of
@@ -154,16 +155,16 @@
             for tenant, length, start, amount in self.windows.snapshot():
                 yield Spent(tenant, length, start, wire(amount))
 
-    def needed_bytes(self) -> int:
+    def estimate_snapshot_bytes(self) -> int:
         """About how large a snapshot is."""
         parts = self.windows.parts if self.windows is not None else 0
         return 80 * len(self.totals) + 200 * (len(self.unconfirmed) + len(self.provisional)) + 40 * parts + 64
 
-    def doubt(self) -> None:
+    def mark_records_lost(self) -> None:
         """Records of the log are lost: its sums may miss some."""
         self.in_doubt = True
 
-    def relieve(self) -> list[AnyEntry]:
+    def spill(self) -> list[AnyEntry]:
         """Write what is too much for memory to a run; the records that move it there."""
         bounds = self._bounds
         beyond = max(0, len(self.provisional) - bounds.provisional)
@@ -191,7 +192,7 @@
         spans = [(worker, *span) for worker, found in numbers.items() for span in spans_of(found)]
         return [Spilled(run, tuple(cold), tuple(spans))]
 
-    def _items(self, cold: list[tuple[str, str]], late: list[RecordKey]) -> Iterator[Item]:
+    def _items(self, cold: list[tuple[str, str]], late: list[RecordKey]) -> Iterator[KeyValue]:
         for key, amounts in self.totals.items():
             if any(amounts):
                 yield key_of("t", *key), value_of(amounts)
--- a/saffronstack/metering/archive.py
+++ b/saffronstack/metering/archive.py
@@ -18,8 +18,16 @@
 import msgspec
 import structlog
 
-from saffronstack.durable.runs import Item, Run, RunDamagedError, merged, run_name, run_numbers, write_run
-from saffronstack.durable.segments import Files
+from saffronstack.durable.errors import RunDamagedError
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.sorted_runs import (
+    KeyValue,
+    SortedRun,
+    list_run_numbers,
+    merge_sorted,
+    run_name,
+    write_run,
+)
 from saffronstack.metering.records import Whole, wire
 
 MERGE_FROM = 8  # runs
@@ -68,22 +76,22 @@
 class Archive:
     """The runs of one usage log. ``runs`` says which belong to it, oldest first; used from any thread."""
 
-    def __init__(self, directory: pathlib.Path, files: Files | None = None) -> None:
+    def __init__(self, directory: pathlib.Path, files: FileOperations | None = None) -> None:
         self.directory = directory / "runs"
         self.runs: tuple[int, ...] = ()
-        self._files = files or Files()
+        self._files = files or FileOperations()
         self._lock = threading.Lock()
-        self._open: OrderedDict[int, Run] = OrderedDict()
+        self._open: OrderedDict[int, SortedRun] = OrderedDict()
         self._next = 0
         self._highest: OrderedDict[tuple[str, str], int] = OrderedDict()
 
     # ---- writing: the journal's owner alone
 
-    def write(self, items: Iterable[Item]) -> int:
+    def write(self, items: Iterable[KeyValue]) -> int:
         """A new run, which belongs to the archive once the log says so; its number."""
         self.directory.mkdir(parents=True, exist_ok=True)
         with self._lock:
-            self._next = max([self._next, *self.runs, *run_numbers(self.directory)]) + 1
+            self._next = max([self._next, *self.runs, *list_run_numbers(self.directory)]) + 1
             number = self._next
         write_run(self.directory / run_name(number), items, self._files)
         return number
@@ -101,7 +109,7 @@
         for partial in self.directory.glob("*.tmp"):
             with contextlib.suppress(OSError):
                 partial.unlink()
-        self.drop(number for number in run_numbers(self.directory) if number not in self.runs)
+        self.drop(number for number in list_run_numbers(self.directory) if number not in self.runs)
 
     def drop(self, numbers: Iterable[int]) -> None:
         """Remove runs that another one stands for."""
@@ -130,7 +138,7 @@
         """One run that adds up to some neighbours; its number. ``keep`` says what is still wanted, where the
         oldest run is among them."""
         whole = numbers[0] == self.runs[0]
-        items = merged([self._run(number).items() for number in numbers], combine)
+        items = merge_sorted([self._run(number).items() for number in numbers], combine)
         return self.write(item for item in items if not whole or keep(*item))
 
     # ---- questions. RunDamagedError, or FileNotFoundError where a run is gone and the log must be read anew
@@ -160,10 +168,10 @@
                 lines.append(f"{self.directory / run_name(number)}: {error.strerror}")
         return lines
 
-    def under(self, prefix: bytes, runs: tuple[int, ...] | None = None) -> Iterator[Item]:
+    def under(self, prefix: bytes, runs: tuple[int, ...] | None = None) -> Iterator[KeyValue]:
         """Keys that begin so, over all runs."""
         chosen = self.runs if runs is None else runs
-        return merged([self._run(number).under(prefix) for number in chosen], combine)
+        return merge_sorted([self._run(number).items_with_prefix(prefix) for number in chosen], combine)
 
     def find(self, key: bytes) -> bytes | None:
         """A key's value over all runs."""
@@ -230,11 +238,11 @@
                 gone = error
         raise RunDamagedError(f"{gone.filename}: missing")
 
-    def _run(self, number: int) -> Run:
+    def _run(self, number: int) -> SortedRun:
         with self._lock:
             run = self._open.get(number)
         if run is None:
-            run = Run.open(self.directory / run_name(number))
+            run = SortedRun.open(self.directory / run_name(number))
             with self._lock:
                 self._open[number] = run
                 if len(self._open) > OPEN_KEPT:
--- a/saffronstack/metering/charges.py
+++ b/saffronstack/metering/charges.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping
 from contextlib import AbstractContextManager
 
-from saffronstack.durable.runs import Item
+from saffronstack.durable.sorted_runs import KeyValue
 from saffronstack.metering.archive import Archive, amounts_of, key_of, parts_of, prefix_of, value_of
 from saffronstack.metering.estimates import shared
 from saffronstack.metering.records import (
@@ -120,7 +120,7 @@
         for call, amount in self._pinned.items():
             yield Pinned(*call, wire(amount - rest.charged(*call)))
 
-    def items(self) -> Iterator[Item]:
+    def items(self) -> Iterator[KeyValue]:
         """What a run would take over."""
         for call, charge in self.estimates.items():
             yield key_of("e", *call), encode(charge)
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -15,9 +15,12 @@
 import msgspec
 import structlog
 
-from saffronstack.durable.journal import Codec, Journal, JournalError, Ticket, read_back
-from saffronstack.durable.runs import RunDamagedError
-from saffronstack.durable.segments import Files
+from saffronstack.durable.append_ticket import AppendTicket
+from saffronstack.durable.errors import JournalError, RunDamagedError
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.journal import Journal
+from saffronstack.durable.journal_recovery import recover_journal
+from saffronstack.durable.journal_state import RecordCodec
 from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
@@ -61,7 +64,9 @@
 )
 ANSWERED = (Result.OK, Result.ERROR)
 LOST = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
-CODEC: Codec[AnyEntry] = Codec(encode, decode, lambda entry: isinstance(entry, Start), "usage", compress=True)
+CODEC: RecordCodec[AnyEntry] = RecordCodec(
+    encode, decode, lambda entry: isinstance(entry, Start), "usage", compress=True
+)
 UsageLog = Journal[AnyEntry, Account]
 log = structlog.get_logger("saffronstack.metering")
 
@@ -69,7 +74,7 @@
 def open_usage_log(
     directory: str,
     segment_bytes: int,
-    files: Files | None = None,
+    files: FileOperations | None = None,
     budget_windows: Mapping[str, float] | None = None,
     bounds: Bounds | None = None,
 ) -> UsageLog:
@@ -80,7 +85,7 @@
     archive.clean()
     for line in archive.unopened():
         log.error("usage archive damaged", what=line)
-        account.doubt()
+        account.mark_records_lost()
     if not account.gateway:
         journal.append(Start(uuid.uuid4().hex)).done.wait(NAMED_S)
     return journal
@@ -92,7 +97,7 @@
     for left in reversed(range(READ_TRIES)):
         account = Account(archive=Archive(directory))
         try:
-            return account, read_back(directory, account, CODEC).lines
+            return account, recover_journal(directory, account, CODEC).warnings
         except JournalError as error:
             if not left or not isinstance(error.__cause__, FileNotFoundError):
                 raise
@@ -141,7 +146,7 @@
         self._queue: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
         self._workers: dict[str, WorkerSpec] = {}
         self._asked: dict[str, float] = {}  # workers with a question out, and since when
-        self._acks: dict[str, list[tuple[Ticket[AnyEntry], list[tuple[str, int]]]]] = defaultdict(list)
+        self._acks: dict[str, list[tuple[AppendTicket[AnyEntry], list[tuple[str, int]]]]] = defaultdict(list)
         self._under_way: set[tuple[str, str, int]] = set()  # received, not yet in the account
         self._incarnations: dict[str, str] = {}
         self._lies: dict[str, list[tuple[str, int]]] = defaultdict(list)
@@ -376,7 +381,7 @@
             try:
                 into = account.merge_runs(numbers)
                 ticket = self.journal.append(Compacted(numbers, into))
-                if ticket.done.wait(MERGE_S) and ticket.durable:
+                if ticket.done.wait(MERGE_S) and ticket.is_durable:
                     account.drop_runs(numbers)
             except (RunDamagedError, OSError) as error:
                 log.error("usage archive not merged", what=str(error))
--- a/saffronstack/operations/handover.py
+++ b/saffronstack/operations/handover.py
@@ -6,7 +6,8 @@
 import pathlib
 from collections.abc import Callable
 
-from saffronstack.durable.journal import JournalError, read_back
+from saffronstack.durable.errors import JournalError
+from saffronstack.durable.journal_recovery import recover_journal
 from saffronstack.operations import notes as records
 from saffronstack.operations.notes import Notes
 from saffronstack.operations.owners import slot_of
@@ -50,7 +51,7 @@
         mine = [(d, p) for d, p in known.items() if slot_of(d) in slots and unpack(p).until > now]
         if operations.notes is not None and mine:
             ticket = operations.notes.append(*(records.Ended(d, p, unpack(p).until) for d, p in mine))
-            if not ticket.done.wait(COMMIT_S) or not ticket.durable:
+            if not ticket.done.wait(COMMIT_S) or not ticket.is_durable:
                 raise JournalError("notes taken over can't be written")
         operations.restore(mine)
 
@@ -60,7 +61,7 @@
         idle = frozenset(slot for slot in slots if not operations.open_in(slot))
         if idle and operations.notes is not None:
             ticket = operations.notes.append(records.Expired(0.0))  # behind all that was noted
-            if not ticket.done.wait(COMMIT_S) or not ticket.durable:
+            if not ticket.done.wait(COMMIT_S) or not ticket.is_durable:
                 return {}
         left: dict[int, list[tuple[bytes, bytes]]] = {slot: [] for slot in idle}
         for digest, packed in operations.forget(idle):
@@ -74,7 +75,7 @@
         notes = Notes()
         try:
             if directory.is_dir():
-                read_back(directory, notes, records.CODEC)
+                recover_journal(directory, notes, records.CODEC)
             return list(notes.known())
         except JournalError as error:
             if not left or not isinstance(error.__cause__, FileNotFoundError):
--- a/saffronstack/operations/notes.py
+++ b/saffronstack/operations/notes.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
-from saffronstack.durable.journal import Codec, Journal
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.journal import Journal
+from saffronstack.durable.journal_state import RecordCodec
 from saffronstack.operations.table import Fate, Packed, pack
 from saffronstack.routing.settings import Idempotency
 
@@ -54,7 +55,7 @@
 
 
 AnyEntry = Start | Noted | Ended | Released | Expired
-CODEC: Codec[AnyEntry] = Codec(
+CODEC: RecordCodec[AnyEntry] = RecordCodec(
     msgspec.msgpack.Encoder().encode,
     msgspec.msgpack.Decoder(AnyEntry).decode,
     lambda entry: isinstance(entry, Start),
@@ -103,15 +104,15 @@
         yield from self.ended.values()
         yield from self.open.values()
 
-    def needed_bytes(self) -> int:
+    def estimate_snapshot_bytes(self) -> int:
         """About how large a snapshot is."""
         return 160 * len(self.open) + 60 * len(self.ended) + self._bytes + 16
 
-    def doubt(self) -> None:
+    def mark_records_lost(self) -> None:
         """Records are lost: what was noted may have ended, which an unknown outcome says as well."""
         self.in_doubt = True
 
-    def relieve(self) -> tuple[AnyEntry, ...]:
+    def spill(self) -> tuple[AnyEntry, ...]:
         """The table is bounded; so is this."""
         return ()
 
@@ -142,6 +143,6 @@
 NotesLog = Journal[AnyEntry, Notes]
 
 
-def open_notes(directory: str, segment_bytes: int, files: Files | None = None) -> NotesLog:
+def open_notes(directory: str, segment_bytes: int, files: FileOperations | None = None) -> NotesLog:
     """Lock and read the notes. JournalError where another process holds them or they can't be read."""
     return Journal(directory, Notes(), CODEC, segment_bytes, files)
--- a/saffronstack/operations/service.py
+++ b/saffronstack/operations/service.py
@@ -9,7 +9,8 @@
 
 import structlog
 
-from saffronstack.durable.journal import JournalError, Ticket
+from saffronstack.durable.append_ticket import AppendTicket
+from saffronstack.durable.errors import JournalError
 from saffronstack.operations import notes as records
 from saffronstack.operations.notes import NotesLog
 from saffronstack.operations.owners import slot_of
@@ -98,7 +99,7 @@
         self._waiters = 0  # besides the one that runs it
         self._sent = False
         self._left = False
-        self.noted: Ticket[records.AnyEntry] | None = None
+        self.noted: AppendTicket[records.AnyEntry] | None = None
 
     def join(self) -> None:
         """One more waits; the caller holds the operations' lock."""
@@ -383,7 +384,7 @@
         if notes is None:
             return True
         if live.noted is not None:
-            return live.noted.done.wait(self._commit_timeout_s) and live.noted.durable
+            return live.noted.done.wait(self._commit_timeout_s) and live.noted.is_durable
         if notes.stalled_s > 0:
             return False  # it would wait behind what hangs already
         ticket = notes.append(
@@ -402,7 +403,7 @@
         if ticket.error is not None:
             return False
         live.noted = ticket  # written, or on its way for certain: then the end is noted behind it
-        return ticket.done.wait(self._commit_timeout_s) and ticket.durable
+        return ticket.done.wait(self._commit_timeout_s) and ticket.is_durable
 
     def _run(self) -> None:
         try:
--- a/saffronstack/operations/spool.py
+++ b/saffronstack/operations/spool.py
@@ -10,7 +10,7 @@
 import structlog
 import xxhash
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 
 log = structlog.get_logger("saffronstack.operations")
 
@@ -18,12 +18,12 @@
 class Spool:
     """Used from any thread. Files are not synced: one that a power loss cut is told by its digest."""
 
-    def __init__(self, directory: str, most_bytes: int, files: Files | None = None) -> None:
+    def __init__(self, directory: str, most_bytes: int, files: FileOperations | None = None) -> None:
         """OSError where the directory can't be had."""
         self._directory = pathlib.Path(directory) / "answers"
         self._directory.mkdir(parents=True, exist_ok=True)
         self._most = most_bytes
-        self._files = files or Files()
+        self._files = files or FileOperations()
         self._sizes: OrderedDict[str, int] = OrderedDict()
         self._lock = threading.Lock()
         for path in sorted(self._directory.iterdir(), key=lambda path: path.stat().st_mtime):
--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -17,7 +17,7 @@
 from saffronstack.deferred.book import Book
 from saffronstack.deferred.ledger import CODEC
 from saffronstack.deferred.records import Finished
-from saffronstack.durable.journal import read_back
+from saffronstack.durable.journal_recovery import recover_journal
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -89,7 +89,7 @@
     """Check the ledger in ``path``: no call is open, and each has exactly one final record."""
     assert path is not None
     finals = FinalRecords()
-    assert not read_back(path, finals, CODEC).in_doubt
+    assert not recover_journal(path, finals, CODEC).has_lost_records
     assert not finals.open
     assert set(finals.count_by_call) == set(ids)
     assert set(finals.count_by_call.values()) == {1}
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -15,9 +15,10 @@
 from saffronstack.deferred.book import Book
 from saffronstack.deferred.ledger import CODEC as LEDGER_CODEC
 from saffronstack.deferred.ledger import names_in
-from saffronstack.durable.journal import Codec, Journal
-from saffronstack.durable.runs import Run, write_run
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.journal import Journal
+from saffronstack.durable.journal_state import RecordCodec
+from saffronstack.durable.sorted_runs import SortedRun, write_run
 from saffronstack.invoke.usage import statement, together
 from saffronstack.metering.account import Account, Bounds
 from saffronstack.metering.archive import Archive, amounts_of, key_of, parts_of, value_of
@@ -47,7 +48,7 @@
 
     folder: str
     segment: str
-    codec: Codec[Any]
+    codec: RecordCodec[Any]
     empty_state: Callable[[], Any]
     tags: str
 
@@ -101,7 +102,7 @@
     journal = kind.journal(tmp_path)
     snapshot = [kind.codec.encode(record) for record in journal.state.snapshot()]
     assert journal.close()
-    assert not journal.found.lines and not journal.found.in_doubt
+    assert not journal.recovered.warnings and not journal.recovered.has_lost_records
     assert snapshot == msgspec.msgpack.decode((DATA / kind.folder / "snapshot.msgpack").read_bytes())
 
 
@@ -111,7 +112,7 @@
     journal = kind.journal(tmp_path)
     for _, records in kept:
         ticket = journal.append(*(kind.codec.decode(record) for record in records))
-        assert ticket.done.wait(WAIT_S) and ticket.durable
+        assert ticket.done.wait(WAIT_S) and ticket.is_durable
     assert journal.close()
     written = (tmp_path / kind.segment).read_bytes()
     assert segment_blocks(written) == kept
@@ -176,7 +177,7 @@
 
 
 def test_the_kept_archive_holds_every_kind_of_key() -> None:
-    keys = [key for name in RUNS for key, _ in Run.open(ARCHIVE / "runs" / name).items()]
+    keys = [key for name in RUNS for key, _ in SortedRun.open(ARCHIVE / "runs" / name).items()]
     assert {parts_of(key)[0] for key in keys} == set("towkehu")
 
 
@@ -195,14 +196,14 @@
     merged = account.merge_runs((1, 2, 3))
     assert f"run-{merged:010d}.run" == RUNS[-1]
     for name in RUNS:
-        kept = list(Run.open(ARCHIVE / "runs" / name).items())
-        assert list(Run.open(tmp_path / "runs" / name).items()) == kept
+        kept = list(SortedRun.open(ARCHIVE / "runs" / name).items())
+        assert list(SortedRun.open(tmp_path / "runs" / name).items()) == kept
 
 
 @pytest.mark.parametrize("name", RUNS)
 def test_a_run_is_written_again_as_it_was(name: str, tmp_path: pathlib.Path) -> None:
-    run = Run.open(ARCHIVE / "runs" / name)
-    write_run(tmp_path / name, run.items(), Files())
+    run = SortedRun.open(ARCHIVE / "runs" / name)
+    write_run(tmp_path / name, run.items(), FileOperations())
     trailer_bytes = 16
     kept = (ARCHIVE / "runs" / name).read_bytes()
     written = (tmp_path / name).read_bytes()
@@ -212,7 +213,7 @@
 
 @pytest.mark.parametrize("name", RUNS)
 def test_keys_and_amounts_of_a_run_are_encoded_as_they_were(name: str) -> None:
-    for key, value in Run.open(ARCHIVE / "runs" / name).items():
+    for key, value in SortedRun.open(ARCHIVE / "runs" / name).items():
         kind, *parts = parts_of(key)
         assert key_of(str(kind), *parts) == key
         if kind in ("t", "o", "w", "k", "h"):
@@ -230,7 +231,7 @@
     number = account.merge_runs(runs)
     path = tmp_path / "usage" / "runs" / f"run-{number:010d}.run"
     gone = [key for key, value in kept if not value or parts_of(key)[0] == "w"]  # out of their windows
-    assert list(Run.open(path).items()) == [pair for pair in kept if pair[0] not in gone]
+    assert list(SortedRun.open(path).items()) == [pair for pair in kept if pair[0] not in gone]
 
 
 # ---- messages between a gateway and a worker
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -14,7 +14,7 @@
 
 from saffronstack import config as configs
 from saffronstack.client import Client
-from saffronstack.durable.journal import JournalError
+from saffronstack.durable.errors import JournalError
 from saffronstack.gateway import Gateway
 from saffronstack.metering.meter import read_usage_log
 from saffronstack.standin.fleet import StandInFleet
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -18,7 +18,7 @@
 import pytest
 
 from saffronstack import config as configs
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.gateway import Gateway
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -340,7 +340,7 @@
     fleet.stop()
 
 
-class FullDisk(Files):
+class FullDisk(FileOperations):
     full = False
 
     def write(self, descriptor: int, data: bytes) -> None:
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -14,7 +14,7 @@
 import pytest
 
 from saffronstack import config as configs
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.gateway import Gateway
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -23,7 +23,7 @@
 SLOW = Profile(load_s=0.01, work_s=0.25)
 
 
-class Sealed(Files):
+class Sealed(FileOperations):
     """Writes nothing more once it is sealed: what the disk holds is what a kill leaves."""
 
     sealed = False
@@ -35,7 +35,7 @@
 
 
 def die_at(
-    tmp_path: pathlib.Path, function: str, moment: Callable[[Stack, Files], object], **ledger: int
+    tmp_path: pathlib.Path, function: str, moment: Callable[[Stack, FileOperations], object], **ledger: int
 ) -> tuple[StandInFleet, list[str], pathlib.Path]:
     """Start deferred calls, stop the disk at a moment, and keep what it held then."""
     fleet = StandInFleet(2, lambda n: SLOW)
@@ -56,7 +56,7 @@
     return fleet, ids, kept
 
 
-def sent(stack: Stack, files: Files) -> None:
+def sent(stack: Stack, files: FileOperations) -> None:
     eventually(lambda: stack.runs() >= 1)
 
 
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("moment", [sent, answered])
 @pytest.mark.parametrize("function", ["record-sale", "adjust-setting", "identify-copy"])
 def test_a_kill_while_sent_or_answered_but_not_recorded(
-    tmp_path: pathlib.Path, function: str, moment: Callable[[Stack, Files], object]
+    tmp_path: pathlib.Path, function: str, moment: Callable[[Stack, FileOperations], object]
 ) -> None:
     fleet, ids, kept = die_at(tmp_path, function, moment, in_flight=1)
     before = {id_: sum(e["id"] == id_ for w in fleet.workers for e in w.runs()) for id_ in ids}
--- a/tests/test_lease_keepers.py
+++ b/tests/test_lease_keepers.py
@@ -21,7 +21,7 @@
 from saffronstack.client import Client
 from saffronstack.config.fleet import load_fleet
 from saffronstack.config.load import ConfigError
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.client import LeaseClient
@@ -52,7 +52,7 @@
 )
 
 
-def disk(directory: pathlib.Path, files: Files | None = None, **other: str) -> AcceptorDisk:
+def disk(directory: pathlib.Path, files: FileOperations | None = None, **other: str) -> AcceptorDisk:
     return AcceptorDisk(str(directory), other.get("fleet", "f"), other.get("keeper", "k0"), NAMES, files)
 
 
@@ -99,7 +99,7 @@
     assert one.load().disk_state is DiskState.LOST
 
 
-class CutAfter(Files):
+class CutAfter(FileOperations):
     """Dies at the nth operation, writing part of it."""
 
     def __init__(self, steps: int) -> None:
@@ -157,7 +157,7 @@
 # ---- a keeper whose disk stalls
 
 
-class Gate(Files):
+class Gate(FileOperations):
     """A disk that saves nothing while it is shut, and then is full for a while."""
 
     def __init__(self) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,14 +21,16 @@
     decode,
     encode,
 )
-from saffronstack.durable import segments
-from saffronstack.durable.journal import Found, JournalError
-from saffronstack.durable.journal import read_back as read_journal
-from saffronstack.durable.segments import Files
+from saffronstack.durable.block_format import encode_block
+from saffronstack.durable.errors import JournalError
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.journal_recovery import RecoveredJournal, recover_journal
+from saffronstack.durable.segment_scan import scan_segment
+from saffronstack.durable.segments import list_segment_numbers, segment_name
 
 
-def read_back(directory: pathlib.Path, history: int) -> Found[Book]:
-    return read_journal(directory, Book(history), CODEC)
+def read_back(directory: pathlib.Path, history: int) -> RecoveredJournal[Book]:
+    return recover_journal(directory, Book(history), CODEC)
 
 
 def accepted(n: int, payload: bytes = b"{}") -> Accepted:
@@ -49,12 +51,12 @@
 def commit(ledger: Ledger, *items: AnyRecord) -> None:
     ticket = ledger.append(*items)
     assert ticket.done.wait(5)
-    assert ticket.durable, ticket.error
+    assert ticket.is_durable, ticket.error
 
 
 def only_segment(directory: pathlib.Path) -> pathlib.Path:
-    (number,) = segments.segment_numbers(directory)
-    return directory / segments.segment_name(number)
+    (number,) = list_segment_numbers(directory)
+    return directory / segment_name(number)
 
 
 @pytest.mark.parametrize(
@@ -77,8 +79,8 @@
     assert found.state.open["id-1"].attempts == [Attempted("id-1", 7, 2.0)]
     assert found.state.open["id-2"].attempts == []
     assert list(found.state.finished) == ["id-0"]
-    assert not found.in_doubt
-    assert found.lines == []
+    assert not found.has_lost_records
+    assert found.warnings == []
 
 
 def test_a_directory_has_one_owner(tmp_path: pathlib.Path) -> None:
@@ -95,7 +97,7 @@
     source = tmp_path / "whole"
     assert filled(source, 4).close()
     data = only_segment(source).read_bytes()
-    ends = [block.end for block in segments.scan(data).blocks]  # of first copies: whole once these stand
+    ends = [block.end for block in scan_segment(data).blocks]  # of first copies: whole once these stand
     for cut in range(len(data)):
         target = tmp_path / "cut"
         shutil.rmtree(target, ignore_errors=True)
@@ -105,7 +107,7 @@
         whole = sum(2 * end - _start(ends, place) <= cut for place, end in enumerate(ends))
         assert len(found.state.open) >= whole
         assert sorted(found.state.open) == [f"id-{n}" for n in range(len(found.state.open))]
-        assert not found.in_doubt, cut
+        assert not found.has_lost_records, cut
 
 
 def _start(ends: list[int], place: int) -> int:
@@ -127,42 +129,42 @@
         (target / name).write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :])
         found = read_back(target, 10)
         assert sorted(found.state.open) == ["id-0", "id-1", "id-2"], at
-        assert not found.in_doubt
+        assert not found.has_lost_records
         if at < len(data) - len(data) // 6:
-            assert any(name in line and "byte" in line for line in found.lines), at
+            assert any(name in line and "byte" in line for line in found.warnings), at
 
 
 def test_both_copies_damaged_puts_every_open_call_in_doubt(tmp_path: pathlib.Path) -> None:
     assert filled(tmp_path, 3).close()
     path = only_segment(tmp_path)
     data = bytearray(path.read_bytes())
-    block = segments.scan(bytes(data)).blocks[1]
-    size = block.end - block.at
-    for at in (block.at + 30, block.at + 30 + size):
+    block = scan_segment(bytes(data)).blocks[1]
+    size = block.end - block.start
+    for at in (block.start + 30, block.start + 30 + size):
         data[at] ^= 1
     path.write_bytes(data)
     found = read_back(tmp_path, 10)
-    assert found.in_doubt
-    assert any("both copies" in line or "missing" in line for line in found.lines)
+    assert found.has_lost_records
+    assert any("both copies" in line or "missing" in line for line in found.warnings)
     assert all(call.attempts for call in found.state.open.values())
     ledger = open_ledger(str(tmp_path), 10, 1 << 20)  # the doubt outlives the next start and its compaction
     commit(ledger, accepted(50))
     assert ledger.close()
     again = read_back(tmp_path, 10)
-    assert not again.in_doubt
+    assert not again.has_lost_records
     assert again.state.open["id-0"].attempts
     assert not again.state.open["id-50"].attempts
 
 
 def test_a_lost_segment_is_noticed(tmp_path: pathlib.Path) -> None:
     assert filled(tmp_path, 40, segment_bytes=600).close()
-    numbers = segments.segment_numbers(tmp_path)
+    numbers = list_segment_numbers(tmp_path)
     assert len(numbers) > 3
-    (tmp_path / segments.segment_name(numbers[1])).unlink()
-    assert read_back(tmp_path, 10).in_doubt
+    (tmp_path / segment_name(numbers[1])).unlink()
+    assert read_back(tmp_path, 10).has_lost_records
 
 
-class Faulty(Files):
+class Faulty(FileOperations):
     """Fails as told: after so many bytes, or at the next sync."""
 
     def __init__(self) -> None:
@@ -191,14 +193,14 @@
     assert ticket.done.wait(5)
     assert ticket.error is not None
     assert ticket.error.errno == errno.ENOSPC
-    assert "space" in ledger.failing
+    assert "space" in ledger.write_error
     files.room = None
     commit(ledger, accepted(2))
-    assert ledger.failing == ""
+    assert ledger.write_error == ""
     assert ledger.close()
     found = read_back(tmp_path, 10)
     assert sorted(found.state.open) == ["id-0", "id-2"]
-    assert not found.in_doubt
+    assert not found.has_lost_records
 
 
 def test_a_failed_sync_is_no_commit(tmp_path: pathlib.Path) -> None:
@@ -208,7 +210,7 @@
     files.sync_fails = True
     ticket = ledger.append(accepted(1))
     assert ticket.done.wait(5)
-    assert not ticket.durable
+    assert not ticket.is_durable
     files.sync_fails = False
     commit(ledger, accepted(2))
     assert ledger.close()
@@ -216,14 +218,14 @@
 
 
 def test_a_block_given_up_and_left_on_the_disk_yields_to_the_later_segment(tmp_path: pathlib.Path) -> None:
-    one = segments.pack(0, [encode(accepted(0))])
-    given_up = segments.pack(1, [encode(accepted(1))])
-    later = segments.pack(1, [encode(accepted(2))])
-    (tmp_path / segments.segment_name(1)).write_bytes(one * 2 + given_up * 2)
-    (tmp_path / segments.segment_name(2)).write_bytes(later * 2)
+    one = encode_block(0, [encode(accepted(0))])
+    given_up = encode_block(1, [encode(accepted(1))])
+    later = encode_block(1, [encode(accepted(2))])
+    (tmp_path / segment_name(1)).write_bytes(one * 2 + given_up * 2)
+    (tmp_path / segment_name(2)).write_bytes(later * 2)
     found = read_back(tmp_path, 10)
     assert sorted(found.state.open) == ["id-0", "id-2"]
-    assert not found.in_doubt
+    assert not found.has_lost_records
 
 
 def test_compaction_keeps_open_calls_and_a_bounded_history(tmp_path: pathlib.Path) -> None:
@@ -238,7 +240,7 @@
     found = read_back(tmp_path, 5)
     assert sorted(found.state.open) == sorted(f"id-{n}" for n in range(0, 200, 10))
     assert list(found.state.finished) == [f"id-{n}" for n in range(195, 200)]
-    assert not found.in_doubt
+    assert not found.has_lost_records
 
 
 @pytest.mark.parametrize("keep_older", [0, 1, 2])
@@ -246,21 +248,21 @@
     """Older segments that were not yet removed change nothing, even with some of them gone or damaged."""
     older = tmp_path / "older"
     assert filled(older, 30, segment_bytes=600).close()
-    numbers = segments.segment_numbers(older)
+    numbers = list_segment_numbers(older)
     ledger = open_ledger(str(older), 10, 1 << 20)
-    ledger.found.lines = ["compact at once"]
+    ledger.recovered.warnings = ["compact at once"]
     book = Book(10)
     book.apply(accepted(77))
     target = tmp_path / "target"
     target.mkdir()
     for number in numbers[len(numbers) - keep_older :] if keep_older else []:
-        shutil.copy(older / segments.segment_name(number), target)
-    block = segments.pack(9999, [encode(item) for item in book.snapshot()])
-    (target / segments.segment_name(numbers[-1] + 1)).write_bytes(block * 2)
+        shutil.copy(older / segment_name(number), target)
+    block = encode_block(9999, [encode(item) for item in book.snapshot()])
+    (target / segment_name(numbers[-1] + 1)).write_bytes(block * 2)
     assert ledger.close()
     found = read_back(target, 10)
     assert list(found.state.open) == ["id-77"]
-    assert not found.in_doubt
+    assert not found.has_lost_records
 
 
 def test_many_threads_share_commits(tmp_path: pathlib.Path) -> None:
@@ -270,7 +272,7 @@
     def work(base: int) -> None:
         for n in range(25):
             ticket = ledger.append(accepted(base + n))
-            if not (ticket.done.wait(10) and ticket.durable):
+            if not (ticket.done.wait(10) and ticket.is_durable):
                 failed.append(base + n)
 
     threads = [threading.Thread(target=work, args=(base * 100,)) for base in range(16)]
@@ -288,20 +290,20 @@
 def test_a_revoked_ticket_is_not_written(tmp_path: pathlib.Path) -> None:
     gate = threading.Event()
 
-    class Slow(Files):
+    class Slow(FileOperations):
         def sync(self, descriptor: int) -> None:
             gate.wait(5)
             super().sync(descriptor)
 
     ledger = open_ledger(str(tmp_path), 10, 1 << 20, Slow())
     first = ledger.append(accepted(0))
-    while not first.started:
+    while not first.is_started:
         pass
     second = ledger.append(accepted(1))
     assert second.revoke()
     assert not first.revoke()
     gate.set()
     assert second.done.wait(5)
-    assert not second.durable
+    assert not second.is_durable
     assert ledger.close()
     assert list(read_back(tmp_path, 10).state.open) == ["id-0"]
--- a/tests/test_operation_slots.py
+++ b/tests/test_operation_slots.py
@@ -19,7 +19,7 @@
 import pytest
 
 from saffronstack.client import Answer
-from saffronstack.durable.journal import JournalError
+from saffronstack.durable.errors import JournalError
 from saffronstack.operations.names import Name
 from saffronstack.operations.owners import SLOTS, owner, slot_of
 from saffronstack.operations.slots import Home, Peer, SlotKeeper, Slots
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -23,7 +23,7 @@
 
 from saffronstack import config as configs
 from saffronstack.client import Answer
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.gateway import Gateway
 from saffronstack.harness.scenario.relay import Relay, seldom
 from saffronstack.operations.notes import Ended, open_notes
@@ -217,7 +217,7 @@
     fleet.stop()
 
 
-class Sealed(Files):
+class Sealed(FileOperations):
     """Writes nothing more once it is sealed: what the disk holds is what a kill leaves."""
 
     sealed = False
@@ -355,7 +355,7 @@
     assert table.bytes <= 256 * 1024 * 1024
     guards = [operations.guard(live) for live in lives]
     assert not any(guard.may_send(0, 1) for guard in guards[::1000])
-    assert notes.failing
+    assert notes.write_error
     joined = table.send(b"%012d" % 7, b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, "x", operations.now())
     assert isinstance(joined, Join)
     files.sealed = False
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -16,9 +16,14 @@
 import pytest
 
 from saffronstack.client import Answer, Client
-from saffronstack.durable.segments import Files
-from saffronstack.durable.stalls import AFTER_S, LEAST_S, MOST_S, Stall
-from saffronstack.durable.timed import TimedFiles
+from saffronstack.durable.disk_health import (
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
+    STALL_THRESHOLD_S,
+    DiskHealth,
+)
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.timed_file_operations import TimedFileOperations
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -32,41 +37,43 @@
 
 
 def test_a_write_is_only_at_work_until_its_time_and_then_stalled_for_all_of_it() -> None:
-    stall = Stall()
-    assert stall.lasts_s(100.0) == 0.0
-    stall.began(100.0)
-    assert stall.lasts_s(100.0 + AFTER_S) == 0.0
-    assert stall.lasts_s(100.0 + AFTER_S + 0.5) == AFTER_S + 0.5
-    stall.ended(104.0)
-    assert stall.lasts_s(200.0) == 0.0 and stall.count == 1 and stall.longest_s == 4.0
-    stall.began(200.0)
-    stall.ended(200.2)
-    assert stall.count == 1
-
-
-@pytest.mark.parametrize(("lasted", "wanted"), [(0.1, LEAST_S), (4.0, 4.0), (500.0, MOST_S)])
+    health = DiskHealth()
+    assert health.stalled_s(100.0) == 0.0
+    health.start_operation(100.0)
+    assert health.stalled_s(100.0 + STALL_THRESHOLD_S) == 0.0
+    assert health.stalled_s(100.0 + STALL_THRESHOLD_S + 0.5) == STALL_THRESHOLD_S + 0.5
+    health.end_operation(104.0)
+    assert health.stalled_s(200.0) == 0.0 and health.stall_count == 1 and health.longest_stall_s == 4.0
+    health.start_operation(200.0)
+    health.end_operation(200.2)
+    assert health.stall_count == 1
+
+
+@pytest.mark.parametrize(
+    ("lasted", "wanted"), [(0.1, MIN_RETRY_AFTER_S), (4.0, 4.0), (500.0, MAX_RETRY_AFTER_S)]
+)
 def test_the_time_to_come_back_grows_with_what_has_passed_within_bounds(lasted: float, wanted: float) -> None:
-    stall = Stall()
-    stall.began(0.0)
-    assert stall.come_back_s(lasted) == wanted
+    health = DiskHealth()
+    health.start_operation(0.0)
+    assert health.retry_after_s(lasted) == wanted
 
 
 def test_each_operation_of_a_disk_is_timed_and_one_that_fails_has_answered(tmp_path: pathlib.Path) -> None:
     now = [0.0]
 
-    class Slow(Files):
+    class Slow(FileOperations):
         takes_s = 0.0
         fails = False
 
         def sync(self, descriptor: int) -> None:
             now[0] += self.takes_s
-            seen.append(stall.lasts_s(now[0]))
+            seen.append(health.stalled_s(now[0]))
             if self.fails:
                 raise OSError("Input/output error")
 
-    stall, seen = Stall(), list[float]()
+    health, seen = DiskHealth(), list[float]()
     slow = Slow()
-    files = TimedFiles(slow, stall, lambda: now[0])
+    files = TimedFileOperations(slow, health, lambda: now[0])
     descriptor = files.open(tmp_path / "x")
     files.write(descriptor, b"x")
     files.sync(descriptor)
@@ -76,8 +83,8 @@
     with pytest.raises(OSError, match="Input/output"):
         files.sync(descriptor)
     files.close(descriptor)
-    assert seen == [0.0, 7.0, 7.0] and stall.lasts_s(1000.0) == 0.0
-    assert stall.count == 2 and stall.longest_s == 7.0
+    assert seen == [0.0, 7.0, 7.0] and health.stalled_s(1000.0) == 0.0
+    assert health.stall_count == 2 and health.longest_stall_s == 7.0
 
 
 # ---- processes: a gateway whose disk hangs, is killed meanwhile, and comes back
--- a/tests/test_usage_archive.py
+++ b/tests/test_usage_archive.py
@@ -16,8 +16,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saffronstack.durable.runs import Run, RunDamagedError, merged, write_run
-from saffronstack.durable.segments import Files
+from saffronstack.durable.errors import RunDamagedError
+from saffronstack.durable.file_operations import FileOperations
+from saffronstack.durable.sorted_runs import SortedRun, merge_sorted, write_run
 from saffronstack.metering.account import Account, Bounds
 from saffronstack.metering.archive import Archive, combine, key_of, parts_of, prefix_of, value_of
 from saffronstack.metering.merging import merge
@@ -52,41 +53,41 @@
 
 def test_a_run_is_read_back_by_prefix_and_whole(tmp_path: pathlib.Path) -> None:
     wanted = items(20_000)
-    assert write_run(tmp_path / "a.run", iter(wanted), Files()) == 20_000
-    run = Run.open(tmp_path / "a.run")
+    assert write_run(tmp_path / "a.run", iter(wanted), FileOperations()) == 20_000
+    run = SortedRun.open(tmp_path / "a.run")
     assert list(run.items()) == wanted
-    assert len(run.firsts) > 5
+    assert len(run.first_keys) > 5
     for tenant in ("tenant-0", "tenant-5", "tenant-96", "tenant-9", "nobody"):
         prefix = prefix_of(6, "t", tenant)
-        found = list(run.under(prefix))
+        found = list(run.items_with_prefix(prefix))
         assert found == [item for item in wanted if parts_of(item[0])[1] == tenant]
-    write_run(tmp_path / "empty.run", iter(()), Files())
-    assert list(Run.open(tmp_path / "empty.run").items()) == []
+    write_run(tmp_path / "empty.run", iter(()), FileOperations())
+    assert list(SortedRun.open(tmp_path / "empty.run").items()) == []
 
 
 def test_a_flipped_byte_costs_nothing_and_two_are_named(tmp_path: pathlib.Path) -> None:
     wanted = items(5_000)
     path = tmp_path / "a.run"
-    write_run(path, iter(wanted), Files())
+    write_run(path, iter(wanted), FileOperations())
     data = path.read_bytes()
     chance = random.Random(3)
-    places = Run.open(path).places
+    places = SortedRun.open(path).positions
     for _ in range(60):
         at = chance.randrange(len(data))
         path.write_bytes(data[:at] + bytes([data[at] ^ (1 << chance.randrange(8))]) + data[at + 1 :])
-        assert list(Run.open(path).items()) == wanted
+        assert list(SortedRun.open(path).items()) == wanted
     half = (places[1] - places[0]) // 2
     bad = bytearray(data)
     bad[places[1] + 40] ^= 4
     bad[places[1] + 40 + (places[2] - places[1]) // 2] ^= 4
     path.write_bytes(bad)
     with pytest.raises(RunDamagedError, match=rf"a\.run: byte {places[1]}: both copies"):
-        list(Run.open(path).items())
+        list(SortedRun.open(path).items())
     assert half > 0
     for cut in (1, 10, 100, len(data) // 2, len(data) - 20, len(data) - 3):
         path.write_bytes(data[:cut])
         try:
-            found = list(Run.open(path).items())
+            found = list(SortedRun.open(path).items())
         except RunDamagedError as error:
             assert str(path) in str(error)
         else:
@@ -94,7 +95,7 @@
 
 
 def test_a_full_disk_leaves_no_run(tmp_path: pathlib.Path) -> None:
-    class Full(Files):
+    class Full(FileOperations):
         def write(self, descriptor: int, data: bytes) -> None:
             raise OSError(errno.ENOSPC, "No space left on device")
 
@@ -114,7 +115,7 @@
         (key_of("t", "a"), value_of((10, 1 << 70))),
         (key_of("u", "w", "i", 9), b""),
     ]
-    found = dict(merged([sorted(old), sorted(new)], combine))
+    found = dict(merge_sorted([sorted(old), sorted(new)], combine))
     assert found == {
         key_of("h", "w", "i", 1): value_of((8,)),
         key_of("t", "a"): value_of((11, (1 << 70) + 2)),
@@ -159,8 +160,8 @@
         self.entries.append(encode(entry))
         self.account.apply(entry)
 
-    def relieve(self) -> None:
-        while moved := self.account.relieve():
+    def spill(self) -> None:
+        while moved := self.account.spill():
             for entry in moved:
                 self.take(entry)
 
@@ -220,7 +221,7 @@
         if entry is not None:
             plain.apply(entry)
             kept.take(entry)
-        while moved := kept.account.relieve():
+        while moved := kept.account.spill():
             for one in moved:
                 kept.take(one)
                 if isinstance(one, Estimated):
@@ -257,10 +258,10 @@
         for kept in (first, second):
             if kept is first or seq % 3 == 0:
                 kept.take(record)
-                kept.relieve()
+                kept.spill()
     for seq in range(1, 60, 6):
         second.take(Confirmed("w1", "i", seq if seq % 3 == 0 else seq + 2))
-        second.relieve()
+        second.spill()
     for order in ([first, second], [second, first]):
         whole = merge(kept.account for kept in order)
         assert sum(whole.by_tenant().values()) == held["w1"]
@@ -349,7 +350,7 @@
 # ---- kills at each write
 
 
-class Photographs(Files):
+class Photographs(FileOperations):
     """Keeps what the disk holds before and after each operation, and after half of each write."""
 
     def __init__(self, directory: pathlib.Path, to: pathlib.Path) -> None:
@@ -449,11 +450,11 @@
 CHILD = """
 import os, signal, sys
 sys.path.insert(0, {root!r})
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.metering.meter import open_usage_log
 from tests.test_usage_archive import BOUNDS, WINDOWS, script
 left = int(sys.argv[2])
-class Killed(Files):
+class Killed(FileOperations):
     def count(self):
         global left
         left -= 1
--- a/tests/test_usage_faults.py
+++ b/tests/test_usage_faults.py
@@ -15,7 +15,7 @@
 import pytest
 
 from saffronstack import config as configs
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.gateway import Gateway
 from saffronstack.metering.merging import merge
 from saffronstack.metering.meter import read_usage_log
@@ -30,7 +30,7 @@
 FUNCTIONS = ("identify-copy", "suggest-price", "record-sale", "adjust-setting")
 
 
-class Switched(Files):
+class Switched(FileOperations):
     """A disk that can be full."""
 
     full = False
@@ -50,7 +50,7 @@
         self.running: list[Stack] = []
         self.logs: list[pathlib.Path] = []
 
-    def start(self, name: str, files: Files | None = None, **changes: Any) -> Stack:
+    def start(self, name: str, files: FileOperations | None = None, **changes: Any) -> Stack:
         log = self.tmp_path / name
         if log not in self.logs:
             self.logs.append(log)
@@ -244,7 +244,7 @@
         calls(stack, 20, 2)
         meter = stack.gateway.meter
         assert meter is not None
-        eventually(lambda: meter.journal.failing)
+        eventually(lambda: meter.journal.write_error)
         assert stack.call("identify-copy").status == 200  # calls go on
         assert sum(found.metered().values()) == before
         files.full = False
