--- /dev/null
+++ b/tests/durable/test_disk_health.py
@@ -0,0 +1,34 @@
+"""Detection of stalled disks."""
+
+from __future__ import annotations
+
+import pytest
+
+from saffronstack.durable.disk_health import (
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
+    STALL_THRESHOLD_S,
+    DiskHealth,
+)
+
+
+def test_a_write_is_only_at_work_until_its_time_and_then_stalled_for_all_of_it() -> None:
+    health = DiskHealth()
+    assert health.stalled_s(100.0) == 0.0
+    health.start_operation(100.0)
+    assert health.stalled_s(100.0 + STALL_THRESHOLD_S) == 0.0
+    assert health.stalled_s(100.0 + STALL_THRESHOLD_S + 0.5) == STALL_THRESHOLD_S + 0.5
+    health.end_operation(104.0)
+    assert health.stalled_s(200.0) == 0.0 and health.stall_count == 1 and health.longest_stall_s == 4.0
+    health.start_operation(200.0)
+    health.end_operation(200.2)
+    assert health.stall_count == 1
+
+
+@pytest.mark.parametrize(
+    ("lasted", "wanted"), [(0.1, MIN_RETRY_AFTER_S), (4.0, 4.0), (500.0, MAX_RETRY_AFTER_S)]
+)
+def test_the_time_to_come_back_grows_with_what_has_passed_within_bounds(lasted: float, wanted: float) -> None:
+    health = DiskHealth()
+    health.start_operation(0.0)
+    assert health.retry_after_s(lasted) == wanted
--- /dev/null
+++ b/tests/durable/test_journal.py
@@ -0,0 +1,136 @@
+"""Journals in service: ownership, group commit, failed writes and compaction."""
+
+from __future__ import annotations
+
+import errno
+import pathlib
+import threading
+
+import pytest
+
+from saffronstack.deferred.ledger import open_ledger
+from saffronstack.durable.errors import JournalError
+from saffronstack.durable.file_operations import FileOperations
+from tests.support.ledger import accepted_call, commit, finished_call, open_filled_ledger, recover_ledger
+
+
+class FaultyFileOperations(FileOperations):
+    """Fails as told: after so many bytes, or at the next sync."""
+
+    def __init__(self) -> None:
+        self.room: int | None = None
+        self.sync_fails = False
+
+    def write(self, descriptor: int, data: bytes) -> None:
+        if self.room is not None and len(data) > self.room:
+            super().write(descriptor, data[: self.room])
+            raise OSError(errno.ENOSPC, "No space left on device")
+        super().write(descriptor, data)
+
+    def sync(self, descriptor: int) -> None:
+        if self.sync_fails:
+            raise OSError(errno.EIO, "Input/output error")
+        super().sync(descriptor)
+
+
+def test_a_directory_has_one_owner(tmp_path: pathlib.Path) -> None:
+    ledger = open_filled_ledger(tmp_path, 1)
+    with pytest.raises(JournalError, match="another process"):
+        open_ledger(str(tmp_path), 10, 1 << 20)
+    assert ledger.close()
+    again = open_ledger(str(tmp_path), 10, 1 << 20)
+    assert list(again.state.open) == ["id-0"]
+    assert again.close()
+
+
+@pytest.mark.parametrize("room", [0, 1, 30, 60, 100])
+def test_a_full_disk_fails_the_new_and_keeps_the_old(tmp_path: pathlib.Path, room: int) -> None:
+    files = FaultyFileOperations()
+    ledger = open_ledger(str(tmp_path), 10, 1 << 20, files)
+    commit(ledger, accepted_call(0))
+    files.room = room
+    ticket = ledger.append(accepted_call(1))
+    assert ticket.done.wait(5)
+    assert ticket.error is not None
+    assert ticket.error.errno == errno.ENOSPC
+    assert "space" in ledger.write_error
+    files.room = None
+    commit(ledger, accepted_call(2))
+    assert ledger.write_error == ""
+    assert ledger.close()
+    recovered = recover_ledger(tmp_path, 10)
+    assert sorted(recovered.state.open) == ["id-0", "id-2"]
+    assert not recovered.has_lost_records
+
+
+def test_a_failed_sync_is_no_commit(tmp_path: pathlib.Path) -> None:
+    files = FaultyFileOperations()
+    ledger = open_ledger(str(tmp_path), 10, 1 << 20, files)
+    commit(ledger, accepted_call(0))
+    files.sync_fails = True
+    ticket = ledger.append(accepted_call(1))
+    assert ticket.done.wait(5)
+    assert not ticket.is_durable
+    files.sync_fails = False
+    commit(ledger, accepted_call(2))
+    assert ledger.close()
+    assert sorted(recover_ledger(tmp_path, 10).state.open) == ["id-0", "id-2"]
+
+
+def test_compaction_keeps_open_calls_and_a_bounded_history(tmp_path: pathlib.Path) -> None:
+    ledger = open_ledger(str(tmp_path), 5, 4096)
+    for n in range(200):
+        commit(ledger, accepted_call(n, b"x" * 100))
+        if n % 10:
+            commit(ledger, finished_call(n))
+    assert ledger.close()
+    size = sum(path.stat().st_size for path in tmp_path.glob("*.seg"))
+    assert size < 60_000
+    recovered = recover_ledger(tmp_path, 5)
+    assert sorted(recovered.state.open) == sorted(f"id-{n}" for n in range(0, 200, 10))
+    assert list(recovered.state.finished) == [f"id-{n}" for n in range(195, 200)]
+    assert not recovered.has_lost_records
+
+
+def test_many_threads_share_commits(tmp_path: pathlib.Path) -> None:
+    ledger = open_ledger(str(tmp_path), 10, 1 << 20)
+    failed: list[int] = []
+
+    def work(base: int) -> None:
+        for n in range(25):
+            ticket = ledger.append(accepted_call(base + n))
+            if not (ticket.done.wait(10) and ticket.is_durable):
+                failed.append(base + n)
+
+    threads = [threading.Thread(target=work, args=(base * 100,)) for base in range(16)]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join(20)
+    assert failed == []
+    assert len(ledger.state.open) == 400
+    assert ledger.commits < 400
+    assert ledger.close()
+    assert len(recover_ledger(tmp_path, 10).state.open) == 400
+
+
+def test_a_revoked_ticket_is_not_written(tmp_path: pathlib.Path) -> None:
+    gate = threading.Event()
+
+    class Slow(FileOperations):
+        def sync(self, descriptor: int) -> None:
+            gate.wait(5)
+            super().sync(descriptor)
+
+    ledger = open_ledger(str(tmp_path), 10, 1 << 20, Slow())
+    first = ledger.append(accepted_call(0))
+    while not first.is_started:
+        pass
+    second = ledger.append(accepted_call(1))
+    assert second.revoke()
+    assert not first.revoke()
+    gate.set()
+    assert second.done.wait(5)
+    assert not second.is_durable
+    assert ledger.close()
+    assert list(recover_ledger(tmp_path, 10).state.open) == ["id-0"]
--- /dev/null
+++ b/tests/durable/test_journal_recovery.py
@@ -0,0 +1,144 @@
+"""Recovery of journals after kills, torn writes, flipped bytes and lost segments."""
+
+from __future__ import annotations
+
+import pathlib
+import shutil
+
+import pytest
+
+from saffronstack.deferred.book import Book
+from saffronstack.deferred.ledger import open_ledger
+from saffronstack.deferred.records import Attempted, Dropped, Voided, encode
+from saffronstack.durable.block_format import encode_block
+from saffronstack.durable.segment_scan import scan_segment
+from saffronstack.durable.segments import list_segment_numbers, segment_name
+from tests.support.ledger import (
+    accepted_call,
+    commit,
+    finished_call,
+    only_segment,
+    open_filled_ledger,
+    recover_ledger,
+)
+
+
+def test_state_survives_a_restart(tmp_path: pathlib.Path) -> None:
+    ledger = open_filled_ledger(tmp_path)
+    commit(ledger, Attempted("id-1", 7, 2.0))
+    commit(ledger, finished_call(0), accepted_call(9))
+    commit(ledger, Attempted("id-2", 7, 2.0))
+    commit(ledger, Voided("id-2"))
+    commit(ledger, Dropped("id-3"))
+    assert ledger.close()
+    recovered = recover_ledger(tmp_path, 100)
+    assert sorted(recovered.state.open) == ["id-1", "id-2", "id-4", "id-9"]
+    assert recovered.state.open["id-1"].attempts == [Attempted("id-1", 7, 2.0)]
+    assert recovered.state.open["id-2"].attempts == []
+    assert list(recovered.state.finished) == ["id-0"]
+    assert not recovered.has_lost_records
+    assert recovered.warnings == []
+
+
+def test_a_cut_at_every_byte_loses_only_what_was_not_acknowledged(tmp_path: pathlib.Path) -> None:
+    source = tmp_path / "whole"
+    assert open_filled_ledger(source, 4).close()
+    data = only_segment(source).read_bytes()
+    ends = [block.end for block in scan_segment(data).blocks]  # of first copies: whole once these stand
+    for cut in range(len(data)):
+        target = tmp_path / "cut"
+        shutil.rmtree(target, ignore_errors=True)
+        target.mkdir()
+        (target / only_segment(source).name).write_bytes(data[:cut])
+        recovered = recover_ledger(target, 10)
+        whole = sum(2 * end - _start(ends, place) <= cut for place, end in enumerate(ends))
+        assert len(recovered.state.open) >= whole
+        assert sorted(recovered.state.open) == [f"id-{n}" for n in range(len(recovered.state.open))]
+        assert not recovered.has_lost_records, cut
+
+
+def _start(ends: list[int], place: int) -> int:
+    """Where a block's first copy begins: behind the second copy of the one before."""
+    start = 0
+    for end in ends[:place]:
+        start = 2 * end - start
+    return start
+
+
+def test_a_flipped_byte_anywhere_loses_nothing(tmp_path: pathlib.Path) -> None:
+    source = tmp_path / "whole"
+    assert open_filled_ledger(source, 3).close()
+    name = only_segment(source).name
+    data = only_segment(source).read_bytes()
+    target = tmp_path / "flipped"
+    target.mkdir()
+    for at in range(len(data)):
+        (target / name).write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :])
+        recovered = recover_ledger(target, 10)
+        assert sorted(recovered.state.open) == ["id-0", "id-1", "id-2"], at
+        assert not recovered.has_lost_records
+        if at < len(data) - len(data) // 6:
+            assert any(name in line and "byte" in line for line in recovered.warnings), at
+
+
+def test_both_copies_damaged_puts_every_open_call_in_doubt(tmp_path: pathlib.Path) -> None:
+    assert open_filled_ledger(tmp_path, 3).close()
+    path = only_segment(tmp_path)
+    data = bytearray(path.read_bytes())
+    block = scan_segment(bytes(data)).blocks[1]
+    size = block.end - block.start
+    for at in (block.start + 30, block.start + 30 + size):
+        data[at] ^= 1
+    path.write_bytes(data)
+    recovered = recover_ledger(tmp_path, 10)
+    assert recovered.has_lost_records
+    assert any("both copies" in line or "missing" in line for line in recovered.warnings)
+    assert all(call.attempts for call in recovered.state.open.values())
+    ledger = open_ledger(str(tmp_path), 10, 1 << 20)  # the doubt outlives the next start and its compaction
+    commit(ledger, accepted_call(50))
+    assert ledger.close()
+    again = recover_ledger(tmp_path, 10)
+    assert not again.has_lost_records
+    assert again.state.open["id-0"].attempts
+    assert not again.state.open["id-50"].attempts
+
+
+def test_a_lost_segment_is_noticed(tmp_path: pathlib.Path) -> None:
+    assert open_filled_ledger(tmp_path, 40, segment_bytes=600).close()
+    numbers = list_segment_numbers(tmp_path)
+    assert len(numbers) > 3
+    (tmp_path / segment_name(numbers[1])).unlink()
+    assert recover_ledger(tmp_path, 10).has_lost_records
+
+
+def test_a_block_given_up_and_left_on_the_disk_yields_to_the_later_segment(tmp_path: pathlib.Path) -> None:
+    one = encode_block(0, [encode(accepted_call(0))])
+    given_up = encode_block(1, [encode(accepted_call(1))])
+    later = encode_block(1, [encode(accepted_call(2))])
+    (tmp_path / segment_name(1)).write_bytes(one * 2 + given_up * 2)
+    (tmp_path / segment_name(2)).write_bytes(later * 2)
+    recovered = recover_ledger(tmp_path, 10)
+    assert sorted(recovered.state.open) == ["id-0", "id-2"]
+    assert not recovered.has_lost_records
+
+
+@pytest.mark.parametrize("keep_older", [0, 1, 2])
+def test_a_kill_between_the_snapshot_and_the_clean_up(tmp_path: pathlib.Path, keep_older: int) -> None:
+    """Older segments that were not yet removed change nothing, even with some of them gone or damaged."""
+    older = tmp_path / "older"
+    assert open_filled_ledger(older, 30, segment_bytes=600).close()
+    numbers = list_segment_numbers(older)
+    ledger = open_ledger(str(older), 10, 1 << 20)
+    ledger.recovered.warnings = ["compact at once"]
+    book = Book(10)
+    book.apply(accepted_call(77))
+    target = tmp_path / "target"
+    target.mkdir()
+    for number in numbers[len(numbers) - keep_older :] if keep_older else []:
+        shutil.copy(older / segment_name(number), target)
+    block = encode_block(9999, [encode(item) for item in book.snapshot()])
+    (target / segment_name(numbers[-1] + 1)).write_bytes(block * 2)
+    assert ledger.close()
+    recovered = recover_ledger(target, 10)
+    assert list(recovered.state.open) == ["id-77"]
+    assert not recovered.has_lost_records
--- a/tests/test_stalls.py
+++ b/tests/durable/test_stalled_disk.py
@@ -13,17 +13,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-import pytest
-
 from saffronstack.client import Answer, Client
-from saffronstack.durable.disk_health import (
-    MAX_RETRY_AFTER_S,
-    MIN_RETRY_AFTER_S,
-    STALL_THRESHOLD_S,
-    DiskHealth,
-)
-from saffronstack.durable.file_operations import FileOperations
-from saffronstack.durable.timed_file_operations import TimedFileOperations
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -33,62 +23,6 @@
 COMMIT_S = 6.0
 UNKNOWN = b"Saffronstack.OutcomeUnknown"
 
-# ---- the decision
-
-
-def test_a_write_is_only_at_work_until_its_time_and_then_stalled_for_all_of_it() -> None:
-    health = DiskHealth()
-    assert health.stalled_s(100.0) == 0.0
-    health.start_operation(100.0)
-    assert health.stalled_s(100.0 + STALL_THRESHOLD_S) == 0.0
-    assert health.stalled_s(100.0 + STALL_THRESHOLD_S + 0.5) == STALL_THRESHOLD_S + 0.5
-    health.end_operation(104.0)
-    assert health.stalled_s(200.0) == 0.0 and health.stall_count == 1 and health.longest_stall_s == 4.0
-    health.start_operation(200.0)
-    health.end_operation(200.2)
-    assert health.stall_count == 1
-
-
-@pytest.mark.parametrize(
-    ("lasted", "wanted"), [(0.1, MIN_RETRY_AFTER_S), (4.0, 4.0), (500.0, MAX_RETRY_AFTER_S)]
-)
-def test_the_time_to_come_back_grows_with_what_has_passed_within_bounds(lasted: float, wanted: float) -> None:
-    health = DiskHealth()
-    health.start_operation(0.0)
-    assert health.retry_after_s(lasted) == wanted
-
-
-def test_each_operation_of_a_disk_is_timed_and_one_that_fails_has_answered(tmp_path: pathlib.Path) -> None:
-    now = [0.0]
-
-    class Slow(FileOperations):
-        takes_s = 0.0
-        fails = False
-
-        def sync(self, descriptor: int) -> None:
-            now[0] += self.takes_s
-            seen.append(health.stalled_s(now[0]))
-            if self.fails:
-                raise OSError("Input/output error")
-
-    health, seen = DiskHealth(), list[float]()
-    slow = Slow()
-    files = TimedFileOperations(slow, health, lambda: now[0])
-    descriptor = files.open(tmp_path / "x")
-    files.write(descriptor, b"x")
-    files.sync(descriptor)
-    slow.takes_s = 7.0
-    files.sync(descriptor)
-    slow.fails = True
-    with pytest.raises(OSError, match="Input/output"):
-        files.sync(descriptor)
-    files.close(descriptor)
-    assert seen == [0.0, 7.0, 7.0] and health.stalled_s(1000.0) == 0.0
-    assert health.stall_count == 2 and health.longest_stall_s == 7.0
-
-
-# ---- processes: a gateway whose disk hangs, is killed meanwhile, and comes back
-
 
 @dataclass
 class Sent:
