--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -21,7 +21,7 @@
 from saffronstack.client import Client
 from saffronstack.config.build import Functions
 from saffronstack.deferred.ledger import open_ledger
-from saffronstack.deferred.records import Accepted
+from saffronstack.deferred.records import CallAccepted
 from saffronstack.harness.scenario.processes import StandInHost
 from saffronstack.standin.fleet import sample
 
@@ -208,7 +208,7 @@
     start = time.perf_counter()
     tickets = [
         ledger.append(
-            Accepted(
+            CallAccepted(
                 f"00000000-0000-0000-0000-{n:012d}",
                 "record-sale",
                 "corner-books",
--- a/saffronstack/deferred/__init__.py
+++ b/saffronstack/deferred/__init__.py
@@ -1,1 +1,1 @@
-"""Deferred calls: a durable ledger, the decisions on what is open, and one final record for each call."""
+"""Deferred calls: accepted durably, executed later with retries, and each ended by one final record."""
--- /dev/null
+++ b/saffronstack/deferred/call_submitter.py
@@ -0,0 +1,109 @@
+"""Submission of attempts at deferred calls to the engine."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from saffronstack.config.schema import Config
+from saffronstack.deferred.attempt_log import AttemptLog, AttemptLogGuard
+from saffronstack.deferred.function_policies import FunctionPolicy
+from saffronstack.deferred.records import CallAccepted
+from saffronstack.deferred.steady_clock import SteadyClock
+from saffronstack.deferred.tracked_call import TrackedCall
+from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
+from saffronstack.engine.engine import Engine
+from saffronstack.metering.limits import Admission, BudgetLimits
+from saffronstack.routing.events import PriorAttempt
+from saffronstack.routing.settings import Idempotency
+
+ENGINE_FULL_RETRY_AFTER_S = 0.5
+
+
+class CallSubmitter:
+    """Turns tracked calls into the engine's; used on the dispatcher thread."""
+
+    def __init__(
+        self,
+        config: Config,
+        engine: Engine,
+        attempt_log: AttemptLog,
+        clock: SteadyClock,
+        budgets: BudgetLimits | None,
+    ) -> None:
+        """Submit to ``engine``; ``budgets`` of None admits every call."""
+        self._engine = engine
+        self._attempt_log = attempt_log
+        self._clock = clock
+        self._budgets = budgets
+        self._tenant_indexes = {tenant.name: index for index, tenant in enumerate(config.tenants)}
+        self._over_budget_tenant_index = len(self._tenant_indexes)  # the settings' entry for such calls
+
+    def admit(self, call: TrackedCall) -> Admission:
+        """Return whether the tenant's budget admits an attempt now.
+
+        A call that may have been executed is always admitted: it is not kept from its end.
+        """
+        if self._budgets is None or call.state.possible_execution is not None:
+            return Admission(True)
+        accepted = call.accepted
+        return self._budgets.admit(accepted.tenant, accepted.function, self._clock.monotonic_now())
+
+    def submit(
+        self,
+        call: TrackedCall,
+        function: FunctionPolicy,
+        deadline_at: float,
+        is_over_budget: bool,
+        on_answer: Callable[[TrackedCall, FinalAnswer], None],
+    ) -> None:
+        """Submit a call, which is answered exactly once.
+
+        Args:
+            call: The call.
+            function: Its function.
+            deadline_at: When it is owed the answer, in Unix seconds.
+            is_over_budget: Whether its tenant is over the soft limit of its budget.
+            on_answer: Called with the answer, on whichever thread finishes the call.
+        """
+        engine_call = self._make_engine_call(call, function, deadline_at, on_answer)
+        if is_over_budget:
+            engine_call.tenant = self._over_budget_tenant_index
+        if not self._engine.submit(engine_call):
+            engine_call.finish(
+                FinalAnswer(
+                    FinalStatus.REJECTED,
+                    retry_after_s=ENGINE_FULL_RETRY_AFTER_S,
+                    prior_attempt=engine_call.prior_attempt,
+                )
+            )
+
+    def _make_engine_call(
+        self,
+        call: TrackedCall,
+        function: FunctionPolicy,
+        deadline_at: float,
+        on_answer: Callable[[TrackedCall, FinalAnswer], None],
+    ) -> Call:
+        accepted: CallAccepted = call.accepted
+        is_idempotent = function.known.effect is Idempotency.IDEMPOTENT
+        return Call(
+            self._engine.next_call_number(),
+            accepted.request_id,
+            function.known.spec,
+            accepted.payload,
+            self._clock.to_monotonic(deadline_at),
+            self._tenant_indexes.get(accepted.tenant, 0),
+            accepted.tenant,
+            accepted.idempotency_key,
+            accepted.client_context,
+            prior_attempt=self._prior_attempt(call),
+            guard=None if is_idempotent else AttemptLogGuard(self._attempt_log, call),
+            on_final_answer=lambda _, answer: on_answer(call, answer),
+            class_name=function.known.config.call_class,
+        )
+
+    def _prior_attempt(self, call: TrackedCall) -> PriorAttempt | None:
+        execution = call.state.possible_execution
+        if execution is None:
+            return None
+        return PriorAttempt(execution.worker_id, self._clock.to_monotonic(execution.sent_at))
--- /dev/null
+++ b/saffronstack/deferred/call_table.py
@@ -0,0 +1,145 @@
+"""The state that the ledger's records add up to: open calls and a bounded history. No I/O."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from saffronstack.deferred.records import (
+    AttemptStarted,
+    AttemptsVoided,
+    CallAccepted,
+    CallFinished,
+    CallWithdrawn,
+    LedgerRecord,
+    OperationNamed,
+    SnapshotStart,
+)
+
+MAX_OPERATIONS = 1_000_000  # the oldest beyond are forgotten
+OPEN_CALL_OVERHEAD_BYTES = 512  # beside the payload
+FINAL_RECORD_OVERHEAD_BYTES = 128
+OPERATION_BYTES = 200
+
+
+@dataclass(slots=True)
+class OpenCall:
+    """A call that is owed its final record."""
+
+    accepted: CallAccepted
+    attempts: list[AttemptStarted] = field(default_factory=list)  # that may have been executed
+
+    @property
+    def size_bytes(self) -> int:
+        """Size that counts against the bound on open calls."""
+        return len(self.accepted.payload) + OPEN_CALL_OVERHEAD_BYTES
+
+
+class CallTable:
+    """Open calls, final records and named operations.
+
+    The ledger's writer thread changes it; other threads read single entries.
+    """
+
+    def __init__(self, max_finished: int) -> None:
+        """Create an empty table that keeps the last ``max_finished`` final records."""
+        self._max_finished = max_finished
+        self.open: dict[str, OpenCall] = {}  # by request id
+        self.finished: OrderedDict[str, CallFinished] = OrderedDict()  # by request id
+        self.operations: OrderedDict[bytes, OperationNamed] = OrderedDict()  # by digest
+        self.open_bytes = 0
+
+    def apply(self, record: LedgerRecord) -> None:
+        """Apply the next record."""
+        match record:
+            case CallAccepted():
+                self._accept(record)
+            case OperationNamed():
+                self._name_operation(record, 0.0)
+            case AttemptStarted():
+                if record.request_id in self.open:
+                    self.open[record.request_id].attempts.append(record)
+            case AttemptsVoided():
+                if record.request_id in self.open:
+                    self.open[record.request_id].attempts.clear()
+            case CallFinished():
+                self._finish(record)
+            case CallWithdrawn():
+                self._withdraw(record)
+            case SnapshotStart():
+                self._clear()
+
+    def mark_records_lost(self) -> None:
+        """Treat every open call as one that may have been executed, by an unknown worker long ago."""
+        for call in self.open.values():
+            call.attempts.insert(0, AttemptStarted(call.accepted.request_id, 0, 0.0))
+
+    def estimate_snapshot_bytes(self) -> int:
+        """Return the approximate size of a snapshot."""
+        finished_bytes = sum(
+            len(record.invocation_record) + FINAL_RECORD_OVERHEAD_BYTES for record in self.finished.values()
+        )
+        return self.open_bytes + finished_bytes + OPERATION_BYTES * len(self.operations)
+
+    def spill(self) -> tuple[LedgerRecord, ...]:
+        """Return no records: open calls are bounded when they are accepted, and nothing leaves memory."""
+        return ()
+
+    def snapshot(self) -> Iterator[LedgerRecord]:
+        """Yield records that add up to this state."""
+        yield SnapshotStart(len(self.open), len(self.finished))
+        yield from self.operations.values()
+        yield from self.finished.values()
+        for call in self.open.values():
+            yield call.accepted
+            yield from call.attempts
+
+    def _accept(self, accepted: CallAccepted) -> None:
+        if accepted.request_id in self.open or accepted.request_id in self.finished:
+            return
+        call = self.open[accepted.request_id] = OpenCall(accepted)
+        self.open_bytes += call.size_bytes
+        if accepted.operation_digest:
+            named = OperationNamed(
+                accepted.operation_digest,
+                accepted.packed_operation,
+                accepted.operation_expires_at,
+                accepted.request_id,
+            )
+            self._name_operation(named, accepted.accepted_at)
+
+    def _name_operation(self, named: OperationNamed, now: float) -> None:
+        self.operations[named.operation_digest] = named
+        while self.operations:
+            oldest = next(iter(self.operations.values()))
+            if oldest.expires_at > now and len(self.operations) <= MAX_OPERATIONS:
+                return
+            del self.operations[oldest.operation_digest]
+
+    def _finish(self, finished: CallFinished) -> None:
+        """Store a call's final record; a second one changes nothing, as the first was the answer."""
+        if finished.request_id not in self.finished:  # a reader must find the call in one of the two tables
+            self.finished[finished.request_id] = finished
+        self._close(finished.request_id)
+        if len(self.finished) > self._max_finished:
+            self.finished.popitem(last=False)
+
+    def _withdraw(self, withdrawn: CallWithdrawn) -> None:
+        call = self.open.get(withdrawn.request_id)
+        if call is not None:
+            named = self.operations.get(call.accepted.operation_digest)
+            if named is not None and named.request_id == withdrawn.request_id:
+                del self.operations[named.operation_digest]
+        self._close(withdrawn.request_id)
+
+    def _close(self, request_id: str) -> None:
+        call = self.open.pop(request_id, None)
+        if call is not None:
+            self.open_bytes -= call.size_bytes
+
+    def _clear(self) -> None:
+        self.open.clear()
+        self.finished.clear()
+        self.operations.clear()
+        self.open_bytes = 0
--- /dev/null
+++ b/saffronstack/deferred/dispatcher.py
@@ -0,0 +1,266 @@
+"""The dispatcher of deferred calls: one thread that owns all open calls, their retries and their ends."""
+
+from __future__ import annotations
+
+import queue
+import random
+import threading
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
+
+from saffronstack.deferred.call_submitter import CallSubmitter
+from saffronstack.deferred.final_record_writer import FinalRecordWriter
+from saffronstack.deferred.function_policies import FunctionPolicies, FunctionPolicy
+from saffronstack.deferred.ledger import Ledger
+from saffronstack.deferred.records import AttemptsVoided
+from saffronstack.deferred.retry_policy import (
+    AttemptResult,
+    Condition,
+    Finish,
+    PossibleExecution,
+    RetryPolicy,
+    Wait,
+    decide_after_attempt,
+    decide_next_step,
+)
+from saffronstack.deferred.steady_clock import SteadyClock
+from saffronstack.deferred.tracked_call import FinalOutcome, TrackedCall, track_accepted
+from saffronstack.engine.calls import FinalAnswer, FinalStatus
+from saffronstack.engine.timers import Timers
+from saffronstack.runtime.threads import start_thread
+
+IDLE_POLL_S = 0.5
+MIN_BUDGET_WAIT_S = 0.1  # between two attempts at an exhausted budget
+BUDGET_WAIT_JITTER = 0.1  # fraction of the wait
+FIRST_COMMIT_CHECK_S = 0.01  # after a final record was appended
+COMMIT_CHECK_S = 0.02
+FAILED_COMMIT_CHECK_S = 0.5  # while the ledger's last commit failed
+UNKNOWN_WORKER_ID = 0
+NOT_CONFIGURED = "its function is not in the configuration"
+REASONS = {
+    Condition.SUCCESS: "",
+    Condition.RETRIES_EXHAUSTED: "the function failed each time",
+    Condition.EXPIRED: "its maximum event age passed before a worker could take it",
+    Condition.REJECTED: "it was refused for good",
+    Condition.UNKNOWN: "it may have run, and may not be sent again",
+}
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptFinished:
+    """The engine answered a call."""
+
+    call: TrackedCall
+    answer: FinalAnswer
+
+
+@dataclass(frozen=True, slots=True)
+class StopRequested:
+    """The gateway shuts down."""
+
+
+Message = TrackedCall | AttemptFinished | StopRequested
+
+
+class CallDispatcher:
+    """Starts attempts, retries with backoff, and writes final records until they are durable."""
+
+    def __init__(
+        self,
+        ledger: Ledger,
+        policies: FunctionPolicies,
+        submitter: CallSubmitter,
+        final_records: FinalRecordWriter,
+        clock: SteadyClock,
+        max_in_flight: int,
+        seed: int,
+    ) -> None:
+        """Keep at most ``max_in_flight`` calls in flight; ``seed`` is of the jitter of retries."""
+        self._ledger = ledger
+        self._policies = policies
+        self._submitter = submitter
+        self._final_records = final_records
+        self._clock = clock
+        self._max_in_flight = max_in_flight
+        self._random = random.Random(seed)
+        self._messages: queue.SimpleQueue[Message] = queue.SimpleQueue()
+        self._timers: Timers[TrackedCall] = Timers()
+        self._calls: dict[str, TrackedCall] = {}  # by request id
+        self._ready: deque[TrackedCall] = deque()  # wait for others in flight to end
+        self._in_flight = 0
+        self._ended = threading.Event()
+        self.is_stopping = False
+        self.finished_by_condition: dict[str, int] = {condition.value: 0 for condition in Condition}
+
+    def start(self, recovered: Iterable[TrackedCall]) -> None:
+        """Start the thread with the open calls of an earlier incarnation."""
+        for call in recovered:
+            self._calls[call.accepted.request_id] = call
+            self._timers.add(0.0, call)
+        start_thread("deferred", self._run)
+
+    def stop(self, timeout_s: float) -> bool:
+        """Start no more attempts, and wait for those in flight; return whether they ended in time.
+
+        The other calls stay in the ledger for the next start.
+        """
+        self.is_stopping = True
+        self._messages.put(StopRequested())
+        return self._ended.wait(timeout_s)
+
+    def dispatch(self, call: TrackedCall) -> None:
+        """Hand over an accepted call; any thread."""
+        self._messages.put(call)
+
+    def find(self, request_id: str) -> TrackedCall | None:
+        """Return a call without a durable final record, or None; any thread."""
+        return self._calls.get(request_id)
+
+    # ---- the dispatcher thread
+
+    def _run(self) -> None:
+        try:
+            while not (self.is_stopping and not self._in_flight and self._messages.empty()):
+                self._receive()
+                while not self.is_stopping and (call := self._timers.pop_due(self._clock.now())) is not None:
+                    self._continue(call)
+                while self._can_start():
+                    self._start_attempt(self._ready.popleft())
+        finally:
+            self._ended.set()
+
+    def _can_start(self) -> bool:
+        return bool(self._ready) and self._in_flight < self._max_in_flight and not self.is_stopping
+
+    def _receive(self) -> None:
+        """Handle the next message, or wait until a timer is due."""
+        due_s = self._timers.next_due_s()
+        wait_s = IDLE_POLL_S if due_s is None else min(IDLE_POLL_S, max(0.0, due_s - self._clock.now()))
+        if self._ready and self._in_flight < self._max_in_flight:
+            wait_s = 0.0
+        try:
+            message = self._messages.get(timeout=wait_s) if wait_s else self._messages.get_nowait()
+        except queue.Empty:  # a timer is due, or a call can start
+            return
+        match message:
+            case TrackedCall():
+                self._track(message)
+            case AttemptFinished():
+                self._finish_attempt(message.call, message.answer)
+            case StopRequested():
+                pass  # it only ends the wait
+
+    def _track(self, call: TrackedCall) -> None:
+        self._calls[call.accepted.request_id] = call
+        self._ready.append(call)
+
+    def _continue(self, call: TrackedCall) -> None:
+        """Handle a due call: start an attempt, or see to its final record."""
+        if call.outcome is None:
+            self._ready.append(call)
+        elif call.ticket is not None and call.ticket.is_durable:
+            self._complete(call, call.outcome)
+        elif call.ticket is not None and not call.ticket.done.is_set():
+            self._timers.add(self._clock.now() + COMMIT_CHECK_S, call)
+        else:  # the commit failed
+            self._write_final_record(call, call.outcome)
+
+    def _complete(self, call: TrackedCall, outcome: FinalOutcome) -> None:
+        """Forget a call whose final record is durable, and start its delivery."""
+        self._calls.pop(call.accepted.request_id, None)
+        self.finished_by_condition[outcome.condition.value] += 1
+        if call.delivery is not None:
+            self._track(track_accepted(call.delivery))
+
+    def _start_attempt(self, call: TrackedCall) -> None:
+        function = self._policies.find(call.accepted.function)
+        if function is None:
+            step = decide_next_step(call.state, None, self._clock.now())
+            condition = step.condition if isinstance(step, Finish) else Condition.REJECTED
+            self._finish(call, FinalOutcome(condition, reason=NOT_CONFIGURED))
+            return
+        step = decide_next_step(call.state, function.retry, self._clock.now())
+        if isinstance(step, Finish):
+            self._finish(call, FinalOutcome(step.condition, reason=REASONS[step.condition]))
+            return
+        self._submit_within_budget(call, function, step.deadline_at)
+
+    def _submit_within_budget(self, call: TrackedCall, function: FunctionPolicy, deadline_at: float) -> None:
+        admission = self._submitter.admit(call)
+        if not admission.taken:
+            jitter = 1.0 + BUDGET_WAIT_JITTER * self._random.random()
+            wait_s = max(MIN_BUDGET_WAIT_S, admission.wait_s) * jitter
+            self._timers.add(min(self._clock.now() + wait_s, deadline_at), call)
+            return
+        call.is_running = True
+        self._in_flight += 1
+        self._submitter.submit(call, function, deadline_at, admission.over, self._receive_answer)
+
+    def _receive_answer(self, call: TrackedCall, answer: FinalAnswer) -> None:
+        """Pass an answer to the dispatcher thread; any thread."""
+        self._messages.put(AttemptFinished(call, answer))
+
+    def _finish_attempt(self, call: TrackedCall, answer: FinalAnswer) -> None:
+        call.is_running = False
+        self._in_flight -= 1
+        call.attempts += answer.attempts
+        execution = self._find_possible_execution(call, answer)
+        function = self._policies.find(call.accepted.function)
+        if function is None:
+            self._timers.add(0.0, call)
+            return
+        self._decide(call, function.retry, answer, execution)
+
+    def _find_possible_execution(self, call: TrackedCall, answer: FinalAnswer) -> PossibleExecution | None:
+        """Return the first attempt that may have been executed, with what the answer says of it."""
+        execution = call.state.possible_execution
+        if answer.status is FinalStatus.SERVED:
+            return execution  # the response ends the uncertainty about earlier attempts
+        if answer.prior_attempt is not None:
+            prior = answer.prior_attempt
+            return PossibleExecution(prior.worker_id, self._clock.to_unix(prior.sent_s))
+        if execution is not None:
+            return execution
+        if answer.status is FinalStatus.FAILED:  # nothing was seen to execute, but nothing rules it out
+            return PossibleExecution(UNKNOWN_WORKER_ID, self._clock.now())
+        if call.has_stored_attempt:
+            call.has_stored_attempt = False
+            self._ledger.append(AttemptsVoided(call.accepted.request_id))
+        return None
+
+    def _decide(
+        self,
+        call: TrackedCall,
+        policy: RetryPolicy,
+        answer: FinalAnswer,
+        execution: PossibleExecution | None,
+    ) -> None:
+        """Retry the call later, or finish it."""
+        decision = decide_after_attempt(
+            replace(call.state, possible_execution=execution),
+            policy,
+            AttemptResult(answer.status, bool(answer.function_error), answer.retry_after_s),
+            self._clock.now(),
+            self._random.random(),
+        )
+        call.state = decision.state
+        match decision.step:
+            case Finish(condition) if answer.status is FinalStatus.SERVED:
+                self._finish(call, FinalOutcome(condition, answer.payload, answer.function_error))
+            case Finish(condition):
+                outcome = FinalOutcome(condition, None, answer.function_error, REASONS[condition])
+                self._finish(call, outcome)
+            case Wait(until):  # not beside an attempt that is still in flight
+                in_flight_until = self._clock.to_unix(answer.attempt_in_flight_until_s)
+                self._timers.add(max(until, in_flight_until), call)
+
+    def _finish(self, call: TrackedCall, outcome: FinalOutcome) -> None:
+        call.outcome = outcome
+        self._write_final_record(call, outcome)
+
+    def _write_final_record(self, call: TrackedCall, outcome: FinalOutcome) -> None:
+        now = self._clock.now()
+        self._final_records.write(call, outcome, now)
+        pause_s = FAILED_COMMIT_CHECK_S if self._ledger.write_error else FIRST_COMMIT_CHECK_S
+        self._timers.add(now + pause_s, call)
--- /dev/null
+++ b/saffronstack/deferred/final_record_writer.py
@@ -0,0 +1,58 @@
+"""Writing final records, each with the call that delivers it to the function's destination."""
+
+from __future__ import annotations
+
+import uuid
+
+from saffronstack.config.build import Functions
+from saffronstack.config.schema import Config
+from saffronstack.deferred.invocation_record import InvocationEnd, encode_invocation_record
+from saffronstack.deferred.ledger import Ledger
+from saffronstack.deferred.records import CallAccepted, CallFinished
+from saffronstack.deferred.retry_policy import Condition
+from saffronstack.deferred.tracked_call import FinalOutcome, TrackedCall
+
+
+class FinalRecordWriter:
+    """Appends final records to the ledger; used on the dispatcher thread."""
+
+    def __init__(self, config: Config, ledger: Ledger, functions: Functions) -> None:
+        """Write to ``ledger``; ``functions`` names the destinations."""
+        self._arn_prefix = f"arn:aws:lambda:{config.region}:{config.account}:function:"
+        self._ledger = ledger
+        self._functions = functions
+
+    def write(self, call: TrackedCall, outcome: FinalOutcome, now: float) -> None:
+        """Append the final record and, in the same commit, the call to the destination: both or neither.
+
+        Args:
+            call: The call; its ticket and delivery are set.
+            outcome: How it ended.
+            now: The present Unix time.
+        """
+        accepted = call.accepted
+        end = InvocationEnd(
+            request_id=accepted.request_id,
+            arn=self._arn_prefix + accepted.function,
+            condition=outcome.condition,
+            attempts=call.attempts,
+            finished_at=now,
+            response=outcome.response,
+            function_error=outcome.function_error,
+            reason=outcome.reason,
+        )
+        content = encode_invocation_record(end, accepted.payload)
+        finished = CallFinished(accepted.request_id, accepted.function, accepted.tenant, now, content)
+        destination = self._find_destination(accepted.function, outcome.condition)
+        if destination is None:
+            call.ticket = self._ledger.append(finished)
+            return
+        delivery_id = str(uuid.uuid5(uuid.NAMESPACE_OID, accepted.request_id))
+        call.delivery = CallAccepted(delivery_id, destination, accepted.tenant, content, "", delivery_id, now)
+        call.ticket = self._ledger.append(finished, call.delivery)
+
+    def _find_destination(self, function: str, condition: Condition) -> str | None:
+        known = self._functions.get(function)
+        if known is None:
+            return None
+        return known.config.on_success if condition is Condition.SUCCESS else known.config.on_failure
--- /dev/null
+++ b/saffronstack/deferred/function_policies.py
@@ -0,0 +1,42 @@
+"""What the configuration says of the functions of deferred calls."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from saffronstack.config.build import Functions, Known
+from saffronstack.config.schema import Config
+from saffronstack.deferred.retry_policy import RetryPolicy
+
+
+@dataclass(frozen=True, slots=True)
+class FunctionPolicy:
+    """A configured function, and how its deferred calls are retried."""
+
+    known: Known
+    retry: RetryPolicy
+
+
+class FunctionPolicies:
+    """Finds the policies of functions; used on the dispatcher thread."""
+
+    def __init__(self, config: Config, functions: Functions) -> None:
+        """Read classes and margins from ``config``; ``functions`` may be reloaded later."""
+        self._functions = functions
+        self._response_margin_s = config.answer_margin_s
+        self._classes = {cls.name: cls for cls in config.classes}
+
+    def find(self, function: str) -> FunctionPolicy | None:
+        """Return a function's policy, or None where it is not configured."""
+        known = self._functions.get(function)
+        if known is None:
+            return None
+        request_class = self._classes[known.config.call_class]
+        retry = RetryPolicy(
+            known.effect,
+            request_class.window_s,
+            request_class.deadline_s - self._response_margin_s,
+            known.config.maximum_event_age_s,
+            known.config.maximum_retry_attempts,
+        )
+        return FunctionPolicy(known, retry)
--- /dev/null
+++ b/saffronstack/deferred/invocation_record.py
@@ -0,0 +1,73 @@
+"""The invocation record that a deferred call ends with: Lambda's documented one, version 1.0. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from datetime import UTC, datetime
+
+import msgspec
+
+from saffronstack.deferred.retry_policy import Condition
+from saffronstack.engine.identifiers import LATEST
+
+RECORD_VERSION = "1.0"
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class InvocationEnd:
+    """How an invocation ended.
+
+    Attributes:
+        request_id: Its identifier.
+        arn: The function's Amazon resource name, without a version.
+        condition: Why it ended.
+        attempts: Number of attempts.
+        finished_at: Unix time of its end.
+        response: The worker's response, or None.
+        function_error: "Handled" or "Unhandled" where the function itself failed.
+        reason: Why there is no response.
+    """
+
+    request_id: str
+    arn: str
+    condition: Condition
+    attempts: int
+    finished_at: float
+    response: bytes | None = None
+    function_error: str = ""
+    reason: str = ""
+
+
+def encode_invocation_record(end: InvocationEnd, payload: bytes) -> bytes:
+    """Return the record as JSON; a payload or response that is not JSON stands in it as a string."""
+    timestamp = datetime.fromtimestamp(end.finished_at, UTC)
+    content: dict[str, object] = {
+        "version": RECORD_VERSION,
+        "timestamp": f"{timestamp:%Y-%m-%dT%H:%M:%S}.{timestamp.microsecond // 1000:03d}Z",
+        "requestContext": {
+            "requestId": end.request_id,
+            "functionArn": f"{end.arn}:{LATEST}",
+            "condition": end.condition.value,
+            "approximateInvokeCount": end.attempts,
+        },
+        "requestPayload": _embed_payload(payload),
+    }
+    if end.response is not None:
+        context: dict[str, object] = {"statusCode": 200, "executedVersion": LATEST}
+        if end.function_error:
+            context["functionError"] = end.function_error
+        content["responseContext"] = context
+        content["responsePayload"] = _embed_payload(end.response)
+    elif end.reason:
+        error_type = f"Saffronstack.{end.condition.value}"
+        content["responsePayload"] = {"errorType": error_type, "errorMessage": end.reason}
+    return msgspec.json.encode(content)
+
+
+def _embed_payload(payload: bytes) -> object:
+    try:
+        msgspec.json.decode(payload, type=msgspec.Raw)
+        payload.decode()
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):  # it is not JSON
+        return payload.decode("utf-8", "replace")
+    return msgspec.Raw(payload)
--- a/saffronstack/deferred/ledger.py
+++ b/saffronstack/deferred/ledger.py
@@ -1,39 +1,55 @@
-"""The ledger of deferred calls: their records in a journal."""
+"""The ledger: a journal whose records add up to the table of deferred calls."""
 
 from __future__ import annotations
 
 import pathlib
 
-from saffronstack.deferred.book import Book
-from saffronstack.deferred.records import AnyRecord, Snapshot, decode, encode
+from saffronstack.deferred.call_table import CallTable
+from saffronstack.deferred.records import LedgerRecord, SnapshotStart, decode, encode
 from saffronstack.durable.errors import JournalError
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.durable.journal import Journal
 from saffronstack.durable.journal_recovery import recover_journal
 from saffronstack.durable.journal_state import RecordCodec
 
-CODEC: RecordCodec[AnyRecord] = RecordCodec(encode, decode, lambda record: isinstance(record, Snapshot))
-TRIES = 5
-Ledger = Journal[AnyRecord, Book]
+CODEC: RecordCodec[LedgerRecord] = RecordCodec(
+    encode, decode, lambda record: isinstance(record, SnapshotStart)
+)
+MAX_READ_ATTEMPTS = 5
+Ledger = Journal[LedgerRecord, CallTable]
 
 
 def open_ledger(
-    directory: str, history: int, segment_bytes: int, files: FileOperations | None = None
+    directory: str, max_finished: int, segment_bytes: int, files: FileOperations | None = None
 ) -> Ledger:
-    """Lock and read a ledger. JournalError where another process holds it or it can't be read."""
-    return Journal(directory, Book(history), CODEC, segment_bytes, files)
+    """Lock and recover a ledger.
 
+    Args:
+        directory: Where it is.
+        max_finished: Number of final records to keep.
+        segment_bytes: Size at which a segment is closed.
+        files: Performs the file operations; the system's by default.
 
-def names_in(directory: pathlib.Path) -> list[tuple[bytes, bytes]]:
-    """What deferred calls in a ledger are named, read without its lock. JournalError where it can't be
-    read."""
-    for left in reversed(range(TRIES)):
-        book = Book(0)
+    Raises:
+        JournalError: Another process holds it, or it cannot be read.
+    """
+    return Journal(directory, CallTable(max_finished), CODEC, segment_bytes, files)
+
+
+def read_named_operations(directory: pathlib.Path) -> list[tuple[bytes, bytes]]:
+    """Return digest and packed answer of a ledger's named operations; the ledger is read without its lock.
+
+    Raises:
+        JournalError: It cannot be read.
+    """
+    for attempts_left in reversed(range(MAX_READ_ATTEMPTS)):
+        table = CallTable(0)
         try:
             if directory.is_dir():
-                recover_journal(directory, book, CODEC)
-            return [(named.operation, named.packed) for named in book.names.values()]
-        except JournalError as error:  # one that lives may compact it meanwhile
-            if not left or not isinstance(error.__cause__, FileNotFoundError):
+                recover_journal(directory, table, CODEC)
+            return [(named.operation_digest, named.packed_operation) for named in table.operations.values()]
+        except JournalError as error:
+            was_compacted_meanwhile = isinstance(error.__cause__, FileNotFoundError)
+            if not attempts_left or not was_compacted_meanwhile:
                 raise
     return []
--- a/saffronstack/deferred/records.py
+++ b/saffronstack/deferred/records.py
@@ -1,4 +1,8 @@
-"""The ledger's records. Times are Unix seconds; ids are request ids."""
+"""The ledger's records. Times are Unix seconds.
+
+Records are stored as MessagePack arrays: the tag, then the fields in their order. Ledgers of earlier versions
+are read by this module, so the order and the tags are fixed, while the names of the fields are not stored.
+"""
 
 from __future__ import annotations
 
@@ -9,77 +13,89 @@
     """What all records share."""
 
 
-class Accepted(Record, frozen=True, tag="a"):
-    """A call was taken: from here on it is owed one final record."""
+class CallAccepted(Record, frozen=True, tag="a"):
+    """A call was accepted: from here on it is owed one final record."""
 
-    id: str
+    request_id: str
     function: str
     tenant: str
     payload: bytes
-    context: str
-    key: str
-    at: float
-    operation: bytes = b""  # the digest of its name, where its client named it
-    packed: bytes = b""  # what a later send of that name is answered (`operations.table.Packed`)
-    named_until: float = 0.0
+    client_context: str
+    idempotency_key: str
+    accepted_at: float
+    operation_digest: bytes = b""  # of the operation that the client named, if any
+    packed_operation: bytes = b""  # the answer to repetitions of it (`operations.table.Packed`)
+    operation_expires_at: float = 0.0
 
 
-class Named(Record, frozen=True, tag="n"):
-    """The name of a call, in a snapshot: it may outlive the call's place in the history."""
+class OperationNamed(Record, frozen=True, tag="n"):
+    """The operation of a call, in a snapshot: it may be known for longer than the call's final record."""
 
-    operation: bytes
-    packed: bytes
-    until: float
-    id: str
+    operation_digest: bytes
+    packed_operation: bytes
+    expires_at: float
+    request_id: str
 
 
-class Attempted(Record, frozen=True, tag="t"):
-    """An attempt of an unsafe or keyed call is about to be sent; written out before its first byte."""
+class AttemptStarted(Record, frozen=True, tag="t"):
+    """An attempt of a call that is not idempotent is about to be sent; stored before its first byte is."""
 
-    id: str
-    worker: int
-    at: float
+    request_id: str
+    worker_id: int
+    sent_at: float
 
 
-class Voided(Record, frozen=True, tag="v"):
-    """All attempts noted so far provably never ran."""
+class AttemptsVoided(Record, frozen=True, tag="v"):
+    """All attempts stored so far were certainly not executed."""
 
-    id: str
+    request_id: str
 
 
-class Finished(Record, frozen=True, tag="f"):
+class CallFinished(Record, frozen=True, tag="f"):
     """The final record of a call, as it is read and delivered."""
 
-    id: str
+    request_id: str
     function: str
     tenant: str
-    at: float
-    record: bytes
+    finished_at: float
+    invocation_record: bytes
 
 
-class Dropped(Record, frozen=True, tag="d"):
-    """A call whose client was told that it was not taken."""
+class CallWithdrawn(Record, frozen=True, tag="d"):
+    """A call whose client was notified that it was not accepted."""
 
-    id: str
+    request_id: str
 
 
-class Snapshot(Record, frozen=True, tag="s"):
-    """The records that follow in this segment stand for all before it."""
+class SnapshotStart(Record, frozen=True, tag="s"):
+    """The records that follow replace all earlier segments."""
 
     open_calls: int
-    history: int
-
-
-AnyRecord = Accepted | Named | Attempted | Voided | Finished | Dropped | Snapshot
+    finished_calls: int
+
+
+LedgerRecord = (
+    CallAccepted
+    | OperationNamed
+    | AttemptStarted
+    | AttemptsVoided
+    | CallFinished
+    | CallWithdrawn
+    | SnapshotStart
+)
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(AnyRecord).decode
+_decode = msgspec.msgpack.Decoder(LedgerRecord).decode
 
 
-def encode(record: AnyRecord) -> bytes:
-    """A record as MessagePack."""
+def encode(record: LedgerRecord) -> bytes:
+    """Return a record as MessagePack."""
     return _encode(record)
 
 
-def decode(data: bytes) -> AnyRecord:
-    """The record; ValueError where the bytes are none."""
+def decode(data: bytes) -> LedgerRecord:
+    """Return the record that these bytes encode.
+
+    Raises:
+        ValueError: They do not encode one.
+    """
     return _decode(data)
--- /dev/null
+++ b/saffronstack/deferred/tracked_call.py
@@ -0,0 +1,63 @@
+"""An open deferred call as the dispatcher tracks it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from saffronstack.deferred.call_table import OpenCall
+from saffronstack.deferred.records import CallAccepted, LedgerRecord
+from saffronstack.deferred.retry_policy import Condition, PossibleExecution, RetryState
+from saffronstack.durable.append_ticket import AppendTicket
+
+
+@dataclass(frozen=True, slots=True)
+class FinalOutcome:
+    """How a call ended; ``response`` is None where no worker served it, and ``reason`` says why."""
+
+    condition: Condition
+    response: bytes | None = None
+    function_error: str = ""
+    reason: str = ""
+
+
+@dataclass(eq=False, slots=True)
+class TrackedCall:
+    """A call without a durable final record; owned by the dispatcher thread.
+
+    Attributes:
+        accepted: The record of its acceptance.
+        state: What the decisions on it need.
+        attempts: Number of attempts.
+        has_stored_attempt: An attempt was written to the ledger since the last void; set on a worker's
+            thread too.
+        is_running: Whether it was submitted to the engine and not answered.
+        outcome: How it ended, once it has.
+        ticket: The append of its final record.
+        delivery: The call to its destination, in the same commit as the final record.
+    """
+
+    accepted: CallAccepted
+    state: RetryState
+    attempts: int = 0
+    has_stored_attempt: bool = False
+    is_running: bool = False
+    outcome: FinalOutcome | None = None
+    ticket: AppendTicket[LedgerRecord] | None = None
+    delivery: CallAccepted | None = None
+
+
+def track_accepted(accepted: CallAccepted) -> TrackedCall:
+    """Return a call without attempts."""
+    return TrackedCall(accepted, RetryState(accepted.accepted_at))
+
+
+def track_recovered(call: OpenCall) -> TrackedCall:
+    """Return a call of an earlier incarnation, whose first stored attempt may have been executed."""
+    first = call.attempts[0] if call.attempts else None
+    execution = None if first is None else PossibleExecution(first.worker_id, first.sent_at)
+    return TrackedCall(
+        call.accepted,
+        RetryState(call.accepted.accepted_at, execution),
+        attempts=len(call.attempts),
+        has_stored_attempt=first is not None,
+    )
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -12,8 +12,8 @@
 from saffronstack.config.build import Functions, PlaceNumbers, budgets_of, settings_of, specs_of, workers_of
 from saffronstack.config.schema import Config, Worker
 from saffronstack.daemon.process_group import ProcessGroup
-from saffronstack.deferred.calls import DeferredCalls
-from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
+from saffronstack.deferred.deferred_calls import DeferredCalls
+from saffronstack.deferred.ledger import Ledger, open_ledger, read_named_operations
 from saffronstack.discovery.files.change_guards import GuardSettings
 from saffronstack.discovery.files.file_watcher import FileWatcher
 from saffronstack.discovery.files.flap_detection import FlapSettings
@@ -89,7 +89,7 @@
                 config.ledger.directory, config.ledger.history, config.ledger.segment_bytes, files
             )
             self.deferred = DeferredCalls(
-                config, self.ledger, self.engine, self.functions, clock, wall, config.seed, self.limits
+                config, self.ledger, self.engine, self.functions, clock, wall, self.limits
             )
         self.operations = self._open_operations(files)
         self.members = members or ProcessGroup(0, 1, "", clock)
@@ -236,7 +236,7 @@
             str(members.index),
             self._peer_address,
             home,
-            Keeper(operations, notes or "", names_in),
+            Keeper(operations, notes or "", read_named_operations),
             self._clock,
         )
         operations.share(slots.holds)
@@ -269,8 +269,8 @@
         if self.roster is not None:
             self._watcher.start()
         if self.operations is not None:
-            names = list(self.ledger.state.names.values()) if self.ledger is not None else []
-            self.operations.start((named.operation, named.packed) for named in names)
+            names = list(self.ledger.state.operations.values()) if self.ledger is not None else []
+            self.operations.start((named.operation_digest, named.packed_operation) for named in names)
         if self.deferred is not None:
             self.deferred.start()
         if self.peers is not None:
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -16,7 +16,7 @@
 from saffronstack.config.build import Functions, Known
 from saffronstack.config.schema import Config
 from saffronstack.daemon.process_group import FORWARDED_HEADER, ProcessGroup
-from saffronstack.deferred.calls import DeferredCalls
+from saffronstack.deferred.deferred_calls import DeferredCalls
 from saffronstack.durable.errors import RunDamagedError
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import LATEST
@@ -283,16 +283,16 @@
         if head.method != "GET":
             return self._method(request_id, "GET")
         tenant = self._tenant(head, body)
-        found = self._deferred.lookup(wanted) if self._deferred is not None else None
+        found = self._deferred.report(wanted) if self._deferred is not None else None
         owner = self._members.other_owner(wanted)
         if found is None and owner is not None and FORWARDED_HEADER not in head.headers:
             return self._elsewhere(owner, head)
         if found is None or (self.access.secrets and found.tenant != tenant):
             raise InvokeError(404, "ResourceNotFoundException", f"No deferred call has the id {wanted[:64]}")
         headers = (("Content-Type", "application/json"), ("x-amzn-RequestId", request_id))
-        if found.record is not None:
-            return Response(200, headers, found.record)
-        state = {"requestId": wanted, "state": found.state, "attempts": found.attempts}
+        if found.invocation_record is not None:
+            return Response(200, headers, found.invocation_record)
+        state = {"requestId": wanted, "state": found.status.value, "attempts": found.attempts}
         return Response(202, headers, msgspec.json.encode(state))
 
     def _operation(
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -7,7 +7,9 @@
 
 from saffronstack.config.build import Known
 from saffronstack.config.schema import Config
-from saffronstack.deferred.calls import CommitError, DeferredCalls, LedgerFullError, Submission
+from saffronstack.deferred.call_acceptor import Submission
+from saffronstack.deferred.deferred_calls import DeferredCalls
+from saffronstack.deferred.errors import CommitError, LedgerFullError
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.engine import Engine
 from saffronstack.invoke import errors
@@ -313,7 +315,7 @@
         except LedgerFullError as error:
             raise errors.too_many(str(error), error.retry_after_s) from error
         except CommitError as error:
-            if error.begun and asked.known.effect is not Idempotency.IDEMPOTENT:
+            if error.may_be_stored and asked.known.effect is not Idempotency.IDEMPOTENT:
                 raise OutcomeUnknownError(request_id) from error
             text = f"Deferred calls can't be written down now: {error}"
             raise errors.too_many(text, error.retry_after_s) from error
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -10,7 +10,7 @@
 from prometheus_client.registry import Collector
 
 from saffronstack.daemon.process_group import ProcessGroup
-from saffronstack.deferred.calls import DeferredCalls
+from saffronstack.deferred.deferred_calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.discovery.files.service import FileDiscovery
 from saffronstack.engine.engine import Engine
@@ -122,7 +122,7 @@
         for figure in _counters(gateway):
             yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
         if gateway.deferred is not None:
-            finished = gateway.deferred.finished
+            finished = gateway.deferred.finished_by_condition
             yield _labelled("deferred_finished", "Deferred calls finished", "condition", finished)
         if gateway.operations is not None:
             sends = gateway.operations.counts
@@ -160,7 +160,7 @@
     yield Figure("connections_accepted", "Client connections accepted", server.accepted)
     yield Figure("connections_turned_away", "Client connections turned away", server.turned_away)
     if gateway.deferred is not None:
-        yield Figure("deferred_taken", "Deferred calls taken", gateway.deferred.taken)
+        yield Figure("deferred_taken", "Deferred calls taken", gateway.deferred.accepted_count)
     if gateway.meter is not None:
         yield from _usage_counters(gateway.meter, gateway.limits)
     if gateway.operations is not None:
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -63,8 +63,8 @@
         if gateway.deferred is not None and gateway.ledger is not None:
             content["deferred"] = {
                 "open": gateway.deferred.open_calls,
-                "taken": gateway.deferred.taken,
-                "finished": gateway.deferred.finished,
+                "taken": gateway.deferred.accepted_count,
+                "finished": gateway.deferred.finished_by_condition,
                 "ledger_failing": gateway.ledger.write_error,
                 "ledger_stalled_s": round(gateway.ledger.stalled_s, 3),
             }
--- /dev/null
+++ b/tests/deferred/test_retry_policy.py
@@ -0,0 +1,161 @@
+"""Decisions on deferred calls: the rules hold for every history."""
+
+from __future__ import annotations
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from saffronstack.deferred.retry_policy import (
+    WINDOW_MARGIN_S,
+    AttemptResult,
+    Condition,
+    Finish,
+    PossibleExecution,
+    RetryPolicy,
+    RetryState,
+    StartAttempt,
+    Wait,
+    decide_after_attempt,
+    decide_next_step,
+)
+from saffronstack.engine.calls import FinalStatus
+from saffronstack.routing.settings import Idempotency
+
+times = st.floats(0, 100, allow_nan=False)
+policies = st.builds(
+    RetryPolicy,
+    st.sampled_from(Idempotency),
+    st.floats(0, 20),
+    st.floats(0.5, 5),
+    st.floats(1, 60),
+    st.integers(0, 3),
+)
+states = st.builds(
+    RetryState,
+    times,
+    st.none() | st.builds(PossibleExecution, st.integers(0, 9), times),
+    st.integers(0, 9),
+    st.integers(0, 4),
+)
+NON_IDEMPOTENT = RetryPolicy(Idempotency.NON_IDEMPOTENT, 0, 3, 60, 2)
+WITH_KEY = RetryPolicy(Idempotency.WITH_KEY, 10, 3, 60, 2)
+IDEMPOTENT = RetryPolicy(Idempotency.IDEMPOTENT, 0, 3, 60, 2)
+FUNCTION_ERROR = AttemptResult(FinalStatus.SERVED, True, 0.0)
+EXECUTED = RetryState(0.0, PossibleExecution(1, 0.5))
+
+
+@given(states, policies, times)
+@settings(derandomize=True, max_examples=500)
+def test_no_history_retries_what_must_not_be_executed_again(
+    state: RetryState, policy: RetryPolicy, now: float
+) -> None:
+    step = decide_next_step(state, policy, now)
+    if isinstance(step, StartAttempt):
+        assert now < step.deadline_at <= state.accepted_at + policy.max_event_age_s
+        if state.possible_execution is not None and policy.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("a non-idempotent call was retried")
+        if state.possible_execution is not None and policy.idempotency is Idempotency.WITH_KEY:
+            assert state.possible_execution.sent_at <= now
+            assert (
+                step.deadline_at
+                <= state.possible_execution.sent_at + policy.deduplication_window_s - WINDOW_MARGIN_S
+            )
+    elif isinstance(step, Finish):
+        ran_for_nothing = (
+            state.possible_execution is not None and policy.idempotency is not Idempotency.IDEMPOTENT
+        )
+        assert (step.condition is Condition.UNKNOWN) == ran_for_nothing
+
+
+@given(
+    states,
+    policies,
+    st.sampled_from([FinalStatus.SERVED, FinalStatus.REJECTED, FinalStatus.FAILED]),
+    st.booleans(),
+    st.floats(0, 10),
+    times,
+    st.floats(0, 1),
+)
+@settings(derandomize=True, max_examples=500)
+def test_every_result_leads_to_a_pause_or_the_end(
+    state: RetryState,
+    policy: RetryPolicy,
+    ending: FinalStatus,
+    error: bool,
+    stay: float,
+    now: float,
+    chance: float,
+) -> None:
+    decision = decide_after_attempt(state, policy, AttemptResult(ending, error, stay), now, chance)
+    step = decision.step
+    assert not isinstance(step, StartAttempt)
+    if isinstance(step, Wait):
+        assert now <= step.until <= max(now, state.accepted_at + policy.max_event_age_s)
+        if state.possible_execution is not None:
+            assert policy.idempotency is not Idempotency.NON_IDEMPOTENT
+    if ending is FinalStatus.SERVED and not error:
+        assert step == Finish(Condition.SUCCESS)
+    assert decision.state.accepted_at == state.accepted_at
+
+
+@given(
+    states,
+    policies,
+    st.lists(
+        st.tuples(st.sampled_from([FinalStatus.REJECTED, FinalStatus.FAILED]), st.floats(0, 1)), max_size=60
+    ),
+)
+@settings(derandomize=True, max_examples=200)
+def test_every_call_is_finished(
+    state: RetryState, policy: RetryPolicy, answers: list[tuple[FinalStatus, float]]
+) -> None:
+    now = state.accepted_at
+    for ending, chance in answers:
+        step = decide_next_step(state, policy, now)
+        if isinstance(step, Finish):
+            return
+        decision = decide_after_attempt(state, policy, AttemptResult(ending, False, 0.5), now + 0.01, chance)
+        state = decision.state
+        if isinstance(decision.step, Finish):
+            return
+        assert isinstance(decision.step, Wait)
+        now = max(now + 0.01, decision.step.until)
+    assert now <= state.accepted_at + policy.max_event_age_s + 1
+
+
+def test_a_function_that_is_no_longer_configured() -> None:
+    assert decide_next_step(RetryState(0.0), None, 1.0) == Finish(Condition.REJECTED)
+    assert decide_next_step(EXECUTED, None, 1.0) == Finish(Condition.UNKNOWN)
+
+
+def test_a_non_idempotent_call_that_may_have_been_executed_ends_unknown_and_others_are_retried() -> None:
+    assert decide_next_step(EXECUTED, NON_IDEMPOTENT, 1.0) == Finish(Condition.UNKNOWN)
+    assert decide_next_step(RetryState(0.0), NON_IDEMPOTENT, 1.0) == StartAttempt(4.0)
+    assert decide_next_step(EXECUTED, IDEMPOTENT, 1.0) == StartAttempt(4.0)
+
+
+def test_a_call_with_a_key_is_retried_inside_its_window_only() -> None:
+    assert decide_next_step(EXECUTED, WITH_KEY, 9.0) == StartAttempt(10.5 - WINDOW_MARGIN_S)
+    assert decide_next_step(EXECUTED, WITH_KEY, 10.4) == Finish(Condition.UNKNOWN)
+
+
+def test_a_clock_set_back_leaves_no_window() -> None:
+    state = RetryState(0.0, PossibleExecution(1, 50.0))
+    assert decide_next_step(state, WITH_KEY, 20.0) == Finish(Condition.UNKNOWN)
+
+
+def test_function_errors_are_retried_only_where_idempotent() -> None:
+    decision = decide_after_attempt(RetryState(0.0), IDEMPOTENT, FUNCTION_ERROR, 1.0, 0.5)
+    assert decision.step == Wait(2.0)
+    decision = decide_after_attempt(decision.state, IDEMPOTENT, FUNCTION_ERROR, 2.0, 0.5)
+    assert decision.step == Wait(4.0)
+    decision = decide_after_attempt(decision.state, IDEMPOTENT, FUNCTION_ERROR, 4.0, 0.5)
+    assert decision.step == Finish(Condition.RETRIES_EXHAUSTED)
+    decision = decide_after_attempt(RetryState(0.0), NON_IDEMPOTENT, FUNCTION_ERROR, 1.0, 0.5)
+    assert decision.step == Finish(Condition.RETRIES_EXHAUSTED)
+
+
+def test_a_call_that_was_never_executed_expires() -> None:
+    assert decide_next_step(RetryState(0.0), NON_IDEMPOTENT, 60.0) == Finish(Condition.EXPIRED)
+    state = RetryState(0.0, PossibleExecution(1, 1.0))
+    assert decide_next_step(state, WITH_KEY, 60.0) == Finish(Condition.UNKNOWN)
--- a/tests/durable/test_journal_recovery.py
+++ b/tests/durable/test_journal_recovery.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from saffronstack.deferred.book import Book
+from saffronstack.deferred.call_table import CallTable
 from saffronstack.deferred.ledger import open_ledger
-from saffronstack.deferred.records import Attempted, Dropped, Voided, encode
+from saffronstack.deferred.records import AttemptStarted, AttemptsVoided, CallWithdrawn, encode
 from saffronstack.durable.block_format import encode_block
 from saffronstack.durable.segment_scan import scan_segment
 from saffronstack.durable.segments import list_segment_numbers, segment_name
@@ -25,15 +25,15 @@
 
 def test_state_survives_a_restart(tmp_path: pathlib.Path) -> None:
     ledger = open_filled_ledger(tmp_path)
-    commit(ledger, Attempted("id-1", 7, 2.0))
+    commit(ledger, AttemptStarted("id-1", 7, 2.0))
     commit(ledger, finished_call(0), accepted_call(9))
-    commit(ledger, Attempted("id-2", 7, 2.0))
-    commit(ledger, Voided("id-2"))
-    commit(ledger, Dropped("id-3"))
+    commit(ledger, AttemptStarted("id-2", 7, 2.0))
+    commit(ledger, AttemptsVoided("id-2"))
+    commit(ledger, CallWithdrawn("id-3"))
     assert ledger.close()
     recovered = recover_ledger(tmp_path, 100)
     assert sorted(recovered.state.open) == ["id-1", "id-2", "id-4", "id-9"]
-    assert recovered.state.open["id-1"].attempts == [Attempted("id-1", 7, 2.0)]
+    assert recovered.state.open["id-1"].attempts == [AttemptStarted("id-1", 7, 2.0)]
     assert recovered.state.open["id-2"].attempts == []
     assert list(recovered.state.finished) == ["id-0"]
     assert not recovered.has_lost_records
@@ -130,13 +130,13 @@
     numbers = list_segment_numbers(older)
     ledger = open_ledger(str(older), 10, 1 << 20)
     ledger.recovered.warnings = ["compact at once"]
-    book = Book(10)
-    book.apply(accepted_call(77))
+    table = CallTable(10)
+    table.apply(accepted_call(77))
     target = tmp_path / "target"
     target.mkdir()
     for number in numbers[len(numbers) - keep_older :] if keep_older else []:
         shutil.copy(older / segment_name(number), target)
-    block = encode_block(9999, [encode(item) for item in book.snapshot()])
+    block = encode_block(9999, [encode(item) for item in table.snapshot()])
     (target / segment_name(numbers[-1] + 1)).write_bytes(block * 2)
     assert ledger.close()
     recovered = recover_ledger(target, 10)
--- a/tests/durable/test_segment_writer.py
+++ b/tests/durable/test_segment_writer.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from saffronstack.deferred.book import Book
+from saffronstack.deferred.call_table import CallTable
 from saffronstack.deferred.ledger import CODEC
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.durable.journal_recovery import RecoveredJournal
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def writer(tmp_path: pathlib.Path) -> SegmentWriter:
-    return SegmentWriter(tmp_path, FileOperations(), CODEC, RecoveredJournal(Book(1)))
+    return SegmentWriter(tmp_path, FileOperations(), CODEC, RecoveredJournal(CallTable(1)))
 
 
 def test_blocks_are_numbered_over_all_segments(writer: SegmentWriter, tmp_path: pathlib.Path) -> None:
--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from saffronstack.deferred.book import Book
+from saffronstack.deferred.call_table import CallTable
 from saffronstack.deferred.ledger import CODEC
-from saffronstack.deferred.records import Finished
+from saffronstack.deferred.records import CallFinished
 from saffronstack.durable.journal_recovery import recover_journal
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.standin.fleet import StandInFleet
@@ -29,7 +29,7 @@
 OPEN_CALLS = int(os.environ.get("SAFFRONSTACK_OPEN", "150"))
 
 
-class FinalRecords(Book):
+class FinalRecords(CallTable):
     """Open calls as read back from a ledger, and how many final records each call has."""
 
     def __init__(self) -> None:
@@ -37,8 +37,8 @@
         self.count_by_call: Counter[str] = Counter()
 
     def apply(self, record: object) -> None:
-        if isinstance(record, Finished):
-            self.count_by_call[record.id] += 1
+        if isinstance(record, CallFinished):
+            self.count_by_call[record.request_id] += 1
         super().apply(record)  # type: ignore[arg-type]
 
 
--- a/tests/support/ledger.py
+++ b/tests/support/ledger.py
@@ -4,23 +4,23 @@
 
 import pathlib
 
-from saffronstack.deferred.book import Book
+from saffronstack.deferred.call_table import CallTable
 from saffronstack.deferred.ledger import CODEC, Ledger, open_ledger
-from saffronstack.deferred.records import Accepted, AnyRecord, Finished
+from saffronstack.deferred.records import CallAccepted, CallFinished, LedgerRecord
 from saffronstack.durable.journal_recovery import RecoveredJournal, recover_journal
 from saffronstack.durable.segments import list_segment_numbers, segment_name
 
 
-def recover_ledger(directory: pathlib.Path, history: int) -> RecoveredJournal[Book]:
-    return recover_journal(directory, Book(history), CODEC)
+def recover_ledger(directory: pathlib.Path, history: int) -> RecoveredJournal[CallTable]:
+    return recover_journal(directory, CallTable(history), CODEC)
 
 
-def accepted_call(n: int, payload: bytes = b"{}") -> Accepted:
-    return Accepted(f"id-{n}", "record-sale", "t", payload, "", f"k{n}", float(n))
+def accepted_call(n: int, payload: bytes = b"{}") -> CallAccepted:
+    return CallAccepted(f"id-{n}", "record-sale", "t", payload, "", f"k{n}", float(n))
 
 
-def finished_call(n: int) -> Finished:
-    return Finished(f"id-{n}", "record-sale", "t", float(n), b'{"n":%d}' % n)
+def finished_call(n: int) -> CallFinished:
+    return CallFinished(f"id-{n}", "record-sale", "t", float(n), b'{"n":%d}' % n)
 
 
 def open_filled_ledger(directory: pathlib.Path, count: int = 5, **more: int) -> Ledger:
@@ -30,7 +30,7 @@
     return ledger
 
 
-def commit(ledger: Ledger, *items: AnyRecord) -> None:
+def commit(ledger: Ledger, *items: LedgerRecord) -> None:
     ticket = ledger.append(*items)
     assert ticket.done.wait(5)
     assert ticket.is_durable, ticket.error
