--- a/saffronstack/deferred/call_submitter.py
+++ b/saffronstack/deferred/call_submitter.py
@@ -3,15 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Protocol
 
 from saffronstack.config.schema import Config
 from saffronstack.deferred.attempt_log import AttemptLog, AttemptLogGuard
 from saffronstack.deferred.function_policies import FunctionPolicy
-from saffronstack.deferred.records import CallAccepted
 from saffronstack.deferred.steady_clock import SteadyClock
 from saffronstack.deferred.tracked_call import TrackedCall
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
-from saffronstack.engine.engine import Engine
 from saffronstack.metering.limits import Admission, BudgetLimits
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
@@ -19,13 +18,25 @@
 ENGINE_FULL_RETRY_AFTER_S = 0.5
 
 
+class CallEngine(Protocol):
+    """The part of the engine that executes deferred calls (`saffronstack.engine.engine.Engine`)."""
+
+    def next_call_number(self) -> int:
+        """Return a number for a new call."""
+        ...
+
+    def submit(self, call: Call) -> bool:
+        """Execute a call; return False where the engine takes no more."""
+        ...
+
+
 class CallSubmitter:
     """Turns tracked calls into the engine's; used on the dispatcher thread."""
 
     def __init__(
         self,
         config: Config,
-        engine: Engine,
+        engine: CallEngine,
         attempt_log: AttemptLog,
         clock: SteadyClock,
         budgets: BudgetLimits | None,
@@ -84,7 +95,7 @@
         deadline_at: float,
         on_answer: Callable[[TrackedCall, FinalAnswer], None],
     ) -> Call:
-        accepted: CallAccepted = call.accepted
+        accepted = call.accepted
         is_idempotent = function.known.effect is Idempotency.IDEMPOTENT
         return Call(
             self._engine.next_call_number(),
--- a/saffronstack/deferred/deferred_calls.py
+++ b/saffronstack/deferred/deferred_calls.py
@@ -12,7 +12,7 @@
 from saffronstack.config.schema import Config
 from saffronstack.deferred.attempt_log import AttemptLog
 from saffronstack.deferred.call_acceptor import CallAcceptor, Submission
-from saffronstack.deferred.call_submitter import CallSubmitter
+from saffronstack.deferred.call_submitter import CallEngine, CallSubmitter
 from saffronstack.deferred.dispatcher import CallDispatcher
 from saffronstack.deferred.errors import LedgerFullError
 from saffronstack.deferred.final_record_writer import FinalRecordWriter
@@ -20,7 +20,6 @@
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.deferred.steady_clock import SteadyClock
 from saffronstack.deferred.tracked_call import track_accepted, track_recovered
-from saffronstack.engine.engine import Engine
 from saffronstack.metering.limits import BudgetLimits
 
 SHUTDOWN_RETRY_AFTER_S = 1.0
@@ -55,7 +54,7 @@
         self,
         config: Config,
         ledger: Ledger,
-        engine: Engine,
+        engine: CallEngine,
         functions: Functions,
         clock: Callable[[], float],
         wall: Callable[[], float],
--- a/saffronstack/deferred/dispatcher.py
+++ b/saffronstack/deferred/dispatcher.py
@@ -20,6 +20,7 @@
     Finish,
     PossibleExecution,
     RetryPolicy,
+    StartAttempt,
     Wait,
     decide_after_attempt,
     decide_next_step,
@@ -175,16 +176,14 @@
 
     def _start_attempt(self, call: TrackedCall) -> None:
         function = self._policies.find(call.accepted.function)
-        if function is None:
-            step = decide_next_step(call.state, None, self._clock.now())
-            condition = step.condition if isinstance(step, Finish) else Condition.REJECTED
-            self._finish(call, FinalOutcome(condition, reason=NOT_CONFIGURED))
-            return
-        step = decide_next_step(call.state, function.retry, self._clock.now())
-        if isinstance(step, Finish):
-            self._finish(call, FinalOutcome(step.condition, reason=REASONS[step.condition]))
-            return
-        self._submit_within_budget(call, function, step.deadline_at)
+        policy = None if function is None else function.retry
+        match decide_next_step(call.state, policy, self._clock.now()):
+            case Finish(condition):
+                reason = NOT_CONFIGURED if function is None else REASONS[condition]
+                self._finish(call, FinalOutcome(condition, reason=reason))
+            case StartAttempt(deadline_at):
+                assert function is not None  # no attempt is decided on without a policy
+                self._submit_within_budget(call, function, deadline_at)
 
     def _submit_within_budget(self, call: TrackedCall, function: FunctionPolicy, deadline_at: float) -> None:
         admission = self._submitter.admit(call)
