--- a/saffronstack/deferred/ledger.py
+++ b/saffronstack/deferred/ledger.py
@@ -42,7 +42,7 @@
     Raises:
         JournalError: It cannot be read.
     """
-    for attempts_left in reversed(range(MAX_READ_ATTEMPTS)):
+    for remaining_attempts in reversed(range(MAX_READ_ATTEMPTS)):
         table = CallTable(0)
         try:
             if directory.is_dir():
@@ -50,6 +50,6 @@
             return [(named.operation_digest, named.packed_operation) for named in table.operations.values()]
         except JournalError as error:
             was_compacted_meanwhile = isinstance(error.__cause__, FileNotFoundError)
-            if not attempts_left or not was_compacted_meanwhile:
+            if not remaining_attempts or not was_compacted_meanwhile:
                 raise
     return []
--- a/saffronstack/durable/journal.py
+++ b/saffronstack/durable/journal.py
@@ -68,23 +68,28 @@
         self.disk_health = DiskHealth()
         self.state = state
         self._directory_lock = DirectoryLock(self._directory)
-        try:
-            self.recovered: RecoveredJournal[StateT] = recover_journal(self._directory, state, codec)
-        except JournalError:
-            self._directory_lock.release()
-            raise
-        for leftover in self._directory.glob("*.tmp"):
-            with contextlib.suppress(OSError):
-                leftover.unlink()
+        self.recovered = self._recover()
         timed_files = TimedFileOperations(files or FileOperations(), self.disk_health, clock)
         self._segments = SegmentWriter(self._directory, timed_files, codec, self.recovered)
         self.write_error = ""  # why the last commit failed; empty while commits succeed
         self._has_stopped = False  # after a fault other than the disk's
         self._queue: queue.SimpleQueue[AppendTicket[RecordT] | None] = queue.SimpleQueue()
-        for warning in self.recovered.warnings:
-            log.warning("journal segment damaged", directory=directory, detail=warning)
         self._thread = start_thread("journal", self._run)
 
+    def _recover(self) -> RecoveredJournal[StateT]:
+        """Return the recovered state, and remove what an interrupted compaction left."""
+        try:
+            recovered = recover_journal(self._directory, self.state, self._codec)
+        except JournalError:
+            self._directory_lock.release()
+            raise
+        for partial in self._directory.glob("*.tmp"):
+            with contextlib.suppress(OSError):  # the next compaction replaces it
+                partial.unlink()
+        for warning in recovered.warnings:
+            log.warning("journal segment damaged", directory=str(self._directory), detail=warning)
+        return recovered
+
     def __enter__(self) -> Journal[RecordT, StateT]:
         """Return the open journal."""
         return self
@@ -145,7 +150,7 @@
                     first = self._queue.get(timeout=IDLE_POLL_S)
                 except queue.Empty:  # nothing was appended
                     continue
-                batch, is_closing = self._gather_batch(first)
+                batch, is_closing = self._collect_batch(first)
                 if batch:
                     self._commit_or_stop(batch)
                 if is_closing:
@@ -154,7 +159,7 @@
             self._segments.close_segment()
             self._directory_lock.release()
 
-    def _gather_batch(self, first: AppendTicket[RecordT] | None) -> tuple[list[AppendTicket[RecordT]], bool]:
+    def _collect_batch(self, first: AppendTicket[RecordT] | None) -> tuple[list[AppendTicket[RecordT]], bool]:
         """Return the tickets of one commit, and whether the journal is being closed.
 
         They are all that were queued during the previous sync, up to the bounds of a block.
--- a/saffronstack/durable/journal_recovery.py
+++ b/saffronstack/durable/journal_recovery.py
@@ -5,12 +5,12 @@
 import pathlib
 import struct
 from dataclasses import dataclass, field
-from typing import Any, Generic
+from typing import Generic
 
 from saffronstack.durable import segments
 from saffronstack.durable.block_format import Block, find_unknown_version
 from saffronstack.durable.errors import JournalError
-from saffronstack.durable.journal_state import RecordCodec, StateT
+from saffronstack.durable.journal_state import RecordCodec, RecordT, StateT
 from saffronstack.durable.segment_scan import SegmentScan, scan_segment
 
 
@@ -33,7 +33,7 @@
 
 
 def recover_journal(
-    directory: pathlib.Path, state: StateT, codec: RecordCodec[Any]
+    directory: pathlib.Path, state: StateT, codec: RecordCodec[RecordT]
 ) -> RecoveredJournal[StateT]:
     """Apply the records of a directory's segments to an empty state.
 
@@ -63,7 +63,7 @@
     return recovered
 
 
-def _scan_file(path: pathlib.Path, recovered: RecoveredJournal[Any]) -> SegmentScan:
+def _scan_file(path: pathlib.Path, recovered: RecoveredJournal[StateT]) -> SegmentScan:
     """Return the blocks of one segment, with a warning for each part that is damaged."""
     try:
         data = path.read_bytes()
@@ -98,8 +98,8 @@
 
 def _apply_segment(
     segment: _ScannedSegment,
-    codec: RecordCodec[Any],
-    recovered: RecoveredJournal[Any],
+    codec: RecordCodec[RecordT],
+    recovered: RecoveredJournal[StateT],
     expected_block: int | None,
 ) -> int | None:
     """Apply a segment's records; return the number that the next segment's first block must have."""
@@ -117,7 +117,7 @@
     return expected_block
 
 
-def _decode_records(path: pathlib.Path, block: Block, codec: RecordCodec[Any]) -> list[Any]:
+def _decode_records(path: pathlib.Path, block: Block, codec: RecordCodec[RecordT]) -> list[RecordT]:
     try:
         return [codec.decode(record) for record in block.records()]
     except (ValueError, struct.error) as error:
@@ -125,7 +125,7 @@
 
 
 def _check_block_number(
-    segment_name: str, block: Block, expected: int | None, recovered: RecoveredJournal[Any]
+    segment_name: str, block: Block, expected: int | None, recovered: RecoveredJournal[StateT]
 ) -> None:
     """Warn where blocks before this one are missing."""
     where = f"{segment_name}: byte {block.start}"
--- a/saffronstack/durable/sorted_runs.py
+++ b/saffronstack/durable/sorted_runs.py
@@ -213,6 +213,7 @@
     """
 
     def with_age(age: int, source: Iterable[KeyValue]) -> Iterator[tuple[bytes, int, bytes]]:
+        """Yield items as plain tuples, which compare by key and then by age, and cost the least to make."""
         for key, value in source:
             yield key, age, value
 
