--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -12,15 +12,15 @@
 from saffronstack.config.build import Functions, PlaceNumbers, budgets_of, settings_of, specs_of, workers_of
 from saffronstack.config.schema import Config, Worker
 from saffronstack.daemon.process_group import ProcessGroup
-from saffronstack.deferred.calls import DeferredCalls
-from saffronstack.deferred.ledger import Ledger, names_in, open_ledger
+from saffronstack.deferred.deferred_calls import DeferredCalls
+from saffronstack.deferred.ledger import Ledger, open_ledger, read_named_operations
 from saffronstack.discovery.files.change_guards import GuardSettings
 from saffronstack.discovery.files.file_watcher import FileWatcher
 from saffronstack.discovery.files.flap_detection import FlapSettings
 from saffronstack.discovery.files.merging import WorkerChanges
 from saffronstack.discovery.files.service import FileDiscovery, FileDiscoveryOptions
 from saffronstack.discovery.files.state_directory import StateDirectory
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.engine.decision_recorder import DecisionRecorder
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.identifiers import worker_number
@@ -56,7 +56,7 @@
         record_to: str = "",
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
-        files: Files | None = None,
+        files: FileOperations | None = None,
         members: ProcessGroup | None = None,
         listener: socket.socket | None = None,
     ) -> None:
@@ -89,7 +89,7 @@
                 config.ledger.directory, config.ledger.history, config.ledger.segment_bytes, files
             )
             self.deferred = DeferredCalls(
-                config, self.ledger, self.engine, self.functions, clock, wall, config.seed, self.limits
+                config, self.ledger, self.engine, self.functions, clock, wall, self.limits
             )
         self.operations = self._open_operations(files)
         self.members = members or ProcessGroup(0, 1, "", clock)
@@ -105,7 +105,7 @@
         self.draining = False
         self.roster = self._open_roster()
 
-    def _open_meter(self, files: Files | None) -> Meter | None:
+    def _open_meter(self, files: FileOperations | None) -> Meter | None:
         """What usage is counted by, and with it the budgets' limits; None where nothing is metered."""
         config = self.config.metering
         if config is None:
@@ -173,7 +173,7 @@
             limits.idle_timeout_s,
         )
 
-    def _open_operations(self, files: Files | None) -> Operations | None:
+    def _open_operations(self, files: FileOperations | None) -> Operations | None:
         config = self.config.operations
         if config is None:
             return None
@@ -236,7 +236,7 @@
             str(members.index),
             self._peer_address,
             home,
-            Keeper(operations, notes or "", names_in),
+            Keeper(operations, notes or "", read_named_operations),
             self._clock,
         )
         operations.share(slots.holds)
@@ -269,8 +269,8 @@
         if self.roster is not None:
             self._watcher.start()
         if self.operations is not None:
-            names = list(self.ledger.state.names.values()) if self.ledger is not None else []
-            self.operations.start((named.operation, named.packed) for named in names)
+            names = list(self.ledger.state.operations.values()) if self.ledger is not None else []
+            self.operations.start((named.operation_digest, named.packed_operation) for named in names)
         if self.deferred is not None:
             self.deferred.start()
         if self.peers is not None:
--- a/saffronstack/harness/leases/faulty_environment.py
+++ b/saffronstack/harness/leases/faulty_environment.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 
 STALL_CHECK_S = 0.02
 
@@ -24,7 +24,7 @@
     stall_s: float = 0.0  # for how long a sync stalls, unless the fault ends before
 
 
-class FaultyFiles(Files):
+class FaultyFiles(FileOperations):
     """A disk with the fault that a file of the rig's describes."""
 
     def __init__(self, fault_file: pathlib.Path) -> None:
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -10,7 +10,7 @@
 from prometheus_client.registry import Collector
 
 from saffronstack.daemon.process_group import ProcessGroup
-from saffronstack.deferred.calls import DeferredCalls
+from saffronstack.deferred.deferred_calls import DeferredCalls
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.discovery.files.service import FileDiscovery
 from saffronstack.engine.engine import Engine
@@ -122,7 +122,7 @@
         for figure in _counters(gateway):
             yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
         if gateway.deferred is not None:
-            finished = gateway.deferred.finished
+            finished = gateway.deferred.finished_by_condition
             yield _labelled("deferred_finished", "Deferred calls finished", "condition", finished)
         if gateway.operations is not None:
             sends = gateway.operations.counts
@@ -160,7 +160,7 @@
     yield Figure("connections_accepted", "Client connections accepted", server.accepted)
     yield Figure("connections_turned_away", "Client connections turned away", server.turned_away)
     if gateway.deferred is not None:
-        yield Figure("deferred_taken", "Deferred calls taken", gateway.deferred.taken)
+        yield Figure("deferred_taken", "Deferred calls taken", gateway.deferred.accepted_count)
     if gateway.meter is not None:
         yield from _usage_counters(gateway.meter, gateway.limits)
     if gateway.operations is not None:
@@ -178,7 +178,7 @@
     if gateway.deferred is not None and gateway.ledger is not None:
         ledger = gateway.ledger
         yield Figure("deferred_open", "Deferred calls open", gateway.deferred.open_calls)
-        yield Figure("ledger_failing", "1 while the ledger can't write", float(bool(ledger.failing)))
+        yield Figure("ledger_failing", "1 while the ledger can't write", float(bool(ledger.write_error)))
         yield Figure("ledger_stalled_seconds", "For how long its disk answers nothing", ledger.stalled_s)
     if gateway.meter is not None:
         yield from _usage_gauges(gateway.meter)
@@ -196,7 +196,7 @@
     yield Figure("usage_runs", "Runs of sums that left memory", account.runs)
     yield Figure("usage_unconfirmed", "Usage records that no worker has confirmed", len(account.unconfirmed))
     yield Figure("usage_provisional", "Charges of lost calls that are not settled", len(account.provisional))
-    yield Figure("usage_log_failing", "1 while the usage log can't write", float(bool(journal.failing)))
+    yield Figure("usage_log_failing", "1 while the usage log can't write", float(bool(journal.write_error)))
     yield Figure("usage_in_doubt", "1 where records of the usage log are lost", float(account.in_doubt))
 
 
@@ -209,7 +209,7 @@
     if operations.spool is not None:
         yield Figure("operations_spooled_bytes", "Answers on disk", operations.spool.bytes)
     if operations.notes is not None:
-        failing = float(bool(operations.notes.failing))
+        failing = float(bool(operations.notes.write_error))
         yield Figure("operations_notes_failing", "1 while notes can't be written", failing)
 
 
--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from saffronstack.deferred.book import Book
+from saffronstack.deferred.call_table import CallTable
 from saffronstack.deferred.ledger import CODEC
-from saffronstack.deferred.records import Finished
-from saffronstack.durable.journal import read_back
+from saffronstack.deferred.records import CallFinished
+from saffronstack.durable.journal_recovery import recover_journal
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -29,7 +29,7 @@
 OPEN_CALLS = int(os.environ.get("SAFFRONSTACK_OPEN", "150"))
 
 
-class FinalRecords(Book):
+class FinalRecords(CallTable):
     """Open calls as read back from a ledger, and how many final records each call has."""
 
     def __init__(self) -> None:
@@ -37,8 +37,8 @@
         self.count_by_call: Counter[str] = Counter()
 
     def apply(self, record: object) -> None:
-        if isinstance(record, Finished):
-            self.count_by_call[record.id] += 1
+        if isinstance(record, CallFinished):
+            self.count_by_call[record.request_id] += 1
         super().apply(record)  # type: ignore[arg-type]
 
 
@@ -89,7 +89,7 @@
     """Check the ledger in ``path``: no call is open, and each has exactly one final record."""
     assert path is not None
     finals = FinalRecords()
-    assert not read_back(path, finals, CODEC).in_doubt
+    assert not recover_journal(path, finals, CODEC).has_lost_records
     assert not finals.open
     assert set(finals.count_by_call) == set(ids)
     assert set(finals.count_by_call.values()) == {1}
--- a/tests/support/lease_servers.py
+++ b/tests/support/lease_servers.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 from dataclasses import replace
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.fleet.leases.disk import AcceptorDisk
 from saffronstack.fleet.leases.lease_server import LeaseServer
@@ -23,7 +23,7 @@
 
 
 def acceptor_disk(
-    directory: pathlib.Path, files: Files | None = None, *, fleet: str = "f", server: str = "k0"
+    directory: pathlib.Path, files: FileOperations | None = None, *, fleet: str = "f", server: str = "k0"
 ) -> AcceptorDisk:
     return AcceptorDisk(str(directory), fleet, server, NAMES, files)
 
--- a/tests/test_lease_disk.py
+++ b/tests/test_lease_disk.py
@@ -10,7 +10,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from saffronstack.durable.segments import Files
+from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.disk import COPIES, AcceptorDisk
 from saffronstack.fleet.leases.errors import ForeignStateError
@@ -74,7 +74,7 @@
     assert disk.load().disk_state is DiskState.LOST
 
 
-class FilesFailingAfter(Files):
+class FilesFailingAfter(FileOperations):
     """Dies at the nth operation, writing part of it."""
 
     def __init__(self, steps: int) -> None:
@@ -129,7 +129,7 @@
         AcceptorDisk(str(tmp_path), "f", "k0", ("k0", "k1", "k2", "k3", "k4")).load()
 
 
-class StallingFiles(Files):
+class StallingFiles(FileOperations):
     """A disk that saves nothing while it is shut, and then is full for a while."""
 
     def __init__(self) -> None:
