--- /dev/null
+++ b/tests/fleet/leases/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the leases."""
