--- a/tests/deferred/test_retry_policy.py
+++ b/tests/deferred/test_retry_policy.py
@@ -61,10 +61,10 @@
                 <= state.possible_execution.sent_at + policy.deduplication_window_s - WINDOW_MARGIN_S
             )
     elif isinstance(step, Finish):
-        ran_for_nothing = (
+        is_uncertain = (
             state.possible_execution is not None and policy.idempotency is not Idempotency.IDEMPOTENT
         )
-        assert (step.condition is Condition.UNKNOWN) == ran_for_nothing
+        assert (step.condition is Condition.UNKNOWN) == is_uncertain
 
 
 @given(
@@ -80,20 +80,20 @@
 def test_every_result_leads_to_a_pause_or_the_end(
     state: RetryState,
     policy: RetryPolicy,
-    ending: FinalStatus,
+    status: FinalStatus,
     error: bool,
-    stay: float,
+    retry_after_s: float,
     now: float,
-    chance: float,
+    jitter: float,
 ) -> None:
-    decision = decide_after_attempt(state, policy, AttemptResult(ending, error, stay), now, chance)
+    decision = decide_after_attempt(state, policy, AttemptResult(status, error, retry_after_s), now, jitter)
     step = decision.step
     assert not isinstance(step, StartAttempt)
     if isinstance(step, Wait):
         assert now <= step.until <= max(now, state.accepted_at + policy.max_event_age_s)
         if state.possible_execution is not None:
             assert policy.idempotency is not Idempotency.NON_IDEMPOTENT
-    if ending is FinalStatus.SERVED and not error:
+    if status is FinalStatus.SERVED and not error:
         assert step == Finish(Condition.SUCCESS)
     assert decision.state.accepted_at == state.accepted_at
 
@@ -110,11 +110,11 @@
     state: RetryState, policy: RetryPolicy, answers: list[tuple[FinalStatus, float]]
 ) -> None:
     now = state.accepted_at
-    for ending, chance in answers:
+    for status, jitter in answers:
         step = decide_next_step(state, policy, now)
         if isinstance(step, Finish):
             return
-        decision = decide_after_attempt(state, policy, AttemptResult(ending, False, 0.5), now + 0.01, chance)
+        decision = decide_after_attempt(state, policy, AttemptResult(status, False, 0.5), now + 0.01, jitter)
         state = decision.state
         if isinstance(decision.step, Finish):
             return
--- a/tests/durable/test_disk_health.py
+++ b/tests/durable/test_disk_health.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_a_write_is_only_at_work_until_its_time_and_then_stalled_for_all_of_it() -> None:
+def test_a_write_is_stalled_for_all_of_its_time_once_it_passes_the_threshold() -> None:
     health = DiskHealth()
     assert health.stalled_s(100.0) == 0.0
     health.start_operation(100.0)
@@ -26,9 +26,9 @@
 
 
 @pytest.mark.parametrize(
-    ("lasted", "wanted"), [(0.1, MIN_RETRY_AFTER_S), (4.0, 4.0), (500.0, MAX_RETRY_AFTER_S)]
+    ("elapsed_s", "expected_s"), [(0.1, MIN_RETRY_AFTER_S), (4.0, 4.0), (500.0, MAX_RETRY_AFTER_S)]
 )
-def test_the_time_to_come_back_grows_with_what_has_passed_within_bounds(lasted: float, wanted: float) -> None:
+def test_the_retry_time_grows_with_the_stall_within_bounds(elapsed_s: float, expected_s: float) -> None:
     health = DiskHealth()
     health.start_operation(0.0)
-    assert health.retry_after_s(lasted) == wanted
+    assert health.retry_after_s(elapsed_s) == expected_s
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -15,15 +15,15 @@
 
 
 class FaultyFileOperations(FileOperations):
-    """Fails as told: after so many bytes, or at the next sync."""
+    """Fails writes beyond a size, or every sync."""
 
     def __init__(self) -> None:
-        self.room: int | None = None
+        self.capacity_bytes: int | None = None
         self.sync_fails = False
 
     def write(self, descriptor: int, data: bytes) -> None:
-        if self.room is not None and len(data) > self.room:
-            super().write(descriptor, data[: self.room])
+        if self.capacity_bytes is not None and len(data) > self.capacity_bytes:
+            super().write(descriptor, data[: self.capacity_bytes])
             raise OSError(errno.ENOSPC, "No space left on device")
         super().write(descriptor, data)
 
@@ -43,18 +43,20 @@
     assert again.close()
 
 
-@pytest.mark.parametrize("room", [0, 1, 30, 60, 100])
-def test_a_full_disk_fails_the_new_and_keeps_the_old(tmp_path: pathlib.Path, room: int) -> None:
+@pytest.mark.parametrize("capacity_bytes", [0, 1, 30, 60, 100])
+def test_a_full_disk_fails_new_appends_and_keeps_earlier_ones(
+    tmp_path: pathlib.Path, capacity_bytes: int
+) -> None:
     files = FaultyFileOperations()
     ledger = open_ledger(str(tmp_path), 10, 1 << 20, files)
     commit(ledger, accepted_call(0))
-    files.room = room
+    files.capacity_bytes = capacity_bytes
     ticket = ledger.append(accepted_call(1))
     assert ticket.done.wait(5)
     assert ticket.error is not None
     assert ticket.error.errno == errno.ENOSPC
     assert "space" in ledger.write_error
-    files.room = None
+    files.capacity_bytes = None
     commit(ledger, accepted_call(2))
     assert ledger.write_error == ""
     assert ledger.close()
@@ -63,7 +65,7 @@
     assert not recovered.has_lost_records
 
 
-def test_a_failed_sync_is_no_commit(tmp_path: pathlib.Path) -> None:
+def test_an_append_whose_sync_fails_is_not_durable(tmp_path: pathlib.Path) -> None:
     files = FaultyFileOperations()
     ledger = open_ledger(str(tmp_path), 10, 1 << 20, files)
     commit(ledger, accepted_call(0))
@@ -77,7 +79,7 @@
     assert sorted(recover_ledger(tmp_path, 10).state.open) == ["id-0", "id-2"]
 
 
-def test_compaction_keeps_open_calls_and_a_bounded_history(tmp_path: pathlib.Path) -> None:
+def test_compaction_preserves_open_calls_and_a_bounded_history(tmp_path: pathlib.Path) -> None:
     ledger = open_ledger(str(tmp_path), 5, 4096)
     for n in range(200):
         commit(ledger, accepted_call(n, b"x" * 100))
@@ -92,7 +94,7 @@
     assert not recovered.has_lost_records
 
 
-def test_many_threads_share_commits(tmp_path: pathlib.Path) -> None:
+def test_appends_of_many_threads_are_committed_in_groups(tmp_path: pathlib.Path) -> None:
     ledger = open_ledger(str(tmp_path), 10, 1 << 20)
     failed: list[int] = []
 
--- a/tests/durable/test_journal_recovery.py
+++ b/tests/durable/test_journal_recovery.py
@@ -40,24 +40,28 @@
     assert recovered.warnings == []
 
 
-def test_a_cut_at_every_byte_loses_only_what_was_not_acknowledged(tmp_path: pathlib.Path) -> None:
-    source = tmp_path / "whole"
+def test_a_torn_write_at_any_byte_loses_only_what_was_not_acknowledged(tmp_path: pathlib.Path) -> None:
+    source = tmp_path / "complete"
     assert open_filled_ledger(source, 4).close()
     data = only_segment(source).read_bytes()
-    ends = [block.end for block in scan_segment(data).blocks]  # of first copies: whole once these stand
+    ends = [
+        block.end for block in scan_segment(data).blocks
+    ]  # of first copies: complete once these are stored
     for cut in range(len(data)):
         target = tmp_path / "cut"
         shutil.rmtree(target, ignore_errors=True)
         target.mkdir()
         (target / only_segment(source).name).write_bytes(data[:cut])
         recovered = recover_ledger(target, 10)
-        whole = sum(2 * end - _start(ends, place) <= cut for place, end in enumerate(ends))
-        assert len(recovered.state.open) >= whole
+        complete_blocks = sum(
+            2 * end - first_copy_start(ends, place) <= cut for place, end in enumerate(ends)
+        )
+        assert len(recovered.state.open) >= complete_blocks
         assert sorted(recovered.state.open) == [f"id-{n}" for n in range(len(recovered.state.open))]
         assert not recovered.has_lost_records, cut
 
 
-def _start(ends: list[int], place: int) -> int:
+def first_copy_start(ends: list[int], place: int) -> int:
     """Where a block's first copy begins: behind the second copy of the one before."""
     start = 0
     for end in ends[:place]:
@@ -66,7 +70,7 @@
 
 
 def test_a_flipped_byte_anywhere_loses_nothing(tmp_path: pathlib.Path) -> None:
-    source = tmp_path / "whole"
+    source = tmp_path / "complete"
     assert open_filled_ledger(source, 3).close()
     name = only_segment(source).name
     data = only_segment(source).read_bytes()
@@ -81,7 +85,7 @@
             assert any(name in line and "byte" in line for line in recovered.warnings), at
 
 
-def test_both_copies_damaged_puts_every_open_call_in_doubt(tmp_path: pathlib.Path) -> None:
+def test_damage_to_both_copies_makes_every_open_call_uncertain(tmp_path: pathlib.Path) -> None:
     assert open_filled_ledger(tmp_path, 3).close()
     path = only_segment(tmp_path)
     data = bytearray(path.read_bytes())
@@ -94,7 +98,9 @@
     assert recovered.has_lost_records
     assert any("both copies" in line or "missing" in line for line in recovered.warnings)
     assert all(call.attempts for call in recovered.state.open.values())
-    ledger = open_ledger(str(tmp_path), 10, 1 << 20)  # the doubt outlives the next start and its compaction
+    ledger = open_ledger(
+        str(tmp_path), 10, 1 << 20
+    )  # the uncertainty outlives the next start and its compaction
     commit(ledger, accepted_call(50))
     assert ledger.close()
     again = recover_ledger(tmp_path, 10)
@@ -103,7 +109,7 @@
     assert not again.state.open["id-50"].attempts
 
 
-def test_a_lost_segment_is_noticed(tmp_path: pathlib.Path) -> None:
+def test_a_missing_segment_is_detected(tmp_path: pathlib.Path) -> None:
     assert open_filled_ledger(tmp_path, 40, segment_bytes=600).close()
     numbers = list_segment_numbers(tmp_path)
     assert len(numbers) > 3
@@ -111,11 +117,13 @@
     assert recover_ledger(tmp_path, 10).has_lost_records
 
 
-def test_a_block_given_up_and_left_on_the_disk_yields_to_the_later_segment(tmp_path: pathlib.Path) -> None:
+def test_a_failed_block_that_stayed_on_the_disk_is_replaced_by_the_later_segment(
+    tmp_path: pathlib.Path,
+) -> None:
     one = encode_block(0, [encode(accepted_call(0))])
-    given_up = encode_block(1, [encode(accepted_call(1))])
+    failed = encode_block(1, [encode(accepted_call(1))])
     later = encode_block(1, [encode(accepted_call(2))])
-    (tmp_path / segment_name(1)).write_bytes(one * 2 + given_up * 2)
+    (tmp_path / segment_name(1)).write_bytes(one * 2 + failed * 2)
     (tmp_path / segment_name(2)).write_bytes(later * 2)
     recovered = recover_ledger(tmp_path, 10)
     assert sorted(recovered.state.open) == ["id-0", "id-2"]
@@ -123,7 +131,9 @@
 
 
 @pytest.mark.parametrize("keep_older", [0, 1, 2])
-def test_a_kill_between_the_snapshot_and_the_clean_up(tmp_path: pathlib.Path, keep_older: int) -> None:
+def test_a_kill_between_a_snapshot_and_the_removal_of_older_segments(
+    tmp_path: pathlib.Path, keep_older: int
+) -> None:
     """Older segments that were not yet removed change nothing, even with some of them gone or damaged."""
     older = tmp_path / "older"
     assert open_filled_ledger(older, 30, segment_bytes=600).close()
--- a/tests/durable/test_segment_scan.py
+++ b/tests/durable/test_segment_scan.py
@@ -39,8 +39,8 @@
     assert (scan.torn_at, scan.damaged_at) == (None, 2 * len(FIRST))
 
 
-@pytest.mark.parametrize("kept_bytes", [1, len(SECOND) - 1, len(SECOND) + 1])
-def test_an_incomplete_tail_is_a_torn_write(kept_bytes: int) -> None:
-    scan = scan_segment(FIRST * 2 + (SECOND * 2)[:kept_bytes])
+@pytest.mark.parametrize("stored_bytes", [1, len(SECOND) - 1, len(SECOND) + 1])
+def test_an_incomplete_tail_is_a_torn_write(stored_bytes: int) -> None:
+    scan = scan_segment(FIRST * 2 + (SECOND * 2)[:stored_bytes])
     assert scan.torn_at is not None
     assert scan.damaged_at is None
