--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -28,12 +28,12 @@
 
 from saffronstack.harness.scenario.processes import StandInHost
 from saffronstack.harness.scenario.relay import Relay, seldom
-from saffronstack.operations.handover import Keeper
-from saffronstack.operations.notes import Noted, open_notes
-from saffronstack.operations.owners import SLOTS
-from saffronstack.operations.service import Operations
-from saffronstack.operations.slots import Home
-from saffronstack.operations.table import Answer, Begin, Fate, Table
+from saffronstack.operations.operation_log import Noted, open_notes
+from saffronstack.operations.operation_service import Operations
+from saffronstack.operations.operation_table import Answer, Begin, Fate, Table
+from saffronstack.operations.slot_assignment import SLOTS
+from saffronstack.operations.slot_handover import Keeper
+from saffronstack.operations.slot_manager import Home
 from saffronstack.routing.settings import Idempotency
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -32,12 +32,12 @@
 from saffronstack.invoke.server import FrontLimits, Server
 from saffronstack.metering.limits import BudgetLimits
 from saffronstack.metering.meter import Meter, open_usage_log
-from saffronstack.operations.handover import Keeper
-from saffronstack.operations.notes import open_notes
-from saffronstack.operations.service import Operations
-from saffronstack.operations.slots import Home, Slots
-from saffronstack.operations.spool import Spool
-from saffronstack.operations.table import Table
+from saffronstack.operations.operation_log import open_notes
+from saffronstack.operations.operation_service import Operations
+from saffronstack.operations.operation_table import Table
+from saffronstack.operations.response_store import Spool
+from saffronstack.operations.slot_handover import Keeper
+from saffronstack.operations.slot_manager import Home, Slots
 from saffronstack.upstream.http.dispatcher import HttpDispatcher
 from saffronstack.upstream.http.jobs import UsageJob
 from saffronstack.upstream.http.worker_context import HttpPoolLimits
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -29,9 +29,9 @@
 from saffronstack.invoke.routing import UNTIL, Router, Sent, misdirected
 from saffronstack.metering.account import Account
 from saffronstack.metering.limits import BudgetLimits
-from saffronstack.operations import lookup
-from saffronstack.operations.names import token_of
-from saffronstack.operations.service import ClientLeftError, NotHeldError, Operations
+from saffronstack.operations import status_query
+from saffronstack.operations.idempotency_keys import token_of
+from saffronstack.operations.operation_service import ClientLeftError, NotHeldError, Operations
 
 KINDS = ("RequestResponse", "Event", "DryRun")
 LOG_TYPES = ("None", "Tail")
@@ -306,7 +306,7 @@
             raise InvokeError(404, "ResourceNotFoundException", "This gateway remembers no operations.")
         function, qualifier = query.get("function", ""), query.get("qualifier", LATEST)
         functions = [function] if function else self._functions.exact()
-        found = lookup.find(self._operations, tenant, token, functions, qualifier, self._clock())
+        found = status_query.find(self._operations, tenant, token, functions, qualifier, self._clock())
         if not found:
             raise InvokeError(404, "ResourceNotFoundException", f"No operation is named {token[:128]}")
         headers = (("Content-Type", "application/json"), ("x-amzn-RequestId", request_id))
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -14,8 +14,8 @@
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
 from saffronstack.metering.limits import BudgetLimits
-from saffronstack.operations.names import Name, fingerprint, worker_key
-from saffronstack.operations.service import (
+from saffronstack.operations.idempotency_keys import Name, fingerprint, worker_key
+from saffronstack.operations.operation_service import (
     CHECK_CLIENT_S,
     AnswerNotKeptError,
     ClientLeftError,
@@ -28,7 +28,7 @@
     OutcomeUnknownError,
     Rule,
 )
-from saffronstack.operations.table import Answer, Fate, Packed, pack
+from saffronstack.operations.operation_table import Answer, Fate, Packed, pack
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -19,8 +19,8 @@
 from saffronstack.invoke.server import Server
 from saffronstack.metering.limits import BudgetLimits
 from saffronstack.metering.meter import Meter
-from saffronstack.operations.service import Operations
-from saffronstack.operations.slots import Slots
+from saffronstack.operations.operation_service import Operations
+from saffronstack.operations.slot_manager import Slots
 
 PREFIX = "saffronstack_"
 
--- a/saffronstack/invoke/routing.py
+++ b/saffronstack/invoke/routing.py
@@ -14,9 +14,9 @@
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
-from saffronstack.operations.owners import slot_of
-from saffronstack.operations.service import NotHeldError
-from saffronstack.operations.slots import Slots
+from saffronstack.operations.operation_service import NotHeldError
+from saffronstack.operations.slot_assignment import slot_of
+from saffronstack.operations.slot_manager import Slots
 
 UNTIL = "x-saffron-until"  # seconds of the machine's monotonic clock, which its processes share
 LOOK_AGAIN_S = 0.05
--- a/saffronstack/operations/notes.py
+++ b/saffronstack/operations/operation_log.py
@@ -9,7 +9,7 @@
 
 from saffronstack.durable.journal import Codec, Journal
 from saffronstack.durable.segments import Files
-from saffronstack.operations.table import Fate, Packed, pack
+from saffronstack.operations.operation_table import Fate, Packed, pack
 from saffronstack.routing.settings import Idempotency
 
 
--- a/saffronstack/operations/service.py
+++ b/saffronstack/operations/operation_service.py
@@ -10,12 +10,9 @@
 import structlog
 
 from saffronstack.durable.journal import JournalError, Ticket
-from saffronstack.operations import notes as records
-from saffronstack.operations.notes import NotesLog
-from saffronstack.operations.owners import slot_of
-from saffronstack.operations.recent import Recent, Reply
-from saffronstack.operations.spool import Spool, digest_of
-from saffronstack.operations.table import (
+from saffronstack.operations import operation_log as records
+from saffronstack.operations.operation_log import NotesLog
+from saffronstack.operations.operation_table import (
     Answer,
     Begin,
     Fate,
@@ -28,6 +25,9 @@
     Turned,
     unpack,
 )
+from saffronstack.operations.request_coalescing import Recent, Reply
+from saffronstack.operations.response_store import Spool, digest_of
+from saffronstack.operations.slot_assignment import slot_of
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 from saffronstack.runtime.threads import start_thread
--- a/saffronstack/operations/handover.py
+++ b/saffronstack/operations/slot_handover.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 
 from saffronstack.durable.journal import JournalError, read_back
-from saffronstack.operations import notes as records
-from saffronstack.operations.notes import Notes
-from saffronstack.operations.owners import slot_of
-from saffronstack.operations.service import Operations
-from saffronstack.operations.slots import Home, SlotKeeper
-from saffronstack.operations.table import unpack
+from saffronstack.operations import operation_log as records
+from saffronstack.operations.operation_log import Notes
+from saffronstack.operations.operation_service import Operations
+from saffronstack.operations.operation_table import unpack
+from saffronstack.operations.slot_assignment import slot_of
+from saffronstack.operations.slot_manager import Home, SlotKeeper
 
 COMMIT_S = 10.0
 TRIES = 5
--- a/saffronstack/operations/slots.py
+++ b/saffronstack/operations/slot_manager.py
@@ -17,7 +17,7 @@
 import msgspec
 import structlog
 
-from saffronstack.operations.owners import SLOTS, owner
+from saffronstack.operations.slot_assignment import SLOTS, owner
 from saffronstack.runtime.threads import start_thread
 
 TICK_S = 0.1
--- a/saffronstack/operations/lookup.py
+++ b/saffronstack/operations/status_query.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from saffronstack.operations.names import KEY, SDK, Name
-from saffronstack.operations.service import Operations
-from saffronstack.operations.table import Open
+from saffronstack.operations.idempotency_keys import KEY, SDK, Name
+from saffronstack.operations.operation_service import Operations
+from saffronstack.operations.operation_table import Open
 
 KINDS = ("RequestResponse", "Event")
 
--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -24,11 +24,11 @@
 from saffronstack.http1.messages import Headers, RequestHead
 from saffronstack.invoke.response import Response
 from saffronstack.invoke.routing import Router, Sent
-from saffronstack.operations.names import Name, fingerprint, worker_key
-from saffronstack.operations.owners import SLOTS, owner, slot_of
-from saffronstack.operations.service import NotHeldError
-from saffronstack.operations.slots import Home, Peer, SlotKeeper, Slots
-from saffronstack.operations.spool import Spool, digest_of
+from saffronstack.operations.idempotency_keys import Name, fingerprint, worker_key
+from saffronstack.operations.operation_service import NotHeldError
+from saffronstack.operations.response_store import Spool, digest_of
+from saffronstack.operations.slot_assignment import SLOTS, owner, slot_of
+from saffronstack.operations.slot_manager import Home, Peer, SlotKeeper, Slots
 from tests.stored_formats.stored_files import AMPLE_S, DATA, OneExchange
 
 KEPT_SLOT = 3
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -26,9 +26,9 @@
 from saffronstack.metering.meter import read_usage_log
 from saffronstack.metering.records import Asked, Offered, Usage
 from saffronstack.metering.report import COLUMNS, comma_separated, json_lines, rows, table
-from saffronstack.operations.notes import CODEC as NOTES_CODEC
-from saffronstack.operations.notes import Notes
-from saffronstack.operations.table import pack, unpack
+from saffronstack.operations.operation_log import CODEC as NOTES_CODEC
+from saffronstack.operations.operation_log import Notes
+from saffronstack.operations.operation_table import pack, unpack
 from tests.stored_formats.stored_files import DATA, segment_blocks, segment_records
 
 SEGMENT_BYTES = 1 << 20
--- a/tests/test_operation_slots.py
+++ b/tests/test_operation_slots.py
@@ -20,9 +20,9 @@
 
 from saffronstack.client import Answer
 from saffronstack.durable.journal import JournalError
-from saffronstack.operations.names import Name
-from saffronstack.operations.owners import SLOTS, owner, slot_of
-from saffronstack.operations.slots import Home, Peer, SlotKeeper, Slots
+from saffronstack.operations.idempotency_keys import Name
+from saffronstack.operations.slot_assignment import SLOTS, owner, slot_of
+from saffronstack.operations.slot_manager import Home, Peer, SlotKeeper, Slots
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
--- a/tests/test_operation_table.py
+++ b/tests/test_operation_table.py
@@ -12,11 +12,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from saffronstack.http1.messages import Headers
-from saffronstack.operations.names import Name, fingerprint, token_of, worker_key
-from saffronstack.operations.notes import AnyEntry, Ended, Expired, Noted, Notes, Released, Start
-from saffronstack.operations.recent import ENTRY_BYTES as ENTRY
-from saffronstack.operations.recent import Recent
-from saffronstack.operations.table import (
+from saffronstack.operations.idempotency_keys import Name, fingerprint, token_of, worker_key
+from saffronstack.operations.operation_log import AnyEntry, Ended, Expired, Noted, Notes, Released, Start
+from saffronstack.operations.operation_table import (
     ENTRY_BYTES,
     OPEN_BYTES,
     Answer,
@@ -32,6 +30,8 @@
     pack,
     unpack,
 )
+from saffronstack.operations.request_coalescing import ENTRY_BYTES as ENTRY
+from saffronstack.operations.request_coalescing import Recent
 from saffronstack.routing.settings import Idempotency
 
 WINDOW_S = 100.0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -26,9 +26,9 @@
 from saffronstack.durable.segments import Files
 from saffronstack.gateway import Gateway
 from saffronstack.harness.scenario.relay import Relay, seldom
-from saffronstack.operations.notes import Ended, open_notes
-from saffronstack.operations.service import Live, Operations, Rule
-from saffronstack.operations.table import Begin, Join, Table
+from saffronstack.operations.operation_log import Ended, open_notes
+from saffronstack.operations.operation_service import Live, Operations, Rule
+from saffronstack.operations.operation_table import Begin, Join, Table
 from saffronstack.routing.settings import Idempotency
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
