--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -28,12 +28,14 @@
 
 from saffronstack.harness.scenario.processes import StandInHost
 from saffronstack.harness.scenario.relay import Relay, seldom
-from saffronstack.operations.operation_log import Noted, open_notes
-from saffronstack.operations.operation_service import Operations
-from saffronstack.operations.operation_table import Answer, Begin, Fate, Table
-from saffronstack.operations.slot_assignment import SLOTS
-from saffronstack.operations.slot_handover import Keeper
-from saffronstack.operations.slot_manager import Home
+from saffronstack.operations.decisions import Execute
+from saffronstack.operations.operation import OperationState, StoredResponse
+from saffronstack.operations.operation_log import AttemptStarted, open_operation_log
+from saffronstack.operations.operation_service import OperationService
+from saffronstack.operations.operation_table import OperationTable
+from saffronstack.operations.slot_assignment import SLOT_COUNT
+from saffronstack.operations.slot_handover import OperationHandover
+from saffronstack.operations.slot_locks import RecordLocation
 from saffronstack.routing.settings import Idempotency
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
@@ -94,7 +96,7 @@
     """Resident bytes for each ended operation with a small answer, beside what the table reckons."""
     gc.collect()
     before = psutil.Process().memory_info().rss
-    table = Table(1 << 40)
+    table = OperationTable(1 << 40)
     headers = (
         ("Content-Type", "application/json"),
         ("x-amzn-RequestId", ""),
@@ -103,37 +105,42 @@
     start = time.perf_counter()
     for n in range(count):
         id_ = f"00000000-0000-0000-0000-{n:012d}"
-        step = table.send(random.randbytes(12), b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, id_, 0.0)
-        assert isinstance(step, Begin)
-        answer = Answer(200, (headers[0], ("x-amzn-RequestId", id_), headers[2]), b'{"price": 12}')
-        table.end(step.open, Fate.ENDED, answer, n / count)
+        step = table.admit(random.randbytes(12), b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, id_, 0.0)
+        assert isinstance(step, Execute)
+        answer = StoredResponse(200, (headers[0], ("x-amzn-RequestId", id_), headers[2]), b'{"price": 12}')
+        table.complete(step.operation, OperationState.COMPLETED, answer, n / count)
     took = time.perf_counter() - start
     held = psutil.Process().memory_info().rss - before
     print(
-        f"{count} names: {held / count:.0f} bytes each resident, {table.bytes / count:.0f} reckoned, "
+        f"{count} names: {held / count:.0f} bytes each resident, {table.memory_bytes / count:.0f} reckoned, "
         f"{took / count * 1e6:.1f} us for a begin and an end"
     )
 
 
 def take_over(directory: pathlib.Path, count: int) -> None:
     """Notes of a killed process, read by the next holder of its slots until it may run them."""
-    first = open_notes(str(directory / "first"), 64 << 20)
+    first = open_operation_log(str(directory / "first"), 64 << 20)
     now = time.time()
     for n in range(count):
         ticket = first.append(
-            Noted(random.randbytes(12), b"p" * 16, Idempotency.NON_IDEMPOTENT, f"id-{n}", 900.0, 1, now)
+            AttemptStarted(
+                random.randbytes(12), b"p" * 16, Idempotency.NON_IDEMPOTENT, f"id-{n}", 900.0, 1, now
+            )
         )
     ticket.done.wait(60)
     first.close()
-    second = Operations(
-        Table(1 << 30), time.monotonic, time.time, open_notes(str(directory / "second"), 64 << 20)
+    second = OperationService(
+        OperationTable(1 << 30),
+        time.monotonic,
+        time.time,
+        open_operation_log(str(directory / "second"), 64 << 20),
     )
-    keeper = Keeper(second, str(directory / "second"), lambda path: [])
+    keeper = OperationHandover(second, str(directory / "second"), lambda path: [])
     start = time.perf_counter()
-    keeper.take_over(frozenset(range(SLOTS)), [Home(str(directory / "first"))], [])
+    keeper.take_over(frozenset(range(SLOT_COUNT)), [RecordLocation(str(directory / "first"))], [])
     print(f"{count} notes taken over in {time.perf_counter() - start:.2f} s, {len(second.table)} known")
-    assert second.notes is not None
-    second.notes.close()
+    assert second.operation_log is not None
+    second.operation_log.close()
 
 
 def losses(directory: pathlib.Path, operations: int, kills: int) -> None:
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -32,12 +32,13 @@
 from saffronstack.invoke.server import FrontLimits, Server
 from saffronstack.metering.limits import BudgetLimits
 from saffronstack.metering.meter import Meter, open_usage_log
-from saffronstack.operations.operation_log import open_notes
-from saffronstack.operations.operation_service import Operations
-from saffronstack.operations.operation_table import Table
-from saffronstack.operations.response_store import Spool
-from saffronstack.operations.slot_handover import Keeper
-from saffronstack.operations.slot_manager import Home, Slots
+from saffronstack.operations.operation_log import open_operation_log
+from saffronstack.operations.operation_service import OperationLimits, OperationService
+from saffronstack.operations.operation_table import OperationTable
+from saffronstack.operations.response_store import ResponseStore
+from saffronstack.operations.slot_handover import OperationHandover
+from saffronstack.operations.slot_locks import RecordLocation
+from saffronstack.operations.slot_manager import SlotManager, SlotMember
 from saffronstack.upstream.http.dispatcher import HttpDispatcher
 from saffronstack.upstream.http.jobs import UsageJob
 from saffronstack.upstream.http.worker_context import HttpPoolLimits
@@ -173,23 +174,21 @@
             limits.idle_timeout_s,
         )
 
-    def _open_operations(self, files: Files | None) -> Operations | None:
+    def _open_operations(self, files: Files | None) -> OperationService | None:
         config = self.config.operations
         if config is None:
             return None
-        notes = spool = None
+        operation_log = response_store = None
         if config.directory is not None:
-            notes = open_notes(config.directory, config.segment_bytes, files)
-            spool = Spool(config.directory, config.spool_bytes, files)
-        return Operations(
-            Table(config.memory_bytes * 3 // 4),
+            operation_log = open_operation_log(config.directory, config.segment_bytes, files)
+            response_store = ResponseStore(config.directory, config.spool_bytes, files)
+        return OperationService(
+            OperationTable(config.memory_bytes * 3 // 4),
             self._clock,
             self._wall,
-            notes,
-            spool,
-            config.answer_bytes,
-            config.memory_bytes // 4,
-            config.commit_timeout_s,
+            operation_log,
+            response_store,
+            OperationLimits(config.answer_bytes, config.memory_bytes // 4, config.commit_timeout_s),
         )
 
     def _open_roster(self) -> FileDiscovery | None:
@@ -224,22 +223,22 @@
             self.meter.roster(list(specs_of(workers.values(), self.config, self._numbers)))
         self.engine.update_workers(specs, gone, self._wall())
 
-    def _share_operations(self) -> Slots | None:
+    def _share_operations(self) -> SlotManager | None:
         """Where several processes serve one address, each runs the operations of the slots it holds."""
         operations, members = self.operations, self.members
         if operations is None or members.count < 2 or not members.directory:
             return None
-        notes = self.config.operations.directory if self.config.operations is not None else None
-        home = Home(notes or "", self.config.ledger.directory if self.config.ledger is not None else "")
-        slots = Slots(
+        directory = self.config.operations.directory if self.config.operations is not None else None
+        log_directory = directory or ""
+        ledger_directory = self.config.ledger.directory if self.config.ledger is not None else ""
+        location = RecordLocation(log_directory, ledger_directory)
+        slots = SlotManager(
             pathlib.Path(members.directory) / "operation-slots",
-            str(members.index),
-            self._peer_address,
-            home,
-            Keeper(operations, notes or "", names_in),
+            SlotMember(str(members.index), self._peer_address, location),
+            OperationHandover(operations, log_directory, names_in),
             self._clock,
         )
-        operations.share(slots.holds)
+        operations.restrict_to_slots(slots.is_held)
         return slots
 
     def _peer_address(self) -> str:
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -29,9 +29,14 @@
 from saffronstack.invoke.routing import UNTIL, Router, Sent, misdirected
 from saffronstack.metering.account import Account
 from saffronstack.metering.limits import BudgetLimits
-from saffronstack.operations import status_query
-from saffronstack.operations.idempotency_keys import token_of
-from saffronstack.operations.operation_service import ClientLeftError, NotHeldError, Operations
+from saffronstack.operations.errors import (
+    ClientDisconnectedError,
+    IdempotencyKeyTooLongError,
+    SlotNotHeldError,
+)
+from saffronstack.operations.idempotency_keys import idempotency_key_of
+from saffronstack.operations.operation_service import OperationService
+from saffronstack.operations.operation_status import StatusQuery, find_operations
 
 KINDS = ("RequestResponse", "Event", "DryRun")
 LOG_TYPES = ("None", "Tail")
@@ -81,7 +86,7 @@
         members: ProcessGroup,
         limits: BudgetLimits | None = None,
         account: Account | None = None,
-        operations: Operations | None = None,
+        operations: OperationService | None = None,
         router: Router | None = None,
     ) -> None:
         self.access = Access.of(config)
@@ -102,7 +107,7 @@
         self._validate = msgspec.json.Decoder(msgspec.Raw).decode
 
     def answer(self, head: RequestHead, body: bytes, client_there: Callable[[], bool]) -> Response:
-        """The answer to one request; ClientLeftError where nobody waits for it any more."""
+        """The answer to one request; ClientDisconnectedError where nobody waits for it any more."""
         request_id = self._members.add_owner(response_id())
         try:
             path, query = names.parse_target(head.target)
@@ -205,16 +210,16 @@
         def here() -> Response:
             return self._perform(asked, kind, client_there)
 
-        rule = self._caller.rule(asked)
-        if self._router is None or not token or not (rule.owned or kind == "Event"):
+        policy = self._caller.policy(asked)
+        if self._router is None or not token or not (policy.requires_slot or kind == "Event"):
             return here()
         if FORWARDED_HEADER in head.headers:
             try:
                 return here()
-            except NotHeldError:
+            except SlotNotHeldError:
                 raise misdirected() from None
-        digest = asked.name(kind).digest()
-        noted = rule.durable or kind == "Event"
+        digest = asked.identity(kind).digest()
+        noted = policy.is_logged or kind == "Event"
         return self._router.run(
             Sent(head, body, digest, until_s, noted, lambda: self._caller.unknown(asked)), here
         )
@@ -306,7 +311,8 @@
             raise InvokeError(404, "ResourceNotFoundException", "This gateway remembers no operations.")
         function, qualifier = query.get("function", ""), query.get("qualifier", LATEST)
         functions = [function] if function else self._functions.exact()
-        found = status_query.find(self._operations, tenant, token, functions, qualifier, self._clock())
+        asked = StatusQuery(tenant, token, functions, qualifier)
+        found = find_operations(self._operations, asked, self._clock())
         if not found:
             raise InvokeError(404, "ResourceNotFoundException", f"No operation is named {token[:128]}")
         headers = (("Content-Type", "application/json"), ("x-amzn-RequestId", request_id))
@@ -350,8 +356,8 @@
 def _token(head: RequestHead) -> str:
     """The operation's name, empty where the client gave none; InvokeError where it can't be one."""
     try:
-        return token_of(head.headers)
-    except ValueError as error:
+        return idempotency_key_of(head.headers)
+    except IdempotencyKeyTooLongError as error:
         raise errors.bad_parameter(str(error)) from error
 
 
@@ -369,4 +375,4 @@
     return [(name, value) for name, value in fields if name in names or name.startswith("x-amz")]
 
 
-__all__ = ["Access", "App", "ClientLeftError", "Page", "Response", "response_id"]
+__all__ = ["Access", "App", "ClientDisconnectedError", "Page", "Response", "response_id"]
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -14,21 +14,31 @@
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
 from saffronstack.metering.limits import BudgetLimits
-from saffronstack.operations.idempotency_keys import Name, fingerprint, worker_key
-from saffronstack.operations.operation_service import (
-    CHECK_CLIENT_S,
-    AnswerNotKeptError,
-    ClientLeftError,
-    Done,
-    Live,
-    MismatchedNameError,
-    NoRoomError,
-    NotDone,
-    Operations,
+from saffronstack.operations.errors import (
+    ClientDisconnectedError,
+    FingerprintMismatchError,
+    OperationInProgressError,
+    OperationTableFullError,
     OutcomeUnknownError,
-    Rule,
+    ResponseNotStoredError,
 )
-from saffronstack.operations.operation_table import Answer, Fate, Packed, pack
+from saffronstack.operations.execution import (
+    CLIENT_CHECK_INTERVAL_S,
+    Completed,
+    ExecuteOperation,
+    Execution,
+    NotCompleted,
+)
+from saffronstack.operations.idempotency_keys import (
+    OperationIdentity,
+    payload_fingerprint,
+    worker_idempotency_key,
+)
+from saffronstack.operations.operation import OperationRecord, OperationState, StoredResponse
+from saffronstack.operations.operation_request import DeduplicationPolicy, OperationRequest
+from saffronstack.operations.operation_service import OperationService
+from saffronstack.operations.record_format import encode_record
+from saffronstack.operations.request_coalescing import CacheKey
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 
@@ -58,9 +68,9 @@
             ("X-Amz-Executed-Version", self.qualifier),
         )
 
-    def name(self, kind: str) -> Name:
+    def identity(self, kind: str) -> OperationIdentity:
         """Its operation."""
-        return Name(self.tenant, self.known.spec.name, self.qualifier, kind, self.token)
+        return OperationIdentity(self.tenant, self.known.spec.name, self.qualifier, kind, self.token)
 
 
 class Caller:
@@ -73,7 +83,7 @@
         deferred: DeferredCalls | None,
         clock: Callable[[], float],
         limits: BudgetLimits | None,
-        operations: Operations | None,
+        operations: OperationService | None,
     ) -> None:
         self._config = config
         self._engine = engine
@@ -83,12 +93,12 @@
         self._operations = operations
         self._tenants = {tenant.name: place for place, tenant in enumerate(config.tenants)}
         window_s = config.operations.window_s if config.operations is not None else 0.0
-        self._rules = {
-            cls.name: Rule(
+        self._policies = {
+            cls.name: DeduplicationPolicy(
                 Idempotency(cls.effect),
                 cls.operation_window_s or window_s,
                 cls.note_operations,
-                owned=cls.effect != "safe",
+                requires_slot=cls.effect != "safe",
             )
             for cls in config.classes
         }
@@ -96,12 +106,12 @@
     # ---- synchronous
 
     def call(self, asked: Asked, client_there: Callable[[], bool]) -> Response:
-        """Run it, or give the answer that its operation has. InvokeError, ClientLeftError."""
+        """Run it, or give the answer that its operation has. InvokeError, ClientDisconnectedError."""
         if self._operations is None or not asked.token:
             call = self._make(asked, asked.request_id, self._place(asked), None, None)
             final = self._run(call, client_there, None)
             if final.status is FinalStatus.CLIENT_DISCONNECTED:
-                raise ClientLeftError
+                raise ClientDisconnectedError
             if _ran_unnamed(asked, final):
                 final = FinalAnswer(
                     FinalStatus.FAILED, reason="it may have run, and its client named no operation"
@@ -110,92 +120,109 @@
                 raise _refusal(final)
             return _response(final, asked.headers(asked.request_id), asked.wants_log)
 
-        rule = self.rule(asked)
-        if rule.effect is Idempotency.IDEMPOTENT:
-            return self._safe(self._operations, asked, rule, client_there)
+        policy = self.policy(asked)
+        if policy.idempotency is Idempotency.IDEMPOTENT:
+            return self._safe(self._operations, asked, policy, client_there)
 
-        def run(live: Live, prior: PriorAttempt | None) -> Done | NotDone:
-            return self._perform(asked, client_there, live, prior)
+        def run(execution: Execution, prior: PriorAttempt | None) -> Completed | NotCompleted:
+            return self._perform(asked, client_there, execution, prior)
 
-        return self._once(self._operations, asked, "RequestResponse", rule, run, asked.until_s, client_there)
+        return self._once(
+            self._operations, asked, "RequestResponse", policy, run, asked.until_s, client_there
+        )
 
-    def rule(self, asked: Asked) -> Rule:
+    def policy(self, asked: Asked) -> DeduplicationPolicy:
         """What its class says of its operation."""
-        return self._rules[asked.known.config.call_class]
+        return self._policies[asked.known.config.call_class]
 
     def unknown(self, asked: Asked) -> Response:
         """The answer to a send whose operation's process is silent."""
         return _unknown(asked.headers(asked.request_id), "the process that runs it gave no answer")
 
     def _safe(
-        self, operations: Operations, asked: Asked, rule: Rule, client_there: Callable[[], bool]
+        self,
+        operations: OperationService,
+        asked: Asked,
+        policy: DeduplicationPolicy,
+        client_there: Callable[[], bool],
     ) -> Response:
         """A safe operation: joined while it is open, answered again while it is remembered, else run."""
-        recent, now = operations.recent, self._clock()
-        key = asked.tenant, asked.known.spec.name, asked.qualifier, asked.token
-        mark = hash((asked.payload, asked.context))
+        cache, now = operations.coalescing_cache, self._clock()
+        key = CacheKey(asked.tenant, asked.known.spec.name, asked.qualifier, asked.token)
+        payload_hash = hash((asked.payload, asked.context))
         while True:
-            entry, mine = recent.send(key, mark, asked.request_id, now)
+            entry, mine = cache.join_or_start(key, payload_hash, asked.request_id, now)
             if mine:
                 break
-            if entry.mark != mark:
-                operations.counts["mismatched"] += 1
+            if entry.payload_hash != payload_hash:
+                operations.request_counts["mismatched"] += 1
                 raise errors.mismatched(entry.request_id)
-            answer = entry.answer
+            answer = entry.response
             if answer is None:
-                operations.counts["joined"] += 1
+                operations.request_counts["joined"] += 1
                 assert entry.done is not None
                 try:
-                    while not entry.done.wait(min(CHECK_CLIENT_S, max(0.0, asked.until_s - self._clock()))):
+                    while not entry.done.wait(
+                        min(CLIENT_CHECK_INTERVAL_S, max(0.0, asked.until_s - self._clock()))
+                    ):
                         if self._clock() >= asked.until_s:
                             raise errors.too_many("The operation is still under way.", 1.0)
                         if not client_there():
-                            raise ClientLeftError
+                            raise ClientDisconnectedError
                 finally:
-                    recent.part(entry)
-                answer = entry.answer
+                    cache.leave(entry)
+                answer = entry.response
                 if answer is None:
                     continue  # it was refused, or nobody waited any more: this send's turn
             else:
-                operations.counts["repeated"] += 1
+                operations.request_counts["repeated"] += 1
             return Response(answer.status, (*answer.headers, REPEATED), answer.body)
-        operations.counts["begun"] += 1
+        operations.request_counts["begun"] += 1
         kept: Response | None = None
         try:
             call = self._make(asked, asked.request_id, self._place(asked), None, None)
             final = self._run(call, client_there, None, lambda: not entry.waiters)
             if final.status is FinalStatus.CLIENT_DISCONNECTED:
-                raise ClientLeftError
+                raise ClientDisconnectedError
             if final.status is FinalStatus.REJECTED:
                 raise _refusal(final)
             response = _response(final, asked.headers(asked.request_id), asked.wants_log)
-            if final.status is FinalStatus.SERVED and len(response.body) <= operations.answer_bytes:
+            if (
+                final.status is FinalStatus.SERVED
+                and len(response.body) <= operations.max_inline_response_bytes
+            ):
                 kept = response
             return response
         finally:
             size = len(kept.body) if kept is not None else 0
-            recent.end(entry, kept, size, now + rule.window_s, now)
+            cache.complete(entry, kept, size, now + policy.window_s, now)
 
     def _perform(
-        self, asked: Asked, client_there: Callable[[], bool], live: Live, prior: PriorAttempt | None
-    ) -> Done | NotDone:
-        request_id = live.opened.request_id
+        self, asked: Asked, client_there: Callable[[], bool], execution: Execution, prior: PriorAttempt | None
+    ) -> Completed | NotCompleted:
+        request_id = execution.operation.request_id
         try:
-            call = self._make(asked, request_id, self._place(asked), prior, live)
-            final = self._run(call, client_there, live)
+            call = self._make(asked, request_id, self._place(asked), prior, execution)
+            final = self._run(call, client_there, execution)
         except InvokeError as error:
-            return NotDone(error, prior)
+            return NotCompleted(error, prior)
         if final.status is FinalStatus.CLIENT_DISCONNECTED:
-            return NotDone(ClientLeftError(), prior)
+            return NotCompleted(ClientDisconnectedError(), prior)
         if final.status is FinalStatus.REJECTED:
-            return NotDone(_refusal(final), final.prior_attempt, final.attempt_in_flight_until_s)
+            return NotCompleted(_refusal(final), final.prior_attempt, final.attempt_in_flight_until_s)
         answer = _response(final, asked.headers(request_id), asked.wants_log)
-        return Done(
-            Answer(answer.status, answer.headers, answer.body), unknown=final.status is FinalStatus.FAILED
+        return Completed(
+            StoredResponse(answer.status, answer.headers, answer.body),
+            is_outcome_unknown=final.status is FinalStatus.FAILED,
         )
 
     def _make(
-        self, asked: Asked, request_id: str, place: int, prior: PriorAttempt | None, live: Live | None
+        self,
+        asked: Asked,
+        request_id: str,
+        place: int,
+        prior: PriorAttempt | None,
+        execution: Execution | None,
     ) -> Call:
         known = asked.known
         deadline_s = asked.until_s - self._config.answer_margin_s * 0.8
@@ -203,11 +230,11 @@
             raise errors.too_many("It came too late to be begun.", 1.0)
         guard = None
         if (
-            live is not None
-            and live.rule.effect is not Idempotency.IDEMPOTENT
+            execution is not None
+            and execution.policy.idempotency is not Idempotency.IDEMPOTENT
             and self._operations is not None
         ):
-            guard = self._operations.guard(live)
+            guard = self._operations.attempt_guard(execution)
         return Call(
             self._engine.next_call_number(),
             request_id,
@@ -216,7 +243,7 @@
             deadline_s,
             place,
             asked.tenant,
-            worker_key(asked.tenant, asked.token, request_id),
+            worker_idempotency_key(asked.tenant, asked.token, request_id),
             asked.context,
             asked.wants_log,
             prior,
@@ -228,7 +255,7 @@
         self,
         call: Call,
         client_there: Callable[[], bool],
-        live: Live | None,
+        execution: Execution | None,
         alone: Callable[[], bool] = lambda: True,
     ) -> FinalAnswer:
         """Hand a call to the engine and wait for its final answer, watching the client meanwhile. One that
@@ -237,12 +264,12 @@
             raise errors.too_many("Too many calls are open.", 1.0)
         latest_s = call.deadline_s + self._config.answer_margin_s * 0.8
         while True:
-            final = call.wait(min(CHECK_CLIENT_S, max(0.0, latest_s - self._clock())))
+            final = call.wait(min(CLIENT_CHECK_INTERVAL_S, max(0.0, latest_s - self._clock())))
             if final is not None:
                 return final
             if self._clock() >= latest_s:  # the engine itself is stuck: an answer all the same
                 call.finish(FinalAnswer(FinalStatus.FAILED, reason="the gateway did not decide in time"))
-            elif not client_there() and alone() and (live is None or live.may_leave()):
+            elif not client_there() and alone() and (execution is None or execution.try_abandon()):
                 self._engine.disconnect(call)
 
     def _place(self, asked: Asked) -> int:
@@ -268,29 +295,40 @@
                 return _unknown(asked.headers(asked.request_id), UNWRITTEN)
             return Response(202, headers)
         operations = self._operations
-        rule = self.rule(asked)
-        digest = asked.name("Event").digest()
+        policy = self.policy(asked)
+        digest = asked.identity("Event").digest()
 
-        def run(live: Live, prior: PriorAttempt | None) -> Done | NotDone:
-            opened = live.opened
+        def run(execution: Execution, prior: PriorAttempt | None) -> Completed | NotCompleted:
+            operation = execution.operation
             if self._clock() >= asked.until_s:
-                return NotDone(errors.too_many("It came too late to be begun.", 1.0))
-            answer = Answer(202, asked.headers(opened.request_id)[1:])
-            until = operations.now() + rule.window_s
-            packed = Packed(Fate.ENDED, until, opened.fingerprint, opened.request_id, opened.effect, answer)
+                return NotCompleted(errors.too_many("It came too late to be begun.", 1.0))
+            answer = StoredResponse(202, asked.headers(operation.request_id)[1:])
+            until = operations.now() + policy.window_s
+            record = OperationRecord(
+                OperationState.COMPLETED,
+                until,
+                operation.fingerprint,
+                operation.request_id,
+                operation.idempotency,
+                answer,
+            )
             try:
-                self._accept(asked, opened.request_id, digest, pack(packed), until)
+                self._accept(asked, operation.request_id, digest, encode_record(record), until)
             except InvokeError as error:
-                return NotDone(error)
+                return NotCompleted(error)
             except OutcomeUnknownError:
-                unknown = _unknown(asked.headers(opened.request_id), UNWRITTEN)
-                return Done(Answer(unknown.status, unknown.headers, unknown.body), unknown=True)
-            return Done(answer)
+                unknown = _unknown(asked.headers(operation.request_id), UNWRITTEN)
+                return Completed(
+                    StoredResponse(unknown.status, unknown.headers, unknown.body), is_outcome_unknown=True
+                )
+            return Completed(answer)
 
         patience_s = self._config.ledger.commit_timeout_s + 1.0 if self._config.ledger is not None else 1.0
         latest_s = self._clock() + patience_s
-        rule = Rule(rule.effect, rule.window_s, False)  # the ledger's commit is its note
-        return self._once(operations, asked, "Event", rule, run, latest_s, client_there)
+        policy = DeduplicationPolicy(
+            policy.idempotency, policy.window_s, is_logged=False
+        )  # the ledger's commit is its note
+        return self._once(operations, asked, "Event", policy, run, latest_s, client_there)
 
     def _accept(
         self, asked: Asked, request_id: str, operation: bytes = b"", packed: bytes = b"", until: float = 0.0
@@ -303,7 +341,7 @@
             asked.tenant,
             asked.payload,
             asked.context,
-            worker_key(asked.tenant, asked.token, request_id),
+            worker_idempotency_key(asked.tenant, asked.token, request_id),
             operation,
             packed,
             until,
@@ -322,43 +360,43 @@
 
     def _once(
         self,
-        operations: Operations,
+        operations: OperationService,
         asked: Asked,
         kind: str,
-        rule: Rule,
-        run: Callable[[Live, PriorAttempt | None], Done | NotDone],
+        policy: DeduplicationPolicy,
+        run: ExecuteOperation,
         latest_s: float,
         client_there: Callable[[], bool],
     ) -> Response:
         """One operation's answer, whichever of its sends this is."""
         try:
-            answer, repeated = operations.perform(
-                asked.name(kind).digest(),
-                fingerprint(asked.payload, asked.context),
-                rule,
+            request = OperationRequest(
+                asked.identity(kind).digest(),
+                payload_fingerprint(asked.payload, asked.context),
+                policy,
                 asked.request_id,
-                run,
                 latest_s,
                 client_there,
             )
-        except MismatchedNameError as error:
-            raise errors.mismatched(str(error)) from error
-        except NoRoomError as error:
+            result = operations.perform(request, run)
+        except FingerprintMismatchError as error:
+            raise errors.mismatched(error.request_id) from error
+        except OperationTableFullError as error:
             raise errors.too_many("Too many operations are remembered.", error.retry_after_s) from error
         except OutcomeUnknownError as error:
-            return _unknown(asked.headers(str(error)), "the gateway was killed before it had an answer")
-        except AnswerNotKeptError as error:
-            kept = error.answer
-            body = errors.answer_not_kept(kept.status, kept.length, kept.digest)
-            headers = (*asked.headers(str(error)), ("X-Amz-Function-Error", "Unhandled"), REPEATED)
+            return _unknown(asked.headers(error.request_id), "the gateway was killed before it had an answer")
+        except ResponseNotStoredError as error:
+            known = error.response
+            body = errors.answer_not_kept(known.status, known.body_length, known.body_digest)
+            headers = (*asked.headers(error.request_id), ("X-Amz-Function-Error", "Unhandled"), REPEATED)
             return Response(200, headers, body)
-        except TimeoutError as error:
-            if rule.effect is Idempotency.IDEMPOTENT or kind == "Event":
+        except OperationInProgressError as error:
+            if policy.idempotency is Idempotency.IDEMPOTENT or kind == "Event":
                 raise errors.too_many("The operation is still under way.", 1.0) from error
             return _unknown(asked.headers(asked.request_id), "another send of it is still under way")
-        return Response(
-            answer.status, (*answer.headers, REPEATED) if repeated else answer.headers, answer.body
-        )
+        answer = result.response
+        headers = (*answer.headers, REPEATED) if result.is_replayed else answer.headers
+        return Response(answer.status, headers, answer.body)
 
 
 def _ran_unnamed(asked: Asked, final: FinalAnswer) -> bool:
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -19,8 +19,8 @@
 from saffronstack.invoke.server import Server
 from saffronstack.metering.limits import BudgetLimits
 from saffronstack.metering.meter import Meter
-from saffronstack.operations.operation_service import Operations
-from saffronstack.operations.slot_manager import Slots
+from saffronstack.operations.operation_service import OperationService
+from saffronstack.operations.slot_manager import SlotManager
 
 PREFIX = "saffronstack_"
 
@@ -82,8 +82,8 @@
     deferred: DeferredCalls | None
     meter: Meter | None
     limits: BudgetLimits | None
-    operations: Operations | None
-    slots: Slots | None
+    operations: OperationService | None
+    slots: SlotManager | None
     roster: FileDiscovery | None
     draining: bool
 
@@ -125,7 +125,7 @@
             finished = gateway.deferred.finished
             yield _labelled("deferred_finished", "Deferred calls finished", "condition", finished)
         if gateway.operations is not None:
-            sends = gateway.operations.counts
+            sends = gateway.operations.request_counts
             yield _labelled("operation_sends", "Sends that name an operation, by what they met", "met", sends)
         for figure in _gauges(gateway):
             yield GaugeMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
@@ -165,7 +165,7 @@
         yield from _usage_counters(gateway.meter, gateway.limits)
     if gateway.operations is not None:
         help_ = "Ended operations that memory had no room for until their window ended"
-        yield Figure("operations_dropped_early", help_, gateway.operations.table.dropped_early)
+        yield Figure("operations_dropped_early", help_, gateway.operations.table.evicted_early)
 
 
 def _gauges(gateway: Parts) -> Iterator[Figure]:
@@ -185,7 +185,7 @@
     if gateway.operations is not None:
         yield from _operation_gauges(gateway.operations)
     if gateway.slots is not None:
-        yield Figure("operation_slots", "Slots whose operations this process runs", gateway.slots.held)
+        yield Figure("operation_slots", "Slots whose operations this process runs", gateway.slots.held_count)
     if gateway.roster is not None:
         yield from _roster_gauges(gateway.roster)
 
@@ -200,16 +200,20 @@
     yield Figure("usage_in_doubt", "1 where records of the usage log are lost", float(account.in_doubt))
 
 
-def _operation_gauges(operations: Operations) -> Iterator[Figure]:
+def _operation_gauges(operations: OperationService) -> Iterator[Figure]:
     for name, count in operations.table.counts():
         yield Figure(f"operations_{name}", f"Operations remembered as {name.replace('_', ' ')}", count)
-    recent = operations.recent
-    yield Figure("operations_safe", "Safe operations remembered", len(recent))
-    yield Figure("operations_bytes", "Memory reckoned for operations", operations.table.bytes + recent.bytes)
-    if operations.spool is not None:
-        yield Figure("operations_spooled_bytes", "Answers on disk", operations.spool.bytes)
-    if operations.notes is not None:
-        failing = float(bool(operations.notes.failing))
+    cache = operations.coalescing_cache
+    yield Figure("operations_safe", "Safe operations remembered", len(cache))
+    yield Figure(
+        "operations_bytes",
+        "Memory reckoned for operations",
+        operations.table.memory_bytes + cache.memory_bytes,
+    )
+    if operations.response_store is not None:
+        yield Figure("operations_spooled_bytes", "Answers on disk", operations.response_store.stored_bytes)
+    if operations.operation_log is not None:
+        failing = float(bool(operations.operation_log.failing))
         yield Figure("operations_notes_failing", "1 while notes can't be written", failing)
 
 
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -68,8 +68,8 @@
                 "ledger_failing": gateway.ledger.failing,
                 "ledger_stalled_s": round(gateway.ledger.stalled_s, 3),
             }
-        if gateway.operations is not None and gateway.operations.notes is not None:
-            notes = gateway.operations.notes
+        if gateway.operations is not None and gateway.operations.operation_log is not None:
+            notes = gateway.operations.operation_log
             content["notes"] = {"failing": notes.failing, "stalled_s": round(notes.stalled_s, 3)}
         if gateway.roster is not None:
             content["roster"] = gateway.roster.status()
--- a/saffronstack/invoke/routing.py
+++ b/saffronstack/invoke/routing.py
@@ -14,9 +14,9 @@
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
-from saffronstack.operations.operation_service import NotHeldError
-from saffronstack.operations.slot_assignment import slot_of
-from saffronstack.operations.slot_manager import Slots
+from saffronstack.operations.errors import SlotNotHeldError
+from saffronstack.operations.slot_assignment import slot_for
+from saffronstack.operations.slot_manager import SlotManager
 
 UNTIL = "x-saffron-until"  # seconds of the machine's monotonic clock, which its processes share
 LOOK_AGAIN_S = 0.05
@@ -46,7 +46,7 @@
 class Router:
     """Finds the process that runs an operation, for a process that does not."""
 
-    def __init__(self, slots: Slots, clock: Callable[[], float]) -> None:
+    def __init__(self, slots: SlotManager, clock: Callable[[], float]) -> None:
         self.slots = slots
         self._clock = clock
         self._pause = threading.Event()
@@ -56,15 +56,15 @@
     def run(self, sent: Sent, here: Callable[[], Response]) -> Response:
         """The answer, by ``here`` where this process holds the slot by now, else by the one that does.
         InvokeError 429 where none could be reached: then nothing was begun."""
-        slot = slot_of(sent.digest)
+        slot = slot_for(sent.digest)
         look_until_s = min(self._clock() + ROUTE_S, sent.latest_s)
         may_have_run = False
         while True:
             try:
                 return here()
-            except NotHeldError:
+            except SlotNotHeldError:
                 pass
-            peer = self.slots.owner_of(slot)
+            peer = self.slots.assigned_peer(slot)
             if peer is not None and peer.member != self.slots.member:
                 try:
                     answer = self._pass_on(peer.address, sent)
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -17,7 +17,7 @@
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.invoke import errors
-from saffronstack.invoke.app import App, ClientLeftError, response_id
+from saffronstack.invoke.app import App, ClientDisconnectedError, response_id
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.front")
@@ -198,7 +198,7 @@
             reader = MessageReader(self._limits.messages)
             while self._one(stream, reader):
                 pass
-        except (OSError, ClientLeftError):
+        except (OSError, ClientDisconnectedError):
             pass  # the client has left, or takes no answer: there is nobody to tell
         except Exception:
             log.exception("connection thread failed")
@@ -226,7 +226,7 @@
 
     def _write(self, stream: Stream, data: bytes) -> None:
         if not stream.send(data, self._clock() + self._limits.write_s, self._clock):
-            raise ClientLeftError
+            raise ClientDisconnectedError
 
     def _head(self, stream: Stream, reader: MessageReader) -> RequestHead | None:
         """The next head; None where the client has ended, or stays idle for too long."""
--- /dev/null
+++ b/saffronstack/operations/execution_finisher.py
@@ -0,0 +1,88 @@
+"""The end of an execution: what the operation table remembers and the operation log records of it."""
+
+from __future__ import annotations
+
+import threading
+
+from saffronstack.operations.execution import Completed, Execution, NotCompleted
+from saffronstack.operations.operation import OperationState, StoredResponse
+from saffronstack.operations.operation_clock import OperationClock
+from saffronstack.operations.operation_recorder import OperationRecorder
+from saffronstack.operations.operation_table import OperationTable
+from saffronstack.operations.response_store import ResponseStore, move_large_body
+from saffronstack.routing.events import PriorAttempt
+from saffronstack.routing.settings import Idempotency
+
+
+class ExecutionFinisher:
+    """Ends executions, on the thread of the request that executed them. Thread-safe."""
+
+    def __init__(
+        self,
+        table: OperationTable,
+        table_lock: threading.Lock,
+        clock: OperationClock,
+        recorder: OperationRecorder,
+        response_store: ResponseStore | None,
+        max_inline_response_bytes: int,
+    ) -> None:
+        """Create a finisher; ``table_lock`` guards ``table``."""
+        self._table = table
+        self._table_lock = table_lock
+        self._clock = clock
+        self._recorder = recorder
+        self._response_store = response_store
+        self._max_inline_response_bytes = max_inline_response_bytes
+
+    def finish(self, execution: Execution, outcome: Completed | NotCompleted | None) -> None:
+        """Remember how an execution ended; ``outcome`` is None where it raised an error."""
+        is_idempotent = execution.policy.idempotency is Idempotency.IDEMPOTENT
+        match outcome:
+            case Completed():
+                if outcome.is_outcome_unknown and is_idempotent:
+                    self._release(execution)  # executing it again does no harm
+                else:
+                    self._complete(execution, outcome)
+            case NotCompleted(_, prior_attempt, attempt_in_flight_until_s):
+                if prior_attempt is None or is_idempotent:
+                    self._release(execution)
+                else:
+                    self._mark_retryable(execution, prior_attempt, attempt_in_flight_until_s)
+            case None:
+                if execution.has_sent and not is_idempotent:  # it may have had an effect
+                    self._close(execution, OperationState.OUTCOME_UNKNOWN, None)
+                else:
+                    self._release(execution)
+
+    def _complete(self, execution: Execution, completed: Completed) -> None:
+        response = move_large_body(
+            self._response_store,
+            completed.response,
+            execution.operation.digest.hex(),
+            self._max_inline_response_bytes,
+        )
+        is_unknown = completed.is_outcome_unknown
+        state = OperationState.OUTCOME_UNKNOWN if is_unknown else OperationState.COMPLETED
+        self._close(execution, state, response)
+
+    def _mark_retryable(
+        self, execution: Execution, prior: PriorAttempt, attempt_in_flight_until_s: float
+    ) -> None:
+        until_s = self._clock.to_unix(attempt_in_flight_until_s) if attempt_in_flight_until_s else 0.0
+        sent_s = self._clock.to_unix(prior.sent_s)
+        with self._table_lock:
+            now = self._clock.now()
+            record = self._table.mark_retryable(execution.operation, prior.worker_id, sent_s, now, until_s)
+        self._recorder.record_finish(execution, record, now)
+
+    def _close(self, execution: Execution, state: OperationState, response: StoredResponse | None) -> None:
+        with self._table_lock:
+            now = self._clock.now()
+            record = self._table.complete(execution.operation, state, response, now)
+        self._recorder.record_finish(execution, record, now)
+
+    def _release(self, execution: Execution) -> None:
+        with self._table_lock:
+            is_forgotten = self._table.release(execution.operation)
+        if is_forgotten:
+            self._recorder.record_release(execution)
--- a/saffronstack/operations/idempotency_keys.py
+++ b/saffronstack/operations/idempotency_keys.py
@@ -1,7 +1,8 @@
-"""An operation's name: which sends belong together. No I/O.
+"""Idempotency keys: which requests belong to one operation. No I/O.
 
-The client says so by `Idempotency-Key`, or an AWS SDK by `amz-sdk-invocation-id`, which it keeps over all
-tries of one operation. A name belongs to a tenant, a function, its qualifier and the invocation type."""
+A client sends an ``Idempotency-Key`` header; AWS SDKs send ``amz-sdk-invocation-id``, which stays the same
+over all retries. A key is valid within a tenant, a function, its qualifier and the invocation type.
+"""
 
 from __future__ import annotations
 
@@ -12,51 +13,66 @@
 import xxhash
 
 from saffronstack.http1.messages import Headers
+from saffronstack.operations.errors import IdempotencyKeyTooLongError
 
-TOKEN_MOST = 128  # characters
+MAX_KEY_LENGTH = 128  # characters
 DIGEST_BYTES = 12
-SDK = "sdk:"  # before an SDK's id, so that it never is a client's key
-KEY = "key:"
+CLIENT_KEY_PREFIX = "key:"
+SDK_KEY_PREFIX = "sdk:"  # keeps the id of an SDK apart from any key that a client chooses
 
 
 @dataclass(frozen=True, slots=True)
-class Name:
-    """Everything that an operation's identity is made of."""
+class OperationIdentity:
+    """Everything that identifies an operation.
+
+    Attributes:
+        invocation_type: ``RequestResponse`` or ``Event``.
+        key: The idempotency key with its prefix, see `idempotency_key_of`.
+    """
 
     tenant: str
     function: str
     qualifier: str
-    kind: str  # RequestResponse or Event
-    token: str
+    invocation_type: str
+    key: str
 
     def digest(self) -> bytes:
-        """Its identity. Parts are kept apart by their lengths; nobody can choose one that is another's."""
-        parts = self.tenant, self.function, self.qualifier, self.kind, self.token
+        """Return the digest under which the operation is remembered.
+
+        The encoding delimits the parts by their lengths, so no choice of one part can imitate another.
+        """
+        parts = self.tenant, self.function, self.qualifier, self.invocation_type, self.key
         return hashlib.blake2b(msgspec.msgpack.encode(parts), digest_size=DIGEST_BYTES).digest()
 
 
-def token_of(headers: Headers) -> str:
-    """What the client calls its operation, behind who said so; empty where it names none.
+def idempotency_key_of(headers: Headers) -> str:
+    """Return the idempotency key of a request behind its prefix; empty where the request has none.
+
+    An SDK's id that is too long counts as none.
 
-    ValueError where an `Idempotency-Key` is too long; an SDK's id that is too long names nothing."""
-    key = headers.get("idempotency-key")
-    if key:
-        if len(key) > TOKEN_MOST:
-            raise ValueError(f"Idempotency-Key: {len(key)} characters, {TOKEN_MOST} at most.")
-        return KEY + key
-    own = headers.get("amz-sdk-invocation-id")
-    return SDK + own if 0 < len(own) <= TOKEN_MOST else ""
+    Raises:
+        IdempotencyKeyTooLongError: The ``Idempotency-Key`` header is too long.
+    """
+    client_key = headers.get("idempotency-key")
+    if client_key:
+        if len(client_key) > MAX_KEY_LENGTH:
+            raise IdempotencyKeyTooLongError(
+                f"Idempotency-Key: {len(client_key)} characters, {MAX_KEY_LENGTH} at most."
+            )
+        return CLIENT_KEY_PREFIX + client_key
+    sdk_id = headers.get("amz-sdk-invocation-id")
+    return SDK_KEY_PREFIX + sdk_id if 0 < len(sdk_id) <= MAX_KEY_LENGTH else ""
 
 
-def fingerprint(payload: bytes, context: str) -> bytes:
-    """What must be the same in each send of an operation."""
+def payload_fingerprint(payload: bytes, context: str) -> bytes:
+    """Return a hash of what all requests of one operation must have in common."""
     state = xxhash.xxh3_128(payload)
     state.update(b"\0" + context.encode())
     return state.digest()
 
 
-def worker_key(tenant: str, token: str, request_id: str) -> str:
-    """The key that a worker drops repeats by: the client's name, else the request's own id."""
-    if token.startswith(KEY):
-        return f"{tenant}:{token[len(KEY) :]}"
-    return f"{tenant}:{token}" if token else request_id
+def worker_idempotency_key(tenant: str, key: str, request_id: str) -> str:
+    """Return the key by which workers deduplicate: the client's key, else the request's own id."""
+    if key.startswith(CLIENT_KEY_PREFIX):
+        return f"{tenant}:{key[len(CLIENT_KEY_PREFIX) :]}"
+    return f"{tenant}:{key}" if key else request_id
--- a/saffronstack/operations/operation_log.py
+++ b/saffronstack/operations/operation_log.py
@@ -1,4 +1,7 @@
-"""What outlives a kill: operations noted before their first byte left, and how they ended. On a journal."""
+"""The write-ahead log of operations: attempts before their first byte is sent, and how operations ended.
+
+The tags and the order of the fields are data: they are the format on disk.
+"""
 
 from __future__ import annotations
 
@@ -9,139 +12,176 @@
 
 from saffronstack.durable.journal import Codec, Journal
 from saffronstack.durable.segments import Files
-from saffronstack.operations.operation_table import Fate, Packed, pack
+from saffronstack.operations.operation import EncodedOperation, OperationRecord, OperationState
+from saffronstack.operations.record_format import encode_record
 from saffronstack.routing.settings import Idempotency
 
+IN_FLIGHT_SNAPSHOT_BYTES = 160  # of one operation in flight in a snapshot
+FINISHED_SNAPSHOT_BYTES = 60  # of one finished operation, beside its record
+RESET_SNAPSHOT_BYTES = 16
+
 
-class Entry(msgspec.Struct, array_like=True, frozen=True, tag_field="kind"):
-    """What all records share."""
+class LogRecord(msgspec.Struct, array_like=True, frozen=True, tag_field="kind"):
+    """Base of all records."""
 
 
-class Start(Entry, frozen=True, tag="s"):
-    """All before this record is void."""
+class LogReset(LogRecord, frozen=True, tag="s"):
+    """Makes all earlier records void; the first record of a snapshot."""
 
 
-class Noted(Entry, frozen=True, tag="n"):
-    """An operation's first attempt is about to leave for a worker; times in Unix seconds."""
+class AttemptStarted(LogRecord, frozen=True, tag="n"):
+    """The first attempt of an operation is about to be sent.
+
+    Attributes:
+        sent_s: When, in Unix seconds.
+    """
 
     digest: bytes
     fingerprint: bytes
-    effect: Idempotency
+    idempotency: Idempotency
     request_id: str
     window_s: float
-    worker: int
-    at: float
+    worker_id: int
+    sent_s: float
+
 
+class OperationFinished(LogRecord, frozen=True, tag="e"):
+    """An operation has its response, an unknown outcome, or may be retried.
 
-class Ended(Entry, frozen=True, tag="e"):
-    """An operation that was noted is over, or goes again (`table.Packed`)."""
+    Attributes:
+        record: The encoded `OperationRecord`.
+        expires_s: When its deduplication window ends, in Unix seconds.
+    """
 
     digest: bytes
-    packed: bytes
-    until: float
+    record: bytes
+    expires_s: float
 
 
-class Released(Entry, frozen=True, tag="r"):
-    """An operation that was noted never ran."""
+class OperationReleased(LogRecord, frozen=True, tag="r"):
+    """An operation whose attempt was logged was certainly not executed."""
 
     digest: bytes
 
 
-class Expired(Entry, frozen=True, tag="x"):
-    """What ended and is out of its window by then is forgotten, and what was noted so long ago."""
+class OperationsExpired(LogRecord, frozen=True, tag="x"):
+    """Everything whose deduplication window ended by ``now_s`` (Unix seconds) is forgotten."""
 
-    before: float
+    now_s: float
 
 
-AnyEntry = Start | Noted | Ended | Released | Expired
-CODEC: Codec[AnyEntry] = Codec(
+AnyLogRecord = LogReset | AttemptStarted | OperationFinished | OperationReleased | OperationsExpired
+OPERATION_LOG_CODEC: Codec[AnyLogRecord] = Codec(
     msgspec.msgpack.Encoder().encode,
-    msgspec.msgpack.Decoder(AnyEntry).decode,
-    lambda entry: isinstance(entry, Start),
+    msgspec.msgpack.Decoder(AnyLogRecord).decode,
+    lambda record: isinstance(record, LogReset),
     "operations",
 )
 
 
-class Notes:
-    """Owned by the journal's writer thread."""
+class OperationLogState:
+    """What the records of a log add up to. Owned by the journal's writer thread.
+
+    Attributes:
+        in_flight: The first attempt of each operation in flight, by digest.
+        finished: Finished operations by digest.
+        in_doubt: Whether records were lost. An operation in flight has an unknown outcome with or without it.
+    """
 
     def __init__(self) -> None:
-        self.open: OrderedDict[bytes, Noted] = OrderedDict()
-        self.ended: OrderedDict[bytes, Ended] = OrderedDict()
+        self.in_flight: OrderedDict[bytes, AttemptStarted] = OrderedDict()
+        self.finished: OrderedDict[bytes, OperationFinished] = OrderedDict()
         self.in_doubt = False
-        self._bytes = 0
-
-    def apply(self, entry: AnyEntry) -> None:
-        """One record more."""
-        if isinstance(entry, Noted):
-            self.open.setdefault(entry.digest, entry)  # the first attempt is the one that may have run
-        elif isinstance(entry, Ended):
-            self.open.pop(entry.digest, None)
-            self._forget(entry.digest)
-            self.ended[entry.digest] = entry
-            self._bytes += len(entry.packed)
-        elif isinstance(entry, Released):
-            self.open.pop(entry.digest, None)
-        elif isinstance(entry, Expired):
-            for digest in [d for d, e in self.ended.items() if e.until <= entry.before]:
-                self._forget(digest)
-            for digest in [d for d, n in self.open.items() if n.at + n.window_s <= entry.before]:
-                del self.open[digest]
-        else:
-            self.open.clear()
-            self.ended.clear()
-            self._bytes = 0
-
-    def _forget(self, digest: bytes) -> None:
-        ended = self.ended.pop(digest, None)
-        if ended is not None:
-            self._bytes -= len(ended.packed)
-
-    def snapshot(self) -> Iterator[AnyEntry]:
-        """Records that add up to this state."""
-        yield Start()
-        yield from self.ended.values()
-        yield from self.open.values()
+        self._record_bytes = 0
+
+    def apply(self, record: AnyLogRecord) -> None:
+        """Apply one more record."""
+        match record:
+            case AttemptStarted():
+                self.in_flight.setdefault(record.digest, record)  # the first attempt may have been executed
+            case OperationFinished():
+                self.in_flight.pop(record.digest, None)
+                self._forget_finished(record.digest)
+                self.finished[record.digest] = record
+                self._record_bytes += len(record.record)
+            case OperationReleased():
+                self.in_flight.pop(record.digest, None)
+            case OperationsExpired():
+                self._expire(record.now_s)
+            case LogReset():
+                self.in_flight.clear()
+                self.finished.clear()
+                self._record_bytes = 0
+
+    def _expire(self, now_s: float) -> None:
+        for digest in [digest for digest, record in self.finished.items() if record.expires_s <= now_s]:
+            self._forget_finished(digest)
+        expired = [
+            digest for digest, attempt in self.in_flight.items() if attempt.sent_s + attempt.window_s <= now_s
+        ]
+        for digest in expired:
+            del self.in_flight[digest]
+
+    def _forget_finished(self, digest: bytes) -> None:
+        finished = self.finished.pop(digest, None)
+        if finished is not None:
+            self._record_bytes -= len(finished.record)
+
+    def snapshot(self) -> Iterator[AnyLogRecord]:
+        """Yield records that add up to this state."""
+        yield LogReset()
+        yield from self.finished.values()
+        yield from self.in_flight.values()
 
     def needed_bytes(self) -> int:
-        """About how large a snapshot is."""
-        return 160 * len(self.open) + 60 * len(self.ended) + self._bytes + 16
+        """Return the approximate size of a snapshot."""
+        return (
+            IN_FLIGHT_SNAPSHOT_BYTES * len(self.in_flight)
+            + FINISHED_SNAPSHOT_BYTES * len(self.finished)
+            + self._record_bytes
+            + RESET_SNAPSHOT_BYTES
+        )
 
     def doubt(self) -> None:
-        """Records are lost: what was noted may have ended, which an unknown outcome says as well."""
+        """Note that records were lost."""
         self.in_doubt = True
 
-    def relieve(self) -> tuple[AnyEntry, ...]:
-        """The table is bounded; so is this."""
+    def relieve(self) -> tuple[AnyLogRecord, ...]:
+        """Return no records: the bound of the operation table bounds this state too."""
         return ()
 
-    def known(self) -> Iterator[tuple[bytes, bytes]]:
-        """What the next life must know: ended ones as they are; open ones may have run, and are unknown, or
-        where a key protects them go again."""
-        for digest, ended in self.ended.items():
-            yield digest, ended.packed
-        for digest, noted in self.open.items():
-            fate = Fate.AGAIN if noted.effect is Idempotency.WITH_KEY else Fate.UNKNOWN
-            yield (
-                digest,
-                pack(
-                    Packed(
-                        fate,
-                        noted.at + noted.window_s,
-                        noted.fingerprint,
-                        noted.request_id,
-                        noted.effect,
-                        None,
-                        noted.worker,
-                        noted.at,
-                    )
-                ),
-            )
-
-
-NotesLog = Journal[AnyEntry, Notes]
-
-
-def open_notes(directory: str, segment_bytes: int, files: Files | None = None) -> NotesLog:
-    """Lock and read the notes. JournalError where another process holds them or they can't be read."""
-    return Journal(directory, Notes(), CODEC, segment_bytes, files)
+    def recovered_operations(self) -> Iterator[EncodedOperation]:
+        """Yield the operations that the next process or slot holder must know.
+
+        One that was in flight may have been executed: it is retryable where workers recognise its key, else
+        its outcome is unknown.
+        """
+        for digest, finished in self.finished.items():
+            yield digest, finished.record
+        for digest, attempt in self.in_flight.items():
+            yield digest, encode_record(_record_after_crash(attempt))
+
+
+def _record_after_crash(attempt: AttemptStarted) -> OperationRecord:
+    has_key = attempt.idempotency is Idempotency.WITH_KEY
+    return OperationRecord(
+        OperationState.RETRYABLE if has_key else OperationState.OUTCOME_UNKNOWN,
+        attempt.sent_s + attempt.window_s,
+        attempt.fingerprint,
+        attempt.request_id,
+        attempt.idempotency,
+        worker_id=attempt.worker_id,
+        sent_s=attempt.sent_s,
+    )
+
+
+OperationLog = Journal[AnyLogRecord, OperationLogState]
+
+
+def open_operation_log(directory: str, segment_bytes: int, files: Files | None = None) -> OperationLog:
+    """Lock a directory and read its log.
+
+    Raises:
+        JournalError: Another process holds the directory, or the log can't be read.
+    """
+    return Journal(directory, OperationLogState(), OPERATION_LOG_CODEC, segment_bytes, files)
--- a/saffronstack/operations/operation_service.py
+++ b/saffronstack/operations/operation_service.py
@@ -1,4 +1,4 @@
-"""Operations in service: who runs one, who waits for it, who gets its answer again; for every front."""
+"""Execution of operations with deduplication, coalescing and replay, for every front end."""
 
 from __future__ import annotations
 
@@ -7,437 +7,270 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-import structlog
-
-from saffronstack.durable.journal import JournalError, Ticket
-from saffronstack.operations import operation_log as records
-from saffronstack.operations.operation_log import NotesLog
-from saffronstack.operations.operation_table import (
-    Answer,
-    Begin,
-    Fate,
-    Join,
-    Mismatch,
-    Open,
-    Packed,
-    Repeat,
-    Table,
-    Turned,
-    unpack,
+from saffronstack.durable.journal import JournalError
+from saffronstack.operations.decisions import Coalesce, Decision, Execute, FingerprintMismatch, Reject, Replay
+from saffronstack.operations.errors import (
+    FingerprintMismatchError,
+    OperationTableFullError,
+    OutcomeUnknownError,
+    SlotNotHeldError,
 )
-from saffronstack.operations.request_coalescing import Recent, Reply
-from saffronstack.operations.response_store import Spool, digest_of
-from saffronstack.operations.slot_assignment import slot_of
+from saffronstack.operations.execution import Completed, ExecuteOperation, Execution, NotCompleted
+from saffronstack.operations.execution_finisher import ExecutionFinisher
+from saffronstack.operations.operation import (
+    EncodedOperation,
+    InFlightOperation,
+    OperationRecord,
+    OperationState,
+    StoredResponse,
+)
+from saffronstack.operations.operation_clock import OperationClock
+from saffronstack.operations.operation_log import OperationLog
+from saffronstack.operations.operation_recorder import OperationRecorder, RecordingAttemptGuard
+from saffronstack.operations.operation_request import OperationRequest, OperationResult
+from saffronstack.operations.operation_table import OperationTable
+from saffronstack.operations.record_format import decode_record
+from saffronstack.operations.request_coalescing import CacheableResponse, CoalescingCache
+from saffronstack.operations.response_store import ResponseStore, load_response
+from saffronstack.operations.slot_assignment import slot_for
 from saffronstack.routing.events import PriorAttempt
-from saffronstack.routing.settings import Idempotency
 from saffronstack.runtime.threads import start_thread
 
-CHECK_CLIENT_S = 0.2  # how often a waiting thread looks whether its client is still there
-EXPIRE_EVERY_S = 30.0
-BUSY_MOST_S = 1.0  # an attempt ends with its call's deadline, a margin after the refusal
-log = structlog.get_logger("saffronstack.operations")
-
-
-@dataclass(frozen=True, slots=True)
-class Rule:
-    """What an operation's class says of it."""
-
-    effect: Idempotency
-    window_s: float
-    durable: bool  # noted on the disk before its first byte leaves
-    owned: bool = True  # run by the holder of its slot alone; else by any member
-
-
-@dataclass(frozen=True, slots=True)
-class Done:
-    """A run's end: the answer that every send of the operation gets."""
-
-    answer: Answer
-    unknown: bool = False  # it says that the outcome is not known
+EXPIRY_INTERVAL_S = 30.0
+MAX_PRIOR_ATTEMPT_WAIT_S = 1.0  # an attempt ends at its call's deadline, which is soon after the rejection
+REQUEST_COUNTS = (
+    "begun",
+    "joined",
+    "repeated",
+    "unknown_repeated",
+    "mismatched",
+    "turned_away",
+)  # label values
 
 
 @dataclass(frozen=True, slots=True)
-class NotDone:
-    """A run's end without a final answer: refused, or nobody waited any more. ``prior``: the first attempt
-    that may have run; ``error`` is raised for whoever waits."""
-
-    error: Exception
-    prior: PriorAttempt | None = None
-    out_until_s: float = 0.0  # of the clock: one of its attempts may be out until then
-
-
-class MismatchedNameError(Exception):
-    """The name was given to another payload; its text names the request that has it."""
-
-
-class NoRoomError(Exception):
-    """The operation can't be remembered, and was not begun."""
-
-    def __init__(self, retry_after_s: float) -> None:
-        super().__init__("too many operations are remembered")
-        self.retry_after_s = retry_after_s
-
-
-class NotHeldError(Exception):
-    """Another member runs operations of its slot: nothing was touched here."""
+class OperationLimits:
+    """Bounds of the service.
 
+    Attributes:
+        max_inline_response_bytes: Larger response bodies go to the response store.
+        coalescing_cache_bytes: Memory for responses of idempotent operations.
+        commit_timeout_s: How long an attempt waits for the operation log.
+    """
 
-class ClientLeftError(Exception):
-    """The client ended its side while its operation was under way."""
+    max_inline_response_bytes: int = 65536
+    coalescing_cache_bytes: int = 64 * 1024 * 1024
+    commit_timeout_s: float = 2.0
 
 
-class Live:
-    """What an open operation's threads share."""
+class OperationService:
+    """Operations of one process. Thread-safe.
 
-    def __init__(self, opened: Open, rule: Rule) -> None:
-        self.opened = opened
-        self.rule = rule
-        self.done: threading.Event | None = None  # made for the first that joins, under the operations' lock
-        self.result: Done | NotDone | None = None
-        self._lock = threading.Lock()
-        self._waiters = 0  # besides the one that runs it
-        self._sent = False
-        self._left = False
-        self.noted: Ticket[records.AnyEntry] | None = None
-
-    def join(self) -> None:
-        """One more waits; the caller holds the operations' lock."""
-        if self.done is None:
-            self.done = threading.Event()
-        with self._lock:
-            self._waiters += 1
-
-    def part(self) -> None:
-        """One waits no more."""
-        with self._lock:
-            self._waiters -= 1
-
-    def may_leave(self) -> bool:
-        """Whether the work may be given up, its own client having left: nobody else waits, and nothing of it
-        can have had an effect. From then on nothing is sent."""
-        with self._lock:
-            if self._waiters or (self._sent and self.rule.effect is not Idempotency.IDEMPOTENT):
-                return False
-            self._left = True
-            return True
-
-    def going(self) -> bool:
-        """Whether an attempt may leave: it counts as sent from here on."""
-        with self._lock:
-            if self._left:
-                return False
-            self._sent = True
-            return True
-
-    @property
-    def sent(self) -> bool:
-        """Whether an attempt may have left."""
-        return self._sent
-
-
-# Runs an operation to its end on the thread that began it; the prior tells where and when (monotonic seconds)
-# an
-# earlier try may have run.
-Begun = Callable[[Live, PriorAttempt | None], Done | NotDone]
-
-
-class Operations:
-    """The table behind its lock, the notes, the threads that wait."""
+    Attributes:
+        table: Operations that are not idempotent by themselves; guarded by the service's lock.
+        coalescing_cache: Idempotent operations.
+        operation_log: None where operations are remembered in memory only.
+        response_store: None where large responses are not stored.
+        request_counts: Requests by what was decided on them, under the label values of the metric.
+    """
 
     def __init__(
         self,
-        table: Table,
+        table: OperationTable,
         clock: Callable[[], float],
-        wall: Callable[[], float],
-        notes: NotesLog | None = None,
-        spool: Spool | None = None,
-        answer_bytes: int = 65536,
-        recent_bytes: int = 64 * 1024 * 1024,
-        commit_timeout_s: float = 2.0,
+        wall_clock: Callable[[], float],
+        operation_log: OperationLog | None = None,
+        response_store: ResponseStore | None = None,
+        limits: OperationLimits | None = None,
     ) -> None:
-        """``answer_bytes``: larger answers go to the spool, or are kept by digest alone. ``recent_bytes``:
-        for safe operations, which have a memory of their own."""
-        self.recent: Recent[Reply] = Recent(recent_bytes)
-        self.answer_bytes = answer_bytes
+        """Create the service; ``clock`` is monotonic, ``wall_clock`` gives Unix seconds."""
+        limits = limits or OperationLimits()
         self.table = table
-        self.notes = notes
-        self.spool = spool
-        self.counts = {
-            name: 0
-            for name in ("begun", "joined", "repeated", "unknown_repeated", "mismatched", "turned_away")
-        }
-        self._clock = clock
-        self._offset = wall() - clock()  # Unix time that follows the monotonic clock from then on
-        self._commit_timeout_s = commit_timeout_s
-        self._lock = threading.Lock()
-        self._holds: Callable[[int], bool] | None = None
-        self._open_by_slot: Counter[int] = Counter()
-        self._ended = threading.Event()
+        self.coalescing_cache: CoalescingCache[CacheableResponse] = CoalescingCache(
+            limits.coalescing_cache_bytes
+        )
+        self.max_inline_response_bytes = limits.max_inline_response_bytes
+        self.operation_log = operation_log
+        self.response_store = response_store
+        self.request_counts = dict.fromkeys(REQUEST_COUNTS, 0)
+        self._clock = OperationClock(clock, wall_clock)
+        self._recorder = OperationRecorder(operation_log, self._clock, limits.commit_timeout_s)
+        self._is_slot_held: Callable[[int], bool] | None = None
+        self._lock = threading.Lock()  # guards the table, the counts by slot, and joins to executions
+        self._finisher = ExecutionFinisher(
+            table, self._lock, self._clock, self._recorder, response_store, limits.max_inline_response_bytes
+        )
+        self._in_flight_by_slot: Counter[int] = Counter()
         self._stopping = threading.Event()
+        self._stopped = threading.Event()
 
     def now(self) -> float:
-        """Unix seconds that never step."""
-        return self._clock() + self._offset
+        """Return the time in Unix seconds, by a clock that never steps."""
+        return self._clock.now()
+
+    def start(self, known: Iterable[EncodedOperation] = ()) -> None:
+        """Restore the log's operations and the ``known`` ones, and start the thread that expires them.
 
-    def start(self, known: Iterable[tuple[bytes, bytes]] = ()) -> None:
-        """Take up what earlier lives noted, and ``known`` besides; where slots are shared, with each slot."""
-        if self._holds is None:
-            self.restore([*known, *(self.notes.state.known() if self.notes is not None else ())])
+        Where slots are shared between processes, operations are restored with each slot instead.
+        """
+        if self._is_slot_held is None:
+            logged = self.operation_log.state.recovered_operations() if self.operation_log is not None else ()
+            self.restore([*known, *logged])
         start_thread("operations", self._run)
 
-    def share(self, holds: Callable[[int], bool]) -> None:
-        """From now on operations are run only in slots that ``holds`` says are held here; safe ones
-        anywhere."""
-        self._holds = holds
+    def stop(self, timeout_s: float = 5.0) -> bool:
+        """Stop the thread and close the log; return whether both ended in time."""
+        self._stopping.set()
+        has_stopped = self._stopped.wait(timeout_s)
+        return (self.operation_log is None or self.operation_log.close(timeout_s)) and has_stopped
+
+    def restrict_to_slots(self, is_slot_held: Callable[[int], bool]) -> None:
+        """Execute operations that require a slot only in slots that are held."""
+        self._is_slot_held = is_slot_held
 
-    def restore(self, known: Iterable[tuple[bytes, bytes]]) -> None:
-        """Know what other lives or members knew; what is known already stands. JournalError where it was
-        written by another version."""
+    def restore(self, known: Iterable[EncodedOperation]) -> None:
+        """Add operations of earlier processes or slot holders; those known already stay.
+
+        Raises:
+            JournalError: A record was written by another version.
+        """
         now = self.now()
         try:
-            found = [(unpack(packed).until, digest, packed) for digest, packed in known]
+            found = [(decode_record(encoded).expires_s, (digest, encoded)) for digest, encoded in known]
         except ValueError as error:
-            raise JournalError(f"operations noted by another version: {error}") from error
+            raise JournalError(f"operations logged by another version: {error}") from error
         with self._lock:
-            for until, digest, packed in sorted(found):
-                if until > now:
-                    self.table.restore(digest, packed)
+            for expires_s, (digest, encoded) in sorted(found):
+                if expires_s > now:
+                    self.table.restore(digest, encoded)
 
-    def open_in(self, slot: int) -> int:
-        """How many operations of a slot are under way."""
+    def count_in_flight(self, slot: int) -> int:
+        """Return how many operations of a slot are in flight."""
         with self._lock:
-            return self._open_by_slot[slot]
+            return self._in_flight_by_slot[slot]
 
-    def forget(self, slots: frozenset[int]) -> list[tuple[bytes, bytes]]:
-        """Another member takes slots over; what is known of their operations."""
+    def extract_slots(self, slots: frozenset[int]) -> list[EncodedOperation]:
+        """Remove and return the operations of slots that another process takes over."""
         with self._lock:
-            return self.table.take_out(lambda digest: slot_of(digest) in slots)
+            return self.table.extract(lambda digest: slot_for(digest) in slots)
 
-    def stop(self, timeout_s: float = 5.0) -> bool:
-        """Write what is queued and end; whether that was in time."""
-        self._stopping.set()
-        ended = self._ended.wait(timeout_s)
-        return (self.notes is None or self.notes.close(timeout_s)) and ended
-
-    def perform(
-        self,
-        digest: bytes,
-        fingerprint: bytes,
-        rule: Rule,
-        request_id: str,
-        run: Begun,
-        latest_s: float,
-        client_there: Callable[[], bool],
-    ) -> tuple[Answer, bool]:
-        """The operation's answer, and whether it was given before; ``latest_s``: how long its client waits,
-        by the clock. MismatchedNameError, NoRoomError, ClientLeftError, or the error of a run without a
-        final answer."""
-        slot = slot_of(digest)
-        while True:
-            with self._lock:
-                if rule.owned and self._holds is not None and not self._holds(slot):
-                    raise NotHeldError
-                step = self.table.send(
-                    digest, fingerprint, rule.effect, rule.window_s, request_id, self.now()
-                )
-                if isinstance(step, Begin):
-                    live = step.open.live = Live(step.open, rule)
-                    if rule.owned:
-                        self._open_by_slot[slot] += 1
-                elif isinstance(step, Join):
-                    assert isinstance(step.open.live, Live)
-                    live = step.open.live
-                    live.join()
-            if isinstance(step, Begin):
-                self.counts["begun"] += 1
-                return self._begin(live, run), False
-            if isinstance(step, Repeat):
-                return self._again(step.packed), True
-            if isinstance(step, Mismatch):
-                self.counts["mismatched"] += 1
-                raise MismatchedNameError(step.request_id)
-            if isinstance(step, Turned):
-                self.counts["turned_away"] += 1
-                raise NoRoomError(step.retry_after_s)
-            self.counts["joined"] += 1
-            try:
-                found = self._await(live, latest_s, client_there)
-            finally:
-                live.part()
-            if found is not None:
-                return found, True
-            # Nobody waited any more, just before this send came: it is the operation's next try.
-
-    def guard(self, live: Live) -> Guard:
-        """Asked before each attempt's first byte."""
-        return Guard(self, live)
-
-    def look(self, digest: bytes) -> Open | Packed | None:
-        """What is known of an operation."""
+    def find(self, digest: bytes) -> InFlightOperation | OperationRecord | None:
+        """Return what is known of an operation."""
         with self._lock:
             return self.table.find(digest)
 
-    # ---- inside
-
-    def _begin(self, live: Live, run: Begun) -> Answer:
-        opened = live.opened
-        again = opened.again
-        prior = None if again is None else PriorAttempt(again.worker, again.sent_at - self._offset)
-        result: Done | NotDone | None = None
+    def attempt_guard(self, execution: Execution) -> RecordingAttemptGuard:
+        """Return the guard that is asked before each attempt's first byte is sent."""
+        return RecordingAttemptGuard(self._recorder, execution)
+
+    def perform(self, request: OperationRequest, execute: ExecuteOperation) -> OperationResult:
+        """Return the operation's response: execute it, wait for its execution, or replay its response.
+
+        Raises:
+            SlotNotHeldError: Another process holds the operation's slot.
+            FingerprintMismatchError: The key belongs to another payload.
+            OperationTableFullError: There is no memory to remember the operation.
+            OutcomeUnknownError: It may have been executed, and no response is known.
+            ResponseNotStoredError: It completed, and its response's body is not stored.
+            OperationInProgressError: Its execution did not end until the request's deadline.
+            ClientDisconnectedError: The client disconnected meanwhile.
+            Exception: The error of an execution that did not complete.
+        """
+        while True:
+            decision = self._decide(request)
+            match decision:
+                case Execute(operation):
+                    self.request_counts["begun"] += 1
+                    return OperationResult(self._execute(_execution_of(operation), execute), False)
+                case Replay(record):
+                    return OperationResult(self._replay(record), True)
+                case FingerprintMismatch(request_id):
+                    self.request_counts["mismatched"] += 1
+                    raise FingerprintMismatchError(request_id)
+                case Reject(retry_after_s):
+                    self.request_counts["turned_away"] += 1
+                    raise OperationTableFullError(retry_after_s)
+                case Coalesce(operation):
+                    self.request_counts["joined"] += 1
+                    response = _execution_of(operation).wait(request, self._clock.monotonic)
+                    if response is not None:
+                        return OperationResult(response, True)
+                    # The execution was abandoned just before this request joined: it is the next to execute.
+
+    def _decide(self, request: OperationRequest) -> Decision:
+        policy, slot = request.policy, slot_for(request.digest)
+        with self._lock:
+            if policy.requires_slot and self._is_slot_held is not None and not self._is_slot_held(slot):
+                raise SlotNotHeldError(f"slot {slot} is not held by this process")
+            decision = self.table.admit(
+                request.digest,
+                request.fingerprint,
+                policy.idempotency,
+                policy.window_s,
+                request.request_id,
+                self.now(),
+            )
+            if isinstance(decision, Execute):
+                decision.operation.execution = Execution(decision.operation, policy)
+                if policy.requires_slot:
+                    self._in_flight_by_slot[slot] += 1
+            elif isinstance(decision, Coalesce):
+                _execution_of(decision.operation).join()
+        return decision
+
+    def _execute(self, execution: Execution, execute: ExecuteOperation) -> StoredResponse:
+        operation = execution.operation
+        outcome: Completed | NotCompleted | None = None
         try:
-            if again is not None and (pause_s := again.busy_until - self.now()) > 0:
-                self._stopping.wait(min(pause_s, BUSY_MOST_S))  # one attempt out at a time
-            result = run(live, prior)
+            self._wait_for_previous_attempt(operation)
+            outcome = execute(execution, self._prior_attempt(operation))
         finally:
-            # A run that fell over may have had its effect: nothing more can be known than that.
-            live.result = result
-            if result is None and live.sent and live.rule.effect is not Idempotency.IDEMPOTENT:
-                self._close(live, Fate.UNKNOWN, None)
-            elif result is None:
-                self._release(live)
-            elif isinstance(result, Done):
-                self._finish(live, result)
-            else:
-                self._refused(live, result)
-            if live.rule.owned:
+            execution.outcome = outcome
+            self._finisher.finish(execution, outcome)
+            if execution.policy.requires_slot:
                 with self._lock:
-                    self._open_by_slot[slot_of(opened.digest)] -= 1
-            if live.done is not None:  # nobody joins any more: the table knows its end
-                live.done.set()
-        if isinstance(result, NotDone):
-            raise result.error
-        return result.answer
-
-    def _await(self, live: Live, latest_s: float, client_there: Callable[[], bool]) -> Answer | None:
-        """The answer of one that another send runs; None where it was given up and can be begun anew."""
-        assert live.done is not None
-        while not live.done.wait(min(CHECK_CLIENT_S, max(0.0, latest_s - self._clock()))):
-            if self._clock() >= latest_s:
-                raise TimeoutError("the operation is still under way")
-            if not client_there():
-                raise ClientLeftError
-        result = live.result
-        if isinstance(result, Done):
-            return result.answer
-        if isinstance(result, NotDone) and not isinstance(result.error, ClientLeftError):
-            raise result.error
-        return None
-
-    def _again(self, packed: Packed) -> Answer:
-        self.counts["repeated" if packed.fate is Fate.ENDED else "unknown_repeated"] += 1
-        answer = packed.answer
-        if answer is None:  # noted in an earlier life, which ended before it had an answer
-            raise OutcomeUnknownError(packed.request_id)
-        if not answer.digest:
-            return answer
-        spool = self.spool if answer.spool else None
-        body = spool.get(answer.spool, answer.digest) if spool is not None else None
-        if body is None:
-            raise AnswerNotKeptError(packed.request_id, answer)
-        return Answer(answer.status, answer.headers, body)
-
-    def _finish(self, live: Live, done: Done) -> None:
-        if live.rule.effect is Idempotency.IDEMPOTENT and done.unknown:
-            self._release(live)  # trying again harms nobody
+                    self._in_flight_by_slot[slot_for(operation.digest)] -= 1
+            if execution.done is not None:  # no request joins any more: the table knows the operation's end
+                execution.done.set()
+        if isinstance(outcome, NotCompleted):
+            raise outcome.error
+        return outcome.response
+
+    def _prior_attempt(self, operation: InFlightOperation) -> PriorAttempt | None:
+        previous = operation.previous
+        if previous is None:
+            return None
+        return PriorAttempt(previous.worker_id, self._clock.to_monotonic(previous.sent_s))
+
+    def _wait_for_previous_attempt(self, operation: InFlightOperation) -> None:
+        """Wait until no attempt of an earlier execution is in flight, for a bounded time."""
+        if operation.previous is None:
             return
-        answer = done.answer
-        if len(answer.body) > self.answer_bytes:
-            digest, name = digest_of(answer.body), live.opened.digest.hex()
-            kept = self.spool is not None and self.spool.put(name, answer.body)
-            answer = Answer(
-                answer.status, answer.headers, b"", name if kept else "", digest, len(answer.body)
-            )
-        self._close(live, Fate.UNKNOWN if done.unknown else Fate.ENDED, answer)
-
-    def _refused(self, live: Live, refused: NotDone) -> None:
-        prior = refused.prior
-        if prior is None or live.rule.effect is Idempotency.IDEMPOTENT:
-            self._release(live)
-            return
-        with self._lock:
-            now = self.now()
-            busy = refused.out_until_s + self._offset if refused.out_until_s else 0.0
-            packed = self.table.leave(live.opened, prior.worker_id, prior.sent_s + self._offset, now, busy)
-        self._note_end(live, packed, now)
-
-    def _close(self, live: Live, fate: Fate, answer: Answer | None) -> None:
-        with self._lock:
-            now = self.now()
-            packed = self.table.end(live.opened, fate, answer, now)
-        self._note_end(live, packed, now)
-
-    def _note_end(self, live: Live, packed: bytes, now: float) -> None:
-        if self.notes is not None and live.noted is not None:
-            opened = live.opened
-            self.notes.append(records.Ended(opened.digest, packed, now + opened.window_s))
-
-    def _release(self, live: Live) -> None:
-        with self._lock:
-            forgotten = self.table.release(live.opened, self.now())
-        if forgotten and self.notes is not None and live.noted is not None:
-            self.notes.append(records.Released(live.opened.digest))
-
-    def note(self, live: Live, worker: int) -> bool:
-        """Make it durable that an attempt leaves for a worker; False: it must not."""
-        notes, opened = self.notes, live.opened
-        if notes is None:
-            return True
-        if live.noted is not None:
-            return live.noted.done.wait(self._commit_timeout_s) and live.noted.durable
-        if notes.stalled_s > 0:
-            return False  # it would wait behind what hangs already
-        ticket = notes.append(
-            records.Noted(
-                opened.digest,
-                opened.fingerprint,
-                opened.effect,
-                opened.request_id,
-                opened.window_s,
-                worker,
-                self.now(),
-            )
-        )
-        if not ticket.done.wait(self._commit_timeout_s) and ticket.revoke():
-            return False
-        if ticket.error is not None:
-            return False
-        live.noted = ticket  # written, or on its way for certain: then the end is noted behind it
-        return ticket.done.wait(self._commit_timeout_s) and ticket.durable
+        wait_s = operation.previous.attempt_in_flight_until_s - self.now()
+        if wait_s > 0:
+            self._stopping.wait(min(wait_s, MAX_PRIOR_ATTEMPT_WAIT_S))
+
+    def _replay(self, record: OperationRecord) -> StoredResponse:
+        is_completed = record.state is OperationState.COMPLETED
+        self.request_counts["repeated" if is_completed else "unknown_repeated"] += 1
+        response = load_response(self.response_store, record)
+        if response is None:  # the process that executed it crashed before it had a response
+            raise OutcomeUnknownError(record.request_id)
+        return response
 
     def _run(self) -> None:
+        """Expire operations until the service stops. Runs on the thread ``operations``."""
         try:
-            while not self._stopping.wait(EXPIRE_EVERY_S):
+            while not self._stopping.wait(EXPIRY_INTERVAL_S):
                 with self._lock:
                     now = self.now()
                     self.table.expire(now)
-                if self.notes is not None:
-                    self.notes.append(records.Expired(now))
+                self._recorder.record_expiry(now)
         finally:
-            self._ended.set()
-
-
-class OutcomeUnknownError(Exception):
-    """It may have run before the gateway was killed; its text is the first request's id."""
-
-
-class AnswerNotKeptError(Exception):
-    """It ended, and its answer was too large to keep."""
-
-    def __init__(self, request_id: str, answer: Answer) -> None:
-        super().__init__(request_id)
-        self.answer = answer
-
-
-class Guard:
-    """A `AttemptGuard`: marks an operation as sent, and notes it durably where its class wants that."""
+            self._stopped.set()
 
-    def __init__(self, owner: Operations, live: Live) -> None:
-        self._owner = owner
-        self._live = live
 
-    def may_send(self, attempt: int, worker_id: int) -> bool:
-        """False: the attempt must not leave. Waits for the disk, bounded."""
-        live = self._live
-        if live.rule.durable and not self._owner.note(live, worker_id):
-            return False
-        return live.going()
+def _execution_of(operation: InFlightOperation) -> Execution:
+    execution = operation.execution
+    assert isinstance(execution, Execution)  # `_decide` sets it before any other thread sees the operation
+    return execution
--- a/saffronstack/operations/operation_table.py
+++ b/saffronstack/operations/operation_table.py
@@ -1,411 +1,244 @@
-"""What is known of operations, and what a send of one means. No I/O, no clock of its own.
+"""The table of operations: decides what a request means, within a bound on memory. No I/O and no clock.
 
-An operation is *open* from its first send until it has its answer; *ended* with an answer, which every later
-send gets; *unknown* where it may have run and no answer came, which is an answer too; or *again*: a keyed one
-that was refused after it may have run, or whose gateway was killed, and goes again where it went before.
-
-What ended is packed into bytes. Over the memory ceiling the oldest that ended goes first; what is open,
-unknown or to go again stays for its window, and new operations that are not safe are turned away before that.
+An operation is in flight from its first request until it has its response. Afterwards its encoded record
+stays until its deduplication window ends. Over the memory limit the completed operation that expires first is
+evicted. Operations in flight, with an unknown outcome or to be retried are never evicted; new operations that
+are not idempotent are rejected instead.
 """
 
 from __future__ import annotations
 
-import uuid
-from collections import deque
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
-from enum import Enum
-from heapq import merge
-
-import msgspec
 
-from saffronstack.routing.settings import Idempotency
-
-ENTRY_BYTES = 330  # an entry's own, beside its packed answer: table, key, queue (measured, rounded up)
-OPEN_BYTES = 1200
-LOOK_S = 0.5  # between looks at what is past its window
-
-
-class Fate(Enum):
-    """How an operation stands once it is not open."""
-
-    ENDED = "ended"
-    UNKNOWN = "unknown"
-    AGAIN = "again"
-
-
-class Answer(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """An operation's final answer, or where it is kept. ``spool``: a file's name; ``digest``: of a body that
-    is not at hand."""
-
-    status: int
-    headers: tuple[tuple[str, str], ...]
-    body: bytes = b""
-    spool: str = ""
-    digest: str = ""
-    length: int = 0
-
-
-class Packed(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What stays of an operation; times in steady Unix seconds. ``worker`` and ``sent_at``: the first attempt
-    that may have run, of one that goes again."""
-
-    fate: Fate
-    until: float
-    fingerprint: bytes
-    request_id: str
-    effect: Idempotency
-    answer: Answer | None = None
-    worker: int = 0
-    sent_at: float = 0.0
-    busy_until: float = 0.0  # an attempt of the refused try may be out until then
-
-
-# What nearly every answer's headers are made of stands as numbers: a million answers are kept.
-_WORDS = (
-    "Content-Type",
-    "x-amzn-RequestId",
-    "X-Amz-Executed-Version",
-    "X-Amz-Function-Error",
-    "X-Amz-Log-Result",
-    "application/json",
-    "$LATEST",
-    "Unhandled",
-    "Handled",
+from saffronstack.operations.decisions import Coalesce, Decision, Execute, FingerprintMismatch, Reject, Replay
+from saffronstack.operations.expiry_queue import ExpiryQueue
+from saffronstack.operations.operation import (
+    EncodedOperation,
+    InFlightOperation,
+    OperationRecord,
+    OperationState,
+    StoredResponse,
 )
-_NUMBERS = {word: number for number, word in enumerate(_WORDS)}
-_REQUEST_ID = len(_WORDS)  # the operation's own
-_Word = int | str
-
-
-class _Wire(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    fate: Fate
-    until: float
-    fingerprint: bytes
-    request_id: bytes  # "u" and a UUID's bytes, or "t" and a text
-    effect: Idempotency
-    status: int = 0  # no answer
-    words: tuple[_Word, ...] = ()
-    body: bytes = b""
-    spool: str = ""
-    digest: str = ""
-    length: int = 0
-    worker: int = 0
-    sent_at: float = 0.0
-    busy_until: float = 0.0
-
-
-_encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(_Wire).decode
-
-
-def _short_id(request_id: str) -> bytes:
-    try:
-        short = uuid.UUID(request_id)
-    except ValueError:
-        return b"t" + request_id.encode()
-    return b"u" + short.bytes if str(short) == request_id else b"t" + request_id.encode()
-
-
-def _long_id(short: bytes) -> str:
-    return str(uuid.UUID(bytes=short[1:])) if short[:1] == b"u" else short[1:].decode()
-
-
-def pack(what: Packed) -> bytes:
-    """As bytes."""
-    answer = what.answer or Answer(0, ())
-    words = tuple(
-        _REQUEST_ID if word == what.request_id else _NUMBERS.get(word, word)
-        for header in answer.headers
-        for word in header
-    )
-    return _encode(
-        _Wire(
-            what.fate,
-            what.until,
-            what.fingerprint,
-            _short_id(what.request_id),
-            what.effect,
-            answer.status,
-            words,
-            answer.body,
-            answer.spool,
-            answer.digest,
-            answer.length,
-            what.worker,
-            what.sent_at,
-            what.busy_until,
-        )
-    )
-
-
-def unpack(data: bytes) -> Packed:
-    """From bytes; ValueError where they are none."""
-    wire = _decode(data)
-    request_id = _long_id(wire.request_id)
-    answer = None
-    if wire.status:
-        words = [
-            request_id if w == _REQUEST_ID else _WORDS[w] if isinstance(w, int) else w for w in wire.words
-        ]
-        headers = tuple(zip(words[0::2], words[1::2], strict=True))
-        answer = Answer(wire.status, headers, wire.body, wire.spool, wire.digest, wire.length)
-    return Packed(
-        wire.fate,
-        wire.until,
-        wire.fingerprint,
-        request_id,
-        wire.effect,
-        answer,
-        wire.worker,
-        wire.sent_at,
-        wire.busy_until,
-    )
-
-
-@dataclass(eq=False, slots=True)
-class Open:
-    """An operation under way; its service hangs what it needs on it."""
-
-    digest: bytes
-    fingerprint: bytes
-    effect: Idempotency
-    window_s: float
-    request_id: str
-    since: float
-    again: Packed | None = None  # what an earlier try left, for one that goes again
-    live: object = None
-
-
-@dataclass(frozen=True, slots=True)
-class Begin:
-    """The send is the operation's own: run it."""
-
-    open: Open
-
-
-@dataclass(frozen=True, slots=True)
-class Join:
-    """It is under way: wait for its answer."""
-
-    open: Open
-
-
-@dataclass(frozen=True, slots=True)
-class Repeat:
-    """It has its answer, or its outcome is unknown."""
-
-    packed: Packed
-
-
-@dataclass(frozen=True, slots=True)
-class Mismatch:
-    """The name was given to something else."""
-
-    request_id: str
-
-
-@dataclass(frozen=True, slots=True)
-class Turned:
-    """There is no room to remember it; nothing was touched."""
-
-    retry_after_s: float
+from saffronstack.operations.record_format import decode_record, encode_record
+from saffronstack.routing.settings import Idempotency
 
+# Bytes of an entry beside its encoded record: table, key and queue (measured, rounded up).
+RECORD_OVERHEAD_BYTES = 330
+IN_FLIGHT_BYTES = 1200
+EXPIRY_INTERVAL_S = 0.5  # between two scans for expired operations
+RETRY_AFTER_IN_FLIGHT_S = 1.0  # where only operations in flight take the memory: they end at any time
+MIN_RETRY_AFTER_S = 0.1
 
-Step = Begin | Join | Repeat | Mismatch | Turned
 
+class OperationTable:
+    """Operations by digest. Not thread-safe: the owner holds a lock around each call.
 
-class Table:
-    """Operations by digest. Its owner holds a lock of its own around each call."""
+    Attributes:
+        memory_bytes: Estimated memory of all entries.
+        evicted_early: Completed operations that were evicted before their window ended.
+    """
 
-    def __init__(self, memory_bytes: int) -> None:
-        self._most = memory_bytes
-        self._entries: dict[bytes, Open | bytes] = {}
-        self._ended: dict[float, deque[tuple[float, bytes]]] = {}  # by window: until, digest
-        self._kept: dict[float, deque[tuple[float, bytes]]] = {}  # unknown, and to go again
-        self.bytes = 0
-        self.opened = 0
-        self._look_s = 0.0  # when the queues are looked at next
-        self.dropped_early = 0  # ended operations that left before their window did
+    def __init__(self, memory_limit_bytes: int) -> None:
+        self._memory_limit_bytes = memory_limit_bytes
+        self._entries: dict[bytes, InFlightOperation | bytes] = {}
+        self._evictable = ExpiryQueue()  # completed operations
+        self._retained = ExpiryQueue()  # operations with an unknown outcome, or to be retried
+        self._next_expiry_s = 0.0
+        self.memory_bytes = 0
+        self.evicted_early = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    # ---- sends
-
-    def send(
+    def admit(
         self,
         digest: bytes,
         fingerprint: bytes,
-        effect: Idempotency,
+        idempotency: Idempotency,
         window_s: float,
         request_id: str,
         now: float,
-    ) -> Step:
-        """What a send means. ``Begin`` opens the operation; it must be ended, left or released."""
-        if now >= self._look_s:
+    ) -> Decision:
+        """Decide what a request means.
+
+        An `Execute` puts the operation in flight; `complete`, `mark_retryable` or `release` must end it.
+        """
+        if now >= self._next_expiry_s:
             self.expire(now)
         entry = self._entries.get(digest)
-        if isinstance(entry, Open):
+        if isinstance(entry, InFlightOperation):
             if entry.fingerprint != fingerprint:
-                return Mismatch(entry.request_id)
-            return Join(entry)
-        again = None
+                return FingerprintMismatch(entry.request_id)
+            return Coalesce(entry)
+        previous = None
         if entry is not None:
-            packed = unpack(entry)
-            if packed.fingerprint != fingerprint:
-                return Mismatch(packed.request_id)
-            if packed.until > now:  # its queue may stand behind others'
-                if packed.fate is not Fate.AGAIN:
-                    return Repeat(packed)
-                again = packed
+            record = decode_record(entry)
+            if record.fingerprint != fingerprint:
+                return FingerprintMismatch(record.request_id)
+            if record.expires_s > now:  # an expired record may still wait for its removal
+                if record.state is not OperationState.RETRYABLE:
+                    return Replay(record)
+                previous = record
             self._remove(digest, entry)
-        if not self._room(effect):
+        if not self._make_room(idempotency):
             if entry is not None:
-                self._put(digest, entry)
-            return Turned(self._free_in(now))
-        opened = Open(digest, fingerprint, effect, window_s, request_id, now, again)
-        if again is not None:
-            opened.request_id = again.request_id
-        if self.bytes + OPEN_BYTES <= self._most:  # else it is safe, and runs without being remembered
-            self._put(digest, opened)
-        self.opened += 1
-        return Begin(opened)
-
-    def end(self, opened: Open, fate: Fate, answer: Answer | None, now: float) -> bytes:
-        """It has its answer, or none that can be known; what stays of it."""
-        return self._close(
-            opened,
-            Packed(fate, now + opened.window_s, opened.fingerprint, opened.request_id, opened.effect, answer),
-            now,
+                self._insert(digest, entry)
+            return Reject(self._retry_after_s(now))
+        if previous is not None:
+            request_id = previous.request_id
+        operation = InFlightOperation(digest, fingerprint, idempotency, window_s, request_id, now, previous)
+        if self.memory_bytes + IN_FLIGHT_BYTES <= self._memory_limit_bytes:
+            self._insert(digest, operation)  # else it is idempotent, and executed without being remembered
+        return Execute(operation)
+
+    def complete(
+        self, operation: InFlightOperation, state: OperationState, response: StoredResponse | None, now: float
+    ) -> bytes:
+        """End an operation that has its response, or whose outcome is unknown; return its encoded record."""
+        record = OperationRecord(
+            state,
+            now + operation.window_s,
+            operation.fingerprint,
+            operation.request_id,
+            operation.idempotency,
+            response,
         )
+        return self._close(operation, record)
 
-    def leave(self, opened: Open, worker: int, sent_at: float, now: float, busy_until: float = 0.0) -> bytes:
-        """It may have run and was refused: it goes again, where it went first, until its window ends."""
-        first = opened.again
+    def mark_retryable(
+        self,
+        operation: InFlightOperation,
+        worker_id: int,
+        sent_s: float,
+        now: float,
+        attempt_in_flight_until_s: float = 0.0,
+    ) -> bytes:
+        """End an operation that was rejected after it may have been executed; return its encoded record.
+
+        Its retries go to the worker of its first attempt until the window ends.
+        """
+        first = operation.previous
         if first is not None:
-            worker, sent_at = first.worker, first.sent_at
-        packed = Packed(
-            Fate.AGAIN,
-            now + opened.window_s,
-            opened.fingerprint,
-            opened.request_id,
-            opened.effect,
-            None,
-            worker,
-            sent_at,
-            busy_until,
+            worker_id, sent_s = first.worker_id, first.sent_s
+        record = OperationRecord(
+            OperationState.RETRYABLE,
+            now + operation.window_s,
+            operation.fingerprint,
+            operation.request_id,
+            operation.idempotency,
+            worker_id=worker_id,
+            sent_s=sent_s,
+            attempt_in_flight_until_s=attempt_in_flight_until_s,
         )
-        return self._close(opened, packed, now)
+        return self._close(operation, record)
 
-    def release(self, opened: Open, now: float) -> bool:
-        """It never ran: as if it had never been sent, unless an earlier try may have; then that stands again.
-        Whether it is forgotten."""
-        if self._entries.get(opened.digest) is not opened:
+    def release(self, operation: InFlightOperation) -> bool:
+        """End an operation that was not executed; return whether nothing of it is remembered.
+
+        Where an earlier execution of it may have happened, that one's record stands again.
+        """
+        if self._entries.get(operation.digest) is not operation:
             return True
-        if opened.again is not None:
-            self._close(opened, opened.again, now)
+        if operation.previous is not None:
+            self._close(operation, operation.previous)
             return False
-        self._remove(opened.digest, opened)
+        self._remove(operation.digest, operation)
         return True
 
-    def restore(self, digest: bytes, packed: bytes) -> None:
-        """What an earlier life knew."""
-        known = self._entries.get(digest)
-        if known is None:
-            self._put(digest, packed)
-            what = unpack(packed)
-            queues = self._ended if what.fate is Fate.ENDED else self._kept
-            queues.setdefault(0.0, deque()).append((what.until, digest))
-
-    def take_out(self, which: Callable[[bytes], bool]) -> list[tuple[bytes, bytes]]:
-        """Forget some that are not open; what was known of them."""
-        found = [(d, e) for d, e in self._entries.items() if isinstance(e, bytes) and which(d)]
+    def restore(self, digest: bytes, encoded: bytes) -> None:
+        """Add the record of an earlier process or slot holder; one that is known already stays."""
+        if digest not in self._entries:
+            self._insert(digest, encoded)
+            record = decode_record(encoded)
+            self._queue_for(record.state).add(0.0, record.expires_s, digest)
+
+    def extract(self, matches: Callable[[bytes], bool]) -> list[EncodedOperation]:
+        """Remove and return the operations not in flight whose digest matches."""
+        found = [
+            (digest, entry)
+            for digest, entry in self._entries.items()
+            if isinstance(entry, bytes) and matches(digest)
+        ]
         for digest, entry in found:
             self._remove(digest, entry)
         return found
 
-    def find(self, digest: bytes) -> Open | Packed | None:
-        """What is known of one."""
+    def find(self, digest: bytes) -> InFlightOperation | OperationRecord | None:
+        """Return what is known of an operation."""
         entry = self._entries.get(digest)
-        return unpack(entry) if isinstance(entry, bytes) else entry
-
-    def expire(self, now: float) -> list[bytes]:
-        """Forget what is past its window; the digests."""
-        gone: list[bytes] = []
-        self._look_s = now + LOOK_S
-        for queues in (self._ended, self._kept):
-            for queue in queues.values():
-                while queue and queue[0][0] <= now:
-                    until, digest = queue.popleft()
-                    if self._drop(digest, until):
-                        gone.append(digest)
-        return gone
+        return decode_record(entry) if isinstance(entry, bytes) else entry
+
+    def expire(self, now: float) -> None:
+        """Remove all operations whose window has ended."""
+        self._next_expiry_s = now + EXPIRY_INTERVAL_S
+        for queue in (self._evictable, self._retained):
+            for expires_s, digest in queue.pop_expired(now):
+                self._remove_expired(digest, expires_s)
 
     def counts(self) -> Iterator[tuple[str, int]]:
-        """How many are known, by how they stand."""
-        kept = sum(map(len, self._kept.values()))
-        ended = sum(map(len, self._ended.values()))
-        yield "unknown_or_again", kept
-        yield "ended", ended
-        yield "open", max(0, len(self._entries) - kept - ended)
-
-    # ---- inside
-
-    def _close(self, opened: Open, packed: Packed, now: float) -> bytes:
-        data = pack(packed)
-        if self._entries.get(opened.digest) is opened:
-            self._remove(opened.digest, opened)
-            self._put(opened.digest, data)
-            queues = self._ended if packed.fate is Fate.ENDED else self._kept
-            queues.setdefault(opened.window_s, deque()).append((packed.until, opened.digest))
-            self._shrink()
-        return data
-
-    def _put(self, digest: bytes, entry: Open | bytes) -> None:
+        """Yield how many operations are known by state, under the names of the metrics."""
+        retained, completed = len(self._retained), len(self._evictable)
+        yield "unknown_or_again", retained
+        yield "ended", completed
+        yield "open", max(0, len(self._entries) - retained - completed)
+
+    def _close(self, operation: InFlightOperation, record: OperationRecord) -> bytes:
+        digest, encoded = operation.digest, encode_record(record)
+        if self._entries.get(digest) is operation:
+            self._remove(digest, operation)
+            self._insert(digest, encoded)
+            self._queue_for(record.state).add(operation.window_s, record.expires_s, digest)
+            self._evict()
+        return encoded
+
+    def _queue_for(self, state: OperationState) -> ExpiryQueue:
+        return self._evictable if state is OperationState.COMPLETED else self._retained
+
+    def _insert(self, digest: bytes, entry: InFlightOperation | bytes) -> None:
         self._entries[digest] = entry
-        self.bytes += self._size(entry)
+        self.memory_bytes += _size_bytes(entry)
 
-    def _remove(self, digest: bytes, entry: Open | bytes) -> None:
+    def _remove(self, digest: bytes, entry: InFlightOperation | bytes) -> None:
         del self._entries[digest]
-        self.bytes -= self._size(entry)
-
-    @staticmethod
-    def _size(entry: Open | bytes) -> int:
-        return OPEN_BYTES if isinstance(entry, Open) else ENTRY_BYTES + len(entry)
+        self.memory_bytes -= _size_bytes(entry)
 
-    def _drop(self, digest: bytes, until: float) -> bool:
-        """Forget what a queue names, unless something newer stands under that digest."""
+    def _remove_expired(self, digest: bytes, expires_s: float) -> bool:
+        """Remove the record that a queue names, unless a newer one has taken its place."""
         entry = self._entries.get(digest)
-        if not isinstance(entry, bytes) or unpack(entry).until != until:
+        if not isinstance(entry, bytes) or decode_record(entry).expires_s != expires_s:
             return False
         self._remove(digest, entry)
         return True
 
-    def _shrink(self, more: int = 0) -> None:
-        """Room for so many bytes more under the ceiling, as far as what has ended goes."""
-        while self.bytes + more > self._most:
-            oldest = min(
-                (queue for queue in self._ended.values() if queue), key=lambda q: q[0][0], default=None
-            )
-            if oldest is None:
+    def _evict(self, needed_bytes: int = 0) -> None:
+        """Evict completed operations until ``needed_bytes`` more fit under the limit, or none is left."""
+        while self.memory_bytes + needed_bytes > self._memory_limit_bytes:
+            earliest = self._evictable.pop_earliest()
+            if earliest is None:
                 return
-            until, digest = oldest.popleft()
-            self.dropped_early += self._drop(digest, until)
-
-    def _room(self, effect: Idempotency) -> bool:
-        """Whether one more can be begun. A safe one always can: it may run without being remembered."""
-        self._shrink(OPEN_BYTES)
-        return effect is Idempotency.IDEMPOTENT or self.bytes + OPEN_BYTES <= self._most
-
-    def _free_in(self, now: float) -> float:
-        """When so many of those that stay have left their windows that one more can be open; a second where
-        only open ones stand, which end when they do."""
-        needed = self.bytes + OPEN_BYTES - self._most
-        for until, digest in merge(*self._kept.values()):
+            expires_s, digest = earliest
+            self.evicted_early += self._remove_expired(digest, expires_s)
+
+    def _make_room(self, idempotency: Idempotency) -> bool:
+        """Evict for one more operation; return whether it may be executed.
+
+        An idempotent one always may: it needs not be remembered.
+        """
+        self._evict(IN_FLIGHT_BYTES)
+        fits = self.memory_bytes + IN_FLIGHT_BYTES <= self._memory_limit_bytes
+        return fits or idempotency is Idempotency.IDEMPOTENT
+
+    def _retry_after_s(self, now: float) -> float:
+        """Return in how many seconds enough windows of retained operations end for one more operation."""
+        missing_bytes = self.memory_bytes + IN_FLIGHT_BYTES - self._memory_limit_bytes
+        for expires_s, digest in self._retained:
             entry = self._entries.get(digest)
             if isinstance(entry, bytes):
-                needed -= self._size(entry)
-                if needed <= 0:
-                    return max(0.1, until - now)
-        return 1.0
+                missing_bytes -= _size_bytes(entry)
+                if missing_bytes <= 0:
+                    return max(MIN_RETRY_AFTER_S, expires_s - now)
+        return RETRY_AFTER_IN_FLIGHT_S
+
+
+def _size_bytes(entry: InFlightOperation | bytes) -> int:
+    return IN_FLIGHT_BYTES if isinstance(entry, InFlightOperation) else RECORD_OVERHEAD_BYTES + len(entry)
--- /dev/null
+++ b/saffronstack/operations/record_format.py
@@ -0,0 +1,139 @@
+"""The stored form of operation records, in memory, in the operation log and in hand-over files.
+
+The order of the fields and of the common header words is data.
+"""
+
+from __future__ import annotations
+
+import uuid
+
+import msgspec
+
+from saffronstack.operations.operation import OperationRecord, OperationState, StoredResponse
+from saffronstack.routing.settings import Idempotency
+
+# Nearly all headers consist of these words. Numbers stand for them: a million responses may be remembered.
+_COMMON_WORDS = (
+    "Content-Type",
+    "x-amzn-RequestId",
+    "X-Amz-Executed-Version",
+    "X-Amz-Function-Error",
+    "X-Amz-Log-Result",
+    "application/json",
+    "$LATEST",
+    "Unhandled",
+    "Handled",
+)
+_NUMBER_BY_WORD = {word: number for number, word in enumerate(_COMMON_WORDS)}
+_OWN_REQUEST_ID = len(_COMMON_WORDS)  # the number that stands for the operation's request id
+_UUID_MARK = b"u"
+_TEXT_MARK = b"t"
+_Word = int | str
+
+
+class _StoredRecord(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
+    state: OperationState
+    expires_s: float
+    fingerprint: bytes
+    request_id: bytes  # a mark, then a UUID's bytes or a text
+    idempotency: Idempotency
+    status: int = 0  # 0: there is no response
+    header_words: tuple[_Word, ...] = ()
+    body: bytes = b""
+    file_name: str = ""
+    body_digest: str = ""
+    body_length: int = 0
+    worker_id: int = 0
+    sent_s: float = 0.0
+    attempt_in_flight_until_s: float = 0.0
+
+
+_encoder = msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(_StoredRecord)
+_NO_RESPONSE = StoredResponse(0, ())
+
+
+def encode_record(record: OperationRecord) -> bytes:
+    """Encode a record."""
+    response = record.response or _NO_RESPONSE
+    return _encoder.encode(
+        _StoredRecord(
+            record.state,
+            record.expires_s,
+            record.fingerprint,
+            _encode_request_id(record.request_id),
+            record.idempotency,
+            response.status,
+            _encode_headers(response.headers, record.request_id),
+            response.body,
+            response.file_name,
+            response.body_digest,
+            response.body_length,
+            record.worker_id,
+            record.sent_s,
+            record.attempt_in_flight_until_s,
+        )
+    )
+
+
+def decode_record(data: bytes) -> OperationRecord:
+    """Decode a record.
+
+    Raises:
+        ValueError: The bytes are no record of this version.
+    """
+    stored = _decoder.decode(data)
+    request_id = _decode_request_id(stored.request_id)
+    response = None
+    if stored.status:
+        response = StoredResponse(
+            stored.status,
+            _decode_headers(stored.header_words, request_id),
+            stored.body,
+            stored.file_name,
+            stored.body_digest,
+            stored.body_length,
+        )
+    return OperationRecord(
+        stored.state,
+        stored.expires_s,
+        stored.fingerprint,
+        request_id,
+        stored.idempotency,
+        response,
+        stored.worker_id,
+        stored.sent_s,
+        stored.attempt_in_flight_until_s,
+    )
+
+
+def _encode_headers(headers: tuple[tuple[str, str], ...], request_id: str) -> tuple[_Word, ...]:
+    return tuple(
+        _OWN_REQUEST_ID if word == request_id else _NUMBER_BY_WORD.get(word, word)
+        for header in headers
+        for word in header
+    )
+
+
+def _decode_headers(words: tuple[_Word, ...], request_id: str) -> tuple[tuple[str, str], ...]:
+    texts = [
+        request_id if word == _OWN_REQUEST_ID else _COMMON_WORDS[word] if isinstance(word, int) else word
+        for word in words
+    ]
+    return tuple(zip(texts[0::2], texts[1::2], strict=True))
+
+
+def _encode_request_id(request_id: str) -> bytes:
+    try:
+        parsed = uuid.UUID(request_id)
+    except ValueError:  # any text is a request id
+        return _TEXT_MARK + request_id.encode()
+    if str(parsed) != request_id:
+        return _TEXT_MARK + request_id.encode()
+    return _UUID_MARK + parsed.bytes
+
+
+def _decode_request_id(stored: bytes) -> str:
+    if stored[:1] == _UUID_MARK:
+        return str(uuid.UUID(bytes=stored[1:]))
+    return stored[1:].decode()
--- a/saffronstack/operations/request_coalescing.py
+++ b/saffronstack/operations/request_coalescing.py
@@ -1,116 +1,169 @@
-"""Safe operations, joined and answered again for as long as a bounded memory goes. No I/O.
+"""Coalescing and caching of idempotent requests. No I/O.
 
-Running one twice harms nobody, so nothing here is noted, owned or spooled, and each call pays a few
-microseconds: a look at the start and one at the end. The oldest leave first.
+Executing an idempotent operation twice does no harm, so nothing of it is logged, owned by a slot or written
+to a file, and a request pays two dictionary look-ups: one at its start, one at its end. The oldest responses
+are evicted first.
 """
 
 from __future__ import annotations
 
 import threading
 from collections import deque
-from typing import Generic, Protocol, TypeVar
+from typing import Generic, NamedTuple, Protocol, TypeVar
 
-ENTRY_BYTES = 1600  # an entry with its answer's headers, beside the body (measured, rounded up)
-T = TypeVar("T")
-Key = tuple[str, str, str, str]  # tenant, function, qualifier, token
+ENTRY_OVERHEAD_BYTES = 1600  # of an entry with its response's headers, beside the body (measured, rounded up)
 
 
-class Reply(Protocol):
-    """An answer of any front."""
+class CacheableResponse(Protocol):
+    """A response of any front end."""
 
     @property
     def status(self) -> int:
-        """Its status."""
+        """The status code."""
         ...
 
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
-        """Its headers."""
+        """The header fields."""
         ...
 
     @property
     def body(self) -> bytes:
-        """Its body."""
+        """The body."""
         ...
 
 
-class Shared(Generic[T]):
-    """A safe operation: open until it has an answer."""
+ResponseT = TypeVar("ResponseT")
 
-    __slots__ = ("_waiters", "answer", "done", "key", "mark", "request_id", "since", "size", "until")
 
-    def __init__(self, key: Key, mark: int, request_id: str, since: float) -> None:
+class CacheKey(NamedTuple):
+    """What identifies an idempotent operation."""
+
+    tenant: str
+    function: str
+    qualifier: str
+    idempotency_key: str
+
+
+class CacheEntry(Generic[ResponseT]):
+    """An idempotent operation: in flight until it has a response.
+
+    Attributes:
+        size_bytes: Estimated memory, once it has a response.
+        payload_hash: The same in all requests of the operation.
+        request_id: The request that executes or executed it.
+        started_s: When it was started, by the cache's clock.
+        expires_s: When its response expires, by the cache's clock.
+        done: Set at its end; made for the first request that waits for it.
+    """
+
+    __slots__ = (
+        "_waiters",
+        "done",
+        "expires_s",
+        "key",
+        "payload_hash",
+        "request_id",
+        "response",
+        "size_bytes",
+        "started_s",
+    )
+
+    def __init__(self, key: CacheKey, payload_hash: int, request_id: str, started_s: float) -> None:
         self.key = key
-        self.size = 0
-        self.mark = mark
+        self.size_bytes = 0
+        self.payload_hash = payload_hash
         self.request_id = request_id
-        self.since = since
-        self.until = 0.0
-        self.answer: T | None = None
-        self.done: threading.Event | None = None  # made for the first that joins
+        self.started_s = started_s
+        self.expires_s = 0.0
+        self.response: ResponseT | None = None
+        self.done: threading.Event | None = None
         self._waiters = 0
 
     @property
     def waiters(self) -> int:
-        """How many wait for it, besides the one that runs it."""
+        """How many requests wait for it, besides the one that executes it."""
         return self._waiters
 
 
-class Recent(Generic[T]):
-    """Used from any thread; ``now`` is one clock's, in seconds."""
+class CoalescingCache(Generic[ResponseT]):
+    """A cache of responses by operation, with a bound on memory. Thread-safe.
+
+    Attributes:
+        memory_bytes: Estimated memory of all responses.
+        evicted_early: Responses that were evicted before they expired.
+    """
 
-    def __init__(self, most_bytes: int) -> None:
-        self._most = most_bytes
-        self._entries: dict[Key, Shared[T]] = {}
-        self._order: deque[Shared[T]] = deque()
-        self._lock = threading.Lock()
-        self.bytes = 0
-        self.dropped_early = 0
+    def __init__(self, memory_limit_bytes: int) -> None:
+        self._memory_limit_bytes = memory_limit_bytes
+        self._lock = threading.Lock()  # guards all below, and the entries' waiters
+        self._entries: dict[CacheKey, CacheEntry[ResponseT]] = {}
+        self._by_age: deque[CacheEntry[ResponseT]] = deque()
+        self.memory_bytes = 0
+        self.evicted_early = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def send(self, key: Key, mark: int, request_id: str, now: float) -> tuple[Shared[T], bool]:
-        """The operation, and whether the send is its own to run. One that is open was joined: wait for its
-        ``done`` and `part`; one with an answer has it."""
+    def join_or_start(
+        self, key: CacheKey, payload_hash: int, request_id: str, now: float
+    ) -> tuple[CacheEntry[ResponseT], bool]:
+        """Return a request's operation, and whether the request is the one to execute it.
+
+        An operation in flight with the same payload is joined: wait for its ``done``, then call `leave`. One
+        with a response is in the cache.
+        """
         with self._lock:
             entry = self._entries.get(key)
-            if entry is not None and (entry.answer is None or entry.until > now):
-                if entry.answer is None and entry.mark == mark:
+            if entry is not None and (entry.response is None or entry.expires_s > now):
+                if entry.response is None and entry.payload_hash == payload_hash:
                     if entry.done is None:
                         entry.done = threading.Event()
                     entry._waiters += 1
                 return entry, False
-            entry = self._entries[key] = Shared(key, mark, request_id, now)
+            entry = self._entries[key] = CacheEntry(key, payload_hash, request_id, now)
             return entry, True
 
-    def part(self, entry: Shared[T]) -> None:
-        """One that joined waits no more."""
+    def leave(self, entry: CacheEntry[ResponseT]) -> None:
+        """Stop waiting for an operation that was joined."""
         with self._lock:
             entry._waiters -= 1
 
-    def end(self, entry: Shared[T], answer: T | None, size: int, until: float, now: float) -> None:
-        """It has its answer, or none that is worth keeping: then the next send runs it."""
+    def complete(
+        self,
+        entry: CacheEntry[ResponseT],
+        response: ResponseT | None,
+        body_bytes: int,
+        expires_s: float,
+        now: float,
+    ) -> None:
+        """End an operation with a response to cache, or with None: then the next request executes it."""
         with self._lock:
-            if answer is None:
-                if self._entries.get(entry.key) is entry:
-                    del self._entries[entry.key]
+            if response is None:
+                self._remove(entry)
             else:
-                entry.answer = answer
-                entry.until = until
-                entry.size = size = size + ENTRY_BYTES
-                self.bytes += size
-                order = self._order
-                order.append(entry)
-                while order and (self.bytes > self._most or order[0].until <= now):
-                    known = order.popleft()
-                    self.bytes -= known.size
-                    self.dropped_early += known.until > now
-                    if self._entries.get(known.key) is known:
-                        del self._entries[known.key]
+                entry.response = response
+                entry.expires_s = expires_s
+                entry.size_bytes = body_bytes + ENTRY_OVERHEAD_BYTES
+                self.memory_bytes += entry.size_bytes
+                self._by_age.append(entry)
+                self._evict(now)
         if entry.done is not None:
             entry.done.set()
 
-    def find(self, key: Key) -> Shared[T] | None:
-        """What is known of one."""
+    def find(self, key: CacheKey) -> CacheEntry[ResponseT] | None:
+        """Return what is known of an operation."""
         return self._entries.get(key)
+
+    def _evict(self, now: float) -> None:
+        """Remove the oldest responses while they are expired or memory is over its limit."""
+        by_age = self._by_age
+        while by_age and (self.memory_bytes > self._memory_limit_bytes or by_age[0].expires_s <= now):
+            oldest = by_age.popleft()
+            self.memory_bytes -= oldest.size_bytes
+            self.evicted_early += oldest.expires_s > now
+            self._remove(oldest)
+
+    def _remove(self, entry: CacheEntry[ResponseT]) -> None:
+        if self._entries.get(entry.key) is entry:
+            del self._entries[entry.key]
--- a/saffronstack/operations/response_store.py
+++ b/saffronstack/operations/response_store.py
@@ -1,4 +1,4 @@
-"""Answers too large for memory, a file each, within a bound; the oldest goes first."""
+"""A store of response bodies that are too large for memory: one file each, the oldest deleted first."""
 
 from __future__ import annotations
 
@@ -11,78 +11,122 @@
 import xxhash
 
 from saffronstack.durable.segments import Files
+from saffronstack.operations.errors import ResponseNotStoredError
+from saffronstack.operations.operation import OperationRecord, StoredResponse
 
+DIRECTORY_NAME = "answers"
+PARTIAL_SUFFIX = ".tmp"  # of a file that is being written
 log = structlog.get_logger("saffronstack.operations")
 
 
-class Spool:
-    """Used from any thread. Files are not synced: one that a power loss cut is told by its digest."""
+class ResponseStore:
+    """Files of bodies, at most ``limit_bytes`` in sum. Thread-safe.
 
-    def __init__(self, directory: str, most_bytes: int, files: Files | None = None) -> None:
-        """OSError where the directory can't be had."""
-        self._directory = pathlib.Path(directory) / "answers"
+    Files are not synced: the digest shows whether a power failure truncated one.
+    """
+
+    def __init__(self, directory: str, limit_bytes: int, files: Files | None = None) -> None:
+        """Open the store in a subdirectory of ``directory``.
+
+        Raises:
+            OSError: The directory can't be used.
+        """
+        self._directory = pathlib.Path(directory) / DIRECTORY_NAME
         self._directory.mkdir(parents=True, exist_ok=True)
-        self._most = most_bytes
+        self._limit_bytes = limit_bytes
         self._files = files or Files()
-        self._sizes: OrderedDict[str, int] = OrderedDict()
-        self._lock = threading.Lock()
+        self._lock = threading.Lock()  # guards the sizes
+        self._sizes: OrderedDict[str, int] = OrderedDict()  # in bytes by name, the oldest first
         for path in sorted(self._directory.iterdir(), key=lambda path: path.stat().st_mtime):
-            if path.suffix == ".tmp":
+            if path.suffix == PARTIAL_SUFFIX:
                 path.unlink(missing_ok=True)
             else:
                 self._sizes[path.name] = path.stat().st_size
 
-    def put(self, name: str, body: bytes) -> bool:
-        """Keep a body; False where the disk does not take it."""
-        if len(body) > self._most:
+    def save(self, name: str, body: bytes) -> bool:
+        """Write a body; return False where it is too large or the disk fails."""
+        if len(body) > self._limit_bytes:
             return False
-        path = self._directory / name
-        partial = path.with_suffix(".tmp")
         try:
-            partial.unlink(missing_ok=True)
-            descriptor = self._files.open(partial)
-            try:
-                self._files.write(descriptor, body)
-            finally:
-                self._files.close(descriptor)
-            partial.rename(path)
+            self._write(name, body)
         except OSError as error:
-            log.error("answer not spooled", error=str(error))
-            with contextlib.suppress(OSError):
-                partial.unlink(missing_ok=True)
+            log.error("response not stored", error=str(error))
             return False
         with self._lock:
             self._sizes.pop(name, None)
             self._sizes[name] = len(body)
-            while sum(self._sizes.values()) > self._most:
-                self._unlink(next(iter(self._sizes)))
+            while sum(self._sizes.values()) > self._limit_bytes:
+                self._delete(next(iter(self._sizes)))
         return True
 
-    def get(self, name: str, digest: str) -> bytes | None:
-        """The body, None where it is gone or not what it was."""
+    def load(self, name: str, digest: str) -> bytes | None:
+        """Return a body; None where it is gone or its digest is another."""
         try:
             body = (self._directory / name).read_bytes()
-        except OSError:
+        except OSError:  # it was deleted to keep the limit, or can't be read: either way it is not stored
             return None
-        return body if digest_of(body) == digest else None
-
-    def drop(self, name: str) -> None:
-        """It is not wanted any more."""
-        with self._lock:
-            self._unlink(name)
+        return body if body_digest(body) == digest else None
 
     @property
-    def bytes(self) -> int:
-        """What the files hold."""
+    def stored_bytes(self) -> int:
+        """The size of all files."""
         with self._lock:
             return sum(self._sizes.values())
 
-    def _unlink(self, name: str) -> None:
+    def _write(self, name: str, body: bytes) -> None:
+        path = self._directory / name
+        partial = path.with_suffix(PARTIAL_SUFFIX)
+        try:
+            partial.unlink(missing_ok=True)
+            descriptor = self._files.open(partial)
+            try:
+                self._files.write(descriptor, body)
+            finally:
+                self._files.close(descriptor)
+            partial.rename(path)
+        except OSError:
+            with contextlib.suppress(OSError):  # the next start deletes it
+                partial.unlink(missing_ok=True)
+            raise
+
+    def _delete(self, name: str) -> None:
         self._sizes.pop(name, None)
-        with contextlib.suppress(OSError):
+        with contextlib.suppress(OSError):  # it is gone already, or the next start counts it again
             (self._directory / name).unlink()
 
 
-def digest_of(body: bytes) -> str:
-    """What tells a body from another one."""
+def body_digest(body: bytes) -> str:
+    """Return the digest that shows whether a stored body is undamaged."""
     return xxhash.xxh3_128_hexdigest(body)
+
+
+def move_large_body(
+    store: ResponseStore | None, response: StoredResponse, name: str, max_inline_bytes: int
+) -> StoredResponse:
+    """Return the response with its body moved to the store where it is larger than ``max_inline_bytes``.
+
+    Where the store does not take it, only the body's digest and length stay.
+    """
+    body = response.body
+    if len(body) <= max_inline_bytes:
+        return response
+    is_stored = store is not None and store.save(name, body)
+    file_name = name if is_stored else ""
+    return StoredResponse(response.status, response.headers, b"", file_name, body_digest(body), len(body))
+
+
+def load_response(store: ResponseStore | None, record: OperationRecord) -> StoredResponse | None:
+    """Return the response of a record with its body; None where the record has no response.
+
+    Raises:
+        ResponseNotStoredError: The body was not stored, is gone or is damaged.
+    """
+    response = record.response
+    if response is None or not response.body_digest:
+        return response
+    body = None
+    if store is not None and response.file_name:
+        body = store.load(response.file_name, response.body_digest)
+    if body is None:
+        raise ResponseNotStoredError(record.request_id, response)
+    return StoredResponse(response.status, response.headers, body)
--- a/saffronstack/operations/slot_assignment.py
+++ b/saffronstack/operations/slot_assignment.py
@@ -1,7 +1,7 @@
-"""Who runs an operation among the processes, or gateways, that live: rendezvous hashing over slots. No I/O.
+"""Assignment of operations to processes by rendezvous hashing over slots. No I/O.
 
-Every member works out the same owner from the same list. Where lists differ for a while, two may each think
-themselves the owner; which of them is, the slot's lock says (`slots.py`), and the other waits or passes on.
+Every member computes the same assignment from the same list of live members. Where lists differ for a while,
+two may each be assigned a slot; the slot's lock (`slot_locks`) decides, and the other one waits or forwards.
 """
 
 from __future__ import annotations
@@ -10,17 +10,21 @@
 
 import xxhash
 
-SLOTS = 64  # an operation's slot never changes; as many locks as this, spread over the members
+SLOT_COUNT = 64  # part of the stored format: an operation's slot never changes
 
 
-def slot_of(digest: bytes) -> int:
-    """An operation's slot."""
-    return digest[0] % SLOTS
+def slot_for(digest: bytes) -> int:
+    """Return the slot of an operation."""
+    return digest[0] % SLOT_COUNT
 
 
-def owner(slot: int, live: Collection[str]) -> str | None:
-    """The member that should hold a slot, None where nobody lives. One that joins or leaves moves only the
-    slots that become or were its own."""
+def assigned_member(slot: int, members: Collection[str]) -> str | None:
+    """Return the live member that should hold a slot; None where there is none.
+
+    A member that joins or leaves moves only the slots that become or were its own.
+    """
     return max(
-        live, key=lambda member: (xxhash.xxh64_intdigest(f"{slot}:{member}".encode()), member), default=None
+        members,
+        key=lambda member: (xxhash.xxh64_intdigest(f"{slot}:{member}".encode()), member),
+        default=None,
     )
--- a/saffronstack/operations/slot_handover.py
+++ b/saffronstack/operations/slot_handover.py
@@ -1,5 +1,4 @@
-"""Taking a slot's operations over from its earlier holders' notes and ledgers, and leaving them to the
-next."""
+"""Hand-over of a slot's operations between processes, through operation logs, ledgers and hand-over files."""
 
 from __future__ import annotations
 
@@ -7,76 +6,119 @@
 from collections.abc import Callable
 
 from saffronstack.durable.journal import JournalError, read_back
-from saffronstack.operations import operation_log as records
-from saffronstack.operations.operation_log import Notes
-from saffronstack.operations.operation_service import Operations
-from saffronstack.operations.operation_table import unpack
-from saffronstack.operations.slot_assignment import slot_of
-from saffronstack.operations.slot_manager import Home, SlotKeeper
+from saffronstack.operations.operation import EncodedOperation
+from saffronstack.operations.operation_log import (
+    OPERATION_LOG_CODEC,
+    AnyLogRecord,
+    OperationFinished,
+    OperationLog,
+    OperationLogState,
+    OperationsExpired,
+)
+from saffronstack.operations.operation_service import OperationService
+from saffronstack.operations.record_format import decode_record
+from saffronstack.operations.slot_assignment import slot_for
+from saffronstack.operations.slot_locks import RecordLocation
+from saffronstack.operations.slot_manager import SlotHandover
 
-COMMIT_S = 10.0
-TRIES = 5
+COMMIT_TIMEOUT_S = 10.0
+READ_ATTEMPTS = 5
 
 
-class Keeper(SlotKeeper):
-    """Between the slots' thread and the operations in service."""
+class OperationHandover(SlotHandover):
+    """Moves operations between the service of this process and the records of other ones."""
 
     def __init__(
         self,
-        operations: Operations,
-        own_notes: str,
-        ledger_names: Callable[[pathlib.Path], list[tuple[bytes, bytes]]],
+        service: OperationService,
+        own_log_directory: str,
+        read_ledger: Callable[[pathlib.Path], list[EncodedOperation]],
     ) -> None:
-        """``own_notes``: this member's directory, which is its own to read. ``ledger_names`` reads what
-        deferred calls in a ledger are named, with what repeats are answered."""
-        self._operations = operations
-        self._own_notes = own_notes
-        self._ledger_names = ledger_names
-
-    def take_over(self, slots: frozenset[int], homes: list[Home], memory: list[tuple[bytes, bytes]]) -> None:
-        """JournalError or OSError where an earlier holder's notes can't be read, or this one's not
-        written."""
-        operations = self._operations
+        """Create the hand-over.
+
+        Args:
+            service: The operations of this process.
+            own_log_directory: Of this process's operation log, which only it reads.
+            read_ledger: Reads the operations of deferred calls from a ledger's directory.
+        """
+        self._service = service
+        self._own_log_directory = own_log_directory
+        self._read_ledger = read_ledger
+
+    def take_over(
+        self, slots: frozenset[int], locations: list[RecordLocation], handed_over: list[EncodedOperation]
+    ) -> None:
+        """Read the operations of slots, log them here, and restore them into the service.
+
+        Raises:
+            JournalError: Records can't be read or written.
+            OSError: The same.
+        """
         known: dict[bytes, bytes] = {}
-        for home in homes:
-            if home.notes == self._own_notes and operations.notes is not None:
-                known.update(operations.notes.state.known())
-            elif home.notes:
-                known.update(_steadily(pathlib.Path(home.notes)))
-            if home.ledger:
-                known.update(self._ledger_names(pathlib.Path(home.ledger)))
-        known.update(memory)
-        now = operations.now()
-        mine = [(d, p) for d, p in known.items() if slot_of(d) in slots and unpack(p).until > now]
-        if operations.notes is not None and mine:
-            ticket = operations.notes.append(*(records.Ended(d, p, unpack(p).until) for d, p in mine))
-            if not ticket.done.wait(COMMIT_S) or not ticket.durable:
-                raise JournalError("notes taken over can't be written")
-        operations.restore(mine)
-
-    def give_up(self, slots: frozenset[int]) -> dict[int, list[tuple[bytes, bytes]]]:
-        """Those of which nothing is under way."""
-        operations = self._operations
-        idle = frozenset(slot for slot in slots if not operations.open_in(slot))
-        if idle and operations.notes is not None:
-            ticket = operations.notes.append(records.Expired(0.0))  # behind all that was noted
-            if not ticket.done.wait(COMMIT_S) or not ticket.durable:
-                return {}
-        left: dict[int, list[tuple[bytes, bytes]]] = {slot: [] for slot in idle}
-        for digest, packed in operations.forget(idle):
-            left[slot_of(digest)].append((digest, packed))
-        return left
-
-
-def _steadily(directory: pathlib.Path) -> list[tuple[bytes, bytes]]:
-    """What a member noted. One that lives may compact its log meanwhile: then it is read anew."""
-    for left in reversed(range(TRIES)):
-        notes = Notes()
+        for location in locations:
+            known.update(self._read_location(location))
+        known.update(handed_over)
+        now = self._service.now()
+        operations = [
+            (digest, record)
+            for digest, record in known.items()
+            if slot_for(digest) in slots and decode_record(record).expires_s > now
+        ]
+        log = self._service.operation_log
+        if log is not None and operations:
+            finished = (
+                OperationFinished(digest, record, decode_record(record).expires_s)
+                for digest, record in operations
+            )
+            if not _commit(log, *finished):
+                raise JournalError("operations that were taken over can't be logged")
+        self._service.restore(operations)
+
+    def hand_over(self, slots: frozenset[int]) -> dict[int, list[EncodedOperation]]:
+        """Remove the operations of those slots that have none in flight, and return them by slot."""
+        service = self._service
+        idle = frozenset(slot for slot in slots if not service.count_in_flight(slot))
+        log = service.operation_log
+        # The record changes nothing; once it is durable, so is everything that was logged before it.
+        if idle and log is not None and not _commit(log, OperationsExpired(0.0)):
+            return {}
+        by_slot: dict[int, list[EncodedOperation]] = {slot: [] for slot in idle}
+        for digest, record in service.extract_slots(idle):
+            by_slot[slot_for(digest)].append((digest, record))
+        return by_slot
+
+    def _read_location(self, location: RecordLocation) -> list[EncodedOperation]:
+        operations: list[EncodedOperation] = []
+        log = self._service.operation_log
+        if location.log_directory == self._own_log_directory and log is not None:
+            operations += log.state.recovered_operations()
+        elif location.log_directory:
+            operations += _read_log(pathlib.Path(location.log_directory))
+        if location.ledger_directory:
+            operations += self._read_ledger(pathlib.Path(location.ledger_directory))
+        return operations
+
+
+def _commit(log: OperationLog, *records: AnyLogRecord) -> bool:
+    """Append records and wait until they are durable; return False where they are not in time."""
+    ticket = log.append(*records)
+    return ticket.done.wait(COMMIT_TIMEOUT_S) and ticket.durable
+
+
+def _read_log(directory: pathlib.Path) -> list[EncodedOperation]:
+    """Read another member's log. A live member may compact it meanwhile: then it is read again.
+
+    Raises:
+        JournalError: The log can't be read.
+    """
+    for retries_left in reversed(range(READ_ATTEMPTS)):
+        state = OperationLogState()
         try:
             if directory.is_dir():
-                read_back(directory, notes, records.CODEC)
-            return list(notes.known())
+                read_back(directory, state, OPERATION_LOG_CODEC)
+            return list(state.recovered_operations())
         except JournalError as error:
-            if not left or not isinstance(error.__cause__, FileNotFoundError):
+            was_compacted = isinstance(error.__cause__, FileNotFoundError)
+            if not retries_left or not was_compacted:
                 raise
     return []
--- a/saffronstack/operations/slot_manager.py
+++ b/saffronstack/operations/slot_manager.py
@@ -1,239 +1,184 @@
-"""Slots as locked files: a member runs operations of a slot only while it holds the slot's lock.
-
-The system gives a lock back when its process dies, and keeps it for one that is paused: so at no moment do
-two members run operations of one slot, whatever they believe of each other. Beside each lock stands who held
-it, and where those keep their notes: the next holder reads them before it takes the slot's first operation.
-"""
+"""The slots of one member: it acquires those assigned to it, and hands over those that no longer are."""
 
 from __future__ import annotations
 
-import contextlib
-import fcntl
-import os
 import pathlib
 import threading
-from collections.abc import Callable, Iterable
+from abc import ABC, abstractmethod
+from collections.abc import Callable
+from dataclasses import dataclass
 
-import msgspec
 import structlog
 
-from saffronstack.operations.slot_assignment import SLOTS, owner
+from saffronstack.operations.live_members import LiveMembers, Peer
+from saffronstack.operations.operation import EncodedOperation
+from saffronstack.operations.slot_assignment import SLOT_COUNT, assigned_member
+from saffronstack.operations.slot_locks import RecordLocation, SlotLocks
 from saffronstack.runtime.threads import start_thread
 
-TICK_S = 0.1
-AGAIN_S = 1.0  # pause before a slot is tried again whose former holders' notes can't be read
-LIVE_MOST = 4096  # bytes of a member's own line
+MAINTENANCE_INTERVAL_S = 0.1
+ACQUIRE_BACKOFF_S = 1.0  # after the records of earlier holders could not be read
+STOP_HANDOVER_S = 2.0  # how long a member that stops waits for operations in flight
+STOP_RETRY_INTERVAL_S = 0.02
+LIVE_DIRECTORY = "live"
 log = structlog.get_logger("saffronstack.operations")
 
 
-class Home(msgspec.Struct, frozen=True):
-    """Where a member keeps what its operations left; empty where it keeps nothing."""
+class SlotHandover(ABC):
+    """Moves the operations of slots between members. Called on the slot manager's thread."""
+
+    @abstractmethod
+    def take_over(
+        self, slots: frozenset[int], locations: list[RecordLocation], handed_over: list[EncodedOperation]
+    ) -> None:
+        """Learn the operations of slots that were acquired, durably.
 
-    notes: str = ""
-    ledger: str = ""
+        Args:
+            slots: The slots.
+            locations: The records of earlier holders, the latest last.
+            handed_over: What the last holders remembered, which prevails.
 
+        Raises:
+            JournalError: Records can't be read or written.
+            OSError: The same.
+        """
 
-class Peer(msgspec.Struct, frozen=True):
-    """A member that lives, and where it answers the others."""
+    @abstractmethod
+    def hand_over(self, slots: frozenset[int]) -> dict[int, list[EncodedOperation]]:
+        """Return what is remembered of those slots that have no operation in flight.
 
-    member: str
-    address: str
+        Everything else of them is on the disk then. The others are asked for again.
+        """
 
 
-class SlotKeeper:
-    """Called by the slots' thread."""
+@dataclass(frozen=True, slots=True)
+class SlotMember:
+    """A member of the group of processes that share the slots.
 
-    def take_over(self, slots: frozenset[int], homes: list[Home], memory: list[tuple[bytes, bytes]]) -> None:
-        """Read what earlier holders, the latest last, noted of some slots; what the last one left of its
-        memory counts before all. It is durable in this member's own notes when this returns. JournalError or
-        OSError where that can't be done."""
-        raise NotImplementedError
+    Attributes:
+        address: Returns where it serves the others.
+        location: Where it keeps records of its operations.
+    """
 
-    def give_up(self, slots: frozenset[int]) -> dict[int, list[tuple[bytes, bytes]]]:
-        """Begin nothing more in some slots. Those of which nothing is under way, with what stood in memory;
-        all else of them is on the disk then. The others are asked for again."""
-        raise NotImplementedError
+    name: str
+    address: Callable[[], str]
+    location: RecordLocation
 
 
-class Slots:
-    """The slots of one member; one thread takes and gives them back, any thread may ask."""
+class SlotManager:
+    """Acquires and hands over slots on one thread; any thread may ask what is held."""
 
     def __init__(
-        self,
-        directory: pathlib.Path,
-        member: str,
-        address: Callable[[], str],
-        home: Home,
-        keeper: SlotKeeper,
-        clock: Callable[[], float],
+        self, directory: pathlib.Path, member: SlotMember, handover: SlotHandover, clock: Callable[[], float]
     ) -> None:
-        """``address``: where this member answers the others. OSError where the directory can't be had."""
-        self.member = member
-        self._directory = directory
-        self._live_directory = directory / "live"
-        self._live_directory.mkdir(parents=True, exist_ok=True)
-        self._address = address
-        self._home = home
-        self._keeper = keeper
+        """Open the directory that all members share; ``clock`` is monotonic.
+
+        Raises:
+            OSError: The directory can't be used.
+        """
+        self.member = member.name
+        self._location = member.location
+        self._handover = handover
         self._clock = clock
-        self._held: dict[int, int] = {}  # descriptors
-        self._ready: frozenset[int] = frozenset()
-        self._again_s = 0.0
-        self._live_fd = -1
-        self._live: dict[str, Peer] = {}
+        self._live_members = LiveMembers(directory / LIVE_DIRECTORY, member.name, member.address)
+        self._locks = SlotLocks(directory)
+        self._live: dict[str, Peer] = {}  # replaced, never changed: any thread may read it
+        self._usable: frozenset[int] = frozenset()  # the same
+        self._next_acquisition_s = 0.0
         self._stopping = threading.Event()
-        self._ended = threading.Event()
+        self._stopped = threading.Event()
 
-    # ---- from any thread
-
-    def holds(self, slot: int) -> bool:
-        """Whether operations of a slot may be run here."""
-        return slot in self._ready
+    def is_held(self, slot: int) -> bool:
+        """Return whether operations of a slot may be executed here."""
+        return slot in self._usable
 
     @property
-    def held(self) -> int:
-        """How many slots it holds."""
-        return len(self._ready)
+    def held_count(self) -> int:
+        """How many slots this member holds."""
+        return len(self._usable)
 
-    def owner_of(self, slot: int) -> Peer | None:
-        """Who should hold a slot, by the latest look."""
-        return self._live.get(owner(slot, self._live) or "")
+    def assigned_peer(self, slot: int) -> Peer | None:
+        """Return the member that should hold a slot, by the latest list of live members."""
+        return self._live.get(assigned_member(slot, self._live) or "")
 
     def start(self) -> None:
-        """Show that this member lives, take what is its own, and go on doing so on a thread."""
-        path = self._live_directory / self.member
-        self._live_fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
-        fcntl.flock(self._live_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        line = msgspec.json.encode(Peer(self.member, self._address()))
-        os.pwrite(self._live_fd, line.ljust(LIVE_MOST), 0)
-        self.tick()
+        """Announce this member, acquire its slots, and start the thread that maintains them."""
+        self._live_members.announce()
+        self.maintain()
         start_thread("slots", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
-        """Give every slot back, with what stands in memory; whether that was in time."""
+        """Hand all slots over; return whether that ended in time."""
         self._stopping.set()
-        return self._ended.wait(timeout_s)
+        return self._stopped.wait(timeout_s)
 
-    # ---- the thread
+    def maintain(self) -> None:
+        """List the live members, hand over slots assigned to others, and acquire this member's own."""
+        self._live = self._live_members.poll()
+        assigned = {slot for slot in range(SLOT_COUNT) if assigned_member(slot, self._live) == self.member}
+        self._hand_over(frozenset(self._locks.held) - assigned)
+        if self._clock() >= self._next_acquisition_s:
+            held = self._locks.held
+            self._acquire([slot for slot in assigned if slot not in held])
 
     def _run(self) -> None:
+        """Maintain the slots until the manager stops. Runs on the thread ``slots``."""
         try:
-            while not self._stopping.wait(TICK_S):
+            while not self._stopping.wait(MAINTENANCE_INTERVAL_S):
                 try:
-                    self.tick()
-                except Exception:
-                    log.exception("slots not looked after")
-            end_s = self._clock() + 2.0
-            while self._held and self._clock() < end_s:
-                self._give_back(list(self._held))
-                threading.Event().wait(0.02)
+                    self.maintain()
+                except Exception:  # a fault must not end the thread: other members could never get the slots
+                    log.exception("slot maintenance failed")
+            self._hand_over_all()
         finally:
-            for slot in list(self._held):
-                self._unlock(slot)
-            if self._live_fd >= 0:
-                os.close(self._live_fd)
-            self._ended.set()
-
-    def tick(self) -> None:
-        """Look who lives, give back what is another's, take what is this one's."""
-        self._live = self._look()
-        wanted = {slot for slot in range(SLOTS) if owner(slot, self._live) == self.member}
-        self._give_back([slot for slot in self._held if slot not in wanted])
-        if self._clock() >= self._again_s:
-            self._take([slot for slot in wanted if slot not in self._held])
-
-    def _look(self) -> dict[str, Peer]:
-        """Members whose locks are held: a lock that can be had is a dead member's."""
-        live = {self.member: Peer(self.member, self._address())}
-        for path in self._live_directory.iterdir():
-            if path.name == self.member:
-                continue
-            with contextlib.suppress(OSError, msgspec.MsgspecError):
-                descriptor = os.open(path, os.O_RDONLY)
-                try:
-                    fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
-                except BlockingIOError:
-                    peer = msgspec.json.decode(os.pread(descriptor, LIVE_MOST, 0).strip(), type=Peer)
-                    live[peer.member] = peer
-                finally:
-                    os.close(descriptor)
-        return live
-
-    def _take(self, slots: list[int]) -> None:
-        """Lock what nobody holds, read what its holders noted, and only then use it."""
-        got = [slot for slot in slots if self._lock(slot)]
-        if not got:
+            for slot in self._locks.held:
+                self._release(slot)
+            self._live_members.close()
+            self._stopped.set()
+
+    def _hand_over_all(self) -> None:
+        """Hand all slots over, waiting for operations in flight for a bounded time."""
+        end_s = self._clock() + STOP_HANDOVER_S
+        while self._locks.held and self._clock() < end_s:
+            self._hand_over(frozenset(self._locks.held))
+            threading.Event().wait(STOP_RETRY_INTERVAL_S)
+
+    def _acquire(self, slots: list[int]) -> None:
+        """Lock the slots that are free, learn their operations, and only then make them usable."""
+        acquired = [slot for slot in slots if self._locks.acquire(slot)]
+        if not acquired:
             return
-        homes: dict[Home, None] = {}
-        memory: list[tuple[bytes, bytes]] = []
         try:
-            for slot in got:
-                homes.update(dict.fromkeys(self._holders(slot)))
-                memory += self._left(slot)
-            self._keeper.take_over(frozenset(got), list(homes), memory)
-            for slot in got:
-                self._write_holders(slot)
-                (self._directory / f"{slot}.memory").unlink(missing_ok=True)
+            self._take_over(acquired)
         except Exception as error:
-            # Without the notes a second run could not be told from a first: nobody runs these slots for now.
-            log.error("slots not taken: the notes of their holders can't be read", error=str(error))
-            self._again_s = self._clock() + AGAIN_S
-            for slot in got:
-                self._unlock(slot)
+            # Without the records a retry can't be told from a first request: no member uses these slots now.
+            log.error("slots not acquired: operation logs of earlier holders can't be read", error=str(error))
+            self._next_acquisition_s = self._clock() + ACQUIRE_BACKOFF_S
+            for slot in acquired:
+                self._release(slot)
             return
-        self._ready |= frozenset(got)
-
-    def _give_back(self, slots: Iterable[int]) -> None:
-        leaving = frozenset(slots)
-        if not leaving:
+        self._usable |= frozenset(acquired)
+
+    def _take_over(self, slots: list[int]) -> None:
+        locations: dict[RecordLocation, None] = {}  # in order, each once
+        handed_over: list[EncodedOperation] = []
+        for slot in slots:
+            locations.update(dict.fromkeys(self._locks.read_locations(slot)))
+            handed_over += self._locks.read_handover(slot)
+        self._handover.take_over(frozenset(slots), list(locations), handed_over)
+        for slot in slots:
+            self._locks.write_locations(slot, self._location)
+            self._locks.delete_handover(slot)
+
+    def _hand_over(self, slots: frozenset[int]) -> None:
+        if not slots:
             return
-        self._ready -= leaving
-        for slot, left in self._keeper.give_up(leaving).items():
-            if left:
-                partial = self._directory / f"{slot}.memory.tmp"
-                partial.write_bytes(msgspec.msgpack.encode(left))
-                partial.rename(self._directory / f"{slot}.memory")
-            self._unlock(slot)
-
-    def _lock(self, slot: int) -> bool:
-        descriptor = os.open(self._directory / f"{slot}.lock", os.O_RDWR | os.O_CREAT, 0o600)
-        try:
-            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            os.close(descriptor)
-            return False
-        self._held[slot] = descriptor
-        return True
-
-    def _unlock(self, slot: int) -> None:
-        self._ready -= {slot}
-        os.close(self._held.pop(slot))  # which gives the lock back
-
-    def _holders(self, slot: int) -> list[Home]:
-        """Those whose notes tell of this slot, the latest last."""
-        found = []
-        for line in os.pread(self._held[slot], 1 << 20, 0).splitlines():
-            with contextlib.suppress(msgspec.MsgspecError):  # what a kill cut: the line before it stands
-                found.append(msgspec.json.decode(line, type=Home))
-        return found
-
-    def _write_holders(self, slot: int) -> None:
-        """What earlier holders noted stands in this member's notes now: only it need be read from here on.
-        One that keeps no notes is one more of the list."""
-        earlier = [] if self._home.notes else [home for home in self._holders(slot) if home != self._home]
-        data = b"".join(msgspec.json.encode(home) + b"\n" for home in [*earlier, self._home])
-        descriptor = self._held[slot]
-        os.pwrite(descriptor, data, 0)
-        os.ftruncate(descriptor, len(data))
-        os.fdatasync(descriptor)
-
-    def _left(self, slot: int) -> list[tuple[bytes, bytes]]:
-        try:
-            data = (self._directory / f"{slot}.memory").read_bytes()
-        except FileNotFoundError:
-            return []
-        try:
-            return msgspec.msgpack.decode(data, type=list[tuple[bytes, bytes]])
-        except msgspec.MsgspecError as error:
-            log.error("what a slot's holder left can't be read", slot=slot, error=str(error))
-            return []
+        self._usable -= slots
+        for slot, operations in self._handover.hand_over(slots).items():
+            if operations:
+                self._locks.write_handover(slot, operations)
+            self._release(slot)
+
+    def _release(self, slot: int) -> None:
+        self._usable -= {slot}
+        self._locks.release(slot)
--- a/tests/test_operations.py
+++ b/tests/operations/test_deduplication.py
@@ -1,8 +1,7 @@
-"""One operation, one effect, end to end: lost answers, kills, joins, repeats, bounds."""
+"""Operations end to end: lost responses, crashes, coalescing, replay and memory bounds."""
 
 from __future__ import annotations
 
-import errno
 import json
 import os
 import pathlib
@@ -13,8 +12,6 @@
 import threading
 import time
 import uuid
-from collections.abc import Iterator
-from contextlib import contextmanager
 from typing import Any
 
 import boto3
@@ -23,65 +20,18 @@
 
 from saffronstack import config as configs
 from saffronstack.client import Answer
-from saffronstack.durable.segments import Files
 from saffronstack.gateway import Gateway
 from saffronstack.harness.scenario.relay import Relay, seldom
-from saffronstack.operations.operation_log import Ended, open_notes
-from saffronstack.operations.operation_service import Live, Operations, Rule
-from saffronstack.operations.operation_table import Begin, Join, Table
-from saffronstack.routing.settings import Idempotency
+from saffronstack.operations.operation_log import OperationFinished, open_operation_log
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
+from tests.support.operations import SealableFiles, logging_gateway, send, with_operation_log
 from tests.support.stack import Stack, configuration, eventually, running
 
 UNKNOWN = b"Saffronstack.OutcomeUnknown"
 
 
-def noting(content: dict[str, Any], directory: pathlib.Path | None, **more: Any) -> dict[str, Any]:
-    """The configuration with keyed and unsafe classes noted durably."""
-    for cls in content["classes"]:
-        cls["note_operations"] = cls["effect"] != "safe" and directory is not None
-    content["operations"] = {"commit_timeout_s": 10.0, **more}
-    if directory is not None:
-        content["operations"]["directory"] = str(directory)
-    return content
-
-
-@contextmanager
-def noted(
-    tmp_path: pathlib.Path, profile: Profile | None = None, fleet: StandInFleet | None = None, **more: Any
-) -> Iterator[Stack]:
-    own = fleet is None
-    fleet = fleet or StandInFleet(2, lambda n: profile or Profile(work_s=0.002, load_s=0.02))
-    files = more.pop("files", None)
-    content = noting(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations", **more)
-    gateway = Gateway(configs.parse(json.dumps(content)), files=files)
-    host, port = gateway.start()
-    try:
-        yield Stack(gateway, fleet, content, f"{host}:{port}")
-    finally:
-        gateway.stop()
-        if own:
-            fleet.stop()
-
-
-def send(
-    stack: Stack,
-    function: str,
-    token: str,
-    payload: bytes = b"{}",
-    kind: str = "RequestResponse",
-    **more: str,
-) -> Answer:
-    """One send of an operation that an SDK named so."""
-    client = stack.client(tenant=more.pop("tenant", ""))
-    try:
-        return client.invoke(function, payload, kind, (("amz-sdk-invocation-id", token),))
-    finally:
-        client.close()
-
-
 def lambda_client(address: str, mode: str = "standard", attempts: int = 8) -> Any:
     retries: Any = {"mode": mode, "total_max_attempts": attempts}
     return boto3.client(
@@ -97,7 +47,7 @@
 @pytest.mark.parametrize("lost", [1, 3])
 @pytest.mark.parametrize("kind", ["RequestResponse", "Event"])
 @pytest.mark.parametrize("function", ["record-sale", "adjust-setting", "identify-copy"])
-def test_boto3_sends_again_what_was_lost_and_it_runs_once(
+def test_boto3_retries_lost_responses_and_the_operation_executes_once(
     tmp_path: pathlib.Path, function: str, kind: str, lost: int
 ) -> None:
     with running(2, ledger=tmp_path) as stack:
@@ -122,8 +72,8 @@
         relay.close()
 
 
-def test_two_sends_at_the_same_instant_get_one_answer(tmp_path: pathlib.Path) -> None:
-    with noted(tmp_path, Profile(work_s=0.1, load_s=0.02)) as stack:
+def test_concurrent_requests_of_one_operation_get_one_response(tmp_path: pathlib.Path) -> None:
+    with logging_gateway(tmp_path, Profile(work_s=0.1, load_s=0.02)) as stack:
         found: list[Answer] = []
         gate = threading.Barrier(6)
 
@@ -143,8 +93,8 @@
         assert stack.runs("record-sale") == 1
 
 
-def test_a_client_that_leaves_and_comes_back_finds_its_answer(tmp_path: pathlib.Path) -> None:
-    with noted(tmp_path, Profile(work_s=0.4, load_s=0.02)) as stack:
+def test_a_client_that_disconnects_and_retries_gets_its_response(tmp_path: pathlib.Path) -> None:
+    with logging_gateway(tmp_path, Profile(work_s=0.4, load_s=0.02)) as stack:
         sock = stack.raw()
         sock.sendall(
             b"POST /2015-03-31/functions/record-sale/invocations HTTP/1.1\r\nHost: a\r\n"
@@ -159,8 +109,8 @@
         assert stack.runs("record-sale") == 1
 
 
-def test_a_client_that_leaves_before_anything_was_sent_leaves_nothing(tmp_path: pathlib.Path) -> None:
-    with noted(tmp_path) as stack:
+def test_a_client_that_disconnects_before_any_attempt_leaves_nothing(tmp_path: pathlib.Path) -> None:
+    with logging_gateway(tmp_path) as stack:
         workers = stack.content["workers"]
         nobody = {**stack.content, "workers": [{**w, "state": "draining"} for w in workers]}
         stack.gateway.reread(configs.parse(json.dumps(nobody)))
@@ -169,7 +119,7 @@
             b"POST /2015-03-31/functions/record-sale/invocations HTTP/1.1\r\nHost: a\r\n"
             b"amz-sdk-invocation-id: early\r\nContent-Length: 2\r\n\r\n{}"
         )
-        eventually(lambda: stack.gateway.operations and stack.gateway.operations.counts["begun"])
+        eventually(lambda: stack.gateway.operations and stack.gateway.operations.request_counts["begun"])
         sock.close()
         eventually(lambda: len(stack.gateway.operations.table) == 0 if stack.gateway.operations else False)
         stack.gateway.reread(configs.parse(json.dumps(stack.content)))
@@ -177,8 +127,8 @@
         assert stack.runs("record-sale") == 1
 
 
-def test_another_payload_and_another_tenant(tmp_path: pathlib.Path) -> None:
-    with noted(tmp_path) as stack:
+def test_a_key_belongs_to_one_payload_and_one_tenant(tmp_path: pathlib.Path) -> None:
+    with logging_gateway(tmp_path) as stack:
         first = send(stack, "record-sale", "one", b'{"price": 1}', tenant="corner-books")
         wrong = send(stack, "record-sale", "one", b'{"price": 2}', tenant="corner-books")
         assert (wrong.status, b"another payload" in wrong.body) == (400, True)
@@ -189,14 +139,14 @@
         assert stack.runs("record-sale") == 2
 
 
-def test_an_answer_of_six_megabytes_is_given_again_byte_for_byte(tmp_path: pathlib.Path) -> None:
+def test_a_response_of_six_megabytes_is_replayed_byte_for_byte(tmp_path: pathlib.Path) -> None:
     payload = b'{"x": "' + b"y" * (6 * 1024 * 1024 - 2000) + b'"}'
     limits = {"response_bytes": 7 * 1024 * 1024, "payload_bytes": 7 * 1024 * 1024}
-    with noted(tmp_path) as stack:
+    with logging_gateway(tmp_path) as stack:
         first = send(stack, "record-sale", "big", b'{"x": 1}')
         assert first.status == 200
     fleet = StandInFleet(1)
-    content = noting(configuration(fleet, tmp_path / "l2", limits=limits), tmp_path / "o2")
+    content = with_operation_log(configuration(fleet, tmp_path / "l2", limits=limits), tmp_path / "o2")
     gateway = Gateway(configs.parse(json.dumps(content)))
     host, port = gateway.start()
     stack = Stack(gateway, fleet, content, f"{host}:{port}")
@@ -206,7 +156,7 @@
     assert again.body == first.body
     assert stack.runs("record-sale") == 1
     assert gateway.operations is not None
-    assert gateway.operations.table.bytes < 4096  # it is on disk
+    assert gateway.operations.table.memory_bytes < 4096  # it is on disk
     for path in (tmp_path / "o2" / "answers").iterdir():
         path.write_bytes(path.read_bytes()[:-1])
     damaged = send(stack, "record-sale", "big", payload)
@@ -217,30 +167,19 @@
     fleet.stop()
 
 
-class Sealed(Files):
-    """Writes nothing more once it is sealed: what the disk holds is what a kill leaves."""
-
-    sealed = False
-
-    def write(self, descriptor: int, data: bytes) -> None:
-        if self.sealed:
-            raise OSError(errno.ENOSPC, "No space left on device")
-        super().write(descriptor, data)
-
-
 @pytest.mark.parametrize("function", ["record-sale", "adjust-setting"])
-def test_killed_between_the_run_and_the_answer(tmp_path: pathlib.Path, function: str) -> None:
+def test_a_crash_between_execution_and_response(tmp_path: pathlib.Path, function: str) -> None:
     """The next life knows: an unsafe one is unknown, a keyed one goes where it went and meets its key."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.3, load_s=0.02))
-    files = Sealed()
-    with noted(tmp_path / "first", fleet=fleet, files=files) as stack:
+    files = SealableFiles()
+    with logging_gateway(tmp_path / "first", fleet=fleet, files=files) as stack:
         sender = threading.Thread(target=lambda: send(stack, function, "op"))
         sender.start()
         eventually(lambda: stack.runs(function) == 1)
-        files.sealed = True
+        files.is_sealed = True
         shutil.copytree(tmp_path / "first", tmp_path / "second")
         sender.join(10)
-    with noted(tmp_path / "second", fleet=fleet) as stack:
+    with logging_gateway(tmp_path / "second", fleet=fleet) as stack:
         answer = send(stack, function, "op")
         again = send(stack, function, "op")
         assert answer.status == again.status == 200
@@ -256,12 +195,12 @@
     fleet.stop()
 
 
-def test_a_recorded_answer_outlives_the_kill(tmp_path: pathlib.Path) -> None:
+def test_a_logged_response_survives_a_restart(tmp_path: pathlib.Path) -> None:
     fleet = StandInFleet(2)
-    with noted(tmp_path, fleet=fleet) as stack:
+    with logging_gateway(tmp_path, fleet=fleet) as stack:
         first = send(stack, "record-sale", "op", b'{"n": 1}')
         deferred = send(stack, "record-sale", "later", kind="Event")
-    with noted(tmp_path, fleet=fleet) as stack:
+    with logging_gateway(tmp_path, fleet=fleet) as stack:
         again = send(stack, "record-sale", "op", b'{"n": 1}')
         assert (again.status, again.body) == (200, first.body)
         assert again.headers.get("x-amzn-requestid") == first.headers.get("x-amzn-requestid")
@@ -273,15 +212,15 @@
     fleet.stop()
 
 
-def test_a_second_send_while_the_first_is_deferred_and_recovered(tmp_path: pathlib.Path) -> None:
+def test_a_retry_of_a_deferred_operation_that_is_recovered(tmp_path: pathlib.Path) -> None:
     fleet = StandInFleet(1, lambda n: Profile(work_s=0.4, load_s=0.02))
-    files = Sealed()
-    with noted(tmp_path / "first", fleet=fleet, files=files) as stack:
+    files = SealableFiles()
+    with logging_gateway(tmp_path / "first", fleet=fleet, files=files) as stack:
         first = send(stack, "adjust-setting", "op", kind="Event")
         eventually(lambda: stack.runs() == 1)
-        files.sealed = True
+        files.is_sealed = True
         shutil.copytree(tmp_path / "first", tmp_path / "second")
-    with noted(tmp_path / "second", fleet=fleet) as stack:
+    with logging_gateway(tmp_path / "second", fleet=fleet) as stack:
         again = send(stack, "adjust-setting", "op", kind="Event")
         assert again.headers.get("x-amzn-requestid") == first.headers.get("x-amzn-requestid")
         record = stack.final(first.headers.get("x-amzn-requestid"))
@@ -291,7 +230,7 @@
     fleet.stop()
 
 
-def test_a_keyed_call_without_a_name_that_may_have_run_is_not_called_harmless() -> None:
+def test_a_call_without_a_key_that_may_have_executed_is_not_rejected() -> None:
     """Its worker runs it and vanishes; no other is in its group: before, this was a 429."""
     with running(1, profile=Profile(work_s=0.3, load_s=0.02)) as stack:
         found: list[Answer] = []
@@ -318,66 +257,37 @@
         assert keys.count("corner-books:sdk:op") >= 1
 
 
-def test_a_disk_that_is_full_refuses_what_must_be_noted(tmp_path: pathlib.Path) -> None:
-    files = Sealed()
-    with noted(tmp_path, files=files) as stack:
+def test_a_full_disk_rejects_operations_that_must_be_logged(tmp_path: pathlib.Path) -> None:
+    files = SealableFiles()
+    with logging_gateway(tmp_path, files=files) as stack:
         first = send(stack, "record-sale", "before")
-        files.sealed = True
+        files.is_sealed = True
         for n in range(20):
             refused = send(stack, "record-sale", f"op-{n}")
             assert (refused.status, "retry-after" in refused.headers) == (429, True)
         assert stack.runs("record-sale") == 1
         assert send(stack, "record-sale", "before").body == first.body
         assert send(stack, "identify-copy", "safe").status == 200
-        files.sealed = False
+        files.is_sealed = False
         eventually(lambda: send(stack, "record-sale", "op-3").status == 200)
         assert stack.runs("record-sale") == 2
         assert "saffronstack_operations_notes_failing 0.0" in stack.get("/metrics").body.decode()
 
 
-def test_a_hundred_thousand_open_while_the_disk_is_full(tmp_path: pathlib.Path) -> None:
-    """None of them may leave; all are known, within the ceiling; when the disk takes notes again they go
-    on."""
-    files = Sealed()
-    notes = open_notes(str(tmp_path), 1 << 20, files)
-    table = Table(256 * 1024 * 1024)
-    operations = Operations(table, time.monotonic, time.time, notes)
-    rule = Rule(Idempotency.NON_IDEMPOTENT, 900.0, True)
-    files.sealed = True
-    lives = []
-    for n in range(100_000):
-        step = table.send(
-            b"%012d" % n, b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, f"id-{n}", operations.now()
-        )
-        assert isinstance(step, Begin)
-        step.open.live = live = Live(step.open, rule)
-        lives.append(live)
-    assert table.bytes <= 256 * 1024 * 1024
-    guards = [operations.guard(live) for live in lives]
-    assert not any(guard.may_send(0, 1) for guard in guards[::1000])
-    assert notes.failing
-    joined = table.send(b"%012d" % 7, b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, "x", operations.now())
-    assert isinstance(joined, Join)
-    files.sealed = False
-    assert all(guard.may_send(1, 1) for guard in guards[::1000])
-    assert len(notes.state.open) == 100
-    assert notes.close()
-
-
-def test_notes_of_another_version_are_named_and_nothing_starts(tmp_path: pathlib.Path) -> None:
-    notes = open_notes(str(tmp_path / "operations"), 1 << 20)
-    assert notes.append(Ended(b"d" * 12, b"no such thing", time.time() + 100)).done.wait(5)
-    assert notes.close()
+def test_a_log_of_another_version_stops_the_start(tmp_path: pathlib.Path) -> None:
+    log = open_operation_log(str(tmp_path / "operations"), 1 << 20)
+    assert log.append(OperationFinished(b"d" * 12, b"no such thing", time.time() + 100)).done.wait(5)
+    assert log.close()
     fleet = StandInFleet(0)
     path = tmp_path / "gateway.json5"
-    path.write_text(json.dumps(noting(configuration(fleet), tmp_path / "operations")))
+    path.write_text(json.dumps(with_operation_log(configuration(fleet), tmp_path / "operations")))
     command = [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path)]
     done = subprocess.run(command, capture_output=True, text=True, timeout=30)
     assert (done.returncode, "another version" in done.stderr) == (2, True)
 
 
-def test_memory_is_bounded_and_the_answer_says_when_to_come_back(tmp_path: pathlib.Path) -> None:
-    with noted(tmp_path, memory_bytes=65536, window_s=30.0) as stack:
+def test_memory_is_bounded_and_rejections_say_when_to_retry(tmp_path: pathlib.Path) -> None:
+    with logging_gateway(tmp_path, memory_bytes=65536, window_s=30.0) as stack:
         operations = stack.gateway.operations
         assert operations is not None
         for worker in stack.fleet.workers:
@@ -386,7 +296,7 @@
         for n in range(250):
             answer = send(stack, "record-sale", f"op-{n}")
             statuses.append(answer.status)
-            assert operations.table.bytes <= 65536
+            assert operations.table.memory_bytes <= 65536
             if answer.status == 429:
                 assert 1 <= int(answer.headers.get("retry-after")) <= 31
                 break
@@ -398,11 +308,11 @@
         assert send(stack, "identify-copy", "safe").status in (200, 429)
 
 
-def test_the_end_of_the_window(tmp_path: pathlib.Path) -> None:
+def test_requests_before_and_after_the_end_of_the_window(tmp_path: pathlib.Path) -> None:
     """The gateway's clock is set by the test: a repeat a moment before the end is one, after it a new one."""
     shift = [0.0]
     fleet = StandInFleet(1)
-    content = noting(configuration(fleet), tmp_path / "o", window_s=50.0)
+    content = with_operation_log(configuration(fleet), tmp_path / "o", window_s=50.0)
     gateway = Gateway(configs.parse(json.dumps(content)), clock=lambda: time.monotonic() + shift[0])
     host, port = gateway.start()
     stack = Stack(gateway, fleet, content, f"{host}:{port}")
@@ -416,8 +326,8 @@
     fleet.stop()
 
 
-def test_operations_on_the_command_line_and_off(tmp_path: pathlib.Path) -> None:
-    with noted(tmp_path) as stack:
+def test_operations_on_the_command_line_and_without_deduplication(tmp_path: pathlib.Path) -> None:
+    with logging_gateway(tmp_path) as stack:
         send(stack, "record-sale", "op-7", b'{"price": 3}')
         run = [
             sys.executable,
@@ -443,23 +353,23 @@
         assert "x-saffron-repeated" not in answers[1].headers
 
 
-def test_the_configuration_is_checked() -> None:
+def test_contradictory_log_settings_are_rejected() -> None:
     fleet = StandInFleet(0)
-    content = noting(configuration(fleet), None)
+    content = with_operation_log(configuration(fleet), None)
     content["classes"][-1]["note_operations"] = True
     with pytest.raises(configs.ConfigError, match=r"note_operations needs operations\.directory"):
         configs.parse(json.dumps(content))
-    content = noting(configuration(fleet), pathlib.Path("x"))
+    content = with_operation_log(configuration(fleet), pathlib.Path("x"))
     content["classes"][0]["note_operations"] = True
     with pytest.raises(configs.ConfigError, match="note_operations is for what must not run twice"):
         configs.parse(json.dumps(content))
 
 
-def test_boto3_through_lost_answers_and_kills(tmp_path: pathlib.Path) -> None:
+def test_boto3_through_lost_responses_and_crashes(tmp_path: pathlib.Path) -> None:
     """A third of the answers lost, a gateway killed again and again: each operation runs once at most."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.005, load_s=0.02))
     path = tmp_path / "gateway.json5"
-    content = noting(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations")
+    content = with_operation_log(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations")
     held = hold_port("127.0.0.1")  # the port stays ours while nobody listens
     content["listen"] = f"127.0.0.1:{held.getsockname()[1]}"
     path.write_text(json.dumps(content))
--- /dev/null
+++ b/tests/operations/test_operation_model.py
@@ -0,0 +1,216 @@
+"""A model of one gateway with an operation log: one effect and one response over any order of events."""
+
+from __future__ import annotations
+
+import itertools
+from dataclasses import dataclass, field
+
+import pytest
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
+
+from saffronstack.operations.decisions import Coalesce, Execute, Replay
+from saffronstack.operations.operation import InFlightOperation, OperationState, StoredResponse
+from saffronstack.operations.operation_log import (
+    AnyLogRecord,
+    AttemptStarted,
+    LogReset,
+    OperationFinished,
+    OperationLogState,
+    OperationReleased,
+    OperationsExpired,
+)
+from saffronstack.operations.operation_table import OperationTable
+from saffronstack.operations.record_format import decode_record
+from saffronstack.routing.settings import Idempotency
+
+WINDOW_S = 100.0
+FINGERPRINT = b"p" * 16
+
+
+@dataclass
+class Model:
+    """What the service does with table and log, a step at a time; ``broken`` leaves one defence out."""
+
+    durable: bool = True
+    broken: str = ""
+    now: float = 0.0
+    table: OperationTable = field(default_factory=lambda: OperationTable(1 << 30))
+    disk: list[AnyLogRecord] = field(default_factory=lambda: [LogReset()])
+    in_flight: dict[bytes, InFlightOperation] = field(default_factory=dict)
+    logged: set[bytes] = field(default_factory=set)
+    runs: dict[bytes, int] = field(default_factory=dict)
+    since: dict[bytes, float] = field(default_factory=dict)  # the first run
+    answers: dict[bytes, set[bytes]] = field(default_factory=dict)
+
+    def send(self, digest: bytes) -> None:
+        step = self.table.admit(
+            digest, FINGERPRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, digest.decode(), self.now
+        )
+        if isinstance(step, Execute):
+            self.in_flight[digest] = step.operation
+        elif isinstance(step, Coalesce) and self.broken == "no join":
+            self.run(digest)
+        elif isinstance(step, Replay):
+            answer = step.record.response
+            self.tell(digest, answer.body if answer is not None else b"unknown")
+
+    def tell(self, digest: bytes, body: bytes) -> None:
+        if digest in self.since and self.now < self.since[digest] + WINDOW_S:
+            self.answers.setdefault(digest, set()).add(body)
+
+    def run(self, digest: bytes) -> None:
+        if self.durable and digest not in self.logged and self.broken != "log after the byte":
+            one = self.in_flight[digest]
+            self.disk.append(
+                AttemptStarted(
+                    digest, FINGERPRINT, Idempotency.NON_IDEMPOTENT, one.request_id, WINDOW_S, 1, self.now
+                )
+            )
+            self.logged.add(digest)
+        if digest not in self.since or self.now >= self.since[digest] + WINDOW_S:
+            self.runs[digest], self.answers[digest] = 0, set()
+            self.since[digest] = self.now
+        self.runs[digest] += 1
+
+    def answered(self, digest: bytes, body: bytes, lost: bool) -> None:
+        one = self.in_flight.pop(digest)
+        outcome = OperationState.OUTCOME_UNKNOWN if lost else OperationState.COMPLETED
+        if lost and self.broken == "a lost answer releases":
+            self.table.release(one)
+            self.disk.append(OperationReleased(digest))
+            return
+        record = self.table.complete(
+            one, outcome, StoredResponse(200, (), b"unknown" if lost else body), self.now
+        )
+        if digest in self.logged:
+            self.disk.append(OperationFinished(digest, record, self.now + WINDOW_S))
+        self.tell(digest, b"unknown" if lost else body)
+
+    def refused(self, digest: bytes) -> None:
+        self.table.release(self.in_flight.pop(digest))
+
+    def kill(self) -> None:
+        state = OperationLogState()
+        for entry in self.disk:
+            state.apply(entry)
+        copy = OperationLogState()
+        for entry in state.snapshot():
+            copy.apply(entry)
+        self.table = OperationTable(1 << 30)
+        for digest, record in sorted(
+            copy.recovered_operations(), key=lambda item: decode_record(item[1]).expires_s
+        ):
+            if decode_record(record).expires_s > self.now:
+                self.table.restore(digest, record)
+        self.disk = list(copy.snapshot())
+        self.in_flight.clear()
+        self.logged = set(copy.in_flight)
+
+    def expire(self) -> None:
+        self.table.expire(self.now)
+        self.disk.append(OperationsExpired(self.now))
+
+    def check(self) -> None:
+        for digest, count in self.runs.items():
+            assert count <= 1, f"{digest!r} ran {count} times within its window"
+        for digest, answers in self.answers.items():
+            assert len(answers) <= 1, f"{digest!r} was answered {answers}"
+
+
+DIGESTS = [b"a", b"b", b"c"]
+
+
+class Operating(RuleBasedStateMachine):
+    """Arbitrary orders of sends, runs, answers, losses, refusals, kills and expiry."""
+
+    @initialize()
+    def start(self) -> None:
+        self.model = Model()
+        self.ran: set[bytes] = set()
+
+    def waiting(self, which: int, ran: bool) -> bytes | None:
+        found = sorted(d for d in self.model.in_flight if (d in self.ran) == ran)
+        return found[which % len(found)] if found else None
+
+    @rule(name=st.sampled_from(DIGESTS))
+    def send(self, name: bytes) -> None:
+        self.model.send(name)
+
+    @rule(which=st.integers(0, 5))
+    def run(self, which: int) -> None:
+        name = self.waiting(which, ran=False)
+        if name is not None:
+            self.model.run(name)
+            self.ran.add(name)
+
+    @rule(which=st.integers(0, 5), body=st.binary(min_size=1, max_size=2), lost=st.booleans())
+    def answer(self, which: int, body: bytes, lost: bool) -> None:
+        name = self.waiting(which, ran=True)
+        if name is not None:
+            self.model.answered(name, body, lost)
+            self.ran.discard(name)
+
+    @rule(which=st.integers(0, 5))
+    def refuse(self, which: int) -> None:
+        name = self.waiting(which, ran=False)
+        if name is not None:
+            self.model.refused(name)
+
+    @rule()
+    def kill(self) -> None:
+        self.model.kill()
+        self.ran.clear()
+
+    @rule(by=st.sampled_from([0.5, 20.0, 99.9, 100.0]))
+    def pass_time(self, by: float) -> None:
+        self.model.now += by
+        self.model.expire()
+
+    @invariant()
+    def holds(self) -> None:
+        if hasattr(self, "model"):
+            self.model.check()
+
+
+Operating.TestCase.settings = settings(
+    derandomize=True, max_examples=150, stateful_step_count=40, deadline=None
+)
+TestOperating = Operating.TestCase
+
+
+def explore(broken: str, depth: int) -> str:
+    """All orders of a few steps on one name, up to a length; what first went wrong."""
+    steps = ("send", "run", "answer", "lose", "kill")
+    for length in range(1, depth + 1):
+        for order in itertools.product(steps, repeat=length):
+            model, ran = Model(broken=broken), False
+            for step in order:
+                if step == "send":
+                    ran = ran if b"a" in model.in_flight else False
+                    model.send(b"a")
+                elif step == "run" and b"a" in model.in_flight and not ran:
+                    model.run(b"a")
+                    ran = True
+                elif step in ("answer", "lose") and ran and b"a" in model.in_flight:
+                    model.answered(b"a", b"x", step == "lose")
+                    ran = False
+                elif step == "kill":
+                    model.kill()
+                    ran = False
+                model.now += 0.1
+                try:
+                    model.check()
+                except AssertionError as error:
+                    return f"{' '.join(order)}: {error}"
+    return ""
+
+
+@pytest.mark.parametrize("broken", ["no join", "log after the byte", "a lost answer releases"])
+def test_exploration_finds_each_defence_left_out(broken: str) -> None:
+    assert "times within its window" in explore(broken, 6)
+
+
+def test_exploration_finds_no_fault_with_all_defences() -> None:
+    assert explore("", 6) == ""
