--- a/tests/test_operation_slots.py
+++ b/tests/operations/test_slot_processes.py
@@ -1,11 +1,10 @@
-"""Who runs an operation: slots, views that differ, processes that are killed, paused, fewer than before."""
+"""Operations of a gateway of several processes, which crash, are paused, or are fewer than before."""
 
 from __future__ import annotations
 
 import json
 import os
 import pathlib
-import random
 import signal
 import socket
 import subprocess
@@ -14,125 +13,23 @@
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
-from typing import Any
 
 import pytest
 
 from saffronstack.client import Answer
-from saffronstack.durable.journal import JournalError
-from saffronstack.operations.idempotency_keys import Name
-from saffronstack.operations.slot_assignment import SLOTS, owner, slot_of
-from saffronstack.operations.slot_manager import Home, Peer, SlotKeeper, Slots
+from saffronstack.operations.idempotency_keys import OperationIdentity
+from saffronstack.operations.live_members import LiveMembers
+from saffronstack.operations.slot_assignment import SLOT_COUNT, assigned_member, slot_for
+from saffronstack.operations.slot_manager import LIVE_DIRECTORY
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.worker import hold_port
+from tests.support.operations import send, with_operation_log
 from tests.support.stack import Stack, configuration, eventually
-from tests.test_operations import noting, send
 
 COUNT = 3
 
 
-def test_an_owner_is_the_same_for_all_and_moves_only_with_its_own() -> None:
-    live = ["0", "1", "2", "3"]
-    for slot in range(SLOTS):
-        first = owner(slot, live)
-        for _ in range(3):
-            random.shuffle(live)
-            assert owner(slot, live) == first
-        for gone in live:
-            rest = [member for member in live if member != gone]
-            assert owner(slot, rest) == (first if first != gone else owner(slot, rest))
-            assert first == gone or owner(slot, rest) == first
-    spread = [sum(owner(slot, live) == member for slot in range(SLOTS)) for member in live]
-    assert min(spread) >= 6
-    assert owner(0, []) is None
-    assert {slot_of(bytes([n, 1])) for n in range(256)} == set(range(SLOTS))
-
-
-class Recorded(SlotKeeper):
-    """Notes what is taken over and given up, and can fail."""
-
-    def __init__(self) -> None:
-        self.taken: list[tuple[frozenset[int], list[Home], list[tuple[bytes, bytes]]]] = []
-        self.busy: set[int] = set()
-        self.fails = False
-
-    def take_over(self, slots: frozenset[int], homes: list[Home], memory: list[tuple[bytes, bytes]]) -> None:
-        if self.fails:
-            raise JournalError("unreadable")
-        self.taken.append((slots, homes, memory))
-
-    def give_up(self, slots: frozenset[int]) -> dict[int, list[tuple[bytes, bytes]]]:
-        return {slot: [(bytes([slot]), b"left")] for slot in slots - self.busy}
-
-
-def member(directory: pathlib.Path, name: str, **more: Any) -> tuple[Slots, Recorded]:
-    keeper = Recorded()
-    clock = more.get("clock", time.monotonic)
-    return Slots(directory, name, lambda: f"host:{name}", Home(f"notes-{name}"), keeper, clock), keeper
-
-
-def test_whatever_views_say_no_slot_has_two_holders(tmp_path: pathlib.Path) -> None:
-    """Members whose lists are drawn at random each time: each takes what it believes is its own."""
-    chance = random.Random(7)
-    members = [member(tmp_path, str(n)) for n in range(4)]
-    for slots, keeper in members:
-        slots._live_directory.mkdir(exist_ok=True)
-        keeper.busy = set(chance.sample(range(SLOTS), 10))
-    for _ in range(120):
-        slots, keeper = chance.choice(members)
-        view = chance.sample(["0", "1", "2", "3"], chance.randint(1, 4))
-        peers = {name: Peer(name, name) for name in view}
-        slots._look = lambda peers=peers: peers  # type: ignore[method-assign,misc]
-        keeper.busy ^= {chance.randrange(SLOTS)}
-        slots.tick()
-        ready = [set(filter(one.holds, range(SLOTS))) for one, _ in members]
-        for a in range(4):
-            for b in range(a):
-                assert not ready[a] & ready[b]
-    for slots, _ in members:
-        slots.stop(0.0)
-
-
-def test_a_slot_goes_to_the_next_with_its_holders_notes(tmp_path: pathlib.Path) -> None:
-    first, _ = member(tmp_path, "a")
-    first.start()
-    assert first.held == SLOTS
-    second, kept = member(tmp_path, "b")
-    second.start()
-    eventually(lambda: second.held and first.held + second.held == SLOTS)
-    assert {home.notes for _, homes, _ in kept.taken for home in homes} == {"notes-a"}
-    left = {entry for _, _, memory in kept.taken for entry in memory}
-    assert left == {(bytes([slot]), b"left") for slot in range(SLOTS) if second.holds(slot)}
-    peer = first.owner_of(next(slot for slot in range(SLOTS) if second.holds(slot)))
-    assert peer is not None and peer.address == "host:b"
-    assert second.stop()
-    eventually(lambda: first.held == SLOTS)
-    assert first.stop()
-
-
-def test_slots_whose_notes_cannot_be_read_are_held_by_nobody(tmp_path: pathlib.Path) -> None:
-    now = [0.0]
-    slots, keeper = member(tmp_path, "a", clock=lambda: now[0])
-    keeper.fails = True
-    slots._live_directory.mkdir(exist_ok=True)
-    slots.tick()
-    assert slots.held == 0
-    other, _ = member(tmp_path, "b")
-    assert other._lock(3)  # the locks went back
-    other._unlock(3)
-    keeper.fails = False
-    slots.tick()
-    assert slots.held == 0  # not at once
-    now[0] = 2.0
-    slots.tick()
-    assert slots.held == SLOTS
-    slots.stop(0.0)
-
-
-# ---- real processes
-
-
 class Processes:
     """A gateway of several processes, whose each process can be asked by itself."""
 
@@ -140,7 +37,7 @@
         self.directory = tmp_path
         self.fleet = fleet
         self.path = tmp_path / "gateway.json5"
-        content = noting(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations")
+        content = with_operation_log(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations")
         self.path.write_text(json.dumps({**content, "listen": listen}))
         self.stack = Stack(None, fleet, content, listen)  # type: ignore[arg-type]
         self.process: subprocess.Popen[bytes] | None = None
@@ -197,17 +94,17 @@
     def settled(self, count: int) -> None:
         """Wait until each holds what is its own."""
         live = [str(n) for n in range(count)]
-        wanted = [sum(owner(slot, live) == member for slot in range(SLOTS)) for member in live]
+        wanted = [sum(assigned_member(slot, live) == member for slot in range(SLOT_COUNT)) for member in live]
         eventually(lambda: [self.held(n) for n in range(count)] == wanted, 20)
 
-    def token_of(
+    def key_of(
         self, index: int, count: int, function: str = "record-sale", kind: str = "RequestResponse"
     ) -> str:
         """A name whose operation a process owns, where so many live."""
         live = [str(n) for n in range(count)]
         for n in range(10_000):
-            name = Name("corner-books", function, "$LATEST", kind, f"sdk:t{n}")
-            if owner(slot_of(name.digest()), live) == str(index):
+            name = OperationIdentity("corner-books", function, "$LATEST", kind, f"sdk:t{n}")
+            if assigned_member(slot_for(name.digest()), live) == str(index):
                 return f"t{n}"
         raise AssertionError
 
@@ -228,10 +125,10 @@
         fleet.stop()
 
 
-def test_two_sends_to_two_processes_at_once_run_once(tmp_path: pathlib.Path) -> None:
+def test_concurrent_requests_to_several_processes_execute_once(tmp_path: pathlib.Path) -> None:
     with processes(tmp_path, Profile(work_s=0.2, load_s=0.02)) as gateway:
         for kind in ("RequestResponse", "Event"):
-            token = gateway.token_of(1, COUNT, kind=kind)
+            token = gateway.key_of(1, COUNT, kind=kind)
             found: list[Answer] = []
             gate = threading.Barrier(COUNT)
 
@@ -254,9 +151,9 @@
             assert len(runs) == 1
 
 
-def test_the_owner_is_killed_in_the_middle(tmp_path: pathlib.Path) -> None:
+def test_the_slot_holder_crashes_during_an_execution(tmp_path: pathlib.Path) -> None:
     with processes(tmp_path, Profile(work_s=0.4, load_s=0.02)) as gateway:
-        token = gateway.token_of(2, COUNT)
+        token = gateway.key_of(2, COUNT)
         found: list[Answer] = []
         sender = threading.Thread(target=lambda: found.append(send(gateway.peer(0), "record-sale", token)))
         sender.start()
@@ -269,7 +166,7 @@
         assert {a.status for a in answers} == {200}
         assert all(b"OutcomeUnknown" in a.body for a in answers), [(a.status, a.body) for a in answers]
         assert gateway.stack.runs("record-sale") == 1
-        kept = gateway.token_of(2, COUNT, kind="Event")
+        kept = gateway.key_of(2, COUNT, kind="Event")
         taken = [send(gateway.peer(0), "record-sale", kept, kind="Event")]
         os.kill(gateway.pid(2), signal.SIGKILL)
         for index in (0, 1):
@@ -285,10 +182,10 @@
     return answer.status
 
 
-def test_the_owner_is_paused_and_resumed(tmp_path: pathlib.Path) -> None:
+def test_the_slot_holder_is_paused_and_resumed(tmp_path: pathlib.Path) -> None:
     """Its slots stay its own; who asks meanwhile is answered in time, and nothing of that runs later."""
     with processes(tmp_path, Profile(work_s=0.01, load_s=0.02)) as gateway:
-        token, fresh = gateway.token_of(1, COUNT), f"{gateway.token_of(1, COUNT)}"
+        token, fresh = gateway.key_of(1, COUNT), f"{gateway.key_of(1, COUNT)}"
         first = send(gateway.peer(0), "record-sale", token)
         assert first.status == 200
         pid = gateway.pid(1)
@@ -297,9 +194,11 @@
         mine = [
             n
             for n in names
-            if owner(
-                slot_of(
-                    Name("corner-books", "record-sale", "$LATEST", "RequestResponse", f"sdk:{n}").digest()
+            if assigned_member(
+                slot_for(
+                    OperationIdentity(
+                        "corner-books", "record-sale", "$LATEST", "RequestResponse", f"sdk:{n}"
+                    ).digest()
                 ),
                 live,
             )
@@ -313,7 +212,7 @@
             assert time.monotonic() - began_s < 4 * 1.6  # the class's deadline each
             assert {a.status for a in answers} <= {200, 429}
             assert all(a.status == 429 or b"OutcomeUnknown" in a.body for a in answers)
-            assert gateway.held(0) + gateway.held(2) < SLOTS
+            assert gateway.held(0) + gateway.held(2) < SLOT_COUNT
             time.sleep(max(0.0, began_s + 10.0 - time.monotonic()))
         finally:
             os.kill(pid, signal.SIGCONT)
@@ -325,9 +224,9 @@
         assert send(gateway.peer(2), "record-sale", fresh).body == first.body
 
 
-def test_fewer_processes_know_what_more_of_them_did(tmp_path: pathlib.Path) -> None:
+def test_fewer_processes_know_the_operations_of_more(tmp_path: pathlib.Path) -> None:
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02)) as gateway:
-        tokens = [gateway.token_of(n, COUNT) for n in range(COUNT)]
+        tokens = [gateway.key_of(n, COUNT) for n in range(COUNT)]
         firsts = [send(gateway.peer(0), "record-sale", token) for token in tokens]
         assert {a.status for a in firsts} == {200}
         assert gateway.stop() == 0
@@ -338,10 +237,10 @@
         assert gateway.stack.runs("record-sale") == COUNT
 
 
-def test_a_stale_process_that_lives_keeps_its_slots_from_the_others(tmp_path: pathlib.Path) -> None:
+def test_a_stale_process_keeps_its_slots_while_it_lives(tmp_path: pathlib.Path) -> None:
     """One of three outlives its supervisor, paused; a new gateway of two starts beside it."""
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02)) as gateway:
-        token = gateway.token_of(2, COUNT)
+        token = gateway.key_of(2, COUNT)
         first = send(gateway.peer(0), "record-sale", token)
         assert first.status == 200
         stale = gateway.pid(2)
@@ -352,29 +251,25 @@
         eventually(lambda: not _lives(tmp_path, "0") and not _lives(tmp_path, "1"))
         gateway.start(2)
         eventually(lambda: gateway.held(0) and gateway.held(1))
-        assert gateway.held(0) + gateway.held(1) < SLOTS
+        assert gateway.held(0) + gateway.held(1) < SLOT_COUNT
         answer = send(gateway.peer(0), "record-sale", token)
         assert answer.status == 429 or b"OutcomeUnknown" in answer.body
         os.kill(stale, signal.SIGCONT)  # it finds its supervisor gone, and ends
-        eventually(lambda: gateway.held(0) + gateway.held(1) == SLOTS)
+        eventually(lambda: gateway.held(0) + gateway.held(1) == SLOT_COUNT)
         again = send(gateway.peer(1), "record-sale", token)
         assert again.body == first.body
         assert gateway.stack.runs("record-sale") == 1
 
 
 def _lives(tmp_path: pathlib.Path, member: str) -> bool:
-    looking, _ = member_of(tmp_path)
-    return member in looking._look()
-
-
-def member_of(tmp_path: pathlib.Path) -> tuple[Slots, Recorded]:
-    return member(tmp_path / "ledger" / "operation-slots", "looker")
+    directory = tmp_path / "ledger" / "operation-slots" / LIVE_DIRECTORY
+    return member in LiveMembers(directory, "observer", lambda: "").poll()
 
 
 @pytest.mark.parametrize("header", ["nonsense", "1.0", ""])
-def test_nobody_outside_can_claim_to_be_a_process(tmp_path: pathlib.Path, header: str) -> None:
+def test_a_client_cannot_claim_to_be_a_process(tmp_path: pathlib.Path, header: str) -> None:
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02), 2) as gateway:
-        token = gateway.token_of(1, 2)
+        token = gateway.key_of(1, 2)
         client = gateway.peer(0).client()
         extra = (("amz-sdk-invocation-id", token), ("x-saffron-forwarded", "1"), ("x-saffron-until", header))
         answer = client.invoke("record-sale", b"{}", "RequestResponse", extra)
--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -24,18 +24,25 @@
 from saffronstack.http1.messages import Headers, RequestHead
 from saffronstack.invoke.response import Response
 from saffronstack.invoke.routing import Router, Sent
-from saffronstack.operations.idempotency_keys import Name, fingerprint, worker_key
-from saffronstack.operations.operation_service import NotHeldError
-from saffronstack.operations.response_store import Spool, digest_of
-from saffronstack.operations.slot_assignment import SLOTS, owner, slot_of
-from saffronstack.operations.slot_manager import Home, Peer, SlotKeeper, Slots
+from saffronstack.operations.errors import SlotNotHeldError
+from saffronstack.operations.idempotency_keys import (
+    OperationIdentity,
+    payload_fingerprint,
+    worker_idempotency_key,
+)
+from saffronstack.operations.live_members import Peer
+from saffronstack.operations.operation import EncodedOperation
+from saffronstack.operations.response_store import ResponseStore, body_digest
+from saffronstack.operations.slot_assignment import SLOT_COUNT, assigned_member, slot_for
+from saffronstack.operations.slot_locks import RecordLocation
+from saffronstack.operations.slot_manager import SlotHandover, SlotManager, SlotMember
 from tests.stored_formats.stored_files import AMPLE_S, DATA, OneExchange
 
 KEPT_SLOT = 3
-HOMES = (
-    Home("/state/process-0/operations", "/state/process-0/ledger"),
-    Home("", "/state/process-1/ledger"),
-    Home("/state/process-2/operations", ""),
+LOCATIONS = (
+    RecordLocation("/state/process-0/operations", "/state/process-0/ledger"),
+    RecordLocation("", "/state/process-1/ledger"),
+    RecordLocation("/state/process-2/operations", ""),
 )
 MEMORY = [(bytes([KEPT_SLOT]) * 12, b"packed"), (b"\xff" * 12, b"")]
 PROCESSES = DATA / "address_processes"
@@ -50,49 +57,50 @@
 # ---- slots
 
 
-class RecordingKeeper(SlotKeeper):
-    """Notes what is taken over, and leaves what the kept file holds."""
+class RecordingHandover(SlotHandover):
+    """Records what is taken over, and hands over what the kept file holds."""
 
     def __init__(self) -> None:
-        self.homes: list[Home] = []
-        self.memory: list[tuple[bytes, bytes]] = []
+        self.locations: list[RecordLocation] = []
+        self.handed_over: list[EncodedOperation] = []
 
-    def take_over(self, slots: frozenset[int], homes: list[Home], memory: list[tuple[bytes, bytes]]) -> None:
-        self.homes += homes
-        self.memory += memory
+    def take_over(
+        self, slots: frozenset[int], locations: list[RecordLocation], handed_over: list[EncodedOperation]
+    ) -> None:
+        self.locations += locations
+        self.handed_over += handed_over
 
-    def give_up(self, slots: frozenset[int]) -> dict[int, list[tuple[bytes, bytes]]]:
+    def hand_over(self, slots: frozenset[int]) -> dict[int, list[EncodedOperation]]:
         return {slot: [(bytes([slot]) * 12, b"packed"), (b"\xff" * 12, b"")] for slot in slots}
 
 
-def member(directory: pathlib.Path, number: int, keeper: SlotKeeper) -> Slots:
-    return Slots(
-        directory, str(number), lambda: f"127.0.0.1:400{number}", HOMES[number], keeper, time.monotonic
-    )
+def member(directory: pathlib.Path, number: int, handover: SlotHandover) -> SlotManager:
+    own = SlotMember(str(number), lambda: f"127.0.0.1:400{number}", LOCATIONS[number])
+    return SlotManager(directory, own, handover, time.monotonic)
 
 
 def test_slots_that_change_hands_leave_the_same_files(tmp_path: pathlib.Path) -> None:
     kept = DATA / "operation_slots"
-    for number in range(len(HOMES)):
-        slots = member(tmp_path, number, RecordingKeeper())
+    for number in range(len(LOCATIONS)):
+        slots = member(tmp_path, number, RecordingHandover())
         slots.start()
         lock = (tmp_path / f"{KEPT_SLOT}.lock").read_bytes()
         assert lock == (kept / f"{KEPT_SLOT}.lock.{number}").read_bytes()
         assert slots.stop(AMPLE_S)
         assert (tmp_path / "live" / str(number)).read_bytes() == (kept / "live" / str(number)).read_bytes()
     assert (tmp_path / f"{KEPT_SLOT}.memory").read_bytes() == (kept / f"{KEPT_SLOT}.memory").read_bytes()
-    assert len(list(tmp_path.glob("*.lock"))) == SLOTS == 64
+    assert len(list(tmp_path.glob("*.lock"))) == SLOT_COUNT == 64
 
 
 def test_the_next_holder_reads_kept_holders_and_memory(tmp_path: pathlib.Path) -> None:
     shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.lock.1", tmp_path / f"{KEPT_SLOT}.lock")
     shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.memory", tmp_path / f"{KEPT_SLOT}.memory")
-    keeper = RecordingKeeper()
-    slots = member(tmp_path, 2, keeper)
-    slots.tick()
-    assert keeper.homes == [HOMES[0], HOMES[1]]
-    assert keeper.memory == MEMORY
-    assert slots.holds(KEPT_SLOT)
+    handover = RecordingHandover()
+    slots = member(tmp_path, 2, handover)
+    slots.maintain()
+    assert handover.locations == [LOCATIONS[0], LOCATIONS[1]]
+    assert handover.handed_over == MEMORY
+    assert slots.is_held(KEPT_SLOT)
     slots.stop(0.0)
 
 
@@ -100,15 +108,15 @@
     shutil.copytree(DATA / "operation_slots" / "live", tmp_path / "live")
     with (tmp_path / "live" / "0").open("rb") as first:
         fcntl.flock(first, fcntl.LOCK_EX)
-        slots = member(tmp_path, 2, RecordingKeeper())
-        slots.tick()
-        owners = [slots.owner_of(slot) for slot in range(SLOTS)]
+        slots = member(tmp_path, 2, RecordingHandover())
+        slots.maintain()
+        owners = [slots.assigned_peer(slot) for slot in range(SLOT_COUNT)]
     assert {(peer.member, peer.address) for peer in owners if peer is not None} == {
         ("0", "127.0.0.1:4000"),
         ("2", "127.0.0.1:4002"),
     }
     assert [peer.member for peer in owners if peer is not None] == [
-        owner(slot, ["0", "2"]) for slot in range(SLOTS)
+        assigned_member(slot, ["0", "2"]) for slot in range(SLOT_COUNT)
     ]
     slots.stop(0.0)
 
@@ -120,11 +128,11 @@
     kept = DATA / "answer_spool"
     shutil.copytree(kept / "answers", tmp_path / "answers")
     digest = (kept / "digest.txt").read_text()
-    spool = Spool(str(tmp_path), 1 << 20)
-    body = spool.get("0123456789abcdef", digest)
+    store = ResponseStore(str(tmp_path), 1 << 20)
+    body = store.load("0123456789abcdef", digest)
     assert body == (kept / "answers" / "0123456789abcdef").read_bytes()
-    assert digest_of(body) == digest and spool.bytes == len(body)
-    assert spool.put("another", body)
+    assert body_digest(body) == digest and store.stored_bytes == len(body)
+    assert store.save("another", body)
     assert (tmp_path / "answers" / "another").read_bytes() == body
 
 
@@ -148,19 +156,19 @@
 
 
 class KnownSlots:
-    """Slots of which another process holds each."""
+    """SlotManager of which another process holds each."""
 
     member = "1"
 
     def __init__(self, address: str) -> None:
         self._address = address
 
-    def owner_of(self, slot: int) -> Peer:
+    def assigned_peer(self, slot: int) -> Peer:
         return Peer("0", self._address)
 
 
 def not_held() -> Response:
-    raise NotHeldError
+    raise SlotNotHeldError
 
 
 def test_an_operation_is_forwarded_with_the_same_request() -> None:
@@ -193,18 +201,18 @@
 
 def test_operations_have_the_same_digests_and_slots() -> None:
     for operation in NUMBERS["operations"]:
-        digest = Name(*operation["parts"]).digest()
+        digest = OperationIdentity(*operation["parts"]).digest()
         assert digest.hex() == operation["digest"]
-        assert slot_of(digest) == operation["slot"]
+        assert slot_for(digest) == operation["slot"]
     for one in NUMBERS["fingerprints"]:
-        assert fingerprint(bytes.fromhex(one["payload"]), one["context"]).hex() == one["fingerprint"]
+        assert payload_fingerprint(bytes.fromhex(one["payload"]), one["context"]).hex() == one["fingerprint"]
     for one in NUMBERS["worker_keys"]:
-        assert worker_key(*one["parts"]) == one["key"]
+        assert worker_idempotency_key(*one["parts"]) == one["key"]
 
 
 def test_slots_have_the_same_owners() -> None:
     for one in NUMBERS["owners"]:
-        assert [owner(slot, one["live"]) for slot in range(SLOTS)] == one["owners"]
+        assert [assigned_member(slot, one["live"]) for slot in range(SLOT_COUNT)] == one["owners"]
 
 
 def test_functions_workers_and_processes_have_the_same_numbers_and_directories() -> None:
@@ -277,4 +285,4 @@
 
 def test_members_and_homes_are_json_objects_of_the_same_fields() -> None:
     assert msgspec.json.encode(Peer("0", "h:1")) == b'{"member":"0","address":"h:1"}'
-    assert msgspec.json.encode(Home("n", "l")) == b'{"notes":"n","ledger":"l"}'
+    assert msgspec.json.encode(RecordLocation("n", "l")) == b'{"notes":"n","ledger":"l"}'
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -26,9 +26,8 @@
 from saffronstack.metering.meter import read_usage_log
 from saffronstack.metering.records import Asked, Offered, Usage
 from saffronstack.metering.report import COLUMNS, comma_separated, json_lines, rows, table
-from saffronstack.operations.operation_log import CODEC as NOTES_CODEC
-from saffronstack.operations.operation_log import Notes
-from saffronstack.operations.operation_table import pack, unpack
+from saffronstack.operations.operation_log import OPERATION_LOG_CODEC, OperationLogState
+from saffronstack.operations.record_format import decode_record, encode_record
 from tests.stored_formats.stored_files import DATA, segment_blocks, segment_records
 
 SEGMENT_BYTES = 1 << 20
@@ -60,7 +59,7 @@
 
 KINDS = [
     Kind("deferred_records", "ledger-0000000001.seg", LEDGER_CODEC, lambda: Book(100), "antvfds"),
-    Kind("operations_notes", "operations-0000000001.seg", NOTES_CODEC, Notes, "snerx"),
+    Kind("operations_notes", "operations-0000000001.seg", OPERATION_LOG_CODEC, OperationLogState, "snerx"),
     Kind(
         "usage_records",
         "usage-0000000001.seg",
@@ -132,7 +131,7 @@
     kind = KINDS[1]
     shutil.copy(DATA / kind.folder / kind.segment, tmp_path)
     journal = kind.journal(tmp_path)
-    known = {digest.hex(): packed.hex() for digest, packed in journal.state.known()}
+    known = {digest.hex(): packed.hex() for digest, packed in journal.state.recovered_operations()}
     assert journal.close()
     assert known == json.loads((DATA / kind.folder / "known.json").read_text())
 
@@ -140,13 +139,13 @@
 def test_packed_operations_are_unpacked_and_packed_again_byte_by_byte() -> None:
     known = json.loads((DATA / "operations_notes" / "known.json").read_text())
     packed = [bytes.fromhex(text) for text in known.values()]
-    assert [pack(unpack(one)) for one in packed] == packed
+    assert [encode_record(decode_record(one)) for one in packed] == packed
     raw = [msgspec.msgpack.decode(one) for one in packed]
     assert {(one[0], one[4]) for one in raw} == {
         (fate, effect) for fate in ("ended", "unknown", "again") for effect in ("safe", "keyed", "unsafe")
     }
-    answered = next(unpack(one) for one in packed if unpack(one).answer is not None)
-    answer = answered.answer
+    answered = next(decode_record(one) for one in packed if decode_record(one).response is not None)
+    answer = answered.response
     assert answer is not None
     assert answer.status == 200 and answer.body == b'{"sold": 1}'
     assert answer.headers[:2] == (
--- /dev/null
+++ b/tests/support/operations.py
@@ -0,0 +1,76 @@
+"""Gateways that log their operations, and requests with idempotency keys."""
+
+from __future__ import annotations
+
+import errno
+import json
+import pathlib
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Any
+
+from saffronstack import config as configs
+from saffronstack.client import Answer
+from saffronstack.durable.segments import Files
+from saffronstack.gateway import Gateway
+from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.model import Profile
+from tests.support.stack import Stack, configuration
+
+
+def with_operation_log(
+    content: dict[str, Any], directory: pathlib.Path | None, **more: Any
+) -> dict[str, Any]:
+    """Return the configuration with an operation log for classes that are not idempotent."""
+    for cls in content["classes"]:
+        cls["note_operations"] = cls["effect"] != "safe" and directory is not None
+    content["operations"] = {"commit_timeout_s": 10.0, **more}
+    if directory is not None:
+        content["operations"]["directory"] = str(directory)
+    return content
+
+
+@contextmanager
+def logging_gateway(
+    tmp_path: pathlib.Path, profile: Profile | None = None, fleet: StandInFleet | None = None, **more: Any
+) -> Iterator[Stack]:
+    """Run a gateway with an operation log, before stand-in workers or those of ``fleet``."""
+    own = fleet is None
+    fleet = fleet or StandInFleet(2, lambda n: profile or Profile(work_s=0.002, load_s=0.02))
+    files = more.pop("files", None)
+    content = with_operation_log(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations", **more)
+    gateway = Gateway(configs.parse(json.dumps(content)), files=files)
+    host, port = gateway.start()
+    try:
+        yield Stack(gateway, fleet, content, f"{host}:{port}")
+    finally:
+        gateway.stop()
+        if own:
+            fleet.stop()
+
+
+def send(
+    stack: Stack,
+    function: str,
+    key: str,
+    payload: bytes = b"{}",
+    kind: str = "RequestResponse",
+    **more: str,
+) -> Answer:
+    """Send one request of an operation as an AWS SDK does, which names it ``key``."""
+    client = stack.client(tenant=more.pop("tenant", ""))
+    try:
+        return client.invoke(function, payload, kind, (("amz-sdk-invocation-id", key),))
+    finally:
+        client.close()
+
+
+class SealableFiles(Files):
+    """Files that take no more writes once they are sealed: the disk holds what a crash leaves."""
+
+    is_sealed = False
+
+    def write(self, descriptor: int, data: bytes) -> None:
+        if self.is_sealed:
+            raise OSError(errno.ENOSPC, "No space left on device")
+        super().write(descriptor, data)
