--- a/saffronstack/operations/operation_table.py
+++ b/saffronstack/operations/operation_table.py
@@ -80,7 +80,7 @@
                     return Replay(record)
                 previous = record
             self._remove(digest, entry)
-        if not self._make_room(idempotency):
+        if not self._make_capacity(idempotency):
             if entry is not None:
                 self._insert(digest, entry)
             return Reject(self._retry_after_s(now))
@@ -154,14 +154,14 @@
 
     def extract(self, matches: Callable[[bytes], bool]) -> list[EncodedOperation]:
         """Remove and return the operations not in flight whose digest matches."""
-        found = [
+        extracted = [
             (digest, entry)
             for digest, entry in self._entries.items()
             if isinstance(entry, bytes) and matches(digest)
         ]
-        for digest, entry in found:
+        for digest, entry in extracted:
             self._remove(digest, entry)
-        return found
+        return extracted
 
     def find(self, digest: bytes) -> InFlightOperation | OperationRecord | None:
         """Return what is known of an operation."""
@@ -219,7 +219,7 @@
             expires_s, digest = earliest
             self.evicted_early += self._remove_expired(digest, expires_s)
 
-    def _make_room(self, idempotency: Idempotency) -> bool:
+    def _make_capacity(self, idempotency: Idempotency) -> bool:
         """Evict for one more operation; return whether it may be executed.
 
         An idempotent one always may: it needs not be remembered.
--- a/tests/operations/test_deduplication.py
+++ b/tests/operations/test_deduplication.py
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("function", ["record-sale", "adjust-setting"])
 def test_a_crash_between_execution_and_response(tmp_path: pathlib.Path, function: str) -> None:
-    """The next life knows: an unsafe one is unknown, a keyed one goes where it went and meets its key."""
+    """The next process knows an unknown outcome, or retries where a worker recognises the key."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.3, load_s=0.02))
     files = SealableFiles()
     with logging_gateway(tmp_path / "first", fleet=fleet, files=files) as stack:
@@ -190,7 +190,7 @@
             assert stack.runs(function) == 1
         else:
             keys = {run["key"] for worker in fleet.workers for run in worker.runs(function)}
-            assert len(keys) == 1  # whatever ran again, workers could tell it by its key
+            assert len(keys) == 1  # workers can recognise a retry by its key
             assert len({run["id"] for worker in fleet.workers for run in worker.runs(function)}) == 1
     fleet.stop()
 
@@ -231,7 +231,7 @@
 
 
 def test_a_call_without_a_key_that_may_have_executed_is_not_rejected() -> None:
-    """Its worker runs it and vanishes; no other is in its group: before, this was a 429."""
+    """Its worker executes it and stops, and no other is in its deduplication scope: a 429 would be wrong."""
     with running(1, profile=Profile(work_s=0.3, load_s=0.02)) as stack:
         found: list[Answer] = []
         thread = threading.Thread(target=lambda: found.append(stack.call("adjust-setting")))
@@ -249,7 +249,7 @@
         stack.fleet.workers[0].stop()
         thread.join(10)
         stack.fleet.workers[0].start()
-        if named[0].status == 429:  # harmless: its repeat goes where it went, with its key
+        if named[0].status == 429:  # harmless: a retry goes to the same worker with the same key
             eventually(lambda: send(stack, "adjust-setting", "op").status == 200)
         else:
             assert UNKNOWN in named[0].body
@@ -302,14 +302,14 @@
                 break
         assert statuses[-1] == 429
         ran = stack.runs("record-sale")
-        for n in (0, 5, len(statuses) - 2):  # what is unknown stays known
+        for n in (0, 5, len(statuses) - 2):  # operations with an unknown outcome are not evicted
             assert UNKNOWN in send(stack, "record-sale", f"op-{n}").body
         assert stack.runs("record-sale") == ran
         assert send(stack, "identify-copy", "safe").status in (200, 429)
 
 
 def test_requests_before_and_after_the_end_of_the_window(tmp_path: pathlib.Path) -> None:
-    """The gateway's clock is set by the test: a repeat a moment before the end is one, after it a new one."""
+    """A request before the end is replayed, one after it is executed; the test sets the gateway's clock."""
     shift = [0.0]
     fleet = StandInFleet(1)
     content = with_operation_log(configuration(fleet), tmp_path / "o", window_s=50.0)
@@ -366,11 +366,11 @@
 
 
 def test_boto3_through_lost_responses_and_crashes(tmp_path: pathlib.Path) -> None:
-    """A third of the answers lost, a gateway killed again and again: each operation runs once at most."""
+    """A third of the responses is lost and the gateway crashes often: no operation executes twice."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.005, load_s=0.02))
     path = tmp_path / "gateway.json5"
     content = with_operation_log(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations")
-    held = hold_port("127.0.0.1")  # the port stays ours while nobody listens
+    held = hold_port("127.0.0.1")  # reserves the port while no gateway listens
     content["listen"] = f"127.0.0.1:{held.getsockname()[1]}"
     path.write_text(json.dumps(content))
 
--- a/tests/operations/test_operation_model.py
+++ b/tests/operations/test_operation_model.py
@@ -40,9 +40,9 @@
     disk: list[AnyLogRecord] = field(default_factory=lambda: [LogReset()])
     in_flight: dict[bytes, InFlightOperation] = field(default_factory=dict)
     logged: set[bytes] = field(default_factory=set)
-    runs: dict[bytes, int] = field(default_factory=dict)
-    since: dict[bytes, float] = field(default_factory=dict)  # the first run
-    answers: dict[bytes, set[bytes]] = field(default_factory=dict)
+    executions: dict[bytes, int] = field(default_factory=dict)
+    first_executed_s: dict[bytes, float] = field(default_factory=dict)  # by digest
+    responses: dict[bytes, set[bytes]] = field(default_factory=dict)
 
     def send(self, digest: bytes) -> None:
         step = self.table.admit(
@@ -51,16 +51,16 @@
         if isinstance(step, Execute):
             self.in_flight[digest] = step.operation
         elif isinstance(step, Coalesce) and self.broken == "no join":
-            self.run(digest)
+            self.execute(digest)
         elif isinstance(step, Replay):
             answer = step.record.response
-            self.tell(digest, answer.body if answer is not None else b"unknown")
+            self.record_response(digest, answer.body if answer is not None else b"unknown")
 
-    def tell(self, digest: bytes, body: bytes) -> None:
-        if digest in self.since and self.now < self.since[digest] + WINDOW_S:
-            self.answers.setdefault(digest, set()).add(body)
+    def record_response(self, digest: bytes, body: bytes) -> None:
+        if digest in self.first_executed_s and self.now < self.first_executed_s[digest] + WINDOW_S:
+            self.responses.setdefault(digest, set()).add(body)
 
-    def run(self, digest: bytes) -> None:
+    def execute(self, digest: bytes) -> None:
         if self.durable and digest not in self.logged and self.broken != "log after the byte":
             one = self.in_flight[digest]
             self.disk.append(
@@ -69,15 +69,15 @@
                 )
             )
             self.logged.add(digest)
-        if digest not in self.since or self.now >= self.since[digest] + WINDOW_S:
-            self.runs[digest], self.answers[digest] = 0, set()
-            self.since[digest] = self.now
-        self.runs[digest] += 1
+        if digest not in self.first_executed_s or self.now >= self.first_executed_s[digest] + WINDOW_S:
+            self.executions[digest], self.responses[digest] = 0, set()
+            self.first_executed_s[digest] = self.now
+        self.executions[digest] += 1
 
-    def answered(self, digest: bytes, body: bytes, lost: bool) -> None:
+    def respond(self, digest: bytes, body: bytes, lost: bool) -> None:
         one = self.in_flight.pop(digest)
         outcome = OperationState.OUTCOME_UNKNOWN if lost else OperationState.COMPLETED
-        if lost and self.broken == "a lost answer releases":
+        if lost and self.broken == "a lost response releases":
             self.table.release(one)
             self.disk.append(OperationReleased(digest))
             return
@@ -86,12 +86,12 @@
         )
         if digest in self.logged:
             self.disk.append(OperationFinished(digest, record, self.now + WINDOW_S))
-        self.tell(digest, b"unknown" if lost else body)
+        self.record_response(digest, b"unknown" if lost else body)
 
-    def refused(self, digest: bytes) -> None:
+    def reject(self, digest: bytes) -> None:
         self.table.release(self.in_flight.pop(digest))
 
-    def kill(self) -> None:
+    def crash(self) -> None:
         state = OperationLogState()
         for entry in self.disk:
             state.apply(entry)
@@ -113,17 +113,17 @@
         self.disk.append(OperationsExpired(self.now))
 
     def check(self) -> None:
-        for digest, count in self.runs.items():
-            assert count <= 1, f"{digest!r} ran {count} times within its window"
-        for digest, answers in self.answers.items():
-            assert len(answers) <= 1, f"{digest!r} was answered {answers}"
+        for digest, count in self.executions.items():
+            assert count <= 1, f"{digest!r} was executed {count} times within its window"
+        for digest, responses in self.responses.items():
+            assert len(responses) <= 1, f"{digest!r} got the responses {responses}"
 
 
 DIGESTS = [b"a", b"b", b"c"]
 
 
-class Operating(RuleBasedStateMachine):
-    """Arbitrary orders of sends, runs, answers, losses, refusals, kills and expiry."""
+class OperationMachine(RuleBasedStateMachine):
+    """Arbitrary orders of requests, executions, responses, losses, rejections, crashes and expiry."""
 
     @initialize()
     def start(self) -> None:
@@ -142,25 +142,25 @@
     def run(self, which: int) -> None:
         name = self.waiting(which, ran=False)
         if name is not None:
-            self.model.run(name)
+            self.model.execute(name)
             self.ran.add(name)
 
     @rule(which=st.integers(0, 5), body=st.binary(min_size=1, max_size=2), lost=st.booleans())
-    def answer(self, which: int, body: bytes, lost: bool) -> None:
+    def respond(self, which: int, body: bytes, lost: bool) -> None:
         name = self.waiting(which, ran=True)
         if name is not None:
-            self.model.answered(name, body, lost)
+            self.model.respond(name, body, lost)
             self.ran.discard(name)
 
     @rule(which=st.integers(0, 5))
-    def refuse(self, which: int) -> None:
+    def reject(self, which: int) -> None:
         name = self.waiting(which, ran=False)
         if name is not None:
-            self.model.refused(name)
+            self.model.reject(name)
 
     @rule()
-    def kill(self) -> None:
-        self.model.kill()
+    def crash(self) -> None:
+        self.model.crash()
         self.ran.clear()
 
     @rule(by=st.sampled_from([0.5, 20.0, 99.9, 100.0]))
@@ -174,15 +174,15 @@
             self.model.check()
 
 
-Operating.TestCase.settings = settings(
+OperationMachine.TestCase.settings = settings(
     derandomize=True, max_examples=150, stateful_step_count=40, deadline=None
 )
-TestOperating = Operating.TestCase
+TestOperationMachine = OperationMachine.TestCase
 
 
 def explore(broken: str, depth: int) -> str:
-    """All orders of a few steps on one name, up to a length; what first went wrong."""
-    steps = ("send", "run", "answer", "lose", "kill")
+    """Try all orders of a few steps on one operation, up to a length; return the first fault."""
+    steps = ("send", "run", "respond", "lose", "crash")
     for length in range(1, depth + 1):
         for order in itertools.product(steps, repeat=length):
             model, ran = Model(broken=broken), False
@@ -191,13 +191,13 @@
                     ran = ran if b"a" in model.in_flight else False
                     model.send(b"a")
                 elif step == "run" and b"a" in model.in_flight and not ran:
-                    model.run(b"a")
+                    model.execute(b"a")
                     ran = True
-                elif step in ("answer", "lose") and ran and b"a" in model.in_flight:
-                    model.answered(b"a", b"x", step == "lose")
+                elif step in ("respond", "lose") and ran and b"a" in model.in_flight:
+                    model.respond(b"a", b"x", step == "lose")
                     ran = False
-                elif step == "kill":
-                    model.kill()
+                elif step == "crash":
+                    model.crash()
                     ran = False
                 model.now += 0.1
                 try:
@@ -207,7 +207,7 @@
     return ""
 
 
-@pytest.mark.parametrize("broken", ["no join", "log after the byte", "a lost answer releases"])
+@pytest.mark.parametrize("broken", ["no join", "log after the byte", "a lost response releases"])
 def test_exploration_finds_each_defence_left_out(broken: str) -> None:
     assert "times within its window" in explore(broken, 6)
 
--- a/tests/operations/test_slot_processes.py
+++ b/tests/operations/test_slot_processes.py
@@ -31,7 +31,7 @@
 
 
 class Processes:
-    """A gateway of several processes, whose each process can be asked by itself."""
+    """A gateway of several processes, each of which can be sent requests by itself."""
 
     def __init__(self, tmp_path: pathlib.Path, fleet: StandInFleet, listen: str) -> None:
         self.directory = tmp_path
@@ -54,7 +54,7 @@
                 "--processes",
                 str(count),
                 "--replace-stopped",
-                "0",  # what slots do about one that is paused is shown without anyone replacing it
+                "0",  # a paused process must not be replaced
                 "--log-level",
                 "error",
             ],
@@ -72,7 +72,7 @@
         return self.process.wait(40)
 
     def peer(self, index: int) -> Stack:
-        """One process, asked where the others ask it: nobody passes its answer on but itself."""
+        """Return one process, at the address where the others forward requests to it."""
         place = self.directory / "ledger" / (f"process-{index}" if index else "")
         address = (place / "peer").read_text().strip()
         return Stack(None, self.fleet, {}, address)  # type: ignore[arg-type]
@@ -85,14 +85,14 @@
         try:
             text = self.peer(index).get("/metrics").body.decode()
         except OSError:
-            return 0  # it is dead, or not there yet
+            return 0  # it has crashed or not started yet
         for line in text.splitlines():
             if line.startswith("saffronstack_operation_slots "):
                 return int(float(line.split()[1]))
         return 0
 
     def settled(self, count: int) -> None:
-        """Wait until each holds what is its own."""
+        """Wait until each process holds its assigned slots."""
         live = [str(n) for n in range(count)]
         wanted = [sum(assigned_member(slot, live) == member for slot in range(SLOT_COUNT)) for member in live]
         eventually(lambda: [self.held(n) for n in range(count)] == wanted, 20)
@@ -100,7 +100,7 @@
     def key_of(
         self, index: int, count: int, function: str = "record-sale", kind: str = "RequestResponse"
     ) -> str:
-        """A name whose operation a process owns, where so many live."""
+        """Return a key whose operation is assigned to process ``index`` of ``count``."""
         live = [str(n) for n in range(count)]
         for n in range(10_000):
             name = OperationIdentity("corner-books", function, "$LATEST", kind, f"sdk:t{n}")
@@ -161,7 +161,7 @@
         os.kill(gateway.pid(2), signal.SIGKILL)
         sender.join(15)
         answers = [*found, *(send(gateway.peer(n), "record-sale", token) for n in (0, 1))]
-        gateway.settled(COUNT)  # it came back, and has its slots again
+        gateway.settled(COUNT)  # it restarted and has its slots again
         answers.append(send(gateway.peer(2), "record-sale", token))
         assert {a.status for a in answers} == {200}
         assert all(b"OutcomeUnknown" in a.body for a in answers), [(a.status, a.body) for a in answers]
@@ -183,7 +183,7 @@
 
 
 def test_the_slot_holder_is_paused_and_resumed(tmp_path: pathlib.Path) -> None:
-    """Its slots stay its own; who asks meanwhile is answered in time, and nothing of that runs later."""
+    """It keeps its slots; requests meanwhile are answered in time, and none is executed later."""
     with processes(tmp_path, Profile(work_s=0.01, load_s=0.02)) as gateway:
         token, fresh = gateway.key_of(1, COUNT), f"{gateway.key_of(1, COUNT)}"
         first = send(gateway.peer(0), "record-sale", token)
@@ -220,7 +220,7 @@
         time.sleep(0.5)
         assert (
             gateway.stack.runs("record-sale") == before
-        )  # what came while it slept was too late to be begun
+        )  # requests from the pause came too late to be executed
         assert send(gateway.peer(2), "record-sale", fresh).body == first.body
 
 
@@ -238,7 +238,7 @@
 
 
 def test_a_stale_process_keeps_its_slots_while_it_lives(tmp_path: pathlib.Path) -> None:
-    """One of three outlives its supervisor, paused; a new gateway of two starts beside it."""
+    """One of three outlives its supervisor while paused; a new gateway of two starts beside it."""
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02)) as gateway:
         token = gateway.key_of(2, COUNT)
         first = send(gateway.peer(0), "record-sale", token)
@@ -254,7 +254,7 @@
         assert gateway.held(0) + gateway.held(1) < SLOT_COUNT
         answer = send(gateway.peer(0), "record-sale", token)
         assert answer.status == 429 or b"OutcomeUnknown" in answer.body
-        os.kill(stale, signal.SIGCONT)  # it finds its supervisor gone, and ends
+        os.kill(stale, signal.SIGCONT)  # it finds its supervisor gone and stops
         eventually(lambda: gateway.held(0) + gateway.held(1) == SLOT_COUNT)
         again = send(gateway.peer(1), "record-sale", token)
         assert again.body == first.body
@@ -273,6 +273,6 @@
         client = gateway.peer(0).client()
         extra = (("amz-sdk-invocation-id", token), ("x-saffron-forwarded", "1"), ("x-saffron-until", header))
         answer = client.invoke("record-sale", b"{}", "RequestResponse", extra)
-        assert answer.status == 421  # it may name itself forwarded; the slot is not held here all the same
+        assert answer.status == 421  # the header claims a forwarded request, but the slot is not held here
         assert gateway.stack.runs("record-sale") == 0
         client.close()
