--- /dev/null
+++ b/saffronstack/operations/operation_service.py
@@ -0,0 +1,276 @@
+"""Execution of operations with deduplication, coalescing and replay, for every front end."""
+
+from __future__ import annotations
+
+import threading
+from collections import Counter
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+
+from saffronstack.durable.errors import JournalError
+from saffronstack.operations.decisions import Coalesce, Decision, Execute, FingerprintMismatch, Reject, Replay
+from saffronstack.operations.errors import (
+    FingerprintMismatchError,
+    OperationTableFullError,
+    OutcomeUnknownError,
+    SlotNotHeldError,
+)
+from saffronstack.operations.execution import Completed, ExecuteOperation, Execution, NotCompleted
+from saffronstack.operations.execution_finisher import ExecutionFinisher
+from saffronstack.operations.operation import (
+    EncodedOperation,
+    InFlightOperation,
+    OperationRecord,
+    OperationState,
+    StoredResponse,
+)
+from saffronstack.operations.operation_clock import OperationClock
+from saffronstack.operations.operation_log import OperationLog
+from saffronstack.operations.operation_recorder import OperationRecorder, RecordingAttemptGuard
+from saffronstack.operations.operation_request import OperationRequest, OperationResult
+from saffronstack.operations.operation_table import OperationTable
+from saffronstack.operations.record_format import decode_record
+from saffronstack.operations.request_coalescing import CacheableResponse, CoalescingCache
+from saffronstack.operations.response_store import ResponseStore, load_response
+from saffronstack.operations.slot_assignment import slot_for
+from saffronstack.routing.events import PriorAttempt
+from saffronstack.runtime.threads import start_thread
+
+EXPIRY_INTERVAL_S = 30.0
+MAX_PRIOR_ATTEMPT_WAIT_S = 1.0  # an attempt ends at its call's deadline, which is soon after the rejection
+REQUEST_COUNTS = (
+    "begun",
+    "joined",
+    "repeated",
+    "unknown_repeated",
+    "mismatched",
+    "turned_away",
+)  # label values
+
+
+@dataclass(frozen=True, slots=True)
+class OperationLimits:
+    """Bounds of the service.
+
+    Attributes:
+        max_inline_response_bytes: Larger response bodies go to the response store.
+        coalescing_cache_bytes: Memory for responses of idempotent operations.
+        commit_timeout_s: How long an attempt waits for the operation log.
+    """
+
+    max_inline_response_bytes: int = 65536
+    coalescing_cache_bytes: int = 64 * 1024 * 1024
+    commit_timeout_s: float = 2.0
+
+
+class OperationService:
+    """Operations of one process. Thread-safe.
+
+    Attributes:
+        table: Operations that are not idempotent by themselves; guarded by the service's lock.
+        coalescing_cache: Idempotent operations.
+        operation_log: None where operations are remembered in memory only.
+        response_store: None where large responses are not stored.
+        request_counts: Requests by what was decided on them, under the label values of the metric.
+    """
+
+    def __init__(
+        self,
+        table: OperationTable,
+        clock: Callable[[], float],
+        wall_clock: Callable[[], float],
+        operation_log: OperationLog | None = None,
+        response_store: ResponseStore | None = None,
+        limits: OperationLimits | None = None,
+    ) -> None:
+        """Create the service; ``clock`` is monotonic, ``wall_clock`` gives Unix seconds."""
+        limits = limits or OperationLimits()
+        self.table = table
+        self.coalescing_cache: CoalescingCache[CacheableResponse] = CoalescingCache(
+            limits.coalescing_cache_bytes
+        )
+        self.max_inline_response_bytes = limits.max_inline_response_bytes
+        self.operation_log = operation_log
+        self.response_store = response_store
+        self.request_counts = dict.fromkeys(REQUEST_COUNTS, 0)
+        self._clock = OperationClock(clock, wall_clock)
+        self._recorder = OperationRecorder(operation_log, self._clock, limits.commit_timeout_s)
+        self._is_slot_held: Callable[[int], bool] | None = None
+        self._lock = threading.Lock()  # guards the table, the counts by slot, and joins to executions
+        self._finisher = ExecutionFinisher(
+            table, self._lock, self._clock, self._recorder, response_store, limits.max_inline_response_bytes
+        )
+        self._in_flight_by_slot: Counter[int] = Counter()
+        self._stopping = threading.Event()
+        self._stopped = threading.Event()
+
+    def now(self) -> float:
+        """Return the time in Unix seconds, by a clock that never steps."""
+        return self._clock.now()
+
+    def start(self, known: Iterable[EncodedOperation] = ()) -> None:
+        """Restore the log's operations and the ``known`` ones, and start the thread that expires them.
+
+        Where slots are shared between processes, operations are restored with each slot instead.
+        """
+        if self._is_slot_held is None:
+            logged = self.operation_log.state.recovered_operations() if self.operation_log is not None else ()
+            self.restore([*known, *logged])
+        start_thread("operations", self._run)
+
+    def stop(self, timeout_s: float = 5.0) -> bool:
+        """Stop the thread and close the log; return whether both ended in time."""
+        self._stopping.set()
+        has_stopped = self._stopped.wait(timeout_s)
+        return (self.operation_log is None or self.operation_log.close(timeout_s)) and has_stopped
+
+    def restrict_to_slots(self, is_slot_held: Callable[[int], bool]) -> None:
+        """Execute operations that require a slot only in slots that are held."""
+        self._is_slot_held = is_slot_held
+
+    def restore(self, known: Iterable[EncodedOperation]) -> None:
+        """Add operations of earlier processes or slot holders; those known already stay.
+
+        Raises:
+            JournalError: A record was written by another version.
+        """
+        now = self.now()
+        try:
+            found = [(decode_record(encoded).expires_s, (digest, encoded)) for digest, encoded in known]
+        except ValueError as error:
+            raise JournalError(f"operations logged by another version: {error}") from error
+        with self._lock:
+            for expires_s, (digest, encoded) in sorted(found):
+                if expires_s > now:
+                    self.table.restore(digest, encoded)
+
+    def count_in_flight(self, slot: int) -> int:
+        """Return how many operations of a slot are in flight."""
+        with self._lock:
+            return self._in_flight_by_slot[slot]
+
+    def extract_slots(self, slots: frozenset[int]) -> list[EncodedOperation]:
+        """Remove and return the operations of slots that another process takes over."""
+        with self._lock:
+            return self.table.extract(lambda digest: slot_for(digest) in slots)
+
+    def find(self, digest: bytes) -> InFlightOperation | OperationRecord | None:
+        """Return what is known of an operation."""
+        with self._lock:
+            return self.table.find(digest)
+
+    def attempt_guard(self, execution: Execution) -> RecordingAttemptGuard:
+        """Return the guard that is asked before each attempt's first byte is sent."""
+        return RecordingAttemptGuard(self._recorder, execution)
+
+    def perform(self, request: OperationRequest, execute: ExecuteOperation) -> OperationResult:
+        """Return the operation's response: execute it, wait for its execution, or replay its response.
+
+        Raises:
+            SlotNotHeldError: Another process holds the operation's slot.
+            FingerprintMismatchError: The key belongs to another payload.
+            OperationTableFullError: There is no memory to remember the operation.
+            OutcomeUnknownError: It may have been executed, and no response is known.
+            ResponseNotStoredError: It completed, and its response's body is not stored.
+            OperationInProgressError: Its execution did not end until the request's deadline.
+            ClientDisconnectedError: The client disconnected meanwhile.
+            Exception: The error of an execution that did not complete.
+        """
+        while True:
+            decision = self._decide(request)
+            match decision:
+                case Execute(operation):
+                    self.request_counts["begun"] += 1
+                    return OperationResult(self._execute(_execution_of(operation), execute), False)
+                case Replay(record):
+                    return OperationResult(self._replay(record), True)
+                case FingerprintMismatch(request_id):
+                    self.request_counts["mismatched"] += 1
+                    raise FingerprintMismatchError(request_id)
+                case Reject(retry_after_s):
+                    self.request_counts["turned_away"] += 1
+                    raise OperationTableFullError(retry_after_s)
+                case Coalesce(operation):
+                    self.request_counts["joined"] += 1
+                    response = _execution_of(operation).wait(request, self._clock.monotonic)
+                    if response is not None:
+                        return OperationResult(response, True)
+                    # The execution was abandoned just before this request joined: it is the next to execute.
+
+    def _decide(self, request: OperationRequest) -> Decision:
+        policy, slot = request.policy, slot_for(request.digest)
+        with self._lock:
+            if policy.requires_slot and self._is_slot_held is not None and not self._is_slot_held(slot):
+                raise SlotNotHeldError(f"slot {slot} is not held by this process")
+            decision = self.table.admit(
+                request.digest,
+                request.fingerprint,
+                policy.idempotency,
+                policy.window_s,
+                request.request_id,
+                self.now(),
+            )
+            if isinstance(decision, Execute):
+                decision.operation.execution = Execution(decision.operation, policy)
+                if policy.requires_slot:
+                    self._in_flight_by_slot[slot] += 1
+            elif isinstance(decision, Coalesce):
+                _execution_of(decision.operation).join()
+        return decision
+
+    def _execute(self, execution: Execution, execute: ExecuteOperation) -> StoredResponse:
+        operation = execution.operation
+        outcome: Completed | NotCompleted | None = None
+        try:
+            self._wait_for_previous_attempt(operation)
+            outcome = execute(execution, self._prior_attempt(operation))
+        finally:
+            execution.outcome = outcome
+            self._finisher.finish(execution, outcome)
+            if execution.policy.requires_slot:
+                with self._lock:
+                    self._in_flight_by_slot[slot_for(operation.digest)] -= 1
+            if execution.done is not None:  # no request joins any more: the table knows the operation's end
+                execution.done.set()
+        if isinstance(outcome, NotCompleted):
+            raise outcome.error
+        return outcome.response
+
+    def _prior_attempt(self, operation: InFlightOperation) -> PriorAttempt | None:
+        previous = operation.previous
+        if previous is None:
+            return None
+        return PriorAttempt(previous.worker_id, self._clock.to_monotonic(previous.sent_s))
+
+    def _wait_for_previous_attempt(self, operation: InFlightOperation) -> None:
+        """Wait until no attempt of an earlier execution is in flight, for a bounded time."""
+        if operation.previous is None:
+            return
+        wait_s = operation.previous.attempt_in_flight_until_s - self.now()
+        if wait_s > 0:
+            self._stopping.wait(min(wait_s, MAX_PRIOR_ATTEMPT_WAIT_S))
+
+    def _replay(self, record: OperationRecord) -> StoredResponse:
+        is_completed = record.state is OperationState.COMPLETED
+        self.request_counts["repeated" if is_completed else "unknown_repeated"] += 1
+        response = load_response(self.response_store, record)
+        if response is None:  # the process that executed it crashed before it had a response
+            raise OutcomeUnknownError(record.request_id)
+        return response
+
+    def _run(self) -> None:
+        """Expire operations until the service stops. Runs on the thread ``operations``."""
+        try:
+            while not self._stopping.wait(EXPIRY_INTERVAL_S):
+                with self._lock:
+                    now = self.now()
+                    self.table.expire(now)
+                self._recorder.record_expiry(now)
+        finally:
+            self._stopped.set()
+
+
+def _execution_of(operation: InFlightOperation) -> Execution:
+    execution = operation.execution
+    assert isinstance(execution, Execution)  # `_decide` sets it before any other thread sees the operation
+    return execution
--- /dev/null
+++ b/saffronstack/operations/operation_table.py
@@ -0,0 +1,244 @@
+"""The table of operations: decides what a request means, within a bound on memory. No I/O and no clock.
+
+An operation is in flight from its first request until it has its response. Afterwards its encoded record
+stays until its deduplication window ends. Over the memory limit the completed operation that expires first is
+evicted. Operations in flight, with an unknown outcome or to be retried are never evicted; new operations that
+are not idempotent are rejected instead.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+from saffronstack.operations.decisions import Coalesce, Decision, Execute, FingerprintMismatch, Reject, Replay
+from saffronstack.operations.expiry_queue import ExpiryQueue
+from saffronstack.operations.operation import (
+    EncodedOperation,
+    InFlightOperation,
+    OperationRecord,
+    OperationState,
+    StoredResponse,
+)
+from saffronstack.operations.record_format import decode_record, encode_record
+from saffronstack.routing.settings import Idempotency
+
+# Bytes of an entry beside its encoded record: table, key and queue (measured, rounded up).
+RECORD_OVERHEAD_BYTES = 330
+IN_FLIGHT_BYTES = 1200
+EXPIRY_INTERVAL_S = 0.5  # between two scans for expired operations
+RETRY_AFTER_IN_FLIGHT_S = 1.0  # where only operations in flight take the memory: they end at any time
+MIN_RETRY_AFTER_S = 0.1
+
+
+class OperationTable:
+    """Operations by digest. Not thread-safe: the owner holds a lock around each call.
+
+    Attributes:
+        memory_bytes: Estimated memory of all entries.
+        evicted_early: Completed operations that were evicted before their window ended.
+    """
+
+    def __init__(self, memory_limit_bytes: int) -> None:
+        self._memory_limit_bytes = memory_limit_bytes
+        self._entries: dict[bytes, InFlightOperation | bytes] = {}
+        self._evictable = ExpiryQueue()  # completed operations
+        self._retained = ExpiryQueue()  # operations with an unknown outcome, or to be retried
+        self._next_expiry_s = 0.0
+        self.memory_bytes = 0
+        self.evicted_early = 0
+
+    def __len__(self) -> int:
+        return len(self._entries)
+
+    def admit(
+        self,
+        digest: bytes,
+        fingerprint: bytes,
+        idempotency: Idempotency,
+        window_s: float,
+        request_id: str,
+        now: float,
+    ) -> Decision:
+        """Decide what a request means.
+
+        An `Execute` puts the operation in flight; `complete`, `mark_retryable` or `release` must end it.
+        """
+        if now >= self._next_expiry_s:
+            self.expire(now)
+        entry = self._entries.get(digest)
+        if isinstance(entry, InFlightOperation):
+            if entry.fingerprint != fingerprint:
+                return FingerprintMismatch(entry.request_id)
+            return Coalesce(entry)
+        previous = None
+        if entry is not None:
+            record = decode_record(entry)
+            if record.fingerprint != fingerprint:
+                return FingerprintMismatch(record.request_id)
+            if record.expires_s > now:  # an expired record may still wait for its removal
+                if record.state is not OperationState.RETRYABLE:
+                    return Replay(record)
+                previous = record
+            self._remove(digest, entry)
+        if not self._make_capacity(idempotency):
+            if entry is not None:
+                self._insert(digest, entry)
+            return Reject(self._retry_after_s(now))
+        if previous is not None:
+            request_id = previous.request_id
+        operation = InFlightOperation(digest, fingerprint, idempotency, window_s, request_id, now, previous)
+        if self.memory_bytes + IN_FLIGHT_BYTES <= self._memory_limit_bytes:
+            self._insert(digest, operation)  # else it is idempotent, and executed without being remembered
+        return Execute(operation)
+
+    def complete(
+        self, operation: InFlightOperation, state: OperationState, response: StoredResponse | None, now: float
+    ) -> bytes:
+        """End an operation that has its response, or whose outcome is unknown; return its encoded record."""
+        record = OperationRecord(
+            state,
+            now + operation.window_s,
+            operation.fingerprint,
+            operation.request_id,
+            operation.idempotency,
+            response,
+        )
+        return self._close(operation, record)
+
+    def mark_retryable(
+        self,
+        operation: InFlightOperation,
+        worker_id: int,
+        sent_s: float,
+        now: float,
+        attempt_in_flight_until_s: float = 0.0,
+    ) -> bytes:
+        """End an operation that was rejected after it may have been executed; return its encoded record.
+
+        Its retries go to the worker of its first attempt until the window ends.
+        """
+        first = operation.previous
+        if first is not None:
+            worker_id, sent_s = first.worker_id, first.sent_s
+        record = OperationRecord(
+            OperationState.RETRYABLE,
+            now + operation.window_s,
+            operation.fingerprint,
+            operation.request_id,
+            operation.idempotency,
+            worker_id=worker_id,
+            sent_s=sent_s,
+            attempt_in_flight_until_s=attempt_in_flight_until_s,
+        )
+        return self._close(operation, record)
+
+    def release(self, operation: InFlightOperation) -> bool:
+        """End an operation that was not executed; return whether nothing of it is remembered.
+
+        Where an earlier execution of it may have happened, that one's record stands again.
+        """
+        if self._entries.get(operation.digest) is not operation:
+            return True
+        if operation.previous is not None:
+            self._close(operation, operation.previous)
+            return False
+        self._remove(operation.digest, operation)
+        return True
+
+    def restore(self, digest: bytes, encoded: bytes) -> None:
+        """Add the record of an earlier process or slot holder; one that is known already stays."""
+        if digest not in self._entries:
+            self._insert(digest, encoded)
+            record = decode_record(encoded)
+            self._queue_for(record.state).add(0.0, record.expires_s, digest)
+
+    def extract(self, matches: Callable[[bytes], bool]) -> list[EncodedOperation]:
+        """Remove and return the operations not in flight whose digest matches."""
+        extracted = [
+            (digest, entry)
+            for digest, entry in self._entries.items()
+            if isinstance(entry, bytes) and matches(digest)
+        ]
+        for digest, entry in extracted:
+            self._remove(digest, entry)
+        return extracted
+
+    def find(self, digest: bytes) -> InFlightOperation | OperationRecord | None:
+        """Return what is known of an operation."""
+        entry = self._entries.get(digest)
+        return decode_record(entry) if isinstance(entry, bytes) else entry
+
+    def expire(self, now: float) -> None:
+        """Remove all operations whose window has ended."""
+        self._next_expiry_s = now + EXPIRY_INTERVAL_S
+        for queue in (self._evictable, self._retained):
+            for expires_s, digest in queue.pop_expired(now):
+                self._remove_expired(digest, expires_s)
+
+    def counts(self) -> Iterator[tuple[str, int]]:
+        """Yield how many operations are known by state, under the names of the metrics."""
+        retained, completed = len(self._retained), len(self._evictable)
+        yield "unknown_or_again", retained
+        yield "ended", completed
+        yield "open", max(0, len(self._entries) - retained - completed)
+
+    def _close(self, operation: InFlightOperation, record: OperationRecord) -> bytes:
+        digest, encoded = operation.digest, encode_record(record)
+        if self._entries.get(digest) is operation:
+            self._remove(digest, operation)
+            self._insert(digest, encoded)
+            self._queue_for(record.state).add(operation.window_s, record.expires_s, digest)
+            self._evict()
+        return encoded
+
+    def _queue_for(self, state: OperationState) -> ExpiryQueue:
+        return self._evictable if state is OperationState.COMPLETED else self._retained
+
+    def _insert(self, digest: bytes, entry: InFlightOperation | bytes) -> None:
+        self._entries[digest] = entry
+        self.memory_bytes += _size_bytes(entry)
+
+    def _remove(self, digest: bytes, entry: InFlightOperation | bytes) -> None:
+        del self._entries[digest]
+        self.memory_bytes -= _size_bytes(entry)
+
+    def _remove_expired(self, digest: bytes, expires_s: float) -> bool:
+        """Remove the record that a queue names, unless a newer one has taken its place."""
+        entry = self._entries.get(digest)
+        if not isinstance(entry, bytes) or decode_record(entry).expires_s != expires_s:
+            return False
+        self._remove(digest, entry)
+        return True
+
+    def _evict(self, needed_bytes: int = 0) -> None:
+        """Evict completed operations until ``needed_bytes`` more fit under the limit, or none is left."""
+        while self.memory_bytes + needed_bytes > self._memory_limit_bytes:
+            earliest = self._evictable.pop_earliest()
+            if earliest is None:
+                return
+            expires_s, digest = earliest
+            self.evicted_early += self._remove_expired(digest, expires_s)
+
+    def _make_capacity(self, idempotency: Idempotency) -> bool:
+        """Evict for one more operation; return whether it may be executed.
+
+        An idempotent one always may: it needs not be remembered.
+        """
+        self._evict(IN_FLIGHT_BYTES)
+        fits = self.memory_bytes + IN_FLIGHT_BYTES <= self._memory_limit_bytes
+        return fits or idempotency is Idempotency.IDEMPOTENT
+
+    def _retry_after_s(self, now: float) -> float:
+        """Return in how many seconds enough windows of retained operations end for one more operation."""
+        missing_bytes = self.memory_bytes + IN_FLIGHT_BYTES - self._memory_limit_bytes
+        for expires_s, digest in self._retained:
+            entry = self._entries.get(digest)
+            if isinstance(entry, bytes):
+                missing_bytes -= _size_bytes(entry)
+                if missing_bytes <= 0:
+                    return max(MIN_RETRY_AFTER_S, expires_s - now)
+        return RETRY_AFTER_IN_FLIGHT_S
+
+
+def _size_bytes(entry: InFlightOperation | bytes) -> int:
+    return IN_FLIGHT_BYTES if isinstance(entry, InFlightOperation) else RECORD_OVERHEAD_BYTES + len(entry)
