--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -18,7 +18,7 @@
 
 from saffronstack.harness.scenario.processes import StandInHost
 from saffronstack.metering.meter import open_usage_log, read_usage_log
-from saffronstack.metering.records import Confirmed, Received, Ref, Usage
+from saffronstack.metering.records import CallReference, RecordConfirmed, RecordReceived, UsageRecord
 from saffronstack.standin.fleet import sample
 
 CPU = str(max(os.sched_getaffinity(0)))  # of all gateways, which are loaded one after another
@@ -68,11 +68,13 @@
     journal = open_usage_log(str(directory), 256 << 20)
     start = time.perf_counter()
     for n in range(1, count + 1):
-        ref = Ref(f"00000000-0000-0000-0000-{n:012d}", f"tenant-{n % 100}", "lookup")
-        usage = Usage("w1", "i", n, "identify-copy", 131072, n * 1000, n * 1000 + 700, 0, 1, 0, (), (ref,))
-        ticket = journal.append(Received(usage, 1e9))
+        ref = CallReference(f"00000000-0000-0000-0000-{n:012d}", f"tenant-{n % 100}", "lookup")
+        usage = UsageRecord(
+            "w1", "i", n, "identify-copy", 131072, n * 1000, n * 1000 + 700, 0, 1, 0, (), (ref,)
+        )
+        ticket = journal.append(RecordReceived(usage, 1e9))
         if n % 500 == 0:
-            ticket = journal.append(*(Confirmed("w1", "i", seq) for seq in range(n - 499, n + 1)))
+            ticket = journal.append(*(RecordConfirmed("w1", "i", seq) for seq in range(n - 499, n + 1)))
             ticket.done.wait(60)
     print(
         f"wrote {count} records in {time.perf_counter() - start:.1f} s, "
@@ -99,10 +101,10 @@
     most = 0.0
     for n in range(1, records + 1):
         name = f"tenant-{n * 7919 % count}"
-        ref = Ref(f"00000000-0000-0000-0000-{n:012d}", name, "lookup")
-        usage = Usage(f"w{n % 50}", "i", n, f"f{n % 10}", 1024, n, n + 700, 0, 1, 0, (), (ref,))
+        ref = CallReference(f"00000000-0000-0000-0000-{n:012d}", name, "lookup")
+        usage = UsageRecord(f"w{n % 50}", "i", n, f"f{n % 10}", 1024, n, n + 700, 0, 1, 0, (), (ref,))
         at = 1e9 + n * 3600 / records
-        ticket = journal.append(Received(usage, at, at), Confirmed(f"w{n % 50}", "i", n))
+        ticket = journal.append(RecordReceived(usage, at, at), RecordConfirmed(f"w{n % 50}", "i", n))
         if n % 2000 == 0:
             ticket.done.wait(60)
             most = max(most, resident_mb())
--- a/saffronstack/cli/usage.py
+++ b/saffronstack/cli/usage.py
@@ -9,9 +9,9 @@
 
 from saffronstack.durable.journal import JournalError
 from saffronstack.durable.runs import RunDamagedError
-from saffronstack.metering.merging import Merged, merge
+from saffronstack.metering.merged_accounts import MergedAccounts, merge_accounts
 from saffronstack.metering.meter import read_usage_log
-from saffronstack.metering.report import FORMS, rows
+from saffronstack.metering.usage_report import FORMATTERS, summarize_usage
 
 TRIES = 5  # a gateway that writes the log meanwhile may replace files while they are read
 
@@ -33,7 +33,7 @@
     return found
 
 
-def _read(directories: tuple[str, ...]) -> tuple[Merged, list[str]]:
+def _read(directories: tuple[str, ...]) -> tuple[MergedAccounts, list[str]]:
     """The logs merged, and what was wrong with them; JournalError where one can't be read."""
     accounts = []
     lines = []
@@ -49,7 +49,7 @@
             raise JournalError(f"{directory}: holds no usage log")
         lines += [f"{directory}/{line}" for line in wrong]
         accounts.append(account)
-    merged = merge(accounts)
+    merged = merge_accounts(accounts)
     return merged, [*lines, *merged.notes]
 
 
@@ -72,7 +72,7 @@
 
     def look() -> int:
         merged, lines = _read(directories)
-        text = FORMS[form](rows(merged, by, tenant), by)
+        text = FORMATTERS[form](summarize_usage(merged, by, tenant), by)
         click.echo(text)
         for line in lines:
             click.echo(line, err=True)
@@ -85,14 +85,14 @@
     """Write a page with charts; 0, or 2 where a log can't be read, the page not written or charts not
     drawn."""
     try:
-        from saffronstack.metering.charts import page
+        from saffronstack.metering.html_report import render_html_report
     except ImportError as error:
         click.echo(f"charts need matplotlib: {error}; pip install 'saffronstack[charts]'", err=True)
         return 2
 
     def look() -> int:
         merged, lines = _read(directories)
-        content = page(merged, lines)
+        content = render_html_report(merged, lines)
         pathlib.Path(output).write_text(content)
         click.echo(f"{output}: {len(content)} bytes")
         return 0
--- a/saffronstack/config/build.py
+++ b/saffronstack/config/build.py
@@ -13,7 +13,7 @@
 from saffronstack.engine.calls import FunctionSpec
 from saffronstack.engine.identifiers import function_number, worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
-from saffronstack.metering.limits import Budget
+from saffronstack.metering.budgets import Budget
 from saffronstack.routing.settings import (
     ClassSettings,
     DeduplicationScope,
--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -22,7 +22,7 @@
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.engine import Engine
 from saffronstack.engine.timers import Timers
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 from saffronstack.runtime.threads import start_thread
@@ -113,7 +113,7 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
         seed: int = 0,
-        limits: BudgetLimits | None = None,
+        limits: BudgetEnforcer | None = None,
     ) -> None:
         """``limits`` are asked before each try: a call over its tenant's hard mark waits, which is no try.
 
--- a/saffronstack/fleet/tasks/fleet_usage.py
+++ b/saffronstack/fleet/tasks/fleet_usage.py
@@ -11,7 +11,7 @@
 from saffronstack.fleet.tasks.result_store import ResultStore
 from saffronstack.fleet.tasks.task import TaskRun
 from saffronstack.metering.account import Account
-from saffronstack.metering.merging import merge
+from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.meter import read_usage_log
 
 
@@ -51,7 +51,7 @@
                 continue
             if account.gateway:
                 accounts.append(account)
-        merged = merge(accounts)
+        merged = merge_accounts(accounts)
         totals = dict(sorted(merged.by_tenant().items()))
         report = FleetUsageReport(totals, len(accounts), unread, merged.notes)
         self._results.publish(run.token, run.number, report)
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -30,7 +30,7 @@
 from saffronstack.invoke.pages import Pages
 from saffronstack.invoke.routing import Router
 from saffronstack.invoke.server import FrontLimits, Server
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.metering.meter import Meter, open_usage_log
 from saffronstack.operations.handover import Keeper
 from saffronstack.operations.notes import open_notes
@@ -78,7 +78,7 @@
             log=structlog.get_logger("saffronstack.engine"),
         )
         self._numbers = PlaceNumbers(config)
-        self.limits: BudgetLimits | None = None
+        self.limits: BudgetEnforcer | None = None
         self.meter = self._open_meter(files)
         self.fleet = self._make_fleet()
         self.functions = Functions(config)
@@ -118,7 +118,7 @@
         if windows is not None:
             windows.begin(self._clock() + offset_s)
             instances, keep_s = self.config.instances, self.config.keep_alive_s
-            self.limits = BudgetLimits(budgets, windows, instances, keep_s, offset_s)
+            self.limits = BudgetEnforcer(budgets, windows, instances, keep_s, offset_s)
         return Meter(
             journal,
             self._ask_usage,
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -26,9 +26,9 @@
 from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StandInHost
 from saffronstack.harness.scenario.relay import Relay
 from saffronstack.http1.messages import HttpError
-from saffronstack.metering.merging import merge
+from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.meter import read_usage_log
-from saffronstack.metering.report import MB_S
+from saffronstack.metering.usage_report import MB_S
 from saffronstack.standin.fleet import sample
 
 ANSWER_MARGIN_S = 0.3  # the machine runs gateways, workers and clients at once
@@ -220,7 +220,7 @@
             account, lines = read_usage_log(gateway.usage)
             problems += [f"usage of gateway {gateway.number}: {line}" for line in lines if "cut" not in line]
             accounts.append(account)
-        whole = merge(accounts)
+        whole = merge_accounts(accounts)
         self.usage = sum(amount for _, amounts in whole.sums() for amount in amounts[:2]) / MB_S
         return problems + [f"usage out of balance: {line}" for line in whole.unbalanced()]
 
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -28,7 +28,7 @@
 from saffronstack.invoke.response import Response
 from saffronstack.invoke.routing import UNTIL, Router, Sent, misdirected
 from saffronstack.metering.account import Account
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.operations import lookup
 from saffronstack.operations.names import token_of
 from saffronstack.operations.service import ClientLeftError, NotHeldError, Operations
@@ -79,7 +79,7 @@
         wall: Callable[[], float],
         pages: Mapping[str, Page],
         members: ProcessGroup,
-        limits: BudgetLimits | None = None,
+        limits: BudgetEnforcer | None = None,
         account: Account | None = None,
         operations: Operations | None = None,
         router: Router | None = None,
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -13,7 +13,7 @@
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.operations.names import Name, fingerprint, worker_key
 from saffronstack.operations.service import (
     CHECK_CLIENT_S,
@@ -72,7 +72,7 @@
         engine: Engine,
         deferred: DeferredCalls | None,
         clock: Callable[[], float],
-        limits: BudgetLimits | None,
+        limits: BudgetEnforcer | None,
         operations: Operations | None,
     ) -> None:
         self._config = config
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -17,7 +17,7 @@
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.invoke.app import App
 from saffronstack.invoke.server import Server
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.metering.meter import Meter
 from saffronstack.operations.service import Operations
 from saffronstack.operations.slots import Slots
@@ -81,7 +81,7 @@
     ledger: Ledger | None
     deferred: DeferredCalls | None
     meter: Meter | None
-    limits: BudgetLimits | None
+    limits: BudgetEnforcer | None
     operations: Operations | None
     slots: Slots | None
     roster: FileDiscovery | None
@@ -226,7 +226,7 @@
     yield Figure("roster_versions", "Versions applied since the start", status.counts.applied)
 
 
-def _usage_counters(meter: Meter, limits: BudgetLimits | None) -> Iterator[Figure]:
+def _usage_counters(meter: Meter, limits: BudgetEnforcer | None) -> Iterator[Figure]:
     lost = meter.lost_at_workers()
     yield Figure("usage_records", "Usage records taken", meter.taken)
     yield Figure("usage_refused", "Usage records that can't be believed", meter.refused)
--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -10,15 +10,15 @@
 import msgspec
 
 from saffronstack.metering.account import Account
-from saffronstack.metering.limits import BudgetLimits
-from saffronstack.metering.report import MB_S
+from saffronstack.metering.budgets import BudgetEnforcer
+from saffronstack.metering.usage_report import MB_S
 
 FUNCTIONS_MOST = 200  # in an answer, the largest; the rest is one sum
 PLACES = ("loading_mb_s", "running_mb_s", "idle_mb_s", "estimated_mb_s")
 CHARGED = ("loading_mb_s", "running_mb_s", "estimated_mb_s", "provisional_mb_s")
 
 
-def statement(account: Account, limits: BudgetLimits | None, tenant: str, now: float) -> dict[str, Any]:
+def statement(account: Account, limits: BudgetEnforcer | None, tenant: str, now: float) -> dict[str, Any]:
     """What one process's log says of a tenant. RunDamagedError, OSError where its archive can't be read."""
     functions: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for (_, function, _, _, _), amounts in account.sums(tenant):
--- a/saffronstack/metering/account.py
+++ b/saffronstack/metering/account.py
@@ -13,36 +13,43 @@
 from typing import TypeVar
 
 from saffronstack.durable.runs import Item, RunDamagedError
-from saffronstack.metering.archive import Archive, amounts_of, key_of, parts_of, prefix_of, value_of
-from saffronstack.metering.charges import CallCharges
-from saffronstack.metering.ranges import Ranges, spans_of
+from saffronstack.metering.archive import (
+    Archive,
+    decode_amounts,
+    decode_key,
+    encode_amounts,
+    encode_key,
+    encode_key_prefix,
+)
+from saffronstack.metering.call_charges import CallCharges
+from saffronstack.metering.cost_allocation import Phase, allocate, total_occupancy
+from saffronstack.metering.interval_set import IntervalSet, group_into_intervals
 from saffronstack.metering.records import (
-    AnyEntry,
-    Archived,
-    Charged,
-    Compacted,
-    Confirmed,
-    Estimate,
-    Estimated,
-    Given,
-    Gone,
-    Held,
-    Occupied,
-    Pinned,
-    Provisional,
-    Received,
-    Replaced,
-    Spent,
-    Spilled,
-    Start,
-    Total,
+    AnyLedgerEntry,
+    ArchivedRecordRelinquished,
+    ArchiveRuns,
+    BudgetWindowPart,
+    CallCharge,
+    ConfirmedInterval,
+    EstimatedCharge,
+    IncarnationEnded,
+    LedgerStarted,
+    MovedToArchive,
+    OccupancyTotal,
+    ProvisionalCharge,
+    ProvisionalChargeVoided,
+    RecordConfirmed,
+    RecordReceived,
+    RecordRelinquished,
+    RetainedCallCharge,
+    RunsMerged,
+    UsageTotal,
     decode,
     encode,
-    life_of,
-    wire,
+    incarnation_key,
+    to_stored_amount,
 )
-from saffronstack.metering.split import Phase, occupied, split
-from saffronstack.metering.windows import Windows
+from saffronstack.metering.sliding_windows import SlidingWindows
 
 BUCKET_S = 3600
 _PLACE = {Phase.LOAD: 0, Phase.RUN: 1, Phase.IDLE: 2}
@@ -52,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class AccountLimits:
     """How much stays in memory, about 100 MB together; what is beyond goes to the archive."""
 
     totals: int = 50_000  # sums
@@ -71,14 +78,14 @@
         gateway: str = "",
         archive: Archive | None = None,
         budget_windows: Mapping[str, float] | None = None,
-        bounds: Bounds | None = None,
+        bounds: AccountLimits | None = None,
     ) -> None:
         """``budget_windows``: each tenant's window in seconds, where it has a budget."""
         self._archive = archive
-        self.windows: Windows | None = None
+        self.windows: SlidingWindows | None = None
         if budget_windows:
-            self.windows = Windows(budget_windows, archive.window if archive is not None else None)
-        self._bounds = bounds or Bounds()
+            self.windows = SlidingWindows(budget_windows, archive.window if archive is not None else None)
+        self._bounds = bounds or AccountLimits()
         self._view = threading.Lock()  # held while sums move to a run, and while someone looks at both
         self.in_doubt = False
         self._clear(gateway)
@@ -87,8 +94,8 @@
         self.gateway = gateway
         self.totals: dict[Key, list[int]] = defaultdict(lambda: [0, 0, 0, 0])
         self.occupied: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0])
-        self.confirmed: OrderedDict[tuple[str, str], Ranges] = OrderedDict()
-        self.unconfirmed: dict[RecordKey, Received] = {}
+        self.confirmed: OrderedDict[tuple[str, str], IntervalSet] = OrderedDict()
+        self.unconfirmed: dict[RecordKey, RecordReceived] = {}
         self.charges = CallCharges(self._archive, self._view)
         self._gone: set[RecordKey] = set()  # that a run still holds, and another gateway was given
         if self.windows is not None:
@@ -98,61 +105,63 @@
 
     # ---- the journal's side
 
-    def apply(self, entry: AnyEntry) -> None:
+    def apply(self, entry: AnyLedgerEntry) -> None:
         """One record more."""
-        if isinstance(entry, Received):
+        if isinstance(entry, RecordReceived):
             self._received(entry)
-        elif isinstance(entry, Confirmed):
+        elif isinstance(entry, RecordConfirmed):
             self._confirm(entry)
-        elif isinstance(entry, Given):
+        elif isinstance(entry, RecordRelinquished):
             given = self._take_out(entry.worker, entry.incarnation, entry.seq)
             if given is not None:
                 self.count(given, -1)
-        elif isinstance(entry, Provisional):
+        elif isinstance(entry, ProvisionalCharge):
             self.charges.expect(entry)
-        elif isinstance(entry, Replaced):
+        elif isinstance(entry, ProvisionalChargeVoided):
             self.charges.replace(entry.worker, entry.call_id)
-        elif isinstance(entry, Estimated):
+        elif isinstance(entry, IncarnationEnded):
             self._estimate(entry)
-        elif isinstance(entry, Spilled):
+        elif isinstance(entry, MovedToArchive):
             self._spilled(entry)
-        elif isinstance(entry, Compacted):
+        elif isinstance(entry, RunsMerged):
             self._compacted(entry)
         else:
             self._restore(entry)
 
-    def snapshot(self) -> Iterator[AnyEntry]:
+    def snapshot(self) -> Iterator[AnyLedgerEntry]:
         """Records that add up to this state. Unconfirmed ones stand as themselves, so they leave the sums."""
         rest = Account()
         for received in self.unconfirmed.values():
             rest.count(received, 1)
-        yield Start(self.gateway)
+        yield LedgerStarted(self.gateway)
         if self._archive is not None and self._archive.runs:
-            yield Archived(self._archive.runs)
+            yield ArchiveRuns(self._archive.runs)
         for key, amounts in self.totals.items():
             taken = rest.totals.get(key, [0, 0, 0, 0])
             left = [a - b for a, b in zip(amounts, taken, strict=True)]
             if any(left):
-                yield Total(*key, *map(wire, left))
+                yield UsageTotal(*key, *map(to_stored_amount, left))
         for key, taken in rest.totals.items():
             if key not in self.totals and any(taken):
-                yield Total(*key, *(wire(-amount) for amount in taken))  # its sum stands in a run
+                yield UsageTotal(
+                    *key, *(to_stored_amount(-amount) for amount in taken)
+                )  # its sum stands in a run
         for worker in {**self.occupied, **rest.occupied}:
             held, taken = self.occupied.get(worker, [0, 0, 0]), rest.occupied.get(worker, [0, 0, 0])
             left = [a - b for a, b in zip(held, taken, strict=True)]
             if any(left):
-                yield Occupied(worker, *map(wire, left))
+                yield OccupancyTotal(worker, *map(to_stored_amount, left))
         for (worker, incarnation), ranges in self.confirmed.items():
             for low, high in ranges.spans:
-                yield Held(worker, incarnation, low, high)
+                yield ConfirmedInterval(worker, incarnation, low, high)
         yield from self.unconfirmed.values()
         yield from self.charges.snapshot(rest.charges)
         for number in self._gone:
-            yield Gone(*number)
+            yield ArchivedRecordRelinquished(*number)
         if self.windows is not None:  # last: they void what the records before them added to windows
-            yield Spent("", 0.0, 0.0, 0)
+            yield BudgetWindowPart("", 0.0, 0.0, 0)
             for tenant, length, start, amount in self.windows.snapshot():
-                yield Spent(tenant, length, start, wire(amount))
+                yield BudgetWindowPart(tenant, length, start, to_stored_amount(amount))
 
     def needed_bytes(self) -> int:
         """About how large a snapshot is."""
@@ -163,13 +172,13 @@
         """Records of the log are lost: its sums may miss some."""
         self.in_doubt = True
 
-    def relieve(self) -> list[AnyEntry]:
+    def relieve(self) -> list[AnyLedgerEntry]:
         """Write what is too much for memory to a run; the records that move it there."""
         bounds = self._bounds
         beyond = max(0, len(self.provisional) - bounds.provisional)
         if beyond:  # alone: a run that is written now would lack what these add to sums
             return [
-                Estimated(charge.worker, charge.incarnation, charge.call.id)
+                IncarnationEnded(charge.worker, charge.incarnation, charge.call.id)
                 for charge in islice(self.provisional.values(), beyond)
             ]
         over = (
@@ -188,33 +197,33 @@
         numbers: dict[str, list[tuple[str, int]]] = defaultdict(list)
         for worker, incarnation, seq in late:
             numbers[worker].append((incarnation, seq))
-        spans = [(worker, *span) for worker, found in numbers.items() for span in spans_of(found)]
-        return [Spilled(run, tuple(cold), tuple(spans))]
+        spans = [(worker, *span) for worker, found in numbers.items() for span in group_into_intervals(found)]
+        return [MovedToArchive(run, tuple(cold), tuple(spans))]
 
     def _items(self, cold: list[tuple[str, str]], late: list[RecordKey]) -> Iterator[Item]:
         for key, amounts in self.totals.items():
             if any(amounts):
-                yield key_of("t", *key), value_of(amounts)
+                yield encode_key("t", *key), encode_amounts(amounts)
         for worker, held in self.occupied.items():
             if any(held):
-                yield key_of("o", worker), value_of(held)
+                yield encode_key("o", worker), encode_amounts(held)
         for incarnation in cold:
             for low, high in self.confirmed[incarnation].spans:
-                yield key_of("h", *incarnation, low), value_of((high,))
+                yield encode_key("h", *incarnation, low), encode_amounts((high,))
         for number in late:
-            yield key_of("u", *number), encode(self.unconfirmed[number])
+            yield encode_key("u", *number), encode(self.unconfirmed[number])
         for number in self._gone:
-            yield key_of("u", *number), b""
+            yield encode_key("u", *number), b""
         yield from self.charges.items()
         if self.windows is not None:
             sums: dict[tuple[str, float], int] = defaultdict(int)
             for tenant, start, amount in self.windows.in_memory():
                 sums[tenant, start] += amount
             for part, amount in sums.items():
-                yield key_of("w", *part), value_of((amount,))
+                yield encode_key("w", *part), encode_amounts((amount,))
 
     @property
-    def provisional(self) -> dict[tuple[str, str], Provisional]:
+    def provisional(self) -> dict[tuple[str, str], ProvisionalCharge]:
         """Charges of lost calls that are not settled, by a worker's life and request id."""
         return self.charges.provisional
 
@@ -240,7 +249,7 @@
             if kind == b"u":
                 return bool(value)
             if kind == b"w":
-                tenant, start = parts_of(key)[1:]
+                tenant, start = decode_key(key)[1:]
                 return windows is not None and windows.stands(str(tenant), float(start))
             return True
 
@@ -275,11 +284,11 @@
             ]
         yield from kept
         if self._archive is not None and runs:
-            prefix = prefix_of(6, "t") if tenant is None else prefix_of(6, "t", tenant)
+            prefix = encode_key_prefix(6, "t") if tenant is None else encode_key_prefix(6, "t", tenant)
             for raw, value in self._archive.under(prefix, runs):
-                _, *names, bucket = parts_of(raw)
+                _, *names, bucket = decode_key(raw)
                 found, function, call_class, worker = map(str, names)
-                yield (found, function, call_class, worker, int(bucket)), amounts_of(value)
+                yield (found, function, call_class, worker, int(bucket)), decode_amounts(value)
 
     def holdings(self) -> Iterator[tuple[str, list[int]]]:
         """What workers' copies held, from memory and from the archive; a worker may come twice."""
@@ -288,8 +297,8 @@
             kept = [(worker, list(held)) for worker, held in list(self.occupied.items())]
         yield from kept
         if self._archive is not None and runs:
-            for raw, value in self._archive.under(prefix_of(2, "o"), runs):
-                yield str(parts_of(raw)[1]), amounts_of(value)
+            for raw, value in self._archive.under(encode_key_prefix(2, "o"), runs):
+                yield str(decode_key(raw)[1]), decode_amounts(value)
 
     def numbers(self) -> Iterator[tuple[tuple[str, str], tuple[int, int]]]:
         """Confirmed numbers as spans, from memory and from the archive."""
@@ -297,21 +306,21 @@
             for span in list(ranges.spans):
                 yield incarnation, span
         if self._archive is not None and self._archive.runs:
-            for raw, value in self._archive.under(prefix_of(4, "h")):
-                _, worker, incarnation_, low = parts_of(raw)
-                yield (str(worker), str(incarnation_)), (int(low), amounts_of(value)[0])
+            for raw, value in self._archive.under(encode_key_prefix(4, "h")):
+                _, worker, incarnation_, low = decode_key(raw)
+                yield (str(worker), str(incarnation_)), (int(low), decode_amounts(value)[0])
 
-    def open_records(self) -> Iterator[tuple[RecordKey, Received]]:
+    def open_records(self) -> Iterator[tuple[RecordKey, RecordReceived]]:
         """Records that no worker has confirmed, from memory and from the archive; one of the archive's may be
         among the confirmed numbers by now."""
         yield from list(self.unconfirmed.items())
         if self._archive is not None and self._archive.runs:
-            for raw, value in self._archive.under(prefix_of(4, "u")):
+            for raw, value in self._archive.under(encode_key_prefix(4, "u")):
                 if value:
-                    _, worker, incarnation, seq = parts_of(raw)
+                    _, worker, incarnation, seq = decode_key(raw)
                     number = str(worker), str(incarnation), int(seq)
                     entry = decode(value)
-                    assert isinstance(entry, Received)
+                    assert isinstance(entry, RecordReceived)
                     if number not in self._gone:
                         yield number, entry
 
@@ -328,11 +337,11 @@
 
     def unbalanced(self) -> list[str]:
         """Workers whose shares do not sum up to what their copies held; a line each."""
-        return unbalanced(self.sums(), self.holdings())
+        return find_imbalances(self.sums(), self.holdings())
 
     # ---- inside
 
-    def _received(self, entry: Received) -> None:
+    def _received(self, entry: RecordReceived) -> None:
         usage = entry.usage
         number = usage.worker, usage.incarnation, usage.seq
         if self._sure(lambda: self.knows(*number), False):  # it was not known when it was taken
@@ -340,7 +349,7 @@
         self.unconfirmed[number] = entry
         self.count(entry, 1)
 
-    def _confirm(self, entry: Confirmed) -> None:
+    def _confirm(self, entry: RecordConfirmed) -> None:
         """Records that are counted become numbers; one that is not counted here stays unknown."""
         low, last = entry.seq, max(entry.seq, entry.last)
         incarnation = entry.worker, entry.incarnation
@@ -352,7 +361,7 @@
                 low = seq + 1
         for first, final in [*spans, (low, last)]:
             if first <= final:
-                self.confirmed.setdefault(incarnation, Ranges()).add(first, final)
+                self.confirmed.setdefault(incarnation, IntervalSet()).add(first, final)
         if incarnation in self.confirmed:
             self.confirmed.move_to_end(incarnation)
 
@@ -360,7 +369,7 @@
         archive = self._archive
         return archive is not None and self._sure(lambda: archive.knows(*number), True)
 
-    def _take_out(self, worker: str, incarnation: str, seq: int) -> Received | None:
+    def _take_out(self, worker: str, incarnation: str, seq: int) -> RecordReceived | None:
         """A record that is not confirmed, from wherever it stands."""
         number = worker, incarnation, seq
         found = self.unconfirmed.pop(number, None)
@@ -368,11 +377,11 @@
         if found is not None or archive is None or not archive.runs or number in self._gone:
             return found
         ranges = self.confirmed.get((worker, incarnation))
-        value = self._sure(lambda: archive.find(key_of("u", *number)), None)
+        value = self._sure(lambda: archive.find(encode_key("u", *number)), None)
         if not value or (ranges is not None and seq in ranges):
             return None
         entry = decode(value)
-        assert isinstance(entry, Received)
+        assert isinstance(entry, RecordReceived)
         self._gone.add(number)
         return entry
 
@@ -385,12 +394,12 @@
             self.in_doubt = True
             return otherwise
 
-    def count(self, entry: Received, sign: int) -> None:
+    def count(self, entry: RecordReceived, sign: int) -> None:
         """Add a record's shares, or with a negative sign take them back."""
         usage = entry.usage
         bucket = int(entry.at // BUCKET_S) * BUCKET_S
-        life = life_of(usage.worker, usage.incarnation)
-        for share in split(usage):
+        life = incarnation_key(usage.worker, usage.incarnation)
+        for share in allocate(usage):
             call = share.call
             key = call.tenant, usage.function, call.call_class, usage.worker, bucket
             self.totals[key][_PLACE[share.phase]] += sign * share.amount
@@ -398,15 +407,15 @@
                 self.charges.add((life, call.id), sign * share.amount)
                 if self.windows is not None:
                     self.windows.add(call.tenant, entry.steady or entry.at, sign * share.amount)
-        for place, amount in enumerate(occupied(usage)):
+        for place, amount in enumerate(total_occupancy(usage)):
             self.occupied[usage.worker][place] += sign * amount
 
-    def _estimate(self, entry: Estimated) -> None:
+    def _estimate(self, entry: IncarnationEnded) -> None:
         for charge, amount in self.charges.estimate(entry):
             if self.windows is not None:
                 self.windows.add(charge.call.tenant, charge.steady or charge.at, amount)
 
-    def _spilled(self, entry: Spilled) -> None:
+    def _spilled(self, entry: MovedToArchive) -> None:
         with self._view:
             self.totals.clear()
             self.occupied.clear()
@@ -422,7 +431,7 @@
             if self.windows is not None:
                 self.windows.moved()
 
-    def _compacted(self, entry: Compacted) -> None:
+    def _compacted(self, entry: RunsMerged) -> None:
         if self._archive is None:
             return
         with self._view:
@@ -431,32 +440,34 @@
             runs[place : place + len(entry.runs)] = [entry.into]
             self._archive.take(tuple(runs))
 
-    def _restore(self, entry: AnyEntry) -> None:
-        if isinstance(entry, Start):
+    def _restore(self, entry: AnyLedgerEntry) -> None:
+        if isinstance(entry, LedgerStarted):
             self._clear(entry.gateway)
-        elif isinstance(entry, Archived):
+        elif isinstance(entry, ArchiveRuns):
             if self._archive is not None:
                 self._archive.take(entry.runs)
             if self.windows is not None:
                 self.windows.know_moved()
-        elif isinstance(entry, Total):
+        elif isinstance(entry, UsageTotal):
             key = entry.tenant, entry.function, entry.call_class, entry.worker, entry.bucket
             amounts = (entry.load, entry.run, entry.idle, entry.estimated)
             self.totals[key] = [int(amount) for amount in amounts]
-        elif isinstance(entry, (Charged, Estimate, Pinned)):
+        elif isinstance(entry, (CallCharge, EstimatedCharge, RetainedCallCharge)):
             self.charges.restore(entry)
-        elif isinstance(entry, Occupied):
+        elif isinstance(entry, OccupancyTotal):
             self.occupied[entry.worker] = [int(entry.load), int(entry.run), int(entry.idle)]
-        elif isinstance(entry, Held):
-            held = self.confirmed.setdefault((entry.worker, entry.incarnation), Ranges())
+        elif isinstance(entry, ConfirmedInterval):
+            held = self.confirmed.setdefault((entry.worker, entry.incarnation), IntervalSet())
             held.add(entry.low, entry.high)
-        elif isinstance(entry, Gone):
+        elif isinstance(entry, ArchivedRecordRelinquished):
             self._gone.add((entry.worker, entry.incarnation, entry.seq))
-        elif isinstance(entry, Spent) and self.windows is not None:
+        elif isinstance(entry, BudgetWindowPart) and self.windows is not None:
             self.windows.restore(entry.tenant, entry.window_s, entry.start, int(entry.amount))
 
 
-def unbalanced(sums: Iterator[tuple[Key, list[int]]], holdings: Iterator[tuple[str, list[int]]]) -> list[str]:
+def find_imbalances(
+    sums: Iterator[tuple[Key, list[int]]], holdings: Iterator[tuple[str, list[int]]]
+) -> list[str]:
     """Workers whose shares do not sum up to what their copies held; a line each."""
     shares: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0])
     held: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0])
--- a/saffronstack/metering/archive.py
+++ b/saffronstack/metering/archive.py
@@ -20,7 +20,7 @@
 
 from saffronstack.durable.runs import Item, Run, RunDamagedError, merged, run_name, run_numbers, write_run
 from saffronstack.durable.segments import Files
-from saffronstack.metering.records import Whole, wire
+from saffronstack.metering.records import StoredAmount, to_stored_amount
 
 MERGE_FROM = 8  # runs
 INCARNATIONS_KEPT = 4096  # of which it is remembered whether anything of theirs is archived
@@ -28,41 +28,41 @@
 TRIES = 5
 log = structlog.get_logger("saffronstack.metering")
 _encode = msgspec.msgpack.Encoder().encode
-_amounts = msgspec.msgpack.Decoder(tuple[Whole, ...]).decode
+_amounts = msgspec.msgpack.Decoder(tuple[StoredAmount, ...]).decode
 _key = msgspec.msgpack.Decoder(list[str | int | float]).decode
 T = TypeVar("T")
 
 
-def key_of(kind: str, *parts: str | int | float) -> bytes:
+def encode_key(kind: str, *parts: str | int | float) -> bytes:
     """A run's key."""
     return _encode((kind, *parts))
 
 
-def prefix_of(length: int, kind: str, *parts: str | int | float) -> bytes:
+def encode_key_prefix(length: int, kind: str, *parts: str | int | float) -> bytes:
     """What all keys of ``length`` parts (the letter included) that begin with these parts begin with."""
     return bytes([0x90 | length]) + b"".join(_encode(part) for part in (kind, *parts))
 
 
-def parts_of(key: bytes) -> list[str | int | float]:
+def decode_key(key: bytes) -> list[str | int | float]:
     """What a key was made of, the letter first."""
     return _key(key)
 
 
-def amounts_of(value: bytes) -> list[int]:
+def decode_amounts(value: bytes) -> list[int]:
     """The amounts in a value."""
     return [int(amount) for amount in _amounts(value)]
 
 
-def value_of(amounts: Iterable[int]) -> bytes:
+def encode_amounts(amounts: Iterable[int]) -> bytes:
     """A value of amounts."""
-    return _encode(tuple(wire(amount) for amount in amounts))
+    return _encode(tuple(to_stored_amount(amount) for amount in amounts))
 
 
-def combine(key: bytes, values: list[bytes]) -> bytes:
+def combine_values(key: bytes, values: list[bytes]) -> bytes:
     """One value in place of several runs', oldest first."""
     if len(values) == 1 or key[2:3] in (b"h", b"u", b"e"):
         return values[-1]
-    return value_of(map(sum, zip(*map(amounts_of, values), strict=True)))
+    return encode_amounts(map(sum, zip(*map(decode_amounts, values), strict=True)))
 
 
 class Archive:
@@ -130,7 +130,7 @@
         """One run that adds up to some neighbours; its number. ``keep`` says what is still wanted, where the
         oldest run is among them."""
         whole = numbers[0] == self.runs[0]
-        items = merged([self._run(number).items() for number in numbers], combine)
+        items = merged([self._run(number).items() for number in numbers], combine_values)
         return self.write(item for item in items if not whole or keep(*item))
 
     # ---- questions. RunDamagedError, or FileNotFoundError where a run is gone and the log must be read anew
@@ -163,7 +163,7 @@
     def under(self, prefix: bytes, runs: tuple[int, ...] | None = None) -> Iterator[Item]:
         """Keys that begin so, over all runs."""
         chosen = self.runs if runs is None else runs
-        return merged([self._run(number).under(prefix) for number in chosen], combine)
+        return merged([self._run(number).under(prefix) for number in chosen], combine_values)
 
     def find(self, key: bytes) -> bytes | None:
         """A key's value over all runs."""
@@ -177,15 +177,15 @@
         """Whether a record stands in a run, as itself or among confirmed numbers."""
         if not self.runs or seq > self._last(worker, incarnation):
             return False
-        value = self.find(key_of("u", worker, incarnation, seq))
+        value = self.find(encode_key("u", worker, incarnation, seq))
         if value is not None:
             return value != b""
-        prefix = prefix_of(4, "h", worker, incarnation)
+        prefix = encode_key_prefix(4, "h", worker, incarnation)
 
         def look() -> bool:
             for key, high in self.under(prefix):
-                low = parts_of(key)[3]
-                if int(low) <= seq <= amounts_of(high)[0]:
+                low = decode_key(key)[3]
+                if int(low) <= seq <= decode_amounts(high)[0]:
                     return True
             return False
 
@@ -196,8 +196,8 @@
 
         def look() -> list[tuple[float, int]]:
             return [
-                (float(parts_of(key)[2]), amounts_of(value)[0])
-                for key, value in self.under(prefix_of(3, "w", tenant))
+                (float(decode_key(key)[2]), decode_amounts(value)[0])
+                for key, value in self.under(encode_key_prefix(3, "w", tenant))
             ]
 
         return iter(self._steady(look)) if self.runs else iter(())
@@ -210,8 +210,13 @@
         if known is None:
 
             def look() -> int:
-                highs = [amounts_of(v)[0] for _, v in self.under(prefix_of(4, "h", worker, incarnation))]
-                records = [parts_of(k)[3] for k, _ in self.under(prefix_of(4, "u", worker, incarnation))]
+                highs = [
+                    decode_amounts(v)[0]
+                    for _, v in self.under(encode_key_prefix(4, "h", worker, incarnation))
+                ]
+                records = [
+                    decode_key(k)[3] for k, _ in self.under(encode_key_prefix(4, "u", worker, incarnation))
+                ]
                 return max([0, *highs, *map(int, records)])
 
             known = self._steady(look)
--- a/saffronstack/metering/limits.py
+++ b/saffronstack/metering/budgets.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from saffronstack.metering.windows import STEPS, Windows
+from saffronstack.metering.sliding_windows import SlidingWindows
 
 WARM_KEPT = 10_000  # functions remembered as loaded
 
 
-class Standing(Enum):
+class BudgetStatus(Enum):
     """Where a tenant stands."""
 
     WITHIN = "within"
@@ -35,10 +35,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class BudgetVerdict:
     """``wait_s``: when, without further usage, the tenant is under its hard mark again; 0 while it is."""
 
-    standing: Standing
+    standing: BudgetStatus
     wait_s: float = 0.0
 
 
@@ -57,16 +57,16 @@
 
     budget: Budget
     used: int
-    verdict: Verdict
+    verdict: BudgetVerdict
 
 
-class BudgetLimits:
+class BudgetEnforcer:
     """Asked from the fronts' threads; times are the gateway's clock, in seconds."""
 
     def __init__(
         self,
         budgets: Mapping[str, Budget],
-        windows: Windows,
+        windows: SlidingWindows,
         instances: int,
         keep_alive_s: float,
         offset_s: float = 0.0,
@@ -101,29 +101,29 @@
             return Admission(True)
         verdict = self.judge(tenant, now)
         with self._lock:
-            if verdict.standing is Standing.OVER_HARD:
+            if verdict.standing is BudgetStatus.OVER_HARD:
                 if now - self._loaded.get(function, -1e18) > self._keep_alive_s:
                     self.refused += 1
                     return Admission(False, wait_s=verdict.wait_s)
-            elif verdict.standing is Standing.WITHIN:
+            elif verdict.standing is BudgetStatus.WITHIN:
                 return Admission(True)
             self.marked += 1
         return Admission(True, over=True)
 
-    def judge(self, tenant: str, now: float) -> Verdict:
+    def judge(self, tenant: str, now: float) -> BudgetVerdict:
         """Where a tenant stands."""
         budget = self._budgets.get(tenant)
         if budget is None:
-            return Verdict(Standing.WITHIN)
+            return BudgetVerdict(BudgetStatus.WITHIN)
         at = now + self._offset_s
         total = self._windows.total(tenant, at)
         if total <= budget.soft / self._instances:  # under both marks, whatever others use
-            return Verdict(Standing.WITHIN)
+            return BudgetVerdict(BudgetStatus.WITHIN)
         own = self._windows.whole(at)
         if total > self._fair(budget.hard, "hard", own):
-            return Verdict(Standing.OVER_HARD, self._wait_s(tenant, budget, total, at))
+            return BudgetVerdict(BudgetStatus.OVER_HARD, self._wait_s(tenant, budget, total, at))
         over = total > self._fair(budget.soft, "soft", own)
-        return Verdict(Standing.OVER_SOFT if over else Standing.WITHIN)
+        return BudgetVerdict(BudgetStatus.OVER_SOFT if over else BudgetStatus.WITHIN)
 
     def account(self, tenant: str, now: float) -> BudgetUse | None:
         """A tenant's budget and use; None where it has no budget."""
@@ -147,6 +147,3 @@
             if left <= budget.hard / self._instances:
                 return max(0.0, start + budget.window_s - at)
         return budget.window_s
-
-
-__all__ = ["STEPS", "Admission", "Budget", "BudgetLimits", "Standing", "Verdict"]
--- a/saffronstack/metering/charges.py
+++ b/saffronstack/metering/call_charges.py
@@ -8,20 +8,27 @@
 from contextlib import AbstractContextManager
 
 from saffronstack.durable.runs import Item
-from saffronstack.metering.archive import Archive, amounts_of, key_of, parts_of, prefix_of, value_of
-from saffronstack.metering.estimates import shared
+from saffronstack.metering.archive import (
+    Archive,
+    decode_amounts,
+    decode_key,
+    encode_amounts,
+    encode_key,
+    encode_key_prefix,
+)
+from saffronstack.metering.charge_estimation import share_instances
 from saffronstack.metering.records import (
-    AnyEntry,
-    Charged,
-    Estimate,
-    Estimated,
-    Pinned,
-    Provisional,
+    AnyLedgerEntry,
+    CallCharge,
+    EstimatedCharge,
+    IncarnationEnded,
+    ProvisionalCharge,
+    RetainedCallCharge,
     decode,
     encode,
-    life_of,
-    wire,
-    worker_of,
+    incarnation_key,
+    to_stored_amount,
+    worker_of_incarnation,
 )
 
 CHARGED_KEPT = 10_000  # of these, in a snapshot: a loss is noticed within a deadline of its record
@@ -29,14 +36,14 @@
 CallKey = tuple[str, str]  # a life of a worker, request id
 
 
-def key_for(charge: Provisional) -> CallKey:
+def charge_key(charge: ProvisionalCharge) -> CallKey:
     """Under which a charge stands."""
-    return life_of(charge.worker, charge.incarnation), charge.call.id
+    return incarnation_key(charge.worker, charge.incarnation), charge.call.id
 
 
-def recorded(charged: Mapping[CallKey, int], charge: Provisional) -> int:
+def recorded_amount(charged: Mapping[CallKey, int], charge: ProvisionalCharge) -> int:
     """What records charge a lost call, in the life that it was lost in."""
-    keys = {key_for(charge), (charge.worker, charge.call.id)}
+    keys = {charge_key(charge), (charge.worker, charge.call.id)}
     return sum(charged.get(key, 0) for key in keys)
 
 
@@ -47,29 +54,31 @@
         """``view`` is held while what stands here moves to a run."""
         self._archive = archive
         self._view = view
-        self.provisional: dict[CallKey, Provisional] = {}
-        self.estimates: dict[CallKey, Provisional] = {}  # final, less what records charge
+        self.provisional: dict[CallKey, ProvisionalCharge] = {}
+        self.estimates: dict[CallKey, ProvisionalCharge] = {}  # final, less what records charge
         self._charged: OrderedDict[CallKey, int] = OrderedDict()
         # As _charged, for calls of dead workers: never forgotten, another gateway may have estimated them.
         self._pinned: dict[CallKey, int] = {}
 
     # ---- changes
 
-    def expect(self, charge: Provisional) -> None:
+    def expect(self, charge: ProvisionalCharge) -> None:
         """A call's answer was lost. Of two losses in one life the longer stays: a retry may have met a dying
         worker's socket for a millisecond, and both together hold too much where records tell of one."""
-        before = self.provisional.get(key_for(charge))
+        before = self.provisional.get(charge_key(charge))
         if before is None or int(before.amount) <= int(charge.amount):
-            self.provisional[key_for(charge)] = charge
+            self.provisional[charge_key(charge)] = charge
 
     def replace(self, life: str, call_id: str) -> None:
         """Its records tell all of a call."""
         self.provisional.pop((life, call_id), None)
-        if worker_of(life) == life:  # an older log did not say in which life
-            for key in [key for key in self.provisional if key[1] == call_id and worker_of(key[0]) == life]:
+        if worker_of_incarnation(life) == life:  # an older log did not say in which life
+            for key in [
+                key for key in self.provisional if key[1] == call_id and worker_of_incarnation(key[0]) == life
+            ]:
                 del self.provisional[key]
         else:
-            self.provisional.pop((worker_of(life), call_id), None)
+            self.provisional.pop((worker_of_incarnation(life), call_id), None)
 
     def add(self, call: CallKey, amount: int) -> None:
         """A record charges a call; a negative amount takes back."""
@@ -80,9 +89,9 @@
         if len(self._charged) > CALLS_KEPT:
             self._charged.popitem(last=False)
 
-    def estimate(self, entry: Estimated) -> list[tuple[Provisional, int]]:
+    def estimate(self, entry: IncarnationEnded) -> list[tuple[ProvisionalCharge, int]]:
         """Provisional charges become final; each with what is charged by it now."""
-        life = life_of(entry.worker, entry.incarnation)
+        life = incarnation_key(entry.worker, entry.incarnation)
         if entry.call_id:
             found = [call for call in [(life, entry.call_id)] if call in self.provisional]
         else:
@@ -95,37 +104,37 @@
                 self._pinned[call] = self._charged.pop(call)
         charges = [self.provisional.pop(call) for call in found]
         if not entry.call_id:
-            charges = shared(charges)
+            charges = share_instances(charges)
         self.estimates.update(zip(found, charges, strict=True))
         return [(charge, self.outstanding(charge)) for charge in charges]
 
-    def restore(self, entry: Charged | Estimate | Pinned) -> None:
+    def restore(self, entry: CallCharge | EstimatedCharge | RetainedCallCharge) -> None:
         """An entry of a snapshot."""
-        if isinstance(entry, Charged):
+        if isinstance(entry, CallCharge):
             self.add((entry.worker, entry.call_id), int(entry.amount))
-        elif isinstance(entry, Estimate):
-            self.estimates[key_for(entry.charge)] = entry.charge
+        elif isinstance(entry, EstimatedCharge):
+            self.estimates[charge_key(entry.charge)] = entry.charge
         else:
             self._pinned[entry.worker, entry.call_id] = int(entry.amount)
 
-    def snapshot(self, rest: CallCharges) -> Iterator[AnyEntry]:
+    def snapshot(self, rest: CallCharges) -> Iterator[AnyLedgerEntry]:
         """Entries that add up to this, without what ``rest`` holds, which stands elsewhere in the
         snapshot."""
         for call, amount in list(self._charged.items())[-CHARGED_KEPT:]:
             if amount := amount - rest.charged(*call):
-                yield Charged(*call, wire(amount))
+                yield CallCharge(*call, to_stored_amount(amount))
         yield from self.provisional.values()
         for charge in self.estimates.values():
-            yield Estimate(charge)
+            yield EstimatedCharge(charge)
         for call, amount in self._pinned.items():
-            yield Pinned(*call, wire(amount - rest.charged(*call)))
+            yield RetainedCallCharge(*call, to_stored_amount(amount - rest.charged(*call)))
 
     def items(self) -> Iterator[Item]:
         """What a run would take over."""
         for call, charge in self.estimates.items():
-            yield key_of("e", *call), encode(charge)
+            yield encode_key("e", *call), encode(charge)
         for call, amount in self._pinned.items():
-            yield key_of("k", *call), value_of((amount,))
+            yield encode_key("k", *call), encode_amounts((amount,))
 
     def moved(self) -> None:
         """A run has taken them over."""
@@ -141,23 +150,23 @@
 
     def charged(self, life: str, call_id: str) -> int:
         """What records of a worker's life charge a call, as far as memory tells."""
-        calls = {(life, call_id), (worker_of(life), call_id)}  # older logs knew no lives
+        calls = {(life, call_id), (worker_of_incarnation(life), call_id)}  # older logs knew no lives
         return sum(self._charged.get(call, 0) + self._pinned.get(call, 0) for call in calls)
 
-    def outstanding(self, charge: Provisional) -> int:
+    def outstanding(self, charge: ProvisionalCharge) -> int:
         """What a lost call is charged beyond the records that came, as far as memory tells."""
-        return max(0, int(charge.amount) - self.charged(*key_for(charge)))
+        return max(0, int(charge.amount) - self.charged(*charge_key(charge)))
 
-    def final(self) -> Iterator[Provisional]:
+    def final(self) -> Iterator[ProvisionalCharge]:
         """Charges for calls of dead workers, before what records charge them is taken off."""
         with self._view:
             runs = self._archive.runs if self._archive is not None else ()
             kept = list(self.estimates.values())
         yield from kept
         if self._archive is not None and runs:
-            for _, value in self._archive.under(prefix_of(3, "e"), runs):
+            for _, value in self._archive.under(encode_key_prefix(3, "e"), runs):
                 charge = decode(value)
-                assert isinstance(charge, Provisional)
+                assert isinstance(charge, ProvisionalCharge)
                 yield charge
 
     def by_call(self) -> Iterator[tuple[CallKey, int]]:
@@ -167,15 +176,15 @@
             kept = [*self._charged.items(), *self._pinned.items()]
         yield from kept
         if self._archive is not None and runs:
-            for raw, value in self._archive.under(prefix_of(3, "k"), runs):
-                _, life, call_id = parts_of(raw)
-                yield (str(life), str(call_id)), amounts_of(value)[0]
+            for raw, value in self._archive.under(encode_key_prefix(3, "k"), runs):
+                _, life, call_id = decode_key(raw)
+                yield (str(life), str(call_id)), decode_amounts(value)[0]
 
-    def estimated(self) -> list[tuple[Provisional, int]]:
+    def estimated(self) -> list[tuple[ProvisionalCharge, int]]:
         """Final estimates, each with what is charged by it."""
         charges = list(self.final())
         charged: dict[CallKey, int] = defaultdict(int)
         if charges:
             for call, amount in self.by_call():
                 charged[call] += amount
-        return [(charge, max(0, int(charge.amount) - recorded(charged, charge))) for charge in charges]
+        return [(charge, max(0, int(charge.amount) - recorded_amount(charged, charge))) for charge in charges]
--- a/saffronstack/metering/estimates.py
+++ b/saffronstack/metering/charge_estimation.py
@@ -12,11 +12,11 @@
 
 from msgspec import structs
 
-from saffronstack.metering.records import Provisional, wire
+from saffronstack.metering.records import ProvisionalCharge, to_stored_amount
 
 
 @dataclass(frozen=True, slots=True)
-class Stay:
+class CallPresence:
     """A call at the worker; microseconds of any one clock."""
 
     start_us: int
@@ -25,7 +25,7 @@
     lanes: int
 
 
-def shares(stays: Sequence[Stay]) -> list[int]:
+def estimate_shares(stays: Sequence[CallPresence]) -> list[int]:
     """What each of one function's calls held, in KiB microseconds, in the order of the calls."""
     amounts = [0.0] * len(stays)
     edges = sorted({edge for stay in stays for edge in (stay.start_us, stay.end_us)})
@@ -49,7 +49,7 @@
     return [round(amount) for amount in amounts]
 
 
-def shared(charges: list[Provisional]) -> list[Provisional]:
+def share_instances(charges: list[ProvisionalCharge]) -> list[ProvisionalCharge]:
     """Charges for calls of a dead worker, cut to their parts of the copies that they shared."""
     by_function: dict[str, list[int]] = defaultdict(list)
     for place, charge in enumerate(charges):
@@ -62,7 +62,7 @@
             charge = charges[place]
             end_us = int((charge.steady or charge.at) * 1e6)
             start_us = end_us - int(charge.amount) // charge.memory_kib
-            stays.append(Stay(start_us, end_us, charge.memory_kib, max(1, charge.lanes)))
-        for place, amount in zip(places, shares(stays), strict=True):
-            found[place] = structs.replace(charges[place], amount=wire(amount), memory_kib=0)
+            stays.append(CallPresence(start_us, end_us, charge.memory_kib, max(1, charge.lanes)))
+        for place, amount in zip(places, estimate_shares(stays), strict=True):
+            found[place] = structs.replace(charges[place], amount=to_stored_amount(amount), memory_kib=0)
     return found
--- a/saffronstack/metering/split.py
+++ b/saffronstack/metering/cost_allocation.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from saffronstack.metering.records import Ref, Usage
+from saffronstack.metering.records import CallReference, UsageRecord
 
-NOBODY = Ref("", "", "")
+NO_CALL = CallReference("", "", "")
 
 
 class Phase(Enum):
@@ -25,35 +25,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class Allocation:
     """What one call held in one phase, in KiB microseconds."""
 
-    call: Ref
+    call: CallReference
     phase: Phase
     amount: int
 
 
-def occupied(usage: Usage) -> tuple[int, int, int]:
+def total_occupancy(usage: UsageRecord) -> tuple[int, int, int]:
     """What the copies held loading, running and idle, by multiplication alone."""
     span = usage.memory_kib * (usage.end_us - usage.start_us)
     return span * usage.load, span * usage.run, span * usage.idle
 
 
-def split(usage: Usage) -> list[Share]:
+def allocate(usage: UsageRecord) -> list[Allocation]:
     """The shares of a record; none is zero."""
-    load, run, idle = occupied(usage)
-    shares = [*_equal(load, usage.waiting, Phase.LOAD), *_equal(run, usage.running, Phase.RUN)]
+    load, run, idle = total_occupancy(usage)
+    shares = [
+        *_allocate_equally(load, usage.waiting, Phase.LOAD),
+        *_allocate_equally(run, usage.running, Phase.RUN),
+    ]
     if idle:
-        shares.append(Share(NOBODY, Phase.IDLE, idle))
+        shares.append(Allocation(NO_CALL, Phase.IDLE, idle))
     return shares
 
 
-def _equal(amount: int, calls: tuple[Ref, ...], phase: Phase) -> list[Share]:
+def _allocate_equally(amount: int, calls: tuple[CallReference, ...], phase: Phase) -> list[Allocation]:
     if not amount:
         return []
     if not calls:
-        return [Share(NOBODY, phase, amount)]
+        return [Allocation(NO_CALL, phase, amount)]
     each, rest = divmod(amount, len(calls))
     ordered = sorted(calls, key=lambda call: call.id)
     parts = [each + (place < rest) for place in range(len(ordered))]
-    return [Share(call, phase, part) for call, part in zip(ordered, parts, strict=True) if part]
+    return [Allocation(call, phase, part) for call, part in zip(ordered, parts, strict=True) if part]
--- a/saffronstack/metering/charts.py
+++ b/saffronstack/metering/html_report.py
@@ -10,8 +10,13 @@
 from matplotlib import rc_context
 from matplotlib.figure import Figure
 
-from saffronstack.metering.merging import Merged
-from saffronstack.metering.report import HEADS, Row, cells, rows
+from saffronstack.metering.merged_accounts import MergedAccounts
+from saffronstack.metering.usage_report import (
+    AMOUNT_COLUMNS,
+    UsageRow,
+    amounts_in_column_order,
+    summarize_usage,
+)
 
 BARS_MOST = 20  # in a chart; the rest is one bar more
 ROWS_MOST = 500  # in a table; `usage show` has all
@@ -24,11 +29,11 @@
 )
 
 
-def page(merged: Merged, notes: Iterable[str]) -> str:
+def render_html_report(merged: MergedAccounts, notes: Iterable[str]) -> str:
     """The page, as HTML in one file; everything that workers or clients named is escaped."""
-    by_tenant = rows(merged, ("tenant",))
-    by_day = sorted(rows(merged, ("day",)), key=lambda row: row.by)
-    by_function = rows(merged, ("function",))
+    by_tenant = summarize_usage(merged, ("tenant",))
+    by_day = sorted(summarize_usage(merged, ("day",)), key=lambda row: row.by)
+    by_function = summarize_usage(merged, ("function",))
     wrong = merged.unbalanced()
     if merged.in_doubt:
         wrong.append("records of a log are lost: sums may miss some")
@@ -55,16 +60,16 @@
     return "\n".join(parts)
 
 
-def _most(found: list[Row]) -> list[Row]:
+def _most(found: list[UsageRow]) -> list[UsageRow]:
     """The largest, and the rest as one."""
     rest = found[BARS_MOST:]
     if not rest:
         return found
     sums = [sum(getattr(row, name) for row in rest) for name in (*PHASES[:2], "idle", *PHASES[2:])]
-    return [*found[:BARS_MOST], Row((f"{len(rest)} others",), *sums)]
+    return [*found[:BARS_MOST], UsageRow((f"{len(rest)} others",), *sums)]
 
 
-def _chart(found: list[Row], upright: bool = False) -> str:
+def _chart(found: list[UsageRow], upright: bool = False) -> str:
     """Stacked bars as SVG; no bars, no chart."""
     if not found:
         return "<p>Nothing was metered.</p>"
@@ -96,11 +101,11 @@
     return text[text.index("<svg") :]
 
 
-def _table(found: list[Row], name: str) -> str:
-    heads = "".join(f"<th>{head.replace('_mb_s', '')} MB s</th>" for head in HEADS)
+def _table(found: list[UsageRow], name: str) -> str:
+    heads = "".join(f"<th>{head.replace('_mb_s', '')} MB s</th>" for head in AMOUNT_COLUMNS)
     lines = [f"<table><tr><th class='n'>{name}</th>{heads}</tr>"]
     for row in found[:ROWS_MOST]:
-        numbers = "".join(f"<td>{cell:,.3f}</td>" for cell in cells(row))
+        numbers = "".join(f"<td>{cell:,.3f}</td>" for cell in amounts_in_column_order(row))
         lines.append(f"<tr><td class='n'>{escape(row.by[0])}</td>{numbers}</tr>")
     if len(found) > ROWS_MOST:
         lines.append(f"<tr><td class='n'>{len(found) - ROWS_MOST} more: saffronstack usage show</td></tr>")
--- a/saffronstack/metering/ranges.py
+++ b/saffronstack/metering/interval_set.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Ranges:
+class IntervalSet:
     """Whole numbers, kept as spans without gaps."""
 
     spans: list[tuple[int, int]] = field(default_factory=list)  # both ends belong to it
@@ -30,7 +30,7 @@
             last += 1
         self.spans[first:last] = [(low, high)]
 
-    def overlap(self, other: Ranges) -> int:
+    def overlap(self, other: IntervalSet) -> int:
         """How many numbers both hold."""
         count = 0
         mine, theirs = iter(self.spans), iter(other.spans)
@@ -44,7 +44,7 @@
         return count
 
 
-def spans_of(numbers: Iterable[tuple[str, int]]) -> list[tuple[str, int, int]]:
+def group_into_intervals(numbers: Iterable[tuple[str, int]]) -> list[tuple[str, int, int]]:
     """Numbers of incarnations as spans without gaps."""
     spans: list[tuple[str, int, int]] = []
     for incarnation, seq in sorted(numbers):
--- a/saffronstack/metering/merging.py
+++ b/saffronstack/metering/merged_accounts.py
@@ -9,13 +9,13 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
-from saffronstack.metering.account import Account, Key, RecordKey, unbalanced
-from saffronstack.metering.charges import key_for, recorded
-from saffronstack.metering.ranges import Ranges
-from saffronstack.metering.records import Provisional
+from saffronstack.metering.account import Account, Key, RecordKey, find_imbalances
+from saffronstack.metering.call_charges import charge_key, recorded_amount
+from saffronstack.metering.interval_set import IntervalSet
+from saffronstack.metering.records import ProvisionalCharge
 
 
-class Merged:
+class MergedAccounts:
     """What accounts add up to. Making it reads their numbers and open records, not their sums."""
 
     def __init__(self, accounts: Iterable[Account]) -> None:
@@ -30,28 +30,28 @@
         self.in_doubt = any(account.in_doubt for account in self._accounts)
         self.confirmed = 0
         self.unconfirmed = 0
-        self.provisional: dict[tuple[str, str], Provisional] = {}
+        self.provisional: dict[tuple[str, str], ProvisionalCharge] = {}
         self._less = Account("merged")  # what two hold, once, negative
         self._charged: dict[tuple[str, str], int] = defaultdict(int)
         self._match()
         for account in (*self._accounts, self._less):
             for call, amount in account.charges.by_call():
                 self._charged[call] += amount
-        self.estimates: dict[tuple[str, str], Provisional] = {}  # the largest of a call's
+        self.estimates: dict[tuple[str, str], ProvisionalCharge] = {}  # the largest of a call's
         for account in self._accounts:
             for charge in account.charges.final():
-                known = self.estimates.get(key_for(charge))
+                known = self.estimates.get(charge_key(charge))
                 if known is None or int(known.amount) < int(charge.amount):
-                    self.estimates[key_for(charge)] = charge
+                    self.estimates[charge_key(charge)] = charge
         for account in self._accounts:
             for call, charge in account.provisional.items():
                 if call not in self.estimates:
                     self.provisional[call] = charge
 
     def _match(self) -> None:
-        own: list[dict[tuple[str, str], Ranges]] = []
+        own: list[dict[tuple[str, str], IntervalSet]] = []
         for account in self._accounts:
-            ranges: dict[tuple[str, str], Ranges] = defaultdict(Ranges)
+            ranges: dict[tuple[str, str], IntervalSet] = defaultdict(IntervalSet)
             for incarnation, (low, high) in account.numbers():
                 ranges[incarnation].add(low, high)
             for incarnation, found in ranges.items():
@@ -85,9 +85,9 @@
         for account in (*self._accounts, self._less):
             yield from account.holdings()
 
-    def outstanding(self, charge: Provisional) -> int:
+    def outstanding(self, charge: ProvisionalCharge) -> int:
         """What a lost call is charged beyond the records that came, at any gateway."""
-        return max(0, int(charge.amount) - recorded(self._charged, charge))
+        return max(0, int(charge.amount) - recorded_amount(self._charged, charge))
 
     def by_tenant(self) -> dict[str, int]:
         """Loading and running, estimates and provisional charges included, in KiB microseconds."""
@@ -100,9 +100,9 @@
 
     def unbalanced(self) -> list[str]:
         """Workers whose shares do not sum up to what their copies held; a line each."""
-        return unbalanced(self.sums(), self.holdings())
+        return find_imbalances(self.sums(), self.holdings())
 
 
-def merge(accounts: Iterable[Account]) -> Merged:
+def merge_accounts(accounts: Iterable[Account]) -> MergedAccounts:
     """Add accounts up. They stay as they are."""
-    return Merged(accounts)
+    return MergedAccounts(accounts)
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -21,30 +21,30 @@
 from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
-from saffronstack.metering.account import Account, Bounds
-from saffronstack.metering.answered import Answered, AnsweredCall
+from saffronstack.metering.account import Account, AccountLimits
 from saffronstack.metering.archive import Archive
-from saffronstack.metering.checks import refusal
-from saffronstack.metering.limits import BudgetLimits
-from saffronstack.metering.ranges import spans_of
+from saffronstack.metering.budgets import BudgetEnforcer
+from saffronstack.metering.interval_set import group_into_intervals
+from saffronstack.metering.record_validation import find_rejection_reason
 from saffronstack.metering.records import (
-    AnyEntry,
-    Asked,
-    Compacted,
-    Confirmed,
-    Estimated,
-    Given,
-    Offered,
-    Provisional,
-    Received,
-    Ref,
-    Replaced,
-    Start,
+    AnyLedgerEntry,
+    CallReference,
+    IncarnationEnded,
+    LedgerStarted,
+    ProvisionalCharge,
+    ProvisionalChargeVoided,
+    RecordConfirmed,
+    RecordReceived,
+    RecordRelinquished,
+    RunsMerged,
+    UsageRequest,
+    UsageResponse,
     decode,
     encode,
-    life_of,
-    wire,
+    incarnation_key,
+    to_stored_amount,
 )
+from saffronstack.metering.unconfirmed_usage import UnconfirmedCall, UnconfirmedUsage
 from saffronstack.routing.events import Result
 from saffronstack.runtime.threads import start_thread
 
@@ -61,8 +61,10 @@
 )
 ANSWERED = (Result.OK, Result.ERROR)
 LOST = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
-CODEC: Codec[AnyEntry] = Codec(encode, decode, lambda entry: isinstance(entry, Start), "usage", compress=True)
-UsageLog = Journal[AnyEntry, Account]
+CODEC: Codec[AnyLedgerEntry] = Codec(
+    encode, decode, lambda entry: isinstance(entry, LedgerStarted), "usage", compress=True
+)
+UsageLog = Journal[AnyLedgerEntry, Account]
 log = structlog.get_logger("saffronstack.metering")
 
 
@@ -71,7 +73,7 @@
     segment_bytes: int,
     files: Files | None = None,
     budget_windows: Mapping[str, float] | None = None,
-    bounds: Bounds | None = None,
+    bounds: AccountLimits | None = None,
 ) -> UsageLog:
     """Lock and read a usage log; a new one gets a name of its own. JournalError where it can't be had."""
     archive = Archive(pathlib.Path(directory), files)
@@ -82,7 +84,7 @@
         log.error("usage archive damaged", what=line)
         account.doubt()
     if not account.gateway:
-        journal.append(Start(uuid.uuid4().hex)).done.wait(NAMED_S)
+        journal.append(LedgerStarted(uuid.uuid4().hex)).done.wait(NAMED_S)
     return journal
 
 
@@ -99,7 +101,7 @@
     raise AssertionError
 
 
-class Ask(Protocol):
+class WorkerPoller(Protocol):
     """Sends a question to a worker; ``done`` hears the answer's body, None where none came."""
 
     def __call__(self, worker: int, body: bytes, done: Callable[[bytes | None], None]) -> None:
@@ -113,12 +115,12 @@
     def __init__(
         self,
         journal: UsageLog,
-        ask: Ask,
+        ask: WorkerPoller,
         clock: Callable[[], float],
         wall: Callable[[], float],
         memory_kib: Callable[[WorkerSpec], int],
         ask_every_s: float = ASK_EVERY_S,
-        limits: BudgetLimits | None = None,
+        limits: BudgetEnforcer | None = None,
         offset_s: float = 0.0,
     ) -> None:
         """``memory_kib`` is what the configuration says of a worker's memory; ``offset_s`` makes Unix seconds
@@ -136,12 +138,12 @@
         self._offset_s = offset_s
         self._lost_at: dict[str, tuple[str, int]] = {}  # worker: incarnation, records its bound cost
         self._lost_before = 0  # in lives that ended
-        self._answered_calls = Answered()
+        self._answered_calls = UnconfirmedUsage()
         self._merging = threading.Event()
         self._queue: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
         self._workers: dict[str, WorkerSpec] = {}
         self._asked: dict[str, float] = {}  # workers with a question out, and since when
-        self._acks: dict[str, list[tuple[Ticket[AnyEntry], list[tuple[str, int]]]]] = defaultdict(list)
+        self._acks: dict[str, list[tuple[Ticket[AnyLedgerEntry], list[tuple[str, int]]]]] = defaultdict(list)
         self._under_way: set[tuple[str, str, int]] = set()  # received, not yet in the account
         self._incarnations: dict[str, str] = {}
         self._lies: dict[str, list[tuple[str, int]]] = defaultdict(list)
@@ -200,7 +202,7 @@
             )  # else it does not say, or can't be believed
             self._answered_calls.note(
                 outcome.worker_id,
-                AnsweredCall(
+                UnconfirmedCall(
                     self._clock(),
                     call.request_id,
                     call.tenant_name,
@@ -253,9 +255,9 @@
         except binascii.Error:
             self._refuse(worker.name, "its usage header is not base64")
 
-    def _offered(self, worker: WorkerSpec, body: bytes) -> Offered | None:
+    def _offered(self, worker: WorkerSpec, body: bytes) -> UsageResponse | None:
         try:
-            offered = msgspec.msgpack.decode(body, type=Offered)
+            offered = msgspec.msgpack.decode(body, type=UsageResponse)
         except (msgspec.MsgspecError, ValueError) as error:
             self._refuse(worker.name, f"not readable: {error}")
             return None
@@ -266,9 +268,11 @@
         before, lost = self._lost_at.get(worker.name, (offered.incarnation, 0))
         self._lost_before += lost if before != offered.incarnation else 0
         self._lost_at[worker.name] = offered.incarnation, max(0, offered.dropped)
-        fresh: list[Received] = []
+        fresh: list[RecordReceived] = []
         for usage in offered.records:
-            reason = refusal(usage, worker.name, offered.incarnation, offered.now_us, memory_kib)
+            reason = find_rejection_reason(
+                usage, worker.name, offered.incarnation, offered.now_us, memory_kib
+            )
             if reason:
                 self._refuse(worker.name, f"record {usage.seq}: {reason}")
                 self._lies[worker.name].append((usage.incarnation, usage.seq))  # it need not come again
@@ -280,13 +284,13 @@
             if self._limits is not None and (usage.run or usage.idle):
                 self._limits.loaded(usage.function, now)
             age_s = max(0.0, (offered.now_us - usage.end_us) / 1e6)
-            fresh.append(Received(usage, now_wall - age_s, self.steady(now) - age_s))
+            fresh.append(RecordReceived(usage, now_wall - age_s, self.steady(now) - age_s))
         self.taken += len(fresh)
-        entries: list[AnyEntry] = [*fresh]
-        entries += [Confirmed(worker.name, *span) for span in spans_of(offered.mine)]
-        entries += [Given(worker.name, *number) for number in offered.gone]
-        life = life_of(worker.name, offered.incarnation)
-        entries += [Replaced(life, id_) for id_ in offered.known]
+        entries: list[AnyLedgerEntry] = [*fresh]
+        entries += [RecordConfirmed(worker.name, *span) for span in group_into_intervals(offered.mine)]
+        entries += [RecordRelinquished(worker.name, *number) for number in offered.gone]
+        life = incarnation_key(worker.name, offered.incarnation)
+        entries += [ProvisionalChargeVoided(life, id_) for id_ in offered.known]
         if entries:
             ticket = self.journal.append(*entries)
             numbers = [(entry.usage.incarnation, entry.usage.seq) for entry in fresh]
@@ -312,16 +316,16 @@
         name = next((n for n in self._workers if worker_number(n) == outcome.worker_id), "")
         if not name:
             return
-        ref = Ref(call.request_id, call.tenant_name, call.class_name)
+        ref = CallReference(call.request_id, call.tenant_name, call.class_name)
         spec = call.function
         memory_kib = int(spec.memory_mb * 1024)
         self.journal.append(
-            Provisional(
+            ProvisionalCharge(
                 name,
                 end.incarnation or self._incarnations.get(name, ""),
                 ref,
                 spec.name,
-                wire(memory_kib * int(outcome.elapsed_s * 1e6)),
+                to_stored_amount(memory_kib * int(outcome.elapsed_s * 1e6)),
                 wall,
                 self.steady(now),
                 memory_kib,
@@ -339,28 +343,28 @@
             if charge.worker == worker and charge.incarnation != incarnation
         }
         last = self._incarnations.get(worker, "")
-        entries: list[AnyEntry] = []
+        entries: list[AnyLedgerEntry] = []
         if last and last != incarnation:
             dead.add(last)
             now, wall = self._clock(), self._wall()
             for call in self._answered_calls.died(worker_number(worker)):
                 if call.incarnation == incarnation:  # the new life answered it before it was heard of
                     continue
-                if call.amount > account.charges.charged(life_of(worker, last), call.call_id):
+                if call.amount > account.charges.charged(incarnation_key(worker, last), call.call_id):
                     age_s = now - call.ended_s
-                    ref = Ref(call.call_id, call.tenant, call.call_class)
+                    ref = CallReference(call.call_id, call.tenant, call.call_class)
                     entries.append(
-                        Provisional(
+                        ProvisionalCharge(
                             worker,
                             last,
                             ref,
                             call.function,
-                            wire(call.amount),
+                            to_stored_amount(call.amount),
                             wall - age_s,
                             self.steady(call.ended_s),
                         )
                     )
-        entries += [Estimated(worker, incarnation_) for incarnation_ in sorted(dead)]
+        entries += [IncarnationEnded(worker, incarnation_) for incarnation_ in sorted(dead)]
         if entries:
             self.journal.append(*entries)
 
@@ -375,7 +379,7 @@
         def merge() -> None:
             try:
                 into = account.merge_runs(numbers)
-                ticket = self.journal.append(Compacted(numbers, into))
+                ticket = self.journal.append(RunsMerged(numbers, into))
                 if ticket.done.wait(MERGE_S) and ticket.durable:
                     account.drop_runs(numbers)
             except (RunDamagedError, OSError) as error:
@@ -407,7 +411,7 @@
                 continue
             self._asked[name] = now
             waiting[name] = self._lies.pop(name, []) + waiting[name]
-            asked = Asked(
+            asked = UsageRequest(
                 account.gateway, tuple(waiting[name][:ACKS_MOST]), tuple(missing[name][:MISSING_MOST])
             )
             self._ask(spec.number, msgspec.msgpack.encode(asked), self._answer_to(spec, now))
@@ -422,7 +426,7 @@
         self._asked.pop(spec.name, None)
         offered = self._offered(spec, body) if body is not None else None
         if offered is not None:
-            life = life_of(spec.name, offered.incarnation)
+            life = incarnation_key(spec.name, offered.incarnation)
             self._answered_calls.told(
                 spec.number,
                 asked_s,
--- a/saffronstack/metering/checks.py
+++ b/saffronstack/metering/record_validation.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saffronstack.metering.records import Usage
+from saffronstack.metering.records import UsageRecord
 
 SPAN_MOST_US = 24 * 3600 * 1_000_000  # a worker closes its spans at least this often
 AHEAD_US = 1_000_000  # how far a record may end past the worker's own clock
@@ -11,7 +11,9 @@
 TEXT_MOST = 256
 
 
-def refusal(usage: Usage, worker: str, incarnation: str, now_us: int, memory_kib: int) -> str:
+def find_rejection_reason(
+    usage: UsageRecord, worker: str, incarnation: str, now_us: int, memory_kib: int
+) -> str:
     """Why a record can't be believed; empty where it can.
 
     ``worker`` and ``memory_kib`` are the list's word, ``incarnation`` and ``now_us`` the answer's."""
--- a/saffronstack/metering/windows.py
+++ b/saffronstack/metering/sliding_windows.py
@@ -12,13 +12,13 @@
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-STEPS = 60
+PARTS_PER_WINDOW = 60
 MOVED_KEPT = 10_000  # tenants whose moved parts are remembered
 Parts = dict[float, int]  # start: amount
 
 
 @dataclass(slots=True)
-class Window:
+class SlidingWindow:
     """One sliding window."""
 
     parts: Parts = field(default_factory=dict)
@@ -39,7 +39,7 @@
             self.oldest = min(self.parts, default=float("inf"))
 
 
-class Windows:
+class SlidingWindows:
     """Amounts come from the account's thread, questions from any; times are steady Unix seconds."""
 
     def __init__(
@@ -49,9 +49,11 @@
         memory."""
         self._lengths = dict(lengths)
         self._moved = moved
-        self._windows: dict[str, Window] = {}
-        self._whole: dict[float, Window] = {length: Window() for length in set(self._lengths.values())}
-        self._cache: OrderedDict[str, Window] = OrderedDict()
+        self._windows: dict[str, SlidingWindow] = {}
+        self._whole: dict[float, SlidingWindow] = {
+            length: SlidingWindow() for length in set(self._lengths.values())
+        }
+        self._cache: OrderedDict[str, SlidingWindow] = OrderedDict()
         self._any_moved = False
         self._latest = 0.0
         self._lock = threading.Lock()
@@ -72,7 +74,7 @@
         length = self._lengths.get(tenant)
         if length is None:
             return
-        step_s = length / STEPS
+        step_s = length / PARTS_PER_WINDOW
         start = at // step_s * step_s
         with self._lock:
             self._latest = max(self._latest, at)
@@ -80,7 +82,7 @@
                 return
             window = self._windows.get(tenant)
             if window is None:
-                window = self._windows[tenant] = Window()
+                window = self._windows[tenant] = SlidingWindow()
             if start not in window.parts:
                 self.parts += 1
                 self._let_go(window, self._latest - length)
@@ -111,7 +113,7 @@
                 window.leave(now - length)
             return sum(window.total for window in self._whole.values())
 
-    def _both(self, tenant: str, before: float) -> list[Window]:
+    def _both(self, tenant: str, before: float) -> list[SlidingWindow]:
         """What stands in memory and what was moved, without what has left; under the lock."""
         window = self._windows.get(tenant)
         windows = []
@@ -121,7 +123,7 @@
         if self._any_moved and self._moved is not None:
             cached = self._cache.get(tenant)
             if cached is None:
-                cached = Window()
+                cached = SlidingWindow()
                 for start, amount in self._moved(tenant):
                     cached.add(start, amount)
                 self._cache[tenant] = cached
@@ -132,14 +134,14 @@
             windows.append(cached)
         return windows
 
-    def _let_go(self, window: Window, before: float) -> None:
+    def _let_go(self, window: SlidingWindow, before: float) -> None:
         held = len(window.parts)
         window.leave(before)
         self.parts -= held - len(window.parts)
 
     def _forget(self) -> None:
         self._windows.clear()
-        self._whole = {length: Window() for length in self._whole}
+        self._whole = {length: SlidingWindow() for length in self._whole}
         self.parts = 0
 
     def stands(self, tenant: str, start: float) -> bool:
@@ -179,7 +181,7 @@
                 if length in self._whole:
                     self._whole[length].add(start, amount)
             elif tenant in self._lengths:
-                window = self._windows.setdefault(tenant, Window())
+                window = self._windows.setdefault(tenant, SlidingWindow())
                 self.parts += start not in window.parts
                 window.add(start, amount)
 
--- a/saffronstack/metering/answered.py
+++ b/saffronstack/metering/unconfirmed_usage.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnsweredCall:
+class UnconfirmedCall:
     """One call; ``amount`` is what its worker said that it held (``told``), or its function's memory over the
     time from its send to its answer."""
 
@@ -33,17 +33,17 @@
 
 @dataclass(slots=True)
 class _Worker:
-    calls: deque[AnsweredCall] = field(default_factory=lambda: deque(maxlen=CALLS_MOST))
+    calls: deque[UnconfirmedCall] = field(default_factory=lambda: deque(maxlen=CALLS_MOST))
 
 
-class Answered:
+class UnconfirmedUsage:
     """Calls are noted from workers' threads; everything else is one thread's."""
 
     def __init__(self) -> None:
         self._workers: dict[int, _Worker] = {}
         self._usual: dict[str, float] = {}
 
-    def note(self, worker: int, call: AnsweredCall) -> None:
+    def note(self, worker: int, call: UnconfirmedCall) -> None:
         """A worker answered a call."""
         known = self._workers.get(worker)
         if known is None:
@@ -63,12 +63,12 @@
                 if len(self._usual) > FUNCTIONS_MOST:
                     del self._usual[next(iter(self._usual))]
 
-    def died(self, worker: int) -> list[AnsweredCall]:
+    def died(self, worker: int) -> list[UnconfirmedCall]:
         """The worker is dead: the calls whose records may be lost, each with what such a call usually held,
         or no more than its memory over its time. The time holds waits, in which a call may hold nothing."""
         known = self._workers.pop(worker, None)
         return [
-            AnsweredCall(
+            UnconfirmedCall(
                 call.ended_s,
                 call.call_id,
                 call.tenant,
--- a/saffronstack/metering/report.py
+++ b/saffronstack/metering/usage_report.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from saffronstack.metering.merging import Merged
+from saffronstack.metering.merged_accounts import MergedAccounts
 
 MB_S = 1024 * 1_000_000  # KiB microseconds in a megabyte second
 COLUMNS = ("tenant", "function", "class", "worker", "day", "hour")
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class UsageRow:
     """One sum, in MB s; ``provisional`` is charged until a worker's record or death settles it."""
 
     by: tuple[str, ...]
@@ -34,7 +34,7 @@
         return self.loading + self.running + self.estimated + self.provisional
 
 
-def rows(merged: Merged, by: tuple[str, ...], tenant: str | None = None) -> list[Row]:
+def summarize_usage(merged: MergedAccounts, by: tuple[str, ...], tenant: str | None = None) -> list[UsageRow]:
     """Sums by some of the columns, of one tenant or all, largest charge first; ValueError names a column that
     there is none of."""
     unknown = [name for name in by if name not in COLUMNS]
@@ -52,7 +52,7 @@
                 key = _key(by, call.tenant, charge.function, call.call_class, charge.worker, at)
                 sums[key][place] += merged.outstanding(charge)
     found = [
-        Row(key, *(amount / MB_S for amount in amounts)) for key, amounts in sums.items() if any(amounts)
+        UsageRow(key, *(amount / MB_S for amount in amounts)) for key, amounts in sums.items() if any(amounts)
     ]
     return sorted(found, key=lambda row: (-row.charged, row.by))
 
@@ -72,15 +72,22 @@
     return tuple(values[name] for name in by)
 
 
-def cells(row: Row) -> list[float]:
+def amounts_in_column_order(row: UsageRow) -> list[float]:
     """Its amounts in the order of the heads, in MB s."""
     return [row.loading, row.running, row.estimated, row.provisional, row.charged, row.idle]
 
 
-HEADS = ("loading_mb_s", "running_mb_s", "estimated_mb_s", "provisional_mb_s", "charged_mb_s", "idle_mb_s")
+AMOUNT_COLUMNS = (
+    "loading_mb_s",
+    "running_mb_s",
+    "estimated_mb_s",
+    "provisional_mb_s",
+    "charged_mb_s",
+    "idle_mb_s",
+)
 
 
-def table(found: Iterable[Row], by: tuple[str, ...]) -> str:
+def format_table(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
     """Columns for the eye; the last but one also in GB h."""
     found = list(found)
     widths = [max([len(name), *(len(row.by[place]) for row in found)]) for place, name in enumerate(by)]
@@ -88,7 +95,7 @@
         "  ".join(
             [
                 *(name.ljust(width) for name, width in zip(by, widths, strict=True)),
-                *(head.rjust(16) for head in HEADS),
+                *(head.rjust(16) for head in AMOUNT_COLUMNS),
                 "charged_gb_h".rjust(13),
             ]
         )
@@ -97,30 +104,37 @@
         names = (text.ljust(width) for text, width in zip(row.by, widths, strict=True))
         lines.append(
             "  ".join(
-                [*names, *(f"{cell:16.3f}" for cell in cells(row)), f"{row.charged / 1024 / 3600:13.6f}"]
+                [
+                    *names,
+                    *(f"{cell:16.3f}" for cell in amounts_in_column_order(row)),
+                    f"{row.charged / 1024 / 3600:13.6f}",
+                ]
             )
         )
     return "\n".join(lines)
 
 
-def json_lines(found: Iterable[Row], by: tuple[str, ...]) -> str:
+def format_json_lines(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
     """One object a line."""
     return "\n".join(
         msgspec.json.encode(
-            {**dict(zip(by, row.by, strict=True)), **dict(zip(HEADS, cells(row), strict=True))}
+            {
+                **dict(zip(by, row.by, strict=True)),
+                **dict(zip(AMOUNT_COLUMNS, amounts_in_column_order(row), strict=True)),
+            }
         ).decode()
         for row in found
     )
 
 
-def comma_separated(found: Iterable[Row], by: tuple[str, ...]) -> str:
+def format_csv(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
     """RFC 4180."""
     out = io.StringIO()
     writer = csv.writer(out)
-    writer.writerow([*by, *HEADS])
+    writer.writerow([*by, *AMOUNT_COLUMNS])
     for row in found:
-        writer.writerow([*row.by, *(f"{cell:.6f}" for cell in cells(row))])
+        writer.writerow([*row.by, *(f"{cell:.6f}" for cell in amounts_in_column_order(row))])
     return out.getvalue().rstrip("\r\n")
 
 
-FORMS = {"table": table, "jsonl": json_lines, "csv": comma_separated}
+FORMATTERS = {"table": format_table, "jsonl": format_json_lines, "csv": format_csv}
--- a/saffronstack/standin/model.py
+++ b/saffronstack/standin/model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from saffronstack.metering.records import Ref
+from saffronstack.metering.records import CallReference
 from saffronstack.standin.usage import Outbox
 
 
@@ -46,7 +46,7 @@
     told_waiting: int = 0
 
 
-NOBODY = Ref("", "", "")
+NOBODY = CallReference("", "", "")
 
 
 class WorkerDiedError(Exception):
@@ -90,8 +90,10 @@
     memory_mb: float
     lanes: int
     since_us: int
-    waiting: dict[int, Ref] = field(default_factory=dict)  # by a ticket: an attempt that was given up may
-    running: dict[int, Ref] = field(default_factory=dict)  # still run when its call comes again
+    waiting: dict[int, CallReference] = field(
+        default_factory=dict
+    )  # by a ticket: an attempt that was given up may
+    running: dict[int, CallReference] = field(default_factory=dict)  # still run when its call comes again
     standing: int = 0
     loading: int = 0
     busy: int = 0
@@ -113,8 +115,8 @@
     lanes: int
     loading: int
     standing: int
-    waiting: tuple[Ref, ...]
-    running: tuple[Ref, ...]
+    waiting: tuple[CallReference, ...]
+    running: tuple[CallReference, ...]
 
 
 class Model:
@@ -178,7 +180,7 @@
         lanes: int,
         deadline_s: float,
         ran: Callable[[], None],
-        ref: Ref = NOBODY,
+        ref: CallReference = NOBODY,
     ) -> tuple[str, int]:
         """Run a call; what it found and how many calls of its function were here. ``ran`` marks the run.
 
@@ -275,7 +277,7 @@
     def _now_us(self) -> int:
         return int(self._clock() * 1e6)
 
-    def _left(self, ref: Ref) -> None:
+    def _left(self, ref: CallReference) -> None:
         if self._outbox is not None:
             self._outbox.ended(ref.id)
 
--- a/saffronstack/standin/usage.py
+++ b/saffronstack/standin/usage.py
@@ -5,8 +5,8 @@
 import threading
 from collections import OrderedDict
 
-from saffronstack.metering.records import Asked, Offered, Ref, Usage
-from saffronstack.metering.split import split
+from saffronstack.metering.cost_allocation import allocate
+from saffronstack.metering.records import CallReference, UsageRecord, UsageRequest, UsageResponse
 
 KEPT = 100_000  # records, and calls and acknowledgements remembered
 AGAIN_S = 1.0  # a record is offered anew when no acknowledgement came for so long
@@ -19,10 +19,12 @@
         self.worker = worker
         self.incarnation = incarnation
         self.dropped = 0
-        self.all: list[Usage] = []  # for tests: the truth, whatever was delivered
+        self.all: list[UsageRecord] = []  # for tests: the truth, whatever was delivered
         self._seq = 0
         self._lock = threading.Lock()
-        self._open: OrderedDict[int, tuple[Usage, float]] = OrderedDict()  # record, and when it was offered
+        self._open: OrderedDict[int, tuple[UsageRecord, float]] = (
+            OrderedDict()
+        )  # record, and when it was offered
         self._owners: OrderedDict[int, str] = OrderedDict()
         self._calls: OrderedDict[str, None] = OrderedDict()
         self._held: dict[str, int] = {}  # KiB microseconds of calls that are here
@@ -34,13 +36,13 @@
         start_us: int,
         end_us: int,
         copies: tuple[int, int, int],
-        waiting: tuple[Ref, ...],
-        running: tuple[Ref, ...],
+        waiting: tuple[CallReference, ...],
+        running: tuple[CallReference, ...],
     ) -> None:
         """A span has ended."""
         with self._lock:
             self._seq += 1
-            usage = Usage(
+            usage = UsageRecord(
                 self.worker,
                 self.incarnation,
                 self._seq,
@@ -53,7 +55,7 @@
                 running,
             )
             self.all.append(usage)
-            for share in split(usage):
+            for share in allocate(usage):
                 if share.call.id:
                     self._held[share.call.id] = self._held.get(share.call.id, 0) + share.amount
             self._open[self._seq] = usage, -1e9
@@ -75,7 +77,7 @@
         with self._lock:
             return self._held.pop(call_id, 0)
 
-    def answer(self, asked: Asked, now_s: float) -> Offered:
+    def answer(self, asked: UsageRequest, now_s: float) -> UsageResponse:
         """Take acknowledgements: a record is the first gateway's that acknowledges it. Offer what is open."""
         mine: list[tuple[str, int]] = []
         gone: list[tuple[str, int]] = []
@@ -87,7 +89,7 @@
                 owner = self._owners.setdefault(seq, asked.gateway)
                 (mine if owner == asked.gateway else gone).append((incarnation, seq))
             known = tuple(id_ for id_ in asked.missing if id_ in self._calls)
-            records: list[Usage] = []
+            records: list[UsageRecord] = []
             for seq, (usage, offered_s) in self._open.items():
                 if len(records) >= asked.limit:
                     break
@@ -95,7 +97,7 @@
                     records.append(usage)
                     self._open[seq] = usage, now_s
             left = len(self._open) - len(records)
-        return Offered(
+        return UsageResponse(
             self.worker,
             self.incarnation,
             int(now_s * 1e6),
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -19,7 +19,7 @@
 from saffronstack.http1.messages import HttpError, Limits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.metering.records import Asked, Ref
+from saffronstack.metering.records import CallReference, UsageRequest
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import (
     Faults,
@@ -275,7 +275,7 @@
                 int(get("x-saffron-lanes", "1")),
                 deadline_s,
                 lambda: self._note("run", run=run_id, **who),
-                Ref(str(who["id"]), str(who["tenant"]), get("x-saffron-class")),
+                CallReference(str(who["id"]), str(who["tenant"]), get("x-saffron-class")),
             )
         except (QueueFullError, TimeoutError):
             self._note("answer", status=429, **who)
@@ -325,14 +325,14 @@
             text = f"START RequestId: {who['id']}\nrun {run_id}\nEND RequestId: {who['id']}\n"
             fields.append(("X-Amz-Log-Result", base64.b64encode(text.encode()).decode()))
         if get("x-saffron-gateway"):
-            asked = Asked(get("x-saffron-gateway"), limit=USAGE_IN_ANSWER)
+            asked = UsageRequest(get("x-saffron-gateway"), limit=USAGE_IN_ANSWER)
             offered = msgspec.msgpack.encode(self.outbox.answer(asked, self._clock()))
             fields.append(("X-Saffron-Usage", base64.b64encode(offered).decode()))
         return tuple(fields)
 
     def _usage(self, stream: Stream, model: Model, incarnation: str, body: bytes) -> bool:
         try:
-            asked = msgspec.msgpack.decode(body, type=Asked)
+            asked = msgspec.msgpack.decode(body, type=UsageRequest)
         except (msgspec.MsgspecError, ValueError):
             return self._answer(stream, model, incarnation, 400, (), b"")
         model.settle()
--- a/tests/daemon/test_supervised_gateway.py
+++ b/tests/daemon/test_supervised_gateway.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from saffronstack.cli.main import main
-from saffronstack.metering.report import MB_S
+from saffronstack.metering.usage_report import MB_S
 from saffronstack.standin.fleet import StandInFleet
 from tests.support.reckoning import truth
 from tests.support.stack import configuration, eventually
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -19,13 +19,19 @@
 from saffronstack.durable.runs import Run, write_run
 from saffronstack.durable.segments import Files
 from saffronstack.invoke.usage import statement, together
-from saffronstack.metering.account import Account, Bounds
-from saffronstack.metering.archive import Archive, amounts_of, key_of, parts_of, value_of
-from saffronstack.metering.merging import merge
+from saffronstack.metering.account import Account, AccountLimits
+from saffronstack.metering.archive import Archive, decode_amounts, decode_key, encode_amounts, encode_key
+from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.meter import CODEC as USAGE_CODEC
 from saffronstack.metering.meter import read_usage_log
-from saffronstack.metering.records import Asked, Offered, Usage
-from saffronstack.metering.report import COLUMNS, comma_separated, json_lines, rows, table
+from saffronstack.metering.records import UsageRecord, UsageRequest, UsageResponse
+from saffronstack.metering.usage_report import (
+    COLUMNS,
+    format_csv,
+    format_json_lines,
+    format_table,
+    summarize_usage,
+)
 from saffronstack.operations.notes import CODEC as NOTES_CODEC
 from saffronstack.operations.notes import Notes
 from saffronstack.operations.table import pack, unpack
@@ -73,14 +79,14 @@
 
 
 def figures_of(account: Account) -> dict[str, Any]:
-    merged = merge([account])
-    found = rows(merged, COLUMNS)
+    merged = merge_accounts([account])
+    found = summarize_usage(merged, COLUMNS)
     return {
         "by_tenant": dict(sorted(account.by_tenant().items())),
         "statement": together([statement(account, None, TENANT, AT)], []),
-        "csv": comma_separated(found, COLUMNS),
-        "jsonl": json_lines(found, COLUMNS),
-        "table": table(found, COLUMNS),
+        "csv": format_csv(found, COLUMNS),
+        "jsonl": format_json_lines(found, COLUMNS),
+        "table": format_table(found, COLUMNS),
     }
 
 
@@ -177,13 +183,15 @@
 
 def test_the_kept_archive_holds_every_kind_of_key() -> None:
     keys = [key for name in RUNS for key, _ in Run.open(ARCHIVE / "runs" / name).items()]
-    assert {parts_of(key)[0] for key in keys} == set("towkehu")
+    assert {decode_key(key)[0] for key in keys} == set("towkehu")
 
 
 def test_an_account_that_leaves_memory_writes_the_same_log_and_runs(tmp_path: pathlib.Path) -> None:
     blocks = segment_blocks((ARCHIVE / "usage-0000000001.seg").read_bytes())
     archive = Archive(tmp_path)
-    account = Account(archive=archive, budget_windows=BUDGET_WINDOWS, bounds=Bounds(6, 8, 5, 1, 100, 2))
+    account = Account(
+        archive=archive, budget_windows=BUDGET_WINDOWS, bounds=AccountLimits(6, 8, 5, 1, 100, 2)
+    )
     journal = Journal(str(tmp_path), account, USAGE_CODEC, SEGMENT_BYTES)
     for record in segment_records(ARCHIVE / "usage-0000000001.seg"):
         if (
@@ -213,10 +221,10 @@
 @pytest.mark.parametrize("name", RUNS)
 def test_keys_and_amounts_of_a_run_are_encoded_as_they_were(name: str) -> None:
     for key, value in Run.open(ARCHIVE / "runs" / name).items():
-        kind, *parts = parts_of(key)
-        assert key_of(str(kind), *parts) == key
+        kind, *parts = decode_key(key)
+        assert encode_key(str(kind), *parts) == key
         if kind in ("t", "o", "w", "k", "h"):
-            assert value_of(amounts_of(value)) == value
+            assert encode_amounts(decode_amounts(value)) == value
         elif value:
             assert USAGE_CODEC.encode(USAGE_CODEC.decode(value)) == value
 
@@ -229,7 +237,7 @@
     runs = (numbers[-1], *numbers[:-1])  # the last one stands for the three that were oldest
     number = account.merge_runs(runs)
     path = tmp_path / "usage" / "runs" / f"run-{number:010d}.run"
-    gone = [key for key, value in kept if not value or parts_of(key)[0] == "w"]  # out of their windows
+    gone = [key for key, value in kept if not value or decode_key(key)[0] == "w"]  # out of their windows
     assert list(Run.open(path).items()) == [pair for pair in kept if pair[0] not in gone]
 
 
@@ -238,9 +246,16 @@
 
 @pytest.mark.parametrize(
     ("name", "kind"),
-    [("asked", Asked), ("asked-defaults", Asked), ("offered", Offered), ("offered-defaults", Offered)],
+    [
+        ("asked", UsageRequest),
+        ("asked-defaults", UsageRequest),
+        ("offered", UsageResponse),
+        ("offered-defaults", UsageResponse),
+    ],
 )
-def test_a_usage_message_is_written_again_byte_by_byte(name: str, kind: type[Asked | Offered]) -> None:
+def test_a_usage_message_is_written_again_byte_by_byte(
+    name: str, kind: type[UsageRequest | UsageResponse]
+) -> None:
     kept = (MESSAGES / f"{name}.msgpack").read_bytes()
     assert msgspec.msgpack.encode(msgspec.msgpack.decode(kept, type=kind)) == kept
 
@@ -259,6 +274,6 @@
         "left",
     ]
     (record,) = offered["records"]
-    assert msgspec.msgpack.encode(msgspec.convert(record, Usage)) == msgspec.msgpack.encode(record)
+    assert msgspec.msgpack.encode(msgspec.convert(record, UsageRecord)) == msgspec.msgpack.encode(record)
     asked = msgspec.msgpack.decode((MESSAGES / "asked.msgpack").read_bytes())
     assert list(asked) == ["gateway", "ack", "missing", "limit"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,20 +13,20 @@
 
 from saffronstack import config as configs
 from saffronstack.config.build import OVER_BUDGET, settings_of
-from saffronstack.metering.limits import STEPS, Budget, BudgetLimits, Standing
-from saffronstack.metering.windows import Windows
+from saffronstack.metering.budgets import Budget, BudgetEnforcer, BudgetStatus
+from saffronstack.metering.sliding_windows import PARTS_PER_WINDOW, SlidingWindows
 from saffronstack.standin.model import Profile
 from tests.support.stack import eventually, running
 from tests.test_config import good
 
-WITHIN, SOFT, HARD = Standing.WITHIN, Standing.OVER_SOFT, Standing.OVER_HARD
+WITHIN, SOFT, HARD = BudgetStatus.WITHIN, BudgetStatus.OVER_SOFT, BudgetStatus.OVER_HARD
 
 
-class Charged(BudgetLimits):
+class Charged(BudgetEnforcer):
     """Limits over windows that a test charges."""
 
     def __init__(self, budgets: dict[str, Budget], instances: int) -> None:
-        self.windows = Windows({tenant: budget.window_s for tenant, budget in budgets.items()})
+        self.windows = SlidingWindows({tenant: budget.window_s for tenant, budget in budgets.items()})
         super().__init__(budgets, self.windows, instances, 10.0)
 
     def charge(self, tenant: str, amount: int, now: float) -> None:
@@ -73,7 +73,7 @@
     for n in range(10_000):
         found.charge("a", 1, n * 0.1)
         found.judge("a", n * 0.1)
-    assert len(found.windows.used("a", 999.9)) <= STEPS + 2
+    assert len(found.windows.used("a", 999.9)) <= PARTS_PER_WINDOW + 2
 
 
 def test_over_only_where_amount_and_part_of_own_usage_say_so() -> None:
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -20,39 +20,39 @@
 from saffronstack import config as configs
 from saffronstack.cli.main import main
 from saffronstack.metering.account import Account
-from saffronstack.metering.checks import refusal
-from saffronstack.metering.merging import merge
+from saffronstack.metering.cost_allocation import Phase, allocate, total_occupancy
+from saffronstack.metering.interval_set import IntervalSet
+from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.meter import open_usage_log, read_usage_log
-from saffronstack.metering.ranges import Ranges
+from saffronstack.metering.record_validation import find_rejection_reason
 from saffronstack.metering.records import (
-    AnyEntry,
-    Asked,
-    Charged,
-    Confirmed,
-    Estimated,
-    Given,
-    Provisional,
-    Received,
-    Ref,
-    Replaced,
-    Start,
-    Total,
-    Usage,
+    AnyLedgerEntry,
+    CallCharge,
+    CallReference,
+    IncarnationEnded,
+    LedgerStarted,
+    ProvisionalCharge,
+    ProvisionalChargeVoided,
+    RecordConfirmed,
+    RecordReceived,
+    RecordRelinquished,
+    UsageRecord,
+    UsageRequest,
+    UsageTotal,
     decode,
     encode,
-    life_of,
+    incarnation_key,
 )
-from saffronstack.metering.split import Phase, occupied, split
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.usage import Outbox
 from tests.support.reckoning import truth
 from tests.support.stack import Stack, eventually, running
 
-refs = st.builds(Ref, st.uuids().map(str), st.sampled_from(["a", "b", "c"]), st.just("lookup"))
+refs = st.builds(CallReference, st.uuids().map(str), st.sampled_from(["a", "b", "c"]), st.just("lookup"))
 some = st.lists(refs, max_size=7, unique_by=lambda ref: ref.id).map(tuple)
 records = st.builds(
-    Usage,
+    UsageRecord,
     st.sampled_from(["w1", "w2"]),
     st.sampled_from(["i", "j"]),
     st.integers(1, 40),
@@ -68,7 +68,7 @@
 )
 
 
-def usage(seq: int = 1, worker: str = "w1", incarnation: str = "i", run: int = 1, **more: Any) -> Usage:
+def usage(seq: int = 1, worker: str = "w1", incarnation: str = "i", run: int = 1, **more: Any) -> UsageRecord:
     base: dict[str, Any] = {
         "function": "f",
         "memory_kib": 1000,
@@ -77,29 +77,33 @@
         "load": 0,
         "idle": 0,
         "waiting": (),
-        "running": (Ref("id-1", "a", "c"),),
+        "running": (CallReference("id-1", "a", "c"),),
     }
-    return Usage(worker=worker, incarnation=incarnation, seq=seq, run=run, **{**base, **more})
+    return UsageRecord(worker=worker, incarnation=incarnation, seq=seq, run=run, **{**base, **more})
 
 
 @given(records)
 @settings(derandomize=True, max_examples=300)
-def test_shares_sum_up_to_what_was_held(record: Usage) -> None:
+def test_shares_sum_up_to_what_was_held(record: UsageRecord) -> None:
     sums = {phase: 0 for phase in Phase}
-    for share in split(record):
+    for share in allocate(record):
         assert share.amount > 0
         sums[share.phase] += share.amount
-    assert tuple(sums.values()) == occupied(record)
+    assert tuple(sums.values()) == total_occupancy(record)
     for phase, calls in ((Phase.LOAD, record.waiting), (Phase.RUN, record.running)):
-        parts = [share.amount for share in split(record) if share.phase is phase and share.call.id]
+        parts = [share.amount for share in allocate(record) if share.phase is phase and share.call.id]
         assert not parts or (max(parts) - min(parts) <= 1 and len(calls) >= len(parts))
 
 
 def test_the_worked_example() -> None:
     """Three calls of two tenants overlap on a copy of 1,000 KiB; two of them wait for a load."""
-    a, b, c = Ref("1", "corner", "x"), Ref("2", "campus", "x"), Ref("3", "campus", "x")
+    a, b, c = (
+        CallReference("1", "corner", "x"),
+        CallReference("2", "campus", "x"),
+        CallReference("3", "campus", "x"),
+    )
     record = usage(end_us=10, load=1, run=1, waiting=(a, b), running=(a, b, c))
-    assert [(s.call.id, s.phase, s.amount) for s in split(record)] == [
+    assert [(s.call.id, s.phase, s.amount) for s in allocate(record)] == [
         ("1", Phase.LOAD, 5000),
         ("2", Phase.LOAD, 5000),
         ("1", Phase.RUN, 3334),
@@ -111,7 +115,7 @@
 @given(st.lists(st.tuples(st.integers(0, 60), st.integers(0, 9))))
 @settings(derandomize=True, max_examples=300)
 def test_ranges_hold_what_was_added(spans: list[tuple[int, int]]) -> None:
-    ranges, plain = Ranges(), set()
+    ranges, plain = IntervalSet(), set()
     for low, length in spans:
         ranges.add(low, low + length)
         plain |= set(range(low, low + length + 1))
@@ -123,24 +127,24 @@
     st.lists(st.tuples(records, st.sampled_from(["received", "again", "confirmed", "given"])), max_size=40)
 )
 @settings(derandomize=True, max_examples=200)
-def test_each_record_counts_once_and_a_snapshot_is_the_state(steps: list[tuple[Usage, str]]) -> None:
+def test_each_record_counts_once_and_a_snapshot_is_the_state(steps: list[tuple[UsageRecord, str]]) -> None:
     account = Account("g")
-    first: dict[tuple[str, str, int], Usage] = {}
+    first: dict[tuple[str, str, int], UsageRecord] = {}
     for record, step in steps:
         key = record.worker, record.incarnation, record.seq
         if step in ("received", "again") and key not in first:
             first[key] = record
-            account.apply(Received(record, 0.0))
+            account.apply(RecordReceived(record, 0.0))
         if step == "again":
-            account.apply(Received(record, 5.0))
+            account.apply(RecordReceived(record, 5.0))
         if step == "confirmed":
-            account.apply(Confirmed(*key))
+            account.apply(RecordConfirmed(*key))
         if step == "given" and key in account.unconfirmed:
-            account.apply(Given(*key))
+            account.apply(RecordRelinquished(*key))
             del first[key]
     held: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0])
     for record in first.values():
-        for place, amount in enumerate(occupied(record)):
+        for place, amount in enumerate(total_occupancy(record)):
             held[record.worker][place] += amount
     assert {w: v for w, v in account.occupied.items() if any(v)} == {w: v for w, v in held.items() if any(v)}
     assert account.unbalanced() == []
@@ -155,93 +159,98 @@
 
 
 def test_a_loss_is_charged_less_what_records_say_until_its_worker_says_it_ended() -> None:
-    charge = Provisional("w1", "i", Ref("id-1", "a", "c"), "f", 1_500_000, 0.0)
+    charge = ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0)
     account = Account("g")
     account.apply(charge)
     assert account.by_tenant() == {"a": 1_500_000}
-    account.apply(Received(usage(), 0.0))
+    account.apply(RecordReceived(usage(), 0.0))
     assert account.by_tenant() == {"a": 1_500_000}  # of which a record tells 1,000,000
-    account.apply(Received(usage(2), 0.0))
+    account.apply(RecordReceived(usage(2), 0.0))
     assert account.by_tenant() == {"a": 2_000_000}
-    account.apply(Replaced("w1", "id-1"))
-    account.apply(Given("w1", "i", 2))
+    account.apply(ProvisionalChargeVoided("w1", "id-1"))
+    account.apply(RecordRelinquished("w1", "i", 2))
     assert account.by_tenant() == {"a": 1_000_000}
-    account.apply(Provisional("w1", "i", Ref("id-3", "b", "c"), "f", 50, 0.0))
+    account.apply(ProvisionalCharge("w1", "i", CallReference("id-3", "b", "c"), "f", 50, 0.0))
     account.apply(charge)
-    account.apply(Estimated("w1", "other"))
+    account.apply(IncarnationEnded("w1", "other"))
     assert len(account.provisional) == 2
     copy = Account()
     for entry in account.snapshot():
         copy.apply(entry)
     for each in (account, copy):
-        each.apply(Estimated("w1", "i"))  # dead: what no record told stays as an estimate
+        each.apply(IncarnationEnded("w1", "i"))  # dead: what no record told stays as an estimate
         assert each.provisional == {}
         assert each.by_tenant() == {"a": 1_500_000, "b": 50}
         assert sum(amount for _, amount in each.charges.estimated()) == 500_050
-        each.apply(Received(usage(7), 0.0))  # it came late after all: less is left to the estimate
+        each.apply(RecordReceived(usage(7), 0.0))  # it came late after all: less is left to the estimate
         assert each.by_tenant() == {"a": 2_000_000, "b": 50}
 
 
 def test_a_call_that_comes_again_to_a_workers_next_life_is_charged_in_both() -> None:
     """Seen as 13.9 MB s short a tenant: what the next life recorded was taken off the last one's estimate."""
     account = Account("g")
-    account.apply(Provisional("w1", "i", Ref("id-1", "a", "c"), "f", 1_500_000, 0.0))
-    account.apply(Received(usage(), 0.0))  # 1,000,000 in the life that ended
-    account.apply(Estimated("w1", "i"))
-    account.apply(Received(structs.replace(usage(1), incarnation="j"), 0.0))  # it goes again
-    account.apply(Provisional("w1", "j", Ref("id-1", "a", "c"), "f", 1_200_000, 0.0))  # and is lost again
+    account.apply(ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0))
+    account.apply(RecordReceived(usage(), 0.0))  # 1,000,000 in the life that ended
+    account.apply(IncarnationEnded("w1", "i"))
+    account.apply(RecordReceived(structs.replace(usage(1), incarnation="j"), 0.0))  # it goes again
+    account.apply(
+        ProvisionalCharge("w1", "j", CallReference("id-1", "a", "c"), "f", 1_200_000, 0.0)
+    )  # and is lost again
     copy = Account()
     for entry in account.snapshot():
         copy.apply(decode(encode(entry)))
     for each in (account, copy):
         assert each.by_tenant() == {"a": 2_700_000}
-        assert merge([each]).by_tenant() == {"a": 2_700_000}
-        each.apply(Replaced(life_of("w1", "j"), "id-1"))  # the second life told all
+        assert merge_accounts([each]).by_tenant() == {"a": 2_700_000}
+        each.apply(ProvisionalChargeVoided(incarnation_key("w1", "j"), "id-1"))  # the second life told all
         assert each.by_tenant() == {"a": 2_500_000}
-        each.apply(Estimated("w1", "j"))
+        each.apply(IncarnationEnded("w1", "j"))
         assert each.by_tenant() == {"a": 2_500_000}
 
 
 def test_of_two_losses_of_a_call_in_one_life_the_longer_is_charged() -> None:
     """A reset as its worker dies sends it again on a connection that the kernel still takes: lost anew."""
     account = Account("g")
-    losses = [Provisional("w1", "i", Ref("id-1", "a", "c"), "f", n, 0.0) for n in (1_500_000, 20_000)]
+    losses = [
+        ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", n, 0.0)
+        for n in (1_500_000, 20_000)
+    ]
     for loss in (*losses, *losses):  # a commit that was not acknowledged comes twice
         account.apply(loss)
     copy = Account()
     for entry in account.snapshot():
         copy.apply(decode(encode(entry)))
     for each in (account, copy):
-        each.apply(Estimated("w1", "i"))
+        each.apply(IncarnationEnded("w1", "i"))
         assert each.by_tenant() == {"a": 1_500_000}
 
 
 def test_charges_of_older_logs_that_knew_no_lives_still_count() -> None:
     account = Account("g")
-    account.apply(Charged("w1", "id-1", 1_000_000))
-    account.apply(Provisional("w1", "i", Ref("id-1", "a", "c"), "f", 1_500_000, 0.0))
+    account.apply(CallCharge("w1", "id-1", 1_000_000))
+    account.apply(ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0))
     assert account.by_tenant() == {"a": 500_000}
-    account.apply(Estimated("w1", "i"))
-    assert account.by_tenant() == merge([account]).by_tenant() == {"a": 500_000}
+    account.apply(IncarnationEnded("w1", "i"))
+    assert account.by_tenant() == merge_accounts([account]).by_tenant() == {"a": 500_000}
 
 
 def test_merging_counts_a_record_of_two_gateways_and_a_file_given_twice_once() -> None:
     one, two = Account("g1"), Account("g2")
     for entry in (
-        Received(usage(1), 0.0),
-        Received(usage(2), 0.0),
-        Confirmed("w1", "i", 2),
-        Provisional("w1", "i", Ref("id-9", "b", "c"), "f", 9, 0.0),
+        RecordReceived(usage(1), 0.0),
+        RecordReceived(usage(2), 0.0),
+        RecordConfirmed("w1", "i", 2),
+        ProvisionalCharge("w1", "i", CallReference("id-9", "b", "c"), "f", 9, 0.0),
     ):
         one.apply(entry)
-    late = Received(usage(3, running=(Ref("id-9", "b", "c"),)), 0.0)
-    for entry in (Received(usage(1), 0.0), Confirmed("w1", "i", 1), late):
+    late = RecordReceived(usage(3, running=(CallReference("id-9", "b", "c"),)), 0.0)
+    for entry in (RecordReceived(usage(1), 0.0), RecordConfirmed("w1", "i", 1), late):
         two.apply(entry)
     for accounts in ([one, two], [two, one], [one, two, one]):
-        merged = merge(accounts)
+        merged = merge_accounts(accounts)
         assert {t: v for t, v in merged.by_tenant().items() if v} == {"a": 2_000_000, "b": 1_000_000}
         assert merged.unbalanced() == []
-    assert "given twice" in merge([one, one]).notes[0]
+    assert "given twice" in merge_accounts([one, one]).notes[0]
     assert one.by_tenant() == {"a": 2_000_000, "b": 9}  # merging changes nothing
 
 
@@ -264,19 +273,19 @@
     ],
 )
 def test_lies_are_refused(change: dict[str, Any], words: str) -> None:
-    assert refusal(usage(), "w1", "i", 2_000_000, 4_000_000) == ""
-    assert words in refusal(usage(**{"seq": 1, **change}), "w1", "i", 2_000_000, 4_000_000)
+    assert find_rejection_reason(usage(), "w1", "i", 2_000_000, 4_000_000) == ""
+    assert words in find_rejection_reason(usage(**{"seq": 1, **change}), "w1", "i", 2_000_000, 4_000_000)
 
 
 def test_an_outbox_gives_each_record_to_one_gateway() -> None:
     box = Outbox("w1", "i")
-    box.add("f", 1, 0, 5, (0, 1, 0), (), (Ref("a", "t", "c"),))
+    box.add("f", 1, 0, 5, (0, 1, 0), (), (CallReference("a", "t", "c"),))
     box.ended("a")
-    assert [r.seq for r in box.answer(Asked("g1"), 10.0).records] == [1]
-    assert box.answer(Asked("g2"), 10.5).records == ()
-    assert [r.seq for r in box.answer(Asked("g2"), 12.0).records] == [1]
-    assert box.answer(Asked("g2", (("i", 1),), ("a", "b")), 12.0).mine == (("i", 1),)
-    late = box.answer(Asked("g1", (("i", 1), ("old", 1)), ("a", "b")), 20.0)
+    assert [r.seq for r in box.answer(UsageRequest("g1"), 10.0).records] == [1]
+    assert box.answer(UsageRequest("g2"), 10.5).records == ()
+    assert [r.seq for r in box.answer(UsageRequest("g2"), 12.0).records] == [1]
+    assert box.answer(UsageRequest("g2", (("i", 1),), ("a", "b")), 12.0).mine == (("i", 1),)
+    late = box.answer(UsageRequest("g1", (("i", 1), ("old", 1)), ("a", "b")), 20.0)
     assert (late.gone, late.mine, late.known, late.records) == ((("i", 1),), (), ("a",), ())
 
 
@@ -375,7 +384,7 @@
         time.sleep(1.2)
 
         def whole() -> bool:
-            found = merge(read_usage_log(path)[0] for path in (kept, tmp_path / "two" / "usage"))
+            found = merge_accounts(read_usage_log(path)[0] for path in (kept, tmp_path / "two" / "usage"))
             return found.unbalanced() == [] and near(found.by_tenant(), truth(fleet))
 
         eventually(whole, 15)
@@ -384,11 +393,11 @@
 
 def test_a_usage_log_survives_and_compacts(tmp_path: pathlib.Path) -> None:
     journal = open_usage_log(str(tmp_path), 4096)
-    entries: list[AnyEntry] = []
+    entries: list[AnyLedgerEntry] = []
     for n in range(1, 400):
         entries += [
-            Received(usage(n, running=(Ref(f"id-{n}", "ab"[n % 2], "c"),)), 0.0),
-            Confirmed("w1", "i", n),
+            RecordReceived(usage(n, running=(CallReference(f"id-{n}", "ab"[n % 2], "c"),)), 0.0),
+            RecordConfirmed("w1", "i", n),
         ]
     for entry in entries:
         ticket = journal.append(entry)
@@ -409,7 +418,9 @@
     with running(1, **metered(tmp_path)) as stack:
         worker = stack.fleet.workers[0]
         stack.call("identify-copy")
-        worker.outbox.add("identify-copy", 10**9, 0, 1, (0, 1, 0), (), (Ref("x", "campus-app", "c"),))
+        worker.outbox.add(
+            "identify-copy", 10**9, 0, 1, (0, 1, 0), (), (CallReference("x", "campus-app", "c"),)
+        )
         worker.outbox.all.pop()
         stack.call("identify-copy")
         meter = stack.gateway.meter
@@ -428,33 +439,36 @@
 
 def test_the_log_begins_with_its_gateways_name() -> None:
     account = Account()
-    account.apply(Start("g"))
+    account.apply(LedgerStarted("g"))
     assert account.gateway == "g"
 
 
 def test_a_page_escapes_what_workers_and_clients_named() -> None:
-    from saffronstack.metering.charts import page
+    from saffronstack.metering.html_report import render_html_report
 
     account = Account("g")
     name = "<script>$x^$</script>"
     for n in range(30):
-        ref = Ref(f"id-{n}", name if n == 7 else f"t{n}", "c")
-        account.apply(Received(usage(n + 1, running=(ref,), end_us=10**6 * (n + 1)), 86400.0 * n))
-    text = page(merge([account]), ["<i>a note</i>"])
+        ref = CallReference(f"id-{n}", name if n == 7 else f"t{n}", "c")
+        account.apply(RecordReceived(usage(n + 1, running=(ref,), end_us=10**6 * (n + 1)), 86400.0 * n))
+    text = render_html_report(merge_accounts([account]), ["<i>a note</i>"])
     assert "<script>" not in text and "<i>" not in text
     assert "&lt;script&gt;" in text and "10 others" in text and "in balance" in text
-    assert "Nothing was metered" in page(merge([Account("g")]), [])
+    assert "Nothing was metered" in render_html_report(merge_accounts([Account("g")]), [])
 
 
 def test_usage_on_the_command_line(tmp_path: pathlib.Path) -> None:
     directory = str(tmp_path / "log")
     journal = open_usage_log(directory, 1 << 20)
     mb_s: dict[str, Any] = {"memory_kib": 1024, "end_us": 1_000_000}
-    journal.append(Received(usage(1, **mb_s), 0.0))
+    journal.append(RecordReceived(usage(1, **mb_s), 0.0))
     journal.append(
-        Received(usage(2, running=(Ref("id-2", "b", "c"),), **mb_s), 90_000.0), Confirmed("w1", "i", 1)
+        RecordReceived(usage(2, running=(CallReference("id-2", "b", "c"),), **mb_s), 90_000.0),
+        RecordConfirmed("w1", "i", 1),
+    )
+    ticket = journal.append(
+        ProvisionalCharge("w1", "i", CallReference("id-3", "b", "c"), "f", 512 * 1_000_000, 90_000.0)
     )
-    ticket = journal.append(Provisional("w1", "i", Ref("id-3", "b", "c"), "f", 512 * 1_000_000, 90_000.0))
     assert ticket.done.wait(5)
     run = CliRunner().invoke
     shown = run(main, ["usage", "show", directory, directory, "--by", "tenant,day", "--format", "jsonl"])
@@ -484,7 +498,7 @@
     assert "1 records confirmed, 1 not yet, 1 provisional charges, 1 workers: in balance" in good.output
     assert journal.close()
     forged = open_usage_log(directory, 1 << 20)
-    assert forged.append(Total("a", "f", "c", "w1", 0, 0, 5, 0, 0)).done.wait(5)
+    assert forged.append(UsageTotal("a", "f", "c", "w1", 0, 0, 5, 0, 0)).done.wait(5)
     assert forged.close()
     bad = run(main, ["usage", "verify", directory])
     assert (bad.exit_code, "NOT in balance" in bad.output) == (1, True)
--- a/tests/test_usage_archive.py
+++ b/tests/test_usage_archive.py
@@ -18,34 +18,42 @@
 
 from saffronstack.durable.runs import Run, RunDamagedError, merged, write_run
 from saffronstack.durable.segments import Files
-from saffronstack.metering.account import Account, Bounds
-from saffronstack.metering.archive import Archive, combine, key_of, parts_of, prefix_of, value_of
-from saffronstack.metering.merging import merge
+from saffronstack.metering.account import Account, AccountLimits
+from saffronstack.metering.archive import (
+    Archive,
+    combine_values,
+    decode_key,
+    encode_amounts,
+    encode_key,
+    encode_key_prefix,
+)
+from saffronstack.metering.cost_allocation import total_occupancy
+from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.meter import open_usage_log, read_usage_log
 from saffronstack.metering.records import (
-    AnyEntry,
-    Compacted,
-    Confirmed,
-    Estimated,
-    Given,
-    Provisional,
-    Received,
-    Ref,
-    Replaced,
-    Start,
-    Usage,
+    AnyLedgerEntry,
+    CallReference,
+    IncarnationEnded,
+    LedgerStarted,
+    ProvisionalCharge,
+    ProvisionalChargeVoided,
+    RecordConfirmed,
+    RecordReceived,
+    RecordRelinquished,
+    RunsMerged,
+    UsageRecord,
     decode,
     encode,
 )
-from saffronstack.metering.split import occupied
-from saffronstack.metering.windows import Windows
+from saffronstack.metering.sliding_windows import SlidingWindows
 
-SMALL = Bounds(totals=6, parts=8, unconfirmed=5, incarnations=3, provisional=2)
+SMALL = AccountLimits(totals=6, parts=8, unconfirmed=5, incarnations=3, provisional=2)
 
 
 def items(count: int, first: int = 0) -> list[tuple[bytes, bytes]]:
     pairs = [
-        (key_of("t", f"tenant-{n % 97}", f"f{n}", "c", "w", n), value_of((n,))) for n in range(first, count)
+        (encode_key("t", f"tenant-{n % 97}", f"f{n}", "c", "w", n), encode_amounts((n,)))
+        for n in range(first, count)
     ]
     return sorted(pairs)
 
@@ -57,9 +65,9 @@
     assert list(run.items()) == wanted
     assert len(run.firsts) > 5
     for tenant in ("tenant-0", "tenant-5", "tenant-96", "tenant-9", "nobody"):
-        prefix = prefix_of(6, "t", tenant)
+        prefix = encode_key_prefix(6, "t", tenant)
         found = list(run.under(prefix))
-        assert found == [item for item in wanted if parts_of(item[0])[1] == tenant]
+        assert found == [item for item in wanted if decode_key(item[0])[1] == tenant]
     write_run(tmp_path / "empty.run", iter(()), Files())
     assert list(Run.open(tmp_path / "empty.run").items()) == []
 
@@ -105,32 +113,34 @@
 
 def test_runs_merge_by_kind() -> None:
     old = [
-        (key_of("h", "w", "i", 1), value_of((5,))),
-        (key_of("t", "a"), value_of((1, 2))),
-        (key_of("u", "w", "i", 9), b"text"),
+        (encode_key("h", "w", "i", 1), encode_amounts((5,))),
+        (encode_key("t", "a"), encode_amounts((1, 2))),
+        (encode_key("u", "w", "i", 9), b"text"),
     ]
     new = [
-        (key_of("h", "w", "i", 1), value_of((8,))),
-        (key_of("t", "a"), value_of((10, 1 << 70))),
-        (key_of("u", "w", "i", 9), b""),
+        (encode_key("h", "w", "i", 1), encode_amounts((8,))),
+        (encode_key("t", "a"), encode_amounts((10, 1 << 70))),
+        (encode_key("u", "w", "i", 9), b""),
     ]
-    found = dict(merged([sorted(old), sorted(new)], combine))
+    found = dict(merged([sorted(old), sorted(new)], combine_values))
     assert found == {
-        key_of("h", "w", "i", 1): value_of((8,)),
-        key_of("t", "a"): value_of((11, (1 << 70) + 2)),
-        key_of("u", "w", "i", 9): b"",
+        encode_key("h", "w", "i", 1): encode_amounts((8,)),
+        encode_key("t", "a"): encode_amounts((11, (1 << 70) + 2)),
+        encode_key("u", "w", "i", 9): b"",
     }
 
 
 # ---- the account
 
 
-def usage(seq: int, worker: str, incarnation: str, tenants: tuple[str, ...], kib: int, us: int) -> Usage:
-    refs = tuple(Ref(f"{worker}-{incarnation}-{seq}-{t}", t, "c") for t in tenants)
-    return Usage(worker, incarnation, seq, f"f{seq % 3}", kib, 0, us, 0, 1, 0, (), refs)
+def usage(
+    seq: int, worker: str, incarnation: str, tenants: tuple[str, ...], kib: int, us: int
+) -> UsageRecord:
+    refs = tuple(CallReference(f"{worker}-{incarnation}-{seq}-{t}", t, "c") for t in tenants)
+    return UsageRecord(worker, incarnation, seq, f"f{seq % 3}", kib, 0, us, 0, 1, 0, (), refs)
 
 
-def number_of(record: Received) -> tuple[str, str, int]:
+def number_of(record: RecordReceived) -> tuple[str, str, int]:
     return record.usage.worker, record.usage.incarnation, record.usage.seq
 
 
@@ -153,9 +163,9 @@
         self.archive = Archive(directory)
         self.entries: list[bytes] = []
         self.account = Account(archive=self.archive, budget_windows=LENGTHS, bounds=SMALL)
-        self.take(Start("g"))
+        self.take(LedgerStarted("g"))
 
-    def take(self, entry: AnyEntry) -> None:
+    def take(self, entry: AnyLedgerEntry) -> None:
         self.entries.append(encode(entry))
         self.account.apply(entry)
 
@@ -174,7 +184,7 @@
     def merge(self) -> None:
         runs = self.archive.runs[-3:]
         if len(runs) > 1:
-            self.take(Compacted(runs, self.account.merge_runs(runs)))
+            self.take(RunsMerged(runs, self.account.merge_runs(runs)))
             self.account.drop_runs(runs)
             self.entries = [encode(entry) for entry in self.account.snapshot()]  # the old runs are gone
 
@@ -193,23 +203,25 @@
     for what, (worker, incarnation, seq), tenants in steps:
         at += chance.random() * 20
         number = worker, incarnation, seq
-        entry: AnyEntry | None = None
+        entry: AnyLedgerEntry | None = None
         if what == "received" and number not in given_away:  # its worker offers it to nobody any more
-            entry = Received(usage(seq, worker, incarnation, tuple(tenants), 10 + seq, 100 + seq), at, at)
+            entry = RecordReceived(
+                usage(seq, worker, incarnation, tuple(tenants), 10 + seq, 100 + seq), at, at
+            )
             taken.add(number)
         elif what == "confirmed" and number not in given_away:
-            entry = Confirmed(*number)
+            entry = RecordConfirmed(*number)
             confirmed |= {number} & taken
         elif what == "given" and number not in confirmed:
-            entry = Given(*number)
+            entry = RecordRelinquished(*number)
             given_away.add(number)
         elif what == "lost":
-            ref = Ref(f"lost-{incarnation}-{seq}", tenants[0], "c")
-            entry = Provisional(worker, incarnation, ref, "f0", 999, at, at)
+            ref = CallReference(f"lost-{incarnation}-{seq}", tenants[0], "c")
+            entry = ProvisionalCharge(worker, incarnation, ref, "f0", 999, at, at)
         elif what == "replaced":
-            entry = Replaced(worker, f"lost-{incarnation}-{seq}")
+            entry = ProvisionalChargeVoided(worker, f"lost-{incarnation}-{seq}")
         elif what == "dead":
-            entry = Estimated(worker, incarnation)
+            entry = IncarnationEnded(worker, incarnation)
         elif what == "reopen":
             kept.reopen()
         elif what == "merge":
@@ -223,7 +235,7 @@
         while moved := kept.account.relieve():
             for one in moved:
                 kept.take(one)
-                if isinstance(one, Estimated):
+                if isinstance(one, IncarnationEnded):
                     plain.apply(one)
     assert len(kept.account.totals) <= SMALL.totals
     assert len(kept.account.unconfirmed) <= SMALL.unconfirmed
@@ -242,27 +254,27 @@
         parts = [part for part in kept.account.windows.used(tenant, at) if part[1]]
         assert parts == [part for part in plain.windows.used(tenant, at) if part[1]]
     assert kept.account.windows.whole(at) == plain.windows.whole(at)
-    whole = merge([kept.account])
+    whole = merge_accounts([kept.account])
     assert real(whole.by_tenant()) == real(plain.by_tenant())
     assert whole.unconfirmed == len(taken - given_away - confirmed)
 
 
 def test_two_spilled_accounts_that_hold_the_same_records_count_them_once(tmp_path: pathlib.Path) -> None:
     first, second = Kept(tmp_path / "one"), Kept(tmp_path / "two")
-    second.take(Start("h"))
+    second.take(LedgerStarted("h"))
     held: dict[str, int] = defaultdict(int)
     for seq in range(1, 60):
-        record = Received(usage(seq, "w1", "i", ("a", "b"), 100, 1000), 0.0)
-        held["w1"] += occupied(record.usage)[1]
+        record = RecordReceived(usage(seq, "w1", "i", ("a", "b"), 100, 1000), 0.0)
+        held["w1"] += total_occupancy(record.usage)[1]
         for kept in (first, second):
             if kept is first or seq % 3 == 0:
                 kept.take(record)
                 kept.relieve()
     for seq in range(1, 60, 6):
-        second.take(Confirmed("w1", "i", seq if seq % 3 == 0 else seq + 2))
+        second.take(RecordConfirmed("w1", "i", seq if seq % 3 == 0 else seq + 2))
         second.relieve()
     for order in ([first, second], [second, first]):
-        whole = merge(kept.account for kept in order)
+        whole = merge_accounts(kept.account for kept in order)
         assert sum(whole.by_tenant().values()) == held["w1"]
         assert whole.unbalanced() == []
         assert whole.unconfirmed + whole.confirmed == 59
@@ -273,8 +285,10 @@
     journal = open_usage_log(str(tmp_path), 4096)
     day = 24 * 3600 * 1_000_000
     for seq in range(1, 40):
-        record = Usage("w1", "i", seq, "f", 512 << 20, 0, day, 0, 1, 0, (), (Ref(f"id-{seq}", "a", "c"),))
-        ticket = journal.append(Received(record, 0.0), Confirmed("w1", "i", seq))
+        record = UsageRecord(
+            "w1", "i", seq, "f", 512 << 20, 0, day, 0, 1, 0, (), (CallReference(f"id-{seq}", "a", "c"),)
+        )
+        ticket = journal.append(RecordReceived(record, 0.0), RecordConfirmed("w1", "i", seq))
         assert ticket.done.wait(10)
     wanted = 39 * (512 << 20) * day
     assert wanted > 1 << 65
@@ -286,16 +300,16 @@
 
 
 def test_a_hundred_thousand_tenants_stay_under_the_bounds_and_come_back(tmp_path: pathlib.Path) -> None:
-    bounds = Bounds(totals=4_000, parts=4_000, unconfirmed=2_000, incarnations=50)
+    bounds = AccountLimits(totals=4_000, parts=4_000, unconfirmed=2_000, incarnations=50)
     lengths = {f"t{n}": 3600.0 for n in range(100_000)}
     journal = open_usage_log(str(tmp_path), 1 << 20, budget_windows=lengths, bounds=bounds)
     ticket = None
     for n in range(0, 100_000, 4):
         tenants = tuple(f"t{n + k}" for k in range(4))
-        entry = Received(
+        entry = RecordReceived(
             usage(n // 4 + 1, "w1", "i", tenants, 4, 1000 + n % 7), 7200.0 + n / 100, 7200.0 + n / 100
         )
-        ticket = journal.append(entry, Confirmed("w1", "i", n // 4 + 1))
+        ticket = journal.append(entry, RecordConfirmed("w1", "i", n // 4 + 1))
         if n % 2000 == 0:
             assert ticket.done.wait(30)
             assert len(journal.state.totals) <= bounds.totals + 4096
@@ -321,10 +335,10 @@
 
 
 def test_windows_after_a_restart_with_a_clock_that_was_set_back() -> None:
-    first = Windows({"a": 60.0})
+    first = SlidingWindows({"a": 60.0})
     first.add("a", 1000.0, 50)
     first.add("a", 1030.0, 70)
-    second = Windows({"a": 60.0})
+    second = SlidingWindows({"a": 60.0})
     for part in first.snapshot():
         second.restore(*part)
     assert second.total("a", 1040.0) == second.whole(1040.0) == 120
@@ -335,7 +349,7 @@
 
 
 def test_amounts_are_taken_back_and_late_ones_count_where_they_belong() -> None:
-    windows = Windows({"a": 60.0, "b": 10.0})
+    windows = SlidingWindows({"a": 60.0, "b": 10.0})
     windows.add("a", 100.0, 10)
     windows.add("a", 70.0, 5)
     windows.add("a", 30.0, 999)  # out of the window already
@@ -384,25 +398,31 @@
         self.photograph()
 
 
-def script() -> list[tuple[AnyEntry, ...]]:
+def script() -> list[tuple[AnyLedgerEntry, ...]]:
     """Commits of a gateway: records, confirmations, losses; enough for segments, compaction and runs."""
-    commits: list[tuple[AnyEntry, ...]] = []
+    commits: list[tuple[AnyLedgerEntry, ...]] = []
     for n in range(1, 41):
-        record = Received(
+        record = RecordReceived(
             usage(n, "w1", "ij"[n > 20], ("a", "b", f"t{n}"), 100 + n, 1000), n * 400.0, n * 400.0
         )
         commits.append((record,))
         if n % 3 == 0:
-            commits.append((Confirmed("w1", "ij"[n > 20], n - 1, n), Given("w1", "ij"[n > 20], n - 2)))
+            commits.append(
+                (RecordConfirmed("w1", "ij"[n > 20], n - 1, n), RecordRelinquished("w1", "ij"[n > 20], n - 2))
+            )
         if n % 5 == 0:
             commits.append(
-                (Provisional("w1", "ij"[n > 20], Ref(f"l{n}", "b", "c"), "f", 77, 0.0, n * 400.0),)
+                (
+                    ProvisionalCharge(
+                        "w1", "ij"[n > 20], CallReference(f"l{n}", "b", "c"), "f", 77, 0.0, n * 400.0
+                    ),
+                )
             )
-    commits.append((Estimated("w1", "i"),))
+    commits.append((IncarnationEnded("w1", "i"),))
     return commits
 
 
-def sums_after(commits: list[tuple[AnyEntry, ...]]) -> dict[str, int]:
+def sums_after(commits: list[tuple[AnyLedgerEntry, ...]]) -> dict[str, int]:
     account = Account("g")
     for commit in commits:
         for entry in commit:
@@ -410,7 +430,7 @@
     return {tenant: amount for tenant, amount in account.by_tenant().items() if amount}
 
 
-BOUNDS = Bounds(totals=20, parts=30, unconfirmed=4, incarnations=2, provisional=3)
+BOUNDS = AccountLimits(totals=20, parts=30, unconfirmed=4, incarnations=2, provisional=3)
 WINDOWS = {"a": 3600.0, "b": 60000.0}
 
 
@@ -425,7 +445,7 @@
     assert journal.close()
     wanted = [sums_after(commits[:n]) for n in range(len(commits) + 1)]
     entries = [entry for commit in commits for entry in commit]
-    given_away = {(e.worker, e.incarnation, e.seq) for e in entries if isinstance(e, Given)}
+    given_away = {(e.worker, e.incarnation, e.seq) for e in entries if isinstance(e, RecordRelinquished)}
     assert len(files.taken) > 200
     assert sum(len(list(path.glob("runs/*.run"))) > 0 for path, _ in files.taken) > 20
     for path, acknowledged in files.taken:
@@ -437,7 +457,7 @@
         for commit in commits[acknowledged:]:
             ticket = again.append(*commit)
         for commit in commits[:acknowledged]:
-            if isinstance(commit[0], Received) and number_of(commit[0]) not in given_away:
+            if isinstance(commit[0], RecordReceived) and number_of(commit[0]) not in given_away:
                 ticket = again.append(commit[0])
         assert ticket.done.wait(10)
         assert again.close()  # its thread moves sums after the ticket is done: look at what stands at last
@@ -509,7 +529,7 @@
     runs[0].unlink()
     again = open_usage_log(str(tmp_path), 4096, None, WINDOWS, BOUNDS)
     assert again.state.in_doubt
-    assert again.append(Received(usage(99, "w9", "i", ("z",), 5, 1000), 0.0)).done.wait(10)
+    assert again.append(RecordReceived(usage(99, "w9", "i", ("z",), 5, 1000), 0.0)).done.wait(10)
     assert again.state.knows("w9", "i", 99)
     assert again.state.problems() and runs[0].name in again.state.problems()[0]
     assert again.close()
--- a/tests/test_usage_faults.py
+++ b/tests/test_usage_faults.py
@@ -17,10 +17,10 @@
 from saffronstack import config as configs
 from saffronstack.durable.segments import Files
 from saffronstack.gateway import Gateway
-from saffronstack.metering.merging import merge
+from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.meter import read_usage_log
-from saffronstack.metering.records import Ref, Usage
-from saffronstack.metering.report import MB_S, rows
+from saffronstack.metering.records import CallReference, UsageRecord
+from saffronstack.metering.usage_report import MB_S, summarize_usage
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from tests.support.reckoning import Watch, near, truth
@@ -69,9 +69,11 @@
 
     def metered(self) -> dict[str, float]:
         """What the logs say together, read as the command line reads them."""
-        whole = merge(read_usage_log(log)[0] for log in self.logs)
+        whole = merge_accounts(read_usage_log(log)[0] for log in self.logs)
         assert whole.unbalanced() == []
-        return {row.by[0]: row.charged for row in rows(whole, ("tenant",)) if row.by[0] != "(nobody)"}
+        return {
+            row.by[0]: row.charged for row in summarize_usage(whole, ("tenant",)) if row.by[0] != "(nobody)"
+        }
 
     def agrees(self, exact: bool) -> bool:
         """Within a hundredth of the oracle; and, where no record was lost, exactly what workers recorded."""
@@ -266,8 +268,8 @@
         step_s = 86400.0
         calls(stack, 20, 3)
         found.settles()
-        whole = merge(read_usage_log(log)[0] for log in found.logs)
-        hours = [int(row.by[0][8:10]) * 24 + int(row.by[0][11:]) for row in rows(whole, ("hour",))]
+        whole = merge_accounts(read_usage_log(log)[0] for log in found.logs)
+        hours = [int(row.by[0][8:10]) * 24 + int(row.by[0][11:]) for row in summarize_usage(whole, ("hour",))]
         assert len(set(hours)) >= 3
 
 
@@ -296,8 +298,8 @@
         )(real(asked, now_s))
         calls(stack, 10, 2)
         found.settles()
-        whole = merge(read_usage_log(log)[0] for log in found.logs)
-        assert len(rows(whole, ("day",))) == 2
+        whole = merge_accounts(read_usage_log(log)[0] for log in found.logs)
+        assert len(summarize_usage(whole, ("day",))) == 2
 
 
 @pytest.mark.parametrize(
@@ -309,7 +311,7 @@
         {"start_us": -5},
         {"worker": "worker-2"},
         {"function": "f" * 1000},
-        {"running": tuple(Ref(str(n), "campus-app", "c") for n in range(20_000))},
+        {"running": tuple(CallReference(str(n), "campus-app", "c") for n in range(20_000))},
     ],
 )
 def test_a_worker_that_lies_is_refused_and_nothing_else_is_lost(
@@ -330,11 +332,11 @@
             "run": 1,
             "idle": 0,
             "waiting": (),
-            "running": (Ref("x", "campus-app", "c"),),
+            "running": (CallReference("x", "campus-app", "c"),),
         }
         with box._lock:
             box._seq += 1
-            box._open[box._seq] = Usage(seq=box._seq, **{**good, **lie}), -1e9
+            box._open[box._seq] = UsageRecord(seq=box._seq, **{**good, **lie}), -1e9
         calls(stack, 6, 2)
         meter = stack.gateway.meter
         assert meter is not None
