--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -17,8 +17,9 @@
 from gateway import CALLS, FUNCTIONS, gateway, load
 
 from saffronstack.harness.scenario.processes import StandInHost
-from saffronstack.metering.meter import open_usage_log, read_usage_log
-from saffronstack.metering.records import CallReference, RecordConfirmed, RecordReceived, UsageRecord
+from saffronstack.metering.ledger_entries import RecordConfirmed, RecordReceived
+from saffronstack.metering.usage_log import open_usage_log, read_usage_log
+from saffronstack.metering.worker_messages import CallReference, UsageRecord
 from saffronstack.standin.fleet import sample
 
 CPU = str(max(os.sched_getaffinity(0)))  # of all gateways, which are loaded one after another
--- a/saffronstack/cli/usage.py
+++ b/saffronstack/cli/usage.py
@@ -10,7 +10,7 @@
 from saffronstack.durable.journal import JournalError
 from saffronstack.durable.runs import RunDamagedError
 from saffronstack.metering.merged_accounts import MergedAccounts, merge_accounts
-from saffronstack.metering.meter import read_usage_log
+from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.metering.usage_report import FORMATTERS, summarize_usage
 
 TRIES = 5  # a gateway that writes the log meanwhile may replace files while they are read
--- a/saffronstack/fleet/tasks/fleet_usage.py
+++ b/saffronstack/fleet/tasks/fleet_usage.py
@@ -12,7 +12,7 @@
 from saffronstack.fleet.tasks.task import TaskRun
 from saffronstack.metering.account import Account
 from saffronstack.metering.merged_accounts import merge_accounts
-from saffronstack.metering.meter import read_usage_log
+from saffronstack.metering.usage_log import read_usage_log
 
 
 class FleetUsageReport(msgspec.Struct, frozen=True):
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -31,7 +31,9 @@
 from saffronstack.invoke.routing import Router
 from saffronstack.invoke.server import FrontLimits, Server
 from saffronstack.metering.budgets import BudgetEnforcer
-from saffronstack.metering.meter import Meter, open_usage_log
+from saffronstack.metering.meter import Meter
+from saffronstack.metering.metered_workers import MeterClock
+from saffronstack.metering.usage_log import open_usage_log
 from saffronstack.operations.handover import Keeper
 from saffronstack.operations.notes import open_notes
 from saffronstack.operations.service import Operations
@@ -122,12 +124,10 @@
         return Meter(
             journal,
             self._ask_usage,
-            self._clock,
-            self._wall,
+            MeterClock(self._clock, self._wall, offset_s),
             self._memory_kib,
             config.ask_every_s,
             self.limits,
-            offset_s,
         )
 
     def _make_fleet(self) -> HttpDispatcher:
@@ -221,7 +221,7 @@
         gone = [worker_number(name) for name in changes.removed]
         self.fleet.update_workers(specs, gone)
         if self.meter is not None:
-            self.meter.roster(list(specs_of(workers.values(), self.config, self._numbers)))
+            self.meter.update_workers(list(specs_of(workers.values(), self.config, self._numbers)))
         self.engine.update_workers(specs, gone, self._wall())
 
     def _share_operations(self) -> Slots | None:
@@ -262,7 +262,7 @@
             specs = specs_of(listed.values(), self.config, self._numbers)
         self.fleet.replace_workers(specs)
         if self.meter is not None:
-            self.meter.roster(list(specs))
+            self.meter.update_workers(list(specs))
             self.meter.start()
         self.engine.replace_workers(specs, self._wall())
         self.engine.start(self.fleet)
@@ -301,7 +301,7 @@
         specs = workers_of(config, self._numbers)
         self.fleet.replace_workers(specs)
         if self.meter is not None:
-            self.meter.roster(list(specs))
+            self.meter.update_workers(list(specs))
         self.engine.replace_workers(specs, self._wall())
         return left
 
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -27,7 +27,7 @@
 from saffronstack.harness.scenario.relay import Relay
 from saffronstack.http1.messages import HttpError
 from saffronstack.metering.merged_accounts import merge_accounts
-from saffronstack.metering.meter import read_usage_log
+from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.metering.usage_report import MB_S
 from saffronstack.standin.fleet import sample
 
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -227,10 +227,10 @@
 
 
 def _usage_counters(meter: Meter, limits: BudgetEnforcer | None) -> Iterator[Figure]:
-    lost = meter.lost_at_workers()
-    yield Figure("usage_records", "Usage records taken", meter.taken)
-    yield Figure("usage_refused", "Usage records that can't be believed", meter.refused)
-    yield Figure("usage_postponed", "Answers whose usage was left with the worker for later", meter.dropped)
+    lost = meter.records_dropped_by_workers()
+    yield Figure("usage_records", "Usage records taken", meter.accepted)
+    yield Figure("usage_refused", "Usage records that can't be believed", meter.rejected)
+    yield Figure("usage_postponed", "Answers whose usage was left with the worker for later", meter.postponed)
     yield Figure("usage_lost_at_workers", "Usage records that workers' own bounds cost", lost)
     yield Figure("usage_log_bytes", "Bytes written to the usage log", meter.journal.written_bytes)
     if limits is not None:
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -76,8 +76,8 @@
         if gateway.meter is not None:
             account = gateway.meter.journal.state
             content["usage"] = {
-                "records": gateway.meter.taken,
-                "refused": gateway.meter.refused,
+                "records": gateway.meter.accepted,
+                "refused": gateway.meter.rejected,
                 "unconfirmed": len(account.unconfirmed),
                 "provisional": len(account.provisional),
                 "log_failing": gateway.meter.journal.failing,
--- a/saffronstack/metering/account.py
+++ b/saffronstack/metering/account.py
@@ -24,7 +24,7 @@
 from saffronstack.metering.call_charges import CallCharges
 from saffronstack.metering.cost_allocation import Phase, allocate, total_occupancy
 from saffronstack.metering.interval_set import IntervalSet, group_into_intervals
-from saffronstack.metering.records import (
+from saffronstack.metering.ledger_entries import (
     AnyLedgerEntry,
     ArchivedRecordRelinquished,
     ArchiveRuns,
@@ -39,13 +39,14 @@
     ProvisionalCharge,
     ProvisionalChargeVoided,
     RecordConfirmed,
+    RecordInterval,
     RecordReceived,
     RecordRelinquished,
     RetainedCallCharge,
     RunsMerged,
     UsageTotal,
-    decode,
-    encode,
+    decode_entry,
+    encode_entry,
     incarnation_key,
     to_stored_amount,
 )
@@ -112,13 +113,13 @@
         elif isinstance(entry, RecordConfirmed):
             self._confirm(entry)
         elif isinstance(entry, RecordRelinquished):
-            given = self._take_out(entry.worker, entry.incarnation, entry.seq)
+            given = self._take_out(entry.worker, entry.incarnation, entry.sequence_number)
             if given is not None:
                 self.count(given, -1)
         elif isinstance(entry, ProvisionalCharge):
             self.charges.expect(entry)
         elif isinstance(entry, ProvisionalChargeVoided):
-            self.charges.replace(entry.worker, entry.call_id)
+            self.charges.replace(entry.incarnation_key, entry.request_id)
         elif isinstance(entry, IncarnationEnded):
             self._estimate(entry)
         elif isinstance(entry, MovedToArchive):
@@ -178,7 +179,7 @@
         beyond = max(0, len(self.provisional) - bounds.provisional)
         if beyond:  # alone: a run that is written now would lack what these add to sums
             return [
-                IncarnationEnded(charge.worker, charge.incarnation, charge.call.id)
+                IncarnationEnded(charge.worker, charge.incarnation, charge.call.request_id)
                 for charge in islice(self.provisional.values(), beyond)
             ]
         over = (
@@ -197,7 +198,11 @@
         numbers: dict[str, list[tuple[str, int]]] = defaultdict(list)
         for worker, incarnation, seq in late:
             numbers[worker].append((incarnation, seq))
-        spans = [(worker, *span) for worker, found in numbers.items() for span in group_into_intervals(found)]
+        spans = [
+            RecordInterval(worker, *span)
+            for worker, found in numbers.items()
+            for span in group_into_intervals(found)
+        ]
         return [MovedToArchive(run, tuple(cold), tuple(spans))]
 
     def _items(self, cold: list[tuple[str, str]], late: list[RecordKey]) -> Iterator[Item]:
@@ -211,7 +216,7 @@
             for low, high in self.confirmed[incarnation].spans:
                 yield encode_key("h", *incarnation, low), encode_amounts((high,))
         for number in late:
-            yield encode_key("u", *number), encode(self.unconfirmed[number])
+            yield encode_key("u", *number), encode_entry(self.unconfirmed[number])
         for number in self._gone:
             yield encode_key("u", *number), b""
         yield from self.charges.items()
@@ -319,7 +324,7 @@
                 if value:
                     _, worker, incarnation, seq = decode_key(raw)
                     number = str(worker), str(incarnation), int(seq)
-                    entry = decode(value)
+                    entry = decode_entry(value)
                     assert isinstance(entry, RecordReceived)
                     if number not in self._gone:
                         yield number, entry
@@ -343,7 +348,7 @@
 
     def _received(self, entry: RecordReceived) -> None:
         usage = entry.usage
-        number = usage.worker, usage.incarnation, usage.seq
+        number = usage.worker, usage.incarnation, usage.sequence_number
         if self._sure(lambda: self.knows(*number), False):  # it was not known when it was taken
             return
         self.unconfirmed[number] = entry
@@ -351,10 +356,10 @@
 
     def _confirm(self, entry: RecordConfirmed) -> None:
         """Records that are counted become numbers; one that is not counted here stays unknown."""
-        low, last = entry.seq, max(entry.seq, entry.last)
+        low, last = entry.sequence_number, max(entry.sequence_number, entry.last)
         incarnation = entry.worker, entry.incarnation
         spans = []
-        for seq in range(entry.seq, last + 1):
+        for seq in range(entry.sequence_number, last + 1):
             number = *incarnation, seq
             if self.unconfirmed.pop(number, None) is None and not self._archived(number):
                 spans.append((low, seq - 1))
@@ -380,7 +385,7 @@
         value = self._sure(lambda: archive.find(encode_key("u", *number)), None)
         if not value or (ranges is not None and seq in ranges):
             return None
-        entry = decode(value)
+        entry = decode_entry(value)
         assert isinstance(entry, RecordReceived)
         self._gone.add(number)
         return entry
@@ -397,23 +402,25 @@
     def count(self, entry: RecordReceived, sign: int) -> None:
         """Add a record's shares, or with a negative sign take them back."""
         usage = entry.usage
-        bucket = int(entry.at // BUCKET_S) * BUCKET_S
+        bucket = int(entry.ended_unix_s // BUCKET_S) * BUCKET_S
         life = incarnation_key(usage.worker, usage.incarnation)
         for share in allocate(usage):
             call = share.call
-            key = call.tenant, usage.function, call.call_class, usage.worker, bucket
+            key = call.tenant, usage.function, call.request_class, usage.worker, bucket
             self.totals[key][_PLACE[share.phase]] += sign * share.amount
-            if call.id:
-                self.charges.add((life, call.id), sign * share.amount)
+            if call.request_id:
+                self.charges.add((life, call.request_id), sign * share.amount)
                 if self.windows is not None:
-                    self.windows.add(call.tenant, entry.steady or entry.at, sign * share.amount)
+                    self.windows.add(
+                        call.tenant, entry.ended_steady_s or entry.ended_unix_s, sign * share.amount
+                    )
         for place, amount in enumerate(total_occupancy(usage)):
             self.occupied[usage.worker][place] += sign * amount
 
     def _estimate(self, entry: IncarnationEnded) -> None:
         for charge, amount in self.charges.estimate(entry):
             if self.windows is not None:
-                self.windows.add(charge.call.tenant, charge.steady or charge.at, amount)
+                self.windows.add(charge.call.tenant, charge.lost_steady_s or charge.lost_unix_s, amount)
 
     def _spilled(self, entry: MovedToArchive) -> None:
         with self._view:
@@ -421,7 +428,7 @@
             self.occupied.clear()
             self._gone.clear()
             self.charges.moved()
-            for incarnation in entry.held:
+            for incarnation in entry.incarnations:
                 self.confirmed.pop(incarnation, None)
             for worker, incarnation_, low, high in entry.unconfirmed:
                 for seq in range(low, high + 1):
@@ -437,7 +444,7 @@
         with self._view:
             runs = list(self._archive.runs)
             place = runs.index(entry.runs[0])
-            runs[place : place + len(entry.runs)] = [entry.into]
+            runs[place : place + len(entry.runs)] = [entry.merged_run]
             self._archive.take(tuple(runs))
 
     def _restore(self, entry: AnyLedgerEntry) -> None:
@@ -449,20 +456,20 @@
             if self.windows is not None:
                 self.windows.know_moved()
         elif isinstance(entry, UsageTotal):
-            key = entry.tenant, entry.function, entry.call_class, entry.worker, entry.bucket
-            amounts = (entry.load, entry.run, entry.idle, entry.estimated)
+            key = entry.tenant, entry.function, entry.request_class, entry.worker, entry.hour_start_s
+            amounts = (entry.loading, entry.running, entry.idle, entry.estimated)
             self.totals[key] = [int(amount) for amount in amounts]
         elif isinstance(entry, (CallCharge, EstimatedCharge, RetainedCallCharge)):
             self.charges.restore(entry)
         elif isinstance(entry, OccupancyTotal):
-            self.occupied[entry.worker] = [int(entry.load), int(entry.run), int(entry.idle)]
+            self.occupied[entry.worker] = [int(entry.loading), int(entry.running), int(entry.idle)]
         elif isinstance(entry, ConfirmedInterval):
             held = self.confirmed.setdefault((entry.worker, entry.incarnation), IntervalSet())
             held.add(entry.low, entry.high)
         elif isinstance(entry, ArchivedRecordRelinquished):
-            self._gone.add((entry.worker, entry.incarnation, entry.seq))
+            self._gone.add((entry.worker, entry.incarnation, entry.sequence_number))
         elif isinstance(entry, BudgetWindowPart) and self.windows is not None:
-            self.windows.restore(entry.tenant, entry.window_s, entry.start, int(entry.amount))
+            self.windows.restore(entry.tenant, entry.window_s, entry.start_s, int(entry.amount))
 
 
 def find_imbalances(
--- a/saffronstack/metering/archive.py
+++ b/saffronstack/metering/archive.py
@@ -20,7 +20,7 @@
 
 from saffronstack.durable.runs import Item, Run, RunDamagedError, merged, run_name, run_numbers, write_run
 from saffronstack.durable.segments import Files
-from saffronstack.metering.records import StoredAmount, to_stored_amount
+from saffronstack.metering.ledger_entries import StoredAmount, to_stored_amount
 
 MERGE_FROM = 8  # runs
 INCARNATIONS_KEPT = 4096  # of which it is remembered whether anything of theirs is archived
--- /dev/null
+++ b/saffronstack/metering/archive_compactor.py
@@ -0,0 +1,43 @@
+"""Compacts the archive of a usage log on a thread of its own, beside everything else."""
+
+from __future__ import annotations
+
+import threading
+
+import structlog
+
+from saffronstack.durable.runs import RunDamagedError
+from saffronstack.metering.ledger_entries import RunsMerged
+from saffronstack.metering.usage_log import UsageLog
+from saffronstack.runtime.threads import start_thread
+
+COMMIT_TIMEOUT_S = 600.0  # for the entry that says that runs were merged to be durable
+log = structlog.get_logger("saffronstack.metering")
+
+
+class ArchiveCompactor:
+    """Merges runs, one merge at a time."""
+
+    def __init__(self, journal: UsageLog) -> None:
+        self._journal = journal
+        self._is_merging = threading.Event()
+
+    def start_if_needed(self) -> None:
+        """Start a merge where there are many runs and none is merged already."""
+        runs = self._journal.state.mergeable()
+        if not runs or self._is_merging.is_set():
+            return
+        self._is_merging.set()
+        start_thread("merge", lambda: self._merge(runs))
+
+    def _merge(self, runs: tuple[int, ...]) -> None:
+        account = self._journal.state
+        try:
+            merged_run = account.merge_runs(runs)
+            ticket = self._journal.append(RunsMerged(runs, merged_run))
+            if ticket.done.wait(COMMIT_TIMEOUT_S) and ticket.durable:
+                account.drop_runs(runs)
+        except (RunDamagedError, OSError) as error:  # the old runs still hold everything
+            log.error("usage archive compaction failed", error=str(error))
+        finally:
+            self._is_merging.clear()
--- a/saffronstack/metering/budgets.py
+++ b/saffronstack/metering/budgets.py
@@ -87,7 +87,7 @@
         self.refused = 0  # for their budgets
         self.marked = 0  # taken as worth what lies over a share
 
-    def loaded(self, function: str, now: float) -> None:
+    def note_loaded(self, function: str, now: float) -> None:
         """A copy of a function stood at some worker just now."""
         with self._lock:
             self._loaded.pop(function, None)
--- a/saffronstack/metering/call_charges.py
+++ b/saffronstack/metering/call_charges.py
@@ -17,15 +17,15 @@
     encode_key_prefix,
 )
 from saffronstack.metering.charge_estimation import share_instances
-from saffronstack.metering.records import (
+from saffronstack.metering.ledger_entries import (
     AnyLedgerEntry,
     CallCharge,
     EstimatedCharge,
     IncarnationEnded,
     ProvisionalCharge,
     RetainedCallCharge,
-    decode,
-    encode,
+    decode_entry,
+    encode_entry,
     incarnation_key,
     to_stored_amount,
     worker_of_incarnation,
@@ -38,12 +38,12 @@
 
 def charge_key(charge: ProvisionalCharge) -> CallKey:
     """Under which a charge stands."""
-    return incarnation_key(charge.worker, charge.incarnation), charge.call.id
+    return incarnation_key(charge.worker, charge.incarnation), charge.call.request_id
 
 
 def recorded_amount(charged: Mapping[CallKey, int], charge: ProvisionalCharge) -> int:
     """What records charge a lost call, in the life that it was lost in."""
-    keys = {charge_key(charge), (charge.worker, charge.call.id)}
+    keys = {charge_key(charge), (charge.worker, charge.call.request_id)}
     return sum(charged.get(key, 0) for key in keys)
 
 
@@ -92,8 +92,8 @@
     def estimate(self, entry: IncarnationEnded) -> list[tuple[ProvisionalCharge, int]]:
         """Provisional charges become final; each with what is charged by it now."""
         life = incarnation_key(entry.worker, entry.incarnation)
-        if entry.call_id:
-            found = [call for call in [(life, entry.call_id)] if call in self.provisional]
+        if entry.request_id:
+            found = [call for call in [(life, entry.request_id)] if call in self.provisional]
         else:
             found = [
                 call
@@ -103,7 +103,7 @@
             for call in [call for call in self._charged if call[0] in (life, entry.worker)]:
                 self._pinned[call] = self._charged.pop(call)
         charges = [self.provisional.pop(call) for call in found]
-        if not entry.call_id:
+        if not entry.request_id:
             charges = share_instances(charges)
         self.estimates.update(zip(found, charges, strict=True))
         return [(charge, self.outstanding(charge)) for charge in charges]
@@ -111,11 +111,11 @@
     def restore(self, entry: CallCharge | EstimatedCharge | RetainedCallCharge) -> None:
         """An entry of a snapshot."""
         if isinstance(entry, CallCharge):
-            self.add((entry.worker, entry.call_id), int(entry.amount))
+            self.add((entry.incarnation_key, entry.request_id), int(entry.amount))
         elif isinstance(entry, EstimatedCharge):
             self.estimates[charge_key(entry.charge)] = entry.charge
         else:
-            self._pinned[entry.worker, entry.call_id] = int(entry.amount)
+            self._pinned[entry.incarnation_key, entry.request_id] = int(entry.amount)
 
     def snapshot(self, rest: CallCharges) -> Iterator[AnyLedgerEntry]:
         """Entries that add up to this, without what ``rest`` holds, which stands elsewhere in the
@@ -132,7 +132,7 @@
     def items(self) -> Iterator[Item]:
         """What a run would take over."""
         for call, charge in self.estimates.items():
-            yield encode_key("e", *call), encode(charge)
+            yield encode_key("e", *call), encode_entry(charge)
         for call, amount in self._pinned.items():
             yield encode_key("k", *call), encode_amounts((amount,))
 
@@ -165,7 +165,7 @@
         yield from kept
         if self._archive is not None and runs:
             for _, value in self._archive.under(encode_key_prefix(3, "e"), runs):
-                charge = decode(value)
+                charge = decode_entry(value)
                 assert isinstance(charge, ProvisionalCharge)
                 yield charge
 
--- a/saffronstack/metering/charge_estimation.py
+++ b/saffronstack/metering/charge_estimation.py
@@ -12,7 +12,7 @@
 
 from msgspec import structs
 
-from saffronstack.metering.records import ProvisionalCharge, to_stored_amount
+from saffronstack.metering.ledger_entries import ProvisionalCharge, to_stored_amount
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,9 +60,9 @@
         stays = []
         for place in places:
             charge = charges[place]
-            end_us = int((charge.steady or charge.at) * 1e6)
+            end_us = int((charge.lost_steady_s or charge.lost_unix_s) * 1e6)
             start_us = end_us - int(charge.amount) // charge.memory_kib
-            stays.append(CallPresence(start_us, end_us, charge.memory_kib, max(1, charge.lanes)))
+            stays.append(CallPresence(start_us, end_us, charge.memory_kib, max(1, charge.concurrency)))
         for place, amount in zip(places, estimate_shares(stays), strict=True):
             found[place] = structs.replace(charges[place], amount=to_stored_amount(amount), memory_kib=0)
     return found
--- a/saffronstack/metering/merged_accounts.py
+++ b/saffronstack/metering/merged_accounts.py
@@ -12,7 +12,7 @@
 from saffronstack.metering.account import Account, Key, RecordKey, find_imbalances
 from saffronstack.metering.call_charges import charge_key, recorded_amount
 from saffronstack.metering.interval_set import IntervalSet
-from saffronstack.metering.records import ProvisionalCharge
+from saffronstack.metering.ledger_entries import ProvisionalCharge
 
 
 class MergedAccounts:
--- a/saffronstack/metering/record_validation.py
+++ b/saffronstack/metering/record_validation.py
@@ -1,44 +1,72 @@
-"""Which records of a worker are believed. A lie is refused and said; nothing else is lost by it. No I/O."""
+"""Validates usage records of workers. An invalid one is rejected; no other is lost by it. No I/O."""
 
 from __future__ import annotations
 
-from saffronstack.metering.records import UsageRecord
+from saffronstack.metering.worker_messages import UsageRecord
 
-SPAN_MOST_US = 24 * 3600 * 1_000_000  # a worker closes its spans at least this often
-AHEAD_US = 1_000_000  # how far a record may end past the worker's own clock
-COPIES_MOST = 100_000
-CALLS_MOST = 10_000
-TEXT_MOST = 256
+MAX_SPAN_US = 24 * 3600 * 1_000_000  # a worker closes its spans at least this often
+MAX_CLOCK_LEAD_US = 1_000_000  # how far a record may end after the worker's own clock
+MAX_INSTANCES = 100_000
+MAX_CALLS = 10_000
+MAX_NAME_LENGTH = 256
+MEMORY_TOLERANCE = 1.01  # workers round their memory
 
 
 def find_rejection_reason(
     usage: UsageRecord, worker: str, incarnation: str, now_us: int, memory_kib: int
 ) -> str:
-    """Why a record can't be believed; empty where it can.
+    """Return why a record is invalid; empty where it is valid.
 
-    ``worker`` and ``memory_kib`` are the list's word, ``incarnation`` and ``now_us`` the answer's."""
-    span = usage.end_us - usage.start_us
+    Args:
+        usage: The record.
+        worker: Name of the worker in the endpoint list.
+        incarnation: The worker's incarnation, as its response names it.
+        now_us: The worker's clock, as its response names it.
+        memory_kib: The worker's memory in the endpoint list.
+    """
+    return (
+        _find_identity_fault(usage, worker, incarnation)
+        or _find_span_fault(usage, now_us)
+        or _find_instance_fault(usage, memory_kib)
+        or _find_call_fault(usage)
+    )
+
+
+def _find_identity_fault(usage: UsageRecord, worker: str, incarnation: str) -> str:
     if usage.worker != worker or usage.incarnation != incarnation:
         return f"it names {usage.worker} {usage.incarnation}, not {worker} {incarnation}"
-    if usage.seq < 1:
-        return f"number {usage.seq}"
-    if usage.start_us < 0 or span <= 0 or span > SPAN_MOST_US:
+    if usage.sequence_number < 1:
+        return f"number {usage.sequence_number}"
+    return ""
+
+
+def _find_span_fault(usage: UsageRecord, now_us: int) -> str:
+    span_us = usage.end_us - usage.start_us
+    if usage.start_us < 0 or span_us <= 0 or span_us > MAX_SPAN_US:
         return f"a span from {usage.start_us} to {usage.end_us} microseconds"
-    if usage.end_us > now_us + AHEAD_US:
+    if usage.end_us > now_us + MAX_CLOCK_LEAD_US:
         return f"it ends {(usage.end_us - now_us) / 1e6:.1f} s in the future"
-    if min(usage.load, usage.run, usage.idle) < 0 or max(usage.load, usage.run, usage.idle) > COPIES_MOST:
-        return f"{usage.load}, {usage.run} and {usage.idle} copies"
-    copies = usage.load + usage.run + usage.idle
-    if usage.memory_kib <= 0 or usage.memory_kib * copies > memory_kib * 1.01:
-        return f"{copies} copies of {usage.memory_kib} KiB on a worker of {memory_kib} KiB"
-    if len(usage.waiting) + len(usage.running) > CALLS_MOST:
-        return f"{len(usage.waiting) + len(usage.running)} calls at once"
+    return ""
+
+
+def _find_instance_fault(usage: UsageRecord, memory_kib: int) -> str:
+    counts = usage.loading_instances, usage.running_instances, usage.idle_instances
+    if min(counts) < 0 or max(counts) > MAX_INSTANCES:
+        return "{}, {} and {} copies".format(*counts)
+    if usage.memory_kib <= 0 or usage.memory_kib * sum(counts) > memory_kib * MEMORY_TOLERANCE:
+        return f"{sum(counts)} copies of {usage.memory_kib} KiB on a worker of {memory_kib} KiB"
+    return ""
+
+
+def _find_call_fault(usage: UsageRecord) -> str:
+    calls = (*usage.waiting_calls, *usage.running_calls)
+    if len(calls) > MAX_CALLS:
+        return f"{len(calls)} calls at once"
     if not usage.function:
         return "it names no function"
-    texts = (
-        usage.function,
-        *(text for ref in (*usage.waiting, *usage.running) for text in (ref.id, ref.tenant)),
-    )
-    if any(len(text) > TEXT_MOST for text in texts):
+    names = [usage.function]
+    for call in calls:
+        names += (call.request_id, call.tenant)
+    if any(len(name) > MAX_NAME_LENGTH for name in names):
         return "a name is too long"
     return ""
--- /dev/null
+++ b/saffronstack/metering/usage_log.py
@@ -0,0 +1,71 @@
+"""The usage log: the journal of an account, with its archive beside it."""
+
+from __future__ import annotations
+
+import pathlib
+import uuid
+from collections.abc import Mapping
+
+import structlog
+
+from saffronstack.durable.journal import Codec, Journal, JournalError, read_back
+from saffronstack.durable.segments import Files
+from saffronstack.metering.account import Account, AccountLimits
+from saffronstack.metering.archive import Archive
+from saffronstack.metering.ledger_entries import AnyLedgerEntry, LedgerStarted, decode_entry, encode_entry
+
+MAX_READ_ATTEMPTS = 10  # a gateway that writes the log may replace files while they are read
+NAME_COMMIT_TIMEOUT_S = 10.0  # for the name of a new log to be durable
+CODEC: Codec[AnyLedgerEntry] = Codec(
+    encode_entry, decode_entry, lambda entry: isinstance(entry, LedgerStarted), "usage", compress=True
+)
+UsageLog = Journal[AnyLedgerEntry, Account]
+log = structlog.get_logger("saffronstack.metering")
+
+
+def open_usage_log(
+    directory: str,
+    segment_bytes: int,
+    files: Files | None = None,
+    budget_windows: Mapping[str, float] | None = None,
+    bounds: AccountLimits | None = None,
+) -> UsageLog:
+    """Lock and read a usage log; a new one gets a gateway name of its own.
+
+    Args:
+        directory: Where the log is stored.
+        segment_bytes: Size at which a segment is closed.
+        files: The file layer; tests replace it.
+        budget_windows: Window of each tenant that has a budget, in seconds.
+        bounds: How much of the account stays in memory.
+
+    Raises:
+        JournalError: If the log cannot be locked or read.
+    """
+    archive = Archive(pathlib.Path(directory), files)
+    account = Account(archive=archive, budget_windows=budget_windows, bounds=bounds)
+    journal = Journal(directory, account, CODEC, segment_bytes, files)
+    archive.clean()
+    for problem in archive.unopened():
+        log.error("usage archive damaged", error=problem)
+        account.doubt()
+    if not account.gateway:
+        journal.append(LedgerStarted(uuid.uuid4().hex)).done.wait(NAME_COMMIT_TIMEOUT_S)
+    return journal
+
+
+def read_usage_log(directory: pathlib.Path) -> tuple[Account, list[str]]:
+    """Read a usage log without locking it; return its account and what is damaged, a line each.
+
+    Raises:
+        JournalError: If the log cannot be read.
+    """
+    for attempts_left in reversed(range(MAX_READ_ATTEMPTS)):
+        account = Account(archive=Archive(directory))
+        try:
+            return account, read_back(directory, account, CODEC).lines
+        except JournalError as error:
+            was_replaced_meanwhile = isinstance(error.__cause__, FileNotFoundError)
+            if not attempts_left or not was_replaced_meanwhile:
+                raise
+    raise AssertionError
--- a/saffronstack/metering/usage_report.py
+++ b/saffronstack/metering/usage_report.py
@@ -48,8 +48,8 @@
     for place, charges in ((3, merged.estimates), (4, merged.provisional)):
         for charge in charges.values():
             if tenant is None or charge.call.tenant == tenant:
-                call, at = charge.call, int(charge.at)
-                key = _key(by, call.tenant, charge.function, call.call_class, charge.worker, at)
+                call, at = charge.call, int(charge.lost_unix_s)
+                key = _key(by, call.tenant, charge.function, call.request_class, charge.worker, at)
                 sums[key][place] += merged.outstanding(charge)
     found = [
         UsageRow(key, *(amount / MB_S for amount in amounts)) for key, amounts in sums.items() if any(amounts)
--- a/saffronstack/standin/model.py
+++ b/saffronstack/standin/model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from saffronstack.metering.records import CallReference
+from saffronstack.metering.worker_messages import CallReference
 from saffronstack.standin.usage import Outbox
 
 
@@ -279,7 +279,7 @@
 
     def _left(self, ref: CallReference) -> None:
         if self._outbox is not None:
-            self._outbox.ended(ref.id)
+            self._outbox.ended(ref.request_id)
 
     def _close(self, copies: _Copies) -> None:
         """The copies of a function are about to change: what they held since the last change is reported."""
--- a/saffronstack/standin/usage.py
+++ b/saffronstack/standin/usage.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 
 from saffronstack.metering.cost_allocation import allocate
-from saffronstack.metering.records import CallReference, UsageRecord, UsageRequest, UsageResponse
+from saffronstack.metering.worker_messages import CallReference, UsageRecord, UsageRequest, UsageResponse
 
 KEPT = 100_000  # records, and calls and acknowledgements remembered
 AGAIN_S = 1.0  # a record is offered anew when no acknowledgement came for so long
@@ -56,8 +56,10 @@
             )
             self.all.append(usage)
             for share in allocate(usage):
-                if share.call.id:
-                    self._held[share.call.id] = self._held.get(share.call.id, 0) + share.amount
+                if share.call.request_id:
+                    self._held[share.call.request_id] = (
+                        self._held.get(share.call.request_id, 0) + share.amount
+                    )
             self._open[self._seq] = usage, -1e9
             while len(self._open) > KEPT:
                 self._open.popitem(last=False)
@@ -82,16 +84,16 @@
         mine: list[tuple[str, int]] = []
         gone: list[tuple[str, int]] = []
         with self._lock:
-            for incarnation, seq in asked.ack:
+            for incarnation, seq in asked.acknowledged:
                 if incarnation != self.incarnation:
                     continue
                 self._open.pop(seq, None)
                 owner = self._owners.setdefault(seq, asked.gateway)
                 (mine if owner == asked.gateway else gone).append((incarnation, seq))
-            known = tuple(id_ for id_ in asked.missing if id_ in self._calls)
+            known = tuple(id_ for id_ in asked.unresolved_request_ids if id_ in self._calls)
             records: list[UsageRecord] = []
             for seq, (usage, offered_s) in self._open.items():
-                if len(records) >= asked.limit:
+                if len(records) >= asked.max_records:
                     break
                 if now_s - offered_s >= AGAIN_S:
                     records.append(usage)
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -19,7 +19,7 @@
 from saffronstack.http1.messages import HttpError, Limits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
-from saffronstack.metering.records import CallReference, UsageRequest
+from saffronstack.metering.worker_messages import CallReference, UsageRequest
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import (
     Faults,
@@ -325,7 +325,7 @@
             text = f"START RequestId: {who['id']}\nrun {run_id}\nEND RequestId: {who['id']}\n"
             fields.append(("X-Amz-Log-Result", base64.b64encode(text.encode()).decode()))
         if get("x-saffron-gateway"):
-            asked = UsageRequest(get("x-saffron-gateway"), limit=USAGE_IN_ANSWER)
+            asked = UsageRequest(get("x-saffron-gateway"), max_records=USAGE_IN_ANSWER)
             offered = msgspec.msgpack.encode(self.outbox.answer(asked, self._clock()))
             fields.append(("X-Saffron-Usage", base64.b64encode(offered).decode()))
         return tuple(fields)
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -22,9 +22,8 @@
 from saffronstack.metering.account import Account, AccountLimits
 from saffronstack.metering.archive import Archive, decode_amounts, decode_key, encode_amounts, encode_key
 from saffronstack.metering.merged_accounts import merge_accounts
-from saffronstack.metering.meter import CODEC as USAGE_CODEC
-from saffronstack.metering.meter import read_usage_log
-from saffronstack.metering.records import UsageRecord, UsageRequest, UsageResponse
+from saffronstack.metering.usage_log import CODEC as USAGE_CODEC
+from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.metering.usage_report import (
     COLUMNS,
     format_csv,
@@ -32,6 +31,7 @@
     format_table,
     summarize_usage,
 )
+from saffronstack.metering.worker_messages import UsageRecord, UsageRequest, UsageResponse
 from saffronstack.operations.notes import CODEC as NOTES_CODEC
 from saffronstack.operations.notes import Notes
 from saffronstack.operations.table import pack, unpack
--- a/tests/support/reckoning.py
+++ b/tests/support/reckoning.py
@@ -43,7 +43,7 @@
         found: dict[str, tuple[float, float]] = {}
         for change in sorted(changes, key=lambda change: change.at_us):
             for ref in (*change.waiting, *change.running):
-                found.setdefault(ref.id, (change.at_us / 1e6, death_s))
+                found.setdefault(ref.request_id, (change.at_us / 1e6, death_s))
         return found
 
     def held(self) -> dict[str, float]:
@@ -80,7 +80,10 @@
     for worker in fleet.workers:
         for record in list(worker.outbox.all):
             span = record.memory_kib * (record.end_us - record.start_us)
-            for calls, copies in ((record.waiting, record.load), (record.running, record.run)):
+            for calls, copies in (
+                (record.waiting_calls, record.loading_instances),
+                (record.running_calls, record.running_instances),
+            ):
                 for ref in calls:
                     sums[ref.tenant] += span * copies // len(calls)
     return {tenant: amount for tenant, amount in sums.items() if amount}
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -16,7 +16,7 @@
 from saffronstack.client import Client
 from saffronstack.durable.journal import JournalError
 from saffronstack.gateway import Gateway
-from saffronstack.metering.meter import read_usage_log
+from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from tests.support.stack import configuration
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -93,7 +93,7 @@
     found.charge("a", 500, 0.0)
     refused = found.admit("a", "f", 1.0)
     assert (refused.taken, refused.wait_s) == (False, 59.0)
-    found.loaded("f", 1.0)
+    found.note_loaded("f", 1.0)
     assert found.admit("a", "f", 9.0).taken
     assert found.admit("a", "f", 9.0).over
     assert not found.admit("a", "f", 12.0).taken
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -22,13 +22,9 @@
 from saffronstack.metering.account import Account
 from saffronstack.metering.cost_allocation import Phase, allocate, total_occupancy
 from saffronstack.metering.interval_set import IntervalSet
-from saffronstack.metering.merged_accounts import merge_accounts
-from saffronstack.metering.meter import open_usage_log, read_usage_log
-from saffronstack.metering.record_validation import find_rejection_reason
-from saffronstack.metering.records import (
+from saffronstack.metering.ledger_entries import (
     AnyLedgerEntry,
     CallCharge,
-    CallReference,
     IncarnationEnded,
     LedgerStarted,
     ProvisionalCharge,
@@ -36,13 +32,15 @@
     RecordConfirmed,
     RecordReceived,
     RecordRelinquished,
-    UsageRecord,
-    UsageRequest,
     UsageTotal,
-    decode,
-    encode,
+    decode_entry,
+    encode_entry,
     incarnation_key,
 )
+from saffronstack.metering.merged_accounts import merge_accounts
+from saffronstack.metering.record_validation import find_rejection_reason
+from saffronstack.metering.usage_log import open_usage_log, read_usage_log
+from saffronstack.metering.worker_messages import CallReference, UsageRecord, UsageRequest
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.usage import Outbox
@@ -50,7 +48,7 @@
 from tests.support.stack import Stack, eventually, running
 
 refs = st.builds(CallReference, st.uuids().map(str), st.sampled_from(["a", "b", "c"]), st.just("lookup"))
-some = st.lists(refs, max_size=7, unique_by=lambda ref: ref.id).map(tuple)
+some = st.lists(refs, max_size=7, unique_by=lambda ref: ref.request_id).map(tuple)
 records = st.builds(
     UsageRecord,
     st.sampled_from(["w1", "w2"]),
@@ -68,18 +66,30 @@
 )
 
 
-def usage(seq: int = 1, worker: str = "w1", incarnation: str = "i", run: int = 1, **more: Any) -> UsageRecord:
+def usage(
+    sequence_number: int = 1,
+    worker: str = "w1",
+    incarnation: str = "i",
+    running_instances: int = 1,
+    **more: Any,
+) -> UsageRecord:
     base: dict[str, Any] = {
         "function": "f",
         "memory_kib": 1000,
         "start_us": 0,
         "end_us": 1000,
-        "load": 0,
-        "idle": 0,
-        "waiting": (),
-        "running": (CallReference("id-1", "a", "c"),),
+        "loading_instances": 0,
+        "idle_instances": 0,
+        "waiting_calls": (),
+        "running_calls": (CallReference("id-1", "a", "c"),),
     }
-    return UsageRecord(worker=worker, incarnation=incarnation, seq=seq, run=run, **{**base, **more})
+    return UsageRecord(
+        worker=worker,
+        incarnation=incarnation,
+        sequence_number=sequence_number,
+        running_instances=running_instances,
+        **{**base, **more},
+    )
 
 
 @given(records)
@@ -90,8 +100,8 @@
         assert share.amount > 0
         sums[share.phase] += share.amount
     assert tuple(sums.values()) == total_occupancy(record)
-    for phase, calls in ((Phase.LOAD, record.waiting), (Phase.RUN, record.running)):
-        parts = [share.amount for share in allocate(record) if share.phase is phase and share.call.id]
+    for phase, calls in ((Phase.LOAD, record.waiting_calls), (Phase.RUN, record.running_calls)):
+        parts = [share.amount for share in allocate(record) if share.phase is phase and share.call.request_id]
         assert not parts or (max(parts) - min(parts) <= 1 and len(calls) >= len(parts))
 
 
@@ -102,8 +112,10 @@
         CallReference("2", "campus", "x"),
         CallReference("3", "campus", "x"),
     )
-    record = usage(end_us=10, load=1, run=1, waiting=(a, b), running=(a, b, c))
-    assert [(s.call.id, s.phase, s.amount) for s in allocate(record)] == [
+    record = usage(
+        end_us=10, loading_instances=1, running_instances=1, waiting_calls=(a, b), running_calls=(a, b, c)
+    )
+    assert [(s.call.request_id, s.phase, s.amount) for s in allocate(record)] == [
         ("1", Phase.LOAD, 5000),
         ("2", Phase.LOAD, 5000),
         ("1", Phase.RUN, 3334),
@@ -131,7 +143,7 @@
     account = Account("g")
     first: dict[tuple[str, str, int], UsageRecord] = {}
     for record, step in steps:
-        key = record.worker, record.incarnation, record.seq
+        key = record.worker, record.incarnation, record.sequence_number
         if step in ("received", "again") and key not in first:
             first[key] = record
             account.apply(RecordReceived(record, 0.0))
@@ -150,7 +162,7 @@
     assert account.unbalanced() == []
     copy = Account()
     for entry in account.snapshot():
-        copy.apply(decode(encode(entry)))
+        copy.apply(decode_entry(encode_entry(entry)))
     assert copy.by_tenant() == {t: v for t, v in account.by_tenant().items() if v or t in copy.by_tenant()}
     assert copy.unconfirmed == account.unconfirmed
     assert {k: r.spans for k, r in copy.confirmed.items()} == {
@@ -198,7 +210,7 @@
     )  # and is lost again
     copy = Account()
     for entry in account.snapshot():
-        copy.apply(decode(encode(entry)))
+        copy.apply(decode_entry(encode_entry(entry)))
     for each in (account, copy):
         assert each.by_tenant() == {"a": 2_700_000}
         assert merge_accounts([each]).by_tenant() == {"a": 2_700_000}
@@ -219,7 +231,7 @@
         account.apply(loss)
     copy = Account()
     for entry in account.snapshot():
-        copy.apply(decode(encode(entry)))
+        copy.apply(decode_entry(encode_entry(entry)))
     for each in (account, copy):
         each.apply(IncarnationEnded("w1", "i"))
         assert each.by_tenant() == {"a": 1_500_000}
@@ -243,7 +255,7 @@
         ProvisionalCharge("w1", "i", CallReference("id-9", "b", "c"), "f", 9, 0.0),
     ):
         one.apply(entry)
-    late = RecordReceived(usage(3, running=(CallReference("id-9", "b", "c"),)), 0.0)
+    late = RecordReceived(usage(3, running_calls=(CallReference("id-9", "b", "c"),)), 0.0)
     for entry in (RecordReceived(usage(1), 0.0), RecordConfirmed("w1", "i", 1), late):
         two.apply(entry)
     for accounts in ([one, two], [two, one], [one, two, one]):
@@ -261,11 +273,11 @@
         ({"end_us": 0}, "span"),
         ({"end_us": 10**12, "start_us": 0}, "span"),
         ({"start_us": 4_000_000, "end_us": 5_000_000}, "future"),
-        ({"run": -1}, "copies"),
-        ({"run": 10**9}, "copies"),
+        ({"running_instances": -1}, "copies"),
+        ({"running_instances": 10**9}, "copies"),
         ({"memory_kib": 10**9}, "KiB"),
         ({"memory_kib": 0}, "KiB"),
-        ({"seq": 0}, "number"),
+        ({"sequence_number": 0}, "number"),
         ({"worker": "w2"}, "names"),
         ({"incarnation": "x"}, "names"),
         ({"function": ""}, "no function"),
@@ -274,19 +286,26 @@
 )
 def test_lies_are_refused(change: dict[str, Any], words: str) -> None:
     assert find_rejection_reason(usage(), "w1", "i", 2_000_000, 4_000_000) == ""
-    assert words in find_rejection_reason(usage(**{"seq": 1, **change}), "w1", "i", 2_000_000, 4_000_000)
+    assert words in find_rejection_reason(
+        usage(**{"sequence_number": 1, **change}), "w1", "i", 2_000_000, 4_000_000
+    )
 
 
 def test_an_outbox_gives_each_record_to_one_gateway() -> None:
     box = Outbox("w1", "i")
     box.add("f", 1, 0, 5, (0, 1, 0), (), (CallReference("a", "t", "c"),))
     box.ended("a")
-    assert [r.seq for r in box.answer(UsageRequest("g1"), 10.0).records] == [1]
+    assert [r.sequence_number for r in box.answer(UsageRequest("g1"), 10.0).records] == [1]
     assert box.answer(UsageRequest("g2"), 10.5).records == ()
-    assert [r.seq for r in box.answer(UsageRequest("g2"), 12.0).records] == [1]
-    assert box.answer(UsageRequest("g2", (("i", 1),), ("a", "b")), 12.0).mine == (("i", 1),)
+    assert [r.sequence_number for r in box.answer(UsageRequest("g2"), 12.0).records] == [1]
+    assert box.answer(UsageRequest("g2", (("i", 1),), ("a", "b")), 12.0).confirmed == (("i", 1),)
     late = box.answer(UsageRequest("g1", (("i", 1), ("old", 1)), ("a", "b")), 20.0)
-    assert (late.gone, late.mine, late.known, late.records) == ((("i", 1),), (), ("a",), ())
+    assert (late.relinquished, late.confirmed, late.ended_request_ids, late.records) == (
+        (("i", 1),),
+        (),
+        ("a",),
+        (),
+    )
 
 
 # ---- the whole path
@@ -337,7 +356,7 @@
         eventually(lambda: settled(stack), 15)
         assert stack.gateway.meter is not None
         assert stack.gateway.meter.journal.state.unbalanced() == []
-        assert stack.gateway.meter.refused == 0
+        assert stack.gateway.meter.rejected == 0
 
 
 def test_a_worker_that_dies_with_the_answer_leaves_an_estimate(tmp_path: pathlib.Path) -> None:
@@ -377,7 +396,9 @@
         shutil.copytree(tmp_path / "one" / "usage", kept)  # what a kill at this moment leaves
         meter = stack.gateway.meter
         assert meter is not None
-        meter._ask = lambda worker, body, done: None  # and from here on nothing of it reaches a worker
+        meter._poller._send_poll = lambda worker, body, done: (
+            None
+        )  # and from here on nothing of it reaches a worker
     with running(fleet=fleet, **metered(tmp_path / "two")) as stack:
         for _ in range(10):
             stack.call("identify-copy")
@@ -396,7 +417,7 @@
     entries: list[AnyLedgerEntry] = []
     for n in range(1, 400):
         entries += [
-            RecordReceived(usage(n, running=(CallReference(f"id-{n}", "ab"[n % 2], "c"),)), 0.0),
+            RecordReceived(usage(n, running_calls=(CallReference(f"id-{n}", "ab"[n % 2], "c"),)), 0.0),
             RecordConfirmed("w1", "i", n),
         ]
     for entry in entries:
@@ -425,10 +446,10 @@
         stack.call("identify-copy")
         meter = stack.gateway.meter
         assert meter is not None
-        eventually(lambda: meter.refused and settled(stack))
-        meter.on_usage_records(meter._workers["worker-1"], "!!")
-        meter.on_usage_records(meter._workers["worker-1"], "AAAA")
-        eventually(lambda: meter.refused >= 3)
+        eventually(lambda: meter.rejected and settled(stack))
+        meter.on_usage_records(meter._workers.specs["worker-1"], "!!")
+        meter.on_usage_records(meter._workers.specs["worker-1"], "AAAA")
+        eventually(lambda: meter.rejected >= 3)
         assert stack.call("identify-copy").status == 200
 
 
@@ -450,7 +471,7 @@
     name = "<script>$x^$</script>"
     for n in range(30):
         ref = CallReference(f"id-{n}", name if n == 7 else f"t{n}", "c")
-        account.apply(RecordReceived(usage(n + 1, running=(ref,), end_us=10**6 * (n + 1)), 86400.0 * n))
+        account.apply(RecordReceived(usage(n + 1, running_calls=(ref,), end_us=10**6 * (n + 1)), 86400.0 * n))
     text = render_html_report(merge_accounts([account]), ["<i>a note</i>"])
     assert "<script>" not in text and "<i>" not in text
     assert "&lt;script&gt;" in text and "10 others" in text and "in balance" in text
@@ -463,7 +484,7 @@
     mb_s: dict[str, Any] = {"memory_kib": 1024, "end_us": 1_000_000}
     journal.append(RecordReceived(usage(1, **mb_s), 0.0))
     journal.append(
-        RecordReceived(usage(2, running=(CallReference("id-2", "b", "c"),), **mb_s), 90_000.0),
+        RecordReceived(usage(2, running_calls=(CallReference("id-2", "b", "c"),), **mb_s), 90_000.0),
         RecordConfirmed("w1", "i", 1),
     )
     ticket = journal.append(
--- a/tests/test_usage_archive.py
+++ b/tests/test_usage_archive.py
@@ -28,11 +28,8 @@
     encode_key_prefix,
 )
 from saffronstack.metering.cost_allocation import total_occupancy
-from saffronstack.metering.merged_accounts import merge_accounts
-from saffronstack.metering.meter import open_usage_log, read_usage_log
-from saffronstack.metering.records import (
+from saffronstack.metering.ledger_entries import (
     AnyLedgerEntry,
-    CallReference,
     IncarnationEnded,
     LedgerStarted,
     ProvisionalCharge,
@@ -41,11 +38,13 @@
     RecordReceived,
     RecordRelinquished,
     RunsMerged,
-    UsageRecord,
-    decode,
-    encode,
 )
+from saffronstack.metering.ledger_entries import decode_entry as decode
+from saffronstack.metering.ledger_entries import encode_entry as encode
+from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.sliding_windows import SlidingWindows
+from saffronstack.metering.usage_log import open_usage_log, read_usage_log
+from saffronstack.metering.worker_messages import CallReference, UsageRecord
 
 SMALL = AccountLimits(totals=6, parts=8, unconfirmed=5, incarnations=3, provisional=2)
 
@@ -141,7 +140,7 @@
 
 
 def number_of(record: RecordReceived) -> tuple[str, str, int]:
-    return record.usage.worker, record.usage.incarnation, record.usage.seq
+    return record.usage.worker, record.usage.incarnation, record.usage.sequence_number
 
 
 names = st.sampled_from(["a", "b", "c", "d"])
@@ -445,7 +444,9 @@
     assert journal.close()
     wanted = [sums_after(commits[:n]) for n in range(len(commits) + 1)]
     entries = [entry for commit in commits for entry in commit]
-    given_away = {(e.worker, e.incarnation, e.seq) for e in entries if isinstance(e, RecordRelinquished)}
+    given_away = {
+        (e.worker, e.incarnation, e.sequence_number) for e in entries if isinstance(e, RecordRelinquished)
+    }
     assert len(files.taken) > 200
     assert sum(len(list(path.glob("runs/*.run"))) > 0 for path, _ in files.taken) > 20
     for path, acknowledged in files.taken:
@@ -470,7 +471,7 @@
 import os, signal, sys
 sys.path.insert(0, {root!r})
 from saffronstack.durable.segments import Files
-from saffronstack.metering.meter import open_usage_log
+from saffronstack.metering.usage_log import open_usage_log
 from tests.test_usage_archive import BOUNDS, WINDOWS, script
 left = int(sys.argv[2])
 class Killed(Files):
--- a/tests/test_usage_faults.py
+++ b/tests/test_usage_faults.py
@@ -16,11 +16,12 @@
 
 from saffronstack import config as configs
 from saffronstack.durable.segments import Files
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.gateway import Gateway
 from saffronstack.metering.merged_accounts import merge_accounts
-from saffronstack.metering.meter import read_usage_log
-from saffronstack.metering.records import CallReference, UsageRecord
+from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.metering.usage_report import MB_S, summarize_usage
+from saffronstack.metering.worker_messages import CallReference, UsageRecord
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from tests.support.reckoning import Watch, near, truth
@@ -188,13 +189,13 @@
     """Calls whose ends the meter hears of as lost from now on: id, send and end by the monotonic clock."""
     meter, lost = stack.gateway.meter, list[tuple[str, float, float]]()
     assert meter is not None
-    hear = meter._lost
+    charge = meter._losses.charge_lost_attempt
 
-    def note(end: Any, now: float, wall: float) -> None:
-        lost.append((end.call.request_id, now - end.outcome.elapsed_s, now))
-        hear(end, now, wall)
+    def note(result: AttemptResult, lost_s: float, lost_unix_s: float) -> None:
+        lost.append((result.call.request_id, lost_s - result.outcome.elapsed_s, lost_s))
+        charge(result, lost_s, lost_unix_s)
 
-    meter._lost = note  # type: ignore[method-assign]
+    meter._losses.charge_lost_attempt = note  # type: ignore[method-assign]
     return lost
 
 
@@ -213,7 +214,7 @@
         found.watch.die(1)
         calls(stack, 100, 4)  # numbers begin again in the new lives
         found.settles(exact=False)
-        assert all(worker.outbox.all[0].seq == 1 for worker in found.fleet.workers)
+        assert all(worker.outbox.all[0].sequence_number == 1 for worker in found.fleet.workers)
 
 
 def test_a_killed_gateway_and_another_share_the_records(tmp_path: pathlib.Path) -> None:
@@ -288,12 +289,12 @@
                 offered.worker,
                 offered.incarnation,
                 offered.now_us + day_us,
-                offered.mine,
-                offered.gone,
-                offered.known,
-                offered.dropped,
+                offered.confirmed,
+                offered.relinquished,
+                offered.ended_request_ids,
+                offered.dropped_records,
                 offered.records,
-                offered.left,
+                offered.remaining_records,
             )
         )(real(asked, now_s))
         calls(stack, 10, 2)
@@ -305,13 +306,13 @@
 @pytest.mark.parametrize(
     "lie",
     [
-        {"run": -1},
+        {"running_instances": -1},
         {"end_us": 1 << 60},
         {"memory_kib": 1 << 50},
         {"start_us": -5},
         {"worker": "worker-2"},
         {"function": "f" * 1000},
-        {"running": tuple(CallReference(str(n), "campus-app", "c") for n in range(20_000))},
+        {"running_calls": tuple(CallReference(str(n), "campus-app", "c") for n in range(20_000))},
     ],
 )
 def test_a_worker_that_lies_is_refused_and_nothing_else_is_lost(
@@ -328,24 +329,24 @@
             "memory_kib": 1024,
             "start_us": 0,
             "end_us": 10,
-            "load": 0,
-            "run": 1,
-            "idle": 0,
-            "waiting": (),
-            "running": (CallReference("x", "campus-app", "c"),),
+            "loading_instances": 0,
+            "running_instances": 1,
+            "idle_instances": 0,
+            "waiting_calls": (),
+            "running_calls": (CallReference("x", "campus-app", "c"),),
         }
         with box._lock:
             box._seq += 1
-            box._open[box._seq] = UsageRecord(seq=box._seq, **{**good, **lie}), -1e9
+            box._open[box._seq] = UsageRecord(sequence_number=box._seq, **{**good, **lie}), -1e9
         calls(stack, 6, 2)
         meter = stack.gateway.meter
         assert meter is not None
-        eventually(lambda: meter.refused)
+        eventually(lambda: meter.rejected)
         found.settles()
-        refused = meter.refused
+        refused = meter.rejected
         calls(stack, 6, 3)
         found.settles()
-        assert meter.refused <= refused + 2  # it is not offered for ever
+        assert meter.rejected <= refused + 2  # it is not offered for ever
 
 
 def test_a_random_run_against_the_oracle(tmp_path: pathlib.Path) -> None:
