--- a/saffronstack/metering/archive.py
+++ b/saffronstack/metering/archive.py
@@ -1,10 +1,4 @@
-"""What of an account left memory: sorted runs beside the usage log, questions to them, and their merging.
-
-Keys are MessagePack arrays that begin with a letter: ``t`` sums by tenant, function, class, worker and hour
-(they add up over runs), ``o`` what a worker's copies held (adds up), ``w`` a part of a tenant's budget window
-(adds up), ``k`` what records charge a call of a dead worker (adds up), ``e`` a final estimate (the newest
-holds), ``h`` confirmed numbers of an incarnation, by their lowest (the newest holds), ``u`` a record that no
-worker has confirmed (the newest holds; empty: it was given to another gateway after all)."""
+"""The archive of an account: sorted runs beside the usage log, queries on them, and their merging."""
 
 from __future__ import annotations
 
@@ -15,233 +9,212 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import TypeVar
 
-import msgspec
-import structlog
-
 from saffronstack.durable.runs import Item, Run, RunDamagedError, merged, run_name, run_numbers, write_run
 from saffronstack.durable.segments import Files
-from saffronstack.metering.ledger_entries import StoredAmount, to_stored_amount
-
-MERGE_FROM = 8  # runs
-INCARNATIONS_KEPT = 4096  # of which it is remembered whether anything of theirs is archived
-OPEN_KEPT = 64  # indexes of runs
-TRIES = 5
-log = structlog.get_logger("saffronstack.metering")
-_encode = msgspec.msgpack.Encoder().encode
-_amounts = msgspec.msgpack.Decoder(tuple[StoredAmount, ...]).decode
-_key = msgspec.msgpack.Decoder(list[str | int | float]).decode
+from saffronstack.metering.archive_keys import (
+    combine_values,
+    decode_amounts,
+    decode_key,
+    encode_key,
+    encode_key_prefix,
+)
+
+MIN_RUNS_TO_MERGE = 8
+MAX_CACHED_INCARNATIONS = 4096  # of which the highest archived sequence number is cached
+MAX_OPEN_RUNS = 64  # whose indexes stay in memory
+MAX_QUERY_ATTEMPTS = 5
+RECORD_KEY_LENGTH = 4  # parts of an archive key, its letter included
+WINDOW_KEY_LENGTH = 3
 T = TypeVar("T")
 
 
-def encode_key(kind: str, *parts: str | int | float) -> bytes:
-    """A run's key."""
-    return _encode((kind, *parts))
-
-
-def encode_key_prefix(length: int, kind: str, *parts: str | int | float) -> bytes:
-    """What all keys of ``length`` parts (the letter included) that begin with these parts begin with."""
-    return bytes([0x90 | length]) + b"".join(_encode(part) for part in (kind, *parts))
-
-
-def decode_key(key: bytes) -> list[str | int | float]:
-    """What a key was made of, the letter first."""
-    return _key(key)
-
-
-def decode_amounts(value: bytes) -> list[int]:
-    """The amounts in a value."""
-    return [int(amount) for amount in _amounts(value)]
-
-
-def encode_amounts(amounts: Iterable[int]) -> bytes:
-    """A value of amounts."""
-    return _encode(tuple(to_stored_amount(amount) for amount in amounts))
-
-
-def combine_values(key: bytes, values: list[bytes]) -> bytes:
-    """One value in place of several runs', oldest first."""
-    if len(values) == 1 or key[2:3] in (b"h", b"u", b"e"):
-        return values[-1]
-    return encode_amounts(map(sum, zip(*map(decode_amounts, values), strict=True)))
+class Archive:
+    """The runs of one usage log; used on any thread.
 
+    Queries raise RunDamagedError where a run cannot be read, and FileNotFoundError where a run is gone and
+    the log must be read again.
 
-class Archive:
-    """The runs of one usage log. ``runs`` says which belong to it, oldest first; used from any thread."""
+    Attributes:
+        directory: Where the runs are stored.
+        runs: Numbers of the runs that belong to the archive, oldest first."""
 
     def __init__(self, directory: pathlib.Path, files: Files | None = None) -> None:
         self.directory = directory / "runs"
         self.runs: tuple[int, ...] = ()
         self._files = files or Files()
-        self._lock = threading.Lock()
-        self._open: OrderedDict[int, Run] = OrderedDict()
-        self._next = 0
-        self._highest: OrderedDict[tuple[str, str], int] = OrderedDict()
+        self._lock = threading.Lock()  # guards all below, and changes of ``runs``
+        self._open_runs: OrderedDict[int, Run] = OrderedDict()
+        self._last_number = 0
+        self._highest: OrderedDict[tuple[str, str], int] = OrderedDict()  # by worker and incarnation
 
-    # ---- writing: the journal's owner alone
+    # ---- changes, made by the journal's owner alone
 
-    def write(self, items: Iterable[Item]) -> int:
-        """A new run, which belongs to the archive once the log says so; its number."""
+    def write_run(self, items: Iterable[Item]) -> int:
+        """Write a run and return its number. It belongs to the archive once the log says so."""
         self.directory.mkdir(parents=True, exist_ok=True)
         with self._lock:
-            self._next = max([self._next, *self.runs, *run_numbers(self.directory)]) + 1
-            number = self._next
-        write_run(self.directory / run_name(number), items, self._files)
+            self._last_number = max([self._last_number, *self.runs, *run_numbers(self.directory)]) + 1
+            number = self._last_number
+        write_run(self._path_of(number), items, self._files)
         return number
 
-    def take(self, runs: tuple[int, ...]) -> None:
-        """The runs that belong to it from now on."""
+    def set_runs(self, runs: tuple[int, ...]) -> None:
+        """Set the runs that belong to the archive from now on."""
         with self._lock:
             self.runs = runs
             self._highest.clear()
 
-    def clean(self) -> None:
-        """Remove files that do not belong to it: a kill came between their writing and the log's word."""
+    def remove_orphans(self) -> None:
+        """Remove files that do not belong to it: the process was killed before the log named them."""
         if not self.directory.is_dir():
             return
         for partial in self.directory.glob("*.tmp"):
-            with contextlib.suppress(OSError):
+            with contextlib.suppress(OSError):  # it is removed at the next start
                 partial.unlink()
-        self.drop(number for number in run_numbers(self.directory) if number not in self.runs)
+        self.remove_runs(number for number in run_numbers(self.directory) if number not in self.runs)
 
-    def drop(self, numbers: Iterable[int]) -> None:
-        """Remove runs that another one stands for."""
+    def remove_runs(self, numbers: Iterable[int]) -> None:
+        """Remove runs that another one replaces."""
         for number in numbers:
             with self._lock:
-                self._open.pop(number, None)
-            with contextlib.suppress(OSError):
-                (self.directory / run_name(number)).unlink()
+                self._open_runs.pop(number, None)
+            with contextlib.suppress(OSError):  # it is an orphan, which the next start removes
+                self._path_of(number).unlink()
+
+    def find_mergeable_runs(self) -> tuple[int, ...]:
+        """Return the runs that one run should replace; none where there are few.
 
-    def mergeable(self) -> tuple[int, ...]:
-        """Runs that one should stand for: the newest ones, as far back as each is no larger than all after
-        it, so that each amount is written anew only as often as the archive doubles."""
+        They are the newest ones, as far back as each is no larger than all after it, so that each amount is
+        rewritten only as often as the archive doubles."""
         runs = self.runs
-        if len(runs) < MERGE_FROM:
+        if len(runs) < MIN_RUNS_TO_MERGE:
             return ()
         try:
-            sizes = [(self.directory / run_name(number)).stat().st_size for number in runs]
-        except OSError:
+            sizes = [self._path_of(number).stat().st_size for number in runs]
+        except OSError:  # a run is missing: its damage is reported where it is read
             return ()
-        for place in range(len(runs) - 1):
-            if sizes[place] <= sum(sizes[place + 1 :]):
-                return runs[place:]
+        for position in range(len(runs) - 1):
+            if sizes[position] <= sum(sizes[position + 1 :]):
+                return runs[position:]
         return runs[-2:]
 
-    def merge(self, numbers: Sequence[int], keep: Callable[[bytes, bytes], bool]) -> int:
-        """One run that adds up to some neighbours; its number. ``keep`` says what is still wanted, where the
-        oldest run is among them."""
-        whole = numbers[0] == self.runs[0]
-        items = merged([self._run(number).items() for number in numbers], combine_values)
-        return self.write(item for item in items if not whole or keep(*item))
+    def merge_runs(self, numbers: Sequence[int], is_needed: Callable[[bytes, bytes], bool]) -> int:
+        """Write one run that adds up to some consecutive ones; return its number.
 
-    # ---- questions. RunDamagedError, or FileNotFoundError where a run is gone and the log must be read anew
+        Args:
+            numbers: The runs.
+            is_needed: Whether an item is kept, asked where the oldest run is among them.
+        """
+        includes_oldest = numbers[0] == self.runs[0]
+        items = merged([self._open(number).items() for number in numbers], combine_values)
+        return self.write_run(item for item in items if not includes_oldest or is_needed(*item))
 
-    def problems(self) -> list[str]:
-        """What can't be read, a line each."""
-        lines = []
-        for number in self.runs:
-            try:
-                for _ in self._run(number).items():
-                    pass
-            except RunDamagedError as error:
-                lines.append(str(error))
-            except OSError as error:
-                lines.append(f"{self.directory / run_name(number)}: {error.strerror}")
-        return lines
+    # ---- queries
 
-    def unopened(self) -> list[str]:
-        """Runs that are missing or cut, a line each; reads their indexes alone."""
-        lines = []
-        for number in self.runs:
-            try:
-                self._run(number)
-            except RunDamagedError as error:
-                lines.append(str(error))
-            except OSError as error:
-                lines.append(f"{self.directory / run_name(number)}: {error.strerror}")
-        return lines
+    def find_damage(self) -> list[str]:
+        """Read all of it; return what cannot be read, a line each."""
+        return self._describe_faults(_read_all)
 
-    def under(self, prefix: bytes, runs: tuple[int, ...] | None = None) -> Iterator[Item]:
-        """Keys that begin so, over all runs."""
+    def find_unopenable_runs(self) -> list[str]:
+        """Read the runs' indexes alone; return the runs that are missing or cut, a line each."""
+        return self._describe_faults(lambda run: None)
+
+    def items_with_prefix(self, prefix: bytes, runs: tuple[int, ...] | None = None) -> Iterator[Item]:
+        """Yield the items whose keys begin with a prefix, combined over all runs or those given."""
         chosen = self.runs if runs is None else runs
-        return merged([self._run(number).under(prefix) for number in chosen], combine_values)
+        return merged([self._open(number).under(prefix) for number in chosen], combine_values)
 
     def find(self, key: bytes) -> bytes | None:
-        """A key's value over all runs."""
+        """Return the value of a key, combined over all runs."""
 
-        def look() -> bytes | None:
-            return next((value for found, value in self.under(key) if found == key), None)
+        def query() -> bytes | None:
+            return next((value for found, value in self.items_with_prefix(key) if found == key), None)
 
-        return self._steady(look)
+        return self._retry_if_merged(query)
 
-    def knows(self, worker: str, incarnation: str, seq: int) -> bool:
-        """Whether a record stands in a run, as itself or among confirmed numbers."""
-        if not self.runs or seq > self._last(worker, incarnation):
+    def has_record(self, worker: str, incarnation: str, sequence_number: int) -> bool:
+        """Return whether a record is archived, as itself or among confirmed sequence numbers."""
+        if not self.runs or sequence_number > self._highest_archived(worker, incarnation):
             return False
-        value = self.find(encode_key("u", worker, incarnation, seq))
+        value = self.find(encode_key("u", worker, incarnation, sequence_number))
         if value is not None:
             return value != b""
-        prefix = encode_key_prefix(4, "h", worker, incarnation)
+        prefix = encode_key_prefix(RECORD_KEY_LENGTH, "h", worker, incarnation)
 
-        def look() -> bool:
-            for key, high in self.under(prefix):
-                low = decode_key(key)[3]
-                if int(low) <= seq <= decode_amounts(high)[0]:
-                    return True
-            return False
+        def query() -> bool:
+            return any(
+                int(decode_key(key)[3]) <= sequence_number <= decode_amounts(high)[0]
+                for key, high in self.items_with_prefix(prefix)
+            )
 
-        return self._steady(look)
+        return self._retry_if_merged(query)
 
-    def window(self, tenant: str) -> Iterator[tuple[float, int]]:
-        """The parts of a tenant's budget window that left memory."""
+    def window_parts(self, tenant: str) -> Iterator[tuple[float, int]]:
+        """Yield the archived parts of a tenant's budget window, as start and amount."""
+        prefix = encode_key_prefix(WINDOW_KEY_LENGTH, "w", tenant)
 
-        def look() -> list[tuple[float, int]]:
+        def query() -> list[tuple[float, int]]:
             return [
                 (float(decode_key(key)[2]), decode_amounts(value)[0])
-                for key, value in self.under(encode_key_prefix(3, "w", tenant))
+                for key, value in self.items_with_prefix(prefix)
             ]
 
-        return iter(self._steady(look)) if self.runs else iter(())
-
-    def _last(self, worker: str, incarnation: str) -> int:
-        """An incarnation's highest number that is archived: what reports now nearly always stands above
-        it."""
-        number = worker, incarnation
-        known = self._highest.get(number)
-        if known is None:
-
-            def look() -> int:
-                highs = [
-                    decode_amounts(v)[0]
-                    for _, v in self.under(encode_key_prefix(4, "h", worker, incarnation))
-                ]
-                records = [
-                    decode_key(k)[3] for k, _ in self.under(encode_key_prefix(4, "u", worker, incarnation))
-                ]
-                return max([0, *highs, *map(int, records)])
-
-            known = self._steady(look)
+        return iter(self._retry_if_merged(query)) if self.runs else iter(())
+
+    # ---- inside
+
+    def _path_of(self, number: int) -> pathlib.Path:
+        return self.directory / run_name(number)
+
+    def _describe_faults(self, read: Callable[[Run], None]) -> list[str]:
+        lines = []
+        for number in self.runs:
+            try:
+                read(self._open(number))
+            except RunDamagedError as error:
+                lines.append(str(error))
+            except OSError as error:
+                lines.append(f"{self._path_of(number)}: {error.strerror}")
+        return lines
+
+    def _highest_archived(self, worker: str, incarnation: str) -> int:
+        """Return an incarnation's highest archived sequence number; new records nearly always exceed it."""
+        highest = self._highest.get((worker, incarnation))
+        if highest is None:
+            highest = self._retry_if_merged(lambda: self._query_highest(worker, incarnation))
             with self._lock:
-                self._highest[number] = known
-                if len(self._highest) > INCARNATIONS_KEPT:
+                self._highest[worker, incarnation] = highest
+                if len(self._highest) > MAX_CACHED_INCARNATIONS:
                     self._highest.popitem(last=False)
-        return known
+        return highest
+
+    def _query_highest(self, worker: str, incarnation: str) -> int:
+        confirmed = self.items_with_prefix(encode_key_prefix(RECORD_KEY_LENGTH, "h", worker, incarnation))
+        highs = [decode_amounts(value)[0] for _, value in confirmed]
+        records = self.items_with_prefix(encode_key_prefix(RECORD_KEY_LENGTH, "u", worker, incarnation))
+        return max([0, *highs, *(int(decode_key(key)[3]) for key, _ in records)])
 
-    def _steady(self, look: Callable[[], T]) -> T:
-        """Look again where a run was merged away meanwhile."""
-        for _ in range(TRIES):
+    def _retry_if_merged(self, query: Callable[[], T]) -> T:
+        """Query again where a run was replaced meanwhile."""
+        for _ in range(MAX_QUERY_ATTEMPTS):
             try:
-                return look()
+                return query()
             except FileNotFoundError as error:
-                gone = error
-        raise RunDamagedError(f"{gone.filename}: missing")
+                missing = error
+        raise RunDamagedError(f"{missing.filename}: missing")
 
-    def _run(self, number: int) -> Run:
+    def _open(self, number: int) -> Run:
         with self._lock:
-            run = self._open.get(number)
+            run = self._open_runs.get(number)
         if run is None:
-            run = Run.open(self.directory / run_name(number))
+            run = Run.open(self._path_of(number))
             with self._lock:
-                self._open[number] = run
-                if len(self._open) > OPEN_KEPT:
-                    self._open.popitem(last=False)
+                self._open_runs[number] = run
+                if len(self._open_runs) > MAX_OPEN_RUNS:
+                    self._open_runs.popitem(last=False)
         return run
+
+
+def _read_all(run: Run) -> None:
+    for _ in run.items():
+        pass
--- a/saffronstack/metering/call_charges.py
+++ b/saffronstack/metering/call_charges.py
@@ -1,4 +1,4 @@
-"""What single calls are charged: by records lately, provisionally while their answers are lost, by estimate
+"""What single calls are charged: by records, provisionally while their responses are lost, and by estimate
 once their worker is dead. No I/O but for the archive's answers."""
 
 from __future__ import annotations
@@ -6,10 +6,11 @@
 from collections import OrderedDict, defaultdict
 from collections.abc import Iterator, Mapping
 from contextlib import AbstractContextManager
+from itertools import islice
 
 from saffronstack.durable.runs import Item
-from saffronstack.metering.archive import (
-    Archive,
+from saffronstack.metering.archive import Archive
+from saffronstack.metering.archive_keys import (
     decode_amounts,
     decode_key,
     encode_amounts,
@@ -31,160 +32,183 @@
     worker_of_incarnation,
 )
 
-CHARGED_KEPT = 10_000  # of these, in a snapshot: a loss is noticed within a deadline of its record
-CALLS_KEPT = 50_000  # calls charged lately, so that a loss noticed after its records is not charged again
-CallKey = tuple[str, str]  # a life of a worker, request id
+MAX_RECENT_IN_SNAPSHOT = 10_000  # a loss is noticed within a deadline of its record
+MAX_RECENT_CALLS = 50_000  # so that a loss that is noticed after its records is not charged again
+CHARGE_KEY_LENGTH = 3  # parts of an archive key, its letter included
+CallKey = tuple[str, str]  # incarnation key, request id
 
 
 def charge_key(charge: ProvisionalCharge) -> CallKey:
-    """Under which a charge stands."""
+    """Return the key that a charge is stored by."""
     return incarnation_key(charge.worker, charge.incarnation), charge.call.request_id
 
 
-def recorded_amount(charged: Mapping[CallKey, int], charge: ProvisionalCharge) -> int:
-    """What records charge a lost call, in the life that it was lost in."""
-    keys = {charge_key(charge), (charge.worker, charge.call.request_id)}
-    return sum(charged.get(key, 0) for key in keys)
+def recorded_amount(recorded: Mapping[CallKey, int], charge: ProvisionalCharge) -> int:
+    """Return what records charge a lost call, in the incarnation that it was lost in."""
+    keys = {charge_key(charge), (charge.worker, charge.call.request_id)}  # older logs name the worker alone
+    return sum(recorded.get(key, 0) for key in keys)
 
 
 class CallCharges:
-    """Owned by the account; others read copies."""
+    """Owned by the account; other threads read copies.
 
-    def __init__(self, archive: Archive | None, view: AbstractContextManager[object]) -> None:
-        """``view`` is held while what stands here moves to a run."""
+    Attributes:
+        provisional: Charges of lost calls that are not settled.
+        estimates: Final charges, from which what records charge is deducted."""
+
+    def __init__(self, archive: Archive | None, transfer_lock: AbstractContextManager[object]) -> None:
+        """``transfer_lock`` guards the moment at which charges move from memory to a run."""
         self._archive = archive
-        self._view = view
+        self._transfer_lock = transfer_lock
         self.provisional: dict[CallKey, ProvisionalCharge] = {}
-        self.estimates: dict[CallKey, ProvisionalCharge] = {}  # final, less what records charge
-        self._charged: OrderedDict[CallKey, int] = OrderedDict()
-        # As _charged, for calls of dead workers: never forgotten, another gateway may have estimated them.
-        self._pinned: dict[CallKey, int] = {}
+        self.estimates: dict[CallKey, ProvisionalCharge] = {}
+        self._recent: OrderedDict[CallKey, int] = OrderedDict()  # what records charged lately
+        # The same of calls of dead workers: never forgotten, as another gateway may have estimated them.
+        self._retained: dict[CallKey, int] = {}
 
     # ---- changes
 
-    def expect(self, charge: ProvisionalCharge) -> None:
-        """A call's answer was lost. Of two losses in one life the longer stays: a retry may have met a dying
-        worker's socket for a millisecond, and both together hold too much where records tell of one."""
+    def add_provisional(self, charge: ProvisionalCharge) -> None:
+        """Charge a call whose response was lost.
+
+        Of two losses in one incarnation the longer counts: a retry may have met a dying worker's socket for a
+        millisecond, and the sum of both would be too much."""
         before = self.provisional.get(charge_key(charge))
         if before is None or int(before.amount) <= int(charge.amount):
             self.provisional[charge_key(charge)] = charge
 
-    def replace(self, life: str, call_id: str) -> None:
-        """Its records tell all of a call."""
-        self.provisional.pop((life, call_id), None)
-        if worker_of_incarnation(life) == life:  # an older log did not say in which life
-            for key in [
-                key for key in self.provisional if key[1] == call_id and worker_of_incarnation(key[0]) == life
-            ]:
+    def void_provisional(self, incarnation: str, request_id: str) -> None:
+        """Remove a call's provisional charge: its records are complete."""
+        self.provisional.pop((incarnation, request_id), None)
+        worker = worker_of_incarnation(incarnation)
+        if worker != incarnation:
+            self.provisional.pop((worker, request_id), None)
+            return
+        # An older log did not name the incarnation.
+        for key in list(self.provisional):
+            if key[1] == request_id and worker_of_incarnation(key[0]) == worker:
                 del self.provisional[key]
-        else:
-            self.provisional.pop((worker_of_incarnation(life), call_id), None)
 
-    def add(self, call: CallKey, amount: int) -> None:
-        """A record charges a call; a negative amount takes back."""
-        if call in self._pinned:
-            self._pinned[call] += amount
+    def add_recorded(self, call: CallKey, amount: int) -> None:
+        """Add what a record charges a call; a negative amount subtracts."""
+        if call in self._retained:
+            self._retained[call] += amount
             return
-        self._charged[call] = self._charged.get(call, 0) + amount
-        if len(self._charged) > CALLS_KEPT:
-            self._charged.popitem(last=False)
+        self._recent[call] = self._recent.get(call, 0) + amount
+        if len(self._recent) > MAX_RECENT_CALLS:
+            self._recent.popitem(last=False)
 
-    def estimate(self, entry: IncarnationEnded) -> list[tuple[ProvisionalCharge, int]]:
-        """Provisional charges become final; each with what is charged by it now."""
-        life = incarnation_key(entry.worker, entry.incarnation)
+    def finalize(self, entry: IncarnationEnded) -> list[tuple[ProvisionalCharge, int]]:
+        """Make provisional charges final; return each with what is charged by it now."""
+        incarnation = incarnation_key(entry.worker, entry.incarnation)
         if entry.request_id:
-            found = [call for call in [(life, entry.request_id)] if call in self.provisional]
+            call = incarnation, entry.request_id
+            calls = [call] if call in self.provisional else []
+            charges = [self.provisional.pop(call) for call in calls]
         else:
-            found = [
+            calls = [
                 call
                 for call, charge in self.provisional.items()
                 if (charge.worker, charge.incarnation) == (entry.worker, entry.incarnation)
             ]
-            for call in [call for call in self._charged if call[0] in (life, entry.worker)]:
-                self._pinned[call] = self._charged.pop(call)
-        charges = [self.provisional.pop(call) for call in found]
-        if not entry.request_id:
-            charges = share_instances(charges)
-        self.estimates.update(zip(found, charges, strict=True))
+            self._retain_recent({incarnation, entry.worker})
+            charges = share_instances([self.provisional.pop(call) for call in calls])
+        self.estimates.update(zip(calls, charges, strict=True))
         return [(charge, self.outstanding(charge)) for charge in charges]
 
+    def _retain_recent(self, incarnations: set[str]) -> None:
+        for call in [call for call in self._recent if call[0] in incarnations]:
+            self._retained[call] = self._recent.pop(call)
+
     def restore(self, entry: CallCharge | EstimatedCharge | RetainedCallCharge) -> None:
-        """An entry of a snapshot."""
-        if isinstance(entry, CallCharge):
-            self.add((entry.incarnation_key, entry.request_id), int(entry.amount))
-        elif isinstance(entry, EstimatedCharge):
-            self.estimates[charge_key(entry.charge)] = entry.charge
-        else:
-            self._pinned[entry.incarnation_key, entry.request_id] = int(entry.amount)
-
-    def snapshot(self, rest: CallCharges) -> Iterator[AnyLedgerEntry]:
-        """Entries that add up to this, without what ``rest`` holds, which stands elsewhere in the
-        snapshot."""
-        for call, amount in list(self._charged.items())[-CHARGED_KEPT:]:
-            if amount := amount - rest.charged(*call):
-                yield CallCharge(*call, to_stored_amount(amount))
+        """Apply an entry of a snapshot."""
+        match entry:
+            case CallCharge():
+                self.add_recorded((entry.incarnation_key, entry.request_id), int(entry.amount))
+            case EstimatedCharge():
+                self.estimates[charge_key(entry.charge)] = entry.charge
+            case RetainedCallCharge():
+                self._retained[entry.incarnation_key, entry.request_id] = int(entry.amount)
+
+    def snapshot(self, uncounted: CallCharges) -> Iterator[AnyLedgerEntry]:
+        """Yield entries that add up to this state, less ``uncounted``, which the snapshot holds elsewhere."""
+        for call, amount in list(self._recent.items())[-MAX_RECENT_IN_SNAPSHOT:]:
+            if remaining := amount - uncounted.charged(*call):
+                yield CallCharge(*call, to_stored_amount(remaining))
         yield from self.provisional.values()
         for charge in self.estimates.values():
             yield EstimatedCharge(charge)
-        for call, amount in self._pinned.items():
-            yield RetainedCallCharge(*call, to_stored_amount(amount - rest.charged(*call)))
+        for call, amount in self._retained.items():
+            yield RetainedCallCharge(*call, to_stored_amount(amount - uncounted.charged(*call)))
 
-    def items(self) -> Iterator[Item]:
-        """What a run would take over."""
+    def archive_items(self) -> Iterator[Item]:
+        """Yield what a run would hold."""
         for call, charge in self.estimates.items():
             yield encode_key("e", *call), encode_entry(charge)
-        for call, amount in self._pinned.items():
+        for call, amount in self._retained.items():
             yield encode_key("k", *call), encode_amounts((amount,))
 
-    def moved(self) -> None:
-        """A run has taken them over."""
+    def forget_archived(self) -> None:
+        """Forget what a run holds now."""
         self.estimates.clear()
-        self._pinned.clear()
-
-    @property
-    def movable(self) -> int:
-        """How many entries a run would take over at least."""
-        return max(len(self.estimates), len(self._pinned))
+        self._retained.clear()
 
     # ---- questions
 
-    def charged(self, life: str, call_id: str) -> int:
-        """What records of a worker's life charge a call, as far as memory tells."""
-        calls = {(life, call_id), (worker_of_incarnation(life), call_id)}  # older logs knew no lives
-        return sum(self._charged.get(call, 0) + self._pinned.get(call, 0) for call in calls)
+    @property
+    def archivable_count(self) -> int:
+        """How many entries a run would hold at least."""
+        return max(len(self.estimates), len(self._retained))
+
+    def oldest_provisional_beyond(self, limit: int) -> list[IncarnationEnded]:
+        """Return the entries that make the oldest provisional charges beyond a limit final."""
+        excess = max(0, len(self.provisional) - limit)
+        return [
+            IncarnationEnded(charge.worker, charge.incarnation, charge.call.request_id)
+            for charge in islice(self.provisional.values(), excess)
+        ]
+
+    def charged(self, incarnation: str, request_id: str) -> int:
+        """Return what records of an incarnation charge a call, as far as is in memory."""
+        calls = {(incarnation, request_id), (worker_of_incarnation(incarnation), request_id)}
+        return sum(self._recent.get(call, 0) + self._retained.get(call, 0) for call in calls)
 
     def outstanding(self, charge: ProvisionalCharge) -> int:
-        """What a lost call is charged beyond the records that came, as far as memory tells."""
+        """Return what a lost call is charged beyond the records that arrived, as far as is in memory."""
         return max(0, int(charge.amount) - self.charged(*charge_key(charge)))
 
-    def final(self) -> Iterator[ProvisionalCharge]:
-        """Charges for calls of dead workers, before what records charge them is taken off."""
-        with self._view:
+    def final_charges(self) -> Iterator[ProvisionalCharge]:
+        """Yield estimated charges before what records charge is deducted, from memory and archive."""
+        with self._transfer_lock:
             runs = self._archive.runs if self._archive is not None else ()
-            kept = list(self.estimates.values())
-        yield from kept
+            in_memory = list(self.estimates.values())
+        yield from in_memory
         if self._archive is not None and runs:
-            for _, value in self._archive.under(encode_key_prefix(3, "e"), runs):
+            prefix = encode_key_prefix(CHARGE_KEY_LENGTH, "e")
+            for _, value in self._archive.items_with_prefix(prefix, runs):
                 charge = decode_entry(value)
                 assert isinstance(charge, ProvisionalCharge)
                 yield charge
 
-    def by_call(self) -> Iterator[tuple[CallKey, int]]:
-        """What records charge calls: lately, and of dead workers always. A call may come twice."""
-        with self._view:
+    def recorded_amounts(self) -> Iterator[tuple[CallKey, int]]:
+        """Yield what records charge calls, of dead workers always, else lately. A call may come twice."""
+        with self._transfer_lock:
             runs = self._archive.runs if self._archive is not None else ()
-            kept = [*self._charged.items(), *self._pinned.items()]
-        yield from kept
+            in_memory = [*self._recent.items(), *self._retained.items()]
+        yield from in_memory
         if self._archive is not None and runs:
-            for raw, value in self._archive.under(encode_key_prefix(3, "k"), runs):
-                _, life, call_id = decode_key(raw)
-                yield (str(life), str(call_id)), decode_amounts(value)[0]
+            prefix = encode_key_prefix(CHARGE_KEY_LENGTH, "k")
+            for key, value in self._archive.items_with_prefix(prefix, runs):
+                _, incarnation, request_id = decode_key(key)
+                yield (str(incarnation), str(request_id)), decode_amounts(value)[0]
 
     def estimated(self) -> list[tuple[ProvisionalCharge, int]]:
-        """Final estimates, each with what is charged by it."""
-        charges = list(self.final())
-        charged: dict[CallKey, int] = defaultdict(int)
+        """Return estimated charges, each with what is charged by it."""
+        charges = list(self.final_charges())
+        recorded: dict[CallKey, int] = defaultdict(int)
         if charges:
-            for call, amount in self.by_call():
-                charged[call] += amount
-        return [(charge, max(0, int(charge.amount) - recorded_amount(charged, charge))) for charge in charges]
+            for call, amount in self.recorded_amounts():
+                recorded[call] += amount
+        return [
+            (charge, max(0, int(charge.amount) - recorded_amount(recorded, charge))) for charge in charges
+        ]
--- a/saffronstack/metering/interval_set.py
+++ b/saffronstack/metering/interval_set.py
@@ -1,55 +1,66 @@
-"""Whole numbers as spans: which of a worker's records are known takes a few numbers, not one each. No I/O."""
+"""Sets of integers as intervals: the known records of a worker take a few numbers, not one each. No I/O."""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+ABOVE_ALL = 1 << 62  # greater than any sequence number
 
 
 @dataclass(slots=True)
 class IntervalSet:
-    """Whole numbers, kept as spans without gaps."""
+    """Integers as disjoint intervals in ascending order; both ends of an interval belong to it."""
 
-    spans: list[tuple[int, int]] = field(default_factory=list)  # both ends belong to it
+    intervals: list[tuple[int, int]] = field(default_factory=list)
 
     def __contains__(self, number: int) -> bool:
-        place = bisect_right(self.spans, (number, 1 << 62)) - 1
-        return place >= 0 and self.spans[place][0] <= number <= self.spans[place][1]
+        position = bisect_right(self.intervals, (number, ABOVE_ALL)) - 1
+        return position >= 0 and self.intervals[position][0] <= number <= self.intervals[position][1]
 
     def add(self, low: int, high: int) -> None:
-        """All numbers from ``low`` to ``high``."""
-        place = bisect_right(self.spans, (low, 1 << 62))
-        first = place
-        if first and self.spans[first - 1][1] >= low - 1:
+        """Add all integers from ``low`` to ``high``."""
+        first = bisect_right(self.intervals, (low, ABOVE_ALL))
+        if first and self.intervals[first - 1][1] >= low - 1:
             first -= 1
-            low = self.spans[first][0]
-        last = first
-        while last < len(self.spans) and self.spans[last][0] <= high + 1:
-            high = max(high, self.spans[last][1])
-            last += 1
-        self.spans[first:last] = [(low, high)]
+            low = self.intervals[first][0]
+        end = first
+        while end < len(self.intervals) and self.intervals[end][0] <= high + 1:
+            high = max(high, self.intervals[end][1])
+            end += 1
+        self.intervals[first:end] = [(low, high)]
 
     def overlap(self, other: IntervalSet) -> int:
-        """How many numbers both hold."""
+        """Return how many integers both sets contain."""
         count = 0
-        mine, theirs = iter(self.spans), iter(other.spans)
-        a, b = next(mine, None), next(theirs, None)
-        while a is not None and b is not None:
-            count += max(0, min(a[1], b[1]) - max(a[0], b[0]) + 1)
-            if a[1] < b[1]:
-                a = next(mine, None)
+        mine, theirs = iter(self.intervals), iter(other.intervals)
+        left, right = next(mine, None), next(theirs, None)
+        while left is not None and right is not None:
+            count += max(0, min(left[1], right[1]) - max(left[0], right[0]) + 1)
+            if left[1] < right[1]:
+                left = next(mine, None)
             else:
-                b = next(theirs, None)
+                right = next(theirs, None)
         return count
 
 
-def group_into_intervals(numbers: Iterable[tuple[str, int]]) -> list[tuple[str, int, int]]:
-    """Numbers of incarnations as spans without gaps."""
-    spans: list[tuple[str, int, int]] = []
-    for incarnation, seq in sorted(numbers):
-        if spans and spans[-1][0] == incarnation and spans[-1][2] == seq - 1:
-            spans[-1] = incarnation, spans[-1][1], seq
+class IncarnationInterval(NamedTuple):
+    """Consecutive sequence numbers of one incarnation; both ends are included."""
+
+    incarnation: str
+    low: int
+    high: int
+
+
+def group_into_intervals(numbers: Iterable[tuple[str, int]]) -> list[IncarnationInterval]:
+    """Return sequence numbers of incarnations as intervals without gaps."""
+    intervals: list[IncarnationInterval] = []
+    for incarnation, number in sorted(numbers):
+        last = intervals[-1] if intervals else None
+        if last is not None and last.incarnation == incarnation and last.high == number - 1:
+            intervals[-1] = IncarnationInterval(incarnation, last.low, number)
         else:
-            spans.append((incarnation, seq, seq))
-    return spans
+            intervals.append(IncarnationInterval(incarnation, number, number))
+    return intervals
--- a/saffronstack/metering/merged_accounts.py
+++ b/saffronstack/metering/merged_accounts.py
@@ -9,10 +9,11 @@
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
 
-from saffronstack.metering.account import Account, Key, RecordKey, find_imbalances
+from saffronstack.metering.account import Account
 from saffronstack.metering.call_charges import charge_key, recorded_amount
 from saffronstack.metering.interval_set import IntervalSet
-from saffronstack.metering.ledger_entries import ProvisionalCharge
+from saffronstack.metering.ledger_entries import ProvisionalCharge, RecordId
+from saffronstack.metering.usage_totals import Amounts, TotalKey, find_imbalances
 
 
 class MergedAccounts:
@@ -35,11 +36,11 @@
         self._charged: dict[tuple[str, str], int] = defaultdict(int)
         self._match()
         for account in (*self._accounts, self._less):
-            for call, amount in account.charges.by_call():
+            for call, amount in account.charges.recorded_amounts():
                 self._charged[call] += amount
         self.estimates: dict[tuple[str, str], ProvisionalCharge] = {}  # the largest of a call's
         for account in self._accounts:
-            for charge in account.charges.final():
+            for charge in account.charges.final_charges():
                 known = self.estimates.get(charge_key(charge))
                 if known is None or int(known.amount) < int(charge.amount):
                     self.estimates[charge_key(charge)] = charge
@@ -52,35 +53,35 @@
         own: list[dict[tuple[str, str], IntervalSet]] = []
         for account in self._accounts:
             ranges: dict[tuple[str, str], IntervalSet] = defaultdict(IntervalSet)
-            for incarnation, (low, high) in account.numbers():
+            for incarnation, (low, high) in account.records.confirmed_intervals():
                 ranges[incarnation].add(low, high)
             for incarnation, found in ranges.items():
                 both = sum(found.overlap(other[incarnation]) for other in own if incarnation in other)
-                self.confirmed += sum(high - low + 1 for low, high in found.spans) - both
+                self.confirmed += sum(high - low + 1 for low, high in found.intervals) - both
                 if both:
                     self.notes.append(
                         f"{incarnation[0]} {incarnation[1]}: {both} records are confirmed by two gateways"
                     )
             own.append(ranges)
-        seen: set[RecordKey] = set()
+        seen: set[RecordId] = set()
         for account, mine in zip(self._accounts, own, strict=True):
-            for number, received in account.open_records():
+            for number, received in account.records.unconfirmed_records():
                 worker, incarnation_, seq = number
                 holders = [r for r in own if (worker, incarnation_) in r and seq in r[worker, incarnation_]]
                 if any(holder is mine for holder in holders):
                     continue  # confirmed by now; the archive only holds its text still
                 if holders or number in seen:
-                    self._less.count(received, -1)
+                    self._less.count_record(received, -1)
                 else:
                     seen.add(number)
         self.unconfirmed = len(seen)
 
-    def sums(self, tenant: str | None = None) -> Iterator[tuple[Key, list[int]]]:
+    def sums(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
         """Totals by key, of one tenant or of all; a key may come several times, and negative."""
         for account in (*self._accounts, self._less):
             yield from account.sums(tenant)
 
-    def holdings(self) -> Iterator[tuple[str, list[int]]]:
+    def holdings(self) -> Iterator[tuple[str, Amounts]]:
         """What workers' copies held; a worker may come several times."""
         for account in (*self._accounts, self._less):
             yield from account.holdings()
--- /dev/null
+++ b/saffronstack/metering/record_registry.py
@@ -0,0 +1,149 @@
+"""Which usage records are counted: each counts once, however often it arrives. No I/O but for the archive."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable, Iterator
+from typing import TypeVar
+
+from saffronstack.durable.runs import RunDamagedError
+from saffronstack.metering.archive import Archive
+from saffronstack.metering.archive_keys import decode_amounts, decode_key, encode_key, encode_key_prefix
+from saffronstack.metering.interval_set import IntervalSet
+from saffronstack.metering.ledger_entries import (
+    MovedToArchive,
+    RecordConfirmed,
+    RecordId,
+    RecordReceived,
+    decode_entry,
+)
+
+RECORD_KEY_LENGTH = 4  # parts of an archive key, its letter included
+Incarnation = tuple[str, str]  # worker, incarnation
+T = TypeVar("T")
+
+
+class RecordRegistry:
+    """Owned by the account; other threads read copies.
+
+    Attributes:
+        unconfirmed: Records that count, and that no worker has confirmed.
+        confirmed: Sequence numbers of confirmed records, the incarnation confirmed longest ago first.
+        relinquished: Records that a run still stores, and that another gateway was given."""
+
+    def __init__(self, archive: Archive | None, on_archive_fault: Callable[[], None]) -> None:
+        self._archive = archive
+        self._on_archive_fault = on_archive_fault
+        self.unconfirmed: dict[RecordId, RecordReceived] = {}
+        self.confirmed: OrderedDict[Incarnation, IntervalSet] = OrderedDict()
+        self.relinquished: set[RecordId] = set()
+
+    # ---- changes
+
+    def add(self, entry: RecordReceived) -> bool:
+        """Add a record; return whether it is new and counts from now on."""
+        usage = entry.usage
+        record = RecordId(usage.worker, usage.incarnation, usage.sequence_number)
+        # It was not known when it was taken, so one of which the archive cannot tell counts.
+        if self._ask_archive(lambda: self.knows(*record), False):
+            return False
+        self.unconfirmed[record] = entry
+        return True
+
+    def confirm(self, entry: RecordConfirmed) -> None:
+        """Turn counted records into sequence numbers; one that is not counted here stays unknown."""
+        low, last = entry.sequence_number, max(entry.sequence_number, entry.last)
+        incarnation = entry.worker, entry.incarnation
+        intervals = []
+        for sequence_number in range(entry.sequence_number, last + 1):
+            record = RecordId(*incarnation, sequence_number)
+            if self.unconfirmed.pop(record, None) is None and not self._is_archived(record):
+                intervals.append((low, sequence_number - 1))
+                low = sequence_number + 1
+        for first, final in [*intervals, (low, last)]:
+            if first <= final:
+                self.confirmed.setdefault(incarnation, IntervalSet()).add(first, final)
+        if incarnation in self.confirmed:
+            self.confirmed.move_to_end(incarnation)
+
+    def restore_confirmed(self, incarnation: Incarnation, low: int, high: int) -> None:
+        """Add an interval of a snapshot."""
+        self.confirmed.setdefault(incarnation, IntervalSet()).add(low, high)
+
+    def remove_unconfirmed(self, record: RecordId) -> RecordReceived | None:
+        """Remove and return an unconfirmed record, from memory or archive; None where it does not count."""
+        found = self.unconfirmed.pop(record, None)
+        archive = self._archive
+        if found is not None or archive is None or not archive.runs or record in self.relinquished:
+            return found
+        intervals = self.confirmed.get((record.worker, record.incarnation))
+        value = self._ask_archive(lambda: archive.find(encode_key("u", *record)), None)
+        if not value or (intervals is not None and record.sequence_number in intervals):
+            return None
+        self.relinquished.add(record)
+        return _decode_record(value)
+
+    def forget_archived(self, entry: MovedToArchive) -> None:
+        """Forget what a run holds now."""
+        self.relinquished.clear()
+        for incarnation in entry.incarnations:
+            self.confirmed.pop(incarnation, None)
+        for moved in entry.unconfirmed:
+            for sequence_number in range(moved.low, moved.high + 1):
+                self.unconfirmed.pop(RecordId(moved.worker, moved.incarnation, sequence_number), None)
+
+    # ---- questions
+
+    def knows(self, worker: str, incarnation: str, sequence_number: int) -> bool:
+        """Return whether a record counts or is confirmed.
+
+        Raises:
+            RunDamagedError: If the archive cannot tell.
+        """
+        intervals = self.confirmed.get((worker, incarnation))
+        if RecordId(worker, incarnation, sequence_number) in self.unconfirmed:
+            return True
+        if intervals is not None and sequence_number in intervals:
+            return True
+        return self._archive is not None and self._archive.has_record(worker, incarnation, sequence_number)
+
+    def confirmed_intervals(self) -> Iterator[tuple[Incarnation, tuple[int, int]]]:
+        """Yield intervals of confirmed sequence numbers, from memory and from the archive."""
+        for incarnation, intervals in list(self.confirmed.items()):
+            for interval in list(intervals.intervals):
+                yield incarnation, interval
+        if self._archive is not None and self._archive.runs:
+            for key, value in self._archive.items_with_prefix(encode_key_prefix(RECORD_KEY_LENGTH, "h")):
+                _, worker, name, low = decode_key(key)
+                yield (str(worker), str(name)), (int(low), decode_amounts(value)[0])
+
+    def unconfirmed_records(self) -> Iterator[tuple[RecordId, RecordReceived]]:
+        """Yield unconfirmed records, from memory and from the archive.
+
+        One of the archive's may be among the confirmed sequence numbers by now."""
+        yield from list(self.unconfirmed.items())
+        if self._archive is not None and self._archive.runs:
+            for key, value in self._archive.items_with_prefix(encode_key_prefix(RECORD_KEY_LENGTH, "u")):
+                if value:
+                    _, worker, incarnation, sequence_number = decode_key(key)
+                    record = RecordId(str(worker), str(incarnation), int(sequence_number))
+                    if record not in self.relinquished:
+                        yield record, _decode_record(value)
+
+    def _is_archived(self, record: RecordId) -> bool:
+        archive = self._archive
+        return archive is not None and self._ask_archive(lambda: archive.has_record(*record), True)
+
+    def _ask_archive(self, query: Callable[[], T], default: T) -> T:
+        """Return what the archive answers. Where it is unreadable the log's records still count, in doubt."""
+        try:
+            return query()
+        except (RunDamagedError, OSError):
+            self._on_archive_fault()
+            return default
+
+
+def _decode_record(value: bytes) -> RecordReceived:
+    entry = decode_entry(value)
+    assert isinstance(entry, RecordReceived)
+    return entry
--- a/saffronstack/metering/usage_log.py
+++ b/saffronstack/metering/usage_log.py
@@ -10,7 +10,8 @@
 
 from saffronstack.durable.journal import Codec, Journal, JournalError, read_back
 from saffronstack.durable.segments import Files
-from saffronstack.metering.account import Account, AccountLimits
+from saffronstack.metering.account import Account
+from saffronstack.metering.account_limits import AccountLimits
 from saffronstack.metering.archive import Archive
 from saffronstack.metering.ledger_entries import AnyLedgerEntry, LedgerStarted, decode_entry, encode_entry
 
@@ -45,8 +46,8 @@
     archive = Archive(pathlib.Path(directory), files)
     account = Account(archive=archive, budget_windows=budget_windows, bounds=bounds)
     journal = Journal(directory, account, CODEC, segment_bytes, files)
-    archive.clean()
-    for problem in archive.unopened():
+    archive.remove_orphans()
+    for problem in archive.find_unopenable_runs():
         log.error("usage archive damaged", error=problem)
         account.doubt()
     if not account.gateway:
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -19,8 +19,10 @@
 from saffronstack.durable.runs import Run, write_run
 from saffronstack.durable.segments import Files
 from saffronstack.invoke.usage import statement, together
-from saffronstack.metering.account import Account, AccountLimits
-from saffronstack.metering.archive import Archive, decode_amounts, decode_key, encode_amounts, encode_key
+from saffronstack.metering.account import Account
+from saffronstack.metering.account_limits import AccountLimits
+from saffronstack.metering.archive import Archive
+from saffronstack.metering.archive_keys import decode_amounts, decode_key, encode_amounts, encode_key
 from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.usage_log import CODEC as USAGE_CODEC
 from saffronstack.metering.usage_log import read_usage_log
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -132,7 +132,7 @@
         ranges.add(low, low + length)
         plain |= set(range(low, low + length + 1))
     assert [n for n in range(80) if n in ranges] == sorted(plain)
-    assert all(a[1] + 1 < b[0] for a, b in zip(ranges.spans, ranges.spans[1:], strict=False))
+    assert all(a[1] + 1 < b[0] for a, b in zip(ranges.intervals, ranges.intervals[1:], strict=False))
 
 
 @given(
@@ -165,8 +165,8 @@
         copy.apply(decode_entry(encode_entry(entry)))
     assert copy.by_tenant() == {t: v for t, v in account.by_tenant().items() if v or t in copy.by_tenant()}
     assert copy.unconfirmed == account.unconfirmed
-    assert {k: r.spans for k, r in copy.confirmed.items()} == {
-        k: r.spans for k, r in account.confirmed.items()
+    assert {k: r.intervals for k, r in copy.confirmed.items()} == {
+        k: r.intervals for k, r in account.confirmed.items()
     }
 
 
--- a/tests/test_usage_archive.py
+++ b/tests/test_usage_archive.py
@@ -18,9 +18,10 @@
 
 from saffronstack.durable.runs import Run, RunDamagedError, merged, write_run
 from saffronstack.durable.segments import Files
-from saffronstack.metering.account import Account, AccountLimits
-from saffronstack.metering.archive import (
-    Archive,
+from saffronstack.metering.account import Account
+from saffronstack.metering.account_limits import AccountLimits
+from saffronstack.metering.archive import Archive
+from saffronstack.metering.archive_keys import (
     combine_values,
     decode_key,
     encode_amounts,
@@ -178,7 +179,7 @@
         self.account = Account(archive=self.archive, budget_windows=LENGTHS, bounds=SMALL)
         for data in self.entries:
             self.account.apply(decode(data))
-        self.archive.clean()
+        self.archive.remove_orphans()
 
     def merge(self) -> None:
         runs = self.archive.runs[-3:]
