--- a/saffronstack/deferred/calls.py
+++ b/saffronstack/deferred/calls.py
@@ -300,11 +300,11 @@
         place = self._tenants.get(accepted.tenant, 0)
         if self._budgets is not None and ran is None:  # one that may have run is not held back from its end
             admission = self._budgets.admit(accepted.tenant, accepted.function, self._clock())
-            if not admission.taken:
-                wait_s = max(BUDGET_WAIT_S, admission.wait_s) * (1.0 + 0.1 * self._random.random())
+            if not admission.is_admitted:
+                wait_s = max(BUDGET_WAIT_S, admission.retry_after_s) * (1.0 + 0.1 * self._random.random())
                 self._due.add(min(self.now() + wait_s, step.until), live)
                 return
-            place = len(self._tenants) if admission.over else place
+            place = len(self._tenants) if admission.is_over_soft_limit else place
         call = Call(
             self._engine.next_call_number(),
             accepted.id,
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -251,9 +251,9 @@
         if self._limits is None:
             return place
         admission = self._limits.admit(asked.tenant, asked.known.spec.name, self._clock())
-        if not admission.taken:
-            raise errors.too_many(f"The memory budget of {asked.tenant} is used up.", admission.wait_s)
-        return len(self._tenants) if admission.over else place
+        if not admission.is_admitted:
+            raise errors.too_many(f"The memory budget of {asked.tenant} is used up.", admission.retry_after_s)
+        return len(self._tenants) if admission.is_over_soft_limit else place
 
     # ---- deferred
 
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -235,6 +235,6 @@
     yield Figure("usage_log_bytes", "Bytes written to the usage log", meter.journal.written_bytes)
     if limits is not None:
         refused = "Calls refused or held back for their tenant's budget"
-        yield Figure("budget_refused", refused, limits.refused)
+        yield Figure("budget_refused", refused, limits.rejected)
         marked = "Calls taken at the worth of what lies over a share"
-        yield Figure("budget_marked", marked, limits.marked)
+        yield Figure("budget_marked", marked, limits.deprioritized)
--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -34,15 +34,15 @@
         "tenant": tenant,
         "functions": {name: {k: v / MB_S for k, v in sums.items()} for name, sums in functions.items()},
     }
-    use = limits.account(tenant, now) if limits is not None else None
+    use = limits.usage_of(tenant, now) if limits is not None else None
     if use is not None:
         found["budget"] = {
             "window_s": use.budget.window_s,
-            "soft_mb_s": use.budget.soft / MB_S,
-            "hard_mb_s": use.budget.hard / MB_S,
+            "soft_mb_s": use.budget.soft_limit / MB_S,
+            "hard_mb_s": use.budget.hard_limit / MB_S,
             "used_here_mb_s": use.used / MB_S,
-            "standing": use.verdict.standing.value,
-            "free_in_s": round(use.verdict.wait_s, 3),
+            "standing": use.verdict.status.value,
+            "free_in_s": round(use.verdict.retry_after_s, 3),
         }
     return found
 
--- a/saffronstack/metering/account.py
+++ b/saffronstack/metering/account.py
@@ -14,7 +14,6 @@
 from saffronstack.metering.archive_keys import decode_key
 from saffronstack.metering.call_charges import CallCharges
 from saffronstack.metering.cost_allocation import allocate
-from saffronstack.metering.interval_set import IntervalSet
 from saffronstack.metering.ledger_entries import (
     AnyLedgerEntry,
     ArchiveRuns,
@@ -198,21 +197,11 @@
         """Usage by key and hour that is in memory."""
         return self.usage_totals.by_key
 
-    @property
-    def occupied(self) -> dict[str, Amounts]:
-        """What workers' instances occupied that is in memory."""
-        return self.usage_totals.occupancy_by_worker
-
     @property
     def unconfirmed(self) -> dict[RecordId, RecordReceived]:
         """Unconfirmed records that are in memory."""
         return self.records.unconfirmed
 
-    @property
-    def confirmed(self) -> Mapping[tuple[str, str], IntervalSet]:
-        """Sequence numbers of confirmed records that are in memory, by worker and incarnation."""
-        return self.records.confirmed
-
     def knows(self, worker: str, incarnation: str, sequence_number: int) -> bool:
         """Return whether a record counts or is confirmed.
 
--- a/saffronstack/metering/budgets.py
+++ b/saffronstack/metering/budgets.py
@@ -1,8 +1,8 @@
-"""Budgets of memory-seconds: whether a call may be taken, and when its tenant's window frees room. No I/O.
+"""Budgets of memory-seconds: whether a call is admitted, and when its tenant may retry. No I/O.
 
-A gateway sees its own part of the usage. As the module does with rates, a tenant counts as over only where
-both its amount (against its budget's part for one front end) and its part of this front end's usage (against
-its budget's part of all budgets) say so: front ends carry unequal traffic.
+A gateway sees its own part of the usage. As the router does with request rates, a tenant counts as over a
+limit only where both its amount (against an equal part of the limit for one gateway) and its fraction of this
+gateway's usage (against its fraction of all tenants' limits) exceed it: gateways carry unequal traffic.
 """
 
 from __future__ import annotations
@@ -14,46 +14,56 @@
 
 from saffronstack.metering.sliding_windows import SlidingWindows
 
-WARM_KEPT = 10_000  # functions remembered as loaded
+MAX_LOADED_FUNCTIONS = 10_000  # remembered as loaded
+NEVER_S = -1e18
 
 
 class BudgetStatus(Enum):
-    """Where a tenant stands."""
+    """Where a tenant stands with its budget; the values are those of the usage page."""
 
     WITHIN = "within"
-    OVER_SOFT = "over soft"  # its calls are worth less
-    OVER_HARD = "over hard"  # calls that would need a load are refused
+    OVER_SOFT = "over soft"  # its calls have a lower priority
+    OVER_HARD = "over hard"  # calls that would need a load are rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """A tenant's, over all front ends; amounts in KiB microseconds of loading and running."""
+    """A tenant's budget over all gateways; limits in KiB microseconds of loading and running."""
 
     window_s: float
-    soft: int
-    hard: int
+    soft_limit: int
+    hard_limit: int
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetVerdict:
-    """``wait_s``: when, without further usage, the tenant is under its hard mark again; 0 while it is."""
+    """A tenant's status.
 
-    standing: BudgetStatus
-    wait_s: float = 0.0
+    Attributes:
+        status: The status.
+        retry_after_s: When the tenant is under its hard limit again without further usage; 0 while it is."""
+
+    status: BudgetStatus
+    retry_after_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether a call may go to the module now, and whether as one of a tenant over its soft mark."""
+    """Whether a call may go to the router now.
+
+    Attributes:
+        is_admitted: Whether it may.
+        is_over_soft_limit: Whether it goes as one of a tenant over its soft limit.
+        retry_after_s: Where it may not, seconds until it may."""
 
-    taken: bool
-    over: bool = False
-    wait_s: float = 0.0  # where it is not taken: seconds until it would be
+    is_admitted: bool
+    is_over_soft_limit: bool = False
+    retry_after_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetUse:
-    """What a tenant can be told of its budget; amounts in KiB microseconds at this front end."""
+class BudgetUsage:
+    """What a tenant used of its budget at this gateway, in KiB microseconds."""
 
     budget: Budget
     used: int
@@ -61,89 +71,99 @@
 
 
 class BudgetEnforcer:
-    """Asked from the fronts' threads; times are the gateway's clock, in seconds."""
+    """Called on the front ends' threads; times are the gateway's monotonic clock, in seconds."""
 
     def __init__(
         self,
         budgets: Mapping[str, Budget],
         windows: SlidingWindows,
-        instances: int,
+        gateway_count: int,
         keep_alive_s: float,
-        offset_s: float = 0.0,
+        steady_offset_s: float = 0.0,
     ) -> None:
-        """``windows`` hold what was used; ``offset_s`` is what makes its steady time of the gateway's
-        clock."""
+        """Create an enforcer.
+
+        Args:
+            budgets: Budgets by tenant.
+            windows: What was used.
+            gateway_count: How many gateways share the budgets.
+            keep_alive_s: How long a function that was loaded counts as loaded.
+            steady_offset_s: What added to the gateway's clock makes the windows' time.
+        """
         self._budgets = dict(budgets)
         self._windows = windows
-        self._instances = instances
+        self._gateway_count = gateway_count
         self._keep_alive_s = keep_alive_s
-        self._offset_s = offset_s
-        self._marks = {
-            "soft": sum(budget.soft for budget in budgets.values()) or 1,
-            "hard": sum(budget.hard for budget in budgets.values()) or 1,
-        }
-        self._loaded: dict[str, float] = {}
-        self._lock = threading.Lock()
-        self.refused = 0  # for their budgets
-        self.marked = 0  # taken as worth what lies over a share
-
-    def note_loaded(self, function: str, now: float) -> None:
-        """A copy of a function stood at some worker just now."""
+        self._steady_offset_s = steady_offset_s
+        self._soft_limit_sum = sum(budget.soft_limit for budget in budgets.values()) or 1
+        self._hard_limit_sum = sum(budget.hard_limit for budget in budgets.values()) or 1
+        self._lock = threading.Lock()  # guards all below
+        self._loaded_s: dict[str, float] = {}  # when functions were last seen loaded, the latest last
+        self.rejected = 0
+        self.deprioritized = 0  # admitted over the soft limit
+
+    def note_loaded(self, function: str, now_s: float) -> None:
+        """Note that an instance of a function is loaded at some worker."""
         with self._lock:
-            self._loaded.pop(function, None)
-            self._loaded[function] = now
-            if len(self._loaded) > WARM_KEPT:
-                del self._loaded[next(iter(self._loaded))]
+            self._loaded_s.pop(function, None)
+            self._loaded_s[function] = now_s
+            if len(self._loaded_s) > MAX_LOADED_FUNCTIONS:
+                del self._loaded_s[next(iter(self._loaded_s))]
 
-    def admit(self, tenant: str, function: str, now: float) -> Admission:
-        """Whether a call may be taken: over the hard mark only where a copy stands already."""
+    def admit(self, tenant: str, function: str, now_s: float) -> Admission:
+        """Decide whether a call is admitted: over the hard limit only where its function is loaded."""
         if tenant not in self._budgets:
             return Admission(True)
-        verdict = self.judge(tenant, now)
+        verdict = self.evaluate(tenant, now_s)
+        if verdict.status is BudgetStatus.WITHIN:
+            return Admission(True)
         with self._lock:
-            if verdict.standing is BudgetStatus.OVER_HARD:
-                if now - self._loaded.get(function, -1e18) > self._keep_alive_s:
-                    self.refused += 1
-                    return Admission(False, wait_s=verdict.wait_s)
-            elif verdict.standing is BudgetStatus.WITHIN:
-                return Admission(True)
-            self.marked += 1
-        return Admission(True, over=True)
-
-    def judge(self, tenant: str, now: float) -> BudgetVerdict:
-        """Where a tenant stands."""
+            if verdict.status is BudgetStatus.OVER_HARD and not self._is_loaded(function, now_s):
+                self.rejected += 1
+                return Admission(False, retry_after_s=verdict.retry_after_s)
+            self.deprioritized += 1
+        return Admission(True, is_over_soft_limit=True)
+
+    def evaluate(self, tenant: str, now_s: float) -> BudgetVerdict:
+        """Return a tenant's status."""
         budget = self._budgets.get(tenant)
         if budget is None:
             return BudgetVerdict(BudgetStatus.WITHIN)
-        at = now + self._offset_s
-        total = self._windows.total(tenant, at)
-        if total <= budget.soft / self._instances:  # under both marks, whatever others use
+        steady_s = now_s + self._steady_offset_s
+        used = self._windows.total(tenant, steady_s)
+        if used <= budget.soft_limit / self._gateway_count:  # under both limits, whatever others use
             return BudgetVerdict(BudgetStatus.WITHIN)
-        own = self._windows.whole(at)
-        if total > self._fair(budget.hard, "hard", own):
-            return BudgetVerdict(BudgetStatus.OVER_HARD, self._wait_s(tenant, budget, total, at))
-        over = total > self._fair(budget.soft, "soft", own)
-        return BudgetVerdict(BudgetStatus.OVER_SOFT if over else BudgetStatus.WITHIN)
-
-    def account(self, tenant: str, now: float) -> BudgetUse | None:
-        """A tenant's budget and use; None where it has no budget."""
+        used_by_all = self._windows.whole(steady_s)
+        if used > self._local_limit(budget.hard_limit, self._hard_limit_sum, used_by_all):
+            retry_after_s = self._retry_after_s(tenant, budget, used, steady_s)
+            return BudgetVerdict(BudgetStatus.OVER_HARD, retry_after_s)
+        if used > self._local_limit(budget.soft_limit, self._soft_limit_sum, used_by_all):
+            return BudgetVerdict(BudgetStatus.OVER_SOFT)
+        return BudgetVerdict(BudgetStatus.WITHIN)
+
+    def usage_of(self, tenant: str, now_s: float) -> BudgetUsage | None:
+        """Return a tenant's budget and usage; None where it has no budget."""
         budget = self._budgets.get(tenant)
         if budget is None:
             return None
-        used = self._windows.total(tenant, now + self._offset_s)
-        return BudgetUse(budget, used, self.judge(tenant, now))
-
-    def _fair(self, mark: int, which: str, own: int) -> float:
-        """This front end's part of a mark: the larger of an equal part and its part by own usage."""
-        by_usage = mark / self._marks[which] * own if len(self._budgets) > 1 else 0.0
-        return max(mark / self._instances, by_usage)
-
-    def _wait_s(self, tenant: str, budget: Budget, total: int, at: float) -> float:
-        """When so many of the oldest parts have left the window that the rest is under the mark. The mark's
-        part by own usage falls with it, so the equal part, which does not, is what is waited for."""
-        left = total
-        for start, amount in self._windows.used(tenant, at):
-            left -= amount
-            if left <= budget.hard / self._instances:
-                return max(0.0, start + budget.window_s - at)
+        used = self._windows.total(tenant, now_s + self._steady_offset_s)
+        return BudgetUsage(budget, used, self.evaluate(tenant, now_s))
+
+    def _is_loaded(self, function: str, now_s: float) -> bool:
+        return now_s - self._loaded_s.get(function, NEVER_S) <= self._keep_alive_s
+
+    def _local_limit(self, limit: int, limit_sum: int, used_by_all: int) -> float:
+        """Return this gateway's part of a limit: an equal part, or its part by usage where that is larger."""
+        by_usage = limit / limit_sum * used_by_all if len(self._budgets) > 1 else 0.0
+        return max(limit / self._gateway_count, by_usage)
+
+    def _retry_after_s(self, tenant: str, budget: Budget, used: int, steady_s: float) -> float:
+        """Return when so many of the oldest parts have left the window that the rest is under the hard limit.
+
+        The part of the limit by usage falls with the usage, so the equal part, which does not, counts."""
+        remaining = used
+        for start_s, amount in self._windows.used(tenant, steady_s):
+            remaining -= amount
+            if remaining <= budget.hard_limit / self._gateway_count:
+                return max(0.0, start_s + budget.window_s - steady_s)
         return budget.window_s
--- a/saffronstack/metering/charge_estimation.py
+++ b/saffronstack/metering/charge_estimation.py
@@ -1,8 +1,8 @@
-"""What calls of a dead worker held, guessed from when they were there: no record of theirs will come. No I/O.
+"""Estimates what calls of a dead worker used, from the times at which they were there. No I/O.
 
-Calls of one function that were there together shared its copies, a load first of all. How many copies stood
-is not known; as few as their lanes allow are taken, so that a shared load is not charged once for each
-waiter."""
+Calls of one function that were there together shared its instances, and before all a load. How many instances
+there were is not known; as few as their concurrency allows are assumed, so that a shared load is not charged
+once for each call that waited for it."""
 
 from __future__ import annotations
 
@@ -17,52 +17,52 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPresence:
-    """A call at the worker; microseconds of any one clock."""
+    """When a call was at the worker, in microseconds of any one clock."""
 
     start_us: int
     end_us: int
     memory_kib: int
-    lanes: int
+    concurrency: int
 
 
-def estimate_shares(stays: Sequence[CallPresence]) -> list[int]:
-    """What each of one function's calls held, in KiB microseconds, in the order of the calls."""
-    amounts = [0.0] * len(stays)
-    edges = sorted({edge for stay in stays for edge in (stay.start_us, stay.end_us)})
-    events: dict[int, list[tuple[bool, int]]] = {edge: [] for edge in edges}
-    for place, stay in enumerate(stays):
-        events[stay.start_us].append((True, place))
-        events[stay.end_us].append((False, place))
-    there: set[int] = set()
-    for edge, following in zip(edges, [*edges[1:], edges[-1] if edges else 0], strict=True):
-        for begins, place in events[edge]:
-            if begins:
-                there.add(place)
-        for begins, place in events[edge]:
-            if not begins:
-                there.discard(place)
-        if there:
-            lanes = min(stays[place].lanes for place in there)
-            part = -(-len(there) // lanes) / len(there)
-            for place in there:
-                amounts[place] += stays[place].memory_kib * (following - edge) * part
+def estimate_shares(presences: Sequence[CallPresence]) -> list[int]:
+    """Return what each of one function's calls used, in KiB microseconds, in the order of the calls."""
+    amounts = [0.0] * len(presences)
+    edges = sorted({edge for presence in presences for edge in (presence.start_us, presence.end_us)})
+    arrivals: dict[int, list[int]] = defaultdict(list)
+    departures: dict[int, list[int]] = defaultdict(list)
+    for index, presence in enumerate(presences):
+        arrivals[presence.start_us].append(index)
+        departures[presence.end_us].append(index)
+    present: set[int] = set()
+    for edge, next_edge in zip(edges, [*edges[1:], edges[-1] if edges else 0], strict=True):
+        present.update(arrivals[edge])
+        present.difference_update(departures[edge])
+        if present:
+            concurrency = min(presences[index].concurrency for index in present)
+            instances = -(-len(present) // concurrency)
+            fraction = instances / len(present)
+            for index in present:
+                amounts[index] += presences[index].memory_kib * (next_edge - edge) * fraction
     return [round(amount) for amount in amounts]
 
 
 def share_instances(charges: list[ProvisionalCharge]) -> list[ProvisionalCharge]:
-    """Charges for calls of a dead worker, cut to their parts of the copies that they shared."""
+    """Return charges for calls of a dead worker, reduced to their parts of the instances that they shared."""
     by_function: dict[str, list[int]] = defaultdict(list)
-    for place, charge in enumerate(charges):
+    for index, charge in enumerate(charges):
         if charge.memory_kib:
-            by_function[charge.function].append(place)
-    found = list(charges)
-    for places in by_function.values():
-        stays = []
-        for place in places:
-            charge = charges[place]
-            end_us = int((charge.lost_steady_s or charge.lost_unix_s) * 1e6)
-            start_us = end_us - int(charge.amount) // charge.memory_kib
-            stays.append(CallPresence(start_us, end_us, charge.memory_kib, max(1, charge.concurrency)))
-        for place, amount in zip(places, estimate_shares(stays), strict=True):
-            found[place] = structs.replace(charges[place], amount=to_stored_amount(amount), memory_kib=0)
-    return found
+            by_function[charge.function].append(index)
+    reduced = list(charges)
+    for indexes in by_function.values():
+        amounts = estimate_shares([_presence_of(charges[index]) for index in indexes])
+        for index, amount in zip(indexes, amounts, strict=True):
+            stored = to_stored_amount(amount)
+            reduced[index] = structs.replace(charges[index], amount=stored, memory_kib=0)
+    return reduced
+
+
+def _presence_of(charge: ProvisionalCharge) -> CallPresence:
+    end_us = int((charge.lost_steady_s or charge.lost_unix_s) * 1e6)
+    start_us = end_us - int(charge.amount) // charge.memory_kib
+    return CallPresence(start_us, end_us, charge.memory_kib, max(1, charge.concurrency))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -39,17 +39,17 @@
 
 def test_marks_and_the_window() -> None:
     found = limits()
-    assert found.judge("a", 0.0).standing is WITHIN
-    assert found.judge("stranger", 0.0).standing is WITHIN
+    assert found.evaluate("a", 0.0).status is WITHIN
+    assert found.evaluate("stranger", 0.0).status is WITHIN
     found.charge("a", 100, 0.0)
-    assert found.judge("a", 1.0).standing is WITHIN
+    assert found.evaluate("a", 1.0).status is WITHIN
     found.charge("a", 50, 10.0)
-    assert found.judge("a", 11.0).standing is SOFT
+    assert found.evaluate("a", 11.0).status is SOFT
     found.charge("a", 60, 20.0)
-    verdict = found.judge("a", 21.0)
-    assert (verdict.standing, verdict.wait_s) == (HARD, 39.0)
-    assert found.judge("a", 21.0 + verdict.wait_s).standing is not HARD
-    assert found.judge("a", 100.0).standing is WITHIN
+    verdict = found.evaluate("a", 21.0)
+    assert (verdict.status, verdict.retry_after_s) == (HARD, 39.0)
+    assert found.evaluate("a", 21.0 + verdict.retry_after_s).status is not HARD
+    assert found.evaluate("a", 100.0).status is WITHIN
 
 
 @given(st.lists(st.tuples(st.floats(0, 30), st.integers(0, 120)), max_size=60), st.integers(1, 4))
@@ -62,17 +62,17 @@
     for pause, amount in steps:
         now += pause
         found.charge("a", amount, now)
-    verdict = found.judge("a", now)
-    assert 0 <= verdict.wait_s <= 60.0 + 1e-6
-    if verdict.standing is HARD:
-        assert found.judge("a", now + verdict.wait_s + 1e-6).standing is not HARD
+    verdict = found.evaluate("a", now)
+    assert 0 <= verdict.retry_after_s <= 60.0 + 1e-6
+    if verdict.status is HARD:
+        assert found.evaluate("a", now + verdict.retry_after_s + 1e-6).status is not HARD
 
 
 def test_a_window_holds_a_bounded_number_of_parts() -> None:
     found = limits()
     for n in range(10_000):
         found.charge("a", 1, n * 0.1)
-        found.judge("a", n * 0.1)
+        found.evaluate("a", n * 0.1)
     assert len(found.windows.used("a", 999.9)) <= PARTS_PER_WINDOW + 2
 
 
@@ -81,24 +81,24 @@
     busy = limits(4, **budgets)  # a front end with most of the fleet's traffic
     busy.charge("a", 60, 0.0)
     busy.charge("b", 70, 0.0)
-    assert busy.judge("a", 1.0).standing is WITHIN  # over a quarter of its mark, but not over its part here
-    assert busy.judge("b", 1.0).standing is SOFT
+    assert busy.evaluate("a", 1.0).status is WITHIN  # over a quarter of its mark, but not over its part here
+    assert busy.evaluate("b", 1.0).status is SOFT
     quiet = limits(4, **budgets)
     quiet.charge("a", 20, 0.0)
-    assert quiet.judge("a", 1.0).standing is WITHIN
+    assert quiet.evaluate("a", 1.0).status is WITHIN
 
 
 def test_over_the_hard_mark_a_loaded_function_may_still_be_called() -> None:
     found = limits()
     found.charge("a", 500, 0.0)
     refused = found.admit("a", "f", 1.0)
-    assert (refused.taken, refused.wait_s) == (False, 59.0)
+    assert (refused.is_admitted, refused.retry_after_s) == (False, 59.0)
     found.note_loaded("f", 1.0)
-    assert found.admit("a", "f", 9.0).taken
-    assert found.admit("a", "f", 9.0).over
-    assert not found.admit("a", "f", 12.0).taken
-    assert found.admit("stranger", "g", 0.0).taken
-    assert (found.refused, found.marked) == (2, 2)
+    assert found.admit("a", "f", 9.0).is_admitted
+    assert found.admit("a", "f", 9.0).is_over_soft_limit
+    assert not found.admit("a", "f", 12.0).is_admitted
+    assert found.admit("stranger", "g", 0.0).is_admitted
+    assert (found.rejected, found.deprioritized) == (2, 2)
 
 
 def test_over_the_soft_mark_a_call_is_worth_what_lies_over_a_share() -> None:
@@ -142,7 +142,7 @@
         assert gateway.limits is not None
         for _ in range(60):  # 512 MB for 0.1 s each
             assert client.invoke("identify-copy", b"{}").status == 200
-            if gateway.limits.judge("corner-books", time.monotonic()).standing is HARD:
+            if gateway.limits.evaluate("corner-books", time.monotonic()).status is HARD:
                 break
         refused = client.invoke("suggest-price", b"{}")  # not loaded: it would need a load
         assert refused.status == 429
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -158,15 +158,17 @@
     for record in first.values():
         for place, amount in enumerate(total_occupancy(record)):
             held[record.worker][place] += amount
-    assert {w: v for w, v in account.occupied.items() if any(v)} == {w: v for w, v in held.items() if any(v)}
+    assert {w: v for w, v in account.usage_totals.occupancy_by_worker.items() if any(v)} == {
+        w: v for w, v in held.items() if any(v)
+    }
     assert account.unbalanced() == []
     copy = Account()
     for entry in account.snapshot():
         copy.apply(decode_entry(encode_entry(entry)))
     assert copy.by_tenant() == {t: v for t, v in account.by_tenant().items() if v or t in copy.by_tenant()}
     assert copy.unconfirmed == account.unconfirmed
-    assert {k: r.intervals for k, r in copy.confirmed.items()} == {
-        k: r.intervals for k, r in account.confirmed.items()
+    assert {k: r.intervals for k, r in copy.records.confirmed.items()} == {
+        k: r.intervals for k, r in account.records.confirmed.items()
     }
 
 
--- a/tests/test_usage_faults.py
+++ b/tests/test_usage_faults.py
@@ -399,7 +399,7 @@
             assert client.invoke("identify-copy", b"{}").status == 200
         limits = stack.gateway.limits
         assert limits is not None
-        eventually(lambda: limits.judge("corner-books", time.monotonic()).wait_s)
+        eventually(lambda: limits.evaluate("corner-books", time.monotonic()).retry_after_s)
         client.close()
         found.stop(stack)
         again = found.start("one", tenants=tenants, ledger=tmp_path / "ledger")
