--- a/saffronstack/metering/__init__.py
+++ b/saffronstack/metering/__init__.py
@@ -1,1 +1,1 @@
-"""Memory-seconds metering: what each tenant's functions held on the workers, counted once and never lost."""
+"""Memory-seconds metering: what each tenant's functions used on the workers; each record counts once."""
--- a/saffronstack/metering/html_report.py
+++ b/saffronstack/metering/html_report.py
@@ -1,5 +1,4 @@
-"""Usage as one page with charts, for people who are sent a bill. Needs matplotlib; nothing else imports
-this."""
+"""An HTML report of usage with charts, for customers who receive a bill. Needs matplotlib."""
 
 from __future__ import annotations
 
@@ -18,8 +17,8 @@
     summarize_usage,
 )
 
-BARS_MOST = 20  # in a chart; the rest is one bar more
-ROWS_MOST = 500  # in a table; `usage show` has all
+MAX_BARS = 20  # in a chart; the rest is one more bar
+MAX_ROWS = 500  # in a table; `usage show` has all
 PHASES = ("loading", "running", "estimated", "provisional")
 COLOURS = ("#c9822b", "#3d6f8e", "#a8453e", "#9a9a9a")
 STYLE = (
@@ -30,7 +29,7 @@
 
 
 def render_html_report(merged: MergedAccounts, notes: Iterable[str]) -> str:
-    """The page, as HTML in one file; everything that workers or clients named is escaped."""
+    """Return the report as one HTML page; everything that workers or clients named is escaped."""
     by_tenant = summarize_usage(merged, ("tenant",))
     by_day = sorted(summarize_usage(merged, ("day",)), key=lambda row: row.by)
     by_function = summarize_usage(merged, ("function",))
@@ -48,32 +47,32 @@
         "Idle time is shown in the tables and not charged.</p>",
         *(f"<p class='bad'>{escape(line)}</p>" for line in [*wrong, *notes]),
         "<h2>By day</h2>",
-        _chart(by_day, upright=True),
+        _draw_chart(by_day, is_vertical=True),
         "<h2>By tenant</h2>",
-        _chart(_most(by_tenant)),
-        _table(by_tenant, "tenant"),
+        _draw_chart(_largest(by_tenant)),
+        _format_table(by_tenant, "tenant"),
         "<h2>By function</h2>",
-        _chart(_most(by_function)),
-        _table(by_function, "function"),
+        _draw_chart(_largest(by_function)),
+        _format_table(by_function, "function"),
         "</body></html>",
     ]
     return "\n".join(parts)
 
 
-def _most(found: list[UsageRow]) -> list[UsageRow]:
-    """The largest, and the rest as one."""
-    rest = found[BARS_MOST:]
+def _largest(found: list[UsageRow]) -> list[UsageRow]:
+    """Return the largest rows, and the rest as one row."""
+    rest = found[MAX_BARS:]
     if not rest:
         return found
     sums = [sum(getattr(row, name) for row in rest) for name in (*PHASES[:2], "idle", *PHASES[2:])]
-    return [*found[:BARS_MOST], UsageRow((f"{len(rest)} others",), *sums)]
+    return [*found[:MAX_BARS], UsageRow((f"{len(rest)} others",), *sums)]
 
 
-def _chart(found: list[UsageRow], upright: bool = False) -> str:
-    """Stacked bars as SVG; no bars, no chart."""
+def _draw_chart(found: list[UsageRow], is_vertical: bool = False) -> str:
+    """Return stacked bars as SVG; a sentence where there are none."""
     if not found:
         return "<p>Nothing was metered.</p>"
-    size = (9.0, 3.2) if upright else (9.0, 0.6 + 0.28 * len(found))
+    size = (9.0, 3.2) if is_vertical else (9.0, 0.6 + 0.28 * len(found))
     with rc_context({"svg.hashsalt": "usage", "text.parse_math": False}):
         figure = Figure(figsize=size, layout="constrained")
         axes = figure.subplots()
@@ -82,12 +81,12 @@
         bottom = [0.0] * len(found)
         for phase, colour in zip(PHASES, COLOURS, strict=True):
             amounts = [getattr(row, phase) for row in found]
-            if upright:
+            if is_vertical:
                 axes.bar(places, amounts, bottom=bottom, color=colour, label=phase)
             else:
                 axes.barh(places, amounts, left=bottom, color=colour, label=phase)
             bottom = [a + b for a, b in zip(bottom, amounts, strict=True)]
-        if upright:
+        if is_vertical:
             axes.set_xticks(places, names, rotation=45, ha="right")
             axes.set_ylabel("MB s")
         else:
@@ -101,12 +100,12 @@
     return text[text.index("<svg") :]
 
 
-def _table(found: list[UsageRow], name: str) -> str:
+def _format_table(found: list[UsageRow], name: str) -> str:
     heads = "".join(f"<th>{head.replace('_mb_s', '')} MB s</th>" for head in AMOUNT_COLUMNS)
     lines = [f"<table><tr><th class='n'>{name}</th>{heads}</tr>"]
-    for row in found[:ROWS_MOST]:
+    for row in found[:MAX_ROWS]:
         numbers = "".join(f"<td>{cell:,.3f}</td>" for cell in amounts_in_column_order(row))
         lines.append(f"<tr><td class='n'>{escape(row.by[0])}</td>{numbers}</tr>")
-    if len(found) > ROWS_MOST:
-        lines.append(f"<tr><td class='n'>{len(found) - ROWS_MOST} more: saffronstack usage show</td></tr>")
+    if len(found) > MAX_ROWS:
+        lines.append(f"<tr><td class='n'>{len(found) - MAX_ROWS} more: saffronstack usage show</td></tr>")
     return "\n".join([*lines, "</table>"])
--- a/saffronstack/metering/merged_accounts.py
+++ b/saffronstack/metering/merged_accounts.py
@@ -1,8 +1,6 @@
-"""Several gateways' accounts as one: the same gateway's twice counts once, and so does a record that two
-hold.
+"""Accounts of several gateways as one: one that is given twice counts once, and so does a record of two.
 
-Sums are read from each account's memory and archive when they are asked for; nothing holds them all at
-once."""
+Totals are read from each account's memory and archive on demand; they are never in memory all at once."""
 
 from __future__ import annotations
 
@@ -17,10 +15,23 @@
 
 
 class MergedAccounts:
-    """What accounts add up to. Making it reads their numbers and open records, not their sums."""
+    """What accounts add up to. Creating it reads their records' numbers, not their totals.
+
+    Attributes:
+        notes: What an operator should know, a line each.
+        in_doubt: Whether entries of a log are lost.
+        confirmed: How many records are confirmed.
+        unconfirmed: How many are not.
+        provisional: Provisional charges of calls that no account estimates.
+        estimates: The largest estimated charge of each call."""
 
     def __init__(self, accounts: Iterable[Account]) -> None:
-        """RunDamagedError where an archive can't be read, FileNotFoundError where a run was just merged."""
+        """Read the accounts' records.
+
+        Raises:
+            RunDamagedError: If an archive cannot be read.
+            FileNotFoundError: If a run was merged meanwhile.
+        """
         self.notes: list[str] = []
         self._accounts: list[Account] = []
         for account in accounts:
@@ -32,13 +43,13 @@
         self.confirmed = 0
         self.unconfirmed = 0
         self.provisional: dict[tuple[str, str], ProvisionalCharge] = {}
-        self._less = Account("merged")  # what two hold, once, negative
-        self._charged: dict[tuple[str, str], int] = defaultdict(int)
-        self._match()
-        for account in (*self._accounts, self._less):
+        self._duplicates = Account("merged")  # what two accounts count, once and negative
+        self._recorded: dict[tuple[str, str], int] = defaultdict(int)
+        self._match_records()
+        for account in (*self._accounts, self._duplicates):
             for call, amount in account.charges.recorded_amounts():
-                self._charged[call] += amount
-        self.estimates: dict[tuple[str, str], ProvisionalCharge] = {}  # the largest of a call's
+                self._recorded[call] += amount
+        self.estimates: dict[tuple[str, str], ProvisionalCharge] = {}
         for account in self._accounts:
             for charge in account.charges.final_charges():
                 known = self.estimates.get(charge_key(charge))
@@ -49,7 +60,7 @@
                 if call not in self.estimates:
                     self.provisional[call] = charge
 
-    def _match(self) -> None:
+    def _match_records(self) -> None:
         own: list[dict[tuple[str, str], IntervalSet]] = []
         for account in self._accounts:
             ranges: dict[tuple[str, str], IntervalSet] = defaultdict(IntervalSet)
@@ -71,27 +82,27 @@
                 if any(holder is mine for holder in holders):
                     continue  # confirmed by now; the archive only holds its text still
                 if holders or number in seen:
-                    self._less.count_record(received, -1)
+                    self._duplicates.count_record(received, -1)
                 else:
                     seen.add(number)
         self.unconfirmed = len(seen)
 
     def sums(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
-        """Totals by key, of one tenant or of all; a key may come several times, and negative."""
-        for account in (*self._accounts, self._less):
+        """Yield totals by key, of one tenant or of all; a key may come several times, and negative."""
+        for account in (*self._accounts, self._duplicates):
             yield from account.sums(tenant)
 
     def holdings(self) -> Iterator[tuple[str, Amounts]]:
-        """What workers' copies held; a worker may come several times."""
-        for account in (*self._accounts, self._less):
+        """Yield what workers' instances occupied; a worker may come several times."""
+        for account in (*self._accounts, self._duplicates):
             yield from account.holdings()
 
     def outstanding(self, charge: ProvisionalCharge) -> int:
-        """What a lost call is charged beyond the records that came, at any gateway."""
-        return max(0, int(charge.amount) - recorded_amount(self._charged, charge))
+        """Return what a lost call is charged beyond the records that arrived at any gateway."""
+        return max(0, int(charge.amount) - recorded_amount(self._recorded, charge))
 
     def by_tenant(self) -> dict[str, int]:
-        """Loading and running, estimates and provisional charges included, in KiB microseconds."""
+        """Return loading and running with estimated and provisional charges, in KiB microseconds."""
         sums: dict[str, int] = defaultdict(int)
         for (tenant, *_), (load, run, _, estimated) in self.sums():
             sums[tenant] += load + run + estimated
@@ -100,10 +111,10 @@
         return dict(sums)
 
     def unbalanced(self) -> list[str]:
-        """Workers whose shares do not sum up to what their copies held; a line each."""
+        """Return workers whose allocations do not sum up to what their instances occupied, a line each."""
         return find_imbalances(self.sums(), self.holdings())
 
 
 def merge_accounts(accounts: Iterable[Account]) -> MergedAccounts:
-    """Add accounts up. They stay as they are."""
+    """Return what accounts add up to; they are not changed."""
     return MergedAccounts(accounts)
--- a/saffronstack/metering/usage_report.py
+++ b/saffronstack/metering/usage_report.py
@@ -1,4 +1,4 @@
-"""Usage as people read it: sums by what they ask for, as a table, JSON lines or CSV. No I/O."""
+"""Usage reports: totals by chosen columns, as a table, JSON lines or CSV. No I/O."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 
 import msgspec
 
+from saffronstack.metering.ledger_entries import ProvisionalCharge
 from saffronstack.metering.merged_accounts import MergedAccounts
+from saffronstack.metering.usage_totals import TotalKey
 
 MB_S = 1024 * 1_000_000  # KiB microseconds in a megabyte second
+ESTIMATED_COLUMN = 3  # of the amounts of a row
+PROVISIONAL_COLUMN = 4
 COLUMNS = ("tenant", "function", "class", "worker", "day", "hour")
 
 
 @dataclass(frozen=True, slots=True)
 class UsageRow:
-    """One sum, in MB s; ``provisional`` is charged until a worker's record or death settles it."""
+    """One total, in MB s; ``provisional`` is charged until a worker's record or death settles it."""
 
     by: tuple[str, ...]
     loading: float
@@ -30,42 +34,53 @@
 
     @property
     def charged(self) -> float:
-        """Loading and running, with estimates and what is provisional."""
+        """Loading and running, with estimated and provisional charges."""
         return self.loading + self.running + self.estimated + self.provisional
 
 
 def summarize_usage(merged: MergedAccounts, by: tuple[str, ...], tenant: str | None = None) -> list[UsageRow]:
-    """Sums by some of the columns, of one tenant or all, largest charge first; ValueError names a column that
-    there is none of."""
+    """Return totals by some of the columns, largest charge first.
+
+    Args:
+        merged: The accounts.
+        by: Names of columns.
+        tenant: The tenant whose usage is summed; None for all.
+
+    Raises:
+        ValueError: If there is no such column.
+    """
     unknown = [name for name in by if name not in COLUMNS]
     if unknown:
         raise ValueError(f"no column {unknown[0]!r}; there are {', '.join(COLUMNS)}")
     sums: dict[tuple[str, ...], list[int]] = defaultdict(lambda: [0, 0, 0, 0, 0])
-    for (name, function, call_class, worker, bucket), amounts in merged.sums(tenant):
-        key = _key(by, name, function, call_class, worker, bucket)
-        for place, amount in enumerate(amounts):
-            sums[key][place] += amount
-    for place, charges in ((3, merged.estimates), (4, merged.provisional)):
+    for key, amounts in merged.sums(tenant):
+        row = sums[_select_columns(by, key)]
+        for column, amount in enumerate(amounts):
+            row[column] += amount
+    for column, charges in ((ESTIMATED_COLUMN, merged.estimates), (PROVISIONAL_COLUMN, merged.provisional)):
         for charge in charges.values():
             if tenant is None or charge.call.tenant == tenant:
-                call, at = charge.call, int(charge.lost_unix_s)
-                key = _key(by, call.tenant, charge.function, call.request_class, charge.worker, at)
-                sums[key][place] += merged.outstanding(charge)
+                sums[_select_columns(by, _key_of(charge))][column] += merged.outstanding(charge)
     found = [
-        UsageRow(key, *(amount / MB_S for amount in amounts)) for key, amounts in sums.items() if any(amounts)
+        UsageRow(values, *(amount / MB_S for amount in amounts))
+        for values, amounts in sums.items()
+        if any(amounts)
     ]
     return sorted(found, key=lambda row: (-row.charged, row.by))
 
 
-def _key(
-    by: tuple[str, ...], tenant: str, function: str, call_class: str, worker: str, at: int
-) -> tuple[str, ...]:
-    when = datetime.fromtimestamp(at, UTC)
+def _key_of(charge: ProvisionalCharge) -> TotalKey:
+    call = charge.call
+    return TotalKey(call.tenant, charge.function, call.request_class, charge.worker, int(charge.lost_unix_s))
+
+
+def _select_columns(by: tuple[str, ...], key: TotalKey) -> tuple[str, ...]:
+    when = datetime.fromtimestamp(key.hour_start_s, UTC)
     values = {
-        "tenant": tenant or "(nobody)",
-        "function": function,
-        "class": call_class or "(none)",
-        "worker": worker,
+        "tenant": key.tenant or "(nobody)",
+        "function": key.function,
+        "class": key.request_class or "(none)",
+        "worker": key.worker,
         "day": f"{when:%Y-%m-%d}",
         "hour": f"{when:%Y-%m-%dT%H}",
     }
@@ -88,7 +103,7 @@
 
 
 def format_table(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
-    """Columns for the eye; the last but one also in GB h."""
+    """Return aligned columns; the charge also in GB h."""
     found = list(found)
     widths = [max([len(name), *(len(row.by[place]) for row in found)]) for place, name in enumerate(by)]
     lines = [
@@ -115,7 +130,7 @@
 
 
 def format_json_lines(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
-    """One object a line."""
+    """Return one JSON object a line."""
     return "\n".join(
         msgspec.json.encode(
             {
@@ -128,7 +143,7 @@
 
 
 def format_csv(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
-    """RFC 4180."""
+    """Return comma-separated values as in RFC 4180."""
     out = io.StringIO()
     writer = csv.writer(out)
     writer.writerow([*by, *AMOUNT_COLUMNS])
--- /dev/null
+++ b/tests/metering/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of saffronstack/metering/."""
