--- a/saffronstack/deferred/call_submitter.py
+++ b/saffronstack/deferred/call_submitter.py
@@ -11,7 +11,7 @@
 from saffronstack.deferred.steady_clock import SteadyClock
 from saffronstack.deferred.tracked_call import TrackedCall
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
-from saffronstack.metering.limits import Admission, BudgetLimits
+from saffronstack.metering.budgets import Admission, BudgetEnforcer
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 
@@ -39,7 +39,7 @@
         engine: CallEngine,
         attempt_log: AttemptLog,
         clock: SteadyClock,
-        budgets: BudgetLimits | None,
+        budgets: BudgetEnforcer | None,
     ) -> None:
         """Submit to ``engine``; ``budgets`` of None admits every call."""
         self._engine = engine
--- a/saffronstack/deferred/deferred_calls.py
+++ b/saffronstack/deferred/deferred_calls.py
@@ -20,7 +20,7 @@
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.deferred.steady_clock import SteadyClock
 from saffronstack.deferred.tracked_call import track_accepted, track_recovered
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 
 SHUTDOWN_RETRY_AFTER_S = 1.0
 log = structlog.get_logger("saffronstack.deferred")
@@ -58,7 +58,7 @@
         functions: Functions,
         clock: Callable[[], float],
         wall: Callable[[], float],
-        budgets: BudgetLimits | None = None,
+        budgets: BudgetEnforcer | None = None,
     ) -> None:
         """Prepare the service; nothing runs before `start`.
 
--- a/saffronstack/deferred/dispatcher.py
+++ b/saffronstack/deferred/dispatcher.py
@@ -187,14 +187,16 @@
 
     def _submit_within_budget(self, call: TrackedCall, function: FunctionPolicy, deadline_at: float) -> None:
         admission = self._submitter.admit(call)
-        if not admission.taken:
+        if not admission.is_admitted:
             jitter = 1.0 + BUDGET_WAIT_JITTER * self._random.random()
-            wait_s = max(MIN_BUDGET_WAIT_S, admission.wait_s) * jitter
+            wait_s = max(MIN_BUDGET_WAIT_S, admission.retry_after_s) * jitter
             self._timers.add(min(self._clock.now() + wait_s, deadline_at), call)
             return
         call.is_running = True
         self._in_flight += 1
-        self._submitter.submit(call, function, deadline_at, admission.over, self._receive_answer)
+        self._submitter.submit(
+            call, function, deadline_at, admission.is_over_soft_limit, self._receive_answer
+        )
 
     def _receive_answer(self, call: TrackedCall, answer: FinalAnswer) -> None:
         """Pass an answer to the dispatcher thread; any thread."""
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -15,7 +15,7 @@
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.operations.errors import (
     ClientDisconnectedError,
     FingerprintMismatchError,
@@ -84,7 +84,7 @@
         engine: Engine,
         deferred: DeferredCalls | None,
         clock: Callable[[], float],
-        limits: BudgetLimits | None,
+        limits: BudgetEnforcer | None,
         operations: OperationService | None,
     ) -> None:
         self._config = config
@@ -281,9 +281,9 @@
         if self._limits is None:
             return place
         admission = self._limits.admit(asked.tenant, asked.known.spec.name, self._clock())
-        if not admission.taken:
-            raise errors.too_many(f"The memory budget of {asked.tenant} is used up.", admission.wait_s)
-        return len(self._tenants) if admission.over else place
+        if not admission.is_admitted:
+            raise errors.too_many(f"The memory budget of {asked.tenant} is used up.", admission.retry_after_s)
+        return len(self._tenants) if admission.is_over_soft_limit else place
 
     # ---- deferred
 
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -17,7 +17,7 @@
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.invoke.app import App
 from saffronstack.invoke.server import Server
-from saffronstack.metering.limits import BudgetLimits
+from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.metering.meter import Meter
 from saffronstack.operations.operation_service import OperationService
 from saffronstack.operations.slot_manager import SlotManager
@@ -81,7 +81,7 @@
     ledger: Ledger | None
     deferred: DeferredCalls | None
     meter: Meter | None
-    limits: BudgetLimits | None
+    limits: BudgetEnforcer | None
     operations: OperationService | None
     slots: SlotManager | None
     roster: FileDiscovery | None
@@ -230,15 +230,15 @@
     yield Figure("roster_versions", "Versions applied since the start", status.counts.applied)
 
 
-def _usage_counters(meter: Meter, limits: BudgetLimits | None) -> Iterator[Figure]:
-    lost = meter.lost_at_workers()
-    yield Figure("usage_records", "Usage records taken", meter.taken)
-    yield Figure("usage_refused", "Usage records that can't be believed", meter.refused)
-    yield Figure("usage_postponed", "Answers whose usage was left with the worker for later", meter.dropped)
+def _usage_counters(meter: Meter, limits: BudgetEnforcer | None) -> Iterator[Figure]:
+    lost = meter.records_dropped_by_workers()
+    yield Figure("usage_records", "Usage records taken", meter.accepted)
+    yield Figure("usage_refused", "Usage records that can't be believed", meter.rejected)
+    yield Figure("usage_postponed", "Answers whose usage was left with the worker for later", meter.postponed)
     yield Figure("usage_lost_at_workers", "Usage records that workers' own bounds cost", lost)
     yield Figure("usage_log_bytes", "Bytes written to the usage log", meter.journal.written_bytes)
     if limits is not None:
         refused = "Calls refused or held back for their tenant's budget"
-        yield Figure("budget_refused", refused, limits.refused)
+        yield Figure("budget_refused", refused, limits.rejected)
         marked = "Calls taken at the worth of what lies over a share"
-        yield Figure("budget_marked", marked, limits.marked)
+        yield Figure("budget_marked", marked, limits.deprioritized)
--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -11,15 +11,15 @@
 import msgspec
 
 from saffronstack.metering.account import Account
-from saffronstack.metering.limits import BudgetLimits
-from saffronstack.metering.report import MB_S
+from saffronstack.metering.budgets import BudgetEnforcer
+from saffronstack.metering.usage_report import MB_S
 
 FUNCTIONS_MOST = 200  # in an answer, the largest; the rest is one sum
 PLACES = ("loading_mb_s", "running_mb_s", "idle_mb_s", "estimated_mb_s")
 CHARGED = ("loading_mb_s", "running_mb_s", "estimated_mb_s", "provisional_mb_s")
 
 
-def statement(account: Account, limits: BudgetLimits | None, tenant: str, now: float) -> dict[str, Any]:
+def statement(account: Account, limits: BudgetEnforcer | None, tenant: str, now: float) -> dict[str, Any]:
     """What one process's log says of a tenant. RunDamagedError, OSError where its archive can't be read."""
     functions: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for (_, function, _, _, _), amounts in account.sums(tenant):
@@ -35,15 +35,15 @@
         "tenant": tenant,
         "functions": {name: {k: v / MB_S for k, v in sums.items()} for name, sums in functions.items()},
     }
-    use = limits.account(tenant, now) if limits is not None else None
+    use = limits.usage_of(tenant, now) if limits is not None else None
     if use is not None:
         found["budget"] = {
             "window_s": use.budget.window_s,
-            "soft_mb_s": use.budget.soft / MB_S,
-            "hard_mb_s": use.budget.hard / MB_S,
+            "soft_mb_s": use.budget.soft_limit / MB_S,
+            "hard_mb_s": use.budget.hard_limit / MB_S,
             "used_here_mb_s": use.used / MB_S,
-            "standing": use.verdict.standing.value,
-            "free_in_s": round(use.verdict.wait_s, 3),
+            "standing": use.verdict.status.value,
+            "free_in_s": round(use.verdict.retry_after_s, 3),
         }
     return found
 
--- /dev/null
+++ b/saffronstack/metering/call_charges.py
@@ -0,0 +1,217 @@
+"""What single calls are charged: by records, provisionally while their responses are lost, and by estimate
+once their worker is dead. No I/O but for the archive's answers.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict, defaultdict
+from collections.abc import Iterator, Mapping
+from contextlib import AbstractContextManager
+from itertools import islice
+
+from saffronstack.durable.sorted_runs import KeyValue
+from saffronstack.metering.archive import Archive
+from saffronstack.metering.archive_keys import (
+    decode_amounts,
+    decode_key,
+    encode_amounts,
+    encode_key,
+    encode_key_prefix,
+)
+from saffronstack.metering.charge_estimation import share_instances
+from saffronstack.metering.ledger_entries import (
+    AnyLedgerEntry,
+    CallCharge,
+    EstimatedCharge,
+    IncarnationEnded,
+    ProvisionalCharge,
+    RetainedCallCharge,
+    decode_entry,
+    encode_entry,
+    incarnation_key,
+    to_stored_amount,
+    worker_of_incarnation,
+)
+
+MAX_RECENT_IN_SNAPSHOT = 10_000  # a loss is noticed within a deadline of its record
+MAX_RECENT_CALLS = 50_000  # so that a loss that is noticed after its records is not charged again
+CHARGE_KEY_LENGTH = 3  # parts of an archive key, its letter included
+CallKey = tuple[str, str]  # incarnation key, request id
+
+
+def charge_key(charge: ProvisionalCharge) -> CallKey:
+    """Return the key that a charge is stored by."""
+    return incarnation_key(charge.worker, charge.incarnation), charge.call.request_id
+
+
+def recorded_amount(recorded: Mapping[CallKey, int], charge: ProvisionalCharge) -> int:
+    """Return what records charge a lost call, in the incarnation that it was lost in."""
+    keys = {charge_key(charge), (charge.worker, charge.call.request_id)}  # older logs name the worker alone
+    return sum(recorded.get(key, 0) for key in keys)
+
+
+class CallCharges:
+    """Owned by the account; other threads read copies.
+
+    Attributes:
+        provisional: Charges of lost calls that are not settled.
+        estimates: Final charges, from which what records charge is deducted.
+    """
+
+    def __init__(self, archive: Archive | None, transfer_lock: AbstractContextManager[object]) -> None:
+        """``transfer_lock`` guards the moment at which charges move from memory to a run."""
+        self._archive = archive
+        self._transfer_lock = transfer_lock
+        self.provisional: dict[CallKey, ProvisionalCharge] = {}
+        self.estimates: dict[CallKey, ProvisionalCharge] = {}
+        self._recent: OrderedDict[CallKey, int] = OrderedDict()  # what records charged lately
+        # The same of calls of dead workers: never forgotten, as another gateway may have estimated them.
+        self._retained: dict[CallKey, int] = {}
+
+    # ---- changes
+
+    def add_provisional(self, charge: ProvisionalCharge) -> None:
+        """Charge a call whose response was lost.
+
+        Of two losses in one incarnation the longer counts: a retry may have met a dying worker's socket for a
+        millisecond, and the sum of both would be too much.
+        """
+        before = self.provisional.get(charge_key(charge))
+        if before is None or int(before.amount) <= int(charge.amount):
+            self.provisional[charge_key(charge)] = charge
+
+    def void_provisional(self, incarnation: str, request_id: str) -> None:
+        """Remove a call's provisional charge: its records are complete."""
+        self.provisional.pop((incarnation, request_id), None)
+        worker = worker_of_incarnation(incarnation)
+        if worker != incarnation:
+            self.provisional.pop((worker, request_id), None)
+            return
+        # An older log did not name the incarnation.
+        for key in list(self.provisional):
+            if key[1] == request_id and worker_of_incarnation(key[0]) == worker:
+                del self.provisional[key]
+
+    def add_recorded(self, call: CallKey, amount: int) -> None:
+        """Add what a record charges a call; a negative amount subtracts."""
+        if call in self._retained:
+            self._retained[call] += amount
+            return
+        self._recent[call] = self._recent.get(call, 0) + amount
+        if len(self._recent) > MAX_RECENT_CALLS:
+            self._recent.popitem(last=False)
+
+    def finalize(self, entry: IncarnationEnded) -> list[tuple[ProvisionalCharge, int]]:
+        """Make provisional charges final; return each with what is charged by it now."""
+        incarnation = incarnation_key(entry.worker, entry.incarnation)
+        if entry.request_id:
+            call = incarnation, entry.request_id
+            calls = [call] if call in self.provisional else []
+            charges = [self.provisional.pop(call) for call in calls]
+        else:
+            calls = [
+                call
+                for call, charge in self.provisional.items()
+                if (charge.worker, charge.incarnation) == (entry.worker, entry.incarnation)
+            ]
+            self._retain_recent({incarnation, entry.worker})
+            charges = share_instances([self.provisional.pop(call) for call in calls])
+        self.estimates.update(zip(calls, charges, strict=True))
+        return [(charge, self.outstanding(charge)) for charge in charges]
+
+    def _retain_recent(self, incarnations: set[str]) -> None:
+        for call in [call for call in self._recent if call[0] in incarnations]:
+            self._retained[call] = self._recent.pop(call)
+
+    def restore(self, entry: CallCharge | EstimatedCharge | RetainedCallCharge) -> None:
+        """Apply an entry of a snapshot."""
+        match entry:
+            case CallCharge():
+                self.add_recorded((entry.incarnation_key, entry.request_id), int(entry.amount))
+            case EstimatedCharge():
+                self.estimates[charge_key(entry.charge)] = entry.charge
+            case RetainedCallCharge():
+                self._retained[entry.incarnation_key, entry.request_id] = int(entry.amount)
+
+    def snapshot(self, uncounted: CallCharges) -> Iterator[AnyLedgerEntry]:
+        """Yield entries that add up to this state, less ``uncounted``, which the snapshot holds elsewhere."""
+        for call, amount in list(self._recent.items())[-MAX_RECENT_IN_SNAPSHOT:]:
+            if remaining := amount - uncounted.charged(*call):
+                yield CallCharge(*call, to_stored_amount(remaining))
+        yield from self.provisional.values()
+        for charge in self.estimates.values():
+            yield EstimatedCharge(charge)
+        for call, amount in self._retained.items():
+            yield RetainedCallCharge(*call, to_stored_amount(amount - uncounted.charged(*call)))
+
+    def archive_items(self) -> Iterator[KeyValue]:
+        """Yield what a run would hold."""
+        for call, charge in self.estimates.items():
+            yield encode_key("e", *call), encode_entry(charge)
+        for call, amount in self._retained.items():
+            yield encode_key("k", *call), encode_amounts((amount,))
+
+    def forget_archived(self) -> None:
+        """Forget what a run holds now."""
+        self.estimates.clear()
+        self._retained.clear()
+
+    # ---- questions
+
+    @property
+    def archivable_count(self) -> int:
+        """How many entries a run would hold at least."""
+        return max(len(self.estimates), len(self._retained))
+
+    def oldest_provisional_beyond(self, limit: int) -> list[IncarnationEnded]:
+        """Return the entries that make the oldest provisional charges beyond a limit final."""
+        excess = max(0, len(self.provisional) - limit)
+        return [
+            IncarnationEnded(charge.worker, charge.incarnation, charge.call.request_id)
+            for charge in islice(self.provisional.values(), excess)
+        ]
+
+    def charged(self, incarnation: str, request_id: str) -> int:
+        """Return what records of an incarnation charge a call, as far as is in memory."""
+        calls = {(incarnation, request_id), (worker_of_incarnation(incarnation), request_id)}
+        return sum(self._recent.get(call, 0) + self._retained.get(call, 0) for call in calls)
+
+    def outstanding(self, charge: ProvisionalCharge) -> int:
+        """Return what a lost call is charged beyond the records that arrived, as far as is in memory."""
+        return max(0, int(charge.amount) - self.charged(*charge_key(charge)))
+
+    def final_charges(self) -> Iterator[ProvisionalCharge]:
+        """Yield estimated charges before what records charge is deducted, from memory and archive."""
+        with self._transfer_lock:
+            runs = self._archive.runs if self._archive is not None else ()
+            in_memory = list(self.estimates.values())
+        yield from in_memory
+        if self._archive is not None and runs:
+            prefix = encode_key_prefix(CHARGE_KEY_LENGTH, "e")
+            for _, value in self._archive.items_with_prefix(prefix, runs):
+                charge = decode_entry(value)
+                assert isinstance(charge, ProvisionalCharge)
+                yield charge
+
+    def recorded_amounts(self) -> Iterator[tuple[CallKey, int]]:
+        """Yield what records charge calls, of dead workers always, else lately. A call may come twice."""
+        with self._transfer_lock:
+            runs = self._archive.runs if self._archive is not None else ()
+            in_memory = [*self._recent.items(), *self._retained.items()]
+        yield from in_memory
+        if self._archive is not None and runs:
+            prefix = encode_key_prefix(CHARGE_KEY_LENGTH, "k")
+            for key, value in self._archive.items_with_prefix(prefix, runs):
+                _, incarnation, request_id = decode_key(key)
+                yield (str(incarnation), str(request_id)), decode_amounts(value)[0]
+
+    def estimated(self) -> list[tuple[ProvisionalCharge, int]]:
+        """Return estimated charges, each with what is charged by it."""
+        charges = list(self.final_charges())
+        recorded: dict[CallKey, int] = defaultdict(int)
+        if charges:
+            for call, amount in self.recorded_amounts():
+                recorded[call] += amount
+        return [
+            (charge, max(0, int(charge.amount) - recorded_amount(recorded, charge))) for charge in charges
+        ]
--- /dev/null
+++ b/saffronstack/metering/usage_report.py
@@ -0,0 +1,155 @@
+"""Usage reports: totals by chosen columns, as a table, JSON lines or CSV. No I/O."""
+
+from __future__ import annotations
+
+import csv
+import io
+from collections import defaultdict
+from collections.abc import Iterable
+from dataclasses import dataclass
+from datetime import UTC, datetime
+
+import msgspec
+
+from saffronstack.metering.ledger_entries import ProvisionalCharge
+from saffronstack.metering.merged_accounts import MergedAccounts
+from saffronstack.metering.usage_totals import TotalKey
+
+MB_S = 1024 * 1_000_000  # KiB microseconds in a megabyte second
+ESTIMATED_COLUMN = 3  # of the amounts of a row
+PROVISIONAL_COLUMN = 4
+COLUMNS = ("tenant", "function", "class", "worker", "day", "hour")
+
+
+@dataclass(frozen=True, slots=True)
+class UsageRow:
+    """One total, in MB s; ``provisional`` is charged until a worker's record or death settles it."""
+
+    by: tuple[str, ...]
+    loading: float
+    running: float
+    idle: float
+    estimated: float
+    provisional: float
+
+    @property
+    def charged(self) -> float:
+        """Loading and running, with estimated and provisional charges."""
+        return self.loading + self.running + self.estimated + self.provisional
+
+
+def summarize_usage(merged: MergedAccounts, by: tuple[str, ...], tenant: str | None = None) -> list[UsageRow]:
+    """Return totals by some of the columns, largest charge first.
+
+    Args:
+        merged: The accounts.
+        by: Names of columns.
+        tenant: The tenant whose usage is summed; None for all.
+
+    Raises:
+        ValueError: If there is no such column.
+    """
+    unknown = [name for name in by if name not in COLUMNS]
+    if unknown:
+        raise ValueError(f"no column {unknown[0]!r}; there are {', '.join(COLUMNS)}")
+    sums: dict[tuple[str, ...], list[int]] = defaultdict(lambda: [0, 0, 0, 0, 0])
+    for key, amounts in merged.sums(tenant):
+        row = sums[_select_columns(by, key)]
+        for column, amount in enumerate(amounts):
+            row[column] += amount
+    for column, charges in ((ESTIMATED_COLUMN, merged.estimates), (PROVISIONAL_COLUMN, merged.provisional)):
+        for charge in charges.values():
+            if tenant is None or charge.call.tenant == tenant:
+                sums[_select_columns(by, _key_of(charge))][column] += merged.outstanding(charge)
+    found = [
+        UsageRow(values, *(amount / MB_S for amount in amounts))
+        for values, amounts in sums.items()
+        if any(amounts)
+    ]
+    return sorted(found, key=lambda row: (-row.charged, row.by))
+
+
+def _key_of(charge: ProvisionalCharge) -> TotalKey:
+    call = charge.call
+    return TotalKey(call.tenant, charge.function, call.request_class, charge.worker, int(charge.lost_unix_s))
+
+
+def _select_columns(by: tuple[str, ...], key: TotalKey) -> tuple[str, ...]:
+    when = datetime.fromtimestamp(key.hour_start_s, UTC)
+    values = {
+        "tenant": key.tenant or "(nobody)",
+        "function": key.function,
+        "class": key.request_class or "(none)",
+        "worker": key.worker,
+        "day": f"{when:%Y-%m-%d}",
+        "hour": f"{when:%Y-%m-%dT%H}",
+    }
+    return tuple(values[name] for name in by)
+
+
+def amounts_in_column_order(row: UsageRow) -> list[float]:
+    """Its amounts in the order of the heads, in MB s."""
+    return [row.loading, row.running, row.estimated, row.provisional, row.charged, row.idle]
+
+
+AMOUNT_COLUMNS = (
+    "loading_mb_s",
+    "running_mb_s",
+    "estimated_mb_s",
+    "provisional_mb_s",
+    "charged_mb_s",
+    "idle_mb_s",
+)
+
+
+def format_table(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
+    """Return aligned columns; the charge also in GB h."""
+    found = list(found)
+    widths = [max([len(name), *(len(row.by[place]) for row in found)]) for place, name in enumerate(by)]
+    lines = [
+        "  ".join(
+            [
+                *(name.ljust(width) for name, width in zip(by, widths, strict=True)),
+                *(head.rjust(16) for head in AMOUNT_COLUMNS),
+                "charged_gb_h".rjust(13),
+            ]
+        )
+    ]
+    for row in found:
+        names = (text.ljust(width) for text, width in zip(row.by, widths, strict=True))
+        lines.append(
+            "  ".join(
+                [
+                    *names,
+                    *(f"{cell:16.3f}" for cell in amounts_in_column_order(row)),
+                    f"{row.charged / 1024 / 3600:13.6f}",
+                ]
+            )
+        )
+    return "\n".join(lines)
+
+
+def format_json_lines(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
+    """Return one JSON object a line."""
+    return "\n".join(
+        msgspec.json.encode(
+            {
+                **dict(zip(by, row.by, strict=True)),
+                **dict(zip(AMOUNT_COLUMNS, amounts_in_column_order(row), strict=True)),
+            }
+        ).decode()
+        for row in found
+    )
+
+
+def format_csv(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
+    """Return comma-separated values as in RFC 4180."""
+    out = io.StringIO()
+    writer = csv.writer(out)
+    writer.writerow([*by, *AMOUNT_COLUMNS])
+    for row in found:
+        writer.writerow([*row.by, *(f"{cell:.6f}" for cell in amounts_in_column_order(row))])
+    return out.getvalue().rstrip("\r\n")
+
+
+FORMATTERS = {"table": format_table, "jsonl": format_json_lines, "csv": format_csv}
--- a/saffronstack/operations/slot_manager.py
+++ b/saffronstack/operations/slot_manager.py
@@ -150,7 +150,7 @@
             return
         try:
             self._take_over(acquired)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - whatever it is, the slots stay without a holder
             # Without the records a retry can't be told from a first request: no member uses these slots now.
             log.error("slots not acquired: operation logs of earlier holders can't be read", error=str(error))
             self._next_acquisition_s = self._clock() + ACQUIRE_BACKOFF_S
--- a/tests/test_usage_faults.py
+++ b/tests/metering/test_usage_faults.py
@@ -16,11 +16,12 @@
 
 from saffronstack import config as configs
 from saffronstack.durable.file_operations import FileOperations
+from saffronstack.engine.dispatch import AttemptResult
 from saffronstack.gateway import Gateway
-from saffronstack.metering.merging import merge
-from saffronstack.metering.meter import read_usage_log
-from saffronstack.metering.records import Ref, Usage
-from saffronstack.metering.report import MB_S, rows
+from saffronstack.metering.merged_accounts import merge_accounts
+from saffronstack.metering.usage_log import read_usage_log
+from saffronstack.metering.usage_report import MB_S, summarize_usage
+from saffronstack.metering.worker_messages import CallReference, UsageRecord
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
 from tests.support.reckoning import Watch, near, truth
@@ -69,9 +70,11 @@
 
     def metered(self) -> dict[str, float]:
         """What the logs say together, read as the command line reads them."""
-        whole = merge(read_usage_log(log)[0] for log in self.logs)
+        whole = merge_accounts(read_usage_log(log)[0] for log in self.logs)
         assert whole.unbalanced() == []
-        return {row.by[0]: row.charged for row in rows(whole, ("tenant",)) if row.by[0] != "(nobody)"}
+        return {
+            row.by[0]: row.charged for row in summarize_usage(whole, ("tenant",)) if row.by[0] != "(nobody)"
+        }
 
     def agrees(self, exact: bool) -> bool:
         """Within a hundredth of the oracle; and, where no record was lost, exactly what workers recorded."""
@@ -187,13 +190,13 @@
     """Calls whose ends the meter hears of as lost from now on: id, send and end by the monotonic clock."""
     meter, lost = stack.gateway.meter, list[tuple[str, float, float]]()
     assert meter is not None
-    hear = meter._lost
+    charge = meter._losses.charge_lost_attempt
 
-    def note(end: Any, now: float, wall: float) -> None:
-        lost.append((end.call.request_id, now - end.outcome.elapsed_s, now))
-        hear(end, now, wall)
+    def note(result: AttemptResult, lost_s: float, lost_unix_s: float) -> None:
+        lost.append((result.call.request_id, lost_s - result.outcome.elapsed_s, lost_s))
+        charge(result, lost_s, lost_unix_s)
 
-    meter._lost = note  # type: ignore[method-assign]
+    meter._losses.charge_lost_attempt = note  # type: ignore[method-assign]
     return lost
 
 
@@ -212,7 +215,7 @@
         found.watch.die(1)
         calls(stack, 100, 4)  # numbers begin again in the new lives
         found.settles(exact=False)
-        assert all(worker.outbox.all[0].seq == 1 for worker in found.fleet.workers)
+        assert all(worker.outbox.all[0].sequence_number == 1 for worker in found.fleet.workers)
 
 
 def test_a_killed_gateway_and_another_share_the_records(tmp_path: pathlib.Path) -> None:
@@ -267,8 +270,8 @@
         step_s = 86400.0
         calls(stack, 20, 3)
         found.settles()
-        whole = merge(read_usage_log(log)[0] for log in found.logs)
-        hours = [int(row.by[0][8:10]) * 24 + int(row.by[0][11:]) for row in rows(whole, ("hour",))]
+        whole = merge_accounts(read_usage_log(log)[0] for log in found.logs)
+        hours = [int(row.by[0][8:10]) * 24 + int(row.by[0][11:]) for row in summarize_usage(whole, ("hour",))]
         assert len(set(hours)) >= 3
 
 
@@ -287,30 +290,30 @@
                 offered.worker,
                 offered.incarnation,
                 offered.now_us + day_us,
-                offered.mine,
-                offered.gone,
-                offered.known,
-                offered.dropped,
+                offered.confirmed,
+                offered.relinquished,
+                offered.ended_request_ids,
+                offered.dropped_records,
                 offered.records,
-                offered.left,
+                offered.remaining_records,
             )
         )(real(asked, now_s))
         calls(stack, 10, 2)
         found.settles()
-        whole = merge(read_usage_log(log)[0] for log in found.logs)
-        assert len(rows(whole, ("day",))) == 2
+        whole = merge_accounts(read_usage_log(log)[0] for log in found.logs)
+        assert len(summarize_usage(whole, ("day",))) == 2
 
 
 @pytest.mark.parametrize(
     "lie",
     [
-        {"run": -1},
+        {"running_instances": -1},
         {"end_us": 1 << 60},
         {"memory_kib": 1 << 50},
         {"start_us": -5},
         {"worker": "worker-2"},
         {"function": "f" * 1000},
-        {"running": tuple(Ref(str(n), "campus-app", "c") for n in range(20_000))},
+        {"running_calls": tuple(CallReference(str(n), "campus-app", "c") for n in range(20_000))},
     ],
 )
 def test_a_worker_that_lies_is_refused_and_nothing_else_is_lost(
@@ -327,24 +330,24 @@
             "memory_kib": 1024,
             "start_us": 0,
             "end_us": 10,
-            "load": 0,
-            "run": 1,
-            "idle": 0,
-            "waiting": (),
-            "running": (Ref("x", "campus-app", "c"),),
+            "loading_instances": 0,
+            "running_instances": 1,
+            "idle_instances": 0,
+            "waiting_calls": (),
+            "running_calls": (CallReference("x", "campus-app", "c"),),
         }
         with box._lock:
             box._seq += 1
-            box._open[box._seq] = Usage(seq=box._seq, **{**good, **lie}), -1e9
+            box._open[box._seq] = UsageRecord(sequence_number=box._seq, **{**good, **lie}), -1e9
         calls(stack, 6, 2)
         meter = stack.gateway.meter
         assert meter is not None
-        eventually(lambda: meter.refused)
+        eventually(lambda: meter.rejected)
         found.settles()
-        refused = meter.refused
+        refused = meter.rejected
         calls(stack, 6, 3)
         found.settles()
-        assert meter.refused <= refused + 2  # it is not offered for ever
+        assert meter.rejected <= refused + 2  # it is not offered for ever
 
 
 def test_a_random_run_against_the_oracle(tmp_path: pathlib.Path) -> None:
@@ -397,7 +400,7 @@
             assert client.invoke("identify-copy", b"{}").status == 200
         limits = stack.gateway.limits
         assert limits is not None
-        eventually(lambda: limits.judge("corner-books", time.monotonic()).wait_s)
+        eventually(lambda: limits.evaluate("corner-books", time.monotonic()).retry_after_s)
         client.close()
         found.stop(stack)
         again = found.start("one", tenants=tenants, ledger=tmp_path / "ledger")
--- a/tests/operations/test_execution.py
+++ b/tests/operations/test_execution.py
@@ -80,5 +80,6 @@
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 def test_only_idempotent_executions_are_abandoned_after_an_attempt(idempotency: Idempotency) -> None:
     execution = execution_of(idempotency)
-    assert execution.try_mark_sent() and execution.has_sent
+    assert execution.try_mark_sent()
+    assert execution.has_sent
     assert execution.try_abandon() == (idempotency is Idempotency.IDEMPOTENT)
--- a/tests/operations/test_request_coalescing.py
+++ b/tests/operations/test_request_coalescing.py
@@ -16,7 +16,8 @@
     assert (other is first, is_own, first.waiters) == (True, False, 1)
     cache.leave(first)
     cache.complete(first, None, 0, 0.0, 0.2)  # nothing worth keeping: the next one runs it
-    assert first.done is not None and first.done.is_set()
+    assert first.done is not None
+    assert first.done.is_set()
     second, is_own = cache.join_or_start(key, 5, "id-4", 0.3)
     assert is_own
     cache.complete(second, "answer", 10, 10.0, 0.4)
--- a/tests/operations/test_response_store.py
+++ b/tests/operations/test_response_store.py
@@ -24,7 +24,8 @@
 
 def test_the_oldest_body_is_deleted_to_keep_the_limit(tmp_path: pathlib.Path) -> None:
     store = ResponseStore(str(tmp_path), LIMIT_BYTES)
-    assert store.save("first", RESPONSE.body) and store.save("second", RESPONSE.body)
+    assert store.save("first", RESPONSE.body)
+    assert store.save("second", RESPONSE.body)
     digest = body_digest(RESPONSE.body)
     assert (store.load("first", digest), store.load("second", digest)) == (None, RESPONSE.body)
     assert store.stored_bytes == 60
--- a/tests/operations/test_slot_manager.py
+++ b/tests/operations/test_slot_manager.py
@@ -76,7 +76,8 @@
     left = set(kept.handed_over)
     assert left == {(bytes([slot]), b"left") for slot in range(SLOT_COUNT) if second.is_held(slot)}
     peer = first.assigned_peer(next(slot for slot in range(SLOT_COUNT) if second.is_held(slot)))
-    assert peer is not None and peer.address == "host:b"
+    assert peer is not None
+    assert peer.address == "host:b"
     assert second.stop()
     eventually(lambda: first.held_count == SLOT_COUNT)
     assert first.stop()
--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -131,7 +131,8 @@
     store = ResponseStore(str(tmp_path), 1 << 20)
     body = store.load("0123456789abcdef", digest)
     assert body == (kept / "answers" / "0123456789abcdef").read_bytes()
-    assert body_digest(body) == digest and store.stored_bytes == len(body)
+    assert body_digest(body) == digest
+    assert store.stored_bytes == len(body)
     assert store.save("another", body)
     assert (tmp_path / "answers" / "another").read_bytes() == body
 
