--- a/tests/discovery/files/test_parsing.py
+++ b/tests/discovery/files/test_parsing.py
@@ -54,6 +54,7 @@
         {**entry("w1"), "id": f"w-{n}", "address": f"127.{n // 40000}.{n // 200 % 200}.{n % 200 + 1}:80"}
         for n in range(10_000)
     ]
-    start = time.perf_counter()
+    started_s = time.process_time()
     assert len(parse(file_text(*entries)).workers) == 10_000
-    assert time.perf_counter() - start < 10.0  # it took 44 s for a thousand
+    # Processor time: on a machine that runs other tests beside, the wall clock measures those as well.
+    assert time.process_time() - started_s < 10.0  # it took 44 s for a thousand
