--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -24,7 +24,7 @@
 from itertools import count
 from typing import Any
 
-from saffronstack.bench.simhost import Host
+from saffronstack.bench.simhost import RouterHost
 
 # Records of the simulator's wire, as the routing process reads them.
 CLIENT_GONE, OUTCOME, HEALTH_CHECK, REQUEST, STARTED, STREAM_STARTED, TIMER, ENDPOINTS, GOSSIP, LOADED = (
@@ -208,7 +208,7 @@
     def __init__(self, settings: dict[str, Any], seed: int, workers: int = USUAL_WORKERS) -> None:
         self.random = random.Random(seed)
         self.settings = settings
-        self.host = Host()
+        self.host = RouterHost()
         self.digest = hashlib.sha256()
         self.events: Counter[int] = Counter()
         self.actions: Counter[int] = Counter()
@@ -235,7 +235,7 @@
     def _tell(self, code: int, body: bytes) -> None:
         self.events[code] += 1
         record = HEAD.pack(code, 1) + body
-        reply = self.host.batch(self.now, record, 1)
+        reply = self.host.handle_batch(self.now, record, 1)
         self.digest.update(struct.pack("<d", self.now) + record + b"\0" + reply)
         at = 0
         while at < len(reply):
--- a/saffronstack/bench/simhost.py
+++ b/saffronstack/bench/simhost.py
@@ -13,7 +13,7 @@
 MALFORMED_INPUT_STATUS = 2
 
 
-class Host:
+class RouterHost:
     """Independent routers, one for each running instance.
 
     Attributes:
@@ -25,7 +25,7 @@
         self.routers: dict[int, Router] = {}
         self.load_report_fields: dict[int, tuple[str, ...]] = {}
 
-    def batch(self, now: float, body: bytes, records: int) -> bytes:
+    def handle_batch(self, now: float, body: bytes, records: int) -> bytes:
         """Handle the records of one batch and return those of its reply.
 
         Raises:
@@ -72,12 +72,12 @@
     Raises:
         WireError: A batch is malformed.
     """
-    host = Host()
+    host = RouterHost()
     while first := source.read(1):
         header = first + _read_exactly(source, wire.BATCH_HEADER.size - 1)
-        now, length, records, number = wire.BATCH_HEADER.unpack(header)
-        reply = host.batch(now, _read_exactly(source, length), records)
-        sink.write(wire.REPLY_HEADER.pack(len(reply), number) + reply)
+        now, length, records, batch_number = wire.BATCH_HEADER.unpack(header)
+        reply = host.handle_batch(now, _read_exactly(source, length), records)
+        sink.write(wire.REPLY_HEADER.pack(len(reply), batch_number) + reply)
         sink.flush()
 
 
--- a/saffronstack/bench/wire.py
+++ b/saffronstack/bench/wire.py
@@ -167,7 +167,7 @@
             return None
         return parse_load_report(zip(self.load_report_fields.get(instance, ()), values, strict=False))
 
-    def _result(self, code: int) -> Result:
+    def _to_result(self, code: int) -> Result:
         result = RESULTS.get(code)
         if result is None:
             raise WireError(f"unknown outcome {code} before byte {self.offset}")
@@ -225,10 +225,10 @@
         )
 
     def _read_attempt_outcome(self, instance: int) -> WireEvent:
-        request_id, note, code, is_final, elapsed_s, attempt, worker_id, count = self._unpack(
-            _ATTEMPT_OUTCOME
+        request_id, status_and_concurrency, code, is_final, elapsed_s, attempt, worker_id, count = (
+            self._unpack(_ATTEMPT_OUTCOME)
         )
-        result = self._result(code)
+        result = self._to_result(code)
         load_report = self._read_load_report(instance, count)
         return AttemptOutcome(
             request_id,
@@ -237,20 +237,20 @@
             result,
             elapsed_s,
             bool(is_final),
-            _CACHE_STATUSES.get(note & _CACHE_STATUS_MASK, CacheStatus.UNKNOWN),
-            note >> _CACHE_STATUS_BITS if result in _RESULTS_WITH_CONCURRENCY else None,
+            _CACHE_STATUSES.get(status_and_concurrency & _CACHE_STATUS_MASK, CacheStatus.UNKNOWN),
+            status_and_concurrency >> _CACHE_STATUS_BITS if result in _RESULTS_WITH_CONCURRENCY else None,
             load_report,
         )
 
     def _read_health_check_result(self, instance: int) -> WireEvent:
         elapsed_s, code, worker_id, count = self._unpack(_HEALTH_CHECK_RESULT)
         return HealthCheckResult(
-            worker_id, self._result(code), elapsed_s, self._read_load_report(instance, count)
+            worker_id, self._to_result(code), elapsed_s, self._read_load_report(instance, count)
         )
 
     def _read_load_command_result(self, instance: int) -> WireEvent:
         instances, code, function_id, elapsed_s, worker_id = self._unpack(_LOAD_COMMAND_RESULT)
-        return LoadCommandResult(worker_id, function_id, instances, self._result(code), elapsed_s)
+        return LoadCommandResult(worker_id, function_id, instances, self._to_result(code), elapsed_s)
 
     def _read_timer_fired(self, instance: int) -> WireEvent:
         return TimerFired(self._unpack(_IDENTIFIER)[0])
--- a/saffronstack/routing/components.py
+++ b/saffronstack/routing/components.py
@@ -37,7 +37,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Build the parts; they share one random generator, whose draws are part of the decisions."""
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         keep_s = keep_alive_s(settings)
         self.settings = settings
         self.fleet = Fleet()
@@ -47,7 +47,7 @@
         self.rates = RequestRates()
         self.cpu = CpuUtilization()
         self.shared_instances = SharedInstances()
-        self.slow_start = SlowStart(settings, self.fleet, self.rates, self.cpu, chance)
+        self.slow_start = SlowStart(settings, self.fleet, self.rates, self.cpu, rng)
         self.eligibility = Eligibility(self.slow_start)
         self.warm_pool = WarmPool(self.functions, self.eligibility, keep_s)
         self.memory = MemoryAccount(settings, self.fleet, keep_s)
@@ -55,11 +55,11 @@
         self.idle_sweep = IdleSweep(self.functions, self.membership, self.warm_pool, self.rates, keep_s)
         self.concurrency_limiter = ConcurrencyLimiter(settings)
         self.outlier_detection = OutlierDetection(self.fleet)
-        self.load_shedder = LoadShedder(settings, self.rates, self.shared_instances, chance)
+        self.load_shedder = LoadShedder(settings, self.rates, self.shared_instances, rng)
         self.load_control = LoadControl(settings, self.fleet, self.shared_instances)
         self.load_commands = LoadCommands(settings, self.load_control, self.memory, self.warm_pool)
         self.retry_policy = RetryPolicy(settings)
         self.request_queue = RequestQueue(self.requests)
         self.placement = Placement(
-            self.fleet, self.attempts, self.memory, self.rates, self.cpu, self.shared_instances, chance
+            self.fleet, self.attempts, self.memory, self.rates, self.cpu, self.shared_instances, rng
         )
--- a/saffronstack/routing/dispatcher.py
+++ b/saffronstack/routing/dispatcher.py
@@ -51,7 +51,7 @@
         if function is None:
             function = self._functions[function_id] = Function()
         if not self._retry_policy.may_attempt(now, pending):
-            self.answer(pending)
+            self.give_final_answer(pending)
             return
         self._memory.expire(now)
         weight, mean_weight = pending.priority_weight, self._shedder.mean_priority_weight
@@ -64,16 +64,16 @@
         expects_warm = function_id not in worker.loads_in_progress
         self._send(now, pending, worker, function, expects_warm, freed_s)
 
-    def answer(self, pending: PendingRequest) -> None:
+    def give_final_answer(self, pending: PendingRequest) -> None:
         """Give the final answer to a request that gets no other attempt."""
         del self._requests[pending.request.request_id]
         self.actions.append(self._retry_policy.final_answer(pending))
 
-    def serve_waiting(self, now: float) -> None:
+    def dispatch_queued(self, now: float) -> None:
         """Dispatch requests that were held back, as far as instances and load slots are free."""
         if self._queue.functions:
-            self._serve_free_instances(now)
-            self._serve_free_load_slots(now)
+            self._use_free_instances(now)
+            self._use_free_load_slots(now)
 
     def _dispatch_without_instance(
         self, now: float, pending: PendingRequest, function: Function, can_wait: bool
@@ -83,18 +83,18 @@
         eligible = [worker for worker in self._workers.values() if is_eligible(now, pending, worker)]
         load_attempts = sum(not attempt.expects_warm for attempt in pending.attempts)
         if not eligible or load_attempts >= MAX_LOAD_ATTEMPTS:
-            self.answer(pending)
+            self.give_final_answer(pending)
         elif self._load_control.may_load(now, pending.request, function, can_wait):
             worker = self._placement.choose(now, pending.request, function, eligible)
             if self._load_commands.may_send(now):
                 self.actions.append(self._load_commands.send(now, pending.request, worker, function))
-                self.actions.append(self._queue.hold(now, pending, function))
+                self.actions.append(self._queue.enqueue(now, pending, function))
             else:
                 self._send(now, pending, worker, function, False, 0.0)
-        elif self._queue.may_hold(now, pending):
-            self.actions.append(self._queue.hold(now, pending, function))
+        elif self._queue.may_enqueue(now, pending):
+            self.actions.append(self._queue.enqueue(now, pending, function))
         else:
-            self.answer(pending)
+            self.give_final_answer(pending)
 
     def _send(
         self,
@@ -107,8 +107,12 @@
     ) -> None:
         """Send the next attempt of a request to a worker."""
         request, worker_id = pending.request, worker.endpoint.worker_id
-        is_unknown = not expects_warm and not self._memory.knows_instance(worker, request.function_id)
-        attempt = Attempt(request, len(pending.attempts), worker, now, expects_warm, is_unknown, freed_s)
+        expects_no_instance = not expects_warm and not self._memory.knows_instance(
+            worker, request.function_id
+        )
+        attempt = Attempt(
+            request, len(pending.attempts), worker, now, expects_warm, expects_no_instance, freed_s
+        )
         if expects_warm:
             function.warm_attempts_in_flight += 1
             worker.warm_attempts_in_flight += 1
@@ -125,27 +129,27 @@
             self._outliers.start_trial(now, worker)
         self.actions.append(SendAttempt(request.request_id, worker_id))
 
-    def _serve_free_instances(self, now: float) -> None:
+    def _use_free_instances(self, now: float) -> None:
         """Give free instances to the newest requests held back, the function with the weightiest first."""
         for function in self._queue.functions_with_instances():
             while function.waiting and function.warm_instances:
-                free = len(function.warm_instances)
+                instances_before = len(function.warm_instances)
                 self._dispatch_newest(now, function, True)
-                if len(function.warm_instances) >= free:
+                if len(function.warm_instances) >= instances_before:
                     break
 
-    def _serve_free_load_slots(self, now: float) -> None:
+    def _use_free_load_slots(self, now: float) -> None:
         """Give free load slots to the functions for which most weight is held back."""
         for _ in range(len(self._queue.functions)):
-            function = self._queue.heaviest_without_load()
+            function = self._queue.heaviest_function_without_load()
             if function is None or not self._load_control.has_free_slot():
                 break
-            loads = self._load_control.loads_in_progress
+            loads_before = self._load_control.loads_in_progress
             self._dispatch_newest(now, function, False)
-            if self._load_control.loads_in_progress <= loads:
+            if self._load_control.loads_in_progress <= loads_before:
                 break
 
     def _dispatch_newest(self, now: float, function: Function, can_wait: bool) -> None:
-        pending = self._queue.take_newest(function)
+        pending = self._queue.pop_newest(function)
         if pending is not None:
             self.dispatch(now, pending, can_wait)
--- a/saffronstack/routing/load_commands.py
+++ b/saffronstack/routing/load_commands.py
@@ -71,7 +71,7 @@
     def send(self, now: float, request: Request, worker: Worker, function: Function) -> LoadFunction:
         """Return a command to load the function of a request at a worker."""
         placed = self._memory.instances_at(worker, request)
-        placed.used_s = now
+        placed.last_used_s = now
         if placed.attempts_in_flight >= placed.instances * request.concurrency:
             self._memory.set_instances(worker, placed, placed.instances + 1)
         instances = max(1, min(MAX_INSTANCES, placed.instances))
@@ -102,11 +102,11 @@
         self._load_control.observe(now, result.result, load_s)
         placed = self._memory.instances_at(worker, request)
         if result.result is Result.OK:
-            placed.used_s = now
+            placed.last_used_s = now
             slots = int(request.concurrency)
             free = max(1, slots * max(1, result.instances) - placed.attempts_in_flight)
-            known = sum(instance[0] is worker for instance in function.warm_instances)
-            self._warm_pool.release(now, function, worker, max(1, min(slots, free - known)))
+            known_slots = sum(instance[0] is worker for instance in function.warm_instances)
+            self._warm_pool.release(now, function, worker, max(1, min(slots, free - known_slots)))
         else:
             function.load_rejected_until_s[result.worker_id] = now + REJECTED_LOAD_PAUSE_S
             self._memory.set_instances(worker, placed, result.instances)
--- a/saffronstack/routing/load_shedding.py
+++ b/saffronstack/routing/load_shedding.py
@@ -17,7 +17,7 @@
 INCREASE_STEP = 0.02  # of the requests of mean weight, by each late response or one at capacity
 DECREASE_STEP = 0.01  # of the same, by each timely response
 MAX_SHED_FRACTION = 0.75  # some requests must go on, since responses alone lower the fraction
-# Part of the fraction that sheds nothing: where responses are few, chance alone brings it about.
+# Part of the fraction that should_reject nothing: where responses are few, chance alone brings it about.
 TOLERATED_FRACTION = 0.15
 RESPONSE_WINDOW_S = 2.0  # memory of how many responses there are to judge by
 # Responses a second from which on the steps are those above; with fewer they are larger, so that all
@@ -49,12 +49,12 @@
     )
 
     def __init__(
-        self, settings: Settings, rates: RequestRates, shared: SharedInstances, chance: random.Random
+        self, settings: Settings, rates: RequestRates, shared: SharedInstances, rng: random.Random
     ) -> None:
         self._settings = settings
         self._rates = rates
         self._shared = shared
-        self._random = chance
+        self._random = rng
         self._quotas = sum(tenant.quota_rps for tenant in settings.tenants) or 1.0
         self._responses = DecayedCounter(RESPONSE_WINDOW_S)
         self.shed_fraction = 0.0
@@ -89,7 +89,7 @@
         else:
             self.mean_priority_weight += weight
 
-    def sheds(self, pending: PendingRequest) -> bool:
+    def should_reject(self, pending: PendingRequest) -> bool:
         """Return whether to reject a new request at once."""
         if not self._shared.are_common():
             return False
--- a/saffronstack/routing/membership.py
+++ b/saffronstack/routing/membership.py
@@ -44,7 +44,7 @@
         workers = self._fleet.workers
         for worker_id in [number for number, worker in workers.items() if not worker.is_listed]:
             worker = workers[worker_id]
-            self._void(worker)
+            self._drop_instances(worker)
             if not worker.attempts_in_flight and not worker.loads_in_progress:
                 self._memory.forget_worker(worker_id)
                 del workers[worker_id]
@@ -65,11 +65,11 @@
         worker.endpoint = endpoint
         if has_started:
             self._slow_start.begin(now, worker)
-            self._void(worker)
+            self._drop_instances(worker)
         worker.is_ready = endpoint.state is WorkerState.READY
         worker.is_listed = endpoint.state is not WorkerState.REMOVED
 
-    def _void(self, worker: Worker) -> None:
+    def _drop_instances(self, worker: Worker) -> None:
         """Drop the instances of a worker that has restarted or is gone."""
-        self._memory.void_worker(worker)
-        self._warm_pool.void_worker(worker)
+        self._memory.drop_instances(worker)
+        self._warm_pool.drop_instances(worker)
--- a/saffronstack/routing/memory_account.py
+++ b/saffronstack/routing/memory_account.py
@@ -27,13 +27,13 @@
         memory_mb: Memory of one instance.
         instances: How many there are by this account.
         attempts_in_flight: Own attempts at them.
-        used_s: When one of them was last used.
+        last_used_s: When one of them was last used.
     """
 
     memory_mb: float
     instances: int = 0
     attempts_in_flight: int = 0
-    used_s: float = 0.0
+    last_used_s: float = 0.0
 
 
 class Expiry(NamedTuple):
@@ -106,13 +106,13 @@
             due = heapq.heappop(self.expiries)
             key = due.worker_id, due.function_id
             placed = self.placed.get(key)
-            if placed and not placed.attempts_in_flight and placed.used_s + self._keep_alive_s < now:
+            if placed and not placed.attempts_in_flight and placed.last_used_s + self._keep_alive_s < now:
                 worker = self._fleet.workers.get(due.worker_id)
                 if worker is not None:
                     worker.placed_mb -= placed.instances * placed.memory_mb
                 del self.placed[key]
 
-    def void_worker(self, worker: Worker) -> None:
+    def drop_instances(self, worker: Worker) -> None:
         """Note that a worker lost its instances, by a restart."""
         for (worker_id, _), placed in self.placed.items():
             if worker_id == worker.endpoint.worker_id:
--- a/saffronstack/routing/outcome_feedback.py
+++ b/saffronstack/routing/outcome_feedback.py
@@ -95,7 +95,7 @@
         worker. It could hurt functions that are slow by themselves.
         """
         request = attempt.request
-        placed.used_s = now
+        placed.last_used_s = now
         if outcome.cache_status in LOADED:
             free = int(request.concurrency) - placed.attempts_in_flight
             self._warm_pool.release(now, function, attempt.worker, max(1, free))
--- a/saffronstack/routing/outlier_detection.py
+++ b/saffronstack/routing/outlier_detection.py
@@ -11,7 +11,7 @@
 
 SLOWNESS_RATIO = 3.0  # multiple of the median worker's slowness from which a worker is an outlier
 ERROR_FRACTION = 0.25  # fraction of errors, over twice the median's, from which a worker is an outlier
-CONSECUTIVE_UNREACHED = 2  # attempts in a row without any response that make a worker an outlier
+CONNECTION_FAILURE_THRESHOLD = 2  # attempts in a row without any response that make a worker an outlier
 # Factor on the bounds above that an ejected worker must come under to return: without it a worker near a
 # bound would change sides with every response.
 RETURN_FACTOR = 0.7
@@ -27,7 +27,7 @@
 )
 MAX_SLOWNESS = 10.0  # at which one response counts in a worker's slowness, for the same reason
 MIN_LATENCY_S = 1e-3  # usual latency where the first response took no time at all
-UNREACHED_RESULTS = (Result.CONNECT_FAILED, Result.RESET)
+CONNECTION_FAILURES = (Result.CONNECT_FAILED, Result.RESET)
 TIMED_RESULTS = (Result.OK, Result.TIMEOUT, Result.CANCELLED)
 
 
@@ -55,8 +55,10 @@
         weight = TRIAL_WEIGHT if worker.is_ejected else RESPONSE_WEIGHT
         result = outcome.result
         if result is not Result.CANCELLED:
-            is_unreached = result in UNREACHED_RESULTS
-            worker.consecutive_unreached = worker.consecutive_unreached + 1 if is_unreached else 0
+            is_connection_failure = result in CONNECTION_FAILURES
+            worker.consecutive_connection_failures = (
+                worker.consecutive_connection_failures + 1 if is_connection_failure else 0
+            )
         is_error = result is Result.ERROR and outcome.cache_status is not CacheStatus.LOAD_FAILED
         if is_error or result is Result.OK:
             worker.error_fraction += weight * (is_error - worker.error_fraction)
@@ -88,9 +90,9 @@
         ready = self._fleet.ready_workers()
         if not ready:
             return
-        middle = (len(ready) - 1) // 2
-        median_slowness = sorted(worker.slowness for worker in ready)[middle]
-        median_errors = sorted(worker.error_fraction for worker in ready)[middle]
+        median_index = (len(ready) - 1) // 2
+        median_slowness = sorted(worker.slowness for worker in ready)[median_index]
+        median_errors = sorted(worker.error_fraction for worker in ready)[median_index]
         outliers = []
         for worker in ready:
             score = _score(worker, median_slowness, median_errors)
@@ -112,4 +114,4 @@
     if worker.slowness_samples >= MIN_SLOWNESS_SAMPLES:
         slowness = worker.slowness / (factor * SLOWNESS_RATIO * median_slowness)
     errors = worker.error_fraction / (factor * (ERROR_FRACTION + 2 * median_errors))
-    return max(slowness, errors, worker.consecutive_unreached / CONSECUTIVE_UNREACHED)
+    return max(slowness, errors, worker.consecutive_connection_failures / CONNECTION_FAILURE_THRESHOLD)
--- a/saffronstack/routing/placement.py
+++ b/saffronstack/routing/placement.py
@@ -22,10 +22,10 @@
 MIN_FREE_MEMORY = 1e-3  # of a worker's memory, for the rank of one that is full
 MIN_CAPACITY = 1e-6  # of a worker, for the rank of one without any
 PRIOR_REQUESTS = 10.0  # requests for other functions that count as seen: few own requests prove little
-INITIAL_SPREAD = 1.5  # workers for each one that a function's part of the own requests would fill
-MAX_SPREAD = 10.0
+INITIAL_SPREAD_FACTOR = 1.5  # workers for each one that a function's part of the own requests would fill
+MAX_SPREAD_FACTOR = 10.0
 SPREAD_INCREASE = 1.05  # by an attempt that finds a shared instance with all its slots in use
-SPREAD_EASE = 0.99  # by one that finds a slot free
+SPREAD_SLOW_DECREASE = 0.99  # by one that finds a slot free
 SPREAD_DECREASE = 0.8  # by one that needs a load
 CPU_STEPS = 10  # steps of the relative idle CPU; smaller differences between two workers decide nothing
 # Attempts in flight, relative to a worker's capacity, over which it gets no load: a multiple of the fleet's.
@@ -43,10 +43,10 @@
     """Chooses workers for loads.
 
     Attributes:
-        spread: Workers for each one that a function's part of the own requests would fill.
+        spread_factor: Workers for each one that a function's part of the own requests would fill.
     """
 
-    __slots__ = ("_attempts", "_cpu", "_fleet", "_memory", "_random", "_rates", "_shared", "spread")
+    __slots__ = ("_attempts", "_cpu", "_fleet", "_memory", "_random", "_rates", "_shared", "spread_factor")
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         rates: RequestRates,
         cpu: CpuUtilization,
         shared: SharedInstances,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._fleet = fleet
         self._attempts = attempts
@@ -64,8 +64,8 @@
         self._rates = rates
         self._cpu = cpu
         self._shared = shared
-        self._random = chance
-        self.spread = INITIAL_SPREAD
+        self._random = rng
+        self.spread_factor = INITIAL_SPREAD_FACTOR
 
     def choose(self, now: float, request: Request, function: Function, eligible: list[Worker]) -> Worker:
         """Return the worker at which to load the function of a request; ``eligible`` is not empty."""
@@ -82,16 +82,16 @@
                 candidates,
                 key=lambda worker: (worker.attempts_in_flight, rendezvous_rank(worker, function_id)),
             )
-        first = heapq.nsmallest(
-            self._spread_over(now, function_id),
+        top_ranked = heapq.nsmallest(
+            self._candidate_count(now, function_id),
             with_free_memory,
             key=lambda worker: rendezvous_rank(worker, function_id) / self._rank_weight(now, worker),
         )
         # The better of two, not the best of all: gateways that learn of load late would all choose the same.
-        if len(first) > 2:
-            first = self._random.sample(first, 2)
+        if len(top_ranked) > 2:
+            top_ranked = self._random.sample(top_ranked, 2)
         return min(
-            first,
+            top_ranked,
             key=lambda worker: (
                 worker.attempts_in_flight,
                 -round(CPU_STEPS * self._cpu.relative_idle(now, worker)),
@@ -116,10 +116,10 @@
                 or concurrency is None
                 or concurrency >= max(1.0, attempt.request.concurrency)
             )
-            factor = SPREAD_INCREASE if is_full else SPREAD_EASE
+            factor = SPREAD_INCREASE if is_full else SPREAD_SLOW_DECREASE
         else:
             factor = SPREAD_DECREASE
-        self.spread = min(MAX_SPREAD, max(1.0, self.spread * factor))
+        self.spread_factor = min(MAX_SPREAD_FACTOR, max(1.0, self.spread_factor * factor))
 
     def _below_attempts_bound(self, workers: list[Worker]) -> list[Worker]:
         """Return the workers with few loads and attempts in flight for their capacity.
@@ -135,7 +135,7 @@
             and worker.attempts_in_flight < max(MIN_ATTEMPTS_BOUND, per_capacity * worker.endpoint.capacity)
         ]
 
-    def _spread_over(self, now: float, function_id: int) -> int:
+    def _candidate_count(self, now: float, function_id: int) -> int:
         """Return over how many workers a function goes.
 
         As many as its part of the own requests would fill times the spread, and two at least where CPU
@@ -148,7 +148,7 @@
         requests = self._rates.of_function(now, function_id)
         fraction = requests / (self._rates.total.value(now) + PRIOR_REQUESTS)
         minimum = 2 if self._cpu.fleet_mean else 1
-        return max(minimum, round(self.spread * fraction * self._fleet.ready_count))
+        return max(minimum, round(self.spread_factor * fraction * self._fleet.ready_count))
 
     def _rank_weight(self, now: float, worker: Worker) -> float:
         """Return the weight of a worker in the ranking, by free memory and idle CPU.
--- a/saffronstack/routing/retry_policy.py
+++ b/saffronstack/routing/retry_policy.py
@@ -17,7 +17,7 @@
 # Retry budget. Without it, workers at capacity make each request several attempts, which load more instances;
 # it could hurt where many responses are lost.
 RETRIES_PER_REQUEST = 0.1
-MAX_SAVED_RETRIES = 5.0
+MAX_RETRY_BUDGET = 5.0
 WINDOW_MARGIN_S = 0.05  # a retry must arrive this long before its idempotency key is forgotten
 RETRY_AFTER_S = 0.5  # clients are asked to wait this long after a rejection, as far as the site permits
 
@@ -38,31 +38,31 @@
     """Decides on attempts and final answers; keeps the retry budget.
 
     Attributes:
-        saved_retries: Retries that may be made now.
+        retry_budget: Retries that may be made now.
     """
 
-    __slots__ = ("_max_attempts", "_retry_after_s", "saved_retries")
+    __slots__ = ("_max_attempts", "_retry_after_s", "retry_budget")
 
     def __init__(self, settings: Settings) -> None:
         self._max_attempts = settings.permissions.max_attempts
         self._retry_after_s = min(RETRY_AFTER_S, settings.permissions.max_retry_after_s)
-        self.saved_retries = MAX_SAVED_RETRIES
+        self.retry_budget = MAX_RETRY_BUDGET
 
     def record_request(self) -> None:
         """Add to the budget for a new request."""
-        self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + RETRIES_PER_REQUEST)
+        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
 
     def record_attempt(self, pending: PendingRequest) -> None:
         """Take from the budget if the next attempt of a request is a retry."""
         if pending.attempts:
-            self.saved_retries -= 1
+            self.retry_budget -= 1
 
     def may_attempt(self, now: float, pending: PendingRequest) -> bool:
         """Return whether another attempt fits deadline, number of attempts, budget and idempotency."""
         attempts = len(pending.attempts)
         if now >= pending.request.deadline_s or 0 < self._max_attempts <= attempts:
             return False
-        if attempts and self.saved_retries < 1:
+        if attempts and self.retry_budget < 1:
             return False
         return pending.maybe_executed is None or self._may_execute_again(now, pending)
 
--- a/saffronstack/routing/router.py
+++ b/saffronstack/routing/router.py
@@ -19,14 +19,17 @@
     WorkerState,
 )
 from saffronstack.routing.outcome_feedback import OutcomeFeedback
-from saffronstack.routing.request_queue import hold_end_s
+from saffronstack.routing.request_queue import queue_deadline_s
 from saffronstack.routing.retry_policy import NEVER_EXECUTED
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.state import Attempt, PendingRequest, Worker
 from saffronstack.routing.validation import validate_settings
 
-STALE_LISTS = (EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED)  # a subscription is missing or broken
-UNKNOWN_PLACE = -1  # zone and cell of a worker that is not known: no other worker is in them
+STALE_UPDATE_KINDS = (
+    EndpointUpdateKind.CACHED,
+    EndpointUpdateKind.FAILED,
+)  # a subscription is missing or broken
+UNKNOWN_LOCATION = -1  # zone and cell of a worker that is not known: no other worker is in them
 
 
 class Router:
@@ -99,15 +102,15 @@
             request,
             self._settings.classes[request.class_index],
             parts.load_shedder.priority_weight(now, request),
-            hold_end_s(now, request),
+            queue_deadline_s(now, request),
         )
         if request.prior_attempt is not None:
             pending.maybe_executed = self._restore_attempt(request)
         self._requests[request.request_id] = pending
         parts.retry_policy.record_request()
         parts.load_shedder.observe_request(pending)
-        if parts.load_shedder.sheds(pending):
-            self._dispatcher.answer(pending)
+        if parts.load_shedder.should_reject(pending):
+            self._dispatcher.give_final_answer(pending)
         else:
             self._dispatcher.dispatch(now, pending)
 
@@ -119,7 +122,9 @@
         worker = self.workers.get(prior.worker_id)
         if worker is None:
             worker = Worker(
-                WorkerEndpoint(prior.worker_id, WorkerState.REMOVED, zone=UNKNOWN_PLACE, cell=UNKNOWN_PLACE)
+                WorkerEndpoint(
+                    prior.worker_id, WorkerState.REMOVED, zone=UNKNOWN_LOCATION, cell=UNKNOWN_LOCATION
+                )
             )
         return Attempt(request, -1, worker, prior.sent_s, False, False)
 
@@ -137,10 +142,10 @@
                 del self._requests[outcome.request_id]
             elif not pending.attempts_in_flight:
                 self._dispatcher.dispatch(now, pending)
-        self._dispatcher.serve_waiting(now)
+        self._dispatcher.dispatch_queued(now)
 
     def _on_endpoint_update(self, now: float, update: EndpointUpdate) -> None:
-        if self._settings.must_subscribe and update.kind in STALE_LISTS:
+        if self._settings.must_subscribe and update.kind in STALE_UPDATE_KINDS:
             self._dispatcher.actions.append(WatchEndpoints())
         self.components.membership.apply(now, update)
 
@@ -151,14 +156,14 @@
             return
         worker, function = self.workers[result.worker_id], self.functions[result.function_id]
         parts.load_commands.finish(now, result, request, worker, function)
-        self._dispatcher.serve_waiting(now)
+        self._dispatcher.dispatch_queued(now)
 
     def _on_timer(self, now: float, event: TimerFired) -> None:
         pending = self._requests.get(event.timer_id)
         if pending is None:
             return
         function = self.functions.get(pending.request.function_id)
-        if function is not None and self.components.request_queue.withdraw(pending, function):
+        if function is not None and self.components.request_queue.remove(pending, function):
             self._dispatcher.dispatch(now, pending, can_wait=False)
 
     def _on_disconnect(self, event: ClientDisconnected) -> None:
--- a/saffronstack/routing/slow_start.py
+++ b/saffronstack/routing/slow_start.py
@@ -37,14 +37,14 @@
         fleet: Fleet,
         rates: RequestRates,
         cpu: CpuUtilization,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._rules = settings.rules
         self._gateway_count = settings.gateway_count
         self._fleet = fleet
         self._rates = rates
         self._cpu = cpu
-        self._random = chance
+        self._random = rng
         # Capacity of the workers that recent own requests went to: workers that leave take none of those
         # requests back. Guards against giving a starting worker the part of all that have left; it could
         # hurt where those were slow.
@@ -96,13 +96,13 @@
         capacity = max(self._fleet.ready_capacity, self._capacity_in_use.value(now))
         fraction = self.capacity_fraction(now, worker)
         worker_rate = fraction * own_rate * worker.endpoint.capacity / capacity if capacity > 0 else 0.0
-        pace = self._rate_multiple() * worker_rate * min(1.0, rules.overload_multiple or 1.0)
+        max_rate = self._rate_multiple() * worker_rate * min(1.0, rules.overload_multiple or 1.0)
         window_s = rules.overload_window_s * self._gateway_count
         if worker_rate * window_s <= 0:
-            return pace
-        margin = SAFETY_DEVIATIONS / 2 * math.sqrt(max(0.0, 1 - pace * rules.overload_window_s))
+            return max_rate
+        margin = SAFETY_DEVIATIONS / 2 * math.sqrt(max(0.0, 1 - max_rate * rules.overload_window_s))
         mean = (math.sqrt(margin**2 + rules.overload_multiple * worker_rate * window_s) - margin) ** 2
-        return min(pace, mean / window_s)
+        return min(max_rate, mean / window_s)
 
     def _rate_multiple(self) -> float:
         utilization = self._cpu.fleet_mean
--- a/saffronstack/routing/state.py
+++ b/saffronstack/routing/state.py
@@ -30,7 +30,7 @@
         slowness: Recent latency as a multiple of what is usual for the class (`outlier_detection`).
         slowness_samples: Responses behind ``slowness``, counted up to the number needed.
         error_fraction: Recent fraction of responses that were errors (`outlier_detection`).
-        consecutive_unreached: Attempts in a row that got no response (`outlier_detection`).
+        consecutive_connection_failures: Attempts in a row that got no response (`outlier_detection`).
         is_ejected: Whether it is taken out as an outlier (`outlier_detection`).
         next_trial_s: When an ejected worker may get its next trial request (`outlier_detection`).
         cpu_utilization: Recent fraction of its cores in use (`cpu_utilization`).
@@ -53,7 +53,7 @@
     slowness: float = 1.0
     slowness_samples: int = 0
     error_fraction: float = 0.0
-    consecutive_unreached: int = 0
+    consecutive_connection_failures: int = 0
     is_ejected: bool = False
     next_trial_s: float = 0.0
     cpu_utilization: float = 0.0
@@ -132,18 +132,18 @@
         request: The request as it arrived.
         request_class: Settings of its class.
         priority_weight: Weight of its class, lower for a tenant over its quota.
-        hold_ends_s: Until when it is held back while nothing was sent.
+        queue_deadline_s: Until when it is held back while nothing was sent.
         attempts: Its attempts so far, the newest last.
         maybe_executed: The first attempt that may have executed the request.
         attempts_in_flight: Attempts that have not ended.
-        has_hold_timer: Whether it has been held back before.
+        has_queue_timer: Whether it has been held back before.
     """
 
     request: Request
     request_class: ClassSettings
     priority_weight: float
-    hold_ends_s: float
+    queue_deadline_s: float
     attempts: list[Attempt] = field(default_factory=list)
     maybe_executed: Attempt | None = None
     attempts_in_flight: int = 0
-    has_hold_timer: bool = False
+    has_queue_timer: bool = False
--- a/saffronstack/routing/validation.py
+++ b/saffronstack/routing/validation.py
@@ -101,11 +101,11 @@
         raise InvalidSettingsError(f"gateway_count must be at least 1, not {settings.gateway_count!r}")
     if not settings.gateway_index >= 0:
         raise InvalidSettingsError(f"gateway_index must be at least 0, not {settings.gateway_index!r}")
-    for place, class_settings in enumerate(settings.classes):
-        _validate_class(f"classes[{place}].", class_settings)
-    for place, tenant in enumerate(settings.tenants):
+    for index, class_settings in enumerate(settings.classes):
+        _validate_class(f"classes[{index}].", class_settings)
+    for index, tenant in enumerate(settings.tenants):
         _require_non_negative(
-            f"tenants[{place}].",
+            f"tenants[{index}].",
             [("quota_fraction", tenant.quota_fraction), ("quota_rps", tenant.quota_rps)],
         )
     _require_non_negative(
--- a/saffronstack/routing/warm_pool.py
+++ b/saffronstack/routing/warm_pool.py
@@ -56,23 +56,23 @@
         """
         instances = function.warm_instances
         del instances[:-MAX_ENTRIES]
-        retry_place = -1
-        for place in range(len(instances) - 1, -1, -1):
-            worker, freed_s = instances[place]
+        retry_index = -1
+        for index in range(len(instances) - 1, -1, -1):
+            worker, freed_s = instances[index]
             if now - freed_s > self._keep_alive_s:
-                del instances[: place + 1]
-                retry_place = max(-1, retry_place - place - 1)
+                del instances[: index + 1]
+                retry_index = max(-1, retry_index - index - 1)
                 break
             has_capacity = worker.warm_attempts_in_flight < worker.concurrency_limit * usable_fraction
             if has_capacity and self._eligibility.is_eligible(now, pending, worker):
-                return instances.pop(place)
+                return instances.pop(index)
             if (
                 pending.attempts
-                and retry_place < 0
+                and retry_index < 0
                 and self._eligibility.can_retry_after_disconnect(now, pending, worker)
             ):
-                retry_place = place
-        return None if retry_place < 0 else instances.pop(retry_place)
+                retry_index = index
+        return None if retry_index < 0 else instances.pop(retry_index)
 
     def release(self, now: float, function: Function, worker: Worker, count: int) -> None:
         """Add instances, or concurrency slots of one, that are free from now on."""
@@ -82,12 +82,12 @@
         """Return an instance that an attempt took and that stands as it was freed before."""
         insort(function.warm_instances, (worker, freed_s), key=_freed_s)
 
-    def discard_older(self, function: Function, worker: Worker, than_s: float) -> None:
+    def discard_older(self, function: Function, worker: Worker, freed_until_s: float) -> None:
         """Drop the instances at a worker that were freed up to this time."""
         instances = function.warm_instances
-        instances[:] = [entry for entry in instances if entry[0] is not worker or entry[1] > than_s]
+        instances[:] = [entry for entry in instances if entry[0] is not worker or entry[1] > freed_until_s]
 
-    def void_worker(self, worker: Worker) -> None:
+    def drop_instances(self, worker: Worker) -> None:
         """Drop all instances at a worker."""
         for function in self._functions.values():
             function.warm_instances = [entry for entry in function.warm_instances if entry[0] is not worker]
--- a/tests/bench/test_wire.py
+++ b/tests/bench/test_wire.py
@@ -44,7 +44,7 @@
     "0000c043 00000040 00000000 01"
 )
 OUTCOME = "11 0300 c4913a5d4fdb0100 00000000 0a 01 8b6ce7fba9f1923f 00 074a1203 02 0000404052b81e3f"
-LIST = (
+ENDPOINT_UPDATE = (
     "18 0300 29000000 02 02000000 0000803f 0000 074a1203 00 0000000000000000 00 01 "
     "0000c03f 0000 f211902c 00 6666666666661840 01 01"
 )
@@ -87,14 +87,14 @@
     assert event.concurrency == 0
 
 
-def test_cache_status_and_concurrency_share_the_note() -> None:
+def test_cache_status_and_concurrency_share_one_field() -> None:
     _, event = read(OUTCOME.replace("00000000 0a", "1a000000 0a"))
     assert isinstance(event, AttemptOutcome)
     assert (event.cache_status, event.concurrency) == (CacheStatus.STARTED_LOAD, 3)
 
 
 def test_endpoint_update_example() -> None:
-    _, event = read(LIST)
+    _, event = read(ENDPOINT_UPDATE)
     assert isinstance(event, EndpointUpdate)
     assert event.kind is EndpointUpdateKind.CACHED
     assert event.version == 41
@@ -169,18 +169,20 @@
 
 
 def test_an_instance_sends_its_first_request() -> None:
-    body = instance_started(3, SETTINGS) + bytes.fromhex((LIST + REQUEST).replace(" ", ""))
+    body = instance_started(3, SETTINGS) + bytes.fromhex((ENDPOINT_UPDATE + REQUEST).replace(" ", ""))
     reply = run(batch(body, 3))
     assert reply[8] == 80
     assert len(reply) == 8 + 23
 
 
 def test_a_restart_in_the_same_batch_forgets_all_state() -> None:
-    start = instance_started(3, SETTINGS) + bytes.fromhex((LIST + REQUEST).replace(" ", ""))
-    again = (
-        bytes([20, 3, 0]) + instance_started(3, SETTINGS) + bytes.fromhex((LIST + OUTCOME).replace(" ", ""))
+    start = instance_started(3, SETTINGS) + bytes.fromhex((ENDPOINT_UPDATE + REQUEST).replace(" ", ""))
+    restart = (
+        bytes([20, 3, 0])
+        + instance_started(3, SETTINGS)
+        + bytes.fromhex((ENDPOINT_UPDATE + OUTCOME).replace(" ", ""))
     )
-    assert run(batch(start, 3), batch(again, 4, number=2))[-8:] == wire.REPLY_HEADER.pack(0, 2)
+    assert run(batch(start, 3), batch(restart, 4, number=2))[-8:] == wire.REPLY_HEADER.pack(0, 2)
 
 
 @pytest.mark.parametrize(
@@ -216,6 +218,6 @@
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr(Router, "handle", broken)
-    reply = run(batch(instance_started(3, SETTINGS) + bytes.fromhex(LIST.replace(" ", "")), 2))
+    reply = run(batch(instance_started(3, SETTINGS) + bytes.fromhex(ENDPOINT_UPDATE.replace(" ", "")), 2))
     assert reply[8] == 89
     assert b"out of luck" in reply
--- a/tests/routing/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -68,7 +68,7 @@
     assert worker.concurrency_limit == pytest.approx(DECREASE_FACTOR * 10)
 
 
-def test_the_limit_never_falls_under_its_least() -> None:
+def test_the_limit_never_falls_below_its_minimum() -> None:
     limiter, worker = ConcurrencyLimiter(settings()), make_worker()
     for step in range(10):
         limiter.observe(100.0 + step, make_attempt(worker), make_outcome(Result.AT_CAPACITY))
--- a/tests/routing/test_eligibility.py
+++ b/tests/routing/test_eligibility.py
@@ -40,17 +40,19 @@
     assert eligibility.is_eligible(100.0, pending, make_worker(2))
 
 
-@pytest.mark.parametrize(("cls", "expected"), [(KEYED_ZONE, [True, False]), (KEYED_CELL, [False, True])])
+@pytest.mark.parametrize(
+    ("class_index", "expected"), [(KEYED_ZONE, [True, False]), (KEYED_CELL, [False, True])]
+)
 def test_a_request_that_may_have_executed_stays_in_its_scope(
-    eligibility: Eligibility, cls: int, expected: list[bool]
+    eligibility: Eligibility, class_index: int, expected: list[bool]
 ) -> None:
-    pending = make_pending(make_request(class_index=cls))
+    pending = make_pending(make_request(class_index=class_index))
     pending.maybe_executed = make_attempt(make_worker(1, zone=1, cell=1))
     workers = [make_worker(2, zone=1, cell=2), make_worker(3, zone=2, cell=1)]
     assert [eligibility.is_eligible(100.0, pending, worker) for worker in workers] == expected
 
 
-def test_a_request_may_repeat_where_its_connection_was_lost(eligibility: Eligibility) -> None:
+def test_a_request_may_be_retried_where_its_connection_was_lost(eligibility: Eligibility) -> None:
     worker, pending = make_worker(), make_pending()
     attempt = make_attempt(worker)
     pending.attempts.append(attempt)
--- a/tests/routing/test_idle_sweep.py
+++ b/tests/routing/test_idle_sweep.py
@@ -19,28 +19,28 @@
 
 
 def test_workers_and_functions_that_are_gone_leave_no_state() -> None:
-    subject = make_router(0)
-    gateway = Gateway(subject)
+    router = make_router(0)
+    gateway = Gateway(router)
 
-    def known() -> int:
-        tables = [*router_tables(subject), subject.components.memory.expiries]
+    def entry_count() -> int:
+        tables = [*router_tables(router), router.components.memory.expiries]
         return sum(len(table) for table in tables)
 
     now, peak = 100.0, 0
     for worker in range(1, 3000):
         now += 1.0
-        subject.handle(now, incremental(endpoint(worker), endpoint(worker - 1, REMOVED)))
+        router.handle(now, incremental(endpoint(worker), endpoint(worker - 1, REMOVED)))
         number, actions = gateway.request(now, function_id=worker)
         assert [send.worker_id for send in attempts_sent(actions)] == [worker]
         if worker % 3:
             gateway.finish(now + 0.1, number)
         else:  # in flight while the worker leaves: its outcome finds the worker gone
-            subject.handle(now + 0.2, incremental(endpoint(worker, REMOVED)))
+            router.handle(now + 0.2, incremental(endpoint(worker, REMOVED)))
             gateway.finish(now + 0.3, number, Result.RESET, CacheStatus.UNKNOWN)
-        peak = max(peak, known())
+        peak = max(peak, entry_count())
         if worker == 200:
-            early = peak
-    assert peak <= early + 10
+            early_peak = peak
+    assert peak <= early_peak + 10
 
 
 def test_a_function_stays_while_it_is_requested_and_goes_when_it_is_not() -> None:
--- a/tests/routing/test_load_commands.py
+++ b/tests/routing/test_load_commands.py
@@ -23,13 +23,13 @@
 def test_a_request_waits_for_a_load_command_where_workers_do_not_load() -> None:
     gateway = rejecting_gateway()
     number, actions = gateway.request(100.0, concurrency=2.0)
-    ordered = load_commands(actions)[0]
+    command = load_commands(actions)[0]
     assert not attempts_sent(actions)
-    assert ordered.instances == 1
+    assert command.instances == 1
     actions = gateway.record(
-        gateway.router.handle(101.0, LoadCommandResult(ordered.worker_id, 1, 1, Result.OK, 1.0))
+        gateway.router.handle(101.0, LoadCommandResult(command.worker_id, 1, 1, Result.OK, 1.0))
     )
-    assert [(a.request_id, a.worker_id) for a in attempts_sent(actions)] == [(number, ordered.worker_id)]
+    assert [(a.request_id, a.worker_id) for a in attempts_sent(actions)] == [(number, command.worker_id)]
 
 
 def test_load_commands_stay_within_the_rule() -> None:
@@ -37,22 +37,22 @@
     gateway = rejecting_gateway(
         rules=RuleSettings(load_command_burst=2.0, load_commands_per_request=0.1, load_command_window_s=5.0)
     )
-    times: list[float] = []
-    taken: list[float] = []
+    command_times: list[float] = []
+    request_times: list[float] = []
     for step in range(400):
         now = 100.0 + step * 0.05
-        taken.append(now)
+        request_times.append(now)
         number, actions = gateway.request(now, function_id=step)
         while attempts_sent(actions):
             actions = gateway.finish(now, number, Result.NOT_LOADED, CacheStatus.UNKNOWN)
-        for ordered in load_commands(actions):
-            times.append(now)
-            span = sum(t > now - 5.0 for t in times)
-            assert span <= 2.0 + 0.1 * sum(t > now - 5.0 for t in taken) + 1e-9
+        for command in load_commands(actions):
+            command_times.append(now)
+            commands_in_window = sum(t > now - 5.0 for t in command_times)
+            assert commands_in_window <= 2.0 + 0.1 * sum(t > now - 5.0 for t in request_times) + 1e-9
             gateway.router.handle(
-                now, LoadCommandResult(ordered.worker_id, ordered.function_id, 1, Result.OK, 0.5)
+                now, LoadCommandResult(command.worker_id, command.function_id, 1, Result.OK, 0.5)
             )
-    assert len(times) > 2
+    assert len(command_times) > 2
 
 
 def test_a_draining_worker_gets_no_load_command() -> None:
@@ -100,4 +100,4 @@
     (command,) = load_commands(actions)
     worker = command.worker_id
     actions = gateway.router.handle(100.1, LoadCommandResult(worker, 1, 0, Result.ERROR, 0.1))
-    assert [again.worker_id for again in load_commands(actions)] == [3 - worker]
+    assert [retried.worker_id for retried in load_commands(actions)] == [3 - worker]
--- a/tests/routing/test_load_control.py
+++ b/tests/routing/test_load_control.py
@@ -13,7 +13,7 @@
 from tests.support.routing_state import make_fleet, make_pending, make_request, make_worker
 
 
-def test_loads_are_limited_and_held_requests_are_answered_in_time() -> None:
+def test_loads_are_limited_and_queued_requests_are_answered_in_time() -> None:
     gateway = Gateway(make_router(1, 2, gateway_count=4))
     sent = []
     for function in range(40):
@@ -45,8 +45,8 @@
     for step in range(10):
         now = 100.0 + step
         number, _ = gateway.request(now, function_id=step)
-        took = 0.5 if step < 2 else 2.5
-        gateway.finish(now + took, number, cache_status=CacheStatus.STARTED_LOAD, elapsed_s=took)
+        load_s = 0.5 if step < 2 else 2.5
+        gateway.finish(now + load_s, number, cache_status=CacheStatus.STARTED_LOAD, elapsed_s=load_s)
     assert gateway.router.components.load_control.loads_per_worker < start
     low = gateway.router.components.load_control.loads_per_worker
     gateway.router.components.load_control.loads_in_progress = 100  # the limit is in use
@@ -55,7 +55,7 @@
     assert gateway.router.components.load_control.loads_per_worker > low
 
 
-def test_no_request_is_held_back_where_instances_are_shared() -> None:
+def test_no_request_is_queued_where_instances_are_shared() -> None:
     gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
     find_shared_instances(gateway)
     sent = 0
@@ -96,7 +96,7 @@
     assert control.loads_per_worker == pytest.approx(3.0 * DECREASE_FACTOR)
 
 
-def test_an_error_says_nothing_of_loads() -> None:
+def test_an_error_does_not_change_the_load_limit() -> None:
     control = make_control()
     control.observe(100.0, Result.ERROR, 5.0)
     assert control.loads_per_worker == 3.0
--- a/tests/routing/test_load_shedding.py
+++ b/tests/routing/test_load_shedding.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("rate", [6.0, 60.0])
-def test_a_gateway_sheds_soon_in_an_overload_and_no_longer_than_that(rate: float) -> None:
+def test_shedding_starts_soon_after_an_overload_and_ends_with_it(rate: float) -> None:
     gateway = Gateway(make_router(*range(1, 9), gateway_count=100))
     learn_shared_instances(gateway)
     assert rejected_fraction(gateway, 110.0, rate, 5.0, lambda: 0.05) == 0.0
@@ -82,10 +82,8 @@
 def test_one_late_response_in_five_sheds_hardly_anything() -> None:
     gateway = Gateway(make_router(*range(1, 9), gateway_count=100))
     learn_shared_instances(gateway)
-    chance = random.Random(5)
-    assert (
-        rejected_fraction(gateway, 110.0, 6.0, 120.0, lambda: chance.choices((1.0, 0.05), (1, 4))[0]) < 0.05
-    )
+    rng = random.Random(5)
+    assert rejected_fraction(gateway, 110.0, 6.0, 120.0, lambda: rng.choices((1.0, 0.05), (1, 4))[0]) < 0.05
 
 
 @pytest.mark.parametrize("responds_to_others", [True, False])
@@ -104,13 +102,13 @@
     assert (gateway.router.components.load_shedder.shed_fraction > 0) is responds_to_others
 
 
-def test_a_gateway_with_most_of_the_traffic_does_not_take_its_tenants_for_over_quota() -> None:
+def test_a_gateway_with_most_of_the_traffic_does_not_count_its_tenants_as_over_quota() -> None:
     tenants = (TenantSettings("a", 0.5, 100.0), TenantSettings("b", 0.5, 100.0))
-    subject = make_router(1, 2, tenants=tenants, over_quota_weight=0.05, gateway_count=200)
-    gateway = Gateway(subject)
+    router = make_router(1, 2, tenants=tenants, over_quota_weight=0.05, gateway_count=200)
+    gateway = Gateway(router)
     for step in range(400):
         gateway.request(100.0 + step * 0.01, function_id=step, tenant=step % 2)
-    assert subject.components.load_shedder.quota_factor(104.0, 0) > 0.8
+    assert router.components.load_shedder.quota_factor(104.0, 0) > 0.8
 
 
 def make_shedder(shared: SharedInstances | None = None, **changes: Any) -> tuple[LoadShedder, RequestRates]:
@@ -136,7 +134,7 @@
 def test_nothing_is_shed_where_instances_are_not_shared() -> None:
     shedder, _ = make_shedder()
     shedder.shed_fraction = shedder.mean_priority_weight = 0.75
-    assert not any(shedder.sheds(make_pending()) for _ in range(100))
+    assert not any(shedder.should_reject(make_pending()) for _ in range(100))
 
 
 def test_the_lightest_requests_are_shed_first() -> None:
@@ -144,7 +142,9 @@
     shared.fraction = 1.0
     shedder, _ = make_shedder(shared)
     shedder.shed_fraction, shedder.mean_priority_weight = 0.65, 1.0
-    light, heavy = (sum(shedder.sheds(make_pending(weight=w)) for _ in range(200)) for w in (0.6, 3.0))
+    light, heavy = (
+        sum(shedder.should_reject(make_pending(weight=w)) for _ in range(200)) for w in (0.6, 3.0)
+    )
     assert heavy < 50 < 120 < light
 
 
@@ -153,7 +153,7 @@
     shared.fraction = 1.0
     shedder, _ = make_shedder(shared)
     shedder.shed_fraction, shedder.mean_priority_weight = TOLERATED_FRACTION, 1.0
-    assert not any(shedder.sheds(make_pending()) for _ in range(100))
+    assert not any(shedder.should_reject(make_pending()) for _ in range(100))
 
 
 def test_steps_are_larger_where_responses_are_few() -> None:
--- a/tests/routing/test_membership.py
+++ b/tests/routing/test_membership.py
@@ -21,8 +21,8 @@
 )
 
 
-@pytest.mark.parametrize("how", ["draining", "removed", "left out"])
-def test_a_worker_that_drains_or_is_removed_gets_no_new_attempt(how: str) -> None:
+@pytest.mark.parametrize("change", ["draining", "removed", "left out"])
+def test_a_worker_that_drains_or_is_removed_gets_no_new_attempt(change: str) -> None:
     gateway = Gateway(make_router(1, 2))
     for step in range(4):  # instances at both
         one, _ = gateway.request(100.0, function_id=step)
@@ -33,7 +33,7 @@
         "draining": incremental(endpoint(1, DRAINING)),
         "removed": incremental(endpoint(1, REMOVED)),
         "left out": snapshot(endpoint(2)),
-    }[how]
+    }[change]
     gateway.router.handle(101.0, update)
     for step in range(20):
         number, actions = gateway.request(101.0, function_id=step)
--- a/tests/routing/test_memory_account.py
+++ b/tests/routing/test_memory_account.py
@@ -64,7 +64,7 @@
     account, request = make_account(worker, other), make_request()
     account.begin_attempt(worker, request)
     account.begin_attempt(other, request)
-    account.void_worker(worker)
+    account.drop_instances(worker)
     assert (worker.placed_mb, other.placed_mb) == (0.0, 500.0)
     assert account.instances_at(worker, request).attempts_in_flight == 1
 
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -30,13 +30,13 @@
 def ejected_after(results: dict[int, tuple[Result, float]], rounds: int = 30) -> set[int]:
     gateway = Gateway(make_router(*range(1, 7)))
     for step in range(rounds):
-        for worker, (result, took) in results.items():
+        for worker, (result, latency_s) in results.items():
             now = 100.0 + step
-            made = gateway.router.functions.setdefault(worker, Function())
-            made.warm_instances[:] = [(gateway.router.workers[worker], now)]
+            function = gateway.router.functions.setdefault(worker, Function())
+            function.warm_instances[:] = [(gateway.router.workers[worker], now)]
             number, _ = gateway.request(now, function_id=worker)
             if gateway.where.get(number) == worker:
-                gateway.finish(now + took, number, result, elapsed_s=took, is_final=True)
+                gateway.finish(now + latency_s, number, result, elapsed_s=latency_s, is_final=True)
     return {number for number, worker in gateway.router.workers.items() if worker.is_ejected}
 
 
@@ -57,7 +57,7 @@
     detection.observe(now, make_attempt(worker), make_outcome(**outcome))
 
 
-def test_a_few_slow_responses_are_chance() -> None:
+def test_a_few_slow_responses_do_not_eject_a_worker() -> None:
     workers = [make_worker(number) for number in range(1, 7)]
     detection = OutlierDetection(make_fleet(*workers))
     for worker in workers:
@@ -74,14 +74,14 @@
     assert worker.error_fraction == 0.0
 
 
-def test_a_cancelled_attempt_neither_counts_as_unreached_nor_ends_a_row() -> None:
+def test_a_cancelled_attempt_neither_counts_as_a_connection_failure_nor_resets_the_count() -> None:
     worker = make_worker()
     detection = OutlierDetection(make_fleet(worker))
     observe(detection, worker, 100.0, result=Result.RESET)
     observe(detection, worker, 101.0, result=Result.CANCELLED)
-    assert worker.consecutive_unreached == 1
+    assert worker.consecutive_connection_failures == 1
     observe(detection, worker, 102.0, result=Result.ERROR)
-    assert worker.consecutive_unreached == 0
+    assert worker.consecutive_connection_failures == 0
 
 
 def test_a_trial_delays_the_next_one() -> None:
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -38,15 +38,15 @@
 def test_a_popular_function_spreads_where_instances_are_shared() -> None:
     gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
     find_shared_instances(gateway)
-    used = set()
+    used_workers = set()
     for step in range(30):
         now = 104.0 + step * 0.1
         number, actions = gateway.request(now, function_id=1)
-        used |= {send.worker_id for send in attempts_sent(actions)}
+        used_workers |= {send.worker_id for send in attempts_sent(actions)}
         if attempts_sent(actions):
             gateway.finish(now + 0.05, number)
             gateway.router.functions[1].warm_instances.clear()
-    assert len(used) > 3
+    assert len(used_workers) > 3
 
 
 def test_a_worker_with_high_cpu_utilization_gets_fewer_loads_and_recovers() -> None:
@@ -54,7 +54,7 @@
     the functions live: own counts do not show it, load reports do."""
 
     def loads(utilization: dict[int, float], later_s: float = 0.0) -> list[int]:
-        got = [0] * 9
+        loads_by_worker = [0] * 9
         for gateway in make_gateways(20, 8):
             for step in range(120):  # each worker responds some times
                 now = 99.0 + step * 0.01
@@ -68,9 +68,9 @@
                 worker.placed_mb = 0.0  # memory aside
             for function in range(40):
                 number, actions = gateway.request(100.2 + later_s, function_id=function, memory_mb=1.0)
-                got[attempts_sent(actions)[0].worker_id] += 1
+                loads_by_worker[attempts_sent(actions)[0].worker_id] += 1
                 gateway.finish(100.2 + later_s, number)
-        return got
+        return loads_by_worker
 
     even, reported = loads({}), loads({1: 1.0, 2: 0.0})
     assert reported[1] < 0.5 * even[1]
@@ -78,7 +78,7 @@
     assert loads({1: 1.0, 2: 0.0}, later_s=120.0)[1] > 0.8 * even[1]  # old reports say nothing
 
 
-def test_instances_with_a_free_slot_do_not_widen_the_spread() -> None:
+def test_instances_with_a_free_slot_do_not_raise_the_spread_factor() -> None:
     """Nearly every attempt of hundreds of gateways finds an instance: a spread that grew on that alone had no
     end. Where no CPU utilization is reported, nothing else evens the load, and it grows on each instance."""
 
@@ -96,7 +96,7 @@
                     load_report=LoadReport(cpu_utilization=utilization),
                 )
         assert gateway.router.components.shared_instances.fraction > 0.2
-        return gateway.router.components.placement.spread
+        return gateway.router.components.placement.spread_factor
 
     assert spread_after(0) == 1.0
     assert spread_after(1) == spread_after(None) == 10.0  # every slot in use; a site that does not report it
@@ -127,12 +127,12 @@
 
 def test_a_full_worker_is_passed_over() -> None:
     parts = make_parts(make_worker(1), make_worker(2))
-    favourite = choose(parts)
-    parts.fleet.workers[favourite].placed_mb = 7800.0
-    assert choose(parts) == 3 - favourite
+    preferred = choose(parts)
+    parts.fleet.workers[preferred].placed_mb = 7800.0
+    assert choose(parts) == 3 - preferred
 
 
-def test_where_no_worker_has_room_the_one_with_fewest_attempts_is_chosen() -> None:
+def test_where_no_worker_has_free_memory_the_one_with_fewest_attempts_is_chosen() -> None:
     workers = make_worker(1, kind=0), make_worker(2, kind=0)
     for worker, attempts in zip(workers, (2, 1), strict=True):
         worker.placed_mb, worker.attempts_in_flight = 8000.0, attempts
@@ -141,16 +141,16 @@
 
 def test_a_worker_with_many_loads_in_progress_is_passed_over() -> None:
     parts = make_parts(make_worker(1), make_worker(2))
-    favourite = choose(parts)
+    preferred = choose(parts)
     loads = dict.fromkeys(range(10, 10 + MAX_LOADS_AT_WORKER), 1)
-    parts.fleet.workers[favourite].loads_in_progress = loads
-    assert choose(parts) == 3 - favourite
+    parts.fleet.workers[preferred].loads_in_progress = loads
+    assert choose(parts) == 3 - preferred
 
 
 def test_a_worker_that_rejected_a_load_is_chosen_only_where_there_is_no_other() -> None:
     parts, function = make_parts(make_worker(1), make_worker(2)), Function()
-    favourite = choose(parts)
-    function.load_rejected_until_s = {favourite: 100.5}
-    assert choose(parts, function) == 3 - favourite
+    preferred = choose(parts)
+    function.load_rejected_until_s = {preferred: 100.5}
+    assert choose(parts, function) == 3 - preferred
     function.load_rejected_until_s = {1: 100.5, 2: 100.5}
-    assert choose(parts, function) == favourite
+    assert choose(parts, function) == preferred
--- a/tests/routing/test_purity.py
+++ b/tests/routing/test_purity.py
@@ -51,14 +51,14 @@
     return found
 
 
-def lines_of(node: ast.AST) -> int:
+def line_count(node: ast.AST) -> int:
     """Return how many lines a class or function takes, decorators included."""
     assert isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef)
     first = min([node.lineno, *(decorator.lineno for decorator in node.decorator_list)])
     return (node.end_lineno or first) - first + 1
 
 
-def test_the_package_is_looked_at() -> None:
+def test_the_routing_package_is_scanned() -> None:
     assert {"router.py", "placement.py", "slow_start.py"} <= {path.name for path in FILES}
 
 
@@ -90,9 +90,9 @@
     assert len(path.read_text().splitlines()) <= MAX_FILE_LINES
     for node in nodes(path):
         if isinstance(node, ast.ClassDef):
-            assert lines_of(node) <= MAX_CLASS_LINES, node.name
+            assert line_count(node) <= MAX_CLASS_LINES, node.name
         elif isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
-            assert lines_of(node) <= MAX_FUNCTION_LINES, node.name
+            assert line_count(node) <= MAX_FUNCTION_LINES, node.name
 
 
 def test_the_router_itself_stays_short() -> None:
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class World:
+class Simulation:
     """Plays clients, workers and clock for one router and checks the rules at each action."""
 
     router: Router
@@ -54,7 +54,7 @@
     timers: list[tuple[float, int]] = field(default_factory=list)
     log: list[str] = field(default_factory=list)
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         for action in self.router.handle(self.now, event):
             self.log.append(repr(action))
             self.check(action)
@@ -76,64 +76,72 @@
             self.load_commands.append((action.worker_id, action.function_id))
         elif isinstance(action, Reject | Fail):
             request = self.owed.pop(action.request_id)  # exactly one
-            cls = CLASSES[request.class_index]
+            request_class = CLASSES[request.class_index]
             if isinstance(action, Reject) and action.request_id in self.maybe_executed:
                 is_harmless = (
-                    cls.idempotency is Idempotency.WITH_KEY
-                    and cls.deduplication_scope is DeduplicationScope.ALL
+                    request_class.idempotency is Idempotency.WITH_KEY
+                    and request_class.deduplication_scope is DeduplicationScope.ALL
                 )
-                assert cls.idempotency is Idempotency.IDEMPOTENT or is_harmless
+                assert request_class.idempotency is Idempotency.IDEMPOTENT or is_harmless
         elif isinstance(action, SetTimer):
             self.timers.append((self.now + action.delay_s, action.timer_id))
 
     def check_retry(self, request: int, worker: int) -> None:
         first = self.maybe_executed.get(request)
-        cls = CLASSES[self.owed[request].class_index]
-        if first is None or cls.idempotency is Idempotency.IDEMPOTENT:
+        request_class = CLASSES[self.owed[request].class_index]
+        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return
-        assert cls.idempotency is Idempotency.WITH_KEY
-        assert self.now < first[1] + cls.deduplication_window_s
-        if cls.deduplication_scope is DeduplicationScope.ZONE:
+        assert request_class.idempotency is Idempotency.WITH_KEY
+        assert self.now < first[1] + request_class.deduplication_window_s
+        if request_class.deduplication_scope is DeduplicationScope.ZONE:
             assert worker % 2 == first[0] % 2
-        if cls.deduplication_scope is DeduplicationScope.CELL:
+        if request_class.deduplication_scope is DeduplicationScope.CELL:
             assert worker % 3 == first[0] % 3
 
-    def list(self, workers: dict[int, WorkerState], kind: EndpointUpdateKind, since_s: float) -> None:
+    def update_endpoints(
+        self, workers: dict[int, WorkerState], kind: EndpointUpdateKind, started_s: float
+    ) -> None:
         if kind is EndpointUpdateKind.SNAPSHOT:
             self.ready = dict.fromkeys(self.ready, False)
         for number, state in workers.items():
             self.ready[number] = state is WorkerState.READY
         entries = (
-            WorkerEndpoint(n, s, zone=n % 2, cell=n % 3, started_s=since_s) for n, s in workers.items()
+            WorkerEndpoint(n, s, zone=n % 2, cell=n % 3, started_s=started_s) for n, s in workers.items()
         )
-        self.tell(EndpointUpdate(kind, tuple(entries)))
+        self.handle_event(EndpointUpdate(kind, tuple(entries)))
 
-    def finish(self, place: int, result: Result, found: CacheStatus) -> None:
-        request, attempt, worker, sent_s = self.in_flight.pop(place % len(self.in_flight))
+    def finish(self, index: int, result: Result, cache_status: CacheStatus) -> None:
+        request, attempt, worker, sent_s = self.in_flight.pop(index % len(self.in_flight))
         if result not in NEVER_EXECUTED:
             self.maybe_executed.setdefault(request, (worker, sent_s))
-        done = result is Result.OK
-        if done:
+        is_success = result is Result.OK
+        if is_success:
             self.owed.pop(request, None)
-        self.tell(
+        self.handle_event(
             AttemptOutcome(
-                request, attempt, worker, result, self.now - sent_s, is_final=done, cache_status=found
+                request,
+                attempt,
+                worker,
+                result,
+                self.now - sent_s,
+                is_final=is_success,
+                cache_status=cache_status,
             )
         )
 
     def pass_time(self, seconds: float) -> None:
         end = self.now + seconds
         while True:
-            due = [(then, 0, ref) for then, ref in self.timers]
+            due = [(due_s, 0, timer_id) for due_s, timer_id in self.timers]
             due += [(self.owed[n].deadline_s - 0.01, 1, n) for n, *_ in self.in_flight if n in self.owed]
-            due = [one for one in due if one[0] <= end]
+            due = [item for item in due if item[0] <= end]
             if not due:
                 break
-            then, kind, number = min(due)
-            self.now = max(self.now, then)
+            due_s, kind, number = min(due)
+            self.now = max(self.now, due_s)
             if kind == 0:
-                self.timers.remove((then, number))
-                self.tell(TimerFired(number))
+                self.timers.remove((due_s, number))
+                self.handle_event(TimerFired(number))
             else:
                 self.finish(
                     [n for n, *_ in self.in_flight].index(number), Result.TIMEOUT, CacheStatus.UNKNOWN
@@ -175,37 +183,39 @@
 
 def play(shape: dict[str, Any], steps: list[tuple[str, int]]) -> list[str]:
     config = settings(**shape)
-    world = World(Router(config, 11), config)
-    world.list(dict.fromkeys(range(1, 7), WorkerState.READY), EndpointUpdateKind.SNAPSHOT, 0.0)
-    serial = 0
+    simulation = Simulation(Router(config, 11), config)
+    simulation.update_endpoints(
+        dict.fromkeys(range(1, 7), WorkerState.READY), EndpointUpdateKind.SNAPSHOT, 0.0
+    )
+    request_id = 0
     for kind, number in steps:
         if kind == "a":
-            serial += 1
+            request_id += 1
             request = Request(
-                serial, number % 5, number % 7, world.now + 3, number % 2, 500.0, 1.0 + number % 4
+                request_id, number % 5, number % 7, simulation.now + 3, number % 2, 500.0, 1.0 + number % 4
             )
-            world.owed[serial] = request
-            world.tell(request)
-        elif kind == "o" and world.in_flight:
+            simulation.owed[request_id] = request
+            simulation.handle_event(request)
+        elif kind == "o" and simulation.in_flight:
             results = [r for r in Result if r is not Result.CANCELLED]
-            found = list(CacheStatus)[number % 4]
-            world.finish(number, results[(number // 7) % len(results)], found)
+            cache_status = list(CacheStatus)[number % 4]
+            simulation.finish(number, results[(number // 7) % len(results)], cache_status)
         elif kind == "w":
-            world.pass_time(number / 2000)
+            simulation.pass_time(number / 2000)
         elif kind == "t":
-            world.pass_time(0.01)
+            simulation.pass_time(0.01)
         elif kind == "l":
             state = list(WorkerState)[number % 3]
-            world.list(
-                {1 + number % 8: state}, EndpointUpdateKind.INCREMENTAL, world.now if number % 2 else 0.0
+            simulation.update_endpoints(
+                {1 + number % 8: state}, EndpointUpdateKind.INCREMENTAL, simulation.now if number % 2 else 0.0
             )
-        elif kind == "L" and world.load_commands:
-            worker, function = world.load_commands.pop()
+        elif kind == "L" and simulation.load_commands:
+            worker, function = simulation.load_commands.pop()
             result = (Result.OK, Result.AT_CAPACITY, Result.ERROR)[number % 3]
-            world.tell(LoadCommandResult(worker, function, number % 2, result, 0.5))
-    world.pass_time(10.0)
-    assert not world.owed  # everything was answered in time
-    return world.log
+            simulation.handle_event(LoadCommandResult(worker, function, number % 2, result, 0.5))
+    simulation.pass_time(10.0)
+    assert not simulation.owed  # everything was answered in time
+    return simulation.log
 
 
 @hypothesis_settings(derandomize=True, max_examples=150, deadline=None)
--- a/tests/routing/test_rate_estimator.py
+++ b/tests/routing/test_rate_estimator.py
@@ -10,11 +10,11 @@
 from tests.support.routing_state import make_request
 
 
-def test_a_counter_starts_at_none() -> None:
+def test_a_counter_starts_at_zero() -> None:
     assert DecayedCounter(5.0).value(100.0) == 0.0
 
 
-def test_a_counted_event_weighs_a_part_of_e_after_the_window() -> None:
+def test_a_counted_event_weighs_one_over_e_after_the_window() -> None:
     counter = DecayedCounter(5.0)
     counter.increment(100.0)
     assert counter.value(105.0) == pytest.approx(math.exp(-1))
--- a/tests/routing/test_retry_policy.py
+++ b/tests/routing/test_retry_policy.py
@@ -6,7 +6,7 @@
 
 from saffronstack.routing.actions import Action, Fail, Reject
 from saffronstack.routing.events import CacheStatus, PriorAttempt, Result, TimerFired
-from saffronstack.routing.retry_policy import MAX_SAVED_RETRIES, RETRIES_PER_REQUEST, RetryPolicy
+from saffronstack.routing.retry_policy import MAX_RETRY_BUDGET, RETRIES_PER_REQUEST, RetryPolicy
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import PermissionSettings
 from tests.helpers import KEYED_ALL, KEYED_CELL, KEYED_ZONE, SAFE, UNSAFE, settings
@@ -42,8 +42,10 @@
     assert len(attempts_sent(gateway.finish(100.1, number, Result.RESET))) == 1
 
 
-@pytest.mark.parametrize(("cls", "allowed"), [(KEYED_ZONE, {2, 3}), (KEYED_CELL, {2})])
-def test_a_request_with_a_key_is_retried_within_its_deduplication_scope(cls: int, allowed: set[int]) -> None:
+@pytest.mark.parametrize(("class_index", "allowed"), [(KEYED_ZONE, {2, 3}), (KEYED_CELL, {2})])
+def test_a_request_with_a_key_is_retried_within_its_deduplication_scope(
+    class_index: int, allowed: set[int]
+) -> None:
     lines = [
         endpoint(1, zone=0, cell=0),
         endpoint(2, zone=0, cell=0),
@@ -53,7 +55,7 @@
     for function in range(40):
         gateway = Gateway(Router(settings(), 5))
         gateway.router.handle(100.0, snapshot(*lines))
-        number, first = gateway.request(100.0, cls, function)
+        number, first = gateway.request(100.0, class_index, function)
         if attempts_sent(first)[0].worker_id != 1:
             continue
         seen = set()
@@ -100,12 +102,12 @@
 
 
 def test_a_timeout_is_retried_only_where_that_is_harmless() -> None:
-    for cls, again in ((SAFE, True), (UNSAFE, False), (KEYED_CELL, True)):
+    for class_index, is_retried in ((SAFE, True), (UNSAFE, False), (KEYED_CELL, True)):
         gateway = Gateway(make_router(1, 2, 3))
-        number, _ = gateway.request(100.0, cls)
+        number, _ = gateway.request(100.0, class_index)
         actions = gateway.finish(101.0, number, Result.TIMEOUT, CacheStatus.UNKNOWN)
-        assert bool(attempts_sent(actions)) is again
-        assert bool(final_answers(actions)) is not again
+        assert bool(attempts_sent(actions)) is is_retried
+        assert bool(final_answers(actions)) is not is_retried
 
 
 def test_a_request_that_finds_all_workers_at_capacity_is_rejected_with_retry_after() -> None:
@@ -128,14 +130,14 @@
     assert [type(action) for action in actions] == [Reject]
 
 
-def test_the_budget_saves_up_a_bounded_number_of_retries() -> None:
+def test_the_retry_budget_is_bounded() -> None:
     policy, pending = RetryPolicy(settings()), make_pending()
     policy.record_attempt(pending)  # a first attempt costs nothing
-    assert policy.saved_retries == MAX_SAVED_RETRIES
+    assert policy.retry_budget == MAX_RETRY_BUDGET
     pending.attempts.append(make_attempt(make_worker()))
     policy.record_attempt(pending)
     policy.record_request()
-    assert policy.saved_retries == MAX_SAVED_RETRIES - 1 + RETRIES_PER_REQUEST
+    assert policy.retry_budget == MAX_RETRY_BUDGET - 1 + RETRIES_PER_REQUEST
 
 
 def test_a_request_with_an_attempt_in_flight_is_not_rejected() -> None:
@@ -144,24 +146,24 @@
     assert RetryPolicy(settings()).final_answer(pending) == Fail(1)
 
 
-def resumed(cls: int, prior_worker: int, sent_s: float = 99.9) -> list[Action]:
+def actions_on_resumed_request(class_index: int, prior_worker: int, sent_s: float = 99.9) -> list[Action]:
     """Return the actions on a request that is resumed after a restart."""
     gateway = Gateway(Router(settings(), 1))
     gateway.router.handle(100.0, snapshot(*(endpoint(w, zone=w % 2, cell=w % 3) for w in range(1, 7))))
-    return gateway.request(100.0, cls, prior_attempt=PriorAttempt(prior_worker, sent_s))[1]
+    return gateway.request(100.0, class_index, prior_attempt=PriorAttempt(prior_worker, sent_s))[1]
 
 
 def test_a_resumed_request_counts_its_earlier_attempt() -> None:
-    assert resumed(UNSAFE, 2) == [Fail(1)]
-    assert attempts_sent(resumed(SAFE, 2))
-    assert resumed(KEYED_ALL, 2, sent_s=90.0) == [Reject(1, 0.0)]  # its window has passed
+    assert actions_on_resumed_request(UNSAFE, 2) == [Fail(1)]
+    assert attempts_sent(actions_on_resumed_request(SAFE, 2))
+    assert actions_on_resumed_request(KEYED_ALL, 2, sent_s=90.0) == [Reject(1, 0.0)]  # its window has passed
 
 
 def test_a_resumed_request_stays_in_the_scope_of_its_earlier_worker() -> None:
-    assert [send.worker_id % 2 for send in attempts_sent(resumed(KEYED_ZONE, 2))] == [0]
-    assert [send.worker_id % 3 for send in attempts_sent(resumed(KEYED_CELL, 2))] == [2]
+    assert [send.worker_id % 2 for send in attempts_sent(actions_on_resumed_request(KEYED_ZONE, 2))] == [0]
+    assert [send.worker_id % 3 for send in attempts_sent(actions_on_resumed_request(KEYED_CELL, 2))] == [2]
 
 
 def test_no_worker_is_in_the_scope_of_one_that_is_not_known() -> None:
-    assert resumed(KEYED_ZONE, 99) == [Fail(1)]
-    assert attempts_sent(resumed(KEYED_ALL, 99))
+    assert actions_on_resumed_request(KEYED_ZONE, 99) == [Fail(1)]
+    assert attempts_sent(actions_on_resumed_request(KEYED_ALL, 99))
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -88,7 +88,7 @@
     assert gateway.router.handle(100.1, ClientDisconnected(first)) == []
 
 
-def test_thin_traffic_is_served_at_each_of_many_gateways() -> None:
+def test_low_traffic_is_served_at_each_of_many_gateways() -> None:
     for gateway in make_gateways(300, 60)[::30]:
         for step in range(4):
             number, actions = gateway.request(100.0 + 20.0 * step, function_id=step)
@@ -97,7 +97,7 @@
 
 
 def test_equal_events_give_equal_actions() -> None:
-    def play() -> list[str]:
+    def decide() -> list[str]:
         gateway = Gateway(make_router(1, 2, 3, 4))
         decided = []
         for step in range(200):
@@ -108,7 +108,7 @@
             decided.append(repr(gateway.finish(now + 0.01, number, cache_status=cache_status)))
         return decided
 
-    assert play() == play()
+    assert decide() == decide()
 
 
 def test_a_request_of_an_unknown_class_raises_an_error() -> None:
--- a/tests/routing/test_shared_instances.py
+++ b/tests/routing/test_shared_instances.py
@@ -30,7 +30,7 @@
     assert not shared.are_common()
 
 
-def test_failed_attempts_say_nothing_of_shared_instances() -> None:
+def test_failed_attempts_do_not_change_the_shared_fraction() -> None:
     shared = SharedInstances()
     shared.observe(make_attempt(make_worker(), expects_warm=False), make_outcome(Result.ERROR))
     assert shared.fraction == 0.0
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -47,17 +47,17 @@
     rules = RuleSettings(
         slow_start_min_fraction=0.2, slow_start_s=10.0, overload_multiple=2.0, overload_window_s=1.0
     )
-    subject = Router(settings(rules=rules, gateway_count=instances), 3)
-    subject.handle(100.0, EndpointUpdate(EndpointUpdateKind.CACHED, tuple(endpoint(w) for w in range(2, 6))))
+    router = Router(settings(rules=rules, gateway_count=instances), 3)
+    router.handle(100.0, EndpointUpdate(EndpointUpdateKind.CACHED, tuple(endpoint(w) for w in range(2, 6))))
     if restart:
-        subject = Router(settings(rules=rules, gateway_count=instances), 4)
-        subject.handle(
+        router = Router(settings(rules=rules, gateway_count=instances), 4)
+        router.handle(
             120.0,
             EndpointUpdate(
                 EndpointUpdateKind.CACHED, (endpoint(1, started_s=119.5), *(endpoint(w) for w in range(2, 6)))
             ),
         )
-    return Gateway(subject)
+    return Gateway(router)
 
 
 @pytest.mark.parametrize("restart", [False, True])
@@ -85,15 +85,15 @@
     utilization: float | None,
 ) -> None:
     gateways = make_gateways(200, 10, SLOW_START)
-    chance = random.Random(3)
+    rng = random.Random(3)
     rate = 200.0  # so that each of ten workers carries 20 a second
 
     def serve(start: float, seconds: float, watched: int) -> dict[int, int]:
         sent: dict[int, int] = {}
         for step in range(int(seconds * rate)):
             now = start + step / rate
-            gateway = chance.choice(gateways)
-            number, actions = gateway.request(now, function_id=int(40 * chance.random() ** 2))
+            gateway = rng.choice(gateways)
+            number, actions = gateway.request(now, function_id=int(40 * rng.random() ** 2))
             for send in attempts_sent(actions):
                 if send.worker_id == watched:
                     sent[int(now)] = sent.get(int(now), 0) + 1
@@ -115,9 +115,9 @@
 
 
 def test_a_restarted_gateway_starts_from_the_endpoint_list_alone() -> None:
-    subject = Router(settings(rules=SLOW_START, gateway_count=200), 1)
-    subject.handle(100.0, EndpointUpdate(EndpointUpdateKind.CACHED, (endpoint(1, started_s=99.0),)))
-    assert not attempts_sent(subject.handle(100.0, Request(1, SAFE, 1, 103.0, memory_mb=500.0)))
+    router = Router(settings(rules=SLOW_START, gateway_count=200), 1)
+    router.handle(100.0, EndpointUpdate(EndpointUpdateKind.CACHED, (endpoint(1, started_s=99.0),)))
+    assert not attempts_sent(router.handle(100.0, Request(1, SAFE, 1, 103.0, memory_mb=500.0)))
 
 
 def make_slow_start(rules: RuleSettings, *workers: Worker, rate: float = 0.0) -> SlowStart:
@@ -127,7 +127,7 @@
     return SlowStart(settings(rules=rules), make_fleet(*workers), rates, CpuUtilization(), random.Random(1))
 
 
-def test_capacity_grows_from_its_least_fraction_to_all() -> None:
+def test_capacity_grows_from_its_minimum_fraction_to_full() -> None:
     worker = make_worker(started_s=100.0)
     slow_start = make_slow_start(SLOW_START, worker)
     slow_start.begin(100.0, worker)
@@ -161,7 +161,7 @@
     assert slow_start.attempt_rate(105.0, worker) == 0.0
 
 
-def test_workers_that_leave_take_no_requests_back() -> None:
+def test_removed_workers_do_not_raise_the_attempt_rate() -> None:
     worker, leaving = make_worker(1, started_s=100.0), make_worker(2, capacity=9.0)
     slow_start = make_slow_start(SLOW_START, worker, leaving, rate=50.0)
     slow_start.begin(100.0, worker)
--- a/tests/routing/test_validation.py
+++ b/tests/routing/test_validation.py
@@ -12,7 +12,7 @@
 from saffronstack.routing.settings import ClassSettings, Idempotency, RuleSettings
 from tests.helpers import CLASSES, settings
 
-ODD: dict[str, Any] = {"idempotency": "odd"}
+INVALID_IDEMPOTENCY: dict[str, Any] = {"idempotency": "odd"}
 
 
 @pytest.mark.parametrize(
@@ -23,7 +23,7 @@
         ("keep_alive_s", {"keep_alive_s": -1.0}),
         (r"classes\[0\]\.deadline_s", {"classes": (ClassSettings("a", Idempotency.IDEMPOTENT, 0.1, 0.0),)}),
         (r"classes\[0\]\.latency_objective_s", {"classes": (replace(CLASSES[0], latency_objective_s=-1.0),)}),
-        (r"classes\[0\]\.idempotency", {"classes": (replace(CLASSES[0], **ODD),)}),
+        (r"classes\[0\]\.idempotency", {"classes": (replace(CLASSES[0], **INVALID_IDEMPOTENCY),)}),
         (r"rules\.slow_start_s", {"rules": RuleSettings(slow_start_s=float("nan"))}),
         (r"memory_mb_by_worker_kind\[0\]", {"memory_mb_by_worker_kind": (-5.0,)}),
     ],
--- a/tests/routing/test_warm_pool.py
+++ b/tests/routing/test_warm_pool.py
@@ -120,8 +120,8 @@
 
 def make_pool(function: Function) -> WarmPool:
     """Return a pool with a keep-alive of ten seconds over one function."""
-    chance = random.Random(1)
-    slow_start = SlowStart(settings(), make_fleet(), RequestRates(), CpuUtilization(), chance)
+    rng = random.Random(1)
+    slow_start = SlowStart(settings(), make_fleet(), RequestRates(), CpuUtilization(), rng)
     return WarmPool({1: function}, Eligibility(slow_start), 10.0)
 
 
@@ -130,7 +130,7 @@
     assert keep_alive_s(settings(keep_alive_s=0.0)) == DEFAULT_KEEP_ALIVE_S
 
 
-def test_a_restored_instance_takes_its_old_place() -> None:
+def test_a_restored_instance_returns_to_its_old_position() -> None:
     function, worker, other = Function(), make_worker(1), make_worker(2)
     pool = make_pool(function)
     pool.release(100.0, function, worker, 1)
@@ -163,11 +163,11 @@
     pool = make_pool(function)
     pool.release(100.0, function, worker, 2)
     pool.release(100.0, function, other, 1)
-    pool.void_worker(worker)
+    pool.drop_instances(worker)
     assert function.warm_instances == [(other, 100.0)]
 
 
-def test_a_repeat_place_survives_the_removal_of_expired_instances() -> None:
+def test_a_retry_candidate_survives_the_removal_of_expired_instances() -> None:
     function, worker, expired = Function(), make_worker(1), make_worker(2)
     pool, pending = make_pool(function), make_pending()
     broken = make_attempt(worker)
