--- a/saffronstack/cli/cpu_affinity.py
+++ b/saffronstack/cli/cpu_affinity.py
@@ -8,8 +8,8 @@
 import time
 from collections.abc import Callable, Collection, Iterable, Mapping
 
-from saffronstack.daemon.processor_settling import IdleLook, choose_first_processor
-from saffronstack.daemon.processor_times import IdleTimes
+from saffronstack.daemon.processor_settling import CpuIdleSample, choose_initial_cpu
+from saffronstack.daemon.processor_times import CpuIdleTimes
 
 DEFAULT_CPUS = "one"
 IDLE_LOOK_S = 0.1  # for which the processors are looked at before a process keeps to one
@@ -73,12 +73,12 @@
     if selection != DEFAULT_CPUS or not chosen:
         return chosen
     allowed = os.sched_getaffinity(0)
-    with contextlib.closing(IdleTimes()) as idle_times:
+    with contextlib.closing(CpuIdleTimes()) as idle_times:
         read = read_idle or idle_times.read
-        before = IdleLook(time.monotonic(), read(allowed))
+        before = CpuIdleSample(time.monotonic(), read(allowed))
         pause(IDLE_LOOK_S)
-        after = IdleLook(time.monotonic(), read(allowed))
-    return {choose_first_processor(allowed, turn, before, after)}
+        after = CpuIdleSample(time.monotonic(), read(allowed))
+    return {choose_initial_cpu(allowed, turn, before, after)}
 
 
 def pin_threads(cpus: set[int]) -> set[int]:
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -31,14 +31,14 @@
 from saffronstack.cli.starvation_guard import StarvationGuard
 from saffronstack.config.schema import Config
 from saffronstack.daemon.process_group import ProcessGroup
-from saffronstack.daemon.processor_choice import LOOK_INTERVAL_S
+from saffronstack.daemon.processor_choice import CPU_SAMPLE_INTERVAL_S
 from saffronstack.durable.errors import JournalError
 from saffronstack.gateway import Gateway
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 
 log = structlog.get_logger("saffronstack.serve")
-SIGNAL_POLL_S = LOOK_INTERVAL_S
+SIGNAL_POLL_S = CPU_SAMPLE_INTERVAL_S
 FINISH_POLL_S = 0.1
 
 
--- a/saffronstack/cli/starvation_guard.py
+++ b/saffronstack/cli/starvation_guard.py
@@ -16,10 +16,10 @@
 import structlog
 
 from saffronstack.cli.cpu_affinity import NO_THREAD, move_threads
-from saffronstack.daemon.processor_choice import MoveHold, ProcessorChoice, ProcessorLook
-from saffronstack.daemon.processor_settling import IdleLook, ProcessorSettling
+from saffronstack.daemon.processor_choice import CpuMovePolicy, CpuSample, MoveBackoff
+from saffronstack.daemon.processor_settling import CpuIdleSample, CpuPinningPolicy
 from saffronstack.daemon.processor_starvation import StarvationMonitor, ThreadSample, read_thread
-from saffronstack.daemon.processor_times import IdleTimes
+from saffronstack.daemon.processor_times import CpuIdleTimes
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.serve")
@@ -54,21 +54,21 @@
         """
         self._allowed, self._clock = frozenset(allowed), clock
         self._read, self._read_run_ns, self._move = read, read_run_ns, move
-        self._idle_times = IdleTimes()
+        self._idle_times = CpuIdleTimes()
         self._read_idle = read_idle or self._idle_times.read
         self._stopping = threading.Event()
         self._probe_thread = NO_THREAD  # its id in the system, once it has run
         self._processors = frozenset(os.sched_getaffinity(0))  # of all threads but this one
-        hold = MoveHold()
-        self._choice = ProcessorChoice(os.getpid(), hold)
-        self._settling = ProcessorSettling(os.getpid(), hold)
+        hold = MoveBackoff()
+        self._choice = CpuMovePolicy(os.getpid(), hold)
+        self._settling = CpuPinningPolicy(os.getpid(), hold)
         self._samples: dict[int, ThreadSample] = {}
         self._monitor = StarvationMonitor(
             clock,
             lambda pid: self._samples,
             release or self._release,
             read_run_ns=lambda pid: self._read_run_ns(),
-            read_processors=lambda pid: self._processors,
+            read_affinity=lambda pid: self._processors,
         )
         start_thread("processor-probe", self._probe)
         os.sched_setaffinity(0, allowed)
@@ -79,12 +79,12 @@
         return self._probe_thread != NO_THREAD
 
     def check(self) -> None:
-        """Look at the processors; leave one that others take up. Called each `LOOK_INTERVAL_S`."""
+        """Look at the processors; leave one that others take up. Called each `CPU_SAMPLE_INTERVAL_S`."""
         self._samples = self._read_threads()
         if self.has_started:  # a daemon may have released the process
             self._processors = frozenset(os.sched_getaffinity(self._probe_thread))
         if len(self._processors) == 1:
-            self._settling.restart()
+            self._settling.reset()
             if self._move_if_taken_up():
                 return
         elif self._processors == self._allowed and self._settle_if_idle():
@@ -101,21 +101,21 @@
     def _move_if_taken_up(self) -> bool:
         (processor,) = self._processors
         idle_ns = self._read_idle(self._allowed)
-        look = ProcessorLook(self._clock(), processor, self._read_run_ns(), self._samples, idle_ns)
-        move = self._choice.choose(look)
+        sample = CpuSample(self._clock(), processor, self._read_run_ns(), self._samples, idle_ns)
+        move = self._choice.choose(sample)
         if move is None:
             return False
-        self._run_on(frozenset({move.processor}))
+        self._run_on(frozenset({move.cpu}))
         log.warning(
             "processor taken up by something else, moved to another one",
             old=processor,
-            new=move.processor,
-            waited=round(move.waited_share, 2),
+            new=move.cpu,
+            waited=round(move.waited_fraction, 2),
         )
         return True
 
     def _settle_if_idle(self) -> bool:
-        processor = self._settling.choose(IdleLook(self._clock(), self._read_idle(self._allowed)))
+        processor = self._settling.choose(CpuIdleSample(self._clock(), self._read_idle(self._allowed)))
         if processor is None:
             return False
         self._run_on(frozenset({processor}))
--- a/saffronstack/daemon/processor_choice.py
+++ b/saffronstack/daemon/processor_choice.py
@@ -12,13 +12,15 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-LOOK_INTERVAL_S = 0.25
-SPAN_S = 1.0
-WAITING_SHARE = 0.1  # of the span, for which a thread waited for other processes: the processor is taken up
-IDLE_SHARE = 0.5  # of the span, used by nobody: then the process may move there
-FIRST_HOLD_S = 1.0  # between two moves; doubles with each one
-LONGEST_HOLD_S = 60.0
-QUIET_S = 60.0  # without a move, after which the hold is the first one again
+CPU_SAMPLE_INTERVAL_S = 0.25
+CPU_SAMPLE_WINDOW_S = 1.0
+CONTENDED_WAIT_FRACTION = (
+    0.1  # of the span, for which a thread waited for other processes: the processor is taken up
+)
+IDLE_FRACTION = 0.5  # of the span, used by nobody: then the process may move there
+INITIAL_BACKOFF_S = 1.0  # between two moves; doubles with each one
+MAX_BACKOFF_S = 60.0
+BACKOFF_RESET_S = 60.0  # without a move, after which the hold is the first one again
 NS_PER_S = 1e9
 
 
@@ -35,85 +37,87 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProcessorLook:
+class CpuSample:
     """What is known at one moment; times are sums since the start of the process or of the system."""
 
     at_s: float  # monotonic
-    processor: int  # the one that the process keeps to
+    cpu: int  # the one that the process keeps to
     run_ns: int  # of all threads of the process
     threads: Mapping[int, ThreadTimes]  # some threads of the process, by id
     idle_ns: Mapping[int, int]  # by processor that the process may use; empty where the system does not tell
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class CpuMove:
     """Where a process moves to, and why."""
 
-    processor: int
-    waited_share: float  # of the span, for which a thread waited for other processes
+    cpu: int
+    waited_fraction: float  # of the span, for which a thread waited for other processes
 
 
 @dataclass
-class MoveHold:
+class MoveBackoff:
     """Bounds how often a process moves."""
 
-    _hold_s: float = FIRST_HOLD_S
-    _moved_s: float = field(default=float("-inf"))
+    _backoff_s: float = INITIAL_BACKOFF_S
+    _last_move_s: float = field(default=float("-inf"))
 
-    def is_over(self, now_s: float) -> bool:
+    def has_elapsed(self, now_s: float) -> bool:
         """Whether the process may move."""
-        return now_s - self._moved_s >= self._hold_s
+        return now_s - self._last_move_s >= self._backoff_s
 
-    def moved(self, now_s: float) -> None:
+    def record_move(self, now_s: float) -> None:
         """Begin the next hold."""
-        is_quiet = now_s - self._moved_s >= max(QUIET_S, 2 * self._hold_s)
-        is_first = self._moved_s == float("-inf")
-        self._hold_s = FIRST_HOLD_S if is_quiet or is_first else min(2 * self._hold_s, LONGEST_HOLD_S)
-        self._moved_s = now_s
+        is_reset_due = now_s - self._last_move_s >= max(BACKOFF_RESET_S, 2 * self._backoff_s)
+        is_first_move = self._last_move_s == float("-inf")
+        self._backoff_s = (
+            INITIAL_BACKOFF_S if is_reset_due or is_first_move else min(2 * self._backoff_s, MAX_BACKOFF_S)
+        )
+        self._last_move_s = now_s
 
 
-class ProcessorChoice:
+class CpuMovePolicy:
     """The looks of one process, and where it moves to."""
 
-    def __init__(self, turn: int, hold: MoveHold) -> None:
+    def __init__(self, offset: int, backoff: MoveBackoff) -> None:
         """Create it without looks.
 
         Args:
-            turn: Spreads processes that leave one processor at the same time.
-            hold: Bounds the process's moves.
+            offset: Spreads processes that leave one processor at the same time.
+            backoff: Bounds the process's moves.
         """
-        self._turn = turn
-        self._hold = hold
-        self._looks: deque[ProcessorLook] = deque()
+        self._offset = offset
+        self._backoff = backoff
+        self._samples: deque[CpuSample] = deque()
 
-    def choose(self, look: ProcessorLook) -> Move | None:
+    def choose(self, sample: CpuSample) -> CpuMove | None:
         """Return the move to make, or None to stay."""
-        if self._looks and self._looks[-1].processor != look.processor:
-            self._looks.clear()  # moved by something else
-        before = self._add(look)
-        if before is None or not self._hold.is_over(look.at_s):
+        if self._samples and self._samples[-1].cpu != sample.cpu:
+            self._samples.clear()  # moved by something else
+        before = self._add_sample(sample)
+        if before is None or not self._backoff.has_elapsed(sample.at_s):
             return None
-        waited_ns = foreign_wait_ns(before.threads, look.threads, look.run_ns - before.run_ns)
-        share = waited_ns / _span_ns(before, look)
-        if share < WAITING_SHARE:
+        waited_ns = external_wait_ns(before.threads, sample.threads, sample.run_ns - before.run_ns)
+        fraction = waited_ns / _elapsed_ns(before, sample)
+        if fraction < CONTENDED_WAIT_FRACTION:
             return None
-        idle = idle_processors(before, look)
+        idle = idle_cpus(before, sample)
         if not idle:
             return None
-        self._hold.moved(look.at_s)
-        self._looks.clear()
-        return Move(idle[self._turn % len(idle)], share)
+        self._backoff.record_move(sample.at_s)
+        self._samples.clear()
+        return CpuMove(idle[self._offset % len(idle)], fraction)
 
-    def _add(self, look: ProcessorLook) -> ProcessorLook | None:
+    def _add_sample(self, sample: CpuSample) -> CpuSample | None:
         """Return the last look that is a span older, if there is one; those before it are dropped."""
-        self._looks.append(look)
-        while len(self._looks) > 1 and look.at_s - self._looks[1].at_s >= SPAN_S:
-            self._looks.popleft()
-        oldest = self._looks[0]
-        return oldest if look.at_s - oldest.at_s >= SPAN_S else None
+        self._samples.append(sample)
+        while len(self._samples) > 1 and sample.at_s - self._samples[1].at_s >= CPU_SAMPLE_WINDOW_S:
+            self._samples.popleft()
+        oldest = self._samples[0]
+        return oldest if sample.at_s - oldest.at_s >= CPU_SAMPLE_WINDOW_S else None
 
 
-def foreign_wait_ns(before: Mapping[int, ThreadTimes], after: Mapping[int, ThreadTimes], run_ns: int) -> int:
+def external_wait_ns(before: Mapping[int, ThreadTimes], after: Mapping[int, ThreadTimes], run_ns: int) -> int:
     """Return the longest time for which one thread waited while threads of other processes ran.
 
     Args:
@@ -129,19 +133,19 @@
     return found_ns
 
 
-def idle_processors(before: ProcessorLook, after: ProcessorLook) -> list[int]:
+def idle_cpus(before: CpuSample, after: CpuSample) -> list[int]:
     """Return the other processors that nobody used for most of the time between two looks."""
-    least_ns = IDLE_SHARE * _span_ns(before, after)
-    others = after.idle_ns.keys() - {after.processor}
-    return [one for one in sorted(others) if (_idle_ns(before, after, one) or 0) >= least_ns]
+    least_ns = IDLE_FRACTION * _elapsed_ns(before, after)
+    other_cpus = after.idle_ns.keys() - {after.cpu}
+    return [cpu for cpu in sorted(other_cpus) if (_idle_ns(before, after, cpu) or 0) >= least_ns]
 
 
-def _idle_ns(before: ProcessorLook, after: ProcessorLook, processor: int) -> int | None:
+def _idle_ns(before: CpuSample, after: CpuSample, cpu: int) -> int | None:
     """None where the system does not tell."""
-    if processor not in before.idle_ns or processor not in after.idle_ns:
+    if cpu not in before.idle_ns or cpu not in after.idle_ns:
         return None
-    return after.idle_ns[processor] - before.idle_ns[processor]
+    return after.idle_ns[cpu] - before.idle_ns[cpu]
 
 
-def _span_ns(before: ProcessorLook, after: ProcessorLook) -> float:
+def _elapsed_ns(before: CpuSample, after: CpuSample) -> float:
     return (after.at_s - before.at_s) * NS_PER_S
--- a/saffronstack/daemon/processor_settling.py
+++ b/saffronstack/daemon/processor_settling.py
@@ -9,81 +9,80 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from saffronstack.daemon.processor_choice import IDLE_SHARE, NS_PER_S, MoveHold
+from saffronstack.daemon.processor_choice import IDLE_FRACTION, NS_PER_S, MoveBackoff
 
-SETTLE_S = 10.0  # for which a processor has to be idle, look by look
+MIN_IDLE_TIME_S = 10.0  # for which a processor has to be idle, look by look
 
 
 @dataclass(frozen=True, slots=True)
-class IdleLook:
+class CpuIdleSample:
     """The processors at one moment."""
 
     at_s: float  # monotonic
     idle_ns: Mapping[int, int]  # by processor, since the start of the system; empty where it does not tell
 
 
-def choose_first_processor(processors: Collection[int], turn: int, before: IdleLook, after: IdleLook) -> int:
+def choose_initial_cpu(
+    cpus: Collection[int], offset: int, before: CpuIdleSample, after: CpuIdleSample
+) -> int:
     """Return the processor that a process which starts keeps to.
 
     One that others have taken up would keep callers waiting until the process has left it. So it is one of
     those that were idle for at least half as long as the idlest one; of all, where the system does not tell.
 
     Args:
-        processors: Numbers of those that the process may use.
-        turn: Spreads processes that start at the same time.
+        cpus: Numbers of those that the process may use.
+        offset: Spreads processes that start at the same time.
         before: The processors shortly before.
         after: The processors now.
     """
-    idle_ns = {
-        processor: after.idle_ns.get(processor, 0) - before.idle_ns.get(processor, 0)
-        for processor in sorted(processors)
-    }
-    least_ns = IDLE_SHARE * max(idle_ns.values())
-    idle = [processor for processor, found_ns in idle_ns.items() if found_ns >= least_ns]
-    return idle[turn % len(idle)]
+    idle_ns = {cpu: after.idle_ns.get(cpu, 0) - before.idle_ns.get(cpu, 0) for cpu in sorted(cpus)}
+    least_ns = IDLE_FRACTION * max(idle_ns.values())
+    idle = [cpu for cpu, found_ns in idle_ns.items() if found_ns >= least_ns]
+    return idle[offset % len(idle)]
 
 
-class ProcessorSettling:
+class CpuPinningPolicy:
     """The looks of one process while it may run anywhere."""
 
-    def __init__(self, turn: int, hold: MoveHold) -> None:
+    def __init__(self, offset: int, backoff: MoveBackoff) -> None:
         """Create it without looks.
 
         Args:
-            turn: Spreads processes that settle at the same time.
-            hold: Bounds the process's moves.
+            offset: Spreads processes that settle at the same time.
+            backoff: Bounds the process's moves.
         """
-        self._turn = turn
-        self._hold = hold
-        self._before: IdleLook | None = None
+        self._offset = offset
+        self._backoff = backoff
+        self._before: CpuIdleSample | None = None
         self._idle_since_s: dict[int, float] = {}
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forget all looks: the process keeps to one processor."""
         self._before = None
         self._idle_since_s.clear()
 
-    def choose(self, look: IdleLook) -> int | None:
+    def choose(self, sample: CpuIdleSample) -> int | None:
         """Return the processor to keep to from now on, or None to go on with all."""
-        self._observe(look)
-        settled = [
-            processor
-            for processor, since_s in sorted(self._idle_since_s.items())
-            if look.at_s - since_s >= SETTLE_S
+        self._observe(sample)
+        idle_cpus = [
+            cpu
+            for cpu, since_s in sorted(self._idle_since_s.items())
+            if sample.at_s - since_s >= MIN_IDLE_TIME_S
         ]
-        if not settled or not self._hold.is_over(look.at_s):
+        if not idle_cpus or not self._backoff.has_elapsed(sample.at_s):
             return None
-        self._hold.moved(look.at_s)
-        self.restart()
-        return settled[self._turn % len(settled)]
+        self._backoff.record_move(sample.at_s)
+        self.reset()
+        return idle_cpus[self._offset % len(idle_cpus)]
 
-    def _observe(self, look: IdleLook) -> None:
-        before, self._before = self._before, look
+    def _observe(self, sample: CpuIdleSample) -> None:
+        before, self._before = self._before, sample
         if before is None:
             return
-        least_ns = IDLE_SHARE * (look.at_s - before.at_s) * NS_PER_S
-        for processor, idle_ns in look.idle_ns.items():
-            if processor in before.idle_ns and idle_ns - before.idle_ns[processor] >= least_ns:
-                self._idle_since_s.setdefault(processor, before.at_s)
+        least_ns = IDLE_FRACTION * (sample.at_s - before.at_s) * NS_PER_S
+        for cpu, idle_ns in sample.idle_ns.items():
+            if cpu in before.idle_ns and idle_ns - before.idle_ns[cpu] >= least_ns:
+                self._idle_since_s.setdefault(cpu, before.at_s)
             else:
-                self._idle_since_s.pop(processor, None)
+                self._idle_since_s.pop(cpu, None)
--- a/saffronstack/daemon/processor_starvation.py
+++ b/saffronstack/daemon/processor_starvation.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from saffronstack.daemon.processor_choice import WAITING_SHARE, foreign_wait_ns
+from saffronstack.daemon.processor_choice import CONTENDED_WAIT_FRACTION, external_wait_ns
 
 SAMPLE_INTERVAL_S = 0.5  # a thread that is ready to run for as long and does not run is starved
 _NS_PER_S = 1_000_000_000
@@ -41,7 +41,7 @@
 
     threads: ThreadSamples
     run_ns: int | None  # of all its threads, those that have ended too; None where the system does not tell
-    processors: frozenset[int]  # that its threads keep to
+    cpus: frozenset[int]  # that its threads keep to
 
 
 def _read_file(path: str) -> bytes:
@@ -87,15 +87,15 @@
     return ticks * _NS_PER_S // os.sysconf("SC_CLK_TCK")
 
 
-def read_kept_processors(pid: int) -> frozenset[int]:
+def read_cpu_affinity(pid: int) -> frozenset[int]:
     """Return the processors of the thread that may run on the fewest; none where the process has ended."""
-    processors: set[int] = set()
+    cpus: set[int] = set()
     with contextlib.suppress(OSError):
         for name in os.listdir(f"/proc/{pid}/task"):
             with contextlib.suppress(OSError):  # the thread has ended
                 allowed = os.sched_getaffinity(int(name))
-                processors = allowed if not processors or len(allowed) < len(processors) else processors
-    return frozenset(processors)
+                cpus = allowed if not cpus or len(allowed) < len(cpus) else cpus
+    return frozenset(cpus)
 
 
 def is_starved(before: ThreadSamples, after: ThreadSamples) -> bool:
@@ -107,23 +107,23 @@
     )
 
 
-def waits_for_others(before: ProcessSample, after: ProcessSample, span_s: float) -> bool:
+def is_contended(before: ProcessSample, after: ProcessSample, span_s: float) -> bool:
     """Return whether a thread waited for other processes for a part of the span that counts.
 
     A span in which the process came to other processors tells nothing of those that it keeps to now.
     """
-    if before.run_ns is None or after.run_ns is None or before.processors != after.processors:
+    if before.run_ns is None or after.run_ns is None or before.cpus != after.cpus:
         return False
-    waited_ns = foreign_wait_ns(before.threads, after.threads, after.run_ns - before.run_ns)
-    return waited_ns >= WAITING_SHARE * span_s * _NS_PER_S
+    waited_ns = external_wait_ns(before.threads, after.threads, after.run_ns - before.run_ns)
+    return waited_ns >= CONTENDED_WAIT_FRACTION * span_s * _NS_PER_S
 
 
-def allow_all_processors(pid: int) -> bool:
+def allow_all_cpus(pid: int) -> bool:
     """Let all threads of a process run wherever this process may; return whether that changes anything.
 
     A process whose command line names its processors keeps them.
     """
-    processors = os.sched_getaffinity(0)
+    cpus = os.sched_getaffinity(0)
     changed = False
     with contextlib.suppress(OSError):
         words = pathlib.Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")
@@ -132,8 +132,8 @@
         for task in pathlib.Path(f"/proc/{pid}/task").iterdir():
             with contextlib.suppress(OSError):  # the thread has ended
                 thread = int(task.name)
-                if os.sched_getaffinity(thread) != processors:
-                    os.sched_setaffinity(thread, processors)
+                if os.sched_getaffinity(thread) != cpus:
+                    os.sched_setaffinity(thread, cpus)
                     changed = True
     return changed
 
@@ -145,20 +145,20 @@
         self,
         clock: Callable[[], float],
         read: Callable[[int], ThreadSamples] = read_threads,
-        release: Callable[[int], bool] = allow_all_processors,
+        release: Callable[[int], bool] = allow_all_cpus,
         *,
         read_run_ns: Callable[[int], int | None] = read_run_ns,
-        read_processors: Callable[[int], frozenset[int]] = read_kept_processors,
+        read_affinity: Callable[[int], frozenset[int]] = read_cpu_affinity,
     ) -> None:
         """``clock``: monotonic seconds; the other arguments stand for the system in tests."""
         self._clock = clock
         self._read = read
         self._release = release
         self._read_run_ns = read_run_ns
-        self._read_processors = read_processors
+        self._read_affinity = read_affinity
         self._sampled_s = clock()
         self._samples: dict[int, ProcessSample] = {}  # by process id
-        self._waiting: set[int] = set()  # processes that waited for others in the last span
+        self._contended: set[int] = set()  # processes that waited for others in the last span
 
     def check(self, pids: Iterable[int]) -> list[int]:
         """Sample processes if it is time; return those that were starved and may run anywhere from now on."""
@@ -168,17 +168,17 @@
             return []
         self._sampled_s = now_s
         previous, self._samples = self._samples, {pid: self._sample(pid) for pid in pids}
-        waited_before, self._waiting = self._waiting, set()
+        previously_contended, self._contended = self._contended, set()
         starved = []
         for pid, after in self._samples.items():
             before = previous.get(pid)
             if before is None:
                 continue
-            if waits_for_others(before, after, span_s):
-                self._waiting.add(pid)
-            if is_starved(before.threads, after.threads) or pid in waited_before & self._waiting:
+            if is_contended(before, after, span_s):
+                self._contended.add(pid)
+            if is_starved(before.threads, after.threads) or pid in previously_contended & self._contended:
                 starved.append(pid)
         return [pid for pid in starved if self._release(pid)]
 
     def _sample(self, pid: int) -> ProcessSample:
-        return ProcessSample(self._read(pid), self._read_run_ns(pid), self._read_processors(pid))
+        return ProcessSample(self._read(pid), self._read_run_ns(pid), self._read_affinity(pid))
--- a/saffronstack/daemon/processor_times.py
+++ b/saffronstack/daemon/processor_times.py
@@ -6,27 +6,27 @@
 import os
 from collections.abc import Collection
 
-STAT_PATH = "/proc/stat"
+PROC_STAT_PATH = "/proc/stat"
 _READ_BYTES = 256 * 1024  # the processors' lines are the first ones
 _IDLE_COLUMNS = slice(4, 6)  # idle, and idle while input or output is under way
 _NS_PER_S = 1_000_000_000
 
 
-class IdleTimes:
+class CpuIdleTimes:
     """Reads them from a file that stays open: one call of the system for each look."""
 
-    def __init__(self, path: str = STAT_PATH) -> None:
+    def __init__(self, path: str = PROC_STAT_PATH) -> None:
         """Open the file; where the system has none, nothing is told."""
         self._descriptor: int | None = None
         with contextlib.suppress(OSError):
             self._descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
 
-    def read(self, processors: Collection[int]) -> dict[int, int]:
+    def read(self, cpus: Collection[int]) -> dict[int, int]:
         """Return nanoseconds since the system's start by processor; empty where they can't be read."""
         if self._descriptor is None:
             return {}
         try:
-            return parse_idle_ns(os.pread(self._descriptor, _READ_BYTES, 0), processors)
+            return parse_idle_ns(os.pread(self._descriptor, _READ_BYTES, 0), cpus)
         except (OSError, ValueError):
             return {}
 
@@ -37,7 +37,7 @@
             os.close(descriptor)
 
 
-def parse_idle_ns(stat: bytes, processors: Collection[int]) -> dict[int, int]:
+def parse_idle_ns(stat: bytes, cpus: Collection[int]) -> dict[int, int]:
     """Return the idle time by processor from the text of /proc/stat.
 
     Raises:
@@ -49,6 +49,6 @@
         words = line.split()
         if not words or not words[0].startswith(b"cpu"):
             break
-        if words[0] != b"cpu" and int(words[0][3:]) in processors:
+        if words[0] != b"cpu" and int(words[0][3:]) in cpus:
             found[int(words[0][3:])] = tick_ns * sum(map(int, words[_IDLE_COLUMNS]))
     return found
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -15,7 +15,7 @@
 
 from saffronstack.daemon.errors import StartupError
 from saffronstack.daemon.heartbeat_monitor import STOPPED_TIMEOUT_S, HeartbeatMonitor
-from saffronstack.daemon.processor_starvation import StarvationMonitor, allow_all_processors
+from saffronstack.daemon.processor_starvation import StarvationMonitor, allow_all_cpus
 from saffronstack.daemon.restart_backoff import RestartBackoff
 from saffronstack.runtime.threads import start_thread
 
@@ -140,7 +140,7 @@
         running = [one for one in self._processes if one.is_running()]
         for supervised in running:
             assert supervised.process is not None
-            allow_all_processors(supervised.process.pid)  # nothing releases one that is starved while it ends
+            allow_all_cpus(supervised.process.pid)  # nothing releases one that is starved while it ends
             supervised.process.send_signal(signal.SIGTERM)
         deadline_s = self._clock() + timeout_s
         worst = max((self._wait_for_exit(supervised, deadline_s) for supervised in running), default=0)
--- a/saffronstack/fleet/rollout/canary_analysis.py
+++ b/saffronstack/fleet/rollout/canary_analysis.py
@@ -86,13 +86,13 @@
     """Return what is missing for a success: no data is no good data."""
     canaries = [sample for sample in samples if sample.is_canary]
     baseline = [sample for sample in samples if not sample.is_canary]
-    silent = [sample.gateway for sample in canaries if sample.is_silent]
+    unreachable = [sample.gateway for sample in canaries if sample.is_unreachable]
     gaps: list[str] = []
     if not canaries:
         gaps.append("no gateway of the new side")
-    elif len(silent) > limits.max_silent_share * len(canaries):
-        names = ", ".join(silent[:MAX_NAMES_SHOWN])
-        gaps.append(f"{len(silent)} of {len(canaries)} new gateways could not be asked: {names}")
+    elif len(unreachable) > limits.max_unreachable_fraction * len(canaries):
+        names = ", ".join(unreachable[:MAX_NAMES_SHOWN])
+        gaps.append(f"{len(unreachable)} of {len(canaries)} new gateways could not be asked: {names}")
     canary_calls = _count_calls(canaries)
     if canary_calls < limits.min_calls:
         gaps.append(f"the new side had {canary_calls} calls, {limits.min_calls} at least")
@@ -107,7 +107,7 @@
 
 def compare_samples(samples: Sequence[GatewaySample]) -> list[Comparison]:
     """Compare each measure for which some zone has both canaries and a baseline."""
-    reporting = [sample for sample in samples if not sample.is_silent]
+    reporting = [sample for sample in samples if not sample.is_unreachable]
     comparisons = [
         statistics.compare_ratios(
             measure,
@@ -132,6 +132,6 @@
     ]
     restarts = [statistics.EventRow(one.is_canary, one.restarts) for one in samples]
     comparisons.append(statistics.compare_event_counts("restarts", restarts))
-    silent = [statistics.EventRow(one.is_canary, int(one.is_silent)) for one in samples]
-    comparisons.append(statistics.compare_affected_gateways("silent", silent))
+    unreachable = [statistics.EventRow(one.is_canary, int(one.is_unreachable)) for one in samples]
+    comparisons.append(statistics.compare_affected_gateways("silent", unreachable))
     return [one for one in comparisons if one is not None]
--- a/saffronstack/fleet/rollout/canary_sampler.py
+++ b/saffronstack/fleet/rollout/canary_sampler.py
@@ -12,12 +12,12 @@
 from saffronstack.fleet.rollout.metrics_snapshot import MetricsSnapshot, is_fresh, take_snapshot
 from saffronstack.fleet.rollout.plan import FleetGateway
 
-IN_TIME_SHARE = 0.95  # of the baseline's calls; a call that takes longer than these is late
+IN_TIME_FRACTION = 0.95  # of the baseline's calls; a call that takes longer than these is late
 FAILURES = ("function_error", "refused", "failed", "unknown")  # names of outcomes on gateways' pages
 
 
 @dataclass(frozen=True, slots=True)
-class _Measured:
+class _MeasuredGateway:
     """A gateway whose metrics are known at both ends."""
 
     gateway: FleetGateway
@@ -59,18 +59,18 @@
 
     def samples(self, statuses: Mapping[str, GatewayStatus], new_digest: str) -> list[GatewaySample]:
         """Return what the analysis compares; canaries are the gateways that are to run ``new_digest``."""
-        silent: list[GatewaySample] = []
-        measured: list[_Measured] = []
+        unreachable: list[GatewaySample] = []
+        measured: list[_MeasuredGateway] = []
         for gateway in self.fleet:
             status = statuses.get(gateway.name)
             since_start = self._since_start(gateway.name, status)
             if status is None or since_start is None:
-                silent.append(self._silent_sample(gateway, status, new_digest))
+                unreachable.append(self._unreachable_sample(gateway, status, new_digest))
             else:
-                measured.append(_Measured(gateway, status, since_start))
+                measured.append(_MeasuredGateway(gateway, status, since_start))
         baseline = (one.since_start for one in measured if one.status.desired_release != new_digest)
         late_bounds = _late_bounds(baseline)
-        return silent + [self._sample(one, late_bounds, new_digest) for one in measured]
+        return unreachable + [self._sample(one, late_bounds, new_digest) for one in measured]
 
     def _since_start(self, name: str, status: GatewayStatus | None) -> MetricsSnapshot | None:
         snapshot = take_snapshot(status) if status is not None else None
@@ -81,7 +81,7 @@
             return None
         return snapshot.since(self._started[name])
 
-    def _silent_sample(
+    def _unreachable_sample(
         self, gateway: FleetGateway, status: GatewayStatus | None, new_digest: str
     ) -> GatewaySample:
         """Which side a gateway without metrics is on is known by its desired release, where that is known."""
@@ -90,10 +90,12 @@
             zone=gateway.zone,
             is_canary=status is not None and status.desired_release == new_digest,
             restarts=self._restarts(gateway.name, status),
-            is_silent=True,
+            is_unreachable=True,
         )
 
-    def _sample(self, measured: _Measured, late_bounds: Mapping[str, int], new_digest: str) -> GatewaySample:
+    def _sample(
+        self, measured: _MeasuredGateway, late_bounds: Mapping[str, int], new_digest: str
+    ) -> GatewaySample:
         since_start = measured.since_start
         return GatewaySample(
             gateway=measured.gateway.name,
@@ -137,12 +139,12 @@
     for snapshot in baseline:
         for call_class, latencies in snapshot.latencies_by_class.items():
             merged.setdefault(call_class, Counter()).update(latencies)
-    bounds = {call_class: _in_time_bound(latencies) for call_class, latencies in merged.items()}
+    bounds = {call_class: _late_bound(latencies) for call_class, latencies in merged.items()}
     return {call_class: bound for call_class, bound in bounds.items() if bound is not None}
 
 
-def _in_time_bound(latencies: Counter[int]) -> int | None:
-    remaining = IN_TIME_SHARE * latencies.total()
+def _late_bound(latencies: Counter[int]) -> int | None:
+    remaining = IN_TIME_FRACTION * latencies.total()
     for value in sorted(latencies):
         remaining -= latencies[value]
         if remaining <= 0:
--- a/saffronstack/fleet/rollout/canary_statistics.py
+++ b/saffronstack/fleet/rollout/canary_statistics.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Cell:
+class _ZoneSide:
     """One side of one zone."""
 
     zone: str
@@ -80,24 +80,24 @@
     The p-value is the greatest of three tests: of the scattered gateways (t), of their rates' angles (t), and
     of single calls (hypergeometric), which alone is right where few calls failed.
     """
-    zones = _zones_with_both_sides(_Cell(row.zone, row.is_canary) for row in rows)
+    zones = _zones_with_both_sides(_ZoneSide(row.zone, row.is_canary) for row in rows)
     rows = [row for row in rows if row.zone in zones]
     # Where nothing failed on either side there is nothing to compare, and no alpha is spent on it: given how
     # much failed together, on which side it did is what is tested.
     if not any(row.ratio.failures for row in rows):
         return None
-    cells: dict[_Cell, list[FailureRatio]] = defaultdict(list)
+    sides: dict[_ZoneSide, list[FailureRatio]] = defaultdict(list)
     for row in rows:
-        cells[_Cell(row.zone, row.is_canary)].append(row.ratio)
-    totals = {cell: _sum_ratios(ratios) for cell, ratios in cells.items()}
+        sides[_ZoneSide(row.zone, row.is_canary)].append(row.ratio)
+    totals = {side: _sum_ratios(ratios) for side, ratios in sides.items()}
     rates = _rate_difference(zones, totals)
     if rates.variance <= 0:
         return Comparison(measure, rates.canary_mean, rates.baseline_mean, 1.0)
     by_calls = _hypergeometric_p_value(
-        canary=_sum_ratios(totals[_Cell(zone, True)] for zone in zones),
-        baseline=_sum_ratios(totals[_Cell(zone, False)] for zone in zones),
+        canary=_sum_ratios(totals[_ZoneSide(zone, True)] for zone in zones),
+        baseline=_sum_ratios(totals[_ZoneSide(zone, False)] for zone in zones),
     )
-    dispersion = _estimate_dispersion(cells, totals)
+    dispersion = _estimate_dispersion(sides, totals)
     if dispersion.degrees_of_freedom < MIN_DEGREES_OF_FREEDOM:
         return Comparison(measure, rates.canary_mean, rates.baseline_mean, 1.0, by_calls)
     statistic = rates.difference / math.sqrt(dispersion.factor() * rates.variance)
@@ -112,10 +112,10 @@
     return FailureRatio(sum(one.failures for one in summed), sum(one.total for one in summed))
 
 
-def _rate_difference(zones: Iterable[str], totals: Mapping[_Cell, FailureRatio]) -> _WeightedDifference:
+def _rate_difference(zones: Iterable[str], totals: Mapping[_ZoneSide, FailureRatio]) -> _WeightedDifference:
     difference = variance = weights = canary_rate = baseline_rate = 0.0
     for zone in zones:
-        canary, baseline = totals[_Cell(zone, True)], totals[_Cell(zone, False)]
+        canary, baseline = totals[_ZoneSide(zone, True)], totals[_ZoneSide(zone, False)]
         weight = canary.total * baseline.total / (canary.total + baseline.total)
         rate = (canary.failures + baseline.failures) / (canary.total + baseline.total)
         difference += weight * (canary.failures / canary.total - baseline.failures / baseline.total)
@@ -132,11 +132,11 @@
 
 
 def _estimate_dispersion(
-    cells: Mapping[_Cell, Sequence[FailureRatio]], totals: Mapping[_Cell, FailureRatio]
+    sides: Mapping[_ZoneSide, Sequence[FailureRatio]], totals: Mapping[_ZoneSide, FailureRatio]
 ) -> _Dispersion:
     scatter, degrees_of_freedom = 0.0, 0
-    for cell, ratios in cells.items():
-        failures, total = totals[cell].failures, totals[cell].total
+    for side, ratios in sides.items():
+        failures, total = totals[side].failures, totals[side].total
         rate = (failures + 0.5) / (total + 1)
         scatter += sum(
             (one.failures - one.total * failures / total) ** 2 / (one.total * rate * (1 - rate))
@@ -165,22 +165,22 @@
 
     Returns None where no zone has both sides.
     """
-    zones = _zones_with_both_sides(_Cell(row.zone, row.is_canary) for row in rows)
-    cells: dict[_Cell, list[float]] = defaultdict(list)
+    zones = _zones_with_both_sides(_ZoneSide(row.zone, row.is_canary) for row in rows)
+    sides: dict[_ZoneSide, list[float]] = defaultdict(list)
     for row in rows:
         if row.zone in zones and math.isfinite(row.value):
-            cells[_Cell(row.zone, row.is_canary)].append(row.value)
-    zones = _zones_with_both_sides(cells)
+            sides[_ZoneSide(row.zone, row.is_canary)].append(row.value)
+    zones = _zones_with_both_sides(sides)
     if not zones:
         return None
-    means = {cell: sum(values) / len(values) for cell, values in cells.items()}
-    squares = sum((value - means[cell]) ** 2 for cell, values in cells.items() for value in values)
-    degrees_of_freedom = sum(len(values) - 1 for values in cells.values())
-    gauge = _gauge_difference(zones, cells, means)
+    means = {side: sum(values) / len(values) for side, values in sides.items()}
+    squares = sum((value - means[side]) ** 2 for side, values in sides.items() for value in values)
+    degrees_of_freedom = sum(len(values) - 1 for values in sides.values())
+    gauge = _gauge_difference(zones, sides, means)
     if degrees_of_freedom < MIN_DEGREES_OF_FREEDOM or (squares <= 0 and gauge.difference <= 0):
         return Comparison(measure, gauge.canary_mean, gauge.baseline_mean, 1.0)
     if squares <= 0:
-        p_value = 1 / _count_assignments(zones, cells)
+        p_value = 1 / _count_assignments(zones, sides)
     else:
         statistic = gauge.difference / math.sqrt(squares / degrees_of_freedom * gauge.variance)
         p_value = float(stats.t.sf(statistic, degrees_of_freedom))
@@ -188,13 +188,13 @@
 
 
 def _gauge_difference(
-    zones: Iterable[str], cells: Mapping[_Cell, Sequence[float]], means: Mapping[_Cell, float]
+    zones: Iterable[str], sides: Mapping[_ZoneSide, Sequence[float]], means: Mapping[_ZoneSide, float]
 ) -> _WeightedDifference:
     """Return the difference of means; its variance is that for values of variance 1."""
     difference = variance = weights = canary_mean = baseline_mean = 0.0
     for zone in zones:
-        canary, baseline = _Cell(zone, True), _Cell(zone, False)
-        canary_count, baseline_count = len(cells[canary]), len(cells[baseline])
+        canary, baseline = _ZoneSide(zone, True), _ZoneSide(zone, False)
+        canary_count, baseline_count = len(sides[canary]), len(sides[baseline])
         weight = canary_count * baseline_count / (canary_count + baseline_count)
         difference += weight * (means[canary] - means[baseline])
         variance += weight**2 * (1 / canary_count + 1 / baseline_count)
@@ -204,27 +204,27 @@
     return _WeightedDifference(difference, variance, canary_mean / weights, baseline_mean / weights)
 
 
-def _count_assignments(zones: Iterable[str], cells: Mapping[_Cell, Sequence[float]]) -> int:
+def _count_assignments(zones: Iterable[str], sides: Mapping[_ZoneSide, Sequence[float]]) -> int:
     """Return in how many ways the canaries of each zone could be chosen: a permutation test's cases."""
-    sizes = [(len(cells[_Cell(zone, True)]), len(cells[_Cell(zone, False)])) for zone in zones]
+    sizes = [(len(sides[_ZoneSide(zone, True)]), len(sides[_ZoneSide(zone, False)])) for zone in zones]
     return math.prod(math.comb(canary + baseline, canary) for canary, baseline in sizes)
 
 
 def compare_event_counts(measure: str, rows: Sequence[EventRow]) -> Comparison | None:
     """Test how likely so many single events fall on the canaries' part of the gateways."""
-    events = _EventTotals.of(rows)
+    events = _EventTotals.from_rows(rows)
     if not events.is_comparable:
         return None
-    p_value = float(stats.binom.sf(events.of_canaries - 1, events.total, events.canaries / len(rows)))
+    p_value = float(stats.binom.sf(events.canary_events - 1, events.total, events.canaries / len(rows)))
     return events.comparison(measure, p_value)
 
 
 def compare_affected_gateways(measure: str, rows: Sequence[EventRow]) -> Comparison | None:
     """Test how likely so many of the affected gateways, each with a count of 1, are canaries."""
-    events = _EventTotals.of(rows)
+    events = _EventTotals.from_rows(rows)
     if not events.is_comparable:
         return None
-    p_value = float(stats.hypergeom.sf(events.of_canaries - 1, len(rows), events.total, events.canaries))
+    p_value = float(stats.hypergeom.sf(events.canary_events - 1, len(rows), events.total, events.canaries))
     return events.comparison(measure, p_value)
 
 
@@ -233,15 +233,15 @@
     gateways: int
     canaries: int
     total: int
-    of_canaries: int
+    canary_events: int
 
     @classmethod
-    def of(cls, rows: Sequence[EventRow]) -> _EventTotals:
+    def from_rows(cls, rows: Sequence[EventRow]) -> _EventTotals:
         return cls(
             gateways=len(rows),
             canaries=sum(row.is_canary for row in rows),
             total=sum(row.count for row in rows),
-            of_canaries=sum(row.count for row in rows if row.is_canary),
+            canary_events=sum(row.count for row in rows if row.is_canary),
         )
 
     @property
@@ -249,12 +249,12 @@
         return self.total > 0 and 0 < self.canaries < self.gateways
 
     def comparison(self, measure: str, p_value: float) -> Comparison:
-        baseline_mean = (self.total - self.of_canaries) / (self.gateways - self.canaries)
-        return Comparison(measure, self.of_canaries / self.canaries, baseline_mean, p_value)
+        baseline_mean = (self.total - self.canary_events) / (self.gateways - self.canaries)
+        return Comparison(measure, self.canary_events / self.canaries, baseline_mean, p_value)
 
 
-def _zones_with_both_sides(cells: Iterable[_Cell]) -> set[str]:
-    sides: dict[str, set[bool]] = defaultdict(set)
-    for cell in cells:
-        sides[cell.zone].add(cell.is_canary)
-    return {zone for zone, seen in sides.items() if len(seen) == 2}
+def _zones_with_both_sides(sides: Iterable[_ZoneSide]) -> set[str]:
+    sides_by_zone: dict[str, set[bool]] = defaultdict(set)
+    for side in sides:
+        sides_by_zone[side.zone].add(side.is_canary)
+    return {zone for zone, zone_sides in sides_by_zone.items() if len(zone_sides) == 2}
--- a/saffronstack/fleet/rollout/canary_types.py
+++ b/saffronstack/fleet/rollout/canary_types.py
@@ -48,7 +48,7 @@
     gauges: dict[str, float] = field(default_factory=dict)
     restarts: int = 0
     violations: int = 0
-    is_silent: bool = False
+    is_unreachable: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
     false_stop_probability: float = 0.01
     min_calls: int = 200
-    max_silent_share: float = 0.2
+    max_unreachable_fraction: float = 0.2
     max_restarts: int = 1
     gross_failure_increase: float = 0.1
     min_differences: dict[str, float] = field(default_factory=dict)
--- a/saffronstack/fleet/rollout/controller.py
+++ b/saffronstack/fleet/rollout/controller.py
@@ -74,7 +74,7 @@
         """Return the release that each gateway is to run by the record, in the order of change."""
         return self.scheduler.targets(self.record)
 
-    def waits_for(self) -> str:
+    def describe_pending(self) -> str:
         """Say what keeps the present step from its end; empty for nothing."""
         return self.view.describe_unsettled(self.targets())
 
@@ -131,7 +131,7 @@
         return [] if action is None else [action]
 
     def _stalled(self) -> RolloutRecord:
-        reason = f"no step for {self._stall_timeout_s:g} s: {self.waits_for()}"
+        reason = f"no step for {self._stall_timeout_s:g} s: {self.describe_pending()}"
         if self.record.phase is RolloutPhase.PROGRESSING:
             return record_updates.stop_inconclusive(self.record, reason)
         return record_updates.note_stalled_rollback(self.record, reason)
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -118,7 +118,7 @@
         while not stopping.is_set() and self._holds_lease() and not controller.record.is_finished:
             if self._play_round(controller):
                 continue  # what the commands changed is polled at once
-            self._on_round(controller.record, controller.waits_for())
+            self._on_round(controller.record, controller.describe_pending())
             stopping.wait(self._options.round_interval_s)
         self._on_round(controller.record, "")
         return controller.record
--- a/saffronstack/harness/soak/defects.py
+++ b/saffronstack/harness/soak/defects.py
@@ -52,7 +52,7 @@
 def close_one_in_use(self, descriptor):
     on_event(self, descriptor)
     for connection in list(self._connections.values()) if self.must_close else ():
-        if connection.active_s > connection.accepted_s + 0.02 and connection.evictable():
+        if connection.active_s > connection.accepted_s + 0.02 and connection.is_evictable():
             self.must_close = False
             self._close(connection)
             return
--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -71,11 +71,11 @@
     ) -> None:
         """``overflow``: it is beyond the number of connections, and its calls are refused."""
         self.refuses = overflow
-        self.overflow = overflow
+        self.is_over_limit = overflow
         self.accepted_s = now
         self.active_s = now  # when it was accepted, read from, or last seen with something open
         self._answered_s = now  # when the last call was answered
-        self.spoken = False
+        self.has_sent_data = False
         self.arrived_s: float | None = None  # when what is read first had come, where that was long before
         self.state = State.READING
         self._sock = sock
@@ -117,14 +117,14 @@
 
     def accept_as_usual(self) -> None:
         """It was beyond the number of connections and is not any more: its calls are run from here on."""
-        self.overflow = False
+        self.is_over_limit = False
         self.refuses = False
 
     def has_unread(self) -> bool:
         """Whether bytes wait in its socket; neither waits nor takes any."""
         return bool(self._peek())
 
-    def evictable(self) -> bool:
+    def is_evictable(self) -> bool:
         """Whether it can be closed at no client's cost: nothing is open, half read or unread, or its client
         has ended it. Looked at right before it is closed.
         """
@@ -133,7 +133,7 @@
         waiting = self._peek()
         return waiting == b"" or (waiting is None and not self._reader.pending)
 
-    def has_ended(self) -> bool:
+    def is_closed_by_client(self) -> bool:
         """Whether its client has closed or reset it, all that came before has been read, and no call is open;
         neither waits nor takes bytes.
         """
@@ -176,7 +176,7 @@
         self.active_s = now
         if self.state is not State.READING:
             return self._drop(received)
-        self.spoken = True
+        self.has_sent_data = True
         self._received_s = now if self.arrived_s is None else min(now, self.arrived_s)
         self.arrived_s = None
         try:
@@ -202,9 +202,9 @@
         return now - self.active_s <= self._idle_limit_s() or self.has_unread()
 
     def _idle_limit_s(self) -> float:
-        if self.overflow:
+        if self.is_over_limit:
             return self._limits.overflow_s
-        return self._limits.idle_s if self.spoken else self._limits.silent_s
+        return self._limits.idle_s if self.has_sent_data else self._limits.silent_s
 
     def _half_close(self, now: float) -> None:
         """The client reads the end after its last answer, and closes."""
@@ -285,7 +285,7 @@
         if not services.admission.active:
             return False
         class_index = services.maker.class_index(frame.class_name)
-        return class_index is not None and services.admission.refuses_class(class_index, now)
+        return class_index is not None and services.admission.rejects_class(class_index, now)
 
     def _unreadable(self, error: RespError | frames.FrameError, now: float) -> None:
         """No further request can be read: an error where there is a tag; what is open keeps its time."""
@@ -308,7 +308,7 @@
                 self._answering += 1
         self._services.ids.remove(call.request_id)
         if self._services.admission.active:
-            self._services.admission.finished(call, final.status, self._services.clock())
+            self._services.admission.record_final_answer(call, final.status, self._services.clock())
         if tag is None:
             return
         try:
--- a/saffronstack/platform/drain_admission.py
+++ b/saffronstack/platform/drain_admission.py
@@ -12,7 +12,7 @@
 from saffronstack.engine.calls import Call, FinalStatus
 
 MAX_SAMPLES = 64  # durations kept of a class, the latest
-QUANTILE = 0.9  # of the durations: a call is expected to take as long
+DURATION_QUANTILE = 0.9  # of the durations: a call is expected to take as long
 
 
 class _ClassDurations:
@@ -25,7 +25,7 @@
     def expected_s(self, now: float) -> float:
         """How long a call takes; while none was served, at least as long as the oldest is open."""
         if self.durations_s:
-            return sorted(self.durations_s)[int(QUANTILE * len(self.durations_s))]
+            return sorted(self.durations_s)[int(DURATION_QUANTILE * len(self.durations_s))]
         return now - next(iter(self.received_s.values()), now)
 
 
@@ -44,7 +44,7 @@
         self._until_s = until_s
         self.active = True
 
-    def refuses_class(self, class_index: int, now: float) -> bool:
+    def rejects_class(self, class_index: int, now: float) -> bool:
         """Whether calls of a class that are received at ``now`` are refused, whatever else they ask.
 
         Asked before a call is made of a request: at the end of a drain most requests are refused, and their
@@ -66,7 +66,7 @@
     def _ends_too_late(self, durations: _ClassDurations, now: float) -> bool:
         return now + durations.expected_s(now) >= self._until_s
 
-    def finished(self, call: Call, status: FinalStatus, now: float) -> None:
+    def record_final_answer(self, call: Call, status: FinalStatus, now: float) -> None:
         """Learn from a call that has its final answer; only one that was served tells what calls take."""
         durations = self._classes[call.function.class_index]
         with self._lock:
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -18,12 +18,12 @@
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.platform.calls import CallMaker
-from saffronstack.platform.client_admission import ClientAdmission, Verdict
+from saffronstack.platform.client_admission import AdmissionOutcome, ClientAdmission
 from saffronstack.platform.connection import ClientConnection, FrontLimits, Services, State
 from saffronstack.platform.drain_admission import DrainAdmission
 from saffronstack.platform.identifiers import OpenIds
 from saffronstack.platform.idle_order import ClientConnectionView
-from saffronstack.platform.queue_wait import queue_wait_s
+from saffronstack.platform.queue_wait import read_queue_wait_s
 from saffronstack.platform.readiness import ended_by_clients
 from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits
 from saffronstack.runtime.logs import Logger
@@ -206,7 +206,7 @@
             connection = self._connections.get(descriptor)
             if connection is not None:
                 self._received_s = now
-                if connection.overflow and self._shutdown.phase in RUNNING_PHASES:
+                if connection.is_over_limit and self._shutdown.phase in RUNNING_PHASES:
                     self._try_as_usual(connection, now)
                 if connection.on_readable(self._buffer, self._view, now):
                     self._clients.touch(connection)
@@ -250,20 +250,20 @@
         places = 0
         for accepted in range(max_accepted):
             overflow = False
-            is_full = self._clients.is_full(self.limits.connections)
+            is_full = self._clients.is_at_limit(self.limits.connections)
             if is_full:
                 if self._queue_is_empty() or places >= self._places_at_once():
                     return accepted  # nobody has to make room, or those that stand are read first
                 verdict = self._make_room(now)
-                if verdict is Verdict.WAIT:
+                if verdict is AdmissionOutcome.WAIT:
                     return accepted
-                overflow = verdict is Verdict.OVERFLOW
+                overflow = verdict is AdmissionOutcome.ACCEPT_OVER_LIMIT
                 places += 1
-            may_have_waited = is_full or self._clients.has_kept_waiting()
+            may_have_waited = is_full or self._clients.has_waiting_client()
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
-                self._clients.nobody_waits()
+                self._clients.note_accept_queue_empty()
                 return accepted
             except OSError as error:
                 if error.errno not in NO_ROOM:
@@ -288,8 +288,8 @@
 
     def _note_queue_wait(self, sock: socket.socket) -> None:
         """The time of a request counts from when it came, also where it lay in the listener's queue."""
-        wait_s = queue_wait_s(sock)
-        self._clients.accepted_after(wait_s)
+        wait_s = read_queue_wait_s(sock)
+        self._clients.record_queue_wait(wait_s)
         connection = self._connections.get(sock.fileno())
         if connection is not None and connection.has_unread():
             connection.arrived_s = self.clock() - wait_s
@@ -298,15 +298,15 @@
         """Whether no client waits to be accepted; then none has waited."""
         if self._waiting.poll(0):
             return False
-        self._clients.nobody_waits()
+        self._clients.note_accept_queue_empty()
         return True
 
     def _try_as_usual(self, connection: ClientConnection, now: float) -> None:
         """Its client goes on although it was refused: it is served where there is room by now."""
         if connection.state is not State.READING or not connection.has_unread():
             return  # no request of it can be read any more, or it has ended it
-        decision = self._clients.decide_on_refused(now, self.limits.connections)
-        if decision.verdict is not Verdict.ACCEPT:
+        decision = self._clients.decide_for_over_limit(now, self.limits.connections)
+        if decision.outcome is not AdmissionOutcome.ACCEPT:
             return
         if decision.victim is not None:
             self._evict(decision.victim)
@@ -314,18 +314,18 @@
         connection.accept_as_usual()
         self._clients.add(connection)
 
-    def _make_room(self, now: float) -> Verdict:
+    def _make_room(self, now: float) -> AdmissionOutcome:
         """For a client that waits to be accepted."""
         decision = self._clients.decide(now, self.limits.connections, self.limits.overflow)
         if decision.victim is not None:
             self._evict(decision.victim)
-        if decision.verdict is Verdict.WAIT:
-            self._wait_for_room(decision.retry_s)
-        return decision.verdict
+        if decision.outcome is AdmissionOutcome.WAIT:
+            self._wait_for_room(decision.recheck_s)
+        return decision.outcome
 
     def _free_descriptor(self, now: float) -> None:
         """The system has none left for a client that waits to be accepted."""
-        victim = self._clients.next_for_descriptor(now)
+        victim = self._clients.next_victim_for_descriptor(now)
         if victim is not None:
             self._evict(victim)
         self._wait_for_room(now + NO_DESCRIPTOR_PAUSE_S)
--- a/saffronstack/platform/idle_order.py
+++ b/saffronstack/platform/idle_order.py
@@ -7,15 +7,17 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-COMPACT_AT = 64  # entries of removed connections that may stay, beside as many as there are connections
+MAX_STALE_ENTRIES = (
+    64  # entries of removed connections that may stay, beside as many as there are connections
+)
 
 
 class ClientConnectionView(Protocol):
     """What is seen of a client connection when it is decided which one makes room."""
 
     accepted_s: float
-    spoken: bool  # whether its client ever sent anything
-    overflow: bool  # whether it is beyond the number of connections, and its calls are refused
+    has_sent_data: bool  # whether its client ever sent anything
+    is_over_limit: bool  # whether it is beyond the number of connections, and its calls are refused
 
     @property
     def idle(self) -> bool:
@@ -27,10 +29,10 @@
     def fileno(self) -> int:
         """The socket's descriptor."""
 
-    def evictable(self) -> bool:
+    def is_evictable(self) -> bool:
         """Whether nothing is open, half read or unread, or its client has ended it. Looks at its socket."""
 
-    def has_ended(self) -> bool:
+    def is_closed_by_client(self) -> bool:
         """Whether its client has ended it, and nothing is unread. Looks at its socket."""
 
 
@@ -76,7 +78,7 @@
         if entry is None:
             return
         entry.removed = True
-        if len(self._heap) > 2 * len(self._entries) + COMPACT_AT:
+        if len(self._heap) > 2 * len(self._entries) + MAX_STALE_ENTRIES:
             self._heap = [entry for entry in self._heap if not entry.removed]
             heapq.heapify(self._heap)
 
@@ -86,8 +88,8 @@
         """The longest idle one that can be closed, of those accepted and idle by then."""
         skipped: list[_Entry] = []
         found = None
-        while found is None and (entry := self._first(now, latest_s)) is not None:
-            if entry.connection.accepted_s <= accepted_by_s and entry.connection.evictable():
+        while found is None and (entry := self._longest_idle_entry(now, latest_s)) is not None:
+            if entry.connection.accepted_s <= accepted_by_s and entry.connection.is_evictable():
                 found = entry.connection
             else:
                 skipped.append(heapq.heappop(self._heap))
@@ -95,7 +97,7 @@
             heapq.heappush(self._heap, entry)
         return found
 
-    def _first(self, now: float, latest_s: float) -> _Entry | None:
+    def _longest_idle_entry(self, now: float, latest_s: float) -> _Entry | None:
         """The entry idle longest, under its true time, where that is no later."""
         while self._heap and self._heap[0].since_s <= latest_s:
             entry = self._heap[0]
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -10,13 +10,13 @@
 from saffronstack.discovery.dns.resolver import Resolver
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import WriteLoop
-from saffronstack.platform.beliefs import Beliefs
-from saffronstack.platform.budget import divide
+from saffronstack.platform.budget import divide_budget
 from saffronstack.platform.calls import MARGIN_S, CallMaker
 from saffronstack.platform.config import ConfigError, PlatformConfig, needing_restart, read
 from saffronstack.platform.connection import FrontLimits
 from saffronstack.platform.drain_admission import DrainAdmission
 from saffronstack.platform.front import Front
+from saffronstack.platform.router_state_check import RouterStateCheck
 from saffronstack.platform.shutdown import limits_for
 from saffronstack.routing.router import Router
 from saffronstack.runtime.logs import KeyValueLogger, Logger
@@ -56,7 +56,7 @@
         self._clock, self._wall = clock, wall
         self._log = log or KeyValueLogger(config.name or "gateway")
         settings = config.settings
-        self.budget = divide(config.limits.sockets, config.limits.memory_mb, config.max_open_calls)
+        self.budget = divide_budget(config.limits.sockets, config.limits.memory_mb, config.max_open_calls)
         self.membership, self._start_list = config.membership()
         self.engine = Engine(
             settings,
@@ -81,7 +81,7 @@
             self._log,
         )
         self.directory = Resolver(self.membership, NAME, config.nameserver, self._changed, self._log, clock)
-        self.beliefs = Beliefs(max(cls.latency_objective_s for cls in settings.classes))
+        self.beliefs = RouterStateCheck(max(cls.latency_objective_s for cls in settings.classes))
         self._stopping = threading.Event()  # set as the drain begins
         self._ready = False
         advice_s = settings.permissions.max_retry_after_s if settings.permissions.retry_after else 0.0
@@ -118,10 +118,10 @@
             summary = self.beliefs.summary()
             if summary != told and self._clock() - told_s >= TELL_S:
                 told, told_s = summary, self._clock()
-                self._log.info("beliefs against links", looks=self.beliefs.looks, **summary)
+                self._log.info("beliefs against links", looks=self.beliefs.checks, **summary)
 
     def _look(self, now: float, router: Router) -> None:
-        self.beliefs.look(now, router.workers, self.hosts.pools())
+        self.beliefs.check(now, router.workers, self.hosts.pools())
 
     def _changed(self, changes: WorkerChanges) -> None:
         """Links first, so that nothing leaves for a host that drains or is gone."""
--- a/tests/daemon/test_processor_starvation.py
+++ b/tests/daemon/test_processor_starvation.py
@@ -16,15 +16,17 @@
     StarvationMonitor,
     ThreadSample,
     ThreadSamples,
-    allow_all_processors,
+    allow_all_cpus,
+    is_contended,
     is_starved,
-    read_kept_processors,
+    read_cpu_affinity,
     read_run_ns,
     read_threads,
-    waits_for_others,
 )
 
-WAITS = "import sys, threading; threading.Thread(target=sys.stdin.read).start(); print(1, flush=True)"
+WAITING_PROCESS = (
+    "import sys, threading; threading.Thread(target=sys.stdin.read).start(); print(1, flush=True)"
+)
 
 
 @pytest.mark.parametrize(
@@ -83,7 +85,7 @@
         read,
         release,
         read_run_ns=lambda pid: spans * sum(runs_ms) * MS,
-        read_processors=lambda pid: frozenset({0}),
+        read_affinity=lambda pid: frozenset({0}),
     )
     for _ in range(3):
         now_s += SAMPLE_INTERVAL_S
@@ -92,19 +94,19 @@
     assert released == ([now_s] if found else [])
 
 
-def waiting(wait_ms: int, run_ms: int, processor: int = 0) -> ProcessSample:
-    return ProcessSample({7: ThreadSample(False, 0, wait_ms * MS)}, run_ms * MS, frozenset({processor}))
+def process_sample(wait_ms: int, run_ms: int, cpu: int = 0) -> ProcessSample:
+    return ProcessSample({7: ThreadSample(False, 0, wait_ms * MS)}, run_ms * MS, frozenset({cpu}))
 
 
 def test_threads_that_have_ended_ran_too() -> None:
     """A gateway with a thread for each connection was taken for one that waits for other processes."""
-    assert not waits_for_others(waiting(0, 0), waiting(480, 480), SAMPLE_INTERVAL_S)
-    assert waits_for_others(waiting(0, 0), waiting(480, 10), SAMPLE_INTERVAL_S)
+    assert not is_contended(process_sample(0, 0), process_sample(480, 480), SAMPLE_INTERVAL_S)
+    assert is_contended(process_sample(0, 0), process_sample(480, 10), SAMPLE_INTERVAL_S)
 
 
 def test_waits_before_a_move_do_not_count_after_it() -> None:
     """A gateway that had just moved was let on all processors for what it had waited before."""
-    assert not waits_for_others(waiting(0, 0), waiting(480, 0, processor=1), SAMPLE_INTERVAL_S)
+    assert not is_contended(process_sample(0, 0), process_sample(480, 0, cpu=1), SAMPLE_INTERVAL_S)
 
 
 def test_the_time_of_a_process_is_that_of_ended_threads_too() -> None:
@@ -149,7 +151,7 @@
 def test_all_threads_of_a_process_are_released_unless_its_command_names_processors(
     arguments: list[str], released: bool
 ) -> None:
-    command = [sys.executable, "-c", WAITS, *arguments]
+    command = [sys.executable, "-c", WAITING_PROCESS, *arguments]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as process:
         assert process.stdout is not None
         assert process.stdout.readline() == b"1\n"
@@ -158,10 +160,10 @@
         one = {min(os.sched_getaffinity(0))}
         for thread in threads:
             os.sched_setaffinity(thread, one)
-        assert allow_all_processors(process.pid) is released
+        assert allow_all_cpus(process.pid) is released
         allowed = os.sched_getaffinity(0) if released else one
         assert [os.sched_getaffinity(thread) for thread in threads] == [allowed, allowed]
-        assert not allow_all_processors(process.pid)
+        assert not allow_all_cpus(process.pid)
         assert process.stdin is not None
         process.stdin.close()
 
@@ -173,5 +175,5 @@
     pid = int(ended.stdout)
     assert read_threads(pid) == {}
     assert read_run_ns(pid) is None
-    assert read_kept_processors(pid) == frozenset()
-    assert not allow_all_processors(pid)
+    assert read_cpu_affinity(pid) == frozenset()
+    assert not allow_all_cpus(pid)
--- a/tests/daemon/test_starvation_guard.py
+++ b/tests/daemon/test_starvation_guard.py
@@ -17,19 +17,19 @@
 from saffronstack.cli.cpu_affinity import move_threads
 from saffronstack.cli.starvation_guard import StarvationGuard
 from saffronstack.client import Client
-from saffronstack.daemon.processor_choice import LOOK_INTERVAL_S, SPAN_S
-from saffronstack.daemon.processor_settling import SETTLE_S
+from saffronstack.daemon.processor_choice import CPU_SAMPLE_INTERVAL_S, CPU_SAMPLE_WINDOW_S
+from saffronstack.daemon.processor_settling import MIN_IDLE_TIME_S
 from saffronstack.daemon.processor_starvation import SAMPLE_INTERVAL_S, ThreadSample, read_threads
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 from tests.support.stack import AMPLE_DEADLINE_S, configuration, eventually
 
-LOOKS = 5
+CHECKS = 5
 NS_PER_S = 1_000_000_000
 RUN_NS_PER_S = NS_PER_S // 50
-NEIGHBOURS = 8
-NEIGHBOUR = """
+BUSY_PROCESSES = 8
+BUSY_PROCESS = """
 import os, sys, time
 os.sched_setaffinity(0, {int(sys.argv[1])})
 end_s = time.monotonic() + 15
@@ -37,13 +37,13 @@
 while time.monotonic() < end_s: pass
 """
 # A process whose guard looks until its other threads run elsewhere, or half a minute has passed.
-GUARDED = """
+GUARDED_PROCESS = """
 import os, sys, threading, time
 from saffronstack.cli.cpu_affinity import pin_threads
 from saffronstack.cli.starvation_guard import StarvationGuard
-from saffronstack.daemon.processor_times import IdleTimes
+from saffronstack.daemon.processor_times import CpuIdleTimes
 allowed, kept = os.sched_getaffinity(0), int(sys.argv[1])
-own = IdleTimes()
+own = CpuIdleTimes()
 def work():
     while True:
         end_s = time.thread_time() + 0.002
@@ -65,7 +65,7 @@
 """
 
 
-def python(code: str, processor: int) -> subprocess.Popen[bytes]:
+def start_python(code: str, processor: int) -> subprocess.Popen[bytes]:
     return subprocess.Popen([sys.executable, "-c", code, str(processor)], stdout=subprocess.PIPE)
 
 
@@ -106,7 +106,7 @@
         os.sched_getaffinity(0), lambda: now_s, lambda pid, thread: ThreadSample(is_runnable, 7), release
     )
     eventually(lambda: guard.has_started)
-    for _ in range(LOOKS):
+    for _ in range(CHECKS):
         now_s += SAMPLE_INTERVAL_S
         guard.check()
     guard.stop()
@@ -144,11 +144,11 @@
         read_run_ns=lambda: int(now_s * RUN_NS_PER_S),
         move=lambda processors, excluded: moved.append((now_s, sorted(processors))),
     )
-    for _ in range(LOOKS):
+    for _ in range(CHECKS):
         guard.check()
-        now_s += LOOK_INTERVAL_S
+        now_s += CPU_SAMPLE_INTERVAL_S
     guard.stop()  # nothing looks from now on
-    assert moved == [(100.0 + SPAN_S, [idle]), (now_s, sorted(allowed))]
+    assert moved == [(100.0 + CPU_SAMPLE_WINDOW_S, [idle]), (now_s, sorted(allowed))]
 
 
 @pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
@@ -167,12 +167,12 @@
     )
     eventually(lambda: guard.has_started)
     os.sched_setaffinity(guard._probe_thread, allowed)  # as a daemon does that finds it starved
-    while now_s < 100.0 + SETTLE_S:
+    while now_s < 100.0 + MIN_IDLE_TIME_S:
         guard.check()
         assert processors == []
-        now_s += LOOK_INTERVAL_S
+        now_s += CPU_SAMPLE_INTERVAL_S
     guard.check()
-    assert processors == [(100.0 + SETTLE_S, [idle])]
+    assert processors == [(100.0 + MIN_IDLE_TIME_S, [idle])]
     guard.stop()
 
 
@@ -194,12 +194,12 @@
         move=lambda processors, excluded: moved.append(sorted(processors)),
     )
     eventually(lambda: guard.has_started)
-    for look in range(3 * LOOKS):
-        if look == LOOKS:
+    for check_number in range(3 * CHECKS):
+        if check_number == CHECKS:
             ends.set()
             ending.join()
         guard.check()
-        now_s += LOOK_INTERVAL_S
+        now_s += CPU_SAMPLE_INTERVAL_S
     assert moved == []
     guard.stop()
 
@@ -223,11 +223,11 @@
     )
     eventually(lambda: guard.has_started)
     monkeypatch.setattr(os, "sched_getaffinity", lambda pid: moved[-1] if moved else {min(allowed)})
-    for _ in range(4 * LOOKS):
+    for _ in range(4 * CHECKS):
         guard.check()
         if not moved:
-            waited_s += max(0.0, min(LOOK_INTERVAL_S, now_s + LOOK_INTERVAL_S - begins_s)) * 0.3
-        now_s += LOOK_INTERVAL_S
+            waited_s += max(0.0, min(CPU_SAMPLE_INTERVAL_S, now_s + CPU_SAMPLE_INTERVAL_S - begins_s)) * 0.3
+        now_s += CPU_SAMPLE_INTERVAL_S
     assert len(moved) == 1
     assert len(moved[0]) == 1
     guard.stop()
@@ -238,12 +238,14 @@
     """Real neighbours, some of whose time the process gets; that the others are idle is told to the guard."""
     *_, kept, _ = sorted(os.sched_getaffinity(0))
     with contextlib.ExitStack() as stack:
-        guarded = stack.enter_context(python(GUARDED, kept))
+        guarded = stack.enter_context(start_python(GUARDED_PROCESS, kept))
         assert first_line(guarded) == b"kept\n"
-        neighbours = [stack.enter_context(python(NEIGHBOUR, kept)) for _ in range(NEIGHBOURS)]
-        for one in (*neighbours, guarded):
+        busy_processes = [
+            stack.enter_context(start_python(BUSY_PROCESS, kept)) for _ in range(BUSY_PROCESSES)
+        ]
+        for one in (*busy_processes, guarded):
             stack.callback(one.kill)
-        assert [first_line(one) for one in neighbours] == [b"busy\n"] * NEIGHBOURS
+        assert [first_line(one) for one in busy_processes] == [b"busy\n"] * BUSY_PROCESSES
         assert b"moved to another one" in first_line(guarded)
         assert first_line(guarded) == b"left\n"
 
--- a/tests/engine/test_action_executor.py
+++ b/tests/engine/test_action_executor.py
@@ -38,25 +38,25 @@
     """Remembers what it is asked to do."""
 
     def __init__(self) -> None:
-        self.done: list[tuple[Any, ...]] = []
+        self.commands: list[tuple[Any, ...]] = []
 
     def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
-        self.done.append(("send", call.number, attempt, worker_id, timeout_s))
+        self.commands.append(("send", call.number, attempt, worker_id, timeout_s))
 
     def cancel(self, call: Call, attempt: int) -> None:
-        self.done.append(("cancel", call.number, attempt))
+        self.commands.append(("cancel", call.number, attempt))
 
     def check_health(self, worker_id: int) -> None:
-        self.done.append(("check_health", worker_id))
+        self.commands.append(("check_health", worker_id))
 
     def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
-        self.done.append(("load_function", worker_id, function.number, instances))
+        self.commands.append(("load_function", worker_id, function.number, instances))
 
     def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
-        self.done.append(("unload_function", worker_id, function.number))
+        self.commands.append(("unload_function", worker_id, function.number))
 
 
-class Rig:
+class ExecutorHarness:
     """An executor with one open call, number 1, of function 5."""
 
     def __init__(self) -> None:
@@ -78,12 +78,12 @@
 
 
 @pytest.fixture
-def rig() -> Rig:
-    return Rig()
+def harness() -> ExecutorHarness:
+    return ExecutorHarness()
 
 
 @pytest.mark.parametrize(
-    ("action", "done"),
+    ("action", "commands"),
     [
         (SendAttempt(1, 7, 0.5), [("send", 1, 0, 7, 0.5)]),
         (CancelAttempt(1, 0), [("cancel", 1, 0)]),
@@ -96,27 +96,29 @@
         (FetchEndpoints(), []),
     ],
 )
-def test_an_action_reaches_the_dispatcher(rig: Rig, action: Action, done: list[tuple[Any, ...]]) -> None:
-    rig.execute(action)
-    assert rig.dispatcher.done == done
+def test_an_action_reaches_the_dispatcher(
+    harness: ExecutorHarness, action: Action, commands: list[tuple[Any, ...]]
+) -> None:
+    harness.execute(action)
+    assert harness.dispatcher.commands == commands
 
 
-def test_attempts_and_retries_are_counted(rig: Rig) -> None:
-    rig.execute(SendAttempt(1, 7), SendAttempt(1, 8))
-    assert [attempt for _, _, attempt, _, _ in rig.dispatcher.done] == [0, 1]
-    assert (rig.state.statistics.attempts, rig.state.statistics.retries) == (2, 1)
-    assert rig.state.open_calls[1].attempts_in_flight[1] == PriorAttempt(8, NOW)
+def test_attempts_and_retries_are_counted(harness: ExecutorHarness) -> None:
+    harness.execute(SendAttempt(1, 7), SendAttempt(1, 8))
+    assert [attempt for _, _, attempt, _, _ in harness.dispatcher.commands] == [0, 1]
+    assert (harness.state.statistics.attempts, harness.state.statistics.retries) == (2, 1)
+    assert harness.state.open_calls[1].attempts_in_flight[1] == PriorAttempt(8, NOW)
 
 
-def test_load_and_unload_commands_are_counted(rig: Rig) -> None:
-    rig.execute(LoadFunction(7, 5, 1), UnloadFunction(7, 5))
-    assert rig.state.statistics.load_commands == 2
+def test_load_and_unload_commands_are_counted(harness: ExecutorHarness) -> None:
+    harness.execute(LoadFunction(7, 5, 1), UnloadFunction(7, 5))
+    assert harness.state.statistics.load_commands == 2
 
 
-def test_a_load_command_for_an_unknown_function_ends_in_an_error(rig: Rig) -> None:
-    rig.execute(LoadFunction(7, 99, 1))
-    assert rig.notified == [CommandResult(7, Result.ERROR, 0.0, 99)]
-    assert not rig.dispatcher.done
+def test_a_load_command_for_an_unknown_function_ends_in_an_error(harness: ExecutorHarness) -> None:
+    harness.execute(LoadFunction(7, 99, 1))
+    assert harness.notified == [CommandResult(7, Result.ERROR, 0.0, 99)]
+    assert not harness.dispatcher.commands
 
 
 @pytest.mark.parametrize(
@@ -124,19 +126,22 @@
     [(Reject(1, 2.5), FinalStatus.REJECTED, 2.5), (Fail(1), FinalStatus.FAILED, 0.0)],
 )
 def test_a_final_answer_finishes_the_call(
-    rig: Rig, action: Action, status: FinalStatus, retry_after_s: float
+    harness: ExecutorHarness, action: Action, status: FinalStatus, retry_after_s: float
 ) -> None:
-    rig.execute(action)
-    assert rig.call.final_answer is not None
-    assert (rig.call.final_answer.status, rig.call.final_answer.retry_after_s) == (status, retry_after_s)
+    harness.execute(action)
+    assert harness.call.final_answer is not None
+    assert (harness.call.final_answer.status, harness.call.final_answer.retry_after_s) == (
+        status,
+        retry_after_s,
+    )
 
 
-def test_a_timer_is_due_after_its_delay(rig: Rig) -> None:
-    rig.execute(SetTimer(0.5, 33))
-    assert rig.state.timers.next_due_s() == NOW + 0.5
-    assert rig.state.timers.pop_due(NOW + 0.5) == TimerFired(33)
+def test_a_timer_is_due_after_its_delay(harness: ExecutorHarness) -> None:
+    harness.execute(SetTimer(0.5, 33))
+    assert harness.state.timers.next_due_s() == NOW + 0.5
+    assert harness.state.timers.pop_due(NOW + 0.5) == TimerFired(33)
 
 
-def test_a_line_of_the_router_is_logged(rig: Rig) -> None:
-    rig.execute(WriteLog("a line"))
-    assert "router message text='a line'" in rig.log.getvalue()
+def test_a_line_of_the_router_is_logged(harness: ExecutorHarness) -> None:
+    harness.execute(WriteLog("a line"))
+    assert "router message text='a line'" in harness.log.getvalue()
--- a/tests/fleet/rollout/test_canary_analysis.py
+++ b/tests/fleet/rollout/test_canary_analysis.py
@@ -21,8 +21,8 @@
 MEASURES = ("refused/look", "refused/sell", "late/look", "failed/sell")
 BASE_RATE = 0.02  # of failures, without harm
 MEAN_CALLS = 400.0  # of one gateway and measure in a bake
-SCATTER = 0.3  # of rates between gateways
-SICK_ZONE_HARM = 0.2
+RATE_VARIATION = 0.3  # of rates between gateways
+ZONE_FAULT_RATE = 0.2
 LIMITS = AnalysisLimits()
 # 0.05 is promised; the share of 60 to 100 bakes scatters by 0.02.
 FALSE_STOP_LIMITS = AnalysisLimits(false_stop_probability=0.05)
@@ -37,7 +37,7 @@
     canaries: int = 4
     harm: float = 0.0
     harmed_measure: str = "refused/look"
-    sick_zone: str = ""
+    faulty_zone: str = ""
 
     def samples(self, generator: numpy.random.Generator) -> list[GatewaySample]:
         """Draw the fleet at the end of the bake."""
@@ -48,8 +48,8 @@
         ratios = {}
         for measure in MEASURES:
             calls = int(generator.poisson(MEAN_CALLS * generator.uniform(0.3, 2.0)))
-            rate = BASE_RATE * float(generator.gamma(1 / SCATTER**2, SCATTER**2))
-            rate += SICK_ZONE_HARM * (zone == self.sick_zone)
+            rate = BASE_RATE * float(generator.gamma(1 / RATE_VARIATION**2, RATE_VARIATION**2))
+            rate += ZONE_FAULT_RATE * (zone == self.faulty_zone)
             rate += self.harm * (is_canary and measure == self.harmed_measure)
             ratios[measure] = FailureRatio(int(generator.binomial(calls, min(1.0, rate))), calls)
         gauges = {"memory_mb": float(generator.normal(1.0, 0.5))}
@@ -57,19 +57,21 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class BakeResult:
     """The result of a bake, and at which part of it."""
 
     verdict: Verdict
     progress: float
 
 
-def thin(generator: numpy.random.Generator, samples: list[GatewaySample], part: float) -> list[GatewaySample]:
+def thin_samples(
+    generator: numpy.random.Generator, samples: list[GatewaySample], fraction: float
+) -> list[GatewaySample]:
     """Draw the samples at an earlier part of the bake."""
 
     def thin_ratio(ratio: FailureRatio) -> FailureRatio:
-        failures = int(generator.binomial(ratio.failures, part))
-        return FailureRatio(failures, max(1, round(ratio.total * part)))
+        failures = int(generator.binomial(ratio.failures, fraction))
+        return FailureRatio(failures, max(1, round(ratio.total * fraction)))
 
     return [
         GatewaySample(
@@ -80,21 +82,21 @@
     ]  # fmt: skip
 
 
-def bake(seed: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> Ended:
+def bake(seed: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> BakeResult:
     """Analyze a whole bake."""
     generator, spent = numpy.random.default_rng(seed), 0.0
     final = scenario.samples(generator)
     for number in range(1, ANALYSES + 1):
         progress = number / ANALYSES
-        samples = thin(generator, final, progress) if progress < 1 else final
+        samples = thin_samples(generator, final, progress) if progress < 1 else final
         result = analyze(limits, samples, progress, spent)
         spent = result.alpha_spent
         if result.verdict is not Verdict.RUNNING:
-            return Ended(result.verdict, progress)
+            return BakeResult(result.verdict, progress)
     raise AssertionError("a bake that does not end")
 
 
-def failed_share(bakes: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> float:
+def stopped_fraction(bakes: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> float:
     return sum(bake(seed, scenario, limits).verdict is Verdict.FAILED for seed in range(bakes)) / bakes
 
 
@@ -108,31 +110,31 @@
     return [GatewaySample("g0", "a", True, **canary), *baseline]
 
 
-def silence(samples: list[GatewaySample], where: list[bool]) -> list[GatewaySample]:
+def make_unreachable(samples: list[GatewaySample], is_affected: list[bool]) -> list[GatewaySample]:
     return [
-        GatewaySample(one.gateway, one.zone, one.is_canary, is_silent=True) if is_silent else one
-        for one, is_silent in zip(samples, where, strict=True)
+        GatewaySample(one.gateway, one.zone, one.is_canary, is_unreachable=True) if is_unreachable else one
+        for one, is_unreachable in zip(samples, is_affected, strict=True)
     ]
 
 
 @pytest.mark.parametrize("canaries", [1, 4, 20])
 def test_a_stage_without_harm_is_seldom_stopped(canaries: int) -> None:
-    assert failed_share(100, Scenario(canaries=canaries), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
+    assert stopped_fraction(100, Scenario(canaries=canaries), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
 
 
 def test_a_sick_zone_harms_both_sides_and_stops_nothing() -> None:
-    assert failed_share(60, Scenario(sick_zone="b"), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
+    assert stopped_fraction(60, Scenario(faulty_zone="b"), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
 
 
 @pytest.mark.parametrize(("canaries", "harm"), [(1, 0.2), (4, 0.05), (20, 0.02)])
 def test_harm_is_found_by_its_size_and_the_number_of_canaries(canaries: int, harm: float) -> None:
-    assert failed_share(40, Scenario(canaries=canaries, harm=harm)) >= 0.9
+    assert stopped_fraction(40, Scenario(canaries=canaries, harm=harm)) >= 0.9
 
 
 def test_great_harm_to_one_class_ends_a_stage_early() -> None:
-    ended = bake(1, Scenario(harm=0.5, harmed_measure="failed/sell"))
-    assert ended.verdict is Verdict.FAILED
-    assert ended.progress <= 0.3
+    result = bake(1, Scenario(harm=0.5, harmed_measure="failed/sell"))
+    assert result.verdict is Verdict.FAILED
+    assert result.progress <= 0.3
 
 
 def test_the_reasons_name_the_harmed_measure_alone() -> None:
@@ -211,7 +213,7 @@
 
 
 def test_canaries_that_are_silent_alone_have_failed(harmless: list[GatewaySample]) -> None:
-    result = analyze(LIMITS, silence(harmless, [one.is_canary for one in harmless]), 1.0)
+    result = analyze(LIMITS, make_unreachable(harmless, [one.is_canary for one in harmless]), 1.0)
     assert result.verdict is Verdict.FAILED
     assert result.reasons[0].startswith("silent: new 1, old 0")
 
@@ -222,7 +224,7 @@
 
 
 def test_a_zone_that_is_cut_off_is_inconclusive(harmless: list[GatewaySample]) -> None:
-    samples = silence(harmless, [one.zone == "a" for one in harmless])
+    samples = make_unreachable(harmless, [one.zone == "a" for one in harmless])
     assert_inconclusive(analyze(LIMITS, samples, 1.0), "new gateways could not be asked")
 
 
--- a/tests/platform/test_client_crowd.py
+++ b/tests/platform/test_client_crowd.py
@@ -275,7 +275,7 @@
     crowd.hang(crowd.clients)
     refused = crowd.newcomer()
     refused.sock.sendall(b"*nonsense\r\n")
-    connection = next(each for each in front._connections.values() if each.overflow)
+    connection = next(each for each in front._connections.values() if each.is_over_limit)
     eventually(lambda: connection.state is State.LINGERING)
     crowd.clients[0].send(b"CANCEL", b"1")
     eventually(lambda: front.open_calls == len(crowd.clients) - 1)
@@ -284,7 +284,7 @@
     refused.sock.sendall(b"more\r\n")
     eventually(lambda: connection._linger_bytes < left_bytes)
     refused.sock.close()  # by this clock the gateway would never end it
-    assert (front.evicted, connection.overflow) == (0, True)
+    assert (front.evicted, connection.is_over_limit) == (0, True)
 
 
 def test_while_the_last_answers_are_written_the_clients_thread_waits_between_looks() -> None:
--- a/tests/platform/test_drain_admission.py
+++ b/tests/platform/test_drain_admission.py
@@ -27,7 +27,7 @@
     for number, duration_s in enumerate(durations_s):
         one = call(number)
         assert admission.admit(one, 1.0)
-        admission.finished(one, status, 1.0 + duration_s)
+        admission.record_final_answer(one, status, 1.0 + duration_s)
 
 
 def test_it_does_nothing_before_the_drain() -> None:
@@ -62,6 +62,6 @@
 
 def test_a_class_is_refused_by_the_same_rule_without_a_call(admission: DrainAdmission) -> None:
     serve(admission, [0.1] * 8 + [0.5, 2.0])
-    assert [admission.refuses_class(0, now) for now in (7.9, 8.1)] == [False, True]
-    assert not admission.refuses_class(1, 8.1)
+    assert [admission.rejects_class(0, now) for now in (7.9, 8.1)] == [False, True]
+    assert not admission.rejects_class(1, 8.1)
     assert admission.admit(call(20), 7.9)
--- a/tests/platform/test_queue_wait.py
+++ b/tests/platform/test_queue_wait.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from saffronstack.platform.queue_wait import queue_wait_s
+from saffronstack.platform.queue_wait import read_queue_wait_s
 
 WAIT_S = 0.06
 COARSE_S = 0.01  # the kernel counts in milliseconds or in ticks of four
@@ -25,7 +25,7 @@
             accepted, _ = listener.accept()
             with accepted:
                 least_s = time.monotonic() - sent_s
-                waited_s = queue_wait_s(accepted)
+                waited_s = read_queue_wait_s(accepted)
                 most_s = time.monotonic() - before_s
     assert least_s - COARSE_S <= waited_s <= most_s + COARSE_S
 
@@ -33,4 +33,4 @@
 def test_a_connection_that_has_ended_has_not_waited() -> None:
     with socket.socket() as sock:
         sock.close()
-        assert queue_wait_s(sock) == 0.0
+        assert read_queue_wait_s(sock) == 0.0
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from saffronstack.platform.eviction import ENDED_EVERY_S, EvictionOrder
+from saffronstack.platform.eviction import CLOSED_SCAN_INTERVAL_S, EvictionOrder
 from saffronstack.platform.front import Front
 from saffronstack.platform.service import Service
 from saffronstack.resp.reader import encode
@@ -339,13 +339,13 @@
             order.add(connection)
             order.touch(connection)
         for expected in connections[:10]:
-            assert order.next(100.0) is expected
+            assert order.next_victim(100.0) is expected
             order.remove(expected)
         assert order.scans == 1
         assert clients[10].ask()[0] == "OK"
         order.touch(connections[10])  # one that has spoken since is not the longest idle any more
-        assert order.next(100.0) is connections[11]
-        assert order.next(100.0 + 2 * ENDED_EVERY_S) is connections[11]
+        assert order.next_victim(100.0) is connections[11]
+        assert order.next_victim(100.0 + 2 * CLOSED_SCAN_INTERVAL_S) is connections[11]
         assert order.scans == 2
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,7 +16,7 @@
 
 from saffronstack.discovery.dns.endpoint_list import EndpointSnapshot
 from saffronstack.discovery.dns.resolver import Rejection
-from saffronstack.platform.beliefs import Beliefs
+from saffronstack.platform.router_state_check import RouterStateCheck
 from saffronstack.routing.router import Router
 from saffronstack.standin.platform import Directory, Entry
 from saffronstack.standin.worker import hold_port
@@ -339,7 +339,7 @@
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address), Entry("s-2", host.address))) as service:
         client = Client(service.front.address)
-        beliefs = Beliefs()
+        state_check = RouterStateCheck()
         looked: list[int] = []
         for place in range(50):
             assert client.ask(subject=place % 5)[0] == "OK"
@@ -350,7 +350,7 @@
                     service.engine.inspect(look)
                     return
                 looked.extend(worker.attempts_in_flight for worker in router.workers.values())
-                beliefs.look(now, router.workers, service.hosts.pools())
+                state_check.check(now, router.workers, service.hosts.pools())
                 done.set()
 
             service.engine.inspect(look)
@@ -358,9 +358,9 @@
         assert looked
         assert not any(looked)
         assert not service.hosts.in_flight
-        assert beliefs.looks == 50
-        assert not beliefs._open
-        assert not beliefs.tallies
+        assert state_check.checks == 50
+        assert not state_check._current
+        assert not state_check.statistics
 
 
 def test_hosts_functions_and_connections_without_end_leave_no_trace() -> None:
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from saffronstack.discovery.dns.messages import decode_response, encode_query
-from saffronstack.platform.budget import divide
+from saffronstack.platform.budget import divide_budget
 from saffronstack.platform.identifiers import Tags
 from saffronstack.resp.frames import CallFrame, FrameError, frame_of
 from saffronstack.resp.reader import RespError, RespReader, encode
@@ -70,10 +70,10 @@
 
 def test_descriptors_are_divided_within_their_number() -> None:
     for sockets in (26, 256, 384, 1024):
-        budget = divide(sockets, 64, 20000)
+        budget = divide_budget(sockets, 64, 20000)
         assert budget.clients + budget.links <= sockets
         assert min(budget.clients, budget.links) >= 1
-    assert divide(256, 64, 20000).clients >= 256 / 3
+    assert divide_budget(256, 64, 20000).clients >= 256 / 3
 
 
 def test_stand_in_answers_are_dns(  # the stand-in itself, against the system's own reading of an address
