--- a/saffronstack/cli/parent_process.py
+++ b/saffronstack/cli/parent_process.py
@@ -72,7 +72,7 @@
         gateway.engine.inspect(lambda now, router, decided=decided: decided.set())  # type: ignore[misc]
         while not decided.wait(DECISION_POLL_S) and not stopping.is_set():
             continue
-        if gateway.server.accepting(ACCEPT_TIMEOUT_S) or stopping.is_set():
+        if gateway.server.is_accepting(ACCEPT_TIMEOUT_S) or stopping.is_set():
             try:
                 os.write(1, b"alive\n")
             except OSError:
--- a/saffronstack/client/connection.py
+++ b/saffronstack/client/connection.py
@@ -99,7 +99,7 @@
         cred = sigv4.Credential(self._key, stamp[:8], self._region, "lambda", ("host", "x-amz-date"), "")
         signed = Headers([("host", self.address), ("x-amz-date", stamp)])
         canonical = sigv4.canonical_request(
-            method, target, signed, cred.signed, hashlib.sha256(body).hexdigest()
+            method, target, signed, cred.signed_headers, hashlib.sha256(body).hexdigest()
         )
         signature = sigv4.sign(self._secret, cred, stamp, canonical)
         return (
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -28,7 +28,7 @@
     open_operations,
     pool_limits,
 )
-from saffronstack.invoke.app import Access, App
+from saffronstack.invoke.app import AccessKeys, App
 from saffronstack.invoke.operation_forwarding import OperationForwarder
 from saffronstack.invoke.pages import Pages
 from saffronstack.invoke.server import Server
@@ -117,7 +117,7 @@
             self.deferred,
             self._clock,
             self._wall,
-            self.pages.table(),
+            self.pages.by_path(),
             self.members,
             self.limits,
             self.meter.journal.state if self.meter is not None else None,
@@ -201,7 +201,7 @@
         if bool(config.keys) != bool(self.config.keys):
             left.append("keys (from none to some, or the reverse)")
         else:
-            self.app.access = Access.of(config)
+            self.app.access_keys = AccessKeys.from_config(config)
         if self.roster is not None:
             self.roster.set_configured_workers(config.workers)
             return left
--- a/saffronstack/gateway_components.py
+++ b/saffronstack/gateway_components.py
@@ -16,7 +16,7 @@
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.engine.worker_registry import WorkerSpec
 from saffronstack.http1.messages import Limits
-from saffronstack.invoke.server import FrontLimits
+from saffronstack.invoke.server import ServerLimits
 from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.metering.meter import Meter
 from saffronstack.metering.metered_workers import MeterClock
@@ -47,7 +47,7 @@
     budgets: BudgetEnforcer | None
 
 
-def front_limits(config: Config) -> FrontLimits:
+def front_limits(config: Config) -> ServerLimits:
     """Return the bounds of the HTTP front."""
     limits = config.limits
     messages = Limits(
@@ -56,7 +56,7 @@
         limits.header_fields,
         max(limits.payload_bytes, limits.event_payload_bytes),
     )
-    return FrontLimits(
+    return ServerLimits(
         messages,
         limits.connections,
         limits.head_timeout_s,
--- a/saffronstack/harness/rollout/sample_releases.py
+++ b/saffronstack/harness/rollout/sample_releases.py
@@ -19,41 +19,43 @@
     "dies": "import os, threading\nthreading.Timer(2.5, lambda: os._exit(9)).start()",
     "fails one class": (
         "import random\n"
-        "from saffronstack.invoke import errors\nfrom saffronstack.invoke.calling import Caller\n"
-        "original = Caller.call\n"
+        "from saffronstack.invoke import errors\n"
+        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "original = InvocationExecutor.call\n"
         "def call(self, asked, there):\n"
-        "    if asked.known.config.call_class == 'sale' and random.random() < 0.3:\n"
-        "        raise errors.service('a fault of this release')\n"
+        "    if asked.function.config.call_class == 'sale' and random.random() < 0.3:\n"
+        "        raise errors.service_error('a fault of this release')\n"
         "    return original(self, asked, there)\n"
-        "Caller.call = call"
+        "InvocationExecutor.call = call"
     ),
     "refuses": (
         "import random\n"
-        "from saffronstack.invoke import errors\nfrom saffronstack.invoke.calling import Caller\n"
-        "original = Caller.call\n"
+        "from saffronstack.invoke import errors\n"
+        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "original = InvocationExecutor.call\n"
         "def call(self, asked, there):\n"
         "    if random.random() < 0.25:\n"
-        "        raise errors.too_many('a fault of this release', 1.0)\n"
+        "        raise errors.too_many_requests('a fault of this release', 1.0)\n"
         "    return original(self, asked, there)\n"
-        "Caller.call = call"
+        "InvocationExecutor.call = call"
     ),
     "slower": (
         "import time\n"
-        "from saffronstack.invoke.calling import Caller\n"
-        "original = Caller.call\n"
+        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "original = InvocationExecutor.call\n"
         "def call(self, asked, there):\n"
         "    answer = original(self, asked, there)\n"
         "    time.sleep(0.05)\n"
         "    return answer\n"
-        "Caller.call = call"
+        "InvocationExecutor.call = call"
     ),
     "leaks": (
-        "from saffronstack.invoke.calling import Caller\n"
-        "original, leaked = Caller.call, []\n"
+        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "original, leaked = InvocationExecutor.call, []\n"
         "def call(self, asked, there):\n"
         "    leaked.append(bytes(1) * 200_000)\n"
         "    return original(self, asked, there)\n"
-        "Caller.call = call"
+        "InvocationExecutor.call = call"
     ),
     "hangs on SIGTERM": (
         "import time\n"
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -11,7 +11,7 @@
 from saffronstack.invoke.coalesced_calls import CoalescedCalls
 from saffronstack.invoke.deferred_submission import DeferredSubmission
 from saffronstack.invoke.engine_calls import EngineCalls
-from saffronstack.invoke.final_responses import rejection_of, response_of, unknown_outcome
+from saffronstack.invoke.final_responses import build_response, rejection_error, unknown_outcome
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.operation_calls import call_once
 from saffronstack.invoke.response import Response
@@ -22,7 +22,7 @@
 from saffronstack.routing.settings import Idempotency
 
 
-class Caller:
+class InvocationExecutor:
     """Used by every connection's thread."""
 
     def __init__(
@@ -43,7 +43,7 @@
 
     def policy(self, invocation: Invocation) -> DeduplicationPolicy:
         """Return what its class says of its operation."""
-        return self._policies[invocation.known.config.call_class]
+        return self._policies[invocation.function.config.call_class]
 
     def call(self, invocation: Invocation, is_client_connected: IsClientConnected) -> Response:
         """Run an invocation, or return the response that its operation has.
@@ -52,8 +52,8 @@
             InvokeError: It is rejected.
             ClientDisconnectedError: Nobody waits for it any more.
         """
-        if self._operations is None or self._coalesced is None or not invocation.token:
-            return self._call_unnamed(invocation, is_client_connected)
+        if self._operations is None or self._coalesced is None or not invocation.idempotency_key:
+            return self._call_without_key(invocation, is_client_connected)
         policy = self.policy(invocation)
         if policy.idempotency is Idempotency.IDEMPOTENT:
             return self._coalesced.call(invocation, policy.window_s, is_client_connected)
@@ -68,17 +68,17 @@
             InvokeError: It is rejected.
             ClientDisconnectedError: Nobody waits for it any more.
         """
-        if self._operations is None or not invocation.token:
+        if self._operations is None or not invocation.idempotency_key:
             return self._submission.submit(invocation)
         policy = self.policy(invocation)
         return self._submission.submit_once(self._operations, invocation, policy, is_client_connected)
 
-    def unknown(self, invocation: Invocation) -> Response:
+    def outcome_unknown(self, invocation: Invocation) -> Response:
         """Return the response to a send whose operation's process is silent."""
         headers = invocation.response_headers(invocation.request_id)
         return unknown_outcome(headers, "the process that runs it gave no answer")
 
-    def _call_unnamed(self, invocation: Invocation, is_client_connected: IsClientConnected) -> Response:
+    def _call_without_key(self, invocation: Invocation, is_client_connected: IsClientConnected) -> Response:
         final = self._calls.run(invocation, invocation.request_id, is_client_connected)
         if final.status is FinalStatus.CLIENT_DISCONNECTED:
             raise ClientDisconnectedError
@@ -86,22 +86,22 @@
             reason = "it may have run, and its client named no operation"
             final = FinalAnswer(FinalStatus.FAILED, reason=reason)
         if final.status is FinalStatus.REJECTED:
-            raise rejection_of(final)
+            raise rejection_error(final)
         headers = invocation.response_headers(invocation.request_id)
-        return response_of(final, headers, invocation.wants_log)
+        return build_response(final, headers, invocation.wants_log)
 
 
 def _deduplication_policies(config: Config) -> dict[str, DeduplicationPolicy]:
     """Return the policies of all classes, by name."""
     window_s = config.operations.window_s if config.operations is not None else 0.0
     return {
-        cls.name: DeduplicationPolicy(
-            Idempotency(cls.effect),
-            cls.operation_window_s or window_s,
-            cls.note_operations,
-            requires_slot=cls.effect != "safe",
+        call_class.name: DeduplicationPolicy(
+            Idempotency(call_class.effect),
+            call_class.operation_window_s or window_s,
+            call_class.note_operations,
+            requires_slot=call_class.effect != "safe",
         )
-        for cls in config.classes
+        for call_class in config.classes
     }
 
 
@@ -110,6 +110,6 @@
 
     A call with a deduplication key may have run; the repeat of one that names no operation has another key.
     """
-    if invocation.token or invocation.known.effect is not Idempotency.WITH_KEY:
+    if invocation.idempotency_key or invocation.function.effect is not Idempotency.WITH_KEY:
         return False
     return final.status is FinalStatus.REJECTED and final.prior_attempt is not None
--- a/saffronstack/invoke/coalesced_calls.py
+++ b/saffronstack/invoke/coalesced_calls.py
@@ -7,7 +7,7 @@
 from saffronstack.engine.calls import FinalStatus
 from saffronstack.invoke import errors
 from saffronstack.invoke.engine_calls import EngineCalls
-from saffronstack.invoke.final_responses import rejection_of, replayed, response_of
+from saffronstack.invoke.final_responses import build_response, rejection_error, replayed
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.response import Response
 from saffronstack.operations.errors import ClientDisconnectedError
@@ -41,8 +41,10 @@
             InvokeError: It is rejected, or another operation has its name.
             ClientDisconnectedError: Nobody waits for it any more.
         """
-        key = CacheKey(invocation.tenant, invocation.known.spec.name, invocation.qualifier, invocation.token)
-        payload_hash = hash((invocation.payload, invocation.context))
+        key = CacheKey(
+            invocation.tenant, invocation.function.spec.name, invocation.qualifier, invocation.idempotency_key
+        )
+        payload_hash = hash((invocation.payload, invocation.client_context))
         now_s = self._clock()
         while True:
             entry, is_own = self._cache.join_or_start(key, payload_hash, invocation.request_id, now_s)
@@ -50,7 +52,7 @@
                 return self._run(invocation, entry, now_s, window_s, is_client_connected)
             if entry.payload_hash != payload_hash:
                 self._counts["mismatched"] += 1
-                raise errors.mismatched(entry.request_id)
+                raise errors.idempotency_mismatch(entry.request_id)
             response = self._response_of_other(invocation, entry, is_client_connected)
             if response is not None:  # else it was rejected, or nobody waited any more: this send's turn
                 return replayed(response)
@@ -68,17 +70,17 @@
         self._counts["joined"] += 1
         assert entry.done is not None
         try:
-            while not entry.done.wait(self._pause_s(invocation)):
-                if self._clock() >= invocation.until_s:
-                    raise errors.too_many("The operation is still under way.", 1.0)
+            while not entry.done.wait(self._wait_timeout_s(invocation)):
+                if self._clock() >= invocation.deadline_s:
+                    raise errors.too_many_requests("The operation is still under way.", 1.0)
                 if not is_client_connected():
                     raise ClientDisconnectedError
         finally:
             self._cache.leave(entry)
         return entry.response
 
-    def _pause_s(self, invocation: Invocation) -> float:
-        return min(CLIENT_CHECK_INTERVAL_S, max(0.0, invocation.until_s - self._clock()))
+    def _wait_timeout_s(self, invocation: Invocation) -> float:
+        return min(CLIENT_CHECK_INTERVAL_S, max(0.0, invocation.deadline_s - self._clock()))
 
     def _run(
         self,
@@ -95,14 +97,14 @@
                 invocation,
                 invocation.request_id,
                 is_client_connected,
-                is_alone=lambda: not entry.waiters,
+                has_no_waiters=lambda: not entry.waiters,
             )
             if final.status is FinalStatus.CLIENT_DISCONNECTED:
                 raise ClientDisconnectedError
             if final.status is FinalStatus.REJECTED:
-                raise rejection_of(final)
+                raise rejection_error(final)
             headers = invocation.response_headers(invocation.request_id)
-            response = response_of(final, headers, invocation.wants_log)
+            response = build_response(final, headers, invocation.wants_log)
             if final.status is FinalStatus.SERVED and len(response.body) <= self._max_cached_bytes:
                 cached = response
             return response
--- a/saffronstack/invoke/deferred_submission.py
+++ b/saffronstack/invoke/deferred_submission.py
@@ -12,7 +12,7 @@
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.final_responses import unknown_outcome
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
-from saffronstack.invoke.operation_calls import DEFERRED, perform_once, stored
+from saffronstack.invoke.operation_calls import DEFERRED, perform_once, to_stored_response
 from saffronstack.invoke.response import Response
 from saffronstack.operations.errors import OutcomeUnknownError
 from saffronstack.operations.execution import Completed, Execution, NotCompleted
@@ -64,15 +64,17 @@
             expires_at = operations.now() + policy.window_s
             return self._accept_operation(invocation, execution.operation, expires_at)
 
-        in_ledger = DeduplicationPolicy(policy.idempotency, policy.window_s, is_logged=False)
+        ledger_policy = DeduplicationPolicy(policy.idempotency, policy.window_s, is_logged=False)
         latest_s = self._clock() + self._max_wait_s
-        return perform_once(operations, invocation, DEFERRED, in_ledger, run, latest_s, is_client_connected)
+        return perform_once(
+            operations, invocation, DEFERRED, ledger_policy, run, latest_s, is_client_connected
+        )
 
     def _accept_operation(
         self, invocation: Invocation, operation: InFlightOperation, expires_at: float
     ) -> Completed | NotCompleted:
-        if self._clock() >= invocation.until_s:
-            return NotCompleted(errors.too_many("It came too late to be begun.", 1.0))
+        if self._clock() >= invocation.deadline_s:
+            return NotCompleted(errors.too_many_requests("It came too late to be begun.", 1.0))
         request_id = operation.request_id
         response = StoredResponse(202, invocation.acceptance_headers(request_id))
         record = OperationRecord(
@@ -90,7 +92,7 @@
             return NotCompleted(error)
         except OutcomeUnknownError:
             unknown = unknown_outcome(invocation.response_headers(request_id), NOT_CONFIRMED)
-            return Completed(stored(unknown), is_outcome_unknown=True)
+            return Completed(to_stored_response(unknown), is_outcome_unknown=True)
         return Completed(response)
 
     def _accept(
@@ -102,14 +104,16 @@
         expires_at: float = 0.0,
     ) -> None:
         if self._deferred is None:
-            raise errors.service("This gateway takes no deferred calls: its configuration names no ledger.")
+            raise errors.service_error(
+                "This gateway takes no deferred calls: its configuration names no ledger."
+            )
         submission = Submission(
             request_id,
-            invocation.known.spec.name,
+            invocation.function.spec.name,
             invocation.tenant,
             invocation.payload,
-            invocation.context,
-            worker_idempotency_key(invocation.tenant, invocation.token, request_id),
+            invocation.client_context,
+            worker_idempotency_key(invocation.tenant, invocation.idempotency_key, request_id),
             operation_digest,
             packed_operation,
             expires_at,
@@ -117,9 +121,9 @@
         try:
             self._deferred.accept(submission)
         except LedgerFullError as error:
-            raise errors.too_many(str(error), error.retry_after_s) from error
+            raise errors.too_many_requests(str(error), error.retry_after_s) from error
         except CommitError as error:
-            if error.may_be_stored and invocation.known.effect is not Idempotency.IDEMPOTENT:
+            if error.may_be_stored and invocation.function.effect is not Idempotency.IDEMPOTENT:
                 raise OutcomeUnknownError(request_id) from error
             text = f"Deferred calls can't be written down now: {error}"
-            raise errors.too_many(text, error.retry_after_s) from error
+            raise errors.too_many_requests(text, error.retry_after_s) from error
--- a/saffronstack/invoke/engine_calls.py
+++ b/saffronstack/invoke/engine_calls.py
@@ -19,7 +19,7 @@
 DECISION_MARGIN_SHARE = 0.8  # of the answer margin: the engine decides by then, and is waited for so long
 
 
-def always_alone() -> bool:
+def no_waiters() -> bool:
     """No other send waits for the call."""
     return True
 
@@ -50,7 +50,7 @@
         is_client_connected: IsClientConnected,
         prior: PriorAttempt | None = None,
         execution: Execution | None = None,
-        is_alone: Callable[[], bool] = always_alone,
+        has_no_waiters: Callable[[], bool] = no_waiters,
     ) -> FinalAnswer:
         """Run an invocation and wait for its final answer, watching the client meanwhile.
 
@@ -61,15 +61,15 @@
                 can have had an effect.
             prior: An earlier attempt of the operation, which may have had an effect.
             execution: Of the operation; None for a call that is none, or an idempotent one.
-            is_alone: Whether no other send waits for it.
+            has_no_waiters: Whether no other send waits for it.
 
         Raises:
             InvokeError: It can't be begun now.
         """
         call = self._create(invocation, request_id, prior, execution)
         if not self._engine.submit(call):
-            raise errors.too_many("Too many calls are open.", 1.0)
-        return self._wait(call, is_client_connected, execution, is_alone)
+            raise errors.too_many_requests("Too many calls are open.", 1.0)
+        return self._wait(call, is_client_connected, execution, has_no_waiters)
 
     def _create(
         self,
@@ -79,23 +79,23 @@
         execution: Execution | None,
     ) -> Call:
         tenant_index = self._admit(invocation)
-        deadline_s = invocation.until_s - self._decision_margin_s
+        deadline_s = invocation.deadline_s - self._decision_margin_s
         if deadline_s <= self._clock():
-            raise errors.too_many("It came too late to be begun.", 1.0)
+            raise errors.too_many_requests("It came too late to be begun.", 1.0)
         return Call(
             self._engine.next_call_number(),
             request_id,
-            invocation.known.spec,
+            invocation.function.spec,
             invocation.payload,
             deadline_s,
             tenant_index,
             invocation.tenant,
-            worker_idempotency_key(invocation.tenant, invocation.token, request_id),
-            invocation.context,
+            worker_idempotency_key(invocation.tenant, invocation.idempotency_key, request_id),
+            invocation.client_context,
             invocation.wants_log,
             prior,
             self._attempt_guard(execution),
-            class_name=invocation.known.config.call_class,
+            class_name=invocation.function.config.call_class,
         )
 
     def _attempt_guard(self, execution: Execution | None) -> AttemptGuard | None:
@@ -110,7 +110,7 @@
         call: Call,
         is_client_connected: IsClientConnected,
         execution: Execution | None,
-        is_alone: Callable[[], bool],
+        has_no_waiters: Callable[[], bool],
     ) -> FinalAnswer:
         latest_s = call.deadline_s + self._decision_margin_s
         while True:
@@ -119,7 +119,11 @@
                 return final
             if self._clock() >= latest_s:  # the engine itself is stuck: an answer all the same
                 call.finish(FinalAnswer(FinalStatus.FAILED, reason="the gateway did not decide in time"))
-            elif not is_client_connected() and is_alone() and (execution is None or execution.try_abandon()):
+            elif (
+                not is_client_connected()
+                and has_no_waiters()
+                and (execution is None or execution.try_abandon())
+            ):
                 self._engine.disconnect(call)
 
     def _admit(self, invocation: Invocation) -> int:
@@ -131,8 +135,8 @@
         index = self._tenant_indexes.get(invocation.tenant, 0)
         if self._budgets is None:
             return index
-        admission = self._budgets.admit(invocation.tenant, invocation.known.spec.name, self._clock())
+        admission = self._budgets.admit(invocation.tenant, invocation.function.spec.name, self._clock())
         if not admission.is_admitted:
             text = f"The memory budget of {invocation.tenant} is used up."
-            raise errors.too_many(text, admission.retry_after_s)
+            raise errors.too_many_requests(text, admission.retry_after_s)
         return len(self._tenant_indexes) if admission.is_over_soft_limit else index
--- a/saffronstack/invoke/errors.py
+++ b/saffronstack/invoke/errors.py
@@ -13,14 +13,14 @@
     def __init__(
         self,
         status: int,
-        kind: str,
+        error_type: str,
         message: str,
         fault: str = "User",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
         super().__init__(message)
         self.status = status
-        self.kind = kind
+        self.error_type = error_type
         self.message = message
         self.fault = fault
         self.headers = headers
@@ -53,13 +53,13 @@
     return InvokeError(413, "RequestTooLargeException", message)
 
 
-def too_many(message: str, retry_after_s: float) -> InvokeError:
+def too_many_requests(message: str, retry_after_s: float) -> InvokeError:
     """Come again later; it is harmless. ``Retry-After`` counts whole seconds, so it is rounded up."""
-    wait = str(max(1, math.ceil(retry_after_s)))
-    return InvokeError(429, "TooManyRequestsException", message, headers=(("Retry-After", wait),))
+    seconds = str(max(1, math.ceil(retry_after_s)))
+    return InvokeError(429, "TooManyRequestsException", message, headers=(("Retry-After", seconds),))
 
 
-def service(message: str, status: int = 500) -> InvokeError:
+def service_error(message: str, status: int = 500) -> InvokeError:
     """Our own fault, and nothing ran: SDKs send again after it."""
     return InvokeError(status, "ServiceException", message, fault="Service")
 
@@ -74,7 +74,7 @@
     )
 
 
-def mismatched(request_id: str) -> InvokeError:
+def idempotency_mismatch(request_id: str) -> InvokeError:
     """An operation's name was given to another payload; nothing was touched."""
     return InvokeError(
         400,
@@ -83,7 +83,7 @@
     )
 
 
-def answer_not_kept(status: int, length: int, digest: str) -> bytes:
+def response_not_stored(status: int, length: int, digest: str) -> bytes:
     """The payload of a repeat whose answer was too large to keep: it ended, and is not run again."""
     return msgspec.json.encode(
         {
--- a/saffronstack/invoke/figures.py
+++ b/saffronstack/invoke/figures.py
@@ -9,52 +9,56 @@
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.response import Response
 
-ENDINGS = ("served", "function_error", "refused", "failed", "unknown")
-UNIT_S = 1e-4  # of the histograms' values
-LONGEST = 9_000_000  # 15 minutes, in that unit
-DIGITS = 2
+OUTCOMES = ("served", "function_error", "refused", "failed", "unknown")
+LATENCY_UNIT_S = 1e-4  # of the histograms' values
+MAX_LATENCY_UNITS = 9_000_000  # 15 minutes, in that unit
+SIGNIFICANT_DIGITS = 2
 
 
-def times() -> HdrHistogram:
+def empty_histogram() -> HdrHistogram:
     """An empty histogram as all of them are made."""
-    return HdrHistogram(1, LONGEST, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_UNITS, SIGNIFICANT_DIGITS)
 
 
-def ending_of(answer: Response) -> str:
+def outcome_of_response(response: Response) -> str:
     """How a call that got an answer ended for its client."""
-    if not any(name == "X-Amz-Function-Error" for name, _ in answer.headers):
+    if not any(name == "X-Amz-Function-Error" for name, _ in response.headers):
         return "served"
-    return "unknown" if b'"Saffronstack.OutcomeUnknown"' in answer.body[:64] else "function_error"
+    return "unknown" if b'"Saffronstack.OutcomeUnknown"' in response.body[:64] else "function_error"
 
 
-def ending_of_error(error: InvokeError) -> str | None:
+def outcome_of_error(error: InvokeError) -> str | None:
     """How a call that was not taken ended; None where its client asked for nonsense."""
     return "refused" if error.status == 429 else "failed" if error.status >= 500 else None
 
 
-class ByClass:
+class CallMetrics:
     """Counts and times of all classes; any thread notes."""
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self._lock = threading.Lock()
-        self._counts = {name: dict.fromkeys(ENDINGS, 0) for name in classes}
-        self._times = {name: times() for name in classes}
+        self._counts = {name: dict.fromkeys(OUTCOMES, 0) for name in classes}
+        self._latencies = {name: empty_histogram() for name in classes}
 
-    def note(self, call_class: str, ending: str, took_s: float) -> None:
+    def record(self, call_class: str, outcome: str, latency_s: float) -> None:
         """One call's end."""
         with self._lock:
-            self._counts[call_class][ending] += 1
-            if ending in ("served", "function_error"):
-                self._times[call_class].record_value(min(LONGEST, max(1, round(took_s / UNIT_S))))
+            self._counts[call_class][outcome] += 1
+            if outcome in ("served", "function_error"):
+                self._latencies[call_class].record_value(
+                    min(MAX_LATENCY_UNITS, max(1, round(latency_s / LATENCY_UNIT_S)))
+                )
 
     def counts(self) -> dict[str, dict[str, int]]:
         """A copy."""
         with self._lock:
             return {name: dict(counts) for name, counts in self._counts.items()}
 
-    def encoded(self) -> dict[str, str]:
+    def encoded_latencies(self) -> dict[str, str]:
         """Times as hdrhistogram's own text, of classes that have any."""
         with self._lock:
             return {
-                name: kept.encode().decode() for name, kept in self._times.items() if kept.get_total_count()
+                name: histogram.encode().decode()
+                for name, histogram in self._latencies.items()
+                if histogram.get_total_count()
             }
--- a/saffronstack/invoke/invocation.py
+++ b/saffronstack/invoke/invocation.py
@@ -19,23 +19,23 @@
     Attributes:
         request_id: Its own.
         tenant: Whose it is.
-        known: The function.
+        function: The function.
         qualifier: The function's version or alias.
         payload: JSON.
-        context: The client context, base64; empty for none.
-        token: The operation's name as its client gave it; empty for none.
-        until_s: Clock time until which its client waits; nothing is begun later.
+        client_context: The client context, base64; empty for none.
+        idempotency_key: The operation's name as its client gave it; empty for none.
+        deadline_s: Clock time until which its client waits; nothing is begun later.
         wants_log: Whether the answer is to have the end of the log.
     """
 
     request_id: str
     tenant: str
-    known: Known
+    function: Known
     qualifier: str
     payload: bytes
-    context: str
-    token: str
-    until_s: float
+    client_context: str
+    idempotency_key: str
+    deadline_s: float
     wants_log: bool = False
 
     def response_headers(self, request_id: str) -> Headers:
@@ -46,6 +46,8 @@
         """Return the headers of an answer without content."""
         return (("x-amzn-RequestId", request_id), ("X-Amz-Executed-Version", self.qualifier))
 
-    def identity(self, kind: str) -> OperationIdentity:
-        """Return its operation's identity; ``kind`` is the invocation type."""
-        return OperationIdentity(self.tenant, self.known.spec.name, self.qualifier, kind, self.token)
+    def identity(self, invocation_type: str) -> OperationIdentity:
+        """Return its operation's identity; ``invocation_type`` is the invocation type."""
+        return OperationIdentity(
+            self.tenant, self.function.spec.name, self.qualifier, invocation_type, self.idempotency_key
+        )
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class MetricValue:
     """One number under a name, with its help text."""
 
     name: str
@@ -53,7 +53,7 @@
         ...
 
 
-class Connections(Protocol):
+class WorkerConnections(Protocol):
     """Who holds connections to workers."""
 
     @property
@@ -71,7 +71,7 @@
         ...
 
 
-class Parts(Protocol):
+class MonitoredGateway(Protocol):
     """What the pages tell of: the parts of a gateway, which it makes before anyone asks."""
 
     engine: Engine
@@ -88,157 +88,182 @@
     draining: bool
 
     @property
-    def fleet(self) -> Connections:
+    def fleet(self) -> WorkerConnections:
         """The workers' side."""
         ...
 
 
-def busiest(traffic: Sequence[WorkerTraffic]) -> float:
+def peak_load_ratio(traffic: Sequence[WorkerTraffic]) -> float:
     """Return the most attempts in flight at a worker that takes calls, as a multiple of its share by size.
 
     It is 0 where none are in flight.
     """
-    taking = [worker for worker in traffic if not worker.spec.is_draining and worker.spec.capacity > 0]
-    total = sum(worker.in_flight for worker in taking)
-    size = sum(worker.spec.capacity for worker in taking)
+    accepting = [worker for worker in traffic if not worker.spec.is_draining and worker.spec.capacity > 0]
+    total_in_flight = sum(worker.in_flight for worker in accepting)
+    total_capacity = sum(worker.spec.capacity for worker in accepting)
     return (
-        max(worker.in_flight / (total * worker.spec.capacity / size) for worker in taking) if total else 0.0
+        max(
+            worker.in_flight / (total_in_flight * worker.spec.capacity / total_capacity)
+            for worker in accepting
+        )
+        if total_in_flight
+        else 0.0
     )
 
 
 class GatewayCollector(Collector):
     """Reads the gateway's own counts when asked; nothing is counted twice."""
 
-    def __init__(self, gateway: Parts) -> None:
+    def __init__(self, gateway: MonitoredGateway) -> None:
         self._gateway = gateway
 
     def collect(self) -> Iterable[Metric]:
         """The metrics now."""
         gateway = self._gateway
         counts = gateway.engine.statistics
-        yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.final_answers)
-        yield _labelled("attempts_ended", "Attempts by result", "result", counts.attempt_results)
+        yield _labelled_counter("calls_ended", "Calls by how they ended", "ending", counts.final_answers)
+        yield _labelled_counter("attempts_ended", "Attempts by result", "result", counts.attempt_results)
         yield from _worker_metrics(gateway.fleet.traffic())
-        for figure in _counters(gateway):
-            yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
+        for metric in _counters(gateway):
+            yield CounterMetricFamily(PREFIX + metric.name, metric.help, value=metric.value)
         if gateway.deferred is not None:
             finished = gateway.deferred.finished_by_condition
-            yield _labelled("deferred_finished", "Deferred calls finished", "condition", finished)
+            yield _labelled_counter("deferred_finished", "Deferred calls finished", "condition", finished)
         if gateway.operations is not None:
-            sends = gateway.operations.request_counts
-            yield _labelled("operation_sends", "Sends that name an operation, by what they met", "met", sends)
-        for figure in _gauges(gateway):
-            yield GaugeMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
+            request_counts = gateway.operations.request_counts
+            yield _labelled_counter(
+                "operation_sends", "Sends that name an operation, by what they met", "met", request_counts
+            )
+        for metric in _gauges(gateway):
+            yield GaugeMetricFamily(PREFIX + metric.name, metric.help, value=metric.value)
 
 
-def _labelled(name: str, help_: str, label: str, values: Mapping[str, float]) -> CounterMetricFamily:
+def _labelled_counter(name: str, help_: str, label: str, values: Mapping[str, float]) -> CounterMetricFamily:
     family = CounterMetricFamily(PREFIX + name, help_, labels=[label])
-    for value_of, value in values.items():
-        family.add_metric([value_of], value)
+    for label_value, value in values.items():
+        family.add_metric([label_value], value)
     return family
 
 
 def _worker_metrics(traffic: Sequence[WorkerTraffic]) -> Iterator[Metric]:
-    given = CounterMetricFamily(PREFIX + "worker_attempts", "Attempts given to a worker", labels=["worker"])
-    out = GaugeMetricFamily(PREFIX + "worker_out", "Open attempts at a worker", labels=["worker"])
+    attempts = CounterMetricFamily(
+        PREFIX + "worker_attempts", "Attempts given to a worker", labels=["worker"]
+    )
+    in_flight = GaugeMetricFamily(PREFIX + "worker_out", "Open attempts at a worker", labels=["worker"])
     for worker in traffic:
-        given.add_metric([worker.spec.name], worker.attempts)
-        out.add_metric([worker.spec.name], worker.in_flight)
-    yield given
-    yield out
+        attempts.add_metric([worker.spec.name], worker.attempts)
+        in_flight.add_metric([worker.spec.name], worker.in_flight)
+    yield attempts
+    yield in_flight
 
 
-def _counters(gateway: Parts) -> Iterator[Figure]:
+def _counters(gateway: MonitoredGateway) -> Iterator[MetricValue]:
     counts, server = gateway.engine.statistics, gateway.server
-    yield Figure("calls", "Calls taken by the engine", counts.calls)
-    yield Figure("sends", "Attempts begun", counts.attempts)
-    yield Figure("repeats", "Attempts after a call's first", counts.retries)
-    yield Figure("orders", "Orders to load or unload", counts.load_commands)
-    yield Figure("events", "Events decided on", counts.events)
-    yield Figure("backstops", "Calls that the engine itself answered", counts.deadline_answers)
-    yield Figure("decision_faults", "Events on which the decision failed", counts.faults)
-    yield Figure("connections_accepted", "Client connections accepted", server.accepted)
-    yield Figure("connections_turned_away", "Client connections turned away", server.turned_away)
+    yield MetricValue("calls", "Calls taken by the engine", counts.calls)
+    yield MetricValue("sends", "Attempts begun", counts.attempts)
+    yield MetricValue("repeats", "Attempts after a call's first", counts.retries)
+    yield MetricValue("orders", "Orders to load or unload", counts.load_commands)
+    yield MetricValue("events", "Events decided on", counts.events)
+    yield MetricValue("backstops", "Calls that the engine itself answered", counts.deadline_answers)
+    yield MetricValue("decision_faults", "Events on which the decision failed", counts.faults)
+    yield MetricValue("connections_accepted", "Client connections accepted", server.accepted_count)
+    yield MetricValue("connections_turned_away", "Client connections turned away", server.rejected_count)
     if gateway.deferred is not None:
-        yield Figure("deferred_taken", "Deferred calls taken", gateway.deferred.accepted_count)
+        yield MetricValue("deferred_taken", "Deferred calls taken", gateway.deferred.accepted_count)
     if gateway.meter is not None:
         yield from _usage_counters(gateway.meter, gateway.limits)
     if gateway.operations is not None:
         help_ = "Ended operations that memory had no room for until their window ended"
-        yield Figure("operations_dropped_early", help_, gateway.operations.table.evicted_early)
+        yield MetricValue("operations_dropped_early", help_, gateway.operations.table.evicted_early)
 
 
-def _gauges(gateway: Parts) -> Iterator[Figure]:
+def _gauges(gateway: MonitoredGateway) -> Iterator[MetricValue]:
     traffic = gateway.fleet.traffic()
-    yield Figure("open_calls", "Calls open in the engine", gateway.engine.open_calls)
-    yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued_events)
-    yield Figure("client_connections", "Client connections open", gateway.server.connections)
-    yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connection_count)
-    yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(traffic))
+    yield MetricValue("open_calls", "Calls open in the engine", gateway.engine.open_calls)
+    yield MetricValue("queued_events", "Events waiting for the decision thread", gateway.engine.queued_events)
+    yield MetricValue("client_connections", "Client connections open", gateway.server.connections)
+    yield MetricValue("worker_connections", "Worker connections at most", gateway.fleet.connection_count)
+    yield MetricValue(
+        "worker_spread", "Open attempts of the busiest worker over its share", peak_load_ratio(traffic)
+    )
     if gateway.deferred is not None and gateway.ledger is not None:
         ledger = gateway.ledger
-        yield Figure("deferred_open", "Deferred calls open", gateway.deferred.open_calls)
-        yield Figure("ledger_failing", "1 while the ledger can't write", float(bool(ledger.write_error)))
-        yield Figure("ledger_stalled_seconds", "For how long its disk answers nothing", ledger.stalled_s)
+        yield MetricValue("deferred_open", "Deferred calls open", gateway.deferred.open_calls)
+        yield MetricValue("ledger_failing", "1 while the ledger can't write", float(bool(ledger.write_error)))
+        yield MetricValue("ledger_stalled_seconds", "For how long its disk answers nothing", ledger.stalled_s)
     if gateway.meter is not None:
         yield from _usage_gauges(gateway.meter)
     if gateway.operations is not None:
         yield from _operation_gauges(gateway.operations)
     if gateway.slots is not None:
-        yield Figure("operation_slots", "Slots whose operations this process runs", gateway.slots.held_count)
+        yield MetricValue(
+            "operation_slots", "Slots whose operations this process runs", gateway.slots.held_count
+        )
     if gateway.roster is not None:
-        yield from _roster_gauges(gateway.roster)
+        yield from _discovery_gauges(gateway.roster)
 
 
-def _usage_gauges(meter: Meter) -> Iterator[Figure]:
+def _usage_gauges(meter: Meter) -> Iterator[MetricValue]:
     account, journal = meter.journal.state, meter.journal
-    yield Figure("usage_sums", "Sums of usage held in memory", len(account.totals))
-    yield Figure("usage_runs", "Runs of sums that left memory", account.runs)
-    yield Figure("usage_unconfirmed", "Usage records that no worker has confirmed", len(account.unconfirmed))
-    yield Figure("usage_provisional", "Charges of lost calls that are not settled", len(account.provisional))
-    yield Figure("usage_log_failing", "1 while the usage log can't write", float(bool(journal.write_error)))
-    yield Figure("usage_in_doubt", "1 where records of the usage log are lost", float(account.in_doubt))
+    yield MetricValue("usage_sums", "Sums of usage held in memory", len(account.totals))
+    yield MetricValue("usage_runs", "Runs of sums that left memory", account.runs)
+    yield MetricValue(
+        "usage_unconfirmed", "Usage records that no worker has confirmed", len(account.unconfirmed)
+    )
+    yield MetricValue(
+        "usage_provisional", "Charges of lost calls that are not settled", len(account.provisional)
+    )
+    yield MetricValue(
+        "usage_log_failing", "1 while the usage log can't write", float(bool(journal.write_error))
+    )
+    yield MetricValue("usage_in_doubt", "1 where records of the usage log are lost", float(account.in_doubt))
 
 
-def _operation_gauges(operations: OperationService) -> Iterator[Figure]:
+def _operation_gauges(operations: OperationService) -> Iterator[MetricValue]:
     for name, count in operations.table.counts():
-        yield Figure(f"operations_{name}", f"Operations remembered as {name.replace('_', ' ')}", count)
+        yield MetricValue(f"operations_{name}", f"Operations remembered as {name.replace('_', ' ')}", count)
     cache = operations.coalescing_cache
-    yield Figure("operations_safe", "Safe operations remembered", len(cache))
-    yield Figure(
+    yield MetricValue("operations_safe", "Safe operations remembered", len(cache))
+    yield MetricValue(
         "operations_bytes",
         "Memory reckoned for operations",
         operations.table.memory_bytes + cache.memory_bytes,
     )
     if operations.response_store is not None:
-        yield Figure("operations_spooled_bytes", "Answers on disk", operations.response_store.stored_bytes)
+        yield MetricValue(
+            "operations_spooled_bytes", "Answers on disk", operations.response_store.stored_bytes
+        )
     if operations.operation_log is not None:
         failing = float(bool(operations.operation_log.write_error))
-        yield Figure("operations_notes_failing", "1 while notes can't be written", failing)
+        yield MetricValue("operations_notes_failing", "1 while notes can't be written", failing)
 
 
-def _roster_gauges(roster: FileDiscovery) -> Iterator[Figure]:
-    status = roster.status()
-    yield Figure("roster_workers", "Workers of the list", status.workers)
-    yield Figure("roster_draining", "Workers that are told as draining", status.draining)
-    yield Figure("roster_generation", "Generation of the list in force", status.generation or 0)
-    yield Figure("roster_refused", "1 while the file can't be used", float(bool(status.rejection)))
-    yield Figure("roster_held", "1 while a version waits for an operator", float(bool(status.pending_reason)))
+def _discovery_gauges(discovery: FileDiscovery) -> Iterator[MetricValue]:
+    status = discovery.status()
+    yield MetricValue("roster_workers", "Workers of the list", status.workers)
+    yield MetricValue("roster_draining", "Workers that are told as draining", status.draining)
+    yield MetricValue("roster_generation", "Generation of the list in force", status.generation or 0)
+    yield MetricValue("roster_refused", "1 while the file can't be used", float(bool(status.rejection)))
+    yield MetricValue(
+        "roster_held", "1 while a version waits for an operator", float(bool(status.pending_reason))
+    )
     copy = float(status.is_from_stored_copy)
-    yield Figure("roster_from_copy", "1 while the last good copy stands for the file", copy)
-    yield Figure("roster_conflicts", "Contradictions between sources", len(status.conflicts))
-    yield Figure("roster_versions", "Versions applied since the start", status.counts.applied)
+    yield MetricValue("roster_from_copy", "1 while the last good copy stands for the file", copy)
+    yield MetricValue("roster_conflicts", "Contradictions between sources", len(status.conflicts))
+    yield MetricValue("roster_versions", "Versions applied since the start", status.counts.applied)
 
 
-def _usage_counters(meter: Meter, limits: BudgetEnforcer | None) -> Iterator[Figure]:
+def _usage_counters(meter: Meter, budgets: BudgetEnforcer | None) -> Iterator[MetricValue]:
     lost = meter.records_dropped_by_workers()
-    yield Figure("usage_records", "Usage records taken", meter.accepted)
-    yield Figure("usage_refused", "Usage records that can't be believed", meter.rejected)
-    yield Figure("usage_postponed", "Answers whose usage was left with the worker for later", meter.postponed)
-    yield Figure("usage_lost_at_workers", "Usage records that workers' own bounds cost", lost)
-    yield Figure("usage_log_bytes", "Bytes written to the usage log", meter.journal.written_bytes)
-    if limits is not None:
+    yield MetricValue("usage_records", "Usage records taken", meter.accepted)
+    yield MetricValue("usage_refused", "Usage records that can't be believed", meter.rejected)
+    yield MetricValue(
+        "usage_postponed", "Answers whose usage was left with the worker for later", meter.postponed
+    )
+    yield MetricValue("usage_lost_at_workers", "Usage records that workers' own bounds cost", lost)
+    yield MetricValue("usage_log_bytes", "Bytes written to the usage log", meter.journal.written_bytes)
+    if budgets is not None:
         refused = "Calls refused or held back for their tenant's budget"
-        yield Figure("budget_refused", refused, limits.rejected)
+        yield MetricValue("budget_refused", refused, budgets.rejected)
         marked = "Calls taken at the worth of what lies over a share"
-        yield Figure("budget_marked", marked, limits.deprioritized)
+        yield MetricValue("budget_marked", marked, budgets.deprioritized)
--- a/saffronstack/invoke/names.py
+++ b/saffronstack/invoke/names.py
@@ -9,11 +9,11 @@
 from saffronstack.engine.identifiers import LATEST
 from saffronstack.invoke.errors import InvokeError, bad_parameter
 
-PATH = re.compile(r"/2015-03-31/functions/([^/]+)/invocations/?")
-DEFERRED = re.compile(r"/deferred/([^/]+)")
-OPERATION = re.compile(r"/operations/([^/]+)")
-USAGE = re.compile(r"/usage/([^/]+)")
-_NAME = re.compile(
+INVOKE_PATH = re.compile(r"/2015-03-31/functions/([^/]+)/invocations/?")
+DEFERRED_PATH = re.compile(r"/deferred/([^/]+)")
+OPERATION_PATH = re.compile(r"/operations/([^/]+)")
+USAGE_PATH = re.compile(r"/usage/([^/]+)")
+_FUNCTION_NAME = re.compile(
     r"(?:arn:(?P<partition>aws[a-zA-Z-]*):lambda:(?P<region>[a-z]{2}(?:-[a-z]+)+-\d):)?"
     r"(?:(?P<account>\d{12}):)?(?:function:)?"
     r"(?P<name>[a-zA-Z0-9_.-]+)(?::(?P<qualifier>\$LATEST|[a-zA-Z0-9_-]+))?"
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class QualifiedFunction:
     """Which function, in which version."""
 
     name: str
     qualifier: str
 
 
-def parse_target(text: str) -> tuple[str, dict[str, str]]:
+def parse_request_target(text: str) -> tuple[str, dict[str, str]]:
     """A request target's path and query; InvokeError where it is malformed."""
     if not text.startswith("/"):
         raise bad_parameter("The request target must be a path.")
@@ -43,24 +43,26 @@
     return parts.path, dict(pairs)
 
 
-def parse_function(part: str, query: dict[str, str], account: str, region: str) -> Target:
+def parse_function(part: str, query: dict[str, str], account: str, region: str) -> QualifiedFunction:
     """The function that a path's (percent-encoded) part and the query name; InvokeError otherwise."""
     text = unquote(part)
-    match = _NAME.fullmatch(text)
+    match = _FUNCTION_NAME.fullmatch(text)
     if match is None or len(text) > 170:
         raise bad_parameter(
             f"Value '{text[:200]}' at 'functionName' failed to satisfy the function name pattern."
         )
     if (match["account"] or account) != account or (match["region"] or region) != region:
         raise InvokeError(404, "ResourceNotFoundException", f"Function not found: {text}")
-    asked = query.get("Qualifier", "")
-    if asked and not _QUALIFIER.fullmatch(asked):
-        raise bad_parameter(f"Value '{asked[:200]}' at 'qualifier' failed to satisfy the qualifier pattern.")
-    if asked and match["qualifier"] and asked != match["qualifier"]:
+    qualifier = query.get("Qualifier", "")
+    if qualifier and not _QUALIFIER.fullmatch(qualifier):
+        raise bad_parameter(
+            f"Value '{qualifier[:200]}' at 'qualifier' failed to satisfy the qualifier pattern."
+        )
+    if qualifier and match["qualifier"] and qualifier != match["qualifier"]:
         raise bad_parameter(
             "The derived qualifier from the function name does not match the specified qualifier."
         )
-    return Target(match["name"], asked or match["qualifier"] or LATEST)
+    return QualifiedFunction(match["name"], qualifier or match["qualifier"] or LATEST)
 
 
 def arn(region: str, account: str, name: str, qualifier: str = "") -> str:
--- a/saffronstack/invoke/operation_calls.py
+++ b/saffronstack/invoke/operation_calls.py
@@ -7,11 +7,11 @@
 from saffronstack.invoke.engine_calls import EngineCalls
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.final_responses import (
-    ERROR_HEADER,
+    FUNCTION_ERROR_HEADER,
     REPLAYED_HEADER,
-    rejection_of,
+    build_response,
+    rejection_error,
     replayed,
-    response_of,
     unknown_outcome,
 )
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
@@ -53,7 +53,7 @@
         return _run_on_engine(calls, invocation, is_client_connected, execution, prior)
 
     return perform_once(
-        operations, invocation, SYNCHRONOUS, policy, run, invocation.until_s, is_client_connected
+        operations, invocation, SYNCHRONOUS, policy, run, invocation.deadline_s, is_client_connected
     )
 
 
@@ -72,12 +72,12 @@
     if final.status is FinalStatus.CLIENT_DISCONNECTED:
         return NotCompleted(ClientDisconnectedError(), prior)
     if final.status is FinalStatus.REJECTED:
-        return NotCompleted(rejection_of(final), final.prior_attempt, final.attempt_in_flight_until_s)
-    response = response_of(final, invocation.response_headers(request_id), invocation.wants_log)
-    return Completed(stored(response), is_outcome_unknown=final.status is FinalStatus.FAILED)
+        return NotCompleted(rejection_error(final), final.prior_attempt, final.attempt_in_flight_until_s)
+    response = build_response(final, invocation.response_headers(request_id), invocation.wants_log)
+    return Completed(to_stored_response(response), is_outcome_unknown=final.status is FinalStatus.FAILED)
 
 
-def stored(response: Response) -> StoredResponse:
+def to_stored_response(response: Response) -> StoredResponse:
     """Return a response as the operations store it."""
     return StoredResponse(response.status, response.headers, response.body)
 
@@ -85,7 +85,7 @@
 def perform_once(
     operations: OperationService,
     invocation: Invocation,
-    kind: str,
+    invocation_type: str,
     policy: DeduplicationPolicy,
     run: ExecuteOperation,
     latest_s: float,
@@ -96,7 +96,7 @@
     Args:
         operations: Performs it.
         invocation: One send.
-        kind: `SYNCHRONOUS` or `DEFERRED`.
+        invocation_type: `SYNCHRONOUS` or `DEFERRED`.
         policy: Of its class.
         run: Runs it where this send is the one to do so.
         latest_s: Clock time until which to wait for another send's.
@@ -107,8 +107,8 @@
         ClientDisconnectedError: Nobody waits for it any more.
     """
     request = OperationRequest(
-        invocation.identity(kind).digest(),
-        payload_fingerprint(invocation.payload, invocation.context),
+        invocation.identity(invocation_type).digest(),
+        payload_fingerprint(invocation.payload, invocation.client_context),
         policy,
         invocation.request_id,
         latest_s,
@@ -117,17 +117,17 @@
     try:
         result = operations.perform(request, run)
     except FingerprintMismatchError as error:
-        raise errors.mismatched(error.request_id) from error
+        raise errors.idempotency_mismatch(error.request_id) from error
     except OperationTableFullError as error:
-        raise errors.too_many("Too many operations are remembered.", error.retry_after_s) from error
+        raise errors.too_many_requests("Too many operations are remembered.", error.retry_after_s) from error
     except OutcomeUnknownError as error:
         headers = invocation.response_headers(error.request_id)
         return unknown_outcome(headers, "the gateway was killed before it had an answer")
     except ResponseNotStoredError as error:
         return _without_body(invocation, error)
     except OperationInProgressError as error:
-        if policy.idempotency is Idempotency.IDEMPOTENT or kind == DEFERRED:
-            raise errors.too_many("The operation is still under way.", 1.0) from error
+        if policy.idempotency is Idempotency.IDEMPOTENT or invocation_type == DEFERRED:
+            raise errors.too_many_requests("The operation is still under way.", 1.0) from error
         headers = invocation.response_headers(invocation.request_id)
         return unknown_outcome(headers, "another send of it is still under way")
     response = result.response
@@ -138,7 +138,7 @@
 
 def _without_body(invocation: Invocation, error: ResponseNotStoredError) -> Response:
     """Return what is known of a response that was too large to store."""
-    known = error.response
-    body = errors.answer_not_kept(known.status, known.body_length, known.body_digest)
+    stored = error.response
+    body = errors.response_not_stored(stored.status, stored.body_length, stored.body_digest)
     headers = invocation.response_headers(error.request_id)
-    return Response(200, (*headers, ERROR_HEADER, REPLAYED_HEADER), body)
+    return Response(200, (*headers, FUNCTION_ERROR_HEADER, REPLAYED_HEADER), body)
--- a/saffronstack/invoke/operation_forwarding.py
+++ b/saffronstack/invoke/operation_forwarding.py
@@ -21,7 +21,7 @@
 DEADLINE_HEADER = "x-saffron-until"  # seconds of the machine's monotonic clock, which its processes share
 RETRY_INTERVAL_S = 0.05
 FORWARDING_TIMEOUT_S = 2.0  # how long a holder is looked for, while none answers
-NOT_FORWARDED = (
+NOT_FORWARDED_HEADERS = (
     "connection",
     "transfer-encoding",
     "content-length",
@@ -29,8 +29,8 @@
     FORWARDED_HEADER,
     DEADLINE_HEADER,
 )
-RETURNED = ("content-type", "retry-after", "x-saffron-repeated")
-MISDIRECTED = 421
+RETURNED_HEADERS = ("content-type", "retry-after", "x-saffron-repeated")
+MISDIRECTED_STATUS = 421
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 def misdirected() -> InvokeError:
     """Return the error for a request that was forwarded to a process without its slot."""
-    return InvokeError(MISDIRECTED, "MisdirectedRequest", "Another process runs this operation.")
+    return InvokeError(MISDIRECTED_STATUS, "MisdirectedRequest", "Another process runs this operation.")
 
 
 class OperationForwarder:
@@ -99,7 +99,9 @@
             if may_have_run or now >= request.deadline_s:
                 return request.unknown_outcome()
             if now >= retry_until_s:
-                raise errors.too_many("The process that runs this operation does not answer now.", 1.0)
+                raise errors.too_many_requests(
+                    "The process that runs this operation does not answer now.", 1.0
+                )
             self._pause.wait(RETRY_INTERVAL_S)
 
     def _forward_to_holder(self, request: ForwardableRequest) -> Response | None:
@@ -118,16 +120,18 @@
 
     def _forward(self, address: str, request: ForwardableRequest) -> Response | None:
         """Return the response of the process at an address; None where it does not hold the slot."""
-        fields = [(name, value) for name, value in request.head.headers.items if name not in NOT_FORWARDED]
+        fields = [
+            (name, value) for name, value in request.head.headers.items if name not in NOT_FORWARDED_HEADERS
+        ]
         fields += [(FORWARDED_HEADER, self.slots.member), (DEADLINE_HEADER, f"{request.deadline_s:.6f}")]
         message = writer.request(request.head.method, request.head.target, fields, request.body)
         self.forwarded += 1
         head, body = exchange(address, message, request.deadline_s, self._clock)
-        if head.status == MISDIRECTED:
+        if head.status == MISDIRECTED_STATUS:
             return None
         returned = [
             (name, value)
             for name, value in head.headers.items
-            if name in RETURNED or name.startswith("x-amz")
+            if name in RETURNED_HEADERS or name.startswith("x-amz")
         ]
         return Response(head.status, tuple(returned), body)
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -10,31 +10,31 @@
 
 from saffronstack.daemon.listener_handover import MARK_VARIABLE
 from saffronstack.invoke.app import Page, Response
-from saffronstack.invoke.metrics import GatewayCollector, Parts
+from saffronstack.invoke.metrics import GatewayCollector, MonitoredGateway
 
-TEXT = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
+TEXT_HEADERS = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
 
 
 class Pages:
     """The pages of one gateway."""
 
-    def __init__(self, gateway: Parts) -> None:
+    def __init__(self, gateway: MonitoredGateway) -> None:
         self._gateway = gateway
         self._registry = CollectorRegistry(auto_describe=False)
         self._registry.register(GatewayCollector(gateway))
 
-    def table(self) -> Mapping[str, Page]:
+    def by_path(self) -> Mapping[str, Page]:
         """Pages by path."""
         return {"/metrics": self.metrics, "/healthz": self.health, "/status": self.status}
 
     def metrics(self) -> Response:
         """Prometheus' text exposition."""
-        return Response(200, TEXT, generate_latest(self._registry))
+        return Response(200, TEXT_HEADERS, generate_latest(self._registry))
 
     def health(self) -> Response:
         """200 while calls are taken."""
         draining = self._gateway.draining
-        return Response(503 if draining else 200, TEXT, b"draining\n" if draining else b"ok\n")
+        return Response(503 if draining else 200, TEXT_HEADERS, b"draining\n" if draining else b"ok\n")
 
     def status(self) -> Response:
         """What `saffronstack status` shows."""
@@ -57,8 +57,8 @@
             "client_connections": gateway.server.connections,
             "worker_connections": gateway.fleet.connection_count,
             "workers": gateway.fleet.worker_count,
-            "classes": gateway.app.figures.counts(),
-            "times": gateway.app.figures.encoded(),
+            "classes": gateway.app.call_metrics.counts(),
+            "times": gateway.app.call_metrics.encoded_latencies(),
         }
         if gateway.deferred is not None and gateway.ledger is not None:
             content["deferred"] = {
@@ -69,8 +69,11 @@
                 "ledger_stalled_s": round(gateway.ledger.stalled_s, 3),
             }
         if gateway.operations is not None and gateway.operations.operation_log is not None:
-            notes = gateway.operations.operation_log
-            content["notes"] = {"failing": notes.write_error, "stalled_s": round(notes.stalled_s, 3)}
+            operation_log = gateway.operations.operation_log
+            content["notes"] = {
+                "failing": operation_log.write_error,
+                "stalled_s": round(operation_log.stalled_s, 3),
+            }
         if gateway.roster is not None:
             content["roster"] = gateway.roster.status()
         if gateway.meter is not None:
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -17,33 +17,40 @@
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until, stop_handshakes
 from saffronstack.invoke import errors
-from saffronstack.invoke.app import App, ClientDisconnectedError, response_id
+from saffronstack.invoke.app import App, ClientDisconnectedError, new_request_id
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.front")
-BACKLOG = 1024
-MAX_QUEUED = BACKLOG + 1  # the system lets one more wait
-ACCEPT_LOOK_S = 0.5  # the accepting thread shows that it lives at least so often
-ACCEPT_PAUSE_S = 0.05  # after an accept that failed for want of descriptors or threads
+ACCEPT_BACKLOG = 1024
+MAX_QUEUED_CONNECTIONS = ACCEPT_BACKLOG + 1  # the system lets one more wait
+ACCEPT_POLL_TIMEOUT_S = 0.5  # the accepting thread shows that it lives at least so often
+ACCEPT_RETRY_DELAY_S = 0.05  # after an accept that failed for want of descriptors or threads
 LINGER_S = 0.5  # how long bytes of a refused request are still read, so that its answer is not reset away
 LINGER_BYTES = 1 << 20
-QUEUE_SERVE_S = 0.5  # how long a drain serves connections that wait to be accepted; then it turns them away
+# How long a drain serves connections that wait to be accepted; then it turns them away.
+ACCEPT_QUEUE_SERVE_S = 0.5
 IDLE_GRACE_S = 0.5  # idle connections stay this long after no new one is accepted
-IDLE_READ_S = 0.1  # how long an idle connection is read before its thread polls, which costs more
+IDLE_READ_TIMEOUT_S = 0.1  # how long an idle connection is read before its thread polls, which costs more
 
 
-class FrontLimits:
+class ServerLimits:
     """Bounds of the front; times in seconds."""
 
     def __init__(
-        self, messages: Limits, connections: int, head_s: float, body_s: float, write_s: float, idle_s: float
+        self,
+        message_limits: Limits,
+        max_connections: int,
+        head_timeout_s: float,
+        body_timeout_s: float,
+        write_timeout_s: float,
+        idle_timeout_s: float,
     ) -> None:
-        self.messages = messages
-        self.connections = connections
-        self.head_s = head_s
-        self.body_s = body_s
-        self.write_s = write_s
-        self.idle_s = idle_s
+        self.message_limits = message_limits
+        self.max_connections = max_connections
+        self.head_timeout_s = head_timeout_s
+        self.body_timeout_s = body_timeout_s
+        self.write_timeout_s = write_timeout_s
+        self.idle_timeout_s = idle_timeout_s
 
 
 class Server:
@@ -54,34 +61,34 @@
         host: str,
         port: int,
         app: App,
-        limits: FrontLimits,
+        limits: ServerLimits,
         clock: Callable[[], float],
-        shared: bool = False,
+        reuse_port: bool = False,
         listener: socket.socket | None = None,
     ) -> None:
-        """``shared``: other processes listen on the address as well. ``listener``: a bound socket in place of
-        an own one, whose queue outlives this process. OSError where the address can't be had.
+        """``reuse_port``: other processes listen on the address as well. ``listener``: a bound socket in
+        place of an own one, whose queue outlives this process. OSError where the address can't be had.
         """
         self._owns_queue = listener is None
         self._app = app
         self._limits = limits
         self._clock = clock
         if listener is None:
-            listener = socket.create_server((host, port), backlog=BACKLOG, reuse_port=shared)
+            listener = socket.create_server((host, port), backlog=ACCEPT_BACKLOG, reuse_port=reuse_port)
         else:
-            listener.listen(BACKLOG)
+            listener.listen(ACCEPT_BACKLOG)
         self._listener = listener
         self._listener.setblocking(False)
-        self._accepts: threading.Thread | None = None
-        self._reserve = _reserve()
+        self._accept_thread: threading.Thread | None = None
+        self._spare_descriptor = _open_spare_descriptor()
         self._lock = threading.Condition()
         self._drain_event = os.eventfd(0)  # readable once it drains: wakes threads of idle connections
-        self._closing_idle = threading.Lock()
-        self._open = 0
+        self._idle_close_lock = threading.Lock()
+        self._open_connections = 0
         self._draining = False
-        self.accepted = 0
-        self.turned_away = 0
-        self._looked_s = clock()
+        self.accepted_count = 0
+        self.rejected_count = 0
+        self._last_accept_poll_s = clock()
 
     @property
     def address(self) -> tuple[str, int]:
@@ -92,15 +99,15 @@
     @property
     def connections(self) -> int:
         """Connections open now."""
-        return self._open
+        return self._open_connections
 
-    def accepting(self, within_s: float) -> bool:
+    def is_accepting(self, within_s: float) -> bool:
         """Whether its accepting thread came round so lately, or has nothing to accept any more."""
-        return self._draining or self._clock() - self._looked_s <= within_s
+        return self._draining or self._clock() - self._last_accept_poll_s <= within_s
 
     def start(self) -> None:
         """Accept connections on a thread of its own."""
-        self._accepts = start_thread("accept", self._accept)
+        self._accept_thread = start_thread("accept", self._accept)
 
     def drain(self, timeout_s: float) -> bool:
         """Accept nothing more, end idle connections, let the others finish; whether all ended in time.
@@ -111,120 +118,122 @@
         with self._lock:
             self._draining = True
         os.eventfd_write(self._drain_event, 1)
-        if self._accepts is not None:
-            self._accepts.join(timeout_s)  # what it has accepted last counts as open from then on
-        turned_away = self._empty_queue() if self._owns_queue else []
+        if self._accept_thread is not None:
+            self._accept_thread.join(timeout_s)  # what it has accepted last counts as open from then on
+        rejected = self._drain_accept_queue() if self._owns_queue else []
         with contextlib.suppress(OSError):
             self._listener.close()
         with self._lock:
-            all_ended = self._lock.wait_for(lambda: self._open == 0, IDLE_GRACE_S + timeout_s)
-        for sock in turned_away:
+            all_ended = self._lock.wait_for(lambda: self._open_connections == 0, IDLE_GRACE_S + timeout_s)
+        for sock in rejected:
             sock.close()
         return all_ended
 
     # ---- accepting
 
     def _accept(self) -> None:
-        pause = threading.Event()
+        retry_delay = threading.Event()
         poll = select.poll()
         poll.register(self._listener, select.POLLIN)
         poll.register(self._drain_event, select.POLLIN)
         while not self._draining:
-            self._looked_s = self._clock()
-            poll.poll(ACCEPT_LOOK_S * 1000)
+            self._last_accept_poll_s = self._clock()
+            poll.poll(ACCEPT_POLL_TIMEOUT_S * 1000)
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
                 continue
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE):
-                    self._shed_one()
+                    self._reject_at_descriptor_limit()
                 elif error.errno not in (errno.ECONNABORTED, errno.EINTR):
                     log.error("accept failed", error=str(error))
-                pause.wait(ACCEPT_PAUSE_S)
+                retry_delay.wait(ACCEPT_RETRY_DELAY_S)
                 continue
             if not self._admit(sock):
-                pause.wait(ACCEPT_PAUSE_S)
+                retry_delay.wait(ACCEPT_RETRY_DELAY_S)
 
     def _admit(self, sock: socket.socket) -> bool:
         """Give a connection a thread, or turn it away; False where the system has no more threads."""
-        self.accepted += 1
+        self.accepted_count += 1
         with self._lock:
-            full = self._open >= self._limits.connections
-            self._open += not full
-        if full:
-            self._turn_away(sock)
+            is_over_limit = self._open_connections >= self._limits.max_connections
+            self._open_connections += not is_over_limit
+        if is_over_limit:
+            self._reject_and_close(sock)
             return True
         try:
-            start_thread("client", lambda: self._serve(sock))
+            start_thread("client", lambda: self._serve_connection(sock))
         except RuntimeError:
-            self._closed()
-            self._turn_away(sock)
+            self._release_connection()
+            self._reject_and_close(sock)
             return False
         return True
 
-    def _empty_queue(self) -> list[socket.socket]:
+    def _drain_accept_queue(self) -> list[socket.socket]:
         """Accept what waits to be accepted: closing the listener would reset it.
 
         Returns:
             Connections that were turned away and are to be closed at the end of the drain: closed at once,
             with their requests unread, they would be reset before their clients have read the answer.
         """
-        turned_away: list[socket.socket] = []
+        rejected: list[socket.socket] = []
         stop_handshakes(self._listener)
-        serve_until_s = self._clock() + QUEUE_SERVE_S
+        serve_deadline_s = self._clock() + ACCEPT_QUEUE_SERVE_S
         with contextlib.suppress(OSError):
-            for _ in range(MAX_QUEUED):
+            for _ in range(MAX_QUEUED_CONNECTIONS):
                 sock, _ = self._listener.accept()
-                if self._clock() < serve_until_s:
+                if self._clock() < serve_deadline_s:
                     self._admit(sock)
                 else:
-                    self._refuse(sock)
-                    turned_away.append(sock)
-        return turned_away
+                    self._reject(sock)
+                    rejected.append(sock)
+        return rejected
 
-    def _shed_one(self) -> None:
+    def _reject_at_descriptor_limit(self) -> None:
         """Out of descriptors: a kept one is given up for a moment, so that one client is told."""
         log.warning("out of file descriptors")
-        if self._reserve is not None:
-            os.close(self._reserve)
-            self._reserve = None
+        if self._spare_descriptor is not None:
+            os.close(self._spare_descriptor)
+            self._spare_descriptor = None
         try:
             sock, _ = self._listener.accept()
         except OSError:
             pass
         else:
-            self._turn_away(sock)
+            self._reject_and_close(sock)
         finally:
-            self._reserve = _reserve()
+            self._spare_descriptor = _open_spare_descriptor()
 
-    def _turn_away(self, sock: socket.socket) -> None:
+    def _reject_and_close(self, sock: socket.socket) -> None:
         """Refuse a connection and close it."""
-        self._refuse(sock)
+        self._reject(sock)
         with contextlib.suppress(OSError):
             sock.close()
 
-    def _refuse(self, sock: socket.socket) -> None:
+    def _reject(self, sock: socket.socket) -> None:
         """Nothing of this client was read, so sending again is harmless; the wait here is bounded."""
-        self.turned_away += 1
-        answer = self._app.error(response_id(), errors.too_many("Too many connections.", 1.0))
+        self.rejected_count += 1
+        response = self._app.error_response(
+            new_request_id(), errors.too_many_requests("Too many connections.", 1.0)
+        )
         with contextlib.suppress(OSError):
             sock.settimeout(0.05)
-            sock.sendall(answer.encode(close=True))
+            sock.sendall(response.encode(close=True))
             sock.shutdown(socket.SHUT_WR)
 
-    def _closed(self) -> None:
+    def _release_connection(self) -> None:
         with self._lock:
-            self._open -= 1
+            self._open_connections -= 1
             self._lock.notify_all()
 
     # ---- one connection
 
-    def _serve(self, sock: socket.socket) -> None:
+    def _serve_connection(self, sock: socket.socket) -> None:
         stream = Stream(sock)
         try:
-            reader = MessageReader(self._limits.messages)
-            while self._one(stream, reader):
+            reader = MessageReader(self._limits.message_limits)
+            while self._serve_request(stream, reader):
                 pass
         except (OSError, ClientDisconnectedError):
             pass  # the client has left, or takes no answer: there is nobody to tell
@@ -232,91 +241,91 @@
             log.exception("connection thread failed")
         finally:
             stream.close()
-            self._closed()
+            self._release_connection()
 
-    def _one(self, stream: Stream, reader: MessageReader) -> bool:
+    def _serve_request(self, stream: Stream, reader: MessageReader) -> bool:
         """One request and its answer; whether the connection goes on."""
         try:
-            head = self._head(stream, reader)
+            head = self._read_head(stream, reader)
             if head is None:
                 return False
-            body = self._body(stream, reader, head)
+            body = self._read_body(stream, reader, head)
         except HttpError as error:
-            self._write(stream, self._app.malformed(error).encode(close=True))
+            self._write(stream, self._app.malformed_request_response(error).encode(close=True))
             self._linger(stream)
             return False
-        answer = self._app.answer(head, body, stream.is_peer_open)
+        response = self._app.handle_request(head, body, stream.is_peer_open)
         close = self._draining or not head.keep_alive
-        self._write(stream, answer.encode(close))
+        self._write(stream, response.encode(close))
         if close:
             self._linger(stream)
         return not close
 
     def _write(self, stream: Stream, data: bytes) -> None:
-        if not stream.send(data, self._clock() + self._limits.write_s, self._clock):
+        if not stream.send(data, self._clock() + self._limits.write_timeout_s, self._clock):
             raise ClientDisconnectedError
 
-    def _head(self, stream: Stream, reader: MessageReader) -> RequestHead | None:
+    def _read_head(self, stream: Stream, reader: MessageReader) -> RequestHead | None:
         """The next head; None where the client has ended, or stays idle for too long."""
         if not reader.pending:
-            begun = self._begin(stream)
-            if not begun:
+            first_bytes = self._read_first_bytes(stream)
+            if not first_bytes:
                 return None
-            reader.feed(begun)
+            reader.feed(first_bytes)
         try:
-            until_s = self._clock() + self._limits.head_s
-            return read_until(stream, reader, reader.request, until_s, self._clock)
+            deadline_s = self._clock() + self._limits.head_timeout_s
+            return read_until(stream, reader, reader.request, deadline_s, self._clock)
         except TimeoutError as error:
-            raise HttpError(408, f"no whole request head within {self._limits.head_s:g} s") from error
+            raise HttpError(408, f"no whole request head within {self._limits.head_timeout_s:g} s") from error
         except PeerClosed:
             return None
 
-    def _begin(self, stream: Stream) -> bytes:
+    def _read_first_bytes(self, stream: Stream) -> bytes:
         """The first bytes of the next request; empty where none comes for too long, or until the end of the
         drain's grace: the connection is closed then. PeerClosed where the client has ended.
         """
-        begun = b"" if self._draining else self._wait_idle(stream)
-        if not begun and self._draining:
+        first_bytes = b"" if self._draining else self._wait_idle(stream)
+        if not first_bytes and self._draining:
             # Requests already on their way are answered, with a word that the connection closes.
-            begun = _receive(stream, IDLE_GRACE_S)
-        return begun or self._close_idle(stream)
+            first_bytes = _receive(stream, IDLE_GRACE_S)
+        return first_bytes or self._close_idle(stream)
 
     def _wait_idle(self, stream: Stream) -> bytes:
         """What comes on an idle connection; empty where nothing does for too long, or the server drains."""
-        until_s = self._clock() + self._limits.idle_s
-        begun = _receive(stream, min(IDLE_READ_S, self._limits.idle_s))
-        if begun or self._draining:
-            return begun
+        deadline_s = self._clock() + self._limits.idle_timeout_s
+        first_bytes = _receive(stream, min(IDLE_READ_TIMEOUT_S, self._limits.idle_timeout_s))
+        if first_bytes or self._draining:
+            return first_bytes
         poll = select.poll()
         poll.register(stream.sock, select.POLLIN)
         poll.register(self._drain_event, select.POLLIN)
-        left_s = max(0.0, until_s - self._clock())
-        ready = {descriptor for descriptor, _ in poll.poll(left_s * 1000)}
-        return _receive(stream, IDLE_READ_S) if stream.sock.fileno() in ready else b""
+        remaining_s = max(0.0, deadline_s - self._clock())
+        ready = {descriptor for descriptor, _ in poll.poll(remaining_s * 1000)}
+        return _receive(stream, IDLE_READ_TIMEOUT_S) if stream.sock.fileno() in ready else b""
 
     def _close_idle(self, stream: Stream) -> bytes:
         """Close an idle connection, unless a request came meanwhile: then what has come of it. One at a time:
         with all of them between the look and the close, that gap grows to milliseconds, in which a request
         is lost.
         """
-        with self._closing_idle:
-            begun = stream.receive_now()
-            if not begun:
+        with self._idle_close_lock:
+            first_bytes = stream.receive_now()
+            if not first_bytes:
                 stream.close()
-        return begun
+        return first_bytes
 
-    def _body(self, stream: Stream, reader: MessageReader, head: RequestHead) -> bytes:
+    def _read_body(self, stream: Stream, reader: MessageReader, head: RequestHead) -> bytes:
         limit = self._app.body_limit(head)
-        told = head.headers.get("content-length")
-        if told and int(told) > limit:
-            raise HttpError(413, f"{told} bytes payload is too large; the limit is {limit} bytes")
+        content_length = head.headers.get("content-length")
+        if content_length and int(content_length) > limit:
+            raise HttpError(413, f"{content_length} bytes payload is too large; the limit is {limit} bytes")
         if head.expects_continue:
             self._write(stream, writer.CONTINUE)
         try:
-            until_s = self._clock() + self._limits.body_s
-            body = read_until(stream, reader, reader.body, until_s, self._clock)
+            deadline_s = self._clock() + self._limits.body_timeout_s
+            body = read_until(stream, reader, reader.body, deadline_s, self._clock)
         except TimeoutError as error:
-            raise HttpError(408, f"no whole request body within {self._limits.body_s:g} s") from error
+            raise HttpError(408, f"no whole request body within {self._limits.body_timeout_s:g} s") from error
         if len(body) > limit:
             raise HttpError(413, f"{len(body)} bytes payload is too large; the limit is {limit} bytes")
         return body
@@ -325,12 +334,12 @@
         """Read on for a moment: closing on unread bytes would reset the answer away."""
         with contextlib.suppress(OSError):
             stream.abort(socket.SHUT_WR)
-            end_s, left = self._clock() + LINGER_S, LINGER_BYTES
-            while left > 0 and (wait := end_s - self._clock()) > 0:
-                data = stream.receive(wait)
+            deadline_s, left_bytes = self._clock() + LINGER_S, LINGER_BYTES
+            while left_bytes > 0 and (remaining_s := deadline_s - self._clock()) > 0:
+                data = stream.receive(remaining_s)
                 if not data:
                     return
-                left -= len(data)
+                left_bytes -= len(data)
 
 
 def _receive(stream: Stream, timeout_s: float) -> bytes:
@@ -344,7 +353,7 @@
     return received
 
 
-def _reserve() -> int | None:
+def _open_spare_descriptor() -> int | None:
     try:
         return os.open(os.devnull, os.O_RDONLY)
     except OSError:
--- a/saffronstack/invoke/sigv4.py
+++ b/saffronstack/invoke/sigv4.py
@@ -27,19 +27,19 @@
 class Credential:
     """What a request's Authorization says."""
 
-    key: str
+    access_key_id: str
     date: str
     region: str
     service: str
-    signed: tuple[str, ...]
+    signed_headers: tuple[str, ...]
     signature: str
 
 
-def _denied(kind: str, message: str) -> InvokeError:
-    return InvokeError(403, kind, message)
+def _denied(error_type: str, message: str) -> InvokeError:
+    return InvokeError(403, error_type, message)
 
 
-def credential(headers: Headers) -> Credential | None:
+def parse_credential(headers: Headers) -> Credential | None:
     """The credential of a request, None where it is unsigned; InvokeError where it is malformed."""
     fields = headers.all("authorization")
     if not fields:
@@ -60,7 +60,7 @@
 
 
 def canonical_request(
-    method: str, target: str, headers: Headers, signed: tuple[str, ...], body_hash: str
+    method: str, target: str, headers: Headers, signed_headers: tuple[str, ...], body_hash: str
 ) -> str:
     """The canonical request: path encoded once more as services other than S3 want it, query sorted."""
     parts = urlsplit(target)
@@ -73,22 +73,22 @@
     )
     lines = [
         f"{name}:{','.join(_SPACES.sub(' ', value.strip()) for value in headers.all(name))}\n"
-        for name in signed
+        for name in signed_headers
     ]
-    path = quote(_normal(parts.path), safe="/~")
-    return "\n".join((method, path, query, "".join(lines), ";".join(signed), body_hash))
+    path = quote(_normalized_path(parts.path), safe="/~")
+    return "\n".join((method, path, query, "".join(lines), ";".join(signed_headers), body_hash))
 
 
-def _normal(path: str) -> str:
+def _normalized_path(path: str) -> str:
     """The path without empty and dot segments, its last slash kept."""
-    kept: list[str] = []
+    segments: list[str] = []
     for part in path.split("/"):
         if part == "..":
-            del kept[-1:]
+            del segments[-1:]
         elif part not in ("", "."):
-            kept.append(part)
-    last = "/" if path.endswith("/") and kept else ""
-    return "/" + "/".join(kept) + last
+            segments.append(part)
+    trailing_slash = "/" if path.endswith("/") and segments else ""
+    return "/" + "/".join(segments) + trailing_slash
 
 
 @lru_cache(maxsize=1024)
@@ -100,13 +100,15 @@
     return key
 
 
-def sign(secret: str, cred: Credential, stamp: str, canonical: str) -> str:
+def sign(secret: str, credential: Credential, timestamp: str, canonical: str) -> str:
     """The signature in hexadecimal."""
-    scope = f"{cred.date}/{cred.region}/{cred.service}/aws4_request"
+    scope = f"{credential.date}/{credential.region}/{credential.service}/aws4_request"
     digest = hashlib.sha256(canonical.encode("utf-8", "surrogateescape")).hexdigest()
-    text = f"{ALGORITHM}\n{stamp}\n{scope}\n{digest}"
+    text = f"{ALGORITHM}\n{timestamp}\n{scope}\n{digest}"
     return hmac.new(
-        signing_key(secret, cred.date, cred.region, cred.service), text.encode(), hashlib.sha256
+        signing_key(secret, credential.date, credential.region, credential.service),
+        text.encode(),
+        hashlib.sha256,
     ).hexdigest()
 
 
@@ -121,38 +123,38 @@
 ) -> str:
     """The access key id of a request that is signed rightly; InvokeError otherwise.
 
-    ``now`` is Unix time in seconds; a stamp further away than ``skew_s`` is refused.
+    ``now`` is Unix time in seconds; a timestamp further away than ``skew_s`` is refused.
     """
-    cred = credential(headers)
-    if cred is None:
+    credential = parse_credential(headers)
+    if credential is None:
         raise _denied("MissingAuthenticationTokenException", "Missing Authentication Token")
-    secret = secrets.get(cred.key)
+    secret = secrets.get(credential.access_key_id)
     if secret is None:
         raise _denied("UnrecognizedClientException", "The security token included in the request is invalid.")
-    if "host" not in cred.signed or cred.service != "lambda":
+    if "host" not in credential.signed_headers or credential.service != "lambda":
         raise _denied(
             "InvalidSignatureException", "Host must be signed, and the credential be scoped to 'lambda'."
         )
-    stamp = headers.get("x-amz-date")
+    timestamp = headers.get("x-amz-date")
     try:
-        stamped = datetime.strptime(stamp, "%Y%m%dT%H%M%SZ").replace(tzinfo=UTC).timestamp()
+        signed_at = datetime.strptime(timestamp, "%Y%m%dT%H%M%SZ").replace(tzinfo=UTC).timestamp()
     except ValueError as error:
         raise _denied(
             "IncompleteSignatureException", "X-Amz-Date must be a time like 20150331T000000Z."
         ) from error
-    if "x-amz-date" not in cred.signed or not stamp.startswith(cred.date):
+    if "x-amz-date" not in credential.signed_headers or not timestamp.startswith(credential.date):
         raise _denied("InvalidSignatureException", "X-Amz-Date must be signed, and of the credential's day.")
-    if abs(now - stamped) > skew_s:
+    if abs(now - signed_at) > skew_s:
         raise _denied(
             "InvalidSignatureException",
-            f"Signature expired or not yet current: {stamp} is more than {skew_s:g} s from this clock.",
+            f"Signature expired or not yet current: {timestamp} is more than {skew_s:g} s from this clock.",
         )
     body_hash = hashlib.sha256(body).hexdigest()
-    canonical = canonical_request(method, target, headers, cred.signed, body_hash)
-    if not hmac.compare_digest(sign(secret, cred, stamp, canonical), cred.signature):
+    canonical = canonical_request(method, target, headers, credential.signed_headers, body_hash)
+    if not hmac.compare_digest(sign(secret, credential, timestamp, canonical), credential.signature):
         raise _denied(
             "InvalidSignatureException",
             "The request signature we calculated does not match the signature "
             "you provided. Check your AWS Secret Access Key and signing method.",
         )
-    return cred.key
+    return credential.access_key_id
--- a/tests/fleet/rollout/test_leader.py
+++ b/tests/fleet/rollout/test_leader.py
@@ -14,7 +14,7 @@
 from saffronstack.fleet.rollout.leader import LeaderOptions, RolloutLeader
 from saffronstack.fleet.rollout.plan import FleetGateway, Release, RolloutFleet, RolloutPlan, Stage
 from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, create_record
-from saffronstack.invoke.figures import times
+from saffronstack.invoke.figures import empty_histogram
 
 ROUND_S = 0.5
 CALLS_PER_S = 30
@@ -62,7 +62,7 @@
         super().__init__("fleet", {}, 1, lambda: True, clock)
         self._manual_clock, self._interval_s, self._last_poll_s = clock, interval_s, last_poll_s
         self._release, self._incarnation, self._started_s = "old", 1, clock()
-        self._histogram = times().encode().decode()
+        self._histogram = empty_histogram().encode().decode()
 
     def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
         for command in commands.get("d", ()):
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -19,7 +19,7 @@
 from saffronstack.durable.journal import Journal
 from saffronstack.durable.journal_state import RecordCodec
 from saffronstack.durable.sorted_runs import SortedRun, write_run
-from saffronstack.invoke.usage import statement, together
+from saffronstack.invoke.usage import merge_usage, tenant_usage
 from saffronstack.metering.account import Account
 from saffronstack.metering.account_limits import AccountLimits
 from saffronstack.metering.archive import Archive
@@ -85,7 +85,7 @@
     found = summarize_usage(merged, COLUMNS)
     return {
         "by_tenant": dict(sorted(account.by_tenant().items())),
-        "statement": together([statement(account, None, TENANT, AT)], []),
+        "statement": merge_usage([tenant_usage(account, None, TENANT, AT)], []),
         "csv": format_csv(found, COLUMNS),
         "jsonl": format_json_lines(found, COLUMNS),
         "table": format_table(found, COLUMNS),
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -28,35 +28,35 @@
 POST = "POST /2015-03-31/functions/{}/invocations HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{{}}"
 
 
-def request(function: str) -> bytes:
+def invoke_request(function: str) -> bytes:
     return POST.format(function).encode()
 
 
-def all_workers(stack: Stack, fault: Callable[[StandIn], None]) -> None:
+def for_all_workers(stack: Stack, fault: Callable[[StandIn], None]) -> None:
     for worker in stack.fleet.workers:
         fault(worker)
 
 
-def unknown(body: bytes) -> bool:
+def is_outcome_unknown(body: bytes) -> bool:
     return bool(json.loads(body).get("errorType") == "Saffronstack.OutcomeUnknown")
 
 
 @pytest.mark.parametrize(
     "fault", ["lose_answers", "reset_mid_answer", "half_header", "garbage", "die_mid_call"]
 )
-def test_a_sale_whose_answer_is_lost_runs_once_and_ends_unknown(fault: str) -> None:
+def test_an_unsafe_call_whose_response_is_lost_runs_once_and_ends_unknown(fault: str) -> None:
     with running(2) as stack:
-        all_workers(
+        for_all_workers(
             stack, lambda worker: setattr(worker.faults, fault, 1.0 if fault == "lose_answers" else True)
         )
         answer = stack.call("record-sale")
         assert answer.status == 200
-        assert unknown(answer.body)
+        assert is_outcome_unknown(answer.body)
         assert stack.runs("record-sale") == 1
 
 
 @pytest.mark.parametrize("fault", ["lose_answers", "reset_mid_answer", "half_header", "garbage", "errors"])
-def test_a_lookup_goes_to_another_worker(fault: str) -> None:
+def test_a_safe_call_is_retried_on_another_worker(fault: str) -> None:
     with running(2) as stack:
         bad = stack.fleet.workers[0]
         setattr(bad.faults, fault, 1.0 if fault in ("lose_answers", "errors") else True)
@@ -64,15 +64,15 @@
         assert answers == [200] * 6
 
 
-def test_a_keyed_call_goes_again_inside_its_window_with_its_key() -> None:
+def test_a_call_with_idempotency_key_is_retried_with_the_same_key() -> None:
     with running(2) as stack:
-        all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 1.0))
+        for_all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 1.0))
 
-        def mend() -> None:
+        def stop_fault() -> None:
             eventually(lambda: any(e["what"] == "lost" for w in stack.fleet.workers for e in w.log))
-            all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 0.0))
+            for_all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 0.0))
 
-        thread = threading.Thread(target=mend)
+        thread = threading.Thread(target=stop_fault)
         thread.start()
         assert stack.call("adjust-setting").status in (200, 429)
         thread.join(5)
@@ -81,42 +81,44 @@
 
 
 @pytest.mark.parametrize(("function", "status"), [("record-sale", 200), ("identify-copy", 429)])
-def test_a_silent_worker_costs_no_more_than_the_deadline(function: str, status: int) -> None:
+def test_an_unresponsive_worker_delays_no_answer_past_the_deadline(function: str, status: int) -> None:
     with running(1) as stack:
-        all_workers(stack, lambda worker: setattr(worker.faults, "silent", True))
+        for_all_workers(stack, lambda worker: setattr(worker.faults, "silent", True))
         start = time.monotonic()
         answer = stack.call(function)
         assert time.monotonic() - start < DEADLINE_S
         assert answer.status == status
-        assert function != "record-sale" or unknown(answer.body)
-        sent = [entry for worker in stack.fleet.workers for entry in worker.log if entry["what"] == "arrive"]
+        assert function != "record-sale" or is_outcome_unknown(answer.body)
+        arrivals = [
+            entry for worker in stack.fleet.workers for entry in worker.log if entry["what"] == "arrive"
+        ]
         time.sleep(0.3)
-        assert len(sent) == sum(e["what"] == "arrive" for w in stack.fleet.workers for e in w.log)
+        assert len(arrivals) == sum(e["what"] == "arrive" for w in stack.fleet.workers for e in w.log)
 
 
-def test_all_workers_gone_is_a_refusal_and_their_return_is_noticed() -> None:
+def test_calls_are_rejected_while_all_workers_are_down_and_served_after_their_return() -> None:
     with running(2) as stack:
-        all_workers(stack, StandIn.stop)
+        for_all_workers(stack, StandIn.stop)
         for function in ("record-sale", "identify-copy", "adjust-setting"):
             assert stack.call(function).status == 429
-        all_workers(stack, StandIn.start)
+        for_all_workers(stack, StandIn.start)
         eventually(lambda: stack.call("record-sale").status == 200)
         assert stack.runs("record-sale") == 1
 
 
-def test_an_empty_list_of_workers_refuses() -> None:
+def test_calls_are_rejected_while_the_endpoint_list_is_empty() -> None:
     with running(1) as stack:
         stack.gateway.reread(configs.parse(json.dumps({**stack.content, "workers": []})))
         eventually(lambda: stack.call("record-sale").status == 429)
 
 
-def test_an_answer_at_the_very_deadline_is_one_answer() -> None:
+def test_a_response_at_the_deadline_gives_one_final_answer() -> None:
     profile = Profile(load_s=0.02, work_by_function={"record-sale": DEADLINE_S - 0.2 - 0.025})
     with running(1, profile=profile) as stack:
         endings = []
         for _ in range(6):
             sock = stack.raw()
-            sock.sendall(request("record-sale"))
+            sock.sendall(invoke_request("record-sale"))
             sock.settimeout(0.3 + DEADLINE_S)
             data = sock.recv(65536)
             sock.settimeout(0.2)
@@ -124,33 +126,33 @@
                 sock.recv(1)  # nothing follows
             sock.close()
             assert data.count(b"HTTP/1.1 ") == 1
-            endings.append(unknown(data.partition(b"\r\n\r\n")[2]))
+            endings.append(is_outcome_unknown(data.partition(b"\r\n\r\n")[2]))
         assert stack.runs("record-sale") <= 6
 
 
-def test_a_drain_told_while_an_attempt_waits_to_be_sent() -> None:
+def test_attempts_that_wait_for_a_connection_are_not_sent_to_a_drained_worker() -> None:
     """The worker's only connection is taken up; the attempts behind it must not leave after the drain."""
     profile = Profile(work_s=0.4, load_s=0.01, cores=1)
     with running(1, profile=profile, limits={"worker_connections": 1}) as stack:
         clients = [stack.raw() for _ in range(4)]
         for sock in clients:
-            sock.sendall(request("identify-copy"))
+            sock.sendall(invoke_request("identify-copy"))
         worker = stack.fleet.workers[0]
         eventually(lambda: any(e["what"] == "arrive" for e in worker.log))
         entries = [{**entry, "state": "draining"} for entry in stack.content["workers"]]
-        told = time.monotonic()
+        drained_s = time.monotonic()
         stack.gateway.reread(configs.parse(json.dumps({**stack.content, "workers": entries})))
         for sock in clients:
             assert sock.recv(65536).startswith((b"HTTP/1.1 200", b"HTTP/1.1 429"))
             sock.close()
-        assert all(float(str(e["t"])) <= told + 0.25 for e in worker.log if e["what"] == "arrive")
+        assert all(float(str(e["t"])) <= drained_s + 0.25 for e in worker.log if e["what"] == "arrive")
 
 
-def test_a_client_that_leaves_gets_nothing_more_sent_for_it() -> None:
+def test_no_attempt_is_sent_after_the_client_disconnects() -> None:
     with running(2) as stack:
-        all_workers(stack, lambda worker: setattr(worker.faults, "silent", True))
+        for_all_workers(stack, lambda worker: setattr(worker.faults, "silent", True))
         sock = stack.raw()
-        sock.sendall(request("identify-copy"))
+        sock.sendall(invoke_request("identify-copy"))
         eventually(lambda: any(e["what"] == "arrive" for w in stack.fleet.workers for e in w.log))
         sock.close()
         eventually(lambda: stack.gateway.engine.statistics.final_answers["gone"] == 1)
@@ -161,7 +163,7 @@
 
 def test_a_client_that_sends_one_byte_after_another_is_cut_off() -> None:
     with running(1, limits={"head_timeout_s": 0.5, "body_timeout_s": 0.5}) as stack:
-        for start in (b"", request("identify-copy")[:-2]):
+        for start in (b"", invoke_request("identify-copy")[:-2]):
             sock = stack.raw()
             sock.sendall(start)
             answer = b""
@@ -234,7 +236,7 @@
         assert stack.gateway.server.connections == 2000
         assert stack.call("identify-copy").status == 200
         for sock in socks[::500]:
-            sock.sendall(request("identify-copy"))
+            sock.sendall(invoke_request("identify-copy"))
             assert sock.recv(65536).startswith(b"HTTP/1.1 200")
         for sock in socks:
             sock.close()
@@ -242,35 +244,35 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_more_connections_than_the_bound_are_told_to_come_again() -> None:
+def test_over_limit_connections_are_rejected_with_429() -> None:
     with running(1, limits={"connections": 3}) as stack:
-        held = [stack.raw() for _ in range(3)]
+        clients = [stack.raw() for _ in range(3)]
         eventually(lambda: stack.gateway.server.connections == 3)
         sock = stack.raw()
         assert read_all(sock).startswith(b"HTTP/1.1 429")
         sock.close()
-        held.pop().close()
+        clients.pop().close()
         eventually(lambda: stack.gateway.server.connections == 2)
         assert stack.call("identify-copy").status == 200
-        for sock in held:
+        for sock in clients:
             sock.close()
 
 
-def _refused(sock: socket.socket) -> bool:
+def is_rejected(sock: socket.socket) -> bool:
     try:
         return read_all(sock).startswith(b"HTTP/1.1 429")
     except TimeoutError:
         return False
 
 
-def test_descriptors_that_run_out_on_accept() -> None:
+def test_accept_without_free_file_descriptors_rejects_clients() -> None:
     with running(1) as stack:
         assert stack.call("identify-copy").status == 200
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         spare = [os.open(os.devnull, os.O_RDONLY) for _ in range(2)]
         client = stack.raw()
         eventually(lambda: stack.gateway.server.connections >= 1)
-        waiting = [socket.socket() for _ in range(8)]
+        new_clients = [socket.socket() for _ in range(8)]
         host, _, port = stack.address.rpartition(":")
         highest = max(int(name) for name in os.listdir("/proc/self/fd") if name.isdigit())
         resource.setrlimit(resource.RLIMIT_NOFILE, (highest + 1, hard))
@@ -279,21 +281,21 @@
             while True:
                 filler.append(os.dup(spare[0]))
         except OSError as error:
-            spent = error.errno
-        assert spent == errno.EMFILE
+            error_number = error.errno
+        assert error_number == errno.EMFILE
         try:
-            for sock in waiting:
+            for sock in new_clients:
                 sock.settimeout(1)
                 sock.connect((host, int(port)))
             # Threads of tests before this one may still close a descriptor each: those are taken first.
-            assert any(_refused(sock) for sock in waiting)
-            client.sendall(request("identify-copy"))  # a connection that stands goes on
+            assert any(is_rejected(sock) for sock in new_clients)
+            client.sendall(invoke_request("identify-copy"))  # a connection that stands goes on
             assert client.recv(65536).startswith(b"HTTP/1.1 ")
         finally:
             for descriptor in [*filler, *spare]:
                 os.close(descriptor)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        for sock in [*waiting, client]:
+        for sock in [*new_clients, client]:
             sock.close()
         eventually(lambda: stack.call("identify-copy").status == 200)
 
@@ -304,19 +306,19 @@
 @pytest.mark.parametrize(
     ("function", "condition", "runs"), [("record-sale", "OutcomeUnknown", 1), ("identify-copy", "Success", 2)]
 )
-def test_a_deferred_call_whose_answer_is_lost(
+def test_a_deferred_call_whose_response_is_lost(
     tmp_path: pathlib.Path, function: str, condition: str, runs: int
 ) -> None:
     with running(2, tmp_path) as stack:
-        all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 1.0))
+        for_all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 1.0))
         request_id = stack.call(function, kind="Event").headers.get("x-amzn-requestid")
         eventually(lambda: any(e["what"] == "lost" for w in stack.fleet.workers for e in w.log))
-        all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 0.0))
+        for_all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 0.0))
         assert stack.final(request_id)["requestContext"]["condition"] == condition
         assert stack.runs(function) >= runs if function == "identify-copy" else stack.runs(function) == runs
 
 
-def test_destinations_get_the_record_as_a_call(tmp_path: pathlib.Path) -> None:
+def test_destinations_are_invoked_with_the_invocation_record(tmp_path: pathlib.Path) -> None:
     fleet = StandInFleet(2)
     content = configuration(fleet)["functions"]
     content[3] |= {"on_success": "identify-copy", "on_failure": "suggest-price"}
@@ -324,7 +326,7 @@
         request_id = stack.call("record-sale", b'{"n":1}', "Event").headers.get("x-amzn-requestid")
         assert stack.final(request_id)["requestContext"]["condition"] == "Success"
         eventually(lambda: stack.runs("identify-copy") == 1)
-        all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 1.0))
+        for_all_workers(stack, lambda worker: setattr(worker.faults, "lose_answers", 1.0))
         request_id = stack.call("record-sale", b'{"n":2}', "Event").headers.get("x-amzn-requestid")
         assert stack.final(request_id)["requestContext"]["condition"] == "OutcomeUnknown"
         eventually(lambda: stack.runs("suggest-price") >= 1)
@@ -333,7 +335,7 @@
 
 
 @pytest.mark.parametrize("function", ["record-sale", "identify-copy"])
-def test_a_deferred_call_that_no_worker_takes_expires(tmp_path: pathlib.Path, function: str) -> None:
+def test_a_deferred_call_without_a_worker_expires(tmp_path: pathlib.Path, function: str) -> None:
     fleet = StandInFleet(1)
     functions = [{**f, "maximum_event_age_s": 1.0} for f in configuration(fleet)["functions"]]
     with running(fleet=fleet, ledger=tmp_path, functions=functions) as stack:
@@ -346,40 +348,40 @@
     fleet.stop()
 
 
-class FullDisk(FileOperations):
-    full = False
+class FullDiskFiles(FileOperations):
+    is_full = False
 
     def write(self, descriptor: int, data: bytes) -> None:
-        if self.full:
+        if self.is_full:
             os.write(descriptor, data[:10])
             raise OSError(errno.ENOSPC, "No space left on device")
         super().write(descriptor, data)
 
 
-def test_a_full_disk_refuses_deferred_calls_and_keeps_answering_others(tmp_path: pathlib.Path) -> None:
+def test_a_full_disk_rejects_deferred_calls_and_serves_synchronous_ones(tmp_path: pathlib.Path) -> None:
     fleet = StandInFleet(2)
-    files = FullDisk()
+    files = FullDiskFiles()
     gateway = Gateway(configs.parse(json.dumps(configuration(fleet, tmp_path))), files=files)
     host, port = gateway.start()
     stack = Stack(gateway, fleet, {}, f"{host}:{port}")
-    taken = stack.call("identify-copy", kind="Event").headers.get("x-amzn-requestid")
-    stack.final(taken)
-    files.full = True
-    refused = stack.call("record-sale", kind="Event")
-    assert refused.status == 429
-    assert b"space" in refused.body
+    accepted_id = stack.call("identify-copy", kind="Event").headers.get("x-amzn-requestid")
+    stack.final(accepted_id)
+    files.is_full = True
+    rejection = stack.call("record-sale", kind="Event")
+    assert rejection.status == 429
+    assert b"space" in rejection.body
     assert stack.call("record-sale").status == 200
-    assert stack.get(f"/deferred/{taken}").status == 200
-    files.full = False
-    later = stack.call("record-sale", kind="Event")
-    assert later.status == 202
-    stack.final(later.headers.get("x-amzn-requestid"))
+    assert stack.get(f"/deferred/{accepted_id}").status == 200
+    files.is_full = False
+    deferred = stack.call("record-sale", kind="Event")
+    assert deferred.status == 202
+    stack.final(deferred.headers.get("x-amzn-requestid"))
     assert stack.runs("record-sale") == 2
     assert gateway.stop()
     fleet.stop()
 
 
-class Daemon:
+class GatewayProcess:
     """A gateway in a process of its own, that can be killed."""
 
     def __init__(self, tmp_path: pathlib.Path, content: dict[str, object]) -> None:
@@ -402,20 +404,20 @@
         self.address = self.process.stdout.readline().decode().strip().rpartition("http://")[2]
         assert self.address
 
-    def end(self, number: int) -> int:
-        self.process.send_signal(number)
+    def stop(self, signal_number: int) -> int:
+        self.process.send_signal(signal_number)
         assert self.process.stdout is not None
         self.process.stdout.close()
         return self.process.wait(20)
 
 
-def test_a_killed_gateway_finishes_its_deferred_calls_in_its_next_life(tmp_path: pathlib.Path) -> None:
+def test_a_killed_gateway_finishes_its_deferred_calls_after_a_restart(tmp_path: pathlib.Path) -> None:
     """Queued, sent, and answered but not recorded: each has one end, and no sale runs twice."""
     fleet = StandInFleet(2, lambda n: Profile(load_s=0.01, work_by_function={"record-sale": 0.05}))
     content = configuration(fleet, tmp_path / "ledger")
     content["ledger"]["in_flight"] = 4
-    daemon = Daemon(tmp_path, content)
-    stack = Stack(None, fleet, content, daemon.address)  # type: ignore[arg-type]
+    gateway_process = GatewayProcess(tmp_path, content)
+    stack = Stack(None, fleet, content, gateway_process.address)  # type: ignore[arg-type]
     ids = [
         stack.call(("record-sale", "identify-copy", "adjust-setting")[n % 3], kind="Event").headers.get(
             "x-amzn-requestid"
@@ -423,11 +425,11 @@
         for n in range(45)
     ]
     eventually(lambda: stack.runs("record-sale") >= 3)
-    daemon.end(signal.SIGKILL)
+    gateway_process.stop(signal.SIGKILL)
     time.sleep(0.2)  # what was out at the workers ends there
     ran = {str(e["id"]) for w in fleet.workers for e in w.runs("record-sale")}
-    daemon = Daemon(tmp_path, content)
-    stack.address = daemon.address
+    gateway_process = GatewayProcess(tmp_path, content)
+    stack.address = gateway_process.address
     conditions = [stack.final(id_, 20)["requestContext"]["condition"] for id_ in ids]
     assert set(conditions) <= {"Success", "OutcomeUnknown"}
     sales = ids[0::3]
@@ -436,40 +438,42 @@
         assert runs == 1 if condition == "Success" else runs <= 1
         assert condition == "Success" or id_ in ran or runs == 0
     assert conditions[1::3] == ["Success"] * 15
-    assert daemon.end(signal.SIGTERM) == 0
+    assert gateway_process.stop(signal.SIGTERM) == 0
     fleet.stop()
 
 
-def test_sigterm_answers_what_is_open_and_exits_0(tmp_path: pathlib.Path) -> None:
+def test_sigterm_answers_open_requests_and_exits_0(tmp_path: pathlib.Path) -> None:
     fleet = StandInFleet(1, lambda n: Profile(load_s=0.01, work_s=0.6))
-    daemon = Daemon(tmp_path, configuration(fleet, tmp_path / "ledger"))
-    stack = Stack(None, fleet, {}, daemon.address)  # type: ignore[arg-type]
+    gateway_process = GatewayProcess(tmp_path, configuration(fleet, tmp_path / "ledger"))
+    stack = Stack(None, fleet, {}, gateway_process.address)  # type: ignore[arg-type]
     sock = stack.raw()
-    sock.sendall(request("record-sale"))
+    sock.sendall(invoke_request("record-sale"))
     eventually(lambda: stack.runs("record-sale") == 1)
-    daemon.process.send_signal(signal.SIGTERM)
+    gateway_process.process.send_signal(signal.SIGTERM)
     assert read_all(sock).startswith(b"HTTP/1.1 200 OK")
     sock.close()
-    assert daemon.end(signal.SIGTERM) == 0
+    assert gateway_process.stop(signal.SIGTERM) == 0
     fleet.stop()
 
 
-def test_sighup_takes_new_workers_and_keeps_the_old_list_of_a_broken_file(tmp_path: pathlib.Path) -> None:
+def test_sighup_applies_new_workers_and_keeps_the_endpoint_list_on_a_broken_file(
+    tmp_path: pathlib.Path,
+) -> None:
     fleet = StandInFleet(2)
     content = configuration(fleet)
     first, second = content["workers"]
     path = tmp_path / "gateway.json5"
-    daemon = Daemon(tmp_path, {**content, "workers": [first]})
-    stack = Stack(None, fleet, content, daemon.address)  # type: ignore[arg-type]
+    gateway_process = GatewayProcess(tmp_path, {**content, "workers": [first]})
+    stack = Stack(None, fleet, content, gateway_process.address)  # type: ignore[arg-type]
     assert stack.call("identify-copy").status == 200
     path.write_text(json.dumps({**content, "workers": [second]}))
-    daemon.process.send_signal(signal.SIGHUP)
+    gateway_process.process.send_signal(signal.SIGHUP)
     eventually(lambda: stack.call("identify-copy").status == 200 and fleet.workers[1].runs())
     before = len(fleet.workers[0].runs())
     path.write_text('{"workers": [')
-    daemon.process.send_signal(signal.SIGHUP)
+    gateway_process.process.send_signal(signal.SIGHUP)
     time.sleep(0.3)
     assert stack.call("identify-copy").status == 200
     assert len(fleet.workers[0].runs()) == before
-    assert daemon.end(signal.SIGTERM) == 0
+    assert gateway_process.stop(signal.SIGTERM) == 0
     fleet.stop()
--- a/tests/test_invoke_api.py
+++ b/tests/test_invoke_api.py
@@ -19,7 +19,7 @@
 from saffronstack.http1.messages import Headers
 from saffronstack.invoke import names, sigv4
 from saffronstack.invoke.errors import InvokeError
-from saffronstack.invoke.metrics import busiest
+from saffronstack.invoke.metrics import peak_load_ratio
 from saffronstack.upstream.http.dispatcher import WorkerTraffic
 from tests.support.stack import AMPLE_DEADLINE_S, Stack, eventually, read_all, running
 
@@ -29,7 +29,7 @@
 ]
 
 
-def boto(address: str, key: str = "corner-books", secret: str = "any", retries: int = 0) -> Any:
+def lambda_client(address: str, key: str = "corner-books", secret: str = "any", retries: int = 0) -> Any:
     return boto3.client(
         "lambda",
         endpoint_url=f"http://{address}",
@@ -47,13 +47,13 @@
 
 
 @pytest.fixture(scope="module")
-def locked(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Stack]:
+def authenticated_stack(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Stack]:
     with running(1, tmp_path_factory.mktemp("ledger"), keys=KEYS, deadline_s=AMPLE_DEADLINE_S) as made:
         yield made
 
 
-def test_boto3_calls_and_gets_the_answer(stack: Stack) -> None:
-    answer = boto(stack.address).invoke(FunctionName="identify-copy", Payload=b'{"isbn": "1"}')
+def test_boto3_invokes_a_function_and_gets_its_response(stack: Stack) -> None:
+    answer = lambda_client(stack.address).invoke(FunctionName="identify-copy", Payload=b'{"isbn": "1"}')
     assert answer["StatusCode"] == 200
     assert answer["ExecutedVersion"] == "$LATEST"
     assert "FunctionError" not in answer
@@ -73,24 +73,24 @@
         "arn:aws:lambda:us-east-1:000000000000:function:identify-copy",
     ],
 )
-def test_every_form_of_a_name(stack: Stack, name: str) -> None:
-    assert boto(stack.address).invoke(FunctionName=name)["StatusCode"] == 200
+def test_every_form_of_a_function_name_is_accepted(stack: Stack, name: str) -> None:
+    assert lambda_client(stack.address).invoke(FunctionName=name)["StatusCode"] == 200
 
 
 def test_an_empty_payload_is_an_empty_object(stack: Stack) -> None:
-    content = json.loads(boto(stack.address).invoke(FunctionName="identify-copy")["Payload"].read())
+    content = json.loads(lambda_client(stack.address).invoke(FunctionName="identify-copy")["Payload"].read())
     assert content["input"] == {}
 
 
 def test_dry_run_runs_nothing(stack: Stack) -> None:
     before = stack.runs()
-    answer = boto(stack.address).invoke(FunctionName="record-sale", InvocationType="DryRun")
+    answer = lambda_client(stack.address).invoke(FunctionName="record-sale", InvocationType="DryRun")
     assert answer["StatusCode"] == 204
     assert stack.runs() == before
 
 
 def test_event_is_accepted_and_ends_in_one_record(stack: Stack) -> None:
-    answer = boto(stack.address).invoke(
+    answer = lambda_client(stack.address).invoke(
         FunctionName="record-sale", InvocationType="Event", Payload=b'{"n": 1}'
     )
     assert answer["StatusCode"] == 202
@@ -137,7 +137,7 @@
     ],
 )
 def test_errors_are_those_of_the_api(stack: Stack, call: dict[str, Any], status: int, kind: str) -> None:
-    client = boto(stack.address)
+    client = lambda_client(stack.address)
     with pytest.raises(ClientError) as caught:
         client.invoke(**call)
     assert caught.value.response["ResponseMetadata"]["HTTPStatusCode"] == status
@@ -162,7 +162,7 @@
     client.close()
 
 
-def test_paths_and_methods(stack: Stack) -> None:
+def test_unknown_paths_and_methods_are_rejected(stack: Stack) -> None:
     client = stack.client()
     assert client.request("GET", "/2015-03-31/functions/identify-copy/invocations").status == 405
     assert client.request("GET", "/nowhere").status == 404
@@ -173,9 +173,9 @@
     client.close()
 
 
-def test_a_log_tail_comes_back_only_when_asked(stack: Stack) -> None:
+def test_a_log_tail_is_returned_only_on_request(stack: Stack) -> None:
     context = base64.b64encode(b'{"custom": {}}').decode()
-    client = boto(stack.address)
+    client = lambda_client(stack.address)
     answer = client.invoke(FunctionName="identify-copy", ClientContext=context, LogType="Tail")
     assert b"END RequestId" in base64.b64decode(answer["LogResult"])
     assert "LogResult" not in client.invoke(FunctionName="identify-copy")
@@ -190,31 +190,32 @@
     served = [s.value for s in families["saffronstack_calls_ended"].samples if s.labels["ending"] == "served"]
     assert served[0] >= 1
     assert families["saffronstack_ledger_failing"].samples[0].value == 0
-    given = {s.labels["worker"]: s.value for s in families["saffronstack_worker_attempts"].samples}
-    assert sum(given.values()) >= 1
-    assert set(given) == {w.name for w in stack.fleet.workers}
+    attempts = {s.labels["worker"]: s.value for s in families["saffronstack_worker_attempts"].samples}
+    assert sum(attempts.values()) >= 1
+    assert set(attempts) == {w.name for w in stack.fleet.workers}
     assert {s.value for s in families["saffronstack_worker_out"].samples} == {0.0}
     assert families["saffronstack_worker_spread"].samples[0].value == 0.0
 
 
-def test_the_spread_is_the_busiest_workers_share_by_size() -> None:
+def test_peak_load_ratio_is_relative_to_worker_capacity() -> None:
     small, large = WorkerSpec(1, "s", "h", 1, capacity=1.0), WorkerSpec(2, "l", "h", 2, capacity=3.0)
-    drains = WorkerSpec(3, "d", "h", 3, is_draining=True, capacity=4.0)
-    assert busiest([]) == 0.0
-    assert busiest([WorkerTraffic(small, 9, 0), WorkerTraffic(large, 9, 0)]) == 0.0
-    assert busiest([WorkerTraffic(small, 9, 1), WorkerTraffic(large, 9, 3)]) == 1.0  # each has its share
-    draining = WorkerTraffic(drains, 9, 40)
-    assert busiest([WorkerTraffic(small, 9, 2), WorkerTraffic(large, 9, 2), draining]) == 2.0
+    draining_worker = WorkerSpec(3, "d", "h", 3, is_draining=True, capacity=4.0)
+    assert peak_load_ratio([]) == 0.0
+    assert peak_load_ratio([WorkerTraffic(small, 9, 0), WorkerTraffic(large, 9, 0)]) == 0.0
+    # Each worker has its share.
+    assert peak_load_ratio([WorkerTraffic(small, 9, 1), WorkerTraffic(large, 9, 3)]) == 1.0
+    draining = WorkerTraffic(draining_worker, 9, 40)
+    assert peak_load_ratio([WorkerTraffic(small, 9, 2), WorkerTraffic(large, 9, 2), draining]) == 2.0
 
 
 # ---- what an SDK retries by itself
 
 
-def test_boto3s_own_retries_never_repeat_a_sale_that_lost_its_answer(tmp_path: pathlib.Path) -> None:
+def test_boto3_does_not_retry_an_unsafe_call_whose_response_was_lost(tmp_path: pathlib.Path) -> None:
     with running(2, tmp_path) as stack:
         for worker in stack.fleet.workers:
             worker.faults.lose_answers = 1.0
-        answer = boto(stack.address, retries=4).invoke(FunctionName="record-sale", Payload=b"{}")
+        answer = lambda_client(stack.address, retries=4).invoke(FunctionName="record-sale", Payload=b"{}")
         assert answer["StatusCode"] == 200
         assert answer["FunctionError"] == "Unhandled"
         assert json.loads(answer["Payload"].read())["errorType"] == "Saffronstack.OutcomeUnknown"
@@ -222,15 +223,15 @@
         assert stack.runs("record-sale") == 1
 
 
-def test_a_refusal_is_429_with_an_advice_and_boto3_may_retry_it(tmp_path: pathlib.Path) -> None:
+def test_a_rejection_is_429_with_retry_after_and_boto3_may_retry_it(tmp_path: pathlib.Path) -> None:
     with running(1, tmp_path) as stack:
         worker = stack.fleet.workers[0]
         worker.stop()
-        refused = stack.call("record-sale")
-        assert refused.status == 429
-        assert int(refused.headers.get("retry-after")) >= 1
-        assert json.loads(refused.body)["Reason"] == "ConcurrentInvocationLimitExceeded"
-        client = boto(stack.address, retries=8)
+        rejection = stack.call("record-sale")
+        assert rejection.status == 429
+        assert int(rejection.headers.get("retry-after")) >= 1
+        assert json.loads(rejection.body)["Reason"] == "ConcurrentInvocationLimitExceeded"
+        client = lambda_client(stack.address, retries=8)
         worker.start()
         assert client.invoke(FunctionName="record-sale")["StatusCode"] == 200
         assert stack.runs("record-sale") == 1
@@ -239,10 +240,10 @@
 # ---- signatures
 
 
-def test_boto3_signs_and_strangers_are_turned_away(locked: Stack) -> None:
-    good = boto(locked.address, "AKIDCORNER", "corner-secret")
+def test_boto3_signatures_are_accepted_and_wrong_keys_rejected(authenticated_stack: Stack) -> None:
+    client = lambda_client(authenticated_stack.address, "AKIDCORNER", "corner-secret")
     assert (
-        good.invoke(
+        client.invoke(
             FunctionName="arn:aws:lambda:us-east-1:000000000000:function:identify-copy",
             Qualifier="$LATEST",
             Payload=b'{"a": "\xc3\xa9"}',
@@ -254,73 +255,84 @@
         ("AKIDNOBODY", "corner-secret", "UnrecognizedClientException"),
     ):
         with pytest.raises(ClientError) as caught:
-            boto(locked.address, key, secret).invoke(FunctionName="identify-copy")
+            lambda_client(authenticated_stack.address, key, secret).invoke(FunctionName="identify-copy")
         assert caught.value.response["Error"]["Code"] == code
         assert caught.value.response["ResponseMetadata"]["HTTPStatusCode"] == 403
     assert (
-        locked.call("identify-copy").headers.get("x-amzn-errortype") == "MissingAuthenticationTokenException"
+        authenticated_stack.call("identify-copy").headers.get("x-amzn-errortype")
+        == "MissingAuthenticationTokenException"
     )
 
 
-def test_a_record_is_for_the_tenant_that_made_it(locked: Stack) -> None:
-    client = boto(locked.address, "AKIDCORNER", "corner-secret")
+def test_an_invocation_record_is_visible_only_to_its_tenant(authenticated_stack: Stack) -> None:
+    client = lambda_client(authenticated_stack.address, "AKIDCORNER", "corner-secret")
     request_id = client.invoke(FunctionName="identify-copy", InvocationType="Event")["ResponseMetadata"][
         "RequestId"
     ]
-    own = Client(locked.address, 5, "AKIDCORNER", "corner-secret")
-    other = Client(locked.address, 5, "AKIDCAMPUS", "campus-secret")
+    own = Client(authenticated_stack.address, 5, "AKIDCORNER", "corner-secret")
+    other = Client(authenticated_stack.address, 5, "AKIDCAMPUS", "campus-secret")
     eventually(lambda: own.request("GET", f"/deferred/{request_id}").status == 200)
     assert other.request("GET", f"/deferred/{request_id}").status == 404
-    assert locked.get(f"/deferred/{request_id}").status == 403
+    assert authenticated_stack.get(f"/deferred/{request_id}").status == 403
     own.close()
     other.close()
 
 
-SECRET, STAMP, NOW = "wJalrXUtnFEMI/K7MDENG+bPxRfiCYEXAMPLEKEY", "20150830T123600Z", 1440938160.0
+SECRET, TIMESTAMP, NOW = "wJalrXUtnFEMI/K7MDENG+bPxRfiCYEXAMPLEKEY", "20150830T123600Z", 1440938160.0
 
 
-def signed(stamp: str = STAMP, **more: str) -> Headers:
-    cred = sigv4.Credential(
-        "AKIDEXAMPLE", stamp[:8], "us-east-1", more.get("service", "lambda"), ("host", "x-amz-date"), ""
+def signed_headers(timestamp: str = TIMESTAMP, **overrides: str) -> Headers:
+    credential = sigv4.Credential(
+        "AKIDEXAMPLE",
+        timestamp[:8],
+        "us-east-1",
+        overrides.get("service", "lambda"),
+        ("host", "x-amz-date"),
+        "",
     )
-    fields = Headers([("host", "h"), ("x-amz-date", stamp)])
+    fields = Headers([("host", "h"), ("x-amz-date", timestamp)])
     canonical = sigv4.canonical_request(
-        "POST", "/p", fields, cred.signed, "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
+        "POST",
+        "/p",
+        fields,
+        credential.signed_headers,
+        "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855",
     )
-    signature = more.get("signature") or sigv4.sign(SECRET, cred, stamp, canonical)
+    signature = overrides.get("signature") or sigv4.sign(SECRET, credential, timestamp, canonical)
     authorization = (
-        f"AWS4-HMAC-SHA256 Credential=AKIDEXAMPLE/{cred.date}/us-east-1/{cred.service}/aws4_request, "
+        "AWS4-HMAC-SHA256 "
+        f"Credential=AKIDEXAMPLE/{credential.date}/us-east-1/{credential.service}/aws4_request, "
         f"SignedHeaders=host;x-amz-date, Signature={signature}"
     )
     return Headers([*fields.items, ("authorization", authorization)])
 
 
-def check(
+def verify(
     fields: Headers, now: float = NOW, body: bytes = b"", target: str = "/p", method: str = "POST"
 ) -> str:
     return sigv4.verify(method, target, fields, body, {"AKIDEXAMPLE": SECRET}, now, 300)
 
 
-def test_a_right_signature_and_every_way_to_spoil_it() -> None:
-    assert check(signed()) == "AKIDEXAMPLE"
-    spoiled: list[dict[str, Any]] = [
-        {"fields": signed(), "body": b"x"},
-        {"fields": signed(), "target": "/q"},
-        {"fields": signed(), "target": "/p?a=1"},
-        {"fields": signed(), "method": "PUT"},
-        {"fields": signed(), "now": NOW + 301},
-        {"fields": signed(), "now": NOW - 301},
-        {"fields": signed(service="s3")},
-        {"fields": signed(signature="0" * 64)},
-        {"fields": Headers([*signed().items, ("authorization", "x")])},
+def test_a_valid_signature_is_accepted_and_altered_ones_are_rejected() -> None:
+    assert verify(signed_headers()) == "AKIDEXAMPLE"
+    rejected: list[dict[str, Any]] = [
+        {"fields": signed_headers(), "body": b"x"},
+        {"fields": signed_headers(), "target": "/q"},
+        {"fields": signed_headers(), "target": "/p?a=1"},
+        {"fields": signed_headers(), "method": "PUT"},
+        {"fields": signed_headers(), "now": NOW + 301},
+        {"fields": signed_headers(), "now": NOW - 301},
+        {"fields": signed_headers(service="s3")},
+        {"fields": signed_headers(signature="0" * 64)},
+        {"fields": Headers([*signed_headers().items, ("authorization", "x")])},
         {"fields": Headers([("host", "h"), ("authorization", "Basic abc")])},
-        {"fields": Headers([item for item in signed().items if item[0] != "x-amz-date"])},
-        {"fields": Headers([*signed().items, ("x-amz-date", STAMP)])},
+        {"fields": Headers([item for item in signed_headers().items if item[0] != "x-amz-date"])},
+        {"fields": Headers([*signed_headers().items, ("x-amz-date", TIMESTAMP)])},
         {"fields": Headers([])},
     ]
-    for case in spoiled:
+    for case in rejected:
         with pytest.raises(InvokeError) as caught:
-            check(**case)
+            verify(**case)
         assert caught.value.status == 403, case
 
 
@@ -337,7 +349,7 @@
 
 
 @pytest.mark.parametrize("name", ["", "a b", "x" * 200, "arn:aws:s3:::b", "a:b:c:d", "../x"])
-def test_bad_names(name: str) -> None:
+def test_malformed_function_names_are_rejected(name: str) -> None:
     with pytest.raises(InvokeError):
         names.parse_function(name, {}, "000000000000", "us-east-1")
 
@@ -363,7 +375,9 @@
         (HEAD + b"X-Amz-Invocation-Type: Event\r\nContent-Length: 2000000\r\n\r\n", 413),
     ],
 )
-def test_bad_bytes_get_an_answer_and_a_closed_connection(stack: Stack, data: bytes, status: int) -> None:
+def test_malformed_requests_get_an_error_and_a_closed_connection(
+    stack: Stack, data: bytes, status: int
+) -> None:
     sock = stack.raw()
     sock.sendall(data)
     answer = read_all(sock)
