--- a/tests/fleet/rollout/test_leader.py
+++ b/tests/fleet/rollout/test_leader.py
@@ -14,7 +14,7 @@
 from saffronstack.fleet.rollout.leader import LeaderOptions, RolloutLeader
 from saffronstack.fleet.rollout.plan import FleetGateway, Release, RolloutFleet, RolloutPlan, Stage
 from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord, create_record
-from saffronstack.invoke.figures import empty_histogram
+from saffronstack.invoke.call_metrics import empty_histogram
 
 ROUND_S = 0.5
 CALLS_PER_S = 30
