--- a/saffronstack/harness/rollout/sample_releases.py
+++ b/saffronstack/harness/rollout/sample_releases.py
@@ -20,7 +20,7 @@
     "fails one class": (
         "import random\n"
         "from saffronstack.invoke import errors\n"
-        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original = InvocationExecutor.call\n"
         "def call(self, asked, there):\n"
         "    if asked.function.config.call_class == 'sale' and random.random() < 0.3:\n"
@@ -31,7 +31,7 @@
     "refuses": (
         "import random\n"
         "from saffronstack.invoke import errors\n"
-        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original = InvocationExecutor.call\n"
         "def call(self, asked, there):\n"
         "    if random.random() < 0.25:\n"
@@ -41,7 +41,7 @@
     ),
     "slower": (
         "import time\n"
-        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original = InvocationExecutor.call\n"
         "def call(self, asked, there):\n"
         "    answer = original(self, asked, there)\n"
@@ -50,7 +50,7 @@
         "InvocationExecutor.call = call"
     ),
     "leaks": (
-        "from saffronstack.invoke.calling import InvocationExecutor\n"
+        "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original, leaked = InvocationExecutor.call, []\n"
         "def call(self, asked, there):\n"
         "    leaked.append(bytes(1) * 200_000)\n"
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -23,9 +23,9 @@
 from saffronstack.http1.messages import HttpError, RequestHead
 from saffronstack.invoke import errors, names, sigv4, usage
 from saffronstack.invoke.call_metrics import CallMetrics, outcome_of_error, outcome_of_response
-from saffronstack.invoke.calling import InvocationExecutor
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.invocation import Invocation
+from saffronstack.invoke.invocation_executor import InvocationExecutor
 from saffronstack.invoke.operation_forwarding import (
     DEADLINE_HEADER,
     ForwardableRequest,
