--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from saffronstack.cli.leases import lease_fleet_of
-from saffronstack.config.fleet import FleetFile, KeeperEntry
+from saffronstack.config.fleet import FleetFile, LeaseServerEntry
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.harness.leases.model_checker import Exploration, explore
 from saffronstack.harness.leases.model_state import NO_FAULTS, FaultBudget
@@ -144,7 +144,7 @@
     held = [hold_port("127.0.0.1") for _ in range(3)]
     names = [f"k{number}" for number in range(3)]
     entries = tuple(
-        KeeperEntry(name=name, address=f"127.0.0.1:{sock.getsockname()[1]}")
+        LeaseServerEntry(name=name, address=f"127.0.0.1:{sock.getsockname()[1]}")
         for name, sock in zip(names, held, strict=True)
     )
     fleet = FleetFile(fleet="cost", keepers=entries, longest_s=10.0)
--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -14,7 +14,7 @@
 
 from saffronstack.cli.leases import NO_MAJORITY, NOT_GRANTED, UNUSABLE, open_client, signals_of
 from saffronstack.cli.logs import set_up_logs
-from saffronstack.config.fleet import FleetFile, load_fleet
+from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.control.daemon import Daemon
 from saffronstack.fleet.control.daemon_answers import FleetStatus, merge_answers
@@ -70,7 +70,7 @@
     set_up_logs(log_form, "info")
     signals = signals_of("SIGTERM", "SIGINT")
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         daemon = _create_daemon(fleet, path, name)
     except (ConfigError, OSError, ValueError) as error:
         click.echo(f"saffronstack fleet daemon: {error}", err=True)
@@ -95,7 +95,9 @@
         releases_directory=entry.releases,
         state_directory=entry.state_directory,
     )
-    return Daemon(options, lambda: read_leases(fleet.addresses(), fleet.wait_s), rolled_back_releases)
+    return Daemon(
+        options, lambda: read_leases(fleet.lease_server_addresses(), fleet.wait_s), rolled_back_releases
+    )
 
 
 def _wait_for_signal(signals: queue.SimpleQueue[int]) -> int:
@@ -170,7 +172,7 @@
         keepers, 75 where a rollout is being led.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         chosen = _choose_gateways(fleet, names)
         digest = read_release(release).release.digest if release else ""
         return run_as_leader(
@@ -185,7 +187,7 @@
 
 
 def _choose_gateways(fleet: FleetFile, names: Sequence[str]) -> list[str]:
-    known = fleet.daemon_of()
+    known = fleet.daemons_by_gateway()
     unknown = [name for name in names if name not in known]
     if unknown:
         raise ConfigError(f"no gateway of the fleet: {', '.join(unknown)}")
@@ -196,7 +198,7 @@
     client: DaemonClient, fleet: FleetFile, names: Sequence[str], action: str, digest: str
 ) -> _SentCommands:
     """Send each reachable gateway its command."""
-    daemon_of = fleet.daemon_of()
+    daemon_of = fleet.daemons_by_gateway()
     before = merge_answers(client.poll())
     sent = _SentCommands()
     commands: dict[str, list[GatewayCommand]] = {}
@@ -252,7 +254,7 @@
         The exit status: 0, or 1 where a daemon is unavailable or a gateway is not as desired.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
@@ -265,7 +267,7 @@
 
 def show(fleet: FleetFile, status: FleetStatus, as_json: bool) -> None:
     """Write a line for each gateway of the fleet file."""
-    for name, daemon in fleet.daemon_of().items():
+    for name, daemon in fleet.daemons_by_gateway().items():
         gateway = status.gateways.get(name)
         reason = status.unavailable.get(daemon)
         click.echo(
--- a/saffronstack/cli/fleet_services.py
+++ b/saffronstack/cli/fleet_services.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from saffronstack.cli.leases import job_of, lease_fleet_of, open_client
-from saffronstack.config.fleet import FleetFile, load_fleet
+from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError
-from saffronstack.config.schema import InFleet
+from saffronstack.config.schema import FleetMembership
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.fleet.leases.errors import ForeignStateError
 from saffronstack.fleet.leases.lease_server import LeaseServer
@@ -15,7 +15,7 @@
 class FleetServices:
     """The fleet's services in this process, running; none of them is on the path of a call."""
 
-    def __init__(self, config: InFleet) -> None:
+    def __init__(self, config: FleetMembership) -> None:
         """Start the services that ``config`` names.
 
         Raises:
@@ -25,7 +25,7 @@
         self._lease_server: LeaseServer | None = None
         self._client: LeaseClient | None = None
         self._runners: list[TaskRunner] = []
-        fleet = load_fleet(config.path)
+        fleet = load_fleet_file(config.path)
         if config.keeper is not None and config.state_directory is not None:
             self._lease_server = _start_lease_server(fleet, config.keeper, config.state_directory)
         if config.tasks:
--- a/saffronstack/cli/lease_servers.py
+++ b/saffronstack/cli/lease_servers.py
@@ -12,7 +12,7 @@
 from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, lease_fleet_of, signals_of
 from saffronstack.cli.logs import set_up_logs
 from saffronstack.client import Client
-from saffronstack.config.fleet import load_fleet
+from saffronstack.config.fleet import load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.leases.disk import AcceptorDisk
 from saffronstack.fleet.leases.errors import ForeignStateError, UnknownServerError
@@ -35,7 +35,7 @@
         The exit status: 0, or 2 with the reason on standard error.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         servers = lease_fleet_of(fleet).limits.servers
         if name not in servers:
             raise UnknownServerError(f"{path}: {name!r} is none of the keepers {', '.join(servers)}")
@@ -62,7 +62,7 @@
     set_up_logs(log_form, "info")
     signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         server = LeaseServer(name, lease_fleet_of(fleet), directory)
         host, port = server.start()
     except (ConfigError, ForeignStateError, OSError, ValueError) as error:
@@ -95,12 +95,12 @@
         The exit status: 0 where a majority votes, 69 where none does, 2 for a bad file.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
     voting = 0
-    for name, address in fleet.addresses().items():
+    for name, address in fleet.lease_server_addresses().items():
         status = _request_status(address, fleet.wait_s)
         voting += bool(status.get("votes"))
         if as_json:
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from saffronstack.cli.logs import set_up_logs
-from saffronstack.config.fleet import FleetFile, TaskEntry, load_fleet
+from saffronstack.config.fleet import FleetFile, TaskEntry, load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.fleet.leases.limits import LeaseFleet, LeaseLimits
@@ -57,7 +57,7 @@
 
 def lease_fleet_of(fleet: FleetFile) -> LeaseFleet:
     """Return the lease servers of a fleet's file, and their limits."""
-    addresses = fleet.addresses()
+    addresses = fleet.lease_server_addresses()
     limits = LeaseLimits(tuple(sorted(addresses)), max_lease_s=fleet.longest_s, max_clock_drift=fleet.drift)
     return LeaseFleet(fleet.fleet, addresses, limits, fleet.wait_s)
 
@@ -99,13 +99,13 @@
         The exit status: 0, 1 for an unknown lease, 69 without a majority, 2 for a bad file.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
-    read = read_leases(fleet.addresses(), fleet.wait_s)
+    read = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
     for server, error_text in read.errors.items():
-        click.echo(f"{fleet.addresses()[server]}: no answer: {error_text}", err=True)
+        click.echo(f"{fleet.lease_server_addresses()[server]}: no answer: {error_text}", err=True)
     if not read.has_majority:
         answered = len(fleet.keepers) - len(read.errors)
         click.echo(f"no majority: {answered} of {len(fleet.keepers)} answered", err=True)
@@ -158,7 +158,7 @@
     set_up_logs(log_form, "info")
     signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
@@ -212,7 +212,7 @@
     set_up_logs("console", "warning")
     signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name, signal.SIGHUP.name)
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
--- a/saffronstack/cli/ledger_ownership.py
+++ b/saffronstack/cli/ledger_ownership.py
@@ -9,7 +9,7 @@
 import msgspec
 import structlog
 
-from saffronstack.config.fleet import load_fleet
+from saffronstack.config.fleet import load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.config.schema import Config
 from saffronstack.fleet.leases.client import LeaseClient
@@ -122,7 +122,7 @@
         return LedgerOwnership(LedgerDirectory(directory), token, config, None, None)
     from saffronstack.cli.leases import open_client
 
-    fleet = load_fleet(fleet_path)
+    fleet = load_fleet_file(fleet_path)
     client = open_client(fleet)
     held = client.acquire(f"gateway/{name}", ACQUIRE_LEASES * fleet.longest_s)
     if held is None:
--- a/saffronstack/cli/main.py
+++ b/saffronstack/cli/main.py
@@ -105,11 +105,11 @@
 @click.argument("path", type=click.Path())
 def config_check(path: str) -> None:
     """Check a gateway's or a fleet's file: 0 and a summary, or 1 and what is wrong where."""
-    from saffronstack.config.fleet import is_fleet, load_fleet
+    from saffronstack.config.fleet import is_fleet_file, load_fleet_file
 
     try:
-        if is_fleet(path):
-            fleet = load_fleet(path)
+        if is_fleet_file(path):
+            fleet = load_fleet_file(path)
             sizes = f"{len(fleet.keepers)} keepers, {len(fleet.tasks)} tasks"
             click.echo(f"{path}: good: fleet {fleet.fleet}, {sizes}")
             return
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -6,7 +6,7 @@
 
 from saffronstack.cli.control import CommandError
 from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client
-from saffronstack.config.fleet import FleetFile, load_fleet
+from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError, convert, read_text
 from saffronstack.fleet.control.errors import UnusableReleaseError
 from saffronstack.fleet.control.messages import LEADER_LEASE, OPERATOR_REQUEST_LEASE
@@ -28,7 +28,7 @@
         FleetGateway(name=one.name, zone=one.zone, group=one.group)
         for daemon in fleet.daemons for one in daemon.gateways
     )  # fmt: skip
-    return RolloutFleet(gateways, fleet.daemon_of())
+    return RolloutFleet(gateways, fleet.daemons_by_gateway())
 
 
 def send_request(path: str, action: OperatorAction) -> int:
@@ -39,7 +39,7 @@
         fleet file is unusable, 69 without a majority.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         record = read_record(fleet)
         if record is None or record.is_finished:
             raise CommandError(UNUSABLE, "no rollout is under way")
@@ -76,7 +76,7 @@
         The exit status: 0, 1 where there is none, 2 for an unusable fleet file, or 69 without a majority.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         record = read_record(fleet)
     except ConfigError as error:
         click.echo(str(error), err=True)
@@ -103,7 +103,7 @@
         The exit status: 0, or 1 with a line for each problem.
     """
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         plan = convert(read_text(plan_path), RolloutPlan, plan_path)
         new, old = read_release(to).release, read_release(old_from).release
     except (ConfigError, UnusableReleaseError) as error:
@@ -125,7 +125,7 @@
         CommandError: No majority answers.
         RecordError: The record is of another version.
     """
-    reading = read_leases(fleet.addresses(), fleet.wait_s)
+    reading = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
     if not reading.has_majority:
         raise CommandError(NO_MAJORITY, f"no majority of keepers answers: {reading.errors}")
     shown = reading.leases.get(LEADER_LEASE)
--- a/saffronstack/cli/rollout_leader.py
+++ b/saffronstack/cli/rollout_leader.py
@@ -11,7 +11,7 @@
 from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client, signals_of
 from saffronstack.cli.logs import set_up_logs
 from saffronstack.cli.rollout import STORE_TIMEOUT_S, read_record, rollout_fleet, summarize
-from saffronstack.config.fleet import FleetFile, load_fleet
+from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError, convert, read_text
 from saffronstack.fleet.control.daemon_answers import merge_answers
 from saffronstack.fleet.control.daemon_client import DaemonClient
@@ -47,7 +47,7 @@
     set_up_logs(log_form, "info")
     stopping = _stop_on_signals()
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
         plan = convert(read_text(plan_path), RolloutPlan, plan_path)
         new, old = read_release(to).release, read_release(old_from).release
         return run_as_leader(fleet, wait_s, lambda held: _start(fleet, held, plan, old, new, stopping))
@@ -99,8 +99,8 @@
     fleet: FleetFile, held: HeldLease, daemons: DaemonClient, record: RolloutRecord, stopping: threading.Event
 ) -> int:
     leader = RolloutLeader(
-        rollout_fleet(fleet), daemons, held, lambda: read_leases(fleet.addresses(), fleet.wait_s),
-        _ProgressPrinter().show,
+        rollout_fleet(fleet), daemons, held,
+        lambda: read_leases(fleet.lease_server_addresses(), fleet.wait_s), _ProgressPrinter().show,
     )  # fmt: skip
     ended = leader.lead(record, stopping)
     return EXIT_STATUS.get(ended.phase, NOT_FINISHED)
@@ -129,7 +129,7 @@
     set_up_logs(log_form, "info")
     stopping = _stop_on_signals()
     try:
-        fleet = load_fleet(path)
+        fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
         return UNUSABLE
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -139,8 +139,8 @@
         parts.fleet = FleetServices(config.fleet)
     return Gateway(
         config,
-        record_to=options.record_to,
-        members=parts.members,
+        decision_record_path=options.record_to,
+        process_group=parts.members,
         files=parts.ownership.files if parts.ownership is not None else None,
         owns_ledger=parts.ownership.is_current if parts.ownership is not None else None,
         listener=parts.listener,
@@ -191,5 +191,5 @@
     except configs.ConfigError as error:
         log.error("configuration kept as it was", why=str(error))
         return
-    left = gateway.reread(config)
+    left = gateway.reload(config)
     log.info("configuration reread", workers=len(config.workers), needs_restart=left)
--- a/saffronstack/client/__init__.py
+++ b/saffronstack/client/__init__.py
@@ -1,5 +1,5 @@
 """A client of the gateway, for the command line, the days and any other program."""
 
-from saffronstack.client.connection import Answer, Client
+from saffronstack.client.connection import Client, Response
 
-__all__ = ["Answer", "Client"]
+__all__ = ["Client", "Response"]
--- a/saffronstack/client/connection.py
+++ b/saffronstack/client/connection.py
@@ -10,14 +10,14 @@
 from urllib.parse import quote
 
 from saffronstack.http1 import writer
-from saffronstack.http1.messages import Headers, HttpError, Limits
+from saffronstack.http1.messages import Headers, HttpError, MessageLimits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import Stream, read_until
 from saffronstack.invoke import sigv4
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """What a gateway answered."""
 
     status: int
@@ -41,16 +41,16 @@
         self.timeout_s = timeout_s
         self._key, self._secret, self._region, self._tenant = key, secret, region, tenant
         self._stream: Stream | None = None
-        self._reader = MessageReader(Limits(body=64 * 1024 * 1024))
+        self._reader = MessageReader(MessageLimits(body_bytes=64 * 1024 * 1024))
 
     def request(
         self, method: str, target: str, body: bytes = b"", extra: tuple[tuple[str, str], ...] = ()
-    ) -> Answer:
+    ) -> Response:
         """One exchange; OSError (TimeoutError, ConnectionError) or HttpError where no whole answer came."""
         deadline_s = time.monotonic() + self.timeout_s
         headers = [("Host", self.address), *extra, *self._signature(method, target, body)]
         request = writer.request(method, target, headers, body)
-        stream = self._connected()
+        stream = self._ensure_connected()
         try:
             if not stream.send(request, deadline_s, time.monotonic):
                 raise ConnectionResetError("the gateway took no byte")
@@ -61,47 +61,49 @@
             raise
         if not head.keep_alive:
             self.close()
-        return Answer(head.status, head.headers, content)
+        return Response(head.status, head.headers, content)
 
-    def _connected(self) -> Stream:
+    def _ensure_connected(self) -> Stream:
         """The connection that was kept, looked at right before it is used: the gateway may have ended it
         while it was idle. Or a new one; OSError where none can be had.
         """
-        if self._stream is not None and not self._stream.is_quiet():
+        if self._stream is not None and not self._stream.is_idle():
             self.close()
         if self._stream is None:
             host, _, port = self.address.rpartition(":")
             self._stream = Stream(socket.create_connection((host, int(port)), timeout=self.timeout_s))
-            self._reader = MessageReader(Limits(body=64 * 1024 * 1024))
+            self._reader = MessageReader(MessageLimits(body_bytes=64 * 1024 * 1024))
         return self._stream
 
     def invoke(
         self,
         function: str,
         payload: bytes,
-        kind: str = "RequestResponse",
+        invocation_type: str = "RequestResponse",
         extra: tuple[tuple[str, str], ...] = (),
-    ) -> Answer:
+    ) -> Response:
         """Call a function."""
         target = f"/2015-03-31/functions/{quote(function, safe='')}/invocations"
-        return self.request("POST", target, payload, (("X-Amz-Invocation-Type", kind), *extra))
+        return self.request("POST", target, payload, (("X-Amz-Invocation-Type", invocation_type), *extra))
 
     def _signature(self, method: str, target: str, body: bytes) -> tuple[tuple[str, str], ...]:
         if not self._key:
             if not self._tenant:
                 return ()
-            claim = (
+            authorization = (
                 f"{sigv4.ALGORITHM} Credential={self._tenant}/20150331/{self._region}/lambda/aws4_request, "
                 f"SignedHeaders=host, Signature={'0' * 64}"
             )
-            return (("Authorization", claim),)
+            return (("Authorization", authorization),)
         stamp = datetime.now(UTC).strftime("%Y%m%dT%H%M%SZ")
-        cred = sigv4.Credential(self._key, stamp[:8], self._region, "lambda", ("host", "x-amz-date"), "")
+        credential = sigv4.Credential(
+            self._key, stamp[:8], self._region, "lambda", ("host", "x-amz-date"), ""
+        )
         signed = Headers([("host", self.address), ("x-amz-date", stamp)])
         canonical = sigv4.canonical_request(
-            method, target, signed, cred.signed, hashlib.sha256(body).hexdigest()
+            method, target, signed, credential.signed, hashlib.sha256(body).hexdigest()
         )
-        signature = sigv4.sign(self._secret, cred, stamp, canonical)
+        signature = sigv4.sign(self._secret, credential, stamp, canonical)
         return (
             ("X-Amz-Date", stamp),
             (
@@ -114,7 +116,7 @@
             ),
         )
 
-    def unasked(self) -> int:
+    def unsolicited_byte_count(self) -> int:
         """Bytes that came after the last answer without having been asked for."""
         return self._reader.pending
 
--- a/saffronstack/config/build.py
+++ b/saffronstack/config/build.py
@@ -26,30 +26,30 @@
     TenantSettings,
 )
 
-MB_S = 1024 * 1_000_000  # KiB microseconds
-SPECS_KEPT = 65536  # names that matched a pattern; the ones not used for longest are worked out again
+KIB_MICROSECONDS_PER_MB_S = 1024 * 1_000_000  # KiB microseconds
+MAX_CACHED_FUNCTIONS = 65536  # the oldest entries are evicted and looked up again when needed
 
 
-def settings_of(config: Config) -> Settings:
+def build_settings(config: Config) -> Settings:
     """The module's settings."""
     return Settings(
         classes=tuple(
             ClassSettings(
-                name=c.name,
-                idempotency=Idempotency(c.effect),
-                latency_objective_s=c.aim_s,
-                deadline_s=c.deadline_s,
-                priority_weight=c.worth,
-                late_value_fraction=c.late_share,
-                deduplication_scope=DeduplicationScope(c.group),
-                deduplication_window_s=c.window_s,
+                name=call_class.name,
+                idempotency=Idempotency(call_class.effect),
+                latency_objective_s=call_class.aim_s,
+                deadline_s=call_class.deadline_s,
+                priority_weight=call_class.worth,
+                late_value_fraction=call_class.late_share,
+                deduplication_scope=DeduplicationScope(call_class.group),
+                deduplication_window_s=call_class.window_s,
             )
-            for c in config.classes
+            for call_class in config.classes
         ),
         gateway_count=config.instances,
         gateway_index=config.self_index,
-        zone=_places(config, "zone")[config.zone],
-        tenants=_tenants(config),
+        zone=_sorted_numbers(config, "zone")[config.zone],
+        tenants=_tenant_settings(config),
         over_quota_weight=config.over_share_worth,
         memory_mb_by_worker_kind=tuple(kind.memory_mb for kind in config.kinds),
         keep_alive_s=config.keep_alive_s,
@@ -79,36 +79,38 @@
     )
 
 
-UNBOUNDED_RPS = 1e9  # a quota for tenants that are given none
-OVER_BUDGET = "(over budget)"
+UNLIMITED_QUOTA_RPS = 1e9  # a quota for tenants that are given none
+OVER_BUDGET_TENANT = "(over budget)"
 
 
-def _tenants(config: Config) -> tuple[TenantSettings, ...]:
+def _tenant_settings(config: Config) -> tuple[TenantSettings, ...]:
     """The module's tenants. Where there are budgets, one more, last, whose quota is nothing: a call of a
     tenant over its soft mark counts as that one's, and so as worth what lies over a share.
     """
     budgets = any(tenant.budget for tenant in config.tenants)
     if not budgets and not any(tenant.quota_rps for tenant in config.tenants):
         return ()
-    rest = UNBOUNDED_RPS if budgets else 0.0
+    rest = UNLIMITED_QUOTA_RPS if budgets else 0.0
     tenants = [TenantSettings(t.name, t.share, t.quota_rps or rest) for t in config.tenants]
     if budgets:
-        tenants.append(TenantSettings(OVER_BUDGET, 0.0, 0.0))
+        tenants.append(TenantSettings(OVER_BUDGET_TENANT, 0.0, 0.0))
     return tuple(tenants)
 
 
-def budgets_of(config: Config) -> dict[str, Budget]:
+def build_budgets(config: Config) -> dict[str, Budget]:
     """Tenants' budgets in the account's unit."""
     return {
         tenant.name: Budget(
-            tenant.budget.window_s, int(tenant.budget.soft_mb_s * MB_S), int(tenant.budget.hard_mb_s * MB_S)
+            tenant.budget.window_s,
+            int(tenant.budget.soft_mb_s * KIB_MICROSECONDS_PER_MB_S),
+            int(tenant.budget.hard_mb_s * KIB_MICROSECONDS_PER_MB_S),
         )
         for tenant in config.tenants
         if tenant.budget is not None
     }
 
 
-def _places(config: Config, what: str) -> dict[str, int]:
+def _sorted_numbers(config: Config, what: str) -> dict[str, int]:
     """Numbers for zone or cell names, in the order of the names, so that a reread list keeps them."""
     names = {getattr(worker, what) for worker in config.workers}
     if what == "zone":
@@ -116,12 +118,16 @@
     return {name: place for place, name in enumerate(sorted(names))}
 
 
-def workers_of(config: Config, numbers: PlaceNumbers | None = None) -> tuple[WorkerSpec, ...]:
+def build_configured_workers(
+    config: Config, numbers: LocalityNumbers | None = None
+) -> tuple[WorkerSpec, ...]:
     """The workers as the core knows them; ``numbers`` keeps zones' and cells' numbers over rereads."""
-    return specs_of(config.workers, config, numbers or PlaceNumbers(config))
+    return build_worker_specs(config.workers, config, numbers or LocalityNumbers(config))
 
 
-def specs_of(workers: Iterable[Worker], config: Config, numbers: PlaceNumbers) -> tuple[WorkerSpec, ...]:
+def build_worker_specs(
+    workers: Iterable[Worker], config: Config, numbers: LocalityNumbers
+) -> tuple[WorkerSpec, ...]:
     """Workers of any source as the core knows them; their kinds are the configuration's."""
     kinds = {kind.name: place for place, kind in enumerate(config.kinds)}
     specs = []
@@ -144,12 +150,12 @@
     return tuple(specs)
 
 
-class PlaceNumbers:
+class LocalityNumbers:
     """Numbers of zones and cells that never change while the program runs."""
 
     def __init__(self, config: Config) -> None:
-        self._zones = _places(config, "zone")
-        self._cells = _places(config, "cell")
+        self._zones = _sorted_numbers(config, "zone")
+        self._cells = _sorted_numbers(config, "cell")
 
     def zone(self, name: str) -> int:
         """A zone's number, a new one for a new name."""
@@ -161,34 +167,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class ConfiguredFunction:
     """A function that may be called, with its configuration."""
 
     spec: FunctionSpec
     config: Function
     deadline_s: float
-    effect: Idempotency
+    idempotency: Idempotency
 
 
 class Functions:
     """Functions by name: exact names first, then the patterns in their order. Used from any thread."""
 
     def __init__(self, config: Config) -> None:
-        self._classes = {cls.name: (place, cls) for place, cls in enumerate(config.classes)}
+        self._classes = {
+            call_class.name: (place, call_class) for place, call_class in enumerate(config.classes)
+        }
         self._exact = {function.name: function for function in config.functions if "*" not in function.name}
         self._patterns = [
             (re.compile(fnmatch.translate(function.name)), function)
             for function in config.functions
             if "*" in function.name
         ]
-        self._known: OrderedDict[str, Known] = OrderedDict()
+        self._known: OrderedDict[str, ConfiguredFunction] = OrderedDict()
         self._lock = Lock()
 
-    def exact(self) -> list[str]:
+    def exact_names(self) -> list[str]:
         """Functions that the configuration names, without those that only match a pattern."""
         return list(self._exact)
 
-    def get(self, name: str) -> Known | None:
+    def get(self, name: str) -> ConfiguredFunction | None:
         """The function of that name, None where the configuration has none."""
         known = self._known.get(name)
         if known is not None:
@@ -198,17 +206,17 @@
             function = next((f for pattern, f in self._patterns if pattern.match(name)), None)
         if function is None:
             return None
-        place, cls = self._classes[function.call_class]
-        known = Known(
+        place, call_class = self._classes[function.call_class]
+        known = ConfiguredFunction(
             FunctionSpec(
                 name, function_number(name), place, function.memory_mb, function.lanes, function.load_s
             ),
             function,
-            cls.deadline_s,
-            Idempotency(cls.effect),
+            call_class.deadline_s,
+            Idempotency(call_class.effect),
         )
         with self._lock:
             self._known[name] = known
-            while len(self._known) > SPECS_KEPT:
+            while len(self._known) > MAX_CACHED_FUNCTIONS:
                 self._known.popitem(last=False)
         return known
--- a/saffronstack/config/load.py
+++ b/saffronstack/config/load.py
@@ -1,4 +1,4 @@
-"""Reads a configuration and says in plain words what is wrong with it: file, place, the nearest known key."""
+"""Reads configuration files and reports errors with file, key path and the nearest known key."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from saffronstack.config.validation import validation_errors
 
 T = typing.TypeVar("T", bound=msgspec.Struct)
-_AT = re.compile(r" - at `\$\.?(.*)`$")
+_LOCATION = re.compile(r" - at `\$\.?(.*)`$")
 
 
 class ConfigError(ValueError):
-    """The file can't be used; the text names file, place and reason."""
+    """The file can't be used; the text names file, location and reason."""
 
 
 def load(path: str) -> Config:
@@ -43,7 +43,7 @@
     """The configuration in a text; ``name`` stands in the errors."""
     config = convert(text, Config, name)
     problems = validation_errors(config)
-    if not config.workers and config.roster is None and "workers" not in _loads(text):
+    if not config.workers and config.roster is None and "workers" not in _load_json5(text):
         problems.append("workers: missing, and there is no roster to tell of any")
     if problems:
         raise ConfigError("\n".join(f"{name}: {problem}" for problem in problems))
@@ -53,28 +53,28 @@
 def convert(text: str, kind: type[T], name: str) -> T:
     """A JSON5 text as a struct of the schema; ConfigError where it does not fit."""
     try:
-        raw = _loads(text)
+        raw = _load_json5(text)
     except ValueError as error:
         raise ConfigError(f"{name}: not JSON5: {error}") from error
     except RecursionError as error:
         raise ConfigError(f"{name}: nested too deeply") from error
-    unknown = _unknown(raw, kind, "")
+    unknown = _unknown_keys(raw, kind, "")
     if unknown:
         raise ConfigError("\n".join(f"{name}: {line}" for line in unknown))
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
         text = str(error)
-        match = _AT.search(text)
-        place = match[1] if match else ""
+        match = _LOCATION.search(text)
+        location = match[1] if match else ""
         reason = text[: match.start()] if match else text
-        raise ConfigError(f"{name}: {place or 'top level'}: {reason}") from error
+        raise ConfigError(f"{name}: {location or 'top level'}: {reason}") from error
 
 
-def _loads(text: str) -> Any:
+def _load_json5(text: str) -> Any:
     """JSON5. Text that is plain JSON, as scripts write it, is read a thousand times as fast. ValueError."""
     try:
-        return json.loads(text, object_pairs_hook=_once)
+        return json.loads(text, object_pairs_hook=_reject_duplicate_keys)
     except DuplicateKeyError as error:
         raise ValueError(str(error)) from error
     except ValueError:
@@ -85,7 +85,7 @@
     """A key stands twice in one object."""
 
 
-def _once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) != len(pairs):
         keys = [key for key, _ in pairs]
@@ -94,24 +94,24 @@
     return found
 
 
-def _unknown(raw: object, kind: Any, place: str) -> list[str]:
+def _unknown_keys(raw: object, kind: Any, location: str) -> list[str]:
     """A line for each key that the schema does not know, the nearest known one named."""
     kind = _without_annotations(kind)
     lines: list[str] = []
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct) and isinstance(raw, dict):
         fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
         for key, value in raw.items():
-            where = f"{place}.{key}" if place else str(key)
+            key_location = f"{location}.{key}" if location else str(key)
             if key in fields:
-                lines.extend(_unknown(value, fields[key].type, where))
+                lines.extend(_unknown_keys(value, fields[key].type, key_location))
                 continue
             near = difflib.get_close_matches(str(key), list(fields), n=1, cutoff=0.5)
             hint = f"; did you mean {near[0]!r}?" if near else f"; known are {', '.join(sorted(fields))}"
-            lines.append(f"{where}: unknown key{hint}")
+            lines.append(f"{key_location}: unknown key{hint}")
     elif typing.get_origin(kind) is tuple and isinstance(raw, list):
         inner = typing.get_args(kind)[0]
         for number, value in enumerate(raw):
-            lines.extend(_unknown(value, inner, f"{place}[{number}]"))
+            lines.extend(_unknown_keys(value, inner, f"{location}[{number}]"))
     return lines
 
 
--- a/saffronstack/config/schema.py
+++ b/saffronstack/config/schema.py
@@ -7,7 +7,7 @@
 import msgspec
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=140, pattern=r"^[A-Za-z0-9_.\-]+$")]
@@ -18,7 +18,7 @@
     """What all parts share: unknown keys are refused, values do not change."""
 
 
-class Key(Struct, frozen=True, kw_only=True):
+class AccessKey(Struct, frozen=True, kw_only=True):
     """An access key of a tenant, as SigV4 uses it."""
 
     id: Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_-]{4,128}$")]
@@ -39,7 +39,7 @@
 
     name: Name
     share: Share = 1.0
-    quota_rps: NotNegative = 0.0
+    quota_rps: NonNegative = 0.0
     budget: Budget | None = None
 
 
@@ -53,7 +53,7 @@
     worth: Positive = 1.0
     late_share: Share = 0.0
     group: Literal["all", "zone", "cell"] = "all"
-    window_s: NotNegative = 0.0
+    window_s: NonNegative = 0.0
     note_operations: bool = False  # durably, before an operation's first byte leaves for a worker
     operation_window_s: Positive | None = None  # in place of operations.window_s
 
@@ -73,7 +73,7 @@
     maximum_retry_attempts: Annotated[int, msgspec.Meta(ge=0, le=10)] = 2
 
 
-class Kind(Struct, frozen=True, kw_only=True):
+class WorkerKind(Struct, frozen=True, kw_only=True):
     """A kind of machine."""
 
     name: Name
@@ -90,27 +90,27 @@
     zone: Name = "zone-a"
     cell: Name = "cell-a"
     state: Literal["ready", "draining"] = "ready"
-    started_at: NotNegative = 0.0
+    started_at: NonNegative = 0.0
 
 
 class Rules(Struct, frozen=True, kw_only=True):
     """Figures of the rules; a zero ``cold_s`` or ``load_span_s`` means that the rule is absent."""
 
-    drain_grace_s: NotNegative = 2.0
+    drain_grace_s: NonNegative = 2.0
     cold_share: Share = 0.15
-    cold_s: NotNegative = 0.0
-    tip_multiple: NotNegative = 0.0
-    tip_after_s: NotNegative = 0.0
-    load_free: NotNegative = 0.0
-    load_part: NotNegative = 0.0
-    load_span_s: NotNegative = 0.0
+    cold_s: NonNegative = 0.0
+    tip_multiple: NonNegative = 0.0
+    tip_after_s: NonNegative = 0.0
+    load_free: NonNegative = 0.0
+    load_part: NonNegative = 0.0
+    load_span_s: NonNegative = 0.0
 
 
-class Allow(Struct, frozen=True, kw_only=True):
+class Permissions(Struct, frozen=True, kw_only=True):
     """What the deployment permits."""
 
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=20)] = 4
-    max_retry_advice_s: NotNegative = 5.0
+    max_retry_advice_s: NonNegative = 5.0
     connect_timeout_s: Positive = 1.0
     orders: bool = False
 
@@ -181,7 +181,7 @@
     commit_timeout_s: Positive = 2.0
 
 
-class InFleet(Struct, frozen=True, kw_only=True):
+class FleetMembership(Struct, frozen=True, kw_only=True):
     """What this gateway does for its fleet: keeps leases, runs the fleet's tasks, or both."""
 
     path: Annotated[str, msgspec.Meta(min_length=1)]  # the fleet's file
@@ -202,21 +202,21 @@
     zone: Name = "zone-a"
     answer_margin_s: Positive = 0.1
     clock_skew_s: Positive = 300.0
-    keep_alive_s: NotNegative = 10.0
+    keep_alive_s: NonNegative = 10.0
     over_share_worth: Share = 0.1
     miss_mode: Literal["load", "miss"] = "load"
     order_timeout_s: Positive = 10.0
-    keys: tuple[Key, ...] = ()
+    keys: tuple[AccessKey, ...] = ()
     tenants: Annotated[tuple[Tenant, ...], msgspec.Meta(min_length=1)]
     classes: Annotated[tuple[CallClass, ...], msgspec.Meta(min_length=1)]
     functions: Annotated[tuple[Function, ...], msgspec.Meta(min_length=1)]
-    kinds: Annotated[tuple[Kind, ...], msgspec.Meta(min_length=1)]
+    kinds: Annotated[tuple[WorkerKind, ...], msgspec.Meta(min_length=1)]
     workers: tuple[Worker, ...] = ()
     rules: Rules = Rules()
-    allow: Allow = Allow()
+    allow: Permissions = Permissions()
     limits: Limits = Limits()
     ledger: Ledger | None = None
     metering: Metering | None = None
     operations: Operations | None = Operations()
     roster: Roster | None = None
-    fleet: InFleet | None = None
+    fleet: FleetMembership | None = None
--- a/saffronstack/config/validation.py
+++ b/saffronstack/config/validation.py
@@ -13,12 +13,12 @@
 def validation_errors(config: Config) -> list[str]:
     """Every problem found, each with its place; none: the configuration can be used."""
     return [
-        *_names(config), *_classes(config), *_functions(config), *_workers(config), *_listener(config),
-        *_fleet(config),
+        *_name_errors(config), *_class_errors(config), *_function_errors(config), *_worker_errors(config),
+        *_listener_errors(config), *_fleet_errors(config),
     ]  # fmt: skip
 
 
-def _fleet(config: Config) -> list[str]:
+def _fleet_errors(config: Config) -> list[str]:
     fleet = config.fleet
     if fleet is None:
         return []
@@ -31,7 +31,7 @@
     return []
 
 
-def _doubles(place: str, names: Iterable[str]) -> list[str]:
+def _duplicates(place: str, names: Iterable[str]) -> list[str]:
     seen: set[str] = set()
     lines = []
     for number, name in enumerate(names):
@@ -41,13 +41,13 @@
     return lines
 
 
-def _names(config: Config) -> list[str]:
-    lines = _doubles("tenants", (t.name for t in config.tenants))
-    lines += _doubles("classes", (c.name for c in config.classes))
-    lines += _doubles("functions", (f.name for f in config.functions))
-    lines += _doubles("kinds", (k.name for k in config.kinds))
-    lines += _doubles("workers", (w.id for w in config.workers))
-    lines += _doubles("keys", (k.id for k in config.keys))
+def _name_errors(config: Config) -> list[str]:
+    lines = _duplicates("tenants", (t.name for t in config.tenants))
+    lines += _duplicates("classes", (c.name for c in config.classes))
+    lines += _duplicates("functions", (f.name for f in config.functions))
+    lines += _duplicates("kinds", (k.name for k in config.kinds))
+    lines += _duplicates("workers", (w.id for w in config.workers))
+    lines += _duplicates("keys", (k.id for k in config.keys))
     tenants = {tenant.name for tenant in config.tenants}
     for number, key in enumerate(config.keys):
         if key.tenant not in tenants:
@@ -63,31 +63,31 @@
     return lines
 
 
-def _classes(config: Config) -> list[str]:
+def _class_errors(config: Config) -> list[str]:
     lines = []
-    for number, cls in enumerate(config.classes):
-        place = f"classes[{number}] ({cls.name})"
-        if cls.aim_s > cls.deadline_s:
-            lines.append(f"{place}: aim_s {cls.aim_s:g} is past deadline_s {cls.deadline_s:g}")
-        if cls.effect == "keyed" and cls.window_s <= 0:
+    for number, call_class in enumerate(config.classes):
+        place = f"classes[{number}] ({call_class.name})"
+        if call_class.aim_s > call_class.deadline_s:
+            lines.append(f"{place}: aim_s {call_class.aim_s:g} is past deadline_s {call_class.deadline_s:g}")
+        if call_class.effect == "keyed" and call_class.window_s <= 0:
             lines.append(f"{place}: a keyed class needs a window_s above 0")
-        if cls.effect != "keyed" and cls.window_s > 0:
-            lines.append(f"{place}: window_s belongs to keyed classes; {cls.effect} ones have none")
-        if cls.note_operations and (config.operations is None or config.operations.directory is None):
+        if call_class.effect != "keyed" and call_class.window_s > 0:
+            lines.append(f"{place}: window_s belongs to keyed classes; {call_class.effect} ones have none")
+        if call_class.note_operations and (config.operations is None or config.operations.directory is None):
             lines.append(f"{place}: note_operations needs operations.directory, where notes are kept")
-        if cls.note_operations and cls.effect == "safe":
+        if call_class.note_operations and call_class.effect == "safe":
             lines.append(f"{place}: note_operations is for what must not run twice; safe classes may")
-        if config.answer_margin_s >= cls.deadline_s / 2:
+        if config.answer_margin_s >= call_class.deadline_s / 2:
             lines.append(
                 f"{place}: answer_margin_s {config.answer_margin_s:g} leaves less than half of "
-                f"deadline_s {cls.deadline_s:g} for the work"
+                f"deadline_s {call_class.deadline_s:g} for the work"
             )
     return lines
 
 
-def _functions(config: Config) -> list[str]:
+def _function_errors(config: Config) -> list[str]:
     lines = []
-    classes = {cls.name for cls in config.classes}
+    classes = {call_class.name for call_class in config.classes}
     named = {f.name: f for f in config.functions if "*" not in f.name}
     largest = max(kind.memory_mb for kind in config.kinds)
     numbers: dict[int, str] = {}
@@ -108,16 +108,16 @@
         if other != function.name:
             lines.append(f"{where}: its number is that of {other!r}; rename one")
     for name in named:
-        loop = _loop(
+        cycle = _find_cycle(
             name, {n: [t for t in (f.on_success, f.on_failure) if t in named] for n, f in named.items()}
         )
-        if loop:
-            lines.append(f"functions: destinations go in a circle: {' -> '.join(loop)}")
+        if cycle:
+            lines.append(f"functions: destinations go in a circle: {' -> '.join(cycle)}")
             break
     return lines
 
 
-def _loop(start: str, edges: dict[str, list[str]]) -> list[str]:
+def _find_cycle(start: str, edges: dict[str, list[str]]) -> list[str]:
     """A path of destinations from ``start`` back to itself, or nothing."""
     paths = [[start]]
     seen: set[str] = set()
@@ -132,7 +132,7 @@
     return []
 
 
-def _workers(config: Config) -> list[str]:
+def _worker_errors(config: Config) -> list[str]:
     lines = []
     kinds = {kind.name for kind in config.kinds}
     numbers: dict[int, str] = {}
@@ -145,11 +145,11 @@
         other = numbers.setdefault(worker_number(worker.id), worker.id)
         if other != worker.id:
             lines.append(f"{where}: its number is that of {other!r}; rename one")
-    lines += _doubles("workers, addresses", (w.address for w in config.workers))
+    lines += _duplicates("workers, addresses", (w.address for w in config.workers))
     return lines
 
 
-def _listener(config: Config) -> list[str]:
+def _listener_errors(config: Config) -> list[str]:
     lines = []
     if int(config.listen.rpartition(":")[2]) > 65535:
         lines.append(f"listen: no port {config.listen.rpartition(':')[2]}")
--- a/saffronstack/daemon/http_exchange.py
+++ b/saffronstack/daemon/http_exchange.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from saffronstack.daemon.errors import NoAnswerError, NotSentError
-from saffronstack.http1.messages import HttpError, Limits, ResponseHead
+from saffronstack.http1.messages import HttpError, MessageLimits, ResponseHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 
@@ -34,7 +34,7 @@
         NoAnswerError: The request was sent, at least in part, and no complete response came by the deadline.
     """
     stream = Stream(_connect(address, deadline_s - clock()))
-    reader = MessageReader(Limits(body=MAX_BODY_BYTES))
+    reader = MessageReader(MessageLimits(body_bytes=MAX_BODY_BYTES))
     try:
         if not stream.send(request, deadline_s, clock):
             raise NotSentError(f"{address}: it took no byte")
--- a/saffronstack/deferred/call_submitter.py
+++ b/saffronstack/deferred/call_submitter.py
@@ -98,7 +98,7 @@
         on_answer: Callable[[TrackedCall, FinalAnswer], None],
     ) -> Call:
         accepted = call.accepted
-        is_idempotent = function.known.effect is Idempotency.IDEMPOTENT
+        is_idempotent = function.known.idempotency is Idempotency.IDEMPOTENT
         return Call(
             self._engine.next_call_number(),
             accepted.request_id,
--- a/saffronstack/deferred/function_policies.py
+++ b/saffronstack/deferred/function_policies.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from saffronstack.config.build import Functions, Known
+from saffronstack.config.build import ConfiguredFunction, Functions
 from saffronstack.config.schema import Config
 from saffronstack.deferred.retry_policy import RetryPolicy
 
@@ -13,7 +13,7 @@
 class FunctionPolicy:
     """A configured function, and how its deferred calls are retried."""
 
-    known: Known
+    known: ConfiguredFunction
     retry: RetryPolicy
 
 
@@ -33,7 +33,7 @@
             return None
         request_class = self._classes[known.config.call_class]
         retry = RetryPolicy(
-            known.effect,
+            known.idempotency,
             request_class.window_s,
             request_class.deadline_s - self._response_margin_s,
             known.config.maximum_event_age_s,
--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -11,7 +11,7 @@
 import structlog
 
 from saffronstack.http1 import writer
-from saffronstack.http1.messages import HttpError, Limits, RequestHead
+from saffronstack.http1.messages import HttpError, MessageLimits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.runtime.threads import start_thread
@@ -26,7 +26,7 @@
 ACCEPT_RETRY_S = 0.05
 JOIN_TIMEOUT_S = 1.0
 DRAIN_TIMEOUT_S = 3.0  # longer than a lease server waits for its disk
-LIMITS = Limits(body=4 * 1024 * 1024)
+LIMITS = MessageLimits(body_bytes=4 * 1024 * 1024)
 JSON_FIELDS = [("Content-Type", "application/json")]
 RequestHandler = Callable[[RequestHead, bytes], tuple[int, bytes]]
 
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -16,12 +16,12 @@
 from saffronstack.fleet.leases.limits import LeaseFleet
 from saffronstack.fleet.leases.messages import CatchUpRequest, CatchUpResponse, Message
 from saffronstack.http1 import writer
-from saffronstack.http1.messages import HttpError, Limits
+from saffronstack.http1.messages import HttpError, MessageLimits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.runtime.threads import start_thread
 
-HTTP_LIMITS = Limits(body=4 * 1024 * 1024)
+HTTP_LIMITS = MessageLimits(body_bytes=4 * 1024 * 1024)
 MAX_BATCH = 256  # messages in one envelope
 MAX_OUTBOX = 10_000
 INITIAL_BACKOFF_S = 0.02
@@ -71,7 +71,7 @@
         return codec.decode(body).messages
 
     def _connected(self) -> Stream:
-        if self._stream is not None and not self._stream.is_quiet():
+        if self._stream is not None and not self._stream.is_idle():
             self.close()  # ended while idle; nothing was sent on it
         if self._stream is None:
             host, _, port = self._address.rpartition(":")
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -9,7 +9,13 @@
 
 import structlog
 
-from saffronstack.config.build import Functions, PlaceNumbers, settings_of, specs_of, workers_of
+from saffronstack.config.build import (
+    Functions,
+    LocalityNumbers,
+    build_configured_workers,
+    build_settings,
+    build_worker_specs,
+)
 from saffronstack.config.schema import Config, Worker
 from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.deferred_calls import DeferredCalls
@@ -22,11 +28,11 @@
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.gateway_components import (
     Clocks,
-    front_limits,
     make_file_discovery,
+    make_pool_limits,
+    make_server_limits,
     open_metering,
     open_operations,
-    pool_limits,
 )
 from saffronstack.invoke.app import Access, App
 from saffronstack.invoke.operation_forwarding import OperationForwarder
@@ -39,7 +45,7 @@
 from saffronstack.upstream.http.jobs import UsageJob
 
 log = structlog.get_logger("saffronstack.gateway")
-REREAD = ("keys", "workers")  # what a reread may change; the rest needs a restart
+RELOADABLE_FIELDS = ("keys", "workers")  # what a reread may change; the rest needs a restart
 
 
 class Gateway:
@@ -49,24 +55,37 @@
         self,
         config: Config,
         *,
-        record_to: str = "",
+        decision_record_path: str = "",
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
         files: FileOperations | None = None,
-        members: ProcessGroup | None = None,
+        process_group: ProcessGroup | None = None,
         listener: socket.socket | None = None,
         owns_ledger: Callable[[], bool] | None = None,
     ) -> None:
-        """``members``: it is one process of several on one address, and ``config`` its own. ``listener``: a
-        bound socket in place of the configuration's address. ``owns_ledger``: asked before each attempt of a
-        deferred call, where another gateway may take the ledger over.
+        """Create a gateway that is not started.
+
+        Args:
+            config: Configuration of this process.
+            decision_record_path: File that receives a record of every routing decision; empty for none.
+            clock: Monotonic seconds.
+            wall: Seconds of the Unix epoch.
+            files: The file layer; tests replace it.
+            process_group: The processes that serve one address together; None where this is the only one.
+            listener: A bound socket to use in place of the configuration's address.
+            owns_ledger: Returns whether this process still owns the ledger. It is called before each
+                attempt of a deferred call, because another gateway may take over the ledger.
 
-        OSError where the address can't be had, JournalError where the ledger can't be used.
+        Raises:
+            OSError: The address can't be bound.
+            JournalError: The ledger can't be locked or read.
         """
         self.config = config
         self._clock, self._wall = clock, wall
-        settings = settings_of(config)
-        self._recorder = DecisionRecorder(record_to, settings, config.seed) if record_to else None
+        settings = build_settings(config)
+        self._recorder = (
+            DecisionRecorder(decision_record_path, settings, config.seed) if decision_record_path else None
+        )
         self.engine = Engine(
             settings,
             config.seed,
@@ -76,12 +95,12 @@
             max_open_calls=config.limits.open_calls,
             log=structlog.get_logger("saffronstack.engine"),
         )
-        self._numbers = PlaceNumbers(config)
+        self._localities = LocalityNumbers(config)
         clocks = Clocks(clock, wall)
-        metering = open_metering(config, clocks, self._ask_usage, files)
+        metering = open_metering(config, clocks, self._poll_usage, files)
         self.meter = metering.meter if metering is not None else None
-        self.limits = metering.budgets if metering is not None else None
-        self.fleet = HttpDispatcher(pool_limits(config), self.engine.notify, clock, self.meter)
+        self.budgets = metering.budgets if metering is not None else None
+        self.dispatcher = HttpDispatcher(make_pool_limits(config), self.engine.notify, clock, self.meter)
         self.functions = Functions(config)
         self.ledger: Ledger | None = None
         self.deferred: DeferredCalls | None = None
@@ -90,24 +109,24 @@
                 config.ledger.directory, config.ledger.history, config.ledger.segment_bytes, files
             )
             self.deferred = DeferredCalls(
-                config, self.ledger, self.engine, self.functions, clock, wall, self.limits, owns_ledger
+                config, self.ledger, self.engine, self.functions, clock, wall, self.budgets, owns_ledger
             )
         self.operations = open_operations(config, clocks, files)
-        self.members = members or ProcessGroup(0, 1, "", clock)
-        self.slots = self._share_operations()
+        self.process_group = process_group or ProcessGroup(0, 1, "", clock)
+        self.slot_manager = self._make_slot_manager()
         self.pages = Pages(self)
         self.app = self._make_app()
-        front = front_limits(config)
+        front = make_server_limits(config)
         host, _, port = config.listen.rpartition(":")
-        self.server = Server(host, int(port), self.app, front, clock, self.members.count > 1, listener)
-        self.peers: Server | None = None  # where the other processes ask this one
-        if self.members.count > 1 and self.members.directory:
-            self.peers = Server("127.0.0.1", 0, self.app, front, clock)
-        self.draining = False
-        self.roster = make_file_discovery(config, clocks, self._workers_changed)
+        self.server = Server(host, int(port), self.app, front, clock, self.process_group.count > 1, listener)
+        self.peer_server: Server | None = None  # where the other processes ask this one
+        if self.process_group.count > 1 and self.process_group.directory:
+            self.peer_server = Server("127.0.0.1", 0, self.app, front, clock)
+        self.is_draining = False
+        self.file_discovery = make_file_discovery(config, clocks, self._update_workers)
         self._watcher: FileWatcher | None = None
-        if self.roster is not None and config.roster is not None:
-            self._watcher = FileWatcher(pathlib.Path(config.roster.path), self.roster.wake)
+        if self.file_discovery is not None and config.roster is not None:
+            self._watcher = FileWatcher(pathlib.Path(config.roster.path), self.file_discovery.wake)
 
     def _make_app(self) -> App:
         return App(
@@ -118,34 +137,36 @@
             self._clock,
             self._wall,
             self.pages.table(),
-            self.members,
-            self.limits,
+            self.process_group,
+            self.budgets,
             self.meter.journal.state if self.meter is not None else None,
             self.operations,
-            OperationForwarder(self.slots, self._clock) if self.slots is not None else None,
+            OperationForwarder(self.slot_manager, self._clock) if self.slot_manager is not None else None,
         )
 
-    def _workers_changed(self, changes: WorkerChanges, workers: dict[str, Worker]) -> None:
+    def _update_workers(self, changes: WorkerChanges, workers: dict[str, Worker]) -> None:
         """On discovery's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
-        specs = specs_of(changes.updated, self.config, self._numbers)
+        specs = build_worker_specs(changes.updated, self.config, self._localities)
         gone = [worker_number(name) for name in changes.removed]
-        self.fleet.update_workers(specs, gone)
+        self.dispatcher.update_workers(specs, gone)
         if self.meter is not None:
-            self.meter.update_workers(list(specs_of(workers.values(), self.config, self._numbers)))
+            self.meter.update_workers(
+                list(build_worker_specs(workers.values(), self.config, self._localities))
+            )
         self.engine.update_workers(specs, gone, self._wall())
 
-    def _share_operations(self) -> SlotManager | None:
+    def _make_slot_manager(self) -> SlotManager | None:
         """Where several processes serve one address, each runs the operations of the slots it holds."""
-        operations, members = self.operations, self.members
-        if operations is None or members.count < 2 or not members.directory:
+        operations, process_group = self.operations, self.process_group
+        if operations is None or process_group.count < 2 or not process_group.directory:
             return None
         directory = self.config.operations.directory if self.config.operations is not None else None
         log_directory = directory or ""
         ledger_directory = self.config.ledger.directory if self.config.ledger is not None else ""
         location = RecordLocation(log_directory, ledger_directory)
         slots = SlotManager(
-            pathlib.Path(members.directory) / "operation-slots",
-            SlotMember(str(members.index), self._peer_address, location),
+            pathlib.Path(process_group.directory) / "operation-slots",
+            SlotMember(str(process_group.index), self._peer_address, location),
             OperationHandover(operations, log_directory, read_named_operations),
             self._clock,
         )
@@ -153,26 +174,26 @@
         return slots
 
     def _peer_address(self) -> str:
-        if self.peers is None:
+        if self.peer_server is None:
             return ""
-        host, port = self.peers.address
+        host, port = self.peer_server.address
         return f"{host}:{port}"
 
-    def _ask_usage(self, worker: int, body: bytes, done: Callable[[bytes | None], None]) -> None:
-        self.fleet.poll_usage(worker, UsageJob(body, done))
+    def _poll_usage(self, worker: int, body: bytes, done: Callable[[bytes | None], None]) -> None:
+        self.dispatcher.poll_usage(worker, UsageJob(body, done))
 
     def start(self) -> tuple[str, int]:
         """Start it; the address on which calls are taken from now on."""
-        specs = workers_of(self.config, self._numbers)
-        if self.roster is not None:
-            listed = self.roster.start(self._clock())
-            specs = specs_of(listed.values(), self.config, self._numbers)
-        self.fleet.replace_workers(specs)
+        specs = build_configured_workers(self.config, self._localities)
+        if self.file_discovery is not None:
+            listed = self.file_discovery.start(self._clock())
+            specs = build_worker_specs(listed.values(), self.config, self._localities)
+        self.dispatcher.replace_workers(specs)
         if self.meter is not None:
             self.meter.update_workers(list(specs))
             self.meter.start()
         self.engine.replace_workers(specs, self._wall())
-        self.engine.start(self.fleet)
+        self.engine.start(self.dispatcher)
         if self._watcher is not None:
             self._watcher.start()
         if self.operations is not None:
@@ -180,20 +201,20 @@
             self.operations.start((named.operation_digest, named.packed_operation) for named in names)
         if self.deferred is not None:
             self.deferred.start()
-        if self.peers is not None:
-            self.peers.start()
-            self.members.publish_address(self._peer_address())
-        if self.slots is not None:
-            self.slots.start()
+        if self.peer_server is not None:
+            self.peer_server.start()
+            self.process_group.publish_address(self._peer_address())
+        if self.slot_manager is not None:
+            self.slot_manager.start()
         self.server.start()
         return self.server.address
 
-    def reread(self, config: Config) -> list[str]:
+    def reload(self, config: Config) -> list[str]:
         """Take what can be taken from a new configuration; the names of the parts that need a restart."""
         left = [
             name
             for name in type(config).__struct_fields__
-            if name not in REREAD and getattr(config, name) != getattr(self.config, name)
+            if name not in RELOADABLE_FIELDS and getattr(config, name) != getattr(self.config, name)
         ]
         kinds = {kind.name for kind in self.config.kinds}
         if any(worker.kind not in kinds for worker in config.workers):
@@ -202,11 +223,11 @@
             left.append("keys (from none to some, or the reverse)")
         else:
             self.app.access = Access.of(config)
-        if self.roster is not None:
-            self.roster.set_configured_workers(config.workers)
+        if self.file_discovery is not None:
+            self.file_discovery.set_configured_workers(config.workers)
             return left
-        specs = workers_of(config, self._numbers)
-        self.fleet.replace_workers(specs)
+        specs = build_configured_workers(config, self._localities)
+        self.dispatcher.replace_workers(specs)
         if self.meter is not None:
             self.meter.update_workers(list(specs))
         self.engine.replace_workers(specs, self._wall())
@@ -214,25 +235,25 @@
 
     def stop(self) -> bool:
         """Take nothing more, answer what was taken, end; whether all ended within the deadlines."""
-        self.draining = True
+        self.is_draining = True
         longest_s = max(cls.deadline_s for cls in self.config.classes)
         clean = self.server.drain(longest_s + self.config.limits.write_timeout_s)
-        if self.slots is not None:
-            clean = self.slots.stop() and clean
-        if self.peers is not None:
-            clean = self.peers.drain(2.0) and clean
+        if self.slot_manager is not None:
+            clean = self.slot_manager.stop() and clean
+        if self.peer_server is not None:
+            clean = self.peer_server.drain(2.0) and clean
         if self.deferred is not None:
             clean = self.deferred.stop(longest_s + 1.0) and clean
         if self._watcher is not None:
             self._watcher.stop()
-        if self.roster is not None:
-            clean = self.roster.stop() and clean
+        if self.file_discovery is not None:
+            clean = self.file_discovery.stop() and clean
         clean = self.engine.stop() and clean
         if self.operations is not None:
             clean = self.operations.stop() and clean
         if self.meter is not None:
             clean = self.meter.stop() and clean
-        self.fleet.stop()
+        self.dispatcher.stop()
         if self.ledger is not None:
             clean = self.ledger.close() and clean
         if self._recorder is not None:
--- a/saffronstack/gateway_components.py
+++ b/saffronstack/gateway_components.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saffronstack.config.build import budgets_of
+from saffronstack.config.build import build_budgets
 from saffronstack.config.schema import Config, Worker
 from saffronstack.discovery.files.change_guards import GuardSettings
 from saffronstack.discovery.files.flap_detection import FlapSettings
@@ -15,7 +15,7 @@
 from saffronstack.discovery.files.state_directory import StateDirectory
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.engine.worker_registry import WorkerSpec
-from saffronstack.http1.messages import Limits
+from saffronstack.http1.messages import MessageLimits
 from saffronstack.invoke.server import FrontLimits
 from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.metering.meter import Meter
@@ -47,10 +47,10 @@
     budgets: BudgetEnforcer | None
 
 
-def front_limits(config: Config) -> FrontLimits:
+def make_server_limits(config: Config) -> FrontLimits:
     """Return the bounds of the HTTP front."""
     limits = config.limits
-    messages = Limits(
+    messages = MessageLimits(
         limits.line_bytes,
         limits.head_bytes,
         limits.header_fields,
@@ -66,14 +66,14 @@
     )
 
 
-def pool_limits(config: Config) -> HttpPoolLimits:
+def make_pool_limits(config: Config) -> HttpPoolLimits:
     """Return the bounds of the connections to workers."""
     return HttpPoolLimits(
         config.limits.worker_connections,
         config.allow.connect_timeout_s,
         config.limits.worker_idle_s,
         config.order_timeout_s,
-        Limits(body=config.limits.response_bytes),
+        MessageLimits(body_bytes=config.limits.response_bytes),
     )
 
 
@@ -97,7 +97,7 @@
     metering = config.metering
     if metering is None:
         return None
-    budgets = budgets_of(config)
+    budgets = build_budgets(config)
     window_lengths_s = {tenant: budget.window_s for tenant, budget in budgets.items()}
     journal = open_usage_log(metering.directory, metering.segment_bytes, files, window_lengths_s)
     offset_s = clocks.wall() - clocks.monotonic()
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from saffronstack.cli.leases import lease_fleet_of
-from saffronstack.config.fleet import load_fleet
+from saffronstack.config.fleet import load_fleet_file
 from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
 from saffronstack.fleet.leases.lease_server import LeaseServer
@@ -78,7 +78,7 @@
     """Run a lease server until standard input ends."""
     server = LeaseServer(
         options.name,
-        lease_fleet_of(load_fleet(options.fleet)),
+        lease_fleet_of(load_fleet_file(options.fleet)),
         options.state,
         clock=drifting_clock(options.clock_rate, time.monotonic),
         files=FaultyFiles(pathlib.Path(options.disk_fault)),
@@ -144,7 +144,7 @@
 
     def __init__(self, options: CandidateOptions) -> None:
         """Connect to the resource and the lease servers."""
-        fleet = load_fleet(options.fleet)
+        fleet = load_fleet_file(options.fleet)
         self.name, self.lease, self._clock_rate = options.name, options.lease, options.clock_rate
         self._random = random.Random(options.seed)
         clock = drifting_clock(options.clock_rate, holder_clock)
--- a/saffronstack/harness/scenario/clients.py
+++ b/saffronstack/harness/scenario/clients.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from saffronstack.audit.traffic import Try
-from saffronstack.client import Answer, Client
+from saffronstack.client import Client, Response
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
@@ -126,14 +126,14 @@
             t.id = answer.headers.get("x-amzn-requestid")
             t.end = _ending(answer)
             t.answer = xxhash.xxh3_64_hexdigest(answer.body)
-            t.extra_bytes = client.unasked()
+            t.extra_bytes = client.unsolicited_byte_count()
         t.ended_s = time.monotonic()
         with self._lock:
             self.tries.append(t)
         return t.end
 
 
-def _ending(answer: Answer) -> str:
+def _ending(answer: Response) -> str:
     if answer.status == 202:
         return "accepted"
     if answer.status == 200:
--- a/saffronstack/harness/scenario/plan.py
+++ b/saffronstack/harness/scenario/plan.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from saffronstack.config.load import convert, read_text
-from saffronstack.config.schema import Count, NotNegative, Positive, Share, Struct
+from saffronstack.config.schema import Count, NonNegative, Positive, Share, Struct
 
 Kind = Literal[
     "balancer_crash",
@@ -33,7 +33,7 @@
     """One trouble: from ``at_s`` for ``for_s`` on a ``share`` of what it strikes, ``factor`` times as bad."""
 
     kind: Kind
-    at_s: NotNegative
+    at_s: NonNegative
     for_s: Positive = 5.0
     share: Share = 0.3
     factor: Positive = 3.0
@@ -71,10 +71,10 @@
 class DayRules(Struct, frozen=True, kw_only=True):
     """Figures of the rules for this day."""
 
-    drain_grace_s: NotNegative = 2.0
+    drain_grace_s: NonNegative = 2.0
     cold_share: Share = 0.15
-    cold_s: NotNegative = 10.0
-    tip_multiple: NotNegative = 2.5
+    cold_s: NonNegative = 10.0
+    tip_multiple: NonNegative = 2.5
     tip_after_s: Positive = 1.0
 
 
--- a/saffronstack/harness/soak/http_play.py
+++ b/saffronstack/harness/soak/http_play.py
@@ -122,7 +122,7 @@
         else:
             attempt.id = answer.headers.get("x-amzn-requestid")
             attempt.end = STATUS_ENDS.get(answer.status, "error")
-            attempt.extra_bytes = client.unasked()
+            attempt.extra_bytes = client.unsolicited_byte_count()
         attempt.ended_s = time.monotonic()
 
 
--- a/saffronstack/http1/messages.py
+++ b/saffronstack/http1/messages.py
@@ -15,13 +15,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MessageLimits:
     """Sizes in bytes that one message may have."""
 
-    line: int = 8 * 1024
-    head: int = 32 * 1024
-    fields: int = 100
-    body: int = 6 * 1024 * 1024
+    line_bytes: int = 8 * 1024
+    head_bytes: int = 32 * 1024
+    header_fields: int = 100
+    body_bytes: int = 6 * 1024 * 1024
 
 
 class Headers:
@@ -53,7 +53,7 @@
 
     method: str
     target: str
-    minor: int  # of the version, HTTP/1.minor
+    minor_version: int  # of the version, HTTP/1.minor
     headers: Headers
     keep_alive: bool
     expects_continue: bool
@@ -65,6 +65,6 @@
 
     status: int
     reason: str
-    minor: int
+    minor_version: int
     headers: Headers
     keep_alive: bool
--- a/saffronstack/http1/reader.py
+++ b/saffronstack/http1/reader.py
@@ -9,19 +9,19 @@
 import re
 from enum import Enum
 
-from saffronstack.http1.messages import Headers, HttpError, Limits, RequestHead, ResponseHead
+from saffronstack.http1.messages import Headers, HttpError, MessageLimits, RequestHead, ResponseHead
 
 _REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([\x21-\x7e]+) HTTP/1\.([01])")
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9]{2})(?: ([\t\x20-\x7e\x80-\xff]*))?")
 # Two plain patterns in place of one for the whole line: that one would try every split of a run of spaces.
-_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
+_FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+_FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _LENGTH = re.compile(r"[0-9]{1,18}")
-_CHUNK = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?")
-CHUNK_LINE = 256  # bytes of a chunk's size line, extensions included
+_CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?")
+MAX_CHUNK_LINE_BYTES = 256  # bytes of a chunk's size line, extensions included
 
 
-class _Body(Enum):
+class _BodyState(Enum):
     NONE = 0
     LENGTH = 1
     CHUNK_SIZE = 2
@@ -34,12 +34,12 @@
 class MessageReader:
     """One connection's incoming messages: `feed` bytes, take a head, then its body, then the next head."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
         self._buffer = bytearray()
-        self._scanned = 0
-        self._body = _Body.NONE
-        self._left = 0
+        self._scanned_bytes = 0
+        self._body_state = _BodyState.NONE
+        self._remaining_bytes = 0
         self._content = bytearray()
         self._ended = False
 
@@ -68,23 +68,30 @@
         if block is None:
             return None
         line, _, rest = block.partition(b"\r\n")
-        if len(line) > self.limits.line:
-            raise HttpError(431, f"request line of {len(line)} bytes, {self.limits.line} at most")
+        if len(line) > self.limits.line_bytes:
+            raise HttpError(431, f"request line of {len(line)} bytes, {self.limits.line_bytes} at most")
         match = _REQUEST_LINE.fullmatch(line)
         if match is None:
             raise HttpError(400, "malformed request line")
-        headers = self._fields(rest)
+        headers = self._parse_fields(rest)
         minor = int(match[3])
         if len(headers.all("host")) != 1 and (minor or "host" in headers):
             raise HttpError(400, "exactly one Host field is needed")
-        self._frame(headers, minor, request=True)
+        self._set_framing(headers, minor, request=True)
         expects = minor == 1 and headers.get("expect").lower() == "100-continue"
         return RequestHead(
-            match[1].decode(), match[2].decode(), minor, headers, _keeps(headers, minor), expects
+            match[1].decode(), match[2].decode(), minor, headers, _keeps_alive(headers, minor), expects
         )
 
-    def response(self, to_head: bool = False) -> ResponseHead | None:
-        """The next response's head; 1xx ones are passed over. ``to_head``: it answers a HEAD request."""
+    def response(self, is_head_response: bool = False) -> ResponseHead | None:
+        """Return the next response's head, or None while bytes are missing.
+
+        Informational (1xx) responses are skipped. ``is_head_response``: the request was HEAD, so
+        the response has no body, whatever its header fields say.
+
+        Raises:
+            HttpError: The head is malformed or exceeds a limit.
+        """
         while True:
             block = self._head_block()
             if block is None:
@@ -94,48 +101,48 @@
             if match is None:
                 raise HttpError(400, "malformed status line")
             status, minor = int(match[2]), int(match[1])
-            headers = self._fields(rest)
+            headers = self._parse_fields(rest)
             if status == 101:
                 raise HttpError(400, "unasked switch of protocols")
             if status < 200:
                 continue
-            if to_head or status in (204, 304):
-                self._body = _Body.NONE
+            if is_head_response or status in (204, 304):
+                self._body_state = _BodyState.NONE
             else:
-                self._frame(headers, minor, request=False)
-            keeps = _keeps(headers, minor) and self._body is not _Body.UNTIL_CLOSE
+                self._set_framing(headers, minor, request=False)
+            keeps = _keeps_alive(headers, minor) and self._body_state is not _BodyState.UNTIL_CLOSE
             return ResponseHead(status, (match[3] or b"").decode("latin-1"), minor, headers, keeps)
 
     def _head_block(self) -> bytes | None:
         buffer, limits = self._buffer, self.limits
-        end = buffer.find(b"\r\n\r\n", self._scanned)
-        part = buffer[: end + 4] if end >= 0 else buffer[: limits.head + 1]
-        if _has_bad_ending(part):
+        end = buffer.find(b"\r\n\r\n", self._scanned_bytes)
+        part = buffer[: end + 4] if end >= 0 else buffer[: limits.head_bytes + 1]
+        if _has_bare_line_ending(part):
             raise HttpError(400, "bare CR, bare LF or NUL in the head")
         if end < 0:
-            if len(buffer) > limits.head:
-                raise HttpError(431, f"head over {limits.head} bytes")
-            if len(buffer) > limits.line and b"\r\n" not in buffer[: limits.line + 2]:
-                raise HttpError(431, f"line over {limits.line} bytes")
-            self._scanned = max(0, len(buffer) - 3)
+            if len(buffer) > limits.head_bytes:
+                raise HttpError(431, f"head over {limits.head_bytes} bytes")
+            if len(buffer) > limits.line_bytes and b"\r\n" not in buffer[: limits.line_bytes + 2]:
+                raise HttpError(431, f"line over {limits.line_bytes} bytes")
+            self._scanned_bytes = max(0, len(buffer) - 3)
             return None
-        if end + 4 > limits.head:
-            raise HttpError(431, f"head over {limits.head} bytes")
+        if end + 4 > limits.head_bytes:
+            raise HttpError(431, f"head over {limits.head_bytes} bytes")
         block = bytes(buffer[:end])
         del buffer[: end + 4]
-        self._scanned = 0
+        self._scanned_bytes = 0
         return block
 
-    def _fields(self, block: bytes) -> Headers:
+    def _parse_fields(self, block: bytes) -> Headers:
         lines = block.decode("latin-1").split("\r\n") if block else []
-        if len(lines) > self.limits.fields:
-            raise HttpError(431, f"{len(lines)} header fields, {self.limits.fields} at most")
+        if len(lines) > self.limits.header_fields:
+            raise HttpError(431, f"{len(lines)} header fields, {self.limits.header_fields} at most")
         items: list[tuple[str, str]] = []
-        is_name, is_value = _NAME.fullmatch, _VALUE.fullmatch
-        most = self.limits.line
+        is_name, is_value = _FIELD_NAME.fullmatch, _FIELD_VALUE.fullmatch
+        max_line_bytes = self.limits.line_bytes
         for line in lines:
-            if len(line) > most:
-                raise HttpError(431, f"header line of {len(line)} bytes, {most} at most")
+            if len(line) > max_line_bytes:
+                raise HttpError(431, f"header line of {len(line)} bytes, {max_line_bytes} at most")
             name, colon, value = line.partition(":")
             if not colon or not is_name(name) or not is_value(value):
                 what = "folded header line" if line[:1] in (" ", "\t") else "malformed header line"
@@ -143,7 +150,7 @@
             items.append((name.lower(), value.strip(" \t")))
         return Headers(items)
 
-    def _frame(self, headers: Headers, minor: int, request: bool) -> None:
+    def _set_framing(self, headers: Headers, minor: int, request: bool) -> None:
         """How the body ends (RFC 9112, section 6.3)."""
         lengths, codings = headers.all("content-length"), headers.all("transfer-encoding")
         if codings and (lengths or minor == 0):
@@ -152,91 +159,95 @@
         if codings:
             if len(codings) > 1 or codings[0].lower() != "chunked":
                 raise HttpError(501, "only the chunked transfer encoding is known")
-            self._body = _Body.CHUNK_SIZE
+            self._body_state = _BodyState.CHUNK_SIZE
             return
         if len(lengths) > 1:
             raise HttpError(400, "more than one Content-Length")
         if lengths:
             if not _LENGTH.fullmatch(lengths[0]):
                 raise HttpError(400, "malformed Content-Length")
-            self._left = int(lengths[0])
-            if self._left > self.limits.body:
-                raise HttpError(413, f"body of {self._left} bytes, {self.limits.body} at most")
-            self._body = _Body.LENGTH if self._left else _Body.NONE
+            self._remaining_bytes = int(lengths[0])
+            if self._remaining_bytes > self.limits.body_bytes:
+                raise HttpError(
+                    413, f"body of {self._remaining_bytes} bytes, {self.limits.body_bytes} at most"
+                )
+            self._body_state = _BodyState.LENGTH if self._remaining_bytes else _BodyState.NONE
         else:
-            self._body = _Body.NONE if request else _Body.UNTIL_CLOSE
+            self._body_state = _BodyState.NONE if request else _BodyState.UNTIL_CLOSE
 
     # ---- bodies
 
     def body(self) -> bytes | None:
         """The whole body of the head taken last, None while bytes are missing."""
-        if self._body is _Body.NONE:
+        if self._body_state is _BodyState.NONE:
             return b""
-        if self._body is _Body.LENGTH:
-            if len(self._buffer) < self._left:
+        if self._body_state is _BodyState.LENGTH:
+            if len(self._buffer) < self._remaining_bytes:
                 return None
-            content = bytes(self._buffer[: self._left])
-            del self._buffer[: self._left]
-            self._body = _Body.NONE
+            content = bytes(self._buffer[: self._remaining_bytes])
+            del self._buffer[: self._remaining_bytes]
+            self._body_state = _BodyState.NONE
             return content
-        if self._body is _Body.UNTIL_CLOSE:
-            if len(self._buffer) > self.limits.body:
-                raise HttpError(413, f"body over {self.limits.body} bytes")
+        if self._body_state is _BodyState.UNTIL_CLOSE:
+            if len(self._buffer) > self.limits.body_bytes:
+                raise HttpError(413, f"body over {self.limits.body_bytes} bytes")
             if not self._ended:
                 return None
             content = bytes(self._buffer)
             self._buffer.clear()
-            self._body = _Body.NONE
+            self._body_state = _BodyState.NONE
             return content
-        return self._chunked()
+        return self._read_chunked()
 
-    def _chunked(self) -> bytes | None:
-        while self._body is not _Body.NONE:
-            if self._body is _Body.CHUNK_DATA:
-                taken = self._buffer[: self._left]
-                self._content += taken
-                del self._buffer[: len(taken)]
-                self._left -= len(taken)
-                if self._left:
+    def _read_chunked(self) -> bytes | None:
+        while self._body_state is not _BodyState.NONE:
+            if self._body_state is _BodyState.CHUNK_DATA:
+                chunk = self._buffer[: self._remaining_bytes]
+                self._content += chunk
+                del self._buffer[: len(chunk)]
+                self._remaining_bytes -= len(chunk)
+                if self._remaining_bytes:
                     return None
-                self._body = _Body.CHUNK_END
+                self._body_state = _BodyState.CHUNK_END
                 continue
-            limit = self.limits.line if self._body is _Body.TRAILERS else CHUNK_LINE
-            line = self._line(limit)
+            limit = (
+                self.limits.line_bytes if self._body_state is _BodyState.TRAILERS else MAX_CHUNK_LINE_BYTES
+            )
+            line = self._take_line(limit)
             if line is None:
                 return None
-            if self._body is _Body.CHUNK_END:
+            if self._body_state is _BodyState.CHUNK_END:
                 if line:
                     raise HttpError(400, "a chunk is longer than its size")
-                self._body = _Body.CHUNK_SIZE
-            elif self._body is _Body.CHUNK_SIZE:
-                match = _CHUNK.fullmatch(line)
+                self._body_state = _BodyState.CHUNK_SIZE
+            elif self._body_state is _BodyState.CHUNK_SIZE:
+                match = _CHUNK_SIZE_LINE.fullmatch(line)
                 if match is None:
                     raise HttpError(400, "malformed chunk size")
-                self._left = int(match[1], 16)
-                if len(self._content) + self._left > self.limits.body:
-                    raise HttpError(413, f"body over {self.limits.body} bytes")
-                self._body = _Body.CHUNK_DATA if self._left else _Body.TRAILERS
-                self._trailers = 0
+                self._remaining_bytes = int(match[1], 16)
+                if len(self._content) + self._remaining_bytes > self.limits.body_bytes:
+                    raise HttpError(413, f"body over {self.limits.body_bytes} bytes")
+                self._body_state = _BodyState.CHUNK_DATA if self._remaining_bytes else _BodyState.TRAILERS
+                self._trailer_count = 0
             elif line:
-                self._trailers += 1
-                if self._trailers > self.limits.fields:
+                self._trailer_count += 1
+                if self._trailer_count > self.limits.header_fields:
                     raise HttpError(431, "too many trailer fields")
-                names = [name for name, _ in self._fields(line).items]
+                names = [name for name, _ in self._parse_fields(line).items]
                 if names[0] in ("content-length", "transfer-encoding", "host"):
                     raise HttpError(400, f"{names[0]} among the trailers")
             else:
-                self._body = _Body.NONE
+                self._body_state = _BodyState.NONE
         content = bytes(self._content)
         self._content = bytearray()
         return content
 
-    _trailers = 0
+    _trailer_count = 0
 
-    def _line(self, limit: int) -> bytes | None:
+    def _take_line(self, limit: int) -> bytes | None:
         end = self._buffer.find(b"\r\n")
         part = self._buffer[: end + 2] if end >= 0 else self._buffer[: limit + 2]
-        if _has_bad_ending(part):
+        if _has_bare_line_ending(part):
             raise HttpError(400, "bare CR, bare LF or NUL in the chunked body")
         if end > limit or (end < 0 and len(self._buffer) > limit + 1):
             raise HttpError(400, f"chunk line over {limit} bytes")
@@ -247,12 +258,12 @@
         return line
 
 
-def _keeps(headers: Headers, minor: int) -> bool:
+def _keeps_alive(headers: Headers, minor: int) -> bool:
     words = {word.strip().lower() for value in headers.all("connection") for word in value.split(",")}
     return "close" not in words and (minor == 1 or "keep-alive" in words)
 
 
-def _has_bad_ending(part: bytes | bytearray) -> bool:
+def _has_bare_line_ending(part: bytes | bytearray) -> bool:
     """Whether a NUL, a bare CR or a bare LF is in it; a CR at its end may yet be followed by its LF."""
     pairs = part.count(b"\r\n")
     returns = part.count(b"\r") - part.endswith(b"\r")
--- a/saffronstack/http1/sockets.py
+++ b/saffronstack/http1/sockets.py
@@ -16,22 +16,22 @@
 def read_until(
     stream: Stream,
     reader: MessageReader,
-    take: Callable[[], T | None],
+    take_message: Callable[[], T | None],
     deadline_s: float,
     clock: Callable[[], float],
 ) -> T:
-    """What ``take`` yields once enough bytes have come.
+    """What ``take_message`` yields once enough bytes have come.
 
     TimeoutError past ``deadline_s`` (clock time, seconds) however slowly bytes trickle in; PeerClosed
     where the peer ends first; HttpError from the reader.
     """
     while True:
-        taken = take()
-        if taken is not None:
-            return taken
+        message = take_message()
+        if message is not None:
+            return message
         if reader.ended:
             raise PeerClosed("the peer closed the connection")
-        left = deadline_s - clock()
-        if left <= 0:
+        remaining_s = deadline_s - clock()
+        if remaining_s <= 0:
             raise TimeoutError("the message did not come in time")
-        reader.feed(stream.receive(left))
+        reader.feed(stream.receive(remaining_s))
--- a/saffronstack/http1/writer.py
+++ b/saffronstack/http1/writer.py
@@ -5,8 +5,8 @@
 import re
 from collections.abc import Iterable
 
-_SAFE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
-REASONS = {
+_FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     204: "No Content",
@@ -25,10 +25,10 @@
 }
 
 
-def _fields(headers: Iterable[tuple[str, str]]) -> str:
+def _format_fields(headers: Iterable[tuple[str, str]]) -> str:
     lines = []
     for name, value in headers:
-        if not _SAFE.fullmatch(value):
+        if not _FIELD_VALUE.fullmatch(value):
             raise ValueError(f"header {name} holds a character that can't be sent")
         lines.append(f"{name}: {value}\r\n")
     return "".join(lines)
@@ -38,16 +38,16 @@
     status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", close: bool = False
 ) -> bytes:
     """A whole response; 204 carries neither body nor length (RFC 9110, section 8.6)."""
-    fields = _fields(headers)
+    fields = _format_fields(headers)
     length = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
-    ending = "Connection: close\r\n" if close else ""
-    head = f"HTTP/1.1 {status} {REASONS.get(status, '')}\r\n{fields}{length}{ending}\r\n"
+    connection = "Connection: close\r\n" if close else ""
+    head = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}\r\n{fields}{length}{connection}\r\n"
     return head.encode("latin-1") + body
 
 
 def request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
     """A whole request; the caller names Host."""
-    fields = _fields(headers)
+    fields = _format_fields(headers)
     return (
         f"{method} {target} HTTP/1.1\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode("latin-1") + body
     )
--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from saffronstack.config.build import Functions, Known
+from saffronstack.config.build import ConfiguredFunction, Functions
 from saffronstack.config.schema import Config
 from saffronstack.daemon.process_group import FORWARDED_HEADER, ProcessGroup
 from saffronstack.deferred.deferred_calls import DeferredCalls
@@ -245,7 +245,7 @@
         note(call_class, ending_of(answer), self._clock() - began_s)
         return answer
 
-    def _known(self, target: names.Target) -> Known:
+    def _known(self, target: names.Target) -> ConfiguredFunction:
         known = self._functions.get(target.name)
         if known is None or target.qualifier not in (LATEST, *known.config.qualifiers):
             qualifier = "" if target.qualifier == LATEST else target.qualifier
@@ -317,7 +317,7 @@
         if self._operations is None:
             raise InvokeError(404, "ResourceNotFoundException", "This gateway remembers no operations.")
         function, qualifier = query.get("function", ""), query.get("qualifier", LATEST)
-        functions = [function] if function else self._functions.exact()
+        functions = [function] if function else self._functions.exact_names()
         asked = StatusQuery(tenant, token, functions, qualifier)
         found = find_operations(self._operations, asked, self._clock())
         if not found:
--- a/saffronstack/invoke/calling.py
+++ b/saffronstack/invoke/calling.py
@@ -110,6 +110,6 @@
 
     A call with a deduplication key may have run; the repeat of one that names no operation has another key.
     """
-    if invocation.token or invocation.known.effect is not Idempotency.WITH_KEY:
+    if invocation.token or invocation.known.idempotency is not Idempotency.WITH_KEY:
         return False
     return final.status is FinalStatus.REJECTED and final.prior_attempt is not None
--- a/saffronstack/invoke/deferred_submission.py
+++ b/saffronstack/invoke/deferred_submission.py
@@ -119,7 +119,7 @@
         except LedgerFullError as error:
             raise errors.too_many(str(error), error.retry_after_s) from error
         except CommitError as error:
-            if error.may_be_stored and invocation.known.effect is not Idempotency.IDEMPOTENT:
+            if error.may_be_stored and invocation.known.idempotency is not Idempotency.IDEMPOTENT:
                 raise OutcomeUnknownError(request_id) from error
             text = f"Deferred calls can't be written down now: {error}"
             raise errors.too_many(text, error.retry_after_s) from error
--- a/saffronstack/invoke/invocation.py
+++ b/saffronstack/invoke/invocation.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saffronstack.config.build import Known
+from saffronstack.config.build import ConfiguredFunction
 from saffronstack.operations.idempotency_keys import OperationIdentity
 
 IsClientConnected = Callable[[], bool]  # whether the client still waits; called on its connection's thread
@@ -30,7 +30,7 @@
 
     request_id: str
     tenant: str
-    known: Known
+    known: ConfiguredFunction
     qualifier: str
     payload: bytes
     context: str
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -77,18 +77,18 @@
     engine: Engine
     app: App
     server: Server
-    members: ProcessGroup
+    process_group: ProcessGroup
     ledger: Ledger | None
     deferred: DeferredCalls | None
     meter: Meter | None
-    limits: BudgetEnforcer | None
+    budgets: BudgetEnforcer | None
     operations: OperationService | None
-    slots: SlotManager | None
-    roster: FileDiscovery | None
-    draining: bool
+    slot_manager: SlotManager | None
+    file_discovery: FileDiscovery | None
+    is_draining: bool
 
     @property
-    def fleet(self) -> Connections:
+    def dispatcher(self) -> Connections:
         """The workers' side."""
         ...
 
@@ -118,7 +118,7 @@
         counts = gateway.engine.statistics
         yield _labelled("calls_ended", "Calls by how they ended", "ending", counts.final_answers)
         yield _labelled("attempts_ended", "Attempts by result", "result", counts.attempt_results)
-        yield from _worker_metrics(gateway.fleet.traffic())
+        yield from _worker_metrics(gateway.dispatcher.traffic())
         for figure in _counters(gateway):
             yield CounterMetricFamily(PREFIX + figure.name, figure.help, value=figure.value)
         if gateway.deferred is not None:
@@ -162,18 +162,18 @@
     if gateway.deferred is not None:
         yield Figure("deferred_taken", "Deferred calls taken", gateway.deferred.accepted_count)
     if gateway.meter is not None:
-        yield from _usage_counters(gateway.meter, gateway.limits)
+        yield from _usage_counters(gateway.meter, gateway.budgets)
     if gateway.operations is not None:
         help_ = "Ended operations that memory had no room for until their window ended"
         yield Figure("operations_dropped_early", help_, gateway.operations.table.evicted_early)
 
 
 def _gauges(gateway: Parts) -> Iterator[Figure]:
-    traffic = gateway.fleet.traffic()
+    traffic = gateway.dispatcher.traffic()
     yield Figure("open_calls", "Calls open in the engine", gateway.engine.open_calls)
     yield Figure("queued_events", "Events waiting for the decision thread", gateway.engine.queued_events)
     yield Figure("client_connections", "Client connections open", gateway.server.connections)
-    yield Figure("worker_connections", "Worker connections at most", gateway.fleet.connection_count)
+    yield Figure("worker_connections", "Worker connections at most", gateway.dispatcher.connection_count)
     yield Figure("worker_spread", "Open attempts of the busiest worker over its share", busiest(traffic))
     if gateway.deferred is not None and gateway.ledger is not None:
         ledger = gateway.ledger
@@ -184,10 +184,12 @@
         yield from _usage_gauges(gateway.meter)
     if gateway.operations is not None:
         yield from _operation_gauges(gateway.operations)
-    if gateway.slots is not None:
-        yield Figure("operation_slots", "Slots whose operations this process runs", gateway.slots.held_count)
-    if gateway.roster is not None:
-        yield from _roster_gauges(gateway.roster)
+    if gateway.slot_manager is not None:
+        yield Figure(
+            "operation_slots", "Slots whose operations this process runs", gateway.slot_manager.held_count
+        )
+    if gateway.file_discovery is not None:
+        yield from _roster_gauges(gateway.file_discovery)
 
 
 def _usage_gauges(meter: Meter) -> Iterator[Figure]:
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -33,7 +33,7 @@
 
     def health(self) -> Response:
         """200 while calls are taken."""
-        draining = self._gateway.draining
+        draining = self._gateway.is_draining
         return Response(503 if draining else 200, TEXT, b"draining\n" if draining else b"ok\n")
 
     def status(self) -> Response:
@@ -43,9 +43,9 @@
         content: dict[str, object] = {
             "pid": os.getpid(),
             "release": os.environ.get(MARK_VARIABLE, "").rpartition("/")[2],
-            "process": gateway.members.index,
-            "processes": gateway.members.count,
-            "draining": gateway.draining,
+            "process": gateway.process_group.index,
+            "processes": gateway.process_group.count,
+            "draining": gateway.is_draining,
             "open_calls": gateway.engine.open_calls,
             "calls": counts.calls,
             "sends": counts.attempts,
@@ -55,8 +55,8 @@
             "endings": counts.final_answers,
             "attempts": counts.attempt_results,
             "client_connections": gateway.server.connections,
-            "worker_connections": gateway.fleet.connection_count,
-            "workers": gateway.fleet.worker_count,
+            "worker_connections": gateway.dispatcher.connection_count,
+            "workers": gateway.dispatcher.worker_count,
             "classes": gateway.app.figures.counts(),
             "times": gateway.app.figures.encoded(),
         }
@@ -71,8 +71,8 @@
         if gateway.operations is not None and gateway.operations.operation_log is not None:
             notes = gateway.operations.operation_log
             content["notes"] = {"failing": notes.write_error, "stalled_s": round(notes.stalled_s, 3)}
-        if gateway.roster is not None:
-            content["roster"] = gateway.roster.status()
+        if gateway.file_discovery is not None:
+            content["roster"] = gateway.file_discovery.status()
         if gateway.meter is not None:
             account = gateway.meter.journal.state
             content["usage"] = {
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -13,7 +13,7 @@
 import structlog
 
 from saffronstack.http1 import writer
-from saffronstack.http1.messages import HttpError, Limits, RequestHead
+from saffronstack.http1.messages import HttpError, MessageLimits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until, stop_handshakes
 from saffronstack.invoke import errors
@@ -36,7 +36,13 @@
     """Bounds of the front; times in seconds."""
 
     def __init__(
-        self, messages: Limits, connections: int, head_s: float, body_s: float, write_s: float, idle_s: float
+        self,
+        messages: MessageLimits,
+        connections: int,
+        head_s: float,
+        body_s: float,
+        write_s: float,
+        idle_s: float,
     ) -> None:
         self.messages = messages
         self.connections = connections
--- a/saffronstack/net/stream.py
+++ b/saffronstack/net/stream.py
@@ -114,7 +114,7 @@
         except OSError:  # the connection failed
             return False
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether it is open and nothing unread has come; neither waits nor takes bytes."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -260,7 +260,7 @@
                     with contextlib.suppress(OSError):  # another wake-up was read with this one
                         os.eventfd_read(self._wake_fd)
                 elif fd in watched and self._flush(watched[fd]):
-                    self._forget(poll, watched, fd)
+                    self._unwatch(poll, watched, fd)
             self._add_new(poll, watched)
             # Not on each wake-up: many peers that take nothing would slow down writing to all others.
             now_s = self._clock()
@@ -287,10 +287,10 @@
         """Break buffers whose peers take nothing, and forget those that are closed or broken."""
         for fd, buffer in list(watched.items()):
             if buffer.fileno() != fd or buffer.break_if_stalled():
-                self._forget(poll, watched, fd)
+                self._unwatch(poll, watched, fd)
 
     @staticmethod
-    def _forget(poll: select.epoll, watched: dict[int, WriteBuffer], fd: int) -> None:
+    def _unwatch(poll: select.epoll, watched: dict[int, WriteBuffer], fd: int) -> None:
         del watched[fd]
         with contextlib.suppress(OSError, ValueError):  # closed: the system has forgotten it already
             poll.unregister(fd)
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from saffronstack.http1 import writer
-from saffronstack.http1.messages import HttpError, Limits, RequestHead
+from saffronstack.http1.messages import HttpError, MessageLimits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 from saffronstack.metering.worker_messages import CallReference, UsageRequest
@@ -169,7 +169,7 @@
 
     def _serve(self, sock: socket.socket, model: Model, incarnation: str) -> None:
         stream = Stream(sock)
-        reader = MessageReader(Limits(body=16 * 1024 * 1024))
+        reader = MessageReader(MessageLimits(body_bytes=16 * 1024 * 1024))
         try:
             late_s = self.faults.handshake_s
             if late_s:
--- a/saffronstack/upstream/http/connection.py
+++ b/saffronstack/upstream/http/connection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from types import TracebackType
 
-from saffronstack.http1.messages import Limits, ResponseHead
+from saffronstack.http1.messages import MessageLimits, ResponseHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import Stream, read_until
 from saffronstack.upstream.errors import ConnectTimeoutError
@@ -15,14 +15,14 @@
 class HttpConnection:
     """An open connection, used by one thread at a time; `abort` may be called from any."""
 
-    def __init__(self, sock: socket.socket, limits: Limits) -> None:
+    def __init__(self, sock: socket.socket, limits: MessageLimits) -> None:
         self._stream = Stream(sock)
         self._reader = MessageReader(limits)
         self.keep_alive = True  # whether it may carry another request
 
     def is_reusable(self) -> bool:
         """Return whether it is still open and has received nothing that belongs to no request."""
-        return not self._reader.pending and self._stream.is_quiet()
+        return not self._reader.pending and self._stream.is_idle()
 
     def send(self, data: bytes, deadline_s: float, clock: Callable[[], float]) -> bool:
         """Send a request; a connection that did not take all of it is not kept alive.
@@ -68,7 +68,11 @@
     """Holds at most one connection for one thread, and closes it when the thread leaves the context."""
 
     def __init__(
-        self, address: tuple[str, int], connect_timeout_s: float, limits: Limits, clock: Callable[[], float]
+        self,
+        address: tuple[str, int],
+        connect_timeout_s: float,
+        limits: MessageLimits,
+        clock: Callable[[], float],
     ) -> None:
         self._address = address
         self._connect_timeout_s = connect_timeout_s
--- a/saffronstack/upstream/http/worker_context.py
+++ b/saffronstack/upstream/http/worker_context.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from saffronstack.engine.worker_registry import WorkerSpec
-from saffronstack.http1.messages import Limits
+from saffronstack.http1.messages import MessageLimits
 from saffronstack.upstream.events import EventSink
 from saffronstack.upstream.http.connection import ConnectionSlot
 from saffronstack.upstream.http.usage_observer import UsageObserver
@@ -28,7 +28,7 @@
     connect_timeout_s: float = 1.0
     idle_timeout_s: float = 20.0
     command_timeout_s: float = 10.0
-    messages: Limits = field(default_factory=Limits)
+    messages: MessageLimits = field(default_factory=MessageLimits)
 
 
 @dataclass(eq=False, slots=True)
--- a/tests/discovery/files/test_gateway_rewrites.py
+++ b/tests/discovery/files/test_gateway_rewrites.py
@@ -138,7 +138,7 @@
         threads = [threading.Thread(target=calls) for _ in range(3)] + [threading.Thread(target=watch_drains)]
         for thread in threads:
             thread.start()
-        roster = stack.gateway.roster
+        roster = stack.gateway.file_discovery
         assert roster is not None
         for n in range(5000):
             rewriter.rewrite()
--- a/tests/durable/test_stalled_disk.py
+++ b/tests/durable/test_stalled_disk.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from saffronstack.client import Answer, Client
+from saffronstack.client import Client, Response
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -32,7 +32,7 @@
     """One deferred sale, as its client saw it."""
 
     op: str
-    answer: Answer
+    answer: Response
     elapsed_s: float
 
 
--- a/tests/fleet/leases/test_commands.py
+++ b/tests/fleet/leases/test_commands.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from saffronstack.config.fleet import load_fleet
+from saffronstack.config.fleet import load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.worker import hold_port
@@ -142,7 +142,7 @@
     entries = [{"name": name, "address": f"127.0.0.1:{9000 + n}"} for n, name in enumerate(NAMES)]
     path.write_text(json.dumps({"fleet": "f", "keepers": entries, **changes}))
     with pytest.raises(ConfigError) as raised:
-        load_fleet(str(path))
+        load_fleet_file(str(path))
     assert told in str(raised.value)
     assert str(path) in str(raised.value)
     if "kepers" not in changes:
--- a/tests/fleet/leases/test_lease_server.py
+++ b/tests/fleet/leases/test_lease_server.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from saffronstack.client import Answer, Client
+from saffronstack.client import Client, Response
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.codec import Envelope
 from saffronstack.fleet.leases.disk import COPIES
@@ -131,7 +131,7 @@
     with lease_servers(tmp_path) as fleet:
         client = Client(fleet.addresses["k0"], 2 * MAX_POLL_S)
         poll = codec.encode(Envelope("f", "p9", poll_s=MAX_POLL_S))
-        answers: list[Answer] = []
+        answers: list[Response] = []
         poller = start_thread(
             "poll", lambda: answers.append(client.request("POST", "/lease/messages", poll))
         )  # fmt: skip
--- a/tests/metering/test_budgets.py
+++ b/tests/metering/test_budgets.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from saffronstack import config as configs
-from saffronstack.config.build import OVER_BUDGET, settings_of
+from saffronstack.config.build import OVER_BUDGET_TENANT, build_settings
 from saffronstack.metering.budgets import Budget, BudgetEnforcer, BudgetStatus
 from saffronstack.metering.sliding_windows import PARTS_PER_WINDOW, SlidingWindows
 from saffronstack.standin.model import Profile
@@ -105,8 +105,8 @@
     content = good()
     content["metering"] = {"directory": "usage"}
     content["tenants"][0]["budget"] = {"window_s": 60, "soft_mb_s": 1, "hard_mb_s": 2}
-    found = settings_of(configs.parse(json.dumps(content)))
-    assert [tenant.name for tenant in found.tenants] == ["corner-books", "campus-app", OVER_BUDGET]
+    found = build_settings(configs.parse(json.dumps(content)))
+    assert [tenant.name for tenant in found.tenants] == ["corner-books", "campus-app", OVER_BUDGET_TENANT]
     assert found.tenants[2].quota_rps == 0 < found.tenants[0].quota_rps
 
 
@@ -139,10 +139,10 @@
     with running(1, profile=Profile(work_s=0.1, load_s=0.02), tenants=tenants, metering=metering) as stack:
         client = stack.client(tenant="corner-books")
         gateway = stack.gateway
-        assert gateway.limits is not None
+        assert gateway.budgets is not None
         for _ in range(60):  # 512 MB for 0.1 s each
             assert client.invoke("identify-copy", b"{}").status == 200
-            if gateway.limits.evaluate("corner-books", time.monotonic()).status is HARD:
+            if gateway.budgets.evaluate("corner-books", time.monotonic()).status is HARD:
                 break
         refused = client.invoke("suggest-price", b"{}")  # not loaded: it would need a load
         assert refused.status == 429
--- a/tests/metering/test_usage_faults.py
+++ b/tests/metering/test_usage_faults.py
@@ -398,7 +398,7 @@
         client = stack.client(tenant="corner-books")
         for _ in range(6):
             assert client.invoke("identify-copy", b"{}").status == 200
-        limits = stack.gateway.limits
+        limits = stack.gateway.budgets
         assert limits is not None
         eventually(lambda: limits.evaluate("corner-books", time.monotonic()).retry_after_s)
         client.close()
--- a/tests/operations/test_deduplication.py
+++ b/tests/operations/test_deduplication.py
@@ -19,7 +19,7 @@
 from botocore.config import Config as BotoConfig
 
 from saffronstack import config as configs
-from saffronstack.client import Answer
+from saffronstack.client import Response
 from saffronstack.gateway import Gateway
 from saffronstack.harness.scenario.relay import Relay, seldom
 from saffronstack.operations.operation_log import OperationFinished, open_operation_log
@@ -74,7 +74,7 @@
 
 def test_concurrent_requests_of_one_operation_get_one_response(tmp_path: pathlib.Path) -> None:
     with logging_gateway(tmp_path, Profile(work_s=0.1, load_s=0.02)) as stack:
-        found: list[Answer] = []
+        found: list[Response] = []
         gate = threading.Barrier(6)
 
         def one() -> None:
@@ -113,7 +113,7 @@
     with logging_gateway(tmp_path) as stack:
         workers = stack.content["workers"]
         nobody = {**stack.content, "workers": [{**w, "state": "draining"} for w in workers]}
-        stack.gateway.reread(configs.parse(json.dumps(nobody)))
+        stack.gateway.reload(configs.parse(json.dumps(nobody)))
         sock = stack.raw()
         sock.sendall(
             b"POST /2015-03-31/functions/record-sale/invocations HTTP/1.1\r\nHost: a\r\n"
@@ -122,7 +122,7 @@
         eventually(lambda: stack.gateway.operations and stack.gateway.operations.request_counts["begun"])
         sock.close()
         eventually(lambda: len(stack.gateway.operations.table) == 0 if stack.gateway.operations else False)
-        stack.gateway.reread(configs.parse(json.dumps(stack.content)))
+        stack.gateway.reload(configs.parse(json.dumps(stack.content)))
         eventually(lambda: send(stack, "record-sale", "early").status == 200)
         assert stack.runs("record-sale") == 1
 
@@ -233,14 +233,14 @@
 def test_a_call_without_a_key_that_may_have_executed_is_not_rejected() -> None:
     """Its worker executes it and stops, and no other is in its deduplication scope: a 429 would be wrong."""
     with running(1, profile=Profile(work_s=0.3, load_s=0.02)) as stack:
-        found: list[Answer] = []
+        found: list[Response] = []
         thread = threading.Thread(target=lambda: found.append(stack.call("adjust-setting")))
         thread.start()
         eventually(lambda: stack.runs("adjust-setting") == 1)
         stack.fleet.workers[0].stop()
         thread.join(10)
         assert (found[0].status, UNKNOWN in found[0].body) == (200, True)
-        named: list[Answer] = []
+        named: list[Response] = []
         stack.fleet.workers[0].start()
         eventually(lambda: stack.call("identify-copy").status == 200)
         thread = threading.Thread(target=lambda: named.append(send(stack, "adjust-setting", "op")))
--- a/tests/operations/test_slot_processes.py
+++ b/tests/operations/test_slot_processes.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from saffronstack.client import Answer
+from saffronstack.client import Response
 from saffronstack.operations.idempotency_keys import OperationIdentity
 from saffronstack.operations.live_members import LiveMembers
 from saffronstack.operations.slot_assignment import SLOT_COUNT, assigned_member, slot_for
@@ -129,10 +129,10 @@
     with processes(tmp_path, Profile(work_s=0.2, load_s=0.02)) as gateway:
         for kind in ("RequestResponse", "Event"):
             token = gateway.key_of(1, COUNT, kind=kind)
-            found: list[Answer] = []
+            found: list[Response] = []
             gate = threading.Barrier(COUNT)
 
-            def one(index: int, into: list[Answer], gate: threading.Barrier, kind: str, token: str) -> None:
+            def one(index: int, into: list[Response], gate: threading.Barrier, kind: str, token: str) -> None:
                 gate.wait(5)
                 into.append(send(gateway.peer(index), "record-sale", token, kind=kind))
 
@@ -154,7 +154,7 @@
 def test_the_slot_holder_crashes_during_an_execution(tmp_path: pathlib.Path) -> None:
     with processes(tmp_path, Profile(work_s=0.4, load_s=0.02)) as gateway:
         token = gateway.key_of(2, COUNT)
-        found: list[Answer] = []
+        found: list[Response] = []
         sender = threading.Thread(target=lambda: found.append(send(gateway.peer(0), "record-sale", token)))
         sender.start()
         eventually(lambda: gateway.stack.runs("record-sale") == 1)
@@ -175,7 +175,7 @@
         gateway.settled(COUNT)
 
 
-def _status(gateway: Processes, index: int, token: str, into: list[Answer]) -> int:
+def _status(gateway: Processes, index: int, token: str, into: list[Response]) -> int:
     answer = send(gateway.peer(index), "record-sale", token, kind="Event")
     if answer.status == 202:
         into.append(answer)
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -15,7 +15,7 @@
 from saffronstack.cli.main import main
 from saffronstack.config import fleet as fleet_files
 from saffronstack.config import schema
-from saffronstack.config.build import settings_of, workers_of
+from saffronstack.config.build import build_configured_workers, build_settings
 from saffronstack.discovery.files import parsing
 from saffronstack.engine.decision_record_format import event_from_tagged
 from saffronstack.engine.decision_recorder import DecisionRecorder
@@ -62,12 +62,12 @@
 def test_a_gateways_configuration_means_the_same_settings(tmp_path: pathlib.Path) -> None:
     config = configs.parse(json.dumps(settings_samples.GATEWAY))
     expected = msgspec.msgpack.decode(record_values(CONFIGURATION / "gateway.record")[0])
-    assert head_of(settings_of(config), tmp_path / "gateway.record") == expected
+    assert head_of(build_settings(config), tmp_path / "gateway.record") == expected
 
 
 def test_a_gateways_configuration_means_the_same_workers() -> None:
     config = configs.parse(json.dumps(settings_samples.GATEWAY))
-    specs = [list(dataclasses.astuple(spec)) for spec in workers_of(config)]
+    specs = [list(dataclasses.astuple(spec)) for spec in build_configured_workers(config)]
     assert specs == kept("workers.json")
 
 
--- a/tests/stored_formats/test_gateway_page_formats.py
+++ b/tests/stored_formats/test_gateway_page_formats.py
@@ -32,7 +32,7 @@
     fleet = StandInFleet(2, lambda number: Profile(load_s=0.01, work_s=0.005))
     content = complete_configuration(configuration(fleet, folder / "ledger"), folder, fleet.entries())
     members = ProcessGroup(0, 2, str(folder), time.monotonic)
-    running = Gateway(configs.parse(json.dumps(content)), members=members)
+    running = Gateway(configs.parse(json.dumps(content)), process_group=members)
     running.start()
     yield running
     running.stop()
@@ -63,8 +63,8 @@
 
 def exchanged(gateway: Gateway, request: bytes) -> bytes:
     """Send a request to where the other processes ask this one, and return the response's beginning."""
-    assert gateway.peers is not None
-    with socket.create_connection(gateway.peers.address, timeout=AMPLE_S) as sock:
+    assert gateway.peer_server is not None
+    with socket.create_connection(gateway.peer_server.address, timeout=AMPLE_S) as sock:
         sock.sendall(request)
         return sock.recv(65536)
 
@@ -87,7 +87,7 @@
 
 
 def test_peers_find_the_published_address(gateway: Gateway) -> None:
-    assert gateway.peers is not None
-    directory = pathlib.Path(gateway.members.directory)
-    host, port = gateway.peers.address
+    assert gateway.peer_server is not None
+    directory = pathlib.Path(gateway.process_group.directory)
+    host, port = gateway.peer_server.address
     assert (directory / "peer").read_text() == f"{host}:{port}"
--- a/tests/stored_formats/test_worker_message_formats.py
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -9,7 +9,7 @@
 import pytest
 
 from saffronstack.engine.calls import Call, FunctionSpec
-from saffronstack.http1.messages import Limits
+from saffronstack.http1.messages import MessageLimits
 from saffronstack.http1.reader import MessageReader
 from saffronstack.upstream.http import protocol
 from saffronstack.upstream.http.protocol import AttemptResponse
@@ -54,7 +54,7 @@
 
 
 def judged(answer: str) -> AttemptResponse:
-    parser = MessageReader(Limits())
+    parser = MessageReader(MessageLimits())
     parser.feed(answer.encode())
     head = parser.response()
     assert head is not None
--- a/tests/support/operations.py
+++ b/tests/support/operations.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from saffronstack import config as configs
-from saffronstack.client import Answer
+from saffronstack.client import Response
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.gateway import Gateway
 from saffronstack.standin.fleet import StandInFleet
@@ -56,7 +56,7 @@
     payload: bytes = b"{}",
     kind: str = "RequestResponse",
     **more: str,
-) -> Answer:
+) -> Response:
     """Send one request of an operation as an AWS SDK does, which names it ``key``."""
     client = stack.client(tenant=more.pop("tenant", ""))
     try:
--- a/tests/support/stack.py
+++ b/tests/support/stack.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from saffronstack import config as configs
-from saffronstack.client import Answer, Client
+from saffronstack.client import Client, Response
 from saffronstack.gateway import Gateway
 from saffronstack.standin.fleet import StandInFleet, sample
 from saffronstack.standin.model import Profile
@@ -35,7 +35,7 @@
         """A client of the gateway."""
         return Client(self.address, timeout_s, **more)
 
-    def call(self, function: str, payload: bytes = b"{}", kind: str = "RequestResponse") -> Answer:
+    def call(self, function: str, payload: bytes = b"{}", kind: str = "RequestResponse") -> Response:
         """One call on a connection of its own."""
         client = self.client()
         try:
@@ -43,7 +43,7 @@
         finally:
             client.close()
 
-    def get(self, path: str) -> Answer:
+    def get(self, path: str) -> Response:
         """One GET."""
         client = self.client()
         try:
@@ -58,7 +58,7 @@
     def final(self, request_id: str, timeout_s: float = 30.0) -> dict[str, Any]:
         """The final record of a deferred call."""
 
-        def ready() -> Answer | None:
+        def ready() -> Response | None:
             answer = self.get(f"/deferred/{request_id}")
             return answer if answer.status != 202 else None
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 
 from saffronstack import config as configs
 from saffronstack.cli.main import main
-from saffronstack.config.build import Functions, settings_of, workers_of
+from saffronstack.config.build import Functions, build_configured_workers, build_settings
 from saffronstack.standin.fleet import sample
 
 
@@ -125,7 +125,7 @@
     content["functions"].append({"name": "scan-*", "class": "lookup", "memory_mb": 64})
     content["workers"][1] |= {"state": "draining", "zone": "zone-b", "started_at": 5}
     config = configs.parse(json.dumps(content))
-    settings = settings_of(config)
+    settings = build_settings(config)
     assert [cls.idempotency.value for cls in settings.classes] == ["safe", "keyed", "unsafe"]
     functions = Functions(config)
     known, same = functions.get("scan-12"), functions.get("scan-12")
@@ -133,7 +133,7 @@
     assert known is not None
     assert (known.spec.name, known.spec.memory_mb) == ("scan-12", 64)
     assert functions.get("other") is None
-    first, second = workers_of(config)
+    first, second = build_configured_workers(config)
     assert (first.is_draining, second.is_draining, second.started_at) == (False, True, 5)
     assert first.zone != second.zone
 
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from saffronstack.config.fleet import load_fleet
+from saffronstack.config.fleet import load_fleet_file
 from saffronstack.config.load import ConfigError
 
 
@@ -44,9 +44,12 @@
     tmp_path: pathlib.Path, daemons: list[dict[str, Any]], reason: str
 ) -> None:
     with pytest.raises(ConfigError, match=reason):
-        load_fleet(write_fleet_file(tmp_path, *daemons))
+        load_fleet_file(write_fleet_file(tmp_path, *daemons))
 
 
 def test_a_fleet_file_names_each_gateway_s_daemon(tmp_path: pathlib.Path) -> None:
     two = daemon_entry("d2", "10.0.0.2:9201", "g2", "10.0.0.2:9000")
-    assert load_fleet(write_fleet_file(tmp_path, daemon_entry(), two)).daemon_of() == {"g1": "d1", "g2": "d2"}
+    assert load_fleet_file(write_fleet_file(tmp_path, daemon_entry(), two)).daemons_by_gateway() == {
+        "g1": "d1",
+        "g2": "d2",
+    }
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -106,7 +106,7 @@
 
 def test_an_empty_list_of_workers_refuses() -> None:
     with running(1) as stack:
-        stack.gateway.reread(configs.parse(json.dumps({**stack.content, "workers": []})))
+        stack.gateway.reload(configs.parse(json.dumps({**stack.content, "workers": []})))
         eventually(lambda: stack.call("record-sale").status == 429)
 
 
@@ -139,7 +139,7 @@
         eventually(lambda: any(e["what"] == "arrive" for e in worker.log))
         entries = [{**entry, "state": "draining"} for entry in stack.content["workers"]]
         told = time.monotonic()
-        stack.gateway.reread(configs.parse(json.dumps({**stack.content, "workers": entries})))
+        stack.gateway.reload(configs.parse(json.dumps({**stack.content, "workers": entries})))
         for sock in clients:
             assert sock.recv(65536).startswith((b"HTTP/1.1 200", b"HTTP/1.1 429"))
             sock.close()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from saffronstack.http1 import writer
-from saffronstack.http1.messages import HttpError, Limits
+from saffronstack.http1.messages import HttpError, MessageLimits
 from saffronstack.http1.reader import MessageReader
 
-LIMITS = Limits(line=200, head=600, fields=10, body=1000)
+LIMITS = MessageLimits(line_bytes=200, head_bytes=600, header_fields=10, body_bytes=1000)
 CHUNKED = b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
 GOOD = [
     (b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "GET", b""),
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -71,11 +71,11 @@
     def send(self, client: socket.socket, data: bytes) -> None:
         """Send, and see that it has reached the held thread's socket, where it lies unread."""
         client.sendall(data)
-        eventually(lambda: not self.streams[0].is_quiet(), WAIT_S)
+        eventually(lambda: not self.streams[0].is_idle(), WAIT_S)
 
     def has_read_the_head(self) -> bool:
         """Whether the gateway's thread has read what was sent so far."""
-        return self.streams[0].is_quiet()
+        return self.streams[0].is_idle()
 
 
 def connected(stack: Stack) -> socket.socket:
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -51,7 +51,7 @@
     kept = tmp_path / "kept"
     shutil.copytree(tmp_path / "first", kept)
     time.sleep(0.4)  # the first life's attempts end at the workers; its records reach no disk
-    gateway.fleet.stop()
+    gateway.dispatcher.stop()
     gateway.stop()
     return fleet, ids, kept
 
@@ -136,7 +136,7 @@
         )
         eventually(lambda: stack.gateway.engine.statistics.attempts == 1)
         drained = {**stack.content, "workers": [{**entry, "state": "draining"}]}
-        stack.gateway.reread(configs.parse(json.dumps(drained)))
+        stack.gateway.reload(configs.parse(json.dumps(drained)))
         listener.settimeout(0.1)
         seen = b""
         end_s = time.monotonic() + 3.5
