--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from saffronstack.config.build import Functions, Known
+from saffronstack.config.build import ConfiguredFunction, Functions
 from saffronstack.config.schema import Config
 from saffronstack.daemon.process_group import FORWARDED_HEADER, ProcessGroup
 from saffronstack.deferred.deferred_calls import DeferredCalls
@@ -265,7 +265,7 @@
         record(call_class, outcome_of_response(response), self._clock() - started_s)
         return response
 
-    def _resolve_function(self, target: names.QualifiedFunction) -> Known:
+    def _resolve_function(self, target: names.QualifiedFunction) -> ConfiguredFunction:
         function = self._functions.get(target.name)
         if function is None or target.qualifier not in (LATEST, *function.config.qualifiers):
             qualifier = "" if target.qualifier == LATEST else target.qualifier
@@ -341,7 +341,7 @@
         if self._operations is None:
             raise InvokeError(404, "ResourceNotFoundException", "This gateway remembers no operations.")
         function, qualifier = query.get("function", ""), query.get("qualifier", LATEST)
-        functions = [function] if function else self._functions.exact()
+        functions = [function] if function else self._functions.exact_names()
         status_query = StatusQuery(tenant, idempotency_key, functions, qualifier)
         found = find_operations(self._operations, status_query, self._clock())
         if not found:
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -13,7 +13,7 @@
 import structlog
 
 from saffronstack.http1 import writer
-from saffronstack.http1.messages import HttpError, Limits, RequestHead
+from saffronstack.http1.messages import HttpError, MessageLimits, RequestHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until, stop_handshakes
 from saffronstack.invoke import errors
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        message_limits: Limits,
+        message_limits: MessageLimits,
         max_connections: int,
         head_timeout_s: float,
         body_timeout_s: float,
