--- a/benchmarks/soak_forced_orders.py
+++ b/benchmarks/soak_forced_orders.py
@@ -52,13 +52,13 @@
         if open(f"/proc/self/task/{{thread}}/comm").read().strip() == name:
             os.sched_setaffinity(int(thread), {{PROCESSOR}})
 def at_shutdown(act):
-    begin, begun = front.Front.begin_shutdown, []
+    begin, begun = front.Frontend.begin_shutdown, []
     def begin_and_act(self, limits):
         begin(self, limits)
         if not begun:
             begun.append(True)
             threading.Thread(target=act, args=(self,), daemon=True).start()
-    front.Front.begin_shutdown = begin_and_act
+    front.Frontend.begin_shutdown = begin_and_act
 """
 _READER_STARVED = """
 def act(self):
@@ -69,12 +69,12 @@
 at_shutdown(act)
 """
 _READER_ASLEEP = """
-on_event, asleep = front.Front._on_event, []
+on_event, asleep = front.Frontend._on_event, []
 def sleep_once_told(self, descriptor):
     if asleep:
         time.sleep(1.0)
     on_event(self, descriptor)
-front.Front._on_event = sleep_once_told
+front.Frontend._on_event = sleep_once_told
 def act(self):
     wait_until_before_kill(self, 0.9)
     keep_decisions_busy(self)
--- a/saffronstack/harness/soak/defects.py
+++ b/saffronstack/harness/soak/defects.py
@@ -13,24 +13,24 @@
 _STOPS_READING_BEFORE_THE_KILL = """
 import time
 from saffronstack.platform import front
-step = front.Front._step_shutdown
+step = front.Frontend._step_shutdown
 def step_and_sleep(self, now):
     before, after = self.phase, step(self, now)
-    if after is not before and after is front.Phase.REFUSING:
+    if after is not before and after is front.Phase.REJECTING:
         time.sleep(1.0)
     return after
-front.Front._step_shutdown = step_and_sleep
+front.Frontend._step_shutdown = step_and_sleep
 """
 _DROPS_AN_ANSWER = """
 from saffronstack.platform.connection import ClientConnection
-write, answers = ClientConnection._answer, []
+write, answers = ClientConnection._write_answer, []
 def answer(self, tag, final):
     if self._services.admission.active:
         answers.append(tag)
         if len(answers) % 10 == 5:
             return
     write(self, tag, final)
-ClientConnection._answer = answer
+ClientConnection._write_answer = answer
 """
 _RUNS_TWICE = """
 from saffronstack.net.write_buffer import OutgoingMessage, WriteBuffer
@@ -43,9 +43,9 @@
 WriteBuffer.send = twice
 """
 _CLOSES_BUSY_CONNECTIONS = """
-from saffronstack.platform.front import Front
-add, on_event = Front._add, Front._on_event
-Front.must_close = False
+from saffronstack.platform.front import Frontend
+add, on_event = Frontend._add, Frontend._on_event
+Frontend.must_close = False
 def add_for_one_in_use(self, *arguments):
     add(self, *arguments)
     self.must_close = True
@@ -56,7 +56,7 @@
             self.must_close = False
             self._close(connection)
             return
-Front._add, Front._on_event = add_for_one_in_use, close_one_in_use
+Frontend._add, Frontend._on_event = add_for_one_in_use, close_one_in_use
 """
 # Of `serve`, in the place of the process that follows a restart: it forgets which calls may have run.
 RUNS_AGAIN_AFTER_RESTART = """
--- a/saffronstack/platform/__main__.py
+++ b/saffronstack/platform/__main__.py
@@ -7,7 +7,7 @@
 import signal
 import sys
 
-from saffronstack.platform.config import ConfigError, read
+from saffronstack.platform.config import ConfigError, read_config
 from saffronstack.platform.service import Service
 from saffronstack.runtime.logs import KeyValueLogger
 
@@ -24,17 +24,17 @@
         log.warning("LB_CONFIG names no configuration")
         return 2
     try:
-        service = Service(read(path), log=log)
+        service = Service(read_config(path), log=log)
     except (ConfigError, OSError) as error:
         log.warning("can't start", why=str(error))
         return 2
     service.start()
     gc.collect()
     gc.freeze()
-    log.info("takes calls", address=service.front.address, budget=service.budget)
+    log.info("takes calls", address=service.frontend.address, budget=service.budget)
     while signal.sigwait(SIGNALS) == signal.SIGHUP:
         try:
-            service.reread(path)
+            service.reload_config(path)
         except Exception:
             log.exception("the configuration could not be read again")
     log.info("stops once nothing is open")
--- a/saffronstack/platform/config.py
+++ b/saffronstack/platform/config.py
@@ -15,8 +15,8 @@
 from saffronstack.routing.validation import validate_settings
 from saffronstack.settings_parser import SettingsError, parse_settings
 
-CONFIG_BYTES = 8 * 1024 * 1024
-DIRECTORY_PORT = 5353
+MAX_CONFIG_BYTES = 8 * 1024 * 1024
+DEFAULT_PORT = 5353
 
 
 class ConfigError(ValueError):
@@ -49,7 +49,7 @@
     idle_s: float  # idle connections to hosts are closed after this long
     max_open_calls: int
 
-    def membership(self) -> tuple[EndpointList, WorkerChanges]:
+    def initial_endpoint_list(self) -> tuple[EndpointList, WorkerChanges]:
         """The list of the start; ConfigError."""
         endpoint_list = EndpointList(self.zones, self.kinds)
         try:
@@ -60,30 +60,40 @@
 
 # Parts that a running gateway keeps until it is restarted. `known` is the list of the start and `seed` is new
 # with each start: neither concerns one that runs.
-_KEPT = ("name", "listen", "limits", "settings", "zones", "kinds", "streams", "idle_s", "max_open_calls")
-
-
-def needing_restart(in_force: PlatformConfig, fresh: PlatformConfig) -> list[str]:
+_NEEDS_RESTART = (
+    "name",
+    "listen",
+    "limits",
+    "settings",
+    "zones",
+    "kinds",
+    "streams",
+    "idle_s",
+    "max_open_calls",
+)
+
+
+def parts_needing_restart(current: PlatformConfig, new: PlatformConfig) -> list[str]:
     """Names of the parts that differ and that no signal applies."""
-    return [name for name in _KEPT if getattr(in_force, name) != getattr(fresh, name)]
+    return [name for name in _NEEDS_RESTART if getattr(current, name) != getattr(new, name)]
 
 
-def read(path: str) -> PlatformConfig:
+def read_config(path: str) -> PlatformConfig:
     """The file's configuration; ConfigError, also where it can't be read."""
     try:
         with open(path, "rb") as file:
-            content = file.read(CONFIG_BYTES + 1)
+            content = file.read(MAX_CONFIG_BYTES + 1)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from error
-    if len(content) > CONFIG_BYTES:
-        raise ConfigError(f"{path}: over {CONFIG_BYTES} bytes")
+    if len(content) > MAX_CONFIG_BYTES:
+        raise ConfigError(f"{path}: over {MAX_CONFIG_BYTES} bytes")
     try:
-        return parse(content)
+        return parse_config(content)
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
-def parse(content: bytes) -> PlatformConfig:
+def parse_config(content: bytes) -> PlatformConfig:
     """The configuration in these bytes; ConfigError."""
     try:
         raw = msgspec.json.decode(content)
@@ -92,46 +102,46 @@
     if not isinstance(raw, dict):
         raise ConfigError("not a JSON object")
     try:
-        return _config(raw)
+        return _build_config(raw)
     except SettingsError as error:
         raise ConfigError(str(error)) from error
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise ConfigError(f"malformed: {error!r}") from error
 
 
-def _config(raw: Mapping[str, Any]) -> PlatformConfig:
-    told = raw["settings"]
-    settings = parse_settings(msgspec.json.encode(told).decode()).settings
+def _build_config(raw: Mapping[str, Any]) -> PlatformConfig:
+    settings_fields = raw["settings"]
+    settings = parse_settings(msgspec.json.encode(settings_fields).decode()).settings
     validate_settings(settings)
-    permit = told.get("Permissions") or {}
+    permissions = settings_fields.get("Permissions") or {}
     limits = raw.get("limits") or {}
     return PlatformConfig(
         str(raw.get("name", "")),
-        address(raw["listen"]),
+        parse_address(raw["listen"]),
         int(str(raw["seed"]), 16),
         Limits(
             float(limits.get("cores", 1.0)),
             float(limits.get("memory_mb", 192)),
             int(limits.get("sockets", 1024)),
         ),
-        address(raw["nameserver"]),
+        parse_address(raw["nameserver"]),
         raw.get("known") or {},
         settings,
-        tuple(str(name) for name in told.get("Areas") or ()),
-        tuple(str(name) for name in told.get("Kinds") or ()),
-        max(1, int(permit.get("StreamsPerConn", 1))),
-        float(permit.get("IdleCloseS", 30)),
-        max(1, int(permit.get("MaxOpen", 20000))),
+        tuple(str(name) for name in settings_fields.get("Areas") or ()),
+        tuple(str(name) for name in settings_fields.get("Kinds") or ()),
+        max(1, int(permissions.get("StreamsPerConn", 1))),
+        float(permissions.get("IdleCloseS", 30)),
+        max(1, int(permissions.get("MaxOpen", 20000))),
     )
 
 
-def address(text: object) -> tuple[str, int]:
+def parse_address(text: object) -> tuple[str, int]:
     """IPv4 address and port, as in ``10.0.0.4:10080``; ValueError."""
     if not isinstance(text, str):
         raise ValueError(f"no address: {text!r}")
     host, found, port = text.rpartition(":")
     if not found:
-        host, port = text, str(DIRECTORY_PORT)
+        host, port = text, str(DEFAULT_PORT)
     try:
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError) as error:
--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -12,33 +12,35 @@
 from saffronstack.engine.calls import Call, FinalAnswer, FinalStatus
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import OutgoingMessage, WriteBuffer, WriteLoop
-from saffronstack.platform.calls import CallMaker
+from saffronstack.platform.calls import CallBuilder
 from saffronstack.platform.drain_admission import DrainAdmission
-from saffronstack.platform.identifiers import OpenIds, Tags
+from saffronstack.platform.identifiers import OpenRequestIds, UsedTags
 from saffronstack.resp import frames
 from saffronstack.resp.reader import RespError, RespReader, encode
 
-SERVED, REFUSED, FAILED, UP = b"OK", b"BUSY", b"FAILED", b"UP"
-WORDS = {FinalStatus.SERVED: SERVED, FinalStatus.REJECTED: REFUSED, FinalStatus.FAILED: FAILED}
+SERVED, REJECTED, FAILED, UP = b"OK", b"BUSY", b"FAILED", b"UP"
+STATUS_WORDS = {FinalStatus.SERVED: SERVED, FinalStatus.REJECTED: REJECTED, FinalStatus.FAILED: FAILED}
 
 
 @dataclass(frozen=True, slots=True)
-class FrontLimits:
+class FrontendLimits:
     """Bounds of the clients' connections; times in seconds, sizes in bytes."""
 
-    connections: int = 400
-    overflow: int = 4  # connections beyond that whose calls are refused at once
-    silent_reserve: int = 1  # connections accepted just now that may stay silent, where there is no room
-    open_calls: int = 32  # on one connection
-    silent_s: float = 2.0  # until its first byte
-    message_s: float = 2.0  # for the whole of a message
-    idle_s: float = 4.5  # clients close theirs after 4
-    overflow_s: float = 0.5  # for all of a connection beyond the number
-    outbox_bytes: int = 640 * 1024  # a full set of the largest answers
-    stall_s: float = 2.0
-    linger_s: float = 1.0  # after a half-close, until the client closes: else a reset could take its answers
-    linger_bytes: int = 1024 * 1024
-    busy_holdoff_s: float = 0.1  # asked of a client that has too much open
+    max_connections: int = 400
+    max_over_limit_connections: int = 4  # connections beyond that whose calls are refused at once
+    max_silent_at_limit: int = 1  # connections accepted just now that may stay silent, where there is no room
+    max_open_calls: int = 32  # on one connection
+    first_byte_timeout_s: float = 2.0  # until its first byte
+    message_timeout_s: float = 2.0  # for the whole of a message
+    idle_timeout_s: float = 4.5  # clients close theirs after 4
+    over_limit_timeout_s: float = 0.5  # for all of a connection beyond the number
+    write_buffer_bytes: int = 640 * 1024  # a full set of the largest answers
+    write_stall_timeout_s: float = 2.0
+    linger_timeout_s: float = (
+        1.0  # after a half-close, until the client closes: else a reset could take its answers
+    )
+    max_linger_bytes: int = 1024 * 1024
+    busy_retry_after_s: float = 0.1  # asked of a client that has too much open
 
 
 class State(Enum):
@@ -50,16 +52,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Services:
+class SharedServices:
     """What all connections share."""
 
     engine: Engine
-    maker: CallMaker
+    call_builder: CallBuilder
     writer: WriteLoop
-    ids: OpenIds
+    open_request_ids: OpenRequestIds
     clock: Callable[[], float]
-    ready: Callable[[], bool]
-    holdoff: Callable[[float], bytes]  # seconds to keep away, as a field
+    is_ready: Callable[[], bool]
+    format_holdoff: Callable[[float], bytes]  # seconds to keep away, as a field
     admission: DrainAdmission
 
 
@@ -67,33 +69,40 @@
     """Owned by the front's thread; answers are written by whichever thread settles a call."""
 
     def __init__(
-        self, sock: socket.socket, services: Services, limits: FrontLimits, now: float, overflow: bool = False
+        self,
+        sock: socket.socket,
+        services: SharedServices,
+        limits: FrontendLimits,
+        now: float,
+        over_limit: bool = False,
     ) -> None:
         """``overflow``: it is beyond the number of connections, and its calls are refused."""
-        self.refuses = overflow
-        self.overflow = overflow
+        self.rejects_calls = over_limit
+        self.overflow = over_limit
         self.accepted_s = now
         self.active_s = now  # when it was accepted, read from, or last seen with something open
-        self._answered_s = now  # when the last call was answered
+        self._last_answer_s = now  # when the last call was answered
         self.spoken = False
-        self.arrived_s: float | None = None  # when what is read first had come, where that was long before
+        self.queued_since_s: float | None = (
+            None  # when what is read first had come, where that was long before
+        )
         self.state = State.READING
         self._sock = sock
         self._services = services
         self._limits = limits
         self._write_buffer = WriteBuffer(
-            sock, services.writer, limits.outbox_bytes, limits.stall_s, services.clock
+            sock, services.writer, limits.write_buffer_bytes, limits.write_stall_timeout_s, services.clock
         )
         self._reader = RespReader()
-        self._tags = Tags()
+        self._tags = UsedTags()
         self._lock = threading.Lock()
-        self._open: dict[int, Call] = {}  # by tag
-        self._tag_of: dict[int, int] = {}  # by call number
-        self._answering = 0  # answers on their way to the write buffer
+        self._open_calls: dict[int, Call] = {}  # by tag
+        self._tags_by_call: dict[int, int] = {}  # by call number
+        self._answers_in_progress = 0  # answers on their way to the write buffer
         self._received_s = now  # when what is parsed now was there to be read
-        self._message_began_s = now
+        self._message_started_s = now
         self._linger_until_s = 0.0
-        self._linger_bytes = limits.linger_bytes
+        self._linger_bytes_left = limits.max_linger_bytes
 
     def fileno(self) -> int:
         """The socket's descriptor."""
@@ -104,7 +113,7 @@
         """Whether a call was read whose answer has not gone to the kernel. Looked at in the order in which an
         answer passes, so that none is missed between two of these places.
         """
-        return bool(self._open) or self._answering > 0 or self._write_buffer.has_pending
+        return bool(self._open_calls) or self._answers_in_progress > 0 or self._write_buffer.has_pending
 
     @property
     def idle(self) -> bool:
@@ -113,12 +122,12 @@
 
     def idle_since(self, now: float) -> float:
         """When it became idle: a client is owed time after its answer as well; ``now`` where it is not."""
-        return max(self.active_s, self._answered_s) if self.idle else now
+        return max(self.active_s, self._last_answer_s) if self.idle else now
 
-    def accept_as_usual(self) -> None:
+    def promote_within_limit(self) -> None:
         """It was beyond the number of connections and is not any more: its calls are run from here on."""
         self.overflow = False
-        self.refuses = False
+        self.rejects_calls = False
 
     def has_unread(self) -> bool:
         """Whether bytes wait in its socket; neither waits nor takes any."""
@@ -151,7 +160,7 @@
     def close(self) -> None:
         """Close it; calls that are still open have no client any more."""
         with self._lock:
-            calls = list(self._open.values())
+            calls = list(self._open_calls.values())
         for call in calls:
             self._services.engine.disconnect(call)
         self._write_buffer.discard()
@@ -175,14 +184,14 @@
             return False  # closed by the client, which has gone with that
         self.active_s = now
         if self.state is not State.READING:
-            return self._drop(received)
+            return self._discard_received(received)
         self.spoken = True
-        self._received_s = now if self.arrived_s is None else min(now, self.arrived_s)
-        self.arrived_s = None
+        self._received_s = now if self.queued_since_s is None else min(now, self.queued_since_s)
+        self.queued_since_s = None
         try:
             self._parse(view[:received], now)
         except (RespError, frames.FrameError) as error:
-            self._unreadable(error, now)
+            self._stop_reading(error, now)
         return True
 
     def on_tick(self, now: float) -> bool:
@@ -196,47 +205,47 @@
             self._half_close(now)
             return True
         if self._reader.pending:
-            if now - self._message_began_s > self._limits.message_s:
-                self._unreadable(RespError("a request that does not end"), now)
+            if now - self._message_started_s > self._limits.message_timeout_s:
+                self._stop_reading(RespError("a request that does not end"), now)
             return True
         return now - self.active_s <= self._idle_limit_s() or self.has_unread()
 
     def _idle_limit_s(self) -> float:
         if self.overflow:
-            return self._limits.overflow_s
-        return self._limits.idle_s if self.spoken else self._limits.silent_s
+            return self._limits.over_limit_timeout_s
+        return self._limits.idle_timeout_s if self.spoken else self._limits.first_byte_timeout_s
 
     def _half_close(self, now: float) -> None:
         """The client reads the end after its last answer, and closes."""
         self.state = State.LINGERING
-        self._linger_until_s = now + self._limits.linger_s
+        self._linger_until_s = now + self._limits.linger_timeout_s
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
-    def _drop(self, received: int) -> bool:
+    def _discard_received(self, received: int) -> bool:
         """Bytes that nobody reads: while a call is open they cost their sender alone."""
         if self.unanswered:
             return True
-        self._linger_bytes -= received
-        return self._linger_bytes > 0
+        self._linger_bytes_left -= received
+        return self._linger_bytes_left > 0
 
     def _parse(self, data: memoryview, now: float) -> None:
         reader = self._reader
         if not reader.pending:
-            self._message_began_s = now
+            self._message_started_s = now
         reader.feed(data)
         while (words := reader.next()) is not None:
-            self._message_began_s = now
-            self._handle(words, now)
+            self._message_started_s = now
+            self._handle_request(words, now)
 
-    def _handle(self, words: tuple[bytes, ...], now: float) -> None:
+    def _handle_request(self, words: tuple[bytes, ...], now: float) -> None:
         """One whole request; FrameError where it can't be answered under a tag of its own."""
         try:
-            frame = frames.frame_of(words)
+            frame = frames.parse_frame(words)
         except frames.FrameError as error:
             if error.tag is None or not self._tags.use(error.tag):
                 raise
-            self._write(error.tag, FAILED)  # those behind it can be read all the same
+            self._send_response(error.tag, FAILED)  # those behind it can be read all the same
             return
         if isinstance(frame, frames.CancelFrame):
             self._cancel(frame.tag)
@@ -244,86 +253,90 @@
         if not self._tags.use(frame.tag):
             raise frames.FrameError("a tag that was used before")
         if isinstance(frame, frames.CheckFrame):
-            self._write(frame.tag, UP if self._services.ready() else FAILED)
+            self._send_response(frame.tag, UP if self._services.is_ready() else FAILED)
         else:
-            self._call(frame, now)
+            self._start_call(frame, now)
 
     def _cancel(self, tag: int) -> None:
         with self._lock:
-            call = self._open.get(tag)
+            call = self._open_calls.get(tag)
         if call is not None:
             self._services.engine.disconnect(call)
 
-    def _call(self, frame: frames.CallFrame, now: float) -> None:
+    def _start_call(self, frame: frames.CallFrame, now: float) -> None:
         services, limits = self._services, self._limits
-        if self.refuses or len(self._open) >= limits.open_calls or self._is_refused_in_drain(frame, now):
-            self._write(frame.tag, REFUSED, services.holdoff(limits.busy_holdoff_s))
+        if (
+            self.rejects_calls
+            or len(self._open_calls) >= limits.max_open_calls
+            or self._is_refused_in_drain(frame, now)
+        ):
+            self._send_response(frame.tag, REJECTED, services.format_holdoff(limits.busy_retry_after_s))
             return
         try:
-            call = services.maker.call(frame, self._received_s)
+            call = services.call_builder.build(frame, self._received_s)
         except frames.FieldError:
-            self._write(frame.tag, FAILED)
+            self._send_response(frame.tag, FAILED)
             return
         if call.deadline_s <= now:  # it lay in the listener's queue until then
-            self._write(frame.tag, REFUSED, services.holdoff(limits.busy_holdoff_s))
+            self._send_response(frame.tag, REJECTED, services.format_holdoff(limits.busy_retry_after_s))
             return
         if services.admission.active and not services.admission.admit(call, now):
-            self._write(frame.tag, REFUSED, services.holdoff(limits.busy_holdoff_s))
+            self._send_response(frame.tag, REJECTED, services.format_holdoff(limits.busy_retry_after_s))
             return
-        if not services.ids.add(call.request_id):
-            self._write(frame.tag, FAILED)
+        if not services.open_request_ids.add(call.request_id):
+            self._send_response(frame.tag, FAILED)
             return
-        call.on_final_answer = self._on_final
+        call.on_final_answer = self._on_final_answer
         with self._lock:
-            self._open[frame.tag] = call
-            self._tag_of[call.number] = frame.tag
+            self._open_calls[frame.tag] = call
+            self._tags_by_call[call.number] = frame.tag
         if not services.engine.submit(call):
-            call.finish(FinalAnswer(FinalStatus.REJECTED, retry_after_s=limits.busy_holdoff_s))
+            call.finish(FinalAnswer(FinalStatus.REJECTED, retry_after_s=limits.busy_retry_after_s))
 
     def _is_refused_in_drain(self, frame: frames.CallFrame, now: float) -> bool:
         services = self._services
         if not services.admission.active:
             return False
-        class_index = services.maker.class_index(frame.class_name)
+        class_index = services.call_builder.class_index(frame.class_name)
         return class_index is not None and services.admission.refuses_class(class_index, now)
 
-    def _unreadable(self, error: RespError | frames.FrameError, now: float) -> None:
+    def _stop_reading(self, error: RespError | frames.FrameError, now: float) -> None:
         """No further request can be read: an error where there is a tag; what is open keeps its time."""
         if isinstance(error, RespError):
-            tag = frames.tag_of(error.words)
+            tag = frames.parse_tag(error.words)
             if tag is not None and self._tags.use(tag):
-                self._write(tag, FAILED)
+                self._send_response(tag, FAILED)
         self.state = State.FINISHING
         if not self.unanswered:
             self._half_close(now)
 
     # ---- any thread
 
-    def _on_final(self, call: Call, final: FinalAnswer) -> None:
+    def _on_final_answer(self, call: Call, final: FinalAnswer) -> None:
         """Write the one final answer, on whatever thread settled the call."""
         with self._lock:
-            tag = self._tag_of.pop(call.number, None)
+            tag = self._tags_by_call.pop(call.number, None)
             if tag is not None:
-                self._open.pop(tag, None)
-                self._answering += 1
-        self._services.ids.remove(call.request_id)
+                self._open_calls.pop(tag, None)
+                self._answers_in_progress += 1
+        self._services.open_request_ids.remove(call.request_id)
         if self._services.admission.active:
             self._services.admission.finished(call, final.status, self._services.clock())
         if tag is None:
             return
         try:
             if final.status is not FinalStatus.CLIENT_DISCONNECTED:
-                self._answer(tag, final)
+                self._write_answer(tag, final)
         finally:
             with self._lock:
-                self._answered_s = self._services.clock()
-                self._answering -= 1
+                self._last_answer_s = self._services.clock()
+                self._answers_in_progress -= 1
 
-    def _answer(self, tag: int, final: FinalAnswer) -> None:
+    def _write_answer(self, tag: int, final: FinalAnswer) -> None:
         fields = b""
         if final.status is FinalStatus.REJECTED and final.retry_after_s > 0:
-            fields = self._services.holdoff(final.retry_after_s)
-        self._write(tag, WORDS[final.status], fields, final.payload)
+            fields = self._services.format_holdoff(final.retry_after_s)
+        self._send_response(tag, STATUS_WORDS[final.status], fields, final.payload)
 
-    def _write(self, tag: int, word: bytes, fields: bytes = b"", body: bytes = b"") -> None:
+    def _send_response(self, tag: int, word: bytes, fields: bytes = b"", body: bytes = b"") -> None:
         self._write_buffer.send(OutgoingMessage(encode((b"%d" % tag, word, fields, body))))
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -17,11 +17,11 @@
 
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import WriteLoop
-from saffronstack.platform.calls import CallMaker
+from saffronstack.platform.calls import CallBuilder
 from saffronstack.platform.client_admission import ClientAdmission, Verdict
-from saffronstack.platform.connection import ClientConnection, FrontLimits, Services, State
+from saffronstack.platform.connection import ClientConnection, FrontendLimits, SharedServices, State
 from saffronstack.platform.drain_admission import DrainAdmission
-from saffronstack.platform.identifiers import OpenIds
+from saffronstack.platform.identifiers import OpenRequestIds
 from saffronstack.platform.idle_order import ClientConnectionView
 from saffronstack.platform.queue_wait import queue_wait_s
 from saffronstack.platform.readiness import ended_by_clients
@@ -31,21 +31,21 @@
 
 CLIENTS_THREAD = "clients"  # name of the thread that reads all client connections
 BACKLOG = 512  # connections that the machine holds until they are accepted
-ACCEPTS_AT_ONCE = 64  # before connections that stand are read again
-PLACES_AT_ONCE = 16  # made for newcomers, before they are read
+MAX_ACCEPTS_PER_PASS = 64  # before connections that stand are read again
+MAX_AT_LIMIT_ACCEPTS_PER_PASS = 16  # made for newcomers, before they are read
 READ_BYTES = 16 * 1024
 TICK_S = 0.25  # how often time-outs are looked at
 NO_DESCRIPTOR_PAUSE_S = 0.05  # until a connection is accepted again
-STOPPING_TICK_S = 0.01  # and the shutdown
-LAST_READS = 64  # of one connection at the end of a shutdown
+SHUTDOWN_TICK_S = 0.01  # and the shutdown
+MAX_FINAL_READS = 64  # of one connection at the end of a shutdown
 EPOLL_READABLE = select.EPOLLIN | select.EPOLLHUP | select.EPOLLERR
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-LOG_EVERY_S = 10.0
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+WARNING_INTERVAL_S = 10.0
 RUNNING_PHASES = (Phase.ACCEPTING, Phase.DRAINING)  # in which calls are run
-ACCEPTING_PHASES = (Phase.ACCEPTING, Phase.DRAINING, Phase.REFUSING)
+ACCEPTING_PHASES = (Phase.ACCEPTING, Phase.DRAINING, Phase.REJECTING)
 
 
-class Front:
+class Frontend:
     """Listens, and holds client connections within their number.
 
     Over it, one that is not in use makes room for a new one; where there is none, a new one waits to be
@@ -56,13 +56,13 @@
         self,
         address: tuple[str, int],
         engine: Engine,
-        maker: CallMaker,
+        call_builder: CallBuilder,
         writer: WriteLoop,
-        limits: FrontLimits,
+        limits: FrontendLimits,
         clock: Callable[[], float],
         log: Logger,
-        ready: Callable[[], bool],
-        advice_max_s: float,
+        is_ready: Callable[[], bool],
+        max_retry_after_s: float,
         admission: DrainAdmission,
     ) -> None:
         """OSError where the address can't be had. ``advice_max_s``: clients are never asked to stay away
@@ -70,21 +70,32 @@
         """
         self.limits = limits
         self.clock = clock
-        self.ids = OpenIds()
+        self.open_request_ids = OpenRequestIds()
         self.peak_connections = 0  # connections open at one time
         self.evicted = 0  # idle connections that made room
-        self.overflowed = 0  # connections whose calls were refused for want of room
-        self._services = Services(engine, maker, writer, self.ids, clock, ready, self._holdoff, admission)
+        self.over_limit_accepted = 0  # connections whose calls were refused for want of room
+        self._services = SharedServices(
+            engine,
+            call_builder,
+            writer,
+            self.open_request_ids,
+            clock,
+            is_ready,
+            self._format_holdoff,
+            admission,
+        )
         self._log = log
-        self._logged_s = -LOG_EVERY_S
-        self._advice_max_s = advice_max_s
+        self._last_warning_s = -WARNING_INTERVAL_S
+        self._max_retry_after_s = max_retry_after_s
         self._connections: dict[int, ClientConnection] = {}  # by descriptor
-        self._clients = ClientAdmission(limits.silent_reserve, limits.overflow, ended_by_clients)
+        self._client_admission = ClientAdmission(
+            limits.max_silent_at_limit, limits.max_over_limit_connections, ended_by_clients
+        )
         self._shutdown = GracefulShutdown()
         self._shutdown_limits: ShutdownLimits | None = None  # written by whoever asks for the shutdown
         self._shutdown_asked_s = 0.0
-        self._settled = False
-        self._received_s = clock()
+        self._calls_finished = False
+        self._last_received_s = clock()
         self._drained = threading.Event()
         self._closed = threading.Event()
         self._listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -92,11 +103,11 @@
         self._listener.bind(address)
         self._listener.listen(BACKLOG)
         self._listener.setblocking(False)
-        self._waiting = select.poll()  # whether a connection waits to be accepted
-        self._waiting.register(self._listener, select.POLLIN)
+        self._accept_queue_poll = select.poll()  # whether a connection waits to be accepted
+        self._accept_queue_poll.register(self._listener, select.POLLIN)
         self._listening = False  # whether the loop waits for the listener
-        self._listen_again_s = 0.0  # when it does, where a client waits for room
-        self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self._resume_listening_s = 0.0  # when it does, where a client waits for room
+        self._wake_event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._poll = select.epoll()
         self._buffer = bytearray(READ_BYTES)
         self._view = memoryview(self._buffer)
@@ -115,16 +126,16 @@
     @property
     def open_calls(self) -> int:
         """Calls without a final answer."""
-        return len(self.ids)
+        return len(self.open_request_ids)
 
     @property
     def phase(self) -> Phase:
         """How far a shutdown has come."""
         return self._shutdown.phase
 
-    def _holdoff(self, retry_after_s: float) -> bytes:
+    def _format_holdoff(self, retry_after_s: float) -> bytes:
         """The advice to keep away, as a field; empty where clients are given none."""
-        retry_after_s = min(retry_after_s, self._advice_max_s)
+        retry_after_s = min(retry_after_s, self._max_retry_after_s)
         return b"holdoff=%d" % max(1, round(retry_after_s * 1000)) if retry_after_s > 0 else b""
 
     # ---- from any thread
@@ -145,9 +156,9 @@
         """Until no call can be taken any more; whether that came in time."""
         return self._drained.wait(timeout_s)
 
-    def settled(self) -> None:
+    def notify_calls_finished(self) -> None:
         """Told once every call has its final answer and none can be submitted any more."""
-        self._settled = True
+        self._calls_finished = True
         self._wake_up()
 
     def wait_closed(self, timeout_s: float) -> bool:
@@ -156,48 +167,48 @@
 
     def _wake_up(self) -> None:
         with contextlib.suppress(OSError, ValueError):  # it has ended
-            os.eventfd_write(self._wake, 1)
+            os.eventfd_write(self._wake_event, 1)
 
     # ---- its thread
 
     def _run(self) -> None:
-        self._poll.register(self._wake, select.EPOLLIN)
-        self._listen(True)
+        self._poll.register(self._wake_event, select.EPOLLIN)
+        self._poll_listener(True)
         ticked_s = self.clock()
         try:
             while True:
                 now = self.clock()
-                tick_s = self._tick_s()
+                tick_s = self._tick_interval_s()
                 # New connections come last: what those that stand have sent is read before one makes room.
                 listener = self._listener.fileno()
-                ready = [descriptor for descriptor, _ in self._poll.poll(self._poll_s(now, tick_s))]
+                ready = [descriptor for descriptor, _ in self._poll.poll(self._poll_timeout_s(now, tick_s))]
                 for descriptor in sorted(ready, key=listener.__eq__):
                     self._on_event(descriptor)
                 now = self.clock()
-                self._look_for_room(now)
+                self._resume_listening(now)
                 if now - ticked_s >= tick_s:
                     ticked_s = now
                     self._tick(now)
                 if self._shutdown_limits is not None and self._step_shutdown(now) is Phase.CLOSED:
                     return
         finally:
-            self._end()
+            self._close_all()
 
-    def _tick_s(self) -> float:
+    def _tick_interval_s(self) -> float:
         if self._shutdown.phase is not Phase.ACCEPTING:
-            return STOPPING_TICK_S
+            return SHUTDOWN_TICK_S
         return TICK_S
 
-    def _poll_s(self, now: float, tick_s: float) -> float:
+    def _poll_timeout_s(self, now: float, tick_s: float) -> float:
         """How long to wait for something to read."""
         if self._listening or self._shutdown.phase not in ACCEPTING_PHASES:
             return tick_s
-        return max(0.0, min(tick_s, self._listen_again_s - now))
+        return max(0.0, min(tick_s, self._resume_listening_s - now))
 
-    def _look_for_room(self, now: float) -> None:
+    def _resume_listening(self, now: float) -> None:
         """The listener, where there was no room, is tried again."""
-        if now >= self._listen_again_s and self._shutdown.phase in ACCEPTING_PHASES:
-            self._listen(True)
+        if now >= self._resume_listening_s and self._shutdown.phase in ACCEPTING_PHASES:
+            self._poll_listener(True)
 
     def _on_event(self, descriptor: int) -> None:
         """One thing that is ready. Whatever goes wrong with it, the others go on."""
@@ -205,18 +216,18 @@
         try:
             connection = self._connections.get(descriptor)
             if connection is not None:
-                self._received_s = now
+                self._last_received_s = now
                 if connection.overflow and self._shutdown.phase in RUNNING_PHASES:
-                    self._try_as_usual(connection, now)
+                    self._try_to_promote(connection, now)
                 if connection.on_readable(self._buffer, self._view, now):
-                    self._clients.touch(connection)
+                    self._client_admission.touch(connection)
                 else:
                     self._close(connection)
-            elif descriptor == self._wake:
+            elif descriptor == self._wake_event:
                 with contextlib.suppress(BlockingIOError):
-                    os.eventfd_read(self._wake)
+                    os.eventfd_read(self._wake_event)
             elif self._listening and descriptor == self._listener.fileno():
-                self._accept(now, ACCEPTS_AT_ONCE)
+                self._accept(now, MAX_ACCEPTS_PER_PASS)
         except Exception:  # noqa: BLE001 - a fault costs its own connection alone
             self._log.exception("step of the clients' thread failed")
             self._discard(descriptor)
@@ -237,7 +248,7 @@
                 self._log.exception("step of the clients' thread failed")
                 self._discard(descriptor)
 
-    def _listen(self, wanted: bool) -> None:
+    def _poll_listener(self, wanted: bool) -> None:
         """Wait for connections, or leave them to the machine."""
         if wanted and not self._listening:
             self._poll.register(self._listener, select.EPOLLIN)
@@ -247,101 +258,103 @@
 
     def _accept(self, now: float, max_accepted: int) -> int:
         """Accept what has come, up to so many; how many were accepted."""
-        places = 0
+        at_limit_accepts = 0
         for accepted in range(max_accepted):
-            overflow = False
-            is_full = self._clients.is_full(self.limits.connections)
+            over_limit = False
+            is_full = self._client_admission.is_full(self.limits.max_connections)
             if is_full:
-                if self._queue_is_empty() or places >= self._places_at_once():
+                if self._accept_queue_is_empty() or at_limit_accepts >= self._max_at_limit_accepts():
                     return accepted  # nobody has to make room, or those that stand are read first
-                verdict = self._make_room(now)
+                verdict = self._admit_next_client(now)
                 if verdict is Verdict.WAIT:
                     return accepted
-                overflow = verdict is Verdict.OVERFLOW
-                places += 1
-            may_have_waited = is_full or self._clients.has_kept_waiting()
+                over_limit = verdict is Verdict.OVERFLOW
+                at_limit_accepts += 1
+            may_have_waited = is_full or self._client_admission.has_kept_waiting()
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
-                self._clients.nobody_waits()
+                self._client_admission.nobody_waits()
                 return accepted
             except OSError as error:
-                if error.errno not in NO_ROOM:
+                if error.errno not in RESOURCE_ERRNOS:
                     continue  # that client has gone already
-                if self._queue_is_empty():
+                if self._accept_queue_is_empty():
                     return accepted  # the system has no descriptor, and nobody asks for one
                 self._warn("no connection could be taken", now, error=str(error))
                 self._free_descriptor(now)
                 return accepted
-            self._add(sock, now, overflow)
+            self._add(sock, now, over_limit)
             if may_have_waited:
                 self._note_queue_wait(sock)
-            if overflow:
-                self._queue_is_empty()
+            if over_limit:
+                self._accept_queue_is_empty()
                 return accepted + 1  # it is answered before another one takes its place
-        self._queue_is_empty()
+        self._accept_queue_is_empty()
         return max_accepted
 
-    def _places_at_once(self) -> int:
+    def _max_at_limit_accepts(self) -> int:
         """Places made for newcomers in one pass; newcomers that were not read yet count as silent."""
-        return min(PLACES_AT_ONCE, self.limits.silent_reserve)
+        return min(MAX_AT_LIMIT_ACCEPTS_PER_PASS, self.limits.max_silent_at_limit)
 
     def _note_queue_wait(self, sock: socket.socket) -> None:
         """The time of a request counts from when it came, also where it lay in the listener's queue."""
         wait_s = queue_wait_s(sock)
-        self._clients.accepted_after(wait_s)
+        self._client_admission.accepted_after(wait_s)
         connection = self._connections.get(sock.fileno())
         if connection is not None and connection.has_unread():
-            connection.arrived_s = self.clock() - wait_s
+            connection.queued_since_s = self.clock() - wait_s
 
-    def _queue_is_empty(self) -> bool:
+    def _accept_queue_is_empty(self) -> bool:
         """Whether no client waits to be accepted; then none has waited."""
-        if self._waiting.poll(0):
+        if self._accept_queue_poll.poll(0):
             return False
-        self._clients.nobody_waits()
+        self._client_admission.nobody_waits()
         return True
 
-    def _try_as_usual(self, connection: ClientConnection, now: float) -> None:
+    def _try_to_promote(self, connection: ClientConnection, now: float) -> None:
         """Its client goes on although it was refused: it is served where there is room by now."""
         if connection.state is not State.READING or not connection.has_unread():
             return  # no request of it can be read any more, or it has ended it
-        decision = self._clients.decide_on_refused(now, self.limits.connections)
+        decision = self._client_admission.decide_on_refused(now, self.limits.max_connections)
         if decision.verdict is not Verdict.ACCEPT:
             return
         if decision.victim is not None:
             self._evict(decision.victim)
-        self._clients.remove(connection)
-        connection.accept_as_usual()
-        self._clients.add(connection)
+        self._client_admission.remove(connection)
+        connection.promote_within_limit()
+        self._client_admission.add(connection)
 
-    def _make_room(self, now: float) -> Verdict:
+    def _admit_next_client(self, now: float) -> Verdict:
         """For a client that waits to be accepted."""
-        decision = self._clients.decide(now, self.limits.connections, self.limits.overflow)
+        decision = self._client_admission.decide(
+            now, self.limits.max_connections, self.limits.max_over_limit_connections
+        )
         if decision.victim is not None:
             self._evict(decision.victim)
         if decision.verdict is Verdict.WAIT:
-            self._wait_for_room(decision.retry_s)
+            self._pause_listening(decision.retry_s)
         return decision.verdict
 
     def _free_descriptor(self, now: float) -> None:
         """The system has none left for a client that waits to be accepted."""
-        victim = self._clients.next_for_descriptor(now)
+        victim = self._client_admission.next_for_descriptor(now)
         if victim is not None:
             self._evict(victim)
-        self._wait_for_room(now + NO_DESCRIPTOR_PAUSE_S)
+        self._pause_listening(now + NO_DESCRIPTOR_PAUSE_S)
 
-    def _wait_for_room(self, until_s: float) -> None:
-        self._listen(False)
-        self._listen_again_s = until_s
+    def _pause_listening(self, until_s: float) -> None:
+        self._poll_listener(False)
+        self._resume_listening_s = until_s
 
-    def _add(self, sock: socket.socket, now: float, overflow: bool) -> None:
+    def _add(self, sock: socket.socket, now: float, over_limit: bool) -> None:
         sock.setblocking(False)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._received_s = now
-        self.overflowed += overflow
-        connection = ClientConnection(sock, self._services, self.limits, now, overflow)
-        connection.refuses = overflow or self._shutdown.phase.value >= Phase.REFUSING.value
+        self._last_received_s = now
+        self.over_limit_accepted += over_limit
+        connection = ClientConnection(sock, self._services, self.limits, now, over_limit)
+        connection.rejects_calls = over_limit or self._shutdown.phase.value >= Phase.REJECTING.value
         try:
             self._poll.register(sock, EPOLL_READABLE)
         except OSError as error:
@@ -349,7 +362,7 @@
             connection.close()
             return
         self._connections[sock.fileno()] = connection
-        self._clients.add(connection)
+        self._client_admission.add(connection)
         self.peak_connections = max(self.peak_connections, len(self._connections))
 
     def _evict(self, connection: ClientConnectionView) -> None:
@@ -359,15 +372,15 @@
     def _close(self, connection: ClientConnection) -> None:
         descriptor = connection.fileno()
         self._connections.pop(descriptor, None)
-        self._clients.remove(connection)
-        self._listen_again_s = 0.0  # there may be room
+        self._client_admission.remove(connection)
+        self._resume_listening_s = 0.0  # there may be room
         with contextlib.suppress(OSError, ValueError):
             self._poll.unregister(descriptor)
         connection.close()
 
     def _warn(self, event: str, now: float, **fields: object) -> None:
-        if now - self._logged_s >= LOG_EVERY_S:
-            self._logged_s = now
+        if now - self._last_warning_s >= WARNING_INTERVAL_S:
+            self._last_warning_s = now
             self._log.warning(event, **fields)
 
     # ---- shutdown
@@ -378,39 +391,39 @@
         shutdown.begin(self._shutdown_limits, self._shutdown_asked_s)
         before = shutdown.phase
         phase = shutdown.step(now, self._activity())
-        if before is Phase.DRAINING and phase is Phase.REFUSING:
-            self._refuse_calls()
+        if before is Phase.DRAINING and phase is Phase.REJECTING:
+            self._reject_calls()
             self._drained.set()
-        elif before is Phase.REFUSING and phase is Phase.FLUSHING:
-            self._take_last(now)
+        elif before is Phase.REJECTING and phase is Phase.FLUSHING:
+            self._read_final_requests(now)
         return phase
 
     def _activity(self) -> Activity:
         unanswered = any(not connection.idle for connection in self._connections.values())
-        return Activity(self._received_s, unanswered, self._settled)
+        return Activity(self._last_received_s, unanswered, self._calls_finished)
 
-    def _refuse_calls(self) -> None:
+    def _reject_calls(self) -> None:
         """Refuse what is read from here on: sent now, it would be cut off by the engine's end."""
         for connection in self._connections.values():
-            connection.refuses = True
+            connection.rejects_calls = True
 
-    def _take_last(self, now: float) -> None:
+    def _read_final_requests(self, now: float) -> None:
         """What has come to the machine by now is read and refused; the listener closes."""
-        self.limits = replace(self.limits, connections=len(self._connections) + BACKLOG + 1)
-        while self._accept(now, ACCEPTS_AT_ONCE) == ACCEPTS_AT_ONCE:
+        self.limits = replace(self.limits, max_connections=len(self._connections) + BACKLOG + 1)
+        while self._accept(now, MAX_ACCEPTS_PER_PASS) == MAX_ACCEPTS_PER_PASS:
             pass
-        self._listen(False)
+        self._poll_listener(False)
         self._listener.close()
-        self._read_last()
+        self._read_all_pending()
 
-    def _read_last(self) -> None:
+    def _read_all_pending(self) -> None:
         for descriptor, connection in list(self._connections.items()):
-            for _ in range(LAST_READS):
+            for _ in range(MAX_FINAL_READS):
                 if descriptor not in self._connections or not connection.has_unread():
                     break
                 self._on_event(descriptor)
 
-    def _end(self) -> None:
+    def _close_all(self) -> None:
         for descriptor, connection in list(self._connections.items()):
             if connection.has_unread():
                 self._on_event(descriptor)
@@ -418,7 +431,7 @@
         with contextlib.suppress(OSError):
             self._listener.close()
         self._poll.close()
-        wake, self._wake = self._wake, -1
+        wake, self._wake_event = self._wake_event, -1
         os.close(wake)
         self._drained.set()
         self._closed.set()
--- a/saffronstack/platform/identifiers.py
+++ b/saffronstack/platform/identifiers.py
@@ -7,25 +7,25 @@
 MAX_TAGS = 1024  # tags above the lowest unused one that a connection may have used
 
 
-class Tags:
+class UsedTags:
     """The tags that a connection has used; bounded, as tags mostly rise."""
 
     def __init__(self) -> None:
-        self._below = 1  # all under it are used
-        self._above: set[int] = set()
+        self._lowest_unused = 1  # all under it are used
+        self._used_above: set[int] = set()
 
     def use(self, tag: int) -> bool:
         """Note a tag; whether it is new and could be noted."""
-        if tag < self._below or tag in self._above or len(self._above) >= MAX_TAGS:
+        if tag < self._lowest_unused or tag in self._used_above or len(self._used_above) >= MAX_TAGS:
             return False
-        self._above.add(tag)
-        while self._below in self._above:
-            self._above.remove(self._below)
-            self._below += 1
+        self._used_above.add(tag)
+        while self._lowest_unused in self._used_above:
+            self._used_above.remove(self._lowest_unused)
+            self._lowest_unused += 1
         return True
 
 
-class OpenIds:
+class OpenRequestIds:
     """Ids of the requests that are open at this gateway; any thread."""
 
     def __init__(self) -> None:
--- a/saffronstack/resp/frames.py
+++ b/saffronstack/resp/frames.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 TAG_LIMIT = 10**15  # larger numbers are no tag: the bound keeps what is remembered of tags small
-_REQUEST_ID = re.compile(rb"[0-9a-f]{16}\Z")
+_HEX_ID = re.compile(rb"[0-9a-f]{16}\Z")
 _FIELD_NAME = re.compile(r"[a-z_]+\Z")
 
 
@@ -46,7 +46,7 @@
 Frame = CallFrame | CancelFrame | CheckFrame
 
 
-def tag_of(words: tuple[bytes, ...]) -> int | None:
+def parse_tag(words: tuple[bytes, ...]) -> int | None:
     """The tag of a request of which at least two words came."""
     if len(words) < 2 or not words[1].isdigit() or len(words[1]) > 16:
         return None
@@ -54,9 +54,9 @@
     return tag if 0 < tag < TAG_LIMIT else None
 
 
-def frame_of(words: tuple[bytes, ...]) -> Frame:
+def parse_frame(words: tuple[bytes, ...]) -> Frame:
     """The frame that a request's words make; FrameError."""
-    tag = tag_of(words)
+    tag = parse_tag(words)
     if tag is None:
         raise FrameError("no tag")
     command = words[0]
@@ -65,7 +65,7 @@
             raise FrameError(f"a call of {len(words)} words", tag)
         body = words[4] if len(words) == 5 else b""
         try:
-            return CallFrame(tag, words[2].decode("ascii"), fields_of(words[3], ","), body)
+            return CallFrame(tag, words[2].decode("ascii"), parse_fields(words[3], ","), body)
         except UnicodeDecodeError as error:
             raise FrameError("a class that is no text", tag) from error
         except FieldError as error:
@@ -81,40 +81,42 @@
     """A field that is missing or whose value can't be used; the text names it."""
 
 
-def fields_of(text: bytes, between: str, sign: str = "=") -> dict[str, str]:
+def parse_fields(text: bytes, pair_separator: str, value_separator: str = "=") -> dict[str, str]:
     """``name=value`` pairs; FieldError where one is malformed or named twice."""
     fields: dict[str, str] = {}
     if not text:
         return fields
     try:
-        pairs = text.decode("ascii").split(between)
+        pairs = text.decode("ascii").split(pair_separator)
     except UnicodeDecodeError as error:
         raise FieldError("fields that are no text") from error
     for pair in pairs:
-        name, found, value = pair.partition(sign)
+        name, found, value = pair.partition(value_separator)
         if not found or not _FIELD_NAME.match(name) or name in fields:
             raise FieldError(f"a field that can't be read: {pair[:40]!r}")
         fields[name] = value
     return fields
 
 
-def request_id(fields: dict[str, str]) -> str:
+def parse_request_id(fields: dict[str, str]) -> str:
     """The request's id; FieldError."""
     text = fields.get("req", "")
-    if not _REQUEST_ID.match(text.encode()):
+    if not _HEX_ID.match(text.encode()):
         raise FieldError("req must be 16 hex digits")
     return text
 
 
-def subject(fields: dict[str, str]) -> str:
+def parse_subject(fields: dict[str, str]) -> str:
     """The function's name; FieldError."""
     text = fields.get("subject", "")
-    if not _REQUEST_ID.match(text.encode()):
+    if not _HEX_ID.match(text.encode()):
         raise FieldError("subject must be 16 hex digits")
     return text
 
 
-def number(fields: dict[str, str], name: str, minimum: float, maximum: float, default: float | None) -> float:
+def parse_number(
+    fields: dict[str, str], name: str, minimum: float, maximum: float, default: float | None
+) -> float:
     """A figure between its bounds; FieldError. None as the default: it must be there."""
     text = fields.get(name)
     if text is None:
@@ -130,6 +132,6 @@
     return value
 
 
-def fields_text(fields: dict[str, object]) -> bytes:
+def format_fields(fields: dict[str, object]) -> bytes:
     """Fields of an answer."""
     return ",".join(f"{name}={value}" for name, value in fields.items()).encode()
--- a/saffronstack/resp/reader.py
+++ b/saffronstack/resp/reader.py
@@ -31,74 +31,76 @@
     def __init__(self, limits: RespLimits | None = None) -> None:
         self._limits = limits or RespLimits()
         self._buffer = bytearray()
-        self._at = 0
-        self._count = 0  # words of the request that is being read; 0 between requests
+        self._position = 0
+        self._expected_words = 0  # words of the request that is being read; 0 between requests
         self._words: list[bytes] = []
-        self._length = -1  # of the word that is being read
+        self._word_length = -1  # of the word that is being read
 
     @property
     def pending(self) -> bool:
         """Whether part of a request has come."""
-        return bool(self._count) or self._at < len(self._buffer)
+        return bool(self._expected_words) or self._position < len(self._buffer)
 
     def feed(self, data: bytes | memoryview) -> None:
         """Bytes that came."""
-        if self._at:
-            del self._buffer[: self._at]
-            self._at = 0
+        if self._position:
+            del self._buffer[: self._position]
+            self._position = 0
         self._buffer += data
 
     def next(self) -> tuple[bytes, ...] | None:
         """The next whole request, None where more bytes are needed; RespError."""
-        if not self._count:
-            count = self._number(b"*", self._limits.words)
+        if not self._expected_words:
+            count = self._read_length(b"*", self._limits.words)
             if count is None:
                 return None
             if count < 1:
                 raise RespError("an empty request")
-            self._count = count
-        while len(self._words) < self._count:
-            if self._length < 0:
-                last = len(self._words) == self._count - 1
+            self._expected_words = count
+        while len(self._words) < self._expected_words:
+            if self._word_length < 0:
+                last = len(self._words) == self._expected_words - 1
                 limits = self._limits
-                length = self._number(b"$", limits.body_bytes if last else limits.word_bytes)
+                length = self._read_length(b"$", limits.body_bytes if last else limits.word_bytes)
                 if length is None:
                     return None
-                self._length = length
-            end = self._at + self._length
+                self._word_length = length
+            end = self._position + self._word_length
             if len(self._buffer) < end + 2:
                 return None
             if self._buffer[end : end + 2] != b"\r\n":
                 raise RespError("a word longer than its length", tuple(self._words))
-            self._words.append(bytes(self._buffer[self._at : end]))
-            self._at = end + 2
-            self._length = -1
+            self._words.append(bytes(self._buffer[self._position : end]))
+            self._position = end + 2
+            self._word_length = -1
         words = tuple(self._words)
         self._words = []
-        self._count = 0
-        if self._at == len(self._buffer):  # idle connections are many: none keeps the room of its last body
+        self._expected_words = 0
+        if self._position == len(
+            self._buffer
+        ):  # idle connections are many: none keeps the room of its last body
             self._buffer = bytearray()
-            self._at = 0
+            self._position = 0
         return words
 
-    def _number(self, sign: bytes, maximum: int) -> int | None:
-        buffer, at = self._buffer, self._at
-        end = buffer.find(b"\r\n", at, at + MAX_LENGTH_DIGITS + 3)
+    def _read_length(self, prefix: bytes, maximum: int) -> int | None:
+        buffer, start = self._buffer, self._position
+        end = buffer.find(b"\r\n", start, start + MAX_LENGTH_DIGITS + 3)
         if end < 0:
-            if len(buffer) > at and buffer[at : at + 1] != sign:
-                raise RespError(f"{sign.decode()} expected", tuple(self._words))
-            if len(buffer) - at > MAX_LENGTH_DIGITS:
+            if len(buffer) > start and buffer[start : start + 1] != prefix:
+                raise RespError(f"{prefix.decode()} expected", tuple(self._words))
+            if len(buffer) - start > MAX_LENGTH_DIGITS:
                 raise RespError("a length without an end", tuple(self._words))
             return None
-        if buffer[at : at + 1] != sign:
-            raise RespError(f"{sign.decode()} expected", tuple(self._words))
-        digits = bytes(buffer[at + 1 : end])
+        if buffer[start : start + 1] != prefix:
+            raise RespError(f"{prefix.decode()} expected", tuple(self._words))
+        digits = bytes(buffer[start + 1 : end])
         if not digits.isdigit():
             raise RespError("a length that is no number", tuple(self._words))
         number = int(digits)
         if number > maximum:
             raise RespError(f"a length of {number}, {maximum} at most", tuple(self._words))
-        self._at = end + 2
+        self._position = end + 2
         return number
 
 
--- a/tests/net/test_read_loop.py
+++ b/tests/net/test_read_loop.py
@@ -112,15 +112,15 @@
     hosts = [ScriptedHost() for _ in range(40)]
     directory = Directory(*(Entry(f"s-{n}", host.address) for n, host in enumerate(hosts)))
     with gateway(directory, sockets=512) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         subject = 0
-        while service.hosts.connection_count < 30:
+        while service.dispatcher.connection_count < 30:
             subject += 1
             assert subject < 2000
             assert client.ask(subject=subject)[0] == "OK"
         assert len(detached_threads() - detached_before) <= 1  # one that still connects
         client.sock.close()
-    assert service.hosts.connection_count == 0
+    assert service.dispatcher.connection_count == 0
     for host in hosts:
         host.close()
 
@@ -134,12 +134,12 @@
         raise RuntimeError("can't start new thread")
 
     with gateway(directory) as service:
-        first = Client(service.front.address)
+        first = Client(service.frontend.address)
         assert first.ask() == ("OK", b"x")  # a connection to the worker is established
         before = threading.active_count()
         monkeypatch.setattr("saffronstack.runtime.threads.threading.Thread.start", none)
         monkeypatch.setattr("saffronstack.runtime.threads._thread.start_new_thread", none)
-        crowd = [Client(service.front.address) for _ in range(50)]
+        crowd = [Client(service.frontend.address) for _ in range(50)]
         assert {client.ask() for client in crowd} == {("OK", b"x")}
         monkeypatch.undo()
         assert threading.active_count() <= before
--- a/tests/platform/test_readiness.py
+++ b/tests/platform/test_readiness.py
@@ -14,28 +14,28 @@
 
 
 @dataclass(eq=False)
-class Held:
+class AcceptedConnection:
     sock: socket.socket
 
     def fileno(self) -> int:
         return self.sock.fileno()
 
 
-def test_those_that_were_closed_or_reset_are_found_and_no_others() -> None:
+def test_only_connections_closed_or_reset_by_their_clients_are_found() -> None:
     """A look at each of 420 sockets gave up the interpreter's lock 420 times."""
-    clients, held = [], []
+    clients, accepted = [], []
     with socket.create_server(("127.0.0.1", 0)) as listener:
         for _ in range(5):
             clients.append(socket.create_connection(listener.getsockname()))
-            held.append(Held(listener.accept()[0]))
+            accepted.append(AcceptedConnection(listener.accept()[0]))
     closed, reset, speaking, _, own = clients
     closed.close()
     reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
     reset.close()
     speaking.sendall(b"x")
-    held[-1].sock.close()  # closed by the gateway meanwhile
-    found = ended_by_clients(cast(list[ClientConnectionView], held))
-    assert {id(one) for one in found} == {id(held[0]), id(held[1])}
-    for sock in (*clients, *(one.sock for one in held)):
+    accepted[-1].sock.close()  # closed by the gateway meanwhile
+    found = ended_by_clients(cast(list[ClientConnectionView], accepted))
+    assert {id(connection) for connection in found} == {id(accepted[0]), id(accepted[1])}
+    for sock in (*clients, *(connection.sock for connection in accepted)):
         sock.close()
     assert own.fileno() == -1
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -72,7 +72,7 @@
 
 
 def test_a_platforms_file_means_the_same_settings(tmp_path: pathlib.Path) -> None:
-    found = platform.parse(msgspec.json.encode(settings_samples.PLATFORM_FILE))
+    found = platform.parse_config(msgspec.json.encode(settings_samples.PLATFORM_FILE))
     expected = msgspec.msgpack.decode(record_values(CONFIGURATION / "platform.record")[0])
     assert head_of(found.settings, tmp_path / "platform.record") == expected
     figures = [
--- a/tests/stored_formats/test_platform_message_formats.py
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -10,7 +10,7 @@
 
 from saffronstack.discovery.dns.messages import encode_query
 from saffronstack.platform import connection
-from saffronstack.platform.calls import CallMaker
+from saffronstack.platform.calls import CallBuilder
 from saffronstack.resp import frames
 from saffronstack.resp.reader import encode
 from saffronstack.settings_parser import parse_settings
@@ -38,7 +38,9 @@
 
 def test_words_of_hosts_and_of_replies_stand_for_the_same() -> None:
     assert {word: result.value for word, result in codec.RESULT_BY_WORD.items()} == KEPT["results"]
-    assert {ending.value: word.decode() for ending, word in connection.WORDS.items()} == KEPT["replies"]
+    assert {ending.value: word.decode() for ending, word in connection.STATUS_WORDS.items()} == KEPT[
+        "replies"
+    ]
 
 
 def understood_line(line: str) -> Any:
@@ -68,12 +70,12 @@
 
 def understood_frame(words: list[str]) -> Any:
     """Return what a client's frame means; None where it is refused."""
-    maker = CallMaker(parse_settings(json.dumps(settings_samples.PLATFORM)).settings, lambda: 1)
+    call_builder = CallBuilder(parse_settings(json.dumps(settings_samples.PLATFORM)).settings, lambda: 1)
     try:
-        frame = frames.frame_of(tuple(word.encode() for word in words))
+        frame = frames.parse_frame(tuple(word.encode() for word in words))
         if not isinstance(frame, frames.CallFrame):
             return [words[0], frame.tag]
-        call = maker.call(frame, 100.0)
+        call = call_builder.build(frame, 100.0)
     except (frames.FrameError, frames.FieldError):
         return None
     spec = list(dataclasses.astuple(call.function))
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from saffronstack.platform.config import parse
+from saffronstack.platform.config import parse_config
 from saffronstack.platform.service import Service
 from saffronstack.resp.reader import RespLimits, RespReader, encode
 from saffronstack.runtime.logs import KeyValueLogger
@@ -189,7 +189,7 @@
 @contextmanager
 def gateway(directory: Directory, sockets: int = 384) -> Iterator[Service]:
     """A gateway that runs in this process, among the directory's hosts."""
-    config = parse(config_text(directory.address, directory.entries, sockets))
+    config = parse_config(config_text(directory.address, directory.entries, sockets))
     service = Service(config, log=KeyValueLogger("test", io.StringIO()))
     service.start()
     try:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -13,7 +13,7 @@
 import pytest
 
 from saffronstack.platform.eviction import ENDED_EVERY_S, EvictionOrder
-from saffronstack.platform.front import Front
+from saffronstack.platform.front import Frontend
 from saffronstack.platform.service import Service
 from saffronstack.resp.reader import encode
 from saffronstack.routing.router import Router
@@ -24,7 +24,7 @@
 SOCKETS = 64  # descriptors: room for sixteen client connections
 
 
-class Held:
+class BlockedHost:
     """A host that answers calls once it is released."""
 
     def __init__(self) -> None:
@@ -40,42 +40,42 @@
     """Holds the clients' thread while ``run`` puts things into an order of its own."""
 
     def __init__(self, service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
-        self._front = service.front
+        self._front = service.frontend
         self._monkeypatch = monkeypatch
 
-    def run(self, put_in_order: Callable[[], None]) -> None:
-        held, go_on = threading.Event(), threading.Event()
-        tick: Callable[[Front, float], None] = Front._tick
+    def run(self, arrange: Callable[[], None]) -> None:
+        held, resume = threading.Event(), threading.Event()
+        tick: Callable[[Frontend, float], None] = Frontend._tick
 
-        def pause(front: Front, now: float) -> None:
-            if front is self._front and not go_on.is_set():
+        def pause(frontend: Frontend, now: float) -> None:
+            if frontend is self._front and not resume.is_set():
                 held.set()
-                assert go_on.wait(WAIT_S)
-            tick(front, now)
+                assert resume.wait(WAIT_S)
+            tick(frontend, now)
 
-        self._monkeypatch.setattr(Front, "_tick", pause)
+        self._monkeypatch.setattr(Frontend, "_tick", pause)
         assert held.wait(WAIT_S)
-        put_in_order()
-        go_on.set()
+        arrange()
+        resume.set()
 
 
 @pytest.fixture
-def held() -> Iterator[Held]:
-    host = Held()
+def blocked_host() -> Iterator[BlockedHost]:
+    host = BlockedHost()
     yield host
     host.release.set()
     host.host.close()
 
 
-def filled(service: Service) -> list[Client]:
+def fill_connections(service: Service) -> list[Client]:
     """As many connections as there is room for; each has had an answer, and none is closed for its time."""
-    service.front.limits = replace(service.front.limits, idle_s=60.0, message_s=60.0)
-    clients = [Client(service.front.address) for _ in range(service.budget.clients)]
-    assert {client.ask(subject=place)[0] for place, client in enumerate(clients, 1)} == {"OK"}
+    service.frontend.limits = replace(service.frontend.limits, idle_timeout_s=60.0, message_timeout_s=60.0)
+    clients = [Client(service.frontend.address) for _ in range(service.budget.clients)]
+    assert {client.ask(subject=index)[0] for index, client in enumerate(clients, 1)} == {"OK"}
     return clients
 
 
-def closed(client: Client) -> bool:
+def is_closed(client: Client) -> bool:
     """Whether the gateway has closed it, told without waiting long for one that it has not."""
     client.sock.settimeout(0.05)
     try:
@@ -86,164 +86,170 @@
         client.sock.settimeout(WAIT_S)
 
 
-def test_idle_clients_keep_nobody_out_and_the_longest_idle_makes_room() -> None:
+def test_at_the_limit_a_new_client_evicts_the_longest_idle_connection() -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        clients = filled(service)
+        clients = fill_connections(service)
         assert clients[0].ask()[0] == "OK"  # the second is idle longest now
-        late = Client(service.front.address)
-        assert late.ask(subject=99)[0] == "OK"
-        assert [closed(client) for client in clients] == [place == 1 for place in range(len(clients))]
+        new_client = Client(service.frontend.address)
+        assert new_client.ask(subject=99)[0] == "OK"
+        assert [is_closed(client) for client in clients] == [index == 1 for index in range(len(clients))]
 
 
-def test_a_request_that_lies_unread_keeps_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_with_an_unread_request_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     """While the thread is held the newcomer connects, and only then the longest idle client sends."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        clients = filled(service)
-        late: list[Client] = []
+        clients = fill_connections(service)
+        new_client: list[Client] = []
 
-        def order() -> None:
-            late.append(Client(service.front.address))
-            late[0].call(subject=99)
+        def arrange() -> None:
+            new_client.append(Client(service.frontend.address))
+            new_client[0].call(subject=99)
             clients[0].call(subject=1)
 
-        PausedThread(service, monkeypatch).run(order)
-        assert late[0].read()[1] == "OK"
+        PausedThread(service, monkeypatch).run(arrange)
+        assert new_client[0].read()[1] == "OK"
         assert clients[0].read()[1] == "OK"
-        assert closed(clients[1])
+        assert is_closed(clients[1])
 
 
-def test_half_a_request_keeps_its_connection_too() -> None:
+def test_a_connection_with_a_partial_request_is_not_evicted() -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        clients = filled(service)
+        clients = fill_connections(service)
         frame = encode((b"CHECK", b"77", b""))
         clients[0].sock.sendall(frame[:9])
-        connection = next(iter(service.front._connections.values()))
+        connection = next(iter(service.frontend._connections.values()))
         eventually(lambda: not connection.idle)
-        late = Client(service.front.address)
-        assert late.ask(subject=99)[0] == "OK"
+        new_client = Client(service.frontend.address)
+        assert new_client.ask(subject=99)[0] == "OK"
         clients[0].sock.sendall(frame[9:])
         assert clients[0].read()[:2] == (77, "UP")
-        assert closed(clients[1])
-
-
-def test_where_every_connection_has_a_call_open_a_newcomer_is_refused_at_once(held: Held) -> None:
-    with gateway(Directory(Entry("s-1", held.host.address)), sockets=SOCKETS) as service:
-        clients = [Client(service.front.address) for _ in range(service.budget.clients)]
-        tags = [client.call(subject=place) for place, client in enumerate(clients, 1)]
-        eventually(lambda: service.front.open_calls == len(clients))
-        late = Client(service.front.address)
-        tag = late.call(subject=99)
-        answered, word, fields, _ = late.read()
-        assert (answered, word) == (tag, "BUSY")
-        assert fields.startswith(b"holdoff=")
-        held.release.set()
-        assert [client.read()[:2] for client in clients] == [(tag, "OK") for tag in tags]
-        assert service.front.overflowed == 1
-        assert service.front.evicted == 0
+        assert is_closed(clients[1])
 
 
-def test_beyond_that_connections_wait_and_are_served_once_there_is_room(held: Held) -> None:
-    with gateway(Directory(Entry("s-1", held.host.address)), sockets=SOCKETS) as service:
-        service.front.limits = replace(service.front.limits, overflow=0)
-        clients = [Client(service.front.address) for _ in range(service.budget.clients)]
-        for place, client in enumerate(clients, 1):
-            client.call(subject=place)
-        eventually(lambda: service.front.open_calls == len(clients))
-        late = Client(service.front.address)
-        late.call(subject=99)
-        eventually(lambda: not service.front._listening)
-        held.release.set()
-        assert late.read()[1] == "OK"
+def test_while_every_connection_has_an_open_call_a_new_client_is_rejected_at_once(
+    blocked_host: BlockedHost,
+) -> None:
+    with gateway(Directory(Entry("s-1", blocked_host.host.address)), sockets=SOCKETS) as service:
+        clients = [Client(service.frontend.address) for _ in range(service.budget.clients)]
+        tags = [client.call(subject=index) for index, client in enumerate(clients, 1)]
+        eventually(lambda: service.frontend.open_calls == len(clients))
+        new_client = Client(service.frontend.address)
+        tag = new_client.call(subject=99)
+        answered_tag, word, fields, _ = new_client.read()
+        assert (answered_tag, word) == (tag, "BUSY")
+        assert fields.startswith(b"holdoff=")
+        blocked_host.release.set()
+        assert [client.read()[:2] for client in clients] == [(tag, "OK") for tag in tags]
+        assert service.frontend.over_limit_accepted == 1
+        assert service.frontend.evicted == 0
 
 
-def test_no_descriptors_left_and_those_that_are_open_are_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_over_limit_connections_a_new_client_waits_and_is_then_served(
+    blocked_host: BlockedHost,
+) -> None:
+    with gateway(Directory(Entry("s-1", blocked_host.host.address)), sockets=SOCKETS) as service:
+        service.frontend.limits = replace(service.frontend.limits, max_over_limit_connections=0)
+        clients = [Client(service.frontend.address) for _ in range(service.budget.clients)]
+        for index, client in enumerate(clients, 1):
+            client.call(subject=index)
+        eventually(lambda: service.frontend.open_calls == len(clients))
+        new_client = Client(service.frontend.address)
+        new_client.call(subject=99)
+        eventually(lambda: not service.frontend._listening)
+        blocked_host.release.set()
+        assert new_client.read()[1] == "OK"
+
+
+def test_open_connections_are_served_while_no_descriptor_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
     """Accepting fails for want of descriptors, ten times; idle connections make room, calls go on."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        working = Client(service.front.address)
+        working = Client(service.frontend.address)
         assert working.ask()[0] == "OK"
-        refusals = iter([OSError(errno.EMFILE, "Too many open files")] * 10)
-        listener = service.front._listener
+        accept_errors = iter([OSError(errno.EMFILE, "Too many open files")] * 10)
+        listener = service.frontend._listener
 
-        class Scarce:
+        class ListenerWithoutDescriptors:
             def accept(self) -> Any:
-                for refusal in refusals:
-                    raise refusal
+                for accept_error in accept_errors:
+                    raise accept_error
                 return listener.accept()
 
             def __getattr__(self, name: str) -> Any:
                 return getattr(listener, name)
 
-        service.front._listener = Scarce()  # type: ignore[assignment]
+        service.frontend._listener = ListenerWithoutDescriptors()  # type: ignore[assignment]
         tag = working.call()
-        late = Client(service.front.address)
-        assert late.ask(subject=2)[0] == "OK"
-        assert next(refusals, None) is None
+        new_client = Client(service.frontend.address)
+        assert new_client.ask(subject=2)[0] == "OK"
+        assert next(accept_errors, None) is None
         assert working.read()[:2] == (tag, "OK")
 
 
-def test_connections_reset_right_after_they_came_stop_nobody() -> None:
+def test_connections_reset_right_after_connecting_disturb_no_other_client() -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        working = Client(service.front.address)
-        for place in range(200):
-            gone = socket.create_connection(service.front.address, timeout=WAIT_S)
-            gone.sendall(encode((b"CHECK", b"1", b""))[: place % 20])
-            gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            gone.close()
-            if place % 20 == 0:
+        working = Client(service.frontend.address)
+        for index in range(200):
+            reset_socket = socket.create_connection(service.frontend.address, timeout=WAIT_S)
+            reset_socket.sendall(encode((b"CHECK", b"1", b""))[: index % 20])
+            reset_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            reset_socket.close()
+            if index % 20 == 0:
                 assert working.ask()[0] == "OK"
-        eventually(lambda: service.front.connections == 1)
+        eventually(lambda: service.frontend.connections == 1)
 
 
-def test_open_calls_keep_their_time_when_nothing_more_can_be_read(held: Held) -> None:
+def test_open_calls_keep_their_deadline_after_unreadable_bytes(blocked_host: BlockedHost) -> None:
     """They used to fail one second after the first unreadable byte, though they were running."""
-    with gateway(Directory(Entry("s-1", held.host.address))) as service:
-        service.front.limits = replace(service.front.limits, linger_s=0.0)
-        client = Client(service.front.address)
+    with gateway(Directory(Entry("s-1", blocked_host.host.address))) as service:
+        service.frontend.limits = replace(service.frontend.limits, linger_timeout_s=0.0)
+        client = Client(service.frontend.address)
         tag = client.call()
-        held.host.next()
+        blocked_host.host.next()
         client.sock.sendall(b"\xff\xfe\r\n" * 100)
-        connection = next(iter(service.front._connections.values()))
+        connection = next(iter(service.frontend._connections.values()))
         eventually(lambda: connection.state.name == "FINISHING")
         ticks = threading.Semaphore(0)
         on_tick = connection.on_tick
 
-        def counted(now: float) -> bool:
+        def count_tick(now: float) -> bool:
             ticks.release()
             return on_tick(now)
 
-        connection.on_tick = counted  # type: ignore[method-assign]
+        connection.on_tick = count_tick  # type: ignore[method-assign]
         for _ in range(3):
             assert ticks.acquire(timeout=WAIT_S)
-        held.release.set()
+        blocked_host.release.set()
         assert client.read()[:2] == (tag, "OK")
         with pytest.raises(EOFError):
             client.read()
 
 
-def test_a_message_that_does_not_end_leaves_open_calls_their_time(held: Held) -> None:
-    with gateway(Directory(Entry("s-1", held.host.address))) as service:
-        service.front.limits = replace(service.front.limits, message_s=0.0, linger_s=0.0)
-        client = Client(service.front.address)
+def test_open_calls_keep_their_deadline_after_an_incomplete_request(blocked_host: BlockedHost) -> None:
+    with gateway(Directory(Entry("s-1", blocked_host.host.address))) as service:
+        service.frontend.limits = replace(
+            service.frontend.limits, message_timeout_s=0.0, linger_timeout_s=0.0
+        )
+        client = Client(service.frontend.address)
         tag = client.call()
-        held.host.next()
+        blocked_host.host.next()
         client.sock.sendall(b"*5\r\n$4\r\nCA")
-        connection = next(iter(service.front._connections.values()))
+        connection = next(iter(service.frontend._connections.values()))
         eventually(lambda: connection._reader.pending)
-        held.release.set()
+        blocked_host.release.set()
         assert client.read()[:2] == (tag, "OK")
         with pytest.raises(EOFError):
             client.read()
 
 
-def test_requests_behind_one_that_is_malformed_but_whole_are_answered() -> None:
+def test_requests_after_a_malformed_but_complete_one_are_answered() -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         frames = [(b"HELLO", b"50", b""), (b"CALL", b"51", b"look"), (b"CHECK", b"52", b"")]
         client.sock.sendall(b"".join(encode(frame) for frame in frames))
         assert [client.read()[:2] for _ in frames] == [(50, "FAILED"), (51, "FAILED"), (52, "UP")]
@@ -253,40 +259,40 @@
 def test_a_request_byte_by_byte_is_served() -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         fields = b"req=00000000000000aa,timeout=8000,owner=acme,subject=0000000000000001"
         for byte in encode((b"CALL", b"1", b"look", fields, b"in pieces")):
             client.sock.sendall(bytes([byte]))
         assert client.read() == (1, "OK", b"", b"in pieces")
 
 
-LEAVING = ["close", "reset", "half-close", "cancel", "cancel-in-one-segment"]
+WAYS_TO_LEAVE = ["close", "reset", "half-close", "cancel", "cancel-in-one-segment"]
 
 
-@pytest.mark.parametrize("way", LEAVING)
-def test_nothing_is_sent_for_a_client_that_left_while_decisions_were_late(way: str) -> None:
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_nothing_is_sent_for_a_client_that_left_while_the_decision_thread_was_blocked(way: str) -> None:
     """The decision thread is held until the client has gone; the host's socket tells what was sent."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        other = Client(service.front.address)
+        other = Client(service.frontend.address)
         assert other.ask(subject=5)[0] == "OK"
         host.next()
-        held, go_on = threading.Event(), threading.Event()
+        held, resume = threading.Event(), threading.Event()
 
         def hold(now: float, router: Router) -> None:
             held.set()
-            assert go_on.wait(WAIT_S)
+            assert resume.wait(WAIT_S)
 
         service.engine.inspect(hold)
         assert held.wait(WAIT_S)
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         cancel = encode((b"CANCEL", b"1"))
         if way == "cancel-in-one-segment":
             fields = b"req=00000000000000ab,timeout=8000,owner=acme,subject=0000000000000007"
             client.sock.sendall(encode((b"CALL", b"1", b"sell", fields, b"x")) + cancel)
         else:
             client.call(subject=7, cls=b"sell")
-            eventually(lambda: service.front.open_calls == 1)
+            eventually(lambda: service.frontend.open_calls == 1)
         if way == "cancel":
             client.sock.sendall(cancel)
         elif way == "half-close":
@@ -295,45 +301,52 @@
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if way in ("close", "reset"):
             client.sock.close()
-        eventually(lambda: service.engine.queued_events >= 2 and service.front.open_calls == 0)
-        go_on.set()
+        eventually(lambda: service.engine.queued_events >= 2 and service.frontend.open_calls == 0)
+        resume.set()
         assert other.ask(subject=6)[0] == "OK"
         assert host.next()["with"]["k"] == f"{6:016x}"
         assert host.seen.empty()
 
 
-def test_connections_that_their_clients_have_ended_go_before_idle_ones(
+def test_connections_ended_by_their_clients_are_evicted_before_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Half a request came on each of them, and then a reset that lies unread while a newcomer is taken."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        service.front.limits = replace(service.front.limits, idle_s=60.0, message_s=60.0)
-        working = Client(service.front.address)
+        service.frontend.limits = replace(
+            service.frontend.limits, idle_timeout_s=60.0, message_timeout_s=60.0
+        )
+        working = Client(service.frontend.address)
         assert working.ask()[0] == "OK"
-        gone = [Client(service.front.address) for _ in range(service.budget.clients - 1)]
-        for client in gone:
+        closed_clients = [Client(service.frontend.address) for _ in range(service.budget.clients - 1)]
+        for client in closed_clients:
             client.sock.sendall(b"*3\r\n$5\r\nCHE")
-        eventually(lambda: sum(not one.idle for one in service.front._connections.values()) == len(gone))
-        late: list[Client] = []
-
-        def order() -> None:
-            late.append(Client(service.front.address))
-            for client in gone:
+        eventually(
+            lambda: (
+                sum(not connection.idle for connection in service.frontend._connections.values())
+                == len(closed_clients)
+            )
+        )
+        new_client: list[Client] = []
+
+        def arrange() -> None:
+            new_client.append(Client(service.frontend.address))
+            for client in closed_clients:
                 client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 client.sock.close()
 
-        PausedThread(service, monkeypatch).run(order)
-        assert late[0].ask(subject=9)[0] == "OK"
+        PausedThread(service, monkeypatch).run(arrange)
+        assert new_client[0].ask(subject=9)[0] == "OK"
         assert working.ask()[0] == "OK"
 
 
-def test_a_flood_of_newcomers_looks_at_all_connections_once_and_not_for_each() -> None:
+def test_a_flood_of_new_clients_scans_all_connections_once() -> None:
     """Looked at for each newcomer, some hundred of them a second took the whole processor."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        clients = filled(service)
-        connections = list(service.front._connections.values())
+        clients = fill_connections(service)
+        connections = list(service.frontend._connections.values())
         order = EvictionOrder()
         for connection in connections:
             order.add(connection)
@@ -349,13 +362,13 @@
         assert order.scans == 2
 
 
-def test_those_that_never_said_anything_go_first_however_late_they_came() -> None:
+def test_connections_that_never_sent_anything_are_evicted_first() -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
-        clients = filled(service)
-        crowd = [Client(service.front.address) for _ in range(3 * len(clients))]
-        late = Client(service.front.address)
-        assert late.ask(subject=99)[0] == "OK"
+        clients = fill_connections(service)
+        silent_clients = [Client(service.frontend.address) for _ in range(3 * len(clients))]
+        new_client = Client(service.frontend.address)
+        assert new_client.ask(subject=99)[0] == "OK"
         assert {client.ask()[0] for client in clients[1:]} == {"OK"}
-        assert closed(clients[0]), "the first of the crowd took the place of the longest idle"
-        assert sum(closed(client) for client in crowd) >= len(crowd) - 1
+        assert is_closed(clients[0]), "the first of the crowd took the place of the longest idle"
+        assert sum(is_closed(client) for client in silent_clients) >= len(silent_clients) - 1
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -15,10 +15,16 @@
 
 from saffronstack.engine.calls import Call, FunctionSpec
 from saffronstack.engine.engine import Engine
-from saffronstack.platform.calls import CallMaker
+from saffronstack.platform.calls import CallBuilder
 from saffronstack.platform.connection import ClientConnection
 from saffronstack.platform.service import Service
-from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits, limits_for
+from saffronstack.platform.shutdown import (
+    Activity,
+    GracefulShutdown,
+    Phase,
+    ShutdownLimits,
+    shutdown_limits_for,
+)
 from saffronstack.resp.frames import CallFrame
 from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.standin.platform import Directory, Entry
@@ -29,55 +35,55 @@
 LIMITS = ShutdownLimits(min_drain_s=1.0, quiet_s=0.3, run_until_s=3.0, max_flush_s=0.2)
 
 
-def test_open_calls_are_answered_before_the_platform_kills_whatever_the_deadlines() -> None:
+def test_open_calls_are_answered_before_the_kill_deadline_for_any_class_deadline() -> None:
     for longest_s in (0.1, 0.5, 2.0, 3.0, 8.0, 60.0):
-        limits = limits_for(longest_s, 1.0, 0.3)
+        limits = shutdown_limits_for(longest_s, 1.0, 0.3)
         killed_s = min(longest_s, 3.0) + 0.7
         assert limits.min_drain_s <= limits.run_until_s
         assert limits.run_until_s < killed_s
 
 
-def test_it_stays_while_clients_go_on_and_ends_once_they_fall_quiet() -> None:
+def test_the_gateway_runs_while_requests_arrive_and_exits_once_clients_are_quiet() -> None:
     """It used to end before the platform kills, and requests crossed the close."""
     shutdown = GracefulShutdown()
     shutdown.begin(LIMITS, 100.0)
     for tenths in range(1, 601):  # a minute of requests
         now = 100.0 + tenths / 10
-        phase = shutdown.step(now, Activity(now - 0.1, False, settled=now > 103.5))
-        assert phase is (Phase.DRAINING if now < 103.0 else Phase.REFUSING)
-    assert shutdown.step(160.2, Activity(159.95, False, True)) is Phase.REFUSING
-    assert shutdown.step(160.3, Activity(159.95, True, True)) is Phase.REFUSING
+        phase = shutdown.step(now, Activity(now - 0.1, False, calls_finished=now > 103.5))
+        assert phase is (Phase.DRAINING if now < 103.0 else Phase.REJECTING)
+    assert shutdown.step(160.2, Activity(159.95, False, True)) is Phase.REJECTING
+    assert shutdown.step(160.3, Activity(159.95, True, True)) is Phase.REJECTING
     assert shutdown.step(160.4, Activity(159.95, False, True)) is Phase.FLUSHING
     assert shutdown.step(160.5, Activity(160.5, False, True)) is Phase.CLOSED
 
 
-def test_every_order_of_what_is_seen_ends_once_and_never_early() -> None:
+def test_no_sequence_of_observations_ends_the_shutdown_early() -> None:
     """Four looks, 0.25 s to 2.5 s apart, at any mix of arrivals, open calls and a settled engine."""
     steps = list(itertools.product((0.25, 2.5), (False, True), (False, True), (False, True)))
-    looked = 0
+    steps_taken = 0
     for order in itertools.product(steps, repeat=4):
         shutdown = GracefulShutdown()
         shutdown.begin(LIMITS, 100.0)
         now, received_s, phase = 100.0, 100.0, shutdown.phase
-        for passed_s, arrived, unanswered, settled in order:
+        for passed_s, arrived, unanswered, calls_finished in order:
             now += passed_s
             received_s = now if arrived else received_s
             shutdown.begin(ShutdownLimits(0.0, 0.0, 0.0, 0.0), now)  # a second signal
-            after = shutdown.step(now, Activity(received_s, unanswered, settled))
-            looked += 1
+            after = shutdown.step(now, Activity(received_s, unanswered, calls_finished))
+            steps_taken += 1
             quiet = now - received_s >= 0.3 and not unanswered
             assert after.value in (phase.value, phase.value + 1)
             if phase is Phase.DRAINING:
-                assert (after is Phase.REFUSING) is (now >= 103.0 or (quiet and now >= 101.0))
-            if phase is Phase.REFUSING:
-                assert (after is Phase.FLUSHING) is (quiet and settled)
+                assert (after is Phase.REJECTING) is (now >= 103.0 or (quiet and now >= 101.0))
+            if phase is Phase.REJECTING:
+                assert (after is Phase.FLUSHING) is (quiet and calls_finished)
             if after is Phase.CLOSED and phase is Phase.FLUSHING:
                 assert not unanswered or passed_s >= LIMITS.max_flush_s
             phase = after
-    assert looked == 4 * 16**4
+    assert steps_taken == 4 * 16**4
 
 
-def withheld() -> tuple[ScriptedHost, threading.Event]:
+def blocked_host() -> tuple[ScriptedHost, threading.Event]:
     """A host that answers calls once it is released."""
     release = threading.Event()
 
@@ -88,7 +94,7 @@
     return ScriptedHost(behave), release
 
 
-def stopping(service: Service) -> tuple[threading.Thread, list[bool]]:
+def stop_in_thread(service: Service) -> tuple[threading.Thread, list[bool]]:
     """A thread that stops the service; what `stop` gave back is in the list once it has ended."""
     ended: list[bool] = []
     thread = threading.Thread(target=lambda: ended.append(service.stop(0.0, 0.0)))
@@ -96,21 +102,21 @@
     return thread, ended
 
 
-def looks(monkeypatch: pytest.MonkeyPatch) -> threading.Semaphore:
+def count_steps(monkeypatch: pytest.MonkeyPatch) -> threading.Semaphore:
     """Counts how often a shutdown looked whether it may move on."""
-    looked = threading.Semaphore(0)
+    steps_taken = threading.Semaphore(0)
     step = GracefulShutdown.step
 
-    def counted(self: GracefulShutdown, now: float, activity: Activity) -> Phase:
+    def step_and_count(self: GracefulShutdown, now: float, activity: Activity) -> Phase:
         phase = step(self, now, activity)
-        looked.release()
+        steps_taken.release()
         return phase
 
-    monkeypatch.setattr(GracefulShutdown, "step", counted)
-    return looked
+    monkeypatch.setattr(GracefulShutdown, "step", step_and_count)
+    return steps_taken
 
 
-def test_the_thread_that_compares_beliefs_ends_as_the_drain_begins(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_state_comparison_thread_ends_when_the_drain_begins(monkeypatch: pytest.MonkeyPatch) -> None:
     """Told to end 0.1 s before the kill, it took the interpreter's lock from the thread that reads."""
     before = set(threading.enumerate())
     host = ScriptedHost()
@@ -118,64 +124,66 @@
         started = [thread for thread in threading.enumerate() if thread not in before]
         (comparing,) = (thread for thread in started if thread.name == "beliefs")
         alive: list[bool] = []
-        wait_drained = service.front.wait_drained
+        wait_drained = service.frontend.wait_drained
 
         def wait_after_its_end(timeout_s: float) -> bool:
             comparing.join(WAIT_S)
             alive.append(comparing.is_alive())
             return wait_drained(timeout_s)
 
-        monkeypatch.setattr(service.front, "wait_drained", wait_after_its_end)
-        thread, ended = stopping(service)
+        monkeypatch.setattr(service.frontend, "wait_drained", wait_after_its_end)
+        thread, ended = stop_in_thread(service)
         thread.join(2 * WAIT_S)
         assert (alive, ended) == ([False], [True])
 
 
-def test_an_answer_on_its_way_to_its_connection_keeps_the_shutdown_waiting(
+def test_the_shutdown_waits_for_an_answer_that_is_not_yet_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The call has its final answer, and the thread that is to write it is held before it does."""
-    held, go_on = threading.Event(), threading.Event()
-    answer: Callable[..., None] = ClientConnection._answer
+    held, resume = threading.Event(), threading.Event()
+    answer: Callable[..., None] = ClientConnection._write_answer
 
-    def late(self: ClientConnection, *arguments: Any) -> None:
+    def write_late(self: ClientConnection, *arguments: Any) -> None:
         held.set()
-        assert go_on.wait(WAIT_S)
+        assert resume.wait(WAIT_S)
         answer(self, *arguments)
 
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        monkeypatch.setattr(ClientConnection, "_answer", late)
-        client = Client(service.front.address)
+        monkeypatch.setattr(ClientConnection, "_write_answer", write_late)
+        client = Client(service.frontend.address)
         tag = client.call()
         assert held.wait(WAIT_S)
-        assert not service.front.open_calls
-        looked = looks(monkeypatch)
-        thread, ended = stopping(service)
+        assert not service.frontend.open_calls
+        steps_taken = count_steps(monkeypatch)
+        thread, ended = stop_in_thread(service)
         for _ in range(20):  # it looks again and again, and the answer is still on its way
-            assert looked.acquire(timeout=WAIT_S)
-        assert service.front.phase is Phase.DRAINING
-        go_on.set()
+            assert steps_taken.acquire(timeout=WAIT_S)
+        assert service.frontend.phase is Phase.DRAINING
+        resume.set()
         assert client.read()[:2] == (tag, "OK")
         thread.join(WAIT_S)
         assert ended == [True]
 
 
-def test_answers_behind_a_slow_reader_are_written_out_before_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answers_to_a_slow_reader_are_written_before_the_gateway_exits(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         assert client.ask()[0] == "OK"
-        (connection,) = service.front._connections.values()
+        (connection,) = service.frontend._connections.values()
         connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
         tags = [client.call(subject=place, body=b"y" * 16384) for place in range(1, 25)]
-        eventually(lambda: connection._write_buffer.has_pending and not service.front.open_calls)
-        looked = looks(monkeypatch)
-        thread, ended = stopping(service)
+        eventually(lambda: connection._write_buffer.has_pending and not service.frontend.open_calls)
+        steps_taken = count_steps(monkeypatch)
+        thread, ended = stop_in_thread(service)
         for _ in range(20):
-            assert looked.acquire(timeout=WAIT_S)
-        assert service.front.phase is Phase.DRAINING
+            assert steps_taken.acquire(timeout=WAIT_S)
+        assert service.frontend.phase is Phase.DRAINING
         read = [client.read() for _ in tags]
         assert {answer[0] for answer in read} == set(tags)
         assert all(answer[1] == "OK" and len(answer[3]) == 16384 for answer in read)
@@ -183,45 +191,45 @@
         assert ended == [True]
 
 
-def test_a_request_that_comes_between_the_last_look_and_the_end_is_refused_and_not_sent(
+def test_a_request_that_arrives_as_the_shutdown_starts_to_flush_is_rejected_and_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One on a connection that stands, one on a connection that nobody has accepted yet."""
     host = ScriptedHost()
-    late: list[Client] = []
+    new_clients: list[Client] = []
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         assert client.ask()[0] == "OK"
         step = GracefulShutdown.step
 
-        def decided(self: GracefulShutdown, now: float, activity: Activity) -> Phase:
+        def step_and_send(self: GracefulShutdown, now: float, activity: Activity) -> Phase:
             before = self.phase
             phase = step(self, now, activity)
-            if before is Phase.REFUSING and phase is Phase.FLUSHING:
-                late.append(Client(service.front.address))
-                late[0].call(subject=2)
+            if before is Phase.REJECTING and phase is Phase.FLUSHING:
+                new_clients.append(Client(service.frontend.address))
+                new_clients[0].call(subject=2)
                 client.call(subject=3)
             return phase
 
-        monkeypatch.setattr(GracefulShutdown, "step", decided)
-        thread, _ = stopping(service)
+        monkeypatch.setattr(GracefulShutdown, "step", step_and_send)
+        thread, _ = stop_in_thread(service)
         thread.join(WAIT_S)
         assert not thread.is_alive()
-        assert late[0].read()[1] == "BUSY"
+        assert new_clients[0].read()[1] == "BUSY"
         assert client.read()[1] == "BUSY"
         sent = [host.seen.get_nowait()["what"] for _ in range(host.seen.qsize())]
         assert sent.count("CALL") == 1, "a call that is cut off may have run: it was sent too late"
 
 
-def test_a_fault_in_the_last_reading_of_one_connection_costs_the_others_nothing(
+def test_a_fault_in_the_final_read_of_one_connection_leaves_the_others_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        clients = [Client(service.front.address) for _ in range(2)]
+        clients = [Client(service.frontend.address) for _ in range(2)]
         for client in clients:
             assert client.ask()[0] == "OK"
-        faulty, sound = service.front._connections.values()
+        faulty, sound = service.frontend._connections.values()
         read, step, tags = ClientConnection.on_readable, GracefulShutdown.step, list[int]()
 
         def faulty_read(self: ClientConnection, *arguments: Any) -> bool:
@@ -229,7 +237,7 @@
                 raise ValueError("made up by the test")
             return read(self, *arguments)
 
-        def between(self: GracefulShutdown, now: float, activity: Activity) -> Phase:
+        def step_and_break(self: GracefulShutdown, now: float, activity: Activity) -> Phase:
             phase = step(self, now, activity)
             if phase is Phase.FLUSHING and not tags:  # decided, and not carried out yet
                 monkeypatch.setattr(ClientConnection, "on_readable", faulty_read)
@@ -237,21 +245,21 @@
                 eventually(lambda: faulty.has_unread() and sound.has_unread())
             return phase
 
-        monkeypatch.setattr(GracefulShutdown, "step", between)
-        thread, ended = stopping(service)
+        monkeypatch.setattr(GracefulShutdown, "step", step_and_break)
+        thread, ended = stop_in_thread(service)
         assert clients[1].read()[:2] == (tags[1], "BUSY")
         thread.join(WAIT_S)
         assert len(ended) == 1
 
 
-def test_calls_that_outlast_the_shutdown_get_an_answer_that_promises_nothing() -> None:
+def test_calls_that_outlast_the_shutdown_are_answered_as_failed() -> None:
     """Longer deadlines than the platform waits: an answer before the kill is better than none."""
-    host, release = withheld()
+    host, release = blocked_host()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         unsafe = client.call(subject=1, cls=b"sell")
         assert host.next()["with"]["c"] == "sell"
-        service.front.begin_shutdown(ShutdownLimits(0.0, 0.0, 0.0, 1.0))
+        service.frontend.begin_shutdown(ShutdownLimits(0.0, 0.0, 0.0, 1.0))
         service.stop(0.0, 0.0)
         assert client.read()[:2] == (unsafe, "FAILED")
         with pytest.raises(EOFError):
@@ -259,44 +267,46 @@
         release.set()
 
 
-def test_a_request_that_is_refused_in_a_drain_is_not_made_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_call_is_built_for_a_request_that_is_rejected_while_draining(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Clients that ask again at once made each pass over them take twice the processor time."""
-    host, made = ScriptedHost(), list[str]()
-    make = CallMaker.call
+    host, built_classes = ScriptedHost(), list[str]()
+    build = CallBuilder.build
 
-    def note_and_make(self: CallMaker, frame: CallFrame, received_s: float) -> Call:
-        made.append(frame.class_name)
-        return make(self, frame, received_s)
+    def record_and_build(self: CallBuilder, frame: CallFrame, received_s: float) -> Call:
+        built_classes.append(frame.class_name)
+        return build(self, frame, received_s)
 
-    monkeypatch.setattr(CallMaker, "call", note_and_make)
+    monkeypatch.setattr(CallBuilder, "build", record_and_build)
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         assert client.ask()[0] == "OK"
-        service.front._services.admission.begin(service.front.clock())  # nothing ends before that
+        service.frontend._services.admission.begin(service.frontend.clock())  # nothing ends before that
         assert [client.ask(cls=cls)[0] for cls in (b"look", b"sell", b"none")] == ["BUSY", "BUSY", "FAILED"]
-    assert made == ["look", "none"]
+    assert built_classes == ["look", "none"]
 
 
-def test_a_second_request_to_stop_changes_nothing() -> None:
-    host, release = withheld()
+def test_a_second_shutdown_request_changes_nothing() -> None:
+    host, release = blocked_host()
     with gateway(Directory(Entry("s-1", host.address))) as service:
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         tag = client.call()
         host.next()
-        thread, ended = stopping(service)
-        eventually(lambda: service.front.phase is Phase.DRAINING)
-        service.front.begin_shutdown(ShutdownLimits(0.0, 0.0, 0.0, 0.0))
-        late = Client(service.front.address)
-        waits = late.call(subject=2)
+        thread, ended = stop_in_thread(service)
+        eventually(lambda: service.frontend.phase is Phase.DRAINING)
+        service.frontend.begin_shutdown(ShutdownLimits(0.0, 0.0, 0.0, 0.0))
+        new_client = Client(service.frontend.address)
+        waiting_tag = new_client.call(subject=2)
         host.next()
         release.set()
         assert client.read()[:2] == (tag, "OK")
-        assert late.read()[:2] == (waits, "OK")
+        assert new_client.read()[:2] == (waiting_tag, "OK")
         thread.join(WAIT_S)
         assert ended == [True]
 
 
-class Interposed:
+class InterposedQueue:
     """The engine's queue; whoever queues a call is held while another thread stops the engine."""
 
     def __init__(self, engine: Engine) -> None:
@@ -323,47 +333,47 @@
         return lambda *arguments: None
 
 
-def test_a_call_that_is_taken_while_the_engine_stops_is_answered() -> None:
+def test_a_call_submitted_while_the_engine_stops_is_answered() -> None:
     engine = Engine(settings(), 1, lambda: 100.0)
     engine.start(NoWorkers())
-    interposed = Interposed(engine)
-    engine._messages = interposed  # type: ignore[assignment]
+    interposed_queue = InterposedQueue(engine)
+    engine._messages = interposed_queue  # type: ignore[assignment]
     call = Call(1, "0" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0)
     taken = engine.submit(call)
-    interposed.stopper.join(WAIT_S)
+    interposed_queue.stopper.join(WAIT_S)
     assert engine._loop.stopped.is_set()
     assert taken
     assert call.is_finished
     assert not engine.submit(Call(2, "1" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0))
 
 
-def other_customer(content: bytes, directory: str) -> bytes:
+def other_configuration(content: bytes, directory: str) -> bytes:
     """The configuration of another one: classes, tenants, deadlines and limits of its own."""
     config = json.loads(content)
     config["nameserver"] = directory
     config["limits"] = {"cores": 1.0, "memory_mb": 64, "sockets": 64}
-    told = config["settings"]
-    told["RequestClasses"] = [
+    settings_fields = config["settings"]
+    settings_fields["RequestClasses"] = [
         {"Name": "scan", "Idempotency": "unsafe", "DeadlineS": 0.2, "PromiseS": 0.1},
     ]
-    told["Tenants"] = [{"Name": "other", "Share": 1.0, "QuotaRps": 5.0}]
-    told["Permissions"] |= {"MaxRetryAfterS": 0.0, "RetryAfter": False, "MaxAttempts": 1}
+    settings_fields["Tenants"] = [{"Name": "other", "Share": 1.0, "QuotaRps": 5.0}]
+    settings_fields["Permissions"] |= {"MaxRetryAfterS": 0.0, "RetryAfter": False, "MaxAttempts": 1}
     return json.dumps(config).encode()
 
 
-def test_nothing_of_a_configuration_read_on_sighup_shows_but_the_directorys_address(tmp_path: Path) -> None:
-    host, release = withheld()
+def test_only_the_nameserver_of_a_configuration_read_on_sighup_takes_effect(tmp_path: Path) -> None:
+    host, release = blocked_host()
     directory, moved = Directory(Entry("s-1", host.address)), Directory(Entry("s-1", host.address), serial=9)
     path = tmp_path / "config.json"
-    path.write_bytes(other_customer(config_text(directory.address, directory.entries), moved.address))
+    path.write_bytes(other_configuration(config_text(directory.address, directory.entries), moved.address))
     with gateway(directory) as service:
         log = io.StringIO()
         service._log = KeyValueLogger("test", log)
         in_force = service.config
-        client = Client(service.front.address)
+        client = Client(service.frontend.address)
         before = client.call(subject=1)
         host.next()
-        assert service.reread(str(path))
+        assert service.reload_config(str(path))
         assert "parts=" in log.getvalue()
         assert "settings" in log.getvalue()
         assert "limits" in log.getvalue()
@@ -373,13 +383,13 @@
             assert client.call(subject=2, **named)
             assert client.read()[1] == "FAILED"
         after = client.call(subject=4, cls=b"sell")
-        told = host.next()["with"]
-        assert told["c"] == "sell"
-        assert told["w"] > 7000
-        thread, ended = stopping(service)  # nor does the shutdown count with 0.2 s
-        eventually(lambda: service.front.phase is Phase.DRAINING)
-        assert service.front._shutdown_limits is not None
-        assert service.front._shutdown_limits.run_until_s > 3.0
+        sent_fields = host.next()["with"]
+        assert sent_fields["c"] == "sell"
+        assert sent_fields["w"] > 7000
+        thread, ended = stop_in_thread(service)  # nor does the shutdown count with 0.2 s
+        eventually(lambda: service.frontend.phase is Phase.DRAINING)
+        assert service.frontend._shutdown_limits is not None
+        assert service.frontend._shutdown_limits.run_until_s > 3.0
         release.set()
         answers = [client.read()[:2] for _ in range(2)]
         assert sorted(answers) == sorted([(before, "OK"), (after, "OK")])
@@ -396,21 +406,21 @@
 
 
 @pytest.mark.parametrize("kind", BAD_FILES)
-def test_a_configuration_that_cant_be_used_is_refused_with_its_path(kind: str, tmp_path: Path) -> None:
+def test_an_unusable_configuration_is_rejected_with_its_path(kind: str, tmp_path: Path) -> None:
     host = ScriptedHost()
     path = tmp_path / "config.json"
     path.write_bytes(BAD_FILES[kind])
     with gateway(Directory(Entry("s-1", host.address))) as service:
         log = io.StringIO()
         service._log = KeyValueLogger("test", log)
-        assert not service.reread(str(path))
+        assert not service.reload_config(str(path))
         assert str(path) in log.getvalue()
         assert "can't be used" in log.getvalue()
-        assert Client(service.front.address).ask() == ("OK", b"x")
+        assert Client(service.frontend.address).ask() == ("OK", b"x")
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:99999999", "nowhere:port", "127.0.0.1:", 7, None, {}])
-def test_an_address_of_the_directory_that_is_none_changes_nothing(address: object, tmp_path: Path) -> None:
+def test_an_invalid_nameserver_address_changes_nothing(address: object, tmp_path: Path) -> None:
     host = ScriptedHost()
     directory = Directory(Entry("s-1", host.address))
     config = json.loads(config_text(directory.address, directory.entries))
@@ -418,6 +428,6 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     with gateway(directory) as service:
-        service.reread(str(path))
+        service.reload_config(str(path))
         directory.tell(Entry("s-1", host.address), Entry("s-2", host.address))
-        assert len(service.membership.specs) == 2
+        assert len(service.endpoint_list.specs) == 2
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -10,15 +10,15 @@
 
 from saffronstack.discovery.dns.messages import decode_response, encode_query
 from saffronstack.platform.budget import divide
-from saffronstack.platform.identifiers import Tags
-from saffronstack.resp.frames import CallFrame, FrameError, frame_of
+from saffronstack.platform.identifiers import UsedTags
+from saffronstack.resp.frames import CallFrame, FrameError, parse_frame
 from saffronstack.resp.reader import RespError, RespReader, encode
 from saffronstack.standin.platform import Entry, dns_answer
 
 FIELDS = b"req=9b1f03aa5c7e2d41,timeout=1500,subject=7f3a9c21e0b4d655"
 CALL = (b"CALL", b"7", b"look", FIELDS, b"\r\n$3\r\n\x00")
 NAME = "_work._tcp.fleet.local"
-LIST = [Entry("s-1", "127.0.0.1:100"), Entry("s-2", "127.0.0.2:200", True, 1700000000000)]
+ENTRIES = [Entry("s-1", "127.0.0.1:100"), Entry("s-2", "127.0.0.2:200", True, 1700000000000)]
 
 
 def test_frames_split_at_every_byte() -> None:
@@ -31,44 +31,44 @@
                 words.append(request)
         assert words == [CALL, (b"CANCEL", b"7"), (b"CHECK", b"8", b"")]
         assert not reader.pending
-    frame = frame_of(CALL)
+    frame = parse_frame(CALL)
     assert isinstance(frame, CallFrame)
     assert frame.fields["timeout"] == "1500"
     assert frame.body == CALL[-1]
 
 
 @given(st.lists(st.binary(max_size=60), max_size=8))
-def test_whatever_clients_send_is_a_frame_or_an_error(parts: list[bytes]) -> None:
+def test_arbitrary_bytes_are_parsed_or_rejected(parts: list[bytes]) -> None:
     reader = RespReader()
     with contextlib.suppress(RespError, FrameError):
         for part in parts:
             reader.feed(part)
             while (words := reader.next()) is not None:
-                frame_of(words)
+                parse_frame(words)
 
 
 @given(st.binary(max_size=40), st.integers(0, 200), st.integers(1, 4))
-def test_frames_with_noise_inside_are_a_frame_or_an_error(noise: bytes, at: int, cut: int) -> None:
+def test_frames_with_random_bytes_inserted_are_parsed_or_rejected(noise: bytes, at: int, cut: int) -> None:
     data = encode(CALL)
     data = data[:at] + noise + data[at + cut :]
     reader = RespReader()
     with contextlib.suppress(RespError, FrameError):
-        for place in range(len(data)):
-            reader.feed(data[place : place + 1])
+        for index in range(len(data)):
+            reader.feed(data[index : index + 1])
             while (words := reader.next()) is not None:
-                frame_of(words)
+                parse_frame(words)
     assert len(reader._buffer) < 40_000
 
 
-def test_a_tag_is_new_once_and_memory_of_tags_is_bounded() -> None:
-    tags = Tags()
+def test_a_tag_is_accepted_once_and_the_stored_tags_are_bounded() -> None:
+    tags = UsedTags()
     assert all(tags.use(tag) for tag in range(1, 5000))
-    assert not tags._above
+    assert not tags._used_above
     assert not tags.use(17)
     assert sum(tags.use(tag) for tag in range(10_000, 20_000)) == 1024
 
 
-def test_descriptors_are_divided_within_their_number() -> None:
+def test_the_descriptor_budget_stays_within_the_descriptor_limit() -> None:
     for sockets in (26, 256, 384, 1024):
         budget = divide(sockets, 64, 20000)
         assert budget.clients + budget.links <= sockets
@@ -76,7 +76,7 @@
     assert divide(256, 64, 20000).clients >= 256 / 3
 
 
-def test_stand_in_answers_are_dns(  # the stand-in itself, against the system's own reading of an address
+def test_stub_directory_responses_are_valid_dns(  # checked against the system's own address parsing
 ) -> None:
-    answer = decode_response(dns_answer(encode_query(5, NAME), 41, LIST))
+    answer = decode_response(dns_answer(encode_query(5, NAME), 41, ENTRIES))
     assert answer.addresses["s-1.east.hosts"] == socket.inet_ntoa(b"\x7f\0\0\1")
--- a/tests/test_platform_run.py
+++ b/tests/test_platform_run.py
@@ -17,11 +17,11 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 # Where a program would come by another process, a Unix socket or a call that the platform refuses.
-UNWANTED = {
+FORBIDDEN_MODULES = {
     "subprocess", "multiprocessing", "concurrent.futures.process", "pty", "asyncio", "ssl", "ctypes", "mmap",
     "shutil", "tempfile", "structlog", "click", "watchfiles", "zstandard",
 }  # fmt: skip
-OTHERS = {
+OTHER_PACKAGES = {
     "invoke", "deferred", "operations", "metering", "durable", "discovery.files", "daemon", "harness",
     "standin", "cli", "fleet",
 }  # fmt: skip
@@ -33,7 +33,7 @@
     return line
 
 
-def test_run_ends_by_exec_in_one_process() -> None:
+def test_the_run_line_ends_with_exec_in_one_process() -> None:
     steps = [step.strip() for step in run_line().split("&&")]
     assert steps[-1].startswith("exec ")
     assert "exec" not in " ".join(steps[:-1])
@@ -45,27 +45,30 @@
     (tmp_path / ".built").mkdir()
     (tmp_path / ".built" / "saffronstack").symlink_to(ROOT / "saffronstack")
     (tmp_path / ".venv").symlink_to(sys.prefix)
-    host, held = ScriptedHost(), hold_port("127.0.0.1")  # nobody else gets the port until the gateway listens
-    listen = f"127.0.0.1:{held.getsockname()[1]}"
+    host, port_holder = (
+        ScriptedHost(),
+        hold_port("127.0.0.1"),
+    )  # nobody else gets the port until the gateway listens
+    listen = f"127.0.0.1:{port_holder.getsockname()[1]}"
     directory = Directory(Entry("s-1", host.address))
     path = tmp_path / "config.json"
     path.write_bytes(config_text(directory.address, directory.entries, listen=listen))
-    told = (tmp_path / "told").open("w+")
+    log_file = (tmp_path / "told").open("w+")
     environment = {**os.environ, "LB_CONFIG": str(path), "LB_NAME": "n1", "PYTHONPROFILEIMPORTTIME": "1"}
-    program = subprocess.Popen(["/bin/sh", "-c", run_line()], cwd=tmp_path, env=environment, stderr=told)
-    looked = threading.Event()
+    program = subprocess.Popen(["/bin/sh", "-c", run_line()], cwd=tmp_path, env=environment, stderr=log_file)
+    inspected = threading.Event()
     try:
         where, port = listen.rsplit(":", 1)
-        client = _connected(program, told.name, (where, int(port)))
+        client = _connect_when_ready(program, log_file.name, (where, int(port)))
 
-        def load() -> None:
-            while not looked.is_set():
-                assert client.ask(subject=len(seen) % 7)[0] == "OK"
-                seen.append(1)
+        def send_requests() -> None:
+            while not inspected.is_set():
+                assert client.ask(subject=len(served) % 7)[0] == "OK"
+                served.append(1)
 
-        seen: list[int] = []
-        loading = threading.Thread(target=load)
-        loading.start()
+        served: list[int] = []
+        load_thread = threading.Thread(target=send_requests)
+        load_thread.start()
         directory.wait()
         process = pathlib.Path(f"/proc/{program.pid}")
         children = [text.read_text() for text in process.glob("task/*/children")]
@@ -73,9 +76,9 @@
         descriptors = [os.readlink(entry) for entry in (process / "fd").iterdir() if entry.is_symlink()]
         unix = {line.split()[6] for line in (process / "net" / "unix").read_text().splitlines()[1:]}
         mapped = {line.split()[-1] for line in (process / "maps").read_text().splitlines()}
-        looked.set()
-        loading.join(WAIT_S)
-        assert seen
+        inspected.set()
+        load_thread.join(WAIT_S)
+        assert served
         assert len(children) > 5
         assert not any(text.strip() for text in children)
         assert command[0].endswith(b"python")
@@ -88,28 +91,28 @@
         assert not [name for name in descriptors if not name.startswith(plain)]
         program.send_signal(signal.SIGTERM)
         assert program.wait(WAIT_S) == 0
-        told.seek(0)
-        modules = {line.rsplit("|", 1)[1].strip() for line in told if line.startswith("import time:")}
-        ours = [name.split(".") for name in modules if name.startswith("saffronstack.")]
-        parts = {".".join(names[1:depth]) for names in ours for depth in (2, 3)}
-        assert "platform" in parts
-        assert not parts & OTHERS
-        assert not modules & UNWANTED, modules & UNWANTED
+        log_file.seek(0)
+        modules = {line.rsplit("|", 1)[1].strip() for line in log_file if line.startswith("import time:")}
+        own_modules = [name.split(".") for name in modules if name.startswith("saffronstack.")]
+        packages = {".".join(names[1:depth]) for names in own_modules for depth in (2, 3)}
+        assert "platform" in packages
+        assert not packages & OTHER_PACKAGES
+        assert not modules & FORBIDDEN_MODULES, modules & FORBIDDEN_MODULES
     finally:
-        looked.set()
+        inspected.set()
         program.kill()
         program.wait()
-        told.close()
+        log_file.close()
         directory.close()
-        held.close()
+        port_holder.close()
 
 
-def _connected(program: subprocess.Popen[bytes], told: str, address: tuple[str, int]) -> Client:
+def _connect_when_ready(program: subprocess.Popen[bytes], log_path: str, address: tuple[str, int]) -> Client:
     """A client, once the gateway has said that it takes calls."""
     pause = threading.Event()
     for _ in range(int(WAIT_S / 0.02)):
-        if "takes calls" in pathlib.Path(told).read_text():
+        if "takes calls" in pathlib.Path(log_path).read_text():
             return Client(address)
-        assert program.poll() is None, pathlib.Path(told).read_text()
+        assert program.poll() is None, pathlib.Path(log_path).read_text()
         pause.wait(0.02)
     raise AssertionError("it did not start in time")
--- a/tests/upstream/multiplexed/test_connection.py
+++ b/tests/upstream/multiplexed/test_connection.py
@@ -327,10 +327,10 @@
     directory = Directory(Entry("s-1", host.address))
     slow = SlowConnect(monkeypatch)
     with gateway(directory) as service:
-        client, other = Client(service.front.address), Client(service.front.address)
+        client, other = Client(service.frontend.address), Client(service.frontend.address)
         tag = client.call(cls=b"sell")
         assert slow.begun.acquire(timeout=WAIT_S)
-        (connection,) = service.hosts.pools().popitem()[1].connections
+        (connection,) = service.dispatcher.pools().popitem()[1].connections
         eventually(lambda: connection.in_flight)  # the call waits for it
         decided = threading.Event()
         if change == "client leaves":  # and nobody has decided yet what that means for its attempt
@@ -343,7 +343,7 @@
             service.engine.inspect(hold)
             assert held.wait(WAIT_S)
             client.sock.close()
-            eventually(lambda: not service.front.open_calls)
+            eventually(lambda: not service.frontend.open_calls)
         elif change == "worker drains":
             directory.tell(Entry("s-1", host.address, draining=True))
         elif change == "worker is removed":
@@ -359,7 +359,7 @@
         else:  # it never left, and the one host was tried
             assert client.read()[:2] == (tag, "BUSY")
         assert host.seen.empty()
-        eventually(lambda: not service.hosts.in_flight)
+        eventually(lambda: not service.dispatcher.in_flight)
     host.close()
 
 
