--- a/saffronstack/__init__.py
+++ b/saffronstack/__init__.py
@@ -1,4 +1,4 @@
-"""saffronstack: warm-stack routing decisions for front ends of workers that load programs on demand."""
+"""saffronstack: a gateway that routes requests to workers that load functions on demand."""
 
 from saffronstack.routing.router import Router
 from saffronstack.routing.settings import Settings
--- a/saffronstack/bench/__init__.py
+++ b/saffronstack/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the simulator: its wire format, and the process that speaks it."""
+"""Simulator adapter: the codec of its wire format, and the process that it starts."""
--- a/saffronstack/bench/simhost.py
+++ b/saffronstack/bench/simhost.py
@@ -1,4 +1,4 @@
-"""The process that the simulator starts: one router per instance decides on batches of events."""
+"""Process that the simulator starts: handles batches of events with one router per gateway instance."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class RouterHost:
-    """Independent routers, one for each running instance.
+    """Holds one independent router for each running gateway instance.
 
     Attributes:
-        routers: The routers, by instance.
-        load_report_fields: Names of the values of load reports, by instance.
+        routers: Routers, by instance number.
+        load_report_fields: Field names of load reports, by instance number.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self.load_report_fields: dict[int, tuple[str, ...]] = {}
 
     def handle_batch(self, now: float, body: bytes, records: int) -> bytes:
-        """Handle the records of one batch and return those of its reply.
+        """Handle the records of one batch and return the records of its reply.
 
         Raises:
             WireError: The batch is malformed.
@@ -39,7 +39,7 @@
                 self._handle_event(now, instance, event, reply)
             except wire.WireError:
                 raise
-            except Exception as error:  # noqa: BLE001 - the simulator has a record for decision code that fails
+            except Exception as error:  # noqa: BLE001 - the simulator has a record for router exceptions
                 traceback.print_exc(file=sys.stderr)
                 reply.append(wire.encode_fault(instance, f"{type(error).__name__}: {error}"))
         if reader.offset != len(body):
@@ -67,7 +67,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Read batches and write their replies until the input ends.
 
     Raises:
         WireError: A batch is malformed.
@@ -82,7 +82,7 @@
 
 
 def main() -> int:
-    """Run the adapter and return its exit status: 0 at the end of input, 2 after a malformed batch."""
+    """Run the adapter and return its exit status: 0 at end of input, 2 after a malformed batch."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/saffronstack/bench/wire.py
+++ b/saffronstack/bench/wire.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's wire format: bytes to events, and actions to bytes."""
+"""Codec of the simulator's wire format: decodes events and encodes actions."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
 
 
 class WireError(ValueError):
-    """Bytes that do not follow the wire format; the text says where."""
+    """Bytes or settings violate the wire format; the message says where."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """A gateway instance starts, without any state."""
+    """A gateway instance starts without any state."""
 
     seed: int
     settings_text: str
@@ -92,21 +92,21 @@
 _MAX_WORKER_STATE = 2
 _MAX_UPDATE_KIND = 3
 
-# The note of an outcome: three bits of cache status, then the concurrency.
+# One field of an outcome holds the cache status in its lowest three bits and the concurrency above them.
 _CACHE_STATUS_BITS = 3
 _CACHE_STATUS_MASK = 7
 
-# The flags of a request.
+# Flag bits of a request.
 _HAS_WORK = 1
 _IS_RETRY = 2
 _IS_WRITE = 4
 
 
 def parse_settings(text: str) -> ParsedSettings:
-    """Parse the settings that an instance starts with.
+    """Parse the settings with which an instance starts.
 
     Raises:
-        WireError: They can't be used.
+        WireError: The settings are invalid.
     """
     try:
         return parse_settings_object(text)
@@ -122,17 +122,17 @@
 
         Args:
             body: The batch without its header.
-            load_report_fields: Names of the values of load reports, by instance.
+            load_report_fields: Field names of load reports, by instance number.
         """
         self.body = body
         self.offset = 0
         self.load_report_fields = load_report_fields
 
     def read_record(self) -> tuple[int, WireEvent]:
-        """Read the next record: the number of an instance, and the event.
+        """Read the next record and return its instance number and event.
 
         Raises:
-            WireError: The bytes are no record.
+            WireError: The bytes are not a valid record.
         """
         if self.offset >= len(self.body):
             raise WireError(f"truncated: no record at byte {self.offset}")
@@ -314,12 +314,12 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """Encode the record that says that the decision code raised an exception."""
+    """Encode the record that reports an exception in the router."""
     return _encode_text(_FAULT_CODE, instance, text)
 
 
 def encode(instance: int, action: Action) -> bytes:
-    """Encode one action of an instance."""
+    """Encode one action of a gateway instance."""
     match action:
         case SendAttempt():
             return _SEND_ATTEMPT.pack(
--- a/saffronstack/routing/actions.py
+++ b/saffronstack/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a router asks its caller to carry out."""
+"""Actions that a router returns for the gateway to carry out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send a request to a worker; a ``timeout_s`` of 0 means until the client's deadline."""
+    """Send a request to a worker; a ``timeout_s`` of 0 leaves only the client's deadline as the limit."""
 
     request_id: int
     worker_id: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadFunction:
-    """Tell a worker to hold at least this many instances of a function; 0 only asks how many it holds."""
+    """Tell a worker to hold at least this many instances of a function; 0 only queries the number."""
 
     worker_id: int
     function_id: int
--- a/saffronstack/routing/components.py
+++ b/saffronstack/routing/components.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a router and makes them known to each other."""
+"""Construction of a router's components and the dependencies between them."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 
 class Components:
-    """The state of one router and the parts that work on it.
+    """The state of one router and the components that read and update it.
 
     Attributes:
         fleet: Known workers.
-        functions: Known functions by number.
-        requests: Requests that are owed a final answer, by number.
-        attempts: Attempts in flight, by request and index.
+        functions: Known functions, by function ID.
+        requests: Requests that are owed a final answer, by request ID.
+        attempts: Attempts in flight, by request ID and attempt index.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Build the parts; they share one random generator, whose draws are part of the decisions."""
+        """Create the components; they share one random generator, so that a seed determines all decisions."""
         rng = random.Random(seed)
         keep_s = keep_alive_s(settings)
         self.settings = settings
--- a/saffronstack/routing/concurrency_limit.py
+++ b/saffronstack/routing/concurrency_limit.py
@@ -1,7 +1,8 @@
 """Adaptive concurrency limit of each worker, for attempts sent to its loaded instances.
 
-The limit is absent until the first late response. It falls when responses are late or the worker is at
-capacity and rises while responses are timely and the limit is in use. Requests over it wait at the gateway.
+There is no limit until the first late response. The limit falls when responses are late or the worker is at
+capacity. It rises while responses are timely and most of the limit is in use. Requests over the limit are
+queued at the gateway.
 """
 
 from __future__ import annotations
@@ -10,23 +11,24 @@
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.state import Attempt
 
-# Results that say something of the worker's load; connections that fail are left to outlier detection.
+# Results that depend on the worker's load. Connection failures are handled by outlier detection.
 LOAD_RESULTS = (Result.OK, Result.AT_CAPACITY, Result.TIMEOUT)
-LATE_FRACTION = 0.7  # of the latency objective; a slower response counts as late, before clients lose value
-DECREASE_INTERVAL_S = 0.3  # the limit falls this often at most: responses in flight report the same overload
-DECREASE_FACTOR = 0.85  # of the limit, or of the concurrency in use where that is less
-INCREASE_STEP = 0.1  # attempts, by one timely response
-IN_USE_FRACTION = 0.7  # the limit rises only while this fraction of it is in use
-MIN_LIMIT = 2.0  # attempts; a worker with one slow function must stay usable
-# Fraction of a worker's limit that a request without any priority weight may use; one of mean weight may use
-# all of it.
+LATE_FRACTION = 0.7  # fraction of the latency objective; slower responses count as late before they miss it
+DECREASE_INTERVAL_S = 0.3  # minimum time between decreases: responses in flight report the same overload
+DECREASE_FACTOR = 0.85  # factor on the limit, or on the concurrency in use if that is lower
+INCREASE_STEP = 0.1  # attempts added for each timely response
+IN_USE_FRACTION = 0.7  # fraction of the limit that must be in use for the limit to rise
+MIN_LIMIT = 2.0  # attempts; keeps a worker usable if one of its functions is slow
+# Fraction of a worker's limit that a request with a priority weight of 0 may use. A request of mean weight
+# may use the whole limit.
 MIN_USABLE_FRACTION = 0.2
 
 
 class ConcurrencyLimiter:
-    """Moves the concurrency limit of workers by the latency of their responses.
+    """Adjusts the concurrency limits of workers to the latency of their responses.
 
-    Guards against queues at the workers, whatever fills them. It could hurt where only one function is slow.
+    The limits prevent queues at the workers, whatever causes them. A limit may be too low for a worker at
+    which only one function is slow.
     """
 
     __slots__ = ("_classes",)
@@ -35,14 +37,14 @@
         self._classes = settings.classes
 
     def usable_fraction(self, priority_weight: float, mean_priority_weight: float) -> float:
-        """Return the fraction of a worker's limit that a request of this priority weight may use."""
+        """Return the fraction of a worker's concurrency limit that a request of this weight may use."""
         if mean_priority_weight <= 0:
             return 1.0
         relative = (1 - MIN_USABLE_FRACTION) * priority_weight / mean_priority_weight
         return min(1.0, MIN_USABLE_FRACTION + relative)
 
     def observe(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Take in the outcome of an attempt at a loaded instance."""
+        """Adjust a worker's limit by the outcome of an attempt at a loaded instance."""
         worker = attempt.worker
         objective_s = self._classes[attempt.request.class_index].latency_objective_s
         is_late = outcome.result is Result.AT_CAPACITY or outcome.elapsed_s > LATE_FRACTION * objective_s
--- a/saffronstack/routing/cpu_utilization.py
+++ b/saffronstack/routing/cpu_utilization.py
@@ -1,4 +1,4 @@
-"""CPU utilization of workers, as reported with their responses."""
+"""CPU utilization that workers report with their responses."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 from saffronstack.routing.state import Worker
 
-REPORT_WEIGHT = 0.3  # of one report in a worker's moving average
-# Seconds over which a worker's difference from the mean fades: what differs between workers lasts, what one
-# of them does next does not. A worker that nobody sends to is taken for average again and gets requests.
+REPORT_WEIGHT = 0.3  # weight of one report in a worker's moving average
+# Time constant in seconds with which a worker's difference from the fleet mean decays after its last report.
+# Persistent differences between workers outlast it, momentary ones do not. A worker that gets no requests
+# sends no reports; the decay makes it count as average again, so that it gets requests.
 REPORT_WINDOW_S = 20.0
-FLEET_REPORT_WEIGHT = 0.02  # of one report in the mean over all workers that respond
-# Least idle fraction that a worker is taken to have; keeps the ratio of two workers finite at full use.
+FLEET_REPORT_WEIGHT = 0.02  # weight of one report in the mean over all responding workers
+# Lower bound of a worker's idle fraction; keeps ratios finite at full utilization.
 MIN_IDLE_FRACTION = 0.05
 
 
 class CpuUtilization:
-    """Moving averages of reported CPU utilization, by worker and over the fleet.
+    """Keeps moving averages of reported CPU utilization, for each worker and for the fleet.
 
     Attributes:
-        fleet_mean: Recent mean over responding workers; 0 until a report arrives.
+        fleet_mean: Recent mean over responding workers; 0 before the first report.
     """
 
     __slots__ = ("fleet_mean",)
@@ -28,7 +29,7 @@
         self.fleet_mean = 0.0
 
     def observe(self, now: float, worker: Worker, utilization: float) -> None:
-        """Take in one report; ``utilization`` is a fraction of the worker's cores."""
+        """Update the averages with one report; ``utilization`` is the fraction of cores in use."""
         is_recent = worker.cpu_reported_s > now - REPORT_WINDOW_S
         weight = REPORT_WEIGHT if is_recent else 1.0
         worker.cpu_utilization += weight * (utilization - worker.cpu_utilization)
@@ -36,11 +37,11 @@
         self.fleet_mean += FLEET_REPORT_WEIGHT * (utilization - self.fleet_mean)
 
     def relative_idle(self, now: float, worker: Worker) -> float:
-        """Return the idle fraction of a worker's cores as a multiple of the fleet's; 1 where none is known.
+        """Return the idle fraction of a worker's cores as a multiple of the fleet's; 1 without any report.
 
-        Guards against workers that stay busier than others though no gateway sees it: rendezvous ranks,
-        capacities and chance load them unevenly for as long as the functions live. Old reports decay to the
-        fleet's mean. It could hurt where utilization is reported wrongly.
+        The ratio reveals workers that stay busier than others although no single gateway sees it: rendezvous
+        ranks, capacities and chance load workers unevenly for as long as functions stay loaded. Old reports
+        decay to the fleet mean. Wrong reports make placement worse.
         """
         if worker.cpu_reported_s == -math.inf:
             return 1.0
--- a/saffronstack/routing/dispatcher.py
+++ b/saffronstack/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches requests: sends the next attempt, holds the request back, or gives its final answer."""
+"""Dispatch of requests: send the next attempt, queue the request, or give the final answer."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from saffronstack.routing.components import Components
 from saffronstack.routing.state import Attempt, Function, PendingRequest, Worker
 
-# Attempts of one request that may each begin a load: where most workers are at capacity, asking every one of
-# them would only crowd them.
+# Maximum number of attempts of one request that may each begin a load. When most workers are at capacity,
+# further attempts would only add to their load.
 MAX_LOAD_ATTEMPTS = 3
 
 
 class Dispatcher:
-    """Decides what to do next about a request.
+    """Decides the next step for a request.
 
-    In this order: a warm instance, a load at a worker, holding back, the final answer.
+    The steps are tried in this order: a warm instance, a load at a worker, the queue, the final answer.
 
     Attributes:
-        actions: Actions decided since the present event arrived.
+        actions: Actions decided since the current event arrived.
     """
 
     def __init__(self, components: Components) -> None:
@@ -39,11 +39,11 @@
         self._queue = components.request_queue
 
     def dispatch(self, now: float, pending: PendingRequest, can_wait: bool = True) -> None:
-        """Send the next attempt of a request if its retry policy allows one, or hold it back.
+        """Send the next attempt of a request, queue the request, or give its final answer.
 
         Args:
-            now: Present time in seconds.
-            pending: The request; no attempt of it is in flight.
+            now: Current time in seconds.
+            pending: The request, without any attempt in flight.
             can_wait: Whether the request can still wait for a busy instance.
         """
         function_id = pending.request.function_id
@@ -65,12 +65,12 @@
         self._send(now, pending, worker, function, expects_warm, freed_s)
 
     def give_final_answer(self, pending: PendingRequest) -> None:
-        """Give the final answer to a request that gets no other attempt."""
+        """Give the final answer to a request that gets no further attempt."""
         del self._requests[pending.request.request_id]
         self.actions.append(self._retry_policy.final_answer(pending))
 
     def dispatch_queued(self, now: float) -> None:
-        """Dispatch requests that were held back, as far as instances and load slots are free."""
+        """Dispatch queued requests as far as free instances and load slots allow."""
         if self._queue.functions:
             self._use_free_instances(now)
             self._use_free_load_slots(now)
@@ -78,7 +78,7 @@
     def _dispatch_without_instance(
         self, now: float, pending: PendingRequest, function: Function, can_wait: bool
     ) -> None:
-        # Only now all workers are looked at: most requests find an instance, and fleets may be large.
+        # All workers are scanned only here: most requests find an instance, and fleets may be large.
         is_eligible = self._eligibility.is_eligible
         eligible = [worker for worker in self._workers.values() if is_eligible(now, pending, worker)]
         load_attempts = sum(not attempt.expects_warm for attempt in pending.attempts)
@@ -105,7 +105,7 @@
         expects_warm: bool,
         freed_s: float,
     ) -> None:
-        """Send the next attempt of a request to a worker."""
+        """Send the next attempt of a request to a worker and update all counts."""
         request, worker_id = pending.request, worker.endpoint.worker_id
         expects_no_instance = not expects_warm and not self._memory.knows_instance(
             worker, request.function_id
@@ -130,7 +130,7 @@
         self.actions.append(SendAttempt(request.request_id, worker_id))
 
     def _use_free_instances(self, now: float) -> None:
-        """Give free instances to the newest requests held back, the function with the weightiest first."""
+        """Dispatch queued requests to free instances, by the weight of each function's newest request."""
         for function in self._queue.functions_with_instances():
             while function.waiting and function.warm_instances:
                 instances_before = len(function.warm_instances)
@@ -139,7 +139,7 @@
                     break
 
     def _use_free_load_slots(self, now: float) -> None:
-        """Give free load slots to the functions for which most weight is held back."""
+        """Use free load slots for the functions with the highest total weight of queued requests."""
         for _ in range(len(self._queue.functions)):
             function = self._queue.heaviest_function_without_load()
             if function is None or not self._load_control.has_free_slot():
--- a/saffronstack/routing/eligibility.py
+++ b/saffronstack/routing/eligibility.py
@@ -1,4 +1,4 @@
-"""Whether a worker may get an attempt of a request."""
+"""Eligibility of a worker for an attempt of a request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Eligibility:
-    """Combines the conditions of endpoint list, outlier detection, retries and slow start."""
+    """Combines the conditions of the endpoint list, outlier detection, retry policy and slow start."""
 
     __slots__ = ("_slow_start",)
 
@@ -28,7 +28,7 @@
         return now >= worker.slow_start_ends_s or self._slow_start.grants_attempt(now, worker)
 
     def can_retry_after_disconnect(self, now: float, pending: PendingRequest, worker: Worker) -> bool:
-        """Return whether a request may go again to a worker where its own connection was lost."""
+        """Return whether a request may be retried at a worker to which it lost its connection."""
         if not worker.is_ready or worker.is_ejected:
             return False
         if not any(attempt.connection_lost and attempt.worker is worker for attempt in pending.attempts):
--- a/saffronstack/routing/errors.py
+++ b/saffronstack/routing/errors.py
@@ -4,11 +4,11 @@
 
 
 class RoutingError(ValueError):
-    """A value given to the router is impossible; the message says which one and what was expected."""
+    """A value given to the router is invalid; the message names it and the expected values."""
 
 
 class InvalidSettingsError(RoutingError):
-    """A value of the settings is impossible; the message starts with the path of its field."""
+    """A settings value is invalid; the message starts with the path of its field."""
 
 
 class UnknownRequestClassError(RoutingError):
--- a/saffronstack/routing/events.py
+++ b/saffronstack/routing/events.py
@@ -1,7 +1,7 @@
-"""Events that a router is notified of: endpoint updates, requests, outcomes of attempts, timers.
+"""Events that a router handles: endpoint updates, requests, outcomes of attempts, timers.
 
-Times are seconds of the clock that is passed to `Router.handle`; durations end in ``_s`` as well. Workers,
-functions and requests are identified by plain numbers that carry no meaning.
+Times are in seconds on the clock that is passed to `Router.handle`. Names of times and of durations end in
+``_s``. Workers, functions and requests are identified by opaque numbers.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
     """Result of an attempt, a health check or a load command.
 
     Attributes:
-        OK: A complete response.
+        OK: The worker sent a complete response.
         ERROR: The worker or the function failed.
         AT_CAPACITY: The worker rejected the request before executing it.
-        TIMEOUT: No complete response in time; the request may have been executed.
-        CONNECT_FAILED: No connection; the request was not executed.
-        RESET: The connection ended after the first byte; the request may have been executed.
-        CANCELLED: Cancelled by this gateway or by the client.
-        NOT_STARTED: Withdrawn before its first byte was sent.
-        NOT_LOADED: Rejected since the worker has not loaded the function.
+        TIMEOUT: No complete response arrived in time; the request may have been executed.
+        CONNECT_FAILED: The connection could not be established; the request was not executed.
+        RESET: The connection was lost after the first byte was sent; the request may have been executed.
+        CANCELLED: This gateway or the client cancelled the attempt.
+        NOT_STARTED: The attempt was withdrawn before its first byte was sent.
+        NOT_LOADED: The worker rejected the request because it has not loaded the function.
     """
 
     OK = "ok"
@@ -55,11 +55,11 @@
 
 
 class EndpointUpdateKind(Enum):
-    """Content of an endpoint update.
+    """Kind of an endpoint update.
 
     Attributes:
-        INCREMENTAL: Endpoints that changed.
-        SNAPSHOT: The complete list; endpoints that it leaves out are gone.
+        INCREMENTAL: Only the endpoints that changed.
+        SNAPSHOT: The complete list; endpoints that are not in it are removed.
         CACHED: A complete list that may be out of date.
         FAILED: The list could not be fetched.
     """
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load of a worker as reported by itself; None where a value was not reported.
+    """Load that a worker reports about itself; values that were not reported are None.
 
     Attributes:
         requests_in_flight: Requests being executed or queued.
@@ -100,13 +100,13 @@
     """One worker of an endpoint update.
 
     Attributes:
-        worker_id: Number of the worker.
+        worker_id: ID of the worker.
         state: Whether it is ready, draining or removed.
         capacity: Capacity relative to other workers.
-        kind: Index of its kind, which decides its memory.
+        kind: Index of its worker kind, which determines its memory.
         zone: Index of its zone.
         cell: Index of its cell.
-        started_s: When it last started; 0 means long ago.
+        started_s: When the worker last started; 0 means long ago.
     """
 
     worker_id: int
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorAttempt:
-    """An attempt of an earlier incarnation of the gateway that may have executed."""
+    """An attempt that an earlier incarnation of the gateway sent and that may have executed the request."""
 
     worker_id: int
     sent_s: float
@@ -137,21 +137,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request of a client; exactly one final answer is owed by its deadline.
+    """A request of a client, which is owed exactly one final answer by its deadline.
 
     Attributes:
-        request_id: Number of the request.
+        request_id: ID of the request.
         class_index: Index of its class in the settings.
-        function_id: Number of the function to execute.
-        deadline_s: When its answer is owed, on the router's clock.
+        function_id: ID of the function to execute.
+        deadline_s: Deadline of the final answer, on the router's clock.
         tenant: Index of its tenant in the settings.
         memory_mb: Memory of one instance of the function.
-        concurrency: Requests that one instance executes at once.
+        concurrency: Requests that one instance executes concurrently.
         load_time_s: Usual time to load the function, if known.
         work_s: Time to execute the request, if known.
-        is_retry: Whether the client sends it again.
-        is_write: Whether it writes.
-        prior_attempt: Set only for a deferred request that is resumed after a restart.
+        is_retry: Whether the client sent the request before.
+        is_write: Whether the request writes data.
+        prior_attempt: Attempt before a restart of the gateway; set only for a resumed deferred request.
     """
 
     request_id: int
@@ -170,17 +170,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How one attempt ended.
+    """Outcome of one attempt.
 
     Attributes:
-        request_id: Number of the request.
+        request_id: ID of the request.
         attempt: Index of the attempt, counted from 0 for each request.
-        worker_id: Number of the worker.
-        result: Its result.
-        elapsed_s: Time from its start to its end.
-        is_final: Whether the client has its answer, so that nothing more is owed.
+        worker_id: ID of the worker.
+        result: Result of the attempt.
+        elapsed_s: Time from the start of the attempt to its end.
+        is_final: Whether the client already has its final answer.
         cache_status: Whether the function was found loaded.
-        concurrency: Requests in execution at the instance, if reported.
+        concurrency: Requests that the instance is executing, if reported.
         load_report: Load of the worker, if reported.
     """
 
@@ -197,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """Response to a health check."""
+    """Result of a health check."""
 
     worker_id: int
     result: Result
@@ -207,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadCommandResult:
-    """Response to a load command; ``instances`` is how many the worker holds now."""
+    """Result of a load command; ``instances`` is the number of instances that the worker now holds."""
 
     worker_id: int
     function_id: int
@@ -225,14 +225,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client disconnected or its answer is overdue: nothing more is owed."""
+    """The client disconnected or the deadline expired, so no final answer is owed any more."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The response has begun to stream; its attempt now belongs to the client."""
+    """The response of this attempt has begun to stream to the client."""
 
     request_id: int
     attempt: int
@@ -242,7 +242,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """A message of another gateway."""
+    """A message from another gateway."""
 
     sender: int
     content: bytes
--- a/saffronstack/routing/idle_sweep.py
+++ b/saffronstack/routing/idle_sweep.py
@@ -1,4 +1,4 @@
-"""Forgets functions that nothing is known of any more: clients name new ones for ever."""
+"""Removal of idle functions: clients keep naming new ones, so state would grow without bound."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from saffronstack.routing.state import Function
 from saffronstack.routing.warm_pool import WarmPool
 
-MIN_RECENT_REQUESTS = 0.05  # decayed requests under which an idle function is forgotten
+MIN_RECENT_REQUESTS = 0.05  # decayed request count below which an idle function is forgotten
 
 
 class IdleSweep:
-    """Sweeps workers and functions once in each keep-alive.
+    """Removes state of removed workers and idle functions, once in each keep-alive.
 
     Attributes:
         next_sweep_s: When the next sweep is due.
--- a/saffronstack/routing/load_commands.py
+++ b/saffronstack/routing/load_commands.py
@@ -1,7 +1,7 @@
-"""Load commands: tells workers to load a function ahead of the requests that wait for it.
+"""Load commands, which tell workers to load a function before the queued requests are sent to them.
 
-Used only where a worker rejects a request for a function that it has not loaded. Elsewhere a request loads as
-well, and is held back by the worker's own queue.
+They are used only if workers reject requests for functions that they have not loaded. Otherwise a request
+itself triggers the load and waits in the worker's own queue.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from saffronstack.routing.state import Function, Worker
 from saffronstack.routing.warm_pool import WarmPool
 
-WINDOW_MARGIN_S = 0.01  # the window of the rule on load commands is taken this much to the safe side
-MAX_INSTANCES = 16  # asked for by one command; the account may be too high after lost responses
-ALREADY_LOADED_S = 0.05  # a command that ends within this found the instance loaded
-REJECTED_LOAD_PAUSE_S = 0.5  # a worker that rejected a load gets none for the function this long
+WINDOW_MARGIN_S = 0.01  # safety margin on the window of the load command limit
+MAX_INSTANCES = 16  # maximum per command; the memory account may be too high after lost responses
+ALREADY_LOADED_S = 0.05  # a command that ends sooner found the instance already loaded
+REJECTED_LOAD_PAUSE_S = 0.5  # time until a worker that rejected a load gets another for that function
 
 
 class LoadCommands:
-    """Sends load commands within the rule on their number, and handles their results."""
+    """Sends load commands within their rate limit and handles the results."""
 
     __slots__ = (
         "_is_permitted",
@@ -44,17 +44,17 @@
         self._load_control = load_control
         self._memory = memory
         self._warm_pool = warm_pool
-        self._pending: dict[InstanceKey, list[Request]] = {}  # requests that commands were sent for
-        self._sent_times: deque[float] = deque()  # both are kept only where the rule has a window
+        self._pending: dict[InstanceKey, list[Request]] = {}  # requests for which commands were sent
+        self._sent_times: deque[float] = deque()  # both deques stay empty if the limit has no window
         self._request_times: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """Count a request for the rule on load commands."""
+        """Count a request towards the load command limit."""
         if self._rules.load_command_window_s:
             self._request_times.append(now)
 
     def may_send(self, now: float) -> bool:
-        """Return whether a load command is permitted and within the rule on their number."""
+        """Return whether a load command is permitted and within the load command limit."""
         if not self._is_permitted:
             return False
         rules = self._rules
@@ -83,7 +83,7 @@
         return LoadFunction(worker_id, function_id, instances)
 
     def take_pending(self, result: LoadCommandResult) -> Request | None:
-        """Return the request that a command was sent for, None for a result that no command awaits."""
+        """Return the request for which the command was sent, or None if no command awaits this result."""
         key = result.worker_id, result.function_id
         requests = self._pending.get(key)
         if not requests:
@@ -96,7 +96,7 @@
     def finish(
         self, now: float, result: LoadCommandResult, request: Request, worker: Worker, function: Function
     ) -> None:
-        """Take in the result of a command that was sent for this request."""
+        """Update instances and load control with the result of a command that was sent for this request."""
         self._load_control.end(worker, function, result.function_id)
         load_s = result.elapsed_s if result.elapsed_s > ALREADY_LOADED_S else 0.0
         self._load_control.observe(now, result.result, load_s)
--- a/saffronstack/routing/membership.py
+++ b/saffronstack/routing/membership.py
@@ -1,4 +1,4 @@
-"""Which workers there are: applies endpoint updates and forgets workers that are gone."""
+"""Fleet membership: applies endpoint updates and forgets removed workers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Membership:
-    """Keeps the fleet as the endpoint list has it."""
+    """Keeps the fleet in line with the endpoint list."""
 
     __slots__ = ("_fleet", "_memory", "_slow_start", "_warm_pool")
 
@@ -23,7 +23,7 @@
         self._warm_pool = warm_pool
 
     def apply(self, now: float, update: EndpointUpdate) -> None:
-        """Apply an endpoint update; one that failed changes nothing."""
+        """Apply an endpoint update; a failed one changes nothing."""
         if update.kind is EndpointUpdateKind.FAILED:
             return
         if update.kind is not EndpointUpdateKind.INCREMENTAL:
@@ -37,9 +37,9 @@
         self._slow_start.observe_fleet(now, ready)
 
     def forget_removed(self) -> None:
-        """Forget the workers that the endpoint list no longer names, once nothing is in flight there.
+        """Forget workers that are no longer in the endpoint list, once nothing is in flight at them.
 
-        Fleets change for ever, and their state must not grow with that.
+        Fleets keep changing, and the state of former workers must not accumulate.
         """
         workers = self._fleet.workers
         for worker_id in [number for number, worker in workers.items() if not worker.is_listed]:
@@ -60,7 +60,7 @@
         worker = workers.get(endpoint.worker_id)
         if worker is None:
             worker = workers[endpoint.worker_id] = Worker(endpoint)
-        # One that was removed and returns holds none of its instances, whatever its start is said to be.
+        # A worker that returns after its removal has lost its instances, whatever start time it reports.
         has_started = not worker.is_listed or endpoint.started_s > worker.endpoint.started_s
         worker.endpoint = endpoint
         if has_started:
@@ -70,6 +70,6 @@
         worker.is_listed = endpoint.state is not WorkerState.REMOVED
 
     def _drop_instances(self, worker: Worker) -> None:
-        """Drop the instances of a worker that has restarted or is gone."""
+        """Drop the instances of a worker that has restarted or was removed."""
         self._memory.drop_instances(worker)
         self._warm_pool.drop_instances(worker)
--- a/saffronstack/routing/memory_account.py
+++ b/saffronstack/routing/memory_account.py
@@ -1,7 +1,7 @@
-"""Account of the memory that this gateway's own attempts took up at the workers.
+"""Account of the worker memory that instances for this gateway's attempts use.
 
-Workers do not report which instances they hold, so each attempt is taken to need an instance there, and the
-memory of an instance returns when nothing used it for the keep-alive.
+Workers do not report which instances they hold. The account assumes that each attempt needs an instance at
+its worker and that an unused instance frees its memory after the keep-alive.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.state import Fleet, Worker
 
-MIN_MEMORY_MB = 1.0  # of a worker, so that the part in use is defined
-InstanceKey = tuple[int, int]  # worker and function
+MIN_MEMORY_MB = 1.0  # lower bound for each worker, so that the fraction in use is defined
+InstanceKey = tuple[int, int]  # worker ID and function ID
 
 
 @dataclass(slots=True)
 class PlacedInstances:
-    """Instances of one function that own attempts made one worker hold.
+    """Instances of one function that one worker holds because of this gateway's attempts.
 
     Attributes:
         memory_mb: Memory of one instance.
-        instances: How many there are by this account.
-        attempts_in_flight: Own attempts at them.
-        last_used_s: When one of them was last used.
+        instances: Estimated number of instances.
+        attempts_in_flight: Attempts of this gateway in flight at these instances.
+        last_used_s: When one of the instances was last used.
     """
 
     memory_mb: float
@@ -37,7 +37,7 @@
 
 
 class Expiry(NamedTuple):
-    """Moment at which instances may have expired; the sequence number orders equal times."""
+    """Time at which instances may have expired; the sequence number orders equal times."""
 
     due_s: float
     sequence: int
@@ -49,8 +49,8 @@
     """Keeps the placed instances of all workers.
 
     Attributes:
-        placed: Placed instances by worker and function.
-        expiries: Heap of the moments at which to look whether they have expired.
+        placed: Placed instances, by worker ID and function ID.
+        expiries: Heap of the times at which to check placed instances for expiry.
     """
 
     __slots__ = ("_fleet", "_keep_alive_s", "_memory_mb_by_kind", "_sequence", "expiries", "placed")
@@ -67,15 +67,15 @@
         self.expiries: list[Expiry] = []
 
     def memory_mb(self, worker: Worker) -> float:
-        """Return the memory of a worker, infinite where its kind is not known."""
+        """Return the memory of a worker, infinity if its kind is unknown."""
         return self._memory_mb_by_kind.get(worker.endpoint.kind, math.inf)
 
     def knows_instance(self, worker: Worker, function_id: int) -> bool:
-        """Return whether own attempts placed an instance there that has not expired."""
+        """Return whether a worker holds an unexpired instance that this gateway placed."""
         return (worker.endpoint.worker_id, function_id) in self.placed
 
     def instances_at(self, worker: Worker, request: Request) -> PlacedInstances:
-        """Return the account of a request's function at a worker; opens it where there is none."""
+        """Return the placed instances of a request's function at a worker, creating the entry if needed."""
         key = worker.endpoint.worker_id, request.function_id
         placed = self.placed.get(key)
         if placed is None:
@@ -83,25 +83,25 @@
         return placed
 
     def set_instances(self, worker: Worker, placed: PlacedInstances, instances: int) -> None:
-        """Change how many instances a worker holds."""
+        """Set how many instances a worker holds, and update its memory in use."""
         worker.placed_mb += (instances - placed.instances) * placed.memory_mb
         placed.instances = instances
 
     def begin_attempt(self, worker: Worker, request: Request) -> None:
-        """Note an attempt: it uses an instance that is not full, or makes the worker start another."""
+        """Record an attempt, which uses an instance with a free slot or makes the worker start another."""
         placed = self.instances_at(worker, request)
         placed.attempts_in_flight += 1
         needed = math.ceil(placed.attempts_in_flight / max(1.0, request.concurrency))
         self.set_instances(worker, placed, max(placed.instances, needed))
 
     def schedule_expiry(self, now: float, worker_id: int, function_id: int) -> None:
-        """Look at these instances again after the keep-alive."""
+        """Schedule an expiry check of these instances after the keep-alive."""
         due = Expiry(now + self._keep_alive_s, self._sequence, worker_id, function_id)
         self._sequence += 1
         heapq.heappush(self.expiries, due)
 
     def expire(self, now: float) -> None:
-        """Return the memory of instances that nothing used for the keep-alive."""
+        """Free the memory of instances that were unused for the keep-alive."""
         while self.expiries and self.expiries[0].due_s < now:
             due = heapq.heappop(self.expiries)
             key = due.worker_id, due.function_id
@@ -113,13 +113,13 @@
                 del self.placed[key]
 
     def drop_instances(self, worker: Worker) -> None:
-        """Note that a worker lost its instances, by a restart."""
+        """Record that a worker lost its instances by a restart or its removal."""
         for (worker_id, _), placed in self.placed.items():
             if worker_id == worker.endpoint.worker_id:
                 worker.placed_mb -= placed.instances * placed.memory_mb
                 placed.instances = 0
 
     def forget_worker(self, worker_id: int) -> None:
-        """Drop the accounts of a worker that is gone."""
+        """Drop all entries of a removed worker."""
         for key in [key for key in self.placed if key[0] == worker_id]:
             del self.placed[key]
--- a/saffronstack/routing/outcome_feedback.py
+++ b/saffronstack/routing/outcome_feedback.py
@@ -1,4 +1,4 @@
-"""What a router learns from the outcome of an attempt."""
+"""Updates of a router's state from the outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from saffronstack.routing.memory_account import PlacedInstances
 from saffronstack.routing.state import Attempt, Function
 
-RESPONSES = (Result.OK, Result.AT_CAPACITY, Result.ERROR)  # results that show the worker to be alive
+RESPONSES = (Result.OK, Result.AT_CAPACITY, Result.ERROR)  # results that prove that the worker responds
 CONNECTION_LOSSES = (Result.RESET, Result.CONNECT_FAILED)
 LOADED = (CacheStatus.STARTED_LOAD, CacheStatus.JOINED_LOAD)
 WARM_OR_UNKNOWN = (CacheStatus.WARM, CacheStatus.UNKNOWN)
 
 
 class OutcomeFeedback:
-    """Hands the outcome of each attempt to the parts that learn from it."""
+    """Passes the outcome of each attempt to the components that keep state about it."""
 
     def __init__(self, components: Components) -> None:
         self._classes = components.settings.classes
@@ -30,7 +30,7 @@
         self._warm_pool = components.warm_pool
 
     def apply(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Take in the outcome of an attempt that was in flight until now."""
+        """Update the state of the router with the outcome of an attempt that has just ended."""
         worker, request = attempt.worker, attempt.request
         function = self._functions[request.function_id]
         worker.attempts_in_flight -= 1
@@ -52,7 +52,7 @@
         self._memory.schedule_expiry(now, worker.endpoint.worker_id, request.function_id)
 
     def _observe_worker(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Update the estimates of load and health."""
+        """Update the estimates of the worker's load and health."""
         worker, report = attempt.worker, outcome.load_report
         if outcome.result in RESPONSES:
             worker.last_response_s = now
@@ -66,11 +66,11 @@
     def _update_instances(
         self, now: float, attempt: Attempt, outcome: AttemptOutcome, function: Function
     ) -> None:
-        """Return the instance that an attempt took, or drop those that the outcome shows to be gone.
+        """Return an attempt's instance to the warm pool, or drop instances that the outcome shows to be gone.
 
-        A connection that ends says nothing of the instance, nor does a client that disconnects. Guards
-        against resets that make loaded instances unknown, whose requests then wait for loads. A worker that
-        is down is ejected meanwhile.
+        A lost connection or a client disconnect does not show whether the instance is still loaded. If it
+        were dropped, connection resets would make loaded instances unknown and requests would wait for
+        needless loads. A worker that is down is handled by outlier detection.
         """
         result = outcome.result
         attempt.connection_lost = result in CONNECTION_LOSSES
@@ -89,10 +89,10 @@
         function: Function,
         placed: PlacedInstances,
     ) -> None:
-        """Add the instance that served a request to the warm pool; one just loaded with all its slots.
+        """Add the instance that served a request to the warm pool; a newly loaded one with all its slots.
 
-        Where instances are shared, a late response adds none. Guards against going back to a loaded or slow
-        worker. It could hurt functions that are slow by themselves.
+        If instances are shared, a late response adds none, so that the next request does not go to an
+        overloaded or slow worker. Functions that are inherently slow then have fewer known instances.
         """
         request = attempt.request
         placed.last_used_s = now
--- a/saffronstack/routing/outlier_detection.py
+++ b/saffronstack/routing/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: ejects workers that are slow, fail or are not reached, and tries them again.
+"""Outlier detection: ejects workers that are slow, failing or unreachable, and readmits them after trials.
 
-Every worker is compared with the median of the fleet, so that an overload or a fault of all workers ejects
-none. An ejected worker gets one trial request at a time and returns when its trials look normal.
+Each worker is compared with the median of the fleet, so that an overload or a fault of all workers ejects
+none. An ejected worker gets one trial request at a time and is readmitted when its trials look normal.
 """
 
 from __future__ import annotations
@@ -9,48 +9,48 @@
 from saffronstack.routing.events import AttemptOutcome, CacheStatus, Result
 from saffronstack.routing.state import Attempt, Fleet, Worker
 
-SLOWNESS_RATIO = 3.0  # multiple of the median worker's slowness from which a worker is an outlier
-ERROR_FRACTION = 0.25  # fraction of errors, over twice the median's, from which a worker is an outlier
-CONNECTION_FAILURE_THRESHOLD = 2  # attempts in a row without any response that make a worker an outlier
-# Factor on the bounds above that an ejected worker must come under to return: without it a worker near a
-# bound would change sides with every response.
+SLOWNESS_RATIO = 3.0  # multiple of the median slowness at which a worker is an outlier
+ERROR_FRACTION = 0.25  # error fraction, above twice the median, at which a worker is an outlier
+CONNECTION_FAILURE_THRESHOLD = 2  # consecutive connection failures that make a worker an outlier
+# Factor on the thresholds above for an ejected worker. The lower thresholds prevent a worker near a threshold
+# from being ejected and readmitted with every response.
 RETURN_FACTOR = 0.7
-MIN_SLOWNESS_SAMPLES = 8  # responses before a worker can count as slow; a few slow ones are chance
-MAX_EJECTED_FRACTION = 0.35  # of the ready workers; the others would not carry the load of more
-EVALUATION_INTERVAL_S = 0.1  # bounds the cost of sorting a large fleet by slowness
-RESPONSE_WEIGHT = 0.1  # of one response in a worker's moving averages
-TRIAL_WEIGHT = 0.4  # of a trial's response: trials are seldom
-TRIAL_INTERVAL_S = 1.0  # between two trial requests to an ejected worker
-USUAL_LATENCY_WEIGHT = 0.02  # of one response in the usual latency of its class
-MAX_USUAL_RATIO = (
-    5  # multiple of the usual latency at which a response counts in it, so that a hang moves little
-)
-MAX_SLOWNESS = 10.0  # at which one response counts in a worker's slowness, for the same reason
-MIN_LATENCY_S = 1e-3  # usual latency where the first response took no time at all
+MIN_SLOWNESS_SAMPLES = 8  # responses before a worker can count as slow; fewer could be slow by chance
+MAX_EJECTED_FRACTION = 0.35  # maximum fraction of ready workers; the rest could not carry more load
+EVALUATION_INTERVAL_S = 0.1  # time between evaluations; limits the cost of sorting a large fleet
+RESPONSE_WEIGHT = 0.1  # weight of one response in a worker's moving averages
+TRIAL_WEIGHT = 0.4  # weight of a trial's response; trials are rare
+TRIAL_INTERVAL_S = 1.0  # time between trial requests to an ejected worker
+USUAL_LATENCY_WEIGHT = 0.02  # weight of one response in the usual latency of its class
+# Cap on a latency that updates the usual latency, as a multiple of the usual latency; limits the effect of
+# hangs.
+MAX_USUAL_RATIO = 5
+MAX_SLOWNESS = 10.0  # cap on the slowness of one response; limits the effect of hangs
+MIN_LATENCY_S = 1e-3  # usual latency if the first response took no measurable time
 CONNECTION_FAILURES = (Result.CONNECT_FAILED, Result.RESET)
 TIMED_RESULTS = (Result.OK, Result.TIMEOUT, Result.CANCELLED)
 
 
 class OutlierDetection:
-    """Keeps the health of workers and decides which ones are ejected.
+    """Tracks the health of workers and decides which ones are ejected.
 
-    Guards against slow, half-dead, unreachable and fast-failing workers whatever the cause. It could hurt
-    where the work of a class differs much between workers.
+    Detects slow, partly failing, unreachable and fast-failing workers, whatever the cause. Healthy workers
+    may be ejected if the work of a request class differs much between workers.
     """
 
     __slots__ = ("_fleet", "_next_evaluation_s", "_usual_latency_s")
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._usual_latency_s: dict[int, float] = {}  # of a response by a loaded instance, by request class
+        self._usual_latency_s: dict[int, float] = {}  # for loaded instances, by request class
         self._next_evaluation_s = 0.0
 
     def start_trial(self, now: float, worker: Worker) -> None:
-        """Note that an ejected worker gets a trial request now."""
+        """Record that an ejected worker gets a trial request now."""
         worker.next_trial_s = now + TRIAL_INTERVAL_S
 
     def observe(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Take in the outcome of one attempt; evaluates the fleet now and then."""
+        """Update a worker's health by the outcome of one attempt; re-evaluates the fleet periodically."""
         worker = attempt.worker
         weight = TRIAL_WEIGHT if worker.is_ejected else RESPONSE_WEIGHT
         result = outcome.result
@@ -72,12 +72,12 @@
             self._evaluate(now)
 
     def _observe_latency(self, attempt: Attempt, outcome: AttemptOutcome, weight: float) -> None:
-        """Compare the latency of a loaded instance with what is usual for its class."""
+        """Update a worker's slowness and the usual latency of the request class."""
         worker, class_index = attempt.worker, attempt.request.class_index
         is_success = outcome.result is Result.OK
         usual_s = self._usual_latency_s.get(class_index) or outcome.elapsed_s or MIN_LATENCY_S
         ratio = min(MAX_SLOWNESS, outcome.elapsed_s / usual_s)
-        if is_success or ratio > worker.slowness:  # an attempt that was cut off took at least so long
+        if is_success or ratio > worker.slowness:  # an unfinished attempt would have taken at least this long
             worker.slowness += weight * (ratio - worker.slowness)
             worker.slowness_samples = min(MIN_SLOWNESS_SAMPLES, worker.slowness_samples + 1)
         if is_success:
@@ -86,7 +86,7 @@
             self._usual_latency_s[class_index] = usual_s
 
     def _evaluate(self, now: float) -> None:
-        """Eject the worst outliers among the ready workers, and take the others back."""
+        """Eject the worst outliers among the ready workers, and readmit the others."""
         ready = self._fleet.ready_workers()
         if not ready:
             return
@@ -108,7 +108,7 @@
 
 
 def _score(worker: Worker, median_slowness: float, median_errors: float) -> float:
-    """Return how far a worker is from the bounds; from 1 it is an outlier."""
+    """Return a worker's distance to the thresholds; at 1 or more it is an outlier."""
     factor = RETURN_FACTOR if worker.is_ejected else 1.0
     slowness = 0.0
     if worker.slowness_samples >= MIN_SLOWNESS_SAMPLES:
--- a/saffronstack/routing/placement.py
+++ b/saffronstack/routing/placement.py
@@ -1,8 +1,8 @@
-"""Placement: the worker at which a function is loaded.
+"""Placement: choice of the worker at which a function is loaded.
 
-Rendezvous hashing gives all gateways the same ranking of workers for a function, so that they meet on the
-same instances. The ranking is weighted by free memory and idle CPU, and among the first of it the better of
-two random workers is chosen.
+Rendezvous hashing gives all gateways the same ranking of workers for a function, so that they share
+instances. The ranking is weighted by free memory and idle CPU. Among the top-ranked workers, power of two
+choices selects one.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from saffronstack.routing.shared_instances import SharedInstances
 from saffronstack.routing.state import Attempt, Fleet, Function, Worker
 
-FREE_MEMORY_EXPONENT = 1.5  # how strongly the free part of the memory counts beside the rank
-MIN_FREE_MEMORY = 1e-3  # of a worker's memory, for the rank of one that is full
-MIN_CAPACITY = 1e-6  # of a worker, for the rank of one without any
-PRIOR_REQUESTS = 10.0  # requests for other functions that count as seen: few own requests prove little
-INITIAL_SPREAD_FACTOR = 1.5  # workers for each one that a function's part of the own requests would fill
+FREE_MEMORY_EXPONENT = 1.5  # exponent of the free memory fraction in the ranking weight
+MIN_FREE_MEMORY = 1e-3  # fraction of a worker's memory; keeps the rank of a full worker finite
+MIN_CAPACITY = 1e-6  # keeps the rank of a worker without any capacity finite
+PRIOR_REQUESTS = 10.0  # assumed requests for other functions; a few requests of this gateway prove little
+INITIAL_SPREAD_FACTOR = 1.5  # see `Placement.spread_factor`
 MAX_SPREAD_FACTOR = 10.0
-SPREAD_INCREASE = 1.05  # by an attempt that finds a shared instance with all its slots in use
-SPREAD_SLOW_DECREASE = 0.99  # by one that finds a slot free
-SPREAD_DECREASE = 0.8  # by one that needs a load
-CPU_STEPS = 10  # steps of the relative idle CPU; smaller differences between two workers decide nothing
-# Attempts in flight, relative to a worker's capacity, over which it gets no load: a multiple of the fleet's.
+SPREAD_INCREASE = 1.05  # factor if an attempt finds a shared instance with all its slots in use
+SPREAD_SLOW_DECREASE = 0.99  # factor if an attempt finds a shared instance with a free slot
+SPREAD_DECREASE = 0.8  # factor if an attempt needs a load
+CPU_STEPS = 10  # steps per unit of relative idle CPU; smaller differences between workers are ignored
+# Attempts in flight per unit of capacity above which a worker gets no load; a multiple of the fleet's mean.
 MAX_ATTEMPTS_RATIO = 1.5
-MIN_ATTEMPTS_BOUND = 3  # attempts that are never too many: own counts are few where gateways are many
-MAX_LOADS_AT_WORKER = 3  # functions with own loads in progress there; more would wait for each other
+MIN_ATTEMPTS_BOUND = 3  # attempts in flight that are always allowed; with many gateways, each sees only few
+MAX_LOADS_AT_WORKER = 3  # functions that one worker loads for this gateway; more would delay each other
 HASH_MASK = 2**64 - 1
-HASH_FUNCTION_FACTOR = 0x9E3779B97F4A7C15  # odd multipliers and steps of the SplitMix64 generator
+HASH_FUNCTION_FACTOR = 0x9E3779B97F4A7C15  # odd multipliers and mixing steps of the SplitMix64 generator
 HASH_WORKER_FACTOR = 0xC2B2AE3D27D4EB4F
 HASH_MIX_1 = 0xBF58476D1CE4E5B9
 HASH_MIX_2 = 0x94D049BB133111EB
@@ -43,7 +43,7 @@
     """Chooses workers for loads.
 
     Attributes:
-        spread_factor: Workers for each one that a function's part of the own requests would fill.
+        spread_factor: Multiple of the workers that a function's share of this gateway's requests would fill.
     """
 
     __slots__ = ("_attempts", "_cpu", "_fleet", "_memory", "_random", "_rates", "_shared", "spread_factor")
@@ -68,7 +68,7 @@
         self.spread_factor = INITIAL_SPREAD_FACTOR
 
     def choose(self, now: float, request: Request, function: Function, eligible: list[Worker]) -> Worker:
-        """Return the worker at which to load the function of a request; ``eligible`` is not empty."""
+        """Return the worker at which to load a request's function; ``eligible`` must not be empty."""
         function_id = request.function_id
         rejected_until_s = function.load_rejected_until_s
         if rejected_until_s:
@@ -87,7 +87,7 @@
             with_free_memory,
             key=lambda worker: rendezvous_rank(worker, function_id) / self._rank_weight(now, worker),
         )
-        # The better of two, not the best of all: gateways that learn of load late would all choose the same.
+        # Power of two choices: gateways see load late and would all choose the same best worker.
         if len(top_ranked) > 2:
             top_ranked = self._random.sample(top_ranked, 2)
         return min(
@@ -100,12 +100,12 @@
         )
 
     def observe(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Move the spread by the outcome of an attempt that expected no instance.
+        """Adjust the spread factor by the outcome of an attempt that expected no instance.
 
-        The spread grows only where an instance was full, if the site reports that and CPU utilization: with
-        hundreds of gateways nearly every attempt finds an instance, and a spread that grows on that alone
-        ends where loads crowd it. Where no utilization is reported, nothing but the spread evens the load,
-        and it grows on each instance found.
+        If workers report concurrency and CPU utilization, the factor rises only when an instance was full.
+        With hundreds of gateways nearly every attempt finds an instance; if that alone raised the factor, it
+        would rise until loads overwhelm the workers. Without reported utilization only the spread balances
+        the load, so the factor rises for each instance found.
         """
         if outcome.result is not Result.OK or not attempt.expects_no_instance:
             return
@@ -124,8 +124,8 @@
     def _below_attempts_bound(self, workers: list[Worker]) -> list[Worker]:
         """Return the workers with few loads and attempts in flight for their capacity.
 
-        Guards against a worker that many functions rank first. It could hurt while own counts are few, after
-        a start.
+        This protects a worker that many functions rank first. It is inaccurate shortly after a start, while
+        this gateway's counts are low.
         """
         per_capacity = MAX_ATTEMPTS_RATIO * (1 + len(self._attempts)) / (self._fleet.ready_capacity or 1.0)
         return [
@@ -136,12 +136,13 @@
         ]
 
     def _candidate_count(self, now: float, function_id: int) -> int:
-        """Return over how many workers a function goes.
+        """Return the number of top-ranked workers among which a function's loads are spread.
 
-        As many as its part of the own requests would fill times the spread, and two at least where CPU
-        utilization tells them apart. Guards against all gateways sending a popular function to one worker,
-        none of them seeing it. It could hurt where gateways get different functions. A part, unlike a rate,
-        is alike at small and large gateways.
+        The number is the function's share of this gateway's requests times the number of ready workers and
+        the spread factor. It is at least two if CPU utilization is reported, which then decides between them.
+        The spread prevents all gateways from sending a popular function to one worker without noticing. A
+        share, unlike a rate, is similar at small and large gateways. It is misleading if gateways get
+        requests for different functions.
         """
         if not self._shared.are_common():
             return 1
@@ -153,7 +154,8 @@
     def _rank_weight(self, now: float, worker: Worker) -> float:
         """Return the weight of a worker in the ranking, by free memory and idle CPU.
 
-        Where instances are shared, memory does not count: gateways see little of it, and must agree.
+        If instances are shared, memory is ignored: each gateway knows only a small part of its use, and all
+        gateways must rank alike.
         """
         idle = self._cpu.relative_idle(now, worker)
         if self._shared.are_common():
@@ -163,10 +165,10 @@
 
 
 def rendezvous_rank(worker: Worker, function_id: int) -> float:
-    """Return the rank of a worker for a function, lowest first: weighted rendezvous hashing.
+    """Return the weighted rendezvous rank of a worker for a function; the lowest rank comes first.
 
-    Guards against gateways that each load a function elsewhere, also after a restart. It could hurt where
-    popular functions rank the same worker first; the bound on attempts and the spread pass over it then.
+    All gateways rank alike, also after a restart, and so load a function at the same workers. If popular
+    functions rank the same worker first, the limit on attempts and the spread divert loads from it.
     """
     mixed = function_id * HASH_FUNCTION_FACTOR ^ worker.endpoint.worker_id * HASH_WORKER_FACTOR
     mixed = mixed & HASH_MASK
--- a/saffronstack/routing/rate_estimator.py
+++ b/saffronstack/routing/rate_estimator.py
@@ -1,4 +1,4 @@
-"""Exponentially decayed counters, and the recent rates of this gateway's own requests."""
+"""Exponentially decayed counters, and recent rates of this gateway's requests."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from saffronstack.routing.events import Request
 
-# Seconds after which a counted request weighs 1/e. Own requests are the only evidence of popularity and of
-# the traffic that slow start is measured by; a shorter memory is noise where a gateway sees few requests.
+# Seconds after which a counted request weighs 1/e. The counts are the only measure of a function's popularity
+# and of the traffic that slow start scales with. A shorter window is noisy at a gateway with few requests.
 RATE_WINDOW_S = 15.0
 
 
 class DecayedCounter:
-    """Count of events in which older events weigh exponentially less."""
+    """Counts events; the weight of each event decays exponentially."""
 
     __slots__ = ("count", "updated_s", "window_s")
 
@@ -22,7 +22,7 @@
         self.updated_s = -math.inf
 
     def value(self, now: float) -> float:
-        """Return the decayed count."""
+        """Return the count, decayed until ``now``."""
         return self.count * math.exp((self.updated_s - now) / self.window_s)
 
     def increment(self, now: float) -> float:
@@ -38,7 +38,7 @@
 
 
 class RequestRates:
-    """Recent own requests in total, by function and by tenant; they start at none after a restart."""
+    """Counts recent requests in total, by function and by tenant; all counts are 0 after a restart."""
 
     __slots__ = ("by_function", "by_tenant", "total")
 
@@ -60,12 +60,12 @@
         by_tenant.increment(now)
 
     def of_function(self, now: float, function_id: int) -> float:
-        """Return the recent requests for a function."""
+        """Return the decayed number of recent requests for a function."""
         counter = self.by_function.get(function_id)
         return 0.0 if counter is None else counter.value(now)
 
     def of_tenant(self, now: float, tenant: int) -> float:
-        """Return the recent requests of a tenant."""
+        """Return the decayed number of recent requests of a tenant."""
         counter = self.by_tenant.get(tenant)
         return 0.0 if counter is None else counter.value(now)
 
--- a/saffronstack/routing/request_queue.py
+++ b/saffronstack/routing/request_queue.py
@@ -1,7 +1,8 @@
-"""Requests held back at the gateway until an instance or a load slot is free, the newest one first.
+"""Queue of requests that wait at the gateway for an instance or a load slot, newest first.
 
-Newest first keeps most requests within their latency objective in an overload; the oldest ones would pass it
-one after another. Holding back guards against queues at the workers. It could hurt where loads cost nothing.
+Newest first keeps most requests within their latency objective in an overload; with oldest first, one request
+after another would miss it. Queueing at the gateway avoids queues at the workers. It delays requests
+needlessly if loads cost nothing.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 from saffronstack.routing.events import Request
 from saffronstack.routing.state import Function, PendingRequest
 
-# Part of its time for which a request is held back when nothing was sent for it: a client that is rejected
-# early may yet be served elsewhere.
+# Maximum fraction of the time until its deadline that a request without any attempt is queued: a client that
+# is rejected early may still be served elsewhere.
 QUEUE_TIME_FRACTION = 0.48
-DEADLINE_MARGIN_S = 0.05  # a request that is held back is answered this long before its deadline
-LOAD_DELAY_FRACTION = 0.3  # of the latency objective, after which it may load an instance all the same
+DEADLINE_MARGIN_S = 0.05  # margin before the deadline at which a queued request gets its final answer
+LOAD_DELAY_FRACTION = 0.3  # fraction of the latency objective after which a queued request may load
 
 
 def queue_deadline_s(now: float, request: Request) -> float:
-    """Return until when a request that arrives now is held back while nothing was sent for it."""
+    """Return until when a request that arrives now may stay queued without any attempt."""
     latest_s = request.deadline_s - DEADLINE_MARGIN_S
     return min(latest_s, now + QUEUE_TIME_FRACTION * (request.deadline_s - now))
 
 
 class RequestQueue:
-    """The requests that are held back; those of one function lie in `Function.waiting`.
+    """The queued requests; those of one function are in `Function.waiting`.
 
     Attributes:
-        functions: Functions with requests held back.
+        functions: Functions with queued requests, by function ID.
     """
 
     __slots__ = ("_requests", "functions")
@@ -37,11 +38,11 @@
         self.functions: dict[int, Function] = {}
 
     def may_enqueue(self, now: float, pending: PendingRequest) -> bool:
-        """Return whether a request has time left to be held back."""
+        """Return whether a request has time left to be queued."""
         return now < self._queue_deadline_s(pending)
 
     def enqueue(self, now: float, pending: PendingRequest, function: Function) -> SetTimer:
-        """Hold a request back; returns the timer at which to look at it again."""
+        """Queue a request and return the timer after which to dispatch it again."""
         function.waiting.append(pending)
         self.functions[pending.request.function_id] = function
         delay_s = self._queue_deadline_s(pending) - now
@@ -51,7 +52,7 @@
         return SetTimer(max(0.0, delay_s), pending.request.request_id)
 
     def remove(self, pending: PendingRequest, function: Function) -> bool:
-        """Take out a request; returns whether it was held back."""
+        """Remove a request from the queue and return whether it was queued."""
         if pending not in function.waiting:
             return False
         function.waiting.remove(pending)
@@ -60,7 +61,7 @@
         return True
 
     def pop_newest(self, function: Function) -> PendingRequest | None:
-        """Take out the newest request of a function; drops those whose clients disconnected."""
+        """Remove and return the newest request of a function; drops those whose clients disconnected."""
         while function.waiting:
             pending = function.waiting.pop()
             if not function.waiting:
@@ -70,12 +71,12 @@
         return None
 
     def functions_with_instances(self) -> list[Function]:
-        """Return the functions that have warm instances, by the weight of their newest request."""
+        """Return functions with queued requests and warm instances, heaviest newest request first."""
         candidates = [f for f in self.functions.values() if f.waiting and f.warm_instances]
         return sorted(candidates, key=lambda function: -function.waiting[-1].priority_weight)
 
     def heaviest_function_without_load(self) -> Function | None:
-        """Return the function without any load in progress for which most weight is held back."""
+        """Return the function with the highest total weight of queued requests and no load in progress."""
         candidates = [f for f in self.functions.values() if f.waiting and not f.loads_in_progress]
         if not candidates:
             return None
--- a/saffronstack/routing/retry_policy.py
+++ b/saffronstack/routing/retry_policy.py
@@ -1,8 +1,8 @@
-"""Retry policy: when a request may be sent again, where, and what its final answer is.
+"""Retry policy: when and where a request may be retried, and its final answer if it may not.
 
-A request is executed at most once unless that does no harm. An attempt that may have executed is retried
-only for idempotent requests, or with an idempotency key within the scope and the window in which workers
-recognise it.
+A request is executed at most once unless a second execution is harmless. An attempt that may have executed is
+retried only for idempotent requests, or with an idempotency key within the scope and the window in which
+workers recognise the key.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 # Results after which the request was certainly not executed.
 NEVER_EXECUTED = (Result.AT_CAPACITY, Result.CONNECT_FAILED, Result.NOT_STARTED, Result.NOT_LOADED)
-# Retry budget. Without it, workers at capacity make each request several attempts, which load more instances;
-# it could hurt where many responses are lost.
+# Retry budget. Without it, workers at capacity turn each request into several attempts, which load more
+# instances. If many responses are lost, the budget denies retries that would succeed.
 RETRIES_PER_REQUEST = 0.1
 MAX_RETRY_BUDGET = 5.0
-WINDOW_MARGIN_S = 0.05  # a retry must arrive this long before its idempotency key is forgotten
-RETRY_AFTER_S = 0.5  # clients are asked to wait this long after a rejection, as far as the site permits
+WINDOW_MARGIN_S = 0.05  # margin before workers forget the idempotency key of a retry
+RETRY_AFTER_S = 0.5  # retry delay suggested to rejected clients, as far as the site permits
 
 
 def is_in_deduplication_scope(pending: PendingRequest, worker: Worker) -> bool:
-    """Return whether a worker recognises the idempotency key of a request that may have executed."""
+    """Return whether a worker would recognise a retry of a request that may have executed."""
     first, request_class = pending.maybe_executed, pending.request_class
     scope = request_class.deduplication_scope
     is_limited = request_class.idempotency is Idempotency.WITH_KEY and scope is not DeduplicationScope.ALL
@@ -35,10 +35,10 @@
 
 
 class RetryPolicy:
-    """Decides on attempts and final answers; keeps the retry budget.
+    """Decides on retries and final answers, and keeps the retry budget.
 
     Attributes:
-        retry_budget: Retries that may be made now.
+        retry_budget: Number of retries that are allowed now.
     """
 
     __slots__ = ("_max_attempts", "_retry_after_s", "retry_budget")
@@ -49,16 +49,16 @@
         self.retry_budget = MAX_RETRY_BUDGET
 
     def record_request(self) -> None:
-        """Add to the budget for a new request."""
+        """Increase the retry budget for a new request."""
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
 
     def record_attempt(self, pending: PendingRequest) -> None:
-        """Take from the budget if the next attempt of a request is a retry."""
+        """Reduce the retry budget if the attempt that is about to be sent is a retry."""
         if pending.attempts:
             self.retry_budget -= 1
 
     def may_attempt(self, now: float, pending: PendingRequest) -> bool:
-        """Return whether another attempt fits deadline, number of attempts, budget and idempotency."""
+        """Return whether deadline, attempt limit, retry budget and idempotency allow another attempt."""
         attempts = len(pending.attempts)
         if now >= pending.request.deadline_s or 0 < self._max_attempts <= attempts:
             return False
@@ -67,9 +67,9 @@
         return pending.maybe_executed is None or self._may_execute_again(now, pending)
 
     def final_answer(self, pending: PendingRequest) -> Reject | Fail:
-        """Return the answer to a request that gets no other attempt.
+        """Return the final answer to a request that gets no further attempt.
 
-        It is rejected only where a retry by its client is harmless.
+        The request is rejected only if a retry by its client is harmless; otherwise it fails.
         """
         request_class = pending.request_class
         is_harmless = request_class.idempotency is Idempotency.IDEMPOTENT or (
--- a/saffronstack/routing/router.py
+++ b/saffronstack/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: takes events, owns the life of each request, and returns the actions to carry out."""
+"""The router: handles events, tracks each request until its final answer, and returns actions."""
 
 from __future__ import annotations
 
@@ -25,31 +25,29 @@
 from saffronstack.routing.state import Attempt, PendingRequest, Worker
 from saffronstack.routing.validation import validate_settings
 
-STALE_UPDATE_KINDS = (
-    EndpointUpdateKind.CACHED,
-    EndpointUpdateKind.FAILED,
-)  # a subscription is missing or broken
-UNKNOWN_LOCATION = -1  # zone and cell of a worker that is not known: no other worker is in them
+# Endpoint updates that show that the subscription is missing or broken.
+STALE_UPDATE_KINDS = (EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED)
+UNKNOWN_LOCATION = -1  # zone and cell of an unknown worker; they match no other worker
 
 
 class Router:
-    """Decides for one gateway; `handle` is the only entry. Not thread-safe.
+    """Makes the routing decisions of one gateway; `handle` is the only entry point. Not thread-safe.
 
     Attributes:
-        components: The router's state and parts, for inspection.
-        workers: Known workers by number.
-        functions: Known functions by number.
+        components: The router's state and components, for inspection.
+        workers: Known workers, by worker ID.
+        functions: Known functions, by function ID.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without any knowledge.
+        """Create a router without any known workers or functions.
 
         Args:
-            settings: What the gateway is given at its start.
+            settings: Settings of the gateway.
             seed: Seed of the random choices; equal seeds and events give equal actions.
 
         Raises:
-            InvalidSettingsError: A setting is impossible; the message names it.
+            InvalidSettingsError: A setting is invalid; the message names it.
         """
         validate_settings(settings)
         self.components = Components(settings, seed)
@@ -62,11 +60,11 @@
         self._attempts = self.components.attempts
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Return the actions to carry out about one event.
+        """Process one event and return the actions to carry out.
 
         Args:
-            now: Present time in seconds, on the clock of the events.
-            event: What happened.
+            now: Current time in seconds, on the clock of the events.
+            event: The event.
 
         Raises:
             UnknownRequestClassError: A request names a class that is not in the settings.
@@ -115,7 +113,7 @@
             self._dispatcher.dispatch(now, pending)
 
     def _restore_attempt(self, request: Request) -> Attempt | None:
-        """Return an attempt of an earlier incarnation, at a worker in no known place if it is not known."""
+        """Return the attempt of an earlier incarnation; an unknown worker gets no known zone or cell."""
         prior = request.prior_attempt
         if prior is None:
             return None
@@ -167,7 +165,7 @@
             self._dispatcher.dispatch(now, pending, can_wait=False)
 
     def _on_disconnect(self, event: ClientDisconnected) -> None:
-        """Cancel the attempts of a client that is gone where the site permits that: they crowd out others."""
+        """Cancel a disconnected client's attempts, which waste capacity, if the site permits it."""
         pending = self._requests.pop(event.request_id, None)
         if pending is None or not self._settings.permissions.cancellation:
             return
--- a/saffronstack/routing/settings.py
+++ b/saffronstack/routing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decisions: request classes, tenants, limits, permissions and costs.
+"""Settings of routing decisions: request classes, tenants, limits, permissions and costs.
 
 Durations end in ``_s`` (seconds) and memory in ``_mb`` (megabytes). Classes, tenants, zones and worker
 kinds are indices into the lists of the settings.
@@ -13,7 +13,7 @@
 class Idempotency(Enum):
     """Effect of executing a request a second time.
 
-    The values are those of the settings' wire format.
+    The enum values are those of the settings' wire format.
     """
 
     IDEMPOTENT = "safe"
@@ -22,7 +22,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Set of workers that recognise a retry by its idempotency key."""
+    """Set of workers that recognise the idempotency key of a request that one of them has executed."""
 
     ALL = "all"
     ZONE = "zone"
@@ -38,7 +38,7 @@
 
 
 class MissMode(Enum):
-    """Reaction of a worker to a request for a function that it has not loaded."""
+    """Behaviour of a worker that gets a request for a function that it has not loaded."""
 
     LOAD = "load"
     REJECT = "miss"
@@ -52,10 +52,10 @@
         name: Name of the class in the configuration.
         idempotency: Whether an attempt that may have executed can be retried.
         latency_objective_s: Time within which a response earns its full value.
-        deadline_s: Time within which a response is owed at all.
+        deadline_s: Time within which the final answer is owed.
         priority_weight: Value of a response relative to other classes.
         late_value_fraction: Fraction of the value that remains after the latency objective.
-        deduplication_scope: Workers that drop a retry, for requests with an idempotency key.
+        deduplication_scope: Workers that deduplicate retries of requests with an idempotency key.
         deduplication_window_s: How long those workers remember an idempotency key.
         is_streaming: Whether responses are streamed.
     """
@@ -78,7 +78,7 @@
     Attributes:
         name: Name of the tenant in the configuration.
         quota_fraction: Fraction of the fleet's traffic that the tenant is entitled to.
-        quota_rps: The same as a rate over all gateways, in requests per second.
+        quota_rps: Quota as a rate over all gateways, in requests per second.
     """
 
     name: str
@@ -93,14 +93,14 @@
     Attributes:
         response_slack_s: Tolerance after a deadline within which a response still counts.
         drain_grace_s: Time after a drain notification within which attempts may still arrive.
-        slow_start_min_fraction: Fraction of its capacity that a worker has right after its start.
+        slow_start_min_fraction: Fraction of its full capacity that a worker has right after its start.
         slow_start_s: Duration of slow start; 0 disables it.
-        overload_multiple: Multiple of its present capacity at which a starting worker fails.
-        overload_window_s: Time for which that load has to last.
-        discovery_staleness_s: Time after its last poll when a gateway counts as informed of the list.
+        overload_multiple: Multiple of its current capacity at which a worker in slow start fails.
+        overload_window_s: Time for which that load must last to make the worker fail.
+        discovery_staleness_s: Time since its last poll within which a gateway counts as informed of the list.
         load_command_burst: Load commands allowed in one window without any request.
-        load_commands_per_request: Further load commands allowed for each request in the window.
-        load_command_window_s: Length of that window; 0 disables the limit.
+        load_commands_per_request: Additional load commands allowed for each request in the window.
+        load_command_window_s: Length of the window; 0 disables the limit on load commands.
     """
 
     response_slack_s: float = 0.0
@@ -120,14 +120,14 @@
     """Features that a site permits.
 
     Attributes:
-        max_attempts: Attempts allowed for one request; 0 means that no limit was given.
+        max_attempts: Attempts allowed for one request; 0 means no limit.
         hedging: Whether two attempts of one request may be in flight at once.
         cancellation: Whether an attempt may be cancelled.
         health_checks: Whether workers may be sent health checks.
         load_commands: Whether workers may be told to load or unload functions.
-        retry_after: Whether rejected clients may be given a time to wait.
-        max_retry_after_s: The longest such time.
-        connect_timeout_s: Time-out of connecting to a worker; 0 means that none was given.
+        retry_after: Whether rejected clients may be told how long to wait before a retry.
+        max_retry_after_s: Maximum of this time.
+        connect_timeout_s: Timeout of connecting to a worker; 0 means that none is set.
     """
 
     max_attempts: int = 0
@@ -142,14 +142,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CostSettings:
-    """Points deducted by the site, each multiplied by a fraction or a rate.
+    """Penalty points that the site deducts, each multiplied by a fraction or a rate.
 
     Attributes:
-        cross_zone: For each request that crosses zones.
-        late_failure: For value lost after the latency objective had passed.
+        cross_zone: For requests sent to another zone.
+        late_failure: For value lost after the latency objective.
         origin_fetch: For fetching a function's code from its origin.
         health_check: For health checks.
-        wasted_work: For work of workers that served no response.
+        wasted_work: For work of workers that did not produce a response.
         idle_memory: For memory held by idle instances.
     """
 
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a gateway is given at its start.
+    """All settings that a gateway gets at its start.
 
     Attributes:
         classes: Request classes; requests name them by index.
@@ -173,16 +173,16 @@
         tenants: Tenants with a quota; requests name them by index.
         over_quota_weight: Factor on the priority weight of traffic over its tenant's quota.
         memory_mb_by_worker_kind: Memory of a worker, by the index of its kind.
-        keep_alive_s: Least time that an idle instance stays loaded; 0 means that none was given.
-        miss_mode: Reaction of workers to a request for a function that they have not loaded.
-        load_command_timeout_s: Time-out of a load command.
+        keep_alive_s: Minimum time that an idle instance stays loaded; 0 means that none is set.
+        miss_mode: Behaviour of workers that get a request for a function that they have not loaded.
+        load_command_timeout_s: Timeout of a load command.
         reports_cache_status: Whether responses carry a `CacheStatus`.
         reports_concurrency: Whether responses carry the concurrency of their instance.
         load_report_source: Messages that carry load reports.
         must_subscribe: Whether endpoint updates arrive only after a subscription.
         rules: Limits of the operating rules.
         permissions: Features that the site permits.
-        costs: Points deducted by the site.
+        costs: Penalty points that the site deducts.
     """
 
     classes: tuple[ClassSettings, ...]
--- a/saffronstack/routing/slow_start.py
+++ b/saffronstack/routing/slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start: the budget of attempts that a worker gets while it warms up.
+"""Slow start: limits the attempts that a worker gets while it warms up.
 
-A worker that started recently gets attempts from a credit that grows with its capacity at its age. The
-budgets of all gateways add up to less than what makes it fail, without any word between them; docs/design.md
-gives the sum. What a gateway may send follows from its own request rate, so no figure of capacity is needed.
+A worker that started recently gets attempts from a credit that grows with the capacity at its age. The
+budgets of all gateways add up to less than the load that makes the worker fail, without any communication
+between gateways; docs/design.md derives the sum. A gateway's budget follows from its own request rate, so the
+absolute capacity of workers need not be known.
 """
 
 from __future__ import annotations
@@ -15,19 +16,20 @@
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.state import Fleet, Worker
 
-# Multiple of the own rate that a starting worker gets for its capacity: workers can do more than the present
-# rate shows.
+# Multiple of this gateway's request rate per unit of capacity that a worker in slow start may get: workers
+# can handle more than the current rate.
 RATE_MULTIPLE = 1.2
-# The same where utilization is reported: it may rise until the worker uses this fraction of its cores ...
+# Fraction of its cores that a worker in slow start may use. If utilization is reported, the multiple may rise
+# until this fraction is reached.
 TARGET_UTILIZATION = 0.85
-MAX_RATE_MULTIPLE = 2.0  # ... but never over this multiple, for utilization that is reported too low
-# Standard deviations of the number of attempts in one overload window that are kept free for chance: gateways
-# that send independently add up by chance.
+MAX_RATE_MULTIPLE = 2.0  # upper bound of the multiple if reported utilization is too low
+# Safety margin, in standard deviations of the number of attempts in one overload window: gateways send
+# independently, so their attempts may coincide by chance.
 SAFETY_DEVIATIONS = 2.5
 
 
 class SlowStart:
-    """Grants attempts to workers that are warming up."""
+    """Limits attempts to workers that are in slow start."""
 
     __slots__ = ("_capacity_in_use", "_cpu", "_fleet", "_gateway_count", "_random", "_rates", "_rules")
 
@@ -45,15 +47,15 @@
         self._rates = rates
         self._cpu = cpu
         self._random = rng
-        # Capacity of the workers that recent own requests went to: workers that leave take none of those
-        # requests back. Guards against giving a starting worker the part of all that have left; it could
-        # hurt where those were slow.
+        # Capacity of the workers to which this gateway's recent requests went. It decays slowly after workers
+        # are removed, so that a worker in slow start does not get the share of all removed workers. This
+        # may be inaccurate if the removed workers were slow.
         self._capacity_in_use = DecayedCounter(RATE_WINDOW_S)
 
     def begin(self, now: float, worker: Worker) -> None:
-        """Start the warm-up of a worker that has just started.
+        """Begin slow start of a worker that has just started.
 
-        The first credit is random, so that the first attempts of all gateways do not fall on one moment.
+        The initial credit is random, so that the first attempts of all gateways do not coincide.
         """
         if self._rules.slow_start_s and worker.endpoint.started_s > 0:
             worker.slow_start_ends_s = worker.endpoint.started_s + self._rules.slow_start_s
@@ -61,12 +63,12 @@
             worker.credit_updated_s = now
 
     def observe_fleet(self, now: float, ready: list[Worker]) -> None:
-        """Take in the workers that are ready after an endpoint update."""
+        """Update the capacity in use with the workers that are ready after an endpoint update."""
         capacity = sum(worker.endpoint.capacity * self.capacity_fraction(now, worker) for worker in ready)
         self._capacity_in_use.reset(now, max(capacity, self._capacity_in_use.value(now)))
 
     def capacity_fraction(self, now: float, worker: Worker) -> float:
-        """Return the fraction of its capacity that a worker of its age has at least."""
+        """Return the minimum fraction of its full capacity that a worker has at its age."""
         if now >= worker.slow_start_ends_s:
             return 1.0
         minimum = self._rules.slow_start_min_fraction
@@ -74,22 +76,22 @@
         return minimum + (1 - minimum) * age_s / self._rules.slow_start_s
 
     def grants_attempt(self, now: float, worker: Worker) -> bool:
-        """Return whether a worker may get an attempt now; updates its credit."""
+        """Return whether a worker may get an attempt now, and update its credit."""
         if now >= worker.slow_start_ends_s:
             return True
-        # Credit is updated now and then: the rate half way since the last update stands for all that time.
+        # Updates are irregular; the rate at the middle of the interval approximates the whole interval.
         rate = self.attempt_rate((now + worker.credit_updated_s) / 2, worker)
         worker.send_credit = min(1.0, worker.send_credit + rate * (now - worker.credit_updated_s))
         worker.credit_updated_s = now
         return worker.send_credit >= 1.0
 
     def attempt_rate(self, now: float, worker: Worker) -> float:
-        """Return the attempts a second that this gateway may send to a worker that is warming up.
+        """Return the attempts per second that this gateway may send to a worker in slow start.
 
-        The own rate for each unit of capacity is at most this gateway's part of what such a worker carries.
-        A starting worker can do its capacity fraction of that, more where utilization is low. The fewer
-        attempts an overload window holds over all gateways, the more of it stays free for chance. It could
-        hurt by using a starting worker less than it could be.
+        This gateway's request rate per unit of capacity is at most its share of what a warm worker handles. A
+        worker in slow start can handle its capacity fraction of that, and more if utilization is low. The
+        fewer attempts fit into an overload window over all gateways, the larger the part that is reserved
+        for chance. The limit may leave a worker in slow start underused.
         """
         rules = self._rules
         own_rate = self._rates.total.value(now) / RATE_WINDOW_S
--- a/saffronstack/routing/state.py
+++ b/saffronstack/routing/state.py
@@ -1,6 +1,6 @@
-"""What a router remembers of workers, functions, requests and attempts.
+"""State that a router keeps about workers, functions, requests and attempts.
 
-These records carry no behaviour. Each field of a worker or function is written by the module named beside it.
+These classes only hold data. The module in parentheses is the one that writes the field.
 """
 
 from __future__ import annotations
@@ -14,30 +14,31 @@
 
 @dataclass(eq=False, slots=True)
 class Worker:
-    """What this gateway knows of one worker; counts are of this gateway's own attempts alone.
+    """State of one worker; counts include only this gateway's attempts.
 
     Attributes:
-        endpoint: Its newest entry in the endpoint list (`membership`).
-        is_ready: Whether it takes new requests (`membership`).
-        is_listed: Whether the endpoint list still names it (`membership`).
+        endpoint: Latest entry in the endpoint list (`membership`).
+        is_ready: Whether the worker accepts new requests (`membership`).
+        is_listed: Whether the worker is still in the endpoint list (`membership`).
         attempts_in_flight: Attempts that have not ended (`dispatcher`).
-        warm_attempts_in_flight: Those of them sent to a loaded instance (`dispatcher`).
+        warm_attempts_in_flight: Attempts in flight that were sent to loaded instances (`dispatcher`).
         loads_in_progress: Attempts and load commands that await a load, by function (`load_control`).
-        last_response_s: When it last sent a response, -inf for never (`outcome_feedback`).
-        placed_mb: Memory of the instances that this gateway placed there (`memory_account`).
-        concurrency_limit: Warm attempts that may be in flight (`concurrency_limit`).
-        limit_reduced_s: When that limit was last reduced (`concurrency_limit`).
-        slowness: Recent latency as a multiple of what is usual for the class (`outlier_detection`).
-        slowness_samples: Responses behind ``slowness``, counted up to the number needed.
+        last_response_s: When the last response arrived, -inf before the first (`outcome_feedback`).
+        placed_mb: Memory of the instances that this gateway placed at the worker (`memory_account`).
+        concurrency_limit: Maximum number of warm attempts in flight (`concurrency_limit`).
+        limit_reduced_s: When ``concurrency_limit`` was last reduced (`concurrency_limit`).
+        slowness: Recent latency as a multiple of the usual latency of the class (`outlier_detection`).
+        slowness_samples: Number of responses in ``slowness``, counted up to the required minimum.
         error_fraction: Recent fraction of responses that were errors (`outlier_detection`).
-        consecutive_connection_failures: Attempts in a row that got no response (`outlier_detection`).
-        is_ejected: Whether it is taken out as an outlier (`outlier_detection`).
+        consecutive_connection_failures: Consecutive attempts whose connection failed or was lost
+            (`outlier_detection`).
+        is_ejected: Whether the worker is ejected as an outlier (`outlier_detection`).
         next_trial_s: When an ejected worker may get its next trial request (`outlier_detection`).
-        cpu_utilization: Recent fraction of its cores in use (`cpu_utilization`).
-        cpu_reported_s: When that was last reported, -inf for never (`cpu_utilization`).
-        slow_start_ends_s: When it has its full capacity (`slow_start`).
+        cpu_utilization: Recent fraction of the worker's cores in use (`cpu_utilization`).
+        cpu_reported_s: When utilization was last reported, -inf for never (`cpu_utilization`).
+        slow_start_ends_s: When the worker has its full capacity (`slow_start`).
         send_credit: Attempts that slow start allows now (`slow_start`).
-        credit_updated_s: When that credit was last updated (`slow_start`).
+        credit_updated_s: When ``send_credit`` was last updated (`slow_start`).
     """
 
     endpoint: WorkerEndpoint
@@ -65,30 +66,30 @@
 
 @dataclass(eq=False, slots=True)
 class Fleet:
-    """The workers that this gateway knows of, and totals over those that are ready."""
+    """The known workers, and totals over the ready ones."""
 
     workers: dict[int, Worker] = field(default_factory=dict)
     ready_count: int = 0
     ready_capacity: float = 0.0
 
     def ready_workers(self) -> list[Worker]:
-        """Return the workers that take new requests."""
+        """Return the workers that accept new requests."""
         return [worker for worker in self.workers.values() if worker.is_ready]
 
 
-WarmInstance = tuple[Worker, float]  # the worker that holds it, and when an attempt there freed it
+WarmInstance = tuple[Worker, float]  # the worker that holds the instance, and when it became free
 
 
 @dataclass(eq=False, slots=True)
 class Function:
-    """What this gateway knows of one function.
+    """State of one function.
 
     Attributes:
-        warm_instances: Idle loaded instances, ordered by the time they were freed (`warm_pool`).
-        waiting: Requests held back until an instance or a load slot is free (`request_queue`).
+        warm_instances: Idle loaded instances, ordered by the time they became free (`warm_pool`).
+        waiting: Requests queued until an instance or a load slot is free (`request_queue`).
         warm_attempts_in_flight: Attempts sent to loaded instances (`dispatcher`).
         loads_in_progress: Attempts and load commands that await a load (`load_control`).
-        load_rejected_until_s: Workers that rejected a load command, and until when none is sent to them
+        load_rejected_until_s: For workers that rejected a load command, until when none is sent to them
             (`load_commands`).
     """
 
@@ -105,13 +106,13 @@
 
     Attributes:
         request: The request.
-        index: Number of the attempt, counted from 0 for each request.
-        worker: The worker it was sent to.
-        sent_s: When it was sent.
-        expects_warm: Whether a loaded instance is expected there.
-        expects_no_instance: Whether neither the warm pool nor the memory account knew of an instance there.
-        instance_freed_s: When the warm instance that it took had been freed.
-        connection_lost: Whether its connection ended, which says nothing of the instance.
+        index: Index of the attempt, counted from 0 for each request.
+        worker: The worker to which the attempt was sent.
+        sent_s: When the attempt was sent.
+        expects_warm: Whether a loaded instance is expected at the worker.
+        expects_no_instance: Whether neither warm pool nor memory account knew an instance at the worker.
+        instance_freed_s: When the warm instance that the attempt uses became free before.
+        connection_lost: Whether the connection was lost, in which case the instance may still be loaded.
     """
 
     request: Request
@@ -130,13 +131,13 @@
 
     Attributes:
         request: The request as it arrived.
-        request_class: Settings of its class.
-        priority_weight: Weight of its class, lower for a tenant over its quota.
-        queue_deadline_s: Until when it is held back while nothing was sent.
-        attempts: Its attempts so far, the newest last.
+        request_class: Settings of the request's class.
+        priority_weight: Weight of the class, reduced for a tenant over its quota.
+        queue_deadline_s: Until when the request may stay queued if no attempt was sent.
+        attempts: Attempts so far, the newest last.
         maybe_executed: The first attempt that may have executed the request.
         attempts_in_flight: Attempts that have not ended.
-        has_queue_timer: Whether it has been held back before.
+        has_queue_timer: Whether the request has been queued before.
     """
 
     request: Request
--- a/saffronstack/routing/validation.py
+++ b/saffronstack/routing/validation.py
@@ -1,4 +1,4 @@
-"""Validation of the settings: impossible values raise `InvalidSettingsError` naming the field."""
+"""Validation of the settings: an invalid value raises an `InvalidSettingsError` that names its field."""
 
 from __future__ import annotations
 
@@ -90,10 +90,10 @@
 
 
 def validate_settings(settings: Settings) -> None:
-    """Check that every value of the settings is possible.
+    """Check that every value of the settings is valid.
 
     Raises:
-        InvalidSettingsError: A value is impossible; the message starts with the path of its field.
+        InvalidSettingsError: A value is invalid; the message starts with the path of its field.
     """
     if not settings.classes:
         raise InvalidSettingsError("classes must name at least one class")
--- a/saffronstack/routing/warm_pool.py
+++ b/saffronstack/routing/warm_pool.py
@@ -1,7 +1,8 @@
 """Warm pool: idle loaded instances of each function, the most recently freed one first.
 
-Going to the freshest instance lets the others expire, and few instances serve a function. Entries end with
-the keep-alive, when a response shows that the worker had to load, and when an attempt there fails.
+Using the most recently freed instance lets the others expire, so that few instances serve a function. An
+entry is dropped after the keep-alive, when a response shows that the worker had to load the function, or when
+an attempt at the worker fails.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.state import Function, PendingRequest, WarmInstance, Worker
 
-DEFAULT_KEEP_ALIVE_S = 8.0  # life of an idle instance where the settings give none
-# Entries of one function that are kept, the freshest ones: each choice walks them, and thousands at a worker
-# that cannot be used made a flood of requests slow.
+DEFAULT_KEEP_ALIVE_S = 8.0  # assumed lifetime of an idle instance if the settings give none
+# Maximum number of entries of one function; the most recently freed ones are kept. Each choice scans the
+# entries, and thousands of entries at an ineligible worker made each request slow in a burst.
 MAX_ENTRIES = 64
 
 
 def keep_alive_s(settings: Settings) -> float:
-    """Return how long an idle instance is taken to stay loaded."""
+    """Return how long an idle instance is assumed to stay loaded."""
     return settings.keep_alive_s or DEFAULT_KEEP_ALIVE_S
 
 
@@ -28,7 +29,7 @@
 
 
 class WarmPool:
-    """Takes instances from the pool and returns them; the entries lie in `Function.warm_instances`."""
+    """Manages the idle loaded instances of all functions; the entries are in `Function.warm_instances`."""
 
     __slots__ = ("_eligibility", "_functions", "_keep_alive_s")
 
@@ -40,19 +41,19 @@
     def take(
         self, now: float, function: Function, pending: PendingRequest, usable_fraction: float
     ) -> WarmInstance | None:
-        """Take the freshest instance at an eligible worker below its concurrency limit.
+        """Take the most recently freed instance at an eligible worker below its concurrency limit.
 
-        Where there is none, takes one at a worker where the request's own connection was lost: such a loss
-        says nothing of the instance, and a load takes longer.
+        If there is none, take one at a worker to which this request lost its connection: the instance may
+        still be loaded, and a load takes longer than a retry.
 
         Args:
-            now: Present time in seconds.
-            function: Function of the request; its expired entries are dropped.
+            now: Current time in seconds.
+            function: Function of the request; expired entries are dropped.
             pending: The request.
             usable_fraction: Fraction of a worker's concurrency limit that the request may use.
 
         Returns:
-            The instance, or None where no instance can be used.
+            The instance, or None if no instance can be used.
         """
         instances = function.warm_instances
         del instances[:-MAX_ENTRIES]
@@ -75,25 +76,25 @@
         return None if retry_index < 0 else instances.pop(retry_index)
 
     def release(self, now: float, function: Function, worker: Worker, count: int) -> None:
-        """Add instances, or concurrency slots of one, that are free from now on."""
+        """Add instances, or concurrency slots of one instance, that have become free."""
         function.warm_instances.extend([(worker, now)] * count)
 
     def restore(self, function: Function, worker: Worker, freed_s: float) -> None:
-        """Return an instance that an attempt took and that stands as it was freed before."""
+        """Return an instance that an attempt took, at its position by the time it became free before."""
         insort(function.warm_instances, (worker, freed_s), key=_freed_s)
 
     def discard_older(self, function: Function, worker: Worker, freed_until_s: float) -> None:
-        """Drop the instances at a worker that were freed up to this time."""
+        """Drop the instances at a worker that became free at or before a time."""
         instances = function.warm_instances
         instances[:] = [entry for entry in instances if entry[0] is not worker or entry[1] > freed_until_s]
 
     def drop_instances(self, worker: Worker) -> None:
-        """Drop all instances at a worker."""
+        """Drop all instances of all functions at a worker."""
         for function in self._functions.values():
             function.warm_instances = [entry for entry in function.warm_instances if entry[0] is not worker]
 
     def expire(self, now: float, function: Function) -> None:
-        """Drop the instances of a function that have passed the keep-alive."""
+        """Drop the instances of a function that have been idle for longer than the keep-alive."""
         function.warm_instances = [
             entry for entry in function.warm_instances if now - entry[1] <= self._keep_alive_s
         ]
--- a/tests/bench/test_wire.py
+++ b/tests/bench/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec of the simulator's wire against the examples of its page, and malformed input."""
+"""Tests of the simulator codec with the examples of the format's documentation and with malformed input."""
 
 from __future__ import annotations
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Short ways to build settings and events."""
+"""Router settings that tests share."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Usual settings with some changed."""
+    """Return the default test settings with some fields changed."""
     base: dict[str, Any] = {
         "classes": CLASSES,
         "memory_mb_by_worker_kind": (8000.0,),
--- a/tests/routing/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive concurrency limit of a worker."""
+"""Tests of the adaptive concurrency limit of a worker."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     assert limiter.usable_fraction(9.0, 1.0) == 1.0
     assert limiter.usable_fraction(0.5, 1.0) == pytest.approx(0.6)
     assert limiter.usable_fraction(0.0, 1.0) == MIN_USABLE_FRACTION
-    assert limiter.usable_fraction(0.0, 0.0) == 1.0  # before any request
+    assert limiter.usable_fraction(0.0, 0.0) == 1.0  # before the first request
 
 
 def test_the_limit_falls_to_what_is_in_use_and_at_most_once_in_the_interval() -> None:
--- a/tests/routing/test_cpu_utilization.py
+++ b/tests/routing/test_cpu_utilization.py
@@ -1,4 +1,4 @@
-"""Moving averages of reported CPU utilization."""
+"""Tests of the moving averages of reported CPU utilization."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_decision_digest.py
+++ b/tests/routing/test_decision_digest.py
@@ -1,4 +1,4 @@
-"""Decisions over seeded random events, against digests taken at 0684301 by the same script."""
+"""Compares decisions on seeded random events with digests that the same script computed at commit 0684301."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     assert spec is not None
     assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
-    sys.modules["decision_digest"] = module  # its dataclasses look their module up
+    sys.modules["decision_digest"] = module  # the script's dataclasses look up their module
     spec.loader.exec_module(module)
     return module
 
 
 CASES = [
     *((scenario, 1, SECONDS, digest) for scenario, digest in DIGESTS.items()),
-    ("wide", 2, 30.0, "4cc8b1932d568d14"),  # long enough for the spread of loads to grow and ease
+    ("wide", 2, 30.0, "4cc8b1932d568d14"),  # long enough for the spread factor to rise and fall
 ]
 
 
--- a/tests/routing/test_eligibility.py
+++ b/tests/routing/test_eligibility.py
@@ -1,4 +1,4 @@
-"""Which workers may get an attempt of a request."""
+"""Tests of which workers may get an attempt of a request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def eligibility() -> Eligibility:
-    """Return eligibility without slow start."""
+    """Return an `Eligibility` without slow start."""
     rates, cpu = RequestRates(), CpuUtilization()
     return Eligibility(SlowStart(settings(), make_fleet(), rates, cpu, random.Random(1)))
 
--- a/tests/routing/test_idle_sweep.py
+++ b/tests/routing/test_idle_sweep.py
@@ -1,4 +1,4 @@
-"""Workers and functions that are no longer used leave no state."""
+"""Tests that removed workers and idle functions leave no state."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         assert [send.worker_id for send in attempts_sent(actions)] == [worker]
         if worker % 3:
             gateway.finish(now + 0.1, number)
-        else:  # in flight while the worker leaves: its outcome finds the worker gone
+        else:  # the worker is removed while the attempt is in flight
             router.handle(now + 0.2, incremental(endpoint(worker, REMOVED)))
             gateway.finish(now + 0.3, number, Result.RESET, CacheStatus.UNKNOWN)
         peak = max(peak, entry_count())
--- a/tests/routing/test_load_commands.py
+++ b/tests/routing/test_load_commands.py
@@ -1,4 +1,4 @@
-"""Load commands, where a worker rejects requests for functions that it has not loaded."""
+"""Tests of load commands to workers that reject requests for functions that they have not loaded."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_load_commands_stay_within_the_rule() -> None:
-    """2 free and a tenth of the requests in 5 s: the order at the limit passes, the next does not."""
+    """Allows 2 load commands plus one per ten requests in 5 s: one at the limit is sent, the next is not."""
     gateway = rejecting_gateway(
         rules=RuleSettings(load_command_burst=2.0, load_commands_per_request=0.1, load_command_window_s=5.0)
     )
@@ -64,7 +64,7 @@
 
 
 def make_parts(permitted: bool = True, miss_mode: MissMode = MissMode.REJECT) -> Components:
-    """Return the parts of a router where load commands may be permitted."""
+    """Return router components with the given load command permission and miss mode."""
     permissions = PermissionSettings(load_commands=permitted)
     return Components(settings(miss_mode=miss_mode, permissions=permissions), 1)
 
--- a/tests/routing/test_load_control.py
+++ b/tests/routing/test_load_control.py
@@ -1,4 +1,4 @@
-"""The limit on loads in progress."""
+"""Tests of the limit on loads in progress."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def make_control(workers: int = 10, gateways: int = 1) -> LoadControl:
-    """Return load control over so many ready workers."""
+    """Return a `LoadControl` over a number of ready workers."""
     fleet = make_fleet(*(make_worker(number) for number in range(workers)))
     return LoadControl(settings(gateway_count=gateways), fleet, SharedInstances())
 
@@ -104,9 +104,9 @@
 
 def test_a_request_waits_for_a_busy_instance_unless_it_has_waited() -> None:
     control, function, request = make_control(), Function(), make_request()
-    assert control.may_load(100.0, request, function, True)  # nothing to wait for
+    assert control.may_load(100.0, request, function, True)  # there is no busy instance to wait for
     function.warm_attempts_in_flight = 1
     assert not control.may_load(100.0, request, function, True)
     assert control.may_load(100.0, request, function, False)
     function.waiting.append(make_pending())
-    assert control.may_load(100.0, request, function, True)  # another one waits for that instance
+    assert control.may_load(100.0, request, function, True)  # another request waits for that instance
--- a/tests/routing/test_load_shedding.py
+++ b/tests/routing/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: rejecting a fraction of the requests at once."""
+"""Tests of load shedding: rejecting a fraction of the requests immediately."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 def rejected_fraction(
     gateway: Gateway, at: float, rate: float, seconds: float, response_time_s: Callable[[], float]
 ) -> float:
-    """Return the fraction of so many requests a second that is rejected at once."""
+    """Send requests at a rate and return the fraction that is rejected immediately."""
     requests = rejected = 0
     in_flight: list[tuple[float, int, float]] = []
     for step in range(int(rate * seconds)):
@@ -73,7 +73,7 @@
     gateway = Gateway(make_router(*range(1, 9), gateway_count=100))
     learn_shared_instances(gateway)
     assert rejected_fraction(gateway, 110.0, rate, 5.0, lambda: 0.05) == 0.0
-    rejected_fraction(gateway, 120.0, rate, 3.0, lambda: 2.5)  # far over the latency objective
+    rejected_fraction(gateway, 120.0, rate, 3.0, lambda: 2.5)  # far above the latency objective
     assert rejected_fraction(gateway, 126.0, rate, 3.0, lambda: 2.5) > 0.25
     rejected_fraction(gateway, 132.0, rate, 4.0, lambda: 0.05)
     assert rejected_fraction(gateway, 137.0, rate, 5.0, lambda: 0.05) == 0.0
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("responds_to_others", [True, False])
 def test_a_timeout_counts_as_overload_where_the_worker_responds_to_others(responds_to_others: bool) -> None:
-    """A silent worker may be cut off: others could serve, and shedding would lose that."""
+    """A worker without responses may be unreachable; shedding would reject what other workers could serve."""
     gateway = Gateway(make_router(1, gateway_count=100))
     learn_shared_instances(gateway)
     for step in range(3):
@@ -112,7 +112,7 @@
 
 
 def make_shedder(shared: SharedInstances | None = None, **changes: Any) -> tuple[LoadShedder, RequestRates]:
-    """Return a load shedder and the rates that it reads."""
+    """Return a load shedder and the request rates that it reads."""
     rates = RequestRates()
     return LoadShedder(settings(**changes), rates, shared or SharedInstances(), random.Random(1)), rates
 
--- a/tests/routing/test_membership.py
+++ b/tests/routing/test_membership.py
@@ -1,4 +1,4 @@
-"""Endpoint updates: workers that drain, leave, restart and return."""
+"""Tests of endpoint updates: workers that drain, are removed, restart and return."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("change", ["draining", "removed", "left out"])
 def test_a_worker_that_drains_or_is_removed_gets_no_new_attempt(change: str) -> None:
     gateway = Gateway(make_router(1, 2))
-    for step in range(4):  # instances at both
+    for step in range(4):  # load instances at both workers
         one, _ = gateway.request(100.0, function_id=step)
         two, _ = gateway.request(100.0, function_id=step + 4)
         gateway.finish(100.5, one)
@@ -45,7 +45,7 @@
     gateway = Gateway(make_router(1, 2))
     first, _ = gateway.request(100.0)
     holder = gateway.where[first]
-    second, _ = gateway.request(100.0, function_id=2)  # in flight while it leaves and returns
+    second, _ = gateway.request(100.0, function_id=2)  # in flight while the worker is removed and returns
     gateway.finish(100.1, first)
     gateway.router.handle(100.2, incremental(endpoint(holder, REMOVED)))
     gateway.router.handle(100.3, incremental(endpoint(holder)))
--- a/tests/routing/test_memory_account.py
+++ b/tests/routing/test_memory_account.py
@@ -1,4 +1,4 @@
-"""The account of memory that own attempts took up."""
+"""Tests of the account of worker memory that this gateway's attempts use."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def make_account(*workers: Worker) -> MemoryAccount:
-    """Return an account over these workers with a keep-alive of ten seconds."""
+    """Return a memory account over workers with a keep-alive of ten seconds."""
     return MemoryAccount(settings(memory_mb_by_worker_kind=(8000.0, 0.0)), make_fleet(*workers), 10.0)
 
 
--- a/tests/routing/test_outcome_feedback.py
+++ b/tests/routing/test_outcome_feedback.py
@@ -1,4 +1,4 @@
-"""What a router learns from the outcome of an attempt."""
+"""Tests of state updates from the outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def apply(outcome: AttemptOutcome, expects_warm: bool = True, concurrency: float = 1.0) -> Components:
-    """Return the parts of a router after the outcome of its one attempt, which was sent at 100."""
+    """Apply the outcome of one attempt, sent at time 100, and return the router components."""
     parts, worker = Components(settings(), 1), make_worker()
     function = parts.functions[1] = Function()
     parts.fleet.workers[1] = worker
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of workers that are slow, fail or are not reached, and their trials."""
+"""Tests of the ejection of slow, failing or unreachable workers, and of their trials."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def observe(detection: OutlierDetection, worker: Worker, now: float, **outcome: Any) -> None:
-    """Hand in the outcome of an attempt at a warm instance."""
+    """Report the outcome of an attempt at a warm instance."""
     detection.observe(now, make_attempt(worker), make_outcome(**outcome))
 
 
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: at which worker a function is loaded."""
+"""Tests of the choice of the worker at which a function is loaded."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
 
 
 def test_a_worker_with_high_cpu_utilization_gets_fewer_loads_and_recovers() -> None:
-    """Hundreds of gateways with little traffic each load some workers at 0.9 and others at 0.1 for as long as
-    the functions live: own counts do not show it, load reports do."""
+    """With hundreds of gateways with little traffic each, some workers stay at 0.9 utilization and others at
+    0.1 while functions stay loaded. A gateway's own counts do not show this, load reports do."""
 
     def loads(utilization: dict[int, float], later_s: float = 0.0) -> list[int]:
         loads_by_worker = [0] * 9
         for gateway in make_gateways(20, 8):
-            for step in range(120):  # each worker responds some times
+            for step in range(120):  # each worker responds several times
                 now = 99.0 + step * 0.01
                 number, _ = gateway.request(now, function_id=5000 + step, memory_mb=1.0)
                 gateway.finish(
@@ -65,7 +65,7 @@
                     load_report=LoadReport(cpu_utilization=utilization.get(gateway.where[number], 0.5)),
                 )
             for worker in gateway.router.workers.values():
-                worker.placed_mb = 0.0  # memory aside
+                worker.placed_mb = 0.0  # ignore memory
             for function in range(40):
                 number, actions = gateway.request(100.2 + later_s, function_id=function, memory_mb=1.0)
                 loads_by_worker[attempts_sent(actions)[0].worker_id] += 1
@@ -75,12 +75,13 @@
     even, reported = loads({}), loads({1: 1.0, 2: 0.0})
     assert reported[1] < 0.5 * even[1]
     assert reported[2] > 1.3 * even[2]
-    assert loads({1: 1.0, 2: 0.0}, later_s=120.0)[1] > 0.8 * even[1]  # old reports say nothing
+    assert loads({1: 1.0, 2: 0.0}, later_s=120.0)[1] > 0.8 * even[1]  # old reports have decayed
 
 
 def test_instances_with_a_free_slot_do_not_raise_the_spread_factor() -> None:
-    """Nearly every attempt of hundreds of gateways finds an instance: a spread that grew on that alone had no
-    end. Where no CPU utilization is reported, nothing else evens the load, and it grows on each instance."""
+    """With hundreds of gateways nearly every attempt finds an instance; if that alone raised the spread
+    factor, it would rise without end. Without reported CPU utilization only the spread balances the load,
+    so the factor rises for each instance found."""
 
     def spread_after(concurrency: int | None, utilization: float | None = 0.5) -> float:
         gateway = Gateway(make_router(*range(1, 41), gateway_count=300))
@@ -99,12 +100,12 @@
         return gateway.router.components.placement.spread_factor
 
     assert spread_after(0) == 1.0
-    assert spread_after(1) == spread_after(None) == 10.0  # every slot in use; a site that does not report it
+    assert spread_after(1) == spread_after(None) == 10.0  # every slot in use; concurrency not reported
     assert spread_after(0, utilization=None) == 10.0
 
 
 def make_parts(*workers: Worker) -> Components:
-    """Return the parts of a router that knows these workers."""
+    """Return the components of a router that knows the given workers."""
     parts = Components(settings(), 1)
     parts.fleet.workers.update({worker.endpoint.worker_id: worker for worker in workers})
     parts.fleet.ready_count = len(workers)
@@ -113,7 +114,7 @@
 
 
 def choose(parts: Components, function: Function | None = None, function_id: int = 1) -> int:
-    """Return the number of the worker at which a function is loaded."""
+    """Return the ID of the worker at which a function is loaded."""
     request = make_request(function_id=function_id)
     workers = list(parts.fleet.workers.values())
     return parts.placement.choose(100.0, request, function or Function(), workers).endpoint.worker_id
--- a/tests/routing/test_purity.py
+++ b/tests/routing/test_purity.py
@@ -1,6 +1,6 @@
-"""The decisions stay free of I/O, clocks and threads, and in small pieces.
+"""Checks that the routing package has no I/O, clocks or threads, and that its files and functions are short.
 
-This takes the place of a bound on the lines of one decision module: what that stood for is checked here.
+These checks replace a line limit on a single decision module.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 ROUTING = pathlib.Path(__file__).parents[2] / "saffronstack" / "routing"
 FILES = sorted(ROUTING.rglob("*.py"))
-# Modules of the standard library that compute only: none opens files or sockets, reads a clock or starts a
-# thread. `random` is used through instances with a seed, which another test below checks.
+# Standard library modules that do not open files or sockets, read a clock or start a thread. `random` is
+# allowed for seeded instances only, which a test below checks.
 PURE = {
     "__future__",
     "bisect",
@@ -35,7 +35,7 @@
 
 
 def nodes(path: pathlib.Path) -> Iterator[ast.AST]:
-    """Yield every node of a file."""
+    """Yield every syntax tree node of a file."""
     yield from ast.walk(ast.parse(path.read_text()))
 
 
@@ -52,7 +52,7 @@
 
 
 def line_count(node: ast.AST) -> int:
-    """Return how many lines a class or function takes, decorators included."""
+    """Return the number of lines of a class or function, including decorators."""
     assert isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef)
     first = min([node.lineno, *(decorator.lineno for decorator in node.decorator_list)])
     return (node.end_lineno or first) - first + 1
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -1,4 +1,4 @@
-"""Random legal events under varied settings: one final answer, the retry rules, drains and determinism."""
+"""Tests with random valid events and settings: one final answer, retry rules, draining and determinism."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass
 class Simulation:
-    """Plays clients, workers and clock for one router and checks the rules at each action."""
+    """Simulates clients, workers and the clock for one router, and checks the rules at each action."""
 
     router: Router
     config: Settings
@@ -61,10 +61,11 @@
 
     def check(self, action: Action) -> None:
         if isinstance(action, SendAttempt):
-            request = self.owed[action.request_id]  # nothing is sent after the final answer
+            request = self.owed[action.request_id]  # raises KeyError after the final answer
             assert self.ready[action.worker_id]
             assert self.now < request.deadline_s
-            assert all(number != action.request_id for number, *_ in self.in_flight)  # never two at once
+            # At most one attempt of a request is in flight.
+            assert all(number != action.request_id for number, *_ in self.in_flight)
             self.check_retry(action.request_id, action.worker_id)
             attempt = self.sent.get(action.request_id, 0)
             assert attempt < self.config.permissions.max_attempts
@@ -75,7 +76,7 @@
             assert self.config.permissions.load_commands
             self.load_commands.append((action.worker_id, action.function_id))
         elif isinstance(action, Reject | Fail):
-            request = self.owed.pop(action.request_id)  # exactly one
+            request = self.owed.pop(action.request_id)  # a second final answer raises KeyError
             request_class = CLASSES[request.class_index]
             if isinstance(action, Reject) and action.request_id in self.maybe_executed:
                 is_harmless = (
@@ -214,7 +215,7 @@
             result = (Result.OK, Result.AT_CAPACITY, Result.ERROR)[number % 3]
             simulation.handle_event(LoadCommandResult(worker, function, number % 2, result, 0.5))
     simulation.pass_time(10.0)
-    assert not simulation.owed  # everything was answered in time
+    assert not simulation.owed  # every request got its final answer in time
     return simulation.log
 
 
--- a/tests/routing/test_rate_estimator.py
+++ b/tests/routing/test_rate_estimator.py
@@ -1,4 +1,4 @@
-"""Decayed counters and the rates of own requests."""
+"""Tests of decayed counters and request rates."""
 
 from __future__ import annotations
 
@@ -46,6 +46,6 @@
     rates = RequestRates()
     rates.record(100.0, make_request(function_id=1))
     rates.forget_function(1)
-    rates.forget_function(1)  # a second time does nothing
+    rates.forget_function(1)  # a second call has no effect
     assert rates.of_function(100.0, 1) == 0.0
     assert rates.total.value(100.0 + RATE_WINDOW_S) > 0
--- a/tests/routing/test_request_queue.py
+++ b/tests/routing/test_request_queue.py
@@ -1,4 +1,4 @@
-"""Requests that are held back at the gateway."""
+"""Tests of the queue of requests at the gateway."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     assert final_answers(actions) == [Reject(number, 0.0)]  # there is no worker to wait for
     gateway = Gateway(make_router(1))
     for function in range(2, 9):
-        gateway.request(100.0, function_id=function)  # enough loads in progress
+        gateway.request(100.0, function_id=function)  # enough loads in progress to reach the limit
     number, actions = gateway.request(100.0, deadline_s=104.0)
     timers = [action for action in actions if isinstance(action, SetTimer)]
     while timers and not final_answers(actions):
@@ -58,7 +58,7 @@
 
 
 def make_queue(*waiting: PendingRequest) -> tuple[RequestQueue, Function]:
-    """Return a queue that holds these requests of one function back."""
+    """Return a queue with the given requests of one function, and the function."""
     queue, function = RequestQueue({pending.request.request_id: pending for pending in waiting}), Function()
     for pending in waiting:
         queue.enqueue(100.0, pending, function)
--- a/tests/routing/test_retry_policy.py
+++ b/tests/routing/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: idempotency, deduplication windows, the retry budget and the final answer."""
+"""Tests of retries: idempotency, deduplication, the retry budget and the final answer."""
 
 from __future__ import annotations
 
@@ -132,7 +132,7 @@
 
 def test_the_retry_budget_is_bounded() -> None:
     policy, pending = RetryPolicy(settings()), make_pending()
-    policy.record_attempt(pending)  # a first attempt costs nothing
+    policy.record_attempt(pending)  # the first attempt does not use the budget
     assert policy.retry_budget == MAX_RETRY_BUDGET
     pending.attempts.append(make_attempt(make_worker()))
     policy.record_attempt(pending)
@@ -147,7 +147,7 @@
 
 
 def actions_on_resumed_request(class_index: int, prior_worker: int, sent_s: float = 99.9) -> list[Action]:
-    """Return the actions on a request that is resumed after a restart."""
+    """Return the actions for a request that is resumed after a restart."""
     gateway = Gateway(Router(settings(), 1))
     gateway.router.handle(100.0, snapshot(*(endpoint(w, zone=w % 2, cell=w % 3) for w in range(1, 7))))
     return gateway.request(100.0, class_index, prior_attempt=PriorAttempt(prior_worker, sent_s))[1]
@@ -156,7 +156,8 @@
 def test_a_resumed_request_counts_its_earlier_attempt() -> None:
     assert actions_on_resumed_request(UNSAFE, 2) == [Fail(1)]
     assert attempts_sent(actions_on_resumed_request(SAFE, 2))
-    assert actions_on_resumed_request(KEYED_ALL, 2, sent_s=90.0) == [Reject(1, 0.0)]  # its window has passed
+    # The deduplication window has passed.
+    assert actions_on_resumed_request(KEYED_ALL, 2, sent_s=90.0) == [Reject(1, 0.0)]
 
 
 def test_a_resumed_request_stays_in_the_scope_of_its_earlier_worker() -> None:
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The life of a request: one final answer, whatever happens."""
+"""Tests that each request gets exactly one final answer."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 def test_a_disconnect_cancels_the_attempt_and_keeps_its_instance() -> None:
-    """Where many leave, entries that went with them made standing instances unknown."""
+    """When many clients disconnect, dropping the entries would make loaded instances unknown."""
     gateway = Gateway(make_router(1, 2, permissions=PermissionSettings(max_attempts=6, cancellation=True)))
     first, _ = gateway.request(100.0)
     holder = gateway.where[first]
--- a/tests/routing/test_shared_instances.py
+++ b/tests/routing/test_shared_instances.py
@@ -1,4 +1,4 @@
-"""Whether instances are shared by all gateways."""
+"""Tests of the detection of shared instances."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget of a worker that is warming up."""
+"""Tests of slow start: the attempt budget of a worker that is warming up."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("restart", [False, True])
 def test_no_window_holds_more_attempts_than_the_budget(restart: bool) -> None:
-    """100 requests a second over 5 workers, 20 for each: a warming_up one may get 2 x 0.2 x 20 at first."""
+    """With 100 requests/s over 5 workers, each gets 20; one in slow start may get 2 x 0.2 x 20 at first."""
     gateway = warming_gateway(3, restart)
     times: list[float] = []
     for step in range(3000):
@@ -86,7 +86,7 @@
 ) -> None:
     gateways = make_gateways(200, 10, SLOW_START)
     rng = random.Random(3)
-    rate = 200.0  # so that each of ten workers carries 20 a second
+    rate = 200.0  # 20 requests/s for each of ten workers
 
     def serve(start: float, seconds: float, watched: int) -> dict[int, int]:
         sent: dict[int, int] = {}
@@ -108,7 +108,7 @@
     for gateway in gateways:
         gateway.router.handle(130.0, incremental(endpoint(11, started_s=130.0)))
     sent = serve(130.0, 18.0, 11)
-    assert sum(sent.values()) > 20  # it is used
+    assert sum(sent.values()) > 20  # the worker gets attempts
     for second, count in sent.items():
         capacity = 20.0 * (0.15 + 0.85 * (second + 1 - 130) / 18.0)
         assert count <= 2.0 * capacity + 2
@@ -121,7 +121,7 @@
 
 
 def make_slow_start(rules: RuleSettings, *workers: Worker, rate: float = 0.0) -> SlowStart:
-    """Return slow start over these workers, after so many own requests a second."""
+    """Return a `SlowStart` over workers at a request rate of this gateway."""
     rates = RequestRates()
     rates.total.reset(100.0, rate * RATE_WINDOW_S)
     return SlowStart(settings(rules=rules), make_fleet(*workers), rates, CpuUtilization(), random.Random(1))
@@ -152,7 +152,7 @@
     assert 0.0 <= worker.send_credit < 1.0
     assert not slow_start.grants_attempt(100.0, worker)
     assert slow_start.grants_attempt(105.0, worker)
-    assert worker.send_credit == 1.0  # and no more is saved up
+    assert worker.send_credit == 1.0  # credit is capped at one attempt
 
 
 def test_without_own_requests_no_credit_grows() -> None:
--- a/tests/routing/test_slow_start_fleet.py
+++ b/tests/routing/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start over the whole fleet: attempts of all gateways at a starting worker, and its budget."""
+"""Tests of slow start in a fleet: the attempts of all gateways at one worker stay within its budget."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from tests.support.slow_start import Load, World
 
-# SAFFRONSTACK_MANY=10 plays every scenario with every number of gateways, ten seeds each.
+# SAFFRONSTACK_MANY=10 runs every scenario with every number of gateways and ten seeds.
 SEEDS = int(os.environ.get("SAFFRONSTACK_MANY", "0"))
 GATEWAY_COUNTS = (1, 3, 30, 200)
 
@@ -25,7 +25,7 @@
 }
 
 
-# Those that broke the budget before; the others play with thirty gateways only in a short run.
+# Scenarios that once exceeded the budget. Without SAFFRONSTACK_MANY, the others run with 30 gateways only.
 ALWAYS = (
     "the other workers go, early",
     "the other workers go, late",
--- a/tests/routing/test_validation.py
+++ b/tests/routing/test_validation.py
@@ -1,4 +1,4 @@
-"""Impossible settings name the field."""
+"""Tests that invalid settings raise an error that names the field."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_warm_pool.py
+++ b/tests/routing/test_warm_pool.py
@@ -1,4 +1,4 @@
-"""The warm pool: which loaded instance a request takes, and when instances end."""
+"""Tests of the warm pool: which loaded instance a request uses, and when instances are dropped."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
     first, _ = gateway.request(100.0)
     second, _ = gateway.request(100.0)
     gateway.finish(100.1, first)
-    third, _ = gateway.request(100.2)  # takes the only instance
-    gateway.finish(100.3, second)  # an older instance when the load is reported
+    third, _ = gateway.request(100.2)  # uses the only instance
+    gateway.finish(100.3, second)  # older than the load that is reported next
     gateway.finish(101.0, third, cache_status=CacheStatus.STARTED_LOAD)
     assert all(freed >= 100.2 for _, freed in gateway.router.functions[1].warm_instances)
 
@@ -66,16 +66,15 @@
 
 
 def test_an_instance_whose_connection_ends_returns_to_the_pool() -> None:
-    """A reset says nothing of the instance; when it was dropped, requests waited for needless loads."""
+    """After a reset the instance may still be loaded; dropping it made requests wait for needless loads."""
     gateway = Gateway(make_router(1, 2))
     first, _ = gateway.request(100.0)
     holder = gateway.where[first]
     gateway.finish(100.1, first)
     second, _ = gateway.request(101.0)
     retried = attempts_sent(gateway.finish(101.0, second, Result.RESET, CacheStatus.UNKNOWN))
-    assert [send.worker_id for send in retried] == [
-        holder
-    ]  # no other instance is known, and a load takes longer
+    # No other instance is known, and a load would take longer.
+    assert [send.worker_id for send in retried] == [holder]
     gateway.finish(101.1, second)
     _, actions = gateway.request(101.2)
     assert attempts_sent(actions)[0].worker_id == holder
@@ -101,7 +100,7 @@
 
 
 def test_the_pool_of_a_function_keeps_only_its_freshest_instances() -> None:
-    """Thousands of entries at a worker that can't be used made each choice walk them all."""
+    """Each choice scans all entries, which is slow with thousands of entries at an ineligible worker."""
     gateway = Gateway(make_router(1, 2))
     add_warm_instances(gateway, 1, count=5000)
     gateway.router.handle(100.1, incremental(endpoint(1, state=DRAINING)))
@@ -119,7 +118,7 @@
 
 
 def make_pool(function: Function) -> WarmPool:
-    """Return a pool with a keep-alive of ten seconds over one function."""
+    """Return a warm pool for one function with a keep-alive of ten seconds."""
     rng = random.Random(1)
     slow_start = SlowStart(settings(), make_fleet(), RequestRates(), CpuUtilization(), rng)
     return WarmPool({1: function}, Eligibility(slow_start), 10.0)
