--- a/saffronstack/routing/router.py
+++ b/saffronstack/routing/router.py
@@ -91,23 +91,23 @@
             raise UnknownRequestClassError(
                 f"class_index {request.class_index} names no class, expected 0 to {last}"
             )
-        parts = self.components
-        if now >= parts.idle_sweep.next_sweep_s:
-            parts.idle_sweep.sweep(now)
-        parts.load_commands.record_request(now)
-        parts.rates.record(now, request)
+        components = self.components
+        if now >= components.idle_sweep.next_sweep_s:
+            components.idle_sweep.sweep(now)
+        components.load_commands.record_request(now)
+        components.rates.record(now, request)
         pending = PendingRequest(
             request,
             self._settings.classes[request.class_index],
-            parts.load_shedder.priority_weight(now, request),
+            components.load_shedder.priority_weight(now, request),
             queue_deadline_s(now, request),
         )
         if request.prior_attempt is not None:
             pending.maybe_executed = self._restore_attempt(request)
         self._requests[request.request_id] = pending
-        parts.retry_policy.record_request()
-        parts.load_shedder.observe_request(pending)
-        if parts.load_shedder.should_reject(pending):
+        components.retry_policy.record_request()
+        components.load_shedder.observe_request(pending)
+        if components.load_shedder.should_reject(pending):
             self._dispatcher.give_final_answer(pending)
         else:
             self._dispatcher.dispatch(now, pending)
@@ -148,12 +148,12 @@
         self.components.membership.apply(now, update)
 
     def _on_load_command_result(self, now: float, result: LoadCommandResult) -> None:
-        parts = self.components
-        request = parts.load_commands.take_pending(result)
+        components = self.components
+        request = components.load_commands.take_pending(result)
         if request is None:
             return
         worker, function = self.workers[result.worker_id], self.functions[result.function_id]
-        parts.load_commands.finish(now, result, request, worker, function)
+        components.load_commands.finish(now, result, request, worker, function)
         self._dispatcher.dispatch_queued(now)
 
     def _on_timer(self, now: float, event: TimerFired) -> None:
--- a/tests/routing/test_idle_sweep.py
+++ b/tests/routing/test_idle_sweep.py
@@ -44,22 +44,22 @@
 
 
 def test_a_function_stays_while_it_is_requested_and_goes_when_it_is_not() -> None:
-    parts = Components(settings(), 1)
-    parts.rates.record(100.0, make_request(function_id=1))
-    parts.functions[1] = Function()
-    parts.idle_sweep.sweep(101.0)
-    assert list(parts.functions) == [1]
-    parts.idle_sweep.sweep(200.0)
-    assert not parts.functions
-    assert not parts.rates.by_function
+    components = Components(settings(), 1)
+    components.rates.record(100.0, make_request(function_id=1))
+    components.functions[1] = Function()
+    components.idle_sweep.sweep(101.0)
+    assert list(components.functions) == [1]
+    components.idle_sweep.sweep(200.0)
+    assert not components.functions
+    assert not components.rates.by_function
 
 
 def test_a_sweep_keeps_functions_in_use_and_drops_their_expired_instances() -> None:
-    parts = Components(settings(), 1)
-    function = parts.functions[1] = Function(warm_attempts_in_flight=1)
-    parts.warm_pool.release(100.0, function, make_worker(), 1)
+    components = Components(settings(), 1)
+    function = components.functions[1] = Function(warm_attempts_in_flight=1)
+    components.warm_pool.release(100.0, function, make_worker(), 1)
     function.load_rejected_until_s = {1: 105.0}
-    parts.idle_sweep.sweep(200.0)
-    assert parts.functions == {1: function}
+    components.idle_sweep.sweep(200.0)
+    assert components.functions == {1: function}
     assert not function.warm_instances
     assert not function.load_rejected_until_s
--- a/tests/routing/test_load_commands.py
+++ b/tests/routing/test_load_commands.py
@@ -63,30 +63,30 @@
         assert all(a.worker_id == 2 for a in load_commands(actions))
 
 
-def make_parts(permitted: bool = True, miss_mode: MissMode = MissMode.REJECT) -> Components:
+def make_components(permitted: bool = True, miss_mode: MissMode = MissMode.REJECT) -> Components:
     """Return router components with the given load command permission and miss mode."""
     permissions = PermissionSettings(load_commands=permitted)
     return Components(settings(miss_mode=miss_mode, permissions=permissions), 1)
 
 
 def test_commands_need_the_permission_and_workers_that_do_not_load_by_themselves() -> None:
-    assert make_parts().load_commands.may_send(100.0)
-    assert not make_parts(permitted=False).load_commands.may_send(100.0)
-    assert not make_parts(miss_mode=MissMode.LOAD).load_commands.may_send(100.0)
+    assert make_components().load_commands.may_send(100.0)
+    assert not make_components(permitted=False).load_commands.may_send(100.0)
+    assert not make_components(miss_mode=MissMode.LOAD).load_commands.may_send(100.0)
 
 
 def test_a_command_asks_for_one_more_instance_where_all_slots_are_in_use() -> None:
-    parts, worker, request = make_parts(), make_worker(), make_request()
-    parts.memory.begin_attempt(worker, request)
-    command = parts.load_commands.send(100.0, request, worker, Function())
+    components, worker, request = make_components(), make_worker(), make_request()
+    components.memory.begin_attempt(worker, request)
+    command = components.load_commands.send(100.0, request, worker, Function())
     assert command == LoadFunction(1, 1, 2)
 
 
 def test_a_command_asks_for_a_bounded_number_of_instances() -> None:
-    parts, worker, request = make_parts(), make_worker(), make_request()
+    components, worker, request = make_components(), make_worker(), make_request()
     for _ in range(40):
-        parts.memory.begin_attempt(worker, request)
-    assert parts.load_commands.send(100.0, request, worker, Function()).instances == MAX_INSTANCES
+        components.memory.begin_attempt(worker, request)
+    assert components.load_commands.send(100.0, request, worker, Function()).instances == MAX_INSTANCES
 
 
 def test_a_result_that_no_command_awaits_is_ignored() -> None:
--- a/tests/routing/test_membership.py
+++ b/tests/routing/test_membership.py
@@ -67,28 +67,28 @@
 
 
 def test_totals_count_ready_workers_alone() -> None:
-    parts = Components(settings(), 1)
+    components = Components(settings(), 1)
     update = snapshot(endpoint(1, capacity=2.0), endpoint(2, DRAINING), endpoint(3))
-    parts.membership.apply(100.0, update)
-    assert (parts.fleet.ready_count, parts.fleet.ready_capacity) == (2, 3.0)
+    components.membership.apply(100.0, update)
+    assert (components.fleet.ready_count, components.fleet.ready_capacity) == (2, 3.0)
 
 
 def test_a_failed_update_changes_nothing() -> None:
-    parts = Components(settings(), 1)
-    parts.membership.apply(100.0, snapshot(endpoint(1)))
-    parts.membership.apply(101.0, EndpointUpdate(EndpointUpdateKind.FAILED))
-    assert parts.fleet.ready_count == 1
+    components = Components(settings(), 1)
+    components.membership.apply(100.0, snapshot(endpoint(1)))
+    components.membership.apply(101.0, EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert components.fleet.ready_count == 1
 
 
 def test_a_removed_worker_is_forgotten_once_nothing_is_in_flight_there() -> None:
-    parts = Components(settings(), 1)
-    parts.membership.apply(100.0, snapshot(endpoint(1)))
-    parts.fleet.workers[1].attempts_in_flight = 1
-    parts.membership.apply(101.0, incremental(endpoint(1, REMOVED)))
-    assert 1 in parts.fleet.workers
-    parts.fleet.workers[1].attempts_in_flight = 0
-    parts.membership.forget_removed()
-    assert not parts.fleet.workers
+    components = Components(settings(), 1)
+    components.membership.apply(100.0, snapshot(endpoint(1)))
+    components.fleet.workers[1].attempts_in_flight = 1
+    components.membership.apply(101.0, incremental(endpoint(1, REMOVED)))
+    assert 1 in components.fleet.workers
+    components.fleet.workers[1].attempts_in_flight = 0
+    components.membership.forget_removed()
+    assert not components.fleet.workers
 
 
 @pytest.mark.parametrize("kind", [EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED])
--- a/tests/routing/test_outcome_feedback.py
+++ b/tests/routing/test_outcome_feedback.py
@@ -14,31 +14,31 @@
 
 def apply(outcome: AttemptOutcome, expects_warm: bool = True, concurrency: float = 1.0) -> Components:
     """Apply the outcome of one attempt, sent at time 100, and return the router components."""
-    parts, worker = Components(settings(), 1), make_worker()
-    function = parts.functions[1] = Function()
-    parts.fleet.workers[1] = worker
+    components, worker = Components(settings(), 1), make_worker()
+    function = components.functions[1] = Function()
+    components.fleet.workers[1] = worker
     attempt = make_attempt(worker, make_request(concurrency=concurrency), expects_warm)
     attempt.instance_freed_s = 99.0
     worker.attempts_in_flight = 1
     if expects_warm:
         worker.warm_attempts_in_flight = function.warm_attempts_in_flight = 1
     else:
-        parts.load_control.begin(worker, function, 1)
-    parts.memory.begin_attempt(worker, attempt.request)
-    OutcomeFeedback(parts).apply(100.5, attempt, outcome)
-    return parts
+        components.load_control.begin(worker, function, 1)
+    components.memory.begin_attempt(worker, attempt.request)
+    OutcomeFeedback(components).apply(100.5, attempt, outcome)
+    return components
 
 
 @pytest.mark.parametrize("expects_warm", [True, False])
 @pytest.mark.parametrize("result", Result)
 def test_no_result_leaves_anything_in_flight(result: Result, expects_warm: bool) -> None:
-    parts = apply(make_outcome(result), expects_warm)
-    worker, function = parts.fleet.workers[1], parts.functions[1]
+    components = apply(make_outcome(result), expects_warm)
+    worker, function = components.fleet.workers[1], components.functions[1]
     assert worker.attempts_in_flight == worker.warm_attempts_in_flight == 0
     assert not worker.loads_in_progress
-    assert parts.load_control.loads_in_progress == 0
+    assert components.load_control.loads_in_progress == 0
     assert function.warm_attempts_in_flight == function.loads_in_progress == 0
-    assert parts.memory.instances_at(worker, make_request()).attempts_in_flight == 0
+    assert components.memory.instances_at(worker, make_request()).attempts_in_flight == 0
 
 
 @pytest.mark.parametrize(
@@ -46,14 +46,14 @@
     [(Result.OK, [100.5]), (Result.RESET, [99.0]), (Result.CANCELLED, [100.5]), (Result.ERROR, [])],
 )
 def test_the_instance_returns_unless_the_attempt_failed_there(result: Result, freed_s: list[float]) -> None:
-    parts = apply(make_outcome(result))
-    assert [freed for _, freed in parts.functions[1].warm_instances] == freed_s
+    components = apply(make_outcome(result))
+    assert [freed for _, freed in components.functions[1].warm_instances] == freed_s
 
 
 def test_a_load_adds_every_slot_of_the_instance() -> None:
     outcome = make_outcome(cache_status=CacheStatus.STARTED_LOAD)
-    parts = apply(outcome, expects_warm=False, concurrency=3.0)
-    assert len(parts.functions[1].warm_instances) == 3
+    components = apply(outcome, expects_warm=False, concurrency=3.0)
+    assert len(components.functions[1].warm_instances) == 3
 
 
 @pytest.mark.parametrize(("result", "responded"), [(Result.OK, True), (Result.TIMEOUT, False)])
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -104,20 +104,20 @@
     assert spread_after(0, utilization=None) == 10.0
 
 
-def make_parts(*workers: Worker) -> Components:
+def make_components(*workers: Worker) -> Components:
     """Return the components of a router that knows the given workers."""
-    parts = Components(settings(), 1)
-    parts.fleet.workers.update({worker.endpoint.worker_id: worker for worker in workers})
-    parts.fleet.ready_count = len(workers)
-    parts.fleet.ready_capacity = sum(worker.endpoint.capacity for worker in workers)
-    return parts
+    components = Components(settings(), 1)
+    components.fleet.workers.update({worker.endpoint.worker_id: worker for worker in workers})
+    components.fleet.ready_count = len(workers)
+    components.fleet.ready_capacity = sum(worker.endpoint.capacity for worker in workers)
+    return components
 
 
-def choose(parts: Components, function: Function | None = None, function_id: int = 1) -> int:
+def choose(components: Components, function: Function | None = None, function_id: int = 1) -> int:
     """Return the ID of the worker at which a function is loaded."""
     request = make_request(function_id=function_id)
-    workers = list(parts.fleet.workers.values())
-    return parts.placement.choose(100.0, request, function or Function(), workers).endpoint.worker_id
+    workers = list(components.fleet.workers.values())
+    return components.placement.choose(100.0, request, function or Function(), workers).endpoint.worker_id
 
 
 def test_ranks_follow_the_capacity() -> None:
@@ -127,31 +127,31 @@
 
 
 def test_a_full_worker_is_passed_over() -> None:
-    parts = make_parts(make_worker(1), make_worker(2))
-    preferred = choose(parts)
-    parts.fleet.workers[preferred].placed_mb = 7800.0
-    assert choose(parts) == 3 - preferred
+    components = make_components(make_worker(1), make_worker(2))
+    preferred = choose(components)
+    components.fleet.workers[preferred].placed_mb = 7800.0
+    assert choose(components) == 3 - preferred
 
 
 def test_where_no_worker_has_free_memory_the_one_with_fewest_attempts_is_chosen() -> None:
     workers = make_worker(1, kind=0), make_worker(2, kind=0)
     for worker, attempts in zip(workers, (2, 1), strict=True):
         worker.placed_mb, worker.attempts_in_flight = 8000.0, attempts
-    assert choose(make_parts(*workers)) == 2
+    assert choose(make_components(*workers)) == 2
 
 
 def test_a_worker_with_many_loads_in_progress_is_passed_over() -> None:
-    parts = make_parts(make_worker(1), make_worker(2))
-    preferred = choose(parts)
+    components = make_components(make_worker(1), make_worker(2))
+    preferred = choose(components)
     loads = dict.fromkeys(range(10, 10 + MAX_LOADS_AT_WORKER), 1)
-    parts.fleet.workers[preferred].loads_in_progress = loads
-    assert choose(parts) == 3 - preferred
+    components.fleet.workers[preferred].loads_in_progress = loads
+    assert choose(components) == 3 - preferred
 
 
 def test_a_worker_that_rejected_a_load_is_chosen_only_where_there_is_no_other() -> None:
-    parts, function = make_parts(make_worker(1), make_worker(2)), Function()
-    preferred = choose(parts)
+    components, function = make_components(make_worker(1), make_worker(2)), Function()
+    preferred = choose(components)
     function.load_rejected_until_s = {preferred: 100.5}
-    assert choose(parts, function) == 3 - preferred
+    assert choose(components, function) == 3 - preferred
     function.load_rejected_until_s = {1: 100.5, 2: 100.5}
-    assert choose(parts, function) == preferred
+    assert choose(components, function) == preferred
