--- a/saffronstack/bench/wire.py
+++ b/saffronstack/bench/wire.py
@@ -170,7 +170,7 @@
     def _to_result(self, code: int) -> Result:
         result = RESULTS.get(code)
         if result is None:
-            raise WireError(f"unknown outcome {code} before byte {self.offset}")
+            raise WireError(f"unknown result {code} before byte {self.offset}")
         return result
 
     def _read_instance_started(self, instance: int) -> WireEvent:
@@ -189,12 +189,12 @@
         for _ in range(count):
             capacity, cell, worker_id, worker_kind, started_s, zone, state = self._unpack(_ENDPOINT)
             if state > _MAX_WORKER_STATE:
-                raise WireError(f"unknown condition {state} before byte {self.offset}")
+                raise WireError(f"unknown worker state {state} before byte {self.offset}")
             endpoints.append(
                 WorkerEndpoint(worker_id, WorkerState(state), capacity, worker_kind, zone, cell, started_s)
             )
         if kind > _MAX_UPDATE_KIND:
-            raise WireError(f"unknown list scope {kind} before byte {self.offset}")
+            raise WireError(f"unknown endpoint update kind {kind} before byte {self.offset}")
         return EndpointUpdate(EndpointUpdateKind(kind), tuple(endpoints), version)
 
     def _read_request(self, instance: int) -> WireEvent:
--- a/saffronstack/routing/outlier_detection.py
+++ b/saffronstack/routing/outlier_detection.py
@@ -108,7 +108,7 @@
 
 
 def _score(worker: Worker, median_slowness: float, median_errors: float) -> float:
-    """Return a worker's distance to the thresholds; at 1 or more it is an outlier."""
+    """Return a worker's worst metric relative to its threshold; 1 or more makes it an outlier."""
     factor = RETURN_FACTOR if worker.is_ejected else 1.0
     slowness = 0.0
     if worker.slowness_samples >= MIN_SLOWNESS_SAMPLES:
--- a/saffronstack/routing/state.py
+++ b/saffronstack/routing/state.py
@@ -111,7 +111,7 @@
         sent_s: When the attempt was sent.
         expects_warm: Whether a loaded instance is expected at the worker.
         expects_no_instance: Whether neither warm pool nor memory account knew an instance at the worker.
-        instance_freed_s: When the warm instance that the attempt uses became free before.
+        instance_freed_s: When the warm instance became free, before this attempt took it.
         connection_lost: Whether the connection was lost, in which case the instance may still be loaded.
     """
 
--- a/saffronstack/routing/warm_pool.py
+++ b/saffronstack/routing/warm_pool.py
@@ -80,11 +80,11 @@
         function.warm_instances.extend([(worker, now)] * count)
 
     def restore(self, function: Function, worker: Worker, freed_s: float) -> None:
-        """Return an instance that an attempt took, at its position by the time it became free before."""
+        """Put an instance back into the pool, in order of the time at which it became free."""
         insort(function.warm_instances, (worker, freed_s), key=_freed_s)
 
     def discard_older(self, function: Function, worker: Worker, freed_until_s: float) -> None:
-        """Drop the instances at a worker that became free at or before a time."""
+        """Drop the instances at a worker that became free at or before ``freed_until_s``."""
         instances = function.warm_instances
         instances[:] = [entry for entry in instances if entry[0] is not worker or entry[1] > freed_until_s]
 
