--- a/saffronstack/routing/components.py
+++ b/saffronstack/routing/components.py
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create the components; they share one random generator, and the order of draws affects decisions."""
+        """Create the components; they share one random generator whose draws affect decisions."""
         rng = random.Random(seed)
         keep_s = keep_alive_s(settings)
         self.settings = settings
