--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from saffronstack.cli.leases import lease_fleet_of
+from saffronstack.cli.leases import create_lease_fleet
 from saffronstack.config.fleet import FleetFile, LeaseServerEntry
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.harness.leases.model_checker import Exploration, explore
@@ -170,7 +170,7 @@
 ) -> int:
     import psutil
 
-    servers = lease_fleet_of(fleet)
+    servers = create_lease_fleet(fleet)
     crowd = [LeaseClient(servers, f"p{n}", fleet.lease_s, n) for n in range(clients)]
     first = crowd[0].acquire("warm", 60.0)
     assert first is not None, "no lease within a minute"
--- a/saffronstack/cli/client_commands.py
+++ b/saffronstack/cli/client_commands.py
@@ -27,9 +27,9 @@
     timeout_s: float,
 ) -> None:
     """Call a function."""
-    from saffronstack.cli.ask import invoke as call
+    from saffronstack.cli.gateway_requests import invoke_function
 
-    sys.exit(call(function, payload, address, deferred, wait, tenant, key, timeout_s))
+    sys.exit(invoke_function(function, payload, address, deferred, wait, tenant, key, timeout_s))
 
 
 @click.command()
@@ -40,9 +40,9 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON line for each gateway.")
 def status(addresses: tuple[str, ...], timeout_s: float, as_json: bool) -> None:
     """Ask gateways how they are; 1 where one does not answer."""
-    from saffronstack.cli.ask import status as ask
+    from saffronstack.cli.gateway_requests import show_gateways
 
-    sys.exit(ask(addresses or ("127.0.0.1:9000",), timeout_s, as_json))
+    sys.exit(show_gateways(addresses or ("127.0.0.1:9000",), timeout_s, as_json))
 
 
 @click.group("operation")
@@ -62,6 +62,6 @@
     token: str, address: str, function: str, qualifier: str, tenant: str, key: str, as_json: bool
 ) -> None:
     """How the operation that a client named TOKEN stands; 1 where none is known."""
-    from saffronstack.cli.ask import operation as ask
+    from saffronstack.cli.gateway_requests import show_operation
 
-    sys.exit(ask(token, address, function, qualifier, tenant, key, as_json))
+    sys.exit(show_operation(token, address, function, qualifier, tenant, key, as_json))
--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -12,8 +12,14 @@
 import click
 import msgspec
 
-from saffronstack.cli.leases import NO_MAJORITY, NOT_GRANTED, UNUSABLE, open_client, signals_of
-from saffronstack.cli.logs import set_up_logs
+from saffronstack.cli.leases import (
+    INVALID_INPUT_STATUS,
+    NO_MAJORITY_STATUS,
+    NOT_GRANTED_STATUS,
+    open_client,
+    queue_signals,
+)
+from saffronstack.cli.logs import configure_logging
 from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.control.daemon import Daemon
@@ -31,7 +37,7 @@
 from saffronstack.fleet.rollout.record import RolloutPhase, decode_record
 
 POLL_INTERVAL_S = 0.2
-NOT_AS_DESIRED = 1  # exit status: a daemon is unavailable, or a gateway is not as desired
+NOT_AS_DESIRED_STATUS = 1  # exit status: a daemon is unavailable, or a gateway is not as desired
 SIGNAL_POLL_S = 1.0
 
 
@@ -59,7 +65,7 @@
     rejected: dict[str, str] = field(default_factory=dict)
 
 
-def run_daemon(path: str, name: str, log_form: str) -> int:
+def run_daemon(path: str, name: str, log_format: str) -> int:
     """Run a machine's gateways until a signal.
 
     SIGTERM leaves them serving, SIGINT ends them too.
@@ -67,14 +73,14 @@
     Returns:
         The exit status: 0, 1 where a gateway did not end in time, or 2 where the daemon can't start.
     """
-    set_up_logs(log_form, "info")
-    signals = signals_of("SIGTERM", "SIGINT")
+    configure_logging(log_format, "info")
+    signals = queue_signals("SIGTERM", "SIGINT")
     try:
         fleet = load_fleet_file(path)
         daemon = _create_daemon(fleet, path, name)
     except (ConfigError, OSError, ValueError) as error:
         click.echo(f"saffronstack fleet daemon: {error}", err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     daemon.start()
     host, port = daemon.address
     click.echo(f"saffronstack daemon {name} of fleet {fleet.fleet} on http://{host}:{port}")
@@ -84,14 +90,17 @@
 
 
 def _create_daemon(fleet: FleetFile, path: str, name: str) -> Daemon:
-    entry = next((one for one in fleet.daemons if one.name == name), None)
+    entry = next((daemon for daemon in fleet.daemons if daemon.name == name), None)
     if entry is None:
         raise ConfigError(f"{path}: daemons: none is named {name!r}")
     options = DaemonOptions(
         fleet=fleet.fleet,
         name=name,
         address=entry.address,
-        gateways=tuple(GatewaySpec(one.name, one.listen, one.config, one.drain_s) for one in entry.gateways),
+        gateways=tuple(
+            GatewaySpec(gateway.name, gateway.listen, gateway.config, gateway.drain_s)
+            for gateway in entry.gateways
+        ),
         releases_directory=entry.releases,
         state_directory=entry.state_directory,
     )
@@ -108,11 +117,11 @@
             continue  # the wait is cut short so that the handler of a signal can run
 
 
-def rolled_back_releases(reading: QuorumRead) -> dict[str, str]:
+def rolled_back_releases(quorum_read: QuorumRead) -> dict[str, str]:
     """Return the release that a rollback takes back, with the one that replaces it."""
-    shown = reading.leases.get(LEADER_LEASE)
+    lease = quorum_read.leases.get(LEADER_LEASE)
     try:
-        record = decode_record(shown.value.content) if shown is not None else None
+        record = decode_record(lease.value.content) if lease is not None else None
     except RecordError:
         return {}  # of a newer release: its leader commands what is to run
     if record is None or record.phase is not RolloutPhase.ROLLING_BACK:
@@ -143,15 +152,15 @@
     """Say why the lease was not granted: no majority of keepers, or another leader."""
     if sum(not error for error in link_errors.values()) <= len(fleet.keepers) // 2:
         reasons = "; ".join(f"{keeper}: {error}" for keeper, error in link_errors.items() if error)
-        return CommandError(NO_MAJORITY, f"no majority of keepers answers: {reasons}")
+        return CommandError(NO_MAJORITY_STATUS, f"no majority of keepers answers: {reasons}")
     return CommandError(
-        NOT_GRANTED, f"{LEADER_LEASE} was not granted within {wait_s:g} s: a rollout is being led"
+        NOT_GRANTED_STATUS, f"{LEADER_LEASE} was not granted within {wait_s:g} s: a rollout is being led"
     )
 
 
 def daemon_client(fleet: FleetFile, held: HeldLease) -> DaemonClient:
     """Create a client of the fleet's daemons that sends under a lease."""
-    addresses = {one.name: one.address for one in fleet.daemons}
+    addresses = {daemon.name: daemon.address for daemon in fleet.daemons}
     return DaemonClient(fleet.fleet, addresses, held.token, lambda: held.remaining_s() > 0)
 
 
@@ -165,7 +174,7 @@
         names: The gateways; all without any.
         action: "start", "stop" or "reload".
         release: The directory of the release to start.
-        options: How long to wait and how to show the gateways.
+        options: How long to wait and how to print the gateways.
 
     Returns:
         The exit status: 0, 1 where some are not as desired, 2 for a bad argument, 69 without a majority of
@@ -173,20 +182,22 @@
     """
     try:
         fleet = load_fleet_file(path)
-        chosen = _choose_gateways(fleet, names)
+        chosen = _select_gateways(fleet, names)
         digest = read_release(release).release.digest if release else ""
         return run_as_leader(
-            fleet, options.wait_s, lambda held: _command(fleet, held, chosen, action, digest, options)
+            fleet,
+            options.wait_s,
+            lambda held: _command_and_wait(fleet, held, chosen, action, digest, options),
         )
     except (ConfigError, UnusableReleaseError, ValueError) as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     except CommandError as error:
         click.echo(f"saffronstack fleet {action}: {error}", err=True)
         return error.status
 
 
-def _choose_gateways(fleet: FleetFile, names: Sequence[str]) -> list[str]:
+def _select_gateways(fleet: FleetFile, names: Sequence[str]) -> list[str]:
     known = fleet.daemons_by_gateway()
     unknown = [name for name in names if name not in known]
     if unknown:
@@ -194,7 +205,7 @@
     return list(names) or list(known)
 
 
-def _apply_commands(
+def _send_commands(
     client: DaemonClient, fleet: FleetFile, names: Sequence[str], action: str, digest: str
 ) -> _SentCommands:
     """Send each reachable gateway its command."""
@@ -206,7 +217,7 @@
         if daemon_of[name] in before.unavailable:
             continue
         if action == "start" and not digest:
-            raise CommandError(UNUSABLE, "start needs --release")
+            raise CommandError(INVALID_INPUT_STATUS, "start needs --release")
         release = {"start": digest, "stop": ""}.get(action, before.gateways[name].desired_release)
         sent.targets[name] = release
         command = GatewayCommand(name, release, action == "reload")
@@ -215,27 +226,29 @@
     return sent
 
 
-def _command(
+def _command_and_wait(
     fleet: FleetFile, held: HeldLease, names: Sequence[str], action: str, digest: str, options: CommandOptions
 ) -> int:
     record = decode_record(held.value)
     if record is not None and not record.is_finished:
-        raise CommandError(NOT_GRANTED, f"rollout {record.plan.name!r} is not over: abort it, or let it end")
+        raise CommandError(
+            NOT_GRANTED_STATUS, f"rollout {record.plan.name!r} is not over: abort it, or let it end"
+        )
     client = daemon_client(fleet, held)
-    sent = _apply_commands(client, fleet, names, action, digest)
+    sent = _send_commands(client, fleet, names, action, digest)
     deadline_s = time.monotonic() + options.wait_s
     while True:
         status = merge_answers(client.poll())
-        late = [
+        not_reached = [
             name for name in names
             if not _has_reached(status.gateways.get(name), sent.targets.get(name))
         ]  # fmt: skip
-        if not late or time.monotonic() >= deadline_s or held.remaining_s() <= 0:
+        if not not_reached or time.monotonic() >= deadline_s or held.remaining_s() <= 0:
             break
         time.sleep(POLL_INTERVAL_S)
     unavailable = status.unavailable | sent.rejected
-    show(fleet, FleetStatus(status.gateways, unavailable), options.as_json)
-    return NOT_AS_DESIRED if late or unavailable else 0
+    print_gateways(fleet, FleetStatus(status.gateways, unavailable), options.as_json)
+    return NOT_AS_DESIRED_STATUS if not_reached or unavailable else 0
 
 
 def _has_reached(status: GatewayStatus | None, target: str | None) -> bool:
@@ -247,7 +260,7 @@
     return is_target and status.phase in settled_phases
 
 
-def status(path: str, as_json: bool) -> int:
+def show_status(path: str, as_json: bool) -> int:
     """Show each gateway as its daemon sees it.
 
     Returns:
@@ -257,15 +270,17 @@
         fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
-    addresses = {one.name: one.address for one in fleet.daemons}
+        return INVALID_INPUT_STATUS
+    addresses = {daemon.name: daemon.address for daemon in fleet.daemons}
     polled = merge_answers(poll_daemons(addresses, fleet.wait_s))
-    show(fleet, polled, as_json)
-    is_settled = all(one.desired_release == one.running_release for one in polled.gateways.values())
-    return 0 if is_settled and not polled.unavailable else NOT_AS_DESIRED
+    print_gateways(fleet, polled, as_json)
+    is_settled = all(
+        gateway.desired_release == gateway.running_release for gateway in polled.gateways.values()
+    )
+    return 0 if is_settled and not polled.unavailable else NOT_AS_DESIRED_STATUS
 
 
-def show(fleet: FleetFile, status: FleetStatus, as_json: bool) -> None:
+def print_gateways(fleet: FleetFile, status: FleetStatus, as_json: bool) -> None:
     """Write a line for each gateway of the fleet file."""
     for name, daemon in fleet.daemons_by_gateway().items():
         gateway = status.gateways.get(name)
@@ -302,6 +317,6 @@
         found = read_release(directory)
     except UnusableReleaseError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     click.echo(f"{found.release.digest}  {found.release.version}")
     return 0
--- a/saffronstack/cli/cpu_affinity.py
+++ b/saffronstack/cli/cpu_affinity.py
@@ -12,12 +12,12 @@
 from saffronstack.daemon.processor_times import CpuIdleTimes
 
 DEFAULT_CPUS = "one"
-IDLE_LOOK_S = 0.1  # for which the processors are looked at before a process keeps to one
+IDLE_SAMPLE_S = 0.1  # for which the processors are looked at before a process keeps to one
 NO_THREAD = 0  # no thread has this id in the system
-MAX_LISTINGS = 10  # of the threads of this process in one move
+MAX_THREAD_LISTINGS = 10  # of the threads of this process in one move
 
 
-def choose_cpus(selection: str, allowed: set[int], turn: int) -> set[int]:
+def choose_cpus(selection: str, allowed: set[int], process_number: int) -> set[int]:
     """Return the processors to run on.
 
     One is the default: only one thread holds the interpreter's lock at a time, and handing it over between
@@ -26,7 +26,7 @@
     Args:
         selection: ``one``, ``all``, or numbers joined by commas.
         allowed: Numbers of the processors that this process may use.
-        turn: Spreads processes that run on one processor each.
+        process_number: Spreads processes that run on one processor each.
 
     Raises:
         ValueError: The selection has none of the forms, or names a processor that is not allowed.
@@ -34,39 +34,39 @@
     if selection == "all":
         return allowed
     if selection == DEFAULT_CPUS:
-        return {sorted(allowed)[turn % len(allowed)]}
+        return {sorted(allowed)[process_number % len(allowed)]}
     chosen = {int(part) for part in selection.split(",")}
     if not chosen <= allowed:
         raise ValueError(f"--cpus: {sorted(chosen - allowed)} are not allowed here, only {sorted(allowed)}")
     return chosen
 
 
-def choose_allowed_cpus(selection: str, turn: int) -> set[int]:
+def choose_allowed_cpus(selection: str, process_number: int) -> set[int]:
     """Return the processors to run on, of those that this process may use; see `choose_cpus`.
 
     None where the system has no such choice.
     """
     if not hasattr(os, "sched_getaffinity"):
         return set()
-    return choose_cpus(selection, set(os.sched_getaffinity(0)), turn)
+    return choose_cpus(selection, set(os.sched_getaffinity(0)), process_number)
 
 
 def choose_idle_cpus(
     selection: str,
     chosen: set[int],
-    turn: int,
+    process_number: int,
     *,
     read_idle: Callable[[Collection[int]], Mapping[int, int]] | None = None,
     pause: Callable[[float], object] = time.sleep,
 ) -> set[int]:
     """Return the processors to run on, once the process is to keep to them: an idle one by default.
 
-    Takes `IDLE_LOOK_S` by default, and no time else.
+    Takes `IDLE_SAMPLE_S` by default, and no time else.
 
     Args:
         selection: See `choose_cpus`.
         chosen: What that returned; none where the process is to keep to none.
-        turn: Spreads processes that run on one processor each.
+        process_number: Spreads processes that run on one processor each.
         read_idle: The idle time of some processors; None to read what the system tells.
         pause: Waits for some seconds.
     """
@@ -76,9 +76,9 @@
     with contextlib.closing(CpuIdleTimes()) as idle_times:
         read = read_idle or idle_times.read
         before = CpuIdleSample(time.monotonic(), read(allowed))
-        pause(IDLE_LOOK_S)
+        pause(IDLE_SAMPLE_S)
         after = CpuIdleSample(time.monotonic(), read(allowed))
-    return {choose_initial_cpu(allowed, turn, before, after)}
+    return {choose_initial_cpu(allowed, process_number, before, after)}
 
 
 def pin_threads(cpus: set[int]) -> set[int]:
@@ -107,12 +107,12 @@
         cpus: Numbers of the processors.
         excluded: The system's id of the thread that stays as it is, if there is one.
     """
-    for _ in range(MAX_LISTINGS):
+    for _ in range(MAX_THREAD_LISTINGS):
         listed = _listed_threads() or _known_threads()
-        left = [thread for thread in listed if thread != excluded and not _runs_on(thread, cpus)]
-        if not left:
+        unmoved = [thread for thread in listed if thread != excluded and not _runs_on(thread, cpus)]
+        if not unmoved:
             return
-        _set_affinity(left, cpus)
+        _set_affinity(unmoved, cpus)
 
 
 def _known_threads() -> list[int]:
--- a/saffronstack/cli/fleet_commands.py
+++ b/saffronstack/cli/fleet_commands.py
@@ -18,13 +18,13 @@
 @fleet_group.command("daemon")
 @fleet_option
 @click.option("--name", required=True, help="This machine's daemon in it.")
-@click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
-def fleet_daemon(path: str, name: str, log_form: str) -> None:
+@click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
+def fleet_daemon(path: str, name: str, log_format: str) -> None:
     """Keep this machine's gateways as they are wanted. SIGTERM leaves them serving, SIGINT ends them too."""
     from saffronstack.cli.control import run_daemon
     from saffronstack.runtime.process_exit import exit_process
 
-    exit_process(run_daemon(path, name, log_form))
+    exit_process(run_daemon(path, name, log_format))
 
 
 @fleet_group.command("status")
@@ -32,12 +32,12 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON line for each gateway.")
 def fleet_status(path: str, as_json: bool) -> None:
     """How each gateway stands; 1 where a daemon is silent or a gateway not as wanted."""
-    from saffronstack.cli.control import status as ask
+    from saffronstack.cli.control import show_status
 
-    sys.exit(ask(path, as_json))
+    sys.exit(show_status(path, as_json))
 
 
-def _many(command: Callable[..., None]) -> Callable[..., None]:
+def _gateway_options(command: Callable[..., None]) -> Callable[..., None]:
     command = click.option("--json", "as_json", is_flag=True, help="One JSON line for each gateway.")(command)
     command = click.option(
         "--wait", "wait_s", type=click.FloatRange(min=0), default=60.0, show_default=True, help="Seconds."
@@ -46,7 +46,7 @@
 
 
 @fleet_group.command("start")
-@_many
+@_gateway_options
 @click.option("--release", required=True, type=click.Path(file_okay=False), help="Its directory.")
 def fleet_start(path: str, names: tuple[str, ...], wait_s: float, as_json: bool, release: str) -> None:
     """Run a release on the gateways named, or on all, at once; `rollout` changes it in stages."""
@@ -57,7 +57,7 @@
 
 
 @fleet_group.command("stop")
-@_many
+@_gateway_options
 def fleet_stop(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
     """End the gateways named, or all, once what they took is answered."""
     from saffronstack.cli.control import CommandOptions, command_gateways
@@ -67,7 +67,7 @@
 
 
 @fleet_group.command("reload")
-@_many
+@_gateway_options
 def fleet_reload(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
     """Have them reread their configurations (SIGHUP)."""
     from saffronstack.cli.control import CommandOptions, command_gateways
@@ -90,16 +90,16 @@
     """A change of release in stages, old and new side by side, stopped when a stage does worse."""
 
 
-def _plan(command: Callable[..., None]) -> Callable[..., None]:
+def _plan_options(command: Callable[..., None]) -> Callable[..., None]:
     directory = click.Path(file_okay=False)
-    was, to = "The release that runs.", "The release to come."
-    command = click.option("--from", "old", required=True, type=directory, help=was)(command)
-    command = click.option("--to", "new", required=True, type=directory, help=to)(command)
+    old_help, new_help = "The release that runs.", "The release to come."
+    command = click.option("--from", "old", required=True, type=directory, help=old_help)(command)
+    command = click.option("--to", "new", required=True, type=directory, help=new_help)(command)
     return click.argument("plan", type=click.Path(dir_okay=False))(fleet_option(command))
 
 
 @rollout_group.command("check")
-@_plan
+@_plan_options
 def rollout_check(path: str, plan: str, new: str, old: str) -> None:
     """Check a plan against the fleet's file and both releases: 0, or 1 with path and reason."""
     from saffronstack.cli.rollout import check
@@ -108,26 +108,26 @@
 
 
 @rollout_group.command("start")
-@_plan
+@_plan_options
 @click.option("--wait", "wait_s", type=float, default=30.0, show_default=True, help="Seconds for the lease.")
-@click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
-def rollout_start(path: str, plan: str, new: str, old: str, wait_s: float, log_form: str) -> None:
+@click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
+def rollout_start(path: str, plan: str, new: str, old: str, wait_s: float, log_format: str) -> None:
     """Start a rollout and lead it: 0 done, 1 it went back, 3 held or handed on, 2 it can't be started."""
     from saffronstack.cli.rollout_leader import start
     from saffronstack.runtime.process_exit import exit_process
 
-    exit_process(start(path, plan, new, old, log_form, wait_s))
+    exit_process(start(path, plan, new, old, log_format, wait_s))
 
 
 @rollout_group.command("lead")
 @fleet_option
-@click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
-def rollout_lead(path: str, log_form: str) -> None:
+@click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
+def rollout_lead(path: str, log_format: str) -> None:
     """Stand by to go on with a rollout whose leader is gone."""
     from saffronstack.cli.rollout_leader import lead
     from saffronstack.runtime.process_exit import exit_process
 
-    exit_process(lead(path, log_form))
+    exit_process(lead(path, log_format))
 
 
 @rollout_group.command("status")
@@ -135,19 +135,19 @@
 @click.option("--json", "as_json", is_flag=True, help="The record as it is stored.")
 def rollout_status(path: str, as_json: bool) -> None:
     """The rollout as it is recorded, and its history."""
-    from saffronstack.cli.rollout import status as show
+    from saffronstack.cli.rollout import show_status
 
-    sys.exit(show(path, as_json))
+    sys.exit(show_status(path, as_json))
 
 
 def _add_request_command(name: str, text: str) -> None:
     @rollout_group.command(name, help=text)
     @fleet_option
     def command(path: str) -> None:
-        from saffronstack.cli.rollout import send_request
+        from saffronstack.cli.rollout import store_operator_request
         from saffronstack.fleet.rollout.operator_requests import OperatorAction
 
-        sys.exit(send_request(path, OperatorAction(name)))
+        sys.exit(store_operator_request(path, OperatorAction(name)))
 
 
 _add_request_command("pause", "Begin nothing new until it is resumed.")
--- a/saffronstack/cli/fleet_services.py
+++ b/saffronstack/cli/fleet_services.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saffronstack.cli.leases import job_of, lease_fleet_of, open_client
+from saffronstack.cli.leases import create_lease_fleet, create_task, open_client
 from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.config.schema import FleetMembership
@@ -31,7 +31,7 @@
         if config.tasks:
             client = self._client = open_client(fleet)
             self._runners = [
-                TaskRunner(task.name, job_of(task, client), task.period_s, task.budget_s, client)
+                TaskRunner(task.name, create_task(task, client), task.period_s, task.budget_s, client)
                 for task in fleet.tasks
             ]
             for runner in self._runners:
@@ -57,7 +57,7 @@
 
 def _start_lease_server(fleet: FleetFile, name: str, state_directory: str) -> LeaseServer:
     try:
-        server = LeaseServer(name, lease_fleet_of(fleet), state_directory)
+        server = LeaseServer(name, create_lease_fleet(fleet), state_directory)
     except (ForeignStateError, ValueError) as error:
         raise ConfigError(f"fleet: {error}") from error
     server.start()
--- a/saffronstack/cli/ask.py
+++ b/saffronstack/cli/gateway_requests.py
@@ -14,12 +14,12 @@
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
 
-SECRET = "SAFFRONSTACK_SECRET"
+SECRET_VARIABLE = "SAFFRONSTACK_SECRET"
 TIMEOUT_S = 5.0
 TITLE_FIELDS = ("function", "invocationType", "requestId", "state")  # of an operation's record
 
 
-def invoke(
+def invoke_function(
     function: str,
     payload: str,
     address: str,
@@ -35,50 +35,52 @@
     except OSError as error:
         click.echo(f"--payload: {error}", err=True)
         return 2
-    client = Client(address, timeout_s, key, os.environ.get(SECRET, ""), tenant=tenant)
+    client = Client(address, timeout_s, key, os.environ.get(SECRET_VARIABLE, ""), tenant=tenant)
     try:
-        answer = client.invoke(function, body, "Event" if deferred else "RequestResponse")
-        if deferred and answer.status == 202:
-            request_id = answer.headers.get("x-amzn-requestid")
+        response = client.invoke(function, body, "Event" if deferred else "RequestResponse")
+        if deferred and response.status == 202:
+            request_id = response.headers.get("x-amzn-requestid")
             if not wait:
                 click.echo(request_id)
                 return 0
-            return _await_record(client, request_id, timeout_s)
+            return _wait_for_record(client, request_id, timeout_s)
     except (OSError, HttpError) as error:
         click.echo(f"{address}: {error}", err=True)
         return 2
     finally:
         client.close()
-    sys.stdout.write(answer.body.decode("utf-8", "replace") + "\n")
-    if answer.status != 200:
+    sys.stdout.write(response.body.decode("utf-8", "replace") + "\n")
+    if response.status != 200:
         return 2
-    return 1 if "x-amz-function-error" in answer.headers else 0
+    return 1 if "x-amz-function-error" in response.headers else 0
 
 
-def _await_record(client: Client, request_id: str, timeout_s: float) -> int:
-    end_s = time.monotonic() + timeout_s
+def _wait_for_record(client: Client, request_id: str, timeout_s: float) -> int:
+    deadline_s = time.monotonic() + timeout_s
     while True:
-        answer = client.request("GET", f"/deferred/{request_id}")
-        if answer.status == 200:
-            click.echo(answer.body.decode())
-            condition = msgspec.json.decode(answer.body)["requestContext"]["condition"]
+        response = client.request("GET", f"/deferred/{request_id}")
+        if response.status == 200:
+            click.echo(response.body.decode())
+            condition = msgspec.json.decode(response.body)["requestContext"]["condition"]
             return 0 if condition == "Success" else 1
-        if answer.status != 202 or time.monotonic() >= end_s:
-            click.echo(f"{request_id}: {answer.status} {answer.body.decode('utf-8', 'replace')}", err=True)
+        if response.status != 202 or time.monotonic() >= deadline_s:
+            click.echo(
+                f"{request_id}: {response.status} {response.body.decode('utf-8', 'replace')}", err=True
+            )
             return 2
         time.sleep(0.05)
 
 
-def status(addresses: tuple[str, ...], timeout_s: float, as_json: bool) -> int:
+def show_gateways(addresses: tuple[str, ...], timeout_s: float, as_json: bool) -> int:
     """Print each gateway's state; 0 if all answer."""
-    worst = 0
+    exit_status = 0
     for address in addresses:
         client = Client(address, timeout_s)
         try:
-            answer = client.request("GET", "/status")
-            state = msgspec.json.decode(answer.body)
+            response = client.request("GET", "/status")
+            state = msgspec.json.decode(response.body)
         except (OSError, HttpError, ValueError, msgspec.MsgspecError) as error:
-            worst = 1
+            exit_status = 1
             state = {"error": str(error) or type(error).__name__}
         finally:
             client.close()
@@ -92,27 +94,27 @@
                 f"{state['calls']} calls, {state['open_calls']} open, endings {state['endings']}"
                 + (f", deferred {state['deferred']['open']} open" if "deferred" in state else "")
             )
-    return worst
+    return exit_status
 
 
-def operation(
+def show_operation(
     token: str, address: str, function: str, qualifier: str, tenant: str, key: str, as_json: bool
 ) -> int:
     """Print what a gateway knows of an operation; 0 known, 1 not known, 2 no answer."""
     parameters = {"function": function, "qualifier": qualifier}
     query = urlencode({name: value for name, value in parameters.items() if value})
     target = f"/operations/{quote(token, safe='')}" + (f"?{query}" if query else "")
-    client = Client(address, TIMEOUT_S, key, os.environ.get(SECRET, ""), tenant=tenant)
+    client = Client(address, TIMEOUT_S, key, os.environ.get(SECRET_VARIABLE, ""), tenant=tenant)
     try:
-        answer = client.request("GET", target)
-        content = msgspec.json.decode(answer.body)
+        response = client.request("GET", target)
+        content = msgspec.json.decode(response.body)
     except (OSError, HttpError, msgspec.MsgspecError) as error:
         click.echo(f"{address}: {error}", err=True)
         return 2
     finally:
         client.close()
-    if answer.status != 200:
-        click.echo(f"{address}: {content.get('message', answer.status)}", err=True)
+    if response.status != 200:
+        click.echo(f"{address}: {content.get('message', response.status)}", err=True)
         return 1
     for record in content:
         click.echo(msgspec.json.encode(record).decode() if as_json else _describe_operation(record))
--- a/saffronstack/cli/lease_commands.py
+++ b/saffronstack/cli/lease_commands.py
@@ -18,13 +18,13 @@
 @fleet_option
 @click.option("--name", required=True, help="Which of the file's keepers this is.")
 @click.option("--state", required=True, type=click.Path(file_okay=False), help="Its directory.")
-@click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
-def keeper_run(path: str, name: str, state: str, log_form: str) -> None:
+@click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
+def keeper_run(path: str, name: str, state: str, log_format: str) -> None:
     """Keep leases in the foreground until SIGTERM or SIGINT."""
     from saffronstack.cli.lease_servers import run_server
     from saffronstack.runtime.process_exit import exit_process
 
-    exit_process(run_server(path, name, state, log_form))
+    exit_process(run_server(path, name, state, log_format))
 
 
 @keeper_group.command("establish")
@@ -55,13 +55,13 @@
 
 @tasks_group.command("run")
 @fleet_option
-@click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
-def tasks_run(path: str, log_form: str) -> None:
+@click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
+def tasks_run(path: str, log_format: str) -> None:
     """Run the file's tasks whose leases this process gets, until SIGTERM or SIGINT."""
     from saffronstack.cli.leases import run_tasks
     from saffronstack.runtime.process_exit import exit_process
 
-    exit_process(run_tasks(path, log_form))
+    exit_process(run_tasks(path, log_format))
 
 
 @click.group("lease")
@@ -90,9 +90,9 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON line for each lease.")
 def lease_list(path: str, as_json: bool) -> None:
     """Each lease as a majority of keepers shows it; 69 where no majority answers."""
-    from saffronstack.cli.leases import lease_list as ask
+    from saffronstack.cli.leases import lease_list as list_leases
 
-    sys.exit(ask(path, "", as_json))
+    sys.exit(list_leases(path, "", as_json))
 
 
 @lease_group.command("show")
@@ -101,6 +101,6 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON line.")
 def lease_show(name: str, path: str, as_json: bool) -> None:
     """One lease; 1 where no keeper knows it."""
-    from saffronstack.cli.leases import lease_list as ask
+    from saffronstack.cli.leases import lease_list as list_leases
 
-    sys.exit(ask(path, name, as_json))
+    sys.exit(list_leases(path, name, as_json))
--- a/saffronstack/cli/lease_servers.py
+++ b/saffronstack/cli/lease_servers.py
@@ -9,8 +9,13 @@
 import click
 import msgspec
 
-from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, lease_fleet_of, signals_of
-from saffronstack.cli.logs import set_up_logs
+from saffronstack.cli.leases import (
+    INVALID_INPUT_STATUS,
+    NO_MAJORITY_STATUS,
+    create_lease_fleet,
+    queue_signals,
+)
+from saffronstack.cli.logs import configure_logging
 from saffronstack.client import Client
 from saffronstack.config.fleet import load_fleet_file
 from saffronstack.config.load import ConfigError
@@ -36,38 +41,38 @@
     """
     try:
         fleet = load_fleet_file(path)
-        servers = lease_fleet_of(fleet).limits.servers
+        servers = create_lease_fleet(fleet).limits.servers
         if name not in servers:
             raise UnknownServerError(f"{path}: {name!r} is none of the keepers {', '.join(servers)}")
         AcceptorDisk(directory, fleet.fleet, name, servers).establish()
     except (ConfigError, OSError, ValueError) as error:
         click.echo(f"saffronstack keeper establish: {error}", err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     click.echo(f"{directory}: keeper {name} of a new fleet {fleet.fleet}")
     return 0
 
 
-def run_server(path: str, name: str, directory: str, log_form: str) -> int:
+def run_server(path: str, name: str, directory: str, log_format: str) -> int:
     """Run a lease server until SIGTERM or SIGINT.
 
     Args:
         path: The fleet's file.
         name: The server's name in it.
         directory: The state directory.
-        log_form: How logs are written, ``console`` or ``json``.
+        log_format: How logs are written, ``console`` or ``json``.
 
     Returns:
         The exit status: 0, or 2 where the server can't start.
     """
-    set_up_logs(log_form, "info")
-    signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
+    configure_logging(log_format, "info")
+    signals = queue_signals(signal.SIGTERM.name, signal.SIGINT.name)
     try:
         fleet = load_fleet_file(path)
-        server = LeaseServer(name, lease_fleet_of(fleet), directory)
+        server = LeaseServer(name, create_lease_fleet(fleet), directory)
         host, port = server.start()
     except (ConfigError, ForeignStateError, OSError, ValueError) as error:
         click.echo(f"saffronstack keeper: {error}", err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     click.echo(f"saffronstack keeper {name} of fleet {fleet.fleet} on http://{host}:{port}")
     sys.stdout.flush()
     _wait_for_signal(signals)
@@ -98,7 +103,7 @@
         fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     voting = 0
     for name, address in fleet.lease_server_addresses().items():
         status = _request_status(address, fleet.wait_s)
@@ -110,7 +115,7 @@
     majority = len(fleet.keepers) // 2 + 1
     if voting < majority:
         click.echo(f"no majority: {voting} of {len(fleet.keepers)} vote, {majority} are needed", err=True)
-        return NO_MAJORITY
+        return NO_MAJORITY_STATUS
     return 0
 
 
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -16,7 +16,7 @@
 import click
 import msgspec
 
-from saffronstack.cli.logs import set_up_logs
+from saffronstack.cli.logs import configure_logging
 from saffronstack.config.fleet import FleetFile, TaskEntry, load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.leases.client import LeaseClient
@@ -30,15 +30,15 @@
 from saffronstack.fleet.tasks.runner import TaskRunner
 from saffronstack.fleet.tasks.task import Task
 
-NO_MAJORITY = 69  # EX_UNAVAILABLE of sysexits.h
-NOT_GRANTED = 75  # EX_TEMPFAIL
-LOST = 76
-UNUSABLE = 2
-CANNOT_EXECUTE = 126  # as shells report it
-NOT_FOUND = 127
-SIGNAL_STATUS = 128  # plus the signal that ended a command
-TERM_FRACTION = 0.4  # of the lease: with so little left the command is asked to end
-KILL_FRACTION = 0.15  # and with so little it is killed; leases are renewed after a third of their time
+NO_MAJORITY_STATUS = 69  # EX_UNAVAILABLE of sysexits.h
+NOT_GRANTED_STATUS = 75  # EX_TEMPFAIL
+LEASE_LOST_STATUS = 76
+INVALID_INPUT_STATUS = 2
+CANNOT_EXECUTE_STATUS = 126  # as shells report it
+COMMAND_NOT_FOUND_STATUS = 127
+SIGNAL_STATUS_BASE = 128  # plus the signal that ended a command
+TERM_LEASE_FRACTION = 0.4  # of the lease: with so little left the command is asked to end
+KILL_LEASE_FRACTION = 0.15  # and with so little it is killed; leases are renewed after a third of their time
 POLL_S = 0.02
 SIGNAL_POLL_S = 1.0
 
@@ -55,7 +55,7 @@
     value: LeaseValue
 
 
-def lease_fleet_of(fleet: FleetFile) -> LeaseFleet:
+def create_lease_fleet(fleet: FleetFile) -> LeaseFleet:
     """Return the lease servers of a fleet's file, and their limits."""
     addresses = fleet.lease_server_addresses()
     limits = LeaseLimits(tuple(sorted(addresses)), max_lease_s=fleet.longest_s, max_clock_drift=fleet.drift)
@@ -64,7 +64,7 @@
 
 def open_client(fleet: FleetFile) -> LeaseClient:
     """Open this process's client of the fleet's lease servers."""
-    return LeaseClient(lease_fleet_of(fleet), process_name(), fleet.lease_s, secrets.randbits(31))
+    return LeaseClient(create_lease_fleet(fleet), process_name(), fleet.lease_s, secrets.randbits(31))
 
 
 def process_name() -> str:
@@ -72,7 +72,7 @@
     return f"{socket.gethostname()}-{os.getpid()}-{secrets.token_hex(4)}"
 
 
-def signals_of(*names: str) -> queue.SimpleQueue[int]:
+def queue_signals(*names: str) -> queue.SimpleQueue[int]:
     """Return a queue that receives these signals, named as ``SIGTERM``, instead of their default action."""
     signals: queue.SimpleQueue[int] = queue.SimpleQueue()
 
@@ -87,12 +87,12 @@
 # ---- lease list, lease show
 
 
-def lease_list(path: str, only: str, as_json: bool) -> int:
+def lease_list(path: str, selected_lease: str, as_json: bool) -> int:
     """Print each lease as a majority of servers shows it.
 
     Args:
         path: The fleet's file.
-        only: The one lease to print; empty for all.
+        selected_lease: The one lease to print; empty for all.
         as_json: Print one JSON line for each lease.
 
     Returns:
@@ -102,24 +102,24 @@
         fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
-    read = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
-    for server, error_text in read.errors.items():
+        return INVALID_INPUT_STATUS
+    quorum_read = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
+    for server, error_text in quorum_read.errors.items():
         click.echo(f"{fleet.lease_server_addresses()[server]}: no answer: {error_text}", err=True)
-    if not read.has_majority:
-        answered = len(fleet.keepers) - len(read.errors)
-        click.echo(f"no majority: {answered} of {len(fleet.keepers)} answered", err=True)
-        return NO_MAJORITY
-    if only and only not in read.leases:
-        click.echo(f"{only}: no keeper knows it", err=True)
+    if not quorum_read.has_majority:
+        responded = len(fleet.keepers) - len(quorum_read.errors)
+        click.echo(f"no majority: {responded} of {len(fleet.keepers)} answered", err=True)
+        return NO_MAJORITY_STATUS
+    if selected_lease and selected_lease not in quorum_read.leases:
+        click.echo(f"{selected_lease}: no keeper knows it", err=True)
         return 1
-    for status in _selected(read, only):
+    for status in _select_leases(quorum_read, selected_lease):
         click.echo(_json_line(status) if as_json else _text_line(status))
     return 0
 
 
-def _selected(read: QuorumRead, only: str) -> list[LeaseStatus]:
-    return [status for lease, status in sorted(read.leases.items()) if only in ("", lease)]
+def _select_leases(quorum_read: QuorumRead, selected_lease: str) -> list[LeaseStatus]:
+    return [status for lease, status in sorted(quorum_read.leases.items()) if selected_lease in ("", lease)]
 
 
 def _json_line(status: LeaseStatus) -> str:
@@ -145,26 +145,26 @@
 # ---- tasks run
 
 
-def run_tasks(path: str, log_form: str) -> int:
+def run_tasks(path: str, log_format: str) -> int:
     """Run the tasks of a fleet's file, each while this process holds its lease, until SIGTERM or SIGINT.
 
     Args:
         path: The fleet's file.
-        log_form: How logs are written, ``console`` or ``json``.
+        log_format: How logs are written, ``console`` or ``json``.
 
     Returns:
         The exit status: 0, 1 where a run did not end in time, 2 for a bad file.
     """
-    set_up_logs(log_form, "info")
-    signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name)
+    configure_logging(log_format, "info")
+    signals = queue_signals(signal.SIGTERM.name, signal.SIGINT.name)
     try:
         fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     client = open_client(fleet)
     runners = [
-        TaskRunner(task.name, job_of(task, client), task.period_s, task.budget_s, client)
+        TaskRunner(task.name, create_task(task, client), task.period_s, task.budget_s, client)
         for task in fleet.tasks
     ]
     for runner in runners:
@@ -182,7 +182,7 @@
     return 0 if all(ended_in_time) else 1
 
 
-def job_of(task: TaskEntry, client: LeaseClient) -> Task:
+def create_task(task: TaskEntry, client: LeaseClient) -> Task:
     """Return the task that a task of the file describes."""
     match task.kind:
         case "usage":
@@ -209,35 +209,35 @@
         The command's exit status, or 69 without a majority, 75 where the lease was not granted in time, 76
         where it was lost, 2 for a bad file.
     """
-    set_up_logs("console", "warning")
-    signals = signals_of(signal.SIGTERM.name, signal.SIGINT.name, signal.SIGHUP.name)
+    configure_logging("console", "warning")
+    signals = queue_signals(signal.SIGTERM.name, signal.SIGINT.name, signal.SIGHUP.name)
     try:
         fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     client = open_client(fleet)
     try:
         held = client.acquire(lease, wait_s)
         if held is None:
             return _report_not_granted(client, lease, wait_s)
-        return _run_under(held, fleet.lease_s, command, signals)
+        return _run_command(held, fleet.lease_s, command, signals)
     finally:
         client.close()
 
 
 def _report_not_granted(client: LeaseClient, lease: str, wait_s: float) -> int:
     errors = client.link_errors()
-    answered = sum(not error for error in errors.values())
-    if answered >= len(errors) // 2 + 1:
+    responded = sum(not error for error in errors.values())
+    if responded >= len(errors) // 2 + 1:
         click.echo(f"saffronstack lease run: {lease} was not granted within {wait_s:g} s", err=True)
-        return NOT_GRANTED
+        return NOT_GRANTED_STATUS
     text = "; ".join(f"{server}: {error}" for server, error in errors.items() if error)
     click.echo(f"saffronstack lease run: no majority of keepers answers: {text}", err=True)
-    return NO_MAJORITY
+    return NO_MAJORITY_STATUS
 
 
-def _run_under(
+def _run_command(
     held: HeldLease, lease_s: float, command: Sequence[str], signals: queue.SimpleQueue[int]
 ) -> int:
     environment = {**os.environ, "SAFFRON_LEASE": held.lease, "SAFFRON_LEASE_TOKEN": str(held.token)}
@@ -245,7 +245,7 @@
         process = subprocess.Popen(list(command), env=environment, start_new_session=True)
     except OSError as error:
         click.echo(f"saffronstack lease run: {command[0]}: {error.strerror}", err=True)
-        return NOT_FOUND if isinstance(error, FileNotFoundError) else CANNOT_EXECUTE
+        return COMMAND_NOT_FOUND_STATUS if isinstance(error, FileNotFoundError) else CANNOT_EXECUTE_STATUS
     is_ending = False  # whether the command was asked to end, its lease being about to expire
     while True:
         status = _wait(process)
@@ -255,10 +255,10 @@
             _signal_group(process, signals.get_nowait())
         # Renewed after a third of its time, it never has so little left while a majority answers.
         remaining_s = held.remaining_s()
-        if remaining_s < KILL_FRACTION * lease_s:
+        if remaining_s < KILL_LEASE_FRACTION * lease_s:
             _signal_group(process, signal.SIGKILL)
             is_ending = True
-        elif remaining_s < TERM_FRACTION * lease_s and not is_ending:
+        elif remaining_s < TERM_LEASE_FRACTION * lease_s and not is_ending:
             _signal_group(process, signal.SIGTERM)
             is_ending = True
 
@@ -273,9 +273,9 @@
 def _finish(held: HeldLease, status: int, is_ending: bool) -> int:
     if is_ending:
         click.echo(f"saffronstack lease run: {held.lease} was lost; the command was ended", err=True)
-        return LOST
+        return LEASE_LOST_STATUS
     held.release()
-    return status if status >= 0 else SIGNAL_STATUS - status
+    return status if status >= 0 else SIGNAL_STATUS_BASE - status
 
 
 def _signal_group(process: subprocess.Popen[bytes], number: int) -> None:
--- a/saffronstack/cli/ledger_ownership.py
+++ b/saffronstack/cli/ledger_ownership.py
@@ -19,7 +19,7 @@
 
 log = structlog.get_logger("saffronstack.serve")
 CHECK_INTERVAL_S = 0.1
-ACQUIRE_LEASES = 3.0  # longest leases that a start waits: an earlier run's own must expire first
+ACQUIRE_TIMEOUT_LEASES = 3.0  # longest leases that a start waits: an earlier run's own must expire first
 TAKEN_OVER_STATUS = 3  # exit status
 
 
@@ -49,13 +49,13 @@
         self._directory, self._token, self._client, self._held = directory, token, client, held
         self._is_closed = threading.Event()
         self.files = FencedFiles(directory, token)
-        place = directory.take_ownership(token)
+        owner_directory = directory.take_ownership(token)
         assert config.ledger is not None
         config = msgspec.structs.replace(
-            config, ledger=msgspec.structs.replace(config.ledger, directory=str(place))
+            config, ledger=msgspec.structs.replace(config.ledger, directory=str(owner_directory))
         )
         if held is None:  # for another gateway's calls: its other state lies beside them
-            config = _with_directories_in(config, place)
+            config = _with_state_directories_in(config, owner_directory)
         self.config = config
 
     def watch(self) -> None:
@@ -94,7 +94,7 @@
             self._client.close()
 
 
-def own_ledger(
+def acquire_ledger_ownership(
     fleet_path: str, name: str, directory: str, token: int, config: Config
 ) -> LedgerOwnership | None:
     """Take the ownership of a ledger, under a lease of this gateway's own or a token that was given.
@@ -124,20 +124,20 @@
 
     fleet = load_fleet_file(fleet_path)
     client = open_client(fleet)
-    held = client.acquire(f"gateway/{name}", ACQUIRE_LEASES * fleet.longest_s)
+    held = client.acquire(f"gateway/{name}", ACQUIRE_TIMEOUT_LEASES * fleet.longest_s)
     if held is None:
         client.close()
         raise LeaseNotGrantedError(f"the lease gateway/{name} was not granted: {client.link_errors()}")
     return LedgerOwnership(LedgerDirectory(config.ledger.directory), held.token, config, client, held)
 
 
-def _with_directories_in(config: Config, place: pathlib.Path) -> Config:
+def _with_state_directories_in(config: Config, owner_directory: pathlib.Path) -> Config:
     metering, operations = config.metering, config.operations
     if metering is not None:
-        metering = msgspec.structs.replace(metering, directory=str(place / "usage"))
+        metering = msgspec.structs.replace(metering, directory=str(owner_directory / "usage"))
     if operations is not None and operations.directory is not None:
-        operations = msgspec.structs.replace(operations, directory=str(place / "operations"))
+        operations = msgspec.structs.replace(operations, directory=str(owner_directory / "operations"))
     roster = config.roster
     if roster is not None:
-        roster = msgspec.structs.replace(roster, state_directory=str(place / "roster"))
+        roster = msgspec.structs.replace(roster, state_directory=str(owner_directory / "roster"))
     return msgspec.structs.replace(config, metering=metering, operations=operations, roster=roster)
--- a/saffronstack/cli/logs.py
+++ b/saffronstack/cli/logs.py
@@ -8,11 +8,11 @@
 import structlog
 
 
-def set_up_logs(form: str, level: str) -> None:
+def configure_logging(log_format: str, level: str) -> None:
     """Structured lines on standard error."""
-    last = (
+    renderer = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -20,7 +20,7 @@
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.PrintLoggerFactory(file=sys.stderr),
--- a/saffronstack/cli/main.py
+++ b/saffronstack/cli/main.py
@@ -33,14 +33,17 @@
     "--ledger", type=click.Path(file_okay=False), help="Ledger directory in place of the configuration's."
 )
 @click.option(
-    "--record", "record_to", type=click.Path(dir_okay=False), help="Write every decision to a file."
+    "--record",
+    "decision_record_path",
+    type=click.Path(dir_okay=False),
+    help="Write every decision to a file.",
 )
 @click.option(
     "--processes", type=click.IntRange(1, 256), default=1, show_default=True, help="On one address."
 )
 @click.option(
     "--replace-stopped",
-    "stopped_s",
+    "stopped_timeout_s",
     type=click.FloatRange(min=0),
     default=1.0,
     show_default=True,
@@ -55,16 +58,16 @@
 @click.option("--listen-fd", hidden=True, type=int, default=-1)
 @click.option("--standby", hidden=True, is_flag=True)
 @click.option("--cpus", default="one", show_default=True, help="one, all, or numbers like 2,3.")
-@click.option("--log", "log_form", type=click.Choice(["console", "json"]), default="console")
+@click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 def serve(
     path: str | None,
     with_standins: bool,
     listen: str | None,
     ledger: str | None,
-    record_to: str | None,
+    decision_record_path: str | None,
     processes: int,
-    stopped_s: float,
+    stopped_timeout_s: float,
     fleet: str,
     name: str,
     ledger_home: str,
@@ -74,23 +77,24 @@
     listen_fd: int,
     standby: bool,
     cpus: str,
-    log_form: str,
+    log_format: str,
     log_level: str,
 ) -> None:
     """Run a gateway in the foreground until SIGTERM or SIGINT; SIGHUP rereads keys and workers."""
     from saffronstack.cli.serve import run
-    from saffronstack.cli.serve_options import Options
+    from saffronstack.cli.serve_options import ServeOptions
     from saffronstack.cli.supervise import supervise
     from saffronstack.runtime.process_exit import exit_process
 
     if (path is None) == (not with_standins):
         raise click.UsageError("give either --config FILE or --with-standins")
-    options = Options(path, listen, ledger, record_to or "", cpus, log_form, log_level, member, stopped_s,
-                      fleet, name, ledger_home, ledger_token, finish, listen_fd, standby)  # fmt: skip
+    options = ServeOptions(path, listen, ledger, decision_record_path or "", cpus, log_format, log_level,
+                           member, stopped_timeout_s, fleet, name, ledger_home, ledger_token, finish,
+                           listen_fd, standby)  # fmt: skip
     if bool(fleet) != bool(name):
         raise click.UsageError("--fleet and --name go together")
     if processes > 1:
-        if path is None or record_to or fleet:
+        if path is None or decision_record_path or fleet:
             raise click.UsageError("--processes goes with --config, and not with --record or --fleet")
         exit_process(supervise(options, processes))
     exit_process(run(options))
--- a/saffronstack/cli/parent_process.py
+++ b/saffronstack/cli/parent_process.py
@@ -20,7 +20,7 @@
 
 log = structlog.get_logger("saffronstack.serve")
 ACCEPT_TIMEOUT_S = 2.0  # the accepting thread looks up every half second without anything to accept
-DECISION_POLL_S = 0.2
+ENGINE_RESPONSE_POLL_S = 0.2
 
 
 def announce(line: str) -> None:
@@ -68,9 +68,9 @@
     """
     pause = threading.Event()
     while True:
-        decided = threading.Event()
-        gateway.engine.inspect(lambda now, router, decided=decided: decided.set())  # type: ignore[misc]
-        while not decided.wait(DECISION_POLL_S) and not stopping.is_set():
+        responded = threading.Event()
+        gateway.engine.inspect(lambda now, router, responded=responded: responded.set())  # type: ignore[misc]
+        while not responded.wait(ENGINE_RESPONSE_POLL_S) and not stopping.is_set():
             continue
         if gateway.server.is_accepting(ACCEPT_TIMEOUT_S) or stopping.is_set():
             try:
--- a/saffronstack/cli/process_signals.py
+++ b/saffronstack/cli/process_signals.py
@@ -6,7 +6,7 @@
 import signal
 from types import FrameType
 
-HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 def receive_signals() -> queue.SimpleQueue[int]:
@@ -15,15 +15,15 @@
     """
     received: queue.SimpleQueue[int] = queue.SimpleQueue()
 
-    def on_signal(number: int, _frame: FrameType | None) -> None:
+    def enqueue(number: int, _frame: FrameType | None) -> None:
         received.put(number)
 
-    for number in HANDLED:
-        signal.signal(number, on_signal)
+    for number in HANDLED_SIGNALS:
+        signal.signal(number, enqueue)
     return received
 
 
 def ignore_signals() -> None:
     """Ignore them from now on: one that comes while the process ends must not change its exit status."""
-    for number in HANDLED:
+    for number in HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -5,7 +5,7 @@
 import click
 
 from saffronstack.cli.control import CommandError
-from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client
+from saffronstack.cli.leases import INVALID_INPUT_STATUS, NO_MAJORITY_STATUS, open_client
 from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError, convert, read_text
 from saffronstack.fleet.control.errors import UnusableReleaseError
@@ -18,20 +18,20 @@
 from saffronstack.fleet.rollout.record import RolloutRecord, decode_record, encode_record
 
 STORE_TIMEOUT_S = 5.0
-NO_ROLLOUT = 1  # exit status
-INVALID_PLAN = 1  # exit status
+NO_ROLLOUT_STATUS = 1  # exit status
+INVALID_PLAN_STATUS = 1  # exit status
 
 
 def rollout_fleet(fleet: FleetFile) -> RolloutFleet:
     """Return the gateways of a fleet file as rollouts see them."""
     gateways = tuple(
-        FleetGateway(name=one.name, zone=one.zone, group=one.group)
-        for daemon in fleet.daemons for one in daemon.gateways
+        FleetGateway(name=gateway.name, zone=gateway.zone, group=gateway.group)
+        for daemon in fleet.daemons for gateway in daemon.gateways
     )  # fmt: skip
     return RolloutFleet(gateways, fleet.daemons_by_gateway())
 
 
-def send_request(path: str, action: OperatorAction) -> int:
+def store_operator_request(path: str, action: OperatorAction) -> int:
     """Leave a request for the leader, who takes it within seconds.
 
     Returns:
@@ -42,14 +42,14 @@
         fleet = load_fleet_file(path)
         record = read_record(fleet)
         if record is None or record.is_finished:
-            raise CommandError(UNUSABLE, "no rollout is under way")
+            raise CommandError(INVALID_INPUT_STATUS, "no rollout is under way")
         _store_request(fleet, record.plan.name, action)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     except (CommandError, ValueError) as error:
         click.echo(f"saffronstack rollout {action}: {error}", err=True)
-        return error.status if isinstance(error, CommandError) else UNUSABLE
+        return error.status if isinstance(error, CommandError) else INVALID_INPUT_STATUS
     click.echo(f"{record.plan.name}: {action} is left for the leader")
     return 0
 
@@ -59,17 +59,17 @@
     try:
         held = client.acquire(OPERATOR_REQUEST_LEASE, STORE_TIMEOUT_S)
         if held is None:
-            raise CommandError(NO_MAJORITY, f"the request was not stored: {client.link_errors()}")
+            raise CommandError(NO_MAJORITY_STATUS, f"the request was not stored: {client.link_errors()}")
         request = OperatorRequest(rollout, action, held.token)
         is_stored = held.put(encode_request(request), STORE_TIMEOUT_S)
         held.release()
     finally:
         client.close()
     if not is_stored:
-        raise CommandError(NO_MAJORITY, "the request may or may not have been stored: repeat it")
+        raise CommandError(NO_MAJORITY_STATUS, "the request may or may not have been stored: repeat it")
 
 
-def status(path: str, as_json: bool) -> int:
+def show_status(path: str, as_json: bool) -> int:
     """Show the recorded rollout.
 
     Returns:
@@ -80,13 +80,13 @@
         record = read_record(fleet)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     except (CommandError, ValueError) as error:
         click.echo(f"saffronstack rollout status: {error}", err=True)
-        return error.status if isinstance(error, CommandError) else UNUSABLE
+        return error.status if isinstance(error, CommandError) else INVALID_INPUT_STATUS
     if record is None:
         click.echo("no rollout was ever recorded", err=True)
-        return NO_ROLLOUT
+        return NO_ROLLOUT_STATUS
     if as_json:
         click.echo(encode_record(record).decode())
         return 0
@@ -96,7 +96,7 @@
     return 0
 
 
-def check(path: str, plan_path: str, to: str, old_from: str) -> int:
+def check(path: str, plan_path: str, new_directory: str, old_directory: str) -> int:
     """Check a plan against the fleet file and both releases.
 
     Returns:
@@ -105,15 +105,15 @@
     try:
         fleet = load_fleet_file(path)
         plan = convert(read_text(plan_path), RolloutPlan, plan_path)
-        new, old = read_release(to).release, read_release(old_from).release
+        new, old = read_release(new_directory).release, read_release(old_directory).release
     except (ConfigError, UnusableReleaseError) as error:
         click.echo(str(error), err=True)
-        return INVALID_PLAN
+        return INVALID_PLAN_STATUS
     problems = validate_plan(plan, rollout_fleet(fleet).gateways, old, new)
     for problem in problems:
         click.echo(f"{plan_path}: {problem}", err=True)
     if problems:
-        return INVALID_PLAN
+        return INVALID_PLAN_STATUS
     click.echo(f"{plan_path}: good: {len(plan.stages)} stages, {old.version} to {new.version}")
     return 0
 
@@ -125,11 +125,11 @@
         CommandError: No majority answers.
         RecordError: The record is of another version.
     """
-    reading = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
-    if not reading.has_majority:
-        raise CommandError(NO_MAJORITY, f"no majority of keepers answers: {reading.errors}")
-    shown = reading.leases.get(LEADER_LEASE)
-    return decode_record(shown.value.content) if shown is not None else None
+    quorum_read = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
+    if not quorum_read.has_majority:
+        raise CommandError(NO_MAJORITY_STATUS, f"no majority of keepers answers: {quorum_read.errors}")
+    lease = quorum_read.leases.get(LEADER_LEASE)
+    return decode_record(lease.value.content) if lease is not None else None
 
 
 def summarize(record: RolloutRecord) -> str:
--- a/saffronstack/cli/rollout_leader.py
+++ b/saffronstack/cli/rollout_leader.py
@@ -8,8 +8,8 @@
 import click
 
 from saffronstack.cli.control import CommandError, daemon_client, run_as_leader
-from saffronstack.cli.leases import NO_MAJORITY, UNUSABLE, open_client, signals_of
-from saffronstack.cli.logs import set_up_logs
+from saffronstack.cli.leases import INVALID_INPUT_STATUS, NO_MAJORITY_STATUS, open_client, queue_signals
+from saffronstack.cli.logs import configure_logging
 from saffronstack.cli.rollout import STORE_TIMEOUT_S, read_record, rollout_fleet, summarize
 from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError, convert, read_text
@@ -33,27 +33,29 @@
 from saffronstack.runtime.threads import start_thread
 
 # Exit statuses of a rollout that was led, by the phase in which its leader ended.
-EXIT_STATUS = {RolloutPhase.COMPLETED: 0, RolloutPhase.ROLLED_BACK: 1}
-NOT_FINISHED = 3  # it is on hold, or another leader goes on
+EXIT_STATUS_BY_PHASE = {RolloutPhase.COMPLETED: 0, RolloutPhase.ROLLED_BACK: 1}
+NOT_FINISHED_STATUS = 3  # it is on hold, or another leader goes on
 RETRY_INTERVAL_S = 1.0
 
 
-def start(path: str, plan_path: str, to: str, old_from: str, log_form: str, wait_s: float) -> int:
+def start(
+    path: str, plan_path: str, new_directory: str, old_directory: str, log_format: str, wait_s: float
+) -> int:
     """Check a plan, record it and lead it.
 
     Returns:
         The exit status: 0 completed, 1 rolled back, 3 not finished, 2 where it can't be started.
     """
-    set_up_logs(log_form, "info")
+    configure_logging(log_format, "info")
     stopping = _stop_on_signals()
     try:
         fleet = load_fleet_file(path)
         plan = convert(read_text(plan_path), RolloutPlan, plan_path)
-        new, old = read_release(to).release, read_release(old_from).release
+        new, old = read_release(new_directory).release, read_release(old_directory).release
         return run_as_leader(fleet, wait_s, lambda held: _start(fleet, held, plan, old, new, stopping))
     except (ConfigError, UnusableReleaseError, ValueError) as error:
         click.echo(f"saffronstack rollout start: {error}", err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     except CommandError as error:
         click.echo(f"saffronstack rollout start: {error}", err=True)
         return error.status
@@ -70,10 +72,10 @@
     daemons = daemon_client(fleet, held)
     problems = _plan_problems(fleet, held, plan, old, new) + _fleet_problems(daemons, plan)
     if problems:
-        raise CommandError(UNUSABLE, "; ".join(problems))
+        raise CommandError(INVALID_INPUT_STATUS, "; ".join(problems))
     record = create_record(plan, old, new)
     if not held.put(encode_record(record), STORE_TIMEOUT_S):
-        raise CommandError(NO_MAJORITY, "the plan could not be stored: nothing was begun")
+        raise CommandError(NO_MAJORITY_STATUS, "the plan could not be stored: nothing was begun")
     return _lead(fleet, held, daemons, record, stopping)
 
 
@@ -88,8 +90,8 @@
 def _fleet_problems(daemons: DaemonClient, plan: RolloutPlan) -> list[str]:
     """Return the daemons that do not answer, and the gateways that do not run the plan's base."""
     polled = merge_answers(daemons.poll())
-    silent = [f"fleet: daemon {name} gives no answer: {why}" for name, why in polled.unavailable.items()]
-    return silent + [
+    unavailable = [f"fleet: daemon {name} gives no answer: {why}" for name, why in polled.unavailable.items()]
+    return unavailable + [
         f"fleet: {name} runs {status.running_release or 'nothing'}, not {plan.base_digest}"
         for name, status in polled.gateways.items() if status.running_release != plan.base_digest
     ]  # fmt: skip
@@ -102,8 +104,8 @@
         rollout_fleet(fleet), daemons, held,
         lambda: read_leases(fleet.lease_server_addresses(), fleet.wait_s), _ProgressPrinter().show,
     )  # fmt: skip
-    ended = leader.lead(record, stopping)
-    return EXIT_STATUS.get(ended.phase, NOT_FINISHED)
+    last_record = leader.lead(record, stopping)
+    return EXIT_STATUS_BY_PHASE.get(last_record.phase, NOT_FINISHED_STATUS)
 
 
 class _ProgressPrinter:
@@ -112,27 +114,27 @@
     def __init__(self) -> None:
         self._last_line = ""
 
-    def show(self, record: RolloutRecord, waits_for: str) -> None:
-        waits = f"; waits for {waits_for}" if waits_for and not record.is_finished else ""
+    def show(self, record: RolloutRecord, awaited: str) -> None:
+        waits = f"; waits for {awaited}" if awaited and not record.is_finished else ""
         line = summarize(record) + waits
         if line != self._last_line:
             self._last_line = line
             click.echo(line)
 
 
-def lead(path: str, log_form: str) -> int:
+def lead(path: str, log_format: str) -> int:
     """Stand by to lead whatever rollout is recorded, until a signal.
 
     Returns:
         The exit status: 0, or 2 for an unusable fleet file.
     """
-    set_up_logs(log_form, "info")
+    configure_logging(log_format, "info")
     stopping = _stop_on_signals()
     try:
         fleet = load_fleet_file(path)
     except ConfigError as error:
         click.echo(str(error), err=True)
-        return UNUSABLE
+        return INVALID_INPUT_STATUS
     client = open_client(fleet)
     click.echo("saffronstack stands by to lead")
     try:
@@ -169,7 +171,7 @@
 
 def _stop_on_signals() -> threading.Event:
     """Return an event that SIGTERM and SIGINT set."""
-    signals, stopping = signals_of("SIGTERM", "SIGINT"), threading.Event()
+    signals, stopping = queue_signals("SIGTERM", "SIGINT"), threading.Event()
 
     def watch() -> None:
         while not stopping.is_set():
--- a/saffronstack/cli/roster.py
+++ b/saffronstack/cli/roster.py
@@ -20,49 +20,49 @@
 FIELDS = tuple(field.name for field in structs.fields(Worker))
 
 
-class UnusableError(Exception):
+class RosterCommandError(Exception):
     """What stands in the way, for the person who called."""
 
 
-def _version(path: str, kinds: tuple[str, ...] | None) -> WorkerListVersion:
+def _load_version(path: str, kinds: tuple[str, ...] | None) -> WorkerListVersion:
     """The version at a path; without ``kinds`` any kind will do."""
     try:
         text = read_version(pathlib.Path(path))
         return parse_version(text.parts, text.digest, kinds, text.generation)
     except DiscoveryError as error:
-        raise UnusableError(str(error)) from error
+        raise RosterCommandError(str(error)) from error
 
 
-def _config(path: str) -> Config:
+def _load_config(path: str) -> Config:
     try:
         config = configs.load(path)
     except configs.ConfigError as error:
-        raise UnusableError(str(error)) from error
+        raise RosterCommandError(str(error)) from error
     if config.roster is None:
-        raise UnusableError(f"{path}: names no roster")
+        raise RosterCommandError(f"{path}: names no roster")
     return config
 
 
 def _state_directory(config_path: str) -> StateDirectory:
-    config = _config(config_path)
+    config = _load_config(config_path)
     assert config.roster is not None
     directory = pathlib.Path(config.roster.state_directory)
     try:
         return StateDirectory(directory)
     except OSError as error:
-        raise UnusableError(f"{directory}: {error.strerror}") from error
+        raise RosterCommandError(f"{directory}: {error.strerror}") from error
 
 
 def check(path: str, config_path: str | None) -> int:
     """Check a file or directory; with a configuration also what its guards would say. 0, or 1 with
     reasons.
     """
-    config = _config(config_path) if config_path else None
+    config = _load_config(config_path) if config_path else None
     kinds = tuple(kind.name for kind in config.kinds) if config else None
-    found = _version(path, kinds)
+    version = _load_version(path, kinds)
     click.echo(
-        f"{path}: good: generation {found.generation}, {len(found.workers)} workers, "
-        f"{sum(worker.state == 'draining' for worker in found.workers)} draining, digest {found.digest}"
+        f"{path}: good: generation {version.generation}, {len(version.workers)} workers, "
+        f"{sum(worker.state == 'draining' for worker in version.workers)} draining, digest {version.digest}"
     )
     if config is None or config.roster is None:
         return 0
@@ -73,7 +73,7 @@
         allow_older=config.roster.allow_older,
     )
     current = StateDirectory(pathlib.Path(config.roster.state_directory)).last()
-    approval = review_version(guards, current, found, is_approved=False)
+    approval = review_version(guards, current, version, is_approved=False)
     if approval is not None:
         click.echo(f"{path}: would be held: {approval.reason}")
         return 1
@@ -82,12 +82,12 @@
 
 def diff(before: str, after: str) -> int:
     """What changes from one list to another, in meaning; 0 where nothing does, else 1."""
-    first, second = _version(before, None).by_name(), _version(after, None).by_name()
-    changes = compare_lists(first, second)
+    old_workers, new_workers = _load_version(before, None).by_name(), _load_version(after, None).by_name()
+    changes = compare_lists(old_workers, new_workers)
     for name in changes.removed:
-        click.echo(f"- {name} at {first[name].address}")
-    for worker in sorted(changes.updated, key=lambda one: one.id):
-        known = first.get(worker.id)
+        click.echo(f"- {name} at {old_workers[name].address}")
+    for worker in sorted(changes.updated, key=lambda worker: worker.id):
+        known = old_workers.get(worker.id)
         if known is None:
             click.echo(f"+ {worker.id} at {worker.address}, size {worker.size:g}, {worker.state}")
             continue
@@ -103,18 +103,18 @@
 def show(config_path: str) -> int:
     """The list applied last, and what operators said."""
     state = _state_directory(config_path)
-    last = state.last()
-    if last is None:
+    applied = state.last()
+    if applied is None:
         click.echo("no list was applied yet")
         return 1
-    click.echo(f"generation {last.generation}, digest {last.digest}, {len(last.workers)} workers")
+    click.echo(f"generation {applied.generation}, digest {applied.digest}, {len(applied.workers)} workers")
     drains = state.drains()
-    for worker in last.workers:
+    for worker in applied.workers:
         worker_state = "draining (operator)" if worker.id in drains else worker.state
         click.echo(
             f"  {worker.id:<24} {worker.address:<24} {worker.kind:<12} size {worker.size:<6g} {worker_state}"
         )
-    for name in sorted(drains - {worker.id for worker in last.workers}):
+    for name in sorted(drains - {worker.id for worker in applied.workers}):
         click.echo(f"  {name:<24} not listed, drained by an operator")
     if state.pinned():
         click.echo(f"pinned to {state.pinned()}: the file is not followed")
@@ -125,8 +125,8 @@
     """Drain workers, whatever any source says, or no longer."""
     state = _state_directory(config_path)
     names = state.drains() - set(workers) if undo else state.drains() | set(workers)
-    known = state.last()
-    listed = {worker.id for worker in known.workers} if known is not None else set()
+    applied = state.last()
+    listed = {worker.id for worker in applied.workers} if applied is not None else set()
     for name in workers:
         if name not in listed and not undo:
             click.echo(f"{name}: in no list that was applied; it is drained should it come", err=True)
@@ -146,24 +146,24 @@
 def history(config_path: str, back: int | None, follow: bool) -> int:
     """The versions that are kept; go back to one, or follow the file again."""
     state = _state_directory(config_path)
-    found = state.history()
+    versions = state.history()
     if follow:
         state.tell("pinned", "")
         click.echo("the file is followed")
         return 0
     if back is not None:
-        chosen = next((one for number, _, one in found if number == back), None)
+        chosen = next((version for number, _, version in versions if number == back), None)
         if chosen is None:
-            raise UnusableError(
-                f"no version {back} is kept; there are {', '.join(str(n) for n, _, _ in found)}"
+            raise RosterCommandError(
+                f"no version {back} is kept; there are {', '.join(str(n) for n, _, _ in versions)}"
             )
         state.tell("pinned", chosen.digest)
         click.echo(f"back to version {back}, generation {chosen.generation}; --follow ends it")
         return 0
-    for number, at, one in found:
-        when = datetime.fromtimestamp(at, UTC)
+    for number, applied_at_s, version in versions:
+        applied_at = datetime.fromtimestamp(applied_at_s, UTC)
         click.echo(
-            f"{number:>6}  {when:%Y-%m-%d %H:%M:%S}Z  generation {one.generation:<6} "
-            f"{len(one.workers):>6} workers  {one.digest}"
+            f"{number:>6}  {applied_at:%Y-%m-%d %H:%M:%S}Z  generation {version.generation:<6} "
+            f"{len(version.workers):>6} workers  {version.digest}"
         )
     return 0
--- a/saffronstack/cli/roster_commands.py
+++ b/saffronstack/cli/roster_commands.py
@@ -14,16 +14,16 @@
 
 
 def _exit_with(command: Callable[[], int]) -> None:
-    from saffronstack.cli.roster import UnusableError
+    from saffronstack.cli.roster import RosterCommandError
 
     try:
         sys.exit(command())
-    except (UnusableError, OSError) as error:
+    except (RosterCommandError, OSError) as error:
         click.echo(str(error), err=True)
         sys.exit(1)
 
 
-def _of_gateway(command: Callable[..., None]) -> Callable[..., None]:
+def _config_option(command: Callable[..., None]) -> Callable[..., None]:
     text = "The gateway's configuration, which names the roster."
     return click.option("--config", "path", required=True, type=click.Path(dir_okay=False), help=text)(
         command
@@ -51,7 +51,7 @@
 
 
 @roster_group.command("show")
-@_of_gateway
+@_config_option
 def roster_show(path: str) -> None:
     """The list applied last."""
     from saffronstack.cli.roster import show
@@ -62,7 +62,7 @@
 @roster_group.command("drain")
 @click.argument("workers", nargs=-1, required=True)
 @click.option("--undo", is_flag=True, help="Drain them no longer.")
-@_of_gateway
+@_config_option
 def roster_drain(workers: tuple[str, ...], undo: bool, path: str) -> None:
     """Drain workers, whatever the lists say."""
     from saffronstack.cli.roster import drain
@@ -72,7 +72,7 @@
 
 @roster_group.command("accept")
 @click.argument("digest")
-@_of_gateway
+@_config_option
 def roster_accept(digest: str, path: str) -> None:
     """Let a held version be applied; /status and the log name its digest."""
     from saffronstack.cli.roster import accept
@@ -83,7 +83,7 @@
 @roster_group.command("history")
 @click.option("--back", type=int, default=None, help="Go back to the version of this number.")
 @click.option("--follow", is_flag=True, help="Follow the file again.")
-@_of_gateway
+@_config_option
 def roster_history(back: int | None, follow: bool, path: str) -> None:
     """The versions that are kept."""
     from saffronstack.cli.roster import history
--- a/saffronstack/cli/starvation_guard.py
+++ b/saffronstack/cli/starvation_guard.py
@@ -24,7 +24,7 @@
 
 log = structlog.get_logger("saffronstack.serve")
 PROBE_INTERVAL_S = 0.05  # short beside the waits that are to be found
-MAX_THREADS = 16  # that a look reads; the first ones live as long as the process
+MAX_SAMPLED_THREADS = 16  # that a look reads; the first ones live as long as the process
 
 
 class StarvationGuard:
@@ -52,23 +52,23 @@
             read_run_ns: The processor time of this process.
             move: Lets all threads of this process but one run on some processors.
         """
-        self._allowed, self._clock = frozenset(allowed), clock
-        self._read, self._read_run_ns, self._move = read, read_run_ns, move
+        self._allowed_cpus, self._clock = frozenset(allowed), clock
+        self._read_thread, self._read_run_ns, self._move_threads = read, read_run_ns, move
         self._idle_times = CpuIdleTimes()
         self._read_idle = read_idle or self._idle_times.read
         self._stopping = threading.Event()
         self._probe_thread = NO_THREAD  # its id in the system, once it has run
-        self._processors = frozenset(os.sched_getaffinity(0))  # of all threads but this one
-        hold = MoveBackoff()
-        self._choice = CpuMovePolicy(os.getpid(), hold)
-        self._settling = CpuPinningPolicy(os.getpid(), hold)
+        self._cpus = frozenset(os.sched_getaffinity(0))  # of all threads but this one
+        move_backoff = MoveBackoff()
+        self._move_policy = CpuMovePolicy(os.getpid(), move_backoff)
+        self._pinning_policy = CpuPinningPolicy(os.getpid(), move_backoff)
         self._samples: dict[int, ThreadSample] = {}
-        self._monitor = StarvationMonitor(
+        self._starvation_monitor = StarvationMonitor(
             clock,
             lambda pid: self._samples,
             release or self._release,
             read_run_ns=lambda pid: self._read_run_ns(),
-            read_affinity=lambda pid: self._processors,
+            read_affinity=lambda pid: self._cpus,
         )
         start_thread("processor-probe", self._probe)
         os.sched_setaffinity(0, allowed)
@@ -80,70 +80,70 @@
 
     def check(self) -> None:
         """Look at the processors; leave one that others take up. Called each `CPU_SAMPLE_INTERVAL_S`."""
-        self._samples = self._read_threads()
+        self._samples = self._sample_threads()
         if self.has_started:  # a daemon may have released the process
-            self._processors = frozenset(os.sched_getaffinity(self._probe_thread))
-        if len(self._processors) == 1:
-            self._settling.reset()
-            if self._move_if_taken_up():
+            self._cpus = frozenset(os.sched_getaffinity(self._probe_thread))
+        if len(self._cpus) == 1:
+            self._pinning_policy.reset()
+            if self._move_if_starved():
                 return
-        elif self._processors == self._allowed and self._settle_if_idle():
+        elif self._cpus == self._allowed_cpus and self._pin_if_idle():
             return
-        for _ in self._monitor.check([os.getpid()]):
+        for _ in self._starvation_monitor.check([os.getpid()]):
             log.warning("processor taken up by something else, all may be used from now on")
 
     def stop(self) -> None:
         """End the probe, without waiting, and let the process run anywhere: nothing looks from now on."""
         self._stopping.set()
         self._idle_times.close()
-        self._run_on(self._allowed)
+        self._run_on(self._allowed_cpus)
 
-    def _move_if_taken_up(self) -> bool:
-        (processor,) = self._processors
-        idle_ns = self._read_idle(self._allowed)
-        sample = CpuSample(self._clock(), processor, self._read_run_ns(), self._samples, idle_ns)
-        move = self._choice.choose(sample)
+    def _move_if_starved(self) -> bool:
+        (cpu,) = self._cpus
+        idle_ns = self._read_idle(self._allowed_cpus)
+        sample = CpuSample(self._clock(), cpu, self._read_run_ns(), self._samples, idle_ns)
+        move = self._move_policy.choose(sample)
         if move is None:
             return False
         self._run_on(frozenset({move.cpu}))
         log.warning(
             "processor taken up by something else, moved to another one",
-            old=processor,
+            old=cpu,
             new=move.cpu,
             waited=round(move.waited_fraction, 2),
         )
         return True
 
-    def _settle_if_idle(self) -> bool:
-        processor = self._settling.choose(CpuIdleSample(self._clock(), self._read_idle(self._allowed)))
-        if processor is None:
+    def _pin_if_idle(self) -> bool:
+        cpu = self._pinning_policy.choose(CpuIdleSample(self._clock(), self._read_idle(self._allowed_cpus)))
+        if cpu is None:
             return False
-        self._run_on(frozenset({processor}))
-        log.info("a processor is idle again, the process keeps to it", processor=processor)
+        self._run_on(frozenset({cpu}))
+        log.info("a processor is idle again, the process keeps to it", processor=cpu)
         return True
 
     def _release(self, pid: int) -> bool:
         """Let the process run anywhere; return whether it did not before."""
-        if self._processors == self._allowed:
+        if self._cpus == self._allowed_cpus:
             return False
-        self._run_on(self._allowed)
+        self._run_on(self._allowed_cpus)
         return True
 
-    def _run_on(self, processors: frozenset[int]) -> None:
-        self._move(processors, threading.get_native_id())
-        self._processors = processors
+    def _run_on(self, cpus: frozenset[int]) -> None:
+        self._move_threads(cpus, threading.get_native_id())
+        self._cpus = cpus
 
     def _probe(self) -> None:
         self._probe_thread = threading.get_native_id()
         while not self._stopping.wait(PROBE_INTERVAL_S):
             continue
 
-    def _read_threads(self) -> dict[int, ThreadSample]:
+    def _sample_threads(self) -> dict[int, ThreadSample]:
         """Return the probe and the first threads of the process."""
         pid, own = os.getpid(), threading.get_native_id()
-        known = [thread.native_id for thread in threading.enumerate()[:MAX_THREADS]]
+        known = [thread.native_id for thread in threading.enumerate()[:MAX_SAMPLED_THREADS]]
         threads = {thread for thread in (*known, self._probe_thread) if thread not in (None, own, NO_THREAD)}
-        read = {thread: self._read(pid, thread) for thread in threads if thread is not None}
+        read = {thread: self._read_thread(pid, thread) for thread in threads if thread is not None}
         samples = {thread: sample for thread, sample in read.items() if sample is not None}
         if not self.has_started:  # the probe is to start, and got no time for that
             samples[NO_THREAD] = ThreadSample(is_runnable=True, run_ns=0)
--- a/saffronstack/cli/supervise.py
+++ b/saffronstack/cli/supervise.py
@@ -9,10 +9,10 @@
 
 from saffronstack import config as configs
 from saffronstack.cli.cpu_affinity import DEFAULT_CPUS
-from saffronstack.cli.logs import set_up_logs
+from saffronstack.cli.logs import configure_logging
 from saffronstack.cli.parent_process import announce
 from saffronstack.cli.process_signals import ignore_signals, receive_signals
-from saffronstack.cli.serve_options import Options, override
+from saffronstack.cli.serve_options import ServeOptions, apply_overrides
 from saffronstack.config.schema import Config
 from saffronstack.daemon.errors import StartupError
 from saffronstack.daemon.state_directories import find_stranded_ledgers
@@ -22,21 +22,21 @@
 STOP_MARGIN_S = 15.0  # for the supervisor to wait beyond the bounds of its processes
 
 
-def supervise(options: Options, count: int) -> int:
+def supervise(options: ServeOptions, count: int) -> int:
     """Serve with several processes on one address until a signal says stop.
 
     Returns:
         The exit status: 0 after a clean end, 1 after an unclean one, 2 where it can't start.
     """
-    set_up_logs(options.log_form, options.log_level)
+    configure_logging(options.log_format, options.log_level)
     signals = receive_signals()
-    assert options.path is not None
+    assert options.config_path is not None
     try:
-        config = override(configs.load(options.path), options)
+        config = apply_overrides(configs.load(options.config_path), options)
         _check_ledgers(config, count)
         host, _, port = config.listen.rpartition(":")
-        command = gateway_command(_gateway_arguments(options, options.path))
-        supervisor = Supervisor(command, count, host, int(port), stopped_timeout_s=options.stopped_s)
+        command = gateway_command(_gateway_arguments(options, options.config_path))
+        supervisor = Supervisor(command, count, host, int(port), stopped_timeout_s=options.stopped_timeout_s)
         supervisor.start()
     except (configs.ConfigError, StartupError, OSError, ValueError) as error:
         click.echo(f"saffronstack serve: {error}", err=True)
@@ -44,7 +44,9 @@
     announce(f"saffronstack takes calls on http://{supervisor.host}:{supervisor.port}")
     number = supervisor.run_until_signal(signals)
     log.info("stopping", signal=signal.Signals(number).name)
-    longest_s = max(cls.deadline_s for cls in config.classes) + config.limits.write_timeout_s
+    longest_s = (
+        max(request_class.deadline_s for request_class in config.classes) + config.limits.write_timeout_s
+    )
     status = supervisor.stop(longest_s + STOP_MARGIN_S)
     ignore_signals()
     return 0 if status == 0 else 1
@@ -62,10 +64,12 @@
         )
 
 
-def _gateway_arguments(options: Options, path: str) -> list[str]:
+def _gateway_arguments(options: ServeOptions, path: str) -> list[str]:
     """The command line of each process, but for its index and its address."""
     arguments = ["serve", "--config", path]
-    if options.cpus != DEFAULT_CPUS:  # the supervisor changes processors that were not chosen by an operator
-        arguments += ["--cpus", options.cpus]
-    arguments += ["--log", options.log_form, "--log-level", options.log_level]
-    return [*arguments, "--ledger", options.ledger] if options.ledger else arguments
+    if (
+        options.cpu_selection != DEFAULT_CPUS
+    ):  # the supervisor changes processors that were not chosen by an operator
+        arguments += ["--cpus", options.cpu_selection]
+    arguments += ["--log", options.log_format, "--log-level", options.log_level]
+    return [*arguments, "--ledger", options.ledger_directory] if options.ledger_directory else arguments
--- a/saffronstack/cli/usage.py
+++ b/saffronstack/cli/usage.py
@@ -15,11 +15,11 @@
 MAX_ATTEMPTS = 5  # a gateway that writes the log meanwhile may replace files while they are read
 
 
-class ChangedError(Exception):
+class FilesChangedError(Exception):
     """Files were replaced while they were read."""
 
 
-def _with_processes(directories: tuple[str, ...]) -> list[str]:
+def _list_log_directories(directories: tuple[str, ...]) -> list[str]:
     """A gateway's directory stands for those of its other processes too. JournalError where there is none."""
     found = []
     for directory in directories:
@@ -32,24 +32,24 @@
     return found
 
 
-def _read(directories: tuple[str, ...]) -> tuple[MergedAccounts, list[str]]:
+def _read_logs(directories: tuple[str, ...]) -> tuple[MergedAccounts, list[str]]:
     """The logs merged, and what was wrong with them; JournalError where one can't be read."""
     accounts = []
-    lines = []
-    for directory in _with_processes(directories):
+    notes = []
+    for directory in _list_log_directories(directories):
         path = pathlib.Path(directory)
         try:
-            account, wrong = read_usage_log(path)
+            account, damage = read_usage_log(path)
         except JournalError as error:
             if isinstance(error.__cause__, FileNotFoundError):
-                raise ChangedError(str(error)) from error
+                raise FilesChangedError(str(error)) from error
             raise
         if not account.gateway:
             raise JournalError(f"{directory}: holds no usage log")
-        lines += [f"{directory}/{line}" for line in wrong]
+        notes += [f"{directory}/{line}" for line in damage]
         accounts.append(account)
     merged = merge_accounts(accounts)
-    return merged, [*lines, *merged.notes]
+    return merged, [*notes, *merged.notes]
 
 
 def _retry_on_change(read_and_print: Callable[[], int]) -> int:
@@ -58,11 +58,11 @@
     Returns:
         The exit status: that of ``read_and_print``, or 2 where nothing can be read.
     """
-    for left in reversed(range(MAX_ATTEMPTS)):
+    for attempts_left in reversed(range(MAX_ATTEMPTS)):
         try:
             return read_and_print()
-        except (ChangedError, FileNotFoundError) as error:
-            if not left:
+        except (FilesChangedError, FileNotFoundError) as error:
+            if not attempts_left:
                 click.echo(f"{error}: the files change faster than they are read", err=True)
         except (JournalError, RunDamagedError, ValueError, OSError) as error:
             click.echo(str(error), err=True)
@@ -70,14 +70,16 @@
     return 2
 
 
-def show(directories: tuple[str, ...], by: tuple[str, ...], form: str, tenant: str | None = None) -> int:
+def show(
+    directories: tuple[str, ...], by: tuple[str, ...], output_format: str, tenant: str | None = None
+) -> int:
     """Print sums; 0, or 2 where a log can't be read or a column is unknown."""
 
     def read_and_print() -> int:
-        merged, lines = _read(directories)
-        text = FORMATTERS[form](summarize_usage(merged, by, tenant), by)
+        merged, notes = _read_logs(directories)
+        text = FORMATTERS[output_format](summarize_usage(merged, by, tenant), by)
         click.echo(text)
-        for line in lines:
+        for line in notes:
             click.echo(line, err=True)
         return 0
 
@@ -95,8 +97,8 @@
         return 2
 
     def read_and_print() -> int:
-        merged, lines = _read(directories)
-        content = render_html_report(merged, lines)
+        merged, notes = _read_logs(directories)
+        content = render_html_report(merged, notes)
         pathlib.Path(output).write_text(content)
         click.echo(f"{output}: {len(content)} bytes")
         return 0
@@ -109,18 +111,18 @@
 
     def read_and_print() -> int:
         damaged = []
-        for directory in _with_processes(directories):
+        for directory in _list_log_directories(directories):
             damaged += read_usage_log(pathlib.Path(directory))[0].problems()
         if damaged:
             for line in damaged:
                 click.echo(line)
             click.echo(f"{len(damaged)} parts of archives can't be read: NOT in balance")
             return 1
-        merged, lines = _read(directories)
+        merged, notes = _read_logs(directories)
         problems = [f"unbalanced: {line}" for line in merged.unbalanced()]
         if merged.in_doubt:
             problems.append("records of a log are lost: sums may miss some")
-        for line in [*lines, *problems]:
+        for line in [*notes, *problems]:
             click.echo(line)
         workers = len({worker for worker, _ in merged.holdings()})
         click.echo(
--- a/saffronstack/cli/usage_commands.py
+++ b/saffronstack/cli/usage_commands.py
@@ -18,13 +18,13 @@
 @usage_group.command("show")
 @click.argument("directories", nargs=-1, required=True, type=click.Path())
 @click.option("--by", default="tenant", show_default=True, help="tenant,function,class,worker,day,hour")
-@click.option("--format", "form", type=click.Choice(["table", "jsonl", "csv"]), default="table")
+@click.option("--format", "output_format", type=click.Choice(["table", "jsonl", "csv"]), default="table")
 @click.option("--tenant", default=None, help="This tenant's alone.")
-def usage_show(directories: tuple[str, ...], by: str, form: str, tenant: str | None) -> None:
+def usage_show(directories: tuple[str, ...], by: str, output_format: str, tenant: str | None) -> None:
     """Sums in MB s. The same log given twice counts once."""
     from saffronstack.cli.usage import show
 
-    sys.exit(show(directories, tuple(part.strip() for part in by.split(",")), form, tenant))
+    sys.exit(show(directories, tuple(part.strip() for part in by.split(",")), output_format, tenant))
 
 
 @usage_group.command("report")
--- a/saffronstack/daemon/errors.py
+++ b/saffronstack/daemon/errors.py
@@ -20,5 +20,5 @@
     """Not one byte of a request reached the other process, so it had no effect there."""
 
 
-class NoAnswerError(ProcessError):
+class NoResponseError(ProcessError):
     """A request was sent and no complete response came: it may have had an effect."""
--- a/saffronstack/daemon/http_exchange.py
+++ b/saffronstack/daemon/http_exchange.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Callable
 
-from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.errors import NoResponseError, NotSentError
 from saffronstack.http1.messages import HttpError, MessageLimits, ResponseHead
 from saffronstack.http1.reader import MessageReader
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
@@ -31,7 +31,7 @@
 
     Raises:
         NotSentError: Not one byte was sent.
-        NoAnswerError: The request was sent, at least in part, and no complete response came by the deadline.
+        NoResponseError: The request was sent, at least in part, and no complete response came in time.
     """
     stream = Stream(_connect(address, deadline_s - clock()))
     reader = MessageReader(MessageLimits(body_bytes=MAX_BODY_BYTES))
@@ -41,7 +41,7 @@
         head = read_until(stream, reader, reader.response, deadline_s, clock)
         return head, read_until(stream, reader, reader.body, deadline_s, clock)
     except (OSError, HttpError, PeerClosed) as error:
-        raise NoAnswerError(str(error)) from error
+        raise NoResponseError(str(error)) from error
     finally:
         stream.close()
 
--- a/saffronstack/daemon/process_group.py
+++ b/saffronstack/daemon/process_group.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.errors import NoResponseError, NotSentError
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.daemon.state_directories import process_directory
 from saffronstack.http1 import writer
@@ -83,7 +83,7 @@
         request = writer.request("GET", target, [*fields, (FORWARDED_HEADER, str(self.index))])
         try:
             return exchange(address, request, self.clock() + REQUEST_TIMEOUT_S, self.clock)
-        except (NotSentError, NoAnswerError):  # it is down, restarting, or stuck
+        except (NotSentError, NoResponseError):  # it is down, restarting, or stuck
             return None
 
     def _address_path(self, index: int) -> pathlib.Path:
--- a/saffronstack/daemon/standby.py
+++ b/saffronstack/daemon/standby.py
@@ -45,9 +45,9 @@
                 if self._predecessor in ready:
                     return True
                 if self._commands in ready:
-                    decision = self._read_commands()
-                    if decision is not None:
-                        return decision
+                    may_serve = self._read_commands()
+                    if may_serve is not None:
+                        return may_serve
         finally:
             if self._predecessor is not None:
                 os.close(self._predecessor)
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -83,11 +83,11 @@
         self._command = list(command)
         self._clock = clock
         self._processes = [_SupervisedProcess(index) for index in range(count)]
-        self._placeholder = socket.socket()
-        self._placeholder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._placeholder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        self._placeholder.bind((host, port))
-        self.host, self.port = self._placeholder.getsockname()[:2]
+        self._port_reservation = socket.socket()
+        self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        self._port_reservation.bind((host, port))
+        self.host, self.port = self._port_reservation.getsockname()[:2]
 
     def start(self) -> None:
         """Start all processes and wait until they accept requests.
@@ -137,15 +137,15 @@
             The worst of their exit statuses, 1 for one that was killed. One that exited before does not
             count, nor does one that was not ready and ended by the signal: it has taken nothing.
         """
-        running = [one for one in self._processes if one.is_running()]
+        running = [supervised for supervised in self._processes if supervised.is_running()]
         for supervised in running:
             assert supervised.process is not None
             allow_all_cpus(supervised.process.pid)  # nothing releases one that is starved while it ends
             supervised.process.send_signal(signal.SIGTERM)
         deadline_s = self._clock() + timeout_s
-        worst = max((self._wait_for_exit(supervised, deadline_s) for supervised in running), default=0)
-        self._placeholder.close()
-        return worst
+        exit_status = max((self._wait_for_exit(supervised, deadline_s) for supervised in running), default=0)
+        self._port_reservation.close()
+        return exit_status
 
     def _wait_for_exit(self, supervised: _SupervisedProcess, deadline_s: float) -> int:
         """Wait for the end of a terminated process, and kill one that is late; the status that counts."""
--- a/saffronstack/fleet/control/daemon_answers.py
+++ b/saffronstack/fleet/control/daemon_answers.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.errors import NoResponseError, NotSentError
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.messages import DaemonStatus, GatewayStatus
 
@@ -54,5 +54,5 @@
             text = body[:MAX_SHOWN_BYTES].decode("utf-8", "replace")
             return UnavailableDaemon(f"rejected with {head.status}: {text}")
         return msgspec.json.decode(body, type=DaemonStatus)
-    except (NotSentError, NoAnswerError, msgspec.MsgspecError) as error:
+    except (NotSentError, NoResponseError, msgspec.MsgspecError) as error:
         return UnavailableDaemon(str(error) or type(error).__name__)
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.errors import NoResponseError, NotSentError
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.gateway_process import GatewayProcess
 from saffronstack.fleet.control.messages import STATUS_PATH, GatewayMetrics
@@ -35,7 +35,7 @@
     try:
         head, body = exchange(address, request, clock() + POLL_TIMEOUT_S, clock)
         return msgspec.json.decode(body, type=GatewayPage) if head.status == 200 else None
-    except (NotSentError, NoAnswerError, msgspec.MsgspecError):
+    except (NotSentError, NoResponseError, msgspec.MsgspecError):
         return None  # it starts, ends or is overloaded; metrics grow old, which readers see by their age
 
 
--- a/saffronstack/fleet/leases/quorum_read.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.errors import NoResponseError, NotSentError
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.leases.errors import ServerResponseError
 from saffronstack.fleet.leases.messages import LeaseValue
@@ -17,7 +17,7 @@
 from saffronstack.runtime.threads import start_thread
 
 JOIN_S = 0.5  # in addition to the timeout of the exchange
-REQUEST_ERRORS = (NotSentError, NoAnswerError, ValueError, msgspec.MsgspecError)
+REQUEST_ERRORS = (NotSentError, NoResponseError, ValueError, msgspec.MsgspecError)
 
 
 @dataclass(frozen=True, slots=True)
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from saffronstack.cli.leases import lease_fleet_of
+from saffronstack.cli.leases import create_lease_fleet
 from saffronstack.config.fleet import load_fleet_file
 from saffronstack.fleet.leases.candidate import Candidate
 from saffronstack.fleet.leases.client import LeaseClient, holder_clock
@@ -78,7 +78,7 @@
     """Run a lease server until standard input ends."""
     server = LeaseServer(
         options.name,
-        lease_fleet_of(load_fleet_file(options.fleet)),
+        create_lease_fleet(load_fleet_file(options.fleet)),
         options.state,
         clock=drifting_clock(options.clock_rate, time.monotonic),
         files=FaultyFiles(pathlib.Path(options.disk_fault)),
@@ -150,7 +150,7 @@
         clock = drifting_clock(options.clock_rate, holder_clock)
         steps = ClockSteps(pathlib.Path(options.clock_steps))
         self.client = LeaseClient(
-            lease_fleet_of(fleet),
+            create_lease_fleet(fleet),
             self.name,
             fleet.lease_s,
             options.seed,
--- a/saffronstack/invoke/operation_forwarding.py
+++ b/saffronstack/invoke/operation_forwarding.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.errors import NoResponseError, NotSentError
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.daemon.process_group import FORWARDED_HEADER
 from saffronstack.http1 import writer
@@ -89,7 +89,7 @@
             may_have_run = False
             try:
                 response = self._forward_to_holder(request)
-            except NoAnswerError:
+            except NoResponseError:
                 self.unanswered += 1
                 may_have_run = not request.is_logged
             else:
@@ -108,7 +108,7 @@
         """Return the holder's response; None where there is no other process that holds the slot.
 
         Raises:
-            NoAnswerError: It was sent and may have been executed.
+            NoResponseError: It was sent and may have been executed.
         """
         holder = self.slots.assigned_peer(slot_for(request.digest))
         if holder is None or holder.member == self.slots.member:
--- a/tests/daemon/test_graceful_takeover.py
+++ b/tests/daemon/test_graceful_takeover.py
@@ -133,7 +133,7 @@
         yield first, second, listener
 
 
-def test_a_successor_serves_though_nobody_reads_its_output(config_path: pathlib.Path) -> None:
+def test_a_successor_serves_after_its_pipes_to_the_daemon_are_closed(config_path: pathlib.Path) -> None:
     with serving_with_successor(config_path) as (first, second, listener):
         assert second.stdin is not None
         assert second.stdout is not None
@@ -167,10 +167,10 @@
         assert second.wait(30.0) == 0
 
 
-def test_a_gateway_that_was_only_prepared_ends_with_its_daemon() -> None:
-    ran = subprocess.run(
+def test_a_standby_process_exits_when_its_daemon_exits() -> None:
+    completed = subprocess.run(
         [*SERVE, "--with-standins", "--listen", "127.0.0.1:0", "--standby"], input="", capture_output=True,
         text=True, timeout=60.0, check=False,
     )  # fmt: skip
-    assert ran.returncode == 0
-    assert ran.stdout.strip() == "saffronstack is prepared"
+    assert completed.returncode == 0
+    assert completed.stdout.strip() == "saffronstack is prepared"
--- a/tests/daemon/test_http_exchange.py
+++ b/tests/daemon/test_http_exchange.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from saffronstack.daemon.errors import NoAnswerError, NotSentError
+from saffronstack.daemon.errors import NoResponseError, NotSentError
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import start_thread
@@ -65,5 +65,5 @@
     listener: socket.socket, response: bytes
 ) -> None:
     respond_once(listener, response)
-    with pytest.raises(NoAnswerError):
+    with pytest.raises(NoResponseError):
         exchange(address_of(listener), REQUEST, time.monotonic() + TIMEOUT_S, time.monotonic)
--- a/tests/daemon/test_state_directories.py
+++ b/tests/daemon/test_state_directories.py
@@ -23,12 +23,12 @@
     assert find_stranded_ledgers(str(directory), 5) == [str(stranded)]
     path = tmp_path / "gateway.json5"
     path.write_text(json.dumps(configuration(one_worker, directory)))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path), "--processes", "2"],
         capture_output=True,
         text=True,
         timeout=30,
         check=False,
     )
-    assert done.returncode == 2
-    assert "process-5" in done.stderr
+    assert completed.returncode == 2
+    assert "process-5" in completed.stderr
--- a/tests/daemon/test_stopped_process.py
+++ b/tests/daemon/test_stopped_process.py
@@ -29,11 +29,11 @@
     succeeded: bool
 
 
-class CallingClients:
+class SequentialClients:
     """Clients that call one after the other, each call on a new connection, as browsers and scripts do."""
 
     def __init__(self, address: str) -> None:
-        self.finished: list[FinishedCall] = []
+        self.finished_calls: list[FinishedCall] = []
         self._address = address
         self._ending = threading.Event()
         self._threads = [
@@ -41,8 +41,8 @@
             for n in range(CLIENTS)
         ]
 
-    def since(self, start_s: float) -> list[FinishedCall]:
-        return [call for call in list(self.finished) if call.started_s >= start_s]
+    def started_since(self, start_s: float) -> list[FinishedCall]:
+        return [call for call in list(self.finished_calls) if call.started_s >= start_s]
 
     def stop(self) -> None:
         self._ending.set()
@@ -59,7 +59,7 @@
                 succeeded = False
             finally:
                 client.close()
-            self.finished.append(FinishedCall(started_s, succeeded))
+            self.finished_calls.append(FinishedCall(started_s, succeeded))
             self._ending.wait(0.005)
 
 
@@ -79,21 +79,21 @@
 ) -> None:
     with supervised(tmp_path, two_fast_workers) as (stack, _):
         pids = process_ids(stack)
-        clients = CallingClients(stack.address)
-        eventually(lambda: sum(call.succeeded for call in clients.finished) > 50)
+        clients = SequentialClients(stack.address)
+        eventually(lambda: sum(call.succeeded for call in clients.finished_calls) > 50)
         stopped_s = time.monotonic()
         os.kill(pids[1], signal.SIGSTOP)
         eventually(lambda: process_status(stack, 1).get("pid", pids[1]) != pids[1])
         replaced_s = time.monotonic()
         since_s = max(stopped_s + 2.0, replaced_s)
-        eventually(lambda: len(clients.since(since_s)) > 150)
+        eventually(lambda: len(clients.started_since(since_s)) > 150)
         clients.stop()
         assert replaced_s - stopped_s < 15.0
-        late = [call.succeeded for call in clients.since(since_s)]
-        assert len(late) > 100
-        assert sum(late) >= 0.95 * len(late)
+        finished_later = [call.succeeded for call in clients.started_since(since_s)]
+        assert len(finished_later) > 100
+        assert sum(finished_later) >= 0.95 * len(finished_later)
         # Silent for a second, killed: the calls that it had been handed are the only ones that fail.
-        assert sum(not call.succeeded for call in clients.since(stopped_s)) <= 4 * CLIENTS
+        assert sum(not call.succeeded for call in clients.started_since(stopped_s)) <= 4 * CLIENTS
         indexes = list(range(PROCESSES))
         eventually(lambda: [process_status(stack, n).get("process") for n in indexes] == [0, 1, 2])
         runs = [event["id"] for worker in two_fast_workers.workers for event in worker.runs("record-sale")]
--- a/tests/daemon/test_supervised_gateway.py
+++ b/tests/daemon/test_supervised_gateway.py
@@ -81,7 +81,7 @@
     eventually(lambda: not pathlib.Path(f"/proc/{pid}").exists(), 10)
 
 
-def test_a_hangup_reaches_every_process(tmp_path: pathlib.Path, two_workers: StandInFleet) -> None:
+def test_a_hangup_signal_reloads_every_process(tmp_path: pathlib.Path, two_workers: StandInFleet) -> None:
     with supervised(tmp_path, two_workers) as (stack, process):
         path = tmp_path / "gateway.json5"
         content = json.loads(path.read_text())
--- a/tests/daemon/test_supervisor.py
+++ b/tests/daemon/test_supervisor.py
@@ -22,7 +22,7 @@
 
 
 # Its first process ends once a file says so; the second one is not ready before another file is there.
-MEMBER = """
+PROCESS_SCRIPT = """
 import pathlib, signal, sys, time
 folder = pathlib.Path(sys.argv[1])
 def wait_for(name):
@@ -44,13 +44,13 @@
 """
 
 
-class RestartingMember:
+class RestartingProcess:
     """A supervisor of one process that is being restarted, and is not ready yet."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
         self.signals: queue.SimpleQueue[int] = queue.SimpleQueue()
-        self.supervisor = Supervisor([sys.executable, "-c", MEMBER, str(folder)], 1, "127.0.0.1", 0)
+        self.supervisor = Supervisor([sys.executable, "-c", PROCESS_SCRIPT, str(folder)], 1, "127.0.0.1", 0)
         self.supervisor.start()
         self._thread = start_thread("run", lambda: self.supervisor.run_until_signal(self.signals))
         (folder / "first may end").touch()
@@ -76,15 +76,15 @@
 
 def test_a_process_that_is_not_ready_yet_is_told_to_reload_once_it_is(tmp_path: pathlib.Path) -> None:
     """SIGHUP would end it before, and a configuration that it has read already may be an older one."""
-    member = RestartingMember(tmp_path)
-    member.signal(signal.SIGHUP)
+    restarting = RestartingProcess(tmp_path)
+    restarting.signal(signal.SIGHUP)
     (tmp_path / "second may begin").touch()
     eventually((tmp_path / "reloaded").exists)
-    assert member.starts() == 1
-    assert member.stop() == 0
+    assert restarting.starts() == 1
+    assert restarting.stop() == 0
 
 
 def test_a_process_that_is_terminated_before_it_is_ready_does_not_make_the_end_unclean(
     tmp_path: pathlib.Path,
 ) -> None:
-    assert RestartingMember(tmp_path).stop() == 0
+    assert RestartingProcess(tmp_path).stop() == 0
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -10,7 +10,7 @@
 import pytest
 
 from saffronstack import config as configs
-from saffronstack.cli.ledger_ownership import TAKEN_OVER_STATUS, own_ledger
+from saffronstack.cli.ledger_ownership import TAKEN_OVER_STATUS, acquire_ledger_ownership
 from saffronstack.config.schema import Worker
 from saffronstack.discovery.files.file_reader import read_version as read
 from saffronstack.discovery.files.parsing import WorkerListVersion as Version
@@ -164,7 +164,7 @@
         "ledger": {"directory": "own-ledger"},
         "roster": {"path": "roster.json5", "state_directory": "own-roster"},
     }
-    ownership = own_ledger("", "", str(tmp_path), 5, configs.parse(json.dumps(content)))
+    ownership = acquire_ledger_ownership("", "", str(tmp_path), 5, configs.parse(json.dumps(content)))
     assert ownership is not None
     place = tmp_path / f"place-{5:020d}"
     found = ownership.config
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from saffronstack.cli.cpu_affinity import IDLE_LOOK_S, choose_cpus, choose_idle_cpus
+from saffronstack.cli.cpu_affinity import IDLE_SAMPLE_S, choose_cpus, choose_idle_cpus
 from saffronstack.config import ConfigError
 from saffronstack.harness.scenario import plan
 
@@ -59,52 +59,52 @@
 
 def test_invoke_status_and_replay(served: tuple[str, pathlib.Path]) -> None:
     address, record = served
-    done = saffronstack(
+    completed = saffronstack(
         "invoke", "identify-copy", "--payload", '{"n": 1}', "--to", address, "--tenant", "campus-app"
     )
-    assert done.returncode == 0
-    assert json.loads(done.stdout)["input"] == {"n": 1}
-    done = saffronstack("invoke", "record-sale", "--to", address, "--deferred", "--wait")
-    assert done.returncode == 0
-    assert json.loads(done.stdout)["requestContext"]["condition"] == "Success"
+    assert completed.returncode == 0
+    assert json.loads(completed.stdout)["input"] == {"n": 1}
+    completed = saffronstack("invoke", "record-sale", "--to", address, "--deferred", "--wait")
+    assert completed.returncode == 0
+    assert json.loads(completed.stdout)["requestContext"]["condition"] == "Success"
     assert saffronstack("invoke", "nowhere", "--to", address).returncode == 2
-    done = saffronstack("status", address, "127.0.0.1:1", "--json")
-    assert done.returncode == 1
-    up, down = map(json.loads, done.stdout.splitlines())
+    completed = saffronstack("status", address, "127.0.0.1:1", "--json")
+    assert completed.returncode == 1
+    up, down = map(json.loads, completed.stdout.splitlines())
     assert up["endings"]["served"] == 2
     assert "error" in down
-    done = saffronstack("replay", str(record))
-    assert done.returncode == 0
-    assert "all decided alike" in done.stdout
+    completed = saffronstack("replay", str(record))
+    assert completed.returncode == 0
+    assert "all decided alike" in completed.stdout
 
 
-def test_a_gateway_that_is_not_there_is_told_plainly() -> None:
-    done = saffronstack("invoke", "x", "--to", "127.0.0.1:1")
-    assert done.returncode == 2
-    assert "refused" in done.stderr
+def test_an_unreachable_gateway_is_reported() -> None:
+    completed = saffronstack("invoke", "x", "--to", "127.0.0.1:1")
+    assert completed.returncode == 2
+    assert "refused" in completed.stderr
 
 
 @pytest.mark.parametrize(("text", "words"), [("{}", "configuration"), ("{tenants: [", "not JSON5")])
 def test_serve_says_why_it_can_not_start(tmp_path: pathlib.Path, text: str, words: str) -> None:
     path = tmp_path / "c.json5"
     path.write_text(text)
-    done = saffronstack("serve", "--config", str(path))
-    assert done.returncode == 2
-    assert str(path) in done.stderr
+    completed = saffronstack("serve", "--config", str(path))
+    assert completed.returncode == 2
+    assert str(path) in completed.stderr
 
 
-def test_serve_wants_one_source_of_configuration() -> None:
+def test_serve_requires_one_source_of_configuration() -> None:
     assert saffronstack("serve").returncode == 2
 
 
 @pytest.mark.xdist_group("fleet")  # with the days of many gateways: one at a time
-def test_a_short_bad_day_keeps_the_rules() -> None:
-    done = saffronstack("day", "run", str(ROOT / "deploy/days/short.json5"), timeout=120)
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert done.stdout.count(": kept") == 5
+def test_a_short_scenario_with_faults_keeps_the_rules() -> None:
+    completed = saffronstack("day", "run", str(ROOT / "deploy/days/short.json5"), timeout=120)
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert completed.stdout.count(": kept") == 5
 
 
-def test_the_days_are_readable_and_bad_ones_are_named(tmp_path: pathlib.Path) -> None:
+def test_scenarios_are_loaded_and_invalid_ones_are_reported(tmp_path: pathlib.Path) -> None:
     assert {t.kind for t in plan.load(str(ROOT / "deploy/days/bad.json5")).troubles} >= {
         "balancer_crash",
         "mass_restart",
@@ -119,33 +119,33 @@
     assert saffronstack("day", "run", str(path)).returncode == 2
 
 
-def test_processors_are_chosen_in_turn_and_checked() -> None:
+def test_cpus_are_chosen_by_process_number_and_checked() -> None:
     assert choose_cpus("one", {3, 5}, 4) == {3}
     assert choose_cpus("one", {3, 5}, 5) == {5}
     assert choose_cpus("all", {3, 5}, 0) == {3, 5}
     assert choose_cpus("5", {3, 5}, 0) == {5}
-    for wanted in ("7", "x"):
+    for selection in ("7", "x"):
         with pytest.raises(ValueError, match=r"not allowed|invalid literal"):
-            choose_cpus(wanted, {3, 5}, 0)
+            choose_cpus(selection, {3, 5}, 0)
 
 
 @pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_process_keeps_to_an_idle_processor_at_its_start() -> None:
-    taken_up, *idle = sorted(os.sched_getaffinity(0))
+def test_a_process_is_pinned_to_an_idle_cpu_at_its_start() -> None:
+    busy, *idle = sorted(os.sched_getaffinity(0))
     elapsed_s: list[float] = []
 
-    def read_idle(processors: Collection[int]) -> dict[int, int]:
-        return {one: 0 if one == taken_up else int(sum(elapsed_s) * 1e9) for one in processors}
+    def read_idle(cpus: Collection[int]) -> dict[int, int]:
+        return {cpu: 0 if cpu == busy else int(sum(elapsed_s) * 1e9) for cpu in cpus}
 
-    turns = range(2 * len(idle))
+    process_numbers = range(2 * len(idle))
     chosen = [
-        choose_idle_cpus("one", {taken_up}, turn, read_idle=read_idle, pause=elapsed_s.append)
-        for turn in turns
+        choose_idle_cpus("one", {busy}, process_number, read_idle=read_idle, pause=elapsed_s.append)
+        for process_number in process_numbers
     ]
-    assert chosen == [{idle[turn % len(idle)]} for turn in turns]
-    assert elapsed_s == [IDLE_LOOK_S] * len(turns)
+    assert chosen == [{idle[process_number % len(idle)]} for process_number in process_numbers]
+    assert elapsed_s == [IDLE_SAMPLE_S] * len(process_numbers)
 
 
 @pytest.mark.parametrize(("selection", "chosen"), [("all", {3, 5}), ("3", {3}), ("one", set())])
-def test_processors_that_an_operator_chose_stay(selection: str, chosen: set[int]) -> None:
+def test_cpus_that_an_operator_chose_are_kept(selection: str, chosen: set[int]) -> None:
     assert choose_idle_cpus(selection, chosen, 1) == chosen
