--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -1,4 +1,4 @@
-"""`saffronstack fleet`: the daemon of a machine, and one tool for many gateways."""
+"""`saffronstack fleet`: runs a machine's daemon, and controls the gateways of a fleet through daemons."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class CommandError(Exception):
-    """A command can't be carried out; the text says why, and ``status`` is the exit status."""
+    """A command can't be carried out. The text gives the reason, and ``status`` is the exit status."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandOptions:
-    """How long a command waits until the gateways are as desired, and how it shows them."""
+    """How long a command waits until the gateways are as desired, and how it prints them."""
 
     wait_s: float
     as_json: bool
@@ -59,19 +59,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentCommands:
-    """The releases that gateways were told to run, and the daemons that rejected it with the reason."""
+    """Releases that gateways were told to run, and daemons that rejected the command, with the reason."""
 
     targets: dict[str, str] = field(default_factory=dict)
     rejected: dict[str, str] = field(default_factory=dict)
 
 
 def run_daemon(path: str, name: str, log_format: str) -> int:
-    """Run a machine's gateways until a signal.
+    """Run the daemon of a machine until a signal.
 
-    SIGTERM leaves them serving, SIGINT ends them too.
+    SIGTERM leaves the gateways serving, SIGINT stops them too.
 
     Returns:
-        The exit status: 0, 1 where a gateway did not end in time, or 2 where the daemon can't start.
+        The exit status: 0, 1 if a gateway did not stop in time, or 2 if the daemon can't start.
     """
     configure_logging(log_format, "info")
     signals = queue_signals("SIGTERM", "SIGINT")
@@ -114,23 +114,23 @@
         try:
             return signals.get(timeout=SIGNAL_POLL_S)
         except queue.Empty:
-            continue  # the wait is cut short so that the handler of a signal can run
+            continue  # the wait is short so that signal handlers can run
 
 
 def rolled_back_releases(quorum_read: QuorumRead) -> dict[str, str]:
-    """Return the release that a rollback takes back, with the one that replaces it."""
+    """Return the release that is being rolled back, mapped to the release that replaces it."""
     lease = quorum_read.leases.get(LEADER_LEASE)
     try:
         record = decode_record(lease.value.content) if lease is not None else None
     except RecordError:
-        return {}  # of a newer release: its leader commands what is to run
+        return {}  # of a newer version: its leader sends the commands
     if record is None or record.phase is not RolloutPhase.ROLLING_BACK:
         return {}
     return {record.new_release.digest: record.old_release.digest}
 
 
 def run_as_leader(fleet: FleetFile, wait_s: float, run: Callable[[HeldLease], int]) -> int:
-    """Run a function while holding the leader's lease, and return its exit status.
+    """Run a function while holding the leader lease, and return its exit status.
 
     Raises:
         CommandError: The lease was not granted in time.
@@ -149,17 +149,17 @@
 
 
 def _not_granted(fleet: FleetFile, link_errors: Mapping[str, str], wait_s: float) -> CommandError:
-    """Say why the lease was not granted: no majority of keepers, or another leader."""
+    """Return an error with the reason: no majority of lease servers, or another leader."""
     if sum(not error for error in link_errors.values()) <= len(fleet.keepers) // 2:
         reasons = "; ".join(f"{keeper}: {error}" for keeper, error in link_errors.items() if error)
-        return CommandError(NO_MAJORITY_STATUS, f"no majority of keepers answers: {reasons}")
+        return CommandError(NO_MAJORITY_STATUS, f"no majority of lease servers responds: {reasons}")
     return CommandError(
         NOT_GRANTED_STATUS, f"{LEADER_LEASE} was not granted within {wait_s:g} s: a rollout is being led"
     )
 
 
 def daemon_client(fleet: FleetFile, held: HeldLease) -> DaemonClient:
-    """Create a client of the fleet's daemons that sends under a lease."""
+    """Create a client that commands the fleet's daemons while the lease is held."""
     addresses = {daemon.name: daemon.address for daemon in fleet.daemons}
     return DaemonClient(fleet.fleet, addresses, held.token, lambda: held.remaining_s() > 0)
 
@@ -170,15 +170,15 @@
     """Start, stop or reload gateways and wait until they are as desired.
 
     Args:
-        path: Of the fleet file.
-        names: The gateways; all without any.
+        path: Path of the fleet file.
+        names: Names of the gateways; empty for all.
         action: "start", "stop" or "reload".
-        release: The directory of the release to start.
+        release: Directory of the release to start; empty for other actions.
         options: How long to wait and how to print the gateways.
 
     Returns:
-        The exit status: 0, 1 where some are not as desired, 2 for a bad argument, 69 without a majority of
-        keepers, 75 where a rollout is being led.
+        The exit status: 0, 1 if some gateways are not as desired, 2 for an invalid argument, 69 without a
+        majority of lease servers, 75 if a rollout is being led.
     """
     try:
         fleet = load_fleet_file(path)
@@ -201,14 +201,14 @@
     known = fleet.daemons_by_gateway()
     unknown = [name for name in names if name not in known]
     if unknown:
-        raise ConfigError(f"no gateway of the fleet: {', '.join(unknown)}")
+        raise ConfigError(f"not in the fleet file: gateway {', '.join(unknown)}")
     return list(names) or list(known)
 
 
 def _send_commands(
     client: DaemonClient, fleet: FleetFile, names: Sequence[str], action: str, digest: str
 ) -> _SentCommands:
-    """Send each reachable gateway its command."""
+    """Send the command to each gateway whose daemon responds."""
     daemon_of = fleet.daemons_by_gateway()
     before = merge_answers(client.poll())
     sent = _SentCommands()
@@ -217,7 +217,7 @@
         if daemon_of[name] in before.unavailable:
             continue
         if action == "start" and not digest:
-            raise CommandError(INVALID_INPUT_STATUS, "start needs --release")
+            raise CommandError(INVALID_INPUT_STATUS, "start requires --release")
         release = {"start": digest, "stop": ""}.get(action, before.gateways[name].desired_release)
         sent.targets[name] = release
         command = GatewayCommand(name, release, action == "reload")
@@ -232,7 +232,8 @@
     record = decode_record(held.value)
     if record is not None and not record.is_finished:
         raise CommandError(
-            NOT_GRANTED_STATUS, f"rollout {record.plan.name!r} is not over: abort it, or let it end"
+            NOT_GRANTED_STATUS,
+            f"rollout {record.plan.name!r} is not finished: abort it, or wait until it ends",
         )
     client = daemon_client(fleet, held)
     sent = _send_commands(client, fleet, names, action, digest)
@@ -252,7 +253,7 @@
 
 
 def _has_reached(status: GatewayStatus | None, target: str | None) -> bool:
-    """Whether a gateway runs the release that it was told to run; empty for none."""
+    """Return whether a gateway runs its target release; an empty target means that it is stopped."""
     if status is None or target is None:
         return False
     settled_phases = (GatewayPhase.SERVING,) if target else (GatewayPhase.STOPPED, GatewayPhase.DOWN)
@@ -261,10 +262,10 @@
 
 
 def show_status(path: str, as_json: bool) -> int:
-    """Show each gateway as its daemon sees it.
+    """Print the state of each gateway as its daemon reports it.
 
     Returns:
-        The exit status: 0, or 1 where a daemon is unavailable or a gateway is not as desired.
+        The exit status: 0, or 1 if a daemon is unavailable or a gateway is not as desired.
     """
     try:
         fleet = load_fleet_file(path)
@@ -281,7 +282,7 @@
 
 
 def print_gateways(fleet: FleetFile, status: FleetStatus, as_json: bool) -> None:
-    """Write a line for each gateway of the fleet file."""
+    """Print a line for each gateway of the fleet file."""
     for name, daemon in fleet.daemons_by_gateway().items():
         gateway = status.gateways.get(name)
         reason = status.unavailable.get(daemon)
@@ -312,7 +313,7 @@
 
 
 def release_digest(directory: str) -> int:
-    """Write a release's digest and version; return 0, or 2 where the directory has none."""
+    """Print a release's digest and version; return the exit status, 0 or 2 for an unusable directory."""
     try:
         found = read_release(directory)
     except UnusableReleaseError as error:
--- a/saffronstack/cli/cpu_affinity.py
+++ b/saffronstack/cli/cpu_affinity.py
@@ -1,4 +1,4 @@
-"""Which processors a process runs on."""
+"""Chooses and sets the CPU affinity of this process."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from saffronstack.daemon.processor_times import CpuIdleTimes
 
 DEFAULT_CPUS = "one"
-IDLE_SAMPLE_S = 0.1  # for which the processors are looked at before a process keeps to one
-NO_THREAD = 0  # no thread has this id in the system
-MAX_THREAD_LISTINGS = 10  # of the threads of this process in one move
+IDLE_SAMPLE_S = 0.1  # time over which idle times are measured before the process is pinned
+NO_THREAD = 0  # no thread has this native id
+MAX_THREAD_LISTINGS = 10  # times that one move lists the threads of this process
 
 
 def choose_cpus(selection: str, allowed: set[int], process_number: int) -> set[int]:
-    """Return the processors to run on.
+    """Return the CPUs to run on.
 
-    One is the default: only one thread holds the interpreter's lock at a time, and handing it over between
-    processors costs more than the work between two of them.
+    The default is one CPU: only one thread holds the interpreter lock at a time, and passing the lock between
+    CPUs costs more than the work that is done between two such passes.
 
     Args:
-        selection: ``one``, ``all``, or numbers joined by commas.
-        allowed: Numbers of the processors that this process may use.
-        process_number: Spreads processes that run on one processor each.
+        selection: ``one``, ``all``, or CPU numbers separated by commas.
+        allowed: Numbers of the CPUs that this process may use.
+        process_number: Spreads processes that run on one CPU each.
 
     Raises:
-        ValueError: The selection has none of the forms, or names a processor that is not allowed.
+        ValueError: The selection has none of these forms, or names a CPU that is not allowed.
     """
     if selection == "all":
         return allowed
@@ -42,9 +42,9 @@
 
 
 def choose_allowed_cpus(selection: str, process_number: int) -> set[int]:
-    """Return the processors to run on, of those that this process may use; see `choose_cpus`.
+    """Return the CPUs to run on, out of those that this process may use; see `choose_cpus`.
 
-    None where the system has no such choice.
+    Empty if the system has no CPU affinity.
     """
     if not hasattr(os, "sched_getaffinity"):
         return set()
@@ -59,16 +59,16 @@
     read_idle: Callable[[Collection[int]], Mapping[int, int]] | None = None,
     pause: Callable[[float], object] = time.sleep,
 ) -> set[int]:
-    """Return the processors to run on, once the process is to keep to them: an idle one by default.
+    """Return the CPUs to pin the process to. By default this is one idle CPU.
 
-    Takes `IDLE_SAMPLE_S` by default, and no time else.
+    Takes `IDLE_SAMPLE_S` with the default selection, and no time otherwise.
 
     Args:
         selection: See `choose_cpus`.
-        chosen: What that returned; none where the process is to keep to none.
-        process_number: Spreads processes that run on one processor each.
-        read_idle: The idle time of some processors; None to read what the system tells.
-        pause: Waits for some seconds.
+        chosen: Result of `choose_cpus`; empty if the process must not be pinned.
+        process_number: Spreads processes that run on one CPU each.
+        read_idle: Returns the idle time of CPUs; None to read it from the system.
+        pause: Sleeps for a number of seconds.
     """
     if selection != DEFAULT_CPUS or not chosen:
         return chosen
@@ -82,12 +82,12 @@
 
 
 def pin_threads(cpus: set[int]) -> set[int]:
-    """Keep all threads of this process, and those that they start, to some processors.
+    """Pin all threads of this process, and those that they start, to some CPUs.
 
-    Called once the process serves: a start on a processor that something else takes up could last for long.
+    Call it once the process serves: startup on a CPU that other processes use could take long.
 
     Returns:
-        The processors that it may use beside these.
+        The other CPUs that the process was allowed to use.
     """
     if not cpus:
         return set()
@@ -97,15 +97,16 @@
 
 
 def move_threads(cpus: Collection[int], excluded: int = NO_THREAD) -> None:
-    """Let all threads of this process but one run on some processors.
+    """Set the CPU affinity of all threads of this process but one.
 
-    A thread that starts meanwhile has the processors of the one that started it, so the system's list is read
-    until it shows none that is left. Where no descriptor is free for that, the threads that the interpreter
-    knows are moved; they are not taken else, as the interpreter may know ids of threads that have ended.
+    A thread that starts meanwhile inherits the affinity of the thread that starts it. So the system's thread
+    list is read again until it shows no thread with another affinity. If no file descriptor is free for that,
+    the threads that the interpreter knows are moved. They are not used otherwise, as the interpreter may know
+    ids of threads that have exited.
 
     Args:
-        cpus: Numbers of the processors.
-        excluded: The system's id of the thread that stays as it is, if there is one.
+        cpus: Numbers of the CPUs.
+        excluded: Native id of the thread that keeps its affinity, if there is one.
     """
     for _ in range(MAX_THREAD_LISTINGS):
         listed = _listed_threads() or _known_threads()
@@ -120,7 +121,7 @@
 
 
 def _listed_threads() -> list[int]:
-    """Return none where all descriptors are in use."""
+    """Return the native ids of all threads; empty if no file descriptor is free."""
     with contextlib.suppress(OSError):
         return [int(thread) for thread in os.listdir("/proc/self/task")]
     return []
@@ -129,11 +130,11 @@
 def _runs_on(thread: int, cpus: Collection[int]) -> bool:
     try:
         return os.sched_getaffinity(thread) == set(cpus)
-    except OSError:  # it has ended
+    except OSError:  # the thread has exited
         return True
 
 
 def _set_affinity(threads: Iterable[int], cpus: Collection[int]) -> None:
     for thread in threads:
-        with contextlib.suppress(OSError):  # it has ended
+        with contextlib.suppress(OSError):  # the thread has exited
             os.sched_setaffinity(thread, cpus)
--- a/saffronstack/cli/fleet_commands.py
+++ b/saffronstack/cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""`saffronstack fleet` and `saffronstack rollout`: the commands, on click."""
+"""`saffronstack fleet` and `saffronstack rollout`: the click commands."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @click.group("fleet")
 def fleet_group() -> None:
-    """Many gateways: their daemons, and one tool for all."""
+    """Run the daemon of a machine, and control many gateways."""
 
 
 @fleet_group.command("daemon")
 @fleet_option
-@click.option("--name", required=True, help="This machine's daemon in it.")
+@click.option("--name", required=True, help="Name of this machine's daemon in the fleet file.")
 @click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
 def fleet_daemon(path: str, name: str, log_format: str) -> None:
-    """Keep this machine's gateways as they are wanted. SIGTERM leaves them serving, SIGINT ends them too."""
+    """Keep this machine's gateways as desired. SIGTERM leaves them serving, SIGINT stops them too."""
     from saffronstack.cli.control import run_daemon
     from saffronstack.runtime.process_exit import exit_process
 
@@ -31,7 +31,7 @@
 @fleet_option
 @click.option("--json", "as_json", is_flag=True, help="One JSON line for each gateway.")
 def fleet_status(path: str, as_json: bool) -> None:
-    """How each gateway stands; 1 where a daemon is silent or a gateway not as wanted."""
+    """Print each gateway's state; exits with 1 if a daemon is unavailable or a gateway not as desired."""
     from saffronstack.cli.control import show_status
 
     sys.exit(show_status(path, as_json))
@@ -40,16 +40,21 @@
 def _gateway_options(command: Callable[..., None]) -> Callable[..., None]:
     command = click.option("--json", "as_json", is_flag=True, help="One JSON line for each gateway.")(command)
     command = click.option(
-        "--wait", "wait_s", type=click.FloatRange(min=0), default=60.0, show_default=True, help="Seconds."
+        "--wait",
+        "wait_s",
+        type=click.FloatRange(min=0),
+        default=60.0,
+        show_default=True,
+        help="Seconds to wait for the lease, and then for the gateways.",
     )(command)
     return click.argument("names", nargs=-1)(fleet_option(command))
 
 
 @fleet_group.command("start")
 @_gateway_options
-@click.option("--release", required=True, type=click.Path(file_okay=False), help="Its directory.")
+@click.option("--release", required=True, type=click.Path(file_okay=False), help="Directory of the release.")
 def fleet_start(path: str, names: tuple[str, ...], wait_s: float, as_json: bool, release: str) -> None:
-    """Run a release on the gateways named, or on all, at once; `rollout` changes it in stages."""
+    """Start a release on the named gateways, or on all, at once; `rollout` changes releases in stages."""
     from saffronstack.cli.control import CommandOptions, command_gateways
 
     options = CommandOptions(wait_s, as_json)
@@ -59,7 +64,7 @@
 @fleet_group.command("stop")
 @_gateway_options
 def fleet_stop(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
-    """End the gateways named, or all, once what they took is answered."""
+    """Stop the named gateways, or all, once their requests in flight have ended."""
     from saffronstack.cli.control import CommandOptions, command_gateways
 
     options = CommandOptions(wait_s, as_json)
@@ -69,7 +74,7 @@
 @fleet_group.command("reload")
 @_gateway_options
 def fleet_reload(path: str, names: tuple[str, ...], wait_s: float, as_json: bool) -> None:
-    """Have them reread their configurations (SIGHUP)."""
+    """Make the named gateways, or all, reload their configurations (SIGHUP)."""
     from saffronstack.cli.control import CommandOptions, command_gateways
 
     options = CommandOptions(wait_s, as_json)
@@ -79,7 +84,7 @@
 @fleet_group.command("digest")
 @click.argument("directory", type=click.Path(file_okay=False))
 def fleet_digest(directory: str) -> None:
-    """The digest by which a release directory is named in plans and orders."""
+    """Print the digest that identifies a release directory in plans and commands."""
     from saffronstack.cli.control import release_digest
 
     sys.exit(release_digest(directory))
@@ -87,12 +92,12 @@
 
 @click.group("rollout")
 def rollout_group() -> None:
-    """A change of release in stages, old and new side by side, stopped when a stage does worse."""
+    """Change the release in stages, old and new side by side; stops if a stage does worse."""
 
 
 def _plan_options(command: Callable[..., None]) -> Callable[..., None]:
     directory = click.Path(file_okay=False)
-    old_help, new_help = "The release that runs.", "The release to come."
+    old_help, new_help = "Directory of the old release, which runs.", "Directory of the new release."
     command = click.option("--from", "old", required=True, type=directory, help=old_help)(command)
     command = click.option("--to", "new", required=True, type=directory, help=new_help)(command)
     return click.argument("plan", type=click.Path(dir_okay=False))(fleet_option(command))
@@ -101,7 +106,7 @@
 @rollout_group.command("check")
 @_plan_options
 def rollout_check(path: str, plan: str, new: str, old: str) -> None:
-    """Check a plan against the fleet's file and both releases: 0, or 1 with path and reason."""
+    """Check a plan against the fleet file and both releases; exits with 0, or with 1 and each problem."""
     from saffronstack.cli.rollout import check
 
     sys.exit(check(path, plan, new, old))
@@ -109,10 +114,16 @@
 
 @rollout_group.command("start")
 @_plan_options
-@click.option("--wait", "wait_s", type=float, default=30.0, show_default=True, help="Seconds for the lease.")
+@click.option(
+    "--wait", "wait_s", type=float, default=30.0, show_default=True, help="Seconds to wait for the lease."
+)
 @click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
 def rollout_start(path: str, plan: str, new: str, old: str, wait_s: float, log_format: str) -> None:
-    """Start a rollout and lead it: 0 done, 1 it went back, 3 held or handed on, 2 it can't be started."""
+    """Start a rollout and lead it.
+
+    Exits with 0 if it completed, 1 if it was rolled back, 2 if it can't be started, 3 if it is on hold or
+    another leader continues it.
+    """
     from saffronstack.cli.rollout_leader import start
     from saffronstack.runtime.process_exit import exit_process
 
@@ -123,7 +134,7 @@
 @fleet_option
 @click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
 def rollout_lead(path: str, log_format: str) -> None:
-    """Stand by to go on with a rollout whose leader is gone."""
+    """Stand by to continue a rollout whose leader has failed."""
     from saffronstack.cli.rollout_leader import lead
     from saffronstack.runtime.process_exit import exit_process
 
@@ -132,9 +143,9 @@
 
 @rollout_group.command("status")
 @fleet_option
-@click.option("--json", "as_json", is_flag=True, help="The record as it is stored.")
+@click.option("--json", "as_json", is_flag=True, help="Print the stored record.")
 def rollout_status(path: str, as_json: bool) -> None:
-    """The rollout as it is recorded, and its history."""
+    """Print the recorded rollout and its history."""
     from saffronstack.cli.rollout import show_status
 
     sys.exit(show_status(path, as_json))
@@ -150,6 +161,6 @@
         sys.exit(store_operator_request(path, OperatorAction(name)))
 
 
-_add_request_command("pause", "Begin nothing new until it is resumed.")
-_add_request_command("resume", "Go on with one that is paused or held.")
-_add_request_command("abort", "Go back to the old release.")
+_add_request_command("pause", "Pause the rollout: start nothing new until it is resumed.")
+_add_request_command("resume", "Continue a rollout that is paused or on hold.")
+_add_request_command("abort", "Roll back to the old release.")
--- a/saffronstack/cli/fleet_option.py
+++ b/saffronstack/cli/fleet_option.py
@@ -1,4 +1,4 @@
-"""The option that names a fleet's file."""
+"""The click option for the fleet file."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def fleet_option(command: Callable[..., None]) -> Callable[..., None]:
-    """Give a command the required option ``--fleet``, as its parameter ``path``."""
-    text = "The file that all processes of the fleet share."
+    """Add the required option ``--fleet`` to a command, as its parameter ``path``."""
+    text = "Fleet file, which all processes of the fleet share."
     return click.option("--fleet", "path", required=True, type=click.Path(dir_okay=False), help=text)(command)
--- a/saffronstack/cli/fleet_services.py
+++ b/saffronstack/cli/fleet_services.py
@@ -1,4 +1,4 @@
-"""What a gateway process does for its fleet beside serving calls: a lease server, and the scheduled tasks."""
+"""Runs services for the fleet inside a gateway process: a lease server and the scheduled tasks."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class FleetServices:
-    """The fleet's services in this process, running; none of them is on the path of a call."""
+    """The running fleet services of this process. No request passes through them."""
 
     def __init__(self, config: FleetMembership) -> None:
         """Start the services that ``config`` names.
 
         Raises:
-            ConfigError: The fleet's file or the lease server's state can't be used.
+            ConfigError: The fleet file or the lease server's state is invalid.
             OSError: The lease server's address or directory is not available.
         """
         self._lease_server: LeaseServer | None = None
@@ -38,14 +38,14 @@
                 runner.start()
 
     def request_stop(self) -> None:
-        """Cancel all runs and waits for leases, without waiting for that; the lease server goes on."""
+        """Cancel task runs and pending lease requests without waiting; the lease server keeps running."""
         for runner in self._runners:
             runner.request_stop()
         if self._client is not None:
             self._client.cancel_acquires()
 
     def stop(self) -> bool:
-        """Stop the services; return whether the runs of all tasks ended in time."""
+        """Stop the services; return whether all task runs ended in time."""
         self.request_stop()
         ended_in_time = [runner.stop() for runner in self._runners]
         if self._client is not None:
--- a/saffronstack/cli/gateway_requests.py
+++ b/saffronstack/cli/gateway_requests.py
@@ -1,4 +1,4 @@
-"""`saffronstack invoke` and `saffronstack status`: questions to running gateways."""
+"""`saffronstack invoke`, `status` and `operation`: requests to running gateways."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 SECRET_VARIABLE = "SAFFRONSTACK_SECRET"
 TIMEOUT_S = 5.0
-TITLE_FIELDS = ("function", "invocationType", "requestId", "state")  # of an operation's record
+TITLE_FIELDS = ("function", "invocationType", "requestId", "state")  # in the title line of a record
 
 
 def invoke_function(
@@ -29,7 +29,12 @@
     key: str,
     timeout_s: float,
 ) -> int:
-    """Call a function and print its answer; 0 served or taken, 1 function error, 2 refused or unreachable."""
+    """Invoke a function and print its response.
+
+    Returns:
+        The exit status: 0 if the function succeeded or a deferred call was accepted, 1 if the function
+        failed, 2 if the request was rejected or the gateway is unreachable.
+    """
     try:
         body = pathlib.Path(payload[1:]).read_bytes() if payload.startswith("@") else payload.encode()
     except OSError as error:
@@ -72,7 +77,7 @@
 
 
 def show_gateways(addresses: tuple[str, ...], timeout_s: float, as_json: bool) -> int:
-    """Print each gateway's state; 0 if all answer."""
+    """Print the state of each gateway; return the exit status, 0 if all gateways respond and 1 if not."""
     exit_status = 0
     for address in addresses:
         client = Client(address, timeout_s)
@@ -100,7 +105,11 @@
 def show_operation(
     token: str, address: str, function: str, qualifier: str, tenant: str, key: str, as_json: bool
 ) -> int:
-    """Print what a gateway knows of an operation; 0 known, 1 not known, 2 no answer."""
+    """Print a gateway's records of an operation.
+
+    Returns:
+        The exit status: 0, 1 if the gateway returns no records, 2 if it does not respond.
+    """
     parameters = {"function": function, "qualifier": qualifier}
     query = urlencode({name: value for name, value in parameters.items() if value})
     target = f"/operations/{quote(token, safe='')}" + (f"?{query}" if query else "")
@@ -122,7 +131,7 @@
 
 
 def _describe_operation(record: dict[str, object]) -> str:
-    """Return the lines for a person."""
+    """Return the record as text for people: a title line and a line for each other field."""
     title = (
         f"{record['function']} {record['invocationType']}, request {record['requestId']}: {record['state']}"
     )
--- a/saffronstack/cli/lease_servers.py
+++ b/saffronstack/cli/lease_servers.py
@@ -1,4 +1,4 @@
-"""`saffronstack keeper`: the lease servers of a fleet."""
+"""`saffronstack keeper`: establishes and runs a lease server, and prints the state of all of a fleet."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def establish(path: str, name: str, directory: str) -> int:
-    """Create the state directory of a server of a new fleet.
+    """Create the state directory of a lease server of a new fleet.
 
     Args:
-        path: The fleet's file.
-        name: The server's name in it.
-        directory: The state directory.
+        path: Path of the fleet file.
+        name: Name of the server in the fleet file.
+        directory: State directory of the server.
 
     Returns:
         The exit status: 0, or 2 with the reason on standard error.
@@ -56,13 +56,13 @@
     """Run a lease server until SIGTERM or SIGINT.
 
     Args:
-        path: The fleet's file.
-        name: The server's name in it.
-        directory: The state directory.
-        log_format: How logs are written, ``console`` or ``json``.
+        path: Path of the fleet file.
+        name: Name of the server in the fleet file.
+        directory: State directory of the server.
+        log_format: Format of log lines, ``console`` or ``json``.
 
     Returns:
-        The exit status: 0, or 2 where the server can't start.
+        The exit status: 0, or 2 if the server can't start.
     """
     configure_logging(log_format, "info")
     signals = queue_signals(signal.SIGTERM.name, signal.SIGINT.name)
@@ -90,14 +90,14 @@
 
 
 def show_status(path: str, as_json: bool) -> int:
-    """Print the state of each server of a fleet.
+    """Print the state of each lease server of a fleet.
 
     Args:
-        path: The fleet's file.
+        path: Path of the fleet file.
         as_json: Print one JSON line for each server.
 
     Returns:
-        The exit status: 0 where a majority votes, 69 where none does, 2 for a bad file.
+        The exit status: 0 if a majority votes, 69 if not, 2 for an invalid file.
     """
     try:
         fleet = load_fleet_file(path)
@@ -120,7 +120,7 @@
 
 
 def _request_status(address: str, timeout_s: float) -> dict[str, object]:
-    """Return a server's status page as it is, which may be of another version, or only an ``error``."""
+    """Return a server's status page, which may be of another version, or only an ``error``."""
     client = Client(address, timeout_s)
     try:
         page = msgspec.json.decode(client.request("GET", "/status").body)
@@ -136,9 +136,12 @@
         return f"no answer: {status['error']}"
     description = "votes" if status["votes"] else "does not vote"
     if status["disk"] == DiskState.REPLACED.value:
-        description += ": another came in its place; stop it, and give it an empty directory if it is the one"
+        description += (
+            ": another server took its name; stop this one, "
+            "and give it an empty directory if it is the right one"
+        )
     elif not status["votes"]:
         wait_s = status["votes_in_s"]
-        description += f" for {wait_s} s" if wait_s else ": others must tell it what they hold"
+        description += f" for {wait_s} s" if wait_s else ": it must first catch up with the others"
     disk_error = f", disk: {status['trouble']}" if status["trouble"] else ""
     return f"{description}, disk {status['disk']}, {status['leases']} leases{disk_error}"
--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -32,13 +32,13 @@
 
 NO_MAJORITY_STATUS = 69  # EX_UNAVAILABLE of sysexits.h
 NOT_GRANTED_STATUS = 75  # EX_TEMPFAIL
-LEASE_LOST_STATUS = 76
-INVALID_INPUT_STATUS = 2
-CANNOT_EXECUTE_STATUS = 126  # as shells report it
+LEASE_LOST_STATUS = 76  # the lease was lost while the command ran
+INVALID_INPUT_STATUS = 2  # a bad argument or file, or a service that can't start
+CANNOT_EXECUTE_STATUS = 126  # the exit status of shells for this
 COMMAND_NOT_FOUND_STATUS = 127
-SIGNAL_STATUS_BASE = 128  # plus the signal that ended a command
-TERM_LEASE_FRACTION = 0.4  # of the lease: with so little left the command is asked to end
-KILL_LEASE_FRACTION = 0.15  # and with so little it is killed; leases are renewed after a third of their time
+SIGNAL_STATUS_BASE = 128  # plus the number of the signal that ended the command
+TERM_LEASE_FRACTION = 0.4  # of the lease duration: with less left, the command gets SIGTERM
+KILL_LEASE_FRACTION = 0.15  # with less left it is killed; leases are renewed after a third of their duration
 POLL_S = 0.02
 SIGNAL_POLL_S = 1.0
 
@@ -56,19 +56,19 @@
 
 
 def create_lease_fleet(fleet: FleetFile) -> LeaseFleet:
-    """Return the lease servers of a fleet's file, and their limits."""
+    """Return the lease servers of a fleet file, and their limits."""
     addresses = fleet.lease_server_addresses()
     limits = LeaseLimits(tuple(sorted(addresses)), max_lease_s=fleet.longest_s, max_clock_drift=fleet.drift)
     return LeaseFleet(fleet.fleet, addresses, limits, fleet.wait_s)
 
 
 def open_client(fleet: FleetFile) -> LeaseClient:
-    """Open this process's client of the fleet's lease servers."""
+    """Open a client of the fleet's lease servers for this process."""
     return LeaseClient(create_lease_fleet(fleet), process_name(), fleet.lease_s, secrets.randbits(31))
 
 
 def process_name() -> str:
-    """Return a name that no other process has or had."""
+    """Return a name that no other process has or ever had."""
     return f"{socket.gethostname()}-{os.getpid()}-{secrets.token_hex(4)}"
 
 
@@ -84,19 +84,19 @@
     return signals
 
 
-# ---- lease list, lease show
+# ---- lease list and lease show
 
 
 def lease_list(path: str, selected_lease: str, as_json: bool) -> int:
-    """Print each lease as a majority of servers shows it.
+    """Print each lease as a majority of lease servers shows it.
 
     Args:
-        path: The fleet's file.
-        selected_lease: The one lease to print; empty for all.
+        path: Path of the fleet file.
+        selected_lease: Name of the only lease to print; empty for all.
         as_json: Print one JSON line for each lease.
 
     Returns:
-        The exit status: 0, 1 for an unknown lease, 69 without a majority, 2 for a bad file.
+        The exit status: 0, 1 for an unknown lease, 69 without a majority, 2 for an invalid file.
     """
     try:
         fleet = load_fleet_file(path)
@@ -105,13 +105,13 @@
         return INVALID_INPUT_STATUS
     quorum_read = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
     for server, error_text in quorum_read.errors.items():
-        click.echo(f"{fleet.lease_server_addresses()[server]}: no answer: {error_text}", err=True)
+        click.echo(f"{fleet.lease_server_addresses()[server]}: no response: {error_text}", err=True)
     if not quorum_read.has_majority:
         responded = len(fleet.keepers) - len(quorum_read.errors)
-        click.echo(f"no majority: {responded} of {len(fleet.keepers)} answered", err=True)
+        click.echo(f"no majority: {responded} of {len(fleet.keepers)} responded", err=True)
         return NO_MAJORITY_STATUS
     if selected_lease and selected_lease not in quorum_read.leases:
-        click.echo(f"{selected_lease}: no keeper knows it", err=True)
+        click.echo(f"{selected_lease}: no lease server knows it", err=True)
         return 1
     for status in _select_leases(quorum_read, selected_lease):
         click.echo(_json_line(status) if as_json else _text_line(status))
@@ -146,14 +146,14 @@
 
 
 def run_tasks(path: str, log_format: str) -> int:
-    """Run the tasks of a fleet's file, each while this process holds its lease, until SIGTERM or SIGINT.
+    """Run the tasks of a fleet file, each while this process holds its lease, until SIGTERM or SIGINT.
 
     Args:
-        path: The fleet's file.
-        log_format: How logs are written, ``console`` or ``json``.
+        path: Path of the fleet file.
+        log_format: Format of log lines, ``console`` or ``json``.
 
     Returns:
-        The exit status: 0, 1 where a run did not end in time, 2 for a bad file.
+        The exit status: 0, 1 if a run did not end in time, 2 for an invalid file.
     """
     configure_logging(log_format, "info")
     signals = queue_signals(signal.SIGTERM.name, signal.SIGINT.name)
@@ -177,13 +177,13 @@
             break
         except queue.Empty:  # no signal yet
             continue
-    ended_in_time = [runner.stop() for runner in runners]  # all of them, also after one that did not end
+    ended_in_time = [runner.stop() for runner in runners]  # every runner, even if one does not end in time
     client.close()
     return 0 if all(ended_in_time) else 1
 
 
 def create_task(task: TaskEntry, client: LeaseClient) -> Task:
-    """Return the task that a task of the file describes."""
+    """Create the task that an entry of the fleet file describes."""
     match task.kind:
         case "usage":
             return FleetUsageTask(task.usage, task.output)
@@ -200,14 +200,14 @@
     """Run a command while the lease is held.
 
     Args:
-        path: The fleet's file.
-        lease: The lease's name.
-        wait_s: How long to wait for the lease, in seconds.
+        path: Path of the fleet file.
+        lease: Name of the lease.
+        wait_s: Seconds to wait for the lease.
         command: The command and its arguments.
 
     Returns:
-        The command's exit status, or 69 without a majority, 75 where the lease was not granted in time, 76
-        where it was lost, 2 for a bad file.
+        The command's exit status, or 69 without a majority, 75 if the lease was not granted in time, 76 if it
+        was lost, 2 for an invalid file.
     """
     configure_logging("console", "warning")
     signals = queue_signals(signal.SIGTERM.name, signal.SIGINT.name, signal.SIGHUP.name)
@@ -233,7 +233,7 @@
         click.echo(f"saffronstack lease run: {lease} was not granted within {wait_s:g} s", err=True)
         return NOT_GRANTED_STATUS
     text = "; ".join(f"{server}: {error}" for server, error in errors.items() if error)
-    click.echo(f"saffronstack lease run: no majority of keepers answers: {text}", err=True)
+    click.echo(f"saffronstack lease run: no majority of lease servers responds: {text}", err=True)
     return NO_MAJORITY_STATUS
 
 
@@ -246,14 +246,14 @@
     except OSError as error:
         click.echo(f"saffronstack lease run: {command[0]}: {error.strerror}", err=True)
         return COMMAND_NOT_FOUND_STATUS if isinstance(error, FileNotFoundError) else CANNOT_EXECUTE_STATUS
-    is_ending = False  # whether the command was asked to end, its lease being about to expire
+    is_ending = False  # whether the command was told to end because its lease is about to expire
     while True:
         status = _wait(process)
         if status is not None:
             return _finish(held, status, is_ending)
         with contextlib.suppress(queue.Empty):
             _signal_group(process, signals.get_nowait())
-        # Renewed after a third of its time, it never has so little left while a majority answers.
+        # While a majority responds, the lease is renewed earlier: after a third of its duration.
         remaining_s = held.remaining_s()
         if remaining_s < KILL_LEASE_FRACTION * lease_s:
             _signal_group(process, signal.SIGKILL)
@@ -279,6 +279,6 @@
 
 
 def _signal_group(process: subprocess.Popen[bytes], number: int) -> None:
-    """Signal the command with all that it started: that works under the lease too."""
-    with contextlib.suppress(ProcessLookupError):  # it has just ended
+    """Signal the command and the processes that it started, since they work under the lease too."""
+    with contextlib.suppress(ProcessLookupError):  # the command has just exited
         os.killpg(process.pid, number)
--- a/saffronstack/cli/ledger_ownership.py
+++ b/saffronstack/cli/ledger_ownership.py
@@ -1,4 +1,4 @@
-"""A gateway's ownership of its ledger, where another gateway of the fleet may take that over."""
+"""Ownership of a gateway's ledger, which another gateway of the fleet may take over."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 
 log = structlog.get_logger("saffronstack.serve")
 CHECK_INTERVAL_S = 0.1
-ACQUIRE_TIMEOUT_LEASES = 3.0  # longest leases that a start waits: an earlier run's own must expire first
-TAKEN_OVER_STATUS = 3  # exit status
+ACQUIRE_TIMEOUT_LEASES = (
+    3.0  # wait in longest lease durations: the lease of an earlier incarnation must expire first
+)
+TAKEN_OVER_STATUS = 3  # exit status of a gateway whose ledger was taken over
 
 
 class LedgerOwnership:
-    """One run's right to write a ledger: a fencing token, and the lease that shows that the run is alive."""
+    """The right of one incarnation to write a ledger: a fencing token, and a lease that shows it is alive."""
 
     def __init__(
         self,
@@ -34,17 +36,17 @@
         client: LeaseClient | None,
         held: HeldLease | None,
     ) -> None:
-        """Enter a ledger's directory under a token.
+        """Take the ownership of a ledger directory under a fencing token.
 
         Args:
-            directory: The ledger's directory, with a place for each owner.
+            directory: The ledger directory, which has a subdirectory for each owner.
             token: The fencing token.
-            config: The gateway's configuration; `config` has the place's directories.
-            client: The client of the lease; None where the token was given from outside.
-            held: The lease; None where the token was given from outside.
+            config: The gateway's configuration; the attribute `config` has the owner's directories.
+            client: Client of the lease; None if the token came from the command line.
+            held: The lease; None if the token came from the command line.
 
         Raises:
-            OSError: The directory can't be entered.
+            OSError: The directory can't be read or written.
         """
         self._directory, self._token, self._client, self._held = directory, token, client, held
         self._is_closed = threading.Event()
@@ -54,15 +56,15 @@
         config = msgspec.structs.replace(
             config, ledger=msgspec.structs.replace(config.ledger, directory=str(owner_directory))
         )
-        if held is None:  # for another gateway's calls: its other state lies beside them
+        if held is None:  # finishes another gateway's calls, and keeps its own state beside them
             config = _with_state_directories_in(config, owner_directory)
         self.config = config
 
     def watch(self) -> None:
-        """End this process at once where a later owner has entered; runs on a thread of its own.
+        """Exit this process at once when there is a later owner. Runs on a separate thread.
 
-        What this process still does is fenced off, and its calls are the later owner's to finish. A lease
-        that expired without a later owner is acquired again.
+        The fencing token keeps later writes of this process from being used, and the later owner finishes its
+        calls. If the lease expired without a later owner, it is acquired again.
         """
         while not self._is_closed.wait(CHECK_INTERVAL_S):
             if self._directory.has_later_owner(self._token):
@@ -72,7 +74,7 @@
             self._renew_expired_lease()
 
     def is_current(self) -> bool:
-        """Return whether no later owner has entered, as far as the directory can be read; any thread."""
+        """Return whether there is no later owner; False if that can't be read. Any thread may call it."""
         try:
             return not self._directory.has_later_owner(self._token)
         except OSError:
@@ -86,7 +88,7 @@
             self._held = held
 
     def close(self, is_clean: bool) -> None:
-        """Give the ledger up; where calls are open (not ``is_clean``), another gateway finishes them."""
+        """Release the ledger. If calls are still open (not ``is_clean``), another gateway finishes them."""
         self._is_closed.set()
         if is_clean:
             self._directory.mark_clean_shutdown(self._token)
@@ -97,27 +99,29 @@
 def acquire_ledger_ownership(
     fleet_path: str, name: str, directory: str, token: int, config: Config
 ) -> LedgerOwnership | None:
-    """Take the ownership of a ledger, under a lease of this gateway's own or a token that was given.
+    """Take the ownership of a ledger, under this gateway's own lease or a token from the command line.
 
     Args:
-        fleet_path: The fleet's file, for a lease of this gateway's own; or empty.
-        name: The gateway's name in the fleet.
-        directory: The ledger's directory, with ``token``; or empty.
-        token: The token that was given.
+        fleet_path: Path of the fleet file, to acquire this gateway's lease; or empty.
+        name: Name of the gateway in the fleet.
+        directory: Ledger directory to own under ``token``; or empty.
+        token: Fencing token from the command line.
         config: The gateway's configuration.
 
     Returns:
-        The ownership; None without a fleet and without a directory.
+        The ownership; None without a fleet file and without a directory.
 
     Raises:
-        ConfigError: The fleet's file is invalid, or the configuration has no ledger.
+        ConfigError: The fleet file is invalid, or the configuration has no ledger.
         LeaseNotGrantedError: The lease was not granted in time.
-        OSError: The directory can't be entered.
+        OSError: The directory can't be read or written.
     """
     if not fleet_path and not directory:
         return None
     if config.ledger is None:
-        raise ConfigError("--fleet needs a ledger in the configuration: it is what others may take over")
+        raise ConfigError(
+            "--fleet requires a ledger in the configuration, which other gateways may take over"
+        )
     if directory:
         return LedgerOwnership(LedgerDirectory(directory), token, config, None, None)
     from saffronstack.cli.leases import open_client
--- a/saffronstack/cli/logs.py
+++ b/saffronstack/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs of the commands."""
+"""Structured logging of the commands."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def configure_logging(log_format: str, level: str) -> None:
-    """Structured lines on standard error."""
+    """Write structured log lines to standard error, as JSON or for a console."""
     renderer = (
         structlog.processors.JSONRenderer()
         if log_format == "json"
--- a/saffronstack/cli/main.py
+++ b/saffronstack/cli/main.py
@@ -1,4 +1,4 @@
-"""`saffronstack`: the commands, on click."""
+"""`saffronstack`: the click commands."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(package_name="saffronstack")
 def main() -> None:
-    """A gateway that runs calls on workers which load functions on demand."""
+    """A gateway that runs requests on workers which load functions on demand."""
 
 
 @main.command()
 @click.option("--config", "path", type=click.Path(dir_okay=False), help="JSON5 configuration file.")
 @click.option(
-    "--with-standins", is_flag=True, help="Start stand-in workers and a sample configuration with it."
+    "--with-standins", is_flag=True, help="Use a sample configuration, and start stub workers for it."
 )
-@click.option("--listen", help="HOST:PORT in place of the configuration's; port 0 takes a free one.")
+@click.option("--listen", help="HOST:PORT in place of the configuration's; port 0: any free one.")
 @click.option(
     "--ledger", type=click.Path(file_okay=False), help="Ledger directory in place of the configuration's."
 )
@@ -36,10 +36,14 @@
     "--record",
     "decision_record_path",
     type=click.Path(dir_okay=False),
-    help="Write every decision to a file.",
+    help="Record every routing decision in this file.",
 )
 @click.option(
-    "--processes", type=click.IntRange(1, 256), default=1, show_default=True, help="On one address."
+    "--processes",
+    type=click.IntRange(1, 256),
+    default=1,
+    show_default=True,
+    help="Number of processes on one address.",
 )
 @click.option(
     "--replace-stopped",
@@ -47,17 +51,19 @@
     type=click.FloatRange(min=0),
     default=1.0,
     show_default=True,
-    help="Seconds of silence after which a stopped process of several is replaced; 0: never.",
+    help="With several processes: seconds without a heartbeat until a stopped one is replaced; 0: never.",
 )
-@click.option("--fleet", default="", help="The fleet's file: another gateway may finish this one's calls.")
-@click.option("--name", default="", help="With --fleet: this gateway's name in it.")
+@click.option("--fleet", default="", help="Fleet file: another gateway may finish this one's deferred calls.")
+@click.option("--name", default="", help="With --fleet: name of this gateway in the fleet.")
 @click.option("--ledger-home", hidden=True, default="")
 @click.option("--ledger-token", hidden=True, type=int, default=0)
 @click.option("--finish", hidden=True, is_flag=True)
 @click.option("--member", hidden=True, default="")
 @click.option("--listen-fd", hidden=True, type=int, default=-1)
 @click.option("--standby", hidden=True, is_flag=True)
-@click.option("--cpus", default="one", show_default=True, help="one, all, or numbers like 2,3.")
+@click.option(
+    "--cpus", default="one", show_default=True, help="CPUs to run on: one, all, or numbers like 2,3."
+)
 @click.option("--log", "log_format", type=click.Choice(["console", "json"]), default="console")
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 def serve(
@@ -80,7 +86,7 @@
     log_format: str,
     log_level: str,
 ) -> None:
-    """Run a gateway in the foreground until SIGTERM or SIGINT; SIGHUP rereads keys and workers."""
+    """Run a gateway in the foreground until SIGTERM or SIGINT; SIGHUP reloads keys and workers."""
     from saffronstack.cli.serve import run
     from saffronstack.cli.serve_options import ServeOptions
     from saffronstack.cli.supervise import supervise
@@ -92,10 +98,10 @@
                            member, stopped_timeout_s, fleet, name, ledger_home, ledger_token, finish,
                            listen_fd, standby)  # fmt: skip
     if bool(fleet) != bool(name):
-        raise click.UsageError("--fleet and --name go together")
+        raise click.UsageError("--fleet and --name require each other")
     if processes > 1:
         if path is None or decision_record_path or fleet:
-            raise click.UsageError("--processes goes with --config, and not with --record or --fleet")
+            raise click.UsageError("--processes requires --config and excludes --record and --fleet")
         exit_process(supervise(options, processes))
     exit_process(run(options))
 
@@ -108,7 +114,7 @@
 @config_group.command("check")
 @click.argument("path", type=click.Path())
 def config_check(path: str) -> None:
-    """Check a gateway's or a fleet's file: 0 and a summary, or 1 and what is wrong where."""
+    """Check a gateway or fleet file; exits with 0 and a summary, or with 1 and the place of the error."""
     from saffronstack.config.fleet import is_fleet_file, load_fleet_file
 
     try:
@@ -130,7 +136,7 @@
 @main.command("replay")
 @click.argument("path", type=click.Path())
 def replay_command(path: str) -> None:
-    """Feed a record of decisions to a fresh module; fails at the first decision that differs."""
+    """Replay a decision record in a fresh router; fails at the first decision that differs."""
     try:
         replayed = replay_decisions(path)
     except (DecisionRecordError, OSError) as error:
--- a/saffronstack/cli/parent_process.py
+++ b/saffronstack/cli/parent_process.py
@@ -1,4 +1,4 @@
-"""What a gateway process and the process that started it tell each other: a supervisor or a daemon."""
+"""Communication between a gateway process and the supervisor or daemon that started it."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.serve")
-ACCEPT_TIMEOUT_S = 2.0  # the accepting thread looks up every half second without anything to accept
+ACCEPT_TIMEOUT_S = 2.0  # the accepting thread wakes up every 0.5 s even without connections
 ENGINE_RESPONSE_POLL_S = 0.2
 
 
 def announce(line: str) -> None:
-    """Write a line for the parent, which may have ended meanwhile: the gateway goes on without it."""
+    """Write a line to the parent process. If that has exited, the gateway continues without it."""
     try:
         click.echo(line)
         sys.stdout.flush()
     except BrokenPipeError:
-        with open(os.devnull, "wb") as null_device:  # what is still buffered would fail again at the exit
+        with open(os.devnull, "wb") as null_device:  # buffered output would fail again at exit
             os.dup2(null_device.fileno(), sys.stdout.fileno())
 
 
 def wait_in_standby() -> bool:
-    """Report that all is loaded and nothing opened, and wait; whether this process may serve."""
+    """Report that all is loaded and nothing opened, and wait; return whether this process may serve."""
     announce("saffronstack is prepared")
     return wait_until_allowed(sys.stdin.fileno())
 
 
 def offer_listener(listener: socket.socket | None) -> ListenerHandover | None:
-    """Offer the listening socket to the next daemon: the one that created it may be replaced."""
+    """Offer the listening socket to later daemons, as the daemon that created it may be replaced."""
     mark = os.environ.get(MARK_VARIABLE, "")
     if listener is None or not mark:
         return None
@@ -52,7 +52,7 @@
 
 
 def terminate_with_parent(signals: queue.SimpleQueue[int]) -> None:
-    """Queue a SIGTERM once the supervisor has ended: standard input is a pipe that closes then."""
+    """Queue a SIGTERM once the supervisor has exited: standard input is a pipe that closes then."""
 
     def watch() -> None:
         while os.read(0, 1024):
@@ -63,8 +63,10 @@
 
 
 def send_heartbeats(gateway: Gateway, stopping: threading.Event) -> None:
-    """Write a line for the supervisor while the accepting and the deciding thread make progress, or while the
-    gateway stops, which has bounds of its own. Returns once the supervisor is gone.
+    """Send heartbeats to the supervisor, as lines on standard output, until the supervisor exits.
+
+    A heartbeat requires that the accepting thread and the engine's thread make progress. While the gateway
+    shuts down, which has a time limit of its own, heartbeats are sent regardless.
     """
     pause = threading.Event()
     while True:
--- a/saffronstack/cli/process_signals.py
+++ b/saffronstack/cli/process_signals.py
@@ -1,4 +1,4 @@
-"""Signals that end a process or have it read its configuration again."""
+"""Signals that end a process or make it reload its configuration."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 
 
 def receive_signals() -> queue.SimpleQueue[int]:
-    """Return the queue of signals as they arrive. The handler only queues: it may run between any two
-    instructions.
+    """Return a queue that receives the handled signals.
+
+    The handler only queues them, since it may run between any two instructions.
     """
     received: queue.SimpleQueue[int] = queue.SimpleQueue()
 
@@ -24,6 +25,6 @@
 
 
 def ignore_signals() -> None:
-    """Ignore them from now on: one that comes while the process ends must not change its exit status."""
+    """Ignore the handled signals: one that arrives while the process exits must not change its status."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
--- a/saffronstack/cli/rollout.py
+++ b/saffronstack/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`saffronstack rollout check`, `status` and operators' requests: what needs no leader."""
+"""`saffronstack rollout check`, `status`, `pause`, `resume` and `abort`: commands that lead no rollout."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def rollout_fleet(fleet: FleetFile) -> RolloutFleet:
-    """Return the gateways of a fleet file as rollouts see them."""
+    """Return the gateways of a fleet file in the form that rollouts use."""
     gateways = tuple(
         FleetGateway(name=gateway.name, zone=gateway.zone, group=gateway.group)
         for daemon in fleet.daemons for gateway in daemon.gateways
@@ -32,17 +32,17 @@
 
 
 def store_operator_request(path: str, action: OperatorAction) -> int:
-    """Leave a request for the leader, who takes it within seconds.
+    """Store a request for the rollout leader, which reads it within seconds.
 
     Returns:
-        The exit status: 0 once a majority of lease servers has it, 2 where no rollout is under way or the
-        fleet file is unusable, 69 without a majority.
+        The exit status: 0 if a majority of lease servers stored it, 2 if no rollout is in progress or the
+        fleet file is invalid, 69 without a majority.
     """
     try:
         fleet = load_fleet_file(path)
         record = read_record(fleet)
         if record is None or record.is_finished:
-            raise CommandError(INVALID_INPUT_STATUS, "no rollout is under way")
+            raise CommandError(INVALID_INPUT_STATUS, "no rollout is in progress")
         _store_request(fleet, record.plan.name, action)
     except ConfigError as error:
         click.echo(str(error), err=True)
@@ -70,10 +70,10 @@
 
 
 def show_status(path: str, as_json: bool) -> int:
-    """Show the recorded rollout.
+    """Print the recorded rollout.
 
     Returns:
-        The exit status: 0, 1 where there is none, 2 for an unusable fleet file, or 69 without a majority.
+        The exit status: 0, 1 if there is none, 2 for an invalid fleet file, or 69 without a majority.
     """
     try:
         fleet = load_fleet_file(path)
@@ -119,15 +119,15 @@
 
 
 def read_record(fleet: FleetFile) -> RolloutRecord | None:
-    """Return the rollout as a majority of lease servers shows it; None where none was ever recorded.
+    """Return the rollout that a majority of lease servers shows; None if none was ever recorded.
 
     Raises:
-        CommandError: No majority answers.
-        RecordError: The record is of another version.
+        CommandError: No majority responds.
+        RecordError: The record has the format of another version.
     """
     quorum_read = read_leases(fleet.lease_server_addresses(), fleet.wait_s)
     if not quorum_read.has_majority:
-        raise CommandError(NO_MAJORITY_STATUS, f"no majority of keepers answers: {quorum_read.errors}")
+        raise CommandError(NO_MAJORITY_STATUS, f"no majority of lease servers responds: {quorum_read.errors}")
     lease = quorum_read.leases.get(LEADER_LEASE)
     return decode_record(lease.value.content) if lease is not None else None
 
--- a/saffronstack/cli/rollout_leader.py
+++ b/saffronstack/cli/rollout_leader.py
@@ -1,4 +1,4 @@
-"""`saffronstack rollout start` and `lead`: the processes that lead a rollout, with the canary statistics."""
+"""`saffronstack rollout start` and `lead`: processes that lead a rollout, with its canary analysis."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 )
 from saffronstack.runtime.threads import start_thread
 
-# Exit statuses of a rollout that was led, by the phase in which its leader ended.
+# Exit status of a leader, by the phase in which it left the rollout.
 EXIT_STATUS_BY_PHASE = {RolloutPhase.COMPLETED: 0, RolloutPhase.ROLLED_BACK: 1}
-NOT_FINISHED_STATUS = 3  # it is on hold, or another leader goes on
+NOT_FINISHED_STATUS = 3  # the rollout is on hold, or another leader continues it
 RETRY_INTERVAL_S = 1.0
 
 
@@ -44,7 +44,8 @@
     """Check a plan, record it and lead it.
 
     Returns:
-        The exit status: 0 completed, 1 rolled back, 3 not finished, 2 where it can't be started.
+        The exit status: 0 if the rollout completed, 1 if it was rolled back, 2 if it can't be started, 3 if
+        it is not finished.
     """
     configure_logging(log_format, "info")
     stopping = _stop_on_signals()
@@ -75,7 +76,7 @@
         raise CommandError(INVALID_INPUT_STATUS, "; ".join(problems))
     record = create_record(plan, old, new)
     if not held.put(encode_record(record), STORE_TIMEOUT_S):
-        raise CommandError(NO_MAJORITY_STATUS, "the plan could not be stored: nothing was begun")
+        raise CommandError(NO_MAJORITY_STATUS, "the plan could not be stored; the rollout was not started")
     return _lead(fleet, held, daemons, record, stopping)
 
 
@@ -88,9 +89,11 @@
 
 
 def _fleet_problems(daemons: DaemonClient, plan: RolloutPlan) -> list[str]:
-    """Return the daemons that do not answer, and the gateways that do not run the plan's base."""
+    """Return the daemons that do not respond, and the gateways that do not run the plan's base release."""
     polled = merge_answers(daemons.poll())
-    unavailable = [f"fleet: daemon {name} gives no answer: {why}" for name, why in polled.unavailable.items()]
+    unavailable = [
+        f"fleet: daemon {name} does not respond: {why}" for name, why in polled.unavailable.items()
+    ]
     return unavailable + [
         f"fleet: {name} runs {status.running_release or 'nothing'}, not {plan.base_digest}"
         for name, status in polled.gateways.items() if status.running_release != plan.base_digest
@@ -109,7 +112,7 @@
 
 
 class _ProgressPrinter:
-    """Writes a rollout's state whenever it changes."""
+    """Prints the state of a rollout whenever it changes."""
 
     def __init__(self) -> None:
         self._last_line = ""
@@ -123,10 +126,10 @@
 
 
 def lead(path: str, log_format: str) -> int:
-    """Stand by to lead whatever rollout is recorded, until a signal.
+    """Stand by to lead any recorded rollout, until a signal.
 
     Returns:
-        The exit status: 0, or 2 for an unusable fleet file.
+        The exit status: 0, or 2 for an invalid fleet file.
     """
     configure_logging(log_format, "info")
     stopping = _stop_on_signals()
@@ -139,7 +142,7 @@
     click.echo("saffronstack stands by to lead")
     try:
         while not stopping.is_set():
-            # A read costs lease servers no write; a request for a lease does.
+            # Read first: that costs the lease servers no write, but a request for a lease does.
             held = client.acquire(LEADER_LEASE, RETRY_INTERVAL_S) if _has_open_rollout(fleet) else None
             if held is not None:
                 _lead_recorded(fleet, held, stopping)
@@ -150,7 +153,7 @@
 
 
 def _lead_recorded(fleet: FleetFile, held: HeldLease, stopping: threading.Event) -> None:
-    """Lead the rollout in the lease's value, and release the lease."""
+    """Lead the rollout that the lease's value records, then release the lease."""
     try:
         record = decode_record(held.value)
         if record is not None and not record.is_finished:
@@ -165,7 +168,7 @@
     try:
         record = read_record(fleet)
     except (CommandError, ValueError):
-        return False  # nothing can be led now; it is read again soon
+        return False  # the record can't be read now; the caller tries again
     return record is not None and not record.is_finished
 
 
--- a/saffronstack/cli/roster.py
+++ b/saffronstack/cli/roster.py
@@ -1,4 +1,4 @@
-"""`saffronstack roster`: checking lists, and saying to gateways what operators say."""
+"""`saffronstack roster`: checks and compares worker lists, and stores operators' commands for gateways."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class RosterCommandError(Exception):
-    """What stands in the way, for the person who called."""
+    """A command can't be carried out; the text gives the reason."""
 
 
 def _load_version(path: str, kinds: tuple[str, ...] | None) -> WorkerListVersion:
-    """The version at a path; without ``kinds`` any kind will do."""
+    """Load the list version at a path; without ``kinds``, all kinds of workers are allowed."""
     try:
         text = read_version(pathlib.Path(path))
         return parse_version(text.parts, text.digest, kinds, text.generation)
@@ -54,8 +54,10 @@
 
 
 def check(path: str, config_path: str | None) -> int:
-    """Check a file or directory; with a configuration also what its guards would say. 0, or 1 with
-    reasons.
+    """Check a file or directory; with a configuration, apply its change guards too.
+
+    Returns:
+        The exit status: 0, or 1 if a guard would hold the version.
     """
     config = _load_config(config_path) if config_path else None
     kinds = tuple(kind.name for kind in config.kinds) if config else None
@@ -81,7 +83,7 @@
 
 
 def diff(before: str, after: str) -> int:
-    """What changes from one list to another, in meaning; 0 where nothing does, else 1."""
+    """Print the changes of meaning between two lists; return the exit status, 0 without changes, else 1."""
     old_workers, new_workers = _load_version(before, None).by_name(), _load_version(after, None).by_name()
     changes = compare_lists(old_workers, new_workers)
     for name in changes.removed:
@@ -101,7 +103,7 @@
 
 
 def show(config_path: str) -> int:
-    """The list applied last, and what operators said."""
+    """Print the last applied list and the operators' commands; return the exit status, 1 without a list."""
     state = _state_directory(config_path)
     applied = state.last()
     if applied is None:
@@ -122,21 +124,21 @@
 
 
 def drain(config_path: str, workers: tuple[str, ...], undo: bool) -> int:
-    """Drain workers, whatever any source says, or no longer."""
+    """Drain workers, whatever their lists say, or undo that."""
     state = _state_directory(config_path)
     names = state.drains() - set(workers) if undo else state.drains() | set(workers)
     applied = state.last()
     listed = {worker.id for worker in applied.workers} if applied is not None else set()
     for name in workers:
         if name not in listed and not undo:
-            click.echo(f"{name}: in no list that was applied; it is drained should it come", err=True)
+            click.echo(f"{name}: in no list that was applied; it will be drained if it is added", err=True)
     state.tell("drains", "\n".join(sorted(names)))
     click.echo(f"drained by operators: {', '.join(sorted(names)) or 'none'}")
     return 0
 
 
 def accept(config_path: str, digest: str) -> int:
-    """Let a held version be applied: this one and no other."""
+    """Accept a held version, which gateways then apply: this version and no other."""
     state = _state_directory(config_path)
     state.tell("accept", digest)
     click.echo(f"{digest}: accepted; a gateway that holds it applies it within a second")
@@ -144,7 +146,7 @@
 
 
 def history(config_path: str, back: int | None, follow: bool) -> int:
-    """The versions that are kept; go back to one, or follow the file again."""
+    """Print the versions that are kept, pin one of them, or follow the file again."""
     state = _state_directory(config_path)
     versions = state.history()
     if follow:
@@ -155,7 +157,7 @@
         chosen = next((version for number, _, version in versions if number == back), None)
         if chosen is None:
             raise RosterCommandError(
-                f"no version {back} is kept; there are {', '.join(str(n) for n, _, _ in versions)}"
+                f"version {back} is not kept; there are {', '.join(str(n) for n, _, _ in versions)}"
             )
         state.tell("pinned", chosen.digest)
         click.echo(f"back to version {back}, generation {chosen.generation}; --follow ends it")
--- a/saffronstack/cli/roster_commands.py
+++ b/saffronstack/cli/roster_commands.py
@@ -1,4 +1,4 @@
-"""`saffronstack roster`: the commands, on click."""
+"""`saffronstack roster`: the click commands."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @click.group("roster")
 def roster_group() -> None:
-    """Lists of workers in watched files: check, compare, and say what operators say."""
+    """Check and compare worker lists in watched files, and override them."""
 
 
 def _exit_with(command: Callable[[], int]) -> None:
@@ -24,7 +24,7 @@
 
 
 def _config_option(command: Callable[..., None]) -> Callable[..., None]:
-    text = "The gateway's configuration, which names the roster."
+    text = "Gateway configuration, which has the roster."
     return click.option("--config", "path", required=True, type=click.Path(dir_okay=False), help=text)(
         command
     )
@@ -32,9 +32,14 @@
 
 @roster_group.command("check")
 @click.argument("file", type=click.Path())
-@click.option("--config", "path", type=click.Path(dir_okay=False), help="Check kinds and guards against it.")
+@click.option(
+    "--config",
+    "path",
+    type=click.Path(dir_okay=False),
+    help="Gateway configuration to check kinds and guards against.",
+)
 def roster_check(file: str, path: str | None) -> None:
-    """Check a list, file or directory: 0, or 1 with file, line and reason."""
+    """Check a list, file or directory; exits with 0, or with 1 and file, line and reason."""
     from saffronstack.cli.roster import check
 
     _exit_with(lambda: check(file, path))
@@ -44,7 +49,7 @@
 @click.argument("before", type=click.Path())
 @click.argument("after", type=click.Path())
 def roster_diff(before: str, after: str) -> None:
-    """What changes in meaning, not in spacing; 1 where something does."""
+    """Print changes in meaning, not in spacing; exits with 1 if there are any."""
     from saffronstack.cli.roster import diff
 
     _exit_with(lambda: diff(before, after))
@@ -53,7 +58,7 @@
 @roster_group.command("show")
 @_config_option
 def roster_show(path: str) -> None:
-    """The list applied last."""
+    """Print the last applied list."""
     from saffronstack.cli.roster import show
 
     _exit_with(lambda: show(path))
@@ -61,10 +66,10 @@
 
 @roster_group.command("drain")
 @click.argument("workers", nargs=-1, required=True)
-@click.option("--undo", is_flag=True, help="Drain them no longer.")
+@click.option("--undo", is_flag=True, help="Stop draining them.")
 @_config_option
 def roster_drain(workers: tuple[str, ...], undo: bool, path: str) -> None:
-    """Drain workers, whatever the lists say."""
+    """Drain workers, whatever their lists say."""
     from saffronstack.cli.roster import drain
 
     _exit_with(lambda: drain(path, workers, undo))
@@ -74,18 +79,18 @@
 @click.argument("digest")
 @_config_option
 def roster_accept(digest: str, path: str) -> None:
-    """Let a held version be applied; /status and the log name its digest."""
+    """Accept a held version, to be applied; /status and the log have its digest."""
     from saffronstack.cli.roster import accept
 
     _exit_with(lambda: accept(path, digest))
 
 
 @roster_group.command("history")
-@click.option("--back", type=int, default=None, help="Go back to the version of this number.")
+@click.option("--back", type=int, default=None, help="Pin the version with this number.")
 @click.option("--follow", is_flag=True, help="Follow the file again.")
 @_config_option
 def roster_history(back: int | None, follow: bool, path: str) -> None:
-    """The versions that are kept."""
+    """Print the versions that are kept."""
     from saffronstack.cli.roster import history
 
     _exit_with(lambda: history(path, back, follow))
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -1,4 +1,4 @@
-"""`saffronstack serve`: a gateway in the foreground, its logs and signals."""
+"""`saffronstack serve`: runs a gateway in the foreground, with its logs and signals."""
 
 from __future__ import annotations
 
@@ -44,24 +44,24 @@
 
 @dataclass
 class ProcessResources:
-    """What runs beside the gateway in this process, as far as its options ask for it."""
+    """What this process has besides the gateway, as its options require."""
 
     stub_workers: StandInFleet | None = None
     ownership: LedgerOwnership | None = None
     fleet: FleetServices | None = None
     process_group: ProcessGroup | None = None
     listener: socket.socket | None = None
-    cpus: set[int] = field(default_factory=set)  # to keep to once it serves; none for no choice
-    process_number: int = 0  # spreads processes over processors
+    cpus: set[int] = field(default_factory=set)  # to pin the process to once it serves; empty: none
+    process_number: int = 0  # spreads processes over CPUs
 
     def stop(self, is_clean: bool) -> bool:
-        """Stop them after the gateway.
+        """Stop these services, after the gateway.
 
         Args:
-            is_clean: Whether the gateway ended cleanly.
+            is_clean: Whether the gateway shut down cleanly.
 
         Returns:
-            Whether all did.
+            Whether the gateway and all services shut down cleanly.
         """
         if self.stub_workers is not None:
             self.stub_workers.stop()
@@ -73,7 +73,11 @@
 
 
 def run(options: ServeOptions) -> int:
-    """Serve until a signal says stop; 0 after a clean end, 1 after an unclean one, 2 where it can't start."""
+    """Serve until a signal ends the process.
+
+    Returns:
+        The exit status: 0 after a clean shutdown, 1 after an unclean one, 2 if the gateway can't start.
+    """
     configure_logging(options.log_format, options.log_level)
     signals = receive_signals()
     stopping = threading.Event()
@@ -104,7 +108,7 @@
     if guard is not None:
         guard.stop()
     if resources.fleet is not None:
-        resources.fleet.request_stop()  # while calls drain: a successor waits for the end of this process
+        resources.fleet.request_stop()  # they stop while calls drain, as a successor waits for this process
     is_clean = gateway.stop()
     if listener_handover is not None:
         listener_handover.stop()
@@ -115,15 +119,24 @@
 
 
 def _create_gateway(options: ServeOptions, resources: ProcessResources) -> Gateway | None:
-    """The gateway that the options ask for, not started, and what runs beside it in ``resources``; None where
-    it stood by and was not told to go. ConfigError, JournalError, OSError, ValueError.
+    """Create the gateway for the options, without starting it.
+
+    Args:
+        options: The options.
+        resources: Receives what the process has besides the gateway.
+
+    Returns:
+        The gateway; None if the process was in standby and was not allowed to serve.
+
+    Raises:
+        ConfigError, JournalError, OSError, ValueError: The gateway can't be created with these options.
     """
     if options.config_path is None:
         config = _sample_config(options, resources)
     else:
         shared_config = apply_overrides(configs.load(options.config_path), options)
         config, resources.process_group = process_config(shared_config, options.index_and_count)
-        # With stand-ins in the same process there would be more to run.
+        # Not with stub workers: the process then has more to run than a gateway.
         resources.process_number = (
             resources.process_group.index if resources.process_group is not None else os.getpid()
         )
@@ -143,7 +156,7 @@
         config = resources.ownership.config
     if config.fleet is not None and not options.exits_when_finished:
         if resources.process_group is not None:
-            raise configs.ConfigError("fleet: goes with one process, and not with --processes")
+            raise configs.ConfigError("fleet: requires one process and excludes --processes")
         resources.fleet = FleetServices(config.fleet)
     return Gateway(
         config,
@@ -156,7 +169,7 @@
 
 
 def _sample_config(options: ServeOptions, resources: ProcessResources) -> Config:
-    """Without a configuration: a gateway before workers that are emulated in this process."""
+    """Return a configuration for a gateway with stub workers, which are started in this process."""
     resources.stub_workers = StandInFleet(4)
     directory = options.ledger_directory or tempfile.mkdtemp(prefix="saffronstack-ledger-")
     listen = options.listen or "127.0.0.1:9000"
@@ -164,7 +177,7 @@
 
 
 def _create_starvation_guard(options: ServeOptions, unused_cpus: set[int]) -> StarvationGuard | None:
-    """A guard where the process keeps to one processor by default; processors that an operator chose stay."""
+    """Return a guard if the process is pinned to one CPU by default; CPUs that an operator chose are kept."""
     if options.cpu_selection != DEFAULT_CPUS or not unused_cpus:
         return None
     return StarvationGuard(unused_cpus | os.sched_getaffinity(0))
@@ -173,8 +186,9 @@
 def _wait_for_signal(
     gateway: Gateway, options: ServeOptions, signals: queue.SimpleQueue[int], guard: StarvationGuard | None
 ) -> int:
-    """The signal to end by; SIGHUP rereads the configuration. One that only finishes what is open ends by
-    itself.
+    """Return the signal that ends the process; SIGHUP reloads the configuration instead.
+
+    A process that only finishes open deferred calls returns SIGTERM once none is open.
     """
     while True:
         try:
@@ -196,7 +210,7 @@
 
 
 def _reload(gateway: Gateway, options: ServeOptions) -> None:
-    """A file that can't be used changes nothing."""
+    """Reload the configuration; an invalid file changes nothing."""
     assert options.config_path is not None
     try:
         config, _ = process_config(
--- a/saffronstack/cli/serve_options.py
+++ b/saffronstack/cli/serve_options.py
@@ -1,4 +1,4 @@
-"""The options of `saffronstack serve`, and what they change of the configuration."""
+"""The options of `saffronstack serve`, and how they change the configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServeOptions:
-    """The command line."""
+    """The options on the command line."""
 
     config_path: str | None
     listen: str | None
@@ -24,21 +24,21 @@
     cpu_selection: str
     log_format: str
     log_level: str
-    index_and_count: str = ""  # INDEX/COUNT of a process under a supervisor
+    index_and_count: str = ""  # INDEX/COUNT: this process and the number of processes under a supervisor
     stopped_timeout_s: float = (
-        STOPPED_TIMEOUT_S  # silence after which the supervisor replaces a stopped process; 0: never
+        STOPPED_TIMEOUT_S  # without a heartbeat before the supervisor replaces a stopped process; 0: never
     )
-    fleet_path: str = ""  # the fleet's file, where the ledger may be taken over
-    gateway_name: str = ""  # this gateway's in the fleet
-    owned_ledger_directory: str = ""  # in place of fleet and name: a home that was entered under this token
+    fleet_path: str = ""  # the fleet file, if another gateway may take the ledger over
+    gateway_name: str = ""  # name of this gateway in the fleet
+    owned_ledger_directory: str = ""  # in place of fleet and name: already owned under the token
     owned_ledger_token: int = 0
-    exits_when_finished: bool = False  # end once no deferred call is open
-    listen_fd: int = -1  # of a bound socket that a daemon holds
-    standby: bool = False  # prepare, then wait for a word on standard input
+    exits_when_finished: bool = False  # exit once no deferred call is open
+    listen_fd: int = -1  # descriptor of a listener that the daemon passes on; negative: none
+    standby: bool = False  # prepare, then wait for a command on standard input
 
 
 def apply_overrides(config: Config, options: ServeOptions) -> Config:
-    """Return the configuration with the address and the ledger that the options name."""
+    """Return the configuration with the address and the ledger directory of the options."""
     listen, ledger_directory = options.listen, options.ledger_directory
     if listen:
         config = msgspec.structs.replace(config, listen=listen)
@@ -51,14 +51,14 @@
 
 
 def process_config(config: Config, index_and_count: str) -> tuple[Config, ProcessGroup | None]:
-    """Return the configuration of one process of several: its index among all gateways, its ledger, its seed.
+    """Return the configuration of one process of several, with its own index, state directories and seed.
 
     Args:
-        config: Of all processes.
+        config: Configuration that all processes share.
         index_and_count: INDEX/COUNT, or empty for a gateway of one process.
 
     Returns:
-        The configuration, and the process group where there is one.
+        The configuration, and the process group if there are several processes.
     """
     if not index_and_count:
         return config, None
@@ -66,7 +66,7 @@
     operations = config.operations
     state = config.ledger or config.metering
     directory = state.directory if state is not None else (operations.directory if operations else None)
-    directory = directory or ""  # where processes find each other
+    directory = directory or ""  # the processes publish their addresses here
     ledger = config.ledger
     if ledger is not None:
         ledger = msgspec.structs.replace(ledger, directory=process_directory(directory, index))
--- a/saffronstack/cli/starvation_guard.py
+++ b/saffronstack/cli/starvation_guard.py
@@ -1,9 +1,9 @@
-"""A process that keeps to one processor notices by itself that something else has taken that up.
+"""Detects that this process, pinned to one CPU, is starved by other processes, and moves its threads.
 
-The thread that looks runs on any processor, and reads how long some of the others ran and waited. Where they
-wait for other processes, all other threads move to an idle processor, which `processor_choice` decides; where
-none is idle, the process may run anywhere, until `processor_settling` finds that one is idle again.
-One thread does nothing but wake up often, so that there is always one that wants to run.
+The checking thread may run on any CPU. It reads how long some of the other threads ran and waited for the
+CPU. If they wait for other processes, all other threads move to an idle CPU, which `processor_choice`
+selects. If no CPU is idle, the process may use all CPUs until `processor_settling` finds an idle one. A probe
+thread does nothing but wake up often, so that at least one thread always wants to run.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.serve")
-PROBE_INTERVAL_S = 0.05  # short beside the waits that are to be found
-MAX_SAMPLED_THREADS = 16  # that a look reads; the first ones live as long as the process
+PROBE_INTERVAL_S = 0.05  # short compared with the waits to detect
+MAX_SAMPLED_THREADS = 16  # threads that a check reads; the first ones live as long as the process
 
 
 class StarvationGuard:
-    """Created and used by the thread that looks."""
+    """Moves this process away from a busy CPU. Only the checking thread creates it and calls its methods."""
 
     def __init__(
         self,
@@ -41,24 +41,24 @@
         read_run_ns: Callable[[], int] = time.process_time_ns,
         move: Callable[[Collection[int], int], None] = move_threads,
     ) -> None:
-        """Start the probe on this thread's processors, and let this thread itself run on all allowed ones.
+        """Start the probe thread on the present CPUs, and let the checking thread run on all allowed CPUs.
 
         Args:
-            allowed: The processors that this process may use.
-            clock: Monotonic seconds.
-            read: Samples a thread of a process.
-            release: Lets the process with an id run on all allowed processors; None for this process alone.
-            read_idle: The idle time of some processors; None to read what the system tells.
-            read_run_ns: The processor time of this process.
-            move: Lets all threads of this process but one run on some processors.
+            allowed: Numbers of the CPUs that this process may use.
+            clock: Monotonic clock in seconds.
+            read: Returns a sample of a thread, by process id and thread id.
+            release: Lets the process with an id run on all allowed CPUs; None to move this process's threads.
+            read_idle: Returns the idle time of CPUs; None to read it from the system.
+            read_run_ns: Returns the CPU time of this process.
+            move: Sets the CPU affinity of all threads of this process but one.
         """
         self._allowed_cpus, self._clock = frozenset(allowed), clock
         self._read_thread, self._read_run_ns, self._move_threads = read, read_run_ns, move
         self._idle_times = CpuIdleTimes()
         self._read_idle = read_idle or self._idle_times.read
         self._stopping = threading.Event()
-        self._probe_thread = NO_THREAD  # its id in the system, once it has run
-        self._cpus = frozenset(os.sched_getaffinity(0))  # of all threads but this one
+        self._probe_thread = NO_THREAD  # its native id, once it has run
+        self._cpus = frozenset(os.sched_getaffinity(0))  # affinity of all threads but the checking thread
         move_backoff = MoveBackoff()
         self._move_policy = CpuMovePolicy(os.getpid(), move_backoff)
         self._pinning_policy = CpuPinningPolicy(os.getpid(), move_backoff)
@@ -75,13 +75,13 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the probe has run at all."""
+        """Whether the probe thread has run at all."""
         return self._probe_thread != NO_THREAD
 
     def check(self) -> None:
-        """Look at the processors; leave one that others take up. Called each `CPU_SAMPLE_INTERVAL_S`."""
+        """Move away from the CPU if the process is starved on it. Call this every `CPU_SAMPLE_INTERVAL_S`."""
         self._samples = self._sample_threads()
-        if self.has_started:  # a daemon may have released the process
+        if self.has_started:  # another process may have changed its affinity
             self._cpus = frozenset(os.sched_getaffinity(self._probe_thread))
         if len(self._cpus) == 1:
             self._pinning_policy.reset()
@@ -93,7 +93,7 @@
             log.warning("processor taken up by something else, all may be used from now on")
 
     def stop(self) -> None:
-        """End the probe, without waiting, and let the process run anywhere: nothing looks from now on."""
+        """Stop the probe thread without waiting for it, and allow all CPUs, as no check follows."""
         self._stopping.set()
         self._idle_times.close()
         self._run_on(self._allowed_cpus)
@@ -123,7 +123,7 @@
         return True
 
     def _release(self, pid: int) -> bool:
-        """Let the process run anywhere; return whether it did not before."""
+        """Let the process run on all allowed CPUs; return whether that changed its affinity."""
         if self._cpus == self._allowed_cpus:
             return False
         self._run_on(self._allowed_cpus)
@@ -139,12 +139,12 @@
             continue
 
     def _sample_threads(self) -> dict[int, ThreadSample]:
-        """Return the probe and the first threads of the process."""
+        """Return samples of the probe thread and the first threads of the process."""
         pid, own = os.getpid(), threading.get_native_id()
         known = [thread.native_id for thread in threading.enumerate()[:MAX_SAMPLED_THREADS]]
         threads = {thread for thread in (*known, self._probe_thread) if thread not in (None, own, NO_THREAD)}
         read = {thread: self._read_thread(pid, thread) for thread in threads if thread is not None}
         samples = {thread: sample for thread, sample in read.items() if sample is not None}
-        if not self.has_started:  # the probe is to start, and got no time for that
+        if not self.has_started:  # the probe thread wants to start, and got no CPU time for that
             samples[NO_THREAD] = ThreadSample(is_runnable=True, run_ns=0)
         return samples
--- a/saffronstack/cli/supervise.py
+++ b/saffronstack/cli/supervise.py
@@ -1,4 +1,4 @@
-"""`saffronstack serve --processes N`: several gateway processes on one address."""
+"""`saffronstack serve --processes N`: runs several gateway processes on one address."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from saffronstack.daemon.supervisor import Supervisor, gateway_command
 
 log = structlog.get_logger("saffronstack.serve")
-STOP_MARGIN_S = 15.0  # for the supervisor to wait beyond the bounds of its processes
+STOP_MARGIN_S = 15.0  # added to the longest graceful shutdown of a process, before it is killed
 
 
 def supervise(options: ServeOptions, count: int) -> int:
-    """Serve with several processes on one address until a signal says stop.
+    """Serve with several processes on one address until a signal ends them.
 
     Returns:
-        The exit status: 0 after a clean end, 1 after an unclean one, 2 where it can't start.
+        The exit status: 0 after a clean shutdown, 1 after an unclean one, 2 if the gateway can't start.
     """
     configure_logging(options.log_format, options.log_level)
     signals = receive_signals()
@@ -53,23 +53,21 @@
 
 
 def _check_ledgers(config: Config, count: int) -> None:
-    """ValueError where open calls may lie in a ledger that none of so many processes would read."""
+    """Raise ValueError if a ledger that none of ``count`` processes would open may have open calls."""
     if config.ledger is None:
         return
     stranded = find_stranded_ledgers(config.ledger.directory, count)
     if stranded:
         raise ValueError(
             f"deferred calls may be open in {', '.join(stranded)}: start as many processes as before, "
-            "or let a gateway of its own finish them (--ledger)"
+            "or finish them with a separate gateway (--ledger)"
         )
 
 
 def _gateway_arguments(options: ServeOptions, path: str) -> list[str]:
-    """The command line of each process, but for its index and its address."""
+    """Return the command line of a process without its index and address."""
     arguments = ["serve", "--config", path]
-    if (
-        options.cpu_selection != DEFAULT_CPUS
-    ):  # the supervisor changes processors that were not chosen by an operator
+    if options.cpu_selection != DEFAULT_CPUS:  # the supervisor may change CPUs that no operator chose
         arguments += ["--cpus", options.cpu_selection]
     arguments += ["--log", options.log_format, "--log-level", options.log_level]
     return [*arguments, "--ledger", options.ledger_directory] if options.ledger_directory else arguments
--- a/saffronstack/cli/usage.py
+++ b/saffronstack/cli/usage.py
@@ -1,4 +1,4 @@
-"""`saffronstack usage`: what gateways' usage logs add up to, read without locking them."""
+"""`saffronstack usage`: sums up and checks the usage logs of gateways, without locking them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.metering.usage_report import FORMATTERS, summarize_usage
 
-MAX_ATTEMPTS = 5  # a gateway that writes the log meanwhile may replace files while they are read
+MAX_ATTEMPTS = 5  # a running gateway may replace files while they are read
 
 
 class FilesChangedError(Exception):
@@ -20,7 +20,7 @@
 
 
 def _list_log_directories(directories: tuple[str, ...]) -> list[str]:
-    """A gateway's directory stands for those of its other processes too. JournalError where there is none."""
+    """Return the directories of gateways and of their other processes; JournalError if one is missing."""
     found = []
     for directory in directories:
         path = pathlib.Path(directory)
@@ -33,7 +33,7 @@
 
 
 def _read_logs(directories: tuple[str, ...]) -> tuple[MergedAccounts, list[str]]:
-    """The logs merged, and what was wrong with them; JournalError where one can't be read."""
+    """Return the merged logs, and notes on damage in them; JournalError if a log can't be read."""
     accounts = []
     notes = []
     for directory in _list_log_directories(directories):
@@ -53,10 +53,10 @@
 
 
 def _retry_on_change(read_and_print: Callable[[], int]) -> int:
-    """Read logs, again where files changed meanwhile.
+    """Read logs, and retry if files changed meanwhile.
 
     Returns:
-        The exit status: that of ``read_and_print``, or 2 where nothing can be read.
+        The exit status: that of ``read_and_print``, or 2 if the logs can't be read.
     """
     for attempts_left in reversed(range(MAX_ATTEMPTS)):
         try:
@@ -73,7 +73,7 @@
 def show(
     directories: tuple[str, ...], by: tuple[str, ...], output_format: str, tenant: str | None = None
 ) -> int:
-    """Print sums; 0, or 2 where a log can't be read or a column is unknown."""
+    """Print usage sums; return the exit status, 0 or 2 if a log can't be read or a column is unknown."""
 
     def read_and_print() -> int:
         merged, notes = _read_logs(directories)
@@ -87,8 +87,10 @@
 
 
 def report(directories: tuple[str, ...], output: str) -> int:
-    """Write a page with charts; 0, or 2 where a log can't be read, the page not written or charts not
-    drawn.
+    """Write an HTML page with charts.
+
+    Returns:
+        The exit status: 0, or 2 if a log can't be read, the page can't be written or matplotlib is missing.
     """
     try:
         from saffronstack.metering.html_report import render_html_report
@@ -107,7 +109,11 @@
 
 
 def verify(directories: tuple[str, ...]) -> int:
-    """Check that shares sum up to what was held and that the logs are whole; 0, 1 with reasons, 2 unread."""
+    """Check that shares sum up to the memory held, and that the logs are complete.
+
+    Returns:
+        The exit status: 0, 1 with the problems, or 2 if a log can't be read.
+    """
 
     def read_and_print() -> int:
         damaged = []
--- a/saffronstack/cli/usage_commands.py
+++ b/saffronstack/cli/usage_commands.py
@@ -1,4 +1,4 @@
-"""`saffronstack usage`: the commands, on click."""
+"""`saffronstack usage`: the click commands."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 @click.group("usage", invoke_without_command=True)
 @click.pass_context
 def usage_group(context: click.Context) -> None:
-    """What tenants' functions held in memory, from the usage logs of one or more gateways."""
+    """Sum up the memory that tenants' functions held, from the usage logs of one or more gateways."""
     if context.invoked_subcommand is None:
         click.echo(context.get_help())
 
 
 @usage_group.command("show")
 @click.argument("directories", nargs=-1, required=True, type=click.Path())
-@click.option("--by", default="tenant", show_default=True, help="tenant,function,class,worker,day,hour")
+@click.option(
+    "--by", default="tenant", show_default=True, help="Columns, out of tenant,function,class,worker,day,hour"
+)
 @click.option("--format", "output_format", type=click.Choice(["table", "jsonl", "csv"]), default="table")
-@click.option("--tenant", default=None, help="This tenant's alone.")
+@click.option("--tenant", default=None, help="Only this tenant's usage.")
 def usage_show(directories: tuple[str, ...], by: str, output_format: str, tenant: str | None) -> None:
-    """Sums in MB s. The same log given twice counts once."""
+    """Print sums in MB s. A log that is given twice counts once."""
     from saffronstack.cli.usage import show
 
     sys.exit(show(directories, tuple(part.strip() for part in by.split(",")), output_format, tenant))
@@ -31,7 +33,7 @@
 @click.argument("directories", nargs=-1, required=True, type=click.Path())
 @click.option("--output", default="usage.html", show_default=True, type=click.Path(dir_okay=False))
 def usage_report(directories: tuple[str, ...], output: str) -> None:
-    """Write a page with charts and tables."""
+    """Write an HTML page with charts and tables."""
     from saffronstack.cli.usage import report
 
     sys.exit(report(directories, output))
@@ -40,7 +42,7 @@
 @usage_group.command("verify")
 @click.argument("directories", nargs=-1, required=True, type=click.Path())
 def usage_verify(directories: tuple[str, ...]) -> None:
-    """Check that the logs are whole and that shares sum up to what was held; 1 where not."""
+    """Check that the logs are complete and that shares sum up to the memory held; exits with 1 if not."""
     from saffronstack.cli.usage import verify
 
     sys.exit(verify(directories))
--- a/saffronstack/daemon/__init__.py
+++ b/saffronstack/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway of several processes on one address: the supervisor, and what each process knows of the rest."""
+"""A gateway of several processes on one address: their supervisor, and how they find and reach each other."""
--- a/saffronstack/daemon/errors.py
+++ b/saffronstack/daemon/errors.py
@@ -1,4 +1,4 @@
-"""Errors between the processes of a gateway."""
+"""Errors of starting the processes of a gateway, and of requests between them."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class StartupError(ProcessError):
-    """A process did not start to accept requests; its standard error says why."""
+    """A process did not start to accept requests; its standard error has the reason."""
 
     def __init__(self, index: int) -> None:
-        """Name the process by its ``index`` in the gateway."""
-        super().__init__(f"process {index} did not come up")
+        """Report the process with this ``index`` in the gateway."""
+        super().__init__(f"process {index} did not start to accept requests")
         self.index = index
 
 
 class NotSentError(ProcessError):
-    """Not one byte of a request reached the other process, so it had no effect there."""
+    """No byte of a request was sent to the other process, so the request had no effect."""
 
 
 class NoResponseError(ProcessError):
-    """A request was sent and no complete response came: it may have had an effect."""
+    """A request was sent, at least in part, but got no complete response: it may have had an effect."""
--- a/saffronstack/daemon/http_exchange.py
+++ b/saffronstack/daemon/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request to another process, on a connection of its own."""
+"""Sends one HTTP request to another process, on a new connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from saffronstack.http1.sockets import PeerClosed, Stream, read_until
 
 CONNECT_TIMEOUT_S = 2.0
-MIN_CONNECT_TIMEOUT_S = 0.01  # a time-out of zero would make the socket non-blocking
+MIN_CONNECT_TIMEOUT_S = 0.01  # a timeout of zero would make the socket non-blocking
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
@@ -23,21 +23,21 @@
     Args:
         address: HOST:PORT of the other process.
         request: The encoded request.
-        deadline_s: When the response must be complete, in seconds of ``clock``.
-        clock: Monotonic clock.
+        deadline_s: Time by which the response must be complete, in seconds of ``clock``.
+        clock: Monotonic clock in seconds.
 
     Returns:
         The head and the body of the response.
 
     Raises:
-        NotSentError: Not one byte was sent.
+        NotSentError: No byte of the request was sent.
         NoResponseError: The request was sent, at least in part, and no complete response came in time.
     """
     stream = Stream(_connect(address, deadline_s - clock()))
     reader = MessageReader(MessageLimits(body_bytes=MAX_BODY_BYTES))
     try:
         if not stream.send(request, deadline_s, clock):
-            raise NotSentError(f"{address}: it took no byte")
+            raise NotSentError(f"{address}: no byte of the request was sent")
         head = read_until(stream, reader, reader.response, deadline_s, clock)
         return head, read_until(stream, reader, reader.body, deadline_s, clock)
     except (OSError, HttpError, PeerClosed) as error:
--- a/saffronstack/daemon/listener_handover.py
+++ b/saffronstack/daemon/listener_handover.py
@@ -1,10 +1,10 @@
-"""Graceful takeover of a listening socket, from the process that serves it to one that comes later.
+"""Passes a listening socket from a gateway process to another process, for a graceful takeover.
 
-A daemon that dies leaves its gateways serving on sockets that it created. The next daemon requests the
-socket from each of them, so that connections which wait in its queue are not lost when that gateway ends: a
-second socket on the same address would have a queue of its own. The transport is a Unix socket with an
-abstract name, for processes of the same user alone. The name, the message and the environment variable are
-shared with processes of other versions.
+A daemon that dies leaves its gateways serving on sockets that it created. The next daemon requests the socket
+from each gateway. The connections in the socket's accept queue then survive the end of that gateway; a second
+socket on the same address would have a queue of its own. The transport is a Unix socket with an abstract
+name, which serves only processes of the same user. Processes of other versions use the same name, message
+and environment variable.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 ACCEPT_TIMEOUT_S = 0.5
 REQUEST_TIMEOUT_S = 1.0
 BACKLOG = 4
-MARK_VARIABLE = "SAFFRON_LIFE"  # in a gateway's environment: its process mark
+MARK_VARIABLE = "SAFFRON_LIFE"  # environment variable of a gateway process that holds its mark
 _MESSAGE = b"listener"
 _MAX_MESSAGE_BYTES = 64
 _CREDENTIALS = struct.Struct("3i")  # process id, user id, group id
 
 
 def socket_name(mark: str, pid: int) -> str:
-    """Return the abstract name at which a gateway process hands over its listener."""
+    """Return the abstract name of the Unix socket on which a gateway process passes on its listener."""
     return "\0saffronstack-" + xxhash.xxh3_128_hexdigest(f"{mark}/{pid}".encode())
 
 
 class ListenerHandover:
-    """Hands this process's listening socket to any process that requests it, on a thread of its own."""
+    """Passes this process's listening socket to each process that requests it, on a separate thread."""
 
     def __init__(self, mark: str, listener: socket.socket) -> None:
-        """Start to answer requests.
+        """Start answering requests.
 
         Args:
-            mark: Identifies this process as its daemon's, with its release; who requests it must know it.
-            listener: The socket to hand over; it stays open here.
+            mark: Names this process's daemon and release; only a requester that knows it gets the socket.
+            listener: The socket to pass on; it stays open in this process.
 
         Raises:
-            OSError: The name is in use.
+            OSError: The socket name is in use.
         """
         self._listener = listener
         self._stopping = threading.Event()
@@ -59,7 +59,7 @@
         start_thread("hand-over", self._serve)
 
     def stop(self) -> None:
-        """Answer no further requests. Does not wait for the thread, which ends within `ACCEPT_TIMEOUT_S`."""
+        """Stop answering requests. Does not wait for the thread, which ends within `ACCEPT_TIMEOUT_S`."""
         self._stopping.set()
 
     def _serve(self) -> None:
@@ -67,9 +67,9 @@
             while not self._stopping.is_set():
                 try:
                     peer, _ = self._socket.accept()
-                except OSError:  # nobody came in time
+                except OSError:  # no request arrived in time
                     continue
-                # A peer that goes away meanwhile, or a listener that was just closed.
+                # The peer may disconnect, and the listener may just have been closed.
                 with peer, contextlib.suppress(OSError, ValueError):
                     self._send_listener(peer)
 
@@ -83,11 +83,11 @@
     """Request the listening socket of another process.
 
     Args:
-        mark: The process's mark.
-        pid: Its process id.
+        mark: Mark of the process.
+        pid: Id of the process.
 
     Returns:
-        The socket; None if the process does not hand it over within `REQUEST_TIMEOUT_S`.
+        The socket; None if the process does not pass it on within `REQUEST_TIMEOUT_S`.
     """
     try:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
@@ -96,7 +96,7 @@
             if not _is_same_user(connection):
                 return None
             _, descriptors, _, _ = socket.recv_fds(connection, _MAX_MESSAGE_BYTES, 1)
-    except OSError:  # there is no such process, or it is stuck
+    except OSError:  # the process does not exist or does not respond
         return None
     if not descriptors:
         return None
--- a/saffronstack/daemon/process_group.py
+++ b/saffronstack/daemon/process_group.py
@@ -1,4 +1,4 @@
-"""What a process of a gateway knows of the others: which one owns a deferred call, and how to reach it."""
+"""Finds the process of a gateway that owns a deferred call, and sends requests to it."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from saffronstack.http1.messages import ResponseHead
 
 REQUEST_TIMEOUT_S = 2.0
-FORWARDED_HEADER = "x-saffron-forwarded"  # the process that forwarded a request; it is not forwarded again
-_ADDRESS_FILE = "peer"  # in a process's state directory; a name on disk
-_OWNER_DIGITS = 2  # hexadecimal, at the end of a request id: enough for 256 processes
+FORWARDED_HEADER = (
+    "x-saffron-forwarded"  # holds the index of the forwarding process; such a request is not forwarded again
+)
+_ADDRESS_FILE = "peer"  # file in a process's state directory that holds its address; a stored name
+_OWNER_DIGITS = 2  # hexadecimal digits at the end of a request id: enough for 256 processes
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessGroup:
-    """The processes of one gateway, as one of them sees them.
+    """The processes of one gateway, from the point of view of one of them.
 
     Attributes:
-        index: This process's own number, from 0.
-        count: How many processes there are.
-        directory: The state directory that they share; empty if there is none.
+        index: Index of this process, from 0.
+        count: Number of processes.
+        directory: State directory that the processes share; empty if there is none.
         clock: Monotonic clock in seconds.
     """
 
@@ -36,13 +38,16 @@
     clock: Callable[[], float]
 
     def add_owner(self, request_id: str) -> str:
-        """Return the request id with this process as its owner, in the last two digits."""
+        """Return the request id with this process's index in the last two digits, as its owner.
+
+        A gateway of one process leaves the id as it is.
+        """
         if self.count == 1:
             return request_id
         return f"{request_id[:-_OWNER_DIGITS]}{self.index:0{_OWNER_DIGITS}x}"
 
     def other_owner(self, request_id: str) -> int | None:
-        """Return the other process that owns a request id; None if this one does, or none that exists."""
+        """Return the index of the other process that owns a request id; None if there is no such process."""
         try:
             index = int(request_id[-_OWNER_DIGITS:], 16)
         except ValueError:
@@ -50,13 +55,13 @@
         return index if index != self.index and index < self.count else None
 
     def publish_address(self, address: str) -> None:
-        """Tell the other processes where this one answers them.
+        """Publish the address at which this process serves requests of the other processes.
 
         Args:
             address: HOST:PORT.
 
         Raises:
-            OSError: The file can't be written.
+            OSError: The address file can't be written.
         """
         path = self._address_path(self.index)
         partial = path.with_suffix(".new")
@@ -66,24 +71,24 @@
     def request_from(
         self, index: int, target: str, fields: list[tuple[str, str]]
     ) -> tuple[ResponseHead, bytes] | None:
-        """Send a GET to another process.
+        """Send a GET request to another process.
 
         Args:
-            index: The process to ask.
+            index: Index of the process.
             target: Path and query.
-            fields: Header fields to pass on.
+            fields: Header fields to forward.
 
         Returns:
             The head and the body of the response; None if it does not come within `REQUEST_TIMEOUT_S`.
         """
         try:
             address = self._address_path(index).read_text().strip()
-        except OSError:  # it has not started yet
+        except OSError:  # the process has not started yet
             return None
         request = writer.request("GET", target, [*fields, (FORWARDED_HEADER, str(self.index))])
         try:
             return exchange(address, request, self.clock() + REQUEST_TIMEOUT_S, self.clock)
-        except (NotSentError, NoResponseError):  # it is down, restarting, or stuck
+        except (NotSentError, NoResponseError):  # the process is down, restarting or unresponsive
             return None
 
     def _address_path(self, index: int) -> pathlib.Path:
--- a/saffronstack/daemon/standby.py
+++ b/saffronstack/daemon/standby.py
@@ -1,8 +1,8 @@
-"""The wait of a prepared gateway process until it may serve.
+"""Keeps a standby process, a prepared gateway, waiting until it may serve.
 
-A daemon writes lines to the process's standard input: ``go`` lets it serve; ``after PID`` lets it serve once
-that process has ended. From ``after`` on the process needs no daemon: one that is stopped, slow or gone does
-not keep callers waiting in the listening socket's queue.
+The daemon writes lines to the process's standard input: ``go`` lets it serve; ``after PID`` lets it serve
+once the process with that id has exited. From ``after`` on, the standby process does not need the daemon: one
+that is stopped, slow or gone does not keep clients waiting in the accept queue.
 """
 
 from __future__ import annotations
@@ -19,26 +19,27 @@
     """Wait until this process may serve.
 
     Args:
-        commands: Descriptor of the pipe on which the daemon writes.
+        commands: File descriptor of the pipe to which the daemon writes.
 
     Returns:
-        False if the daemon has gone before it said so; this process should end then.
+        True if this process may serve. False if the daemon exited before it allowed that; this process should
+        then exit too.
     """
     return _Standby(commands).wait()
 
 
 class _Standby:
-    """What was read of the commands, and the predecessor that they named."""
+    """Reads the daemon's commands and watches the predecessor that they name."""
 
     def __init__(self, commands: int) -> None:
         self._commands = commands
-        self._unread = b""  # of a line that has not come whole
-        self._predecessor: int | None = None  # its pidfd
+        self._unread = b""  # beginning of an incomplete line
+        self._predecessor: int | None = None  # pidfd of the process to wait for
         self._poll = select.poll()
         self._poll.register(commands, select.POLLIN)
 
     def wait(self) -> bool:
-        """Wait; whether this process may serve."""
+        """Wait for a decision; return whether this process may serve."""
         try:
             while True:
                 ready = {descriptor for descriptor, _ in self._poll.poll(POLL_TIMEOUT_MS)}
@@ -53,7 +54,7 @@
                 os.close(self._predecessor)
 
     def _read_commands(self) -> bool | None:
-        """Read what has come; whether this process may serve, None where it is to wait on."""
+        """Read the received commands; return whether this process may serve, or None to keep waiting."""
         received = os.read(self._commands, _READ_BYTES)
         if not received:
             return self._handle_end_of_commands()
@@ -72,14 +73,14 @@
         return None
 
     def _handle_end_of_commands(self) -> bool | None:
-        """The daemon is gone: go on to wait for the predecessor, if there is one."""
+        """Handle the exit of the daemon: keep waiting (None) for a predecessor, else give up (False)."""
         if self._predecessor is None:
             return False
         self._poll.unregister(self._commands)
         return None
 
     def _watch(self, pid: int) -> bool:
-        """Wait for the end of that process too; False if it has ended."""
+        """Wait for the exit of the process ``pid`` too; return False if it has already exited."""
         try:
             self._predecessor = os.pidfd_open(pid)
         except ProcessLookupError:
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -1,4 +1,4 @@
-"""The parent of a gateway's processes: starts them on one address, forwards signals, restarts after exits."""
+"""Runs a gateway's processes on one address: starts them, forwards signals, restarts them after exits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from saffronstack.runtime.threads import start_thread
 
 STARTUP_TIMEOUT_S = 30.0
-FAILED_STARTUP_STOP_S = 2.0  # for the other processes to end when one did not start
+FAILED_STARTUP_STOP_S = 2.0  # time that the other processes get to exit when one did not start
 POLL_INTERVAL_S = 0.05
 MIN_EXIT_WAIT_S = 0.1
 log = structlog.get_logger("saffronstack.supervisor")
@@ -28,16 +28,16 @@
 
 @dataclass(eq=False, slots=True)
 class _SupervisedProcess:
-    """One place among the gateway's processes, and the process that has it now.
+    """One of the gateway's processes, across its incarnations.
 
     Attributes:
-        index: Of the place.
-        process: The present process; None before the first.
-        is_ready: Whether it has written its first line; set on the thread that reads its lines.
-        needs_reload: Whether it is to read its configuration again once it is ready.
-        started_s: When it was started.
-        restart_at_s: When to restart it; None while it runs, or where its exit has not been noticed.
-        backoff: Of restarts.
+        index: Index of the process in the gateway.
+        process: The current incarnation; None before the first start.
+        is_ready: Whether the incarnation has written its first line. Set by the thread that reads its output.
+        needs_reload: Whether the process must reload its configuration once it is ready.
+        started_s: Start time of the incarnation.
+        restart_at_s: Time of the next restart; None while the process runs or its exit has not been noticed.
+        backoff: Backoff of its restarts.
     """
 
     index: int
@@ -49,12 +49,12 @@
     backoff: RestartBackoff = field(default_factory=RestartBackoff)
 
     def is_running(self) -> bool:
-        """Return whether there is a process that has not exited."""
+        """Return whether the process was started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
 
 class Supervisor:
-    """Runs several processes of one command; each learns its index behind ``--member``."""
+    """Runs several processes of one command; the option ``--member`` gives each its index."""
 
     def __init__(
         self,
@@ -65,15 +65,15 @@
         clock: Callable[[], float] = time.monotonic,
         stopped_timeout_s: float = STOPPED_TIMEOUT_S,
     ) -> None:
-        """Reserve the address: a bound socket that never listens keeps the port while processes come and go.
+        """Reserve the address with a bound socket that never listens; it keeps the port across restarts.
 
         Args:
-            command: Command line of a process; `gateway_command`.
-            count: How many to run.
+            command: Command line of a process, as from `gateway_command`.
+            count: Number of processes to run.
             host: Address to listen on.
-            port: Its port; 0 takes a free one.
+            port: Port to listen on; 0 for any free one.
             clock: Monotonic clock in seconds.
-            stopped_timeout_s: Silence after which a stopped process is replaced; 0: never.
+            stopped_timeout_s: Time without a heartbeat after which a stopped process is replaced; 0: never.
 
         Raises:
             OSError: The address is not available.
@@ -93,7 +93,7 @@
         """Start all processes and wait until they accept requests.
 
         Raises:
-            StartupError: A process did not start in time; all are stopped.
+            StartupError: A process did not start in time. All processes have been stopped.
         """
         starting = [(supervised, self._spawn(supervised)) for supervised in self._processes]
         deadline_s = self._clock() + STARTUP_TIMEOUT_S
@@ -107,13 +107,13 @@
                 raise StartupError(supervised.index)
 
     def run_until_signal(self, signals: queue.SimpleQueue[int]) -> int:
-        """Keep all processes running; forward SIGHUP to them, and return at any other signal.
+        """Keep all processes running. Forward SIGHUP to them, and return on any other signal.
 
         Args:
-            signals: Numbers of signals as they arrive.
+            signals: Receives the numbers of signals.
 
         Returns:
-            The signal that ended it.
+            The number of the other signal.
         """
         while True:
             try:
@@ -131,16 +131,16 @@
             self._reload_ready()
 
     def stop(self, timeout_s: float) -> int:
-        """Stop all processes gracefully, and kill those that take longer than ``timeout_s``.
+        """Stop all processes gracefully, and kill those that have not exited after ``timeout_s``.
 
         Returns:
-            The worst of their exit statuses, 1 for one that was killed. One that exited before does not
-            count, nor does one that was not ready and ended by the signal: it has taken nothing.
+            The greatest of their exit statuses; a killed process counts as 1. A process that exited before
+            this call counts as 0. So does one that SIGTERM ended before it was ready: it had no requests.
         """
         running = [supervised for supervised in self._processes if supervised.is_running()]
         for supervised in running:
             assert supervised.process is not None
-            allow_all_cpus(supervised.process.pid)  # nothing releases one that is starved while it ends
+            allow_all_cpus(supervised.process.pid)  # starvation is not checked during the shutdown
             supervised.process.send_signal(signal.SIGTERM)
         deadline_s = self._clock() + timeout_s
         exit_status = max((self._wait_for_exit(supervised, deadline_s) for supervised in running), default=0)
@@ -148,7 +148,7 @@
         return exit_status
 
     def _wait_for_exit(self, supervised: _SupervisedProcess, deadline_s: float) -> int:
-        """Wait for the end of a terminated process, and kill one that is late; the status that counts."""
+        """Wait for a terminated process and kill it at the deadline; return its exit status for `stop`."""
         assert supervised.process is not None
         try:
             status = supervised.process.wait(max(MIN_EXIT_WAIT_S, deadline_s - self._clock()))
@@ -160,7 +160,7 @@
         return abs(status)
 
     def _reload_ready(self) -> None:
-        """Have processes reload that are to; the signal would end one that is not ready."""
+        """Send SIGHUP to ready processes that need a reload; it would end a process that is not ready."""
         for supervised in self._processes:
             if supervised.needs_reload and supervised.is_ready and supervised.is_running():
                 assert supervised.process is not None
@@ -168,10 +168,10 @@
                 supervised.process.send_signal(signal.SIGHUP)
 
     def _spawn(self, supervised: _SupervisedProcess) -> queue.SimpleQueue[bytes]:
-        """Start a process. It ends with this one: its standard input is a pipe that closes then.
+        """Start a process. It exits with the supervisor: its standard input is a pipe that closes then.
 
         Returns:
-            A queue that gets the process's first line, or an empty one if it ends before.
+            A queue that receives the process's first line, or an empty line if it exits before.
         """
         command = [
             *self._command,
@@ -196,7 +196,7 @@
         process: subprocess.Popen[bytes],
         lines: queue.SimpleQueue[bytes],
     ) -> None:
-        """Read what a process writes: its first line says that it accepts requests, each is a heartbeat."""
+        """Read a process's output: the first line says that it accepts requests, each line is a heartbeat."""
         assert process.stdout is not None
         is_first = True
         with process.stdout as stream:
@@ -210,7 +210,7 @@
         lines.put(b"")
 
     def _release_starved(self) -> None:
-        """Let processes that get no processor run on any, before they count as unresponsive."""
+        """Let starved processes run on all CPUs, before they count as unresponsive."""
         pids = [one.process.pid for one in self._processes if one.process is not None and one.is_running()]
         for pid in self._starvation_monitor.check(pids):
             log.warning("gateway process got no processor, it may use all from now on", pid=pid)
@@ -227,9 +227,9 @@
                 supervised.process.kill()
 
     def _is_stopped(self, index: int) -> bool:
-        """Return whether the system reports the process as stopped by a signal; False if it does not say.
+        """Return whether the system reports the process as stopped by a signal; False if that is unknown.
 
-        A process that a debugger stopped has another state.
+        A process that a debugger stopped has a different state.
         """
         process = self._processes[index].process
         if process is None:
@@ -237,7 +237,7 @@
         try:
             with open(f"/proc/{process.pid}/stat", "rb") as stat:
                 return stat.read().rpartition(b")")[2].split()[0] == b"T"
-        except (OSError, IndexError):  # no /proc on this system, or the process has just ended
+        except (OSError, IndexError):  # the system has no /proc, or the process has just exited
             return False
 
     def _restart_exited(self) -> None:
@@ -262,5 +262,5 @@
 
 
 def gateway_command(arguments: Sequence[str]) -> list[str]:
-    """Return the command line of a gateway process, from the interpreter that runs this one."""
+    """Return the command line of a gateway process that uses the current Python interpreter."""
     return [sys.executable, "-m", "saffronstack.cli.main", *arguments]
--- a/tests/daemon/conftest.py
+++ b/tests/daemon/conftest.py
@@ -1,4 +1,4 @@
-"""Stub workers behind the gateways of these tests."""
+"""Stub workers for the gateways of these tests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def one_slow_worker() -> Iterator[StandInFleet]:
-    """It takes 50 ms for each call."""
+    """A worker that takes 50 ms for each request."""
     fleet = StandInFleet(1, lambda n: Profile(load_s=0.01, work_s=0.05))
     yield fleet
     fleet.stop()
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def two_slow_workers() -> Iterator[StandInFleet]:
-    """They take 50 ms for each call."""
+    """Workers that take 50 ms for each request."""
     fleet = StandInFleet(2, lambda n: Profile(load_s=0.01, work_s=0.05))
     yield fleet
     fleet.stop()
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def two_fast_workers() -> Iterator[StandInFleet]:
-    """They take 2 ms for each call."""
+    """Workers that take 2 ms for each request."""
     fleet = StandInFleet(2, lambda n: Profile(load_s=0.01, work_s=0.002))
     yield fleet
     fleet.stop()
--- a/tests/daemon/test_graceful_takeover.py
+++ b/tests/daemon/test_graceful_takeover.py
@@ -1,4 +1,4 @@
-"""A gateway process that takes over from another one on the same listening socket, with or without daemon."""
+"""Graceful takeover of a listening socket by a second gateway process, with and without a daemon."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 SERVE = [
     sys.executable, "-m", "saffronstack.cli.main", "serve", "--log-level", "error",
-    "--cpus", "all",  # pinned to one, it waits for whatever else runs there
+    "--cpus", "all",  # on one CPU, it would wait for the other processes there
 ]  # fmt: skip
 
 
@@ -38,13 +38,13 @@
 
 @pytest.fixture
 def address() -> Iterator[str]:
-    """A free port that nothing else takes while the test runs."""
+    """A free port that no other process can take while the test runs."""
     with hold_port("127.0.0.1") as holder:
         yield f"127.0.0.1:{holder.getsockname()[1]}"
 
 
 class EventLog:
-    """Events of gateway processes, as they are reported."""
+    """Collects the events that gateway processes report."""
 
     def __init__(self) -> None:
         self.events: list[ProcessEvent] = []
@@ -59,7 +59,7 @@
 
 
 def close_input(process: GatewayProcess) -> None:
-    """Close the pipe from the daemon, as the daemon's end does."""
+    """Close the pipe from the daemon, as the exit of the daemon does."""
     assert process._child is not None
     assert process._child.stdin is not None
     process._child.stdin.close()
@@ -92,7 +92,7 @@
         first.allow_serving()
         log.wait_for(ProcessEventKind.SERVING, 1)
         assert [process.release for process in find_processes(mark)] == ["r1", "r2"]
-        # The daemon ends: its pipes close. The first process serves on, the second waits for its end.
+        # The daemon's pipes close, as at its exit. The first process serves on; the second waits for it.
         second.serve_after(first)
         close_input(first)
         close_input(second)
@@ -115,7 +115,7 @@
 def serving_with_successor(
     config_path: pathlib.Path,
 ) -> Iterator[tuple[subprocess.Popen[bytes], subprocess.Popen[bytes], socket.socket]]:
-    """A process that serves, a prepared one that is to follow it, and their listening socket."""
+    """Start a process that serves and a standby process that succeeds it; yield both and their listener."""
     listener = bind_listener("127.0.0.1:0")
     command = [*SERVE, "--config", str(config_path), "--listen-fd", str(listener.fileno()), "--standby"]
 
@@ -137,7 +137,7 @@
     with serving_with_successor(config_path) as (first, second, listener):
         assert second.stdin is not None
         assert second.stdout is not None
-        second.stdin.close()  # the daemon has died, and with it both of its ends
+        second.stdin.close()  # the daemon has exited, which closed its ends of both pipes
         second.stdout.close()
         first.send_signal(signal.SIGTERM)
         assert first.wait(30.0) == 0
@@ -152,9 +152,9 @@
 def test_a_successor_serves_once_its_predecessor_has_ended_though_its_daemon_is_stopped(
     config_path: pathlib.Path,
 ) -> None:
-    """Callers waited for a daemon that was stopped between one end and the next start."""
+    """Guards against clients that wait while the daemon is stopped between one exit and the next start."""
     with serving_with_successor(config_path) as (first, second, listener):
-        first.send_signal(signal.SIGTERM)  # and from here on no word of the daemon's: it holds both pipes
+        first.send_signal(signal.SIGTERM)  # from here on the daemon writes nothing, but keeps both pipes open
         try:
             host, port = listener.getsockname()
             client = Client(f"{host}:{port}", 30.0)
--- a/tests/daemon/test_http_exchange.py
+++ b/tests/daemon/test_http_exchange.py
@@ -1,4 +1,4 @@
-"""One request to another process: what its errors say about the request."""
+"""Requests to another process: the errors tell whether a request may have had an effect."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def respond_once(listener: socket.socket, response: bytes) -> None:
-    """Answer the next connection's request with these bytes, then close it; on a thread of its own."""
+    """Send these bytes in response to the request of the next connection, then close it; on a thread."""
 
     def respond() -> None:
         connection, _ = listener.accept()
--- a/tests/daemon/test_listener_handover.py
+++ b/tests/daemon/test_listener_handover.py
@@ -1,4 +1,4 @@
-"""A listening socket that a process hands to another one."""
+"""Passing a listening socket from one process to another."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     listener = socket.create_server(("127.0.0.1", 0))
     handover = ListenerHandover("fleet/d1/x/g1/r1", listener)
     client = socket.create_connection(listener.getsockname(), timeout=10.0)
-    client.sendall(b"hello")  # nobody has accepted it
+    client.sendall(b"hello")  # the connection is in the accept queue
     assert request_listener("fleet/d1/x/g1/other", os.getpid()) is None
     assert request_listener("fleet/d1/x/g1/r1", 1) is None
     received = request_listener("fleet/d1/x/g1/r1", os.getpid())
--- a/tests/daemon/test_process_group.py
+++ b/tests/daemon/test_process_group.py
@@ -1,4 +1,4 @@
-"""Which process owns a request id."""
+"""Request ids name the process that owns them."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_restart_backoff.py
+++ b/tests/daemon/test_restart_backoff.py
@@ -1,4 +1,4 @@
-"""How long the supervisor waits before it restarts a process."""
+"""The delay before the supervisor restarts a process."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_state_directories.py
+++ b/tests/daemon/test_state_directories.py
@@ -1,4 +1,4 @@
-"""Ledgers of more processes than are started."""
+"""Ledgers that no process opens, since fewer processes are started than before."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_stopped_process.py
+++ b/tests/daemon/test_stopped_process.py
@@ -1,4 +1,4 @@
-"""A gateway of several processes, one of which is stopped while calls go on."""
+"""A gateway of several processes, one of which is stopped by a signal while clients send requests."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True)
 class FinishedCall:
-    """A call that a client made."""
+    """A request that has ended."""
 
     started_s: float
     succeeded: bool
 
 
 class SequentialClients:
-    """Clients that call one after the other, each call on a new connection, as browsers and scripts do."""
+    """Clients that send one request after the other, each on a new connection, as browsers and scripts do."""
 
     def __init__(self, address: str) -> None:
         self.finished_calls: list[FinishedCall] = []
@@ -64,7 +64,7 @@
 
 
 def process_ids(stack: Stack) -> dict[int, int]:
-    """The process ids by index, once all answer."""
+    """Return the process ids by index, once all processes respond."""
     pids: dict[int, int] = {}
     while len(pids) < PROCESSES:
         for index in range(PROCESSES):
@@ -92,7 +92,7 @@
         finished_later = [call.succeeded for call in clients.started_since(since_s)]
         assert len(finished_later) > 100
         assert sum(finished_later) >= 0.95 * len(finished_later)
-        # Silent for a second, killed: the calls that it had been handed are the only ones that fail.
+        # Killed after a second without heartbeats: only the requests on its connections fail.
         assert sum(not call.succeeded for call in clients.started_since(stopped_s)) <= 4 * CLIENTS
         indexes = list(range(PROCESSES))
         eventually(lambda: [process_status(stack, n).get("process") for n in indexes] == [0, 1, 2])
--- a/tests/daemon/test_supervised_gateway.py
+++ b/tests/daemon/test_supervised_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway of several processes: one address, restarts, deferred calls found at every process."""
+"""A gateway of several processes: one address, restarts, and deferred calls that every process finds."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         client = stack.client(tenant="campus-app")
         for _ in range(30):
             client.invoke("identify-copy", b"{}")
-            client.close()  # another connection, another process
+            client.close()  # the next connection may reach another process
         expected = sum(truth(one_slow_worker).values()) / MB_S
 
         def is_summed() -> bool:
@@ -91,6 +91,6 @@
         one_each = [1] * PROCESSES
         eventually(lambda: [process_status(stack, n).get("workers") for n in range(PROCESSES)] == one_each)
         before = len(two_workers.workers[0].runs())
-        for _ in range(20):  # a machine that is busy elsewhere may refuse some by their deadline
+        for _ in range(20):  # on a busy machine some may be rejected at their deadline
             eventually(lambda: stack.call("identify-copy").status == 200)
         assert len(two_workers.workers[0].runs()) == before
--- a/tests/daemon/test_supervisor.py
+++ b/tests/daemon/test_supervisor.py
@@ -1,4 +1,4 @@
-"""What the supervisor does with processes that are not ready."""
+"""How the supervisor handles processes that are not ready."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         supervisor.start()
 
 
-# Its first process ends once a file says so; the second one is not ready before another file is there.
+# The first incarnation exits once a file exists; the second is not ready until another file exists.
 PROCESS_SCRIPT = """
 import pathlib, signal, sys, time
 folder = pathlib.Path(sys.argv[1])
@@ -45,7 +45,7 @@
 
 
 class RestartingProcess:
-    """A supervisor of one process that is being restarted, and is not ready yet."""
+    """Runs a supervisor of one process that is being restarted and is not ready yet."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -57,25 +57,25 @@
         eventually(lambda: self.starts() == 1)
 
     def starts(self) -> int:
-        """Return how often the process was started again."""
+        """Return the number of restarts of the process."""
         path = self.folder / "later starts"
         return len(path.read_text().splitlines()) if path.exists() else 0
 
     def signal(self, number: int) -> None:
-        """Signal the supervisor, and wait until it has handled that."""
-        for _ in range(2):  # it takes the second one once it has handled the first
+        """Signal the supervisor, and wait until it has handled the signal."""
+        for _ in range(2):  # it takes the second signal after it has handled the first
             self.signals.put(number)
         eventually(self.signals.empty)
 
     def stop(self) -> int:
-        """End the supervisor; return the worst status."""
+        """Stop the supervisor; return the greatest exit status of its processes."""
         self.signals.put(signal.SIGTERM)
         self._thread.join(10.0)
         return self.supervisor.stop(10.0)
 
 
 def test_a_process_that_is_not_ready_yet_is_told_to_reload_once_it_is(tmp_path: pathlib.Path) -> None:
-    """SIGHUP would end it before, and a configuration that it has read already may be an older one."""
+    """SIGHUP would end a process that is not ready, and it may already have read the old configuration."""
     restarting = RestartingProcess(tmp_path)
     restarting.signal(signal.SIGHUP)
     (tmp_path / "second may begin").touch()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The commands as a user runs them: processes, exit codes, output."""
+"""The commands as a user runs them: processes, exit statuses and output."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
     assert saffronstack("serve").returncode == 2
 
 
-@pytest.mark.xdist_group("fleet")  # with the days of many gateways: one at a time
+@pytest.mark.xdist_group("fleet")  # grouped with scenarios of many gateways, to run one at a time
 def test_a_short_scenario_with_faults_keeps_the_rules() -> None:
     completed = saffronstack("day", "run", str(ROOT / "deploy/days/short.json5"), timeout=120)
     assert completed.returncode == 0, completed.stdout + completed.stderr
@@ -129,7 +129,7 @@
             choose_cpus(selection, {3, 5}, 0)
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one CPU")
 def test_a_process_is_pinned_to_an_idle_cpu_at_its_start() -> None:
     busy, *idle = sorted(os.sched_getaffinity(0))
     elapsed_s: list[float] = []
