--- a/saffronstack/net/__init__.py
+++ b/saffronstack/net/__init__.py
@@ -1,1 +1,1 @@
-"""Blocking sockets with an end to every wait, and writes that never wait; no protocol."""
+"""Socket I/O without a protocol: blocking sockets with timeouts, a read loop and non-blocking writes."""
--- a/saffronstack/net/accept_queue.py
+++ b/saffronstack/net/accept_queue.py
@@ -1,7 +1,7 @@
-"""The queue of a listening socket at the end of its life.
+"""Stops a listening socket's accept queue from filling before the socket is closed.
 
-Closing a listening socket resets the connections that wait in its queue, with the requests that their clients
-have sent. A queue that is to be emptied first must not go on to fill, or emptying it has no end.
+Closing a listening socket resets the connections in its accept queue, and with them the requests that clients
+have already sent. The queue therefore has to be emptied first, which only ends if it gets no new connections.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import socket
 import struct
 
-_SO_ATTACH_FILTER = 26  # of Linux, on all its common architectures; the library does not name it
+_SO_ATTACH_FILTER = 26  # Linux, same value on all common architectures; missing in the socket module
 _BPF_RETURN_CONSTANT = 0x06
-_DROP = 0  # bytes of a packet that are kept
+_DROP = 0  # bytes of each packet to accept
 
 
 class _FilterInstruction(ctypes.Structure):
-    """One instruction of a classic packet filter: ``struct sock_filter``."""
+    """One instruction of a classic BPF filter: ``struct sock_filter``."""
 
     _fields_ = (
         ("code", ctypes.c_uint16),
@@ -27,13 +27,14 @@
 
 
 def stop_handshakes(listener: socket.socket) -> bool:
-    """Let no further connection into a listening socket's queue; what waits in it stays.
+    """Stop the handshakes of new connections to a listening socket; queued connections are kept.
 
-    Packets of new connections are dropped: their clients try again after a second, and are refused, or meet
-    another listener of the address. For a socket that is about to be closed: this is not undone.
+    The kernel drops the packets of new connections. Their clients retransmit after a second and then either
+    get a connection refusal or reach another listener of the address. The filter is never removed, so use
+    this only on a socket that is about to be closed.
 
     Returns:
-        Whether the system does this; without it the queue goes on to fill.
+        Whether the system supports this; if not, new connections still enter the accept queue.
     """
     program = (_FilterInstruction * 1)(_FilterInstruction(_BPF_RETURN_CONSTANT, 0, 0, _DROP))
     descriptor = struct.pack("HP", len(program), ctypes.addressof(program))
--- a/saffronstack/net/read_loop.py
+++ b/saffronstack/net/read_loop.py
@@ -1,7 +1,7 @@
-"""Reads for many sockets on one thread, which waits for all of them.
+"""Reads from many sockets on one thread.
 
-A thread for each socket would meet the machine's bound on threads: hundreds of gateways with dozens of
-connections each had used up its 32,768 process numbers.
+A thread for each socket would exceed the machine's limit on threads: hundreds of gateways with dozens of
+connections each exhausted its 32,768 process IDs.
 """
 
 from __future__ import annotations
@@ -16,44 +16,44 @@
 from saffronstack.runtime.logs import Logger
 from saffronstack.runtime.threads import start_thread
 
-TICK_S = 1.0  # how often every handler's `on_tick` is called
+TICK_S = 1.0  # interval between calls of each handler's `on_tick`
 STOP_TIMEOUT_S = 2.0
 READ_BYTES = 8 * 1024
 
 
 class ReadHandler(Protocol):
-    """A connected socket as the read loop sees it; all but `fileno` run on the loop's thread alone."""
+    """Callbacks for one connected socket; all but `fileno` are only called on the loop's thread."""
 
     def fileno(self) -> int:
-        """Return the socket's descriptor, which stays open until `on_released`."""
+        """Return the socket's file descriptor, which must stay open until `on_released`."""
         ...
 
     def on_readable(self, buffer: bytearray, view: memoryview) -> bool:
-        """Read once, without blocking, into a buffer that all handlers share; return False at the end."""
+        """Read once without blocking into a buffer that all handlers share; return False at end of stream."""
         ...
 
     def on_tick(self, now_s: float) -> bool:
-        """Return False where the socket is to be released; called each second."""
+        """Return False to have the socket released; called every `TICK_S` seconds."""
         ...
 
     def on_released(self) -> None:
-        """Clean up: the loop does not use the socket any more, which may be closed."""
+        """Clean up: the loop no longer uses the socket, so it may be closed."""
         ...
 
 
 class ReadLoop:
-    """One thread that reads for every watched handler until it is released."""
+    """Calls each watched handler on one thread whenever its socket is readable."""
 
     def __init__(self, clock: Callable[[], float], log: Logger, read_bytes: int = READ_BYTES) -> None:
-        """Create a loop that reads up to ``read_bytes`` at once."""
+        """Create a loop with a shared read buffer of ``read_bytes``."""
         self._clock = clock
         self._log = log
         self._read_bytes = read_bytes
-        self._lock = threading.Lock()  # guards the new handlers, and the descriptor against its reuse
+        self._lock = threading.Lock()  # guards `_new_handlers`, and `_wake_fd` against use after it is closed
         self._new_handlers: list[ReadHandler] = []
         self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._is_stopping = False
-        self._loop_thread: threading.Thread | None = None  # `_thread` would not compile: a keyword of C
+        self._loop_thread: threading.Thread | None = None  # mypyc rejects `_thread`, a C keyword
 
     def start(self) -> None:
         """Start the thread."""
@@ -72,7 +72,7 @@
         return not self._loop_thread.is_alive()
 
     def watch(self, handler: ReadHandler) -> bool:
-        """Read for a handler until it is released; return False where the loop was stopped."""
+        """Watch a handler's socket until it is released; return False if the loop was stopped."""
         with self._lock:
             if self._is_stopping:
                 return False
@@ -90,7 +90,7 @@
         while not self._is_stopping:
             for fd, _ in poll.poll(TICK_S * 1000):
                 if fd == self._wake_fd:
-                    with contextlib.suppress(OSError):  # another wake-up was read with this one
+                    with contextlib.suppress(OSError):  # an earlier read already consumed this wake-up
                         os.eventfd_read(self._wake_fd)
                 elif fd in handlers and not self._read(handlers[fd], buffer, view):
                     self._release(poll, handlers, fd)
@@ -115,18 +115,18 @@
             poll.register(handler.fileno(), select.POLLIN)
 
     def _release(self, poll: select.poll, handlers: dict[int, ReadHandler], fd: int) -> None:
-        poll.unregister(fd)  # before it is closed: its number may be another socket's at once
+        poll.unregister(fd)  # before it is closed: the system may reuse its number at once
         self._notify_released(handlers.pop(fd))
 
     def _read(self, handler: ReadHandler, buffer: bytearray, view: memoryview) -> bool:
         try:
             return handler.on_readable(buffer, view)
-        except Exception:  # noqa: BLE001 - a fault of one handler must not stop the others
+        except Exception:  # noqa: BLE001 - an error in one handler must not stop the others
             self._log.exception("reading a socket failed")
             return False
 
     def _notify_released(self, handler: ReadHandler) -> None:
         try:
             handler.on_released()
-        except Exception:  # noqa: BLE001 - a fault of one handler must not stop the others
+        except Exception:  # noqa: BLE001 - an error in one handler must not stop the others
             self._log.exception("releasing a socket failed")
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -1,6 +1,6 @@
-"""Writes that never block: what a socket does not take at once waits in a bounded buffer.
+"""Non-blocking writes: data that does not fit into the socket's send buffer waits in a bounded queue.
 
-One thread, the write loop, empties the buffers of all sockets.
+One thread, the write loop, flushes the queues of all sockets.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from saffronstack.runtime.logs import KeyValueLogger, Logger
 from saffronstack.runtime.threads import start_thread
 
-STALL_CHECK_S = 0.25  # how often the write loop looks for sockets that take nothing, while it watches any
-IDLE_WAIT_S = 5.0  # how long it waits at most while it watches none
+STALL_CHECK_S = 0.25  # interval between checks for stalled sockets, while any buffer is watched
+IDLE_WAIT_S = 5.0  # maximum wait of the write loop while no buffer is watched
 STOP_TIMEOUT_S = 2.0
 
 
 class SendProgress(Enum):
-    """How much of a message the socket has taken."""
+    """How much of a message has been written to the socket."""
 
     NOTHING = 0
     PARTIAL = 1
@@ -31,7 +31,7 @@
 
 
 class OutgoingMessage:
-    """Bytes that are sent in one run, after those of earlier messages."""
+    """Bytes that are sent contiguously, after those of earlier messages."""
 
     __slots__ = ("data", "progress", "size")
 
@@ -39,29 +39,30 @@
         """Create a message.
 
         Args:
-            data: Its bytes.
-            size: What it counts for in a write buffer, where ``data`` is known only once it is sent.
+            data: Bytes to send.
+            size: Bytes that the message counts for in a write buffer; None for the length of ``data``. Needed
+                where ``data`` is only set when the message is sent.
         """
         self.data = data
         self.size = len(data) if size is None else size
         self.progress = SendProgress.NOTHING
 
     def prepare_to_send(self) -> bool:
-        """Return whether the message may still be sent; called right before its first byte is.
+        """Return whether the message should still be sent; called right before its first byte is sent.
 
-        It must not block, and may set ``data`` to what is true at this moment.
+        It must not block. It may replace ``data`` with current content.
         """
         return True
 
     def on_blocked(self) -> None:
-        """Note that it was prepared but not one byte was taken: it is prepared again later."""
+        """Handle that the message was prepared but no byte was written; it will be prepared again."""
 
     def on_dropped(self) -> None:
-        """Note that it was not to be sent any more: no byte of it is."""
+        """Handle that `prepare_to_send` returned False; no byte of the message is sent."""
 
 
 class WriteBuffer:
-    """The writing side of one connected socket; any thread may send."""
+    """A bounded queue of messages for one connected socket; any thread may send."""
 
     def __init__(
         self,
@@ -71,28 +72,29 @@
         stall_timeout_s: float,
         clock: Callable[[], float],
     ) -> None:
-        """Create a buffer without messages.
+        """Create an empty buffer.
 
-        Where more than ``max_bytes`` wait, or the peer takes nothing for ``stall_timeout_s`` seconds, it
-        breaks: the socket is shut down, which its reader sees.
+        The buffer breaks when more than ``max_bytes`` are queued, or when no byte could be written for
+        ``stall_timeout_s`` seconds. A broken buffer discards its messages and shuts down the socket, which
+        the socket's reader notices.
         """
         self._sock = sock
         self._write_loop = write_loop
         self._max_bytes = max_bytes
         self._stall_timeout_s = stall_timeout_s
         self._clock = clock
-        self._lock = threading.Lock()  # guards all below, and orders the writes to the socket
+        self._lock = threading.Lock()  # guards all fields below, and serializes writes to the socket
         self._queue: deque[OutgoingMessage] = deque()
-        self._queued_bytes = 0  # of all queued messages, what was sent of the first one included
+        self._queued_bytes = 0  # total size of queued messages, including the sent part of the first one
         self._last_progress_s = 0.0
-        self._sent_bytes = 0  # of the first message
+        self._sent_bytes = 0  # bytes of the first queued message that are already sent
         self.is_broken = False
 
     def send(self, message: OutgoingMessage) -> bool:
-        """Send a message, now or by the write loop.
+        """Send a message now, or queue it for the write loop.
 
         Returns:
-            False where the buffer is broken; ``message.progress`` then says what was sent.
+            False if the buffer is broken; ``message.progress`` then tells how much was sent.
         """
         with self._lock:
             if self.is_broken:
@@ -123,7 +125,7 @@
         self._queued_bytes += message.size
 
     def flush(self) -> bool:
-        """Write what the socket takes; return True where nothing is left to do, or it is broken."""
+        """Write queued messages until the socket is full; return True if the queue is empty or broken."""
         with self._lock:
             while self._queue and not self.is_broken:
                 message = self._queue[0]
@@ -138,10 +140,10 @@
             return self.is_broken or not self._queue
 
     def _send_available(self, message: OutgoingMessage) -> bool:
-        """Send what the socket takes without blocking; the caller holds the lock.
+        """Send as much of a message as possible without blocking; the caller holds the lock.
 
         Returns:
-            True where nothing of the message is left to send.
+            True if the message is completely sent or was dropped.
         """
         if message.progress is SendProgress.NOTHING and not message.prepare_to_send():
             message.on_dropped()
@@ -154,7 +156,7 @@
             if message.progress is SendProgress.NOTHING:
                 message.on_blocked()
             return False
-        except OSError:  # the peer has gone; whoever reads the socket reports why
+        except OSError:  # the connection failed; the socket's reader reports why
             self._break()
             return False
         self._sent_bytes += sent
@@ -166,7 +168,7 @@
         return False
 
     def break_if_stalled(self) -> bool:
-        """Break it where the peer has taken nothing for too long; return whether it is broken."""
+        """Break the buffer if no byte was written for the stall timeout; return whether it is broken."""
         with self._lock:
             is_waiting = bool(self._queue) and not self.is_broken
             if is_waiting and self._clock() - self._last_progress_s > self._stall_timeout_s:
@@ -175,26 +177,26 @@
 
     @property
     def has_pending(self) -> bool:
-        """Whether some message was not sent completely yet."""
+        """Whether some message is not completely sent yet."""
         return bool(self._queue) and not self.is_broken
 
     def fileno(self) -> int:
-        """Return the socket's descriptor, -1 once it is closed."""
+        """Return the socket's file descriptor, or -1 once the socket is closed."""
         return self._sock.fileno()
 
     def discard(self) -> None:
-        """Send nothing more; returns once a write that is under way has ended."""
+        """Drop all queued messages and send nothing more; a write in progress ends before this returns."""
         with self._lock:
             self._clear()
 
     def abort(self) -> None:
-        """Send nothing more and shut the socket down, which its reader sees."""
+        """Drop all queued messages and shut down the socket, which its reader notices."""
         with self._lock:
             self._break()
 
     def _break(self) -> None:
         self._clear()
-        with contextlib.suppress(OSError):  # closed already
+        with contextlib.suppress(OSError):  # already closed
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def _clear(self) -> None:
@@ -204,17 +206,17 @@
 
 
 class WriteLoop:
-    """One thread that writes for every buffer whose socket was full."""
+    """Flushes the buffers of full sockets on one thread as the sockets become writable."""
 
     def __init__(self, clock: Callable[[], float], log: Logger | None = None) -> None:
-        """Create a loop that logs faults of messages to ``log``, to standard error if None."""
+        """Create a loop that logs exceptions raised by messages to ``log``, or to standard error if None."""
         self._clock = clock
         self._log = log or KeyValueLogger("net")
-        self._lock = threading.Lock()  # guards the new buffers, and the descriptor against its reuse
+        self._lock = threading.Lock()  # guards `_new_buffers`, and `_wake_fd` against use after it is closed
         self._new_buffers: list[WriteBuffer] = []
         self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._is_stopping = False
-        self._loop_thread: threading.Thread | None = None  # `_thread` would not compile: a keyword of C
+        self._loop_thread: threading.Thread | None = None  # mypyc rejects `_thread`, a C keyword
 
     def start(self) -> None:
         """Start the thread."""
@@ -230,18 +232,18 @@
         return not self._loop_thread.is_alive()
 
     def watch(self, buffer: WriteBuffer) -> None:
-        """Write for a buffer until it is empty or broken."""
+        """Flush a buffer whenever its socket is writable, until it is empty or broken."""
         with self._lock:
             self._new_buffers.append(buffer)
         self._wake_up()
 
     def _wake_up(self) -> None:
         with self._lock, contextlib.suppress(OSError):
-            if self._wake_fd >= 0:  # once closed, its number may be another file's
+            if self._wake_fd >= 0:  # the number of a closed descriptor may belong to another file
                 os.eventfd_write(self._wake_fd, 1)
 
     def _flush(self, buffer: WriteBuffer) -> bool:
-        """Flush a buffer; a fault of one of its messages breaks it alone, and not the loop."""
+        """Flush a buffer; an exception from one of its messages breaks this buffer but not the loop."""
         try:
             return buffer.flush()
         except Exception:  # noqa: BLE001 - see above
@@ -257,12 +259,12 @@
         while not self._is_stopping:
             for fd, _ in poll.poll(STALL_CHECK_S if watched else IDLE_WAIT_S):
                 if fd == self._wake_fd:
-                    with contextlib.suppress(OSError):  # another wake-up was read with this one
+                    with contextlib.suppress(OSError):  # an earlier read already consumed this wake-up
                         os.eventfd_read(self._wake_fd)
                 elif fd in watched and self._flush(watched[fd]):
                     self._unwatch(poll, watched, fd)
             self._add_new(poll, watched)
-            # Not on each wake-up: many peers that take nothing would slow down writing to all others.
+            # Not on each wake-up: with many stalled peers, the checks would slow down writes to all others.
             now_s = self._clock()
             if now_s - checked_s >= STALL_CHECK_S:
                 checked_s = now_s
@@ -273,18 +275,18 @@
             self._wake_fd = -1
 
     def _add_new(self, poll: select.epoll, watched: dict[int, WriteBuffer]) -> None:
-        """Write for buffers that came since the last round, and watch those whose sockets are still full."""
+        """Flush newly added buffers, and watch those whose sockets are still full."""
         with self._lock:
             new_buffers, self._new_buffers = self._new_buffers, []
         for buffer in new_buffers:
             fd = buffer.fileno()
             if fd >= 0 and not self._flush(buffer):
-                watched[fd] = buffer  # a buffer that had the number before is closed
-                with contextlib.suppress(OSError):  # closed meanwhile: the next check forgets it
+                watched[fd] = buffer  # replaces a closed buffer that had the same descriptor
+                with contextlib.suppress(OSError):  # closed in the meantime: the next stall check removes it
                     poll.register(fd, select.EPOLLOUT)
 
     def _break_stalled(self, poll: select.epoll, watched: dict[int, WriteBuffer]) -> None:
-        """Break buffers whose peers take nothing, and forget those that are closed or broken."""
+        """Break stalled buffers, and stop watching those that are closed or broken."""
         for fd, buffer in list(watched.items()):
             if buffer.fileno() != fd or buffer.break_if_stalled():
                 self._unwatch(poll, watched, fd)
@@ -292,5 +294,5 @@
     @staticmethod
     def _unwatch(poll: select.epoll, watched: dict[int, WriteBuffer], fd: int) -> None:
         del watched[fd]
-        with contextlib.suppress(OSError, ValueError):  # closed: the system has forgotten it already
+        with contextlib.suppress(OSError, ValueError):  # already closed, which unregistered it
             poll.unregister(fd)
--- a/saffronstack/runtime/__init__.py
+++ b/saffronstack/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Foundations that every package may use: threads with small stacks, and loggers."""
+"""Utilities that every package may use: threads with small stacks, loggers and process exit."""
--- a/saffronstack/runtime/logs.py
+++ b/saffronstack/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The logger interface of the gateway's packages, and a logger that needs no library."""
+"""The logger interface of all packages, and a logger without third-party dependencies."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 
 class Logger(Protocol):
-    """The methods of a structured logger that are used here."""
+    """The subset of a structured logger's methods that the packages use."""
 
     def info(self, event: str, **fields: object) -> object:
-        """Log an event that an operator may want to know of."""
+        """Log an event of normal operation."""
         ...
 
     def warning(self, event: str, **fields: object) -> object:
-        """Log an event that an operator should look at."""
+        """Log an event that may need an operator's attention."""
         ...
 
     def exception(self, event: str, **fields: object) -> object:
-        """Log a fault with the stack of the exception that is being handled."""
+        """Log an error with the traceback of the exception that is being handled."""
         ...
 
 
 class KeyValueLogger:
-    """Write lines of ``key=value`` to a stream; logging libraries cost small gateways memory."""
+    """Writes ``key=value`` lines to a stream, with less memory than a logging library needs."""
 
     def __init__(self, name: str, stream: TextIO | None = None) -> None:
-        """Create a logger whose lines name their source.
+        """Create a logger.
 
         Args:
-            name: Name of the source.
-            stream: Where the lines go; None for standard error.
+            name: Name of the component, written in each line.
+            stream: Destination; None for standard error.
         """
         self._name = name
         self._stream = stream
 
     def info(self, event: str, **fields: object) -> None:
-        """Log an event that an operator may want to know of."""
+        """Log an event of normal operation."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log an event that an operator should look at."""
+        """Log an event that may need an operator's attention."""
         self._write("warning", event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """Log a fault with the stack of the exception that is being handled."""
+        """Log an error with the traceback of the exception that is being handled."""
         self._write("error", event, fields, traceback.format_exc())
 
     def _write(self, level: str, event: str, fields: dict[str, object], stack: str = "") -> None:
         pairs = "".join(f" {name}={value!r}" for name, value in fields.items())
         line = f"{time.time():.3f} {level} {self._name}: {event}{pairs}\n{stack}"
-        try:  # one write, so that lines of several threads do not mix
+        try:  # a single write keeps lines of concurrent threads apart
             (self._stream or sys.stderr).write(line)
         except (OSError, ValueError):
-            return  # the reader of the log has closed it, which must not fail a request
+            return  # a closed log must not fail a request
--- a/saffronstack/runtime/process_exit.py
+++ b/saffronstack/runtime/process_exit.py
@@ -1,8 +1,8 @@
-"""The end of a process that has nothing left to do.
+"""Exits a process without the interpreter's finalization.
 
-The interpreter's own end collects the whole heap and takes its modules apart, which on a busy machine lasts
-from tenths of a second to seconds. Whoever waits for this process, a successor on its listening socket say,
-waits for that too.
+Finalization collects the whole heap and tears down all modules, which takes from tenths of a second to
+seconds on a busy machine. Whatever waits for the process to exit, such as its successor on the listening
+socket, would wait for that as well.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 def exit_process(status: int) -> NoReturn:
-    """End this process at once, without the interpreter's clean-up.
+    """Exit at once after flushing the standard streams; exit handlers and finalizers do not run.
 
-    For a process whose threads have ended or hold nothing, and whose files are flushed and closed: exit
-    handlers and finalizers do not run. What is left in the standard streams is written out.
+    The caller must have flushed and closed its files, and no running thread may hold a resource that needs
+    clean-up.
 
     Args:
-        status: The exit status.
+        status: Exit status.
     """
     for stream in (sys.stdout, sys.stderr):
-        with contextlib.suppress(OSError, ValueError):  # nobody reads it, or it is closed
+        with contextlib.suppress(OSError, ValueError):  # the stream is closed, or has no reader
             stream.flush()
     os._exit(status)
--- a/saffronstack/runtime/threads.py
+++ b/saffronstack/runtime/threads.py
@@ -1,6 +1,6 @@
-"""Threads with small stacks: a gateway runs one for each connection and each attempt.
+"""Starts threads with small stacks, because a gateway runs one for each connection and each attempt.
 
-Each thread carries its name in the system too, where `top -H` and `ps -L` show it.
+The name of each thread is also set in the operating system, so that `top -H` and `ps -L` show it.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from collections.abc import Callable
 from functools import partial
 
-# Enough for the deepest call path (a JSON parser on a connection's thread) with a wide margin. The default of
-# 8 MiB of address space for each of thousands of threads would exceed the limits of small machines.
+# Enough for the deepest call path (a JSON parser on a connection's thread) with a wide margin. With the
+# default of 8 MiB, the address space of thousands of threads would exceed the limits of small machines.
 STACK_BYTES = 256 * 1024
 DEFAULT_IDLE_TIMEOUT_S = 5.0
 DEFAULT_MAX_IDLE_THREADS = 32
-SYSTEM_NAME_MAX_BYTES = 15  # Linux keeps no more
+SYSTEM_NAME_MAX_BYTES = 15  # limit of Linux
 _SYSTEM_NAME_PATH = "/proc/thread-self/comm"
-_stack_size_lock = threading.Lock()  # guards the stack size of new threads, which the interpreter has one of
+_stack_size_lock = threading.Lock()  # guards the interpreter's single setting for new threads' stack size
 
 
 def set_system_thread_name(name: str) -> None:
-    """Name the calling thread in the system; until then it has the name of the thread that created it.
+    """Set the calling thread's name in the operating system, in place of its creator's name.
 
-    Without a free descriptor it keeps that one: the name only informs.
+    A failure, such as a lack of file descriptors, is ignored because the name is only informative.
     """
     with contextlib.suppress(OSError):
         descriptor = os.open(_SYSTEM_NAME_PATH, os.O_WRONLY)
@@ -45,7 +45,7 @@
     """Start a thread with a small stack.
 
     Raises:
-        RuntimeError: The system has no more threads.
+        RuntimeError: The system's limit on threads is reached.
     """
     thread = threading.Thread(target=partial(_run_named, name, run), name=name, daemon=daemon)
     with _stack_size_lock:
@@ -60,14 +60,14 @@
 def start_detached_thread(name: str, run: Callable[[], object]) -> None:
     """Start a daemon thread that is never joined, without waiting until it is scheduled.
 
-    `threading.Thread.start` returns once the new thread has run. A creator that others depend on would wait
-    for as long as the new thread waits for a processor.
+    `threading.Thread.start` only returns once the new thread runs. On a busy machine that blocks the caller
+    until the new thread gets a CPU.
 
     Raises:
-        RuntimeError: The system has no more threads.
+        RuntimeError: The system's limit on threads is reached.
     """
     arguments = (name, run)
-    if not _stack_size_lock.acquire(blocking=False):  # held by a creator that waits: at worst a large stack
+    if not _stack_size_lock.acquire(blocking=False):  # held during a start: use the default stack size
         _thread.start_new_thread(_run_named, arguments)
         return
     try:
@@ -81,10 +81,10 @@
 
 
 class IdleThreadPool:
-    """Run each task at once, on an idle thread if there is one and on a new thread otherwise.
+    """Runs each task at once, on an idle thread if there is one and on a new thread otherwise.
 
-    A new thread has to be scheduled before its creator goes on, and on a loaded machine threads that start
-    at the same time wait for each other. A thread that has finished its task therefore waits for another.
+    Starting a thread blocks its creator until the thread is scheduled, and on a busy machine threads that
+    start at the same time delay each other. Threads are therefore kept for further tasks.
     """
 
     def __init__(
@@ -96,22 +96,22 @@
         """Create a pool without threads.
 
         Args:
-            name: Name of its threads.
-            idle_s: Time after which an idle thread ends.
-            max_idle: Threads that may be idle at one time.
+            name: Name of the pool's threads.
+            idle_s: Seconds after which an idle thread ends.
+            max_idle: Maximum number of idle threads.
         """
         self._name = name
         self._idle_s = idle_s
         self._max_idle = max_idle
-        self._idle_lock = threading.Lock()  # guards the number of idle threads
-        self._idle = 0  # threads that wait and have not been given a task
+        self._idle_lock = threading.Lock()  # guards `_idle`
+        self._idle = 0  # threads that wait for a task and have none assigned
         self._tasks: queue.SimpleQueue[Callable[[], object]] = queue.SimpleQueue()
 
     def run(self, task: Callable[[], object]) -> None:
         """Run a task at once; an exception that it does not handle ends its thread.
 
         Raises:
-            RuntimeError: The system has no more threads.
+            RuntimeError: The system's limit on threads is reached.
         """
         with self._idle_lock:
             if self._idle:
@@ -123,11 +123,11 @@
     def _run_tasks(self, task: Callable[[], object] | None) -> None:
         while task is not None:
             task()
-            task = None  # an idle thread does not keep alive what its last task refers to
+            task = None  # drop the reference, so that an idle thread keeps no objects of its last task alive
             task = self._wait_for_task()
 
     def _wait_for_task(self) -> Callable[[], object] | None:
-        """Return the next task, or None where this thread should end."""
+        """Return the next task, or None if this thread should end."""
         with self._idle_lock:
             if self._idle >= self._max_idle:
                 return None
@@ -139,4 +139,4 @@
                 if self._idle:
                     self._idle -= 1
                     return None
-            return self._tasks.get()  # a task was given meanwhile to one of the waiting threads
+            return self._tasks.get()  # another caller of `run` has assigned a task to a waiting thread
