--- a/saffronstack/client/__init__.py
+++ b/saffronstack/client/__init__.py
@@ -1,4 +1,4 @@
-"""A client of the gateway, for the command line, the days and any other program."""
+"""A client of the gateway, for the command line, scenario runs and other programs."""
 
 from saffronstack.client.connection import Client, Response
 
--- a/saffronstack/client/connection.py
+++ b/saffronstack/client/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a gateway: one request at a time, kept between requests, signed where there is a key."""
+"""A persistent client connection to a gateway; requests are signed if an access key is given."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """What a gateway answered."""
+    """Response of a gateway."""
 
     status: int
     headers: Headers
@@ -26,7 +26,7 @@
 
 
 class Client:
-    """A connection that is kept between requests and made anew when it was lost."""
+    """Sends one request at a time on a persistent connection, and reconnects after a connection loss."""
 
     def __init__(
         self,
@@ -46,14 +46,19 @@
     def request(
         self, method: str, target: str, body: bytes = b"", extra: tuple[tuple[str, str], ...] = ()
     ) -> Response:
-        """One exchange; OSError (TimeoutError, ConnectionError) or HttpError where no whole answer came."""
+        """Send a request and return its response.
+
+        Raises:
+            OSError: No complete response was received (TimeoutError, ConnectionError).
+            HttpError: The response is malformed or exceeds a limit.
+        """
         deadline_s = time.monotonic() + self.timeout_s
         headers = [("Host", self.address), *extra, *self._signature(method, target, body)]
         request = writer.request(method, target, headers, body)
         stream = self._ensure_connected()
         try:
             if not stream.send(request, deadline_s, time.monotonic):
-                raise ConnectionResetError("the gateway took no byte")
+                raise ConnectionResetError("no byte of the request could be sent to the gateway")
             head = read_until(stream, self._reader, self._reader.response, deadline_s, time.monotonic)
             content = read_until(stream, self._reader, self._reader.body, deadline_s, time.monotonic)
         except (OSError, HttpError):
@@ -64,8 +69,10 @@
         return Response(head.status, head.headers, content)
 
     def _ensure_connected(self) -> Stream:
-        """The connection that was kept, looked at right before it is used: the gateway may have ended it
-        while it was idle. Or a new one; OSError where none can be had.
+        """Return the idle connection, or a new one if the gateway has closed the idle one.
+
+        Raises:
+            OSError: A new connection can't be established.
         """
         if self._stream is not None and not self._stream.is_idle():
             self.close()
@@ -82,7 +89,7 @@
         invocation_type: str = "RequestResponse",
         extra: tuple[tuple[str, str], ...] = (),
     ) -> Response:
-        """Call a function."""
+        """Invoke a function."""
         target = f"/2015-03-31/functions/{quote(function, safe='')}/invocations"
         return self.request("POST", target, payload, (("X-Amz-Invocation-Type", invocation_type), *extra))
 
@@ -95,33 +102,33 @@
                 f"SignedHeaders=host, Signature={'0' * 64}"
             )
             return (("Authorization", authorization),)
-        stamp = datetime.now(UTC).strftime("%Y%m%dT%H%M%SZ")
+        timestamp = datetime.now(UTC).strftime("%Y%m%dT%H%M%SZ")
         credential = sigv4.Credential(
-            self._key, stamp[:8], self._region, "lambda", ("host", "x-amz-date"), ""
+            self._key, timestamp[:8], self._region, "lambda", ("host", "x-amz-date"), ""
         )
-        signed = Headers([("host", self.address), ("x-amz-date", stamp)])
+        signed = Headers([("host", self.address), ("x-amz-date", timestamp)])
         canonical = sigv4.canonical_request(
             method, target, signed, credential.signed, hashlib.sha256(body).hexdigest()
         )
-        signature = sigv4.sign(self._secret, credential, stamp, canonical)
+        signature = sigv4.sign(self._secret, credential, timestamp, canonical)
         return (
-            ("X-Amz-Date", stamp),
+            ("X-Amz-Date", timestamp),
             (
                 "Authorization",
                 (
                     f"{sigv4.ALGORITHM} "
-                    f"Credential={self._key}/{stamp[:8]}/{self._region}/lambda/aws4_request, "
+                    f"Credential={self._key}/{timestamp[:8]}/{self._region}/lambda/aws4_request, "
                     f"SignedHeaders=host;x-amz-date, Signature={signature}"
                 ),
             ),
         )
 
     def unsolicited_byte_count(self) -> int:
-        """Bytes that came after the last answer without having been asked for."""
+        """Return the number of bytes received after the end of the last response."""
         return self._reader.pending
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self._stream is not None:
             self._stream.close()
             self._stream = None
--- a/saffronstack/config/__init__.py
+++ b/saffronstack/config/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: JSON5 files, checked by a schema and for sense before anything starts."""
+"""Operators' configuration: JSON5 files that are validated completely before anything starts."""
 
 from saffronstack.config.load import ConfigError, load, parse
 from saffronstack.config.schema import Config
--- a/saffronstack/config/build.py
+++ b/saffronstack/config/build.py
@@ -1,4 +1,4 @@
-"""What the program makes of a configuration: the module's settings, functions by name, workers."""
+"""Builds router settings, worker specs, budgets and the function table from a configuration."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     TenantSettings,
 )
 
-KIB_MICROSECONDS_PER_MB_S = 1024 * 1_000_000  # KiB microseconds
-MAX_CACHED_FUNCTIONS = 65536  # the oldest entries are evicted and looked up again when needed
+KIB_MICROSECONDS_PER_MB_S = 1024 * 1_000_000
+MAX_CACHED_FUNCTIONS = 65536  # names in `Functions`' cache; the oldest are evicted
 
 
 def build_settings(config: Config) -> Settings:
-    """The module's settings."""
+    """Build the router's settings."""
     return Settings(
         classes=tuple(
             ClassSettings(
@@ -79,13 +79,15 @@
     )
 
 
-UNLIMITED_QUOTA_RPS = 1e9  # a quota for tenants that are given none
+UNLIMITED_QUOTA_RPS = 1e9  # quota in requests a second of tenants without a configured one
 OVER_BUDGET_TENANT = "(over budget)"
 
 
 def _tenant_settings(config: Config) -> tuple[TenantSettings, ...]:
-    """The module's tenants. Where there are budgets, one more, last, whose quota is nothing: a call of a
-    tenant over its soft mark counts as that one's, and so as worth what lies over a share.
+    """Build the router's tenants; with budgets, the last one is a pseudo-tenant for requests over budget.
+
+    The pseudo-tenant has a quota of zero. Requests of a tenant that is over its soft limit are attributed to
+    it, so that they have the priority weight of requests over quota.
     """
     budgets = any(tenant.budget for tenant in config.tenants)
     if not budgets and not any(tenant.quota_rps for tenant in config.tenants):
@@ -98,7 +100,7 @@
 
 
 def build_budgets(config: Config) -> dict[str, Budget]:
-    """Tenants' budgets in the account's unit."""
+    """Build budgets by tenant, converted to the unit of usage accounting (KiB microseconds)."""
     return {
         tenant.name: Budget(
             tenant.budget.window_s,
@@ -111,7 +113,7 @@
 
 
 def _sorted_numbers(config: Config, what: str) -> dict[str, int]:
-    """Numbers for zone or cell names, in the order of the names, so that a reread list keeps them."""
+    """Number zone or cell names in sorted order, so that a reload assigns the same numbers."""
     names = {getattr(worker, what) for worker in config.workers}
     if what == "zone":
         names.add(config.zone)
@@ -121,14 +123,14 @@
 def build_configured_workers(
     config: Config, numbers: LocalityNumbers | None = None
 ) -> tuple[WorkerSpec, ...]:
-    """The workers as the core knows them; ``numbers`` keeps zones' and cells' numbers over rereads."""
+    """Build specs of the configured workers; ``numbers`` keeps zone and cell numbers across reloads."""
     return build_worker_specs(config.workers, config, numbers or LocalityNumbers(config))
 
 
 def build_worker_specs(
     workers: Iterable[Worker], config: Config, numbers: LocalityNumbers
 ) -> tuple[WorkerSpec, ...]:
-    """Workers of any source as the core knows them; their kinds are the configuration's."""
+    """Build specs of workers from any source; their kinds must be configured."""
     kinds = {kind.name: place for place, kind in enumerate(config.kinds)}
     specs = []
     for worker in workers:
@@ -151,24 +153,24 @@
 
 
 class LocalityNumbers:
-    """Numbers of zones and cells that never change while the program runs."""
+    """Assigns numbers to zones and cells; a number never changes while the process runs."""
 
     def __init__(self, config: Config) -> None:
         self._zones = _sorted_numbers(config, "zone")
         self._cells = _sorted_numbers(config, "cell")
 
     def zone(self, name: str) -> int:
-        """A zone's number, a new one for a new name."""
+        """Return a zone's number, assigning the next one to a new name."""
         return self._zones.setdefault(name, len(self._zones))
 
     def cell(self, name: str) -> int:
-        """A cell's number, a new one for a new name."""
+        """Return a cell's number, assigning the next one to a new name."""
         return self._cells.setdefault(name, len(self._cells))
 
 
 @dataclass(frozen=True, slots=True)
 class ConfiguredFunction:
-    """A function that may be called, with its configuration."""
+    """A function that clients may invoke, with its configuration."""
 
     spec: FunctionSpec
     config: Function
@@ -177,7 +179,7 @@
 
 
 class Functions:
-    """Functions by name: exact names first, then the patterns in their order. Used from any thread."""
+    """Looks up functions by exact name first, then by the patterns in configured order. Thread-safe."""
 
     def __init__(self, config: Config) -> None:
         self._classes = {
@@ -193,11 +195,11 @@
         self._lock = Lock()
 
     def exact_names(self) -> list[str]:
-        """Functions that the configuration names, without those that only match a pattern."""
+        """Return the configured exact names, without patterns and names that match one."""
         return list(self._exact)
 
     def get(self, name: str) -> ConfiguredFunction | None:
-        """The function of that name, None where the configuration has none."""
+        """Return a function, or None if neither an exact name nor a pattern matches."""
         known = self._known.get(name)
         if known is not None:
             return known
--- a/saffronstack/config/fleet.py
+++ b/saffronstack/config/fleet.py
@@ -1,4 +1,4 @@
-"""The file that all processes of a fleet share: its name, its keepers, the times of its leases."""
+"""Reads the fleet file, which all processes of a fleet share: lease servers, tasks and daemons."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 class LeaseServerEntry(Struct, frozen=True, kw_only=True):
-    """One keeper: the name stays with its promises, the address may move."""
+    """A lease server. Its name identifies its stored ballots and must stay; its address may change."""
 
     name: Name
     address: Address
 
 
 class TaskEntry(Struct, frozen=True, kw_only=True):
-    """One task; which keys it needs depends on its kind. Times in seconds."""
+    """A periodic task of the fleet; the required keys depend on its kind."""
 
     name: Name
     kind: Literal["usage", "takeover", "sweep"]
     period_s: Positive
     budget_s: Positive
     usage: tuple[str, ...] = ()  # usage: glob patterns of the gateways' usage directories
-    output: str = ""  # usage: where its results are published
-    ledgers: str = ""  # takeover, sweep: the directory with a ledger home for each gateway
-    config: str = ""  # takeover: a configuration whose functions and workers are those of all gateways
+    output: str = ""  # usage: directory for its results
+    ledgers: str = ""  # takeover, sweep: directory that contains each gateway's ledger directory
+    config: str = ""  # takeover: configuration with the functions and workers of all gateways
     outputs: tuple[str, ...] = ()  # sweep: directories of results
 
 
 class GatewayEntry(Struct, frozen=True, kw_only=True):
-    """One gateway that a daemon keeps. ``config`` may hold `{release}`: settings that come with a release."""
+    """A gateway that a daemon runs. `{release}` in ``config`` refers to a file that is part of a release."""
 
     name: Name
     listen: Address
@@ -50,7 +50,7 @@
 
 
 class DaemonEntry(Struct, frozen=True, kw_only=True):
-    """The daemon of one machine. ``releases``: the directory in which release directories lie there."""
+    """The daemon of one machine. ``releases`` is the machine's directory of release directories."""
 
     name: Name
     address: Address
@@ -60,28 +60,32 @@
 
 
 class FleetFile(Struct, frozen=True, kw_only=True):
-    """The whole file. Times in seconds."""
+    """Content of the fleet file."""
 
     fleet: Name
     keepers: tuple[LeaseServerEntry, ...]
     lease_s: Positive = 10.0
     longest_s: Positive = 30.0
-    wait_s: Positive = 1.0  # the longest wait of one exchange with a keeper
+    wait_s: Positive = 1.0  # timeout of a request to a lease server
     tasks: tuple[TaskEntry, ...] = ()
     drift: Annotated[float, msgspec.Meta(gt=0, le=0.1)] = 0.01
     daemons: tuple[DaemonEntry, ...] = ()
 
     def daemons_by_gateway(self) -> dict[str, str]:
-        """The daemon of each gateway."""
+        """Return the daemon's name for each gateway."""
         return {gateway.name: daemon.name for daemon in self.daemons for gateway in daemon.gateways}
 
     def lease_server_addresses(self) -> dict[str, str]:
-        """Each keeper's address."""
+        """Return the address of each lease server by name."""
         return {keeper.name: keeper.address for keeper in self.keepers}
 
 
 def load_fleet_file(path: str) -> FleetFile:
-    """Read and check it; ConfigError with file, place and reason."""
+    """Read and validate a fleet file.
+
+    Raises:
+        ConfigError: The file can't be read or is invalid.
+    """
     fleet = convert(read_text(path), FleetFile, path)
     problems = _validation_errors(fleet)
     if problems:
@@ -90,7 +94,11 @@
 
 
 def is_fleet_file(path: str) -> bool:
-    """Whether a file is meant as a fleet's: it names keepers. ConfigError where it can't be read."""
+    """Return whether a file is a fleet file rather than a gateway's configuration: it lists lease servers.
+
+    Raises:
+        ConfigError: The file can't be read.
+    """
     text = read_text(path)
     try:
         raw = json5.loads(text)
@@ -100,11 +108,11 @@
 
 
 def _validation_errors(fleet: FleetFile) -> list[str]:
-    """What a schema can't say."""
+    """Return violations of rules that the schema can't express."""
     lines: list[str] = []
     if len(fleet.keepers) not in LEASE_SERVER_COUNTS:
         lines.append(
-            f"keepers: {len(fleet.keepers)} of them; a majority is had from 3, 5 or 7 (1 fails alone)"
+            f"keepers: {len(fleet.keepers)} of them; use 3, 5 or 7 for a quorum (1 tolerates no failure)"
         )
     numbers_by_name: dict[str, int] = {}
     numbers_by_address: dict[str, int] = {}
@@ -118,13 +126,13 @@
             other = numbers_by_address[keeper.address]
             lines.append(f"keepers[{number}].address: {keeper.address} is that of keepers[{other}] too")
         if not 0 < int(keeper.address.rpartition(":")[2]) < 65536:
-            lines.append(f"keepers[{number}].address: no port of {keeper.address} can be asked")
+            lines.append(f"keepers[{number}].address: no port from 1 to 65535 in {keeper.address}")
         numbers_by_name.setdefault(keeper.name, number)
         numbers_by_address.setdefault(keeper.address, number)
     if fleet.lease_s < 2 * fleet.wait_s:
         lines.append(
-            f"lease_s: {fleet.lease_s:g} s are under twice the longest wait, wait_s {fleet.wait_s:g}: one "
-            "answer that is lost would lose the lease"
+            f"lease_s: {fleet.lease_s:g} s are under twice the longest wait, wait_s {fleet.wait_s:g}: a "
+            "single lost response would lose the lease"
         )
     if fleet.lease_s > fleet.longest_s:
         lines.append(f"lease_s: {fleet.lease_s:g} s are over longest_s {fleet.longest_s:g}")
@@ -132,14 +140,14 @@
 
 
 def _daemon_errors(fleet: FleetFile) -> list[str]:
-    """Orders are taken without a signature: on loopback and private addresses alone."""
+    """Validate daemons; their commands are not authenticated, so their addresses must not be public."""
     lines: list[str] = []
     names: set[str] = set()
     taken = {keeper.address: "a keeper" for keeper in fleet.keepers}
     for number, daemon in enumerate(fleet.daemons):
         place = f"daemons[{number}] ({daemon.name})"
         if daemon.name in names:
-            lines.append(f"{place}: the name stands twice")
+            lines.append(f"{place}: the name is used twice")
         names.add(daemon.name)
         host = daemon.address.rpartition(":")[0]
         try:
@@ -147,14 +155,14 @@
         except ValueError:
             private = False
         if not private:
-            lines.append(f"{place}.address: {host} is no private address, and whoever reaches it can order")
+            lines.append(f"{place}.address: {host} is no private address; commands are not authenticated")
         for key, address in (("address", daemon.address), *((g.name, g.listen) for g in daemon.gateways)):
             if address in taken:
                 lines.append(f"{place}.{key}: {address} is that of {taken[address]} too")
             taken.setdefault(address, f"{daemon.name}.{key}")
     gateways = [gateway.name for daemon in fleet.daemons for gateway in daemon.gateways]
     duplicates = sorted({name for name in gateways if gateways.count(name) > 1})
-    return [*lines, *(f"daemons: gateway {name!r} stands twice" for name in duplicates)]
+    return [*lines, *(f"daemons: gateway {name!r} is defined twice" for name in duplicates)]
 
 
 REQUIRED_TASK_KEYS = {"usage": ("usage", "output"), "takeover": ("ledgers", "config"), "sweep": ()}
@@ -171,12 +179,12 @@
     for number, task in enumerate(tasks):
         place = f"tasks[{number}] ({task.name})"
         if task.name in names:
-            lines.append(f"{place}: the name stands twice")
+            lines.append(f"{place}: the name is used twice")
         names.add(task.name)
         for key in ("usage", "output", "ledgers", "config", "outputs"):
             given = bool(getattr(task, key))
             if key in REQUIRED_TASK_KEYS[task.kind] and not given:
                 lines.append(f"{place}.{key}: missing; a task of kind {task.kind} needs it")
             if given and key not in ALLOWED_TASK_KEYS[task.kind]:
-                lines.append(f"{place}.{key}: a task of kind {task.kind} knows none")
+                lines.append(f"{place}.{key}: not allowed in a task of kind {task.kind}")
     return lines
--- a/saffronstack/config/load.py
+++ b/saffronstack/config/load.py
@@ -1,4 +1,4 @@
-"""Reads configuration files and reports errors with file, key path and the nearest known key."""
+"""Reads configuration files; error messages give the file, the key's path and the nearest known key."""
 
 from __future__ import annotations
 
@@ -21,16 +21,24 @@
 
 
 class ConfigError(ValueError):
-    """The file can't be used; the text names file, location and reason."""
+    """The file can't be used; the message gives file, key path and reason."""
 
 
 def load(path: str) -> Config:
-    """The configuration in a file; ConfigError names what stands in the way."""
+    """Read and validate a configuration file.
+
+    Raises:
+        ConfigError: The file can't be read or is invalid.
+    """
     return parse(read_text(path), path)
 
 
 def read_text(path: str) -> str:
-    """The text of a file; ConfigError where it can't be read or is not UTF-8."""
+    """Return the text of a file.
+
+    Raises:
+        ConfigError: The file can't be read or is not UTF-8.
+    """
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
     except OSError as error:
@@ -40,18 +48,26 @@
 
 
 def parse(text: str, name: str = "configuration") -> Config:
-    """The configuration in a text; ``name`` stands in the errors."""
+    """Parse and validate a configuration; error messages start with ``name``.
+
+    Raises:
+        ConfigError: The configuration is invalid.
+    """
     config = convert(text, Config, name)
     problems = validation_errors(config)
     if not config.workers and config.roster is None and "workers" not in _load_json5(text):
-        problems.append("workers: missing, and there is no roster to tell of any")
+        problems.append("workers: missing, and no roster is configured")
     if problems:
         raise ConfigError("\n".join(f"{name}: {problem}" for problem in problems))
     return config
 
 
 def convert(text: str, kind: type[T], name: str) -> T:
-    """A JSON5 text as a struct of the schema; ConfigError where it does not fit."""
+    """Parse JSON5 into a struct of the schema.
+
+    Raises:
+        ConfigError: The text is not JSON5 or does not match the schema.
+    """
     try:
         raw = _load_json5(text)
     except ValueError as error:
@@ -72,7 +88,11 @@
 
 
 def _load_json5(text: str) -> Any:
-    """JSON5. Text that is plain JSON, as scripts write it, is read a thousand times as fast. ValueError."""
+    """Parse JSON5; plain JSON, which scripts write, takes a parser that is a thousand times as fast.
+
+    Raises:
+        ValueError: The text is not JSON5, or an object has a duplicate key.
+    """
     try:
         return json.loads(text, object_pairs_hook=_reject_duplicate_keys)
     except DuplicateKeyError as error:
@@ -82,7 +102,7 @@
 
 
 class DuplicateKeyError(Exception):
-    """A key stands twice in one object."""
+    """An object has a duplicate key."""
 
 
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -95,7 +115,7 @@
 
 
 def _unknown_keys(raw: object, kind: Any, location: str) -> list[str]:
-    """A line for each key that the schema does not know, the nearest known one named."""
+    """Return an error message for each unknown key, with the nearest known key."""
     kind = _without_annotations(kind)
     lines: list[str] = []
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct) and isinstance(raw, dict):
@@ -116,7 +136,7 @@
 
 
 def _without_annotations(kind: Any) -> Any:
-    """The type without annotations and without None."""
+    """Return the type without annotations and without None."""
     while typing.get_origin(kind) is typing.Annotated:
         kind = typing.get_args(kind)[0]
     if typing.get_origin(kind) in (typing.Union, types.UnionType):
--- a/saffronstack/config/schema.py
+++ b/saffronstack/config/schema.py
@@ -1,4 +1,4 @@
-"""The schema of the configuration. Times end in ``_s`` (seconds), sizes in ``_bytes`` or ``_mb``."""
+"""Schema of the configuration file. Durations end in ``_s`` (seconds), sizes in ``_bytes`` or ``_mb``."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class Struct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """What all parts share: unknown keys are refused, values do not change."""
+    """Base of all sections: immutable, and unknown keys are rejected."""
 
 
 class AccessKey(Struct, frozen=True, kw_only=True):
-    """An access key of a tenant, as SigV4 uses it."""
+    """An access key of a tenant, for SigV4 signatures."""
 
     id: Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_-]{4,128}$")]
     secret: Annotated[str, msgspec.Meta(min_length=8)]
@@ -27,7 +27,7 @@
 
 
 class Budget(Struct, frozen=True, kw_only=True):
-    """Memory-seconds that a tenant's functions may hold in a window, over all gateways."""
+    """Memory-seconds that a tenant's functions may use in a window, across all gateways."""
 
     window_s: Positive
     soft_mb_s: Positive
@@ -35,7 +35,7 @@
 
 
 class Tenant(Struct, frozen=True, kw_only=True):
-    """Who shares the fleet; ``quota_rps`` is over all gateways, in requests a second."""
+    """A tenant; ``quota_rps`` is in requests a second across all gateways, 0 for no quota."""
 
     name: Name
     share: Share = 1.0
@@ -44,7 +44,7 @@
 
 
 class CallClass(Struct, frozen=True, kw_only=True):
-    """A class of calls: what a second run would do, and how long its clients wait."""
+    """A class of requests: the effect of executing one twice, its latency objective and its deadline."""
 
     name: Name
     effect: Literal["safe", "keyed", "unsafe"]
@@ -54,12 +54,12 @@
     late_share: Share = 0.0
     group: Literal["all", "zone", "cell"] = "all"
     window_s: NonNegative = 0.0
-    note_operations: bool = False  # durably, before an operation's first byte leaves for a worker
-    operation_window_s: Positive | None = None  # in place of operations.window_s
+    note_operations: bool = False  # record each operation durably before it is sent to a worker
+    operation_window_s: Positive | None = None  # overrides operations.window_s
 
 
 class Function(Struct, frozen=True, kw_only=True):
-    """A function, or all that match a pattern with ``*``; the first that matches holds."""
+    """A function, or all functions that match a pattern with ``*``; the first matching pattern applies."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=140, pattern=r"^[A-Za-z0-9_\-.*]+$")]
     call_class: Name = msgspec.field(name="class")
@@ -74,14 +74,14 @@
 
 
 class WorkerKind(Struct, frozen=True, kw_only=True):
-    """A kind of machine."""
+    """A kind of worker."""
 
     name: Name
     memory_mb: Positive
 
 
 class Worker(Struct, frozen=True, kw_only=True):
-    """One worker; ``started_at`` is its last start in Unix seconds, 0 for long ago."""
+    """A worker; ``started_at`` is its last start in Unix seconds, 0 if it has been running for long."""
 
     id: Name
     address: Address
@@ -94,7 +94,10 @@
 
 
 class Rules(Struct, frozen=True, kw_only=True):
-    """Figures of the rules; a zero ``cold_s`` or ``load_span_s`` means that the rule is absent."""
+    """Parameters of slow start, overload protection and load commands.
+
+    A ``cold_s`` of zero disables slow start, and a ``load_span_s`` of zero the limit on load commands.
+    """
 
     drain_grace_s: NonNegative = 2.0
     cold_share: Share = 0.15
@@ -107,7 +110,7 @@
 
 
 class Permissions(Struct, frozen=True, kw_only=True):
-    """What the deployment permits."""
+    """What the gateway may do: number of attempts, retry advice to clients and load commands."""
 
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=20)] = 4
     max_retry_advice_s: NonNegative = 5.0
@@ -116,7 +119,7 @@
 
 
 class Limits(Struct, frozen=True, kw_only=True):
-    """Bounds of the front and of the worker connections."""
+    """Limits and timeouts of client connections, requests and worker connections."""
 
     connections: Count = 4096
     worker_connections: Count = 256
@@ -135,7 +138,7 @@
 
 
 class Ledger(Struct, frozen=True, kw_only=True):
-    """Where deferred calls are kept, and its bounds."""
+    """Directory and limits of the ledger of deferred calls."""
 
     directory: Annotated[str, msgspec.Meta(min_length=1)]
     segment_bytes: Annotated[int, msgspec.Meta(ge=4096)] = 64 * 1024 * 1024
@@ -147,7 +150,7 @@
 
 
 class Metering(Struct, frozen=True, kw_only=True):
-    """Where usage is kept."""
+    """Directory of the usage log, and the interval at which workers are polled for usage records."""
 
     directory: Annotated[str, msgspec.Meta(min_length=1)]
     segment_bytes: Annotated[int, msgspec.Meta(ge=4096)] = 16 * 1024 * 1024
@@ -155,7 +158,10 @@
 
 
 class Roster(Struct, frozen=True, kw_only=True):
-    """A watched file, or a directory with a manifest, that lists the workers; and what needs no operator."""
+    """Discovery of workers from files, and the limits on changes that apply without an operator.
+
+    ``path`` is a watched file that lists the workers, or a directory with a manifest.
+    """
 
     path: Annotated[str, msgspec.Meta(min_length=1)]
     state_directory: Annotated[str, msgspec.Meta(min_length=1)]
@@ -170,7 +176,7 @@
 
 
 class Operations(Struct, frozen=True, kw_only=True):
-    """How sends of one operation are recognised, and for how long after its answer."""
+    """Deduplication of operations; ``window_s`` is how long a final answer is replayed."""
 
     directory: Annotated[str, msgspec.Meta(min_length=1)] | None = None
     window_s: Positive = 900.0
@@ -182,16 +188,16 @@
 
 
 class FleetMembership(Struct, frozen=True, kw_only=True):
-    """What this gateway does for its fleet: keeps leases, runs the fleet's tasks, or both."""
+    """The role of this gateway in its fleet: it runs a lease server, the fleet's tasks, or both."""
 
-    path: Annotated[str, msgspec.Meta(min_length=1)]  # the fleet's file
-    keeper: Name | None = None  # which of its keepers runs in this process
-    state_directory: Annotated[str, msgspec.Meta(min_length=1)] | None = None  # of that keeper
+    path: Annotated[str, msgspec.Meta(min_length=1)]  # the fleet file
+    keeper: Name | None = None  # name of the lease server to run in this process
+    state_directory: Annotated[str, msgspec.Meta(min_length=1)] | None = None  # of that lease server
     tasks: bool = False
 
 
 class Config(Struct, frozen=True, kw_only=True):
-    """The whole file."""
+    """Content of the configuration file."""
 
     listen: Address = "127.0.0.1:9000"
     region: Annotated[str, msgspec.Meta(pattern=r"^[a-z]{2}(-[a-z]+)+-[0-9]$")] = "us-east-1"
--- a/saffronstack/config/validation.py
+++ b/saffronstack/config/validation.py
@@ -1,4 +1,4 @@
-"""What a schema can't say: names that must exist, promises that can't be kept. No I/O."""
+"""Validates what the schema can't express: references between names, and values that depend on each other."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def validation_errors(config: Config) -> list[str]:
-    """Every problem found, each with its place; none: the configuration can be used."""
+    """Return a message with the key's path for each error; empty if the configuration is valid."""
     return [
         *_name_errors(config), *_class_errors(config), *_function_errors(config), *_worker_errors(config),
         *_listener_errors(config), *_fleet_errors(config),
@@ -23,11 +23,13 @@
     if fleet is None:
         return []
     if fleet.keeper is not None and fleet.state_directory is None:
-        return ["fleet.state_directory: missing; a keeper keeps its promises there"]
+        return [
+            "fleet.state_directory: missing; the lease server that fleet.keeper names stores its state there"
+        ]
     if fleet.keeper is None and fleet.state_directory is not None:
-        return ["fleet.state_directory: belongs to a keeper; fleet.keeper names none"]
+        return ["fleet.state_directory: only a lease server uses it; fleet.keeper is not set"]
     if fleet.keeper is None and not fleet.tasks:
-        return ["fleet: neither a keeper nor tasks: it does nothing"]
+        return ["fleet: sets neither keeper nor tasks, so that it has no effect"]
     return []
 
 
@@ -36,7 +38,7 @@
     lines = []
     for number, name in enumerate(names):
         if name in seen:
-            lines.append(f"{place}[{number}]: {name!r} stands twice")
+            lines.append(f"{place}[{number}]: {name!r} is defined twice")
         seen.add(name)
     return lines
 
@@ -55,7 +57,7 @@
     for number, tenant in enumerate(config.tenants):
         place = f"tenants[{number}] ({tenant.name}).budget"
         if tenant.budget is not None and config.metering is None:
-            lines.append(f"{place}: needs the part 'metering', which measures it")
+            lines.append(f"{place}: needs the section 'metering', which measures usage")
         if tenant.budget is not None and tenant.budget.soft_mb_s > tenant.budget.hard_mb_s:
             lines.append(
                 f"{place}: soft_mb_s {tenant.budget.soft_mb_s:g} over hard_mb_s {tenant.budget.hard_mb_s:g}"
@@ -68,15 +70,19 @@
     for number, call_class in enumerate(config.classes):
         place = f"classes[{number}] ({call_class.name})"
         if call_class.aim_s > call_class.deadline_s:
-            lines.append(f"{place}: aim_s {call_class.aim_s:g} is past deadline_s {call_class.deadline_s:g}")
+            lines.append(f"{place}: aim_s {call_class.aim_s:g} exceeds deadline_s {call_class.deadline_s:g}")
         if call_class.effect == "keyed" and call_class.window_s <= 0:
             lines.append(f"{place}: a keyed class needs a window_s above 0")
         if call_class.effect != "keyed" and call_class.window_s > 0:
             lines.append(f"{place}: window_s belongs to keyed classes; {call_class.effect} ones have none")
         if call_class.note_operations and (config.operations is None or config.operations.directory is None):
-            lines.append(f"{place}: note_operations needs operations.directory, where notes are kept")
+            lines.append(
+                f"{place}: note_operations needs operations.directory, where operations are recorded"
+            )
         if call_class.note_operations and call_class.effect == "safe":
-            lines.append(f"{place}: note_operations is for what must not run twice; safe classes may")
+            lines.append(
+                f"{place}: note_operations is for requests that must not run twice; those of safe classes may"
+            )
         if config.answer_margin_s >= call_class.deadline_s / 2:
             lines.append(
                 f"{place}: answer_margin_s {config.answer_margin_s:g} leaves less than half of "
@@ -106,19 +112,19 @@
                 lines.append(f"{where}.{side}: no function is named {target!r} (patterns don't count)")
         other = numbers.setdefault(function_number(function.name), function.name)
         if other != function.name:
-            lines.append(f"{where}: its number is that of {other!r}; rename one")
+            lines.append(f"{where}: the hash of its name is that of {other!r}; rename one of them")
     for name in named:
         cycle = _find_cycle(
             name, {n: [t for t in (f.on_success, f.on_failure) if t in named] for n, f in named.items()}
         )
         if cycle:
-            lines.append(f"functions: destinations go in a circle: {' -> '.join(cycle)}")
+            lines.append(f"functions: destinations form a cycle: {' -> '.join(cycle)}")
             break
     return lines
 
 
 def _find_cycle(start: str, edges: dict[str, list[str]]) -> list[str]:
-    """A path of destinations from ``start`` back to itself, or nothing."""
+    """Return a path of destinations from ``start`` back to itself, or an empty list."""
     paths = [[start]]
     seen: set[str] = set()
     while paths:
@@ -144,7 +150,7 @@
             lines.append(f"{where}.address: no port {worker.address.rpartition(':')[2]}")
         other = numbers.setdefault(worker_number(worker.id), worker.id)
         if other != worker.id:
-            lines.append(f"{where}: its number is that of {other!r}; rename one")
+            lines.append(f"{where}: the hash of its name is that of {other!r}; rename one of them")
     lines += _duplicates("workers, addresses", (w.address for w in config.workers))
     return lines
 
@@ -154,9 +160,11 @@
     if int(config.listen.rpartition(":")[2]) > 65535:
         lines.append(f"listen: no port {config.listen.rpartition(':')[2]}")
     if not config.keys and not config.listen.startswith(LOOPBACK):
-        lines.append("listen: without keys the front listens on loopback only; name keys or 127.0.0.1")
+        lines.append(
+            "listen: without keys the gateway listens on loopback only; configure keys or use 127.0.0.1"
+        )
     if config.self_index >= config.instances:
-        lines.append(f"self_index: {config.self_index} is none of {config.instances} instances")
+        lines.append(f"self_index: {config.self_index} is out of range for {config.instances} instances")
     if config.miss_mode == "miss" and not config.allow.orders:
-        lines.append("miss_mode: 'miss' needs allow.orders, or nothing is ever loaded")
+        lines.append("miss_mode: 'miss' needs allow.orders; without load commands no function is ever loaded")
     return lines
--- a/saffronstack/http1/__init__.py
+++ b/saffronstack/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages, RFC 9112, read and written without I/O: bytes in, messages out, both sides."""
+"""Parses and serializes HTTP/1.1 messages (RFC 9112) for clients and servers, without I/O of its own."""
--- a/saffronstack/http1/messages.py
+++ b/saffronstack/http1/messages.py
@@ -1,4 +1,4 @@
-"""What an HTTP/1.1 message is here: heads, header fields, limits, and the error that ends a connection."""
+"""Types of HTTP/1.1 messages: heads, header fields, size limits and protocol errors."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HttpError(Exception):
-    """The peer's bytes can't be taken; ``status`` is what a server answers before it closes."""
+    """The peer violated the protocol or a limit; a server responds with ``status`` and closes."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageLimits:
-    """Sizes in bytes that one message may have."""
+    """Limits of one message: bytes of a line, of the head and of the body, and number of header fields."""
 
     line_bytes: int = 8 * 1024
     head_bytes: int = 32 * 1024
@@ -25,7 +25,7 @@
 
 
 class Headers:
-    """Header fields in their order, names in lower case; not changed once made."""
+    """Immutable header fields in the order received, with names in lower case."""
 
     __slots__ = ("_first", "items")
 
@@ -34,11 +34,11 @@
         self._first = dict(reversed(items))
 
     def get(self, name: str, default: str = "") -> str:
-        """The first field of that (lower-case) name."""
+        """Return the first value of a field; ``name`` is in lower case."""
         return self._first.get(name, default)
 
     def all(self, name: str) -> list[str]:
-        """Every field of that (lower-case) name."""
+        """Return all values of a field; ``name`` is in lower case."""
         if name not in self._first:
             return []
         return [value for known, value in self.items if known == name]
@@ -49,11 +49,11 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """A request without its body."""
+    """Request line and header fields of a request."""
 
     method: str
     target: str
-    minor_version: int  # of the version, HTTP/1.minor
+    minor_version: int  # 0 for HTTP/1.0, 1 for HTTP/1.1
     headers: Headers
     keep_alive: bool
     expects_continue: bool
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """A response without its body."""
+    """Status line and header fields of a response."""
 
     status: int
     reason: str
--- a/saffronstack/http1/reader.py
+++ b/saffronstack/http1/reader.py
@@ -1,7 +1,7 @@
-"""Reads HTTP/1.1 messages from bytes as they come (RFC 9112), strictly.
+"""Parses HTTP/1.1 messages incrementally and strictly (RFC 9112).
 
-What two readers could understand differently is refused, never mended: a proxy that guesses lets one
-request hide in another. The verdict does not depend on how the bytes were split.
+Ambiguous input is rejected and never repaired, because a lenient proxy allows request smuggling. The result
+does not depend on how the input is split.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 _REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([\x21-\x7e]+) HTTP/1\.([01])")
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9]{2})(?: ([\t\x20-\x7e\x80-\xff]*))?")
-# Two plain patterns in place of one for the whole line: that one would try every split of a run of spaces.
+# Two patterns, because one for the whole line would backtrack over every split of a run of spaces.
 _FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _LENGTH = re.compile(r"[0-9]{1,18}")
 _CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?")
-MAX_CHUNK_LINE_BYTES = 256  # bytes of a chunk's size line, extensions included
+MAX_CHUNK_LINE_BYTES = 256  # of the line with the chunk size and extensions
 
 
 class _BodyState(Enum):
@@ -32,7 +32,10 @@
 
 
 class MessageReader:
-    """One connection's incoming messages: `feed` bytes, take a head, then its body, then the next head."""
+    """Parses the messages that arrive on one connection.
+
+    Pass received bytes to `feed`. Then take a head, its body, the next head, and so on.
+    """
 
     def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
@@ -44,7 +47,7 @@
         self._ended = False
 
     def feed(self, data: bytes) -> None:
-        """More bytes from the peer; empty ones mean that it has ended its side."""
+        """Add bytes from the peer; empty ``data`` means that the peer has closed its side."""
         if data:
             self._buffer += data
         else:
@@ -52,18 +55,22 @@
 
     @property
     def pending(self) -> int:
-        """Bytes that were fed and not yet taken."""
+        """Number of bytes that were fed and not yet consumed."""
         return len(self._buffer)
 
     @property
     def ended(self) -> bool:
-        """The peer has ended its side."""
+        """Whether the peer has closed its side."""
         return self._ended
 
     # ---- heads
 
     def request(self) -> RequestHead | None:
-        """The next request's head, None while bytes are missing; HttpError where it can't be taken."""
+        """Return the next request's head, or None while it is incomplete.
+
+        Raises:
+            HttpError: The head is malformed or exceeds a limit.
+        """
         block = self._head_block()
         if block is None:
             return None
@@ -84,7 +91,7 @@
         )
 
     def response(self, is_head_response: bool = False) -> ResponseHead | None:
-        """Return the next response's head, or None while bytes are missing.
+        """Return the next response's head, or None while it is incomplete.
 
         Informational (1xx) responses are skipped. ``is_head_response``: the request was HEAD, so
         the response has no body, whatever its header fields say.
@@ -151,7 +158,7 @@
         return Headers(items)
 
     def _set_framing(self, headers: Headers, minor: int, request: bool) -> None:
-        """How the body ends (RFC 9112, section 6.3)."""
+        """Set how the end of the body is found (RFC 9112, section 6.3)."""
         lengths, codings = headers.all("content-length"), headers.all("transfer-encoding")
         if codings and (lengths or minor == 0):
             raise HttpError(400, "Transfer-Encoding beside Content-Length or in HTTP/1.0")
@@ -178,7 +185,11 @@
     # ---- bodies
 
     def body(self) -> bytes | None:
-        """The whole body of the head taken last, None while bytes are missing."""
+        """Return the body of the latest head, or None while it is incomplete.
+
+        Raises:
+            HttpError: The body is malformed or exceeds a limit.
+        """
         if self._body_state is _BodyState.NONE:
             return b""
         if self._body_state is _BodyState.LENGTH:
@@ -264,7 +275,7 @@
 
 
 def _has_bare_line_ending(part: bytes | bytearray) -> bool:
-    """Whether a NUL, a bare CR or a bare LF is in it; a CR at its end may yet be followed by its LF."""
+    """Return whether there is a NUL, a bare CR or a bare LF; a CR at the end may still get its LF."""
     pairs = part.count(b"\r\n")
     returns = part.count(b"\r") - part.endswith(b"\r")
     return part.count(b"\n") != pairs or returns != pairs or b"\0" in part
--- a/saffronstack/http1/sockets.py
+++ b/saffronstack/http1/sockets.py
@@ -1,4 +1,4 @@
-"""Messages over blocking sockets, under a deadline for the whole message and not for each byte."""
+"""Reads messages from blocking sockets, with a deadline for the whole message rather than for each read."""
 
 from __future__ import annotations
 
@@ -20,10 +20,13 @@
     deadline_s: float,
     clock: Callable[[], float],
 ) -> T:
-    """What ``take_message`` yields once enough bytes have come.
+    """Read from a stream until ``take_message`` returns something, and return it.
 
-    TimeoutError past ``deadline_s`` (clock time, seconds) however slowly bytes trickle in; PeerClosed
-    where the peer ends first; HttpError from the reader.
+    Raises:
+        TimeoutError: ``deadline_s`` (clock time, seconds) passed, even if bytes kept arriving slowly.
+        PeerClosed: The peer closed its side before the message was complete.
+        HttpError: The reader rejected the message.
+        OSError: The connection failed.
     """
     while True:
         message = take_message()
@@ -33,5 +36,5 @@
             raise PeerClosed("the peer closed the connection")
         remaining_s = deadline_s - clock()
         if remaining_s <= 0:
-            raise TimeoutError("the message did not come in time")
+            raise TimeoutError("message was not received before the deadline")
         reader.feed(stream.receive(remaining_s))
--- a/saffronstack/http1/writer.py
+++ b/saffronstack/http1/writer.py
@@ -1,4 +1,4 @@
-"""Writes HTTP/1.1 messages. Header values come from the program or were read strictly; they are checked."""
+"""Serializes HTTP/1.1 messages; rejects header values that could inject further header fields."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     lines = []
     for name, value in headers:
         if not _FIELD_VALUE.fullmatch(value):
-            raise ValueError(f"header {name} holds a character that can't be sent")
+            raise ValueError(f"value of header {name} contains a forbidden character")
         lines.append(f"{name}: {value}\r\n")
     return "".join(lines)
 
@@ -37,7 +37,7 @@
 def response(
     status: int, headers: Iterable[tuple[str, str]], body: bytes = b"", close: bool = False
 ) -> bytes:
-    """A whole response; 204 carries neither body nor length (RFC 9110, section 8.6)."""
+    """Return a complete response; 204 has no Content-Length (RFC 9110, section 8.6)."""
     fields = _format_fields(headers)
     length = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
     connection = "Connection: close\r\n" if close else ""
@@ -46,7 +46,7 @@
 
 
 def request(method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    """A whole request; the caller names Host."""
+    """Return a complete request; ``headers`` must contain Host."""
     fields = _format_fields(headers)
     return (
         f"{method} {target} HTTP/1.1\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode("latin-1") + body
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -1,4 +1,4 @@
-"""The fleet's file: daemons and their gateways."""
+"""Validation of daemons and their gateways in the fleet file."""
 
 from __future__ import annotations
 
@@ -32,8 +32,11 @@
         ([daemon_entry(address="8.8.8.8:9201")], "8.8.8.8 is no private address"),
         ([daemon_entry(address="example.com:9201")], "no private address"),
         ([daemon_entry(address="127.0.0.1:9101")], "is that of a keeper too"),
-        ([daemon_entry(), daemon_entry(name="d2", address="127.0.0.1:9202")], "gateway 'g1' stands twice"),
-        ([daemon_entry(), daemon_entry(gateway="g2", address="127.0.0.1:9202")], "the name stands twice"),
+        (
+            [daemon_entry(), daemon_entry(name="d2", address="127.0.0.1:9202")],
+            "gateway 'g1' is defined twice",
+        ),
+        ([daemon_entry(), daemon_entry(gateway="g2", address="127.0.0.1:9202")], "the name is used twice"),
         (
             [daemon_entry(), daemon_entry(name="d2", address="127.0.0.1:9202", gateway="g2")],
             "is that of d1.g1 too",
@@ -47,7 +50,7 @@
         load_fleet_file(write_fleet_file(tmp_path, *daemons))
 
 
-def test_a_fleet_file_names_each_gateway_s_daemon(tmp_path: pathlib.Path) -> None:
+def test_a_fleet_file_maps_each_gateway_to_its_daemon(tmp_path: pathlib.Path) -> None:
     two = daemon_entry("d2", "10.0.0.2:9201", "g2", "10.0.0.2:9000")
     assert load_fleet_file(write_fleet_file(tmp_path, daemon_entry(), two)).daemons_by_gateway() == {
         "g1": "d1",
