--- a/saffronstack/config/fleet.py
+++ b/saffronstack/config/fleet.py
@@ -39,7 +39,7 @@
 
 
 class GatewayEntry(Struct, frozen=True, kw_only=True):
-    """A gateway that a daemon runs. `{release}` in ``config`` refers to a file that is part of a release."""
+    """A gateway that a daemon runs. `{release}` in ``config`` stands for the release's directory."""
 
     name: Name
     listen: Address
--- a/saffronstack/config/validation.py
+++ b/saffronstack/config/validation.py
@@ -57,7 +57,7 @@
     for number, tenant in enumerate(config.tenants):
         place = f"tenants[{number}] ({tenant.name}).budget"
         if tenant.budget is not None and config.metering is None:
-            lines.append(f"{place}: needs the section 'metering', which measures usage")
+            lines.append(f"{place}: needs the part 'metering', which measures usage")
         if tenant.budget is not None and tenant.budget.soft_mb_s > tenant.budget.hard_mb_s:
             lines.append(
                 f"{place}: soft_mb_s {tenant.budget.soft_mb_s:g} over hard_mb_s {tenant.budget.hard_mb_s:g}"
@@ -81,7 +81,7 @@
             )
         if call_class.note_operations and call_class.effect == "safe":
             lines.append(
-                f"{place}: note_operations is for requests that must not run twice; those of safe classes may"
+                f"{place}: note_operations is for what must not run twice; requests of safe classes may"
             )
         if config.answer_margin_s >= call_class.deadline_s / 2:
             lines.append(
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway put together: configuration, engine, worker pools, ledger and front, and its way to stop."""
+"""Assembles, starts, reloads and stops a gateway: engine, worker connections, ledger, HTTP server."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 from saffronstack.upstream.http.jobs import UsageJob
 
 log = structlog.get_logger("saffronstack.gateway")
-RELOADABLE_FIELDS = ("keys", "workers")  # what a reread may change; the rest needs a restart
+RELOADABLE_FIELDS = ("keys", "workers")  # sections that `reload` applies; all others need a restart
 
 
 class Gateway:
-    """Everything one gateway process runs."""
+    """All components of one gateway process."""
 
     def __init__(
         self,
@@ -116,17 +116,19 @@
         self.slot_manager = self._make_slot_manager()
         self.pages = Pages(self)
         self.app = self._make_app()
-        front = make_server_limits(config)
+        server_limits = make_server_limits(config)
         host, _, port = config.listen.rpartition(":")
-        self.server = Server(host, int(port), self.app, front, clock, self.process_group.count > 1, listener)
-        self.peer_server: Server | None = None  # where the other processes ask this one
+        self.server = Server(
+            host, int(port), self.app, server_limits, clock, self.process_group.count > 1, listener
+        )
+        self.peer_server: Server | None = None  # accepts requests that other processes of the group forward
         if self.process_group.count > 1 and self.process_group.directory:
-            self.peer_server = Server("127.0.0.1", 0, self.app, front, clock)
+            self.peer_server = Server("127.0.0.1", 0, self.app, server_limits, clock)
         self.is_draining = False
         self.file_discovery = make_file_discovery(config, clocks, self._update_workers)
-        self._watcher: FileWatcher | None = None
+        self._file_watcher: FileWatcher | None = None
         if self.file_discovery is not None and config.roster is not None:
-            self._watcher = FileWatcher(pathlib.Path(config.roster.path), self.file_discovery.wake)
+            self._file_watcher = FileWatcher(pathlib.Path(config.roster.path), self.file_discovery.wake)
 
     def _make_app(self) -> App:
         return App(
@@ -145,18 +147,24 @@
         )
 
     def _update_workers(self, changes: WorkerChanges, workers: dict[str, Worker]) -> None:
-        """On discovery's thread: pools first, so that nothing leaves for a worker that drains or is gone."""
+        """Apply a change of the endpoint list; called on discovery's thread.
+
+        The connection pools are updated first, so that no attempt is sent to a removed or draining worker.
+        """
         specs = build_worker_specs(changes.updated, self.config, self._localities)
-        gone = [worker_number(name) for name in changes.removed]
-        self.dispatcher.update_workers(specs, gone)
+        removed = [worker_number(name) for name in changes.removed]
+        self.dispatcher.update_workers(specs, removed)
         if self.meter is not None:
             self.meter.update_workers(
                 list(build_worker_specs(workers.values(), self.config, self._localities))
             )
-        self.engine.update_workers(specs, gone, self._wall())
+        self.engine.update_workers(specs, removed, self._wall())
 
     def _make_slot_manager(self) -> SlotManager | None:
-        """Where several processes serve one address, each runs the operations of the slots it holds."""
+        """Create the slot manager if several processes share the address, and None otherwise.
+
+        Each process then only executes operations of the slots that it holds.
+        """
         operations, process_group = self.operations, self.process_group
         if operations is None or process_group.count < 2 or not process_group.directory:
             return None
@@ -183,7 +191,7 @@
         self.dispatcher.poll_usage(worker, UsageJob(body, done))
 
     def start(self) -> tuple[str, int]:
-        """Start it; the address on which calls are taken from now on."""
+        """Start all components; return the address on which requests are accepted."""
         specs = build_configured_workers(self.config, self._localities)
         if self.file_discovery is not None:
             listed = self.file_discovery.start(self._clock())
@@ -194,8 +202,8 @@
             self.meter.start()
         self.engine.replace_workers(specs, self._wall())
         self.engine.start(self.dispatcher)
-        if self._watcher is not None:
-            self._watcher.start()
+        if self._file_watcher is not None:
+            self._file_watcher.start()
         if self.operations is not None:
             names = list(self.ledger.state.operations.values()) if self.ledger is not None else []
             self.operations.start((named.operation_digest, named.packed_operation) for named in names)
@@ -210,52 +218,52 @@
         return self.server.address
 
     def reload(self, config: Config) -> list[str]:
-        """Take what can be taken from a new configuration; the names of the parts that need a restart."""
-        left = [
+        """Apply the `RELOADABLE_FIELDS` of a configuration; return other changes, which need a restart."""
+        needs_restart = [
             name
             for name in type(config).__struct_fields__
             if name not in RELOADABLE_FIELDS and getattr(config, name) != getattr(self.config, name)
         ]
         kinds = {kind.name for kind in self.config.kinds}
         if any(worker.kind not in kinds for worker in config.workers):
-            return [*left, "workers (of kinds that are new)"]
+            return [*needs_restart, "workers (of kinds that are new)"]
         if bool(config.keys) != bool(self.config.keys):
-            left.append("keys (from none to some, or the reverse)")
+            needs_restart.append("keys (from none to some, or the reverse)")
         else:
             self.app.access = Access.of(config)
         if self.file_discovery is not None:
             self.file_discovery.set_configured_workers(config.workers)
-            return left
+            return needs_restart
         specs = build_configured_workers(config, self._localities)
         self.dispatcher.replace_workers(specs)
         if self.meter is not None:
             self.meter.update_workers(list(specs))
         self.engine.replace_workers(specs, self._wall())
-        return left
+        return needs_restart
 
     def stop(self) -> bool:
-        """Take nothing more, answer what was taken, end; whether all ended within the deadlines."""
+        """Stop accepting requests, answer those in flight and stop; return whether all ended in time."""
         self.is_draining = True
-        longest_s = max(cls.deadline_s for cls in self.config.classes)
-        clean = self.server.drain(longest_s + self.config.limits.write_timeout_s)
+        max_deadline_s = max(call_class.deadline_s for call_class in self.config.classes)
+        is_clean = self.server.drain(max_deadline_s + self.config.limits.write_timeout_s)
         if self.slot_manager is not None:
-            clean = self.slot_manager.stop() and clean
+            is_clean = self.slot_manager.stop() and is_clean
         if self.peer_server is not None:
-            clean = self.peer_server.drain(2.0) and clean
+            is_clean = self.peer_server.drain(2.0) and is_clean
         if self.deferred is not None:
-            clean = self.deferred.stop(longest_s + 1.0) and clean
-        if self._watcher is not None:
-            self._watcher.stop()
+            is_clean = self.deferred.stop(max_deadline_s + 1.0) and is_clean
+        if self._file_watcher is not None:
+            self._file_watcher.stop()
         if self.file_discovery is not None:
-            clean = self.file_discovery.stop() and clean
-        clean = self.engine.stop() and clean
+            is_clean = self.file_discovery.stop() and is_clean
+        is_clean = self.engine.stop() and is_clean
         if self.operations is not None:
-            clean = self.operations.stop() and clean
+            is_clean = self.operations.stop() and is_clean
         if self.meter is not None:
-            clean = self.meter.stop() and clean
+            is_clean = self.meter.stop() and is_clean
         self.dispatcher.stop()
         if self.ledger is not None:
-            clean = self.ledger.close() and clean
+            is_clean = self.ledger.close() and is_clean
         if self._recorder is not None:
-            clean = self._recorder.close() and clean
-        return clean
+            is_clean = self._recorder.close() and is_clean
+        return is_clean
--- a/saffronstack/gateway_components.py
+++ b/saffronstack/gateway_components.py
@@ -1,4 +1,4 @@
-"""Builds the components of a gateway that its configuration asks for: bounds, pools, logs and discovery."""
+"""Builds configured components of a gateway: limits, metering, operations and discovery from files."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Clocks:
-    """Where a gateway's time comes from: monotonic seconds, and seconds of the Unix epoch."""
+    """Clocks of a gateway: monotonic seconds, and seconds of the Unix epoch."""
 
     monotonic: Callable[[], float]
     wall: Callable[[], float]
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Metering:
-    """What counts usage, and what holds tenants to their budgets."""
+    """Usage metering, and budget enforcement if any tenant has a budget."""
 
     meter: Meter
     budgets: BudgetEnforcer | None
 
 
 def make_server_limits(config: Config) -> FrontLimits:
-    """Return the bounds of the HTTP front."""
+    """Return the limits of the HTTP server."""
     limits = config.limits
     messages = MessageLimits(
         limits.line_bytes,
@@ -67,7 +67,7 @@
 
 
 def make_pool_limits(config: Config) -> HttpPoolLimits:
-    """Return the bounds of the connections to workers."""
+    """Return the limits of connections to workers."""
     return HttpPoolLimits(
         config.limits.worker_connections,
         config.allow.connect_timeout_s,
@@ -84,12 +84,12 @@
 
     Args:
         config: The gateway's configuration.
-        clocks: Where time comes from.
-        poll_usage: Asks a worker for its usage records.
+        clocks: Clocks of the gateway.
+        poll_usage: Requests the usage records of a worker.
         files: The file layer; tests replace it.
 
     Returns:
-        None where nothing is metered.
+        None if metering is not configured.
 
     Raises:
         JournalError: The log can't be locked or read.
@@ -116,10 +116,12 @@
 
 
 def open_operations(config: Config, clocks: Clocks, files: FileOperations | None) -> OperationService | None:
-    """Open the log and the responses of idempotent requests, where they are to outlive the process.
+    """Create the deduplication of operations.
+
+    If a directory is configured, operations and responses are stored there and survive the process.
 
     Returns:
-        None where requests are not recognised as retries.
+        None if deduplication is not configured.
 
     Raises:
         JournalError: The log can't be locked or read.
@@ -146,7 +148,7 @@
     clocks: Clocks,
     on_change: Callable[[WorkerChanges, dict[str, Worker]], None],
 ) -> FileDiscovery | None:
-    """Return the discovery of workers from files, not started; None where the configuration lists them."""
+    """Create the discovery of workers from files without starting it; None if no roster is configured."""
     roster = config.roster
     if roster is None:
         return None
--- a/saffronstack/settings_parser.py
+++ b/saffronstack/settings_parser.py
@@ -1,6 +1,6 @@
-"""Parses the settings object that the simulator and the platform hand to a gateway, and named load reports.
+"""Parses the settings object of the simulator and the platform, and load reports with named values.
 
-Names and units of both formats are fixed by their pages. No decision is made here.
+The senders define the names and units of both formats.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     TenantSettings,
 )
 
-# Attributes of a load report, by their names in the settings and in messages.
+# Attributes of `LoadReport` by their names in settings and messages.
 LOAD_REPORT_FIELDS = {
     "rif": "requests_in_flight",
     "q": "requests_queued",
@@ -40,16 +40,16 @@
 
 
 class SettingsError(ValueError):
-    """The settings can't be used; the text names the part."""
+    """The settings are invalid; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedSettings:
-    """A settings object.
+    """A parsed settings object.
 
     Attributes:
         settings: Settings of the router.
-        load_report_fields: Names of the values of a load report, in the order in which they are sent.
+        load_report_fields: Names of a load report's values, in the order in which they are sent.
     """
 
     settings: Settings
@@ -57,7 +57,7 @@
 
 
 def parse_load_report(values: Iterable[tuple[str, float]]) -> LoadReport:
-    """Convert the named values of a load report; unknown names are skipped."""
+    """Convert named values to a load report; unknown names are ignored."""
     known: dict[str, float] = {}
     for name, value in values:
         attribute = LOAD_REPORT_FIELDS.get(name)
@@ -67,10 +67,10 @@
 
 
 def parse_settings(text: str) -> ParsedSettings:
-    """Parse a settings object in JSON; unknown keys are skipped.
+    """Parse a settings object in JSON; unknown keys are ignored.
 
     Raises:
-        SettingsError: It is not JSON, no object, or a value has the wrong type or is unknown.
+        SettingsError: The text is not a JSON object, or a value is of the wrong type or unknown.
     """
     try:
         raw = json.loads(text)
@@ -86,7 +86,7 @@
 
 
 def _section(raw: Section, name: str) -> Section:
-    """Return a part of the settings; an empty one where it is missing."""
+    """Return a section of the settings, or an empty mapping if it is missing."""
     value = raw.get(name)
     return value if isinstance(value, dict) else {}
 
@@ -102,11 +102,11 @@
     family = _section(raw, "FamilyInfo")
     load_info = _section(raw, "LoadInfo")
     return Settings(
-        classes=tuple(_parse_class(one) for one in raw.get("RequestClasses") or ()),
+        classes=tuple(_parse_class(entry) for entry in raw.get("RequestClasses") or ()),
         gateway_count=int(raw.get("Instances", 1)),
         gateway_index=int(raw.get("SelfIndex", 0)),
         zone=int(raw.get("Zone", 0)),
-        tenants=tuple(_parse_tenant(one) for one in raw.get("Tenants") or ()),
+        tenants=tuple(_parse_tenant(entry) for entry in raw.get("Tenants") or ()),
         over_quota_weight=float(raw.get("OverShareWorth", 1)),
         memory_mb_by_worker_kind=tuple(float(mb) for mb in family.get("MemoryMbByKind") or ()),
         keep_alive_s=float(family.get("IdleLifeS", 0)),
--- a/tests/metering/test_budgets.py
+++ b/tests/metering/test_budgets.py
@@ -17,7 +17,7 @@
 from saffronstack.metering.sliding_windows import PARTS_PER_WINDOW, SlidingWindows
 from saffronstack.standin.model import Profile
 from tests.support.stack import eventually, running
-from tests.test_config import good
+from tests.test_config import valid_configuration
 
 WITHIN, SOFT, HARD = BudgetStatus.WITHIN, BudgetStatus.OVER_SOFT, BudgetStatus.OVER_HARD
 
@@ -102,7 +102,7 @@
 
 
 def test_over_the_soft_mark_a_call_is_worth_what_lies_over_a_share() -> None:
-    content = good()
+    content = valid_configuration()
     content["metering"] = {"directory": "usage"}
     content["tenants"][0]["budget"] = {"window_s": 60, "soft_mb_s": 1, "hard_mb_s": 2}
     found = build_settings(configs.parse(json.dumps(content)))
@@ -118,7 +118,7 @@
     ],
 )
 def test_budgets_are_checked(change: dict[str, Any], words: str) -> None:
-    content = good()
+    content = valid_configuration()
     content["metering"] = {"directory": "usage"}
     content["tenants"][0]["budget"] = {"window_s": 60, "soft_mb_s": 1, "hard_mb_s": 2}
     if "metering" in change:
--- a/tests/net/test_read_loop.py
+++ b/tests/net/test_read_loop.py
@@ -1,4 +1,4 @@
-"""One thread reads for all: what ends one socket ends no other, and none is left behind."""
+"""Tests of the read loop: an error on one socket doesn't affect others, and every socket is released."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class FakeHandler:
-    """A handler over one end of a pair; what it read and its end go to a queue."""
+    """A handler that queues the data it reads, and None when it is released."""
 
-    def __init__(self, sock: socket.socket, fault: bool = False) -> None:
-        self.sock, self.fault = sock, fault
+    def __init__(self, sock: socket.socket, raises: bool = False) -> None:
+        self.sock, self.raises = sock, raises
         self.received: queue.Queue[bytes | None] = queue.Queue()
-        self.is_wanted = True
+        self.keeps_watching = True
 
     def fileno(self) -> int:
         return self.sock.fileno()
 
     def on_readable(self, buffer: bytearray, view: memoryview) -> bool:
-        came = self.sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
-        if self.fault:
-            raise KeyError("a fault of its own")
-        if came:
-            self.received.put(bytes(view[:came]))
-        return came > 0
+        size = self.sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
+        if self.raises:
+            raise KeyError("raised by a test")
+        if size:
+            self.received.put(bytes(view[:size]))
+        return size > 0
 
     def on_tick(self, now_s: float) -> bool:
-        return self.is_wanted
+        return self.keeps_watching
 
     def on_released(self) -> None:
         self.sock.close()
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def running_loop() -> Iterator[RunningLoop]:
-    """A loop whose clock passes a second at each reading, and its log."""
+    """A running loop and its log; its clock advances by a second at each reading."""
     log = io.StringIO()
     now = iter(range(10**9))
     loop = ReadLoop(lambda: float(next(now)), KeyValueLogger("test", log))
@@ -58,10 +58,10 @@
     assert loop.stop()
 
 
-def test_each_handler_reads_its_own_socket_and_a_fault_releases_it_alone(running_loop: RunningLoop) -> None:
+def test_an_exception_in_a_handler_releases_only_that_handler(running_loop: RunningLoop) -> None:
     loop, log = running_loop
     pairs = [socket.socketpair() for _ in range(3)]
-    handlers = [FakeHandler(far, fault=n == 1) for n, (_, far) in enumerate(pairs)]
+    handlers = [FakeHandler(far, raises=n == 1) for n, (_, far) in enumerate(pairs)]
     assert all(loop.watch(handler) for handler in handlers)
     for n, (near, _) in enumerate(pairs):
         near.sendall(b"%d" % n)
@@ -76,17 +76,17 @@
         near.close()
 
 
-def test_a_handler_that_declines_a_tick_is_released(running_loop: RunningLoop) -> None:
+def test_a_handler_whose_tick_returns_false_is_released(running_loop: RunningLoop) -> None:
     loop, _ = running_loop
     near, far = socket.socketpair()
     handler = FakeHandler(far)
-    handler.is_wanted = False
+    handler.keeps_watching = False
     with near:
         assert loop.watch(handler)
         assert handler.received.get(timeout=WAIT_S) is None
 
 
-def test_a_stop_releases_every_handler_and_accepts_no_other() -> None:
+def test_a_stop_releases_every_handler_and_rejects_new_ones() -> None:
     loop = ReadLoop(lambda: 0.0, KeyValueLogger("test", io.StringIO()))
     loop.start()
     pairs = [socket.socketpair() for _ in range(2)]
@@ -101,13 +101,13 @@
 
 
 def detached_threads() -> set[int]:
-    """Native ids of this process's threads that `threading` doesn't list."""
+    """Return the native IDs of this process's threads that `threading` doesn't list."""
     running = {int(thread_id) for thread_id in os.listdir("/proc/self/task")}
     return running - {thread.native_id for thread in threading.enumerate() if thread.native_id}
 
 
 def test_established_connections_need_no_threads() -> None:
-    """Forty workers with a connection each: as many as a fleet of gateways has on one machine."""
+    """Connects to forty workers. A thread for each connection would exhaust a machine with many gateways."""
     detached_before = detached_threads()
     hosts = [ScriptedHost() for _ in range(40)]
     directory = Directory(*(Entry(f"s-{n}", host.address) for n, host in enumerate(hosts)))
@@ -118,31 +118,31 @@
             subject += 1
             assert subject < 2000
             assert client.ask(subject=subject)[0] == "OK"
-        assert len(detached_threads() - detached_before) <= 1  # one that still connects
+        assert len(detached_threads() - detached_before) <= 1  # a connection attempt may still be running
         client.sock.close()
     assert service.hosts.connection_count == 0
     for host in hosts:
         host.close()
 
 
-def test_clients_are_served_where_the_system_has_no_threads_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections used to need a thread each: one was turned away after two seconds without any, unheard."""
+def test_clients_are_served_when_no_thread_can_be_started(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With a thread for each connection, a client was disconnected unserved after two seconds without one."""
     host = ScriptedHost()
     directory = Directory(Entry("s-1", host.address))
 
-    def none(*arguments: object, **options: object) -> object:
+    def fail_to_start(*arguments: object, **options: object) -> object:
         raise RuntimeError("can't start new thread")
 
     with gateway(directory) as service:
         first = Client(service.front.address)
         assert first.ask() == ("OK", b"x")  # a connection to the worker is established
         before = threading.active_count()
-        monkeypatch.setattr("saffronstack.runtime.threads.threading.Thread.start", none)
-        monkeypatch.setattr("saffronstack.runtime.threads._thread.start_new_thread", none)
-        crowd = [Client(service.front.address) for _ in range(50)]
-        assert {client.ask() for client in crowd} == {("OK", b"x")}
+        monkeypatch.setattr("saffronstack.runtime.threads.threading.Thread.start", fail_to_start)
+        monkeypatch.setattr("saffronstack.runtime.threads._thread.start_new_thread", fail_to_start)
+        clients = [Client(service.front.address) for _ in range(50)]
+        assert {client.ask() for client in clients} == {("OK", b"x")}
         monkeypatch.undo()
         assert threading.active_count() <= before
-        for client in (first, *crowd):
+        for client in (first, *clients):
             client.sock.close()
     host.close()
--- a/tests/runtime/test_threads.py
+++ b/tests/runtime/test_threads.py
@@ -1,4 +1,4 @@
-"""Threads that nobody waits for, and a pool of threads that wait for further tasks."""
+"""Tests of detached threads, thread names and the pool of idle threads."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 @pytest.fixture
 def started(monkeypatch: pytest.MonkeyPatch) -> list[threading.Thread]:
-    """Each thread that a pool started."""
-    found: list[threading.Thread] = []
+    """Threads that pools have started."""
+    started_threads: list[threading.Thread] = []
     start_thread = threads.start_thread
 
-    def counted(name: str, run: Callable[[], object]) -> threading.Thread:
-        found.append(start_thread(name, run))
-        return found[-1]
+    def recording_start(name: str, run: Callable[[], object]) -> threading.Thread:
+        started_threads.append(start_thread(name, run))
+        return started_threads[-1]
 
-    monkeypatch.setattr(threads, "start_thread", counted)
-    return found
+    monkeypatch.setattr(threads, "start_thread", recording_start)
+    return started_threads
 
 
-def wait_for_idle(pool: IdleThreadPool, number: int) -> None:
-    end = threading.Event()
-    while pool._idle != number:
-        assert not end.wait(0.001)
+def wait_for_idle(pool: IdleThreadPool, count: int) -> None:
+    never_set = threading.Event()
+    while pool._idle != count:
+        assert not never_set.wait(0.001)
 
 
 @pytest.mark.parametrize(
@@ -40,23 +40,23 @@
     ids=["short", "cut"],
 )
 @pytest.mark.parametrize("start", [start_thread, start_detached_thread])
-def test_a_thread_carries_its_name_in_the_system(
+def test_a_thread_has_its_name_in_the_operating_system(
     start: Callable[[str, Callable[[], object]], object], name: str, system_name: str
 ) -> None:
-    """The system called each thread `python`, so that nobody could tell which of them waited."""
-    found: list[str] = []
+    """Without a name of its own, each thread is shown as `python` by tools of the operating system."""
+    names: list[str] = []
     has_run = threading.Event()
 
-    def look() -> None:
-        found.append(pathlib.Path("/proc/thread-self/comm").read_text())
+    def read_name() -> None:
+        names.append(pathlib.Path("/proc/thread-self/comm").read_text())
         has_run.set()
 
-    start(name, look)
+    start(name, read_name)
     assert has_run.wait(WAIT_S)
-    assert found == [f"{system_name}\n"]
+    assert names == [f"{system_name}\n"]
 
 
-def test_a_thread_runs_where_the_system_takes_no_name(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_thread_runs_even_if_its_name_can_not_be_set(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(threads, "_SYSTEM_NAME_PATH", "/proc/no-such-file")
     has_run = threading.Event()
     start_thread("unnamed", has_run.set)
@@ -72,12 +72,12 @@
     assert len(started) == 1
 
 
-def test_a_task_never_waits_for_another(started: list[threading.Thread]) -> None:
+def test_tasks_run_concurrently(started: list[threading.Thread]) -> None:
     pool, barrier = IdleThreadPool("pool", idle_s=WAIT_S), threading.Barrier(12)
     ended = threading.Semaphore(0)
 
     def task() -> None:
-        barrier.wait(WAIT_S)  # each needs all others to run at the same time
+        barrier.wait(WAIT_S)  # passes only while all tasks run at the same time
         ended.release()
 
     for _ in range(3):
@@ -89,7 +89,7 @@
     assert len(started) == 12
 
 
-def test_idle_threads_end_and_their_number_is_bounded(started: list[threading.Thread]) -> None:
+def test_idle_threads_end_and_their_number_is_limited(started: list[threading.Thread]) -> None:
     pool, barrier = IdleThreadPool("pool", idle_s=0.01, max_idle=3), threading.Barrier(8)
     for _ in range(8):
         pool.run(lambda: barrier.wait(WAIT_S))
@@ -99,7 +99,7 @@
     assert pool._idle == 0
 
 
-def test_a_task_given_while_a_thread_stops_waiting_is_run() -> None:
+def test_a_task_assigned_as_an_idle_thread_times_out_is_run() -> None:
     pool, done = IdleThreadPool("pool", idle_s=0.0005), threading.Semaphore(0)
     for _ in range(400):
         pool.run(done.release)
@@ -108,15 +108,15 @@
         assert done.acquire(timeout=WAIT_S)
 
 
-def test_a_detached_thread_starts_while_the_start_of_another_is_waited_for() -> None:
-    """Whoever waits for its new thread to be scheduled holds the lock of the stack size meanwhile."""
+def test_a_detached_thread_starts_while_another_start_blocks() -> None:
+    """A blocked `start_thread` holds the stack size lock until its thread is scheduled."""
     has_run = threading.Event()
     with threads._stack_size_lock:
         start_detached_thread("detached", has_run.set)
         assert has_run.wait(WAIT_S)
 
 
-def test_a_detached_thread_leaves_the_stack_size_of_others_as_it_was() -> None:
+def test_a_detached_thread_restores_the_stack_size() -> None:
     before_bytes = threading.stack_size()
     has_run = threading.Event()
     start_detached_thread("detached", has_run.set)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 parser: messages whole and split anywhere, requests that invite smuggling, a fuzz."""
+"""Tests of the HTTP/1.1 parser and serializer: split input, request smuggling and random bytes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 LIMITS = MessageLimits(line_bytes=200, head_bytes=600, header_fields=10, body_bytes=1000)
 CHUNKED = b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-GOOD = [
+VALID = [
     (b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "GET", b""),
     (b"POST /x?y=1 HTTP/1.1\r\nhost:a\r\nContent-Length: 5\r\n\r\nhello", "POST", b"hello"),
     (
@@ -32,7 +32,7 @@
         b"{}",
     ),
 ]
-BAD = [
+INVALID = [
     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400),
     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", 400),
@@ -80,13 +80,13 @@
 ]
 
 
-def parse(pieces: list[bytes]) -> tuple[str, bytes] | int | None:
-    """Method and body, the status of the error, or None where bytes are missing."""
+def parse(fragments: list[bytes]) -> tuple[str, bytes] | int | None:
+    """Return method and body, the status of the error, or None if the request is incomplete."""
     reader = MessageReader(LIMITS)
     head = None
     try:
-        for piece in pieces:
-            reader.feed(piece)
+        for fragment in fragments:
+            reader.feed(fragment)
             head = head or reader.request()
             if head is not None and (body := reader.body()) is not None:
                 return head.method, body
@@ -95,27 +95,27 @@
     return None
 
 
-@pytest.mark.parametrize(("data", "method", "body"), GOOD)
-def test_good_requests_split_at_every_byte(data: bytes, method: str, body: bytes) -> None:
+@pytest.mark.parametrize(("data", "method", "body"), VALID)
+def test_a_valid_request_is_parsed_however_it_is_split(data: bytes, method: str, body: bytes) -> None:
     assert parse([data]) == (method, body)
     assert parse([data[n : n + 1] for n in range(len(data))]) == (method, body)
-    for cut in range(1, len(data)):
-        assert parse([data[:cut], data[cut:]]) == (method, body)
-        assert parse([data[:cut]]) is None
+    for split in range(1, len(data)):
+        assert parse([data[:split], data[split:]]) == (method, body)
+        assert parse([data[:split]]) is None
 
 
-@pytest.mark.parametrize(("data", "status"), BAD)
-def test_bad_requests_get_the_same_verdict_however_they_are_split(data: bytes, status: int) -> None:
+@pytest.mark.parametrize(("data", "status"), INVALID)
+def test_an_invalid_request_gets_the_same_status_however_it_is_split(data: bytes, status: int) -> None:
     assert parse([data]) == status
     assert parse([data[n : n + 1] for n in range(len(data))]) == status
-    for cut in range(1, len(data)):
-        assert parse([data[:cut], data[cut:]]) == status
+    for split in range(1, len(data)):
+        assert parse([data[:split], data[split:]]) == status
 
 
-def test_pipelined_requests_come_one_by_one() -> None:
+def test_pipelined_requests_are_returned_one_by_one() -> None:
     reader = MessageReader(LIMITS)
-    reader.feed(GOOD[1][0] + GOOD[2][0])
-    for _, method, body in GOOD[1:3]:
+    reader.feed(VALID[1][0] + VALID[2][0])
+    for _, method, body in VALID[1:3]:
         head = reader.request()
         assert head is not None
         assert (head.method, reader.body()) == (method, body)
@@ -123,16 +123,16 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "case",
     [("close", 1, False), ("keep-alive", 0, True), ("", 1, True), ("", 0, False), ("x, Close", 1, False)],
 )
-def test_keep_alive(words: tuple[str, int, bool]) -> None:
+def test_keep_alive(case: tuple[str, int, bool]) -> None:
     reader = MessageReader(LIMITS)
-    connection = f"Connection: {words[0]}\r\n" if words[0] else ""
-    reader.feed(f"GET / HTTP/1.{words[1]}\r\nHost: a\r\n{connection}\r\n".encode())
+    connection = f"Connection: {case[0]}\r\n" if case[0] else ""
+    reader.feed(f"GET / HTTP/1.{case[1]}\r\nHost: a\r\n{connection}\r\n".encode())
     head = reader.request()
     assert head is not None
-    assert head.keep_alive is words[2]
+    assert head.keep_alive is case[2]
 
 
 @pytest.mark.parametrize(
@@ -145,14 +145,14 @@
         (b"HTTP/1.1 500 \r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 500, b"x", True),
     ],
 )
-def test_responses(data: bytes, status: int, body: bytes, keeps: bool) -> None:
-    for cut in range(len(data) + 1):
+def test_a_response_is_parsed_however_it_is_split(data: bytes, status: int, body: bytes, keeps: bool) -> None:
+    for split in range(len(data) + 1):
         reader = MessageReader(LIMITS)
-        reader.feed(data[:cut] or b"")
-        if cut == 0:
+        reader.feed(data[:split] or b"")
+        if split == 0:
             reader = MessageReader(LIMITS)
         head = reader.response()
-        reader.feed(data[cut:]) if cut < len(data) else None
+        reader.feed(data[split:]) if split < len(data) else None
         head = head or reader.response()
         reader.feed(b"")
         assert head is not None
@@ -169,7 +169,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
     ],
 )
-def test_bad_responses(data: bytes) -> None:
+def test_an_invalid_response_is_rejected(data: bytes) -> None:
     reader = MessageReader(LIMITS)
     reader.feed(data)
     with pytest.raises(HttpError):
@@ -194,11 +194,11 @@
     )
 )
 @settings(derandomize=True, max_examples=400, deadline=None)
-def test_any_bytes_end_in_a_message_an_error_or_a_wait_alike(pieces: list[bytes]) -> None:
-    pieces = [piece for piece in pieces if piece]
-    whole = parse([b"".join(pieces)]) if pieces else None
-    assert parse(pieces) == whole
-    data = b"".join(pieces)
+def test_the_result_for_random_bytes_does_not_depend_on_how_they_are_split(fragments: list[bytes]) -> None:
+    fragments = [fragment for fragment in fragments if fragment]
+    whole = parse([b"".join(fragments)]) if fragments else None
+    assert parse(fragments) == whole
+    data = b"".join(fragments)
     assert parse([data[n : n + 1] for n in range(len(data))]) == whole
 
 
@@ -213,7 +213,7 @@
     ),
 )
 @settings(derandomize=True, max_examples=100, deadline=None)
-def test_what_is_written_reads_back(body: bytes, fields: list[tuple[str, str]]) -> None:
+def test_a_serialized_request_is_parsed_back(body: bytes, fields: list[tuple[str, str]]) -> None:
     names = {"content-length", "transfer-encoding", "host", "expect", "connection"}
     fields = [(name, value) for name, value in fields if name.lower() not in names]
     reader = MessageReader(LIMITS)
@@ -224,6 +224,6 @@
     assert [(n.lower(), v) for n, v in fields] == head.headers.items[1:-1]
 
 
-def test_a_header_value_can_not_break_out() -> None:
+def test_a_header_value_can_not_inject_a_header() -> None:
     with pytest.raises(ValueError, match="X-A"):
         writer.response(200, [("X-A", "a\r\nX-B: c")])
