--- a/saffronstack/config/build.py
+++ b/saffronstack/config/build.py
@@ -48,7 +48,7 @@
         ),
         gateway_count=config.instances,
         gateway_index=config.self_index,
-        zone=_sorted_numbers(config, "zone")[config.zone],
+        zone=_number_localities(config, "zone")[config.zone],
         tenants=_tenant_settings(config),
         over_quota_weight=config.over_share_worth,
         memory_mb_by_worker_kind=tuple(kind.memory_mb for kind in config.kinds),
@@ -89,12 +89,12 @@
     The pseudo-tenant has a quota of zero. Requests of a tenant that is over its soft limit are attributed to
     it, so that they have the priority weight of requests over quota.
     """
-    budgets = any(tenant.budget for tenant in config.tenants)
-    if not budgets and not any(tenant.quota_rps for tenant in config.tenants):
+    has_budgets = any(tenant.budget for tenant in config.tenants)
+    if not has_budgets and not any(tenant.quota_rps for tenant in config.tenants):
         return ()
-    rest = UNLIMITED_QUOTA_RPS if budgets else 0.0
-    tenants = [TenantSettings(t.name, t.share, t.quota_rps or rest) for t in config.tenants]
-    if budgets:
+    default_quota_rps = UNLIMITED_QUOTA_RPS if has_budgets else 0.0
+    tenants = [TenantSettings(t.name, t.share, t.quota_rps or default_quota_rps) for t in config.tenants]
+    if has_budgets:
         tenants.append(TenantSettings(OVER_BUDGET_TENANT, 0.0, 0.0))
     return tuple(tenants)
 
@@ -112,12 +112,12 @@
     }
 
 
-def _sorted_numbers(config: Config, what: str) -> dict[str, int]:
+def _number_localities(config: Config, attribute: str) -> dict[str, int]:
     """Number zone or cell names in sorted order, so that a reload assigns the same numbers."""
-    names = {getattr(worker, what) for worker in config.workers}
-    if what == "zone":
+    names = {getattr(worker, attribute) for worker in config.workers}
+    if attribute == "zone":
         names.add(config.zone)
-    return {name: place for place, name in enumerate(sorted(names))}
+    return {name: index for index, name in enumerate(sorted(names))}
 
 
 def build_configured_workers(
@@ -131,7 +131,7 @@
     workers: Iterable[Worker], config: Config, numbers: LocalityNumbers
 ) -> tuple[WorkerSpec, ...]:
     """Build specs of workers from any source; their kinds must be configured."""
-    kinds = {kind.name: place for place, kind in enumerate(config.kinds)}
+    kinds = {kind.name: index for index, kind in enumerate(config.kinds)}
     specs = []
     for worker in workers:
         host, _, port = worker.address.rpartition(":")
@@ -156,8 +156,8 @@
     """Assigns numbers to zones and cells; a number never changes while the process runs."""
 
     def __init__(self, config: Config) -> None:
-        self._zones = _sorted_numbers(config, "zone")
-        self._cells = _sorted_numbers(config, "cell")
+        self._zones = _number_localities(config, "zone")
+        self._cells = _number_localities(config, "cell")
 
     def zone(self, name: str) -> int:
         """Return a zone's number, assigning the next one to a new name."""
@@ -183,7 +183,7 @@
 
     def __init__(self, config: Config) -> None:
         self._classes = {
-            call_class.name: (place, call_class) for place, call_class in enumerate(config.classes)
+            call_class.name: (index, call_class) for index, call_class in enumerate(config.classes)
         }
         self._exact = {function.name: function for function in config.functions if "*" not in function.name}
         self._patterns = [
@@ -191,7 +191,7 @@
             for function in config.functions
             if "*" in function.name
         ]
-        self._known: OrderedDict[str, ConfiguredFunction] = OrderedDict()
+        self._cache: OrderedDict[str, ConfiguredFunction] = OrderedDict()
         self._lock = Lock()
 
     def exact_names(self) -> list[str]:
@@ -200,25 +200,25 @@
 
     def get(self, name: str) -> ConfiguredFunction | None:
         """Return a function, or None if neither an exact name nor a pattern matches."""
-        known = self._known.get(name)
-        if known is not None:
-            return known
+        found = self._cache.get(name)
+        if found is not None:
+            return found
         function = self._exact.get(name)
         if function is None:
             function = next((f for pattern, f in self._patterns if pattern.match(name)), None)
         if function is None:
             return None
-        place, call_class = self._classes[function.call_class]
-        known = ConfiguredFunction(
+        index, call_class = self._classes[function.call_class]
+        found = ConfiguredFunction(
             FunctionSpec(
-                name, function_number(name), place, function.memory_mb, function.lanes, function.load_s
+                name, function_number(name), index, function.memory_mb, function.lanes, function.load_s
             ),
             function,
             call_class.deadline_s,
             Idempotency(call_class.effect),
         )
         with self._lock:
-            self._known[name] = known
-            while len(self._known) > MAX_CACHED_FUNCTIONS:
-                self._known.popitem(last=False)
-        return known
+            self._cache[name] = found
+            while len(self._cache) > MAX_CACHED_FUNCTIONS:
+                self._cache.popitem(last=False)
+        return found
--- a/saffronstack/config/fleet.py
+++ b/saffronstack/config/fleet.py
@@ -143,11 +143,11 @@
     """Validate daemons; their commands are not authenticated, so their addresses must not be public."""
     lines: list[str] = []
     names: set[str] = set()
-    taken = {keeper.address: "a keeper" for keeper in fleet.keepers}
+    used_addresses = {keeper.address: "a keeper" for keeper in fleet.keepers}
     for number, daemon in enumerate(fleet.daemons):
-        place = f"daemons[{number}] ({daemon.name})"
+        path = f"daemons[{number}] ({daemon.name})"
         if daemon.name in names:
-            lines.append(f"{place}: the name is used twice")
+            lines.append(f"{path}: the name is used twice")
         names.add(daemon.name)
         host = daemon.address.rpartition(":")[0]
         try:
@@ -155,11 +155,11 @@
         except ValueError:
             private = False
         if not private:
-            lines.append(f"{place}.address: {host} is no private address; commands are not authenticated")
+            lines.append(f"{path}.address: {host} is no private address; commands are not authenticated")
         for key, address in (("address", daemon.address), *((g.name, g.listen) for g in daemon.gateways)):
-            if address in taken:
-                lines.append(f"{place}.{key}: {address} is that of {taken[address]} too")
-            taken.setdefault(address, f"{daemon.name}.{key}")
+            if address in used_addresses:
+                lines.append(f"{path}.{key}: {address} is that of {used_addresses[address]} too")
+            used_addresses.setdefault(address, f"{daemon.name}.{key}")
     gateways = [gateway.name for daemon in fleet.daemons for gateway in daemon.gateways]
     duplicates = sorted({name for name in gateways if gateways.count(name) > 1})
     return [*lines, *(f"daemons: gateway {name!r} is defined twice" for name in duplicates)]
@@ -177,14 +177,14 @@
     lines: list[str] = []
     names: set[str] = set()
     for number, task in enumerate(tasks):
-        place = f"tasks[{number}] ({task.name})"
+        path = f"tasks[{number}] ({task.name})"
         if task.name in names:
-            lines.append(f"{place}: the name is used twice")
+            lines.append(f"{path}: the name is used twice")
         names.add(task.name)
         for key in ("usage", "output", "ledgers", "config", "outputs"):
             given = bool(getattr(task, key))
             if key in REQUIRED_TASK_KEYS[task.kind] and not given:
-                lines.append(f"{place}.{key}: missing; a task of kind {task.kind} needs it")
+                lines.append(f"{path}.{key}: missing; a task of kind {task.kind} needs it")
             if given and key not in ALLOWED_TASK_KEYS[task.kind]:
-                lines.append(f"{place}.{key}: not allowed in a task of kind {task.kind}")
+                lines.append(f"{path}.{key}: not allowed in a task of kind {task.kind}")
     return lines
--- a/saffronstack/config/validation.py
+++ b/saffronstack/config/validation.py
@@ -33,12 +33,12 @@
     return []
 
 
-def _duplicates(place: str, names: Iterable[str]) -> list[str]:
+def _duplicates(path: str, names: Iterable[str]) -> list[str]:
     seen: set[str] = set()
     lines = []
     for number, name in enumerate(names):
         if name in seen:
-            lines.append(f"{place}[{number}]: {name!r} is defined twice")
+            lines.append(f"{path}[{number}]: {name!r} is defined twice")
         seen.add(name)
     return lines
 
@@ -55,12 +55,12 @@
         if key.tenant not in tenants:
             lines.append(f"keys[{number}].tenant: no tenant is named {key.tenant!r}")
     for number, tenant in enumerate(config.tenants):
-        place = f"tenants[{number}] ({tenant.name}).budget"
+        path = f"tenants[{number}] ({tenant.name}).budget"
         if tenant.budget is not None and config.metering is None:
-            lines.append(f"{place}: needs the part 'metering', which measures usage")
+            lines.append(f"{path}: needs the part 'metering', which measures usage")
         if tenant.budget is not None and tenant.budget.soft_mb_s > tenant.budget.hard_mb_s:
             lines.append(
-                f"{place}: soft_mb_s {tenant.budget.soft_mb_s:g} over hard_mb_s {tenant.budget.hard_mb_s:g}"
+                f"{path}: soft_mb_s {tenant.budget.soft_mb_s:g} over hard_mb_s {tenant.budget.hard_mb_s:g}"
             )
     return lines
 
@@ -68,24 +68,22 @@
 def _class_errors(config: Config) -> list[str]:
     lines = []
     for number, call_class in enumerate(config.classes):
-        place = f"classes[{number}] ({call_class.name})"
+        path = f"classes[{number}] ({call_class.name})"
         if call_class.aim_s > call_class.deadline_s:
-            lines.append(f"{place}: aim_s {call_class.aim_s:g} exceeds deadline_s {call_class.deadline_s:g}")
+            lines.append(f"{path}: aim_s {call_class.aim_s:g} exceeds deadline_s {call_class.deadline_s:g}")
         if call_class.effect == "keyed" and call_class.window_s <= 0:
-            lines.append(f"{place}: a keyed class needs a window_s above 0")
+            lines.append(f"{path}: a keyed class needs a window_s above 0")
         if call_class.effect != "keyed" and call_class.window_s > 0:
-            lines.append(f"{place}: window_s belongs to keyed classes; {call_class.effect} ones have none")
+            lines.append(f"{path}: window_s belongs to keyed classes; {call_class.effect} ones have none")
         if call_class.note_operations and (config.operations is None or config.operations.directory is None):
-            lines.append(
-                f"{place}: note_operations needs operations.directory, where operations are recorded"
-            )
+            lines.append(f"{path}: note_operations needs operations.directory, where operations are recorded")
         if call_class.note_operations and call_class.effect == "safe":
             lines.append(
-                f"{place}: note_operations is for what must not run twice; requests of safe classes may"
+                f"{path}: note_operations is for what must not run twice; requests of safe classes may"
             )
         if config.answer_margin_s >= call_class.deadline_s / 2:
             lines.append(
-                f"{place}: answer_margin_s {config.answer_margin_s:g} leaves less than half of "
+                f"{path}: answer_margin_s {config.answer_margin_s:g} leaves less than half of "
                 f"deadline_s {call_class.deadline_s:g} for the work"
             )
     return lines
@@ -97,22 +95,22 @@
     named = {f.name: f for f in config.functions if "*" not in f.name}
     largest = max(kind.memory_mb for kind in config.kinds)
     numbers: dict[int, str] = {}
-    for place, function in enumerate(config.functions):
-        where = f"functions[{place}] ({function.name})"
+    for index, function in enumerate(config.functions):
+        path = f"functions[{index}] ({function.name})"
         if function.call_class not in classes:
-            lines.append(f"{where}.class: no class is named {function.call_class!r}")
+            lines.append(f"{path}.class: no class is named {function.call_class!r}")
         if function.memory_mb > largest:
             lines.append(
-                f"{where}.memory_mb: {function.memory_mb:g} fits no kind of worker; "
+                f"{path}.memory_mb: {function.memory_mb:g} fits no kind of worker; "
                 f"the largest has {largest:g}"
             )
         for side in ("on_success", "on_failure"):
             target = getattr(function, side)
             if target is not None and target not in named:
-                lines.append(f"{where}.{side}: no function is named {target!r} (patterns don't count)")
+                lines.append(f"{path}.{side}: no function is named {target!r} (patterns don't count)")
         other = numbers.setdefault(function_number(function.name), function.name)
         if other != function.name:
-            lines.append(f"{where}: the hash of its name is that of {other!r}; rename one of them")
+            lines.append(f"{path}: the hash of its name is that of {other!r}; rename one of them")
     for name in named:
         cycle = _find_cycle(
             name, {n: [t for t in (f.on_success, f.on_failure) if t in named] for n, f in named.items()}
@@ -142,15 +140,15 @@
     lines = []
     kinds = {kind.name for kind in config.kinds}
     numbers: dict[int, str] = {}
-    for place, worker in enumerate(config.workers):
-        where = f"workers[{place}] ({worker.id})"
+    for index, worker in enumerate(config.workers):
+        path = f"workers[{index}] ({worker.id})"
         if worker.kind not in kinds:
-            lines.append(f"{where}.kind: no kind is named {worker.kind!r}")
+            lines.append(f"{path}.kind: no kind is named {worker.kind!r}")
         if not 0 < int(worker.address.rpartition(":")[2]) < 65536:
-            lines.append(f"{where}.address: no port {worker.address.rpartition(':')[2]}")
+            lines.append(f"{path}.address: no port {worker.address.rpartition(':')[2]}")
         other = numbers.setdefault(worker_number(worker.id), worker.id)
         if other != worker.id:
-            lines.append(f"{where}: the hash of its name is that of {other!r}; rename one of them")
+            lines.append(f"{path}: the hash of its name is that of {other!r}; rename one of them")
     lines += _duplicates("workers, addresses", (w.address for w in config.workers))
     return lines
 
--- a/saffronstack/http1/reader.py
+++ b/saffronstack/http1/reader.py
@@ -43,15 +43,15 @@
         self._scanned_bytes = 0
         self._body_state = _BodyState.NONE
         self._remaining_bytes = 0
-        self._content = bytearray()
-        self._ended = False
+        self._chunked_content = bytearray()
+        self._is_ended = False
 
     def feed(self, data: bytes) -> None:
         """Add bytes from the peer; empty ``data`` means that the peer has closed its side."""
         if data:
             self._buffer += data
         else:
-            self._ended = True
+            self._is_ended = True
 
     @property
     def pending(self) -> int:
@@ -61,7 +61,7 @@
     @property
     def ended(self) -> bool:
         """Whether the peer has closed its side."""
-        return self._ended
+        return self._is_ended
 
     # ---- heads
 
@@ -123,8 +123,8 @@
     def _head_block(self) -> bytes | None:
         buffer, limits = self._buffer, self.limits
         end = buffer.find(b"\r\n\r\n", self._scanned_bytes)
-        part = buffer[: end + 4] if end >= 0 else buffer[: limits.head_bytes + 1]
-        if _has_bare_line_ending(part):
+        window = buffer[: end + 4] if end >= 0 else buffer[: limits.head_bytes + 1]
+        if _has_bare_line_ending(window):
             raise HttpError(400, "bare CR, bare LF or NUL in the head")
         if end < 0:
             if len(buffer) > limits.head_bytes:
@@ -145,15 +145,15 @@
         if len(lines) > self.limits.header_fields:
             raise HttpError(431, f"{len(lines)} header fields, {self.limits.header_fields} at most")
         items: list[tuple[str, str]] = []
-        is_name, is_value = _FIELD_NAME.fullmatch, _FIELD_VALUE.fullmatch
+        match_name, match_value = _FIELD_NAME.fullmatch, _FIELD_VALUE.fullmatch
         max_line_bytes = self.limits.line_bytes
         for line in lines:
             if len(line) > max_line_bytes:
                 raise HttpError(431, f"header line of {len(line)} bytes, {max_line_bytes} at most")
             name, colon, value = line.partition(":")
-            if not colon or not is_name(name) or not is_value(value):
-                what = "folded header line" if line[:1] in (" ", "\t") else "malformed header line"
-                raise HttpError(400, what)
+            if not colon or not match_name(name) or not match_value(value):
+                reason = "folded header line" if line[:1] in (" ", "\t") else "malformed header line"
+                raise HttpError(400, reason)
             items.append((name.lower(), value.strip(" \t")))
         return Headers(items)
 
@@ -162,7 +162,7 @@
         lengths, codings = headers.all("content-length"), headers.all("transfer-encoding")
         if codings and (lengths or minor == 0):
             raise HttpError(400, "Transfer-Encoding beside Content-Length or in HTTP/1.0")
-        self._content = bytearray()
+        self._chunked_content = bytearray()
         if codings:
             if len(codings) > 1 or codings[0].lower() != "chunked":
                 raise HttpError(501, "only the chunked transfer encoding is known")
@@ -202,7 +202,7 @@
         if self._body_state is _BodyState.UNTIL_CLOSE:
             if len(self._buffer) > self.limits.body_bytes:
                 raise HttpError(413, f"body over {self.limits.body_bytes} bytes")
-            if not self._ended:
+            if not self._is_ended:
                 return None
             content = bytes(self._buffer)
             self._buffer.clear()
@@ -214,7 +214,7 @@
         while self._body_state is not _BodyState.NONE:
             if self._body_state is _BodyState.CHUNK_DATA:
                 chunk = self._buffer[: self._remaining_bytes]
-                self._content += chunk
+                self._chunked_content += chunk
                 del self._buffer[: len(chunk)]
                 self._remaining_bytes -= len(chunk)
                 if self._remaining_bytes:
@@ -236,7 +236,7 @@
                 if match is None:
                     raise HttpError(400, "malformed chunk size")
                 self._remaining_bytes = int(match[1], 16)
-                if len(self._content) + self._remaining_bytes > self.limits.body_bytes:
+                if len(self._chunked_content) + self._remaining_bytes > self.limits.body_bytes:
                     raise HttpError(413, f"body over {self.limits.body_bytes} bytes")
                 self._body_state = _BodyState.CHUNK_DATA if self._remaining_bytes else _BodyState.TRAILERS
                 self._trailer_count = 0
@@ -249,16 +249,16 @@
                     raise HttpError(400, f"{names[0]} among the trailers")
             else:
                 self._body_state = _BodyState.NONE
-        content = bytes(self._content)
-        self._content = bytearray()
+        content = bytes(self._chunked_content)
+        self._chunked_content = bytearray()
         return content
 
     _trailer_count = 0
 
     def _take_line(self, limit: int) -> bytes | None:
         end = self._buffer.find(b"\r\n")
-        part = self._buffer[: end + 2] if end >= 0 else self._buffer[: limit + 2]
-        if _has_bare_line_ending(part):
+        window = self._buffer[: end + 2] if end >= 0 else self._buffer[: limit + 2]
+        if _has_bare_line_ending(window):
             raise HttpError(400, "bare CR, bare LF or NUL in the chunked body")
         if end > limit or (end < 0 and len(self._buffer) > limit + 1):
             raise HttpError(400, f"chunk line over {limit} bytes")
@@ -274,8 +274,8 @@
     return "close" not in words and (minor == 1 or "keep-alive" in words)
 
 
-def _has_bare_line_ending(part: bytes | bytearray) -> bool:
+def _has_bare_line_ending(window: bytes | bytearray) -> bool:
     """Return whether there is a NUL, a bare CR or a bare LF; a CR at the end may still get its LF."""
-    pairs = part.count(b"\r\n")
-    returns = part.count(b"\r") - part.endswith(b"\r")
-    return part.count(b"\n") != pairs or returns != pairs or b"\0" in part
+    pairs = window.count(b"\r\n")
+    carriage_returns = window.count(b"\r") - window.endswith(b"\r")
+    return window.count(b"\n") != pairs or carriage_returns != pairs or b"\0" in window
--- a/saffronstack/net/read_loop.py
+++ b/saffronstack/net/read_loop.py
@@ -86,7 +86,7 @@
         handlers: dict[int, ReadHandler] = {}
         buffer = bytearray(self._read_bytes)
         view = memoryview(buffer)
-        ticked_s = self._clock()
+        last_tick_s = self._clock()
         while not self._is_stopping:
             for fd, _ in poll.poll(TICK_S * 1000):
                 if fd == self._wake_fd:
@@ -96,8 +96,8 @@
                     self._release(poll, handlers, fd)
             self._add_new(poll, handlers)
             now_s = self._clock()
-            if now_s - ticked_s >= TICK_S:
-                ticked_s = now_s
+            if now_s - last_tick_s >= TICK_S:
+                last_tick_s = now_s
                 for fd in [fd for fd, handler in handlers.items() if not handler.on_tick(now_s)]:
                     self._release(poll, handlers, fd)
         with self._lock:
--- a/saffronstack/net/write_buffer.py
+++ b/saffronstack/net/write_buffer.py
@@ -255,7 +255,7 @@
         poll = select.epoll()
         poll.register(self._wake_fd, select.EPOLLIN)
         watched: dict[int, WriteBuffer] = {}
-        checked_s = self._clock()
+        last_check_s = self._clock()
         while not self._is_stopping:
             for fd, _ in poll.poll(STALL_CHECK_S if watched else IDLE_WAIT_S):
                 if fd == self._wake_fd:
@@ -266,8 +266,8 @@
             self._add_new(poll, watched)
             # Not on each wake-up: with many stalled peers, the checks would slow down writes to all others.
             now_s = self._clock()
-            if now_s - checked_s >= STALL_CHECK_S:
-                checked_s = now_s
+            if now_s - last_check_s >= STALL_CHECK_S:
+                last_check_s = now_s
                 self._break_stalled(poll, watched)
         poll.close()
         with self._lock:
