--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -1,4 +1,4 @@
-"""What a request to the invoke front means, and its answer. Sockets are `server`'s, decisions the core's."""
+"""Routes and handles HTTP requests. `server` does the socket I/O, and the engine decides on attempts."""
 
 from __future__ import annotations
 
@@ -46,39 +46,39 @@
 
 INVOCATION_TYPES = ("RequestResponse", "Event", "DryRun")
 LOG_TYPES = ("None", "Tail")
-MAX_CONTEXT_BYTES = 3583  # bytes of X-Amz-Client-Context, by the API's page
+MAX_CONTEXT_BYTES = 3583  # documented limit of X-Amz-Client-Context in the Lambda API
 
 
 class Page(Protocol):
-    """A page beside the API: metrics, health."""
+    """Handles GET requests for a path outside the API, such as the metrics or the health check."""
 
     def __call__(self) -> Response:
-        """The page now."""
+        """Return the response with the current content."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class AccessKeys:
-    """Keys and tenants, changed as a whole by a reread."""
+    """Access keys: their secrets and tenants. A configuration reload replaces the whole object at once."""
 
     secrets: Mapping[str, str]
     tenant_by_key: Mapping[str, str]
 
     @staticmethod
     def from_config(config: Config) -> AccessKeys:
-        """What a configuration says."""
+        """Return the access keys of a configuration."""
         return AccessKeys(
             {key.id: key.secret for key in config.keys}, {key.id: key.tenant for key in config.keys}
         )
 
 
 def new_request_id() -> str:
-    """A request id in the API's form."""
+    """Return a random UUID, the form of request id that the Lambda API uses."""
     return str(uuid.uuid4())
 
 
 class App:
-    """Answers requests; used by every connection's thread."""
+    """Handles the requests of all connections. Thread-safe: each connection has its own thread."""
 
     def __init__(
         self,
@@ -115,7 +115,11 @@
     def handle_request(
         self, head: RequestHead, body: bytes, is_client_connected: Callable[[], bool]
     ) -> Response:
-        """The answer to one request; ClientDisconnectedError where nobody waits for it any more."""
+        """Handle a request and return its response.
+
+        Raises:
+            ClientDisconnectedError: The client disconnected before the response was known.
+        """
         request_id = self._members.add_owner(new_request_id())
         try:
             path, query = names.parse_request_target(head.target)
@@ -142,7 +146,7 @@
             return self.error_response(request_id, error)
 
     def error_response(self, request_id: str, error: InvokeError) -> Response:
-        """An error as the API words it."""
+        """Return the response for an error, in the format of the Lambda API."""
         return Response(
             error.status,
             (
@@ -155,14 +159,14 @@
         )
 
     def malformed_request_response(self, error: HttpError) -> Response:
-        """The answer to bytes that are no acceptable request."""
+        """Return the response to a request that could not be parsed or read completely."""
         error_type = {413: "RequestTooLargeException", 408: "RequestTimeoutException"}.get(
             error.status, "InvalidRequestContentException"
         )
         return self.error_response(new_request_id(), InvokeError(error.status, error_type, error.text))
 
     def body_limit(self, head: RequestHead) -> int:
-        """Bytes of body that may come with a request, known from its head."""
+        """Return the maximum body size of a request in bytes, which depends on its invocation type."""
         limits = self._config.limits
         is_event = head.headers.get("x-amz-invocation-type") == "Event"
         return limits.event_payload_bytes if is_event else limits.payload_bytes
@@ -174,7 +178,14 @@
         return Response(response.status, (*response.headers, ("Allow", allowed)), response.body)
 
     def _authenticate(self, head: RequestHead, body: bytes) -> str:
-        """The tenant's name: by signature where keys are set, else as the key id claims, else the first."""
+        """Return the name of the tenant that a request belongs to.
+
+        With access keys configured, the signature is verified and its key names the tenant. Without keys, an
+        access key id that equals a tenant's name selects that tenant; other requests belong to the first one.
+
+        Raises:
+            InvokeError: The signature is missing, malformed or wrong.
+        """
         access_keys = self.access_keys
         if access_keys.secrets:
             key = sigv4.verify(
@@ -252,7 +263,7 @@
     def _execute(
         self, invocation: Invocation, invocation_type: str, is_client_connected: Callable[[], bool]
     ) -> Response:
-        """Run a checked call in this process, and note how it ended and how long it took."""
+        """Execute an invocation in this process, and record its outcome and latency."""
         call_class, record = invocation.function.config.call_class, self.call_metrics.record
         perform = self._executor.defer if invocation_type == "Event" else self._executor.call
         started_s = self._clock()
@@ -297,10 +308,10 @@
             raise errors.bad_content("Client context must be a valid Base64-encoded JSON object.") from error
         return text
 
-    # ---- other pages
+    # ---- requests outside the Invoke API
 
     def _forward_to_process(self, index: int, head: RequestHead) -> Response:
-        """A GET that another process of this gateway has to answer; its signature is checked there."""
+        """Forward a GET request to another process of this gateway, which verifies its signature."""
         fields = _select_headers(head.headers.items, ("host", "authorization"))
         answer = None
         if index < self._members.count and FORWARDED_HEADER not in head.headers:
@@ -313,7 +324,11 @@
     def _deferred_call_status(
         self, request_id: str, head: RequestHead, body: bytes, requested_id: str
     ) -> Response:
-        """Our extension: what became of a deferred call, for the tenant that made it."""
+        """Return the state or the invocation record of a deferred call.
+
+        This endpoint is not part of the Lambda API. Where access keys are configured, only the tenant that
+        submitted the call can read it.
+        """
         if head.method != "GET":
             return self._method_not_allowed(request_id, "GET")
         tenant = self._authenticate(head, body)
@@ -334,7 +349,10 @@
     def _operation_status(
         self, request_id: str, head: RequestHead, body: bytes, idempotency_key: str, query: Mapping[str, str]
     ) -> Response:
-        """Our extension: what is known of an operation of the asking tenant's."""
+        """Return the status of an operation of the requesting tenant.
+
+        This endpoint is not part of the Lambda API.
+        """
         if head.method != "GET":
             return self._method_not_allowed(request_id, "GET")
         tenant = self._authenticate(head, body)
@@ -352,8 +370,9 @@
         return Response(200, headers, msgspec.json.encode(found))
 
     def _usage_report(self, request_id: str, head: RequestHead, body: bytes, requested_id: str) -> Response:
-        """Our extension: what a tenant is charged, for its own key only, over all processes on this
-        address.
+        """Return the usage that a tenant is charged for, summed over all processes on this address.
+
+        This endpoint is not part of the Lambda API. A tenant can read only its own usage.
         """
         if head.method != "GET":
             return self._method_not_allowed(request_id, "GET")
@@ -379,7 +398,11 @@
 
 
 def _enumerated_header(head: RequestHead, header: str, parameter: str, choices: tuple[str, ...]) -> str:
-    """A header's value, the first choice where it is missing; InvokeError where it is none of them."""
+    """Return a header's value, which must be one of ``choices``; a missing header means the first of them.
+
+    Raises:
+        InvokeError: The value is not among the choices.
+    """
     value = head.headers.get(header, choices[0])
     if value not in choices:
         listed = ", ".join(choices)
@@ -388,7 +411,11 @@
 
 
 def _idempotency_key(head: RequestHead) -> str:
-    """The operation's name, empty where the client gave none; InvokeError where it can't be one."""
+    """Return the idempotency key of a request; empty if it has none.
+
+    Raises:
+        InvokeError: The key is too long.
+    """
     try:
         return idempotency_key_of(head.headers)
     except IdempotencyKeyTooLongError as error:
@@ -396,7 +423,10 @@
 
 
 def _forwarded_deadline_s(head: RequestHead) -> float:
-    """Until when a send that another process passed on may be begun; what is no number says nothing."""
+    """Return until when a request may be started, as set by the process of this gateway that forwarded it.
+
+    The result is infinite for requests that came from clients, and if the header is not a number.
+    """
     if FORWARDED_HEADER not in head.headers:
         return math.inf
     try:
--- a/saffronstack/invoke/call_metrics.py
+++ b/saffronstack/invoke/call_metrics.py
@@ -1,4 +1,4 @@
-"""What clients got, by class of calls: endings and times, for comparing gateways with each other."""
+"""Counts of outcomes and latency histograms by request class, for comparing gateways with each other."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from saffronstack.invoke.response import Response
 
 OUTCOMES = ("served", "function_error", "refused", "failed", "unknown")
-LATENCY_UNIT_S = 1e-4  # of the histograms' values
-MAX_LATENCY_UNITS = 9_000_000  # 15 minutes, in that unit
+LATENCY_UNIT_S = 1e-4  # unit of the histogram values
+MAX_LATENCY_UNITS = 9_000_000  # 15 minutes
 SIGNIFICANT_DIGITS = 2
 
 
 def empty_histogram() -> HdrHistogram:
-    """An empty histogram as all of them are made."""
+    """Return an empty latency histogram with the range and the precision that all of them share."""
     return HdrHistogram(1, MAX_LATENCY_UNITS, SIGNIFICANT_DIGITS)
 
 
 def outcome_of_response(response: Response) -> str:
-    """How a call that got an answer ended for its client."""
+    """Return the outcome of a call from its response."""
     if not any(name == "X-Amz-Function-Error" for name, _ in response.headers):
         return "served"
     return "unknown" if b'"Saffronstack.OutcomeUnknown"' in response.body[:64] else "function_error"
 
 
 def outcome_of_error(error: InvokeError) -> str | None:
-    """How a call that was not taken ended; None where its client asked for nonsense."""
+    """Return the outcome of a call that ended with an error; None where the client's request was invalid."""
     return "refused" if error.status == 429 else "failed" if error.status >= 500 else None
 
 
 class CallMetrics:
-    """Counts and times of all classes; any thread notes."""
+    """Outcome counts and latency histograms of all request classes. Thread-safe."""
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self._lock = threading.Lock()
@@ -41,7 +41,10 @@
         self._latencies = {name: empty_histogram() for name in classes}
 
     def record(self, call_class: str, outcome: str, latency_s: float) -> None:
-        """One call's end."""
+        """Count the outcome of a call, and record its latency where its function executed.
+
+        Latencies outside the range of the histogram are recorded at its bounds.
+        """
         with self._lock:
             self._counts[call_class][outcome] += 1
             if outcome in ("served", "function_error"):
@@ -50,12 +53,12 @@
                 )
 
     def counts(self) -> dict[str, dict[str, int]]:
-        """A copy."""
+        """Return a copy of the outcome counts by class."""
         with self._lock:
             return {name: dict(counts) for name, counts in self._counts.items()}
 
     def encoded_latencies(self) -> dict[str, str]:
-        """Times as hdrhistogram's own text, of classes that have any."""
+        """Return the histograms in HdrHistogram's encoded format, by class; empty histograms are left out."""
         with self._lock:
             return {
                 name: histogram.encode().decode()
--- a/saffronstack/invoke/coalesced_calls.py
+++ b/saffronstack/invoke/coalesced_calls.py
@@ -1,4 +1,4 @@
-"""Sends of one idempotent operation: joined while it runs, answered again while it is remembered."""
+"""Coalesces requests of one idempotent operation while it is in flight, and replays its cached response."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class CoalescedCalls:
-    """Used by every connection's thread."""
+    """Executes idempotent operations, with one execution for concurrent requests. Thread-safe."""
 
     def __init__(self, calls: EngineCalls, operations: OperationService, clock: Callable[[], float]) -> None:
-        """Run operations by ``calls``, and remember their responses in the cache of ``operations``."""
+        """Execute operations by ``calls``, and cache their responses in the cache of ``operations``."""
         self._calls = calls
         self._cache = operations.coalescing_cache
         self._counts = operations.request_counts
@@ -30,16 +30,16 @@
     def call(
         self, invocation: Invocation, window_s: float, is_client_connected: IsClientConnected
     ) -> Response:
-        """Return the operation's response; run it where no other send of it has.
+        """Return the operation's response; execute the operation unless another request does or did.
 
         Args:
-            invocation: One send.
-            window_s: How long its response is remembered.
-            is_client_connected: Of this send.
+            invocation: One request of the operation.
+            window_s: Seconds that the response stays cached.
+            is_client_connected: Tells whether the client of this request is still connected.
 
         Raises:
-            InvokeError: It is rejected, or another operation has its name.
-            ClientDisconnectedError: Nobody waits for it any more.
+            InvokeError: The request is rejected, or its idempotency key was used with another payload.
+            ClientDisconnectedError: The client disconnected before the response was known.
         """
         key = CacheKey(
             invocation.tenant, invocation.function.spec.name, invocation.qualifier, invocation.idempotency_key
@@ -54,7 +54,8 @@
                 self._counts["mismatched"] += 1
                 raise errors.idempotency_mismatch(entry.request_id)
             response = self._response_of_other(invocation, entry, is_client_connected)
-            if response is not None:  # else it was rejected, or nobody waited any more: this send's turn
+            # Without a response, the other request was rejected or its client disconnected: start over.
+            if response is not None:
                 return replayed(response)
 
     def _response_of_other(
@@ -63,7 +64,10 @@
         entry: CacheEntry[CacheableResponse],
         is_client_connected: IsClientConnected,
     ) -> CacheableResponse | None:
-        """Return the response of the send that started the operation; None where it got none."""
+        """Wait for the response of the request that executes the operation.
+
+        Returns None if that request ends without a response.
+        """
         if entry.response is not None:
             self._counts["repeated"] += 1
             return entry.response
--- a/saffronstack/invoke/deferred_submission.py
+++ b/saffronstack/invoke/deferred_submission.py
@@ -1,4 +1,4 @@
-"""Accepts invocations for later: writes them to the ledger, once for each operation."""
+"""Accepts invocations as deferred calls by writing them to the ledger, once for each operation."""
 
 from __future__ import annotations
 
@@ -30,21 +30,26 @@
 from saffronstack.routing.settings import Idempotency
 
 NOT_CONFIRMED = "the disk took it and has not answered; it is taken back as soon as it does"
-COMMIT_MARGIN_S = 1.0  # over the ledger's commit timeout: how long a send waits for another one's
+# Seconds beyond the ledger's commit timeout that a request waits for another request of its operation.
+COMMIT_MARGIN_S = 1.0
 
 
 class DeferredSubmission:
-    """Used by every connection's thread."""
+    """Writes deferred calls to the ledger. Thread-safe."""
 
     def __init__(self, config: Config, deferred: DeferredCalls | None, clock: Callable[[], float]) -> None:
-        """Without deferred calls, where no ledger is configured, everything is rejected."""
+        """``deferred`` is None without a configured ledger; then all invocations are rejected."""
         self._deferred = deferred
         self._clock = clock
         commit_timeout_s = config.ledger.commit_timeout_s if config.ledger is not None else 0.0
         self._max_wait_s = commit_timeout_s + COMMIT_MARGIN_S
 
     def submit(self, invocation: Invocation) -> Response:
-        """Accept an invocation that names no operation; InvokeError where that can't be."""
+        """Accept an invocation without an idempotency key.
+
+        Raises:
+            InvokeError: The invocation can't be accepted.
+        """
         try:
             self._accept(invocation, invocation.request_id)
         except OutcomeUnknownError:
@@ -58,7 +63,12 @@
         policy: DeduplicationPolicy,
         is_client_connected: IsClientConnected,
     ) -> Response:
-        """Accept an operation, or say again that it was accepted; InvokeError where that can't be."""
+        """Accept an operation, or confirm again that it was accepted.
+
+        Raises:
+            InvokeError: The operation can't be accepted.
+            ClientDisconnectedError: The client disconnected before the response was known.
+        """
 
         def run(execution: Execution, prior: PriorAttempt | None) -> Completed | NotCompleted:
             expires_at = operations.now() + policy.window_s
--- a/saffronstack/invoke/engine_calls.py
+++ b/saffronstack/invoke/engine_calls.py
@@ -1,4 +1,4 @@
-"""Runs invocations on the engine, on the threads of their connections."""
+"""Executes invocations on the engine. The thread of the client's connection waits for the final answer."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 
-DECISION_MARGIN_SHARE = 0.8  # of the answer margin: the engine decides by then, and is waited for so long
+# Share of the answer margin by which the engine's deadline precedes the invocation's deadline. The connection
+# thread waits for the final answer until the invocation's deadline.
+DECISION_MARGIN_SHARE = 0.8
 
 
 def no_waiters() -> bool:
-    """No other send waits for the call."""
+    """Return True: no other request waits for the call."""
     return True
 
 
 class EngineCalls:
-    """Used by every connection's thread."""
+    """Submits calls to the engine and waits for their final answers. Thread-safe."""
 
     def __init__(
         self,
@@ -35,7 +37,7 @@
         budgets: BudgetEnforcer | None,
         operations: OperationService | None,
     ) -> None:
-        """Take the budgets and operations where they are configured; ``clock`` in seconds."""
+        """``budgets`` and ``operations`` are None if not configured; ``clock`` returns monotonic seconds."""
         self._engine = engine
         self._clock = clock
         self._budgets = budgets
@@ -52,19 +54,19 @@
         execution: Execution | None = None,
         has_no_waiters: Callable[[], bool] = no_waiters,
     ) -> FinalAnswer:
-        """Run an invocation and wait for its final answer, watching the client meanwhile.
+        """Execute an invocation and wait for its final answer, checking the client's connection meanwhile.
 
         Args:
-            invocation: What to run.
-            request_id: Under which; of the operation's first send.
-            is_client_connected: A client that left takes the call along where it is alone and nothing of it
-                can have had an effect.
-            prior: An earlier attempt of the operation, which may have had an effect.
-            execution: Of the operation; None for a call that is none, or an idempotent one.
-            has_no_waiters: Whether no other send waits for it.
+            invocation: The invocation to execute.
+            request_id: Request id of the call: that of the operation's first request.
+            is_client_connected: Tells whether the client is still connected. After it disconnects, the call
+                is cancelled if no other request waits for it and no attempt can have had an effect.
+            prior: An earlier attempt of the operation that may have had an effect.
+            execution: The operation's execution; None without an idempotency key or for an idempotent call.
+            has_no_waiters: Tells whether no other request waits for the call.
 
         Raises:
-            InvokeError: It can't be begun now.
+            InvokeError: The call can't be started now.
         """
         call = self._create(invocation, request_id, prior, execution)
         if not self._engine.submit(call):
@@ -117,7 +119,7 @@
             final = call.wait(min(CLIENT_CHECK_INTERVAL_S, max(0.0, latest_s - self._clock())))
             if final is not None:
                 return final
-            if self._clock() >= latest_s:  # the engine itself is stuck: an answer all the same
+            if self._clock() >= latest_s:  # the engine is stuck; the client still gets a final answer
                 call.finish(FinalAnswer(FinalStatus.FAILED, reason="the gateway did not decide in time"))
             elif (
                 not is_client_connected()
@@ -127,10 +129,12 @@
                 self._engine.disconnect(call)
 
     def _admit(self, invocation: Invocation) -> int:
-        """Return the tenant's index among the router's.
+        """Return the index under which the router accounts for the tenant.
+
+        A tenant over the soft limit of its budget gets the index behind the last tenant.
 
         Raises:
-            InvokeError: Its budget allows no load that the call needs.
+            InvokeError: The tenant's budget doesn't allow the load that the call needs.
         """
         index = self._tenant_indexes.get(invocation.tenant, 0)
         if self._budgets is None:
--- a/saffronstack/invoke/errors.py
+++ b/saffronstack/invoke/errors.py
@@ -1,4 +1,4 @@
-"""Errors as the Lambda API words them: status, error type, JSON body."""
+"""Errors in the format of the Lambda API: status, error type, JSON body."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InvokeError(Exception):
-    """A call that is not taken, or was refused: nothing ran."""
+    """A request that was not accepted, or was rejected. Its function was not executed."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self.headers = headers
 
     def body(self) -> bytes:
-        """The JSON body; both spellings of "message" occur among the API's clients."""
+        """Return the JSON body. It has "Message" and "message", because clients of the API read either."""
         extra = {"Reason": "ConcurrentInvocationLimitExceeded"} if self.status == 429 else {}
         return msgspec.json.encode(
             {"Type": self.fault, "Message": self.message, "message": self.message, **extra}
@@ -34,38 +34,44 @@
 
 
 def not_found(arn: str) -> InvokeError:
-    """No such function or version."""
+    """Return the error for a function or a version that does not exist."""
     return InvokeError(404, "ResourceNotFoundException", f"Function not found: {arn}")
 
 
 def bad_content(message: str) -> InvokeError:
-    """The request body, or a header that holds JSON, is none."""
+    """Return the error for a request body or a header that should hold JSON and does not."""
     return InvokeError(400, "InvalidRequestContentException", message)
 
 
 def bad_parameter(message: str) -> InvokeError:
-    """A parameter is not valid."""
+    """Return the error for an invalid parameter."""
     return InvokeError(400, "InvalidParameterValueException", message)
 
 
 def too_large(message: str) -> InvokeError:
-    """The payload is over its limit."""
+    """Return the error for a payload over its size limit."""
     return InvokeError(413, "RequestTooLargeException", message)
 
 
 def too_many_requests(message: str, retry_after_s: float) -> InvokeError:
-    """Come again later; it is harmless. ``Retry-After`` counts whole seconds, so it is rounded up."""
+    """Return the error for a rejected request, which is safe to retry.
+
+    ``Retry-After`` is in whole seconds, so the delay is rounded up.
+    """
     seconds = str(max(1, math.ceil(retry_after_s)))
     return InvokeError(429, "TooManyRequestsException", message, headers=(("Retry-After", seconds),))
 
 
 def service_error(message: str, status: int = 500) -> InvokeError:
-    """Our own fault, and nothing ran: SDKs send again after it."""
+    """Return the error for a failure of the gateway before the function was executed. SDKs retry it."""
     return InvokeError(status, "ServiceException", message, fault="Service")
 
 
 def outcome_unknown(reason: str) -> bytes:
-    """The payload of a call that may have run: an answer that no SDK sends again after."""
+    """Return the payload for a call that may have been executed.
+
+    It is sent with status 200, which SDKs do not retry.
+    """
     return msgspec.json.encode(
         {
             "errorType": "Saffronstack.OutcomeUnknown",
@@ -75,7 +81,7 @@
 
 
 def idempotency_mismatch(request_id: str) -> InvokeError:
-    """An operation's name was given to another payload; nothing was touched."""
+    """Return the error for an idempotency key that was used with another payload. Nothing was executed."""
     return InvokeError(
         400,
         "IdempotentParameterMismatchException",
@@ -84,7 +90,10 @@
 
 
 def response_not_stored(status: int, length: int, digest: str) -> bytes:
-    """The payload of a repeat whose answer was too large to keep: it ended, and is not run again."""
+    """Return the payload for a repeated request whose operation's response was too large to store.
+
+    The operation has completed and is not executed again.
+    """
     return msgspec.json.encode(
         {
             "errorType": "Saffronstack.AnswerNotKept",
--- a/saffronstack/invoke/final_responses.py
+++ b/saffronstack/invoke/final_responses.py
@@ -1,4 +1,4 @@
-"""The responses that final answers of calls become."""
+"""Converts final answers of calls to HTTP responses."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from saffronstack.invoke.response import Response
 from saffronstack.operations.request_coalescing import CacheableResponse
 
-REPLAYED_HEADER = ("X-Saffron-Repeated", "true")  # on a response that another send of the operation got
+REPLAYED_HEADER = ("X-Saffron-Repeated", "true")  # marks the response of an earlier request of the operation
 FUNCTION_ERROR_HEADER = ("X-Amz-Function-Error", "Unhandled")
 
 
 def build_response(final: FinalAnswer, headers: Headers, wants_log: bool) -> Response:
-    """Return the response to a call that was served or failed."""
+    """Return the response for the final answer of a call that was served or failed."""
     if final.status is not FinalStatus.SERVED:
         return Response(200, (*headers, FUNCTION_ERROR_HEADER), errors.outcome_unknown(final.reason))
     function_error = (("X-Amz-Function-Error", final.function_error),) if final.function_error else ()
@@ -23,15 +23,15 @@
 
 
 def rejection_error(final: FinalAnswer) -> InvokeError:
-    """Return the error for a call that was rejected."""
+    """Return the error for the final answer of a call that was rejected."""
     return errors.too_many_requests(f"Rate exceeded: {final.reason or 'refused'}.", final.retry_after_s)
 
 
 def unknown_outcome(headers: Headers, reason: str) -> Response:
-    """Return the response to a send whose operation may have run."""
+    """Return the response to a request whose operation may have been executed."""
     return Response(200, (*headers, FUNCTION_ERROR_HEADER, REPLAYED_HEADER), errors.outcome_unknown(reason))
 
 
 def replayed(response: CacheableResponse) -> Response:
-    """Return a response for another send of its operation."""
+    """Return an operation's response for another request of that operation, marked as a replay."""
     return Response(response.status, (*response.headers, REPLAYED_HEADER), response.body)
--- a/saffronstack/invoke/invocation.py
+++ b/saffronstack/invoke/invocation.py
@@ -1,4 +1,4 @@
-"""A checked invocation, as the application hands it on."""
+"""A validated invocation, as `app` passes it to the executor."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from saffronstack.config.build import Known
 from saffronstack.operations.idempotency_keys import OperationIdentity
 
-IsClientConnected = Callable[[], bool]  # whether the client still waits; called on its connection's thread
+IsClientConnected = Callable[[], bool]  # called on the thread of the client's connection
 Headers = tuple[tuple[str, str], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Invocation:
-    """An invocation that was checked.
+    """A validated invocation.
 
     Attributes:
-        request_id: Its own.
-        tenant: Whose it is.
+        request_id: Id of the client's request.
+        tenant: Name of the tenant that the request belongs to.
         function: The function.
-        qualifier: The function's version or alias.
-        payload: JSON.
-        client_context: The client context, base64; empty for none.
-        idempotency_key: The operation's name as its client gave it; empty for none.
-        deadline_s: Clock time until which its client waits; nothing is begun later.
-        wants_log: Whether the answer is to have the end of the log.
+        qualifier: Version or alias of the function.
+        payload: JSON text for the function.
+        client_context: Base64-encoded client context; empty if there is none.
+        idempotency_key: The client's idempotency key, with its prefix; empty if there is none.
+        deadline_s: Monotonic time until which the client waits; the function is not started later.
+        wants_log: Whether the response includes the tail of the execution log.
     """
 
     request_id: str
@@ -39,15 +39,18 @@
     wants_log: bool = False
 
     def response_headers(self, request_id: str) -> Headers:
-        """Return the headers of its answer under a request id, which may be another send's."""
+        """Return the headers of a response with a JSON body.
+
+        ``request_id`` may belong to an earlier request of the same operation.
+        """
         return (("Content-Type", "application/json"), *self.acceptance_headers(request_id))
 
     def acceptance_headers(self, request_id: str) -> Headers:
-        """Return the headers of an answer without content."""
+        """Return the headers of a response without a body."""
         return (("x-amzn-RequestId", request_id), ("X-Amz-Executed-Version", self.qualifier))
 
     def identity(self, invocation_type: str) -> OperationIdentity:
-        """Return its operation's identity; ``invocation_type`` is the invocation type."""
+        """Return the identity of the operation, which includes the invocation type."""
         return OperationIdentity(
             self.tenant, self.function.spec.name, self.qualifier, invocation_type, self.idempotency_key
         )
--- a/saffronstack/invoke/invocation_executor.py
+++ b/saffronstack/invoke/invocation_executor.py
@@ -1,4 +1,4 @@
-"""From a checked invocation to its response, synchronous or deferred, with or without an operation's name."""
+"""Executes validated invocations: synchronous or deferred, with or without an idempotency key."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class InvocationExecutor:
-    """Used by every connection's thread."""
+    """Executes invocations or accepts them as deferred calls. Thread-safe."""
 
     def __init__(
         self,
@@ -34,7 +34,11 @@
         budgets: BudgetEnforcer | None,
         operations: OperationService | None,
     ) -> None:
-        """Take deferred calls, budgets and operations where they are configured; ``clock`` in seconds."""
+        """Create an executor.
+
+        ``deferred``, ``budgets`` and ``operations`` are None where they are not configured. ``clock`` returns
+        monotonic seconds.
+        """
         self._operations = operations
         self._calls = EngineCalls(config, engine, clock, budgets, operations)
         self._submission = DeferredSubmission(config, deferred, clock)
@@ -42,15 +46,15 @@
         self._policies = _deduplication_policies(config)
 
     def policy(self, invocation: Invocation) -> DeduplicationPolicy:
-        """Return what its class says of its operation."""
+        """Return how the invocation's request class deduplicates operations."""
         return self._policies[invocation.function.config.call_class]
 
     def call(self, invocation: Invocation, is_client_connected: IsClientConnected) -> Response:
-        """Run an invocation, or return the response that its operation has.
+        """Execute an invocation, or return the response of its operation if another request executed it.
 
         Raises:
-            InvokeError: It is rejected.
-            ClientDisconnectedError: Nobody waits for it any more.
+            InvokeError: The invocation is rejected.
+            ClientDisconnectedError: The client disconnected before the response was known.
         """
         if self._operations is None or self._coalesced is None or not invocation.idempotency_key:
             return self._call_without_key(invocation, is_client_connected)
@@ -60,13 +64,14 @@
         return call_once(self._operations, self._calls, invocation, policy, is_client_connected)
 
     def defer(self, invocation: Invocation, is_client_connected: IsClientConnected) -> Response:
-        """Accept an invocation for later, or say again that it was accepted.
+        """Accept an invocation as a deferred call, or confirm again that its operation was accepted.
 
-        It may wait for room in its budget; each of its attempts is admitted when it is made.
+        The tenant's budget is not checked here, because a deferred call may wait until the budget allows it:
+        each attempt is admitted when it is made.
 
         Raises:
-            InvokeError: It is rejected.
-            ClientDisconnectedError: Nobody waits for it any more.
+            InvokeError: The invocation is rejected.
+            ClientDisconnectedError: The client disconnected before the response was known.
         """
         if self._operations is None or not invocation.idempotency_key:
             return self._submission.submit(invocation)
@@ -74,7 +79,7 @@
         return self._submission.submit_once(self._operations, invocation, policy, is_client_connected)
 
     def outcome_unknown(self, invocation: Invocation) -> Response:
-        """Return the response to a send whose operation's process is silent."""
+        """Return the response to a request that was forwarded to a process which did not respond."""
         headers = invocation.response_headers(invocation.request_id)
         return unknown_outcome(headers, "the process that runs it gave no answer")
 
@@ -92,7 +97,7 @@
 
 
 def _deduplication_policies(config: Config) -> dict[str, DeduplicationPolicy]:
-    """Return the policies of all classes, by name."""
+    """Return the deduplication policies of all request classes, by class name."""
     window_s = config.operations.window_s if config.operations is not None else 0.0
     return {
         call_class.name: DeduplicationPolicy(
@@ -106,9 +111,10 @@
 
 
 def _may_have_run(invocation: Invocation, final: FinalAnswer) -> bool:
-    """Return whether a rejection is no harmless one.
+    """Return whether a rejected call may have been executed, so that a retry could execute it twice.
 
-    A call with a deduplication key may have run; the repeat of one that names no operation has another key.
+    Workers deduplicate calls of this class by key. Without an idempotency key from the client, the gateway
+    derives the key from the request id, and a retry by the client has another request id and so another key.
     """
     if invocation.idempotency_key or invocation.function.effect is not Idempotency.WITH_KEY:
         return False
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -1,4 +1,4 @@
-"""The gateway's counts in Prometheus' form, read when they are asked for."""
+"""Exports the gateway's counts as Prometheus metrics. They are read at each scrape."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricValue:
-    """One number under a name, with its help text."""
+    """The value of a metric without labels, with its name and help text."""
 
     name: str
     help: str
@@ -35,44 +35,47 @@
 
 
 class WorkerTraffic(Protocol):
-    """The attempts that a worker was given since it was listed, and those of them in flight."""
+    """Attempt counts of a worker since it was added to the endpoint list."""
 
     @property
     def spec(self) -> WorkerSpec:
-        """The worker."""
+        """Address and properties of the worker."""
         ...
 
     @property
     def attempts(self) -> int:
-        """Attempts that it was given."""
+        """Number of attempts sent to the worker."""
         ...
 
     @property
     def in_flight(self) -> int:
-        """Those of them that have not ended."""
+        """Number of attempts that have not ended."""
         ...
 
 
 class WorkerConnections(Protocol):
-    """Who holds connections to workers."""
+    """Connection pools of the workers."""
 
     @property
     def connection_count(self) -> int:
-        """Connections at most."""
+        """Upper bound of the number of open connections."""
         ...
 
     @property
     def worker_count(self) -> int:
-        """Workers that are listed."""
+        """Number of workers in the endpoint list."""
         ...
 
     def traffic(self) -> Sequence[WorkerTraffic]:
-        """Return the attempts of each listed worker."""
+        """Return the attempts of each worker in the endpoint list."""
         ...
 
 
 class MonitoredGateway(Protocol):
-    """What the pages tell of: the parts of a gateway, which it makes before anyone asks."""
+    """The components of a gateway that metrics and status are read from.
+
+    The gateway creates them all before it serves requests.
+    """
 
     engine: Engine
     app: App
@@ -89,14 +92,14 @@
 
     @property
     def fleet(self) -> WorkerConnections:
-        """The workers' side."""
+        """Connection pools of the workers."""
         ...
 
 
 def peak_load_ratio(traffic: Sequence[WorkerTraffic]) -> float:
-    """Return the most attempts in flight at a worker that takes calls, as a multiple of its share by size.
+    """Return the highest ratio of a worker's attempts in flight to its share, which is by capacity.
 
-    It is 0 where none are in flight.
+    Draining workers and workers without capacity don't count. The ratio is 0 if no attempts are in flight.
     """
     accepting = [worker for worker in traffic if not worker.spec.is_draining and worker.spec.capacity > 0]
     total_in_flight = sum(worker.in_flight for worker in accepting)
@@ -112,13 +115,13 @@
 
 
 class GatewayCollector(Collector):
-    """Reads the gateway's own counts when asked; nothing is counted twice."""
+    """Reads the counts that the gateway's components keep, so that nothing is counted twice."""
 
     def __init__(self, gateway: MonitoredGateway) -> None:
         self._gateway = gateway
 
     def collect(self) -> Iterable[Metric]:
-        """The metrics now."""
+        """Yield all metrics with their current values."""
         gateway = self._gateway
         counts = gateway.engine.statistics
         yield _labelled_counter("calls_ended", "Calls by how they ended", "ending", counts.final_answers)
--- a/saffronstack/invoke/names.py
+++ b/saffronstack/invoke/names.py
@@ -1,4 +1,4 @@
-"""Function names as the Lambda API takes them: a name, a partial ARN or a whole one, with a qualifier."""
+"""Parses request targets and function names: a name, a partial ARN or a full ARN, with a qualifier."""
 
 from __future__ import annotations
 
@@ -23,14 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class QualifiedFunction:
-    """Which function, in which version."""
+    """A function and its qualifier: a version or an alias."""
 
     name: str
     qualifier: str
 
 
 def parse_request_target(text: str) -> tuple[str, dict[str, str]]:
-    """A request target's path and query; InvokeError where it is malformed."""
+    """Split a request target into its path and its query parameters.
+
+    Raises:
+        InvokeError: The target is malformed.
+    """
     if not text.startswith("/"):
         raise bad_parameter("The request target must be a path.")
     try:
@@ -44,7 +48,11 @@
 
 
 def parse_function(part: str, query: dict[str, str], account: str, region: str) -> QualifiedFunction:
-    """The function that a path's (percent-encoded) part and the query name; InvokeError otherwise."""
+    """Return the function that a percent-encoded path segment and the query parameters name.
+
+    Raises:
+        InvokeError: The name or the qualifier is malformed, or the account or region is another one.
+    """
     text = unquote(part)
     match = _FUNCTION_NAME.fullmatch(text)
     if match is None or len(text) > 170:
@@ -66,5 +74,5 @@
 
 
 def arn(region: str, account: str, name: str, qualifier: str = "") -> str:
-    """The ARN of a function."""
+    """Return the ARN of a function."""
     return f"arn:aws:lambda:{region}:{account}:function:{name}" + (f":{qualifier}" if qualifier else "")
--- a/saffronstack/invoke/operation_calls.py
+++ b/saffronstack/invoke/operation_calls.py
@@ -1,4 +1,4 @@
-"""Sends of one operation that may have an effect: it is performed once, and each send gets its response."""
+"""Executes operations with side effects once; every request of an operation gets its response."""
 
 from __future__ import annotations
 
@@ -42,11 +42,11 @@
     policy: DeduplicationPolicy,
     is_client_connected: IsClientConnected,
 ) -> Response:
-    """Return the response of a synchronous operation; run it on the engine where no other send of it has.
+    """Return the response of a synchronous operation; execute it unless another request does or did.
 
     Raises:
-        InvokeError: It is rejected.
-        ClientDisconnectedError: Nobody waits for it any more.
+        InvokeError: The request is rejected.
+        ClientDisconnectedError: The client disconnected before the response was known.
     """
 
     def run(execution: Execution, prior: PriorAttempt | None) -> Completed | NotCompleted:
@@ -78,7 +78,7 @@
 
 
 def to_stored_response(response: Response) -> StoredResponse:
-    """Return a response as the operations store it."""
+    """Convert a response to the form in which operations store it."""
     return StoredResponse(response.status, response.headers, response.body)
 
 
@@ -91,20 +91,20 @@
     latest_s: float,
     is_client_connected: IsClientConnected,
 ) -> Response:
-    """Return an operation's response, whichever of its sends this is.
+    """Return the response of an operation, whether this or another request executes it.
 
     Args:
-        operations: Performs it.
-        invocation: One send.
+        operations: The service that deduplicates operations.
+        invocation: One request of the operation.
         invocation_type: `SYNCHRONOUS` or `DEFERRED`.
-        policy: Of its class.
-        run: Runs it where this send is the one to do so.
-        latest_s: Clock time until which to wait for another send's.
-        is_client_connected: Of this send.
+        policy: Deduplication policy of the request class.
+        run: Executes the operation if this request is the one to do so.
+        latest_s: Monotonic time until which the request waits for another request's execution.
+        is_client_connected: Tells whether the client of this request is still connected.
 
     Raises:
-        InvokeError: It is rejected, or another operation has its name.
-        ClientDisconnectedError: Nobody waits for it any more.
+        InvokeError: The request is rejected, or its idempotency key was used with another payload.
+        ClientDisconnectedError: The client disconnected before the response was known.
     """
     request = OperationRequest(
         invocation.identity(invocation_type).digest(),
@@ -137,7 +137,7 @@
 
 
 def _without_body(invocation: Invocation, error: ResponseNotStoredError) -> Response:
-    """Return what is known of a response that was too large to store."""
+    """Return the status, length and digest of a response whose body was too large to store."""
     stored = error.response
     body = errors.response_not_stored(stored.status, stored.body_length, stored.body_digest)
     headers = invocation.response_headers(error.request_id)
--- a/saffronstack/invoke/operation_forwarding.py
+++ b/saffronstack/invoke/operation_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards a request to the process that holds its operation's slot, with a bound on every wait."""
+"""Forwards a request to the process that holds the slot of its operation, with a timeout on every wait."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 DEADLINE_HEADER = "x-saffron-until"  # seconds of the machine's monotonic clock, which its processes share
 RETRY_INTERVAL_S = 0.05
-FORWARDING_TIMEOUT_S = 2.0  # how long a holder is looked for, while none answers
+FORWARDING_TIMEOUT_S = 2.0  # how long forwarding is retried while no slot holder responds
 NOT_FORWARDED_HEADERS = (
     "connection",
     "transfer-encoding",
@@ -35,15 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardableRequest:
-    """A request as it was received, and what may be answered where the slot's holder is silent.
+    """A received request, with the response to give if the slot holder does not respond.
 
     Attributes:
-        head: Its head.
-        body: Its body.
-        digest: Of the operation that it names.
-        deadline_s: Clock time until which it may be begun.
-        is_logged: Whether the next holder of the slot knows what became of it.
-        unknown_outcome: Makes the response where it may have been executed.
+        head: Request line and headers.
+        body: Request body.
+        digest: Digest of the operation's identity.
+        deadline_s: Monotonic time until which the request may be started.
+        is_logged: Whether the operation is recorded durably, so that the next slot holder knows its outcome.
+        unknown_outcome: Creates the response for a request that may have been executed.
     """
 
     head: RequestHead
@@ -60,25 +60,25 @@
 
 
 class OperationForwarder:
-    """Finds the process that executes an operation, for a process that does not."""
+    """Executes a request in this process if it holds the slot, else at the process that does."""
 
     def __init__(self, slots: SlotManager, clock: Callable[[], float]) -> None:
-        """``clock``: monotonic seconds."""
+        """``clock`` returns monotonic seconds."""
         self.slots = slots
         self._clock = clock
         self._pause = threading.Event()
         self.forwarded = 0
-        self.unanswered = 0  # forwarded requests to which the holder gave no answer
+        self.unanswered = 0  # forwarded requests that the holder did not answer
 
     def execute(self, request: ForwardableRequest, execute_here: Callable[[], Response]) -> Response:
-        """Return the response of this process where it holds the slot by now, else of the one that does.
+        """Execute a request in this process if it holds the slot, else at the slot holder.
 
         Args:
             request: The request.
-            execute_here: Executes it in this process.
+            execute_here: Executes the request in this process.
 
         Raises:
-            InvokeError: 429, no holder could be reached: nothing was executed.
+            InvokeError: 429, because no slot holder could be reached; nothing was executed.
         """
         retry_until_s = min(self._clock() + FORWARDING_TIMEOUT_S, request.deadline_s)
         while True:
@@ -105,10 +105,10 @@
             self._pause.wait(RETRY_INTERVAL_S)
 
     def _forward_to_holder(self, request: ForwardableRequest) -> Response | None:
-        """Return the holder's response; None where there is no other process that holds the slot.
+        """Return the slot holder's response; None if no other process is known to hold the slot.
 
         Raises:
-            NoAnswerError: It was sent and may have been executed.
+            NoAnswerError: The request was sent and may have been executed.
         """
         holder = self.slots.assigned_peer(slot_for(request.digest))
         if holder is None or holder.member == self.slots.member:
@@ -119,7 +119,7 @@
             return None
 
     def _forward(self, address: str, request: ForwardableRequest) -> Response | None:
-        """Return the response of the process at an address; None where it does not hold the slot."""
+        """Return the response of the process at an address; None if it does not hold the slot."""
         fields = [
             (name, value) for name, value in request.head.headers.items if name not in NOT_FORWARDED_HEADERS
         ]
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -1,4 +1,4 @@
-"""Pages beside the API: `/metrics` in Prometheus' text form, `/healthz`, `/status` as JSON."""
+"""Endpoints for operators: `/metrics` in the Prometheus text format, `/healthz`, and `/status` as JSON."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Pages:
-    """The pages of one gateway."""
+    """Serves the operator endpoints of one gateway process."""
 
     def __init__(self, gateway: MonitoredGateway) -> None:
         self._gateway = gateway
@@ -24,20 +24,20 @@
         self._registry.register(GatewayCollector(gateway))
 
     def by_path(self) -> Mapping[str, Page]:
-        """Pages by path."""
+        """Return the handlers of the endpoints by path."""
         return {"/metrics": self.metrics, "/healthz": self.health, "/status": self.status}
 
     def metrics(self) -> Response:
-        """Prometheus' text exposition."""
+        """Return the metrics in the Prometheus text format."""
         return Response(200, TEXT_HEADERS, generate_latest(self._registry))
 
     def health(self) -> Response:
-        """200 while calls are taken."""
+        """Return 200 while the gateway accepts calls, and 503 while it is draining."""
         draining = self._gateway.draining
         return Response(503 if draining else 200, TEXT_HEADERS, b"draining\n" if draining else b"ok\n")
 
     def status(self) -> Response:
-        """What `saffronstack status` shows."""
+        """Return the counts that `saffronstack status` shows."""
         gateway = self._gateway
         counts = gateway.engine.statistics
         content: dict[str, object] = {
--- a/saffronstack/invoke/response.py
+++ b/saffronstack/invoke/response.py
@@ -1,4 +1,4 @@
-"""An answer to write."""
+"""An HTTP response."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Status, headers and body."""
+    """Status code, headers and body of a response."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
 
     def encode(self, close: bool) -> bytes:
-        """Its bytes."""
+        """Return the response as HTTP/1.1 bytes; ``close`` adds ``Connection: close``."""
         return writer.response(self.status, self.headers, self.body, close)
--- a/saffronstack/invoke/server.py
+++ b/saffronstack/invoke/server.py
@@ -1,4 +1,4 @@
-"""The front's sockets: accepting, one thread for each connection, time-outs on every wait."""
+"""HTTP server: accepts connections and serves each on its own thread, with a timeout on every wait."""
 
 from __future__ import annotations
 
@@ -22,19 +22,21 @@
 
 log = structlog.get_logger("saffronstack.front")
 ACCEPT_BACKLOG = 1024
-MAX_QUEUED_CONNECTIONS = ACCEPT_BACKLOG + 1  # the system lets one more wait
-ACCEPT_POLL_TIMEOUT_S = 0.5  # the accepting thread shows that it lives at least so often
-ACCEPT_RETRY_DELAY_S = 0.05  # after an accept that failed for want of descriptors or threads
-LINGER_S = 0.5  # how long bytes of a refused request are still read, so that its answer is not reset away
+MAX_QUEUED_CONNECTIONS = ACCEPT_BACKLOG + 1  # the kernel queues one more than the backlog
+ACCEPT_POLL_TIMEOUT_S = 0.5  # the accept thread shows that it is alive at least this often
+ACCEPT_RETRY_DELAY_S = 0.05  # after a failed accept, and when no thread could be started
+# Limits on reading after the last response of a connection. Closing a socket with unread bytes resets the
+# connection, and the client can lose the response.
+LINGER_S = 0.5
 LINGER_BYTES = 1 << 20
-# How long a drain serves connections that wait to be accepted; then it turns them away.
+# How long a drain serves connections from the accept queue; later ones are rejected.
 ACCEPT_QUEUE_SERVE_S = 0.5
-IDLE_GRACE_S = 0.5  # idle connections stay this long after no new one is accepted
-IDLE_READ_TIMEOUT_S = 0.1  # how long an idle connection is read before its thread polls, which costs more
+IDLE_GRACE_S = 0.5  # how long idle connections stay open for a request after a drain begins
+IDLE_READ_TIMEOUT_S = 0.1  # how long a thread waits in a read before it polls, which costs more
 
 
 class ServerLimits:
-    """Bounds of the front; times in seconds."""
+    """Limits of the server. Timeouts are in seconds."""
 
     def __init__(
         self,
@@ -54,7 +56,7 @@
 
 
 class Server:
-    """Listens and serves until it is drained."""
+    """Accepts and serves client connections until it is drained."""
 
     def __init__(
         self,
@@ -66,8 +68,19 @@
         reuse_port: bool = False,
         listener: socket.socket | None = None,
     ) -> None:
-        """``reuse_port``: other processes listen on the address as well. ``listener``: a bound socket in
-        place of an own one, whose queue outlives this process. OSError where the address can't be had.
+        """Bind the address, without accepting connections yet.
+
+        Args:
+            host: Address to listen on.
+            port: Port to listen on; 0 for any free one.
+            app: Handles the requests.
+            limits: Limits of the server.
+            clock: Returns monotonic seconds.
+            reuse_port: Set SO_REUSEPORT, because other processes listen on the same address.
+            listener: A bound socket to use instead of binding one. Its accept queue outlives this process.
+
+        Raises:
+            OSError: The address can't be bound.
         """
         self._owns_queue = listener is None
         self._app = app
@@ -82,7 +95,7 @@
         self._accept_thread: threading.Thread | None = None
         self._spare_descriptor = _open_spare_descriptor()
         self._lock = threading.Condition()
-        self._drain_event = os.eventfd(0)  # readable once it drains: wakes threads of idle connections
+        self._drain_event = os.eventfd(0)  # readable once draining; wakes threads of idle connections
         self._idle_close_lock = threading.Lock()
         self._open_connections = 0
         self._draining = False
@@ -92,34 +105,36 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port listened on."""
+        """Host and port that the server listens on."""
         host, port = self._listener.getsockname()[:2]
         return host, port
 
     @property
     def connections(self) -> int:
-        """Connections open now."""
+        """Number of open connections."""
         return self._open_connections
 
     def is_accepting(self, within_s: float) -> bool:
-        """Whether its accepting thread came round so lately, or has nothing to accept any more."""
+        """Return whether the accept thread polled within that time, or the server is draining."""
         return self._draining or self._clock() - self._last_accept_poll_s <= within_s
 
     def start(self) -> None:
-        """Accept connections on a thread of its own."""
+        """Start the thread that accepts connections."""
         self._accept_thread = start_thread("accept", self._accept)
 
     def drain(self, timeout_s: float) -> bool:
-        """Accept nothing more, end idle connections, let the others finish; whether all ended in time.
+        """Stop accepting, close idle connections and let requests in flight finish.
 
-        Connections that wait in the listener's queue are served, or turned away where there are many; in a
-        queue that outlives this process they wait for the next one.
+        Connections from the accept queue are served for `ACCEPT_QUEUE_SERVE_S`; later ones are rejected. An
+        accept queue that outlives this process is left to the next one.
+
+        Returns whether all connections ended within ``timeout_s`` and the grace for idle ones.
         """
         with self._lock:
             self._draining = True
         os.eventfd_write(self._drain_event, 1)
         if self._accept_thread is not None:
-            self._accept_thread.join(timeout_s)  # what it has accepted last counts as open from then on
+            self._accept_thread.join(timeout_s)  # the last accepted connection is counted as open now
         rejected = self._drain_accept_queue() if self._owns_queue else []
         with contextlib.suppress(OSError):
             self._listener.close()
@@ -154,7 +169,7 @@
                 retry_delay.wait(ACCEPT_RETRY_DELAY_S)
 
     def _admit(self, sock: socket.socket) -> bool:
-        """Give a connection a thread, or turn it away; False where the system has no more threads."""
+        """Start a thread for a connection, or reject it. Returns False if no thread could be started."""
         self.accepted_count += 1
         with self._lock:
             is_over_limit = self._open_connections >= self._limits.max_connections
@@ -171,11 +186,11 @@
         return True
 
     def _drain_accept_queue(self) -> list[socket.socket]:
-        """Accept what waits to be accepted: closing the listener would reset it.
+        """Accept all connections in the accept queue, because closing the listener would reset them.
 
         Returns:
-            Connections that were turned away and are to be closed at the end of the drain: closed at once,
-            with their requests unread, they would be reset before their clients have read the answer.
+            Rejected connections, to be closed at the end of the drain. Closing them at once, with their
+            requests unread, would reset them before their clients have read the response.
         """
         rejected: list[socket.socket] = []
         stop_handshakes(self._listener)
@@ -191,7 +206,10 @@
         return rejected
 
     def _reject_at_descriptor_limit(self) -> None:
-        """Out of descriptors: a kept one is given up for a moment, so that one client is told."""
+        """Reject one connection when no file descriptor is free.
+
+        The spare descriptor is closed for a moment, so that the connection can be accepted and answered.
+        """
         log.warning("out of file descriptors")
         if self._spare_descriptor is not None:
             os.close(self._spare_descriptor)
@@ -206,13 +224,16 @@
             self._spare_descriptor = _open_spare_descriptor()
 
     def _reject_and_close(self, sock: socket.socket) -> None:
-        """Refuse a connection and close it."""
+        """Reject a connection and close it."""
         self._reject(sock)
         with contextlib.suppress(OSError):
             sock.close()
 
     def _reject(self, sock: socket.socket) -> None:
-        """Nothing of this client was read, so sending again is harmless; the wait here is bounded."""
+        """Answer a connection with 429 before anything is read from it, so that a retry is safe.
+
+        A short timeout bounds the write to a client that doesn't read.
+        """
         self.rejected_count += 1
         response = self._app.error_response(
             new_request_id(), errors.too_many_requests("Too many connections.", 1.0)
@@ -236,7 +257,7 @@
             while self._serve_request(stream, reader):
                 pass
         except (OSError, ClientDisconnectedError):
-            pass  # the client has left, or takes no answer: there is nobody to tell
+            pass  # the client disconnected or doesn't read: no response can reach it
         except Exception:
             log.exception("connection thread failed")
         finally:
@@ -244,7 +265,7 @@
             self._release_connection()
 
     def _serve_request(self, stream: Stream, reader: MessageReader) -> bool:
-        """One request and its answer; whether the connection goes on."""
+        """Serve one request. Returns whether the connection stays open for another one."""
         try:
             head = self._read_head(stream, reader)
             if head is None:
@@ -266,7 +287,7 @@
             raise ClientDisconnectedError
 
     def _read_head(self, stream: Stream, reader: MessageReader) -> RequestHead | None:
-        """The next head; None where the client has ended, or stays idle for too long."""
+        """Read the next request head; None if the client closed the connection or was idle too long."""
         if not reader.pending:
             first_bytes = self._read_first_bytes(stream)
             if not first_bytes:
@@ -281,17 +302,22 @@
             return None
 
     def _read_first_bytes(self, stream: Stream) -> bytes:
-        """The first bytes of the next request; empty where none comes for too long, or until the end of the
-        drain's grace: the connection is closed then. PeerClosed where the client has ended.
+        """Wait for the first bytes of the next request and return them.
+
+        If none arrive before the idle timeout, or before the grace of a drain ends, the connection is closed
+        and the result is empty.
+
+        Raises:
+            PeerClosed: The client closed the connection.
         """
         first_bytes = b"" if self._draining else self._wait_idle(stream)
         if not first_bytes and self._draining:
-            # Requests already on their way are answered, with a word that the connection closes.
+            # Requests that are already under way get a response with "Connection: close".
             first_bytes = _receive(stream, IDLE_GRACE_S)
         return first_bytes or self._close_idle(stream)
 
     def _wait_idle(self, stream: Stream) -> bytes:
-        """What comes on an idle connection; empty where nothing does for too long, or the server drains."""
+        """Wait for bytes on an idle connection; empty after the idle timeout or when a drain begins."""
         deadline_s = self._clock() + self._limits.idle_timeout_s
         first_bytes = _receive(stream, min(IDLE_READ_TIMEOUT_S, self._limits.idle_timeout_s))
         if first_bytes or self._draining:
@@ -304,9 +330,10 @@
         return _receive(stream, IDLE_READ_TIMEOUT_S) if stream.sock.fileno() in ready else b""
 
     def _close_idle(self, stream: Stream) -> bytes:
-        """Close an idle connection, unless a request came meanwhile: then what has come of it. One at a time:
-        with all of them between the look and the close, that gap grows to milliseconds, in which a request
-        is lost.
+        """Close an idle connection, unless bytes of a request have arrived: then return these.
+
+        One thread at a time does this. A request that arrives between the last read and the close is lost,
+        and with all idle connections closing at once, this gap would grow to milliseconds.
         """
         with self._idle_close_lock:
             first_bytes = stream.receive_now()
@@ -331,7 +358,10 @@
         return body
 
     def _linger(self, stream: Stream) -> None:
-        """Read on for a moment: closing on unread bytes would reset the answer away."""
+        """Shut down writing and read until the client closes, within the linger limits.
+
+        Closing a socket with unread bytes would reset the connection before the client has read the response.
+        """
         with contextlib.suppress(OSError):
             stream.abort(socket.SHUT_WR)
             deadline_s, left_bytes = self._clock() + LINGER_S, LINGER_BYTES
@@ -343,13 +373,17 @@
 
 
 def _receive(stream: Stream, timeout_s: float) -> bytes:
-    """What comes within that time; empty where nothing does. PeerClosed where the client has ended."""
+    """Return the bytes that arrive within a time; empty if none do.
+
+    Raises:
+        PeerClosed: The client closed the connection.
+    """
     try:
         received = stream.receive(timeout_s)
     except TimeoutError:
         return b""
     if not received:
-        raise PeerClosed("the client ended the connection")
+        raise PeerClosed("the client closed the connection")
     return received
 
 
--- a/saffronstack/invoke/sigv4.py
+++ b/saffronstack/invoke/sigv4.py
@@ -1,4 +1,4 @@
-"""AWS Signature Version 4 on the receiving side, from its published algorithm. No I/O."""
+"""Verifies AWS Signature Version 4 by the published algorithm; also signs, for the client. No I/O."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Credential:
-    """What a request's Authorization says."""
+    """Parsed Authorization header of a signed request."""
 
     access_key_id: str
     date: str
@@ -40,7 +40,11 @@
 
 
 def parse_credential(headers: Headers) -> Credential | None:
-    """The credential of a request, None where it is unsigned; InvokeError where it is malformed."""
+    """Parse the Authorization header; return None if the request has none.
+
+    Raises:
+        InvokeError: The header is malformed or occurs more than once.
+    """
     fields = headers.all("authorization")
     if not fields:
         return None
@@ -62,7 +66,11 @@
 def canonical_request(
     method: str, target: str, headers: Headers, signed_headers: tuple[str, ...], body_hash: str
 ) -> str:
-    """The canonical request: path encoded once more as services other than S3 want it, query sorted."""
+    """Return the canonical request.
+
+    The path is normalized and encoded a second time, which all services except S3 require; query parameters
+    are sorted.
+    """
     parts = urlsplit(target)
     pairs = parse_qsl(parts.query, keep_blank_values=True)
     query = "&".join(
@@ -80,7 +88,7 @@
 
 
 def _normalized_path(path: str) -> str:
-    """The path without empty and dot segments, its last slash kept."""
+    """Return a path without empty and dot segments; a trailing slash stays."""
     segments: list[str] = []
     for part in path.split("/"):
         if part == "..":
@@ -93,7 +101,7 @@
 
 @lru_cache(maxsize=1024)
 def signing_key(secret: str, date: str, region: str, service: str) -> bytes:
-    """The key derived for a day, region and service."""
+    """Return the signing key derived from a secret for a day, a region and a service."""
     key = f"AWS4{secret}".encode()
     for part in (date, region, service, "aws4_request"):
         key = hmac.new(key, part.encode(), hashlib.sha256).digest()
@@ -101,7 +109,7 @@
 
 
 def sign(secret: str, credential: Credential, timestamp: str, canonical: str) -> str:
-    """The signature in hexadecimal."""
+    """Return the signature of a canonical request in hexadecimal."""
     scope = f"{credential.date}/{credential.region}/{credential.service}/aws4_request"
     digest = hashlib.sha256(canonical.encode("utf-8", "surrogateescape")).hexdigest()
     text = f"{ALGORITHM}\n{timestamp}\n{scope}\n{digest}"
@@ -121,9 +129,19 @@
     now: float,
     skew_s: float,
 ) -> str:
-    """The access key id of a request that is signed rightly; InvokeError otherwise.
-
-    ``now`` is Unix time in seconds; a timestamp further away than ``skew_s`` is refused.
+    """Verify the signature of a request and return its access key id.
+
+    Args:
+        method: Method of the request.
+        target: Request target: path and query.
+        headers: Header fields of the request.
+        body: Body of the request.
+        secrets: Secrets by access key id.
+        now: Unix time in seconds.
+        skew_s: Maximum difference between ``now`` and the request's timestamp.
+
+    Raises:
+        InvokeError: The signature is missing, malformed, expired or wrong.
     """
     credential = parse_credential(headers)
     if credential is None:
--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -1,6 +1,4 @@
-"""`GET /usage/{tenant}`: what a tenant is charged so far and where it stands with its budget, for its own
-key.
-"""
+"""`GET /usage/{tenant}`: the usage that a tenant is charged for, and the state of its budget."""
 
 from __future__ import annotations
 
@@ -14,13 +12,18 @@
 from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.metering.usage_report import MB_S
 
-MAX_LISTED_FUNCTIONS = 200  # in an answer, the largest; the rest is one sum
+MAX_LISTED_FUNCTIONS = 200  # with the largest charges; the others are summed up
 AMOUNT_FIELDS = ("loading_mb_s", "running_mb_s", "idle_mb_s", "estimated_mb_s")
 CHARGED_FIELDS = ("loading_mb_s", "running_mb_s", "estimated_mb_s", "provisional_mb_s")
 
 
 def tenant_usage(account: Account, budgets: BudgetEnforcer | None, tenant: str, now: float) -> dict[str, Any]:
-    """What one process's log says of a tenant. RunDamagedError, OSError where its archive can't be read."""
+    """Return the usage of a tenant from the usage log of this process.
+
+    Raises:
+        RunDamagedError: The archive is damaged.
+        OSError: The archive can't be read.
+    """
     functions: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for (_, function, _, _, _), amounts in account.sums(tenant):
         for field, amount in zip(AMOUNT_FIELDS, amounts, strict=True):
@@ -51,7 +54,10 @@
 
 
 def merge_usage(reports: list[dict[str, Any]], unanswered: list[int]) -> dict[str, Any]:
-    """Several processes' reports as one. ``unanswered``: numbers of those that did not answer."""
+    """Merge the usage reports of several processes.
+
+    ``unanswered`` has the indexes of the processes that did not respond.
+    """
     functions: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
     for found in reports:
         for name, sums in found["functions"].items():
@@ -86,7 +92,7 @@
 def collect_usage(
     own_report: dict[str, Any], count: int, index: int, request_usage: Callable[[int], bytes | None]
 ) -> dict[str, Any]:
-    """The whole answer of one of ``count`` processes on an address."""
+    """Collect the usage of all ``count`` processes on an address, and merge it with this process's report."""
     reports, unanswered = [own_report], []
     for other in range(count):
         if other == index:
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""End to end, one failure each: the rules hold at the clients' and the workers' sockets."""
+"""End-to-end tests of one failure each, observed at the sockets of clients and workers."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
             data = sock.recv(65536)
             sock.settimeout(0.2)
             with pytest.raises(TimeoutError):
-                sock.recv(1)  # nothing follows
+                sock.recv(1)  # no second response follows
             sock.close()
             assert data.count(b"HTTP/1.1 ") == 1
             endings.append(is_outcome_unknown(data.partition(b"\r\n\r\n")[2]))
@@ -131,7 +131,7 @@
 
 
 def test_attempts_that_wait_for_a_connection_are_not_sent_to_a_drained_worker() -> None:
-    """The worker's only connection is taken up; the attempts behind it must not leave after the drain."""
+    """The worker's only connection is busy; attempts that wait for it must not be sent after the drain."""
     profile = Profile(work_s=0.4, load_s=0.01, cores=1)
     with running(1, profile=profile, limits={"worker_connections": 1}) as stack:
         clients = [stack.raw() for _ in range(4)]
@@ -228,11 +228,11 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 8192)), hard))
     with running(1) as stack:
         socks: list[socket.socket] = []
-        # In portions that fit the accept queue: where that overflows, the system may forget connections that
-        # their clients take for open.
-        for portion in range(1, 5):
+        # The connections are opened in batches that fit the accept queue. When it overflows, the kernel may
+        # drop connections that their clients consider open.
+        for batch in range(1, 5):
             socks += [stack.raw() for _ in range(500)]
-            eventually(lambda count=500 * portion: stack.gateway.server.connections == count)  # type: ignore[misc]
+            eventually(lambda count=500 * batch: stack.gateway.server.connections == count)  # type: ignore[misc]
         assert stack.gateway.server.connections == 2000
         assert stack.call("identify-copy").status == 200
         for sock in socks[::500]:
@@ -287,9 +287,9 @@
             for sock in new_clients:
                 sock.settimeout(1)
                 sock.connect((host, int(port)))
-            # Threads of tests before this one may still close a descriptor each: those are taken first.
+            # Threads of earlier tests may still close descriptors, which the first clients then use.
             assert any(is_rejected(sock) for sock in new_clients)
-            client.sendall(invoke_request("identify-copy"))  # a connection that stands goes on
+            client.sendall(invoke_request("identify-copy"))  # an open connection is still served
             assert client.recv(65536).startswith(b"HTTP/1.1 ")
         finally:
             for descriptor in [*filler, *spare]:
@@ -382,7 +382,7 @@
 
 
 class GatewayProcess:
-    """A gateway in a process of its own, that can be killed."""
+    """A gateway in a child process, which a test can kill."""
 
     def __init__(self, tmp_path: pathlib.Path, content: dict[str, object]) -> None:
         path = tmp_path / "gateway.json5"
@@ -412,7 +412,10 @@
 
 
 def test_a_killed_gateway_finishes_its_deferred_calls_after_a_restart(tmp_path: pathlib.Path) -> None:
-    """Queued, sent, and answered but not recorded: each has one end, and no sale runs twice."""
+    """Each call that is queued, sent, or answered but not recorded at the kill has one outcome.
+
+    No unsafe call is executed twice.
+    """
     fleet = StandInFleet(2, lambda n: Profile(load_s=0.01, work_by_function={"record-sale": 0.05}))
     content = configuration(fleet, tmp_path / "ledger")
     content["ledger"]["in_flight"] = 4
@@ -426,7 +429,7 @@
     ]
     eventually(lambda: stack.runs("record-sale") >= 3)
     gateway_process.stop(signal.SIGKILL)
-    time.sleep(0.2)  # what was out at the workers ends there
+    time.sleep(0.2)  # attempts in flight end at the workers
     ran = {str(e["id"]) for w in fleet.workers for e in w.runs("record-sale")}
     gateway_process = GatewayProcess(tmp_path, content)
     stack.address = gateway_process.address
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -1,4 +1,8 @@
-"""Requests that cross the end of an idle connection of the HTTP front, in the order that loses them."""
+"""Tests that the HTTP server answers requests that arrive while it closes connections.
+
+A request is lost if it arrives after the server's last read of an idle connection and before the close. The
+tests force this order by pausing the server's thread.
+"""
 
 from __future__ import annotations
 
@@ -24,14 +28,14 @@
 
 
 class PausePoint(enum.Enum):
-    """Where the gateway's thread is held."""
+    """Where the thread of a connection is paused."""
 
-    AFTER_READ = enum.auto()  # a read of the idle connection has ended without a byte
-    BEFORE_FINAL_READ = enum.auto()  # it is about to close the connection
+    AFTER_READ = enum.auto()  # after a read of the idle connection that returned no bytes
+    BEFORE_FINAL_READ = enum.auto()  # before the last read ahead of closing the connection
 
 
 class ThreadPause:
-    """Holds the gateway's thread as its connection is about to end, until a request has come."""
+    """Pauses the thread of an idle connection at a pause point until the test has sent a request."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, pause_point: PausePoint) -> None:
         self.reached = threading.Event()
@@ -40,7 +44,7 @@
         thread_pause = self
 
         class PausingStream(Stream):
-            """A stream whose read is held after it ended without a byte."""
+            """A stream that pauses its thread at the pause point."""
 
             def __init__(self, sock: socket.socket) -> None:
                 super().__init__(sock)
@@ -63,23 +67,23 @@
         monkeypatch.setattr(server, "Stream", PausingStream)
 
     def pause(self) -> None:
-        """Wait until the request has come, once."""
+        """Wait until the test resumes the thread; later calls return at once."""
         if not self.resume.is_set():
             self.reached.set()
             assert self.resume.wait(TIMEOUT_S)
 
     def send(self, client: socket.socket, data: bytes) -> None:
-        """Send, and see that it has reached the held thread's socket, where it lies unread."""
+        """Send data, and wait until it is in the receive buffer of the paused thread's socket."""
         client.sendall(data)
         eventually(lambda: not self.streams[0].is_quiet(), TIMEOUT_S)
 
     def has_read_the_head(self) -> bool:
-        """Whether the gateway's thread has read what was sent so far."""
+        """Return whether the thread has read all that was sent so far."""
         return self.streams[0].is_quiet()
 
 
 def idle_connection(stack: Stack) -> socket.socket:
-    """A connection that has been answered once and is idle."""
+    """Open a connection, send a request on it and read the response; return it idle."""
     client = stack.raw()
     client.settimeout(TIMEOUT_S)
     client.sendall(REQUEST)
@@ -92,7 +96,10 @@
 
 
 def start_drain(stack: Stack) -> Callable[..., bool]:
-    """Drain the gateway's front on a thread; whether it has ended well within so many seconds."""
+    """Drain the server on a thread.
+
+    Returns a function that waits a number of seconds and returns whether the drain has succeeded.
+    """
     results: list[bool] = []
     thread = start_thread("drain", lambda: results.append(stack.gateway.server.drain(TIMEOUT_S)))
 
@@ -104,7 +111,7 @@
 
 
 def assert_last_answer(client: socket.socket) -> None:
-    """The connection brings one good answer that says it is the last, and ends."""
+    """Check that the connection gets a 200 response with "Connection: close" and is then closed."""
     answer = read_all(client)
     assert answer.startswith(b"HTTP/1.1 200 "), answer
     assert b"Connection: close" in answer, answer
@@ -168,7 +175,7 @@
         client.sendall(REQUEST)
         assert accepted.wait(TIMEOUT_S)
         ended = start_drain(stack)
-        # Nothing is open, but for what was accepted last.
+        # The only open connection is the one that was accepted last.
         assert not ended(2 * server.IDLE_GRACE_S)
         resume.set()
         assert_last_answer(client)
@@ -178,9 +185,10 @@
 def start_drain_with_a_queued_client(
     monkeypatch: pytest.MonkeyPatch, stack: Stack, admit: Callable[[server.Server, socket.socket], bool]
 ) -> tuple[list[socket.socket], Callable[..., bool]]:
-    """Two clients, the second of which waits to be accepted as the drain begins; and the drain's end.
+    """Start a drain while the accept thread is paused with one connection and another one is queued.
 
-    ``admit`` then takes the place of the server's own.
+    From then on, ``admit`` replaces the server's ``_admit``. Returns the clients of the two connections and
+    the function that `start_drain` returns.
     """
     accepted, resume = threading.Event(), threading.Event()
     original_admit = server.Server._admit
@@ -205,7 +213,10 @@
 
 
 def test_a_drain_accepts_no_new_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A busy gateway went on accepting for seconds, until as many had come as the backlog holds."""
+    """Guards against a drain that keeps accepting connections that arrive after it began.
+
+    A busy gateway did so for seconds, until it had accepted as many as the backlog holds.
+    """
     admitted: list[socket.socket] = []
     reconnecting: list[socket.socket] = []
     original_admit = server.Server._admit
@@ -217,7 +228,7 @@
             admitted.append(sock)
             client = socket.socket()
             client.setblocking(False)
-            client.connect_ex((host, int(port)))  # in the queue at once, where connections are let in
+            client.connect_ex((host, int(port)))  # queued at once if the listener still completes handshakes
             reconnecting.append(client)
             return original_admit(self, sock)
 
--- a/tests/test_invoke_api.py
+++ b/tests/test_invoke_api.py
@@ -1,4 +1,4 @@
-"""The Invoke API as boto3, curl-like clients and hand-written requests meet it."""
+"""Tests of the Invoke API with boto3, with a plain HTTP client and with raw requests."""
 
 from __future__ import annotations
 
@@ -202,13 +202,13 @@
     draining_worker = WorkerSpec(3, "d", "h", 3, is_draining=True, capacity=4.0)
     assert peak_load_ratio([]) == 0.0
     assert peak_load_ratio([WorkerTraffic(small, 9, 0), WorkerTraffic(large, 9, 0)]) == 0.0
-    # Each worker has its share.
+    # The attempts in flight are proportional to the capacities.
     assert peak_load_ratio([WorkerTraffic(small, 9, 1), WorkerTraffic(large, 9, 3)]) == 1.0
     draining = WorkerTraffic(draining_worker, 9, 40)
     assert peak_load_ratio([WorkerTraffic(small, 9, 2), WorkerTraffic(large, 9, 2), draining]) == 2.0
 
 
-# ---- what an SDK retries by itself
+# ---- retries by an SDK
 
 
 def test_boto3_does_not_retry_an_unsafe_call_whose_response_was_lost(tmp_path: pathlib.Path) -> None:
@@ -354,7 +354,7 @@
         names.parse_function(name, {}, "000000000000", "us-east-1")
 
 
-# ---- bytes that are no acceptable request: a clear answer, a closed connection, and the gateway goes on
+# ---- malformed requests: an error response, a closed connection, and a gateway that keeps serving
 
 HEAD = b"POST /2015-03-31/functions/identify-copy/invocations HTTP/1.1\r\nHost: a\r\n"
 
