--- a/saffronstack/invoke/app.py
+++ b/saffronstack/invoke/app.py
@@ -256,7 +256,12 @@
         digest = invocation.identity(invocation_type).digest()
         is_logged = policy.is_logged or invocation_type == "Event"
         request = ForwardableRequest(
-            head, body, digest, deadline_s, is_logged, lambda: self._executor.outcome_unknown(invocation)
+            head,
+            body,
+            digest,
+            deadline_s,
+            is_logged,
+            lambda: self._executor.outcome_unknown_response(invocation),
         )
         return self._forwarder.execute(request, execute_here)
 
@@ -313,13 +318,15 @@
     def _forward_to_process(self, index: int, head: RequestHead) -> Response:
         """Forward a GET request to another process of this gateway, which verifies its signature."""
         fields = _select_headers(head.headers.items, ("host", "authorization"))
-        answer = None
+        response = None
         if index < self._members.count and FORWARDED_HEADER not in head.headers:
-            answer = self._members.request_from(index, head.target, fields)
-        if answer is None:
+            response = self._members.request_from(index, head.target, fields)
+        if response is None:
             raise errors.service_error(f"Process {index} of this gateway does not answer now.", 503)
-        found, body = answer
-        return Response(found.status, tuple(_select_headers(found.headers.items, ("content-type",))), body)
+        response_head, body = response
+        return Response(
+            response_head.status, tuple(_select_headers(response_head.headers.items, ("content-type",))), body
+        )
 
     def _deferred_call_status(
         self, request_id: str, head: RequestHead, body: bytes, requested_id: str
@@ -369,7 +376,9 @@
         headers = (("Content-Type", "application/json"), ("x-amzn-RequestId", request_id))
         return Response(200, headers, msgspec.json.encode(found))
 
-    def _usage_report(self, request_id: str, head: RequestHead, body: bytes, requested_id: str) -> Response:
+    def _usage_report(
+        self, request_id: str, head: RequestHead, body: bytes, requested_tenant: str
+    ) -> Response:
         """Return the usage that a tenant is charged for, summed over all processes on this address.
 
         This endpoint is not part of the Lambda API. A tenant can read only its own usage.
@@ -379,22 +388,22 @@
         tenant = self._authenticate(head, body)
         if self._account is None:
             raise InvokeError(404, "ResourceNotFoundException", "This gateway does not meter.")
-        if tenant != requested_id:
-            raise InvokeError(403, "AccessDeniedException", f"The key is not {requested_id[:140]}'s.")
+        if tenant != requested_tenant:
+            raise InvokeError(403, "AccessDeniedException", f"The key is not {requested_tenant[:140]}'s.")
         try:
-            found = usage.tenant_usage(self._account, self._budgets, tenant, self._clock())
+            report = usage.tenant_usage(self._account, self._budgets, tenant, self._clock())
         except (RunDamagedError, OSError) as error:
             raise errors.service_error(f"Usage can't be read now: {error}") from error
         if FORWARDED_HEADER not in head.headers:
             fields = _select_headers(head.headers.items, ("host", "authorization"))
 
             def request_usage(index: int) -> bytes | None:
-                answer = self._members.request_from(index, head.target, fields)
-                return answer[1] if answer is not None and answer[0].status == 200 else None
+                response = self._members.request_from(index, head.target, fields)
+                return response[1] if response is not None and response[0].status == 200 else None
 
-            found = usage.collect_usage(found, self._members.count, self._members.index, request_usage)
+            report = usage.collect_usage(report, self._members.count, self._members.index, request_usage)
         headers = (("Content-Type", "application/json"), ("x-amzn-RequestId", request_id))
-        return Response(200, headers, msgspec.json.encode(found))
+        return Response(200, headers, msgspec.json.encode(report))
 
 
 def _enumerated_header(head: RequestHead, header: str, parameter: str, choices: tuple[str, ...]) -> str:
--- a/saffronstack/invoke/coalesced_calls.py
+++ b/saffronstack/invoke/coalesced_calls.py
@@ -7,7 +7,7 @@
 from saffronstack.engine.calls import FinalStatus
 from saffronstack.invoke import errors
 from saffronstack.invoke.engine_calls import EngineCalls
-from saffronstack.invoke.final_responses import build_response, rejection_error, replayed
+from saffronstack.invoke.final_responses import build_response, rejection_error, replayed_response
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.response import Response
 from saffronstack.operations.errors import ClientDisconnectedError
@@ -56,7 +56,7 @@
             response = self._response_of_other(invocation, entry, is_client_connected)
             # Without a response, the other request was rejected or its client disconnected: start over.
             if response is not None:
-                return replayed(response)
+                return replayed_response(response)
 
     def _response_of_other(
         self,
--- a/saffronstack/invoke/deferred_submission.py
+++ b/saffronstack/invoke/deferred_submission.py
@@ -10,7 +10,7 @@
 from saffronstack.deferred.errors import CommitError, LedgerFullError
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
-from saffronstack.invoke.final_responses import unknown_outcome
+from saffronstack.invoke.final_responses import outcome_unknown_response
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.operation_calls import DEFERRED, perform_once, to_stored_response
 from saffronstack.invoke.response import Response
@@ -53,7 +53,7 @@
         try:
             self._accept(invocation, invocation.request_id)
         except OutcomeUnknownError:
-            return unknown_outcome(invocation.response_headers(invocation.request_id), NOT_CONFIRMED)
+            return outcome_unknown_response(invocation.response_headers(invocation.request_id), NOT_CONFIRMED)
         return Response(202, invocation.acceptance_headers(invocation.request_id))
 
     def submit_once(
@@ -101,7 +101,7 @@
         except InvokeError as error:
             return NotCompleted(error)
         except OutcomeUnknownError:
-            unknown = unknown_outcome(invocation.response_headers(request_id), NOT_CONFIRMED)
+            unknown = outcome_unknown_response(invocation.response_headers(request_id), NOT_CONFIRMED)
             return Completed(to_stored_response(unknown), is_outcome_unknown=True)
         return Completed(response)
 
--- a/saffronstack/invoke/errors.py
+++ b/saffronstack/invoke/errors.py
@@ -67,7 +67,7 @@
     return InvokeError(status, "ServiceException", message, fault="Service")
 
 
-def outcome_unknown(reason: str) -> bytes:
+def outcome_unknown_payload(reason: str) -> bytes:
     """Return the payload for a call that may have been executed.
 
     It is sent with status 200, which SDKs do not retry.
@@ -89,7 +89,7 @@
     )
 
 
-def response_not_stored(status: int, length: int, digest: str) -> bytes:
+def response_not_stored_payload(status: int, length: int, digest: str) -> bytes:
     """Return the payload for a repeated request whose operation's response was too large to store.
 
     The operation has completed and is not executed again.
--- a/saffronstack/invoke/final_responses.py
+++ b/saffronstack/invoke/final_responses.py
@@ -16,7 +16,7 @@
 def build_response(final: FinalAnswer, headers: Headers, wants_log: bool) -> Response:
     """Return the response for the final answer of a call that was served or failed."""
     if final.status is not FinalStatus.SERVED:
-        return Response(200, (*headers, FUNCTION_ERROR_HEADER), errors.outcome_unknown(final.reason))
+        return Response(200, (*headers, FUNCTION_ERROR_HEADER), errors.outcome_unknown_payload(final.reason))
     function_error = (("X-Amz-Function-Error", final.function_error),) if final.function_error else ()
     log_tail = (("X-Amz-Log-Result", final.log_tail),) if wants_log and final.log_tail else ()
     return Response(200, (*headers, *function_error, *log_tail), final.payload)
@@ -27,11 +27,13 @@
     return errors.too_many_requests(f"Rate exceeded: {final.reason or 'refused'}.", final.retry_after_s)
 
 
-def unknown_outcome(headers: Headers, reason: str) -> Response:
+def outcome_unknown_response(headers: Headers, reason: str) -> Response:
     """Return the response to a request whose operation may have been executed."""
-    return Response(200, (*headers, FUNCTION_ERROR_HEADER, REPLAYED_HEADER), errors.outcome_unknown(reason))
+    return Response(
+        200, (*headers, FUNCTION_ERROR_HEADER, REPLAYED_HEADER), errors.outcome_unknown_payload(reason)
+    )
 
 
-def replayed(response: CacheableResponse) -> Response:
+def replayed_response(response: CacheableResponse) -> Response:
     """Return an operation's response for another request of that operation, marked as a replay."""
     return Response(response.status, (*response.headers, REPLAYED_HEADER), response.body)
--- a/saffronstack/invoke/invocation_executor.py
+++ b/saffronstack/invoke/invocation_executor.py
@@ -11,7 +11,7 @@
 from saffronstack.invoke.coalesced_calls import CoalescedCalls
 from saffronstack.invoke.deferred_submission import DeferredSubmission
 from saffronstack.invoke.engine_calls import EngineCalls
-from saffronstack.invoke.final_responses import build_response, rejection_error, unknown_outcome
+from saffronstack.invoke.final_responses import build_response, outcome_unknown_response, rejection_error
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.operation_calls import call_once
 from saffronstack.invoke.response import Response
@@ -78,10 +78,10 @@
         policy = self.policy(invocation)
         return self._submission.submit_once(self._operations, invocation, policy, is_client_connected)
 
-    def outcome_unknown(self, invocation: Invocation) -> Response:
+    def outcome_unknown_response(self, invocation: Invocation) -> Response:
         """Return the response to a request that was forwarded to a process which did not respond."""
         headers = invocation.response_headers(invocation.request_id)
-        return unknown_outcome(headers, "the process that runs it gave no answer")
+        return outcome_unknown_response(headers, "the process that runs it gave no answer")
 
     def _call_without_key(self, invocation: Invocation, is_client_connected: IsClientConnected) -> Response:
         final = self._calls.run(invocation, invocation.request_id, is_client_connected)
--- a/saffronstack/invoke/operation_calls.py
+++ b/saffronstack/invoke/operation_calls.py
@@ -10,9 +10,9 @@
     FUNCTION_ERROR_HEADER,
     REPLAYED_HEADER,
     build_response,
+    outcome_unknown_response,
     rejection_error,
-    replayed,
-    unknown_outcome,
+    replayed_response,
 )
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.response import Response
@@ -122,23 +122,23 @@
         raise errors.too_many_requests("Too many operations are remembered.", error.retry_after_s) from error
     except OutcomeUnknownError as error:
         headers = invocation.response_headers(error.request_id)
-        return unknown_outcome(headers, "the gateway was killed before it had an answer")
+        return outcome_unknown_response(headers, "the gateway was killed before it had an answer")
     except ResponseNotStoredError as error:
         return _without_body(invocation, error)
     except OperationInProgressError as error:
         if policy.idempotency is Idempotency.IDEMPOTENT or invocation_type == DEFERRED:
             raise errors.too_many_requests("The operation is still under way.", 1.0) from error
         headers = invocation.response_headers(invocation.request_id)
-        return unknown_outcome(headers, "another send of it is still under way")
+        return outcome_unknown_response(headers, "another send of it is still under way")
     response = result.response
     if result.is_replayed:
-        return replayed(response)
+        return replayed_response(response)
     return Response(response.status, response.headers, response.body)
 
 
 def _without_body(invocation: Invocation, error: ResponseNotStoredError) -> Response:
     """Return the status, length and digest of a response whose body was too large to store."""
     stored = error.response
-    body = errors.response_not_stored(stored.status, stored.body_length, stored.body_digest)
+    body = errors.response_not_stored_payload(stored.status, stored.body_length, stored.body_digest)
     headers = invocation.response_headers(error.request_id)
     return Response(200, (*headers, FUNCTION_ERROR_HEADER, REPLAYED_HEADER), body)
--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -34,7 +34,7 @@
     for charge, amount in account.charges.estimated():
         if charge.call.tenant == tenant:
             functions[charge.function]["estimated_mb_s"] += amount
-    found: dict[str, Any] = {
+    report: dict[str, Any] = {
         "tenant": tenant,
         "functions": {
             name: {key: amount / MB_S for key, amount in sums.items()} for name, sums in functions.items()
@@ -42,7 +42,7 @@
     }
     budget_usage = budgets.usage_of(tenant, now) if budgets is not None else None
     if budget_usage is not None:
-        found["budget"] = {
+        report["budget"] = {
             "window_s": budget_usage.budget.window_s,
             "soft_mb_s": budget_usage.budget.soft_limit / MB_S,
             "hard_mb_s": budget_usage.budget.hard_limit / MB_S,
@@ -50,7 +50,7 @@
             "standing": budget_usage.verdict.status.value,
             "free_in_s": round(budget_usage.verdict.retry_after_s, 3),
         }
-    return found
+    return report
 
 
 def merge_usage(reports: list[dict[str, Any]], unanswered: list[int]) -> dict[str, Any]:
@@ -59,8 +59,8 @@
     ``unanswered`` has the indexes of the processes that did not respond.
     """
     functions: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    for found in reports:
-        for name, sums in found["functions"].items():
+    for report in reports:
+        for name, sums in report["functions"].items():
             for key, amount in sums.items():
                 functions[name][key] += amount
     charged = {name: sum(sums[key] for key in CHARGED_FIELDS) for name, sums in functions.items()}
@@ -77,7 +77,7 @@
         "processes": len(reports),
         "silent_processes": unanswered,
     }
-    process_budgets = [found["budget"] for found in reports if "budget" in found]
+    process_budgets = [report["budget"] for report in reports if "budget" in report]
     if process_budgets:
         worst = max(
             process_budgets, key=lambda budget: (budget["standing"] == "over hard", budget["used_here_mb_s"])
