--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -266,7 +266,7 @@
     yield MetricValue("usage_lost_at_workers", "Usage records that workers' own bounds cost", lost)
     yield MetricValue("usage_log_bytes", "Bytes written to the usage log", meter.journal.written_bytes)
     if budgets is not None:
-        refused = "Calls refused or held back for their tenant's budget"
-        yield MetricValue("budget_refused", refused, budgets.rejected)
-        marked = "Calls taken at the worth of what lies over a share"
-        yield MetricValue("budget_marked", marked, budgets.deprioritized)
+        rejected_help = "Calls refused or held back for their tenant's budget"
+        yield MetricValue("budget_refused", rejected_help, budgets.rejected)
+        deprioritized_help = "Calls taken at the worth of what lies over a share"
+        yield MetricValue("budget_marked", deprioritized_help, budgets.deprioritized)
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -49,19 +49,19 @@
         for_all_workers(
             stack, lambda worker: setattr(worker.faults, fault, 1.0 if fault == "lose_answers" else True)
         )
-        answer = stack.call("record-sale")
-        assert answer.status == 200
-        assert is_outcome_unknown(answer.body)
+        response = stack.call("record-sale")
+        assert response.status == 200
+        assert is_outcome_unknown(response.body)
         assert stack.runs("record-sale") == 1
 
 
 @pytest.mark.parametrize("fault", ["lose_answers", "reset_mid_answer", "half_header", "garbage", "errors"])
 def test_a_safe_call_is_retried_on_another_worker(fault: str) -> None:
     with running(2) as stack:
-        bad = stack.fleet.workers[0]
-        setattr(bad.faults, fault, 1.0 if fault in ("lose_answers", "errors") else True)
-        answers = [stack.call("identify-copy").status for _ in range(6)]
-        assert answers == [200] * 6
+        faulty_worker = stack.fleet.workers[0]
+        setattr(faulty_worker.faults, fault, 1.0 if fault in ("lose_answers", "errors") else True)
+        statuses = [stack.call("identify-copy").status for _ in range(6)]
+        assert statuses == [200] * 6
 
 
 def test_a_call_with_idempotency_key_is_retried_with_the_same_key() -> None:
@@ -85,10 +85,10 @@
     with running(1) as stack:
         for_all_workers(stack, lambda worker: setattr(worker.faults, "silent", True))
         start = time.monotonic()
-        answer = stack.call(function)
+        response = stack.call(function)
         assert time.monotonic() - start < DEADLINE_S
-        assert answer.status == status
-        assert function != "record-sale" or is_outcome_unknown(answer.body)
+        assert response.status == status
+        assert function != "record-sale" or is_outcome_unknown(response.body)
         arrivals = [
             entry for worker in stack.fleet.workers for entry in worker.log if entry["what"] == "arrive"
         ]
@@ -166,7 +166,7 @@
         for start in (b"", invoke_request("identify-copy")[:-2]):
             sock = stack.raw()
             sock.sendall(start)
-            answer = b""
+            response = b""
             for byte in b"POST / HTT" * 20:
                 try:
                     sock.sendall(bytes([byte]) if not start else b" ")
@@ -174,12 +174,12 @@
                     break
                 sock.settimeout(0.05)
                 try:
-                    answer += sock.recv(65536)
+                    response += sock.recv(65536)
                     break
                 except TimeoutError:
                     continue
-            assert answer.startswith((b"HTTP/1.1 408", b"HTTP/1.1 400", b"HTTP/1.1 200"))
-            assert start or answer.startswith(b"HTTP/1.1 408")
+            assert response.startswith((b"HTTP/1.1 408", b"HTTP/1.1 400", b"HTTP/1.1 200"))
+            assert start or response.startswith(b"HTTP/1.1 408")
             sock.close()
         assert stack.call("identify-copy").status == 200
 
@@ -430,7 +430,7 @@
     eventually(lambda: stack.runs("record-sale") >= 3)
     gateway_process.stop(signal.SIGKILL)
     time.sleep(0.2)  # attempts in flight end at the workers
-    ran = {str(e["id"]) for w in fleet.workers for e in w.runs("record-sale")}
+    executed_ids = {str(e["id"]) for w in fleet.workers for e in w.runs("record-sale")}
     gateway_process = GatewayProcess(tmp_path, content)
     stack.address = gateway_process.address
     conditions = [stack.final(id_, 20)["requestContext"]["condition"] for id_ in ids]
@@ -439,7 +439,7 @@
     for id_, condition in zip(sales, conditions[0::3], strict=True):
         runs = sum(e["id"] == id_ for w in fleet.workers for e in w.runs("record-sale"))
         assert runs == 1 if condition == "Success" else runs <= 1
-        assert condition == "Success" or id_ in ran or runs == 0
+        assert condition == "Success" or id_ in executed_ids or runs == 0
     assert conditions[1::3] == ["Success"] * 15
     assert gateway_process.stop(signal.SIGTERM) == 0
     fleet.stop()
@@ -472,11 +472,11 @@
     path.write_text(json.dumps({**content, "workers": [second]}))
     gateway_process.process.send_signal(signal.SIGHUP)
     eventually(lambda: stack.call("identify-copy").status == 200 and fleet.workers[1].runs())
-    before = len(fleet.workers[0].runs())
+    runs_before = len(fleet.workers[0].runs())
     path.write_text('{"workers": [')
     gateway_process.process.send_signal(signal.SIGHUP)
     time.sleep(0.3)
     assert stack.call("identify-copy").status == 200
-    assert len(fleet.workers[0].runs()) == before
+    assert len(fleet.workers[0].runs()) == runs_before
     assert gateway_process.stop(signal.SIGTERM) == 0
     fleet.stop()
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -112,9 +112,9 @@
 
 def assert_last_answer(client: socket.socket) -> None:
     """Check that the connection gets a 200 response with "Connection: close" and is then closed."""
-    answer = read_all(client)
-    assert answer.startswith(b"HTTP/1.1 200 "), answer
-    assert b"Connection: close" in answer, answer
+    response = read_all(client)
+    assert response.startswith(b"HTTP/1.1 200 "), response
+    assert b"Connection: close" in response, response
 
 
 @pytest.mark.parametrize("pause_point", PausePoint)
@@ -146,8 +146,8 @@
         assert thread_pause.reached.wait(TIMEOUT_S)
         thread_pause.send(client, REQUEST)
         thread_pause.resume.set()
-        answer = client.recv(65536)
-        assert answer.startswith(b"HTTP/1.1 200 "), answer
+        response = client.recv(65536)
+        assert response.startswith(b"HTTP/1.1 200 "), response
 
 
 def test_idle_connections_end_soon_after_the_drain_began() -> None:
@@ -258,12 +258,14 @@
     with running(1, deadline_s=AMPLE_DEADLINE_S) as stack:
         serving = stack.gateway.server
         monkeypatch.setattr(serving, "_owns_queue", False)
-        kept = serving._listener.dup()
+        kept_listener = serving._listener.dup()
         clients, ended = start_drain_with_a_queued_client(monkeypatch, stack, server.Server._admit)
         assert_last_answer(clients[0])
         assert ended()
         monkeypatch.undo()
-        successor = server.Server("", 0, serving._app, serving._limits, serving._clock, listener=kept)
+        successor = server.Server(
+            "", 0, serving._app, serving._limits, serving._clock, listener=kept_listener
+        )
         successor.start()
         assert clients[1].recv(65536).startswith(b"HTTP/1.1 200 ")
         assert successor.drain(TIMEOUT_S)
--- a/tests/test_invoke_api.py
+++ b/tests/test_invoke_api.py
@@ -42,22 +42,24 @@
 
 @pytest.fixture(scope="module")
 def stack(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Stack]:
-    with running(2, tmp_path_factory.mktemp("ledger"), deadline_s=AMPLE_DEADLINE_S) as made:
-        yield made
+    with running(2, tmp_path_factory.mktemp("ledger"), deadline_s=AMPLE_DEADLINE_S) as running_stack:
+        yield running_stack
 
 
 @pytest.fixture(scope="module")
 def authenticated_stack(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Stack]:
-    with running(1, tmp_path_factory.mktemp("ledger"), keys=KEYS, deadline_s=AMPLE_DEADLINE_S) as made:
-        yield made
+    with running(
+        1, tmp_path_factory.mktemp("ledger"), keys=KEYS, deadline_s=AMPLE_DEADLINE_S
+    ) as running_stack:
+        yield running_stack
 
 
 def test_boto3_invokes_a_function_and_gets_its_response(stack: Stack) -> None:
-    answer = lambda_client(stack.address).invoke(FunctionName="identify-copy", Payload=b'{"isbn": "1"}')
-    assert answer["StatusCode"] == 200
-    assert answer["ExecutedVersion"] == "$LATEST"
-    assert "FunctionError" not in answer
-    content = json.loads(answer["Payload"].read())
+    response = lambda_client(stack.address).invoke(FunctionName="identify-copy", Payload=b'{"isbn": "1"}')
+    assert response["StatusCode"] == 200
+    assert response["ExecutedVersion"] == "$LATEST"
+    assert "FunctionError" not in response
+    content = json.loads(response["Payload"].read())
     assert content["input"] == {"isbn": "1"}
     assert content["run"]
 
@@ -84,18 +86,18 @@
 
 def test_dry_run_runs_nothing(stack: Stack) -> None:
     before = stack.runs()
-    answer = lambda_client(stack.address).invoke(FunctionName="record-sale", InvocationType="DryRun")
-    assert answer["StatusCode"] == 204
+    response = lambda_client(stack.address).invoke(FunctionName="record-sale", InvocationType="DryRun")
+    assert response["StatusCode"] == 204
     assert stack.runs() == before
 
 
 def test_event_is_accepted_and_ends_in_one_record(stack: Stack) -> None:
-    answer = lambda_client(stack.address).invoke(
+    response = lambda_client(stack.address).invoke(
         FunctionName="record-sale", InvocationType="Event", Payload=b'{"n": 1}'
     )
-    assert answer["StatusCode"] == 202
-    assert answer["Payload"].read() == b""
-    record = stack.final(answer["ResponseMetadata"]["RequestId"])
+    assert response["StatusCode"] == 202
+    assert response["Payload"].read() == b""
+    record = stack.final(response["ResponseMetadata"]["RequestId"])
     assert record["version"] == "1.0"
     assert record["requestContext"]["condition"] == "Success"
     assert record["requestContext"]["functionArn"] == (
@@ -156,9 +158,9 @@
 )
 def test_parameters_are_checked(stack: Stack, headers: tuple[str, str], status: int) -> None:
     client = stack.client()
-    answer = client.request("POST", "/2015-03-31/functions/identify-copy/invocations", b"{}", (headers,))
-    assert answer.status == status
-    assert answer.headers.get("x-amzn-errortype") == "InvalidParameterValueException"
+    response = client.request("POST", "/2015-03-31/functions/identify-copy/invocations", b"{}", (headers,))
+    assert response.status == status
+    assert response.headers.get("x-amzn-errortype") == "InvalidParameterValueException"
     client.close()
 
 
@@ -176,8 +178,8 @@
 def test_a_log_tail_is_returned_only_on_request(stack: Stack) -> None:
     context = base64.b64encode(b'{"custom": {}}').decode()
     client = lambda_client(stack.address)
-    answer = client.invoke(FunctionName="identify-copy", ClientContext=context, LogType="Tail")
-    assert b"END RequestId" in base64.b64decode(answer["LogResult"])
+    response = client.invoke(FunctionName="identify-copy", ClientContext=context, LogType="Tail")
+    assert b"END RequestId" in base64.b64decode(response["LogResult"])
     assert "LogResult" not in client.invoke(FunctionName="identify-copy")
 
 
@@ -215,10 +217,10 @@
     with running(2, tmp_path) as stack:
         for worker in stack.fleet.workers:
             worker.faults.lose_answers = 1.0
-        answer = lambda_client(stack.address, retries=4).invoke(FunctionName="record-sale", Payload=b"{}")
-        assert answer["StatusCode"] == 200
-        assert answer["FunctionError"] == "Unhandled"
-        assert json.loads(answer["Payload"].read())["errorType"] == "Saffronstack.OutcomeUnknown"
+        response = lambda_client(stack.address, retries=4).invoke(FunctionName="record-sale", Payload=b"{}")
+        assert response["StatusCode"] == 200
+        assert response["FunctionError"] == "Unhandled"
+        assert json.loads(response["Payload"].read())["errorType"] == "Saffronstack.OutcomeUnknown"
         time.sleep(0.3)
         assert stack.runs("record-sale") == 1
 
@@ -380,9 +382,9 @@
 ) -> None:
     sock = stack.raw()
     sock.sendall(data)
-    answer = read_all(sock)
-    assert answer.startswith(b"HTTP/1.1 %d " % status), answer[:200]
-    assert b"Connection: close" in answer
+    response = read_all(sock)
+    assert response.startswith(b"HTTP/1.1 %d " % status), response[:200]
+    assert b"Connection: close" in response
     sock.close()
     assert stack.call("identify-copy").status == 200
 
