--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -31,14 +31,14 @@
 from saffronstack.cli.starvation_guard import StarvationGuard
 from saffronstack.config.schema import Config
 from saffronstack.daemon.process_group import ProcessGroup
-from saffronstack.daemon.processor_choice import LOOK_INTERVAL_S
+from saffronstack.daemon.processor_choice import CPU_SAMPLE_INTERVAL_S
 from saffronstack.durable.errors import JournalError
 from saffronstack.gateway import Gateway
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 
 log = structlog.get_logger("saffronstack.serve")
-SIGNAL_POLL_S = LOOK_INTERVAL_S
+SIGNAL_POLL_S = CPU_SAMPLE_INTERVAL_S
 FINISH_POLL_S = 0.1
 
 
@@ -139,8 +139,8 @@
         parts.fleet = FleetServices(config.fleet)
     return Gateway(
         config,
-        record_to=options.record_to,
-        members=parts.members,
+        decision_record_path=options.record_to,
+        process_group=parts.members,
         files=parts.ownership.files if parts.ownership is not None else None,
         owns_ledger=parts.ownership.is_current if parts.ownership is not None else None,
         listener=parts.listener,
@@ -191,5 +191,5 @@
     except configs.ConfigError as error:
         log.error("configuration kept as it was", why=str(error))
         return
-    left = gateway.reread(config)
+    left = gateway.reload(config)
     log.info("configuration reread", workers=len(config.workers), needs_restart=left)
--- a/saffronstack/invoke/invocation.py
+++ b/saffronstack/invoke/invocation.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from saffronstack.config.build import Known
+from saffronstack.config.build import ConfiguredFunction
 from saffronstack.operations.idempotency_keys import OperationIdentity
 
 IsClientConnected = Callable[[], bool]  # called on the thread of the client's connection
@@ -30,7 +30,7 @@
 
     request_id: str
     tenant: str
-    function: Known
+    function: ConfiguredFunction
     qualifier: str
     payload: bytes
     client_context: str
--- a/saffronstack/invoke/invocation_executor.py
+++ b/saffronstack/invoke/invocation_executor.py
@@ -116,6 +116,6 @@
     Workers deduplicate calls of this class by key. Without an idempotency key from the client, the gateway
     derives the key from the request id, and a retry by the client has another request id and so another key.
     """
-    if invocation.idempotency_key or invocation.function.effect is not Idempotency.WITH_KEY:
+    if invocation.idempotency_key or invocation.function.idempotency is not Idempotency.WITH_KEY:
         return False
     return final.status is FinalStatus.REJECTED and final.prior_attempt is not None
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -108,7 +108,7 @@
 
 def test_calls_are_rejected_while_the_endpoint_list_is_empty() -> None:
     with running(1) as stack:
-        stack.gateway.reread(configs.parse(json.dumps({**stack.content, "workers": []})))
+        stack.gateway.reload(configs.parse(json.dumps({**stack.content, "workers": []})))
         eventually(lambda: stack.call("record-sale").status == 429)
 
 
@@ -141,7 +141,7 @@
         eventually(lambda: any(e["what"] == "arrive" for e in worker.log))
         entries = [{**entry, "state": "draining"} for entry in stack.content["workers"]]
         drained_s = time.monotonic()
-        stack.gateway.reread(configs.parse(json.dumps({**stack.content, "workers": entries})))
+        stack.gateway.reload(configs.parse(json.dumps({**stack.content, "workers": entries})))
         for sock in clients:
             assert sock.recv(65536).startswith((b"HTTP/1.1 200", b"HTTP/1.1 429"))
             sock.close()
--- a/tests/test_http_shutdown.py
+++ b/tests/test_http_shutdown.py
@@ -75,11 +75,11 @@
     def send(self, client: socket.socket, data: bytes) -> None:
         """Send data, and wait until it is in the receive buffer of the paused thread's socket."""
         client.sendall(data)
-        eventually(lambda: not self.streams[0].is_quiet(), TIMEOUT_S)
+        eventually(lambda: not self.streams[0].is_idle(), TIMEOUT_S)
 
     def has_read_the_head(self) -> bool:
         """Return whether the thread has read all that was sent so far."""
-        return self.streams[0].is_quiet()
+        return self.streams[0].is_idle()
 
 
 def idle_connection(stack: Stack) -> socket.socket:
