--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -1,6 +1,4 @@
-"""`GET /usage/{tenant}`: what a tenant is charged so far and where it stands with its budget, for its own
-key.
-"""
+"""`GET /usage/{tenant}`: the usage that a tenant is charged for, and the state of its budget."""
 
 from __future__ import annotations
 
@@ -14,13 +12,18 @@
 from saffronstack.metering.budgets import BudgetEnforcer
 from saffronstack.metering.usage_report import MB_S
 
-MAX_LISTED_FUNCTIONS = 200  # in an answer, the largest; the rest is one sum
+MAX_LISTED_FUNCTIONS = 200  # with the largest charges; the others are summed up
 AMOUNT_FIELDS = ("loading_mb_s", "running_mb_s", "idle_mb_s", "estimated_mb_s")
 CHARGED_FIELDS = ("loading_mb_s", "running_mb_s", "estimated_mb_s", "provisional_mb_s")
 
 
 def tenant_usage(account: Account, budgets: BudgetEnforcer | None, tenant: str, now: float) -> dict[str, Any]:
-    """What one process's log says of a tenant. RunDamagedError, OSError where its archive can't be read."""
+    """Return the usage of a tenant from the usage log of this process.
+
+    Raises:
+        RunDamagedError: The archive is damaged.
+        OSError: The archive can't be read.
+    """
     functions: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for (_, function, _, _, _), amounts in account.sums(tenant):
         for field, amount in zip(AMOUNT_FIELDS, amounts, strict=True):
@@ -31,7 +34,7 @@
     for charge, amount in account.charges.estimated():
         if charge.call.tenant == tenant:
             functions[charge.function]["estimated_mb_s"] += amount
-    found: dict[str, Any] = {
+    report: dict[str, Any] = {
         "tenant": tenant,
         "functions": {
             name: {key: amount / MB_S for key, amount in sums.items()} for name, sums in functions.items()
@@ -39,7 +42,7 @@
     }
     budget_usage = budgets.usage_of(tenant, now) if budgets is not None else None
     if budget_usage is not None:
-        found["budget"] = {
+        report["budget"] = {
             "window_s": budget_usage.budget.window_s,
             "soft_mb_s": budget_usage.budget.soft_limit / MB_S,
             "hard_mb_s": budget_usage.budget.hard_limit / MB_S,
@@ -47,14 +50,17 @@
             "standing": budget_usage.verdict.status.value,
             "free_in_s": round(budget_usage.verdict.retry_after_s, 3),
         }
-    return found
+    return report
 
 
 def merge_usage(reports: list[dict[str, Any]], unanswered: list[int]) -> dict[str, Any]:
-    """Several processes' reports as one. ``unanswered``: numbers of those that did not answer."""
+    """Merge the usage reports of several processes.
+
+    ``unanswered`` has the indexes of the processes that did not respond.
+    """
     functions: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    for found in reports:
-        for name, sums in found["functions"].items():
+    for report in reports:
+        for name, sums in report["functions"].items():
             for key, amount in sums.items():
                 functions[name][key] += amount
     charged = {name: sum(sums[key] for key in CHARGED_FIELDS) for name, sums in functions.items()}
@@ -71,7 +77,7 @@
         "processes": len(reports),
         "silent_processes": unanswered,
     }
-    process_budgets = [found["budget"] for found in reports if "budget" in found]
+    process_budgets = [report["budget"] for report in reports if "budget" in report]
     if process_budgets:
         worst = max(
             process_budgets, key=lambda budget: (budget["standing"] == "over hard", budget["used_here_mb_s"])
@@ -86,7 +92,7 @@
 def collect_usage(
     own_report: dict[str, Any], count: int, index: int, request_usage: Callable[[int], bytes | None]
 ) -> dict[str, Any]:
-    """The whole answer of one of ``count`` processes on an address."""
+    """Collect the usage of all ``count`` processes on an address, and merge it with this process's report."""
     reports, unanswered = [own_report], []
     for other in range(count):
         if other == index:
