--- a/saffronstack/daemon/heartbeat_monitor.py
+++ b/saffronstack/daemon/heartbeat_monitor.py
@@ -1,9 +1,9 @@
 """Detects processes that are running but send no heartbeats, so that the supervisor can replace them.
 
-The system hands connections to every process that listens, whether or not it accepts them: one that is
-stopped takes its share of all new connections with it. Its operations and deferred calls are fenced against
-a kill, so replacing it is safe; it still loses what is in flight. So one that is only slow gets more time
-than one that the system reports as stopped. Free of I/O and clocks; times are in seconds of one clock.
+The kernel assigns connections to every listening process, whether or not it accepts them, so a stopped
+process blocks its part of all new connections. Operations and deferred calls are fenced against a kill, so
+replacing the process is safe, but its requests in flight are lost. Therefore a process that is only slow gets
+more time than one that the kernel reports as stopped. No I/O and no clock; times are in seconds of one clock.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 HEARTBEAT_INTERVAL_S = 0.25
-STOPPED_TIMEOUT_S = 1.0  # silence after which a stopped process is replaced
-STUCK_FACTOR = 8.0  # times as much for one that runs, or waits to run
+STOPPED_TIMEOUT_S = 1.0  # time without a heartbeat after which a stopped process is replaced
+STUCK_FACTOR = 8.0  # multiple of this time for a process that is running or ready to run
 MAX_CHECK_GAP_S = 0.5  # after a longer gap between checks, the monitor itself was not running
 
 
@@ -26,21 +26,21 @@
 
 
 class HeartbeatMonitor:
-    """The last heartbeat of each process. Each method may be called on any thread."""
+    """Tracks the last heartbeat of each process. Any thread may call any method."""
 
     def __init__(self, count: int, stopped_timeout_s: float = STOPPED_TIMEOUT_S) -> None:
         """Monitor ``count`` processes.
 
         Args:
-            count: How many processes there are.
-            stopped_timeout_s: Silence after which a stopped process counts as unresponsive; 0: never.
+            count: Number of processes.
+            stopped_timeout_s: Time without a heartbeat after which a stopped process is replaced; 0: never.
         """
         self._stopped_timeout_s = stopped_timeout_s
         self._last_heartbeat_s: list[float | None] = [None] * count  # None: still starting
         self._last_check_s: float | None = None
 
     def process_started(self, index: int) -> None:
-        """Wait for the first heartbeat of a new process; its startup has a time limit elsewhere."""
+        """Wait for the first heartbeat of a new process; its startup time is limited elsewhere."""
         self._last_heartbeat_s[index] = None
 
     def heartbeat_received(self, index: int, now_s: float) -> None:
@@ -48,14 +48,14 @@
         self._last_heartbeat_s[index] = now_s
 
     def check(self, now_s: float, is_stopped: Callable[[int], bool]) -> list[UnresponsiveProcess]:
-        """Find the processes to replace. To be called often, at intervals below `MAX_CHECK_GAP_S`.
+        """Find the processes to replace. Must be called at intervals below `MAX_CHECK_GAP_S`.
 
-        A longer gap means that the supervisor, or the whole machine, was paused: it counts as nobody's
-        silence.
+        A longer gap means that the supervisor or the whole machine was paused. It does not count as time
+        without a heartbeat.
 
         Args:
             now_s: The present time.
-            is_stopped: Whether the system reports the process of that index as stopped.
+            is_stopped: Returns whether the kernel reports the process with this index as stopped.
 
         Returns:
             The unresponsive processes by index.
--- a/saffronstack/daemon/processor_settling.py
+++ b/saffronstack/daemon/processor_settling.py
@@ -1,7 +1,7 @@
-"""Decides which processor a process keeps to at its start, and when one that runs on all keeps to one again.
+"""Decides which CPU a process is pinned to at its start, and when an unpinned process is pinned again.
 
-Free of input, output and clocks. Several processors cost a process most of its throughput, so it comes back
-once the machine is quiet; a hold that it shares with its moves bounds how often.
+No I/O and no clock. A process that runs on several CPUs loses most of its throughput, so it is pinned again
+once a CPU is idle. The backoff that it shares with its moves limits how often.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 
 from saffronstack.daemon.processor_choice import IDLE_FRACTION, NS_PER_S, MoveBackoff
 
-MIN_IDLE_TIME_S = 10.0  # for which a processor has to be idle, look by look
+MIN_IDLE_TIME_S = 10.0  # time for which a CPU has to be idle in each sample before a process is pinned to it
 
 
 @dataclass(frozen=True, slots=True)
 class CpuIdleSample:
-    """The processors at one moment."""
+    """Idle times of the CPUs at one moment."""
 
     at_s: float  # monotonic
-    idle_ns: Mapping[int, int]  # by processor, since the start of the system; empty where it does not tell
+    idle_ns: Mapping[int, int]  # by CPU, since the start of the system; empty if not available
 
 
 def choose_initial_cpu(
     cpus: Collection[int], offset: int, before: CpuIdleSample, after: CpuIdleSample
 ) -> int:
-    """Return the processor that a process which starts keeps to.
+    """Return the CPU that a starting process is pinned to.
 
-    One that others have taken up would keep callers waiting until the process has left it. So it is one of
-    those that were idle for at least half as long as the idlest one; of all, where the system does not tell.
+    On a contended CPU clients would wait until the process has moved. So the result is a CPU that was idle
+    for at least half as long as the idlest one; any CPU if idle times are not available.
 
     Args:
-        cpus: Numbers of those that the process may use.
-        offset: Spreads processes that start at the same time.
-        before: The processors shortly before.
-        after: The processors now.
+        cpus: Numbers of the CPUs that the process may use.
+        offset: Index into the candidates; different values spread processes that start together.
+        before: Idle times shortly before.
+        after: Idle times now.
     """
     idle_ns = {cpu: after.idle_ns.get(cpu, 0) - before.idle_ns.get(cpu, 0) for cpu in sorted(cpus)}
     least_ns = IDLE_FRACTION * max(idle_ns.values())
@@ -43,14 +43,14 @@
 
 
 class CpuPinningPolicy:
-    """The looks of one process while it may run anywhere."""
+    """Decides when to pin a process that may run on all CPUs."""
 
     def __init__(self, offset: int, backoff: MoveBackoff) -> None:
-        """Create it without looks.
+        """Create a policy without samples.
 
         Args:
-            offset: Spreads processes that settle at the same time.
-            backoff: Bounds the process's moves.
+            offset: Index into the idle CPUs; different values spread processes that are pinned together.
+            backoff: Limits how often the process moves.
         """
         self._offset = offset
         self._backoff = backoff
@@ -58,12 +58,12 @@
         self._idle_since_s: dict[int, float] = {}
 
     def reset(self) -> None:
-        """Forget all looks: the process keeps to one processor."""
+        """Forget all samples, since the process is pinned to one CPU."""
         self._before = None
         self._idle_since_s.clear()
 
     def choose(self, sample: CpuIdleSample) -> int | None:
-        """Return the processor to keep to from now on, or None to go on with all."""
+        """Return the CPU to pin the process to, or None to leave it unpinned."""
         self._observe(sample)
         idle_cpus = [
             cpu
--- a/saffronstack/daemon/processor_starvation.py
+++ b/saffronstack/daemon/processor_starvation.py
@@ -1,8 +1,8 @@
-"""Finds processes whose threads are ready to run and get little or no time, and lets them run anywhere.
+"""Finds processes whose threads are ready to run but get little or no CPU time, and unpins them.
 
-A gateway keeps to one processor, which is chosen without a look at what else runs there. Where that is taken
-up for long, the gateway neither serves nor ends, though others are free. Its own look (`starvation_guard`)
-may wait too, for the interpreter's lock that a starved thread holds.
+A gateway is pinned to one CPU, which other processes may come to use. While they do, the gateway may neither
+serve nor exit, though other CPUs are idle. The gateway's own check (`starvation_guard`) may be delayed too,
+by a starved thread that holds the interpreter's lock.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 from saffronstack.daemon.processor_choice import CONTENDED_WAIT_FRACTION, external_wait_ns
 
-SAMPLE_INTERVAL_S = 0.5  # a thread that is ready to run for as long and does not run is starved
+SAMPLE_INTERVAL_S = 0.5  # a thread that is ready to run for this time but does not run is starved
 _NS_PER_S = 1_000_000_000
-_USER_AND_SYSTEM_TIME = slice(11, 13)  # fields of /proc/PID/stat behind the command's name
+_USER_AND_SYSTEM_TIME = slice(11, 13)  # fields of /proc/PID/stat after the command name
 _RUNNABLE = b"R"
 _READ_BYTES = 4096
 _CPUS_OPTION = b"--cpus"
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ThreadSample:
-    """One thread at one moment: whether it is ready to run, and its times since its start."""
+    """One thread at one moment: whether it is ready to run, and its run and wait time since its start."""
 
     is_runnable: bool
     run_ns: int
-    wait_ns: int = 0  # ready to run without a processor; a wait counts once it is over
+    wait_ns: int = 0  # ready to run but not running; a wait counts once it is over
 
 
 ThreadSamples = Mapping[int, ThreadSample]  # by thread id
@@ -40,12 +40,12 @@
     """One process at one moment."""
 
     threads: ThreadSamples
-    run_ns: int | None  # of all its threads, those that have ended too; None where the system does not tell
-    cpus: frozenset[int]  # that its threads keep to
+    run_ns: int | None  # of all its threads, ended ones included; None if not available
+    cpus: frozenset[int]  # CPU affinity of its threads
 
 
 def _read_file(path: str) -> bytes:
-    """Return a short file's content, with as few calls of the system as there can be."""
+    """Return a short file's content, with as few system calls as possible."""
     descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     try:
         return os.read(descriptor, _READ_BYTES)
@@ -54,7 +54,7 @@
 
 
 def read_thread(pid: int, thread: int) -> ThreadSample | None:
-    """Return a thread of a process; None where it has ended, or the system does not tell."""
+    """Return a sample of a thread; None if it has ended or its state is not available."""
     task = f"/proc/{pid}/task/{thread}"
     try:
         state = _read_file(f"{task}/stat").rpartition(b")")[2].split()[0]
@@ -65,7 +65,7 @@
 
 
 def read_threads(pid: int) -> dict[int, ThreadSample]:
-    """Return the threads of a process; none where it has ended, or the system does not tell."""
+    """Return samples of the threads of a process; none if it has ended or /proc is not available."""
     try:
         threads = [int(name) for name in os.listdir(f"/proc/{pid}/task")]
     except OSError:
@@ -75,9 +75,9 @@
 
 
 def read_run_ns(pid: int) -> int | None:
-    """Return the processor time of a process, that of threads that have ended too.
+    """Return the CPU time of a process, including its ended threads.
 
-    None where it has ended, or the system does not tell.
+    Returns None if the process has ended or its CPU time is not available.
     """
     try:
         fields = _read_file(f"/proc/{pid}/stat").rpartition(b")")[2].split()
@@ -88,7 +88,7 @@
 
 
 def read_cpu_affinity(pid: int) -> frozenset[int]:
-    """Return the processors of the thread that may run on the fewest; none where the process has ended."""
+    """Return the affinity of the thread that may run on the fewest CPUs; none if the process has ended."""
     cpus: set[int] = set()
     with contextlib.suppress(OSError):
         for name in os.listdir(f"/proc/{pid}/task"):
@@ -99,7 +99,7 @@
 
 
 def is_starved(before: ThreadSamples, after: ThreadSamples) -> bool:
-    """Return whether a thread was ready to run at both moments, and had no processor time between them."""
+    """Return whether a thread was ready to run in both samples and had no CPU time between them."""
     ready = {thread: sample for thread, sample in after.items() if sample.is_runnable and thread in before}
     return any(
         before[thread].is_runnable and before[thread].run_ns == sample.run_ns
@@ -108,9 +108,9 @@
 
 
 def is_contended(before: ProcessSample, after: ProcessSample, span_s: float) -> bool:
-    """Return whether a thread waited for other processes for a part of the span that counts.
+    """Return whether a thread waited for other processes for at least `CONTENDED_WAIT_FRACTION` of the span.
 
-    A span in which the process came to other processors tells nothing of those that it keeps to now.
+    A span in which the CPU affinity changed does not count: it does not show the load of the present CPUs.
     """
     if before.run_ns is None or after.run_ns is None or before.cpus != after.cpus:
         return False
@@ -119,9 +119,9 @@
 
 
 def allow_all_cpus(pid: int) -> bool:
-    """Let all threads of a process run wherever this process may; return whether that changes anything.
+    """Give all threads of a process the CPU affinity of this process; return whether any affinity changed.
 
-    A process whose command line names its processors keeps them.
+    A process whose command line names its CPUs is left alone.
     """
     cpus = os.sched_getaffinity(0)
     changed = False
@@ -139,7 +139,7 @@
 
 
 class StarvationMonitor:
-    """Looks at processes now and then; one thread uses it."""
+    """Samples processes at intervals and unpins starved ones. Used by one thread."""
 
     def __init__(
         self,
@@ -150,7 +150,7 @@
         read_run_ns: Callable[[int], int | None] = read_run_ns,
         read_affinity: Callable[[int], frozenset[int]] = read_cpu_affinity,
     ) -> None:
-        """``clock``: monotonic seconds; the other arguments stand for the system in tests."""
+        """Create a monitor with a monotonic clock in seconds; tests replace the other arguments."""
         self._clock = clock
         self._read = read
         self._release = release
@@ -158,10 +158,10 @@
         self._read_affinity = read_affinity
         self._sampled_s = clock()
         self._samples: dict[int, ProcessSample] = {}  # by process id
-        self._contended: set[int] = set()  # processes that waited for others in the last span
+        self._contended: set[int] = set()  # processes that were contended in the last span
 
     def check(self, pids: Iterable[int]) -> list[int]:
-        """Sample processes if it is time; return those that were starved and may run anywhere from now on."""
+        """Sample processes once the interval has passed; return the starved processes that were unpinned."""
         now_s = self._clock()
         span_s = now_s - self._sampled_s
         if span_s < SAMPLE_INTERVAL_S:
--- a/saffronstack/daemon/processor_times.py
+++ b/saffronstack/daemon/processor_times.py
@@ -1,4 +1,4 @@
-"""How long each processor had nothing to do, as the system counts it."""
+"""Reads the idle time of each CPU from the kernel."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from collections.abc import Collection
 
 PROC_STAT_PATH = "/proc/stat"
-_READ_BYTES = 256 * 1024  # the processors' lines are the first ones
-_IDLE_COLUMNS = slice(4, 6)  # idle, and idle while input or output is under way
+_READ_BYTES = 256 * 1024  # the lines of the CPUs come first
+_IDLE_COLUMNS = slice(4, 6)  # idle and iowait
 _NS_PER_S = 1_000_000_000
 
 
 class CpuIdleTimes:
-    """Reads them from a file that stays open: one call of the system for each look."""
+    """Reads idle times from a file that stays open, so that each read takes one system call."""
 
     def __init__(self, path: str = PROC_STAT_PATH) -> None:
-        """Open the file; where the system has none, nothing is told."""
+        """Open the file; without one, `read` returns nothing."""
         self._descriptor: int | None = None
         with contextlib.suppress(OSError):
             self._descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
 
     def read(self, cpus: Collection[int]) -> dict[int, int]:
-        """Return nanoseconds since the system's start by processor; empty where they can't be read."""
+        """Return the idle time of each CPU since the system's start, in ns; empty if it can't be read."""
         if self._descriptor is None:
             return {}
         try:
@@ -31,17 +31,17 @@
             return {}
 
     def close(self) -> None:
-        """Close the file; nothing is told from now on."""
+        """Close the file; `read` returns nothing from then on."""
         descriptor, self._descriptor = self._descriptor, None
         if descriptor is not None:
             os.close(descriptor)
 
 
 def parse_idle_ns(stat: bytes, cpus: Collection[int]) -> dict[int, int]:
-    """Return the idle time by processor from the text of /proc/stat.
+    """Return the idle time of each CPU from the text of /proc/stat.
 
     Raises:
-        ValueError: A line has another form.
+        ValueError: A line has an unexpected format.
     """
     tick_ns = _NS_PER_S // os.sysconf("SC_CLK_TCK")
     found = {}
--- a/saffronstack/engine/__init__.py
+++ b/saffronstack/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The engine between front ends and workers: one decision thread with one router, free of protocols."""
+"""The engine between front ends and workers: one decision thread with one router, without protocols."""
--- a/saffronstack/engine/action_executor.py
+++ b/saffronstack/engine/action_executor.py
@@ -42,7 +42,7 @@
             state: State of the decision thread.
             finisher: Gives final answers.
             notify: Queues a message to the decision thread.
-            log: Where the router's own lines go.
+            log: Receives the log lines of the router.
         """
         self._dispatcher = dispatcher
         self._state = state
@@ -53,7 +53,7 @@
     def execute(self, now: float, action: Action) -> None:
         """Carry out one action.
 
-        `WatchEndpoints` and `FetchEndpoints` need nothing: discovery always watches the endpoint list.
+        `WatchEndpoints` and `FetchEndpoints` do nothing: discovery always watches the endpoint list.
         """
         match action:
             case SendAttempt():
@@ -92,7 +92,7 @@
     def _load_function(self, action: LoadFunction) -> None:
         self._state.statistics.load_commands += 1
         function = self._state.functions.get(action.function_id)
-        if function is None:  # the router is owed a result
+        if function is None:  # the router expects a result for each command
             self._notify(CommandResult(action.worker_id, Result.ERROR, 0.0, action.function_id))
         else:
             self._dispatcher.load_function(action.worker_id, function, action.instances)
--- a/saffronstack/engine/call_finisher.py
+++ b/saffronstack/engine/call_finisher.py
@@ -1,4 +1,4 @@
-"""Final answers that the gateway itself gives: decided by the router, forced by a deadline or by shutdown."""
+"""Gives the final answers that the router decides on or that a deadline or a shutdown forces."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CallFinisher:
-    """Finishes open calls, on the decision thread. An answer that comes too late changes nothing."""
+    """Finishes open calls, on the decision thread. A final answer for a finished call is ignored."""
 
     def __init__(self, settings: Settings, open_calls: OpenCalls, statistics: EngineStatistics) -> None:
         self._settings = settings
@@ -21,7 +21,7 @@
         self._statistics = statistics
 
     def finish(self, call_number: int, status: FinalStatus, retry_after_s: float = 0.0) -> None:
-        """Give the answer that the router decided on."""
+        """Finish a call with the final answer that the router decided on."""
         open_call = self._open_calls.get(call_number)
         if open_call is None:
             return
@@ -39,7 +39,7 @@
         self._open_calls.remove_if_over(open_call)
 
     def finish_overdue(self, open_call: OpenCall) -> None:
-        """Answer a call that the router left without an answer, by the same rule as the router's."""
+        """Finish a call that the router did not finish in time, by the same rule as the router's."""
         call = open_call.call
         may_have_executed = open_call.possibly_executed_attempt() is not None
         class_settings = self._settings.classes[call.function.class_index]
@@ -47,7 +47,7 @@
         self.finish(call.number, FinalStatus.REJECTED if is_harmless else FinalStatus.FAILED)
 
     def finish_all_at_shutdown(self) -> None:
-        """Answer all open calls, promising that a call had no effect only where no attempt was sent."""
+        """Finish all open calls: rejected if no attempt may have executed, else failed."""
         for open_call in self._open_calls.remove_all():
             prior_attempt = open_call.possibly_executed_attempt()
             status = FinalStatus.REJECTED if prior_attempt is None else FinalStatus.FAILED
--- a/saffronstack/engine/calls.py
+++ b/saffronstack/engine/calls.py
@@ -18,7 +18,7 @@
         SERVED: A worker responded.
         REJECTED: The call had no effect, so a retry is harmless.
         FAILED: The call may or may not have been executed.
-        CLIENT_DISCONNECTED: The client has gone, so that nobody receives an answer.
+        CLIENT_DISCONNECTED: The client has disconnected, so that nobody receives an answer.
     """
 
     SERVED = "served"
@@ -34,14 +34,15 @@
     Attributes:
         status: How the call ended.
         payload: Body of the worker's response.
-        function_error: "Handled" or "Unhandled" where the function itself failed.
+        function_error: "Handled" or "Unhandled" if the function itself failed.
         log_tail: Last part of the function's log, in base64.
-        retry_after_s: How long the client should wait before a retry; 0 where nothing is advised.
+        retry_after_s: Time that the client should wait before a retry; 0 for no advice.
         reason: Why the call was not served.
         prior_attempt: The first attempt that may have executed.
         attempts: Number of attempts.
         worker: Name of the worker that served it.
-        attempt_in_flight_until_s: Where an attempt is still in flight, when it will have ended (monotonic).
+        attempt_in_flight_until_s: Monotonic time by which an attempt that is still in flight will have ended;
+            0 if none is.
     """
 
     status: FinalStatus
@@ -94,10 +95,10 @@
         request_id: Identifier that the client sees.
         function: The function to execute.
         payload: Body of the request.
-        deadline_s: When the gateway should answer (monotonic), ahead of the client's own time-out.
+        deadline_s: Monotonic time by which the gateway should answer, before the client's own timeout.
         tenant: Index of its tenant in the settings.
         tenant_name: Name of its tenant.
-        key: Idempotency key; the request id where the client sent none.
+        key: Idempotency key; the request id if the client sent none.
         client_context: Context that the client sent for the function.
         wants_log: Whether the client asked for the tail of the log.
         prior_attempt: Attempt of an earlier incarnation of the gateway, for a resumed deferred call.
--- a/saffronstack/engine/decision_loop.py
+++ b/saffronstack/engine/decision_loop.py
@@ -33,13 +33,13 @@
 from saffronstack.routing.settings import Settings
 from saffronstack.runtime.logs import Logger
 
-MAX_WAIT_S = 1.0  # the thread looks at its timers at least this often
+MAX_WAIT_S = 1.0  # the thread checks its timers at least this often
 
 
 class DecisionLoop:
     """Owns the router, the timers and the open calls.
 
-    Everything reaches the loop through one queue, so that events have one order, on a clock that never goes
+    All messages reach the loop through one queue, so that events have one order, on a clock that never goes
     back. The loop never waits for I/O. An exception ends neither the loop nor other calls.
     """
 
@@ -60,7 +60,7 @@
             clock: Monotonic clock, in seconds.
             deadline_grace_s: Time after a call's deadline when the loop answers it, if the router has not.
             recorder: Receives each decision.
-            log: Where log events go.
+            log: Receives log events.
         """
         self.messages: queue.SimpleQueue[EngineMessage] = queue.SimpleQueue()
         self.router = Router(settings, seed)
@@ -76,7 +76,7 @@
         self._executor: ActionExecutor | None = None
 
     def run(self, dispatcher: Dispatcher) -> None:
-        """Handle messages until `Shutdown`; then finish the calls that are left."""
+        """Handle messages until `Shutdown`; then finish the remaining calls."""
         self._executor = ActionExecutor(dispatcher, self.state, self._finisher, self.messages.put, self._log)
         try:
             while self._run_step():
@@ -103,7 +103,7 @@
         if due_s is not None and due_s <= self._now:
             try:
                 self._fire_timers()
-            except Exception:  # noqa: BLE001 - whatever a timer meets, all other calls depend on this thread
+            except Exception:  # noqa: BLE001 - all other calls depend on this thread
                 self._note_fault()
         if message is not None:
             try:
@@ -151,7 +151,7 @@
 
     def _handle_call(self, call: Call) -> None:
         self.state.statistics.calls += 1
-        if call.is_finished:  # its client has gone already, so it needs no decision
+        if call.is_finished:  # its client has disconnected already, so it needs no decision
             self._finisher.count(call)
             return
         function = call.function
@@ -224,7 +224,7 @@
         self.state.statistics.events += 1
         try:
             actions = self.router.handle(self._now, event)
-        except Exception:  # noqa: BLE001 - the calls that it concerns are answered at their deadlines; the others go on
+        except Exception:  # noqa: BLE001 - affected calls are answered at their deadlines; the others go on
             self.state.statistics.faults += 1
             self._log.exception("decision failed", kind=type(event).__name__)
             return
@@ -236,7 +236,7 @@
             executor.execute(self._now, action)
 
     def _enforce_deadline(self, call_number: CallNumber) -> None:
-        """Answer a call whose deadline has passed without an answer of the router."""
+        """Answer a call whose deadline has passed without a decision of the router."""
         open_call = self.state.open_calls.get(call_number)
         if open_call is None or open_call.call.is_finished:
             return
--- a/saffronstack/engine/decision_record_format.py
+++ b/saffronstack/engine/decision_record_format.py
@@ -1,7 +1,7 @@
 """Stored form of decision records: tags and keys of events, actions and settings.
 
-A record outlives the version that wrote it, so its tags and keys keep their first names whatever the types
-and fields are called in the code. A name that is not listed here is stored as it is in the code.
+A record may be read by a later version than the one that wrote it, so its tags and keys keep their original
+names when types and fields are renamed. A name that is not listed here is stored as it is in the code.
 """
 
 from __future__ import annotations
@@ -136,7 +136,7 @@
     },
 }
 
-# Fields that hold other stored types: one of them, or a sequence.
+# Fields that contain another stored type, or a sequence of it.
 _NESTED_TYPES: Mapping[type, Mapping[str, type]] = {
     events.EndpointUpdate: {"endpoints": events.WorkerEndpoint},
     events.Request: {"prior_attempt": events.PriorAttempt},
@@ -189,7 +189,7 @@
 
 
 def _rename_keys(raw: Any, kind: type) -> Any:
-    """Replace stored keys with the fields' names; anything that is no map is left to the validation."""
+    """Replace stored keys with the fields' names; validation rejects anything that is not a map."""
     if not isinstance(raw, dict):
         return raw
     renamed = {}
@@ -229,7 +229,7 @@
     """Convert a stored pair to an event.
 
     Raises:
-        KeyError, IndexError, TypeError, msgspec.ValidationError: It is no event of this version.
+        KeyError, IndexError, TypeError, msgspec.ValidationError: It is not an event of this version.
     """
     event: events.Event = from_stored(raw[1], _EVENTS_BY_TAG[raw[0]])
     return event
@@ -239,7 +239,7 @@
     """Convert a stored pair to an action.
 
     Raises:
-        KeyError, IndexError, TypeError, msgspec.ValidationError: It is no action of this version.
+        KeyError, IndexError, TypeError, msgspec.ValidationError: It is not an action of this version.
     """
     action: actions.Action = from_stored(raw[1], _ACTIONS_BY_TAG[raw[0]])
     return action
--- a/saffronstack/engine/decision_record_stream.py
+++ b/saffronstack/engine/decision_record_stream.py
@@ -1,8 +1,8 @@
-"""The file form of decision records: a zstandard stream of length-prefixed MessagePack values.
+"""The file format of decision records: a zstandard stream of length-prefixed MessagePack values.
 
-The first value is the head, with version, seed and settings. Each further value is one decision: the time,
-the event, and the actions that the router decided on. A record that was cut short, for instance by a kill, is
-valid up to where it was cut.
+The first value is the header, with version, seed and settings. Each further value is one decision: the time,
+the event, and the actions that the router decided on. A truncated record, for instance after a kill, is valid
+up to its last complete value.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class DecisionRecordError(ValueError):
-    """A record can't be read, or its replay differs; the text says where."""
+    """A record can't be read, or its replay differs; the message says where."""
 
 
 def frame_value(value: bytes) -> bytes:
-    """Return a value with its length before it."""
+    """Return a value prefixed with its length."""
     return _LENGTH.pack(len(value)) + value
 
 
@@ -37,7 +37,7 @@
         self._buffer = b""
 
     def read(self, size: int) -> bytes | None:
-        """Return the next bytes, or None where the stream ends before that many."""
+        """Return the next ``size`` bytes, or None if the stream ends before that."""
         while len(self._buffer) < size:
             try:
                 content = self._stream.read(_READ_BYTES)
@@ -53,7 +53,7 @@
 
 
 def read_values(file: BinaryIO) -> Iterator[bytes]:
-    """Yield the complete values of a record, up to its end or to where it was cut.
+    """Yield the complete values of a record, which may be truncated.
 
     Raises:
         DecisionRecordError: The file is not a record.
@@ -62,7 +62,9 @@
     while (prefix := reader.read(_LENGTH.size)) is not None:
         (length,) = _LENGTH.unpack(prefix)
         if length > MAX_VALUE_BYTES:
-            raise DecisionRecordError(f"a value of {length} bytes, {MAX_VALUE_BYTES} at most")
+            raise DecisionRecordError(
+                f"value length of {length} bytes exceeds the maximum of {MAX_VALUE_BYTES}"
+            )
         value = reader.read(length)
         if value is None:
             return
--- a/saffronstack/engine/decision_recorder.py
+++ b/saffronstack/engine/decision_recorder.py
@@ -17,15 +17,15 @@
 from saffronstack.routing.settings import Settings
 from saffronstack.runtime.threads import start_thread
 
-FLUSH_INTERVAL_S = 0.5  # a kill loses no more of the record than this
-MAX_QUEUED_VALUES = 200_000  # bounds the memory where the disk is too slow
+FLUSH_INTERVAL_S = 0.5  # a kill loses at most this much of the record
+MAX_QUEUED_VALUES = 200_000  # bounds the memory if the disk is too slow
 CLOSE_TIMEOUT_S = 5.0
 _COMPRESSION_LEVEL = 3
 log = structlog.get_logger("saffronstack.record")
 
 
 class DecisionRecorder:
-    """Writes a record; the decision thread only encodes and queues, the recorder's thread writes."""
+    """Writes a record: the decision thread encodes and queues values, the recorder's thread writes them."""
 
     def __init__(self, path: str, settings: Settings, seed: int) -> None:
         """Create the file and start the thread.
@@ -49,7 +49,7 @@
     def record(self, now: float, event: Event, actions: list[Action]) -> None:
         """Record one decision, on the decision thread.
 
-        A record with a gap could not be replayed. Where the disk is too slow the record ends instead.
+        A record with a gap could not be replayed, so the record ends if the disk is too slow.
         """
         if self._is_broken:
             return
--- a/saffronstack/engine/decision_replay.py
+++ b/saffronstack/engine/decision_replay.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayResult:
-    """How much of a record agreed with its replay: all of it."""
+    """Numbers of events and actions of a record whose replay agreed completely."""
 
     events: int
     actions: int
@@ -39,7 +39,7 @@
     """Replay a record and return how many events and actions agreed.
 
     Raises:
-        DecisionRecordError: The record can't be read, or a decision differs; the text names the entry, the
+        DecisionRecordError: The record can't be read, or a decision differs; the message names the entry, the
             event and both lists of actions.
         OSError: The file can't be read.
     """
@@ -64,14 +64,14 @@
 
 
 def _router_of(head: bytes) -> Router:
-    """Create the router that the record's head describes."""
+    """Create the router that the record's header describes."""
     try:
         fields = msgspec.msgpack.decode(head)
         if fields["version"] != VERSION:
-            raise DecisionRecordError(f"version {fields['version']}, not {VERSION}")
+            raise DecisionRecordError(f"record has version {fields['version']}, expected {VERSION}")
         return Router(from_stored(fields["settings"], Settings), int(fields["seed"]))
     except (KeyError, TypeError, msgspec.MsgspecError) as error:
-        raise DecisionRecordError(f"the record's head: {error}") from error
+        raise DecisionRecordError(f"invalid record header: {error}") from error
 
 
 def _parse_decision(value: bytes, number: int) -> _Decision:
--- a/saffronstack/engine/dispatch.py
+++ b/saffronstack/engine/dispatch.py
@@ -14,8 +14,8 @@
     """Response of a worker that served an attempt.
 
     Attributes:
-        payload: Its body.
-        function_error: "Handled" or "Unhandled" where the function itself failed.
+        payload: Body of the response.
+        function_error: "Handled" or "Unhandled" if the function itself failed.
         log_tail: Last part of the function's log, in base64.
     """
 
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, as the thread that served it saw it.
+    """Result of an attempt, from the thread that sent it.
 
     Attributes:
-        call: Its call.
+        call: Call of the attempt.
         outcome: The event for the router.
-        response: The worker's response, if it served the attempt.
-        reason: Why it did not.
+        response: Response of the worker, if it served the attempt.
+        reason: Why the worker did not serve the attempt.
         incarnation: Incarnation that the worker last reported.
-        memory_time_kib_us: Memory times time that the worker reports for the attempt, in KiB microseconds;
-            0 where it reports none.
+        memory_time_kib_us: Memory multiplied by time that the worker reports for the attempt, in KiB
+            microseconds; 0 if it reports none.
     """
 
     call: Call
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """How a health check or a load command ended.
+    """Result of a health check or a load command.
 
     Attributes:
         worker_id: Number of the worker.
-        result: Its result.
+        result: How it ended.
         elapsed_s: Time from its start to its end.
         function_id: Number of the function to load; None for a health check.
-        instances: Instances that the worker holds now.
+        instances: Instances that the worker has loaded now.
         load_report: Load of the worker, if reported.
     """
 
@@ -96,5 +96,5 @@
         ...
 
     def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
-        """Tell a worker to drop idle instances; nothing is notified."""
+        """Send a command to unload idle instances; the engine is not notified of a result."""
         ...
--- a/saffronstack/engine/engine.py
+++ b/saffronstack/engine/engine.py
@@ -29,7 +29,7 @@
 DEFAULT_DEADLINE_GRACE_S = 0.05
 DEFAULT_MAX_OPEN_CALLS = 20_000
 STOP_TIMEOUT_S = 5.0
-MAX_WORKERS_PER_UPDATE = 200  # a longer list is split, so that calls are decided between its parts
+MAX_WORKERS_PER_UPDATE = 200  # a longer update is split so that calls are handled between its parts
 
 
 class Engine:
@@ -54,7 +54,7 @@
             recorder: Receives each decision, on the decision thread.
             deadline_grace_s: Time after a call's deadline when the engine answers it, if the router has not.
             max_open_calls: Calls that may be open at one time.
-            log: Where log events go; None for standard error.
+            log: Receives log events; None for standard error.
         """
         self.settings = settings
         self.max_open_calls = max_open_calls
@@ -62,11 +62,11 @@
         self._loop = DecisionLoop(settings, seed, clock, deadline_grace_s, recorder, logger)
         self._messages = self._loop.messages
         self._call_numbers = count(1)
-        self._submit_lock = threading.Lock()  # no call is queued behind the message that ends the thread
+        self._submit_lock = threading.Lock()  # ensures that no call is queued behind the `Shutdown` message
         self._is_stopping = False
 
     def start(self, dispatcher: Dispatcher) -> None:
-        """Start the decision thread; ``dispatcher`` carries out what it decides."""
+        """Start the decision thread; ``dispatcher`` carries out its decisions."""
         start_thread("decisions", partial(self._loop.run, dispatcher))
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
@@ -90,7 +90,7 @@
         """Accept a call, which then gets exactly one final answer.
 
         Returns:
-            False if the call was not accepted, since too many are open or the engine is stopping.
+            False if the call was not accepted, because too many are open or the engine is stopping.
         """
         with self._submit_lock:
             if len(self._loop.state.open_calls) >= self.max_open_calls or self._is_stopping:
@@ -99,19 +99,19 @@
             return True
 
     def disconnect(self, call: Call) -> None:
-        """Finish a call whose client has gone."""
+        """Finish a call whose client has disconnected."""
         if call.finish(FinalAnswer(FinalStatus.CLIENT_DISCONNECTED)):
             self._messages.put(ClientDisconnected(call.number))
 
     def notify(self, message: WorkerMessage) -> None:
-        """Pass on what a worker's thread has seen."""
+        """Queue a message of a worker's thread for the decision thread."""
         self._messages.put(message)
 
     def inspect(self, inspect: Callable[[float, Router], None]) -> None:
-        """Have a function read the router's state between two events, on the decision thread.
+        """Call a function on the decision thread between two events, to read the router's state.
 
         Args:
-            inspect: Gets the time and the router; it must neither block nor change anything.
+            inspect: Receives the time and the router; it must neither block nor change anything.
         """
         self._messages.put(Inspection(inspect))
 
@@ -124,8 +124,8 @@
 
         Args:
             specs: Workers that are new or changed, draining ones first.
-            removed: Numbers of workers that have left.
-            unix_s: When this was known, in Unix seconds.
+            removed: Numbers of removed workers.
+            unix_s: Time of this state, in Unix seconds.
         """
         changed = tuple(specs)
         self._messages.put(EndpointChange(changed[:MAX_WORKERS_PER_UPDATE], tuple(removed), unix_s))
--- a/saffronstack/engine/engine_state.py
+++ b/saffronstack/engine/engine_state.py
@@ -1,4 +1,4 @@
-"""What the decision thread keeps beside the router."""
+"""State of the decision thread, apart from the router's."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from saffronstack.engine.timers import Timers
 from saffronstack.routing.events import TimerFired
 
-CallNumber = int  # a deadline's timer names its call, so that it does not keep the payload alive
+CallNumber = int  # a deadline timer has the number, not the call, so that it does not keep the payload alive
 
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """State that the parts of the decision thread share; only the decision thread changes it.
+    """State that the components of the decision thread share; only the decision thread changes it.
 
     Attributes:
         statistics: Counters, which any thread may read.
         open_calls: Calls between their arrival and the end of their last attempt.
-        functions: Functions that were called last.
+        functions: Recently called functions.
         timers: Timers of the router, and the deadlines of open calls.
     """
 
--- a/saffronstack/engine/engine_statistics.py
+++ b/saffronstack/engine/engine_statistics.py
@@ -18,7 +18,7 @@
         retries: Attempts after the first of a call.
         load_commands: Commands to load or unload a function.
         events: Events given to the router.
-        deadline_answers: Calls that the engine answered itself, since the router had not by the deadline.
+        deadline_answers: Calls that the engine finished because the router had not done so by the deadline.
         faults: Exceptions on the decision thread.
         final_answers: Calls by the value of their `FinalStatus`.
         attempt_results: Attempts by the value of their `Result`.
--- a/saffronstack/engine/identifiers.py
+++ b/saffronstack/engine/identifiers.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-LATEST = "$LATEST"  # the version of a function that is called where the client names none
+LATEST = "$LATEST"  # version of a function that is called if the client names none
 FUNCTION_NUMBER_BITS = 40
 
 
--- a/saffronstack/engine/messages.py
+++ b/saffronstack/engine/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the decision thread, and the interface of those that want to see its decisions."""
+"""Messages to the decision thread, and the interface for receivers of its decisions."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Inspection:
-    """A function that reads the router's state between two events; it gets the time and the router."""
+    """A function that reads the router's state between two events; it receives the time and the router."""
 
     inspect: Callable[[float, Router], None]
 
@@ -50,7 +50,7 @@
 
 
 class DecisionSink(Protocol):
-    """Receives each event and what was decided on it, in their order, on the decision thread."""
+    """Receives each event and the actions decided on it, in order, on the decision thread."""
 
     def record(self, now: float, event: Event, actions: list[Action]) -> None:
         """Receive one decision; this must not block."""
--- a/saffronstack/engine/open_calls.py
+++ b/saffronstack/engine/open_calls.py
@@ -19,7 +19,7 @@
         attempts_in_flight: Attempts without a result, by their index.
         attempts: Number of attempts so far.
         prior_attempt: The first attempt that has ended and may have executed.
-        router_knows_disconnect: Whether the router was notified that the client has gone.
+        router_knows_disconnect: Whether the router was notified that the client has disconnected.
     """
 
     call: Call
@@ -29,20 +29,20 @@
     router_knows_disconnect: bool = False
 
     def start_attempt(self, worker_id: int, now: float) -> int:
-        """Note an attempt that is sent now, and return its index."""
+        """Record an attempt that is sent now, and return its index."""
         attempt = self.attempts
         self.attempts += 1
         self.attempts_in_flight[attempt] = PriorAttempt(worker_id, now)
         return attempt
 
     def end_attempt(self, outcome: AttemptOutcome, now: float) -> None:
-        """Note the result of an attempt."""
+        """Record the result of an attempt."""
         ended = self.attempts_in_flight.pop(outcome.attempt, None)
         if self.prior_attempt is None and outcome.result not in NEVER_EXECUTED:
             self.prior_attempt = PriorAttempt(outcome.worker_id, now) if ended is None else ended
 
     def possibly_executed_attempt(self) -> PriorAttempt | None:
-        """Return the first attempt that may have executed; one in flight may have."""
+        """Return the first attempt that may have executed; an attempt in flight may have."""
         if self.prior_attempt is None and self.attempts_in_flight:
             return self.attempts_in_flight[min(self.attempts_in_flight)]
         return self.prior_attempt
@@ -51,8 +51,8 @@
     def is_over(self) -> bool:
         """Whether nothing more can happen to the call.
 
-        A call whose client has disconnected is over only when the router knows it: until then the router may
-        start further attempts, which the worker's thread withdraws before their first byte.
+        A call whose client has disconnected is over only when the router was notified. Until then the router
+        may start further attempts, which the worker's thread drops before it sends their first byte.
         """
         if self.attempts_in_flight or not self.call.is_finished:
             return False
@@ -65,7 +65,7 @@
 
 
 class OpenCalls:
-    """The open calls by number; changed by the decision thread alone, counted by any thread."""
+    """The open calls by number; only the decision thread changes them, any thread may count them."""
 
     def __init__(self) -> None:
         self._calls: dict[int, OpenCall] = {}
--- a/saffronstack/engine/recent_functions.py
+++ b/saffronstack/engine/recent_functions.py
@@ -1,14 +1,14 @@
-"""The functions that were called last, for load commands that name a function by its number."""
+"""Recently called functions, for load commands that name a function by its number."""
 
 from __future__ import annotations
 
 from saffronstack.engine.calls import FunctionSpec
 
-MAX_FUNCTIONS = 4096  # bounds the memory where clients call ever new functions
+MAX_FUNCTIONS = 4096  # bounds the memory if clients keep calling new functions
 
 
 class RecentFunctions:
-    """At most `MAX_FUNCTIONS` functions; the one that was called longest ago is forgotten first."""
+    """A least-recently-used cache of at most `MAX_FUNCTIONS` functions."""
 
     def __init__(self) -> None:
         self._functions: dict[int, FunctionSpec] = {}
@@ -17,7 +17,7 @@
         return len(self._functions)
 
     def add(self, function: FunctionSpec) -> None:
-        """Remember a function that is called now."""
+        """Add a function that is called now."""
         functions = self._functions
         functions.pop(function.number, None)
         functions[function.number] = function
--- a/saffronstack/engine/timers.py
+++ b/saffronstack/engine/timers.py
@@ -1,4 +1,4 @@
-"""Items with due times, in a heap that its owner's thread alone uses."""
+"""Items with due times, in a heap that only its owner's thread uses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Timers(Generic[Item]):
-    """Items in the order of their due times; items with the same time keep the order they were added in."""
+    """Items in the order of their due times; items with the same time keep their insertion order."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Item]] = []
@@ -21,14 +21,14 @@
         return len(self._heap)
 
     def add(self, due_s: float, item: Item) -> None:
-        """Add an item that is due at a time of the owner's clock."""
+        """Add an item that is due at a time on the owner's clock."""
         heapq.heappush(self._heap, (due_s, next(self._sequence), item))
 
     def next_due_s(self, is_pending: Callable[[Item], bool] | None = None) -> float | None:
-        """Return when the next item is due, or None.
+        """Return the time at which the next item is due, or None.
 
         Args:
-            is_pending: Whether an item still matters; items at the head that do not are dropped.
+            is_pending: Returns whether an item is still needed; items at the head that are not are dropped.
         """
         heap = self._heap
         if is_pending is not None:
--- a/saffronstack/engine/worker_registry.py
+++ b/saffronstack/engine/worker_registry.py
@@ -1,4 +1,4 @@
-"""The workers that discovery reported, with what they reported of themselves, as updates for the router."""
+"""Tracks the workers that discovery reports and their restarts; creates endpoint updates for the router."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from saffronstack.engine.dispatch import WorkerObservation
 from saffronstack.routing.events import EndpointUpdate, EndpointUpdateKind, WorkerEndpoint, WorkerState
 
-EARLIEST_START_S = 1e-6  # the router takes a start time of 0 for "long ago"
-RESTART_TOLERANCE_S = 0.5  # a later start time than the known one, by less than this, is no restart
+EARLIEST_START_S = 1e-6  # for the router a start time of 0 means "long ago"
+RESTART_TOLERANCE_S = 0.5  # a start time later than the known one by less than this is not a restart
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,10 +42,10 @@
 
 
 class WorkerRegistry:
-    """Known workers, on the decision thread. A worker that is removed and returns counts as started anew.
+    """Known workers, on the decision thread. A worker that is removed and added again counts as a new one.
 
     Attributes:
-        version: Number of the last update; each update has the next one.
+        version: Version of the last update; it increases by 1 with each update.
         specs: The workers as discovery last reported them, by number.
         endpoints: The same workers as the router knows them.
     """
@@ -83,7 +83,7 @@
             now: Time on the router's clock.
             unix_s: The same moment in Unix seconds.
             specs: Workers that are new or changed.
-            removed: Numbers of workers that have left.
+            removed: Numbers of removed workers.
         """
         self.version += 1
         changes = []
@@ -100,7 +100,7 @@
         return EndpointUpdate(EndpointUpdateKind.INCREMENTAL, tuple(changes), self.version)
 
     def observe_worker(self, now: float, observation: WorkerObservation) -> EndpointUpdate | None:
-        """Note the incarnation that a worker reported; return an update if the worker has restarted."""
+        """Record the incarnation that a worker reported; return an update if the worker has restarted."""
         number = observation.worker_id
         endpoint = self.endpoints.get(number)
         if endpoint is None or self._incarnations.get(number) == observation.incarnation:
@@ -108,8 +108,8 @@
         is_first = number not in self._incarnations
         self._incarnations[number] = observation.incarnation
         started_s = max(EARLIEST_START_S, now - observation.uptime_s)
-        # The first incarnation that is observed does not mean a restart: start times come with the endpoint
-        # list. A gateway that starts beside a young fleet would otherwise hold back most calls
+        # The first observed incarnation is not a restart, since start times come with the endpoint list.
+        # Otherwise a gateway that starts soon after its workers would delay most calls
         # (docs/gateway-design.md).
         if is_first or started_s <= endpoint.started_s + RESTART_TOLERANCE_S:
             return None
@@ -120,7 +120,7 @@
     def _endpoint(self, now: float, unix_s: float, spec: WorkerSpec) -> WorkerEndpoint:
         started_s = _start_on_router_clock(now, unix_s, spec.started_at)
         known = self.endpoints.get(spec.number)
-        if known is not None:  # the worker itself may have reported a later start than the list
+        if known is not None:  # the worker itself may have reported a later start time than the endpoint list
             started_s = max(started_s, known.started_s)
             previous = self.specs.get(spec.number)
             if previous is not None and previous.started_at == spec.started_at:
@@ -130,7 +130,7 @@
 
 
 def _start_on_router_clock(now: float, unix_s: float, started_at: float) -> float:
-    """Convert a start in Unix seconds; one in the future becomes the present."""
+    """Convert a start time in Unix seconds to the router's clock; a future time becomes the present."""
     if not started_at:
         return 0.0
     age_s = max(0.0, unix_s - started_at)
--- a/saffronstack/fleet/rollout/canary_analysis.py
+++ b/saffronstack/fleet/rollout/canary_analysis.py
@@ -1,8 +1,8 @@
-"""Are the canaries worse than the baseline beside them? No I/O.
+"""Decides whether the canaries are worse than the baseline. No I/O.
 
-A bake is analyzed many times: each analysis spends a part of the probability of a false stop that the stage
-has (alpha spending by Lan and DeMets 1983, the power family), shared among all measures that are compared
-(Bonferroni), so that the sum holds however the analyses depend on each other.
+A bake is analyzed many times. Each analysis spends a part of the stage's probability of a false stop (alpha
+spending by Lan and DeMets 1983, power family). This part is divided among all measures that are compared
+(Bonferroni), so that the total holds however the analyses depend on each other.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
     Verdict,
 )
 
-ALPHA_SPENDING_POWER = 2.0  # early analyses rest on little data: alpha is spent with the square of the time
-GATEWAY_FAILURES = ("failed", "refused", "unknown")  # outcomes that are not the fault of the called function
+ALPHA_SPENDING_POWER = 2.0  # alpha is spent with the square of the time, as early analyses have little data
+GATEWAY_FAILURES = ("failed", "refused", "unknown")  # outcomes that the called function does not cause
 MAX_NAMES_SHOWN = 5
 
 
@@ -29,10 +29,10 @@
     """Compare canaries and baseline during a bake.
 
     Args:
-        limits: Of the stage.
-        samples: All gateways since the bake began.
-        progress: The part of the bake that is over; 1 at its end.
-        alpha_spent: By the analyses before.
+        limits: Limits of the stage.
+        samples: Samples of all gateways since the bake began.
+        progress: Fraction of the bake time that has passed; 1 at its end.
+        alpha_spent: Alpha that the previous analyses have spent.
     """
     reasons = _immediate_failures(limits, samples)
     if reasons:
@@ -53,7 +53,7 @@
 
 
 def _immediate_failures(limits: AnalysisLimits, samples: Sequence[GatewaySample]) -> tuple[str, ...]:
-    """Return violations and restarts of canaries that need no statistics: the baseline has none."""
+    """Return violations and restarts that fail the stage without statistics: only canaries have them."""
     canaries = [sample for sample in samples if sample.is_canary]
     baseline = [sample for sample in samples if not sample.is_canary]
     violations = [f"{one.gateway}: {one.violations} rules broken" for one in canaries if one.violations]
@@ -71,9 +71,9 @@
     difference = comparison.canary - comparison.baseline
     kind = comparison.measure.partition("/")[0]
     is_significant = comparison.p_value < alpha and difference >= limits.min_differences.get(kind, 0.0)
-    # Few gateways never show how much gateways differ, and a release that fails every tenth call must not
-    # wait for them: no significance by gateways is claimed here, but a difference that no fleet shows by
-    # itself.
+    # A few gateways can't show how much gateways differ anyway, but a release that fails every tenth call
+    # must be stopped all the same. So a gross difference needs no significance by gateways: gateways of one
+    # release do not differ that much.
     is_gross = (
         kind in GATEWAY_FAILURES
         and comparison.p_value_by_calls < alpha
@@ -83,7 +83,7 @@
 
 
 def _data_gaps(limits: AnalysisLimits, samples: Sequence[GatewaySample]) -> list[str]:
-    """Return what is missing for a success: no data is no good data."""
+    """Return the reasons why the data does not suffice for a success."""
     canaries = [sample for sample in samples if sample.is_canary]
     baseline = [sample for sample in samples if not sample.is_canary]
     unreachable = [sample.gateway for sample in canaries if sample.is_unreachable]
@@ -106,7 +106,7 @@
 
 
 def compare_samples(samples: Sequence[GatewaySample]) -> list[Comparison]:
-    """Compare each measure for which some zone has both canaries and a baseline."""
+    """Compare each measure for which a zone has both canaries and a baseline."""
     reporting = [sample for sample in samples if not sample.is_unreachable]
     comparisons = [
         statistics.compare_ratios(
--- a/saffronstack/fleet/rollout/canary_sampler.py
+++ b/saffronstack/fleet/rollout/canary_sampler.py
@@ -1,4 +1,4 @@
-"""Turns what daemons report of gateways into the samples of a canary analysis. No I/O."""
+"""Creates the samples of a canary analysis from the daemons' reports of gateways. No I/O."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from saffronstack.fleet.rollout.metrics_snapshot import MetricsSnapshot, is_fresh, take_snapshot
 from saffronstack.fleet.rollout.plan import FleetGateway
 
-IN_TIME_FRACTION = 0.95  # of the baseline's calls; a call that takes longer than these is late
-FAILURES = ("function_error", "refused", "failed", "unknown")  # names of outcomes on gateways' pages
+IN_TIME_FRACTION = 0.95  # quantile of the baseline's latencies above which a call is late
+FAILURES = ("function_error", "refused", "failed", "unknown")  # names of outcomes in the gateways' metrics
 
 
 @dataclass(frozen=True, slots=True)
 class _MeasuredGateway:
-    """A gateway whose metrics are known at both ends."""
+    """A gateway whose metrics are known from the start of the bake and from now."""
 
     gateway: FleetGateway
     status: GatewayStatus
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class CanarySampler:
-    """Remembers each gateway's metrics at the start of a bake; times in seconds of one clock."""
+    """Stores each gateway's metrics at the start of a bake; times in seconds of one clock."""
 
     fleet: Sequence[FleetGateway]
     _started: dict[str, MetricsSnapshot] = field(default_factory=dict)
@@ -42,14 +42,14 @@
         }  # fmt: skip
 
     def covered_s(self, statuses: Mapping[str, GatewayStatus], polled_s: float) -> float:
-        """Return how much of the bake the oldest of the metrics cover.
+        """Return the part of the bake time that the oldest fresh metrics cover.
 
         Args:
-            statuses: The gateways.
-            polled_s: No later than when daemons reported them.
+            statuses: Reported state of each gateway.
+            polled_s: A time no later than the daemons' reports.
 
         Returns:
-            Seconds; infinity where no gateway has fresh metrics: those are not waited for.
+            Seconds; infinity if no gateway has fresh metrics, since the analysis does not wait for them.
         """
         ages_s = [
             status.metrics.age_s for status in statuses.values()
@@ -58,7 +58,7 @@
         return max(0.0, polled_s - max(ages_s) - self._started_s) if ages_s else math.inf
 
     def samples(self, statuses: Mapping[str, GatewayStatus], new_digest: str) -> list[GatewaySample]:
-        """Return what the analysis compares; canaries are the gateways that are to run ``new_digest``."""
+        """Return the samples to compare; canaries are gateways whose desired release is ``new_digest``."""
         unreachable: list[GatewaySample] = []
         measured: list[_MeasuredGateway] = []
         for gateway in self.fleet:
@@ -76,7 +76,7 @@
         snapshot = take_snapshot(status) if status is not None else None
         if snapshot is None:
             return None
-        if name not in self._started:  # it could not be polled when the bake began: it counts from now on
+        if name not in self._started:  # not polled when the bake began, so it is measured from now on
             self._started[name] = snapshot
             return None
         return snapshot.since(self._started[name])
@@ -84,7 +84,7 @@
     def _unreachable_sample(
         self, gateway: FleetGateway, status: GatewayStatus | None, new_digest: str
     ) -> GatewaySample:
-        """Which side a gateway without metrics is on is known by its desired release, where that is known."""
+        """Return the sample of a gateway without metrics; its desired release, if known, shows its side."""
         return GatewaySample(
             gateway=gateway.name,
             zone=gateway.zone,
@@ -114,8 +114,9 @@
 
 
 def _failure_ratios(since_start: MetricsSnapshot, late_bounds: Mapping[str, int]) -> dict[str, FailureRatio]:
-    """Return failures and late calls by class, and failures of all classes: a little harm in each of them
-    shows in the sum first.
+    """Return the failures and late calls of each class, and the failures of all classes together.
+
+    A small increase in each class is significant in the total first.
     """
     ratios: dict[str, FailureRatio] = {}
     all_outcomes: Counter[str] = Counter()
@@ -134,7 +135,7 @@
 
 
 def _late_bounds(baseline: Iterable[MetricsSnapshot]) -> dict[str, int]:
-    """Return for each class the latency within which most of the baseline's calls were answered."""
+    """Return for each class the latency that `IN_TIME_FRACTION` of the baseline's calls did not exceed."""
     merged: dict[str, Counter[int]] = {}
     for snapshot in baseline:
         for call_class, latencies in snapshot.latencies_by_class.items():
--- a/saffronstack/fleet/rollout/canary_statistics.py
+++ b/saffronstack/fleet/rollout/canary_statistics.py
@@ -1,8 +1,9 @@
 """Significance tests of canaries against the baseline of their zones. No I/O.
 
-Gateways are the unit, not calls: calls of one gateway are alike, so their counts scatter more than coins do.
-How much more is estimated from the gateways themselves (quasi-binomial dispersion, as in Wedderburn 1974),
-zone by zone, so that what harms a zone harms both sides of the comparison.
+The statistical unit is the gateway, not the call: calls of one gateway are correlated, so failure counts vary
+more than a binomial distribution allows. The additional variance is estimated from the gateways themselves
+(quasi-binomial dispersion, as in Wedderburn 1974). All comparisons are made within zones, so that a fault of
+a zone affects both sides.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 
 from saffronstack.fleet.rollout.canary_types import Comparison, FailureRatio
 
-MIN_DEGREES_OF_FREEDOM = 2  # gateways beyond one a side and zone, to estimate how much gateways differ
+# Minimum gateways beyond one for each side and zone, needed to estimate how much gateways differ.
+MIN_DEGREES_OF_FREEDOM = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventRow:
-    """How often something happened to one gateway."""
+    """One gateway's number of events."""
 
     is_canary: bool
     count: int
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _WeightedDifference:
-    """Canaries less baseline, summed over zones by weight, with the sum's variance."""
+    """Weighted sum over zones of canary minus baseline, with its variance."""
 
     difference: float
     variance: float
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Dispersion:
-    """How much more gateways scatter than independent calls would."""
+    """Overdispersion: how much more gateways vary than independent calls would."""
 
     scatter: float
     degrees_of_freedom: int
@@ -75,15 +77,16 @@
 
 
 def compare_ratios(measure: str, rows: Sequence[RatioRow]) -> Comparison | None:
-    """Compare rates, zone by zone; None where no zone has both sides, or nothing failed.
+    """Compare failure rates within zones; None if no zone has both sides or no call failed.
 
-    The p-value is the greatest of three tests: of the scattered gateways (t), of their rates' angles (t), and
-    of single calls (hypergeometric), which alone is right where few calls failed.
+    The p-value is the largest of three tests: a t test of the gateways' rates with their dispersion, a t test
+    of the rates' angles, and a hypergeometric test of single calls. Only the last one is right if few calls
+    failed.
     """
     zones = _zones_with_both_sides(_ZoneSide(row.zone, row.is_canary) for row in rows)
     rows = [row for row in rows if row.zone in zones]
-    # Where nothing failed on either side there is nothing to compare, and no alpha is spent on it: given how
-    # much failed together, on which side it did is what is tested.
+    # The tests are conditional on the total number of failures: they ask on which side the failures occurred.
+    # Without failures there is nothing to compare, and no alpha is spent.
     if not any(row.ratio.failures for row in rows):
         return None
     sides: dict[_ZoneSide, list[FailureRatio]] = defaultdict(list)
@@ -147,7 +150,7 @@
 
 
 def _angle_p_value(measure: str, rows: Sequence[RatioRow]) -> float:
-    """Compare the angles of rates (Anscombe): rates are skewed, which makes far tails of t too small."""
+    """Compare the angles of rates (Anscombe): rates are skewed, which makes the far tails of t too small."""
     angles = [
         GaugeRow(
             row.zone, row.is_canary,
@@ -156,14 +159,14 @@
         for row in rows
     ]  # fmt: skip
     comparison = compare_gauges(measure, angles)
-    assert comparison is not None  # the rows are of zones with both sides
+    assert comparison is not None  # all rows are of zones with both sides
     return comparison.p_value
 
 
 def compare_gauges(measure: str, rows: Sequence[GaugeRow]) -> Comparison | None:
-    """Compare means, zone by zone, with one variance of all gateways about the mean of their cell.
+    """Compare means within zones, with one pooled variance of all gateways about the mean of their side.
 
-    Returns None where no zone has both sides.
+    Returns None if no zone has both sides.
     """
     zones = _zones_with_both_sides(_ZoneSide(row.zone, row.is_canary) for row in rows)
     sides: dict[_ZoneSide, list[float]] = defaultdict(list)
@@ -190,7 +193,7 @@
 def _gauge_difference(
     zones: Iterable[str], sides: Mapping[_ZoneSide, Sequence[float]], means: Mapping[_ZoneSide, float]
 ) -> _WeightedDifference:
-    """Return the difference of means; its variance is that for values of variance 1."""
+    """Return the difference of means, with its variance for values of variance 1."""
     difference = variance = weights = canary_mean = baseline_mean = 0.0
     for zone in zones:
         canary, baseline = _ZoneSide(zone, True), _ZoneSide(zone, False)
@@ -205,13 +208,13 @@
 
 
 def _count_assignments(zones: Iterable[str], sides: Mapping[_ZoneSide, Sequence[float]]) -> int:
-    """Return in how many ways the canaries of each zone could be chosen: a permutation test's cases."""
+    """Return the number of ways to choose the canaries of all zones: the cases of a permutation test."""
     sizes = [(len(sides[_ZoneSide(zone, True)]), len(sides[_ZoneSide(zone, False)])) for zone in zones]
     return math.prod(math.comb(canary + baseline, canary) for canary, baseline in sizes)
 
 
 def compare_event_counts(measure: str, rows: Sequence[EventRow]) -> Comparison | None:
-    """Test how likely so many single events fall on the canaries' part of the gateways."""
+    """Test how likely so many events would fall on the canaries by chance (binomial)."""
     events = _EventTotals.from_rows(rows)
     if not events.is_comparable:
         return None
@@ -220,7 +223,7 @@
 
 
 def compare_affected_gateways(measure: str, rows: Sequence[EventRow]) -> Comparison | None:
-    """Test how likely so many of the affected gateways, each with a count of 1, are canaries."""
+    """Test how likely so many affected gateways, each with a count of 1, would be canaries by chance."""
     events = _EventTotals.from_rows(rows)
     if not events.is_comparable:
         return None
--- a/saffronstack/fleet/rollout/canary_types.py
+++ b/saffronstack/fleet/rollout/canary_types.py
@@ -1,6 +1,6 @@
-"""The inputs and the result of a canary analysis, without the statistics behind it.
+"""Inputs and result of a canary analysis.
 
-Gateways that run the new release are canaries; the others, beside them, are the baseline.
+Gateways that run the new release are canaries; the other gateways are the baseline.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 
 class Verdict(Enum):
-    """The outcome of an analysis; the values stand in logs."""
+    """The outcome of an analysis; the values appear in logs."""
 
-    SUCCESSFUL = "good"  # the bake is over, and nothing is worse
+    SUCCESSFUL = "good"  # the bake is over, and no measure is worse
     RUNNING = "wait"  # the bake goes on
     FAILED = "bad"  # the canaries are worse
-    INCONCLUSIVE = "doubt"  # the bake is over, and there is too little data
+    INCONCLUSIVE = "doubt"  # the bake is over, but there is too little data
 
 
 @dataclass(frozen=True, slots=True)
 class FailureRatio:
-    """So many failures of so many calls; also of calls that were late, rejected, ..."""
+    """Number of failures among a number of calls; a failure may also be a late or rejected call."""
 
     failures: int
     total: int
@@ -28,17 +28,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySample:
-    """One gateway since the bake began.
+    """Measurements of one gateway since the bake began.
 
     Attributes:
         gateway: Its name.
         zone: Its zone; canaries are compared with the baseline of their zone.
         is_canary: Whether it runs the new release.
-        ratios: By measure and class, as in "failed/sale".
-        gauges: By measure, where more is worse, as in "memory_mb".
-        restarts: Unplanned ends of its processes.
-        violations: Of the gateway's invariants.
-        is_silent: It could not be polled, and has neither ratios nor gauges.
+        ratios: Failure ratios by measure and class, such as "failed/sale".
+        gauges: Values by measure, such as "memory_mb"; higher is worse.
+        restarts: Number of unplanned exits of its processes.
+        violations: Number of violations of the gateway's invariants.
+        is_unreachable: Whether it could not be polled, so that it has neither ratios nor gauges.
     """
 
     gateway: str
@@ -53,16 +53,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AnalysisLimits:
-    """The limits of a stage.
+    """Limits of a stage.
 
     Attributes:
-        false_stop_probability: That a stage without harm is stopped.
-        min_calls: Of the canaries; with fewer the stage is inconclusive.
-        max_silent_share: Of the canaries; with more silent ones the stage is inconclusive.
-        max_restarts: Unplanned ones of canaries, where the baseline has none; with more the stage fails.
-        gross_failure_increase: So much more of a class's calls failing is harm, on however few gateways.
-        min_differences: Smaller differences stop nothing, whatever their significance; by measure, the part
-            of its name before a slash.
+        false_stop_probability: Probability that a stage is stopped though the new release is no worse.
+        min_calls: Minimum calls of the canaries; with fewer the stage is inconclusive.
+        max_unreachable_fraction: Maximum fraction of unreachable canaries; with more the stage is
+            inconclusive.
+        max_restarts: Maximum of unplanned restarts of canaries, if the baseline has none; with more the stage
+            fails.
+        gross_failure_increase: Increase of a class's failure ratio that fails the stage even if there are few
+            gateways.
+        min_differences: Minimum difference that can fail the stage, by the part of the measure's name before
+            the slash.
     """
 
     false_stop_probability: float = 0.01
@@ -75,14 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One measure of canaries beside that of the baseline.
+    """Comparison of one measure between canaries and baseline.
 
     Attributes:
-        measure: Its name.
-        canary: Its mean over the canaries, by zones.
-        baseline: The same over the baseline.
-        p_value: The probability of so great a difference where the sides do not differ.
-        p_value_by_calls: The same if calls of one gateway were independent: mostly too small.
+        measure: Name of the measure.
+        canary: Mean over the canaries, weighted by zone.
+        baseline: Mean over the baseline, weighted by zone.
+        p_value: Probability of a difference at least this large if the sides do not differ.
+        p_value_by_calls: The same under the assumption that the calls of one gateway are independent, which
+            mostly makes it too small.
     """
 
     measure: str
@@ -92,7 +96,7 @@
     p_value_by_calls: float = 1.0
 
     def describe(self) -> str:
-        """Return a line for operators."""
+        """Return a description for operators."""
         return (
             f"{self.measure}: new {self.canary:.4g}, old {self.baseline:.4g} (by chance {self.p_value:.2g})"
         )  # fmt: skip
@@ -100,12 +104,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnalysisResult:
-    """What one analysis came to.
+    """Result of one analysis.
 
     Attributes:
         verdict: Its outcome.
-        alpha_spent: Of the stage's probability of a false stop, by this and all analyses before.
-        reasons: For the verdict, a line each.
+        alpha_spent: Part of the stage's false stop probability spent by this and all previous analyses.
+        reasons: Reasons for the verdict, one line each.
         comparisons: All measures that were compared.
     """
 
--- a/saffronstack/fleet/rollout/controller.py
+++ b/saffronstack/fleet/rollout/controller.py
@@ -1,10 +1,12 @@
-"""Leads one rollout from its record and the daemons' reports. No I/O.
+"""Decides the steps of one rollout from its record and the daemons' reports. No I/O.
 
-Everything is derived from the record (plan, stage, phase) and the last report of each daemon: the next leader
-goes on where the last one was, and a step that was done is not done again. Three rules carry the rest: a
-decision is in the lease's store before any command follows from it; a command goes only to a daemon that has
-accepted this leader's fencing token, so that no older command can take effect after it; a gateway that can't
-be observed counts as unavailable.
+All state is derived from the record (plan, stage, phase) and the last report of each daemon, so a new leader
+continues where the previous one stopped and repeats no completed step. Three rules hold:
+
+- A decision is stored with the lease before any command follows from it.
+- A command goes only to a daemon that has accepted this leader's fencing token, so that no older command can
+  take effect after it.
+- A gateway that can't be observed counts as unavailable.
 """
 
 from __future__ import annotations
@@ -29,11 +31,11 @@
 from saffronstack.fleet.rollout.plan import RolloutFleet
 from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord
 
-STALL_TIMEOUT_S = 60.0  # without any progress of a step, the rollout is inconclusive
+STALL_TIMEOUT_S = 60.0  # time without progress of a step after which the rollout is inconclusive
 
 
 class RolloutController:
-    """One leader's view of one rollout."""
+    """Decides the actions of one leader for one rollout."""
 
     def __init__(
         self,
@@ -42,7 +44,7 @@
         now_s: float,
         stall_timeout_s: float = STALL_TIMEOUT_S,
     ) -> None:
-        """Go on from a record that was read from the lease's store under this leader's token."""
+        """Continue from a record that was read from the lease servers with this leader's fencing token."""
         self.record = record
         self.view = FleetView(fleet)
         self.scheduler = CommandScheduler(fleet, record, self.view)
@@ -52,7 +54,7 @@
         self._progressed_s = now_s
 
     def handle(self, now_s: float, event: Event) -> Sequence[Action]:
-        """Return what to do about an event."""
+        """Return the actions for an event."""
         match event:
             case DaemonReported():
                 if self.view.update(event):
@@ -71,11 +73,11 @@
                 return self._on_analyzed(event)
 
     def targets(self) -> dict[str, str]:
-        """Return the release that each gateway is to run by the record, in the order of change."""
+        """Return the desired release of each gateway by the record, in the order of change."""
         return self.scheduler.targets(self.record)
 
     def describe_pending(self) -> str:
-        """Say what keeps the present step from its end; empty for nothing."""
+        """Describe what the current step waits for; empty if it waits for nothing."""
         return self.view.describe_unsettled(self.targets())
 
     def _on_stored(self, now_s: float, event: RecordStored) -> Sequence[Action]:
@@ -83,7 +85,9 @@
             return []
         self._storing = None
         if not event.is_confirmed:
-            return [self._store(event.record)]  # it may be stored or not: it must be, before anything else
+            return [
+                self._store(event.record)
+            ]  # it may or may not be stored, and must be before any other action
         if (event.record.phase, event.record.stage) != (self.record.phase, self.record.stage):
             self.bake.reset()
         self.record = event.record
@@ -94,7 +98,7 @@
         record = self.record
         is_known = request.number <= record.last_request
         if is_known or self._storing is not None or record.is_finished:
-            return []  # a request that comes too early is read again with the next poll
+            return []  # the next poll reads a request again that comes too early
         return [self._store(record_updates.apply_request(record, request.action, request.number))]
 
     def _on_analyzed(self, event: AnalysisCompleted) -> Sequence[Action]:
@@ -107,7 +111,7 @@
         return [] if changed is record else [self._store(changed)]
 
     def _advance(self, now_s: float) -> Sequence[Action]:
-        """Compare what is observed with the record, and take the next step."""
+        """Compare the observed state with the record, and return the next actions."""
         record = self.record
         if self._storing is not None or record.is_finished:
             return []
--- a/saffronstack/operations/decisions.py
+++ b/saffronstack/operations/decisions.py
@@ -1,4 +1,4 @@
-"""What to do with a request of an operation."""
+"""The decisions on a request of an operation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execute:
-    """Execute the operation: the request is its first, or its next attempt."""
+    """Execute the operation: the request is its first one or a retry."""
 
     operation: InFlightOperation
 
@@ -23,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """Give the remembered response, or say that the outcome is unknown."""
+    """Return the stored response, or report that the outcome is unknown."""
 
     record: OperationRecord
 
 
 @dataclass(frozen=True, slots=True)
 class FingerprintMismatch:
-    """Reject the request: its key belongs to a request with another payload."""
+    """Reject the request: its idempotency key belongs to a request with another payload."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject the request: there is no memory to remember its operation."""
+    """Reject the request: there is no memory to store its operation."""
 
     retry_after_s: float
 
--- a/saffronstack/platform/client_admission.py
+++ b/saffronstack/platform/client_admission.py
@@ -1,4 +1,8 @@
-"""Whether a client that waits to be accepted is, and which connection makes room for it. No I/O, no clock."""
+"""Decides whether to accept a waiting client and which connection to evict for it. No I/O, no clock.
+
+At the connection limit a new client is accepted if an idle connection can be evicted. Otherwise it waits in
+the listener's accept queue, or it is accepted as an over-limit connection, whose calls are rejected at once.
+"""
 
 from __future__ import annotations
 
@@ -8,24 +12,34 @@
 from saffronstack.platform.eviction import EvictionOrder, FindClosed
 from saffronstack.platform.idle_order import ClientConnectionView
 
-OVERDUE_WAIT_S = 0.1  # small beside the shortest deadlines of a third of a second
-MAX_QUEUE_WAIT_S = 0.2  # of those behind, who are owed an answer from then on as well
-OVER_LIMIT_LINGER_S = 0.05  # of a connection beyond the number, for its client to read the answer
-MIN_RECHECK_S = 0.005  # between two looks for room
+# Seconds that a client waits in the accept queue before it is overdue; the shortest deadlines are 0.33 s.
+OVERDUE_WAIT_S = 0.1
+# Accept queue wait in seconds from which on over-limit connections are evicted without a linger time: the
+# clients behind the first one need an answer before their deadlines too.
+MAX_QUEUE_WAIT_S = 0.2
+# Seconds that an over-limit connection stays open so that its client can read the rejection.
+OVER_LIMIT_LINGER_S = 0.05
+MIN_RECHECK_S = 0.005  # bounds of the time between two checks for capacity
 MAX_RECHECK_S = 0.05
 
 
 class AdmissionOutcome(Enum):
-    """What is done about a newcomer."""
+    """What happens to a client that waits to be accepted."""
 
-    ACCEPT = auto()  # as one of the usual connections
-    ACCEPT_OVER_LIMIT = auto()  # as one beyond their number, whose calls are refused at once
-    WAIT = auto()  # it stays in the listener's queue
+    ACCEPT = auto()  # as a regular connection
+    ACCEPT_OVER_LIMIT = auto()  # as an over-limit connection, whose calls are rejected at once
+    WAIT = auto()  # it stays in the accept queue
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """A verdict; which connection is to be closed first; and when to look again for a newcomer that waits."""
+    """What to do about a waiting client.
+
+    Attributes:
+        outcome: What happens to the client.
+        victim: Connection to close first.
+        recheck_s: Time of the next check for capacity, if the client waits.
+    """
 
     outcome: AdmissionOutcome
     victim: ClientConnectionView | None = None
@@ -33,53 +47,55 @@
 
 
 class ClientAdmission:
-    """Keeps count of all connections, by whether they are beyond the number."""
+    """Tracks all client connections: regular ones and over-limit ones."""
 
     def __init__(self, silent_reserve: int, max_over_limit: int, find_closed: FindClosed = list) -> None:
-        """Create it without connections.
+        """Create an admission without connections.
 
         Args:
-            silent_reserve: How many connections accepted just now may stay silent, where there is no room.
-            max_over_limit: How many of those beyond the number of connections.
-            find_closed: Finds those that may have been ended by their clients, cheaply.
+            silent_reserve: Recent connections that may be silent (no data received yet) at the limit.
+            max_over_limit: The same for over-limit connections.
+            find_closed: Finds at low cost the connections that their clients may have closed.
         """
         self._regular = EvictionOrder(silent_reserve, find_closed)
         self._over_limit = EvictionOrder(max_over_limit, find_closed)
-        self._waiting_since_s: float | None = None  # when there was first no room for one that waits
-        self._queue_wait_s = 0.0  # of the newcomer that was accepted last
+        self._waiting_since_s: float | None = None  # when a waiting client was first not accepted
+        self._queue_wait_s = 0.0  # of the client that was accepted last
 
     def add(self, connection: ClientConnectionView) -> None:
-        """It was accepted."""
+        """Track a connection that was accepted."""
         self._order_of(connection).add(connection)
 
     def touch(self, connection: ClientConnectionView) -> None:
-        """Something of it was read."""
+        """Note that data was read from a connection."""
         self._order_of(connection).touch(connection)
 
     def remove(self, connection: ClientConnectionView) -> None:
-        """It was closed."""
+        """Forget a connection that was closed."""
         self._order_of(connection).remove(connection)
 
     def note_accept_queue_empty(self) -> None:
-        """The listener's queue is empty."""
+        """Note that the accept queue is empty, so that no client waits."""
         self._waiting_since_s = None
         self._queue_wait_s = 0.0
 
     def record_queue_wait(self, queue_wait_s: float) -> None:
-        """How long the newcomer that was accepted now had waited in the listener's queue."""
+        """Note how long the client that is accepted now had waited in the accept queue."""
         self._queue_wait_s = queue_wait_s
 
     def has_waiting_client(self) -> bool:
-        """Whether a newcomer may have waited for room."""
+        """Return whether a client may be waiting for capacity."""
         return self._waiting_since_s is not None
 
     def is_at_limit(self, connection_limit: int) -> bool:
-        """Whether a newcomer has to be decided on."""
+        """Return whether the connection limit is reached, so that a new client needs a decision."""
         return len(self._regular) >= connection_limit
 
     def decide_for_over_limit(self, now: float, connection_limit: int) -> AdmissionDecision:
-        """Whether there is room now for a connection beyond the number whose client goes on: ``ACCEPT``, or
-        ``OVERFLOW`` where it stays what it is.
+        """Decide whether an over-limit connection whose client sends more requests becomes a regular one.
+
+        Returns:
+            ``ACCEPT`` if there is capacity; ``ACCEPT_OVER_LIMIT`` if it stays an over-limit connection.
         """
         if not self.is_at_limit(connection_limit):
             return AdmissionDecision(AdmissionOutcome.ACCEPT)
@@ -89,8 +105,12 @@
         )
 
     def decide(self, now: float, connection_limit: int, max_over_limit: int) -> AdmissionDecision:
-        """What is done about a client that waits now; how many connections may be open, and how many beyond
-        that number.
+        """Decide what happens to a client that waits in the accept queue.
+
+        Args:
+            now: The present time.
+            connection_limit: Maximum of regular connections.
+            max_over_limit: Maximum of over-limit connections.
         """
         if not self.is_at_limit(connection_limit):
             return AdmissionDecision(AdmissionOutcome.ACCEPT)
@@ -107,7 +127,7 @@
         return self._decide_to_wait(now, self._regular.next_idle_s(now))
 
     def next_victim_for_descriptor(self, now: float) -> ClientConnectionView | None:
-        """One to close where the system has no descriptor for a newcomer; None where it has to wait."""
+        """Return the connection to close if a new client finds no free descriptor; None if it must wait."""
         overdue = self._is_overdue(now)
         victim = self._over_limit_victim(now, overdue) or self._regular.next_idle_victim(now, overdue)
         if victim is None and overdue:
@@ -120,7 +140,10 @@
         return self._waiting_since_s is not None and now - self._waiting_since_s >= OVERDUE_WAIT_S
 
     def _over_limit_victim(self, now: float, overdue: bool) -> ClientConnectionView | None:
-        """Clients that were refused have been told to keep away: theirs go before any that is in use."""
+        """Return the over-limit connection to evict.
+
+        Its client was rejected with advice when to retry, so it goes before any regular connection in use.
+        """
         victim = self._over_limit.next_idle_victim(now, overdue)
         if victim is None and overdue:
             linger_s = 0.0 if self._queue_wait_s >= MAX_QUEUE_WAIT_S else OVER_LIMIT_LINGER_S
--- a/saffronstack/platform/drain_admission.py
+++ b/saffronstack/platform/drain_admission.py
@@ -1,7 +1,8 @@
-"""Which calls are still run by a gateway that drains, by what calls of their class take. No I/O.
+"""Decides which calls a draining gateway still admits, by the durations of calls of their class. No I/O.
 
-The process may be killed at a known time. A call that can't be expected to end before that is refused before
-anything is sent to a worker, so that a retry elsewhere is harmless; one that is run has until that time.
+The kill deadline of the process is known. A call that is not expected to end before it is rejected before
+anything is sent to a worker, so that a retry at another gateway is harmless. The deadline of an admitted call
+is no later than the end of the drain.
 """
 
 from __future__ import annotations
@@ -11,32 +12,32 @@
 
 from saffronstack.engine.calls import Call, FinalStatus
 
-MAX_SAMPLES = 64  # durations kept of a class, the latest
-DURATION_QUANTILE = 0.9  # of the durations: a call is expected to take as long
+MAX_SAMPLES = 64  # latest durations that are kept for each class
+DURATION_QUANTILE = 0.9  # quantile of the kept durations that is taken as the expected duration
 
 
 class _ClassDurations:
-    """What calls of one class take, as seen since the drain began; times in seconds."""
+    """Durations of the calls of one class since the drain began, in seconds."""
 
     def __init__(self) -> None:
-        self.received_s: dict[int, float] = {}  # of open calls by their number, the oldest first
+        self.received_s: dict[int, float] = {}  # receipt times of open calls by call number, the oldest first
         self.durations_s: deque[float] = deque(maxlen=MAX_SAMPLES)  # of calls that were served
 
     def expected_s(self, now: float) -> float:
-        """How long a call takes; while none was served, at least as long as the oldest is open."""
+        """Return the expected duration of a call; the age of the oldest open call while none was served."""
         if self.durations_s:
             return sorted(self.durations_s)[int(DURATION_QUANTILE * len(self.durations_s))]
         return now - next(iter(self.received_s.values()), now)
 
 
 class DrainAdmission:
-    """Does nothing until `begin`. Any thread may use it."""
+    """Admits or rejects calls during a drain; used only after `begin`. Any thread may use it."""
 
     def __init__(self, classes: int) -> None:
-        """``classes``: how many request classes there are."""
+        """Create an inactive admission for a number of request classes."""
         self.active = False
         self._until_s = 0.0
-        self._lock = threading.Lock()  # guards what is below
+        self._lock = threading.Lock()  # guards the fields below
         self._classes = [_ClassDurations() for _ in range(classes)]
 
     def begin(self, until_s: float) -> None:
@@ -45,16 +46,16 @@
         self.active = True
 
     def rejects_class(self, class_index: int, now: float) -> bool:
-        """Whether calls of a class that are received at ``now`` are refused, whatever else they ask.
+        """Return whether all calls of a class that are received at ``now`` are rejected.
 
-        Asked before a call is made of a request: at the end of a drain most requests are refused, and their
-        clients ask again at once.
+        The gateway checks this before it creates a call for a request: near the end of a drain most requests
+        are rejected, and their clients retry at once.
         """
         with self._lock:
             return self._ends_too_late(self._classes[class_index], now)
 
     def admit(self, call: Call, now: float) -> bool:
-        """Whether to run a call that was received at ``now``; its deadline is no later than the end then."""
+        """Return whether to execute a call received at ``now``, and limit its deadline to the drain's end."""
         durations = self._classes[call.function.class_index]
         with self._lock:
             if self._ends_too_late(durations, now):
@@ -67,7 +68,7 @@
         return now + durations.expected_s(now) >= self._until_s
 
     def record_final_answer(self, call: Call, status: FinalStatus, now: float) -> None:
-        """Learn from a call that has its final answer; only one that was served tells what calls take."""
+        """Record the duration of a call that has its final answer; only served calls count."""
         durations = self._classes[call.function.class_index]
         with self._lock:
             received_s = durations.received_s.pop(call.number, None)
--- a/saffronstack/platform/idle_order.py
+++ b/saffronstack/platform/idle_order.py
@@ -1,4 +1,4 @@
-"""Client connections by how long they have been idle. No I/O, and no clock: times are passed in."""
+"""Orders client connections by idle time. No I/O and no clock: times are passed in."""
 
 from __future__ import annotations
 
@@ -7,37 +7,40 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-MAX_STALE_ENTRIES = (
-    64  # entries of removed connections that may stay, beside as many as there are connections
-)
+# Heap entries of removed connections that are kept, in addition to one for each connection, before the heap
+# is compacted.
+MAX_STALE_ENTRIES = 64
 
 
 class ClientConnectionView(Protocol):
-    """What is seen of a client connection when it is decided which one makes room."""
+    """The properties of a client connection that decide which connection is evicted."""
 
     accepted_s: float
-    has_sent_data: bool  # whether its client ever sent anything
-    is_over_limit: bool  # whether it is beyond the number of connections, and its calls are refused
+    has_sent_data: bool  # whether its client has sent any byte
+    is_over_limit: bool  # whether it is beyond the connection limit, so that its calls are rejected
 
     @property
     def idle(self) -> bool:
-        """Whether no call is open, and no request half read."""
+        """Whether no call is open and no request is partly read."""
 
     def idle_since(self, now: float) -> float:
-        """When it became idle; ``now`` where it is not."""
+        """Return when it became idle; ``now`` if it is not idle."""
 
     def fileno(self) -> int:
-        """The socket's descriptor."""
+        """Return the socket's file descriptor."""
 
     def is_evictable(self) -> bool:
-        """Whether nothing is open, half read or unread, or its client has ended it. Looks at its socket."""
+        """Return whether it can be closed: its client closed it, or nothing is open, partly read or unread.
+
+        Reads the state of the socket.
+        """
 
     def is_closed_by_client(self) -> bool:
-        """Whether its client has ended it, and nothing is unread. Looks at its socket."""
+        """Return whether its client has closed it and nothing is unread. Reads the state of the socket."""
 
 
 class _Entry:
-    """A connection under a time that it has been idle since at the earliest."""
+    """A connection with a lower bound of the time at which it became idle."""
 
     def __init__(self, connection: ClientConnectionView) -> None:
         self.connection = connection
@@ -49,8 +52,10 @@
 
 
 class IdleOrder:
-    """A heap whose entries are put right only as they come first, since a busy connection is used more often
-    than it is looked for.
+    """A heap of connections by the time at which they became idle.
+
+    The time of an entry is corrected only when the entry reaches the head: a busy connection is used more
+    often than the heap is searched.
     """
 
     def __init__(self) -> None:
@@ -67,13 +72,13 @@
         return iter(self._entries)
 
     def add(self, connection: ClientConnectionView) -> None:
-        """Once for each connection; its times are asked of it from then on."""
+        """Add a connection, once; its idle time is read from it at each search."""
         entry = _Entry(connection)
         self._entries[connection] = entry
         heapq.heappush(self._heap, entry)
 
     def remove(self, connection: ClientConnectionView) -> None:
-        """It was closed."""
+        """Remove a connection that was closed."""
         entry = self._entries.pop(connection, None)
         if entry is None:
             return
@@ -85,7 +90,13 @@
     def longest_idle(
         self, now: float, latest_s: float, accepted_by_s: float = math.inf
     ) -> ClientConnectionView | None:
-        """The longest idle one that can be closed, of those accepted and idle by then."""
+        """Return the longest idle connection that can be closed.
+
+        Args:
+            now: The present time.
+            latest_s: Only connections that were idle by then.
+            accepted_by_s: Only connections that were accepted by then.
+        """
         skipped: list[_Entry] = []
         found = None
         while found is None and (entry := self._longest_idle_entry(now, latest_s)) is not None:
@@ -98,7 +109,7 @@
         return found
 
     def _longest_idle_entry(self, now: float, latest_s: float) -> _Entry | None:
-        """The entry idle longest, under its true time, where that is no later."""
+        """Return the entry that has been idle longest, with its time corrected, if idle by ``latest_s``."""
         while self._heap and self._heap[0].since_s <= latest_s:
             entry = self._heap[0]
             if entry.removed:
--- a/saffronstack/platform/router_state_check.py
+++ b/saffronstack/platform/router_state_check.py
@@ -1,7 +1,8 @@
-"""The module's beliefs about hosts held against what passes on their links. No I/O, no decision.
+"""Compares the router's state of each host with the state of the host's connections. No I/O, no decisions.
 
-A difference counts once two looks in a row find it: between an end on a link and the event that tells the
-module of it lies the decision thread's queue, and a single look may fall in there.
+A discrepancy counts once two consecutive checks find it. A single check may fall between the end of an
+exchange on a connection and the event that reports it to the router, which waits in the decision thread's
+queue.
 """
 
 from __future__ import annotations
@@ -10,11 +11,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-RECOVERY_RESPONSES = 8  # answers in a row since it was taken out that say that an ejected host is well
+RECOVERY_RESPONSES = 8  # responses without a failure after which an ejected host counts as healthy
 
 
 class RouterWorkerView(Protocol):
-    """What the module holds of a worker."""
+    """The router's state of a worker."""
 
     is_ready: bool
     attempts_in_flight: int
@@ -22,7 +23,7 @@
 
 
 class HostConnectionsView(Protocol):
-    """What the links to a host show."""
+    """The state of the connections to a host."""
 
     name: str
     is_closed: bool
@@ -31,18 +32,18 @@
 
     @property
     def in_flight(self) -> int:
-        """Exchanges in flight."""
+        """Number of exchanges in flight."""
         ...
 
     @property
     def unresponsive_s(self) -> float:
-        """How long nothing was received on any connection while an exchange waits."""
+        """Time since data was received on any connection while an exchange waits."""
         ...
 
 
 @dataclass(slots=True)
 class Discrepancy:
-    """One kind of disagreement about one host; times in seconds."""
+    """One kind of difference between the router's state and the connections of one host; times in seconds."""
 
     host: str
     kind: str
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class DiscrepancyStatistics:
-    """What was found of one kind."""
+    """Ended discrepancies of one kind."""
 
     count: int = 0
     longest_s: float = 0.0
@@ -69,11 +70,16 @@
 
 @dataclass(slots=True)
 class RouterStateCheck:
-    """Looks again and again; remembers the hosts that are held now, and a tally for each kind."""
+    """Finds discrepancies by repeated checks, and counts those that have ended by kind.
 
-    unresponsive_limit_s: float = (
-        1.0  # one that says nothing on any link for longer, though an attempt waits, is silent
-    )
+    Attributes:
+        unresponsive_limit_s: Time without data on any connection of a host, though an attempt waits, after
+            which a host that the router still uses is a discrepancy.
+        checks: Number of checks so far.
+        statistics: Ended discrepancies by kind.
+    """
+
+    unresponsive_limit_s: float = 1.0
     checks: int = 0
     statistics: dict[str, DiscrepancyStatistics] = field(default_factory=dict)
     _current: dict[tuple[int, str], Discrepancy] = field(default_factory=dict)
@@ -82,7 +88,7 @@
     def check(
         self, now: float, workers: Mapping[int, RouterWorkerView], hosts: Mapping[int, HostConnectionsView]
     ) -> list[Discrepancy]:
-        """Compare; the differences that this look confirmed."""
+        """Compare both states; return the discrepancies that this check found for the second time."""
         self.checks += 1
         found: dict[tuple[int, str], Discrepancy] = {}
         for number, host in hosts.items():
@@ -153,7 +159,7 @@
             statistics.example = f"{ended.host}: module {ended.router_value}, links {ended.connection_value}"
 
     def summary(self) -> dict[str, str]:
-        """A line's worth for each kind: count, longest in seconds, and that one's host and figures."""
+        """Return a text for each kind: the count, the longest duration, and its host and values."""
         return {
             kind: f"{statistics.count} times, longest {statistics.longest_s:.1f} s ({statistics.example})"
             for kind, statistics in self.statistics.items()
