--- a/tests/daemon/test_heartbeat_monitor.py
+++ b/tests/daemon/test_heartbeat_monitor.py
@@ -1,4 +1,4 @@
-"""When a process that sends no heartbeats is replaced."""
+"""When the monitor finds a process that sends no heartbeats."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     HeartbeatMonitor,
 )
 
-CHECK_INTERVAL_S = 0.05  # as the supervisor's
+CHECK_INTERVAL_S = 0.05  # the supervisor's interval
 
 
 @dataclass(frozen=True)
@@ -25,7 +25,7 @@
 def check_until(
     monitor: HeartbeatMonitor, since_s: float, until_s: float, stopped: set[int]
 ) -> list[Detection]:
-    """Check as often as the supervisor does; the first detections."""
+    """Check at the supervisor's interval; return the first detections."""
     now_s = since_s
     while now_s < until_s:
         unresponsive = monitor.check(now_s, lambda index: index in stopped)
@@ -60,19 +60,19 @@
     assert check_until(monitor, 60.0, 120.0, {0}) == []
 
 
-def test_no_process_is_replaced_where_the_timeout_is_zero() -> None:
+def test_no_process_is_replaced_if_the_timeout_is_zero() -> None:
     monitor = HeartbeatMonitor(1, 0.0)
     monitor.heartbeat_received(0, 0.0)
     assert check_until(monitor, 0.0, 60.0, {0}) == []
 
 
-def test_no_process_is_replaced_for_a_pause_of_the_whole_machine() -> None:
+def test_no_process_is_replaced_because_the_whole_machine_was_paused() -> None:
     monitor = HeartbeatMonitor(2)
     for index in range(2):
         monitor.heartbeat_received(index, 0.0)
     assert check_until(monitor, 0.0, 0.5, set()) == []
     assert monitor.check(60.0, lambda index: True) == []  # the monitor was paused as well
-    # Each process has the full time again.
+    # The full timeout starts again for each process.
     assert check_until(monitor, 60.05, 60.0 + STOPPED_TIMEOUT_S, {0, 1}) == []
     monitor.heartbeat_received(0, 60.9)
     found = check_until(monitor, 60.0 + STOPPED_TIMEOUT_S, 63.0, {0, 1})
--- a/tests/daemon/test_processor_starvation.py
+++ b/tests/daemon/test_processor_starvation.py
@@ -1,4 +1,4 @@
-"""Processes that are ready to run and get no processor."""
+"""Detection of processes that are ready to run but get no CPU time."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         (ThreadSample(False, 5), ThreadSample(False, 5), False),  # nothing to do
     ],
 )
-def test_a_thread_is_starved_that_is_ready_all_the_time_and_does_not_run(
+def test_a_thread_that_is_ready_in_both_samples_and_does_not_run_is_starved(
     before: ThreadSample, after: ThreadSample, starved: bool
 ) -> None:
     assert is_starved({1: before}, {1: after, 2: ThreadSample(True, 0)}) is starved
@@ -52,18 +52,18 @@
 @pytest.mark.parametrize(
     ("waits_ms", "runs_ms", "found"),
     [
-        ((480, 0), (10, 0), True),  # one slice in a span: a gateway beside 150 busy processes
+        ((480, 0), (10, 0), True),  # one time slice in a span, as beside 150 busy processes
         ((60, 0), (10, 0), True),
         ((40, 0), (10, 0), False),
-        ((480, 10), (10, 470), False),  # behind the other thread of the same process
+        ((480, 10), (10, 470), False),  # it waits for the other thread of its process
         ((150, 150), (10, 10), True),
-        ((150, 150), (150, 150), False),  # both woke up at once
+        ((150, 150), (150, 150), False),  # both threads woke up together
     ],
 )
-def test_a_thread_that_waits_for_other_processes_is_found_in_the_second_span(
+def test_contention_is_found_in_the_second_span(
     waits_ms: tuple[int, int], runs_ms: tuple[int, int], found: bool
 ) -> None:
-    """With a slice in each half second a gateway stayed where it served a fortieth of its calls."""
+    """With one time slice in each 0.5 s a gateway stayed on a CPU where it served 1/40 of its calls."""
     now_s, spans = 100.0, 0
     released: list[float] = []
 
@@ -98,18 +98,18 @@
     return ProcessSample({7: ThreadSample(False, 0, wait_ms * MS)}, run_ms * MS, frozenset({cpu}))
 
 
-def test_threads_that_have_ended_ran_too() -> None:
-    """A gateway with a thread for each connection was taken for one that waits for other processes."""
+def test_the_run_time_of_ended_threads_counts() -> None:
+    """Otherwise a gateway with a thread for each connection counts as contended."""
     assert not is_contended(process_sample(0, 0), process_sample(480, 480), SAMPLE_INTERVAL_S)
     assert is_contended(process_sample(0, 0), process_sample(480, 10), SAMPLE_INTERVAL_S)
 
 
-def test_waits_before_a_move_do_not_count_after_it() -> None:
-    """A gateway that had just moved was let on all processors for what it had waited before."""
+def test_wait_times_before_a_move_do_not_count_after_it() -> None:
+    """A gateway that had just moved was unpinned because of its wait time on the previous CPU."""
     assert not is_contended(process_sample(0, 0), process_sample(480, 0, cpu=1), SAMPLE_INTERVAL_S)
 
 
-def test_the_time_of_a_process_is_that_of_ended_threads_too() -> None:
+def test_the_cpu_time_of_a_process_includes_ended_threads() -> None:
     def burn() -> None:
         while time.thread_time() < BURNED_S:
             pass
@@ -124,8 +124,8 @@
     assert after_ns - before_ns >= (BURNED_S - TICK_S) * 1000 * MS
 
 
-def test_a_starved_process_is_released_once_and_others_are_left() -> None:
-    """A gateway on a processor that a benchmark took up did not exit for 20 s, and nobody noticed."""
+def test_a_starved_process_is_unpinned_once_and_others_stay_pinned() -> None:
+    """A gateway on a CPU that a benchmark used did not exit for 20 s, undetected."""
     now_s = 100.0
     samples: dict[int, ThreadSamples] = {1: {1: ThreadSample(True, 7)}, 2: {2: ThreadSample(False, 7)}}
     pinned = {1, 2}
@@ -144,11 +144,11 @@
     assert pinned == {2}
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
 @pytest.mark.parametrize(
     ("arguments", "released"), [([], True), (["--cpus", "0"], False), (["--cpus=0"], False)]
 )
-def test_all_threads_of_a_process_are_released_unless_its_command_names_processors(
+def test_all_threads_of_a_process_are_unpinned_unless_its_command_line_names_cpus(
     arguments: list[str], released: bool
 ) -> None:
     command = [sys.executable, "-c", WAITING_PROCESS, *arguments]
@@ -168,7 +168,7 @@
         process.stdin.close()
 
 
-def test_a_process_that_has_ended_has_no_threads_and_is_not_released() -> None:
+def test_a_process_that_has_ended_has_no_threads_and_is_not_unpinned() -> None:
     ended = subprocess.run(
         [sys.executable, "-c", "import os; print(os.getpid())"], capture_output=True, check=True
     )
--- a/tests/daemon/test_starvation_guard.py
+++ b/tests/daemon/test_starvation_guard.py
@@ -1,4 +1,4 @@
-"""A process that notices by itself that the processor it keeps to is taken up."""
+"""A process detects by itself that other processes use the CPU that it is pinned to."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 print("busy", flush=True)
 while time.monotonic() < end_s: pass
 """
-# A process whose guard looks until its other threads run elsewhere, or half a minute has passed.
+# A process whose guard checks until its other threads run elsewhere or 30 s have passed.
 GUARDED_PROCESS = """
 import os, sys, threading, time
 from saffronstack.cli.cpu_affinity import pin_threads
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     ("is_runnable", "released"), [(True, [os.getpid()]), (False, [])], ids=["starved", "idle"]
 )
-def test_the_process_is_released_once_its_probe_gets_no_processor(
+def test_the_process_is_unpinned_once_its_probe_gets_no_cpu_time(
     is_runnable: bool, released: list[int]
 ) -> None:
     now_s = 100.0
@@ -113,8 +113,8 @@
     assert found == released
 
 
-def test_a_probe_that_does_not_even_start_counts_as_starved(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nor does the gateway wait for it: the processor may be taken up already when it begins to serve."""
+def test_a_probe_that_has_not_started_counts_as_starved(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The gateway does not wait for the probe: its CPU may be contended before it begins to serve."""
     monkeypatch.setattr(starvation_guard, "start_thread", lambda name, run: None)
     now_s, found = 100.0, []
 
@@ -129,13 +129,13 @@
     assert found == [os.getpid()]
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_the_process_moves_after_a_second_where_neighbours_leave_it_some_time() -> None:
-    """Beside 150 busy processes a gateway had a slice between any two looks, and stayed there."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_the_process_moves_after_a_second_if_others_leave_it_some_cpu_time() -> None:
+    """Beside 150 busy processes a gateway got a time slice between any two samples and never moved."""
     allowed = os.sched_getaffinity(0)
     kept, idle, *_ = sorted(allowed)
     now_s, moved = 100.0, []
-    os.sched_setaffinity(0, {kept})  # the guard lets this thread run anywhere again
+    os.sched_setaffinity(0, {kept})  # the guard unpins this thread again
     guard = StarvationGuard(
         allowed,
         lambda: now_s,
@@ -147,13 +147,13 @@
     for _ in range(CHECKS):
         guard.check()
         now_s += CPU_SAMPLE_INTERVAL_S
-    guard.stop()  # nothing looks from now on
+    guard.stop()  # unpins the process, since nothing checks from now on
     assert moved == [(100.0 + CPU_SAMPLE_WINDOW_S, [idle]), (now_s, sorted(allowed))]
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_process_on_all_processors_keeps_to_one_again_once_that_is_idle() -> None:
-    """An overload of a second used to cost a gateway two thirds of its calls until it was restarted."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_an_unpinned_process_is_pinned_again_once_a_cpu_is_idle() -> None:
+    """After an overload of 1 s an unpinned gateway lost two thirds of its calls until it was restarted."""
     allowed = os.sched_getaffinity(0)
     kept, idle, *_ = sorted(allowed)
     now_s, processors = 100.0, []
@@ -166,7 +166,7 @@
         move=lambda moved, excluded: processors.append((now_s, sorted(moved))),
     )
     eventually(lambda: guard.has_started)
-    os.sched_setaffinity(guard._probe_thread, allowed)  # as a daemon does that finds it starved
+    os.sched_setaffinity(guard._probe_thread, allowed)  # as a daemon does if it finds the process starved
     while now_s < 100.0 + MIN_IDLE_TIME_S:
         guard.check()
         assert processors == []
@@ -176,9 +176,9 @@
     guard.stop()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_thread_that_ends_is_no_wait_for_others() -> None:
-    """Its whole processor time used to be taken for such a wait: the process moved without cause."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_thread_that_ends_does_not_count_as_contention() -> None:
+    """The whole CPU time of an ended thread once counted as wait time, so the process moved without cause."""
     allowed = os.sched_getaffinity(0)
     now_s, moved = 100.0, list[list[int]]()
     os.sched_setaffinity(0, {min(allowed)})
@@ -204,12 +204,12 @@
     guard.stop()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
 @pytest.mark.parametrize("begins_s", [102.0, 102.25, 102.3, 102.4])
-def test_a_process_that_has_moved_is_not_let_on_all_for_what_it_waited_before(
+def test_a_process_that_has_moved_is_not_unpinned_because_of_earlier_waits(
     monkeypatch: pytest.MonkeyPatch, begins_s: float
 ) -> None:
-    """Taken up right before a sample of the monitor, it left the new processor a quarter second later."""
+    """If contention began right before a monitor sample, the process left its new CPU 0.25 s later."""
     allowed = os.sched_getaffinity(0)
     now_s, waited_s, moved = 100.0, 0.0, list[set[int]]()
     os.sched_setaffinity(0, {min(allowed)})
@@ -233,9 +233,9 @@
     guard.stop()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_process_leaves_a_processor_that_busy_processes_take_up() -> None:
-    """Real neighbours, some of whose time the process gets; that the others are idle is told to the guard."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_process_leaves_a_cpu_that_busy_processes_use() -> None:
+    """Runs real busy processes, beside which the process gets some time; the other CPUs are faked as idle."""
     *_, kept, _ = sorted(os.sched_getaffinity(0))
     with contextlib.ExitStack() as stack:
         guarded = stack.enter_context(start_python(GUARDED_PROCESS, kept))
@@ -250,9 +250,9 @@
         assert first_line(guarded) == b"left\n"
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
 @pytest.mark.parametrize(("cpus", "main_runs_anywhere"), [((), True), (("--cpus", "0"), False)])
-def test_a_gateway_keeps_to_one_processor_but_for_the_thread_that_looks(
+def test_a_gateway_is_pinned_to_one_cpu_except_for_the_checking_thread(
     tmp_path: pathlib.Path, one_worker: StandInFleet, cpus: tuple[str, ...], main_runs_anywhere: bool
 ) -> None:
     path = tmp_path / "gateway.json5"
@@ -271,9 +271,9 @@
             process.terminate()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_thread_that_starts_during_a_move_moves_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It has the processors of the thread that starts it, which may be moved only after that."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_thread_that_starts_during_a_move_is_moved_too(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It inherits the affinity of the thread that starts it, which may be moved only after that."""
     listings = iter([[1, 2], [1, 2, 3], [1, 2, 3, 4], [1, 2, 3, 4]])
     kept = {1: {0}, 2: {0}, 3: {0}, 4: {0}}
     monkeypatch.setattr(threading, "enumerate", list)
@@ -284,11 +284,9 @@
     assert kept == {1: {0}, 2: {5}, 3: {5}, 4: {5}}
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_gateway_that_drains_runs_on_all_processors(
-    tmp_path: pathlib.Path, one_worker: StandInFleet
-) -> None:
-    """Nothing looked while it drained, and one whose processor was taken up then did not end for 20 s."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_draining_gateway_runs_on_all_cpus(tmp_path: pathlib.Path, one_worker: StandInFleet) -> None:
+    """No check runs during a drain: a gateway whose CPU became contended then did not exit for 20 s."""
     worker = one_worker.workers[0]
     worker.faults.silent = True
     path = tmp_path / "gateway.json5"
@@ -309,8 +307,10 @@
         assert process.poll() is None
 
 
-def test_a_move_without_a_free_descriptor_takes_the_known_threads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A gateway moves and stops also while its clients hold all descriptors."""
+def test_a_move_without_a_free_descriptor_uses_the_interpreters_thread_list(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A gateway must move and stop even while its clients use all file descriptors."""
 
     def fail(path: str) -> list[str]:
         raise OSError(errno.EMFILE, path)
@@ -323,8 +323,8 @@
     assert threading.get_native_id() in moved
 
 
-def test_a_move_touches_no_thread_that_has_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The interpreter may keep the id of one, which another process's thread may have by now."""
+def test_a_move_does_not_touch_ended_threads(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The interpreter may keep the id of an ended thread, which another process's thread may have now."""
     ended = threading.Thread()
     ended._native_id = 77  # type: ignore[attr-defined]
     kept = {1: {0}, 77: {0}}
--- a/tests/engine/test_action_executor.py
+++ b/tests/engine/test_action_executor.py
@@ -35,7 +35,7 @@
 
 
 class RecordingDispatcher:
-    """Remembers what it is asked to do."""
+    """Records the commands that it receives."""
 
     def __init__(self) -> None:
         self.commands: list[tuple[Any, ...]] = []
@@ -142,6 +142,6 @@
     assert harness.state.timers.pop_due(NOW + 0.5) == TimerFired(33)
 
 
-def test_a_line_of_the_router_is_logged(harness: ExecutorHarness) -> None:
+def test_a_log_line_of_the_router_is_logged(harness: ExecutorHarness) -> None:
     harness.execute(WriteLog("a line"))
     assert "router message text='a line'" in harness.log.getvalue()
--- a/tests/engine/test_call_finisher.py
+++ b/tests/engine/test_call_finisher.py
@@ -1,4 +1,4 @@
-"""The gateway's own final answers, by what may have executed."""
+"""Final answers that the gateway gives, depending on which attempts may have executed."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     assert 1 in state.open_calls  # its attempt is still in flight
 
 
-def test_a_late_answer_changes_nothing(state: EngineState, finisher: CallFinisher) -> None:
+def test_a_second_final_answer_is_ignored(state: EngineState, finisher: CallFinisher) -> None:
     call = new_call(1)
     state.open_calls.add(call)
     call.finish(FinalAnswer(FinalStatus.SERVED))
@@ -65,7 +65,7 @@
         (UNSAFE, True, FinalStatus.FAILED),
     ],
 )
-def test_an_overdue_call_fails_where_a_retry_could_do_harm(
+def test_an_overdue_call_fails_if_a_retry_could_do_harm(
     state: EngineState, finisher: CallFinisher, class_index: int, has_attempt: bool, status: FinalStatus
 ) -> None:
     call = new_call(1, class_index)
--- a/tests/engine/test_decision_records.py
+++ b/tests/engine/test_decision_records.py
@@ -1,4 +1,4 @@
-"""What the engine decides can be recorded and replayed."""
+"""Decisions of the engine can be recorded and replayed."""
 
 from __future__ import annotations
 
@@ -18,23 +18,25 @@
 
 
 def events_after_cut(path: pathlib.Path) -> int:
-    """Return how many events a record replays as a kill would leave it now; 0 while it is empty."""
+    """Return how many events the record would replay after a kill at this moment; 0 while it is empty."""
     cut = path.with_name("cut.rec")
     cut.write_bytes(path.read_bytes())
     return replay_decisions(str(cut)).events if cut.stat().st_size else 0
 
 
-def test_a_record_replays_and_so_does_one_that_was_cut(tmp_path: pathlib.Path) -> None:
+def test_complete_and_truncated_records_can_be_replayed(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "day.rec"
     recorder = DecisionRecorder(str(path), settings(), 1)
     engine, _ = start_engine([Result.CONNECT_FAILED, Result.RESET, Result.OK] * 10, recorder)
-    calls = [make_call(engine, n % 3) for n in range(60)]  # an event each, also where workers are ejected
+    calls = [
+        make_call(engine, n % 3) for n in range(60)
+    ]  # at least one event each, even if workers are ejected
     for call in calls:
         engine.submit(call)
         call.wait(3)
     engine.notify(CommandResult(1, Result.OK, 0.1))
     engine.notify(WorkerObservation(2, "x", 0.5))
-    eventually(lambda: events_after_cut(path) >= 60)  # the recorder's thread writes in portions
+    eventually(lambda: events_after_cut(path) >= 60)  # the recorder's thread writes at intervals
     assert engine.stop()
     assert recorder.close()
     replayed = replay_decisions(str(path))
@@ -42,7 +44,7 @@
     assert replayed.actions >= 30
 
 
-def test_a_file_that_is_no_record_is_an_error(tmp_path: pathlib.Path) -> None:
+def test_a_file_that_is_not_a_record_is_an_error(tmp_path: pathlib.Path) -> None:
     (tmp_path / "bad.rec").write_bytes(b"nothing of the kind")
     with pytest.raises(DecisionRecordError):
         replay_decisions(str(tmp_path / "bad.rec"))
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -53,7 +53,9 @@
     assert final_answer is not None
     assert final_answer.status is status
     assert (final_answer.prior_attempt is not None) == bool(dispatcher.sent)
-    dispatcher.end(dispatcher.sent[0], Result.OK)  # too late: the answer stands, and nothing stays open
+    dispatcher.end(
+        dispatcher.sent[0], Result.OK
+    )  # too late: the final answer does not change, and no call stays open
     eventually(lambda: engine.open_calls == 0)
     assert call.final_answer is final_answer
     assert engine.stop()
@@ -80,7 +82,7 @@
     for call in (unsafe, keyed, late):
         engine.submit(call)
     answers = [call.wait(3) for call in (unsafe, keyed, late)]
-    # A late retry with a key is rejected, not failed: all workers recognise its key, so a retry is harmless.
+    # A late retry with a key is rejected, not failed: all workers deduplicate by its key, so it is harmless.
     assert [answer.status for answer in answers if answer is not None] == [
         FinalStatus.FAILED,
         FinalStatus.SERVED,
@@ -90,7 +92,7 @@
     assert engine.stop()
 
 
-def test_a_fault_of_the_router_costs_only_its_call(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_router_affects_only_its_call(monkeypatch: pytest.MonkeyPatch) -> None:
     engine, _ = start_engine([])
     bad, good = make_call(engine, SAFE, 0.05), make_call(engine, SAFE)
     router = engine._loop.router
@@ -98,7 +100,7 @@
 
     def failing(now: float, event: Event) -> list[Action]:
         if isinstance(event, Request) and event.request_id == bad.number:
-            raise RuntimeError("a fault in the router")
+            raise RuntimeError("router fault")
         return handle(now, event)
 
     monkeypatch.setattr(router, "handle", failing)
--- a/tests/engine/test_open_calls.py
+++ b/tests/engine/test_open_calls.py
@@ -1,4 +1,4 @@
-"""An open call knows its attempts, and when nothing more can happen to it."""
+"""An open call tracks its attempts, and is over when nothing more can happen to it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("result", list(Result))
-def test_a_result_tells_whether_the_attempt_may_have_executed(result: Result) -> None:
+def test_the_result_decides_whether_the_attempt_may_have_executed(result: Result) -> None:
     open_call = OpenCall(new_call(1))
     open_call.start_attempt(7, 1.0)
     open_call.end_attempt(outcome(0, result), 3.0)
--- a/tests/engine/test_recent_functions.py
+++ b/tests/engine/test_recent_functions.py
@@ -1,4 +1,4 @@
-"""The functions that were called last are known by number."""
+"""Recently called functions can be looked up by number."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return FunctionSpec(f"f{number}", number, 0, 100.0)
 
 
-def test_the_function_called_longest_ago_is_forgotten_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_least_recently_called_function_is_removed_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(recent_functions, "MAX_FUNCTIONS", 2)
     functions = RecentFunctions()
     for number in (1, 2, 1, 3):
--- a/tests/engine/test_timers.py
+++ b/tests/engine/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers come back in the order of their due times."""
+"""Timers are returned in the order of their due times."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     assert len(timers) == 1
 
 
-def test_no_timer_is_due_where_there_is_none() -> None:
+def test_without_timers_none_is_due() -> None:
     timers: Timers[str] = Timers()
     assert timers.next_due_s() is None
     assert timers.pop_due(1e9) is None
 
 
-def test_timers_at_the_head_that_no_longer_matter_are_dropped() -> None:
+def test_timers_at_the_head_that_are_not_pending_are_dropped() -> None:
     timers: Timers[str] = Timers()
     for due_s, name in ((1.0, "over"), (2.0, "pending"), (3.0, "over")):
         timers.add(due_s, name)
--- a/tests/engine/test_worker_registry.py
+++ b/tests/engine/test_worker_registry.py
@@ -1,4 +1,4 @@
-"""The worker registry turns lists, changes and observations into updates for the router."""
+"""The worker registry converts snapshots, changes and observations to updates for the router."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert update is not None
     assert update.endpoints[0].started_s == pytest.approx(108.0)
     assert registry.observe_worker(111.0, WorkerObservation(1, "b", 3.0)) is None
-    # The first incarnation of a worker is no restart: the endpoint list says when it started.
+    # The first incarnation of a worker is not a restart: its start time comes with the endpoint list.
     assert registry.observe_worker(111.0, WorkerObservation(2, "c", 1.0)) is None
     again = registry.apply_snapshot(112.0, 1012.0, WORKERS)
     assert {entry.worker_id: entry.started_s for entry in again.endpoints}[1] == pytest.approx(108.0)
@@ -37,7 +37,7 @@
     assert registry.apply_snapshot(100.0, 1000.0, [ahead]).endpoints[0].started_s == pytest.approx(100.0)
 
 
-def test_clocks_that_drift_do_not_look_like_a_restart() -> None:
+def test_clock_drift_does_not_count_as_a_restart() -> None:
     registry = WorkerRegistry()
     spec = WorkerSpec(1, "w", "127.0.0.1", 1, started_at=995.0)
     first = registry.apply_snapshot(100.0, 1000.0, [spec])
@@ -52,10 +52,12 @@
     assert (update.kind, update.version) == (EndpointUpdateKind.SNAPSHOT, 2)
     assert {endpoint.worker_id for endpoint in update.endpoints} == {2, 3}
     registry.apply_snapshot(103.0, 1003.0, WORKERS)
-    assert registry.observe_worker(104.0, WorkerObservation(1, "b", 1.0)) is None  # again the first one
+    assert (
+        registry.observe_worker(104.0, WorkerObservation(1, "b", 1.0)) is None
+    )  # again the first incarnation
 
 
-def test_changes_name_removed_and_draining_workers() -> None:
+def test_changes_contain_removed_and_draining_workers() -> None:
     registry = WorkerRegistry()
     registry.apply_snapshot(100.0, 1000.0, WORKERS)
     draining = WorkerSpec(2, "w2", "127.0.0.1", 2, is_draining=True)
--- a/tests/fleet/rollout/test_canary_analysis.py
+++ b/tests/fleet/rollout/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The canary analysis: what it finds, how often it is wrong, and that missing data is no success."""
+"""The canary analysis: which harm it finds, how often it is wrong, and that missing data is not a success."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     Verdict,
 )
 
-ANALYSES = 10  # in a bake
+ANALYSES = 10  # analyses in one bake
 MEASURES = ("refused/look", "refused/sell", "late/look", "failed/sell")
-BASE_RATE = 0.02  # of failures, without harm
-MEAN_CALLS = 400.0  # of one gateway and measure in a bake
-RATE_VARIATION = 0.3  # of rates between gateways
+BASE_RATE = 0.02  # failure rate without harm
+MEAN_CALLS = 400.0  # calls of one gateway and measure in a bake
+RATE_VARIATION = 0.3  # relative standard deviation of rates between gateways
 ZONE_FAULT_RATE = 0.2
 LIMITS = AnalysisLimits()
-# 0.05 is promised; the share of 60 to 100 bakes scatters by 0.02.
+# The limit is 0.05; the fraction measured over 60 to 100 bakes has a standard deviation of about 0.02.
 FALSE_STOP_LIMITS = AnalysisLimits(false_stop_probability=0.05)
 MAX_FALSE_STOPS = 0.08
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class BakeResult:
-    """The result of a bake, and at which part of it."""
+    """The verdict of a bake, and the fraction of the bake after which it was reached."""
 
     verdict: Verdict
     progress: float
@@ -67,7 +67,7 @@
 def thin_samples(
     generator: numpy.random.Generator, samples: list[GatewaySample], fraction: float
 ) -> list[GatewaySample]:
-    """Draw the samples at an earlier part of the bake."""
+    """Draw the samples after a fraction of the bake."""
 
     def thin_ratio(ratio: FailureRatio) -> FailureRatio:
         failures = int(generator.binomial(ratio.failures, fraction))
@@ -83,7 +83,7 @@
 
 
 def bake(seed: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> BakeResult:
-    """Analyze a whole bake."""
+    """Analyze a bake until its verdict."""
     generator, spent = numpy.random.default_rng(seed), 0.0
     final = scenario.samples(generator)
     for number in range(1, ANALYSES + 1):
@@ -93,7 +93,7 @@
         spent = result.alpha_spent
         if result.verdict is not Verdict.RUNNING:
             return BakeResult(result.verdict, progress)
-    raise AssertionError("a bake that does not end")
+    raise AssertionError("the bake has no verdict")
 
 
 def stopped_fraction(bakes: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> float:
@@ -105,7 +105,7 @@
 
 
 def one_canary_of(count: int, **canary: Any) -> list[GatewaySample]:
-    """One canary with these fields, and a baseline without any."""
+    """Return one canary with these fields and a baseline with default values."""
     baseline = [GatewaySample(f"g{number}", "a", False) for number in range(1, count)]
     return [GatewaySample("g0", "a", True, **canary), *baseline]
 
@@ -122,16 +122,16 @@
     assert stopped_fraction(100, Scenario(canaries=canaries), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
 
 
-def test_a_sick_zone_harms_both_sides_and_stops_nothing() -> None:
+def test_a_faulty_zone_affects_both_sides_and_does_not_stop_the_stage() -> None:
     assert stopped_fraction(60, Scenario(faulty_zone="b"), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
 
 
 @pytest.mark.parametrize(("canaries", "harm"), [(1, 0.2), (4, 0.05), (20, 0.02)])
-def test_harm_is_found_by_its_size_and_the_number_of_canaries(canaries: int, harm: float) -> None:
+def test_harm_is_found_depending_on_its_size_and_the_number_of_canaries(canaries: int, harm: float) -> None:
     assert stopped_fraction(40, Scenario(canaries=canaries, harm=harm)) >= 0.9
 
 
-def test_great_harm_to_one_class_ends_a_stage_early() -> None:
+def test_severe_harm_to_one_class_stops_the_stage_early() -> None:
     result = bake(1, Scenario(harm=0.5, harmed_measure="failed/sell"))
     assert result.verdict is Verdict.FAILED
     assert result.progress <= 0.3
@@ -145,8 +145,8 @@
     assert worse.canary > 0.4 > 0.05 > worse.baseline
 
 
-def test_one_failed_call_of_a_few_proves_nothing() -> None:
-    """By single calls its p-value is 0.02; by gateways, of which all others had none, it would be 0."""
+def test_one_failed_call_is_not_significant() -> None:
+    """The test of single calls gives p = 0.02; a test by gateways, of which only one had a failure, 0."""
     samples = [
         GatewaySample(f"g{number}", "a", number == 0, {"failed": FailureRatio(int(number == 0), 50)})
         for number in range(50)
@@ -156,27 +156,27 @@
     assert analyze(AnalysisLimits(min_calls=10), samples, 1.0).verdict is Verdict.SUCCESSFUL
 
 
-def test_two_gateways_alone_can_not_be_told_apart() -> None:
+def test_two_gateways_are_too_few_for_a_comparison() -> None:
     ratios = {True: FailureRatio(90, 1000), False: FailureRatio(10, 1000)}
     samples = [
         GatewaySample(f"g{is_canary}", "a", is_canary, {"late": ratio}) for is_canary, ratio in ratios.items()
     ]
-    assert compare_samples(samples)[0].p_value == 1.0  # how much gateways differ anyway is unknown
+    assert compare_samples(samples)[0].p_value == 1.0  # the variance between gateways is unknown
 
 
-def test_zones_with_one_side_alone_are_not_compared() -> None:
+def test_zones_with_only_one_side_are_not_compared() -> None:
     samples = [GatewaySample(f"g{n}", "a", True, {"late": FailureRatio(500, 1000)}) for n in range(5)]
     samples += [GatewaySample(f"h{n}", "b", False, {"late": FailureRatio(10, 1000)}) for n in range(5)]
     assert compare_samples(samples) == []
 
 
-def test_a_violation_of_a_canary_stops_at_once() -> None:
+def test_a_violation_on_a_canary_stops_the_stage_at_once() -> None:
     result = analyze(LIMITS, one_canary_of(5, violations=1), 0.01)
     assert result.verdict is Verdict.FAILED
     assert result.reasons == ("g0: 1 rules broken",)
 
 
-def test_a_violation_that_the_baseline_has_too_stops_nothing() -> None:
+def test_a_violation_that_the_baseline_has_too_does_not_stop_the_stage() -> None:
     samples = [*one_canary_of(5, violations=1), GatewaySample("g9", "a", False, violations=1)]
     assert analyze(LIMITS, samples, 0.01).verdict is Verdict.RUNNING
 
@@ -192,7 +192,7 @@
     ("limits", "verdict"),
     [(LIMITS, Verdict.FAILED), (AnalysisLimits(min_differences={"memory_mb": 20.0}), Verdict.RUNNING)],
 )
-def test_memory_that_grows_on_canaries_is_found_beyond_what_is_allowed(
+def test_memory_growth_on_canaries_is_found_beyond_the_allowed_difference(
     limits: AnalysisLimits, verdict: Verdict
 ) -> None:
     generator = numpy.random.default_rng(3)
@@ -206,13 +206,13 @@
 
 @pytest.fixture(name="harmless")
 def harmless_samples() -> list[GatewaySample]:
-    """A fleet without harm, whose analysis succeeds."""
+    """Return samples of a fleet without harm, whose analysis succeeds."""
     samples = draw(4, Scenario(canaries=10))
     assert analyze(LIMITS, samples, 1.0).verdict is Verdict.SUCCESSFUL
     return samples
 
 
-def test_canaries_that_are_silent_alone_have_failed(harmless: list[GatewaySample]) -> None:
+def test_the_stage_fails_if_only_canaries_are_unreachable(harmless: list[GatewaySample]) -> None:
     result = analyze(LIMITS, make_unreachable(harmless, [one.is_canary for one in harmless]), 1.0)
     assert result.verdict is Verdict.FAILED
     assert result.reasons[0].startswith("silent: new 1, old 0")
@@ -223,7 +223,7 @@
     assert reason in result.reasons[0]
 
 
-def test_a_zone_that_is_cut_off_is_inconclusive(harmless: list[GatewaySample]) -> None:
+def test_an_unreachable_zone_is_inconclusive(harmless: list[GatewaySample]) -> None:
     samples = make_unreachable(harmless, [one.zone == "a" for one in harmless])
     assert_inconclusive(analyze(LIMITS, samples, 1.0), "new gateways could not be asked")
 
--- a/tests/fleet/rollout/test_controller.py
+++ b/tests/fleet/rollout/test_controller.py
@@ -1,4 +1,4 @@
-"""The decisions of a rollout's leader, without I/O."""
+"""The decisions of the rollout controller, without I/O."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 def report(
     controller: RolloutController, now_s: float, **changed: ObservedGateway
 ) -> Sequence[events.Action]:
-    """Poll both daemons; gateways that are not named run the old release."""
+    """Report both daemons; gateways that are not named run the old release."""
     actions: list[events.Action] = []
     for daemon in ("d0", "d1"):
         gateways = {
@@ -96,7 +96,7 @@
     return events.AnalysisCompleted(0, AnalysisResult(verdict, 0.01, reasons))
 
 
-def test_nothing_is_commanded_before_all_gateways_were_observed_and_then_one_at_a_time() -> None:
+def test_commands_start_after_all_gateways_were_observed_and_go_to_one_at_a_time() -> None:
     controller = create_controller()
     assert controller.handle(1.0, events.DaemonReported("d0", {"g0": observed(), "g2": observed()})) == []
     (command,) = controller.handle(1.1, events.DaemonReported("d1", {"g1": observed(), "g3": observed()}))
@@ -107,7 +107,7 @@
     assert bake == events.StartBake(0)
 
 
-def test_the_bake_begins_once_the_stage_has_settled_for_a_while() -> None:
+def test_the_bake_begins_after_the_settle_time() -> None:
     controller = create_controller(replace(PLAN, settle_s=5.0))
     changed = first_command(controller).gateway
     assert report(controller, 2.0, **{changed: observed("new")}) == []
@@ -118,7 +118,7 @@
     assert report(controller, 12.0, **{changed: observed("new")})[:1] == [events.StartBake(0)]
 
 
-def test_a_decision_is_stored_before_it_is_commanded_and_again_where_it_is_not_confirmed() -> None:
+def test_a_decision_is_stored_before_its_command_and_again_if_it_is_not_confirmed() -> None:
     controller = create_controller()
     command = first_command(controller)
     record = only_record(controller.handle(2.0, request(1, OperatorAction.ABORT)))
@@ -130,7 +130,7 @@
     assert back == events.SetRelease(DAEMON_OF[command.gateway], command.gateway, "old")
 
 
-def test_the_next_leader_goes_on_from_the_record_alone() -> None:
+def test_the_next_leader_continues_from_the_record_alone() -> None:
     controller = create_controller()
     changed = first_command(controller).gateway
     report(controller, 2.0, **{changed: observed("new")})
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("policy", InconclusivePolicy)
-def test_an_inconclusive_analysis_holds_or_rolls_back_by_the_plan_and_an_operator_resumes(
+def test_an_inconclusive_analysis_holds_or_rolls_back_by_the_plan_and_an_operator_can_resume(
     policy: InconclusivePolicy,
 ) -> None:
     controller = create_controller(replace(PLAN, on_inconclusive=policy))
@@ -159,10 +159,12 @@
         assert report(controller, 14.0, **{changed: observed("new")}) == []
         confirm(controller, 15.0, controller.handle(15.0, request(1, OperatorAction.RESUME)))
         assert summarize(controller.record).startswith("p: forward")
-        assert controller.handle(15.1, request(1, OperatorAction.RESUME)) == []  # a request counts once
+        assert (
+            controller.handle(15.1, request(1, OperatorAction.RESUME)) == []
+        )  # each request takes effect once
 
 
-def test_a_release_that_a_daemon_gave_up_is_rolled_back_at_once() -> None:
+def test_a_release_that_a_daemon_could_not_start_is_rolled_back_at_once() -> None:
     controller = create_controller()
     changed = first_command(controller).gateway
     actions = report(controller, 2.0, **{changed: observed("new", "old", failed="new")})
@@ -179,14 +181,14 @@
         (GatewayMetrics(0.4), "new"),  # it reports no release
     ],
 )
-def test_a_gateway_s_own_page_counts_more_than_its_daemon_s_word(
+def test_the_release_in_a_gateways_metrics_takes_precedence_over_its_daemons_report(
     metrics: GatewayMetrics, expected: str
 ) -> None:
     status = GatewayStatus("new", "new", GatewayPhase.SERVING, 3, 0, metrics=metrics)
     assert running_release(status) == expected
 
 
-def test_a_gateway_that_goes_on_with_the_old_release_holds_the_rollout() -> None:
+def test_a_gateway_that_keeps_running_the_old_release_holds_the_rollout() -> None:
     controller = create_controller()
     changed = first_command(controller).gateway
     assert report(controller, 2.0, **{changed: observed("new", "old")}) == []
@@ -195,18 +197,18 @@
     assert changed in record.reason
 
 
-def test_a_zone_waits_for_gateways_that_are_down_in_another() -> None:
+def test_a_zone_waits_while_gateways_of_another_zone_are_down() -> None:
     controller = create_controller(replace(PLAN, max_unavailable=2, stages=(Stage(share=1.0, bake_s=10.0),)))
     commands = [one for one in report(controller, 1.0) if isinstance(one, events.SetRelease)]
     assert len({DAEMON_OF[one.gateway] for one in commands}) == 1
     assert len(commands) == 2
-    # One of them serves, the other stays down: no gateway of the other zone is commanded.
+    # One of them serves and the other stays down: the other zone gets no command.
     up, down = (one.gateway for one in commands)
     changed = {up: observed("new"), down: observed("new", "", GatewayPhase.STARTING)}
     assert report(controller, 2.0, **changed) == []
 
 
-def test_a_stalled_step_holds_the_rollout_and_a_stalled_rollback_says_what_it_waits_for() -> None:
+def test_a_stalled_step_holds_the_rollout_and_a_stalled_rollback_records_what_it_waits_for() -> None:
     controller = create_controller()
     changed = first_command(controller).gateway
     report(controller, 2.0, **{changed: observed("new", "", GatewayPhase.CHANGING)})
--- a/tests/platform/test_client_admission.py
+++ b/tests/platform/test_client_admission.py
@@ -1,4 +1,4 @@
-"""Which connection makes room for a newcomer, and how long one waits: the rule alone, times passed in."""
+"""Which connection is evicted for a new client, and how long a client waits; times are passed in."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FakeConnection:
-    """A connection as it is seen."""
+    """A client connection with settable state."""
 
     numbers = count()
 
@@ -38,8 +38,8 @@
         self.has_sent_data = has_sent_data
         self.is_over_limit = is_over_limit
         self.idle = True
-        self.unread = self.ended = False
-        self.socket_checks = 0  # at its socket
+        self.unread = self.closed = False
+        self.socket_checks = 0  # how often its socket was examined
         self._number = next(self.numbers)
 
     def fileno(self) -> int:
@@ -53,30 +53,30 @@
         return self.idle and not self.unread
 
     def is_closed_by_client(self) -> bool:
-        return self.ended
+        return self.closed
 
 
 class AdmissionHarness:
-    """Connections held by the rule; newcomers come when a test says so."""
+    """An admission with its connections; a test decides when new clients connect."""
 
     def __init__(self) -> None:
         self.admission = ClientAdmission(RESERVE, MAX_OVER_LIMIT)
         self.connections: list[FakeConnection] = []
 
-    def add(self, *views: FakeConnection) -> list[FakeConnection]:
-        for view in views:
-            self.admission.add(view)
-            self.admission.touch(view)
-            self.connections.append(view)
-        return list(views)
-
-    def fill(self, view_count: int = CONNECTIONS, **attributes: object) -> list[FakeConnection]:
-        """Connections that all look alike, one idle a little longer than the next."""
-        views = [FakeConnection(LONG_AGO_S + index / 1000) for index in range(view_count)]
-        for view in views:
+    def add(self, *connections: FakeConnection) -> list[FakeConnection]:
+        for connection in connections:
+            self.admission.add(connection)
+            self.admission.touch(connection)
+            self.connections.append(connection)
+        return list(connections)
+
+    def fill(self, number: int = CONNECTIONS, **attributes: object) -> list[FakeConnection]:
+        """Add connections with the same attributes, each idle a little longer than the next."""
+        connections = [FakeConnection(LONG_AGO_S + index / 1000) for index in range(number)]
+        for connection in connections:
             for name, value in attributes.items():
-                setattr(view, name, value)
-        return self.add(*views)
+                setattr(connection, name, value)
+        return self.add(*connections)
 
     def decide(self, now: float = NOW_S) -> AdmissionDecision:
         decision = self.admission.decide(now, CONNECTIONS, MAX_OVER_LIMIT)
@@ -85,8 +85,8 @@
             self.connections.remove(decision.victim)  # type: ignore[arg-type]
         return decision
 
-    def newcomer(self, now: float = NOW_S) -> FakeConnection | None:
-        """One that says nothing yet; None where it has to wait."""
+    def connect(self, now: float = NOW_S) -> FakeConnection | None:
+        """Connect a client that sends nothing yet; return None if it must wait."""
         outcome = self.decide(now).outcome
         if outcome is AdmissionOutcome.WAIT:
             return None
@@ -96,23 +96,26 @@
             )
         )[0]
 
-    def queue(self, arrivals_s: list[float], speak: bool, busy: list[FakeConnection]) -> list[float]:
-        """Newcomers one after another, beside clients that use their connections all the time; how long each
-        waited.
+    def connect_all(
+        self, arrivals_s: list[float], sends_data: bool, busy: list[FakeConnection]
+    ) -> list[float]:
+        """Connect clients one after another while other clients use their connections all the time.
+
+        Returns how long each client waited.
         """
         waits_s: list[float] = []
         now = arrivals_s[0]
         while len(waits_s) < len(arrivals_s) and now < NOW_S + 10.0:
-            for view in busy:
-                view.active_s = now
+            for connection in busy:
+                connection.active_s = now
             while len(waits_s) < len(arrivals_s) and arrivals_s[len(waits_s)] <= now:
-                newcomer = self.newcomer(now)
-                if newcomer is None:
+                accepted = self.connect(now)
+                if accepted is None:
                     break
                 waits_s.append(now - arrivals_s[len(waits_s)])
                 self.admission.record_queue_wait(waits_s[-1])
-                newcomer.has_sent_data = speak
-                self.admission.touch(newcomer)
+                accepted.has_sent_data = sends_data
+                self.admission.touch(accepted)
             else:
                 self.admission.note_accept_queue_empty()
             now += STEP_S
@@ -124,94 +127,102 @@
     return AdmissionHarness()
 
 
-def test_ended_ones_go_first_then_silent_ones_then_the_longest_idle(harness: AdmissionHarness) -> None:
+def test_closed_connections_are_evicted_first_then_silent_ones_then_the_longest_idle(
+    harness: AdmissionHarness,
+) -> None:
     active = harness.fill(CONNECTIONS - 2)
-    silent, ended = harness.add(FakeConnection(LONG_AGO_S, has_sent_data=False), FakeConnection(JUST_NOW_S))
-    ended.ended = True
-    assert harness.decide().victim is ended
+    silent, closed = harness.add(FakeConnection(LONG_AGO_S, has_sent_data=False), FakeConnection(JUST_NOW_S))
+    closed.closed = True
+    assert harness.decide().victim is closed
     harness.add(FakeConnection(NOW_S))
     assert harness.decide().victim is silent
     harness.add(FakeConnection(NOW_S))
     assert harness.decide().victim is active[0]
 
 
-def test_one_with_a_call_open_or_a_request_unread_is_passed_over(harness: AdmissionHarness) -> None:
-    views = harness.fill()
-    views[0].idle = False
-    views[1].unread = True
-    assert harness.decide().victim is views[2]
+def test_a_connection_with_an_open_call_or_an_unread_request_is_not_evicted(
+    harness: AdmissionHarness,
+) -> None:
+    connections = harness.fill()
+    connections[0].idle = False
+    connections[1].unread = True
+    assert harness.decide().victim is connections[2]
 
 
-def test_one_that_was_used_since_it_was_ranked_is_not_the_longest_idle(harness: AdmissionHarness) -> None:
-    views = harness.fill()
-    assert harness.decide().victim is views[0]
+def test_a_connection_used_since_it_was_ranked_is_not_the_longest_idle(harness: AdmissionHarness) -> None:
+    connections = harness.fill()
+    assert harness.decide().victim is connections[0]
     harness.add(FakeConnection(NOW_S))
-    views[1].active_s = NOW_S
-    assert harness.decide().victim is views[2]
+    connections[1].active_s = NOW_S
+    assert harness.decide().victim is connections[2]
 
 
-def test_idle_time_counts_from_the_answer_not_from_the_request(harness: AdmissionHarness) -> None:
-    """A client that has just been answered after a long call used to be the longest idle one."""
-    views = harness.fill(idle=False)
+def test_idle_time_starts_at_the_response_not_at_the_request(harness: AdmissionHarness) -> None:
+    """Guards against the eviction of a client that has just received the response to a long call."""
+    connections = harness.fill(idle=False)
     assert harness.decide().outcome is AdmissionOutcome.ACCEPT_OVER_LIMIT
-    for view in views:
-        view.idle, view.active_s = True, NOW_S  # answered now
+    for connection in connections:
+        connection.idle, connection.active_s = True, NOW_S  # the response is sent now
     decision = harness.decide(NOW_S + 0.01)
     assert decision.outcome is AdmissionOutcome.WAIT
     assert decision.recheck_s == pytest.approx(NOW_S + IDLE_MIN_S)
 
 
-def test_silent_newcomers_are_left_a_moment_up_to_the_reserve(harness: AdmissionHarness) -> None:
+def test_recent_silent_connections_are_kept_up_to_the_reserve(harness: AdmissionHarness) -> None:
     active = harness.fill()
-    newcomers = [harness.newcomer() for _ in range(RESERVE)]
-    assert [view in harness.connections for view in active] == [
+    new_connections = [harness.connect() for _ in range(RESERVE)]
+    assert [connection in harness.connections for connection in active] == [
         index >= RESERVE for index in range(CONNECTIONS)
     ]
-    assert all(view in harness.connections for view in newcomers)
+    assert all(connection in harness.connections for connection in new_connections)
 
 
-def test_a_silent_flood_holds_the_reserve_and_is_let_in_within_the_bound(harness: AdmissionHarness) -> None:
-    """A client that speaks waits behind it."""
+def test_a_flood_of_silent_clients_uses_only_the_reserve_and_is_accepted_in_time(
+    harness: AdmissionHarness,
+) -> None:
+    """A client that sends data waits behind the silent clients."""
     active = harness.fill()
-    waits_s = harness.queue([NOW_S + index * STEP_S for index in range(1000)], speak=False, busy=[])
+    waits_s = harness.connect_all(
+        [NOW_S + index * STEP_S for index in range(1000)], sends_data=False, busy=[]
+    )
     assert len(waits_s) == 1000
     assert max(waits_s) <= OVERDUE_WAIT_S + 2 * STEP_S
-    assert sum(view in harness.connections for view in active) == CONNECTIONS - RESERVE
+    assert sum(connection in harness.connections for connection in active) == CONNECTIONS - RESERVE
 
 
 @pytest.mark.parametrize("sockets", [64, 160, 256, 384, 4096])
-def test_a_flood_finds_the_reserve_beside_all_that_clients_may_use(sockets: int) -> None:
+def test_the_silent_reserve_is_beyond_the_connections_that_clients_may_use(sockets: int) -> None:
     budget = divide_budget(sockets, 128.0, 1000)
     assert budget.client_reserve >= 1
     assert budget.client_reserve == 1 or budget.clients - budget.client_reserve == sockets // 3
 
 
-def test_a_newcomer_waits_until_the_next_one_has_been_idle_for_long_enough(harness: AdmissionHarness) -> None:
-    """It took the place of a busy client's connection."""
-    views = harness.fill(active_s=NOW_S)
-    views[3].active_s = JUST_NOW_S
+def test_a_new_client_waits_until_a_connection_has_been_idle_long_enough(harness: AdmissionHarness) -> None:
+    """Guards against the eviction of a busy client's connection."""
+    connections = harness.fill(active_s=NOW_S)
+    connections[3].active_s = JUST_NOW_S
     decision = harness.decide()
     assert decision.outcome is AdmissionOutcome.WAIT
     assert decision.recheck_s == pytest.approx(JUST_NOW_S + IDLE_MIN_S)
-    assert harness.decide(decision.recheck_s + 1e-6).victim is views[3]
+    assert harness.decide(decision.recheck_s + 1e-6).victim is connections[3]
 
 
-@pytest.mark.parametrize("speak", [False, True])
-def test_beside_busy_clients_a_newcomer_waits_for_the_bound_at_most(
-    harness: AdmissionHarness, speak: bool
+@pytest.mark.parametrize("sends_data", [False, True])
+def test_beside_busy_clients_a_new_client_waits_no_longer_than_the_bound(
+    harness: AdmissionHarness, sends_data: bool
 ) -> None:
-    """Those that were refused come again after the time that they were told; no busy one is closed."""
+    """Clients that were rejected retry after the advised time; no busy connection is closed."""
     busy = harness.fill()
-    waits_s = harness.queue([NOW_S + index / 10 for index in range(50)], speak, busy)
+    waits_s = harness.connect_all([NOW_S + index / 10 for index in range(50)], sends_data, busy)
     assert len(waits_s) == 50
     assert max(waits_s) <= OVERDUE_WAIT_S + 2 * STEP_S
     assert harness.connections[:CONNECTIONS] == busy
 
 
-def test_beside_busy_clients_many_newcomers_are_refused_a_few_at_a_time(harness: AdmissionHarness) -> None:
-    """Refused at the speed of the loop they closed each other's connections before they could speak."""
+def test_beside_busy_clients_many_new_clients_are_rejected_a_few_at_a_time(harness: AdmissionHarness) -> None:
+    """Without the limit new clients evicted each other before they could send a request."""
     busy = harness.fill()
-    waits_s = harness.queue([NOW_S] * 20, speak=True, busy=busy)
+    waits_s = harness.connect_all([NOW_S] * 20, sends_data=True, busy=busy)
     turns = range(20 // MAX_OVER_LIMIT)
     longest_s = [OVERDUE_WAIT_S + turn * (IDLE_MIN_S + 2 * STEP_S) + STEP_S for turn in turns]
     assert all(wait_s <= longest_s[index // MAX_OVER_LIMIT] for index, wait_s in enumerate(waits_s))
@@ -219,99 +230,107 @@
     assert harness.connections[:CONNECTIONS] == busy
 
 
-@pytest.mark.parametrize("hangs", [True, False])
-def test_many_newcomers_at_once_are_let_in_while_their_requests_have_time(
-    harness: AdmissionHarness, hangs: bool
+@pytest.mark.parametrize("has_open_calls", [True, False])
+def test_many_new_clients_at_once_are_accepted_before_their_deadlines(
+    harness: AdmissionHarness, has_open_calls: bool
 ) -> None:
-    """The hundredth waited for over a second behind the others, longer than its deadline."""
-    clients = harness.fill(idle=not hangs)
-    waits_s = harness.queue([NOW_S] * 500, speak=True, busy=clients)
+    """The hundredth client waited for over a second behind the others, past its deadline."""
+    clients = harness.fill(idle=not has_open_calls)
+    waits_s = harness.connect_all([NOW_S] * 500, sends_data=True, busy=clients)
     assert len(waits_s) == 500
     assert max(waits_s) <= MAX_QUEUE_WAIT_S + IDLE_MIN_S
     assert harness.connections[:CONNECTIONS] == clients
 
 
-def test_the_queue_once_empty_newcomers_that_were_refused_are_left_their_time_again(
+def test_once_the_accept_queue_was_empty_over_limit_connections_linger_again(
     harness: AdmissionHarness,
 ) -> None:
     busy = harness.fill()
-    harness.queue([NOW_S] * 100, speak=True, busy=busy)
+    harness.connect_all([NOW_S] * 100, sends_data=True, busy=busy)
     harness.admission.note_accept_queue_empty()
-    refused = harness.connections[CONNECTIONS:]
+    rejected = harness.connections[CONNECTIONS:]
     now = NOW_S + 1.0
-    for view in harness.connections:
-        view.accepted_s = view.active_s = now
+    for connection in harness.connections:
+        connection.accepted_s = connection.active_s = now
     assert harness.decide(now).outcome is AdmissionOutcome.WAIT
     assert harness.decide(now + OVERDUE_S / 4).outcome is AdmissionOutcome.WAIT
-    assert harness.connections[CONNECTIONS:] == refused
+    assert harness.connections[CONNECTIONS:] == rejected
 
 
-def test_a_newcomer_that_left_takes_its_waiting_time_along(harness: AdmissionHarness) -> None:
-    """The next one that came much later would have been taken for overdue."""
+def test_the_wait_of_a_client_that_disconnected_does_not_count_for_the_next_one(
+    harness: AdmissionHarness,
+) -> None:
+    """Otherwise a client that connects much later would count as overdue."""
     harness.fill(active_s=NOW_S)
     assert harness.decide().outcome is AdmissionOutcome.WAIT
     harness.admission.note_accept_queue_empty()
-    for view in harness.connections:
-        view.active_s = NOW_S + 10.0
+    for connection in harness.connections:
+        connection.active_s = NOW_S + 10.0
     assert harness.decide(NOW_S + 10.0).outcome is AdmissionOutcome.WAIT
 
 
-def test_where_every_one_has_a_call_open_a_few_are_refused_at_once_and_the_rest_in_turn(
+def test_if_all_connections_have_open_calls_a_few_clients_are_rejected_at_once_and_the_rest_in_turn(
     harness: AdmissionHarness,
 ) -> None:
     harness.fill(idle=False)
-    refused = [harness.newcomer() for _ in range(MAX_OVER_LIMIT)]
-    assert [view is not None and view.is_over_limit for view in refused] == [True] * MAX_OVER_LIMIT
-    assert harness.newcomer() is None
-    for view in harness.connections[CONNECTIONS:]:
-        view.has_sent_data = True
-        view.active_s = NOW_S + OVERDUE_S  # they were answered just now
-        harness.admission.touch(view)
+    rejected = [harness.connect() for _ in range(MAX_OVER_LIMIT)]
+    assert [connection is not None and connection.is_over_limit for connection in rejected] == [
+        True
+    ] * MAX_OVER_LIMIT
+    assert harness.connect() is None
+    for connection in harness.connections[CONNECTIONS:]:
+        connection.has_sent_data = True
+        connection.active_s = NOW_S + OVERDUE_S  # their responses were sent just now
+        harness.admission.touch(connection)
     assert harness.decide(NOW_S + IDLE_MIN_S / 2).outcome is AdmissionOutcome.WAIT
     assert harness.decide(NOW_S + OVERDUE_S) == AdmissionDecision(
-        AdmissionOutcome.ACCEPT_OVER_LIMIT, refused[0]
+        AdmissionOutcome.ACCEPT_OVER_LIMIT, rejected[0]
     )
-    assert len(harness.connections) == CONNECTIONS + MAX_OVER_LIMIT - 1, "one in place of the other"
+    assert len(harness.connections) == CONNECTIONS + MAX_OVER_LIMIT - 1, "one replaces the other"
 
 
-def test_the_longest_idle_busy_one_goes_only_where_no_other_can(harness: AdmissionHarness) -> None:
+def test_the_longest_idle_busy_connection_is_evicted_only_if_no_other_can_be(
+    harness: AdmissionHarness,
+) -> None:
     busy = harness.fill()
     over_limit = harness.add(*(FakeConnection(NOW_S, is_over_limit=True) for _ in range(MAX_OVER_LIMIT)))
-    for index, view in enumerate(busy):
-        view.active_s = NOW_S + index / 10_000
-    for view in over_limit:
-        view.idle = False  # half a request of it came
+    for index, connection in enumerate(busy):
+        connection.active_s = NOW_S + index / 10_000
+    for connection in over_limit:
+        connection.idle = False  # a request is partly read
     assert harness.decide(NOW_S + 0.001).outcome is AdmissionOutcome.WAIT
     now = NOW_S + 0.001 + OVERDUE_S
-    for index, view in enumerate(busy):
-        view.active_s = now - index / 10_000
+    for index, connection in enumerate(busy):
+        connection.active_s = now - index / 10_000
     assert harness.decide(now) == AdmissionDecision(AdmissionOutcome.ACCEPT, busy[-1])
 
 
-def test_for_want_of_a_descriptor_one_goes_within_the_bound(harness: AdmissionHarness) -> None:
-    view = harness.fill(1, active_s=NOW_S)[0]
+def test_without_a_free_descriptor_a_connection_is_evicted_within_the_bound(
+    harness: AdmissionHarness,
+) -> None:
+    connection = harness.fill(1, active_s=NOW_S)[0]
     assert harness.admission.next_victim_for_descriptor(NOW_S) is None
-    view.active_s = NOW_S + OVERDUE_S
-    assert harness.admission.next_victim_for_descriptor(NOW_S + OVERDUE_S) is view
+    connection.active_s = NOW_S + OVERDUE_S
+    assert harness.admission.next_victim_for_descriptor(NOW_S + OVERDUE_S) is connection
 
 
-def test_beside_hanging_calls_newcomers_cost_no_look_at_a_socket(harness: AdmissionHarness) -> None:
-    """A look at each connection for each newcomer took the whole processor."""
-    views = harness.fill(idle=False)
+def test_beside_unfinished_calls_a_new_client_causes_no_socket_check(harness: AdmissionHarness) -> None:
+    """A check of each connection for each new client used a whole CPU."""
+    connections = harness.fill(idle=False)
     for index in range(1000):
         decision = harness.decide(NOW_S + index / 10_000)
         assert (
             decision.outcome is not AdmissionOutcome.WAIT
             or decision.recheck_s <= NOW_S + index / 10_000 + MAX_RECHECK_S
         )
-    assert sum(view.socket_checks for view in views) == 0
+    assert sum(connection.socket_checks for connection in connections) == 0
 
 
-def test_closed_connections_do_not_stay_in_the_order() -> None:
-    """It is looked at under pressure alone: without bound it would grow with each connection that ends."""
+def test_removed_connections_do_not_accumulate_in_the_heap() -> None:
+    """Without compaction the heap, which is searched only at the limit, would grow with each closed one."""
     order = IdleOrder()
     for _ in range(10 * MAX_STALE_ENTRIES):
-        view = FakeConnection()
-        order.add(view)
-        order.remove(view)
+        connection = FakeConnection()
+        order.add(connection)
+        order.remove(connection)
     assert len(order._heap) <= MAX_STALE_ENTRIES + 1
--- a/tests/platform/test_queue_wait.py
+++ b/tests/platform/test_queue_wait.py
@@ -1,4 +1,4 @@
-"""How long a connection waited to be accepted, told by the kernel."""
+"""How long a connection waited in the accept queue, by the kernel's figures."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from saffronstack.platform.queue_wait import read_queue_wait_s
 
 WAIT_S = 0.06
-COARSE_S = 0.01  # the kernel counts in milliseconds or in ticks of four
+TOLERANCE_S = 0.01  # the kernel counts in milliseconds or in ticks of 4 ms
 
 
 @pytest.mark.parametrize("request_bytes", [b"", b"x"])
-def test_it_is_the_time_from_the_handshake_or_the_last_byte(request_bytes: bytes) -> None:
+def test_the_wait_starts_at_the_handshake_or_at_the_last_byte(request_bytes: bytes) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         before_s = time.monotonic()
         with socket.create_connection(listener.getsockname()) as client:
@@ -24,13 +24,13 @@
             threading.Event().wait(WAIT_S)
             accepted, _ = listener.accept()
             with accepted:
-                least_s = time.monotonic() - sent_s
+                min_wait_s = time.monotonic() - sent_s
                 waited_s = read_queue_wait_s(accepted)
-                most_s = time.monotonic() - before_s
-    assert least_s - COARSE_S <= waited_s <= most_s + COARSE_S
+                max_wait_s = time.monotonic() - before_s
+    assert min_wait_s - TOLERANCE_S <= waited_s <= max_wait_s + TOLERANCE_S
 
 
-def test_a_connection_that_has_ended_has_not_waited() -> None:
+def test_a_closed_socket_has_a_wait_of_zero() -> None:
     with socket.socket() as sock:
         sock.close()
         assert read_queue_wait_s(sock) == 0.0
--- a/tests/platform/test_router_state_check.py
+++ b/tests/platform/test_router_state_check.py
@@ -1,4 +1,4 @@
-"""The router's view of workers compared with what passes on their connections."""
+"""The router's state of workers is compared with the state of their connections."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     unresponsive_s: float = 0.0
 
 
-def test_a_difference_counts_when_two_looks_find_it() -> None:
+def test_a_discrepancy_counts_once_two_checks_find_it() -> None:
     state_check, worker, host = RouterStateCheck(), Worker(attempts_in_flight=1), Host()
     assert state_check.check(0.0, {7: worker}, {7: host}) == []
-    worker.attempts_in_flight = 0  # the event was on its way
+    worker.attempts_in_flight = 0  # the event was still queued
     state_check.check(0.25, {7: worker}, {7: host})
     assert not state_check.statistics
     worker.attempts_in_flight = 2
@@ -43,7 +43,7 @@
     assert state_check.summary() == {"open_attempts": "1 times, longest 1.5 s (s-7: module 2, links 0)"}
 
 
-def test_states_and_health_are_compared() -> None:
+def test_readiness_and_health_are_compared() -> None:
     state_check = RouterStateCheck()
 
     def kinds(worker: Worker, host: Host) -> set[str]:
