--- a/saffronstack/engine/calls.py
+++ b/saffronstack/engine/calls.py
@@ -63,7 +63,7 @@
 
     Attributes:
         name: Name in the configuration.
-        number: Number that the router knows it by.
+        number: Number by which the router identifies it.
         class_index: Index of its request class in the settings.
         memory_mb: Memory of one instance.
         concurrency: Requests that one instance executes at once.
@@ -91,7 +91,7 @@
     """One call of a client.
 
     Attributes:
-        number: Number that the router knows it by.
+        number: Number by which the router identifies it.
         request_id: Identifier that the client sees.
         function: The function to execute.
         payload: Body of the request.
@@ -123,7 +123,9 @@
     on_final_answer: Callable[[Call, FinalAnswer], None] | None = None
     final_answer: FinalAnswer | None = None
     class_name: str = ""
-    _finish_claim: threading.Lock = field(default_factory=threading.Lock)  # held by the thread that finishes
+    _finish_claim: threading.Lock = field(
+        default_factory=threading.Lock
+    )  # held by the thread that finishes the call
     _unfinished: threading.Lock = field(default_factory=threading.Lock)  # held until the call is finished
 
     def __post_init__(self) -> None:
--- a/saffronstack/engine/decision_loop.py
+++ b/saffronstack/engine/decision_loop.py
@@ -113,7 +113,7 @@
         return True
 
     def _is_pending(self, timer: TimerFired | CallNumber) -> bool:
-        """Return whether a timer still matters: most calls end long before their deadline."""
+        """Return whether a timer is still needed: most calls end long before their deadline."""
         return not isinstance(timer, int) or timer in self.state.open_calls
 
     def _note_fault(self) -> None:
--- a/saffronstack/engine/worker_registry.py
+++ b/saffronstack/engine/worker_registry.py
@@ -17,7 +17,7 @@
     """One worker as discovery reported it.
 
     Attributes:
-        number: Number that the router knows it by.
+        number: Number by which the router identifies it.
         name: Name in the endpoint list.
         host: Host name or address.
         port: TCP port.
--- a/saffronstack/fleet/rollout/canary_sampler.py
+++ b/saffronstack/fleet/rollout/canary_sampler.py
@@ -30,13 +30,13 @@
     """Stores each gateway's metrics at the start of a bake; times in seconds of one clock."""
 
     fleet: Sequence[FleetGateway]
-    _started: dict[str, MetricsSnapshot] = field(default_factory=dict)
-    _started_s: float = 0.0
+    _snapshots_at_start: dict[str, MetricsSnapshot] = field(default_factory=dict)
+    _bake_started_s: float = 0.0
 
     def begin(self, statuses: Mapping[str, GatewayStatus], now_s: float) -> None:
         """Start a bake."""
-        self._started_s = now_s
-        self._started = {
+        self._bake_started_s = now_s
+        self._snapshots_at_start = {
             name: snapshot for name, status in statuses.items()
             if (snapshot := take_snapshot(status)) is not None
         }  # fmt: skip
@@ -55,7 +55,7 @@
             status.metrics.age_s for status in statuses.values()
             if status.metrics is not None and is_fresh(status.metrics)
         ]  # fmt: skip
-        return max(0.0, polled_s - max(ages_s) - self._started_s) if ages_s else math.inf
+        return max(0.0, polled_s - max(ages_s) - self._bake_started_s) if ages_s else math.inf
 
     def samples(self, statuses: Mapping[str, GatewayStatus], new_digest: str) -> list[GatewaySample]:
         """Return the samples to compare; canaries are gateways whose desired release is ``new_digest``."""
@@ -76,10 +76,12 @@
         snapshot = take_snapshot(status) if status is not None else None
         if snapshot is None:
             return None
-        if name not in self._started:  # not polled when the bake began, so it is measured from now on
-            self._started[name] = snapshot
+        if (
+            name not in self._snapshots_at_start
+        ):  # not polled when the bake began, so it is measured from now on
+            self._snapshots_at_start[name] = snapshot
             return None
-        return snapshot.since(self._started[name])
+        return snapshot.since(self._snapshots_at_start[name])
 
     def _unreachable_sample(
         self, gateway: FleetGateway, status: GatewayStatus | None, new_digest: str
@@ -107,7 +109,7 @@
         )
 
     def _restarts(self, name: str, status: GatewayStatus | None) -> int:
-        started = self._started.get(name)
+        started = self._snapshots_at_start.get(name)
         if status is None or started is None:
             return 0
         return max(0, status.restarts - started.restarts)
--- a/saffronstack/fleet/rollout/controller.py
+++ b/saffronstack/fleet/rollout/controller.py
@@ -50,15 +50,15 @@
         self.scheduler = CommandScheduler(fleet, record, self.view)
         self.bake = BakeTimer()
         self._stall_timeout_s = stall_timeout_s
-        self._storing: RolloutRecord | None = None
-        self._progressed_s = now_s
+        self._record_being_stored: RolloutRecord | None = None
+        self._last_progress_s = now_s
 
     def handle(self, now_s: float, event: Event) -> Sequence[Action]:
         """Return the actions for an event."""
         match event:
             case DaemonReported():
                 if self.view.update(event):
-                    self._progressed_s = now_s
+                    self._last_progress_s = now_s
                 return self._advance(now_s)
             case DaemonUnreachable(daemon):
                 self.view.forget_daemon(daemon)
@@ -81,9 +81,9 @@
         return self.view.describe_unsettled(self.targets())
 
     def _on_stored(self, now_s: float, event: RecordStored) -> Sequence[Action]:
-        if event.record is not self._storing:
+        if event.record is not self._record_being_stored:
             return []
-        self._storing = None
+        self._record_being_stored = None
         if not event.is_confirmed:
             return [
                 self._store(event.record)
@@ -91,13 +91,13 @@
         if (event.record.phase, event.record.stage) != (self.record.phase, self.record.stage):
             self.bake.reset()
         self.record = event.record
-        self._progressed_s = now_s
+        self._last_progress_s = now_s
         return self._advance(now_s)
 
     def _on_requested(self, request: OperatorRequested) -> Sequence[Action]:
         record = self.record
         is_known = request.number <= record.last_request
-        if is_known or self._storing is not None or record.is_finished:
+        if is_known or self._record_being_stored is not None or record.is_finished:
             return []  # the next poll reads a request again that comes too early
         return [self._store(record_updates.apply_request(record, request.action, request.number))]
 
@@ -105,7 +105,7 @@
         self.bake.finish_analysis()
         record = self.record
         is_current = event.stage == record.stage and record.phase is RolloutPhase.PROGRESSING
-        if not is_current or self._storing is not None:
+        if not is_current or self._record_being_stored is not None:
             return []
         changed = record_updates.apply_analysis(record, event.result)
         return [] if changed is record else [self._store(changed)]
@@ -113,7 +113,7 @@
     def _advance(self, now_s: float) -> Sequence[Action]:
         """Compare the observed state with the record, and return the next actions."""
         record = self.record
-        if self._storing is not None or record.is_finished:
+        if self._record_being_stored is not None or record.is_finished:
             return []
         if record.phase is RolloutPhase.PROGRESSING:
             failures = self.view.failures_of(record.new_release.digest)
@@ -127,7 +127,7 @@
         if commands:
             return commands
         is_settled = all(self.view.is_settled(name, release) for name, release in targets.items())
-        if not is_settled and now_s - self._progressed_s > self._stall_timeout_s:
+        if not is_settled and now_s - self._last_progress_s > self._stall_timeout_s:
             return [self._store(self._stalled())]
         if record.phase is RolloutPhase.ROLLING_BACK:
             return [self._store(record_updates.finish_rollback(record))] if is_settled else []
@@ -141,5 +141,5 @@
         return record_updates.note_stalled_rollback(self.record, reason)
 
     def _store(self, record: RolloutRecord) -> StoreRecord:
-        self._storing = record
+        self._record_being_stored = record
         return StoreRecord(record)
--- a/saffronstack/platform/client_admission.py
+++ b/saffronstack/platform/client_admission.py
@@ -19,7 +19,7 @@
 MAX_QUEUE_WAIT_S = 0.2
 # Seconds that an over-limit connection stays open so that its client can read the rejection.
 OVER_LIMIT_LINGER_S = 0.05
-MIN_RECHECK_S = 0.005  # bounds of the time between two checks for capacity
+MIN_RECHECK_S = 0.005  # minimum and maximum seconds between two checks for capacity
 MAX_RECHECK_S = 0.05
 
 
@@ -47,7 +47,7 @@
 
 
 class ClientAdmission:
-    """Tracks all client connections: regular ones and over-limit ones."""
+    """Tracks all client connections, regular and over-limit, and decides on waiting clients."""
 
     def __init__(self, silent_reserve: int, max_over_limit: int, find_closed: FindClosed = list) -> None:
         """Create an admission without connections.
--- a/tests/daemon/test_processor_starvation.py
+++ b/tests/daemon/test_processor_starvation.py
@@ -46,7 +46,7 @@
 
 MS = 1_000_000
 TICK_S = 0.01
-BURNED_S = 0.05
+USED_CPU_S = 0.05
 
 
 @pytest.mark.parametrize(
@@ -110,18 +110,18 @@
 
 
 def test_the_cpu_time_of_a_process_includes_ended_threads() -> None:
-    def burn() -> None:
-        while time.thread_time() < BURNED_S:
+    def use_cpu() -> None:
+        while time.thread_time() < USED_CPU_S:
             pass
 
     before_ns = read_run_ns(os.getpid())
-    thread = threading.Thread(target=burn)
+    thread = threading.Thread(target=use_cpu)
     thread.start()
     thread.join()
     after_ns = read_run_ns(os.getpid())
     assert before_ns is not None
     assert after_ns is not None
-    assert after_ns - before_ns >= (BURNED_S - TICK_S) * 1000 * MS
+    assert after_ns - before_ns >= (USED_CPU_S - TICK_S) * 1000 * MS
 
 
 def test_a_starved_process_is_unpinned_once_and_others_stay_pinned() -> None:
--- a/tests/platform/test_client_admission.py
+++ b/tests/platform/test_client_admission.py
@@ -180,7 +180,7 @@
 def test_a_flood_of_silent_clients_uses_only_the_reserve_and_is_accepted_in_time(
     harness: AdmissionHarness,
 ) -> None:
-    """A client that sends data waits behind the silent clients."""
+    """A client that sends data waits in the accept queue behind the silent clients."""
     active = harness.fill()
     waits_s = harness.connect_all(
         [NOW_S + index * STEP_S for index in range(1000)], sends_data=False, busy=[]
@@ -220,7 +220,7 @@
 
 
 def test_beside_busy_clients_many_new_clients_are_rejected_a_few_at_a_time(harness: AdmissionHarness) -> None:
-    """Without the limit new clients evicted each other before they could send a request."""
+    """Accepted at the speed of the event loop, they evicted each other before they could send a request."""
     busy = harness.fill()
     waits_s = harness.connect_all([NOW_S] * 20, sends_data=True, busy=busy)
     turns = range(20 // MAX_OVER_LIMIT)
