--- a/saffronstack/bench/simhost.py
+++ b/saffronstack/bench/simhost.py
@@ -1,4 +1,4 @@
-"""The process that the simulator starts: one router per instance decides on batches of events."""
+"""Process that the simulator starts: handles batches of events with one router per gateway instance."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 MALFORMED_INPUT_STATUS = 2
 
 
-class Host:
-    """Independent routers, one for each running instance.
+class RouterHost:
+    """Holds one independent router for each running gateway instance.
 
     Attributes:
-        routers: The routers, by instance.
-        load_report_fields: Names of the values of load reports, by instance.
+        routers: Routers, by instance number.
+        load_report_fields: Field names of load reports, by instance number.
     """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
         self.load_report_fields: dict[int, tuple[str, ...]] = {}
 
-    def batch(self, now: float, body: bytes, records: int) -> bytes:
-        """Handle the records of one batch and return those of its reply.
+    def handle_batch(self, now: float, body: bytes, records: int) -> bytes:
+        """Handle the records of one batch and return the records of its reply.
 
         Raises:
             WireError: The batch is malformed.
@@ -39,7 +39,7 @@
                 self._handle_event(now, instance, event, reply)
             except wire.WireError:
                 raise
-            except Exception as error:  # noqa: BLE001 - the simulator has a record for decision code that fails
+            except Exception as error:  # noqa: BLE001 - the simulator has a record for router exceptions
                 traceback.print_exc(file=sys.stderr)
                 reply.append(wire.encode_fault(instance, f"{type(error).__name__}: {error}"))
         if reader.offset != len(body):
@@ -67,22 +67,22 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Read batches and write their replies until the input ends.
 
     Raises:
         WireError: A batch is malformed.
     """
-    host = Host()
+    host = RouterHost()
     while first := source.read(1):
         header = first + _read_exactly(source, wire.BATCH_HEADER.size - 1)
-        now, length, records, number = wire.BATCH_HEADER.unpack(header)
-        reply = host.batch(now, _read_exactly(source, length), records)
-        sink.write(wire.REPLY_HEADER.pack(len(reply), number) + reply)
+        now, length, records, batch_number = wire.BATCH_HEADER.unpack(header)
+        reply = host.handle_batch(now, _read_exactly(source, length), records)
+        sink.write(wire.REPLY_HEADER.pack(len(reply), batch_number) + reply)
         sink.flush()
 
 
 def main() -> int:
-    """Run the adapter and return its exit status: 0 at the end of input, 2 after a malformed batch."""
+    """Run the adapter and return its exit status: 0 at end of input, 2 after a malformed batch."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/saffronstack/client/connection.py
+++ b/saffronstack/client/connection.py
@@ -108,7 +108,7 @@
         )
         signed = Headers([("host", self.address), ("x-amz-date", timestamp)])
         canonical = sigv4.canonical_request(
-            method, target, signed, credential.signed, hashlib.sha256(body).hexdigest()
+            method, target, signed, credential.signed_headers, hashlib.sha256(body).hexdigest()
         )
         signature = sigv4.sign(self._secret, credential, timestamp, canonical)
         return (
--- a/saffronstack/daemon/processor_settling.py
+++ b/saffronstack/daemon/processor_settling.py
@@ -1,7 +1,7 @@
-"""Decides which processor a process keeps to at its start, and when one that runs on all keeps to one again.
+"""Decides which CPU a process is pinned to at its start, and when an unpinned process is pinned again.
 
-Free of input, output and clocks. Several processors cost a process most of its throughput, so it comes back
-once the machine is quiet; a hold that it shares with its moves bounds how often.
+No I/O and no clock. A process that runs on several CPUs loses most of its throughput, so it is pinned again
+once a CPU is idle. The backoff that it shares with its moves limits how often.
 """
 
 from __future__ import annotations
@@ -9,81 +9,80 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from saffronstack.daemon.processor_choice import IDLE_SHARE, NS_PER_S, MoveHold
+from saffronstack.daemon.processor_choice import IDLE_FRACTION, NS_PER_S, MoveBackoff
 
-SETTLE_S = 10.0  # for which a processor has to be idle, look by look
+MIN_IDLE_TIME_S = 10.0  # time for which a CPU has to be idle in each sample before a process is pinned to it
 
 
 @dataclass(frozen=True, slots=True)
-class IdleLook:
-    """The processors at one moment."""
+class CpuIdleSample:
+    """Idle times of the CPUs at one moment."""
 
     at_s: float  # monotonic
-    idle_ns: Mapping[int, int]  # by processor, since the start of the system; empty where it does not tell
+    idle_ns: Mapping[int, int]  # by CPU, since the start of the system; empty if not available
 
 
-def choose_first_processor(processors: Collection[int], turn: int, before: IdleLook, after: IdleLook) -> int:
-    """Return the processor that a process which starts keeps to.
+def choose_initial_cpu(
+    cpus: Collection[int], offset: int, before: CpuIdleSample, after: CpuIdleSample
+) -> int:
+    """Return the CPU that a starting process is pinned to.
 
-    One that others have taken up would keep callers waiting until the process has left it. So it is one of
-    those that were idle for at least half as long as the idlest one; of all, where the system does not tell.
+    On a contended CPU clients would wait until the process has moved. So the result is a CPU that was idle
+    for at least half as long as the idlest one; any CPU if idle times are not available.
 
     Args:
-        processors: Numbers of those that the process may use.
-        turn: Spreads processes that start at the same time.
-        before: The processors shortly before.
-        after: The processors now.
+        cpus: Numbers of the CPUs that the process may use.
+        offset: Index into the candidates; different values spread processes that start together.
+        before: Idle times shortly before.
+        after: Idle times now.
     """
-    idle_ns = {
-        processor: after.idle_ns.get(processor, 0) - before.idle_ns.get(processor, 0)
-        for processor in sorted(processors)
-    }
-    least_ns = IDLE_SHARE * max(idle_ns.values())
-    idle = [processor for processor, found_ns in idle_ns.items() if found_ns >= least_ns]
-    return idle[turn % len(idle)]
+    idle_ns = {cpu: after.idle_ns.get(cpu, 0) - before.idle_ns.get(cpu, 0) for cpu in sorted(cpus)}
+    least_ns = IDLE_FRACTION * max(idle_ns.values())
+    idle = [cpu for cpu, found_ns in idle_ns.items() if found_ns >= least_ns]
+    return idle[offset % len(idle)]
 
 
-class ProcessorSettling:
-    """The looks of one process while it may run anywhere."""
+class CpuPinningPolicy:
+    """Decides when to pin a process that may run on all CPUs."""
 
-    def __init__(self, turn: int, hold: MoveHold) -> None:
-        """Create it without looks.
+    def __init__(self, offset: int, backoff: MoveBackoff) -> None:
+        """Create a policy without samples.
 
         Args:
-            turn: Spreads processes that settle at the same time.
-            hold: Bounds the process's moves.
+            offset: Index into the idle CPUs; different values spread processes that are pinned together.
+            backoff: Limits how often the process moves.
         """
-        self._turn = turn
-        self._hold = hold
-        self._before: IdleLook | None = None
+        self._offset = offset
+        self._backoff = backoff
+        self._before: CpuIdleSample | None = None
         self._idle_since_s: dict[int, float] = {}
 
-    def restart(self) -> None:
-        """Forget all looks: the process keeps to one processor."""
+    def reset(self) -> None:
+        """Forget all samples, since the process is pinned to one CPU."""
         self._before = None
         self._idle_since_s.clear()
 
-    def choose(self, look: IdleLook) -> int | None:
-        """Return the processor to keep to from now on, or None to go on with all."""
-        self._observe(look)
-        settled = [
-            processor
-            for processor, since_s in sorted(self._idle_since_s.items())
-            if look.at_s - since_s >= SETTLE_S
+    def choose(self, sample: CpuIdleSample) -> int | None:
+        """Return the CPU to pin the process to, or None to leave it unpinned."""
+        self._observe(sample)
+        idle_cpus = [
+            cpu
+            for cpu, since_s in sorted(self._idle_since_s.items())
+            if sample.at_s - since_s >= MIN_IDLE_TIME_S
         ]
-        if not settled or not self._hold.is_over(look.at_s):
+        if not idle_cpus or not self._backoff.has_elapsed(sample.at_s):
             return None
-        self._hold.moved(look.at_s)
-        self.restart()
-        return settled[self._turn % len(settled)]
+        self._backoff.record_move(sample.at_s)
+        self.reset()
+        return idle_cpus[self._offset % len(idle_cpus)]
 
-    def _observe(self, look: IdleLook) -> None:
-        before, self._before = self._before, look
+    def _observe(self, sample: CpuIdleSample) -> None:
+        before, self._before = self._before, sample
         if before is None:
             return
-        least_ns = IDLE_SHARE * (look.at_s - before.at_s) * NS_PER_S
-        for processor, idle_ns in look.idle_ns.items():
-            if processor in before.idle_ns and idle_ns - before.idle_ns[processor] >= least_ns:
-                self._idle_since_s.setdefault(processor, before.at_s)
+        least_ns = IDLE_FRACTION * (sample.at_s - before.at_s) * NS_PER_S
+        for cpu, idle_ns in sample.idle_ns.items():
+            if cpu in before.idle_ns and idle_ns - before.idle_ns[cpu] >= least_ns:
+                self._idle_since_s.setdefault(cpu, before.at_s)
             else:
-                self._idle_since_s.pop(processor, None)
+                self._idle_since_s.pop(cpu, None)
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -34,7 +34,7 @@
     open_metering,
     open_operations,
 )
-from saffronstack.invoke.app import Access, App
+from saffronstack.invoke.app import AccessKeys, App
 from saffronstack.invoke.operation_forwarding import OperationForwarder
 from saffronstack.invoke.pages import Pages
 from saffronstack.invoke.server import Server
@@ -138,7 +138,7 @@
             self.deferred,
             self._clock,
             self._wall,
-            self.pages.table(),
+            self.pages.by_path(),
             self.process_group,
             self.budgets,
             self.meter.journal.state if self.meter is not None else None,
@@ -230,7 +230,7 @@
         if bool(config.keys) != bool(self.config.keys):
             needs_restart.append("keys (from none to some, or the reverse)")
         else:
-            self.app.access = Access.of(config)
+            self.app.access_keys = AccessKeys.from_config(config)
         if self.file_discovery is not None:
             self.file_discovery.set_configured_workers(config.workers)
             return needs_restart
--- a/saffronstack/invoke/deferred_submission.py
+++ b/saffronstack/invoke/deferred_submission.py
@@ -1,4 +1,4 @@
-"""Accepts invocations for later: writes them to the ledger, once for each operation."""
+"""Accepts invocations as deferred calls by writing them to the ledger, once for each operation."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from saffronstack.deferred.errors import CommitError, LedgerFullError
 from saffronstack.invoke import errors
 from saffronstack.invoke.errors import InvokeError
-from saffronstack.invoke.final_responses import unknown_outcome
+from saffronstack.invoke.final_responses import outcome_unknown_response
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
-from saffronstack.invoke.operation_calls import DEFERRED, perform_once, stored
+from saffronstack.invoke.operation_calls import DEFERRED, perform_once, to_stored_response
 from saffronstack.invoke.response import Response
 from saffronstack.operations.errors import OutcomeUnknownError
 from saffronstack.operations.execution import Completed, Execution, NotCompleted
@@ -30,25 +30,30 @@
 from saffronstack.routing.settings import Idempotency
 
 NOT_CONFIRMED = "the disk took it and has not answered; it is taken back as soon as it does"
-COMMIT_MARGIN_S = 1.0  # over the ledger's commit timeout: how long a send waits for another one's
+# Seconds beyond the ledger's commit timeout that a request waits for another request of its operation.
+COMMIT_MARGIN_S = 1.0
 
 
 class DeferredSubmission:
-    """Used by every connection's thread."""
+    """Writes deferred calls to the ledger. Thread-safe."""
 
     def __init__(self, config: Config, deferred: DeferredCalls | None, clock: Callable[[], float]) -> None:
-        """Without deferred calls, where no ledger is configured, everything is rejected."""
+        """``deferred`` is None without a configured ledger; then all invocations are rejected."""
         self._deferred = deferred
         self._clock = clock
         commit_timeout_s = config.ledger.commit_timeout_s if config.ledger is not None else 0.0
         self._max_wait_s = commit_timeout_s + COMMIT_MARGIN_S
 
     def submit(self, invocation: Invocation) -> Response:
-        """Accept an invocation that names no operation; InvokeError where that can't be."""
+        """Accept an invocation without an idempotency key.
+
+        Raises:
+            InvokeError: The invocation can't be accepted.
+        """
         try:
             self._accept(invocation, invocation.request_id)
         except OutcomeUnknownError:
-            return unknown_outcome(invocation.response_headers(invocation.request_id), NOT_CONFIRMED)
+            return outcome_unknown_response(invocation.response_headers(invocation.request_id), NOT_CONFIRMED)
         return Response(202, invocation.acceptance_headers(invocation.request_id))
 
     def submit_once(
@@ -58,21 +63,28 @@
         policy: DeduplicationPolicy,
         is_client_connected: IsClientConnected,
     ) -> Response:
-        """Accept an operation, or say again that it was accepted; InvokeError where that can't be."""
+        """Accept an operation, or confirm again that it was accepted.
+
+        Raises:
+            InvokeError: The operation can't be accepted.
+            ClientDisconnectedError: The client disconnected before the response was known.
+        """
 
         def run(execution: Execution, prior: PriorAttempt | None) -> Completed | NotCompleted:
             expires_at = operations.now() + policy.window_s
             return self._accept_operation(invocation, execution.operation, expires_at)
 
-        in_ledger = DeduplicationPolicy(policy.idempotency, policy.window_s, is_logged=False)
+        ledger_policy = DeduplicationPolicy(policy.idempotency, policy.window_s, is_logged=False)
         latest_s = self._clock() + self._max_wait_s
-        return perform_once(operations, invocation, DEFERRED, in_ledger, run, latest_s, is_client_connected)
+        return perform_once(
+            operations, invocation, DEFERRED, ledger_policy, run, latest_s, is_client_connected
+        )
 
     def _accept_operation(
         self, invocation: Invocation, operation: InFlightOperation, expires_at: float
     ) -> Completed | NotCompleted:
-        if self._clock() >= invocation.until_s:
-            return NotCompleted(errors.too_many("It came too late to be begun.", 1.0))
+        if self._clock() >= invocation.deadline_s:
+            return NotCompleted(errors.too_many_requests("It came too late to be begun.", 1.0))
         request_id = operation.request_id
         response = StoredResponse(202, invocation.acceptance_headers(request_id))
         record = OperationRecord(
@@ -89,8 +101,8 @@
         except InvokeError as error:
             return NotCompleted(error)
         except OutcomeUnknownError:
-            unknown = unknown_outcome(invocation.response_headers(request_id), NOT_CONFIRMED)
-            return Completed(stored(unknown), is_outcome_unknown=True)
+            unknown = outcome_unknown_response(invocation.response_headers(request_id), NOT_CONFIRMED)
+            return Completed(to_stored_response(unknown), is_outcome_unknown=True)
         return Completed(response)
 
     def _accept(
@@ -102,14 +114,16 @@
         expires_at: float = 0.0,
     ) -> None:
         if self._deferred is None:
-            raise errors.service("This gateway takes no deferred calls: its configuration names no ledger.")
+            raise errors.service_error(
+                "This gateway takes no deferred calls: its configuration names no ledger."
+            )
         submission = Submission(
             request_id,
-            invocation.known.spec.name,
+            invocation.function.spec.name,
             invocation.tenant,
             invocation.payload,
-            invocation.context,
-            worker_idempotency_key(invocation.tenant, invocation.token, request_id),
+            invocation.client_context,
+            worker_idempotency_key(invocation.tenant, invocation.idempotency_key, request_id),
             operation_digest,
             packed_operation,
             expires_at,
@@ -117,9 +131,9 @@
         try:
             self._deferred.accept(submission)
         except LedgerFullError as error:
-            raise errors.too_many(str(error), error.retry_after_s) from error
+            raise errors.too_many_requests(str(error), error.retry_after_s) from error
         except CommitError as error:
-            if error.may_be_stored and invocation.known.idempotency is not Idempotency.IDEMPOTENT:
+            if error.may_be_stored and invocation.function.idempotency is not Idempotency.IDEMPOTENT:
                 raise OutcomeUnknownError(request_id) from error
             text = f"Deferred calls can't be written down now: {error}"
-            raise errors.too_many(text, error.retry_after_s) from error
+            raise errors.too_many_requests(text, error.retry_after_s) from error
--- a/saffronstack/invoke/operation_calls.py
+++ b/saffronstack/invoke/operation_calls.py
@@ -1,4 +1,4 @@
-"""Sends of one operation that may have an effect: it is performed once, and each send gets its response."""
+"""Executes operations with side effects once; every request of an operation gets its response."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from saffronstack.invoke.engine_calls import EngineCalls
 from saffronstack.invoke.errors import InvokeError
 from saffronstack.invoke.final_responses import (
-    ERROR_HEADER,
+    FUNCTION_ERROR_HEADER,
     REPLAYED_HEADER,
-    rejection_of,
-    replayed,
-    response_of,
-    unknown_outcome,
+    build_response,
+    outcome_unknown_response,
+    rejection_error,
+    replayed_response,
 )
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.response import Response
@@ -42,18 +42,18 @@
     policy: DeduplicationPolicy,
     is_client_connected: IsClientConnected,
 ) -> Response:
-    """Return the response of a synchronous operation; run it on the engine where no other send of it has.
+    """Return the response of a synchronous operation; execute it unless another request does or did.
 
     Raises:
-        InvokeError: It is rejected.
-        ClientDisconnectedError: Nobody waits for it any more.
+        InvokeError: The request is rejected.
+        ClientDisconnectedError: The client disconnected before the response was known.
     """
 
     def run(execution: Execution, prior: PriorAttempt | None) -> Completed | NotCompleted:
         return _run_on_engine(calls, invocation, is_client_connected, execution, prior)
 
     return perform_once(
-        operations, invocation, SYNCHRONOUS, policy, run, invocation.until_s, is_client_connected
+        operations, invocation, SYNCHRONOUS, policy, run, invocation.deadline_s, is_client_connected
     )
 
 
@@ -72,43 +72,43 @@
     if final.status is FinalStatus.CLIENT_DISCONNECTED:
         return NotCompleted(ClientDisconnectedError(), prior)
     if final.status is FinalStatus.REJECTED:
-        return NotCompleted(rejection_of(final), final.prior_attempt, final.attempt_in_flight_until_s)
-    response = response_of(final, invocation.response_headers(request_id), invocation.wants_log)
-    return Completed(stored(response), is_outcome_unknown=final.status is FinalStatus.FAILED)
+        return NotCompleted(rejection_error(final), final.prior_attempt, final.attempt_in_flight_until_s)
+    response = build_response(final, invocation.response_headers(request_id), invocation.wants_log)
+    return Completed(to_stored_response(response), is_outcome_unknown=final.status is FinalStatus.FAILED)
 
 
-def stored(response: Response) -> StoredResponse:
-    """Return a response as the operations store it."""
+def to_stored_response(response: Response) -> StoredResponse:
+    """Convert a response to the form in which operations store it."""
     return StoredResponse(response.status, response.headers, response.body)
 
 
 def perform_once(
     operations: OperationService,
     invocation: Invocation,
-    kind: str,
+    invocation_type: str,
     policy: DeduplicationPolicy,
     run: ExecuteOperation,
     latest_s: float,
     is_client_connected: IsClientConnected,
 ) -> Response:
-    """Return an operation's response, whichever of its sends this is.
+    """Return the response of an operation, whether this or another request executes it.
 
     Args:
-        operations: Performs it.
-        invocation: One send.
-        kind: `SYNCHRONOUS` or `DEFERRED`.
-        policy: Of its class.
-        run: Runs it where this send is the one to do so.
-        latest_s: Clock time until which to wait for another send's.
-        is_client_connected: Of this send.
+        operations: The service that deduplicates operations.
+        invocation: One request of the operation.
+        invocation_type: `SYNCHRONOUS` or `DEFERRED`.
+        policy: Deduplication policy of the request class.
+        run: Executes the operation if this request is the one to do so.
+        latest_s: Monotonic time until which the request waits for another request's execution.
+        is_client_connected: Tells whether the client of this request is still connected.
 
     Raises:
-        InvokeError: It is rejected, or another operation has its name.
-        ClientDisconnectedError: Nobody waits for it any more.
+        InvokeError: The request is rejected, or its idempotency key was used with another payload.
+        ClientDisconnectedError: The client disconnected before the response was known.
     """
     request = OperationRequest(
-        invocation.identity(kind).digest(),
-        payload_fingerprint(invocation.payload, invocation.context),
+        invocation.identity(invocation_type).digest(),
+        payload_fingerprint(invocation.payload, invocation.client_context),
         policy,
         invocation.request_id,
         latest_s,
@@ -117,28 +117,28 @@
     try:
         result = operations.perform(request, run)
     except FingerprintMismatchError as error:
-        raise errors.mismatched(error.request_id) from error
+        raise errors.idempotency_mismatch(error.request_id) from error
     except OperationTableFullError as error:
-        raise errors.too_many("Too many operations are remembered.", error.retry_after_s) from error
+        raise errors.too_many_requests("Too many operations are remembered.", error.retry_after_s) from error
     except OutcomeUnknownError as error:
         headers = invocation.response_headers(error.request_id)
-        return unknown_outcome(headers, "the gateway was killed before it had an answer")
+        return outcome_unknown_response(headers, "the gateway was killed before it had an answer")
     except ResponseNotStoredError as error:
         return _without_body(invocation, error)
     except OperationInProgressError as error:
-        if policy.idempotency is Idempotency.IDEMPOTENT or kind == DEFERRED:
-            raise errors.too_many("The operation is still under way.", 1.0) from error
+        if policy.idempotency is Idempotency.IDEMPOTENT or invocation_type == DEFERRED:
+            raise errors.too_many_requests("The operation is still under way.", 1.0) from error
         headers = invocation.response_headers(invocation.request_id)
-        return unknown_outcome(headers, "another send of it is still under way")
+        return outcome_unknown_response(headers, "another send of it is still under way")
     response = result.response
     if result.is_replayed:
-        return replayed(response)
+        return replayed_response(response)
     return Response(response.status, response.headers, response.body)
 
 
 def _without_body(invocation: Invocation, error: ResponseNotStoredError) -> Response:
-    """Return what is known of a response that was too large to store."""
-    known = error.response
-    body = errors.answer_not_kept(known.status, known.body_length, known.body_digest)
+    """Return the status, length and digest of a response whose body was too large to store."""
+    stored = error.response
+    body = errors.response_not_stored_payload(stored.status, stored.body_length, stored.body_digest)
     headers = invocation.response_headers(error.request_id)
-    return Response(200, (*headers, ERROR_HEADER, REPLAYED_HEADER), body)
+    return Response(200, (*headers, FUNCTION_ERROR_HEADER, REPLAYED_HEADER), body)
--- a/saffronstack/invoke/pages.py
+++ b/saffronstack/invoke/pages.py
@@ -1,4 +1,4 @@
-"""Pages beside the API: `/metrics` in Prometheus' text form, `/healthz`, `/status` as JSON."""
+"""Endpoints for operators: `/metrics` in the Prometheus text format, `/healthz`, and `/status` as JSON."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 from saffronstack.daemon.listener_handover import MARK_VARIABLE
 from saffronstack.invoke.app import Page, Response
-from saffronstack.invoke.metrics import GatewayCollector, Parts
+from saffronstack.invoke.metrics import GatewayCollector, MonitoredGateway
 
-TEXT = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
+TEXT_HEADERS = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
 
 
 class Pages:
-    """The pages of one gateway."""
+    """Serves the operator endpoints of one gateway process."""
 
-    def __init__(self, gateway: Parts) -> None:
+    def __init__(self, gateway: MonitoredGateway) -> None:
         self._gateway = gateway
         self._registry = CollectorRegistry(auto_describe=False)
         self._registry.register(GatewayCollector(gateway))
 
-    def table(self) -> Mapping[str, Page]:
-        """Pages by path."""
+    def by_path(self) -> Mapping[str, Page]:
+        """Return the handlers of the endpoints by path."""
         return {"/metrics": self.metrics, "/healthz": self.health, "/status": self.status}
 
     def metrics(self) -> Response:
-        """Prometheus' text exposition."""
-        return Response(200, TEXT, generate_latest(self._registry))
+        """Return the metrics in the Prometheus text format."""
+        return Response(200, TEXT_HEADERS, generate_latest(self._registry))
 
     def health(self) -> Response:
-        """200 while calls are taken."""
+        """Return 200 while the gateway accepts calls, and 503 while it is draining."""
         draining = self._gateway.is_draining
-        return Response(503 if draining else 200, TEXT, b"draining\n" if draining else b"ok\n")
+        return Response(503 if draining else 200, TEXT_HEADERS, b"draining\n" if draining else b"ok\n")
 
     def status(self) -> Response:
-        """What `saffronstack status` shows."""
+        """Return the counts that `saffronstack status` shows."""
         gateway = self._gateway
         counts = gateway.engine.statistics
         content: dict[str, object] = {
@@ -57,8 +57,8 @@
             "client_connections": gateway.server.connections,
             "worker_connections": gateway.dispatcher.connection_count,
             "workers": gateway.dispatcher.worker_count,
-            "classes": gateway.app.figures.counts(),
-            "times": gateway.app.figures.encoded(),
+            "classes": gateway.app.call_metrics.counts(),
+            "times": gateway.app.call_metrics.encoded_latencies(),
         }
         if gateway.deferred is not None and gateway.ledger is not None:
             content["deferred"] = {
@@ -69,8 +69,11 @@
                 "ledger_stalled_s": round(gateway.ledger.stalled_s, 3),
             }
         if gateway.operations is not None and gateway.operations.operation_log is not None:
-            notes = gateway.operations.operation_log
-            content["notes"] = {"failing": notes.write_error, "stalled_s": round(notes.stalled_s, 3)}
+            operation_log = gateway.operations.operation_log
+            content["notes"] = {
+                "failing": operation_log.write_error,
+                "stalled_s": round(operation_log.stalled_s, 3),
+            }
         if gateway.file_discovery is not None:
             content["roster"] = gateway.file_discovery.status()
         if gateway.meter is not None:
--- a/saffronstack/routing/components.py
+++ b/saffronstack/routing/components.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a router and makes them known to each other."""
+"""Construction of a router's components and the dependencies between them."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class Components:
-    """The state of one router and the parts that work on it.
+    """The state of one router and the components that read and update it.
 
     Attributes:
         fleet: Known workers.
-        functions: Known functions by number.
-        requests: Requests that are owed a final answer, by number.
-        attempts: Attempts in flight, by request and index.
+        functions: Known functions, by function ID.
+        requests: Requests that are owed a final answer, by request ID.
+        attempts: Attempts in flight, by request ID and attempt index.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Build the parts; they share one random generator, whose draws are part of the decisions."""
-        chance = random.Random(seed)
+        """Create the components; they share one random generator whose draws affect decisions."""
+        rng = random.Random(seed)
         keep_s = keep_alive_s(settings)
         self.settings = settings
         self.fleet = Fleet()
@@ -47,7 +47,7 @@
         self.rates = RequestRates()
         self.cpu = CpuUtilization()
         self.shared_instances = SharedInstances()
-        self.slow_start = SlowStart(settings, self.fleet, self.rates, self.cpu, chance)
+        self.slow_start = SlowStart(settings, self.fleet, self.rates, self.cpu, rng)
         self.eligibility = Eligibility(self.slow_start)
         self.warm_pool = WarmPool(self.functions, self.eligibility, keep_s)
         self.memory = MemoryAccount(settings, self.fleet, keep_s)
@@ -55,11 +55,11 @@
         self.idle_sweep = IdleSweep(self.functions, self.membership, self.warm_pool, self.rates, keep_s)
         self.concurrency_limiter = ConcurrencyLimiter(settings)
         self.outlier_detection = OutlierDetection(self.fleet)
-        self.load_shedder = LoadShedder(settings, self.rates, self.shared_instances, chance)
+        self.load_shedder = LoadShedder(settings, self.rates, self.shared_instances, rng)
         self.load_control = LoadControl(settings, self.fleet, self.shared_instances)
         self.load_commands = LoadCommands(settings, self.load_control, self.memory, self.warm_pool)
         self.retry_policy = RetryPolicy(settings)
         self.request_queue = RequestQueue(self.requests)
         self.placement = Placement(
-            self.fleet, self.attempts, self.memory, self.rates, self.cpu, self.shared_instances, chance
+            self.fleet, self.attempts, self.memory, self.rates, self.cpu, self.shared_instances, rng
         )
--- a/saffronstack/routing/dispatcher.py
+++ b/saffronstack/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches requests: sends the next attempt, holds the request back, or gives its final answer."""
+"""Dispatch of requests: send the next attempt, queue the request, or give the final answer."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from saffronstack.routing.components import Components
 from saffronstack.routing.state import Attempt, Function, PendingRequest, Worker
 
-# Attempts of one request that may each begin a load: where most workers are at capacity, asking every one of
-# them would only crowd them.
+# Maximum number of attempts of one request that may each begin a load. When most workers are at capacity,
+# further attempts would only add to their load.
 MAX_LOAD_ATTEMPTS = 3
 
 
 class Dispatcher:
-    """Decides what to do next about a request.
+    """Decides the next step for a request.
 
-    In this order: a warm instance, a load at a worker, holding back, the final answer.
+    The steps are tried in this order: a warm instance, a load at a worker, the queue, the final answer.
 
     Attributes:
-        actions: Actions decided since the present event arrived.
+        actions: Actions decided since the current event arrived.
     """
 
     def __init__(self, components: Components) -> None:
@@ -39,11 +39,11 @@
         self._queue = components.request_queue
 
     def dispatch(self, now: float, pending: PendingRequest, can_wait: bool = True) -> None:
-        """Send the next attempt of a request if its retry policy allows one, or hold it back.
+        """Send the next attempt of a request, queue the request, or give its final answer.
 
         Args:
-            now: Present time in seconds.
-            pending: The request; no attempt of it is in flight.
+            now: Current time in seconds.
+            pending: The request, without any attempt in flight.
             can_wait: Whether the request can still wait for a busy instance.
         """
         function_id = pending.request.function_id
@@ -51,7 +51,7 @@
         if function is None:
             function = self._functions[function_id] = Function()
         if not self._retry_policy.may_attempt(now, pending):
-            self.answer(pending)
+            self.give_final_answer(pending)
             return
         self._memory.expire(now)
         weight, mean_weight = pending.priority_weight, self._shedder.mean_priority_weight
@@ -64,37 +64,37 @@
         expects_warm = function_id not in worker.loads_in_progress
         self._send(now, pending, worker, function, expects_warm, freed_s)
 
-    def answer(self, pending: PendingRequest) -> None:
-        """Give the final answer to a request that gets no other attempt."""
+    def give_final_answer(self, pending: PendingRequest) -> None:
+        """Give the final answer to a request that gets no further attempt."""
         del self._requests[pending.request.request_id]
         self.actions.append(self._retry_policy.final_answer(pending))
 
-    def serve_waiting(self, now: float) -> None:
-        """Dispatch requests that were held back, as far as instances and load slots are free."""
+    def dispatch_queued(self, now: float) -> None:
+        """Dispatch queued requests as far as free instances and load slots allow."""
         if self._queue.functions:
-            self._serve_free_instances(now)
-            self._serve_free_load_slots(now)
+            self._use_free_instances(now)
+            self._use_free_load_slots(now)
 
     def _dispatch_without_instance(
         self, now: float, pending: PendingRequest, function: Function, can_wait: bool
     ) -> None:
-        # Only now all workers are looked at: most requests find an instance, and fleets may be large.
+        # All workers are scanned only here: most requests find an instance, and fleets may be large.
         is_eligible = self._eligibility.is_eligible
         eligible = [worker for worker in self._workers.values() if is_eligible(now, pending, worker)]
         load_attempts = sum(not attempt.expects_warm for attempt in pending.attempts)
         if not eligible or load_attempts >= MAX_LOAD_ATTEMPTS:
-            self.answer(pending)
+            self.give_final_answer(pending)
         elif self._load_control.may_load(now, pending.request, function, can_wait):
             worker = self._placement.choose(now, pending.request, function, eligible)
             if self._load_commands.may_send(now):
                 self.actions.append(self._load_commands.send(now, pending.request, worker, function))
-                self.actions.append(self._queue.hold(now, pending, function))
+                self.actions.append(self._queue.enqueue(now, pending, function))
             else:
                 self._send(now, pending, worker, function, False, 0.0)
-        elif self._queue.may_hold(now, pending):
-            self.actions.append(self._queue.hold(now, pending, function))
+        elif self._queue.may_enqueue(now, pending):
+            self.actions.append(self._queue.enqueue(now, pending, function))
         else:
-            self.answer(pending)
+            self.give_final_answer(pending)
 
     def _send(
         self,
@@ -105,10 +105,14 @@
         expects_warm: bool,
         freed_s: float,
     ) -> None:
-        """Send the next attempt of a request to a worker."""
+        """Send the next attempt of a request to a worker and update all counts."""
         request, worker_id = pending.request, worker.endpoint.worker_id
-        is_unknown = not expects_warm and not self._memory.knows_instance(worker, request.function_id)
-        attempt = Attempt(request, len(pending.attempts), worker, now, expects_warm, is_unknown, freed_s)
+        expects_no_instance = not expects_warm and not self._memory.knows_instance(
+            worker, request.function_id
+        )
+        attempt = Attempt(
+            request, len(pending.attempts), worker, now, expects_warm, expects_no_instance, freed_s
+        )
         if expects_warm:
             function.warm_attempts_in_flight += 1
             worker.warm_attempts_in_flight += 1
@@ -125,27 +129,27 @@
             self._outliers.start_trial(now, worker)
         self.actions.append(SendAttempt(request.request_id, worker_id))
 
-    def _serve_free_instances(self, now: float) -> None:
-        """Give free instances to the newest requests held back, the function with the weightiest first."""
+    def _use_free_instances(self, now: float) -> None:
+        """Dispatch queued requests to free instances, by the weight of each function's newest request."""
         for function in self._queue.functions_with_instances():
             while function.waiting and function.warm_instances:
-                free = len(function.warm_instances)
+                instances_before = len(function.warm_instances)
                 self._dispatch_newest(now, function, True)
-                if len(function.warm_instances) >= free:
+                if len(function.warm_instances) >= instances_before:
                     break
 
-    def _serve_free_load_slots(self, now: float) -> None:
-        """Give free load slots to the functions for which most weight is held back."""
+    def _use_free_load_slots(self, now: float) -> None:
+        """Use free load slots for the functions with the highest total weight of queued requests."""
         for _ in range(len(self._queue.functions)):
-            function = self._queue.heaviest_without_load()
+            function = self._queue.heaviest_function_without_load()
             if function is None or not self._load_control.has_free_slot():
                 break
-            loads = self._load_control.loads_in_progress
+            loads_before = self._load_control.loads_in_progress
             self._dispatch_newest(now, function, False)
-            if self._load_control.loads_in_progress <= loads:
+            if self._load_control.loads_in_progress <= loads_before:
                 break
 
     def _dispatch_newest(self, now: float, function: Function, can_wait: bool) -> None:
-        pending = self._queue.take_newest(function)
+        pending = self._queue.pop_newest(function)
         if pending is not None:
             self.dispatch(now, pending, can_wait)
--- a/saffronstack/routing/router.py
+++ b/saffronstack/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: takes events, owns the life of each request, and returns the actions to carry out."""
+"""The router: handles events, tracks each request until its final answer, and returns actions."""
 
 from __future__ import annotations
 
@@ -19,34 +19,35 @@
     WorkerState,
 )
 from saffronstack.routing.outcome_feedback import OutcomeFeedback
-from saffronstack.routing.request_queue import hold_end_s
+from saffronstack.routing.request_queue import queue_deadline_s
 from saffronstack.routing.retry_policy import NEVER_EXECUTED
 from saffronstack.routing.settings import Settings
 from saffronstack.routing.state import Attempt, PendingRequest, Worker
 from saffronstack.routing.validation import validate_settings
 
-STALE_LISTS = (EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED)  # a subscription is missing or broken
-UNKNOWN_PLACE = -1  # zone and cell of a worker that is not known: no other worker is in them
+# Endpoint updates that show that the subscription is missing or broken.
+STALE_UPDATE_KINDS = (EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED)
+UNKNOWN_LOCATION = -1  # zone and cell of an unknown worker; they match no other worker
 
 
 class Router:
-    """Decides for one gateway; `handle` is the only entry. Not thread-safe.
+    """Makes the routing decisions of one gateway; `handle` is the only entry point. Not thread-safe.
 
     Attributes:
-        components: The router's state and parts, for inspection.
-        workers: Known workers by number.
-        functions: Known functions by number.
+        components: The router's state and components, for inspection.
+        workers: Known workers, by worker ID.
+        functions: Known functions, by function ID.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without any knowledge.
+        """Create a router without any known workers or functions.
 
         Args:
-            settings: What the gateway is given at its start.
+            settings: Settings of the gateway.
             seed: Seed of the random choices; equal seeds and events give equal actions.
 
         Raises:
-            InvalidSettingsError: A setting is impossible; the message names it.
+            InvalidSettingsError: A setting is invalid; the message names it.
         """
         validate_settings(settings)
         self.components = Components(settings, seed)
@@ -59,11 +60,11 @@
         self._attempts = self.components.attempts
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Return the actions to carry out about one event.
+        """Process one event and return the actions to carry out.
 
         Args:
-            now: Present time in seconds, on the clock of the events.
-            event: What happened.
+            now: Current time in seconds, on the clock of the events.
+            event: The event.
 
         Raises:
             UnknownRequestClassError: A request names a class that is not in the settings.
@@ -90,36 +91,38 @@
             raise UnknownRequestClassError(
                 f"class_index {request.class_index} names no class, expected 0 to {last}"
             )
-        parts = self.components
-        if now >= parts.idle_sweep.next_sweep_s:
-            parts.idle_sweep.sweep(now)
-        parts.load_commands.record_request(now)
-        parts.rates.record(now, request)
+        components = self.components
+        if now >= components.idle_sweep.next_sweep_s:
+            components.idle_sweep.sweep(now)
+        components.load_commands.record_request(now)
+        components.rates.record(now, request)
         pending = PendingRequest(
             request,
             self._settings.classes[request.class_index],
-            parts.load_shedder.priority_weight(now, request),
-            hold_end_s(now, request),
+            components.load_shedder.priority_weight(now, request),
+            queue_deadline_s(now, request),
         )
         if request.prior_attempt is not None:
             pending.maybe_executed = self._restore_attempt(request)
         self._requests[request.request_id] = pending
-        parts.retry_policy.record_request()
-        parts.load_shedder.observe_request(pending)
-        if parts.load_shedder.sheds(pending):
-            self._dispatcher.answer(pending)
+        components.retry_policy.record_request()
+        components.load_shedder.observe_request(pending)
+        if components.load_shedder.should_reject(pending):
+            self._dispatcher.give_final_answer(pending)
         else:
             self._dispatcher.dispatch(now, pending)
 
     def _restore_attempt(self, request: Request) -> Attempt | None:
-        """Return an attempt of an earlier incarnation, at a worker in no known place if it is not known."""
+        """Return the attempt of an earlier incarnation; an unknown worker gets no known zone or cell."""
         prior = request.prior_attempt
         if prior is None:
             return None
         worker = self.workers.get(prior.worker_id)
         if worker is None:
             worker = Worker(
-                WorkerEndpoint(prior.worker_id, WorkerState.REMOVED, zone=UNKNOWN_PLACE, cell=UNKNOWN_PLACE)
+                WorkerEndpoint(
+                    prior.worker_id, WorkerState.REMOVED, zone=UNKNOWN_LOCATION, cell=UNKNOWN_LOCATION
+                )
             )
         return Attempt(request, -1, worker, prior.sent_s, False, False)
 
@@ -137,32 +140,32 @@
                 del self._requests[outcome.request_id]
             elif not pending.attempts_in_flight:
                 self._dispatcher.dispatch(now, pending)
-        self._dispatcher.serve_waiting(now)
+        self._dispatcher.dispatch_queued(now)
 
     def _on_endpoint_update(self, now: float, update: EndpointUpdate) -> None:
-        if self._settings.must_subscribe and update.kind in STALE_LISTS:
+        if self._settings.must_subscribe and update.kind in STALE_UPDATE_KINDS:
             self._dispatcher.actions.append(WatchEndpoints())
         self.components.membership.apply(now, update)
 
     def _on_load_command_result(self, now: float, result: LoadCommandResult) -> None:
-        parts = self.components
-        request = parts.load_commands.take_pending(result)
+        components = self.components
+        request = components.load_commands.take_pending(result)
         if request is None:
             return
         worker, function = self.workers[result.worker_id], self.functions[result.function_id]
-        parts.load_commands.finish(now, result, request, worker, function)
-        self._dispatcher.serve_waiting(now)
+        components.load_commands.finish(now, result, request, worker, function)
+        self._dispatcher.dispatch_queued(now)
 
     def _on_timer(self, now: float, event: TimerFired) -> None:
         pending = self._requests.get(event.timer_id)
         if pending is None:
             return
         function = self.functions.get(pending.request.function_id)
-        if function is not None and self.components.request_queue.withdraw(pending, function):
+        if function is not None and self.components.request_queue.remove(pending, function):
             self._dispatcher.dispatch(now, pending, can_wait=False)
 
     def _on_disconnect(self, event: ClientDisconnected) -> None:
-        """Cancel the attempts of a client that is gone where the site permits that: they crowd out others."""
+        """Cancel a disconnected client's attempts, which waste capacity, if the site permits it."""
         pending = self._requests.pop(event.request_id, None)
         if pending is None or not self._settings.permissions.cancellation:
             return
--- a/saffronstack/routing/validation.py
+++ b/saffronstack/routing/validation.py
@@ -1,4 +1,4 @@
-"""Validation of the settings: impossible values raise `InvalidSettingsError` naming the field."""
+"""Validation of the settings: an invalid value raises an `InvalidSettingsError` that names its field."""
 
 from __future__ import annotations
 
@@ -90,10 +90,10 @@
 
 
 def validate_settings(settings: Settings) -> None:
-    """Check that every value of the settings is possible.
+    """Check that every value of the settings is valid.
 
     Raises:
-        InvalidSettingsError: A value is impossible; the message starts with the path of its field.
+        InvalidSettingsError: A value is invalid; the message starts with the path of its field.
     """
     if not settings.classes:
         raise InvalidSettingsError("classes must name at least one class")
@@ -101,11 +101,11 @@
         raise InvalidSettingsError(f"gateway_count must be at least 1, not {settings.gateway_count!r}")
     if not settings.gateway_index >= 0:
         raise InvalidSettingsError(f"gateway_index must be at least 0, not {settings.gateway_index!r}")
-    for place, class_settings in enumerate(settings.classes):
-        _validate_class(f"classes[{place}].", class_settings)
-    for place, tenant in enumerate(settings.tenants):
+    for index, class_settings in enumerate(settings.classes):
+        _validate_class(f"classes[{index}].", class_settings)
+    for index, tenant in enumerate(settings.tenants):
         _require_non_negative(
-            f"tenants[{place}].",
+            f"tenants[{index}].",
             [("quota_fraction", tenant.quota_fraction), ("quota_rps", tenant.quota_rps)],
         )
     _require_non_negative(
--- a/tests/daemon/test_starvation_guard.py
+++ b/tests/daemon/test_starvation_guard.py
@@ -1,4 +1,4 @@
-"""A process that notices by itself that the processor it keeps to is taken up."""
+"""A process detects by itself that other processes use the CPU that it is pinned to."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 from saffronstack.cli.cpu_affinity import move_threads
 from saffronstack.cli.starvation_guard import StarvationGuard
 from saffronstack.client import Client
-from saffronstack.daemon.processor_choice import LOOK_INTERVAL_S, SPAN_S
-from saffronstack.daemon.processor_settling import SETTLE_S
+from saffronstack.daemon.processor_choice import CPU_SAMPLE_INTERVAL_S, CPU_SAMPLE_WINDOW_S
+from saffronstack.daemon.processor_settling import MIN_IDLE_TIME_S
 from saffronstack.daemon.processor_starvation import SAMPLE_INTERVAL_S, ThreadSample, read_threads
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
 from tests.support.stack import AMPLE_DEADLINE_S, configuration, eventually
 
-LOOKS = 5
+CHECKS = 5
 NS_PER_S = 1_000_000_000
 RUN_NS_PER_S = NS_PER_S // 50
-NEIGHBOURS = 8
-NEIGHBOUR = """
+BUSY_PROCESSES = 8
+BUSY_PROCESS = """
 import os, sys, time
 os.sched_setaffinity(0, {int(sys.argv[1])})
 end_s = time.monotonic() + 15
 print("busy", flush=True)
 while time.monotonic() < end_s: pass
 """
-# A process whose guard looks until its other threads run elsewhere, or half a minute has passed.
-GUARDED = """
+# A process whose guard checks until its other threads run elsewhere or 30 s have passed.
+GUARDED_PROCESS = """
 import os, sys, threading, time
 from saffronstack.cli.cpu_affinity import pin_threads
 from saffronstack.cli.starvation_guard import StarvationGuard
-from saffronstack.daemon.processor_times import IdleTimes
+from saffronstack.daemon.processor_times import CpuIdleTimes
 allowed, kept = os.sched_getaffinity(0), int(sys.argv[1])
-own = IdleTimes()
+own = CpuIdleTimes()
 def work():
     while True:
         end_s = time.thread_time() + 0.002
@@ -65,7 +65,7 @@
 """
 
 
-def python(code: str, processor: int) -> subprocess.Popen[bytes]:
+def start_python(code: str, processor: int) -> subprocess.Popen[bytes]:
     return subprocess.Popen([sys.executable, "-c", code, str(processor)], stdout=subprocess.PIPE)
 
 
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     ("is_runnable", "released"), [(True, [os.getpid()]), (False, [])], ids=["starved", "idle"]
 )
-def test_the_process_is_released_once_its_probe_gets_no_processor(
+def test_the_process_is_unpinned_once_its_probe_gets_no_cpu_time(
     is_runnable: bool, released: list[int]
 ) -> None:
     now_s = 100.0
@@ -106,15 +106,15 @@
         os.sched_getaffinity(0), lambda: now_s, lambda pid, thread: ThreadSample(is_runnable, 7), release
     )
     eventually(lambda: guard.has_started)
-    for _ in range(LOOKS):
+    for _ in range(CHECKS):
         now_s += SAMPLE_INTERVAL_S
         guard.check()
     guard.stop()
     assert found == released
 
 
-def test_a_probe_that_does_not_even_start_counts_as_starved(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nor does the gateway wait for it: the processor may be taken up already when it begins to serve."""
+def test_a_probe_that_has_not_started_counts_as_starved(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The gateway does not wait for the probe: its CPU may be contended before it begins to serve."""
     monkeypatch.setattr(starvation_guard, "start_thread", lambda name, run: None)
     now_s, found = 100.0, []
 
@@ -129,13 +129,13 @@
     assert found == [os.getpid()]
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_the_process_moves_after_a_second_where_neighbours_leave_it_some_time() -> None:
-    """Beside 150 busy processes a gateway had a slice between any two looks, and stayed there."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_the_process_moves_after_a_second_if_others_leave_it_some_cpu_time() -> None:
+    """Beside 150 busy processes a gateway got a time slice between any two samples and never moved."""
     allowed = os.sched_getaffinity(0)
     kept, idle, *_ = sorted(allowed)
     now_s, moved = 100.0, []
-    os.sched_setaffinity(0, {kept})  # the guard lets this thread run anywhere again
+    os.sched_setaffinity(0, {kept})  # the guard unpins this thread again
     guard = StarvationGuard(
         allowed,
         lambda: now_s,
@@ -144,16 +144,16 @@
         read_run_ns=lambda: int(now_s * RUN_NS_PER_S),
         move=lambda processors, excluded: moved.append((now_s, sorted(processors))),
     )
-    for _ in range(LOOKS):
+    for _ in range(CHECKS):
         guard.check()
-        now_s += LOOK_INTERVAL_S
-    guard.stop()  # nothing looks from now on
-    assert moved == [(100.0 + SPAN_S, [idle]), (now_s, sorted(allowed))]
+        now_s += CPU_SAMPLE_INTERVAL_S
+    guard.stop()  # unpins the process, since nothing checks from now on
+    assert moved == [(100.0 + CPU_SAMPLE_WINDOW_S, [idle]), (now_s, sorted(allowed))]
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_process_on_all_processors_keeps_to_one_again_once_that_is_idle() -> None:
-    """An overload of a second used to cost a gateway two thirds of its calls until it was restarted."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_an_unpinned_process_is_pinned_again_once_a_cpu_is_idle() -> None:
+    """After an overload of 1 s an unpinned gateway lost two thirds of its calls until it was restarted."""
     allowed = os.sched_getaffinity(0)
     kept, idle, *_ = sorted(allowed)
     now_s, processors = 100.0, []
@@ -166,19 +166,19 @@
         move=lambda moved, excluded: processors.append((now_s, sorted(moved))),
     )
     eventually(lambda: guard.has_started)
-    os.sched_setaffinity(guard._probe_thread, allowed)  # as a daemon does that finds it starved
-    while now_s < 100.0 + SETTLE_S:
+    os.sched_setaffinity(guard._probe_thread, allowed)  # as a daemon does if it finds the process starved
+    while now_s < 100.0 + MIN_IDLE_TIME_S:
         guard.check()
         assert processors == []
-        now_s += LOOK_INTERVAL_S
+        now_s += CPU_SAMPLE_INTERVAL_S
     guard.check()
-    assert processors == [(100.0 + SETTLE_S, [idle])]
+    assert processors == [(100.0 + MIN_IDLE_TIME_S, [idle])]
     guard.stop()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_thread_that_ends_is_no_wait_for_others() -> None:
-    """Its whole processor time used to be taken for such a wait: the process moved without cause."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_thread_that_ends_does_not_count_as_contention() -> None:
+    """The whole CPU time of an ended thread once counted as wait time, so the process moved without cause."""
     allowed = os.sched_getaffinity(0)
     now_s, moved = 100.0, list[list[int]]()
     os.sched_setaffinity(0, {min(allowed)})
@@ -194,22 +194,22 @@
         move=lambda processors, excluded: moved.append(sorted(processors)),
     )
     eventually(lambda: guard.has_started)
-    for look in range(3 * LOOKS):
-        if look == LOOKS:
+    for check_number in range(3 * CHECKS):
+        if check_number == CHECKS:
             ends.set()
             ending.join()
         guard.check()
-        now_s += LOOK_INTERVAL_S
+        now_s += CPU_SAMPLE_INTERVAL_S
     assert moved == []
     guard.stop()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
 @pytest.mark.parametrize("begins_s", [102.0, 102.25, 102.3, 102.4])
-def test_a_process_that_has_moved_is_not_let_on_all_for_what_it_waited_before(
+def test_a_process_that_has_moved_is_not_unpinned_because_of_earlier_waits(
     monkeypatch: pytest.MonkeyPatch, begins_s: float
 ) -> None:
-    """Taken up right before a sample of the monitor, it left the new processor a quarter second later."""
+    """If contention began right before a monitor sample, the process left its new CPU 0.25 s later."""
     allowed = os.sched_getaffinity(0)
     now_s, waited_s, moved = 100.0, 0.0, list[set[int]]()
     os.sched_setaffinity(0, {min(allowed)})
@@ -223,34 +223,36 @@
     )
     eventually(lambda: guard.has_started)
     monkeypatch.setattr(os, "sched_getaffinity", lambda pid: moved[-1] if moved else {min(allowed)})
-    for _ in range(4 * LOOKS):
+    for _ in range(4 * CHECKS):
         guard.check()
         if not moved:
-            waited_s += max(0.0, min(LOOK_INTERVAL_S, now_s + LOOK_INTERVAL_S - begins_s)) * 0.3
-        now_s += LOOK_INTERVAL_S
+            waited_s += max(0.0, min(CPU_SAMPLE_INTERVAL_S, now_s + CPU_SAMPLE_INTERVAL_S - begins_s)) * 0.3
+        now_s += CPU_SAMPLE_INTERVAL_S
     assert len(moved) == 1
     assert len(moved[0]) == 1
     guard.stop()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_process_leaves_a_processor_that_busy_processes_take_up() -> None:
-    """Real neighbours, some of whose time the process gets; that the others are idle is told to the guard."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_process_leaves_a_cpu_that_busy_processes_use() -> None:
+    """Runs real busy processes, beside which the process gets some time; the other CPUs are faked as idle."""
     *_, kept, _ = sorted(os.sched_getaffinity(0))
     with contextlib.ExitStack() as stack:
-        guarded = stack.enter_context(python(GUARDED, kept))
+        guarded = stack.enter_context(start_python(GUARDED_PROCESS, kept))
         assert first_line(guarded) == b"kept\n"
-        neighbours = [stack.enter_context(python(NEIGHBOUR, kept)) for _ in range(NEIGHBOURS)]
-        for one in (*neighbours, guarded):
+        busy_processes = [
+            stack.enter_context(start_python(BUSY_PROCESS, kept)) for _ in range(BUSY_PROCESSES)
+        ]
+        for one in (*busy_processes, guarded):
             stack.callback(one.kill)
-        assert [first_line(one) for one in neighbours] == [b"busy\n"] * NEIGHBOURS
+        assert [first_line(one) for one in busy_processes] == [b"busy\n"] * BUSY_PROCESSES
         assert b"moved to another one" in first_line(guarded)
         assert first_line(guarded) == b"left\n"
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
 @pytest.mark.parametrize(("cpus", "main_runs_anywhere"), [((), True), (("--cpus", "0"), False)])
-def test_a_gateway_keeps_to_one_processor_but_for_the_thread_that_looks(
+def test_a_gateway_is_pinned_to_one_cpu_except_for_the_checking_thread(
     tmp_path: pathlib.Path, one_worker: StandInFleet, cpus: tuple[str, ...], main_runs_anywhere: bool
 ) -> None:
     path = tmp_path / "gateway.json5"
@@ -269,9 +271,9 @@
             process.terminate()
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_thread_that_starts_during_a_move_moves_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It has the processors of the thread that starts it, which may be moved only after that."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_thread_that_starts_during_a_move_is_moved_too(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It inherits the affinity of the thread that starts it, which may be moved only after that."""
     listings = iter([[1, 2], [1, 2, 3], [1, 2, 3, 4], [1, 2, 3, 4]])
     kept = {1: {0}, 2: {0}, 3: {0}, 4: {0}}
     monkeypatch.setattr(threading, "enumerate", list)
@@ -282,11 +284,9 @@
     assert kept == {1: {0}, 2: {5}, 3: {5}, 4: {5}}
 
 
-@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="there is one processor")
-def test_a_gateway_that_drains_runs_on_all_processors(
-    tmp_path: pathlib.Path, one_worker: StandInFleet
-) -> None:
-    """Nothing looked while it drained, and one whose processor was taken up then did not end for 20 s."""
+@pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
+def test_a_draining_gateway_runs_on_all_cpus(tmp_path: pathlib.Path, one_worker: StandInFleet) -> None:
+    """No check runs during a drain: a gateway whose CPU became contended then did not exit for 20 s."""
     worker = one_worker.workers[0]
     worker.faults.silent = True
     path = tmp_path / "gateway.json5"
@@ -307,8 +307,10 @@
         assert process.poll() is None
 
 
-def test_a_move_without_a_free_descriptor_takes_the_known_threads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A gateway moves and stops also while its clients hold all descriptors."""
+def test_a_move_without_a_free_descriptor_uses_the_interpreters_thread_list(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A gateway must move and stop even while its clients use all file descriptors."""
 
     def fail(path: str) -> list[str]:
         raise OSError(errno.EMFILE, path)
@@ -321,8 +323,8 @@
     assert threading.get_native_id() in moved
 
 
-def test_a_move_touches_no_thread_that_has_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The interpreter may keep the id of one, which another process's thread may have by now."""
+def test_a_move_does_not_touch_ended_threads(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The interpreter may keep the id of an ended thread, which another process's thread may have now."""
     ended = threading.Thread()
     ended._native_id = 77  # type: ignore[attr-defined]
     kept = {1: {0}, 77: {0}}
--- a/tests/fleet/rollout/test_canary_analysis.py
+++ b/tests/fleet/rollout/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The canary analysis: what it finds, how often it is wrong, and that missing data is no success."""
+"""The canary analysis: which harm it finds, how often it is wrong, and that missing data is not a success."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     Verdict,
 )
 
-ANALYSES = 10  # in a bake
+ANALYSES = 10  # analyses in one bake
 MEASURES = ("refused/look", "refused/sell", "late/look", "failed/sell")
-BASE_RATE = 0.02  # of failures, without harm
-MEAN_CALLS = 400.0  # of one gateway and measure in a bake
-SCATTER = 0.3  # of rates between gateways
-SICK_ZONE_HARM = 0.2
+BASE_RATE = 0.02  # failure rate without harm
+MEAN_CALLS = 400.0  # calls of one gateway and measure in a bake
+RATE_VARIATION = 0.3  # relative standard deviation of rates between gateways
+ZONE_FAULT_RATE = 0.2
 LIMITS = AnalysisLimits()
-# 0.05 is promised; the share of 60 to 100 bakes scatters by 0.02.
+# The limit is 0.05; the fraction measured over 60 to 100 bakes has a standard deviation of about 0.02.
 FALSE_STOP_LIMITS = AnalysisLimits(false_stop_probability=0.05)
 MAX_FALSE_STOPS = 0.08
 
@@ -37,7 +37,7 @@
     canaries: int = 4
     harm: float = 0.0
     harmed_measure: str = "refused/look"
-    sick_zone: str = ""
+    faulty_zone: str = ""
 
     def samples(self, generator: numpy.random.Generator) -> list[GatewaySample]:
         """Draw the fleet at the end of the bake."""
@@ -48,8 +48,8 @@
         ratios = {}
         for measure in MEASURES:
             calls = int(generator.poisson(MEAN_CALLS * generator.uniform(0.3, 2.0)))
-            rate = BASE_RATE * float(generator.gamma(1 / SCATTER**2, SCATTER**2))
-            rate += SICK_ZONE_HARM * (zone == self.sick_zone)
+            rate = BASE_RATE * float(generator.gamma(1 / RATE_VARIATION**2, RATE_VARIATION**2))
+            rate += ZONE_FAULT_RATE * (zone == self.faulty_zone)
             rate += self.harm * (is_canary and measure == self.harmed_measure)
             ratios[measure] = FailureRatio(int(generator.binomial(calls, min(1.0, rate))), calls)
         gauges = {"memory_mb": float(generator.normal(1.0, 0.5))}
@@ -57,19 +57,21 @@
 
 
 @dataclass(frozen=True)
-class Ended:
-    """The result of a bake, and at which part of it."""
+class BakeResult:
+    """The verdict of a bake, and the fraction of the bake after which it was reached."""
 
     verdict: Verdict
     progress: float
 
 
-def thin(generator: numpy.random.Generator, samples: list[GatewaySample], part: float) -> list[GatewaySample]:
-    """Draw the samples at an earlier part of the bake."""
+def thin_samples(
+    generator: numpy.random.Generator, samples: list[GatewaySample], fraction: float
+) -> list[GatewaySample]:
+    """Draw the samples after a fraction of the bake."""
 
     def thin_ratio(ratio: FailureRatio) -> FailureRatio:
-        failures = int(generator.binomial(ratio.failures, part))
-        return FailureRatio(failures, max(1, round(ratio.total * part)))
+        failures = int(generator.binomial(ratio.failures, fraction))
+        return FailureRatio(failures, max(1, round(ratio.total * fraction)))
 
     return [
         GatewaySample(
@@ -80,21 +82,21 @@
     ]  # fmt: skip
 
 
-def bake(seed: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> Ended:
-    """Analyze a whole bake."""
+def bake(seed: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> BakeResult:
+    """Analyze a bake until its verdict."""
     generator, spent = numpy.random.default_rng(seed), 0.0
     final = scenario.samples(generator)
     for number in range(1, ANALYSES + 1):
         progress = number / ANALYSES
-        samples = thin(generator, final, progress) if progress < 1 else final
+        samples = thin_samples(generator, final, progress) if progress < 1 else final
         result = analyze(limits, samples, progress, spent)
         spent = result.alpha_spent
         if result.verdict is not Verdict.RUNNING:
-            return Ended(result.verdict, progress)
-    raise AssertionError("a bake that does not end")
+            return BakeResult(result.verdict, progress)
+    raise AssertionError("the bake has no verdict")
 
 
-def failed_share(bakes: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> float:
+def stopped_fraction(bakes: int, scenario: Scenario, limits: AnalysisLimits = LIMITS) -> float:
     return sum(bake(seed, scenario, limits).verdict is Verdict.FAILED for seed in range(bakes)) / bakes
 
 
@@ -103,36 +105,36 @@
 
 
 def one_canary_of(count: int, **canary: Any) -> list[GatewaySample]:
-    """One canary with these fields, and a baseline without any."""
+    """Return one canary with these fields and a baseline with default values."""
     baseline = [GatewaySample(f"g{number}", "a", False) for number in range(1, count)]
     return [GatewaySample("g0", "a", True, **canary), *baseline]
 
 
-def silence(samples: list[GatewaySample], where: list[bool]) -> list[GatewaySample]:
+def make_unreachable(samples: list[GatewaySample], is_affected: list[bool]) -> list[GatewaySample]:
     return [
-        GatewaySample(one.gateway, one.zone, one.is_canary, is_silent=True) if is_silent else one
-        for one, is_silent in zip(samples, where, strict=True)
+        GatewaySample(one.gateway, one.zone, one.is_canary, is_unreachable=True) if is_unreachable else one
+        for one, is_unreachable in zip(samples, is_affected, strict=True)
     ]
 
 
 @pytest.mark.parametrize("canaries", [1, 4, 20])
 def test_a_stage_without_harm_is_seldom_stopped(canaries: int) -> None:
-    assert failed_share(100, Scenario(canaries=canaries), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
+    assert stopped_fraction(100, Scenario(canaries=canaries), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
 
 
-def test_a_sick_zone_harms_both_sides_and_stops_nothing() -> None:
-    assert failed_share(60, Scenario(sick_zone="b"), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
+def test_a_faulty_zone_affects_both_sides_and_does_not_stop_the_stage() -> None:
+    assert stopped_fraction(60, Scenario(faulty_zone="b"), FALSE_STOP_LIMITS) <= MAX_FALSE_STOPS
 
 
 @pytest.mark.parametrize(("canaries", "harm"), [(1, 0.2), (4, 0.05), (20, 0.02)])
-def test_harm_is_found_by_its_size_and_the_number_of_canaries(canaries: int, harm: float) -> None:
-    assert failed_share(40, Scenario(canaries=canaries, harm=harm)) >= 0.9
+def test_harm_is_found_depending_on_its_size_and_the_number_of_canaries(canaries: int, harm: float) -> None:
+    assert stopped_fraction(40, Scenario(canaries=canaries, harm=harm)) >= 0.9
 
 
-def test_great_harm_to_one_class_ends_a_stage_early() -> None:
-    ended = bake(1, Scenario(harm=0.5, harmed_measure="failed/sell"))
-    assert ended.verdict is Verdict.FAILED
-    assert ended.progress <= 0.3
+def test_severe_harm_to_one_class_stops_the_stage_early() -> None:
+    result = bake(1, Scenario(harm=0.5, harmed_measure="failed/sell"))
+    assert result.verdict is Verdict.FAILED
+    assert result.progress <= 0.3
 
 
 def test_the_reasons_name_the_harmed_measure_alone() -> None:
@@ -143,8 +145,8 @@
     assert worse.canary > 0.4 > 0.05 > worse.baseline
 
 
-def test_one_failed_call_of_a_few_proves_nothing() -> None:
-    """By single calls its p-value is 0.02; by gateways, of which all others had none, it would be 0."""
+def test_one_failed_call_is_not_significant() -> None:
+    """The test of single calls gives p = 0.02; a test by gateways, of which only one had a failure, 0."""
     samples = [
         GatewaySample(f"g{number}", "a", number == 0, {"failed": FailureRatio(int(number == 0), 50)})
         for number in range(50)
@@ -154,27 +156,27 @@
     assert analyze(AnalysisLimits(min_calls=10), samples, 1.0).verdict is Verdict.SUCCESSFUL
 
 
-def test_two_gateways_alone_can_not_be_told_apart() -> None:
+def test_two_gateways_are_too_few_for_a_comparison() -> None:
     ratios = {True: FailureRatio(90, 1000), False: FailureRatio(10, 1000)}
     samples = [
         GatewaySample(f"g{is_canary}", "a", is_canary, {"late": ratio}) for is_canary, ratio in ratios.items()
     ]
-    assert compare_samples(samples)[0].p_value == 1.0  # how much gateways differ anyway is unknown
+    assert compare_samples(samples)[0].p_value == 1.0  # the variance between gateways is unknown
 
 
-def test_zones_with_one_side_alone_are_not_compared() -> None:
+def test_zones_with_only_one_side_are_not_compared() -> None:
     samples = [GatewaySample(f"g{n}", "a", True, {"late": FailureRatio(500, 1000)}) for n in range(5)]
     samples += [GatewaySample(f"h{n}", "b", False, {"late": FailureRatio(10, 1000)}) for n in range(5)]
     assert compare_samples(samples) == []
 
 
-def test_a_violation_of_a_canary_stops_at_once() -> None:
+def test_a_violation_on_a_canary_stops_the_stage_at_once() -> None:
     result = analyze(LIMITS, one_canary_of(5, violations=1), 0.01)
     assert result.verdict is Verdict.FAILED
     assert result.reasons == ("g0: 1 rules broken",)
 
 
-def test_a_violation_that_the_baseline_has_too_stops_nothing() -> None:
+def test_a_violation_that_the_baseline_has_too_does_not_stop_the_stage() -> None:
     samples = [*one_canary_of(5, violations=1), GatewaySample("g9", "a", False, violations=1)]
     assert analyze(LIMITS, samples, 0.01).verdict is Verdict.RUNNING
 
@@ -190,7 +192,7 @@
     ("limits", "verdict"),
     [(LIMITS, Verdict.FAILED), (AnalysisLimits(min_differences={"memory_mb": 20.0}), Verdict.RUNNING)],
 )
-def test_memory_that_grows_on_canaries_is_found_beyond_what_is_allowed(
+def test_memory_growth_on_canaries_is_found_beyond_the_allowed_difference(
     limits: AnalysisLimits, verdict: Verdict
 ) -> None:
     generator = numpy.random.default_rng(3)
@@ -204,14 +206,14 @@
 
 @pytest.fixture(name="harmless")
 def harmless_samples() -> list[GatewaySample]:
-    """A fleet without harm, whose analysis succeeds."""
+    """Return samples of a fleet without harm, whose analysis succeeds."""
     samples = draw(4, Scenario(canaries=10))
     assert analyze(LIMITS, samples, 1.0).verdict is Verdict.SUCCESSFUL
     return samples
 
 
-def test_canaries_that_are_silent_alone_have_failed(harmless: list[GatewaySample]) -> None:
-    result = analyze(LIMITS, silence(harmless, [one.is_canary for one in harmless]), 1.0)
+def test_the_stage_fails_if_only_canaries_are_unreachable(harmless: list[GatewaySample]) -> None:
+    result = analyze(LIMITS, make_unreachable(harmless, [one.is_canary for one in harmless]), 1.0)
     assert result.verdict is Verdict.FAILED
     assert result.reasons[0].startswith("silent: new 1, old 0")
 
@@ -221,8 +223,8 @@
     assert reason in result.reasons[0]
 
 
-def test_a_zone_that_is_cut_off_is_inconclusive(harmless: list[GatewaySample]) -> None:
-    samples = silence(harmless, [one.zone == "a" for one in harmless])
+def test_an_unreachable_zone_is_inconclusive(harmless: list[GatewaySample]) -> None:
+    samples = make_unreachable(harmless, [one.zone == "a" for one in harmless])
     assert_inconclusive(analyze(LIMITS, samples, 1.0), "new gateways could not be asked")
 
 
--- a/tests/routing/test_load_shedding.py
+++ b/tests/routing/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: rejecting a fraction of the requests at once."""
+"""Tests of load shedding: rejecting a fraction of the requests immediately."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 def rejected_fraction(
     gateway: Gateway, at: float, rate: float, seconds: float, response_time_s: Callable[[], float]
 ) -> float:
-    """Return the fraction of so many requests a second that is rejected at once."""
+    """Send requests at a rate and return the fraction that is rejected immediately."""
     requests = rejected = 0
     in_flight: list[tuple[float, int, float]] = []
     for step in range(int(rate * seconds)):
@@ -69,11 +69,11 @@
 
 
 @pytest.mark.parametrize("rate", [6.0, 60.0])
-def test_a_gateway_sheds_soon_in_an_overload_and_no_longer_than_that(rate: float) -> None:
+def test_shedding_starts_soon_after_an_overload_and_ends_with_it(rate: float) -> None:
     gateway = Gateway(make_router(*range(1, 9), gateway_count=100))
     learn_shared_instances(gateway)
     assert rejected_fraction(gateway, 110.0, rate, 5.0, lambda: 0.05) == 0.0
-    rejected_fraction(gateway, 120.0, rate, 3.0, lambda: 2.5)  # far over the latency objective
+    rejected_fraction(gateway, 120.0, rate, 3.0, lambda: 2.5)  # far above the latency objective
     assert rejected_fraction(gateway, 126.0, rate, 3.0, lambda: 2.5) > 0.25
     rejected_fraction(gateway, 132.0, rate, 4.0, lambda: 0.05)
     assert rejected_fraction(gateway, 137.0, rate, 5.0, lambda: 0.05) == 0.0
@@ -82,15 +82,13 @@
 def test_one_late_response_in_five_sheds_hardly_anything() -> None:
     gateway = Gateway(make_router(*range(1, 9), gateway_count=100))
     learn_shared_instances(gateway)
-    chance = random.Random(5)
-    assert (
-        rejected_fraction(gateway, 110.0, 6.0, 120.0, lambda: chance.choices((1.0, 0.05), (1, 4))[0]) < 0.05
-    )
+    rng = random.Random(5)
+    assert rejected_fraction(gateway, 110.0, 6.0, 120.0, lambda: rng.choices((1.0, 0.05), (1, 4))[0]) < 0.05
 
 
 @pytest.mark.parametrize("responds_to_others", [True, False])
 def test_a_timeout_counts_as_overload_where_the_worker_responds_to_others(responds_to_others: bool) -> None:
-    """A silent worker may be cut off: others could serve, and shedding would lose that."""
+    """A worker without responses may be unreachable; shedding would reject what other workers could serve."""
     gateway = Gateway(make_router(1, gateway_count=100))
     learn_shared_instances(gateway)
     for step in range(3):
@@ -104,17 +102,17 @@
     assert (gateway.router.components.load_shedder.shed_fraction > 0) is responds_to_others
 
 
-def test_a_gateway_with_most_of_the_traffic_does_not_take_its_tenants_for_over_quota() -> None:
+def test_a_gateway_with_most_of_the_traffic_does_not_count_its_tenants_as_over_quota() -> None:
     tenants = (TenantSettings("a", 0.5, 100.0), TenantSettings("b", 0.5, 100.0))
-    subject = make_router(1, 2, tenants=tenants, over_quota_weight=0.05, gateway_count=200)
-    gateway = Gateway(subject)
+    router = make_router(1, 2, tenants=tenants, over_quota_weight=0.05, gateway_count=200)
+    gateway = Gateway(router)
     for step in range(400):
         gateway.request(100.0 + step * 0.01, function_id=step, tenant=step % 2)
-    assert subject.components.load_shedder.quota_factor(104.0, 0) > 0.8
+    assert router.components.load_shedder.quota_factor(104.0, 0) > 0.8
 
 
 def make_shedder(shared: SharedInstances | None = None, **changes: Any) -> tuple[LoadShedder, RequestRates]:
-    """Return a load shedder and the rates that it reads."""
+    """Return a load shedder and the request rates that it reads."""
     rates = RequestRates()
     return LoadShedder(settings(**changes), rates, shared or SharedInstances(), random.Random(1)), rates
 
@@ -136,7 +134,7 @@
 def test_nothing_is_shed_where_instances_are_not_shared() -> None:
     shedder, _ = make_shedder()
     shedder.shed_fraction = shedder.mean_priority_weight = 0.75
-    assert not any(shedder.sheds(make_pending()) for _ in range(100))
+    assert not any(shedder.should_reject(make_pending()) for _ in range(100))
 
 
 def test_the_lightest_requests_are_shed_first() -> None:
@@ -144,7 +142,9 @@
     shared.fraction = 1.0
     shedder, _ = make_shedder(shared)
     shedder.shed_fraction, shedder.mean_priority_weight = 0.65, 1.0
-    light, heavy = (sum(shedder.sheds(make_pending(weight=w)) for _ in range(200)) for w in (0.6, 3.0))
+    light, heavy = (
+        sum(shedder.should_reject(make_pending(weight=w)) for _ in range(200)) for w in (0.6, 3.0)
+    )
     assert heavy < 50 < 120 < light
 
 
@@ -153,7 +153,7 @@
     shared.fraction = 1.0
     shedder, _ = make_shedder(shared)
     shedder.shed_fraction, shedder.mean_priority_weight = TOLERATED_FRACTION, 1.0
-    assert not any(shedder.sheds(make_pending()) for _ in range(100))
+    assert not any(shedder.should_reject(make_pending()) for _ in range(100))
 
 
 def test_steps_are_larger_where_responses_are_few() -> None:
--- a/tests/routing/test_membership.py
+++ b/tests/routing/test_membership.py
@@ -1,4 +1,4 @@
-"""Endpoint updates: workers that drain, leave, restart and return."""
+"""Tests of endpoint updates: workers that drain, are removed, restart and return."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 )
 
 
-@pytest.mark.parametrize("how", ["draining", "removed", "left out"])
-def test_a_worker_that_drains_or_is_removed_gets_no_new_attempt(how: str) -> None:
+@pytest.mark.parametrize("change", ["draining", "removed", "left out"])
+def test_a_worker_that_drains_or_is_removed_gets_no_new_attempt(change: str) -> None:
     gateway = Gateway(make_router(1, 2))
-    for step in range(4):  # instances at both
+    for step in range(4):  # load instances at both workers
         one, _ = gateway.request(100.0, function_id=step)
         two, _ = gateway.request(100.0, function_id=step + 4)
         gateway.finish(100.5, one)
@@ -33,7 +33,7 @@
         "draining": incremental(endpoint(1, DRAINING)),
         "removed": incremental(endpoint(1, REMOVED)),
         "left out": snapshot(endpoint(2)),
-    }[how]
+    }[change]
     gateway.router.handle(101.0, update)
     for step in range(20):
         number, actions = gateway.request(101.0, function_id=step)
@@ -45,7 +45,7 @@
     gateway = Gateway(make_router(1, 2))
     first, _ = gateway.request(100.0)
     holder = gateway.where[first]
-    second, _ = gateway.request(100.0, function_id=2)  # in flight while it leaves and returns
+    second, _ = gateway.request(100.0, function_id=2)  # in flight while the worker is removed and returns
     gateway.finish(100.1, first)
     gateway.router.handle(100.2, incremental(endpoint(holder, REMOVED)))
     gateway.router.handle(100.3, incremental(endpoint(holder)))
@@ -67,28 +67,28 @@
 
 
 def test_totals_count_ready_workers_alone() -> None:
-    parts = Components(settings(), 1)
+    components = Components(settings(), 1)
     update = snapshot(endpoint(1, capacity=2.0), endpoint(2, DRAINING), endpoint(3))
-    parts.membership.apply(100.0, update)
-    assert (parts.fleet.ready_count, parts.fleet.ready_capacity) == (2, 3.0)
+    components.membership.apply(100.0, update)
+    assert (components.fleet.ready_count, components.fleet.ready_capacity) == (2, 3.0)
 
 
 def test_a_failed_update_changes_nothing() -> None:
-    parts = Components(settings(), 1)
-    parts.membership.apply(100.0, snapshot(endpoint(1)))
-    parts.membership.apply(101.0, EndpointUpdate(EndpointUpdateKind.FAILED))
-    assert parts.fleet.ready_count == 1
+    components = Components(settings(), 1)
+    components.membership.apply(100.0, snapshot(endpoint(1)))
+    components.membership.apply(101.0, EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert components.fleet.ready_count == 1
 
 
 def test_a_removed_worker_is_forgotten_once_nothing_is_in_flight_there() -> None:
-    parts = Components(settings(), 1)
-    parts.membership.apply(100.0, snapshot(endpoint(1)))
-    parts.fleet.workers[1].attempts_in_flight = 1
-    parts.membership.apply(101.0, incremental(endpoint(1, REMOVED)))
-    assert 1 in parts.fleet.workers
-    parts.fleet.workers[1].attempts_in_flight = 0
-    parts.membership.forget_removed()
-    assert not parts.fleet.workers
+    components = Components(settings(), 1)
+    components.membership.apply(100.0, snapshot(endpoint(1)))
+    components.fleet.workers[1].attempts_in_flight = 1
+    components.membership.apply(101.0, incremental(endpoint(1, REMOVED)))
+    assert 1 in components.fleet.workers
+    components.fleet.workers[1].attempts_in_flight = 0
+    components.membership.forget_removed()
+    assert not components.fleet.workers
 
 
 @pytest.mark.parametrize("kind", [EndpointUpdateKind.CACHED, EndpointUpdateKind.FAILED])
--- a/tests/routing/test_warm_pool.py
+++ b/tests/routing/test_warm_pool.py
@@ -1,4 +1,4 @@
-"""The warm pool: which loaded instance a request takes, and when instances end."""
+"""Tests of the warm pool: which loaded instance a request uses, and when instances are dropped."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
     first, _ = gateway.request(100.0)
     second, _ = gateway.request(100.0)
     gateway.finish(100.1, first)
-    third, _ = gateway.request(100.2)  # takes the only instance
-    gateway.finish(100.3, second)  # an older instance when the load is reported
+    third, _ = gateway.request(100.2)  # uses the only instance
+    gateway.finish(100.3, second)  # older than the load that is reported next
     gateway.finish(101.0, third, cache_status=CacheStatus.STARTED_LOAD)
     assert all(freed >= 100.2 for _, freed in gateway.router.functions[1].warm_instances)
 
@@ -66,16 +66,15 @@
 
 
 def test_an_instance_whose_connection_ends_returns_to_the_pool() -> None:
-    """A reset says nothing of the instance; when it was dropped, requests waited for needless loads."""
+    """After a reset the instance may still be loaded; dropping it made requests wait for needless loads."""
     gateway = Gateway(make_router(1, 2))
     first, _ = gateway.request(100.0)
     holder = gateway.where[first]
     gateway.finish(100.1, first)
     second, _ = gateway.request(101.0)
     retried = attempts_sent(gateway.finish(101.0, second, Result.RESET, CacheStatus.UNKNOWN))
-    assert [send.worker_id for send in retried] == [
-        holder
-    ]  # no other instance is known, and a load takes longer
+    # No other instance is known, and a load would take longer.
+    assert [send.worker_id for send in retried] == [holder]
     gateway.finish(101.1, second)
     _, actions = gateway.request(101.2)
     assert attempts_sent(actions)[0].worker_id == holder
@@ -101,7 +100,7 @@
 
 
 def test_the_pool_of_a_function_keeps_only_its_freshest_instances() -> None:
-    """Thousands of entries at a worker that can't be used made each choice walk them all."""
+    """Each choice scans all entries, which is slow with thousands of entries at an ineligible worker."""
     gateway = Gateway(make_router(1, 2))
     add_warm_instances(gateway, 1, count=5000)
     gateway.router.handle(100.1, incremental(endpoint(1, state=DRAINING)))
@@ -119,9 +118,9 @@
 
 
 def make_pool(function: Function) -> WarmPool:
-    """Return a pool with a keep-alive of ten seconds over one function."""
-    chance = random.Random(1)
-    slow_start = SlowStart(settings(), make_fleet(), RequestRates(), CpuUtilization(), chance)
+    """Return a warm pool for one function with a keep-alive of ten seconds."""
+    rng = random.Random(1)
+    slow_start = SlowStart(settings(), make_fleet(), RequestRates(), CpuUtilization(), rng)
     return WarmPool({1: function}, Eligibility(slow_start), 10.0)
 
 
@@ -130,7 +129,7 @@
     assert keep_alive_s(settings(keep_alive_s=0.0)) == DEFAULT_KEEP_ALIVE_S
 
 
-def test_a_restored_instance_takes_its_old_place() -> None:
+def test_a_restored_instance_returns_to_its_old_position() -> None:
     function, worker, other = Function(), make_worker(1), make_worker(2)
     pool = make_pool(function)
     pool.release(100.0, function, worker, 1)
@@ -163,11 +162,11 @@
     pool = make_pool(function)
     pool.release(100.0, function, worker, 2)
     pool.release(100.0, function, other, 1)
-    pool.void_worker(worker)
+    pool.drop_instances(worker)
     assert function.warm_instances == [(other, 100.0)]
 
 
-def test_a_repeat_place_survives_the_removal_of_expired_instances() -> None:
+def test_a_retry_candidate_survives_the_removal_of_expired_instances() -> None:
     function, worker, expired = Function(), make_worker(1), make_worker(2)
     pool, pending = make_pool(function), make_pending()
     broken = make_attempt(worker)
