--- a/saffronstack/config/schema.py
+++ b/saffronstack/config/schema.py
@@ -192,7 +192,7 @@
 
     path: Annotated[str, msgspec.Meta(min_length=1)]  # the fleet file
     keeper: Name | None = None  # name of the lease server to run in this process
-    state_directory: Annotated[str, msgspec.Meta(min_length=1)] | None = None  # of that lease server
+    state_directory: Annotated[str, msgspec.Meta(min_length=1)] | None = None  # of the lease server
     tasks: bool = False
 
 
--- a/tests/net/test_write_buffer.py
+++ b/tests/net/test_write_buffer.py
@@ -66,7 +66,7 @@
     assert not buffer.send(OutgoingMessage(b"x"))
 
 
-def test_a_stopped_writer_writes_into_no_ones_descriptor() -> None:
+def test_a_stopped_write_loop_does_not_write_to_a_reused_descriptor() -> None:
     loop = WriteLoop(lambda: 0.0)
     loop.start()
     assert loop.stop()
