--- a/saffronstack/platform/__init__.py
+++ b/saffronstack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The program as the users' platform runs it: configuration, client front, signals, assembly."""
+"""The gateway as it runs on the users' platform: configuration, client connections, signals, service."""
--- a/saffronstack/platform/__main__.py
+++ b/saffronstack/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m saffronstack.platform`: one gateway of the platform, in the foreground."""
+"""`python -m saffronstack.platform`: runs one gateway of the platform in the foreground."""
 
 from __future__ import annotations
 
@@ -15,8 +15,12 @@
 
 
 def main() -> int:
-    """Run until SIGTERM or SIGINT; SIGHUP rereads the configuration. 0 at the end, 2 where it can't run."""
-    # Blocked here and so in every thread: the main thread takes them one by one, and none is an interruption.
+    """Run until SIGTERM or SIGINT; SIGHUP reloads the configuration.
+
+    Returns:
+        The exit status: 0 after a shutdown, 2 if the gateway can't start.
+    """
+    # Threads inherit this mask, so signals interrupt no thread. The main thread receives them by `sigwait`.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     log = KeyValueLogger(os.environ.get("LB_NAME", "gateway"))
     path = os.environ.get("LB_CONFIG", "")
--- a/saffronstack/platform/calls.py
+++ b/saffronstack/platform/calls.py
@@ -1,4 +1,7 @@
-"""From a client's frame to a call of the engine: names become numbers, figures are checked. No I/O."""
+"""Builds the engine's calls from the call frames of clients; no I/O.
+
+Class and tenant names become indexes into the settings, and numbers are checked against their bounds.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,12 @@
 MAX_TIMEOUT_MS = 600_000
 MAX_MEMORY_MB = 1e7
 MAX_LANES = 4096
-DEADLINE_MARGIN_S = 0.03  # the answer leaves this long before the client's time is up: it has a way to go
+# Seconds before the client's deadline at which the gateway ends a call, so that the answer arrives in time.
+DEADLINE_MARGIN_S = 0.03
 
 
 class CallBuilder:
-    """What a call frame asks, by the settings."""
+    """Builds calls by the request classes and tenants of the settings."""
 
     def __init__(self, settings: Settings, next_number: Callable[[], int]) -> None:
         self._classes = {request_class.name: index for index, request_class in enumerate(settings.classes)}
@@ -24,25 +28,30 @@
         self._next_number = next_number
 
     def class_index(self, class_name: str) -> int | None:
-        """The place of a request class in the settings; None where there is none of that name."""
+        """Return the index of a request class in the settings, or None if no class has that name."""
         return self._classes.get(class_name)
 
     def build(self, frame: frames.CallFrame, received_s: float) -> Call:
-        """The call, whose time counts from when its last byte was there to be read (clock time).
+        """Return the call of a frame.
+
+        Args:
+            frame: The frame as the client sent it.
+            received_s: Clock time at which the whole request was available; its timeout starts then.
 
-        `frames.FieldError` where it names what there is not, or a figure is out of range.
+        Raises:
+            frames.FieldError: A class or tenant is unknown, a field is missing, or a number is out of range.
         """
         fields = frame.fields
         request_id = frames.parse_request_id(fields)
         subject = frames.parse_subject(fields)
         class_index = self.class_index(frame.class_name)
         if class_index is None:
-            raise frames.FieldError("an unknown class")
+            raise frames.FieldError("the request class is not in the settings")
         tenant = 0
         if self._tenants:
             tenant_index = self._tenants.get(fields.get("owner", ""))
             if tenant_index is None:
-                raise frames.FieldError("an unknown owner")
+                raise frames.FieldError("the tenant in field owner is not in the settings")
             tenant = tenant_index
         timeout_s = frames.parse_number(fields, "timeout", 1, MAX_TIMEOUT_MS, None) / 1000
         timeout_s = min(timeout_s, self._deadlines[class_index])
--- a/saffronstack/platform/config.py
+++ b/saffronstack/platform/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands a gateway."""
+"""Reads the configuration file that the platform gives to a gateway."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from saffronstack.settings_parser import SettingsError, parse_settings
 
 MAX_CONFIG_BYTES = 8 * 1024 * 1024
-DEFAULT_PORT = 5353
+DEFAULT_PORT = 5353  # port of an address that names none
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the text names the part."""
+    """The configuration can't be used; the message names the invalid part."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the gateway may use."""
+    """Resources that the platform grants to the gateway."""
 
     cores: float
     memory_mb: float
@@ -34,23 +34,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """One reading of the configuration file; times in seconds."""
+    """The content of the configuration file; times in seconds."""
 
     name: str
     listen: tuple[str, int]
     seed: int
     limits: Limits
     nameserver: tuple[str, int]
-    known: Mapping[str, Any]
+    known: Mapping[str, Any]  # endpoint snapshot and updates that the gateway starts with
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    streams: int  # requests that one connection to a host may carry
-    idle_s: float  # idle connections to hosts are closed after this long
+    streams: int  # maximum of concurrent requests on one connection to a worker
+    idle_s: float  # idle timeout of connections to workers
     max_open_calls: int
 
     def initial_endpoint_list(self) -> tuple[EndpointList, WorkerChanges]:
-        """The list of the start; ConfigError."""
+        """Return the initial endpoint list and its worker changes; ConfigError if `known` is malformed."""
         endpoint_list = EndpointList(self.zones, self.kinds)
         try:
             return endpoint_list, apply_startup_events(endpoint_list, self.known)
@@ -58,8 +58,8 @@
             raise ConfigError(f"known: {error!r}") from error
 
 
-# Parts that a running gateway keeps until it is restarted. `known` is the list of the start and `seed` is new
-# with each start: neither concerns one that runs.
+# Fields that take effect only when the gateway restarts. `known` and `seed` are left out: they are used
+# only at startup, so a running gateway can ignore new values.
 _NEEDS_RESTART = (
     "name",
     "listen",
@@ -74,19 +74,19 @@
 
 
 def parts_needing_restart(current: PlatformConfig, new: PlatformConfig) -> list[str]:
-    """Names of the parts that differ and that no signal applies."""
+    """Return the names of the fields that differ and that a reload doesn't apply."""
     return [name for name in _NEEDS_RESTART if getattr(current, name) != getattr(new, name)]
 
 
 def read_config(path: str) -> PlatformConfig:
-    """The file's configuration; ConfigError, also where it can't be read."""
+    """Return the configuration in a file; ConfigError if the file can't be read or is invalid."""
     try:
         with open(path, "rb") as file:
             content = file.read(MAX_CONFIG_BYTES + 1)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from error
     if len(content) > MAX_CONFIG_BYTES:
-        raise ConfigError(f"{path}: over {MAX_CONFIG_BYTES} bytes")
+        raise ConfigError(f"{path}: larger than {MAX_CONFIG_BYTES} bytes")
     try:
         return parse_config(content)
     except ConfigError as error:
@@ -94,7 +94,7 @@
 
 
 def parse_config(content: bytes) -> PlatformConfig:
-    """The configuration in these bytes; ConfigError."""
+    """Return the configuration in JSON; ConfigError if it is invalid."""
     try:
         raw = msgspec.json.decode(content)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -136,16 +136,19 @@
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """IPv4 address and port, as in ``10.0.0.4:10080``; ValueError."""
+    """Return host and port of an address like ``10.0.0.4:10080``; ValueError if it is not one.
+
+    Only IPv4 is accepted. An address without a port gets `DEFAULT_PORT`.
+    """
     if not isinstance(text, str):
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"not an address: {text!r}")
     host, found, port = text.rpartition(":")
     if not found:
         host, port = text, str(DEFAULT_PORT)
     try:
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError) as error:
-        raise ValueError(f"no IPv4 address: {text!r}") from error
+        raise ValueError(f"not an IPv4 address: {text!r}") from error
     if not (port.isascii() and port.isdigit() and int(port) <= 65535):
-        raise ValueError(f"no port: {text!r}")
+        raise ValueError(f"not a port: {text!r}")
     return host, int(port)
--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -1,4 +1,7 @@
-"""One client connection: frames in, calls to the engine, answers out. It has no thread of its own."""
+"""A client connection: parses frames, submits calls to the engine and writes their answers.
+
+It has no thread of its own.
+"""
 
 from __future__ import annotations
 
@@ -24,36 +27,36 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontendLimits:
-    """Bounds of the clients' connections; times in seconds, sizes in bytes."""
+    """Limits of client connections; times in seconds, sizes in bytes."""
 
     max_connections: int = 400
-    max_over_limit_connections: int = 4  # connections beyond that whose calls are refused at once
-    max_silent_at_limit: int = 1  # connections accepted just now that may stay silent, where there is no room
-    max_open_calls: int = 32  # on one connection
-    first_byte_timeout_s: float = 2.0  # until its first byte
-    message_timeout_s: float = 2.0  # for the whole of a message
-    idle_timeout_s: float = 4.5  # clients close theirs after 4
-    over_limit_timeout_s: float = 0.5  # for all of a connection beyond the number
-    write_buffer_bytes: int = 640 * 1024  # a full set of the largest answers
+    max_over_limit_connections: int = 4  # connections accepted beyond the limit; their calls are rejected
+    max_silent_at_limit: int = 1  # new connections that may be silent while the limit is reached
+    max_open_calls: int = 32  # per connection
+    first_byte_timeout_s: float = 2.0  # from accepting a connection to its first byte
+    message_timeout_s: float = 2.0  # from the first to the last byte of a request
+    idle_timeout_s: float = 4.5  # clients close their idle connections after 4 s
+    over_limit_timeout_s: float = 0.5  # idle timeout of an over-limit connection
+    write_buffer_bytes: int = 640 * 1024  # holds the largest answers to all open calls of a connection
     write_stall_timeout_s: float = 2.0
-    linger_timeout_s: float = (
-        1.0  # after a half-close, until the client closes: else a reset could take its answers
-    )
-    max_linger_bytes: int = 1024 * 1024
-    busy_retry_after_s: float = 0.1  # asked of a client that has too much open
+    # Time after a half-close in which the client can close the connection. Closing it earlier could reset it,
+    # and the client would lose answers that it has not read.
+    linger_timeout_s: float = 1.0
+    max_linger_bytes: int = 1024 * 1024  # received bytes that are discarded before the connection is closed
+    busy_retry_after_s: float = 0.1  # retry delay sent with the rejection of a call that is not run
 
 
 class State(Enum):
-    """What a connection does with bytes that come."""
+    """What a connection does with received bytes."""
 
-    READING = auto()
-    FINISHING = auto()  # drops them: no request can be read any more, and the open ones keep their time
-    LINGERING = auto()  # drops them: everything is answered and the writing side is closed
+    READING = auto()  # parses requests
+    FINISHING = auto()  # discards bytes after a parse error, until the open calls are answered
+    LINGERING = auto()  # discards bytes after the half-close, until the client closes
 
 
 @dataclass(frozen=True, slots=True)
 class SharedServices:
-    """What all connections share."""
+    """Objects that all client connections share."""
 
     engine: Engine
     call_builder: CallBuilder
@@ -61,12 +64,14 @@
     open_request_ids: OpenRequestIds
     clock: Callable[[], float]
     is_ready: Callable[[], bool]
-    format_holdoff: Callable[[float], bytes]  # seconds to keep away, as a field
+    format_holdoff: Callable[
+        [float], bytes
+    ]  # returns a retry delay in seconds as the holdoff field of an answer
     admission: DrainAdmission
 
 
 class ClientConnection:
-    """Owned by the front's thread; answers are written by whichever thread settles a call."""
+    """Owned by the frontend's thread. An answer is written by the thread that finishes its call."""
 
     def __init__(
         self,
@@ -76,16 +81,15 @@
         now: float,
         over_limit: bool = False,
     ) -> None:
-        """``overflow``: it is beyond the number of connections, and its calls are refused."""
+        """``over_limit``: the connection exceeds the connection limit, and its calls are rejected."""
         self.rejects_calls = over_limit
         self.overflow = over_limit
         self.accepted_s = now
-        self.active_s = now  # when it was accepted, read from, or last seen with something open
-        self._last_answer_s = now  # when the last call was answered
+        self.active_s = now  # when it was accepted, last read from, or last observed with an open call
+        self._last_answer_s = now  # when the last call was answered, or when the connection was accepted
         self.spoken = False
-        self.queued_since_s: float | None = (
-            None  # when what is read first had come, where that was long before
-        )
+        # Clock time at which the first bytes arrived, if they waited in the accept queue; else None.
+        self.queued_since_s: float | None = None
         self.state = State.READING
         self._sock = sock
         self._services = services
@@ -98,8 +102,8 @@
         self._lock = threading.Lock()
         self._open_calls: dict[int, Call] = {}  # by tag
         self._tags_by_call: dict[int, int] = {}  # by call number
-        self._answers_in_progress = 0  # answers on their way to the write buffer
-        self._received_s = now  # when what is parsed now was there to be read
+        self._answers_in_progress = 0  # answers of finished calls that are not yet in the write buffer
+        self._received_s = now  # when the bytes that are being parsed were available
         self._message_started_s = now
         self._linger_until_s = 0.0
         self._linger_bytes_left = limits.max_linger_bytes
@@ -110,32 +114,38 @@
 
     @property
     def unanswered(self) -> bool:
-        """Whether a call was read whose answer has not gone to the kernel. Looked at in the order in which an
-        answer passes, so that none is missed between two of these places.
+        """Whether an answer is due or not yet written to the socket.
+
+        Another thread moves an answer from the open call to the write buffer. The checks are in that order,
+        so that no answer is missed.
         """
         return bool(self._open_calls) or self._answers_in_progress > 0 or self._write_buffer.has_pending
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is open, half read or half written."""
+        """Whether no call is open, no request is partly read and no answer is partly written."""
         return not self._reader.pending and not self.unanswered
 
     def idle_since(self, now: float) -> float:
-        """When it became idle: a client is owed time after its answer as well; ``now`` where it is not."""
+        """Return the time since which the connection is idle; ``now`` if it is in use.
+
+        An answer restarts the idle time, so that its client has time to send the next request.
+        """
         return max(self.active_s, self._last_answer_s) if self.idle else now
 
     def promote_within_limit(self) -> None:
-        """It was beyond the number of connections and is not any more: its calls are run from here on."""
+        """Count an over-limit connection within the limit: its calls are run from now on."""
         self.overflow = False
         self.rejects_calls = False
 
     def has_unread(self) -> bool:
-        """Whether bytes wait in its socket; neither waits nor takes any."""
+        """Return whether the socket has unread bytes; neither blocks nor consumes them."""
         return bool(self._peek())
 
     def evictable(self) -> bool:
-        """Whether it can be closed at no client's cost: nothing is open, half read or unread, or its client
-        has ended it. Looked at right before it is closed.
+        """Return whether closing the connection loses no request. Call it right before closing.
+
+        That holds if no call is open and no request is unread or partly read, or if the client has closed it.
         """
         if self.unanswered:
             return False
@@ -143,13 +153,14 @@
         return waiting == b"" or (waiting is None and not self._reader.pending)
 
     def has_ended(self) -> bool:
-        """Whether its client has closed or reset it, all that came before has been read, and no call is open;
-        neither waits nor takes bytes.
+        """Return whether the client closed or reset the connection and no call or unread byte is left.
+
+        Neither blocks nor consumes bytes.
         """
         return not self.unanswered and self._peek() == b""
 
     def _peek(self) -> bytes | None:
-        """The first byte that waits, empty at the end, None where nothing has come."""
+        """Return the next unread byte; empty at the end of the stream, None if nothing is unread."""
         try:
             return self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -158,7 +169,7 @@
             return b""  # reset
 
     def close(self) -> None:
-        """Close it; calls that are still open have no client any more."""
+        """Close the connection, and tell the engine that the client of its open calls has disconnected."""
         with self._lock:
             calls = list(self._open_calls.values())
         for call in calls:
@@ -167,12 +178,12 @@
         with contextlib.suppress(OSError):
             self._sock.close()
 
-    # ---- the front's thread
+    # ---- called by the frontend's thread
 
     def on_readable(self, buffer: bytearray, view: memoryview, now: float) -> bool:
-        """Read once, without waiting; False where it is over and is to be closed.
+        """Read once without blocking; return False if the connection is to be closed.
 
-        ``now`` is when the socket was found readable: the time of what came counts from then.
+        ``now`` is the time at which the socket was found readable; the deadlines of new calls count from it.
         """
         try:
             received = self._sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
@@ -181,7 +192,7 @@
         except OSError:
             return False  # reset by the client
         if not received:
-            return False  # closed by the client, which has gone with that
+            return False  # closed by the client
         self.active_s = now
         if self.state is not State.READING:
             return self._discard_received(received)
@@ -195,7 +206,7 @@
         return True
 
     def on_tick(self, now: float) -> bool:
-        """Look at its time-outs; False where it is over and is to be closed."""
+        """Check the timeouts; return False if the connection is to be closed."""
         if self.state is State.LINGERING:
             return now < self._linger_until_s
         if self.unanswered:
@@ -206,7 +217,7 @@
             return True
         if self._reader.pending:
             if now - self._message_started_s > self._limits.message_timeout_s:
-                self._stop_reading(RespError("a request that does not end"), now)
+                self._stop_reading(RespError("the request is incomplete after its timeout"), now)
             return True
         return now - self.active_s <= self._idle_limit_s() or self.has_unread()
 
@@ -216,14 +227,17 @@
         return self._limits.idle_timeout_s if self.spoken else self._limits.first_byte_timeout_s
 
     def _half_close(self, now: float) -> None:
-        """The client reads the end after its last answer, and closes."""
+        """Close the sending direction, so that the client reads the end of the stream and closes."""
         self.state = State.LINGERING
         self._linger_until_s = now + self._limits.linger_timeout_s
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     def _discard_received(self, received: int) -> bool:
-        """Bytes that nobody reads: while a call is open they cost their sender alone."""
+        """Count received bytes that are not parsed; return False if the connection is to be closed.
+
+        Their number is not limited while an answer is due, since they cost only their sender.
+        """
         if self.unanswered:
             return True
         self._linger_bytes_left -= received
@@ -239,19 +253,19 @@
             self._handle_request(words, now)
 
     def _handle_request(self, words: tuple[bytes, ...], now: float) -> None:
-        """One whole request; FrameError where it can't be answered under a tag of its own."""
+        """Handle one complete request; FrameError if it can't be answered under its own tag."""
         try:
             frame = frames.parse_frame(words)
         except frames.FrameError as error:
             if error.tag is None or not self._tags.use(error.tag):
                 raise
-            self._send_response(error.tag, FAILED)  # those behind it can be read all the same
+            self._send_response(error.tag, FAILED)  # the requests after it are still readable
             return
         if isinstance(frame, frames.CancelFrame):
             self._cancel(frame.tag)
             return
         if not self._tags.use(frame.tag):
-            raise frames.FrameError("a tag that was used before")
+            raise frames.FrameError("the tag was used before")
         if isinstance(frame, frames.CheckFrame):
             self._send_response(frame.tag, UP if self._services.is_ready() else FAILED)
         else:
@@ -277,7 +291,7 @@
         except frames.FieldError:
             self._send_response(frame.tag, FAILED)
             return
-        if call.deadline_s <= now:  # it lay in the listener's queue until then
+        if call.deadline_s <= now:  # the request waited in the accept queue past its deadline
             self._send_response(frame.tag, REJECTED, services.format_holdoff(limits.busy_retry_after_s))
             return
         if services.admission.active and not services.admission.admit(call, now):
@@ -301,7 +315,10 @@
         return class_index is not None and services.admission.refuses_class(class_index, now)
 
     def _stop_reading(self, error: RespError | frames.FrameError, now: float) -> None:
-        """No further request can be read: an error where there is a tag; what is open keeps its time."""
+        """Read no more requests after a parse error; open calls keep their deadlines.
+
+        The invalid request is answered if its tag is readable and unused.
+        """
         if isinstance(error, RespError):
             tag = frames.parse_tag(error.words)
             if tag is not None and self._tags.use(tag):
@@ -310,10 +327,10 @@
         if not self.unanswered:
             self._half_close(now)
 
-    # ---- any thread
+    # ---- called by any thread
 
     def _on_final_answer(self, call: Call, final: FinalAnswer) -> None:
-        """Write the one final answer, on whatever thread settled the call."""
+        """Write the final answer of a call; runs on the thread that finishes the call."""
         with self._lock:
             tag = self._tags_by_call.pop(call.number, None)
             if tag is not None:
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -1,7 +1,7 @@
-"""The client front: one thread accepts, reads and ends all client connections; see `ClientConnection`.
+"""The frontend: one thread accepts, reads and closes all client connections; see `ClientConnection`.
 
-One thread sees everything in one order: no connection is accepted and not yet read, and none is closed
-while a request lies unread in its socket.
+With a single thread, accepting, reading and closing can't race: every accepted connection is read, and none
+is closed while its socket holds an unread request.
 """
 
 from __future__ import annotations
@@ -30,26 +30,27 @@
 from saffronstack.runtime.threads import start_thread
 
 CLIENTS_THREAD = "clients"  # name of the thread that reads all client connections
-BACKLOG = 512  # connections that the machine holds until they are accepted
-MAX_ACCEPTS_PER_PASS = 64  # before connections that stand are read again
-MAX_AT_LIMIT_ACCEPTS_PER_PASS = 16  # made for newcomers, before they are read
+BACKLOG = 512  # length of the accept queue
+MAX_ACCEPTS_PER_PASS = 64  # accepted connections per event loop pass, so that others are read in between
+MAX_AT_LIMIT_ACCEPTS_PER_PASS = 16  # accepted per pass while the connection limit is reached
 READ_BYTES = 16 * 1024
-TICK_S = 0.25  # how often time-outs are looked at
-NO_DESCRIPTOR_PAUSE_S = 0.05  # until a connection is accepted again
-SHUTDOWN_TICK_S = 0.01  # and the shutdown
-MAX_FINAL_READS = 64  # of one connection at the end of a shutdown
+TICK_S = 0.25  # interval of timeout checks
+NO_DESCRIPTOR_PAUSE_S = 0.05  # pause of accepting after it failed for want of a file descriptor
+SHUTDOWN_TICK_S = 0.01  # interval of timeout and phase checks during a shutdown
+MAX_FINAL_READS = 64  # reads per connection before a shutdown flushes the answers
 EPOLL_READABLE = select.EPOLLIN | select.EPOLLHUP | select.EPOLLERR
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-WARNING_INTERVAL_S = 10.0
-RUNNING_PHASES = (Phase.ACCEPTING, Phase.DRAINING)  # in which calls are run
+WARNING_INTERVAL_S = 10.0  # minimum time between two warnings
+RUNNING_PHASES = (Phase.ACCEPTING, Phase.DRAINING)  # phases in which calls are run
 ACCEPTING_PHASES = (Phase.ACCEPTING, Phase.DRAINING, Phase.REJECTING)
 
 
 class Frontend:
-    """Listens, and holds client connections within their number.
+    """Serves client connections and enforces the connection limit.
 
-    Over it, one that is not in use makes room for a new one; where there is none, a new one waits to be
-    accepted for a moment, and then the calls of a few more are refused at once: see `ClientAdmission`.
+    At the limit, an idle connection is evicted for a new one. If none is idle, new clients wait briefly in
+    the accept queue. After that a few over-limit connections are accepted, and their calls are rejected at
+    once. See `ClientAdmission`.
     """
 
     def __init__(
@@ -65,15 +66,16 @@
         max_retry_after_s: float,
         admission: DrainAdmission,
     ) -> None:
-        """OSError where the address can't be had. ``advice_max_s``: clients are never asked to stay away
-        longer; 0: clients are given no such advice.
+        """Bind the listener; OSError if the address is not available.
+
+        ``max_retry_after_s`` caps the retry delay sent to clients; with 0 none is sent.
         """
         self.limits = limits
         self.clock = clock
         self.open_request_ids = OpenRequestIds()
-        self.peak_connections = 0  # connections open at one time
-        self.evicted = 0  # idle connections that made room
-        self.over_limit_accepted = 0  # connections whose calls were refused for want of room
+        self.peak_connections = 0  # maximum of connections open at one time
+        self.evicted = 0  # connections closed to accept others
+        self.over_limit_accepted = 0  # over-limit connections accepted
         self._services = SharedServices(
             engine,
             call_builder,
@@ -92,7 +94,7 @@
             limits.max_silent_at_limit, limits.max_over_limit_connections, ended_by_clients
         )
         self._shutdown = GracefulShutdown()
-        self._shutdown_limits: ShutdownLimits | None = None  # written by whoever asks for the shutdown
+        self._shutdown_limits: ShutdownLimits | None = None  # set by the thread that requests the shutdown
         self._shutdown_asked_s = 0.0
         self._calls_finished = False
         self._last_received_s = clock()
@@ -103,10 +105,10 @@
         self._listener.bind(address)
         self._listener.listen(BACKLOG)
         self._listener.setblocking(False)
-        self._accept_queue_poll = select.poll()  # whether a connection waits to be accepted
+        self._accept_queue_poll = select.poll()  # tells whether the accept queue has a connection
         self._accept_queue_poll.register(self._listener, select.POLLIN)
-        self._listening = False  # whether the loop waits for the listener
-        self._resume_listening_s = 0.0  # when it does, where a client waits for room
+        self._listening = False  # whether the event loop polls the listener
+        self._resume_listening_s = 0.0  # clock time at which a paused listener is polled again
         self._wake_event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._poll = select.epoll()
         self._buffer = bytearray(READ_BYTES)
@@ -114,38 +116,38 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address of the listener."""
         host, port = self._listener.getsockname()
         return str(host), int(port)
 
     @property
     def connections(self) -> int:
-        """Connections that are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
     def open_calls(self) -> int:
-        """Calls without a final answer."""
+        """Number of calls without a final answer."""
         return len(self.open_request_ids)
 
     @property
     def phase(self) -> Phase:
-        """How far a shutdown has come."""
+        """The phase of the shutdown."""
         return self._shutdown.phase
 
     def _format_holdoff(self, retry_after_s: float) -> bytes:
-        """The advice to keep away, as a field; empty where clients are given none."""
+        """Return a retry delay as the holdoff field of an answer; empty if no delay is sent to clients."""
         retry_after_s = min(retry_after_s, self._max_retry_after_s)
         return b"holdoff=%d" % max(1, round(retry_after_s * 1000)) if retry_after_s > 0 else b""
 
-    # ---- from any thread
+    # ---- called by any thread
 
     def start(self) -> None:
-        """Take connections."""
+        """Start the thread that serves client connections."""
         start_thread(CLIENTS_THREAD, self._run)
 
     def begin_shutdown(self, limits: ShutdownLimits) -> None:
-        """Drain: connections and requests are still taken until it is quiet; asked again, nothing changes."""
+        """Start draining: new requests are accepted until clients are quiet. Later calls have no effect."""
         if self._shutdown_limits is None:
             self._shutdown_asked_s = self.clock()
             self._services.admission.begin(self._shutdown_asked_s + limits.run_until_s)
@@ -153,23 +155,23 @@
             self._wake_up()
 
     def wait_drained(self, timeout_s: float) -> bool:
-        """Until no call can be taken any more; whether that came in time."""
+        """Wait until no new call is accepted; return False on a timeout."""
         return self._drained.wait(timeout_s)
 
     def notify_calls_finished(self) -> None:
-        """Told once every call has its final answer and none can be submitted any more."""
+        """Tell the frontend that every call has its final answer and the engine accepts no more."""
         self._calls_finished = True
         self._wake_up()
 
     def wait_closed(self, timeout_s: float) -> bool:
-        """Until the last answer is written and everything is closed; whether that came in time."""
+        """Wait until the answers are written and all connections are closed; return False on a timeout."""
         return self._closed.wait(timeout_s)
 
     def _wake_up(self) -> None:
-        with contextlib.suppress(OSError, ValueError):  # it has ended
+        with contextlib.suppress(OSError, ValueError):  # the thread has ended
             os.eventfd_write(self._wake_event, 1)
 
-    # ---- its thread
+    # ---- the frontend's thread
 
     def _run(self) -> None:
         self._poll.register(self._wake_event, select.EPOLLIN)
@@ -179,7 +181,7 @@
             while True:
                 now = self.clock()
                 tick_s = self._tick_interval_s()
-                # New connections come last: what those that stand have sent is read before one makes room.
+                # The listener comes last, so that requests are read before a connection is evicted.
                 listener = self._listener.fileno()
                 ready = [descriptor for descriptor, _ in self._poll.poll(self._poll_timeout_s(now, tick_s))]
                 for descriptor in sorted(ready, key=listener.__eq__):
@@ -200,18 +202,18 @@
         return TICK_S
 
     def _poll_timeout_s(self, now: float, tick_s: float) -> float:
-        """How long to wait for something to read."""
+        """Return how long the event loop may wait for events."""
         if self._listening or self._shutdown.phase not in ACCEPTING_PHASES:
             return tick_s
         return max(0.0, min(tick_s, self._resume_listening_s - now))
 
     def _resume_listening(self, now: float) -> None:
-        """The listener, where there was no room, is tried again."""
+        """Poll a paused listener again once its pause is over."""
         if now >= self._resume_listening_s and self._shutdown.phase in ACCEPTING_PHASES:
             self._poll_listener(True)
 
     def _on_event(self, descriptor: int) -> None:
-        """One thing that is ready. Whatever goes wrong with it, the others go on."""
+        """Handle one ready descriptor. An exception closes only its connection."""
         now = self.clock()
         try:
             connection = self._connections.get(descriptor)
@@ -233,13 +235,13 @@
             self._discard(descriptor)
 
     def _discard(self, descriptor: int) -> None:
-        """Close the connection that a fault left in no known state."""
+        """Close the connection of a descriptor, if there is one."""
         connection = self._connections.get(descriptor)
         if connection is not None:
             self._close(connection)
 
     def _tick(self, now: float) -> None:
-        """Time-outs of all connections."""
+        """Check the timeouts of all connections."""
         for descriptor, connection in list(self._connections.items()):
             try:
                 if not connection.on_tick(now):
@@ -249,7 +251,7 @@
                 self._discard(descriptor)
 
     def _poll_listener(self, wanted: bool) -> None:
-        """Wait for connections, or leave them to the machine."""
+        """Poll the listener, or leave new connections in the accept queue."""
         if wanted and not self._listening:
             self._poll.register(self._listener, select.EPOLLIN)
         elif self._listening and not wanted:
@@ -257,14 +259,14 @@
         self._listening = wanted
 
     def _accept(self, now: float, max_accepted: int) -> int:
-        """Accept what has come, up to so many; how many were accepted."""
+        """Accept up to ``max_accepted`` connections; return how many were handled."""
         at_limit_accepts = 0
         for accepted in range(max_accepted):
             over_limit = False
             is_full = self._client_admission.is_full(self.limits.max_connections)
             if is_full:
                 if self._accept_queue_is_empty() or at_limit_accepts >= self._max_at_limit_accepts():
-                    return accepted  # nobody has to make room, or those that stand are read first
+                    return accepted  # no client waits, or the accepted connections are to be read first
                 verdict = self._admit_next_client(now)
                 if verdict is Verdict.WAIT:
                     return accepted
@@ -278,9 +280,9 @@
                 return accepted
             except OSError as error:
                 if error.errno not in RESOURCE_ERRNOS:
-                    continue  # that client has gone already
+                    continue  # the client has already disconnected
                 if self._accept_queue_is_empty():
-                    return accepted  # the system has no descriptor, and nobody asks for one
+                    return accepted  # accept fails for want of a descriptor even if no client waits
                 self._warn("no connection could be taken", now, error=str(error))
                 self._free_descriptor(now)
                 return accepted
@@ -289,16 +291,19 @@
                 self._note_queue_wait(sock)
             if over_limit:
                 self._accept_queue_is_empty()
-                return accepted + 1  # it is answered before another one takes its place
+                return accepted + 1  # its call is rejected before another client can evict it
         self._accept_queue_is_empty()
         return max_accepted
 
     def _max_at_limit_accepts(self) -> int:
-        """Places made for newcomers in one pass; newcomers that were not read yet count as silent."""
+        """Return how many connections may be accepted per pass while the connection limit is reached.
+
+        Accepted connections that are not read yet count as silent, so `max_silent_at_limit` bounds them too.
+        """
         return min(MAX_AT_LIMIT_ACCEPTS_PER_PASS, self.limits.max_silent_at_limit)
 
     def _note_queue_wait(self, sock: socket.socket) -> None:
-        """The time of a request counts from when it came, also where it lay in the listener's queue."""
+        """Make the deadline of a request in the accept queue count from its arrival."""
         wait_s = queue_wait_s(sock)
         self._client_admission.accepted_after(wait_s)
         connection = self._connections.get(sock.fileno())
@@ -306,16 +311,16 @@
             connection.queued_since_s = self.clock() - wait_s
 
     def _accept_queue_is_empty(self) -> bool:
-        """Whether no client waits to be accepted; then none has waited."""
+        """Return whether no client waits to be accepted; if so, reset the recorded waiting time."""
         if self._accept_queue_poll.poll(0):
             return False
         self._client_admission.nobody_waits()
         return True
 
     def _try_to_promote(self, connection: ClientConnection, now: float) -> None:
-        """Its client goes on although it was refused: it is served where there is room by now."""
+        """Count an over-limit connection within the limit if its client sends again and there is capacity."""
         if connection.state is not State.READING or not connection.has_unread():
-            return  # no request of it can be read any more, or it has ended it
+            return  # requests are no longer parsed, or the client closed the connection
         decision = self._client_admission.decide_on_refused(now, self.limits.max_connections)
         if decision.verdict is not Verdict.ACCEPT:
             return
@@ -326,7 +331,7 @@
         self._client_admission.add(connection)
 
     def _admit_next_client(self, now: float) -> Verdict:
-        """For a client that waits to be accepted."""
+        """Decide on the client that waits to be accepted: evict a connection or pause accepting if needed."""
         decision = self._client_admission.decide(
             now, self.limits.max_connections, self.limits.max_over_limit_connections
         )
@@ -337,7 +342,7 @@
         return decision.verdict
 
     def _free_descriptor(self, now: float) -> None:
-        """The system has none left for a client that waits to be accepted."""
+        """Evict a connection, if possible, to free a file descriptor for a client that waits."""
         victim = self._client_admission.next_for_descriptor(now)
         if victim is not None:
             self._evict(victim)
@@ -373,7 +378,7 @@
         descriptor = connection.fileno()
         self._connections.pop(descriptor, None)
         self._client_admission.remove(connection)
-        self._resume_listening_s = 0.0  # there may be room
+        self._resume_listening_s = 0.0  # there may be capacity now
         with contextlib.suppress(OSError, ValueError):
             self._poll.unregister(descriptor)
         connection.close()
@@ -403,12 +408,12 @@
         return Activity(self._last_received_s, unanswered, self._calls_finished)
 
     def _reject_calls(self) -> None:
-        """Refuse what is read from here on: sent now, it would be cut off by the engine's end."""
+        """Reject calls that are read from now on: the engine could stop before they end."""
         for connection in self._connections.values():
             connection.rejects_calls = True
 
     def _read_final_requests(self, now: float) -> None:
-        """What has come to the machine by now is read and refused; the listener closes."""
+        """Accept and read everything that has arrived, so that it is rejected; then close the listener."""
         self.limits = replace(self.limits, max_connections=len(self._connections) + BACKLOG + 1)
         while self._accept(now, MAX_ACCEPTS_PER_PASS) == MAX_ACCEPTS_PER_PASS:
             pass
--- a/saffronstack/platform/identifiers.py
+++ b/saffronstack/platform/identifiers.py
@@ -1,21 +1,25 @@
-"""Which tags a connection has used, and which request ids are open at this gateway."""
+"""Tracks the tags that a connection has used and the ids of this gateway's open requests."""
 
 from __future__ import annotations
 
 import threading
 
-MAX_TAGS = 1024  # tags above the lowest unused one that a connection may have used
+MAX_TAGS = 1024  # limit of used tags above the lowest unused tag of a connection
 
 
 class UsedTags:
-    """The tags that a connection has used; bounded, as tags mostly rise."""
+    """The tags that a connection has used.
+
+    Clients mostly number their requests upwards. So only tags above the lowest unused one are stored, and
+    their number is bounded.
+    """
 
     def __init__(self) -> None:
-        self._lowest_unused = 1  # all under it are used
+        self._lowest_unused = 1  # every lower tag is used
         self._used_above: set[int] = set()
 
     def use(self, tag: int) -> bool:
-        """Note a tag; whether it is new and could be noted."""
+        """Record a tag; return False if it was used before or too many tags are stored."""
         if tag < self._lowest_unused or tag in self._used_above or len(self._used_above) >= MAX_TAGS:
             return False
         self._used_above.add(tag)
@@ -26,7 +30,7 @@
 
 
 class OpenRequestIds:
-    """Ids of the requests that are open at this gateway; any thread."""
+    """Ids of the requests that are open at this gateway; safe to use from any thread."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -36,7 +40,7 @@
         return len(self._ids)
 
     def add(self, request_id: str) -> bool:
-        """Note an id; False where it is open already."""
+        """Add the id of a new request; return False if a request with that id is open."""
         with self._lock:
             if request_id in self._ids:
                 return False
@@ -44,6 +48,6 @@
             return True
 
     def remove(self, request_id: str) -> None:
-        """Forget an id whose request has its final answer."""
+        """Remove the id of a request that has its final answer."""
         with self._lock:
             self._ids.discard(request_id)
--- a/saffronstack/platform/readiness.py
+++ b/saffronstack/platform/readiness.py
@@ -1,4 +1,4 @@
-"""Which of many client connections their clients have ended, by one call of the system."""
+"""Finds the client connections that their clients have ended, with one system call for all of them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def ended_by_clients(connections: Iterable[ClientConnectionView]) -> list[ClientConnectionView]:
-    """Return those whose clients have closed or reset them; what came before may be unread."""
+    """Return the connections that their clients have closed or reset; they may still have unread bytes."""
     poll = select.poll()
     by_descriptor: dict[int, ClientConnectionView] = {}
     for connection in connections:
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -1,4 +1,4 @@
-"""A gateway of the platform put together, and its ways to reread its configuration and to stop."""
+"""The service of one gateway process: assembly, start, configuration reload and shutdown."""
 
 from __future__ import annotations
 
@@ -25,23 +25,24 @@
 from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
 from saffronstack.upstream.multiplexed.dispatcher import MultiplexedDispatcher
 
-WORKER_SERVICE_NAME = "_work._tcp.fleet.local"  # what the directory lists the hosts under
-IDLE_TIMEOUT_FRACTION = (
-    0.8  # of the told idle time a link stays open: a host that closes it first may cross a send
-)
-DEFAULT_CONNECT_TIMEOUT_S = 0.25  # where the settings tell no time-out for connecting
-DEFAULT_LOAD_COMMAND_TIMEOUT_S = 10.0  # where the settings tell no time-out for orders
-COMPARE_INTERVAL_S = 0.25  # how often beliefs are held against links
-COMPARE_LOG_INTERVAL_S = 10.0  # and how often the log may hear of what was found
-# By the platform's terms connections come for 0.4 s after SIGTERM and requests for 0.2 s more; both may be
-# read late. From then on it is quiet once nothing has come for longer than requests outlast connections.
+WORKER_SERVICE_NAME = "_work._tcp.fleet.local"  # DNS service name of the workers
+# Fraction of the configured idle time after which the gateway closes an idle connection to a worker. If the
+# worker closed it first, a request sent at that time would be lost.
+IDLE_TIMEOUT_FRACTION = 0.8
+DEFAULT_CONNECT_TIMEOUT_S = 0.25  # used if the settings have no connect timeout
+DEFAULT_LOAD_COMMAND_TIMEOUT_S = 10.0  # used if the settings have no timeout of load commands
+COMPARE_INTERVAL_S = 0.25  # interval of comparing the router's state with the connections
+COMPARE_LOG_INTERVAL_S = 10.0  # minimum time between two log lines on the result
+# By the platform's contract, clients open connections until 0.4 s after SIGTERM and send requests for 0.2 s
+# more. MIN_DRAIN_S leaves time to read both late. After it, clients count as quiet once nothing arrives for
+# QUIET_S, which is longer than those 0.2 s.
 MIN_DRAIN_S = 1.0
 QUIET_S = 0.3
-THREAD_STOP_TIMEOUT_S = 1.0  # what a thread may take to notice that it is to end
+THREAD_STOP_TIMEOUT_S = 1.0  # time limit for a thread to end after it is told to stop
 
 
 class Service:
-    """Everything that one gateway process runs."""
+    """All parts of one gateway process."""
 
     def __init__(
         self,
@@ -50,9 +51,13 @@
         wall_clock: Callable[[], float] = time.time,
         log: Logger | None = None,
     ) -> None:
-        """OSError where the address can't be had, ConfigError where the list of the start can't be read.
+        """Assemble the gateway and bind its listener.
 
-        ``config`` stays in force until the end; `reread` moves the directory's address alone.
+        ``config`` applies until the gateway stops; `reload_config` changes only the nameserver's address.
+
+        Raises:
+            OSError: The listen address is not available.
+            ConfigError: The initial endpoint list is malformed.
         """
         self.config = config
         self._clock, self._wall_clock = clock, wall_clock
@@ -86,7 +91,7 @@
             self.endpoint_list, WORKER_SERVICE_NAME, config.nameserver, self._apply_changes, self._log, clock
         )
         self.state_comparison = Beliefs(max(cls.latency_objective_s for cls in settings.classes))
-        self._stopping = threading.Event()  # set as the drain begins
+        self._stopping = threading.Event()  # set when the drain begins
         self._ready = False
         max_retry_after_s = (
             settings.permissions.max_retry_after_s if settings.permissions.retry_after else 0.0
@@ -107,7 +112,7 @@
         )
 
     def start(self) -> None:
-        """Start it: calls are taken from now on."""
+        """Start all threads; the gateway accepts calls from now on."""
         self.writer.start()
         self._apply_changes(self._initial_changes)
         self.engine.start(self.dispatcher)
@@ -118,7 +123,7 @@
         start_thread("beliefs", self._run_comparison)
 
     def _run_comparison(self) -> None:
-        """Hold the module's beliefs against the links; the log hears of what was found, and not often."""
+        """Compare the router's state with the worker connections periodically, and log the differences."""
         last_summary: dict[str, str] = {}
         last_logged_s = self._clock()
         while not self._stopping.wait(COMPARE_INTERVAL_S):
@@ -132,12 +137,19 @@
         self.state_comparison.look(now, router.workers, self.dispatcher.pools())
 
     def _apply_changes(self, changes: WorkerChanges) -> None:
-        """Links first, so that nothing leaves for a host that drains or is gone."""
+        """Pass changes of the endpoint list to the dispatcher, then to the engine.
+
+        With this order no request is sent to a worker that is draining or removed.
+        """
         self.dispatcher.update_workers(changes.updated, changes.removed)
         self.engine.update_workers(changes.updated, changes.removed, self._wall_clock())
 
     def reload_config(self, path: str) -> bool:
-        """Ask the directory that a new configuration names; False, and no change, where it can't be used."""
+        """Reload the configuration file and use its nameserver from now on.
+
+        Returns:
+            False if the file can't be used; then nothing changes.
+        """
         try:
             new_config = read_config(path)
         except ConfigError as error:
@@ -151,16 +163,18 @@
         return True
 
     def stop(self, min_drain_s: float = MIN_DRAIN_S, quiet_s: float = QUIET_S) -> bool:
-        """Shut down gracefully: take and answer what still comes until it is quiet, then write out what is
-        left and end. While clients go on it stays, until the platform kills the process: calls that can't be
-        answered before that are refused.
+        """Shut down gracefully: serve requests until clients are quiet, then write the last answers and exit.
+
+        While clients send requests, the gateway keeps running until the platform kills it. It rejects calls
+        that can't be answered before the kill deadline.
 
         Returns:
-            Whether every call had its final answer by itself and all threads ended.
+            Whether every call got its final answer before the engine stopped, and all threads ended.
         """
         longest_s = max(cls.deadline_s for cls in self.config.settings.classes)
         limits = shutdown_limits_for(longest_s, min_drain_s, quiet_s)
-        self._stopping.set()  # not right before the kill, where it would hold up the clients' thread
+        # Set early: a thread that ends right before the kill would delay the clients' thread.
+        self._stopping.set()
         self.frontend.begin_shutdown(limits)
         clean = self.frontend.wait_drained(limits.run_until_s + THREAD_STOP_TIMEOUT_S)
         clean = clean and not self.frontend.open_calls
@@ -173,7 +187,7 @@
         return self.writer.stop() and clean
 
     def summary(self) -> dict[str, object]:
-        """Figures for the log's last line."""
+        """Return the fields of the last log line."""
         counts = self.engine.statistics
         return {
             "calls": counts.calls,
--- a/saffronstack/resp/__init__.py
+++ b/saffronstack/resp/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' frames: RESP arrays of bulk strings, read and written without I/O."""
+"""Parses and encodes the frames of clients, which are RESP arrays of bulk strings; no I/O."""
--- a/saffronstack/resp/frames.py
+++ b/saffronstack/resp/frames.py
@@ -1,4 +1,4 @@
-"""What clients ask in their frames: the form of it is checked here, its meaning by the front."""
+"""Parses the commands in the frames of clients. Only syntax is checked; the frontend checks the values."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import re
 from dataclasses import dataclass, field
 
-TAG_LIMIT = 10**15  # larger numbers are no tag: the bound keeps what is remembered of tags small
+TAG_LIMIT = 10**15  # tags must be smaller; this bounds the memory of the tags that are stored
 _HEX_ID = re.compile(rb"[0-9a-f]{16}\Z")
 _FIELD_NAME = re.compile(r"[a-z_]+\Z")
 
 
 class FrameError(ValueError):
-    """A frame of no known form; ``tag`` is the one to answer under, None where none can be read."""
+    """A frame is malformed; ``tag`` is the tag to answer under, or None if it can't be parsed."""
 
     def __init__(self, text: str, tag: int | None = None) -> None:
         super().__init__(text)
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFrame:
-    """A call: class, fields and body as they came."""
+    """A CALL command: class, fields and body as received."""
 
     tag: int
     class_name: str
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelFrame:
-    """The client waits no longer."""
+    """A CANCEL command: the client no longer waits for the answer."""
 
     tag: int
 
 
 @dataclass(frozen=True, slots=True)
 class CheckFrame:
-    """Whether calls are taken."""
+    """A CHECK command: the client asks whether the gateway accepts calls."""
 
     tag: int
 
@@ -47,7 +47,7 @@
 
 
 def parse_tag(words: tuple[bytes, ...]) -> int | None:
-    """The tag of a request of which at least two words came."""
+    """Return the tag of a request, which is its second word; None if it is missing or invalid."""
     if len(words) < 2 or not words[1].isdigit() or len(words[1]) > 16:
         return None
     tag = int(words[1])
@@ -55,51 +55,51 @@
 
 
 def parse_frame(words: tuple[bytes, ...]) -> Frame:
-    """The frame that a request's words make; FrameError."""
+    """Return the frame that consists of these words; FrameError if they are malformed."""
     tag = parse_tag(words)
     if tag is None:
-        raise FrameError("no tag")
+        raise FrameError("the tag is missing or invalid")
     command = words[0]
     if command == b"CALL":
         if not 4 <= len(words) <= 5:
-            raise FrameError(f"a call of {len(words)} words", tag)
+            raise FrameError(f"a call has 4 or 5 words, not {len(words)}", tag)
         body = words[4] if len(words) == 5 else b""
         try:
             return CallFrame(tag, words[2].decode("ascii"), parse_fields(words[3], ","), body)
         except UnicodeDecodeError as error:
-            raise FrameError("a class that is no text", tag) from error
+            raise FrameError("the class name is not ASCII", tag) from error
         except FieldError as error:
             raise FrameError(str(error), tag) from error
     if command == b"CANCEL":
         return CancelFrame(tag)
     if command == b"CHECK":
         return CheckFrame(tag)
-    raise FrameError("an unknown command", tag)
+    raise FrameError("the command is unknown", tag)
 
 
 class FieldError(ValueError):
-    """A field that is missing or whose value can't be used; the text names it."""
+    """A field is missing or invalid; the message names it."""
 
 
 def parse_fields(text: bytes, pair_separator: str, value_separator: str = "=") -> dict[str, str]:
-    """``name=value`` pairs; FieldError where one is malformed or named twice."""
+    """Return the ``name=value`` pairs in a text; FieldError if one is malformed or a name is repeated."""
     fields: dict[str, str] = {}
     if not text:
         return fields
     try:
         pairs = text.decode("ascii").split(pair_separator)
     except UnicodeDecodeError as error:
-        raise FieldError("fields that are no text") from error
+        raise FieldError("the fields are not ASCII") from error
     for pair in pairs:
         name, found, value = pair.partition(value_separator)
         if not found or not _FIELD_NAME.match(name) or name in fields:
-            raise FieldError(f"a field that can't be read: {pair[:40]!r}")
+            raise FieldError(f"a field is malformed or repeated: {pair[:40]!r}")
         fields[name] = value
     return fields
 
 
 def parse_request_id(fields: dict[str, str]) -> str:
-    """The request's id; FieldError."""
+    """Return the id of the request; FieldError if it is missing or invalid."""
     text = fields.get("req", "")
     if not _HEX_ID.match(text.encode()):
         raise FieldError("req must be 16 hex digits")
@@ -107,7 +107,7 @@
 
 
 def parse_subject(fields: dict[str, str]) -> str:
-    """The function's name; FieldError."""
+    """Return the id of the function, in field subject; FieldError if it is missing or invalid."""
     text = fields.get("subject", "")
     if not _HEX_ID.match(text.encode()):
         raise FieldError("subject must be 16 hex digits")
@@ -117,7 +117,10 @@
 def parse_number(
     fields: dict[str, str], name: str, minimum: float, maximum: float, default: float | None
 ) -> float:
-    """A figure between its bounds; FieldError. None as the default: it must be there."""
+    """Return a number from a field; FieldError if it is missing, malformed or outside the bounds.
+
+    If the default is None, the field is required.
+    """
     text = fields.get(name)
     if text is None:
         if default is None:
@@ -133,5 +136,5 @@
 
 
 def format_fields(fields: dict[str, object]) -> bytes:
-    """Fields of an answer."""
+    """Return the encoded fields of an answer."""
     return ",".join(f"{name}={value}" for name, value in fields.items()).encode()
--- a/saffronstack/resp/reader.py
+++ b/saffronstack/resp/reader.py
@@ -1,61 +1,65 @@
-"""RESP arrays of bulk strings out of bytes that come in any pieces; bounded, without I/O."""
+"""Incremental parser of RESP arrays of bulk strings, with bounded memory; no I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_LENGTH_DIGITS = 16  # characters of a length line
+MAX_LENGTH_DIGITS = 16  # digits of a word count or word length
 
 
 class RespError(ValueError):
-    """The bytes are no request that can be taken; nothing after them can be read."""
+    """The bytes are not a valid request. The reader can't find the start of the next one."""
 
     def __init__(self, text: str, words: tuple[bytes, ...] = ()) -> None:
-        """``words``: those of the broken request that came whole before it broke."""
+        """``words``: the complete words of the invalid request, before the error."""
         super().__init__(text)
         self.words = words
 
 
 @dataclass(frozen=True, slots=True)
 class RespLimits:
-    """Bounds of one request."""
+    """Limits of one request."""
 
-    words: int = 8
-    word_bytes: int = 2048  # every word but the last
-    body_bytes: int = 16384  # the last
+    words: int = 8  # number of words
+    word_bytes: int = 2048  # length of each word but the last
+    body_bytes: int = 16384  # length of the last word
 
 
 class RespReader:
-    """Feed it what came, take requests until None; memory is bounded by one request and one feed."""
+    """Parses requests from a stream of bytes.
+
+    Feed it the received bytes, then call `next` until it returns None. It buffers at most one request and the
+    bytes of one feed.
+    """
 
     def __init__(self, limits: RespLimits | None = None) -> None:
         self._limits = limits or RespLimits()
         self._buffer = bytearray()
         self._position = 0
-        self._expected_words = 0  # words of the request that is being read; 0 between requests
+        self._expected_words = 0  # words of the current request; 0 between requests
         self._words: list[bytes] = []
-        self._word_length = -1  # of the word that is being read
+        self._word_length = -1  # length of the current word; -1 before it is known
 
     @property
     def pending(self) -> bool:
-        """Whether part of a request has come."""
+        """Whether bytes of an incomplete request are buffered."""
         return bool(self._expected_words) or self._position < len(self._buffer)
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Bytes that came."""
+        """Append received bytes."""
         if self._position:
             del self._buffer[: self._position]
             self._position = 0
         self._buffer += data
 
     def next(self) -> tuple[bytes, ...] | None:
-        """The next whole request, None where more bytes are needed; RespError."""
+        """Return the words of the next request, or None if it is incomplete; RespError if it is invalid."""
         if not self._expected_words:
             count = self._read_length(b"*", self._limits.words)
             if count is None:
                 return None
             if count < 1:
-                raise RespError("an empty request")
+                raise RespError("a request has no words")
             self._expected_words = count
         while len(self._words) < self._expected_words:
             if self._word_length < 0:
@@ -69,16 +73,15 @@
             if len(self._buffer) < end + 2:
                 return None
             if self._buffer[end : end + 2] != b"\r\n":
-                raise RespError("a word longer than its length", tuple(self._words))
+                raise RespError("a word does not end after its length", tuple(self._words))
             self._words.append(bytes(self._buffer[self._position : end]))
             self._position = end + 2
             self._word_length = -1
         words = tuple(self._words)
         self._words = []
         self._expected_words = 0
-        if self._position == len(
-            self._buffer
-        ):  # idle connections are many: none keeps the room of its last body
+        # Releases the memory of the last body, since there are many idle connections.
+        if self._position == len(self._buffer):
             self._buffer = bytearray()
             self._position = 0
         return words
@@ -90,21 +93,21 @@
             if len(buffer) > start and buffer[start : start + 1] != prefix:
                 raise RespError(f"{prefix.decode()} expected", tuple(self._words))
             if len(buffer) - start > MAX_LENGTH_DIGITS:
-                raise RespError("a length without an end", tuple(self._words))
+                raise RespError("a length has too many digits", tuple(self._words))
             return None
         if buffer[start : start + 1] != prefix:
             raise RespError(f"{prefix.decode()} expected", tuple(self._words))
         digits = bytes(buffer[start + 1 : end])
         if not digits.isdigit():
-            raise RespError("a length that is no number", tuple(self._words))
+            raise RespError("a length is not a number", tuple(self._words))
         number = int(digits)
         if number > maximum:
-            raise RespError(f"a length of {number}, {maximum} at most", tuple(self._words))
+            raise RespError(f"a length is {number}, at most {maximum} are allowed", tuple(self._words))
         self._position = end + 2
         return number
 
 
 def encode(words: tuple[bytes, ...]) -> bytes:
-    """Words as an array of bulk strings."""
+    """Return words as a RESP array of bulk strings."""
     bulk_strings = [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
     return b"".join([b"*%d\r\n" % len(words), *bulk_strings])
