--- a/tests/platform/test_client_crowd.py
+++ b/tests/platform/test_client_crowd.py
@@ -1,4 +1,4 @@
-"""Clients at work beside a crowd, on real sockets in a forced order: none of them loses its connection."""
+"""The connection limit on real sockets: busy clients keep their connections while many others connect."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, echo, gateway
 from tests.support.stack import eventually
 
-SOCKETS = 160  # descriptors: room for 57 client connections, 53 of which clients may use
+SOCKETS = 160  # file descriptors: a limit of 57 client connections, of which clients may use 53
 BUSY_CLIENTS = 7
 NEW_CLIENTS = 20
-SILENT_RESERVE = 4  # places beyond those
-STEP_S = 0.04  # a busy client asks again this soon
-STEPS_UNTIL_OVERDUE = 3  # until a newcomer that waits has to be let in
+SILENT_RESERVE = 4  # client connections beyond those 53
+STEP_S = 0.04  # time between two requests of a busy client
+STEPS_UNTIL_OVERDUE = 3  # steps after which a waiting client is overdue
 
 
 class ManualClock:
-    """The time of the clients' thread; it passes when a test says so."""
+    """The clock of the frontend's thread; only a test advances it."""
 
     def __init__(self) -> None:
         self.now = time.monotonic()
@@ -40,7 +40,7 @@
 
 
 class ClientPopulation:
-    """A gateway's clients: as many as there is room for, and the last of them at work."""
+    """Clients of a gateway up to its connection limit; the last of them are busy and send requests."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
@@ -50,16 +50,16 @@
         )
         self.clients = [Client(service.frontend.address) for _ in range(service.budget.clients)]
         self.busy, self.others = self.clients[-BUSY_CLIENTS:], self.clients[:-BUSY_CLIENTS]
-        self._kept: list[Client] = []  # a client that nobody refers to would close its connection
+        self._kept: list[Client] = []  # keeps references, since a collected client closes its connection
 
     def start_hanging_calls(self, clients: list[Client]) -> None:
-        """Each of them has a call open that no host answers."""
+        """Open one call per client, which no host answers."""
         for index, client in enumerate(clients):
             client.call(subject=index)
         eventually(lambda: self.service.frontend.open_calls == len(clients))
 
     def connect_another(self) -> Client:
-        """One more client, right after the gateway has made room for it, or found that it has to wait."""
+        """Connect a client; wait until the gateway evicts for it, exceeds the limit or lets it wait."""
         frontend = self.service.frontend
         before = (frontend.evicted, frontend.over_limit_accepted)
         client = Client(frontend.address)
@@ -70,7 +70,7 @@
         return client
 
     def advance_clock(self) -> int:
-        """Until a newcomer has waited for as long as it may; how many busy clients lost their connections."""
+        """Advance until a waiting client is overdue; return how many busy clients lost their connections."""
         lost = 0
         for _ in range(STEPS_UNTIL_OVERDUE):
             self.clock.now += STEP_S
@@ -78,8 +78,9 @@
         return lost
 
     def send_checks(self) -> int:
-        """The busy clients ask, each after the one before; how many found their connections closed. Those
-        connect again at once, and say nothing yet.
+        """Send a request on each busy client in turn; return how many found their connections closed.
+
+        Those reconnect at once and send nothing yet.
         """
         lost = 0
         for index, client in enumerate(self.busy):
@@ -91,7 +92,7 @@
 
 
 class ListenerWithoutDescriptors:
-    """The system has no descriptor for the first connection that comes."""
+    """A listener whose first accept fails for want of a file descriptor."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -108,7 +109,7 @@
 
 
 def connect_two_at_once(population: ClientPopulation) -> None:
-    """Both lie in the listener's queue when the clients' thread looks at it, which has room for one."""
+    """Connect two clients, so that both are in the accept queue when one connection is free."""
     frontend = population.service.frontend
     connected = threading.Event()
     accept = frontend._accept
@@ -125,7 +126,7 @@
 
 
 def check(client: Client) -> bool:
-    """Whether a client that uses its connection now is answered on it."""
+    """Return whether a request on the client's connection is answered."""
     client._tags += 1
     try:
         client.send(b"CHECK", b"%d" % client._tags, b"")
@@ -135,13 +136,13 @@
 
 
 def count_answered(clients: list[Client]) -> int:
-    """How many of them are."""
+    """Return how many of the clients are answered."""
     return [check(client) for client in clients].count(True)
 
 
 @pytest.fixture
 def population() -> Iterator[ClientPopulation]:
-    host = ScriptedHost(lambda connection, message: None)  # it answers no call
+    host = ScriptedHost(lambda connection, message: None)  # answers no call
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         yield ClientPopulation(service)
     host.close()
@@ -150,20 +151,25 @@
 def test_while_calls_hang_new_clients_evict_no_busy_client(
     population: ClientPopulation,
 ) -> None:
-    """Each newcomer used to close one that was between an answer and its next request."""
+    """Guards against evicting a busy client that is between an answer and its next request."""
     population.start_hanging_calls(population.others)
     lost = population.send_checks()
     for _ in range(NEW_CLIENTS):
         new_client = population.connect_another()
-        assert not population.service.frontend._listening, "it waits, however long those before it did"
+        assert not population.service.frontend._listening, (
+            "the client waits, even if earlier ones waited long"
+        )
         lost += population.send_checks()
         lost += population.advance_clock()
-        assert check(new_client), "it is answered all the same"
+        assert check(new_client), "the client is answered in the end"
     assert lost == 0
 
 
 def test_a_connection_becomes_idle_when_its_answer_is_sent() -> None:
-    """It counted from the request: after a long call it was the longest idle one as soon as that ended."""
+    """Guards against counting idle time from the request.
+
+    A connection would then be the longest idle one as soon as a long call on it ends.
+    """
     received, release = threading.Event(), threading.Event()
 
     def answer_late(connection: HostConnection, message: dict[str, Any]) -> None:
@@ -190,7 +196,7 @@
 def test_a_refused_client_that_goes_on_is_served_once_there_is_room(
     population: ClientPopulation, is_closed: bool
 ) -> None:
-    """It was refused for as long as it went on."""
+    """Guards against rejecting every request of an over-limit client even when there is capacity."""
     population.start_hanging_calls(population.clients)
     refused = population.connect_another()
     refused.call(subject=99)
@@ -209,7 +215,7 @@
 def test_new_clients_that_write_after_a_delay_do_not_evict_each_other(
     population: ClientPopulation,
 ) -> None:
-    """The next one used to close the one before, which had not spoken yet."""
+    """Guards against evicting a new client that has sent nothing yet when the next one connects."""
     assert count_answered(population.clients) == len(population.clients)
     population.clock.now += 1.0
     new_clients = [population.connect_another() for _ in range(SILENT_RESERVE)]
@@ -234,7 +240,7 @@
 def test_new_hanging_and_silent_clients_together_evict_no_busy_client(
     population: ClientPopulation,
 ) -> None:
-    """Those whose connections were closed connected again at once, and closed the next."""
+    """Guards against a chain of evictions: an evicted client reconnects at once and evicts the next one."""
     assert count_answered(population.clients) == len(population.clients)
     population.start_hanging_calls(population.others[SILENT_RESERVE:])
     population.clock.now += 1.0
@@ -249,7 +255,10 @@
 def test_the_wait_of_a_served_client_is_not_counted_for_the_next_client(
     population: ClientPopulation,
 ) -> None:
-    """The next one that came while all were in use, however much later, was refused at once as overdue."""
+    """Guards against keeping the waiting time of a client after it is accepted.
+
+    The next client that connected while all connections were in use was then rejected at once as overdue.
+    """
     assert count_answered(population.clients) == len(population.clients)
     delayed_client = population.connect_another()
     assert not population.service.frontend._listening
@@ -262,7 +271,7 @@
     assert count_answered([*staying, delayed_client]) == len(staying) + 1
     connect_two_at_once(population)
     assert not population.service.frontend._listening, (
-        "the second waits until one has been idle for long enough"
+        "the second client waits until a connection is idle long enough"
     )
     assert (population.service.frontend.evicted, population.service.frontend.over_limit_accepted) == (0, 0)
 
@@ -285,14 +294,14 @@
     population.clock.now += 30.0
     assert count_answered(population.clients) == len(population.clients)
     connect_two_at_once(population)
-    assert not frontend._listening, "the second waits until one has been idle for long enough"
+    assert not frontend._listening, "the second client waits until a connection is idle long enough"
     assert (frontend.evicted, frontend.over_limit_accepted) == (0, 0)
 
 
 def test_a_refused_client_whose_bytes_nobody_reads_takes_no_clients_place(
     population: ClientPopulation,
 ) -> None:
-    """What it sent was no request: a client's idle connection was closed for it all the same."""
+    """Guards against evicting an idle client for an over-limit client whose bytes are not parsed any more."""
     frontend = population.service.frontend
     population.start_hanging_calls(population.clients)
     refused = population.connect_another()
@@ -305,12 +314,12 @@
     left_bytes = connection._linger_bytes_left
     refused.sock.sendall(b"more\r\n")
     eventually(lambda: connection._linger_bytes_left < left_bytes)
-    refused.sock.close()  # by this clock the gateway would never end it
+    refused.sock.close()  # the gateway's clock stands still, so the gateway never closes it
     assert (frontend.evicted, connection.overflow) == (0, True)
 
 
 def test_while_flushing_the_clients_thread_sleeps_between_polls() -> None:
-    """The listener is closed then: waiting for nobody, the thread took the whole processor."""
+    """Guards against polling without a timeout after the listener is closed, which takes a whole CPU."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
         frontend = service.frontend
--- a/tests/platform/test_queue_deadline.py
+++ b/tests/platform/test_queue_deadline.py
@@ -1,4 +1,4 @@
-"""Clients in the listener's queue: what their requests' time counts from, and how many are let in at once."""
+"""Clients in the accept queue: deadlines of their requests, and how many are accepted in one pass."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from tests.support.platform import Client, ScriptedHost, gateway
 from tests.test_client_connections import SOCKETS, PausedThread, fill_connections
 
-QUEUED_S = 0.2  # longer than what makes a connection idle
-MANY_SOCKETS = 160  # with a reserve of four places
+QUEUED_S = 0.2  # longer than the time after which a connection counts as idle
+MANY_SOCKETS = 160  # file descriptors that leave a reserve of four connections
 SILENT_RESERVE = 4
-KERNEL_TICK_S = 0.02  # the kernel counts in ticks
+KERNEL_TICK_S = 0.02  # tolerance: the kernel measures the waiting time in ticks
 CLASS_DEADLINE_MS = 8000
 
 
@@ -25,7 +25,7 @@
 def test_time_in_the_accept_queue_counts_toward_the_deadline(
     monkeypatch: pytest.MonkeyPatch, timeout_ms: int, word: str
 ) -> None:
-    """A call that had lain there for longer than its client waits was run, with all of its time before it."""
+    """Guards against running a call with its full timeout after it waited in the queue past its deadline."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         clients = fill_connections(service)
@@ -51,7 +51,10 @@
 def test_several_new_clients_are_accepted_at_the_limit_in_one_pass(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One a pass was let in: of a crowd the last waited for longer than its requests had time."""
+    """Guards against accepting one client per pass.
+
+    The last of many waiting clients then waited longer than the timeout of its requests.
+    """
     host = ScriptedHost()
     accepted_at_once: list[int] = []
     accept = Frontend._accept
@@ -82,7 +85,7 @@
 def test_a_descriptor_shortage_evicts_no_connection_while_no_client_waits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The system refuses to accept for want of a descriptor before it looks whether anybody waits."""
+    """Guards against an eviction for nobody: without a descriptor, accept fails even on an empty queue."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         frontend = service.frontend
--- a/tests/platform/test_readiness.py
+++ b/tests/platform/test_readiness.py
@@ -1,4 +1,4 @@
-"""Which client connections have been ended, asked of the system once for all."""
+"""`ended_by_clients` finds the connections that their clients have ended."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saffronstack.platform.idle_order import ClientConnectionView
 from saffronstack.platform.readiness import ended_by_clients
 
-ABORT = struct.pack("ii", 1, 0)  # SO_LINGER: a close sends a reset
+ABORT = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close sends a reset
 
 
 @dataclass(eq=False)
@@ -22,7 +22,7 @@
 
 
 def test_only_connections_closed_or_reset_by_their_clients_are_found() -> None:
-    """A look at each of 420 sockets gave up the interpreter's lock 420 times."""
+    """One system call covers all sockets: a call for each of 420 released the interpreter lock 420 times."""
     clients, accepted = [], []
     with socket.create_server(("127.0.0.1", 0)) as listener:
         for _ in range(5):
@@ -33,7 +33,7 @@
     reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
     reset.close()
     speaking.sendall(b"x")
-    accepted[-1].sock.close()  # closed by the gateway meanwhile
+    accepted[-1].sock.close()  # closed by the gateway in the meantime
     found = ended_by_clients(cast(list[ClientConnectionView], accepted))
     assert {id(connection) for connection in found} == {id(accepted[0]), id(accepted[1])}
     for sock in (*clients, *(connection.sock for connection in accepted)):
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections under pressure, on real sockets: who is closed, who is answered, who has gone."""
+"""Client connections at the connection limit, on real sockets: eviction, rejection and lost clients."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tests.support.platform import WAIT_S, Client, HostConnection, ScriptedHost, echo, gateway
 from tests.support.stack import eventually
 
-SOCKETS = 64  # descriptors: room for sixteen client connections
+SOCKETS = 64  # file descriptors: a limit of 16 client connections
 
 
 class BlockedHost:
-    """A host that answers calls once it is released."""
+    """A host that answers calls only after ``release`` is set."""
 
     def __init__(self) -> None:
         self.release = threading.Event()
@@ -37,7 +37,7 @@
 
 
 class PausedThread:
-    """Holds the clients' thread while ``run`` puts things into an order of its own."""
+    """Pauses the frontend's thread while ``run`` brings events into a fixed order."""
 
     def __init__(self, service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
         self._front = service.frontend
@@ -68,7 +68,7 @@
 
 
 def fill_connections(service: Service) -> list[Client]:
-    """As many connections as there is room for; each has had an answer, and none is closed for its time."""
+    """Return clients up to the connection limit; each was answered once, and none can time out."""
     service.frontend.limits = replace(service.frontend.limits, idle_timeout_s=60.0, message_timeout_s=60.0)
     clients = [Client(service.frontend.address) for _ in range(service.budget.clients)]
     assert {client.ask(subject=index)[0] for index, client in enumerate(clients, 1)} == {"OK"}
@@ -76,7 +76,7 @@
 
 
 def is_closed(client: Client) -> bool:
-    """Whether the gateway has closed it, told without waiting long for one that it has not."""
+    """Return whether the gateway has closed the client's connection; waits at most 0.05 s."""
     client.sock.settimeout(0.05)
     try:
         return client.sock.recv(1, socket.MSG_PEEK) == b""
@@ -90,14 +90,14 @@
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         clients = fill_connections(service)
-        assert clients[0].ask()[0] == "OK"  # the second is idle longest now
+        assert clients[0].ask()[0] == "OK"  # now the second client is the longest idle
         new_client = Client(service.frontend.address)
         assert new_client.ask(subject=99)[0] == "OK"
         assert [is_closed(client) for client in clients] == [index == 1 for index in range(len(clients))]
 
 
 def test_a_connection_with_an_unread_request_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """While the thread is held the newcomer connects, and only then the longest idle client sends."""
+    """While the thread is paused, a new client connects, and then the longest idle client sends."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         clients = fill_connections(service)
@@ -164,7 +164,7 @@
 
 
 def test_open_connections_are_served_while_no_descriptor_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Accepting fails for want of descriptors, ten times; idle connections make room, calls go on."""
+    """Accept fails ten times for want of a descriptor; idle connections are evicted and calls continue."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         working = Client(service.frontend.address)
@@ -204,7 +204,7 @@
 
 
 def test_open_calls_keep_their_deadline_after_unreadable_bytes(blocked_host: BlockedHost) -> None:
-    """They used to fail one second after the first unreadable byte, though they were running."""
+    """Guards against failing running calls one second after the first unreadable byte."""
     with gateway(Directory(Entry("s-1", blocked_host.host.address))) as service:
         service.frontend.limits = replace(service.frontend.limits, linger_timeout_s=0.0)
         client = Client(service.frontend.address)
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize("way", WAYS_TO_LEAVE)
 def test_nothing_is_sent_for_a_client_that_left_while_the_decision_thread_was_blocked(way: str) -> None:
-    """The decision thread is held until the client has gone; the host's socket tells what was sent."""
+    """The decision thread is blocked until the client has left; the host's messages show what was sent."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
         other = Client(service.frontend.address)
@@ -311,7 +311,7 @@
 def test_connections_ended_by_their_clients_are_evicted_before_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Half a request came on each of them, and then a reset that lies unread while a newcomer is taken."""
+    """Each has a partial request, and an unread reset by the time a new client is accepted."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         service.frontend.limits = replace(
@@ -342,7 +342,7 @@
 
 
 def test_a_flood_of_new_clients_scans_all_connections_once() -> None:
-    """Looked at for each newcomer, some hundred of them a second took the whole processor."""
+    """Guards against a scan for each new client: some hundred of them a second took a whole CPU."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address)), sockets=SOCKETS) as service:
         clients = fill_connections(service)
@@ -356,7 +356,7 @@
             order.remove(expected)
         assert order.scans == 1
         assert clients[10].ask()[0] == "OK"
-        order.touch(connections[10])  # one that has spoken since is not the longest idle any more
+        order.touch(connections[10])  # a connection that was used since is no longer the longest idle
         assert order.next(100.0) is connections[11]
         assert order.next(100.0 + 2 * ENDED_EVERY_S) is connections[11]
         assert order.scans == 2
@@ -370,5 +370,5 @@
         new_client = Client(service.frontend.address)
         assert new_client.ask(subject=99)[0] == "OK"
         assert {client.ask()[0] for client in clients[1:]} == {"OK"}
-        assert is_closed(clients[0]), "the first of the crowd took the place of the longest idle"
+        assert is_closed(clients[0]), "the first silent client evicts the longest idle connection"
         assert sum(is_closed(client) for client in silent_clients) >= len(silent_clients) - 1
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown: its phases in every order of events, and the races at its end on real connections."""
+"""Graceful shutdown: its phases under every sequence of events, and races at its end on real sockets."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
 
 
 def test_the_gateway_runs_while_requests_arrive_and_exits_once_clients_are_quiet() -> None:
-    """It used to end before the platform kills, and requests crossed the close."""
+    """Guards against exiting before the kill while clients send: requests on the way are then lost."""
     shutdown = GracefulShutdown()
     shutdown.begin(LIMITS, 100.0)
-    for tenths in range(1, 601):  # a minute of requests
+    for tenths in range(1, 601):  # requests for a minute
         now = 100.0 + tenths / 10
         phase = shutdown.step(now, Activity(now - 0.1, False, calls_finished=now > 103.5))
         assert phase is (Phase.DRAINING if now < 103.0 else Phase.REJECTING)
@@ -58,7 +58,7 @@
 
 
 def test_no_sequence_of_observations_ends_the_shutdown_early() -> None:
-    """Four looks, 0.25 s to 2.5 s apart, at any mix of arrivals, open calls and a settled engine."""
+    """Takes four steps, 0.25 s or 2.5 s apart, with every mix of arrivals, open calls and finished calls."""
     steps = list(itertools.product((0.25, 2.5), (False, True), (False, True), (False, True)))
     steps_taken = 0
     for order in itertools.product(steps, repeat=4):
@@ -68,7 +68,7 @@
         for passed_s, arrived, unanswered, calls_finished in order:
             now += passed_s
             received_s = now if arrived else received_s
-            shutdown.begin(ShutdownLimits(0.0, 0.0, 0.0, 0.0), now)  # a second signal
+            shutdown.begin(ShutdownLimits(0.0, 0.0, 0.0, 0.0), now)  # a second shutdown request
             after = shutdown.step(now, Activity(received_s, unanswered, calls_finished))
             steps_taken += 1
             quiet = now - received_s >= 0.3 and not unanswered
@@ -84,7 +84,7 @@
 
 
 def blocked_host() -> tuple[ScriptedHost, threading.Event]:
-    """A host that answers calls once it is released."""
+    """Return a host that answers calls only after the event is set, and that event."""
     release = threading.Event()
 
     def behave(connection: HostConnection, message: dict[str, Any]) -> None:
@@ -95,7 +95,7 @@
 
 
 def stop_in_thread(service: Service) -> tuple[threading.Thread, list[bool]]:
-    """A thread that stops the service; what `stop` gave back is in the list once it has ended."""
+    """Stop the service in a thread; return the thread and a list that gets the result of `stop`."""
     ended: list[bool] = []
     thread = threading.Thread(target=lambda: ended.append(service.stop(0.0, 0.0)))
     thread.start()
@@ -103,7 +103,7 @@
 
 
 def count_steps(monkeypatch: pytest.MonkeyPatch) -> threading.Semaphore:
-    """Counts how often a shutdown looked whether it may move on."""
+    """Return a semaphore that is released at each step of a shutdown."""
     steps_taken = threading.Semaphore(0)
     step = GracefulShutdown.step
 
@@ -117,7 +117,10 @@
 
 
 def test_the_state_comparison_thread_ends_when_the_drain_begins(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Told to end 0.1 s before the kill, it took the interpreter's lock from the thread that reads."""
+    """Guards against ending that thread 0.1 s before the kill.
+
+    It then took the interpreter lock from the thread that reads client connections.
+    """
     before = set(threading.enumerate())
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address))) as service:
@@ -140,7 +143,7 @@
 def test_the_shutdown_waits_for_an_answer_that_is_not_yet_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The call has its final answer, and the thread that is to write it is held before it does."""
+    """The call is finished, and the thread that writes its answer is blocked before the write."""
     held, resume = threading.Event(), threading.Event()
     answer: Callable[..., None] = ClientConnection._write_answer
 
@@ -158,7 +161,7 @@
         assert not service.frontend.open_calls
         steps_taken = count_steps(monkeypatch)
         thread, ended = stop_in_thread(service)
-        for _ in range(20):  # it looks again and again, and the answer is still on its way
+        for _ in range(20):  # the shutdown takes many steps while the answer is unwritten
             assert steps_taken.acquire(timeout=WAIT_S)
         assert service.frontend.phase is Phase.DRAINING
         resume.set()
@@ -194,7 +197,7 @@
 def test_a_request_that_arrives_as_the_shutdown_starts_to_flush_is_rejected_and_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One on a connection that stands, one on a connection that nobody has accepted yet."""
+    """One request comes on an open connection, one on a connection that is not accepted yet."""
     host = ScriptedHost()
     new_clients: list[Client] = []
     with gateway(Directory(Entry("s-1", host.address))) as service:
@@ -218,7 +221,7 @@
         assert new_clients[0].read()[1] == "BUSY"
         assert client.read()[1] == "BUSY"
         sent = [host.seen.get_nowait()["what"] for _ in range(host.seen.qsize())]
-        assert sent.count("CALL") == 1, "a call that is cut off may have run: it was sent too late"
+        assert sent.count("CALL") == 1, "a call sent this late may be cut off after it has run"
 
 
 def test_a_fault_in_the_final_read_of_one_connection_leaves_the_others_served(
@@ -234,12 +237,12 @@
 
         def faulty_read(self: ClientConnection, *arguments: Any) -> bool:
             if self is faulty:
-                raise ValueError("made up by the test")
+                raise ValueError("injected by the test")
             return read(self, *arguments)
 
         def step_and_break(self: GracefulShutdown, now: float, activity: Activity) -> Phase:
             phase = step(self, now, activity)
-            if phase is Phase.FLUSHING and not tags:  # decided, and not carried out yet
+            if phase is Phase.FLUSHING and not tags:  # the phase is entered, and its action has not started
                 monkeypatch.setattr(ClientConnection, "on_readable", faulty_read)
                 tags.extend(client.call() for client in clients)
                 eventually(lambda: faulty.has_unread() and sound.has_unread())
@@ -253,7 +256,7 @@
 
 
 def test_calls_that_outlast_the_shutdown_are_answered_as_failed() -> None:
-    """Longer deadlines than the platform waits: an answer before the kill is better than none."""
+    """Class deadlines may exceed the kill deadline; FAILED before the kill is better than no answer."""
     host, release = blocked_host()
     with gateway(Directory(Entry("s-1", host.address))) as service:
         client = Client(service.frontend.address)
@@ -270,7 +273,7 @@
 def test_no_call_is_built_for_a_request_that_is_rejected_while_draining(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Clients that ask again at once made each pass over them take twice the processor time."""
+    """Guards against doubling the CPU time of each pass, by building calls for clients that retry at once."""
     host, built_classes = ScriptedHost(), list[str]()
     build = CallBuilder.build
 
@@ -282,7 +285,7 @@
     with gateway(Directory(Entry("s-1", host.address))) as service:
         client = Client(service.frontend.address)
         assert client.ask()[0] == "OK"
-        service.frontend._services.admission.begin(service.frontend.clock())  # nothing ends before that
+        service.frontend._services.admission.begin(service.frontend.clock())  # no call can end by then
         assert [client.ask(cls=cls)[0] for cls in (b"look", b"sell", b"none")] == ["BUSY", "BUSY", "FAILED"]
     assert built_classes == ["look", "none"]
 
@@ -307,7 +310,7 @@
 
 
 class InterposedQueue:
-    """The engine's queue; whoever queues a call is held while another thread stops the engine."""
+    """The engine's queue; a thread that queues a call is blocked while another thread stops the engine."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
@@ -318,7 +321,7 @@
         if isinstance(item, Call):
             self.stopper.start()
             lock = getattr(self.engine, "_submit_lock", None)
-            if lock is None or not lock.locked():  # taking a call and stopping are not one step
+            if lock is None or not lock.locked():  # submit and stop are not mutually exclusive
                 assert self.engine._loop.stopped.wait(WAIT_S)
         self.queue.put(item)
 
@@ -327,7 +330,7 @@
 
 
 class NoWorkers:
-    """Carries out nothing."""
+    """A dispatcher that ignores all actions."""
 
     def __getattr__(self, name: str) -> Any:
         return lambda *arguments: None
@@ -348,7 +351,7 @@
 
 
 def other_configuration(content: bytes, directory: str) -> bytes:
-    """The configuration of another one: classes, tenants, deadlines and limits of its own."""
+    """Return another configuration with different classes, tenants, deadlines and limits."""
     config = json.loads(content)
     config["nameserver"] = directory
     config["limits"] = {"cores": 1.0, "memory_mb": 64, "sockets": 64}
@@ -379,14 +382,17 @@
         assert "limits" in log.getvalue()
         assert service.config is in_force
         moved.wait()
-        for named in ({"cls": b"scan"}, {"owner": "other"}):  # a class and a tenant of the other one
+        for named in (
+            {"cls": b"scan"},
+            {"owner": "other"},
+        ):  # a class and a tenant of the other configuration
             assert client.call(subject=2, **named)
             assert client.read()[1] == "FAILED"
         after = client.call(subject=4, cls=b"sell")
         sent_fields = host.next()["with"]
         assert sent_fields["c"] == "sell"
         assert sent_fields["w"] > 7000
-        thread, ended = stop_in_thread(service)  # nor does the shutdown count with 0.2 s
+        thread, ended = stop_in_thread(service)  # nor does the shutdown use the new deadline of 0.2 s
         eventually(lambda: service.frontend.phase is Phase.DRAINING)
         assert service.frontend._shutdown_limits is not None
         assert service.frontend._shutdown_limits.run_until_s > 3.0
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's gateway among scripted stand-ins, when hosts, clients and directory misbehave."""
+"""The platform's gateway with scripted hosts, clients and a directory that misbehave."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def test_an_unsafe_call_that_was_never_sent_is_rejected_with_a_holdoff() -> None:
-    with socket.socket() as holder:  # nobody listens there, and nobody else can meanwhile
+    with socket.socket() as holder:  # bound but not listening, so no other process can use the port
         holder.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{holder.getsockname()[1]}"
         with gateway(Directory(Entry("s-1", address))) as service:
@@ -86,7 +86,9 @@
 
 @pytest.mark.parametrize("malformed", MALFORMED_RESPONSES)
 def test_a_malformed_response_closes_its_connection_and_reaches_no_client(malformed: bytes) -> None:
-    """Eight unsafe calls share the only link: all may have run. A safe one goes again on another."""
+    """Eight unsafe calls share the only connection with a safe one. They fail, since they may have run; the
+    safe call is retried on a new connection.
+    """
     received: list[dict[str, Any]] = []
     functions = [*range(1, 9), 99]
 
@@ -101,7 +103,7 @@
     host = ScriptedHost(behave)
     with gateway(Directory(Entry("s-1", host.address)), sockets=26) as service:
         client = Client(service.frontend.address)
-        assert {client.ask(subject=function)[0] for function in functions} == {"OK"}  # their copies stand
+        assert {client.ask(subject=function)[0] for function in functions} == {"OK"}  # instances are loaded
         unsafe = {client.call(subject=function, cls=b"sell") for function in functions[:-1]}
         safe = client.call(subject=functions[-1])
         answers = {tag: (word, body) for tag, word, _, body in (client.read() for _ in functions)}
@@ -131,7 +133,7 @@
             pending.append((connection, message))
         else:
             if message["what"] == "CANCEL":
-                connection.answer(pending[0][1], body=b"late")  # crosses the cancel
+                connection.answer(pending[0][1], body=b"late")  # sent before the host handles the cancel
             echo(connection, message)
 
     host = ScriptedHost(behave)
@@ -156,13 +158,13 @@
     with gateway(Directory(Entry("s-1", host.address))) as service:
         service.frontend.limits = replace(
             service.frontend.limits, linger_timeout_s=WAIT_S
-        )  # open calls end well before
+        )  # longer than any open call takes
         client = Client(service.frontend.address)
         first = client.call(request=7)
         host.next()
         second = client.call(request=7, body=b"other")
         assert client.read()[:2] == (second, "FAILED")
-        client.send(b"CHECK", b"%d" % first, b"")  # the tag is in use: no second answer under it
+        client.send(b"CHECK", b"%d" % first, b"")  # the tag is in use, so this request gets no answer
         release.set()
         assert client.read()[:2] == (first, "OK")
         with pytest.raises(EOFError):
@@ -196,7 +198,7 @@
         assert client.ask()[0] == "OK"
         assert host.connections == 2
         directory.tell(Entry("s-2", host.address, draining=True))
-        assert client.ask()[0] == "BUSY"  # nobody is ready
+        assert client.ask()[0] == "BUSY"  # no worker is ready
         assert host.seen.qsize() == 2
 
 
@@ -212,7 +214,7 @@
         new_client = Client(service.frontend.address)
         assert new_client.ask()[0] == "OK"
         assert service.frontend.connections <= service.budget.clients + 1
-        for sock in silent_sockets:  # each is closed, at the latest by the limit on silence
+        for sock in silent_sockets:  # the gateway closes each, at the latest after the first-byte timeout
             assert sock.recv(1) == b""
 
 
@@ -267,7 +269,7 @@
 
     host, moved = ScriptedHost(behave), ScriptedHost(behave)
     first, second = Directory(Entry("s-1", host.address)), Directory(Entry("s-2", moved.address), serial=5)
-    port_held = hold_port("127.0.0.1")  # nobody else gets it until the gateway listens
+    port_held = hold_port("127.0.0.1")  # reserves the port until the gateway listens
     listen = f"127.0.0.1:{port_held.getsockname()[1]}"
     path = tmp_path / "config.json"
     path.write_bytes(config_text(first.address, first.entries, listen=listen))
@@ -339,7 +341,7 @@
 
 
 def test_the_router_state_agrees_with_the_connections_during_and_after_calls() -> None:
-    """Looked at once the decision thread has heard of every end: an answer reaches its client before."""
+    """Compares after the decision thread has processed every end, which follows the client's answer."""
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address), Entry("s-2", host.address))) as service:
         client = Client(service.frontend.address)
@@ -350,7 +352,7 @@
             done = threading.Event()
 
             def compare(now: float, router: Any, done: threading.Event = done) -> None:
-                if service.engine.open_calls:  # the attempt's end is told after the answer
+                if service.engine.open_calls:  # the end of the attempt is processed after the answer
                     service.engine.inspect(compare)
                     return
                 in_flight_counts.extend(worker.attempts_in_flight for worker in router.workers.values())
@@ -368,7 +370,7 @@
 
 
 def test_tables_stay_bounded_over_many_hosts_functions_and_connections() -> None:
-    """SAFFRONSTACK_MANY=10000 plays it at full size."""
+    """SAFFRONSTACK_MANY sets the number of hosts; 10000 is the full size."""
     cycles = int(os.environ.get("SAFFRONSTACK_MANY", "1500"))
     host = ScriptedHost()
     directory = Directory(Entry("s-0", host.address))
@@ -398,8 +400,8 @@
                 entries_at_300 = table_entries()
         assert (
             table_entries() <= entries_at_300 + 3 * cycles
-        )  # functions of the last keep-alives, and their counts
-        # A client has its answer before the engine hears of the attempt's end.
+        )  # functions within their keep-alive time, and their counts
+        # A client gets its answer before the engine processes the end of the attempt.
         eventually(lambda: not engine.open_calls and not service.frontend._connections)
         swept = threading.Event()
 
@@ -408,7 +410,7 @@
             router.components.idle_sweep.sweep(now + 1000.0)
             swept.set()
 
-        engine.inspect(sweep)  # on the thread that owns it
+        engine.inspect(sweep)  # runs on the decision thread, which owns the router
         assert swept.wait(WAIT_S)
         assert len(router.functions) == 0
         assert len(router.workers) <= 2
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -1,4 +1,4 @@
-"""Readers of clients' frames and DNS: split at every byte, and fed with noise."""
+"""Parsers of client frames and DNS messages: input split at every byte and random input."""
 
 from __future__ import annotations
 
--- a/tests/test_platform_run.py
+++ b/tests/test_platform_run.py
@@ -1,4 +1,4 @@
-"""`run` as the platform starts it, held to what it asks: one process, threads, plain sockets."""
+"""The platform's rules for the `run` line: one process with threads and plain sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.support.platform import WAIT_S, Client, ScriptedHost, config_text
 
 ROOT = pathlib.Path(__file__).parent.parent
-# Where a program would come by another process, a Unix socket or a call that the platform refuses.
+# Modules that start processes, open Unix sockets or make system calls that the platform forbids.
 FORBIDDEN_MODULES = {
     "subprocess", "multiprocessing", "concurrent.futures.process", "pty", "asyncio", "ssl", "ctypes", "mmap",
     "shutil", "tempfile", "structlog", "click", "watchfiles", "zstandard",
@@ -37,18 +37,16 @@
     steps = [step.strip() for step in run_line().split("&&")]
     assert steps[-1].startswith("exec ")
     assert "exec" not in " ".join(steps[:-1])
-    assert not re.search(r"[;|&`]|\$\(", "".join(steps)), "nothing beside it, and nothing after it"
+    assert not re.search(r"[;|&`]|\$\(", "".join(steps)), "the line starts nothing else"
 
 
 def test_a_gateway_under_load_is_one_process_with_threads_and_plain_sockets(tmp_path: pathlib.Path) -> None:
-    """Started by the line itself, on the package as it is in place of its compiled copy."""
+    """Starts the gateway by the run line, with the source package in place of the compiled copy."""
     (tmp_path / ".built").mkdir()
     (tmp_path / ".built" / "saffronstack").symlink_to(ROOT / "saffronstack")
     (tmp_path / ".venv").symlink_to(sys.prefix)
-    host, port_holder = (
-        ScriptedHost(),
-        hold_port("127.0.0.1"),
-    )  # nobody else gets the port until the gateway listens
+    # Reserves the port until the gateway listens.
+    host, port_holder = ScriptedHost(), hold_port("127.0.0.1")
     listen = f"127.0.0.1:{port_holder.getsockname()[1]}"
     directory = Directory(Entry("s-1", host.address))
     path = tmp_path / "config.json"
@@ -108,11 +106,11 @@
 
 
 def _connect_when_ready(program: subprocess.Popen[bytes], log_path: str, address: tuple[str, int]) -> Client:
-    """A client, once the gateway has said that it takes calls."""
+    """Return a client once the gateway has logged that it accepts calls."""
     pause = threading.Event()
     for _ in range(int(WAIT_S / 0.02)):
         if "takes calls" in pathlib.Path(log_path).read_text():
             return Client(address)
         assert program.poll() is None, pathlib.Path(log_path).read_text()
         pause.wait(0.02)
-    raise AssertionError("it did not start in time")
+    raise AssertionError("the gateway did not start in time")
