--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -282,7 +282,7 @@
         if (
             self.rejects_calls
             or len(self._open_calls) >= limits.max_open_calls
-            or self._is_refused_in_drain(frame, now)
+            or self._is_rejected_in_drain(frame, now)
         ):
             self._send_response(frame.tag, REJECTED, services.format_holdoff(limits.busy_retry_after_s))
             return
@@ -307,7 +307,7 @@
         if not services.engine.submit(call):
             call.finish(FinalAnswer(FinalStatus.REJECTED, retry_after_s=limits.busy_retry_after_s))
 
-    def _is_refused_in_drain(self, frame: frames.CallFrame, now: float) -> bool:
+    def _is_rejected_in_drain(self, frame: frames.CallFrame, now: float) -> bool:
         services = self._services
         if not services.admission.active:
             return False
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -250,13 +250,13 @@
                 self._log.exception("step of the clients' thread failed")
                 self._discard(descriptor)
 
-    def _poll_listener(self, wanted: bool) -> None:
+    def _poll_listener(self, enabled: bool) -> None:
         """Poll the listener, or leave new connections in the accept queue."""
-        if wanted and not self._listening:
+        if enabled and not self._listening:
             self._poll.register(self._listener, select.EPOLLIN)
-        elif self._listening and not wanted:
+        elif self._listening and not enabled:
             self._poll.unregister(self._listener)
-        self._listening = wanted
+        self._listening = enabled
 
     def _accept(self, now: float, max_accepted: int) -> int:
         """Accept up to ``max_accepted`` connections; return how many were handled."""
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -90,7 +90,9 @@
         self.resolver = Resolver(
             self.endpoint_list, WORKER_SERVICE_NAME, config.nameserver, self._apply_changes, self._log, clock
         )
-        self.state_comparison = Beliefs(max(cls.latency_objective_s for cls in settings.classes))
+        self.state_comparison = Beliefs(
+            max(request_class.latency_objective_s for request_class in settings.classes)
+        )
         self._stopping = threading.Event()  # set when the drain begins
         self._ready = False
         max_retry_after_s = (
@@ -171,7 +173,7 @@
         Returns:
             Whether every call got its final answer before the engine stopped, and all threads ended.
         """
-        longest_s = max(cls.deadline_s for cls in self.config.settings.classes)
+        longest_s = max(request_class.deadline_s for request_class in self.config.settings.classes)
         limits = shutdown_limits_for(longest_s, min_drain_s, quiet_s)
         # Set early: a thread that ends right before the kill would delay the clients' thread.
         self._stopping.set()
--- a/tests/platform/test_client_crowd.py
+++ b/tests/platform/test_client_crowd.py
@@ -96,11 +96,11 @@
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
-        self._refused = False
+        self._has_failed = False
 
     def accept(self) -> Any:
-        if not self._refused:
-            self._refused = True
+        if not self._has_failed:
+            self._has_failed = True
             raise OSError(errno.EMFILE, "Too many open files")
         return self._listener.accept()
 
@@ -198,9 +198,9 @@
 ) -> None:
     """Guards against rejecting every request of an over-limit client even when there is capacity."""
     population.start_hanging_calls(population.clients)
-    refused = population.connect_another()
-    refused.call(subject=99)
-    assert refused.read()[1] == "BUSY"
+    over_limit_client = population.connect_another()
+    over_limit_client.call(subject=99)
+    assert over_limit_client.read()[1] == "BUSY"
     leaving = population.clients[0]
     if is_closed:
         leaving.sock.close()
@@ -208,7 +208,7 @@
         leaving.send(b"CANCEL", b"1")
     eventually(lambda: population.service.frontend.open_calls == len(population.clients) - 1)
     population.clock.now += 0.2
-    refused.call(subject=99)
+    over_limit_client.call(subject=99)
     eventually(lambda: population.service.frontend.open_calls == len(population.clients))
 
 
@@ -304,17 +304,17 @@
     """Guards against evicting an idle client for an over-limit client whose bytes are not parsed any more."""
     frontend = population.service.frontend
     population.start_hanging_calls(population.clients)
-    refused = population.connect_another()
-    refused.sock.sendall(b"*nonsense\r\n")
+    over_limit_client = population.connect_another()
+    over_limit_client.sock.sendall(b"*nonsense\r\n")
     connection = next(each for each in frontend._connections.values() if each.overflow)
     eventually(lambda: connection.state is State.LINGERING)
     population.clients[0].send(b"CANCEL", b"1")
     eventually(lambda: frontend.open_calls == len(population.clients) - 1)
     population.clock.now += 0.2
     left_bytes = connection._linger_bytes_left
-    refused.sock.sendall(b"more\r\n")
+    over_limit_client.sock.sendall(b"more\r\n")
     eventually(lambda: connection._linger_bytes_left < left_bytes)
-    refused.sock.close()  # the gateway's clock stands still, so the gateway never closes it
+    over_limit_client.sock.close()  # the gateway's clock stands still, so the gateway never closes it
     assert (frontend.evicted, connection.overflow) == (0, True)
 
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -40,21 +40,21 @@
     """Pauses the frontend's thread while ``run`` brings events into a fixed order."""
 
     def __init__(self, service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
-        self._front = service.frontend
+        self._frontend = service.frontend
         self._monkeypatch = monkeypatch
 
     def run(self, arrange: Callable[[], None]) -> None:
-        held, resume = threading.Event(), threading.Event()
+        paused, resume = threading.Event(), threading.Event()
         tick: Callable[[Frontend, float], None] = Frontend._tick
 
         def pause(frontend: Frontend, now: float) -> None:
-            if frontend is self._front and not resume.is_set():
-                held.set()
+            if frontend is self._frontend and not resume.is_set():
+                paused.set()
                 assert resume.wait(WAIT_S)
             tick(frontend, now)
 
         self._monkeypatch.setattr(Frontend, "_tick", pause)
-        assert held.wait(WAIT_S)
+        assert paused.wait(WAIT_S)
         arrange()
         resume.set()
 
@@ -277,14 +277,14 @@
         other = Client(service.frontend.address)
         assert other.ask(subject=5)[0] == "OK"
         host.next()
-        held, resume = threading.Event(), threading.Event()
+        paused, resume = threading.Event(), threading.Event()
 
         def hold(now: float, router: Router) -> None:
-            held.set()
+            paused.set()
             assert resume.wait(WAIT_S)
 
         service.engine.inspect(hold)
-        assert held.wait(WAIT_S)
+        assert paused.wait(WAIT_S)
         client = Client(service.frontend.address)
         cancel = encode((b"CANCEL", b"1"))
         if way == "cancel-in-one-segment":
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -144,11 +144,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The call is finished, and the thread that writes its answer is blocked before the write."""
-    held, resume = threading.Event(), threading.Event()
+    paused, resume = threading.Event(), threading.Event()
     answer: Callable[..., None] = ClientConnection._write_answer
 
     def write_late(self: ClientConnection, *arguments: Any) -> None:
-        held.set()
+        paused.set()
         assert resume.wait(WAIT_S)
         answer(self, *arguments)
 
@@ -157,7 +157,7 @@
         monkeypatch.setattr(ClientConnection, "_write_answer", write_late)
         client = Client(service.frontend.address)
         tag = client.call()
-        assert held.wait(WAIT_S)
+        assert paused.wait(WAIT_S)
         assert not service.frontend.open_calls
         steps_taken = count_steps(monkeypatch)
         thread, ended = stop_in_thread(service)
@@ -180,7 +180,7 @@
         assert client.ask()[0] == "OK"
         (connection,) = service.frontend._connections.values()
         connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
-        tags = [client.call(subject=place, body=b"y" * 16384) for place in range(1, 25)]
+        tags = [client.call(subject=index, body=b"y" * 16384) for index in range(1, 25)]
         eventually(lambda: connection._write_buffer.has_pending and not service.frontend.open_calls)
         steps_taken = count_steps(monkeypatch)
         thread, ended = stop_in_thread(service)
@@ -286,7 +286,11 @@
         client = Client(service.frontend.address)
         assert client.ask()[0] == "OK"
         service.frontend._services.admission.begin(service.frontend.clock())  # no call can end by then
-        assert [client.ask(cls=cls)[0] for cls in (b"look", b"sell", b"none")] == ["BUSY", "BUSY", "FAILED"]
+        assert [client.ask(cls=class_name)[0] for class_name in (b"look", b"sell", b"none")] == [
+            "BUSY",
+            "BUSY",
+            "FAILED",
+        ]
     assert built_classes == ["look", "none"]
 
 
@@ -342,10 +346,10 @@
     interposed_queue = InterposedQueue(engine)
     engine._messages = interposed_queue  # type: ignore[assignment]
     call = Call(1, "0" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0)
-    taken = engine.submit(call)
+    accepted = engine.submit(call)
     interposed_queue.stopper.join(WAIT_S)
     assert engine._loop.stopped.is_set()
-    assert taken
+    assert accepted
     assert call.is_finished
     assert not engine.submit(Call(2, "1" * 16, FunctionSpec("f", 1, 0, 100.0), b"", 103.0))
 
@@ -372,7 +376,7 @@
     with gateway(directory) as service:
         log = io.StringIO()
         service._log = KeyValueLogger("test", log)
-        in_force = service.config
+        config_before = service.config
         client = Client(service.frontend.address)
         before = client.call(subject=1)
         host.next()
@@ -380,7 +384,7 @@
         assert "parts=" in log.getvalue()
         assert "settings" in log.getvalue()
         assert "limits" in log.getvalue()
-        assert service.config is in_force
+        assert service.config is config_before
         moved.wait()
         for named in (
             {"cls": b"scan"},
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -284,7 +284,7 @@
         client = Client((host_name, int(port)))
         assert client.ask()[0] == "OK"
         assert host.next()
-        held = client.call(subject=9)
+        open_tag = client.call(subject=9)
         assert host.next()
         path.write_text("{ broken")
         program.send_signal(signal.SIGHUP)
@@ -297,16 +297,16 @@
         assert client.ask(subject=2)[0] == "OK"
         assert moved.next()
         release.set()
-        assert client.read()[:2] == (held, "OK")
+        assert client.read()[:2] == (open_tag, "OK")
         release.clear()
-        held = client.call(subject=19)
+        open_tag = client.call(subject=19)
         assert moved.next()
         program.send_signal(signal.SIGTERM)
         program.send_signal(signal.SIGTERM)
         new_client = Client((host_name, int(port)))
         assert new_client.ask(subject=3)[0] == "OK"
         release.set()
-        assert client.read()[:2] == (held, "OK")
+        assert client.read()[:2] == (open_tag, "OK")
         assert program.wait(WAIT_S) == 0
     finally:
         program.kill()
@@ -321,17 +321,17 @@
     with gateway(directory) as service:
         client = Client(service.frontend.address)
         directory.tell(*entries)
-        held = service.endpoint_list.specs
+        specs_before = service.endpoint_list.specs
         directory.spoil = lambda answer: None
         directory.wait()
-        refused = service.resolver.counts.unanswered
+        unanswered_queries = service.resolver.counts.unanswered
         assert client.ask()[0] == "OK"
-        assert service.endpoint_list.specs == held
-        assert refused > 0
+        assert service.endpoint_list.specs == specs_before
+        assert unanswered_queries > 0
         directory.spoil = lambda answer: answer
         directory.serial, directory.entries = 1, [entries[0]]
         directory.wait()
-        assert service.endpoint_list.specs == held
+        assert service.endpoint_list.specs == specs_before
         assert service.endpoint_list.serial == 2
         assert service.resolver.counts.rejected[Rejection.STALE_LIST] > 0
         directory.serial = 2
