--- a/saffronstack/platform/connection.py
+++ b/saffronstack/platform/connection.py
@@ -83,11 +83,11 @@
     ) -> None:
         """``over_limit``: the connection exceeds the connection limit, and its calls are rejected."""
         self.rejects_calls = over_limit
-        self.overflow = over_limit
+        self.is_over_limit = over_limit
         self.accepted_s = now
         self.active_s = now  # when it was accepted, last read from, or last observed with an open call
         self._last_answer_s = now  # when the last call was answered, or when the connection was accepted
-        self.spoken = False
+        self.has_sent_data = False
         # Clock time at which the first bytes arrived, if they waited in the accept queue; else None.
         self.queued_since_s: float | None = None
         self.state = State.READING
@@ -135,14 +135,14 @@
 
     def promote_within_limit(self) -> None:
         """Count an over-limit connection within the limit: its calls are run from now on."""
-        self.overflow = False
+        self.is_over_limit = False
         self.rejects_calls = False
 
     def has_unread(self) -> bool:
         """Return whether the socket has unread bytes; neither blocks nor consumes them."""
         return bool(self._peek())
 
-    def evictable(self) -> bool:
+    def is_evictable(self) -> bool:
         """Return whether closing the connection loses no request. Call it right before closing.
 
         That holds if no call is open and no request is unread or partly read, or if the client has closed it.
@@ -152,7 +152,7 @@
         waiting = self._peek()
         return waiting == b"" or (waiting is None and not self._reader.pending)
 
-    def has_ended(self) -> bool:
+    def is_closed_by_client(self) -> bool:
         """Return whether the client closed or reset the connection and no call or unread byte is left.
 
         Neither blocks nor consumes bytes.
@@ -196,7 +196,7 @@
         self.active_s = now
         if self.state is not State.READING:
             return self._discard_received(received)
-        self.spoken = True
+        self.has_sent_data = True
         self._received_s = now if self.queued_since_s is None else min(now, self.queued_since_s)
         self.queued_since_s = None
         try:
@@ -222,9 +222,9 @@
         return now - self.active_s <= self._idle_limit_s() or self.has_unread()
 
     def _idle_limit_s(self) -> float:
-        if self.overflow:
+        if self.is_over_limit:
             return self._limits.over_limit_timeout_s
-        return self._limits.idle_timeout_s if self.spoken else self._limits.first_byte_timeout_s
+        return self._limits.idle_timeout_s if self.has_sent_data else self._limits.first_byte_timeout_s
 
     def _half_close(self, now: float) -> None:
         """Close the sending direction, so that the client reads the end of the stream and closes."""
@@ -312,7 +312,7 @@
         if not services.admission.active:
             return False
         class_index = services.call_builder.class_index(frame.class_name)
-        return class_index is not None and services.admission.refuses_class(class_index, now)
+        return class_index is not None and services.admission.rejects_class(class_index, now)
 
     def _stop_reading(self, error: RespError | frames.FrameError, now: float) -> None:
         """Read no more requests after a parse error; open calls keep their deadlines.
@@ -338,7 +338,7 @@
                 self._answers_in_progress += 1
         self._services.open_request_ids.remove(call.request_id)
         if self._services.admission.active:
-            self._services.admission.finished(call, final.status, self._services.clock())
+            self._services.admission.record_final_answer(call, final.status, self._services.clock())
         if tag is None:
             return
         try:
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -18,12 +18,12 @@
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import WriteLoop
 from saffronstack.platform.calls import CallBuilder
-from saffronstack.platform.client_admission import ClientAdmission, Verdict
+from saffronstack.platform.client_admission import AdmissionOutcome, ClientAdmission
 from saffronstack.platform.connection import ClientConnection, FrontendLimits, SharedServices, State
 from saffronstack.platform.drain_admission import DrainAdmission
 from saffronstack.platform.identifiers import OpenRequestIds
 from saffronstack.platform.idle_order import ClientConnectionView
-from saffronstack.platform.queue_wait import queue_wait_s
+from saffronstack.platform.queue_wait import read_queue_wait_s
 from saffronstack.platform.readiness import ended_by_clients
 from saffronstack.platform.shutdown import Activity, GracefulShutdown, Phase, ShutdownLimits
 from saffronstack.runtime.logs import Logger
@@ -219,7 +219,7 @@
             connection = self._connections.get(descriptor)
             if connection is not None:
                 self._last_received_s = now
-                if connection.overflow and self._shutdown.phase in RUNNING_PHASES:
+                if connection.is_over_limit and self._shutdown.phase in RUNNING_PHASES:
                     self._try_to_promote(connection, now)
                 if connection.on_readable(self._buffer, self._view, now):
                     self._client_admission.touch(connection)
@@ -263,20 +263,20 @@
         at_limit_accepts = 0
         for accepted in range(max_accepted):
             over_limit = False
-            is_full = self._client_admission.is_full(self.limits.max_connections)
-            if is_full:
+            is_at_limit = self._client_admission.is_at_limit(self.limits.max_connections)
+            if is_at_limit:
                 if self._accept_queue_is_empty() or at_limit_accepts >= self._max_at_limit_accepts():
                     return accepted  # no client waits, or the accepted connections are to be read first
-                verdict = self._admit_next_client(now)
-                if verdict is Verdict.WAIT:
+                outcome = self._admit_next_client(now)
+                if outcome is AdmissionOutcome.WAIT:
                     return accepted
-                over_limit = verdict is Verdict.OVERFLOW
+                over_limit = outcome is AdmissionOutcome.ACCEPT_OVER_LIMIT
                 at_limit_accepts += 1
-            may_have_waited = is_full or self._client_admission.has_kept_waiting()
+            may_have_waited = is_at_limit or self._client_admission.has_waiting_client()
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
-                self._client_admission.nobody_waits()
+                self._client_admission.note_accept_queue_empty()
                 return accepted
             except OSError as error:
                 if error.errno not in RESOURCE_ERRNOS:
@@ -304,8 +304,8 @@
 
     def _note_queue_wait(self, sock: socket.socket) -> None:
         """Make the deadline of a request in the accept queue count from its arrival."""
-        wait_s = queue_wait_s(sock)
-        self._client_admission.accepted_after(wait_s)
+        wait_s = read_queue_wait_s(sock)
+        self._client_admission.record_queue_wait(wait_s)
         connection = self._connections.get(sock.fileno())
         if connection is not None and connection.has_unread():
             connection.queued_since_s = self.clock() - wait_s
@@ -314,15 +314,15 @@
         """Return whether no client waits to be accepted; if so, reset the recorded waiting time."""
         if self._accept_queue_poll.poll(0):
             return False
-        self._client_admission.nobody_waits()
+        self._client_admission.note_accept_queue_empty()
         return True
 
     def _try_to_promote(self, connection: ClientConnection, now: float) -> None:
         """Count an over-limit connection within the limit if its client sends again and there is capacity."""
         if connection.state is not State.READING or not connection.has_unread():
             return  # requests are no longer parsed, or the client closed the connection
-        decision = self._client_admission.decide_on_refused(now, self.limits.max_connections)
-        if decision.verdict is not Verdict.ACCEPT:
+        decision = self._client_admission.decide_for_over_limit(now, self.limits.max_connections)
+        if decision.outcome is not AdmissionOutcome.ACCEPT:
             return
         if decision.victim is not None:
             self._evict(decision.victim)
@@ -330,20 +330,20 @@
         connection.promote_within_limit()
         self._client_admission.add(connection)
 
-    def _admit_next_client(self, now: float) -> Verdict:
+    def _admit_next_client(self, now: float) -> AdmissionOutcome:
         """Decide on the client that waits to be accepted: evict a connection or pause accepting if needed."""
         decision = self._client_admission.decide(
             now, self.limits.max_connections, self.limits.max_over_limit_connections
         )
         if decision.victim is not None:
             self._evict(decision.victim)
-        if decision.verdict is Verdict.WAIT:
-            self._pause_listening(decision.retry_s)
-        return decision.verdict
+        if decision.outcome is AdmissionOutcome.WAIT:
+            self._pause_listening(decision.recheck_s)
+        return decision.outcome
 
     def _free_descriptor(self, now: float) -> None:
         """Evict a connection, if possible, to free a file descriptor for a client that waits."""
-        victim = self._client_admission.next_for_descriptor(now)
+        victim = self._client_admission.next_victim_for_descriptor(now)
         if victim is not None:
             self._evict(victim)
         self._pause_listening(now + NO_DESCRIPTOR_PAUSE_S)
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -10,13 +10,13 @@
 from saffronstack.discovery.dns.resolver import Resolver
 from saffronstack.engine.engine import Engine
 from saffronstack.net.write_buffer import WriteLoop
-from saffronstack.platform.beliefs import Beliefs
-from saffronstack.platform.budget import divide
+from saffronstack.platform.budget import divide_budget
 from saffronstack.platform.calls import DEADLINE_MARGIN_S, CallBuilder
 from saffronstack.platform.config import ConfigError, PlatformConfig, parts_needing_restart, read_config
 from saffronstack.platform.connection import FrontendLimits
 from saffronstack.platform.drain_admission import DrainAdmission
 from saffronstack.platform.front import Frontend
+from saffronstack.platform.router_state_check import RouterStateCheck
 from saffronstack.platform.shutdown import shutdown_limits_for
 from saffronstack.routing.router import Router
 from saffronstack.runtime.logs import KeyValueLogger, Logger
@@ -63,7 +63,7 @@
         self._clock, self._wall_clock = clock, wall_clock
         self._log = log or KeyValueLogger(config.name or "gateway")
         settings = config.settings
-        self.budget = divide(config.limits.sockets, config.limits.memory_mb, config.max_open_calls)
+        self.budget = divide_budget(config.limits.sockets, config.limits.memory_mb, config.max_open_calls)
         self.endpoint_list, self._initial_changes = config.initial_endpoint_list()
         self.engine = Engine(
             settings,
@@ -90,7 +90,7 @@
         self.resolver = Resolver(
             self.endpoint_list, WORKER_SERVICE_NAME, config.nameserver, self._apply_changes, self._log, clock
         )
-        self.state_comparison = Beliefs(
+        self.router_state_check = RouterStateCheck(
             max(request_class.latency_objective_s for request_class in settings.classes)
         )
         self._stopping = threading.Event()  # set when the drain begins
@@ -130,13 +130,13 @@
         last_logged_s = self._clock()
         while not self._stopping.wait(COMPARE_INTERVAL_S):
             self.engine.inspect(self._compare_once)
-            summary = self.state_comparison.summary()
+            summary = self.router_state_check.summary()
             if summary != last_summary and self._clock() - last_logged_s >= COMPARE_LOG_INTERVAL_S:
                 last_summary, last_logged_s = summary, self._clock()
-                self._log.info("beliefs against links", looks=self.state_comparison.looks, **summary)
+                self._log.info("beliefs against links", looks=self.router_state_check.checks, **summary)
 
     def _compare_once(self, now: float, router: Router) -> None:
-        self.state_comparison.look(now, router.workers, self.dispatcher.pools())
+        self.router_state_check.check(now, router.workers, self.dispatcher.pools())
 
     def _apply_changes(self, changes: WorkerChanges) -> None:
         """Pass changes of the endpoint list to the dispatcher, then to the engine.
@@ -200,5 +200,5 @@
             "peak_connections": self.frontend.peak_connections,
             "evicted": self.frontend.evicted,
             "overflowed": self.frontend.over_limit_accepted,
-            "beliefs": self.state_comparison.summary(),
+            "beliefs": self.router_state_check.summary(),
         }
--- a/tests/platform/test_client_crowd.py
+++ b/tests/platform/test_client_crowd.py
@@ -306,7 +306,7 @@
     population.start_hanging_calls(population.clients)
     over_limit_client = population.connect_another()
     over_limit_client.sock.sendall(b"*nonsense\r\n")
-    connection = next(each for each in frontend._connections.values() if each.overflow)
+    connection = next(each for each in frontend._connections.values() if each.is_over_limit)
     eventually(lambda: connection.state is State.LINGERING)
     population.clients[0].send(b"CANCEL", b"1")
     eventually(lambda: frontend.open_calls == len(population.clients) - 1)
@@ -315,7 +315,7 @@
     over_limit_client.sock.sendall(b"more\r\n")
     eventually(lambda: connection._linger_bytes_left < left_bytes)
     over_limit_client.sock.close()  # the gateway's clock stands still, so the gateway never closes it
-    assert (frontend.evicted, connection.overflow) == (0, True)
+    assert (frontend.evicted, connection.is_over_limit) == (0, True)
 
 
 def test_while_flushing_the_clients_thread_sleeps_between_polls() -> None:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from saffronstack.platform.eviction import ENDED_EVERY_S, EvictionOrder
+from saffronstack.platform.eviction import CLOSED_SCAN_INTERVAL_S, EvictionOrder
 from saffronstack.platform.front import Frontend
 from saffronstack.platform.service import Service
 from saffronstack.resp.reader import encode
@@ -352,13 +352,13 @@
             order.add(connection)
             order.touch(connection)
         for expected in connections[:10]:
-            assert order.next(100.0) is expected
+            assert order.next_victim(100.0) is expected
             order.remove(expected)
         assert order.scans == 1
         assert clients[10].ask()[0] == "OK"
         order.touch(connections[10])  # a connection that was used since is no longer the longest idle
-        assert order.next(100.0) is connections[11]
-        assert order.next(100.0 + 2 * ENDED_EVERY_S) is connections[11]
+        assert order.next_victim(100.0) is connections[11]
+        assert order.next_victim(100.0 + 2 * CLOSED_SCAN_INTERVAL_S) is connections[11]
         assert order.scans == 2
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,7 +16,7 @@
 
 from saffronstack.discovery.dns.endpoint_list import EndpointSnapshot
 from saffronstack.discovery.dns.resolver import Rejection
-from saffronstack.platform.beliefs import Beliefs
+from saffronstack.platform.router_state_check import RouterStateCheck
 from saffronstack.routing.router import Router
 from saffronstack.standin.platform import Directory, Entry
 from saffronstack.standin.worker import hold_port
@@ -345,7 +345,7 @@
     host = ScriptedHost()
     with gateway(Directory(Entry("s-1", host.address), Entry("s-2", host.address))) as service:
         client = Client(service.frontend.address)
-        beliefs = Beliefs()
+        state_check = RouterStateCheck()
         in_flight_counts: list[int] = []
         for index in range(50):
             assert client.ask(subject=index % 5)[0] == "OK"
@@ -356,7 +356,7 @@
                     service.engine.inspect(compare)
                     return
                 in_flight_counts.extend(worker.attempts_in_flight for worker in router.workers.values())
-                beliefs.look(now, router.workers, service.dispatcher.pools())
+                state_check.check(now, router.workers, service.dispatcher.pools())
                 done.set()
 
             service.engine.inspect(compare)
@@ -364,9 +364,9 @@
         assert in_flight_counts
         assert not any(in_flight_counts)
         assert not service.dispatcher.in_flight
-        assert beliefs.looks == 50
-        assert not beliefs._open
-        assert not beliefs.tallies
+        assert state_check.checks == 50
+        assert not state_check._current
+        assert not state_check.statistics
 
 
 def test_tables_stay_bounded_over_many_hosts_functions_and_connections() -> None:
