--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -230,7 +230,7 @@
                     os.eventfd_read(self._wake_event)
             elif self._listening and descriptor == self._listener.fileno():
                 self._accept(now, MAX_ACCEPTS_PER_PASS)
-        except Exception:  # noqa: BLE001 - a fault costs its own connection alone
+        except Exception:  # noqa: BLE001 - an exception closes only its own connection
             self._log.exception("step of the clients' thread failed")
             self._discard(descriptor)
 
@@ -246,7 +246,7 @@
             try:
                 if not connection.on_tick(now):
                     self._close(connection)
-            except Exception:  # noqa: BLE001 - a fault costs its own connection alone
+            except Exception:  # noqa: BLE001 - an exception closes only its own connection
                 self._log.exception("step of the clients' thread failed")
                 self._discard(descriptor)
 
