--- a/saffronstack/deferred/call_submitter.py
+++ b/saffronstack/deferred/call_submitter.py
@@ -64,21 +64,21 @@
     def submit(
         self,
         call: TrackedCall,
-        function: FunctionPolicy,
+        function_policy: FunctionPolicy,
         deadline_at: float,
         is_over_budget: bool,
-        on_answer: Callable[[TrackedCall, FinalAnswer], None],
+        on_final_answer: Callable[[TrackedCall, FinalAnswer], None],
     ) -> None:
         """Submit a call, which is answered exactly once.
 
         Args:
             call: The call.
-            function: Its function.
+            function_policy: Its function.
             deadline_at: When it is owed the answer, in Unix seconds.
             is_over_budget: Whether its tenant is over the soft limit of its budget.
-            on_answer: Called with the answer, on whichever thread finishes the call.
+            on_final_answer: Called with the answer, on whichever thread finishes the call.
         """
-        engine_call = self._make_engine_call(call, function, deadline_at, on_answer)
+        engine_call = self._make_engine_call(call, function_policy, deadline_at, on_final_answer)
         if is_over_budget:
             engine_call.tenant = self._over_budget_tenant_index
         if not self._engine.submit(engine_call):
@@ -93,16 +93,16 @@
     def _make_engine_call(
         self,
         call: TrackedCall,
-        function: FunctionPolicy,
+        function_policy: FunctionPolicy,
         deadline_at: float,
-        on_answer: Callable[[TrackedCall, FinalAnswer], None],
+        on_final_answer: Callable[[TrackedCall, FinalAnswer], None],
     ) -> Call:
         accepted = call.accepted
-        is_idempotent = function.known.idempotency is Idempotency.IDEMPOTENT
+        is_idempotent = function_policy.configured_function.idempotency is Idempotency.IDEMPOTENT
         return Call(
             self._engine.next_call_number(),
             accepted.request_id,
-            function.known.spec,
+            function_policy.configured_function.spec,
             accepted.payload,
             self._clock.to_monotonic(deadline_at),
             self._tenant_indexes.get(accepted.tenant, 0),
@@ -111,8 +111,8 @@
             accepted.client_context,
             prior_attempt=self._prior_attempt(call),
             guard=self._ownership_guard if is_idempotent else AttemptLogGuard(self._attempt_log, call),
-            on_final_answer=lambda _, answer: on_answer(call, answer),
-            class_name=function.known.config.call_class,
+            on_final_answer=lambda _, answer: on_final_answer(call, answer),
+            class_name=function_policy.configured_function.config.call_class,
         )
 
     def _prior_attempt(self, call: TrackedCall) -> PriorAttempt | None:
--- a/saffronstack/deferred/call_table.py
+++ b/saffronstack/deferred/call_table.py
@@ -11,9 +11,9 @@
     AttemptsVoided,
     CallAccepted,
     CallFinished,
+    CallOperation,
     CallWithdrawn,
     LedgerRecord,
-    OperationNamed,
     SnapshotStart,
 )
 
@@ -47,7 +47,7 @@
         self._max_finished = max_finished
         self.open: dict[str, OpenCall] = {}  # by request id
         self.finished: OrderedDict[str, CallFinished] = OrderedDict()  # by request id
-        self.operations: OrderedDict[bytes, OperationNamed] = OrderedDict()  # by digest
+        self.operations: OrderedDict[bytes, CallOperation] = OrderedDict()  # by digest
         self.open_bytes = 0
 
     def apply(self, record: LedgerRecord) -> None:
@@ -55,8 +55,8 @@
         match record:
             case CallAccepted():
                 self._accept(record)
-            case OperationNamed():
-                self._name_operation(record, 0.0)
+            case CallOperation():
+                self._store_operation(record, 0.0)
             case AttemptStarted():
                 if record.request_id in self.open:
                     self.open[record.request_id].attempts.append(record)
@@ -101,16 +101,16 @@
         call = self.open[accepted.request_id] = OpenCall(accepted)
         self.open_bytes += call.size_bytes
         if accepted.operation_digest:
-            named = OperationNamed(
+            operation = CallOperation(
                 accepted.operation_digest,
                 accepted.packed_operation,
                 accepted.operation_expires_at,
                 accepted.request_id,
             )
-            self._name_operation(named, accepted.accepted_at)
+            self._store_operation(operation, accepted.accepted_at)
 
-    def _name_operation(self, named: OperationNamed, now: float) -> None:
-        self.operations[named.operation_digest] = named
+    def _store_operation(self, operation: CallOperation, now: float) -> None:
+        self.operations[operation.operation_digest] = operation
         while self.operations:
             oldest = next(iter(self.operations.values()))
             if oldest.expires_at > now and len(self.operations) <= MAX_OPERATIONS:
@@ -128,9 +128,9 @@
     def _withdraw(self, withdrawn: CallWithdrawn) -> None:
         call = self.open.get(withdrawn.request_id)
         if call is not None:
-            named = self.operations.get(call.accepted.operation_digest)
-            if named is not None and named.request_id == withdrawn.request_id:
-                del self.operations[named.operation_digest]
+            operation = self.operations.get(call.accepted.operation_digest)
+            if operation is not None and operation.request_id == withdrawn.request_id:
+                del self.operations[operation.operation_digest]
         self._close(withdrawn.request_id)
 
     def _close(self, request_id: str) -> None:
--- a/saffronstack/deferred/deferred_calls.py
+++ b/saffronstack/deferred/deferred_calls.py
@@ -57,7 +57,7 @@
         engine: CallEngine,
         functions: Functions,
         clock: Callable[[], float],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         budgets: BudgetEnforcer | None = None,
         owns_ledger: Callable[[], bool] | None = None,
     ) -> None:
@@ -69,13 +69,13 @@
             engine: Executes the calls.
             functions: The configured functions.
             clock: Monotonic seconds.
-            wall: Unix seconds; read once.
+            wall_clock: Unix seconds; read once.
             budgets: Asked before each attempt; a call over its tenant's hard limit waits.
             owns_ledger: Asked before each attempt where another process may take the ledger over; any thread.
         """
         assert config.ledger is not None
         self._ledger = ledger
-        self._clock = SteadyClock(clock, wall)
+        self._clock = SteadyClock(clock, wall_clock)
         self._acceptor = CallAcceptor(ledger, config.ledger, self._clock)
         attempt_log = AttemptLog(ledger, self._clock, config.ledger.commit_timeout_s)
         self._dispatcher = CallDispatcher(
--- a/saffronstack/deferred/dispatcher.py
+++ b/saffronstack/deferred/dispatcher.py
@@ -16,12 +16,12 @@
 from saffronstack.deferred.records import AttemptsVoided
 from saffronstack.deferred.retry_policy import (
     AttemptResult,
+    Backoff,
     Condition,
     Finish,
     PossibleExecution,
     RetryPolicy,
     StartAttempt,
-    Wait,
     decide_after_attempt,
     decide_next_step,
 )
@@ -39,7 +39,7 @@
 FAILED_COMMIT_CHECK_S = 0.5  # while the ledger's last commit failed
 UNKNOWN_WORKER_ID = 0
 NOT_CONFIGURED = "its function is not in the configuration"
-REASONS = {
+REASON_BY_CONDITION = {
     Condition.SUCCESS: "",
     Condition.RETRIES_EXHAUSTED: "the function failed each time",
     Condition.EXPIRED: "its maximum event age passed before a worker could take it",
@@ -88,9 +88,9 @@
         self._messages: queue.SimpleQueue[Message] = queue.SimpleQueue()
         self._timers: Timers[TrackedCall] = Timers()
         self._calls: dict[str, TrackedCall] = {}  # by request id
-        self._ready: deque[TrackedCall] = deque()  # wait for others in flight to end
+        self._ready_calls: deque[TrackedCall] = deque()  # wait for others in flight to end
         self._in_flight = 0
-        self._ended = threading.Event()
+        self._thread_ended = threading.Event()
         self.is_stopping = False
         self.finished_by_condition: dict[str, int] = {condition.value: 0 for condition in Condition}
 
@@ -108,7 +108,7 @@
         """
         self.is_stopping = True
         self._messages.put(StopRequested())
-        return self._ended.wait(timeout_s)
+        return self._thread_ended.wait(timeout_s)
 
     def dispatch(self, call: TrackedCall) -> None:
         """Hand over an accepted call; any thread."""
@@ -123,22 +123,22 @@
     def _run(self) -> None:
         try:
             while not (self.is_stopping and not self._in_flight and self._messages.empty()):
-                self._receive()
+                self._handle_next_message()
                 while not self.is_stopping and (call := self._timers.pop_due(self._clock.now())) is not None:
-                    self._continue(call)
+                    self._handle_due_call(call)
                 while self._can_start():
-                    self._start_attempt(self._ready.popleft())
+                    self._start_attempt(self._ready_calls.popleft())
         finally:
-            self._ended.set()
+            self._thread_ended.set()
 
     def _can_start(self) -> bool:
-        return bool(self._ready) and self._in_flight < self._max_in_flight and not self.is_stopping
+        return bool(self._ready_calls) and self._in_flight < self._max_in_flight and not self.is_stopping
 
-    def _receive(self) -> None:
+    def _handle_next_message(self) -> None:
         """Handle the next message, or wait until a timer is due."""
         due_s = self._timers.next_due_s()
         wait_s = IDLE_POLL_S if due_s is None else min(IDLE_POLL_S, max(0.0, due_s - self._clock.now()))
-        if self._ready and self._in_flight < self._max_in_flight:
+        if self._ready_calls and self._in_flight < self._max_in_flight:
             wait_s = 0.0
         try:
             message = self._messages.get(timeout=wait_s) if wait_s else self._messages.get_nowait()
@@ -154,15 +154,15 @@
 
     def _track(self, call: TrackedCall) -> None:
         self._calls[call.accepted.request_id] = call
-        self._ready.append(call)
+        self._ready_calls.append(call)
 
-    def _continue(self, call: TrackedCall) -> None:
+    def _handle_due_call(self, call: TrackedCall) -> None:
         """Handle a due call: start an attempt, or see to its final record."""
         if call.outcome is None:
-            self._ready.append(call)
-        elif call.ticket is not None and call.ticket.is_durable:
+            self._ready_calls.append(call)
+        elif call.final_record_ticket is not None and call.final_record_ticket.is_durable:
             self._complete(call, call.outcome)
-        elif call.ticket is not None and not call.ticket.done.is_set():
+        elif call.final_record_ticket is not None and not call.final_record_ticket.done.is_set():
             self._timers.add(self._clock.now() + COMMIT_CHECK_S, call)
         else:  # the commit failed
             self._write_final_record(call, call.outcome)
@@ -175,17 +175,19 @@
             self._track(track_accepted(call.delivery))
 
     def _start_attempt(self, call: TrackedCall) -> None:
-        function = self._policies.find(call.accepted.function)
-        policy = None if function is None else function.retry
+        function_policy = self._policies.find(call.accepted.function)
+        policy = None if function_policy is None else function_policy.retry_policy
         match decide_next_step(call.state, policy, self._clock.now()):
             case Finish(condition):
-                reason = NOT_CONFIGURED if function is None else REASONS[condition]
+                reason = NOT_CONFIGURED if function_policy is None else REASON_BY_CONDITION[condition]
                 self._finish(call, FinalOutcome(condition, reason=reason))
             case StartAttempt(deadline_at):
-                assert function is not None  # no attempt is decided on without a policy
-                self._submit_within_budget(call, function, deadline_at)
+                assert function_policy is not None  # no attempt is decided on without a policy
+                self._submit_within_budget(call, function_policy, deadline_at)
 
-    def _submit_within_budget(self, call: TrackedCall, function: FunctionPolicy, deadline_at: float) -> None:
+    def _submit_within_budget(
+        self, call: TrackedCall, function_policy: FunctionPolicy, deadline_at: float
+    ) -> None:
         admission = self._submitter.admit(call)
         if not admission.is_admitted:
             jitter = 1.0 + BUDGET_WAIT_JITTER * self._random.random()
@@ -195,10 +197,10 @@
         call.is_running = True
         self._in_flight += 1
         self._submitter.submit(
-            call, function, deadline_at, admission.is_over_soft_limit, self._receive_answer
+            call, function_policy, deadline_at, admission.is_over_soft_limit, self._enqueue_answer
         )
 
-    def _receive_answer(self, call: TrackedCall, answer: FinalAnswer) -> None:
+    def _enqueue_answer(self, call: TrackedCall, answer: FinalAnswer) -> None:
         """Pass an answer to the dispatcher thread; any thread."""
         self._messages.put(AttemptFinished(call, answer))
 
@@ -207,11 +209,11 @@
         self._in_flight -= 1
         call.attempts += answer.attempts
         execution = self._find_possible_execution(call, answer)
-        function = self._policies.find(call.accepted.function)
-        if function is None:
+        function_policy = self._policies.find(call.accepted.function)
+        if function_policy is None:
             self._timers.add(0.0, call)
             return
-        self._decide(call, function.retry, answer, execution)
+        self._retry_or_finish(call, function_policy.retry_policy, answer, execution)
 
     def _find_possible_execution(self, call: TrackedCall, answer: FinalAnswer) -> PossibleExecution | None:
         """Return the first attempt that may have been executed, with what the answer says of it."""
@@ -230,7 +232,7 @@
             self._ledger.append(AttemptsVoided(call.accepted.request_id))
         return None
 
-    def _decide(
+    def _retry_or_finish(
         self,
         call: TrackedCall,
         policy: RetryPolicy,
@@ -250,9 +252,9 @@
             case Finish(condition) if answer.status is FinalStatus.SERVED:
                 self._finish(call, FinalOutcome(condition, answer.payload, answer.function_error))
             case Finish(condition):
-                outcome = FinalOutcome(condition, None, answer.function_error, REASONS[condition])
+                outcome = FinalOutcome(condition, None, answer.function_error, REASON_BY_CONDITION[condition])
                 self._finish(call, outcome)
-            case Wait(until):  # not beside an attempt that is still in flight
+            case Backoff(until):  # not beside an attempt that is still in flight
                 in_flight_until = self._clock.to_unix(answer.attempt_in_flight_until_s)
                 self._timers.add(max(until, in_flight_until), call)
 
@@ -263,5 +265,5 @@
     def _write_final_record(self, call: TrackedCall, outcome: FinalOutcome) -> None:
         now = self._clock.now()
         self._final_records.write(call, outcome, now)
-        pause_s = FAILED_COMMIT_CHECK_S if self._ledger.write_error else FIRST_COMMIT_CHECK_S
-        self._timers.add(now + pause_s, call)
+        check_delay_s = FAILED_COMMIT_CHECK_S if self._ledger.write_error else FIRST_COMMIT_CHECK_S
+        self._timers.add(now + check_delay_s, call)
--- a/saffronstack/deferred/final_record_writer.py
+++ b/saffronstack/deferred/final_record_writer.py
@@ -6,7 +6,7 @@
 
 from saffronstack.config.build import Functions
 from saffronstack.config.schema import Config
-from saffronstack.deferred.invocation_record import InvocationEnd, encode_invocation_record
+from saffronstack.deferred.invocation_record import CompletedInvocation, encode_invocation_record
 from saffronstack.deferred.ledger import Ledger
 from saffronstack.deferred.records import CallAccepted, CallFinished
 from saffronstack.deferred.retry_policy import Condition
@@ -31,7 +31,7 @@
             now: The present Unix time.
         """
         accepted = call.accepted
-        end = InvocationEnd(
+        invocation = CompletedInvocation(
             request_id=accepted.request_id,
             arn=self._arn_prefix + accepted.function,
             condition=outcome.condition,
@@ -41,18 +41,22 @@
             function_error=outcome.function_error,
             reason=outcome.reason,
         )
-        content = encode_invocation_record(end, accepted.payload)
+        content = encode_invocation_record(invocation, accepted.payload)
         finished = CallFinished(accepted.request_id, accepted.function, accepted.tenant, now, content)
         destination = self._find_destination(accepted.function, outcome.condition)
         if destination is None:
-            call.ticket = self._ledger.append(finished)
+            call.final_record_ticket = self._ledger.append(finished)
             return
         delivery_id = str(uuid.uuid5(uuid.NAMESPACE_OID, accepted.request_id))
         call.delivery = CallAccepted(delivery_id, destination, accepted.tenant, content, "", delivery_id, now)
-        call.ticket = self._ledger.append(finished, call.delivery)
+        call.final_record_ticket = self._ledger.append(finished, call.delivery)
 
     def _find_destination(self, function: str, condition: Condition) -> str | None:
-        known = self._functions.get(function)
-        if known is None:
+        configured_function = self._functions.get(function)
+        if configured_function is None:
             return None
-        return known.config.on_success if condition is Condition.SUCCESS else known.config.on_failure
+        return (
+            configured_function.config.on_success
+            if condition is Condition.SUCCESS
+            else configured_function.config.on_failure
+        )
--- a/saffronstack/deferred/function_policies.py
+++ b/saffronstack/deferred/function_policies.py
@@ -13,8 +13,8 @@
 class FunctionPolicy:
     """A configured function, and how its deferred calls are retried."""
 
-    known: ConfiguredFunction
-    retry: RetryPolicy
+    configured_function: ConfiguredFunction
+    retry_policy: RetryPolicy
 
 
 class FunctionPolicies:
@@ -24,19 +24,19 @@
         """Read classes and margins from ``config``; ``functions`` may be reloaded later."""
         self._functions = functions
         self._response_margin_s = config.answer_margin_s
-        self._classes = {cls.name: cls for cls in config.classes}
+        self._classes = {request_class.name: request_class for request_class in config.classes}
 
     def find(self, function: str) -> FunctionPolicy | None:
         """Return a function's policy, or None where it is not configured."""
-        known = self._functions.get(function)
-        if known is None:
+        configured_function = self._functions.get(function)
+        if configured_function is None:
             return None
-        request_class = self._classes[known.config.call_class]
-        retry = RetryPolicy(
-            known.idempotency,
+        request_class = self._classes[configured_function.config.call_class]
+        retry_policy = RetryPolicy(
+            configured_function.idempotency,
             request_class.window_s,
             request_class.deadline_s - self._response_margin_s,
-            known.config.maximum_event_age_s,
-            known.config.maximum_retry_attempts,
+            configured_function.config.maximum_event_age_s,
+            configured_function.config.maximum_retry_attempts,
         )
-        return FunctionPolicy(known, retry)
+        return FunctionPolicy(configured_function, retry_policy)
--- a/saffronstack/deferred/invocation_record.py
+++ b/saffronstack/deferred/invocation_record.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class InvocationEnd:
+class CompletedInvocation:
     """How an invocation ended.
 
     Attributes:
@@ -38,29 +38,29 @@
     reason: str = ""
 
 
-def encode_invocation_record(end: InvocationEnd, payload: bytes) -> bytes:
+def encode_invocation_record(invocation: CompletedInvocation, payload: bytes) -> bytes:
     """Return the record as JSON; a payload or response that is not JSON stands in it as a string."""
-    timestamp = datetime.fromtimestamp(end.finished_at, UTC)
+    timestamp = datetime.fromtimestamp(invocation.finished_at, UTC)
     content: dict[str, object] = {
         "version": RECORD_VERSION,
         "timestamp": f"{timestamp:%Y-%m-%dT%H:%M:%S}.{timestamp.microsecond // 1000:03d}Z",
         "requestContext": {
-            "requestId": end.request_id,
-            "functionArn": f"{end.arn}:{LATEST}",
-            "condition": end.condition.value,
-            "approximateInvokeCount": end.attempts,
+            "requestId": invocation.request_id,
+            "functionArn": f"{invocation.arn}:{LATEST}",
+            "condition": invocation.condition.value,
+            "approximateInvokeCount": invocation.attempts,
         },
         "requestPayload": _embed_payload(payload),
     }
-    if end.response is not None:
+    if invocation.response is not None:
         context: dict[str, object] = {"statusCode": 200, "executedVersion": LATEST}
-        if end.function_error:
-            context["functionError"] = end.function_error
+        if invocation.function_error:
+            context["functionError"] = invocation.function_error
         content["responseContext"] = context
-        content["responsePayload"] = _embed_payload(end.response)
-    elif end.reason:
-        error_type = f"Saffronstack.{end.condition.value}"
-        content["responsePayload"] = {"errorType": error_type, "errorMessage": end.reason}
+        content["responsePayload"] = _embed_payload(invocation.response)
+    elif invocation.reason:
+        error_type = f"Saffronstack.{invocation.condition.value}"
+        content["responsePayload"] = {"errorType": error_type, "errorMessage": invocation.reason}
     return msgspec.json.encode(content)
 
 
--- a/saffronstack/deferred/ledger.py
+++ b/saffronstack/deferred/ledger.py
@@ -36,7 +36,7 @@
     return Journal(directory, CallTable(max_finished), CODEC, segment_bytes, files)
 
 
-def read_named_operations(directory: pathlib.Path) -> list[tuple[bytes, bytes]]:
+def read_call_operations(directory: pathlib.Path) -> list[tuple[bytes, bytes]]:
     """Return digest and packed answer of a ledger's named operations; the ledger is read without its lock.
 
     Raises:
@@ -47,9 +47,12 @@
         try:
             if directory.is_dir():
                 recover_journal(directory, table, CODEC)
-            return [(named.operation_digest, named.packed_operation) for named in table.operations.values()]
+            return [
+                (operation.operation_digest, operation.packed_operation)
+                for operation in table.operations.values()
+            ]
         except JournalError as error:
-            was_compacted_meanwhile = isinstance(error.__cause__, FileNotFoundError)
-            if not remaining_attempts or not was_compacted_meanwhile:
+            was_segment_removed = isinstance(error.__cause__, FileNotFoundError)
+            if not remaining_attempts or not was_segment_removed:
                 raise
     return []
--- a/saffronstack/deferred/records.py
+++ b/saffronstack/deferred/records.py
@@ -28,7 +28,7 @@
     operation_expires_at: float = 0.0
 
 
-class OperationNamed(Record, frozen=True, tag="n"):
+class CallOperation(Record, frozen=True, tag="n"):
     """The operation of a call, in a snapshot: it may be known for longer than the call's final record."""
 
     operation_digest: bytes
@@ -76,7 +76,7 @@
 
 LedgerRecord = (
     CallAccepted
-    | OperationNamed
+    | CallOperation
     | AttemptStarted
     | AttemptsVoided
     | CallFinished
--- a/saffronstack/deferred/retry_policy.py
+++ b/saffronstack/deferred/retry_policy.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class Backoff:
     """Decide again at ``until``."""
 
     until: float
@@ -101,7 +101,7 @@
     """The state after an attempt, and what follows."""
 
     state: RetryState
-    step: Wait | Finish
+    step: Backoff | Finish
 
 
 def decide_next_step(state: RetryState, policy: RetryPolicy | None, now: float) -> StartAttempt | Finish:
@@ -159,9 +159,9 @@
     step = decide_next_step(state, policy, now)
     if isinstance(step, Finish):
         return Decision(state, step)
-    backoff_s = MIN_BACKOFF_S * 2 ** min(rejections - 1, MAX_BACKOFF_DOUBLINGS)
-    pause_s = min(MAX_BACKOFF_S, max(result.retry_after_s, backoff_s))
-    return Decision(state, _back_off(state, policy, now, pause_s, jitter))
+    exponential_backoff_s = MIN_BACKOFF_S * 2 ** min(rejections - 1, MAX_BACKOFF_DOUBLINGS)
+    backoff_s = min(MAX_BACKOFF_S, max(result.retry_after_s, exponential_backoff_s))
+    return Decision(state, _make_backoff(state, policy, now, backoff_s, jitter))
 
 
 def _decide_after_response(
@@ -173,15 +173,17 @@
     state = RetryState(state.accepted_at, state.possible_execution, 0, errors)
     if policy.idempotency is not Idempotency.IDEMPOTENT or errors > policy.max_retries:
         return Decision(state, Finish(Condition.RETRIES_EXHAUSTED))
-    pause_s = FUNCTION_ERROR_BACKOFF_S * 2 ** (errors - 1)
-    return Decision(state, _back_off(state, policy, now, pause_s, jitter))
+    backoff_s = FUNCTION_ERROR_BACKOFF_S * 2 ** (errors - 1)
+    return Decision(state, _make_backoff(state, policy, now, backoff_s, jitter))
 
 
-def _back_off(state: RetryState, policy: RetryPolicy, now: float, pause_s: float, jitter: float) -> Wait:
+def _make_backoff(
+    state: RetryState, policy: RetryPolicy, now: float, backoff_s: float, jitter: float
+) -> Backoff:
     """Return a pause that ends before the call expires or its deduplication window closes."""
-    latest = state.accepted_at + policy.max_event_age_s
+    latest_end = state.accepted_at + policy.max_event_age_s
     execution = state.possible_execution
     if execution is not None and policy.idempotency is Idempotency.WITH_KEY:
         window_end = execution.sent_at + policy.deduplication_window_s - WINDOW_MARGIN_S
-        latest = min(latest, window_end - 2 * MIN_ATTEMPT_S)
-    return Wait(max(now, min(now + pause_s * (0.5 + jitter), latest)))
+        latest_end = min(latest_end, window_end - 2 * MIN_ATTEMPT_S)
+    return Backoff(max(now, min(now + backoff_s * (0.5 + jitter), latest_end)))
--- a/saffronstack/deferred/steady_clock.py
+++ b/saffronstack/deferred/steady_clock.py
@@ -8,10 +8,10 @@
 class SteadyClock:
     """Unix time that follows the monotonic clock, whatever the system's time is set to meanwhile."""
 
-    def __init__(self, monotonic: Callable[[], float], wall: Callable[[], float]) -> None:
-        """Read ``wall`` (Unix seconds) once; ``monotonic`` (seconds) is read from then on."""
-        self.monotonic_now = monotonic
-        self._offset_s = wall() - monotonic()
+    def __init__(self, monotonic_clock: Callable[[], float], wall_clock: Callable[[], float]) -> None:
+        """Read ``wall_clock`` (Unix seconds) once; ``monotonic_clock`` (seconds) is read from then on."""
+        self.monotonic_now = monotonic_clock
+        self._offset_s = wall_clock() - monotonic_clock()
 
     def now(self) -> float:
         """Return the present Unix time."""
--- a/saffronstack/deferred/tracked_call.py
+++ b/saffronstack/deferred/tracked_call.py
@@ -32,7 +32,7 @@
             thread too.
         is_running: Whether it was submitted to the engine and not answered.
         outcome: How it ended, once it has.
-        ticket: The append of its final record.
+        final_record_ticket: The append of its final record.
         delivery: The call to its destination, in the same commit as the final record.
     """
 
@@ -42,7 +42,7 @@
     has_stored_attempt: bool = False
     is_running: bool = False
     outcome: FinalOutcome | None = None
-    ticket: AppendTicket[LedgerRecord] | None = None
+    final_record_ticket: AppendTicket[LedgerRecord] | None = None
     delivery: CallAccepted | None = None
 
 
--- a/saffronstack/durable/block_format.py
+++ b/saffronstack/durable/block_format.py
@@ -20,7 +20,7 @@
 HEADER = struct.Struct("<4sQIQ")
 MAX_CONTENT_BYTES = 256 * 1024 * 1024  # of a block, decompressed
 COMPRESSION_LEVEL = 3
-_RECORD_LENGTH = struct.Struct("<I")
+_RECORD_LENGTH_FORMAT = struct.Struct("<I")
 _CHECKSUMMED_HEADER = struct.Struct("<QI")
 _MAGIC_OF_ANY_VERSION = re.compile(rb"Sf[A-Z][0-9]")
 _KNOWN_MAGICS = re.compile(rb"SfL1|SfZ1")
@@ -50,15 +50,15 @@
                 raise ValueError(str(error)) from error
         offset = 0
         while offset < len(content):
-            (length,) = _RECORD_LENGTH.unpack_from(content, offset)
-            offset += _RECORD_LENGTH.size
+            (length,) = _RECORD_LENGTH_FORMAT.unpack_from(content, offset)
+            offset += _RECORD_LENGTH_FORMAT.size
             yield content[offset : offset + length]
             offset += length
 
 
 def encode_block(number: int, records: Iterable[bytes], compress: bool = False) -> bytes:
     """Return one copy of a block with these encoded records."""
-    content = b"".join(_RECORD_LENGTH.pack(len(record)) + record for record in records)
+    content = b"".join(_RECORD_LENGTH_FORMAT.pack(len(record)) + record for record in records)
     magic = COMPRESSED_MAGIC if compress else PLAIN_MAGIC
     if compress:
         content = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(content)
@@ -89,7 +89,7 @@
     return None
 
 
-def declared_block_bytes(data: bytes, start: int) -> int | None:
+def read_declared_block_bytes(data: bytes, start: int) -> int | None:
     """Return the size that the header at a byte offset declares for one copy; None without such a header."""
     header = data[start : start + HEADER.size]
     if len(header) < HEADER.size or not is_known_magic(header[:MAGIC_BYTES]):
--- a/saffronstack/durable/journal.py
+++ b/saffronstack/durable/journal.py
@@ -26,7 +26,7 @@
 
 MAX_COMMIT_RECORDS = 4096
 COMPACTION_RATIO = 2.0  # segments are compacted when they hold this multiple of what a snapshot needs
-COPIES = 2  # of each block
+COPIES_PER_BLOCK = 2  # of each block
 IDLE_POLL_S = 1.0
 CLOSE_TIMEOUT_S = 10.0
 log = structlog.get_logger("saffronstack.journal")
@@ -83,9 +83,9 @@
         except JournalError:
             self._directory_lock.release()
             raise
-        for partial in self._directory.glob("*.tmp"):
+        for temporary_path in self._directory.glob("*.tmp"):
             with contextlib.suppress(OSError):  # the next compaction replaces it
-                partial.unlink()
+                temporary_path.unlink()
         for warning in recovered.warnings:
             log.warning("journal segment damaged", directory=str(self._directory), detail=warning)
         return recovered
@@ -144,7 +144,7 @@
 
     def _run(self) -> None:
         try:
-            self._compact_if_worthwhile()
+            self._compact_if_due()
             while True:
                 try:
                     first = self._queue.get(timeout=IDLE_POLL_S)
@@ -200,7 +200,7 @@
         try:
             self._segments.write_block([record for ticket in batch for record in ticket.encoded])
         except OSError as error:
-            self._fail(batch, error)
+            self._fail_batch(batch, error)
             return
         if self.write_error:
             log.info("journal writes recovered", directory=str(self._directory))
@@ -212,9 +212,9 @@
         self._spill_state()
         if self._segments.open_bytes >= self._segment_bytes:
             self._segments.close_segment()
-            self._compact_if_worthwhile()
+            self._compact_if_due()
 
-    def _fail(self, batch: list[AppendTicket[RecordT]], error: OSError) -> None:
+    def _fail_batch(self, batch: list[AppendTicket[RecordT]], error: OSError) -> None:
         if not self.write_error:
             log.error("journal write failed", directory=str(self._directory), error=str(error))
         self.write_error = error.strerror or str(error)
@@ -230,8 +230,8 @@
         except OSError as error:  # it stays in memory; no commit succeeds either while the disk fails
             log.error("journal state spill failed", directory=str(self._directory), error=str(error))
 
-    def _compact_if_worthwhile(self) -> None:
-        needed_bytes = COPIES * self.state.estimate_snapshot_bytes()
+    def _compact_if_due(self) -> None:
+        needed_bytes = COPIES_PER_BLOCK * self.state.estimate_snapshot_bytes()
         threshold_bytes = max(self._segment_bytes, COMPACTION_RATIO * needed_bytes)
         if self._segments.closed_bytes <= threshold_bytes and not self.recovered.warnings:
             return
--- a/saffronstack/durable/journal_recovery.py
+++ b/saffronstack/durable/journal_recovery.py
@@ -73,15 +73,17 @@
     scan = scan_segment(data)
     if not scan.blocks and (version := find_unknown_version(data)):
         raise JournalError(f"{path}: blocks of another version, {version}: it was left as it is")
-    for offset in scan.repaired_at:
+    for offset in scan.damaged_copy_offsets:
         recovered.warnings.append(
             f"{path.name}: byte {offset}: one copy of a block is damaged; read from its other copy"
         )
-    if scan.damaged_at is not None:
-        recovered.warnings.append(f"{path.name}: byte {scan.damaged_at}: both copies of a block are damaged")
-    if scan.torn_at is not None:
+    if scan.damaged_block_offset is not None:
         recovered.warnings.append(
-            f"{path.name}: byte {scan.torn_at}: torn write; nothing behind it was ever acknowledged"
+            f"{path.name}: byte {scan.damaged_block_offset}: both copies of a block are damaged"
+        )
+    if scan.torn_write_offset is not None:
+        recovered.warnings.append(
+            f"{path.name}: byte {scan.torn_write_offset}: torn write; nothing behind it was ever acknowledged"
         )
     return scan
 
@@ -112,7 +114,7 @@
         for record in records:
             recovered.state.apply(record)
         expected_block = block.number + 1
-    if segment.scan.damaged_at is not None:
+    if segment.scan.damaged_block_offset is not None:
         recovered.has_lost_records = True
     return expected_block
 
@@ -128,10 +130,10 @@
     segment_name: str, block: Block, expected: int | None, recovered: RecoveredJournal[StateT]
 ) -> None:
     """Warn where blocks before this one are missing."""
-    where = f"{segment_name}: byte {block.start}"
+    location = f"{segment_name}: byte {block.start}"
     if expected is None and block.number != 0:
         recovered.has_lost_records = True
-        recovered.warnings.append(f"{where}: all before block {block.number} is missing")
+        recovered.warnings.append(f"{location}: all before block {block.number} is missing")
     elif expected is not None and block.number != expected:
         recovered.has_lost_records = True
-        recovered.warnings.append(f"{where}: blocks {expected} to {block.number - 1} are missing")
+        recovered.warnings.append(f"{location}: blocks {expected} to {block.number - 1} are missing")
--- a/saffronstack/durable/segment_scan.py
+++ b/saffronstack/durable/segment_scan.py
@@ -12,9 +12,9 @@
 from saffronstack.durable.block_format import (
     HEADER,
     Block,
-    declared_block_bytes,
     decode_block_at,
     find_next_block,
+    read_declared_block_bytes,
 )
 
 
@@ -23,9 +23,9 @@
     """What one segment holds; positions are byte offsets."""
 
     blocks: list[Block] = field(default_factory=list)
-    repaired_at: list[int] = field(default_factory=list)  # where one copy of a block is damaged
-    torn_at: int | None = None  # where a write was torn: nothing behind it was ever acknowledged
-    damaged_at: int | None = None  # where both copies of a block are damaged
+    damaged_copy_offsets: list[int] = field(default_factory=list)  # where one copy of a block is damaged
+    torn_write_offset: int | None = None  # where a write was torn: nothing behind it was ever acknowledged
+    damaged_block_offset: int | None = None  # where both copies of a block are damaged
 
 
 def scan_segment(data: bytes) -> SegmentScan:
@@ -40,11 +40,11 @@
             if following is None:
                 _classify_tail(data, offset, result)
                 return result
-            result.repaired_at.append(offset)
+            result.damaged_copy_offsets.append(offset)
             block = following
         if block.number > last_number:  # the second copy of a block has the number of the first
-            if last_number >= 0 and block.number != last_number + 1 and result.damaged_at is None:
-                result.damaged_at = offset
+            if last_number >= 0 and block.number != last_number + 1 and result.damaged_block_offset is None:
+                result.damaged_block_offset = offset
             result.blocks.append(block)
             last_number = block.number
         offset = block.end
@@ -60,14 +60,16 @@
     if result.blocks and result.blocks[-1].end == offset:
         last_copy = data[result.blocks[-1].start : offset]
         if _is_proper_prefix(data[offset:], last_copy):
-            result.torn_at = offset
+            result.torn_write_offset = offset
             return
-    block_bytes = declared_block_bytes(data, offset) or 0
+    block_bytes = read_declared_block_bytes(data, offset) or 0
     has_both_copies = block_bytes > HEADER.size and len(data) - offset >= 2 * block_bytes
     if has_both_copies and any(data[offset:]):
-        result.damaged_at = offset if result.damaged_at is None else result.damaged_at
+        result.damaged_block_offset = (
+            offset if result.damaged_block_offset is None else result.damaged_block_offset
+        )
     else:
-        result.torn_at = offset
+        result.torn_write_offset = offset
 
 
 def _is_proper_prefix(part: bytes, complete: bytes) -> bool:
--- a/saffronstack/durable/segment_writer.py
+++ b/saffronstack/durable/segment_writer.py
@@ -86,11 +86,11 @@
         """
         self.close_segment()
         older = segments.list_segment_numbers(self._directory)
-        target = self._path(self._next_segment)
-        partial = target.with_suffix(".tmp")
+        target = self._segment_path(self._next_segment)
+        temporary_path = target.with_suffix(".tmp")
         next_block = self._next_block
         size_bytes = 0
-        descriptor = self._files.open(partial)
+        descriptor = self._files.open(temporary_path)
         try:
             for records in split_into_blocks(snapshot):
                 block = encode_block(next_block, records, self._compress)
@@ -100,16 +100,16 @@
             self._files.sync(descriptor)
         except OSError:
             with contextlib.suppress(OSError):
-                partial.unlink()
+                temporary_path.unlink()
             raise
         finally:
             os.close(descriptor)
-        partial.rename(target)
+        temporary_path.rename(target)
         self._files.sync_directory(self._directory)
         self._next_block = next_block
         self._next_segment += 1
         for number in older:
-            self._path(number).unlink()
+            self._segment_path(number).unlink()
         self.closed_bytes = size_bytes
         return len(older)
 
@@ -117,7 +117,7 @@
         """Return the open segment's descriptor, after creating the segment if there is none."""
         if self._descriptor is not None:
             return self._descriptor
-        path = self._path(self._next_segment)
+        path = self._segment_path(self._next_segment)
         descriptor = self._files.open(path)
         try:
             self._files.sync_directory(self._directory)
@@ -131,7 +131,7 @@
         self._next_segment += 1
         return descriptor
 
-    def _path(self, number: int) -> pathlib.Path:
+    def _segment_path(self, number: int) -> pathlib.Path:
         return self._directory / segments.segment_name(number, self._prefix)
 
 
--- a/saffronstack/durable/sorted_runs.py
+++ b/saffronstack/durable/sorted_runs.py
@@ -25,7 +25,7 @@
 BLOCK_BYTES = 16 * 1024  # of keys and values, before compression
 TRAILER = struct.Struct("<4sQI")  # magic, position and number of the index block
 TRAILER_MAGIC = b"SfRn"
-POSITION = struct.Struct("<Q")
+POSITION_FORMAT = struct.Struct("<Q")
 FILE_PREFIX = "run-"
 FILE_SUFFIX = ".run"
 NUMBER_DIGITS = 10
@@ -64,20 +64,20 @@
     Raises:
         OSError: The run was not written; there is no file under its name.
     """
-    partial = path.with_suffix(".tmp")
+    temporary_path = path.with_suffix(".tmp")
     with contextlib.suppress(OSError):
-        partial.unlink()
-    descriptor = files.open(partial)
+        temporary_path.unlink()
+    descriptor = files.open(temporary_path)
     try:
         count = _write_blocks(descriptor, items, files)
         files.sync(descriptor)
     except OSError:
         with contextlib.suppress(OSError):
-            partial.unlink()
+            temporary_path.unlink()
         raise
     finally:
         os.close(descriptor)
-    partial.rename(path)
+    temporary_path.rename(path)
     files.sync_directory(path.parent)
     return count
 
@@ -89,7 +89,7 @@
     for records in _batch_items(items):
         block = encode_block(number, records, compress=True)
         files.write(descriptor, block + block)
-        index += [records[0], POSITION.pack(position)]
+        index += [records[0], POSITION_FORMAT.pack(position)]
         position += 2 * len(block)
         number += 1
         count += len(records) // 2
@@ -138,7 +138,7 @@
                     file.seek(position)
                     index = _read_either_copy(file.read(size_bytes - position - TRAILER.size), number)
                     if index is not None:
-                        return _from_index(path, index, position)
+                        return _open_from_index(path, index, position)
             file.seek(0)
             return _rebuild_index(path, file.read())
 
@@ -174,17 +174,19 @@
             yield key, value
 
 
-def _from_index(path: pathlib.Path, index: Block, index_position: int) -> SortedRun:
+def _open_from_index(path: pathlib.Path, index: Block, index_position: int) -> SortedRun:
     records = list(index.records())
-    positions = [POSITION.unpack(position)[0] for position in records[1::2]]
+    positions = [POSITION_FORMAT.unpack(position)[0] for position in records[1::2]]
     return SortedRun(path, records[0::2], [*positions, index_position])
 
 
 def _rebuild_index(path: pathlib.Path, data: bytes) -> SortedRun:
     """Build the index of a run whose trailer is damaged from its blocks."""
     scan = scan_segment(data)
-    if scan.damaged_at is not None or not scan.blocks:
-        raise RunDamagedError(f"{path}: byte {scan.damaged_at or 0}: the index is lost, and a block too")
+    if scan.damaged_block_offset is not None or not scan.blocks:
+        raise RunDamagedError(
+            f"{path}: byte {scan.damaged_block_offset or 0}: the index is lost, and a block too"
+        )
     *blocks, index = scan.blocks
     first_keys = [next(block.records()) for block in blocks]
     if list(index.records())[0::2] != first_keys:  # the index is the last block, unless the file is truncated
@@ -212,14 +214,14 @@
         combine: Makes one value of a key's values, which are in the order of the sources.
     """
 
-    def with_age(age: int, source: Iterable[KeyValue]) -> Iterator[tuple[bytes, int, bytes]]:
+    def add_source_age(age: int, source: Iterable[KeyValue]) -> Iterator[tuple[bytes, int, bytes]]:
         """Yield items as plain tuples, which compare by key and then by age, and cost the least to make."""
         for key, value in source:
             yield key, age, value
 
     current_key: bytes | None = None
     values: list[bytes] = []
-    for key, _, value in heapq.merge(*(with_age(age, source) for age, source in enumerate(sources))):
+    for key, _, value in heapq.merge(*(add_source_age(age, source) for age, source in enumerate(sources))):
         if key != current_key:
             if current_key is not None:
                 yield current_key, combine(current_key, values)
--- a/saffronstack/gateway.py
+++ b/saffronstack/gateway.py
@@ -19,7 +19,7 @@
 from saffronstack.config.schema import Config, Worker
 from saffronstack.daemon.process_group import ProcessGroup
 from saffronstack.deferred.deferred_calls import DeferredCalls
-from saffronstack.deferred.ledger import Ledger, open_ledger, read_named_operations
+from saffronstack.deferred.ledger import Ledger, open_ledger, read_call_operations
 from saffronstack.discovery.files.file_watcher import FileWatcher
 from saffronstack.discovery.files.merging import WorkerChanges
 from saffronstack.durable.file_operations import FileOperations
@@ -167,7 +167,7 @@
         slots = SlotManager(
             pathlib.Path(process_group.directory) / "operation-slots",
             SlotMember(str(process_group.index), self._peer_address, location),
-            OperationHandover(operations, log_directory, read_named_operations),
+            OperationHandover(operations, log_directory, read_call_operations),
             self._clock,
         )
         operations.restrict_to_slots(slots.is_held)
--- a/tests/deferred/conftest.py
+++ b/tests/deferred/conftest.py
@@ -29,11 +29,11 @@
 
     def __init__(self) -> None:
         self.is_full = False
-        self.answers = threading.Event()
-        self.answers.set()
+        self.unblocked = threading.Event()
+        self.unblocked.set()
 
     def write(self, descriptor: int, data: bytes) -> None:
-        self.answers.wait(30.0)
+        self.unblocked.wait(30.0)
         if self.is_full:
             raise OSError(errno.ENOSPC, "No space left on device")
         super().write(descriptor, data)
@@ -70,7 +70,7 @@
 def ledger(tmp_path: pathlib.Path, disk: FaultyDisk) -> Iterator[Ledger]:
     with open_ledger(str(tmp_path), 100, 1 << 20, disk) as ledger:
         yield ledger
-        disk.answers.set()
+        disk.unblocked.set()
 
 
 @pytest.fixture
--- a/tests/deferred/test_call_acceptor.py
+++ b/tests/deferred/test_call_acceptor.py
@@ -52,11 +52,11 @@
 def test_a_write_under_way_may_be_stored_and_is_withdrawn(
     acceptor: CallAcceptor, ledger: Ledger, disk: FaultyDisk
 ) -> None:
-    disk.answers.clear()
+    disk.unblocked.clear()
     with pytest.raises(CommitError, match="not written within") as raised:
         acceptor.accept(submission("id-1"))
     assert raised.value.may_be_stored
-    disk.answers.set()
+    disk.unblocked.set()
     acceptor.accept(submission("id-2"))
     eventually(lambda: list(ledger.state.open) == ["id-2"])
 
@@ -64,7 +64,7 @@
 def test_a_stalled_disk_rejects_before_anything_is_written(
     acceptor: CallAcceptor, ledger: Ledger, disk: FaultyDisk
 ) -> None:
-    disk.answers.clear()
+    disk.unblocked.clear()
     ledger.append()
     eventually(lambda: ledger.stalled_s > 0)
     with pytest.raises(CommitError, match="has not answered for") as raised:
--- a/tests/deferred/test_deferred_calls.py
+++ b/tests/deferred/test_deferred_calls.py
@@ -66,9 +66,7 @@
     assert final_condition(deferred, "id-1") == "Success"
 
 
-def test_a_call_that_the_engine_does_not_take_is_retried(
-    deferred: DeferredCalls, engine: ScriptedEngine
-) -> None:
+def test_a_call_that_the_engine_rejects_is_retried(deferred: DeferredCalls, engine: ScriptedEngine) -> None:
     engine.is_full = True
     deferred.accept(submission("id-1"))
     time.sleep(0.1)
@@ -87,7 +85,7 @@
     assert final_condition(deferred, "id-1") == "OutcomeUnknown"
 
 
-def test_a_function_that_is_not_configured_is_refused_for_good(deferred: DeferredCalls) -> None:
+def test_a_call_of_an_unconfigured_function_ends_as_refused(deferred: DeferredCalls) -> None:
     deferred.accept(submission("id-1", "no-such-function"))
     assert final_condition(deferred, "id-1") == "Refused"
 
@@ -123,7 +121,7 @@
     disk.is_full = True
     assert not guard.may_send(0, WORKER_ID)
     disk.is_full = False
-    disk.answers.clear()
+    disk.unblocked.clear()
     assert not guard.may_send(0, WORKER_ID)
 
 
@@ -131,9 +129,15 @@
     config: Config, ledger: Ledger, engine: ScriptedEngine
 ) -> None:
     """One that woke after a takeover ran such calls again until it looked who owns the ledger."""
-    owners = iter((True, False))
+    ownership_answers = iter((True, False))
     deferred = DeferredCalls(
-        config, ledger, engine, Functions(config), time.monotonic, time.time, owns_ledger=lambda: next(owners)
+        config,
+        ledger,
+        engine,
+        Functions(config),
+        time.monotonic,
+        time.time,
+        owns_ledger=lambda: next(ownership_answers),
     )
     deferred.start()
     deferred.accept(submission("id-1", "identify-copy"))
@@ -144,7 +148,7 @@
     deferred.stop(0.0)
 
 
-def test_a_final_record_is_written_again_until_the_disk_takes_it(
+def test_a_final_record_is_written_again_until_it_is_durable(
     deferred: DeferredCalls, engine: ScriptedEngine, disk: FaultyDisk, ledger: Ledger
 ) -> None:
     deferred.accept(submission("id-1"))
--- a/tests/deferred/test_invocation_record.py
+++ b/tests/deferred/test_invocation_record.py
@@ -4,14 +4,14 @@
 
 import json
 
-from saffronstack.deferred.invocation_record import InvocationEnd, encode_invocation_record
+from saffronstack.deferred.invocation_record import CompletedInvocation, encode_invocation_record
 from saffronstack.deferred.retry_policy import Condition
 
 
-def end(
+def completed_invocation(
     condition: Condition, response: bytes | None = None, function_error: str = "", reason: str = ""
-) -> InvocationEnd:
-    return InvocationEnd(
+) -> CompletedInvocation:
+    return CompletedInvocation(
         request_id="id-1",
         arn="arn:f",
         condition=condition,
@@ -24,7 +24,9 @@
 
 
 def test_a_served_call_has_its_response() -> None:
-    assert json.loads(encode_invocation_record(end(Condition.SUCCESS, b'{"sold": 1}'), b'{"op": 1}')) == {
+    assert json.loads(
+        encode_invocation_record(completed_invocation(Condition.SUCCESS, b'{"sold": 1}'), b'{"op": 1}')
+    ) == {
         "version": "1.0",
         "timestamp": "1970-01-01T00:00:01.500Z",
         "requestContext": {
@@ -40,12 +42,16 @@
 
 
 def test_a_function_error_is_named_beside_the_response() -> None:
-    record = json.loads(encode_invocation_record(end(Condition.RETRIES_EXHAUSTED, b"{}", "Unhandled"), b"{}"))
+    record = json.loads(
+        encode_invocation_record(completed_invocation(Condition.RETRIES_EXHAUSTED, b"{}", "Unhandled"), b"{}")
+    )
     assert record["responseContext"]["functionError"] == "Unhandled"
 
 
 def test_a_call_without_a_response_has_the_reason() -> None:
-    record = json.loads(encode_invocation_record(end(Condition.UNKNOWN, reason="why"), b"{}"))
+    record = json.loads(
+        encode_invocation_record(completed_invocation(Condition.UNKNOWN, reason="why"), b"{}")
+    )
     assert "responseContext" not in record
     assert record["responsePayload"] == {
         "errorType": "Saffronstack.OutcomeUnknown",
@@ -53,7 +59,9 @@
     }
 
 
-def test_a_payload_that_is_not_json_stands_in_the_record_as_a_string() -> None:
-    record = json.loads(encode_invocation_record(end(Condition.SUCCESS, b"\xff"), b"no json"))
+def test_a_payload_that_is_not_json_is_recorded_as_a_string() -> None:
+    record = json.loads(
+        encode_invocation_record(completed_invocation(Condition.SUCCESS, b"\xff"), b"no json")
+    )
     assert record["requestPayload"] == "no json"
     assert record["responsePayload"] == "\ufffd"
--- a/tests/deferred/test_retry_policy.py
+++ b/tests/deferred/test_retry_policy.py
@@ -8,13 +8,13 @@
 from saffronstack.deferred.retry_policy import (
     WINDOW_MARGIN_S,
     AttemptResult,
+    Backoff,
     Condition,
     Finish,
     PossibleExecution,
     RetryPolicy,
     RetryState,
     StartAttempt,
-    Wait,
     decide_after_attempt,
     decide_next_step,
 )
@@ -77,7 +77,7 @@
     st.floats(0, 1),
 )
 @settings(derandomize=True, max_examples=500)
-def test_every_result_leads_to_a_pause_or_the_end(
+def test_every_result_leads_to_a_backoff_or_the_final_record(
     state: RetryState,
     policy: RetryPolicy,
     status: FinalStatus,
@@ -89,7 +89,7 @@
     decision = decide_after_attempt(state, policy, AttemptResult(status, error, retry_after_s), now, jitter)
     step = decision.step
     assert not isinstance(step, StartAttempt)
-    if isinstance(step, Wait):
+    if isinstance(step, Backoff):
         assert now <= step.until <= max(now, state.accepted_at + policy.max_event_age_s)
         if state.possible_execution is not None:
             assert policy.idempotency is not Idempotency.NON_IDEMPOTENT
@@ -107,10 +107,10 @@
 )
 @settings(derandomize=True, max_examples=200)
 def test_every_call_is_finished(
-    state: RetryState, policy: RetryPolicy, answers: list[tuple[FinalStatus, float]]
+    state: RetryState, policy: RetryPolicy, attempt_ends: list[tuple[FinalStatus, float]]
 ) -> None:
     now = state.accepted_at
-    for status, jitter in answers:
+    for status, jitter in attempt_ends:
         step = decide_next_step(state, policy, now)
         if isinstance(step, Finish):
             return
@@ -118,7 +118,7 @@
         state = decision.state
         if isinstance(decision.step, Finish):
             return
-        assert isinstance(decision.step, Wait)
+        assert isinstance(decision.step, Backoff)
         now = max(now + 0.01, decision.step.until)
     assert now <= state.accepted_at + policy.max_event_age_s + 1
 
@@ -146,9 +146,9 @@
 
 def test_function_errors_are_retried_only_where_idempotent() -> None:
     decision = decide_after_attempt(RetryState(0.0), IDEMPOTENT, FUNCTION_ERROR, 1.0, 0.5)
-    assert decision.step == Wait(2.0)
+    assert decision.step == Backoff(2.0)
     decision = decide_after_attempt(decision.state, IDEMPOTENT, FUNCTION_ERROR, 2.0, 0.5)
-    assert decision.step == Wait(4.0)
+    assert decision.step == Backoff(4.0)
     decision = decide_after_attempt(decision.state, IDEMPOTENT, FUNCTION_ERROR, 4.0, 0.5)
     assert decision.step == Finish(Condition.RETRIES_EXHAUSTED)
     decision = decide_after_attempt(RetryState(0.0), NON_IDEMPOTENT, FUNCTION_ERROR, 1.0, 0.5)
--- a/tests/deferred/test_steady_clock.py
+++ b/tests/deferred/test_steady_clock.py
@@ -6,10 +6,10 @@
 
 
 def test_the_clock_follows_monotonic_time_and_ignores_steps_of_the_system_time() -> None:
-    monotonic, wall = [100.0], [5000.0]
-    clock = SteadyClock(lambda: monotonic[0], lambda: wall[0])
+    monotonic, wall_clock = [100.0], [5000.0]
+    clock = SteadyClock(lambda: monotonic[0], lambda: wall_clock[0])
     monotonic[0] = 101.0
-    wall[0] = 0.0
+    wall_clock[0] = 0.0
     assert clock.now() == 5001.0
     assert clock.to_monotonic(5001.0) == 101.0
     assert clock.to_unix(101.0) == 5001.0
--- a/tests/durable/test_block_format.py
+++ b/tests/durable/test_block_format.py
@@ -6,11 +6,11 @@
 
 from saffronstack.durable.block_format import (
     HEADER,
-    declared_block_bytes,
     decode_block_at,
     encode_block,
     find_next_block,
     find_unknown_version,
+    read_declared_block_bytes,
 )
 
 RECORDS = [b"first", b"", b"third" * 100]
@@ -42,9 +42,9 @@
 
 def test_a_header_declares_the_size_of_its_block() -> None:
     data = encode_block(7, RECORDS)
-    assert declared_block_bytes(data[: HEADER.size], 0) == len(data)
-    assert declared_block_bytes(data[: HEADER.size - 1], 0) is None
-    assert declared_block_bytes(b"x" * HEADER.size, 0) is None
+    assert read_declared_block_bytes(data[: HEADER.size], 0) == len(data)
+    assert read_declared_block_bytes(data[: HEADER.size - 1], 0) is None
+    assert read_declared_block_bytes(b"x" * HEADER.size, 0) is None
 
 
 def test_blocks_of_another_version_are_recognised() -> None:
--- a/tests/durable/test_disk_health.py
+++ b/tests/durable/test_disk_health.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_a_write_is_stalled_for_all_of_its_time_once_it_passes_the_threshold() -> None:
+def test_a_stall_is_counted_from_the_start_of_its_operation() -> None:
     health = DiskHealth()
     assert health.stalled_s(100.0) == 0.0
     health.start_operation(100.0)
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -38,9 +38,9 @@
     with pytest.raises(JournalError, match="another process"):
         open_ledger(str(tmp_path), 10, 1 << 20)
     assert ledger.close()
-    again = open_ledger(str(tmp_path), 10, 1 << 20)
-    assert list(again.state.open) == ["id-0"]
-    assert again.close()
+    reopened = open_ledger(str(tmp_path), 10, 1 << 20)
+    assert list(reopened.state.open) == ["id-0"]
+    assert reopened.close()
 
 
 @pytest.mark.parametrize("capacity_bytes", [0, 1, 30, 60, 100])
@@ -86,8 +86,8 @@
         if n % 10:
             commit(ledger, finished_call(n))
     assert ledger.close()
-    size = sum(path.stat().st_size for path in tmp_path.glob("*.seg"))
-    assert size < 60_000
+    size_bytes = sum(path.stat().st_size for path in tmp_path.glob("*.seg"))
+    assert size_bytes < 60_000
     recovered = recover_ledger(tmp_path, 5)
     assert sorted(recovered.state.open) == sorted(f"id-{n}" for n in range(0, 200, 10))
     assert list(recovered.state.finished) == [f"id-{n}" for n in range(195, 200)]
@@ -98,13 +98,15 @@
     ledger = open_ledger(str(tmp_path), 10, 1 << 20)
     failed: list[int] = []
 
-    def work(base: int) -> None:
+    def append_calls(first_number: int) -> None:
         for n in range(25):
-            ticket = ledger.append(accepted_call(base + n))
+            ticket = ledger.append(accepted_call(first_number + n))
             if not (ticket.done.wait(10) and ticket.is_durable):
-                failed.append(base + n)
+                failed.append(first_number + n)
 
-    threads = [threading.Thread(target=work, args=(base * 100,)) for base in range(16)]
+    threads = [
+        threading.Thread(target=append_calls, args=(first_number * 100,)) for first_number in range(16)
+    ]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -117,21 +119,21 @@
 
 
 def test_a_revoked_ticket_is_not_written(tmp_path: pathlib.Path) -> None:
-    gate = threading.Event()
+    sync_allowed = threading.Event()
 
-    class Slow(FileOperations):
+    class SlowSync(FileOperations):
         def sync(self, descriptor: int) -> None:
-            gate.wait(5)
+            sync_allowed.wait(5)
             super().sync(descriptor)
 
-    ledger = open_ledger(str(tmp_path), 10, 1 << 20, Slow())
+    ledger = open_ledger(str(tmp_path), 10, 1 << 20, SlowSync())
     first = ledger.append(accepted_call(0))
     while not first.is_started:
         pass
     second = ledger.append(accepted_call(1))
     assert second.revoke()
     assert not first.revoke()
-    gate.set()
+    sync_allowed.set()
     assert second.done.wait(5)
     assert not second.is_durable
     assert ledger.close()
--- a/tests/durable/test_journal_recovery.py
+++ b/tests/durable/test_journal_recovery.py
@@ -44,27 +44,28 @@
     source = tmp_path / "complete"
     assert open_filled_ledger(source, 4).close()
     data = only_segment(source).read_bytes()
-    ends = [
+    first_copy_ends = [
         block.end for block in scan_segment(data).blocks
     ]  # of first copies: complete once these are stored
-    for cut in range(len(data)):
+    for kept_bytes in range(len(data)):
         target = tmp_path / "cut"
         shutil.rmtree(target, ignore_errors=True)
         target.mkdir()
-        (target / only_segment(source).name).write_bytes(data[:cut])
+        (target / only_segment(source).name).write_bytes(data[:kept_bytes])
         recovered = recover_ledger(target, 10)
         complete_blocks = sum(
-            2 * end - first_copy_start(ends, place) <= cut for place, end in enumerate(ends)
+            2 * end - first_copy_start(first_copy_ends, index) <= kept_bytes
+            for index, end in enumerate(first_copy_ends)
         )
         assert len(recovered.state.open) >= complete_blocks
         assert sorted(recovered.state.open) == [f"id-{n}" for n in range(len(recovered.state.open))]
-        assert not recovered.has_lost_records, cut
+        assert not recovered.has_lost_records, kept_bytes
 
 
-def first_copy_start(ends: list[int], place: int) -> int:
+def first_copy_start(first_copy_ends: list[int], index: int) -> int:
     """Where a block's first copy begins: behind the second copy of the one before."""
     start = 0
-    for end in ends[:place]:
+    for end in first_copy_ends[:index]:
         start = 2 * end - start
     return start
 
@@ -76,13 +77,13 @@
     data = only_segment(source).read_bytes()
     target = tmp_path / "flipped"
     target.mkdir()
-    for at in range(len(data)):
-        (target / name).write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :])
+    for offset in range(len(data)):
+        (target / name).write_bytes(data[:offset] + bytes([data[offset] ^ 0x10]) + data[offset + 1 :])
         recovered = recover_ledger(target, 10)
-        assert sorted(recovered.state.open) == ["id-0", "id-1", "id-2"], at
+        assert sorted(recovered.state.open) == ["id-0", "id-1", "id-2"], offset
         assert not recovered.has_lost_records
-        if at < len(data) - len(data) // 6:
-            assert any(name in line and "byte" in line for line in recovered.warnings), at
+        if offset < len(data) - len(data) // 6:
+            assert any(name in line and "byte" in line for line in recovered.warnings), offset
 
 
 def test_damage_to_both_copies_makes_every_open_call_uncertain(tmp_path: pathlib.Path) -> None:
@@ -91,8 +92,8 @@
     data = bytearray(path.read_bytes())
     block = scan_segment(bytes(data)).blocks[1]
     size = block.end - block.start
-    for at in (block.start + 30, block.start + 30 + size):
-        data[at] ^= 1
+    for offset in (block.start + 30, block.start + 30 + size):
+        data[offset] ^= 1
     path.write_bytes(data)
     recovered = recover_ledger(tmp_path, 10)
     assert recovered.has_lost_records
@@ -120,10 +121,10 @@
 def test_a_failed_block_that_stayed_on_the_disk_is_replaced_by_the_later_segment(
     tmp_path: pathlib.Path,
 ) -> None:
-    one = encode_block(0, [encode(accepted_call(0))])
+    acknowledged = encode_block(0, [encode(accepted_call(0))])
     failed = encode_block(1, [encode(accepted_call(1))])
     later = encode_block(1, [encode(accepted_call(2))])
-    (tmp_path / segment_name(1)).write_bytes(one * 2 + failed * 2)
+    (tmp_path / segment_name(1)).write_bytes(acknowledged * 2 + failed * 2)
     (tmp_path / segment_name(2)).write_bytes(later * 2)
     recovered = recover_ledger(tmp_path, 10)
     assert sorted(recovered.state.open) == ["id-0", "id-2"]
--- a/tests/durable/test_segment_writer.py
+++ b/tests/durable/test_segment_writer.py
@@ -33,7 +33,9 @@
     assert list_segment_numbers(tmp_path) == [1, 2]
     assert (block_numbers(tmp_path, 1), block_numbers(tmp_path, 2)) == ([0, 1], [2])
     assert writer.commits == 3
-    assert writer.written_bytes == writer.closed_bytes == sum(f.stat().st_size for f in tmp_path.iterdir())
+    assert (
+        writer.written_bytes == writer.closed_bytes == sum(path.stat().st_size for path in tmp_path.iterdir())
+    )
 
 
 def test_a_snapshot_replaces_all_segments(writer: SegmentWriter, tmp_path: pathlib.Path) -> None:
--- a/tests/durable/test_stalled_disk.py
+++ b/tests/durable/test_stalled_disk.py
@@ -24,7 +24,7 @@
 from tests.support.stack import configuration, eventually
 
 COMMIT_TIMEOUT_S = 6.0
-UNKNOWN = b"Saffronstack.OutcomeUnknown"
+OUTCOME_UNKNOWN = b"Saffronstack.OutcomeUnknown"
 
 
 @dataclass
@@ -32,24 +32,26 @@
     """One deferred sale, as its client saw it."""
 
     op: str
-    answer: Response
+    response: Response
     elapsed_s: float
 
 
 class GatewayProcess:
     """A gateway process with a ledger on a disk that a file controls."""
 
-    def __init__(self, folder: pathlib.Path, fleet: StandInFleet, has_notes: bool = False) -> None:
+    def __init__(self, folder: pathlib.Path, fleet: StandInFleet, stores_operations: bool = False) -> None:
         self._disk_state = folder / "disk"
         self.path = folder / "gateway.json5"
         content = configuration(fleet, folder / "ledger")
         content["ledger"]["commit_timeout_s"] = COMMIT_TIMEOUT_S
-        if has_notes:
+        if stores_operations:
             content["operations"] = {
                 "directory": str(folder / "operations"),
                 "commit_timeout_s": COMMIT_TIMEOUT_S,
             }
-            sale = next(cls for cls in content["classes"] if cls["name"] == "sale")
+            sale = next(
+                request_class for request_class in content["classes"] if request_class["name"] == "sale"
+            )
             sale |= {"note_operations": True, "operation_window_s": 60.0, "deadline_s": 20.0}
         self.path.write_text(json.dumps(content))
         self._reserved_port = hold_port("127.0.0.1")
@@ -88,10 +90,10 @@
         client = Client(self.address, 30.0)
         started_s = time.monotonic()
         try:
-            answer = client.invoke("record-sale", json.dumps({"op": op}).encode(), "Event")
+            response = client.invoke("record-sale", json.dumps({"op": op}).encode(), "Event")
         finally:
             client.close()
-        return SentSale(op, answer, time.monotonic() - started_s)
+        return SentSale(op, response, time.monotonic() - started_s)
 
     def status(self) -> dict[str, object]:
         client = Client(self.address, 10.0)
@@ -112,7 +114,7 @@
 def gateway(
     request: pytest.FixtureRequest, tmp_path: pathlib.Path, fleet: StandInFleet
 ) -> Iterator[GatewayProcess]:
-    gateway = GatewayProcess(tmp_path, fleet, has_notes=getattr(request, "param", False))
+    gateway = GatewayProcess(tmp_path, fleet, stores_operations=getattr(request, "param", False))
     gateway.start()
     yield gateway
     gateway.stop(signal.SIGTERM)
@@ -128,62 +130,64 @@
     gateway: GatewayProcess, fleet: StandInFleet
 ) -> None:
     sent: list[SentSale] = [gateway.defer(f"before-{n}") for n in range(3)]
-    assert all(one.answer.status == 202 for one in sent)
+    assert all(sale.response.status == 202 for sale in sent)
     eventually(lambda: gateway.status()["deferred"]["open"] == 0)  # type: ignore[index]
     gateway.set_disk("hang")  # not under the records of these: the next sales would all be rejected
-    lock = threading.Lock()
+    sent_lock = threading.Lock()
 
     def defer(op: str) -> None:
-        one = gateway.defer(op)
-        with lock:
-            sent.append(one)
+        sale = gateway.defer(op)
+        with sent_lock:
+            sent.append(sale)
 
-    first = [start_thread("sale", lambda n=n: defer(f"first-{n}")) for n in range(4)]  # type: ignore[misc]
+    first_threads = [start_thread("sale", lambda n=n: defer(f"first-{n}")) for n in range(4)]  # type: ignore[misc]
     eventually(lambda: gateway.status()["deferred"]["ledger_stalled_s"] > 0)  # type: ignore[index]
-    later = [gateway.defer(f"later-{n}") for n in range(8)]
-    for one in later:  # long before a commit's time is up
-        assert one.answer.status == 429, one
-        assert one.elapsed_s < COMMIT_TIMEOUT_S / 2, one
-        assert int(one.answer.headers.get("retry-after")) >= 1
-        assert b"has not answered for" in one.answer.body
+    later_sales = [gateway.defer(f"later-{n}") for n in range(8)]
+    for sale in later_sales:  # long before a commit's time is up
+        assert sale.response.status == 429, sale
+        assert sale.elapsed_s < COMMIT_TIMEOUT_S / 2, sale
+        assert int(sale.response.headers.get("retry-after")) >= 1
+        assert b"has not answered for" in sale.response.body
     client = Client(gateway.address, 10.0)
     for _ in range(50):  # what needs no disk goes on
         assert client.invoke("identify-copy", b'{"op": "look"}').status == 200
     client.close()
-    for thread in first:
+    for thread in first_threads:
         thread.join(30.0)
-    began = [one for one in sent if one.op.startswith("first")]
-    unknown = [one for one in began if UNKNOWN in one.answer.body]
-    assert len(began) == 4
-    assert unknown
-    assert all(one.answer.status == 429 for one in began if one not in unknown)
+    first_sales = [sale for sale in sent if sale.op.startswith("first")]
+    unknown_sales = [sale for sale in first_sales if OUTCOME_UNKNOWN in sale.response.body]
+    assert len(first_sales) == 4
+    assert unknown_sales
+    assert all(sale.response.status == 429 for sale in first_sales if sale not in unknown_sales)
     gateway.stop(signal.SIGKILL)  # what the system's memory holds of the hanging write, the next life reads
     gateway.set_disk("")
     gateway.start()
-    again = [gateway.defer(one.op) for one in [*began, *later] if one.answer.status == 429]
-    assert all(one.answer.status == 202 for one in again)
+    retried_sales = [
+        gateway.defer(sale.op) for sale in [*first_sales, *later_sales] if sale.response.status == 429
+    ]
+    assert all(sale.response.status == 202 for sale in retried_sales)
     eventually(lambda: gateway.status()["deferred"]["open"] == 0)  # type: ignore[index]
     runs = executions(fleet)
     assert runs.pop("look") == 50
-    taken = [one.op for one in [*sent, *again] if one.answer.status == 202]
-    assert all(runs[op] == 1 for op in taken), (runs, taken)
+    accepted_ops = [sale.op for sale in [*sent, *retried_sales] if sale.response.status == 202]
+    assert all(runs[op] == 1 for op in accepted_ops), (runs, accepted_ops)
     assert max(runs.values()) == 1, runs
-    assert any(runs[one.op] for one in unknown), runs
+    assert any(runs[sale.op] for sale in unknown_sales), runs
 
 
 def test_a_stall_that_ends_changes_nothing_for_the_gateway(
     gateway: GatewayProcess, fleet: StandInFleet
 ) -> None:
     gateway.set_disk("hang")
-    waiting: list[SentSale] = []
-    thread = start_thread("sale", lambda: waiting.append(gateway.defer("waits")))
+    delayed_sales: list[SentSale] = []
+    thread = start_thread("sale", lambda: delayed_sales.append(gateway.defer("waits")))
     eventually(lambda: gateway.status()["deferred"]["ledger_stalled_s"] > 0)  # type: ignore[index]
-    assert gateway.defer("refused").answer.status == 429
+    assert gateway.defer("refused").response.status == 429
     gateway.set_disk("")
     thread.join(30.0)
-    assert [one.answer.status for one in waiting] == [202]  # within its time
+    assert [sale.response.status for sale in delayed_sales] == [202]  # within its time
     eventually(lambda: gateway.status()["deferred"]["ledger_stalled_s"] == 0)  # type: ignore[index]
-    assert gateway.defer("refused").answer.status == 202
+    assert gateway.defer("refused").response.status == 202
     eventually(lambda: gateway.status()["deferred"]["open"] == 0)  # type: ignore[index]
     runs = executions(fleet)
     assert runs == {"waits": 1, "refused": 1}
@@ -197,30 +201,34 @@
     gateway: GatewayProcess, fleet: StandInFleet
 ) -> None:
 
-    def sell(op: str) -> SentSale:
+    def invoke_sale(op: str) -> SentSale:
         client = Client(gateway.address, 30.0)
         started_s = time.monotonic()
         try:
-            named = (("Idempotency-Key", op),)
-            answer = client.invoke("record-sale", json.dumps({"op": op}).encode(), extra=named)
+            key_header = (("Idempotency-Key", op),)
+            response = client.invoke("record-sale", json.dumps({"op": op}).encode(), extra=key_header)
         finally:
             client.close()
-        return SentSale(op, answer, time.monotonic() - started_s)
+        return SentSale(op, response, time.monotonic() - started_s)
 
-    assert sell("before").answer.status == 200
+    assert invoke_sale("before").response.status == 200
     gateway.set_disk("hang")
-    first: list[SentSale] = []
-    thread = start_thread("sale", lambda: first.append(sell("first")))
+    first_sales: list[SentSale] = []
+    thread = start_thread("sale", lambda: first_sales.append(invoke_sale("first")))
     eventually(lambda: gateway.status()["notes"]["stalled_s"] > 0)  # type: ignore[index]
-    later = [sell(f"later-{n}") for n in range(4)]
-    for one in later:
-        assert one.answer.status == 429, one
-        assert one.elapsed_s < COMMIT_TIMEOUT_S / 2, one
+    later_sales = [invoke_sale(f"later-{n}") for n in range(4)]
+    for sale in later_sales:
+        assert sale.response.status == 429, sale
+        assert sale.elapsed_s < COMMIT_TIMEOUT_S / 2, sale
     gateway.set_disk("")
     thread.join(30.0)
     eventually(lambda: gateway.status()["notes"]["stalled_s"] == 0)  # type: ignore[index]
-    again = [sell(one.op) for one in [*first, *later] if one.answer.status == 429]
-    assert all(one.answer.status == 200 and UNKNOWN not in one.answer.body for one in again), again
+    retried_sales = [
+        invoke_sale(sale.op) for sale in [*first_sales, *later_sales] if sale.response.status == 429
+    ]
+    assert all(
+        sale.response.status == 200 and OUTCOME_UNKNOWN not in sale.response.body for sale in retried_sales
+    ), retried_sales
     runs = executions(fleet)
     assert max(runs.values()) == 1, runs
-    assert all(runs[one.op] == 1 for one in again), runs
+    assert all(runs[sale.op] == 1 for sale in retried_sales), runs
--- a/tests/durable/test_timed_file_operations.py
+++ b/tests/durable/test_timed_file_operations.py
@@ -11,32 +11,32 @@
 from saffronstack.durable.timed_file_operations import TimedFileOperations
 
 
-def test_each_operation_of_a_disk_is_timed_and_one_that_fails_has_answered(tmp_path: pathlib.Path) -> None:
+def test_each_operation_is_timed_and_a_failed_operation_ends_its_stall(tmp_path: pathlib.Path) -> None:
     now = [0.0]
 
-    class Slow(FileOperations):
-        takes_s = 0.0
+    class SlowSync(FileOperations):
+        sync_duration_s = 0.0
         fails = False
 
         def sync(self, descriptor: int) -> None:
-            now[0] += self.takes_s
-            seen.append(health.stalled_s(now[0]))
+            now[0] += self.sync_duration_s
+            stalls_s.append(health.stalled_s(now[0]))
             if self.fails:
                 raise OSError("Input/output error")
 
-    health, seen = DiskHealth(), list[float]()
-    slow = Slow()
-    files = TimedFileOperations(slow, health, lambda: now[0])
+    health, stalls_s = DiskHealth(), list[float]()
+    slow_files = SlowSync()
+    files = TimedFileOperations(slow_files, health, lambda: now[0])
     descriptor = files.open(tmp_path / "x")
     files.write(descriptor, b"x")
     files.sync(descriptor)
-    slow.takes_s = 7.0
+    slow_files.sync_duration_s = 7.0
     files.sync(descriptor)
-    slow.fails = True
+    slow_files.fails = True
     with pytest.raises(OSError, match="Input/output"):
         files.sync(descriptor)
     files.close(descriptor)
-    assert seen == [0.0, 7.0, 7.0]
+    assert stalls_s == [0.0, 7.0, 7.0]
     assert health.stalled_s(1000.0) == 0.0
     assert health.stall_count == 2
     assert health.longest_stall_s == 7.0
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -14,7 +14,7 @@
 
 from saffronstack.deferred.call_table import CallTable
 from saffronstack.deferred.ledger import CODEC as LEDGER_CODEC
-from saffronstack.deferred.ledger import read_named_operations
+from saffronstack.deferred.ledger import read_call_operations
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.durable.journal import Journal
 from saffronstack.durable.journal_state import RecordCodec
@@ -130,7 +130,7 @@
 
 
 def test_names_of_deferred_operations_are_read_from_a_kept_ledger() -> None:
-    names = read_named_operations(DATA / "deferred_records")
+    names = read_call_operations(DATA / "deferred_records")
     records = [msgspec.msgpack.decode(record) for record in KINDS[0].records()]
     assert [digest for digest, _ in names] == [bytes([number]) * 12 for number in (1, 3, 2)]
     assert set(names) <= {(record[8], record[9]) for record in records if record[0] == "a"} | {
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -23,111 +23,123 @@
 SLOW = Profile(load_s=0.01, work_s=0.25)
 
 
-class Sealed(FileOperations):
+class FrozenDisk(FileOperations):
     """Writes nothing more once it is sealed: what the disk holds is what a kill leaves."""
 
-    sealed = False
+    is_frozen = False
 
     def write(self, descriptor: int, data: bytes) -> None:
-        if self.sealed:
+        if self.is_frozen:
             raise OSError(errno.ENOSPC, "No space left on device")
         super().write(descriptor, data)
 
 
-def die_at(
-    tmp_path: pathlib.Path, function: str, moment: Callable[[Stack, FileOperations], object], **ledger: int
+def run_until_kill(
+    tmp_path: pathlib.Path,
+    function: str,
+    wait_for_kill: Callable[[Stack, FileOperations], object],
+    **ledger: int,
 ) -> tuple[StandInFleet, list[str], pathlib.Path]:
     """Start deferred calls, stop the disk at a moment, and keep what it held then."""
     fleet = StandInFleet(2, lambda n: SLOW)
     content = configuration(fleet, tmp_path / "first")
     content["ledger"] |= ledger
-    files = Sealed()
+    files = FrozenDisk()
     gateway = Gateway(configs.parse(json.dumps(content)), files=files)
     host, port = gateway.start()
     stack = Stack(gateway, fleet, content, f"{host}:{port}")
     ids = [stack.call(function, kind="Event").headers.get("x-amzn-requestid") for _ in range(3)]
-    moment(stack, files)
-    files.sealed = True
-    kept = tmp_path / "kept"
-    shutil.copytree(tmp_path / "first", kept)
+    wait_for_kill(stack, files)
+    files.is_frozen = True
+    ledger_copy = tmp_path / "kept"
+    shutil.copytree(tmp_path / "first", ledger_copy)
     time.sleep(0.4)  # the first life's attempts end at the workers; its records reach no disk
     gateway.dispatcher.stop()
     gateway.stop()
-    return fleet, ids, kept
+    return fleet, ids, ledger_copy
 
 
-def sent(stack: Stack, files: FileOperations) -> None:
+def wait_until_sent(stack: Stack, files: FileOperations) -> None:
     eventually(lambda: stack.runs() >= 1)
 
 
-def answered(stack: Stack, files: Sealed) -> None:
+def wait_until_answered(stack: Stack, files: FrozenDisk) -> None:
     eventually(lambda: stack.runs() >= 1)
-    files.sealed = True
+    files.is_frozen = True
     eventually(lambda: any(e["what"] == "answer" for w in stack.fleet.workers for e in w.log))
 
 
-@pytest.mark.parametrize("moment", [sent, answered])
+@pytest.mark.parametrize("wait_for_kill", [wait_until_sent, wait_until_answered])
 @pytest.mark.parametrize("function", ["record-sale", "adjust-setting", "identify-copy"])
 def test_a_kill_while_sent_or_answered_but_not_recorded(
-    tmp_path: pathlib.Path, function: str, moment: Callable[[Stack, FileOperations], object]
+    tmp_path: pathlib.Path, function: str, wait_for_kill: Callable[[Stack, FileOperations], object]
 ) -> None:
-    fleet, ids, kept = die_at(tmp_path, function, moment, in_flight=1)
-    before = {id_: sum(e["id"] == id_ for w in fleet.workers for e in w.runs()) for id_ in ids}
-    assert sum(before.values()) >= 1
-    with running(fleet=fleet, ledger=kept) as stack:
-        conditions = {id_: stack.final(id_)["requestContext"]["condition"] for id_ in ids}
-        runs = {id_: sum(e["id"] == id_ for w in fleet.workers for e in w.runs()) for id_ in ids}
-    for id_ in ids:
+    fleet, ids, ledger_copy = run_until_kill(tmp_path, function, wait_for_kill, in_flight=1)
+    runs_before_kill = {
+        request_id: sum(e["id"] == request_id for w in fleet.workers for e in w.runs()) for request_id in ids
+    }
+    assert sum(runs_before_kill.values()) >= 1
+    with running(fleet=fleet, ledger=ledger_copy) as stack:
+        conditions = {
+            request_id: stack.final(request_id)["requestContext"]["condition"] for request_id in ids
+        }
+        runs = {
+            request_id: sum(e["id"] == request_id for w in fleet.workers for e in w.runs())
+            for request_id in ids
+        }
+    for request_id in ids:
         if function == "record-sale":
-            assert runs[id_] <= 1
-            assert conditions[id_] == ("OutcomeUnknown" if before[id_] else "Success")
+            assert runs[request_id] <= 1
+            assert conditions[request_id] == ("OutcomeUnknown" if runs_before_kill[request_id] else "Success")
         else:
-            assert conditions[id_] == "Success"
-            keys = {e["key"] for w in fleet.workers for e in w.runs() if e["id"] == id_}
+            assert conditions[request_id] == "Success"
+            keys = {e["key"] for w in fleet.workers for e in w.runs() if e["id"] == request_id}
             assert len(keys) == 1
     fleet.stop()
 
 
-def test_a_keyed_call_whose_window_ended_between_the_lives(tmp_path: pathlib.Path) -> None:
-    fleet, ids, kept = die_at(tmp_path, "adjust-setting", sent, in_flight=1)
-    ran = {str(e["id"]) for w in fleet.workers for e in w.runs()}
+def test_a_call_with_a_key_whose_window_ends_before_the_restart(tmp_path: pathlib.Path) -> None:
+    fleet, ids, ledger_copy = run_until_kill(tmp_path, "adjust-setting", wait_until_sent, in_flight=1)
+    executed_ids = {str(e["id"]) for w in fleet.workers for e in w.runs()}
     content = configuration(fleet)["classes"]
     content[1]["window_s"] = 0.3
     time.sleep(0.3)
-    with running(fleet=fleet, ledger=kept, classes=content) as stack:
-        for id_ in ids:
-            condition = stack.final(id_)["requestContext"]["condition"]
-            assert condition == ("OutcomeUnknown" if id_ in ran else "Success")
+    with running(fleet=fleet, ledger=ledger_copy, classes=content) as stack:
+        for request_id in ids:
+            condition = stack.final(request_id)["requestContext"]["condition"]
+            assert condition == ("OutcomeUnknown" if request_id in executed_ids else "Success")
     fleet.stop()
 
 
-def test_a_function_that_left_the_configuration_between_the_lives(tmp_path: pathlib.Path) -> None:
-    fleet, ids, kept = die_at(tmp_path, "record-sale", sent, in_flight=1)
-    ran = {str(e["id"]) for w in fleet.workers for e in w.runs()}
+def test_a_function_that_is_removed_from_the_configuration_before_the_restart(tmp_path: pathlib.Path) -> None:
+    fleet, ids, ledger_copy = run_until_kill(tmp_path, "record-sale", wait_until_sent, in_flight=1)
+    executed_ids = {str(e["id"]) for w in fleet.workers for e in w.runs()}
     functions = configuration(fleet)["functions"][:3]
-    with running(fleet=fleet, ledger=kept, functions=functions) as stack:
-        for id_ in ids:
-            record = stack.final(id_)
-            assert record["requestContext"]["condition"] == ("OutcomeUnknown" if id_ in ran else "Refused")
+    with running(fleet=fleet, ledger=ledger_copy, functions=functions) as stack:
+        for request_id in ids:
+            record = stack.final(request_id)
+            assert record["requestContext"]["condition"] == (
+                "OutcomeUnknown" if request_id in executed_ids else "Refused"
+            )
             assert "configuration" in record["responsePayload"]["errorMessage"]
-    assert len(ran) == sum(len(w.runs()) for w in fleet.workers)
+    assert len(executed_ids) == sum(len(w.runs()) for w in fleet.workers)
     fleet.stop()
 
 
-def test_a_drain_told_while_the_connection_is_being_made() -> None:
+def test_a_worker_starts_draining_while_a_connection_to_it_is_pending() -> None:
     """A worker whose backlog is full lets the connect wait; when it goes through, the worker drains."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
     address = listener.getsockname()
-    fillers = [socket.socket() for _ in range(2)]
-    for sock in fillers:
-        sock.setblocking(False)
-        sock.connect_ex(address)
+    backlog_fillers = [socket.socket() for _ in range(2)]
+    for connection in backlog_fillers:
+        connection.setblocking(False)
+        connection.connect_ex(address)
     fleet = StandInFleet(0)
     entry = {"id": "slow", "address": f"127.0.0.1:{address[1]}", "kind": "standin"}
     changes: dict[str, Any] = {"workers": [entry], "allow": {"connect_timeout_s": 5.0}}
-    classes = [{**cls, "deadline_s": 6.0} for cls in configuration(fleet)["classes"]]
+    classes = [{**request_class, "deadline_s": 6.0} for request_class in configuration(fleet)["classes"]]
     with running(fleet=fleet, classes=classes, **changes) as stack:
         client = stack.raw()
         client.sendall(
@@ -138,7 +150,7 @@
         drained = {**stack.content, "workers": [{**entry, "state": "draining"}]}
         stack.gateway.reload(configs.parse(json.dumps(drained)))
         listener.settimeout(0.1)
-        seen = b""
+        received_bytes = b""
         end_s = time.monotonic() + 3.5
         accepted: list[socket.socket] = []
         while time.monotonic() < end_s and stack.gateway.engine.open_calls:
@@ -146,14 +158,14 @@
                 accepted.append(listener.accept()[0])
             except TimeoutError:
                 continue
-        for sock in accepted:
-            sock.settimeout(0.05)
+        for connection in accepted:
+            connection.settimeout(0.05)
             try:
-                seen += sock.recv(100)
+                received_bytes += connection.recv(100)
             except (TimeoutError, OSError):
                 continue
         assert client.recv(65536).startswith(b"HTTP/1.1 429")
-        assert seen == b""
+        assert received_bytes == b""
         assert stack.gateway.engine.statistics.attempt_results["moot"] == 1
-        for sock in [client, *accepted, *fillers, listener]:
-            sock.close()
+        for connection in [client, *accepted, *backlog_fillers, listener]:
+            connection.close()
