--- a/saffronstack/invoke/coalesced_calls.py
+++ b/saffronstack/invoke/coalesced_calls.py
@@ -101,7 +101,7 @@
                 invocation,
                 invocation.request_id,
                 is_client_connected,
-                has_no_waiters=lambda: not entry.waiters,
+                has_no_waiters=lambda: not entry.waiter_count,
             )
             if final.status is FinalStatus.CLIENT_DISCONNECTED:
                 raise ClientDisconnectedError
--- a/saffronstack/operations/execution.py
+++ b/saffronstack/operations/execution.py
@@ -61,7 +61,7 @@
         self.outcome: Completed | NotCompleted | None = None
         self.log_ticket: AppendTicket[AnyLogRecord] | None = None
         self._lock = threading.Lock()  # guards all below
-        self._waiters = 0  # besides the request that executes it
+        self._waiter_count = 0  # besides the request that executes it
         self._has_sent = False
         self._is_abandoned = False
 
@@ -70,7 +70,7 @@
         if self.done is None:
             self.done = threading.Event()
         with self._lock:
-            self._waiters += 1
+            self._waiter_count += 1
 
     def wait(self, request: OperationRequest, clock: Callable[[], float]) -> StoredResponse | None:
         """Wait, for a request that joined; return the response, or None where the execution was abandoned.
@@ -101,7 +101,7 @@
 
     def _leave(self) -> None:
         with self._lock:
-            self._waiters -= 1
+            self._waiter_count -= 1
 
     def try_abandon(self) -> bool:
         """Abandon the execution, whose client disconnected, unless another request waits for it.
@@ -109,7 +109,9 @@
         One that may have had an effect is not abandoned either. After True no attempt is sent.
         """
         with self._lock:
-            if self._waiters or (self._has_sent and self.policy.idempotency is not Idempotency.IDEMPOTENT):
+            if self._waiter_count or (
+                self._has_sent and self.policy.idempotency is not Idempotency.IDEMPOTENT
+            ):
                 return False
             self._is_abandoned = True
             return True
--- a/saffronstack/operations/execution_finisher.py
+++ b/saffronstack/operations/execution_finisher.py
@@ -50,7 +50,7 @@
                     self._mark_retryable(execution, prior_attempt, attempt_in_flight_until_s)
             case None:
                 if execution.has_sent and not is_idempotent:  # it may have had an effect
-                    self._close(execution, OperationState.OUTCOME_UNKNOWN, None)
+                    self._store_final_state(execution, OperationState.OUTCOME_UNKNOWN, None)
                 else:
                     self._release(execution)
 
@@ -63,19 +63,25 @@
         )
         is_unknown = completed.is_outcome_unknown
         state = OperationState.OUTCOME_UNKNOWN if is_unknown else OperationState.COMPLETED
-        self._close(execution, state, response)
+        self._store_final_state(execution, state, response)
 
     def _mark_retryable(
         self, execution: Execution, prior: PriorAttempt, attempt_in_flight_until_s: float
     ) -> None:
-        until_s = self._clock.to_unix(attempt_in_flight_until_s) if attempt_in_flight_until_s else 0.0
+        in_flight_until_s = (
+            self._clock.to_unix(attempt_in_flight_until_s) if attempt_in_flight_until_s else 0.0
+        )
         sent_s = self._clock.to_unix(prior.sent_s)
         with self._table_lock:
             now = self._clock.now()
-            record = self._table.mark_retryable(execution.operation, prior.worker_id, sent_s, now, until_s)
+            record = self._table.mark_retryable(
+                execution.operation, prior.worker_id, sent_s, now, in_flight_until_s
+            )
         self._recorder.record_finish(execution, record, now)
 
-    def _close(self, execution: Execution, state: OperationState, response: StoredResponse | None) -> None:
+    def _store_final_state(
+        self, execution: Execution, state: OperationState, response: StoredResponse | None
+    ) -> None:
         with self._table_lock:
             now = self._clock.now()
             record = self._table.complete(execution.operation, state, response, now)
--- a/saffronstack/operations/live_members.py
+++ b/saffronstack/operations/live_members.py
@@ -43,7 +43,7 @@
         """
         self._descriptor = os.open(self._directory / self._member, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        os.pwrite(self._descriptor, msgspec.json.encode(self._own_entry()).ljust(MAX_FILE_BYTES), 0)
+        os.pwrite(self._descriptor, msgspec.json.encode(self._own_peer()).ljust(MAX_FILE_BYTES), 0)
 
     def close(self) -> None:
         """Give this member's lock back."""
@@ -52,7 +52,7 @@
 
     def poll(self) -> dict[str, Peer]:
         """Return the live members: this one, and those whose files are locked."""
-        live = {self._member: self._own_entry()}
+        live = {self._member: self._own_peer()}
         for path in self._directory.iterdir():
             if path.name == self._member:
                 continue
@@ -62,7 +62,7 @@
                     live[peer.member] = peer
         return live
 
-    def _own_entry(self) -> Peer:
+    def _own_peer(self) -> Peer:
         return Peer(self._member, self._address())
 
 
--- a/saffronstack/operations/operation_log.py
+++ b/saffronstack/operations/operation_log.py
@@ -164,9 +164,9 @@
 
 
 def _record_after_crash(attempt: AttemptStarted) -> OperationRecord:
-    has_key = attempt.idempotency is Idempotency.WITH_KEY
+    worker_deduplicates = attempt.idempotency is Idempotency.WITH_KEY
     return OperationRecord(
-        OperationState.RETRYABLE if has_key else OperationState.OUTCOME_UNKNOWN,
+        OperationState.RETRYABLE if worker_deduplicates else OperationState.OUTCOME_UNKNOWN,
         attempt.sent_s + attempt.window_s,
         attempt.fingerprint,
         attempt.request_id,
--- a/saffronstack/operations/operation_service.py
+++ b/saffronstack/operations/operation_service.py
@@ -38,7 +38,7 @@
 
 EXPIRY_INTERVAL_S = 30.0
 MAX_PRIOR_ATTEMPT_WAIT_S = 1.0  # an attempt ends at its call's deadline, which is soon after the rejection
-REQUEST_COUNTS = (
+REQUEST_COUNT_LABELS = (
     "begun",
     "joined",
     "repeated",
@@ -92,7 +92,7 @@
         self.max_inline_response_bytes = limits.max_inline_response_bytes
         self.operation_log = operation_log
         self.response_store = response_store
-        self.request_counts = dict.fromkeys(REQUEST_COUNTS, 0)
+        self.request_counts = dict.fromkeys(REQUEST_COUNT_LABELS, 0)
         self._clock = OperationClock(clock, wall_clock)
         self._recorder = OperationRecorder(operation_log, self._clock, limits.commit_timeout_s)
         self._is_slot_held: Callable[[int], bool] | None = None
@@ -108,14 +108,14 @@
         """Return the time in Unix seconds, by a clock that never steps."""
         return self._clock.now()
 
-    def start(self, known: Iterable[EncodedOperation] = ()) -> None:
+    def start(self, earlier_operations: Iterable[EncodedOperation] = ()) -> None:
         """Restore the log's operations and the ``known`` ones, and start the thread that expires them.
 
         Where slots are shared between processes, operations are restored with each slot instead.
         """
         if self._is_slot_held is None:
             logged = self.operation_log.state.recovered_operations() if self.operation_log is not None else ()
-            self.restore([*known, *logged])
+            self.restore([*earlier_operations, *logged])
         start_thread("operations", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
@@ -128,7 +128,7 @@
         """Execute operations that require a slot only in slots that are held."""
         self._is_slot_held = is_slot_held
 
-    def restore(self, known: Iterable[EncodedOperation]) -> None:
+    def restore(self, operations: Iterable[EncodedOperation]) -> None:
         """Add operations of earlier processes or slot holders; those known already stay.
 
         Raises:
@@ -136,11 +136,13 @@
         """
         now = self.now()
         try:
-            found = [(decode_record(encoded).expires_s, (digest, encoded)) for digest, encoded in known]
+            by_expiry = [
+                (decode_record(encoded).expires_s, (digest, encoded)) for digest, encoded in operations
+            ]
         except ValueError as error:
             raise JournalError(f"operations logged by another version: {error}") from error
         with self._lock:
-            for expires_s, (digest, encoded) in sorted(found):
+            for expires_s, (digest, encoded) in sorted(by_expiry):
                 if expires_s > now:
                     self.table.restore(digest, encoded)
 
@@ -222,7 +224,7 @@
         operation = execution.operation
         outcome: Completed | NotCompleted | None = None
         try:
-            self._wait_for_previous_attempt(operation)
+            self._wait_for_prior_attempt(operation)
             outcome = execute(execution, self._prior_attempt(operation))
         finally:
             execution.outcome = outcome
@@ -242,7 +244,7 @@
             return None
         return PriorAttempt(previous.worker_id, self._clock.to_monotonic(previous.sent_s))
 
-    def _wait_for_previous_attempt(self, operation: InFlightOperation) -> None:
+    def _wait_for_prior_attempt(self, operation: InFlightOperation) -> None:
         """Wait until no attempt of an earlier execution is in flight, for a bounded time."""
         if operation.previous is None:
             return
--- a/saffronstack/operations/operation_status.py
+++ b/saffronstack/operations/operation_status.py
@@ -60,13 +60,15 @@
     qualifier: str
 
 
-def find_operations(service: OperationService, query: StatusQuery, clock_s: float) -> list[OperationStatus]:
+def find_operations(
+    service: OperationService, query: StatusQuery, monotonic_s: float
+) -> list[OperationStatus]:
     """Return the status of all operations that match.
 
     Args:
         service: Where to look.
         query: What to look for.
-        clock_s: The time now by the monotonic clock.
+        monotonic_s: The time now by the monotonic clock.
     """
     return [
         status
@@ -77,13 +79,13 @@
             service,
             OperationIdentity(query.tenant, function, query.qualifier, invocation_type, prefix + query.key),
             prefix,
-            clock_s,
+            monotonic_s,
         )
     ]
 
 
 def _find(
-    service: OperationService, identity: OperationIdentity, prefix: str, clock_s: float
+    service: OperationService, identity: OperationIdentity, prefix: str, monotonic_s: float
 ) -> Iterator[OperationStatus]:
     known = service.find(identity.digest())
     if isinstance(known, InFlightOperation):
@@ -91,10 +93,10 @@
     elif known is not None:
         yield _record_status(identity, prefix, known, service.now())
     elif identity.invocation_type == SYNCHRONOUS:
-        yield from _cached_status(service, identity, prefix, clock_s)
+        yield from _cached_status(service, identity, prefix, monotonic_s)
 
 
-def _status(
+def _common_status(
     identity: OperationIdentity, prefix: str, request_id: str, idempotency: Idempotency, state: str
 ) -> OperationStatus:
     """Return what the status of every operation holds."""
@@ -113,14 +115,14 @@
 def _in_flight_status(
     identity: OperationIdentity, prefix: str, operation: InFlightOperation, now: float
 ) -> OperationStatus:
-    status = _status(identity, prefix, operation.request_id, operation.idempotency, IN_FLIGHT)
+    status = _common_status(identity, prefix, operation.request_id, operation.idempotency, IN_FLIGHT)
     return replace(status, in_flight_for_s=round(now - operation.started_s, 3))
 
 
 def _record_status(
     identity: OperationIdentity, prefix: str, record: OperationRecord, now: float
 ) -> OperationStatus:
-    status = _status(identity, prefix, record.request_id, record.idempotency, record.state.value)
+    status = _common_status(identity, prefix, record.request_id, record.idempotency, record.state.value)
     status = replace(status, expires_in_s=round(record.expires_s - now, 3))
     if record.worker_id:
         status = replace(status, prior_attempt_s=record.sent_s)
@@ -142,22 +144,22 @@
 
 
 def _cached_status(
-    service: OperationService, identity: OperationIdentity, prefix: str, clock_s: float
+    service: OperationService, identity: OperationIdentity, prefix: str, monotonic_s: float
 ) -> Iterator[OperationStatus]:
     """Yield the status of an idempotent operation, which only the coalescing cache knows."""
     key = CacheKey(identity.tenant, identity.function, identity.qualifier, identity.key)
     entry = service.coalescing_cache.find(key)
-    if entry is None or (entry.response is not None and entry.expires_s <= clock_s):
+    if entry is None or (entry.response is not None and entry.expires_s <= monotonic_s):
         return
     response = entry.response
     if response is None:
-        status = _status(identity, prefix, entry.request_id, Idempotency.IDEMPOTENT, IN_FLIGHT)
-        yield replace(status, in_flight_for_s=round(clock_s - entry.started_s, 3))
+        status = _common_status(identity, prefix, entry.request_id, Idempotency.IDEMPOTENT, IN_FLIGHT)
+        yield replace(status, in_flight_for_s=round(monotonic_s - entry.started_s, 3))
         return
     state = OperationState.COMPLETED.value
     yield replace(
-        _status(identity, prefix, entry.request_id, Idempotency.IDEMPOTENT, state),
-        expires_in_s=round(entry.expires_s - clock_s, 3),
+        _common_status(identity, prefix, entry.request_id, Idempotency.IDEMPOTENT, state),
+        expires_in_s=round(entry.expires_s - monotonic_s, 3),
         status=response.status,
         body_bytes=len(response.body),
         body_location="in memory",
--- a/saffronstack/operations/operation_table.py
+++ b/saffronstack/operations/operation_table.py
@@ -103,7 +103,7 @@
             operation.idempotency,
             response,
         )
-        return self._close(operation, record)
+        return self._replace_with_record(operation, record)
 
     def mark_retryable(
         self,
@@ -117,9 +117,9 @@
 
         Its retries go to the worker of its first attempt until the window ends.
         """
-        first = operation.previous
-        if first is not None:
-            worker_id, sent_s = first.worker_id, first.sent_s
+        previous = operation.previous
+        if previous is not None:
+            worker_id, sent_s = previous.worker_id, previous.sent_s
         record = OperationRecord(
             OperationState.RETRYABLE,
             now + operation.window_s,
@@ -130,7 +130,7 @@
             sent_s=sent_s,
             attempt_in_flight_until_s=attempt_in_flight_until_s,
         )
-        return self._close(operation, record)
+        return self._replace_with_record(operation, record)
 
     def release(self, operation: InFlightOperation) -> bool:
         """End an operation that was not executed; return whether nothing of it is remembered.
@@ -140,7 +140,7 @@
         if self._entries.get(operation.digest) is not operation:
             return True
         if operation.previous is not None:
-            self._close(operation, operation.previous)
+            self._replace_with_record(operation, operation.previous)
             return False
         self._remove(operation.digest, operation)
         return True
@@ -182,7 +182,7 @@
         yield "ended", completed
         yield "open", max(0, len(self._entries) - retained - completed)
 
-    def _close(self, operation: InFlightOperation, record: OperationRecord) -> bytes:
+    def _replace_with_record(self, operation: InFlightOperation, record: OperationRecord) -> bytes:
         digest, encoded = operation.digest, encode_record(record)
         if self._entries.get(digest) is operation:
             self._remove(digest, operation)
--- a/saffronstack/operations/record_format.py
+++ b/saffronstack/operations/record_format.py
@@ -13,7 +13,7 @@
 from saffronstack.routing.settings import Idempotency
 
 # Nearly all headers consist of these words. Numbers stand for them: a million responses may be remembered.
-_COMMON_WORDS = (
+_COMMON_HEADER_WORDS = (
     "Content-Type",
     "x-amzn-RequestId",
     "X-Amz-Executed-Version",
@@ -24,11 +24,11 @@
     "Unhandled",
     "Handled",
 )
-_NUMBER_BY_WORD = {word: number for number, word in enumerate(_COMMON_WORDS)}
-_OWN_REQUEST_ID = len(_COMMON_WORDS)  # the number that stands for the operation's request id
-_UUID_MARK = b"u"
-_TEXT_MARK = b"t"
-_Word = int | str
+_INDEX_BY_HEADER_WORD = {word: index for index, word in enumerate(_COMMON_HEADER_WORDS)}
+_REQUEST_ID_INDEX = len(_COMMON_HEADER_WORDS)  # the number that stands for the operation's request id
+_UUID_PREFIX = b"u"
+_TEXT_PREFIX = b"t"
+_EncodedHeaderWord = int | str
 
 
 class _StoredRecord(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
@@ -38,7 +38,7 @@
     request_id: bytes  # a mark, then a UUID's bytes or a text
     idempotency: Idempotency
     status: int = 0  # 0: there is no response
-    header_words: tuple[_Word, ...] = ()
+    header_words: tuple[_EncodedHeaderWord, ...] = ()
     body: bytes = b""
     file_name: str = ""
     body_digest: str = ""
@@ -107,17 +107,21 @@
     )
 
 
-def _encode_headers(headers: tuple[tuple[str, str], ...], request_id: str) -> tuple[_Word, ...]:
+def _encode_headers(headers: tuple[tuple[str, str], ...], request_id: str) -> tuple[_EncodedHeaderWord, ...]:
     return tuple(
-        _OWN_REQUEST_ID if word == request_id else _NUMBER_BY_WORD.get(word, word)
+        _REQUEST_ID_INDEX if word == request_id else _INDEX_BY_HEADER_WORD.get(word, word)
         for header in headers
         for word in header
     )
 
 
-def _decode_headers(words: tuple[_Word, ...], request_id: str) -> tuple[tuple[str, str], ...]:
+def _decode_headers(words: tuple[_EncodedHeaderWord, ...], request_id: str) -> tuple[tuple[str, str], ...]:
     texts = [
-        request_id if word == _OWN_REQUEST_ID else _COMMON_WORDS[word] if isinstance(word, int) else word
+        request_id
+        if word == _REQUEST_ID_INDEX
+        else _COMMON_HEADER_WORDS[word]
+        if isinstance(word, int)
+        else word
         for word in words
     ]
     return tuple(zip(texts[0::2], texts[1::2], strict=True))
@@ -127,13 +131,13 @@
     try:
         parsed = uuid.UUID(request_id)
     except ValueError:  # any text is a request id
-        return _TEXT_MARK + request_id.encode()
+        return _TEXT_PREFIX + request_id.encode()
     if str(parsed) != request_id:
-        return _TEXT_MARK + request_id.encode()
-    return _UUID_MARK + parsed.bytes
+        return _TEXT_PREFIX + request_id.encode()
+    return _UUID_PREFIX + parsed.bytes
 
 
 def _decode_request_id(stored: bytes) -> str:
-    if stored[:1] == _UUID_MARK:
+    if stored[:1] == _UUID_PREFIX:
         return str(uuid.UUID(bytes=stored[1:]))
     return stored[1:].decode()
--- a/saffronstack/operations/request_coalescing.py
+++ b/saffronstack/operations/request_coalescing.py
@@ -58,7 +58,7 @@
     """
 
     __slots__ = (
-        "_waiters",
+        "_waiter_count",
         "done",
         "expires_s",
         "key",
@@ -78,12 +78,12 @@
         self.expires_s = 0.0
         self.response: ResponseT | None = None
         self.done: threading.Event | None = None
-        self._waiters = 0
+        self._waiter_count = 0
 
     @property
-    def waiters(self) -> int:
+    def waiter_count(self) -> int:
         """How many requests wait for it, besides the one that executes it."""
-        return self._waiters
+        return self._waiter_count
 
 
 class CoalescingCache(Generic[ResponseT]):
@@ -119,7 +119,7 @@
                 if entry.response is None and entry.payload_hash == payload_hash:
                     if entry.done is None:
                         entry.done = threading.Event()
-                    entry._waiters += 1
+                    entry._waiter_count += 1
                 return entry, False
             entry = self._entries[key] = CacheEntry(key, payload_hash, request_id, now)
             return entry, True
@@ -127,7 +127,7 @@
     def leave(self, entry: CacheEntry[ResponseT]) -> None:
         """Stop waiting for an operation that was joined."""
         with self._lock:
-            entry._waiters -= 1
+            entry._waiter_count -= 1
 
     def complete(
         self,
--- a/saffronstack/operations/slot_handover.py
+++ b/saffronstack/operations/slot_handover.py
@@ -23,7 +23,7 @@
 from saffronstack.operations.slot_manager import SlotHandover
 
 COMMIT_TIMEOUT_S = 10.0
-READ_ATTEMPTS = 5
+MAX_LOG_READS = 5
 
 
 class OperationHandover(SlotHandover):
@@ -55,14 +55,14 @@
             JournalError: Records can't be read or written.
             OSError: The same.
         """
-        known: dict[bytes, bytes] = {}
+        record_by_digest: dict[bytes, bytes] = {}
         for location in locations:
-            known.update(self._read_location(location))
-        known.update(handed_over)
+            record_by_digest.update(self._read_location(location))
+        record_by_digest.update(handed_over)
         now = self._service.now()
         operations = [
             (digest, record)
-            for digest, record in known.items()
+            for digest, record in record_by_digest.items()
             if slot_for(digest) in slots and decode_record(record).expires_s > now
         ]
         log = self._service.operation_log
@@ -78,13 +78,13 @@
     def hand_over(self, slots: frozenset[int]) -> dict[int, list[EncodedOperation]]:
         """Remove the operations of those slots that have none in flight, and return them by slot."""
         service = self._service
-        idle = frozenset(slot for slot in slots if not service.count_in_flight(slot))
+        idle_slots = frozenset(slot for slot in slots if not service.count_in_flight(slot))
         log = service.operation_log
         # The record changes nothing; once it is durable, so is everything that was logged before it.
-        if idle and log is not None and not _commit(log, OperationsExpired(0.0)):
+        if idle_slots and log is not None and not _commit(log, OperationsExpired(0.0)):
             return {}
-        by_slot: dict[int, list[EncodedOperation]] = {slot: [] for slot in idle}
-        for digest, record in service.extract_slots(idle):
+        by_slot: dict[int, list[EncodedOperation]] = {slot: [] for slot in idle_slots}
+        for digest, record in service.extract_slots(idle_slots):
             by_slot[slot_for(digest)].append((digest, record))
         return by_slot
 
@@ -112,7 +112,7 @@
     Raises:
         JournalError: The log can't be read.
     """
-    for retries_left in reversed(range(READ_ATTEMPTS)):
+    for retries_left in reversed(range(MAX_LOG_READS)):
         state = OperationLogState()
         try:
             if directory.is_dir():
--- a/saffronstack/operations/slot_locks.py
+++ b/saffronstack/operations/slot_locks.py
@@ -41,7 +41,7 @@
         self._descriptors: dict[int, int] = {}
 
     @property
-    def held(self) -> list[int]:
+    def held_slots(self) -> list[int]:
         """The slots whose locks this process holds."""
         return list(self._descriptors)
 
@@ -68,15 +68,15 @@
                 locations.append(msgspec.json.decode(line, type=RecordLocation))
         return locations
 
-    def write_locations(self, slot: int, own: RecordLocation) -> None:
+    def write_locations(self, slot: int, own_location: RecordLocation) -> None:
         """Add this member to a held slot's locations.
 
         With an operation log of its own, which has taken over all earlier records, it replaces them.
         """
         earlier = []
-        if not own.log_directory:
-            earlier = [location for location in self.read_locations(slot) if location != own]
-        data = b"".join(msgspec.json.encode(location) + b"\n" for location in [*earlier, own])
+        if not own_location.log_directory:
+            earlier = [location for location in self.read_locations(slot) if location != own_location]
+        data = b"".join(msgspec.json.encode(location) + b"\n" for location in [*earlier, own_location])
         descriptor = self._descriptors[slot]
         os.pwrite(descriptor, data, 0)
         os.ftruncate(descriptor, len(data))
--- a/saffronstack/operations/slot_manager.py
+++ b/saffronstack/operations/slot_manager.py
@@ -82,24 +82,24 @@
         self._clock = clock
         self._live_members = LiveMembers(directory / LIVE_DIRECTORY, member.name, member.address)
         self._locks = SlotLocks(directory)
-        self._live: dict[str, Peer] = {}  # replaced, never changed: any thread may read it
-        self._usable: frozenset[int] = frozenset()  # the same
+        self._live_peers: dict[str, Peer] = {}  # replaced, never changed: any thread may read it
+        self._usable_slots: frozenset[int] = frozenset()  # the same
         self._next_acquisition_s = 0.0
         self._stopping = threading.Event()
         self._stopped = threading.Event()
 
     def is_held(self, slot: int) -> bool:
         """Return whether operations of a slot may be executed here."""
-        return slot in self._usable
+        return slot in self._usable_slots
 
     @property
     def held_count(self) -> int:
         """How many slots this member holds."""
-        return len(self._usable)
+        return len(self._usable_slots)
 
     def assigned_peer(self, slot: int) -> Peer | None:
         """Return the member that should hold a slot, by the latest list of live members."""
-        return self._live.get(assigned_member(slot, self._live) or "")
+        return self._live_peers.get(assigned_member(slot, self._live_peers) or "")
 
     def start(self) -> None:
         """Announce this member, acquire its slots, and start the thread that maintains them."""
@@ -114,12 +114,14 @@
 
     def maintain(self) -> None:
         """List the live members, hand over slots assigned to others, and acquire this member's own."""
-        self._live = self._live_members.poll()
-        assigned = {slot for slot in range(SLOT_COUNT) if assigned_member(slot, self._live) == self.member}
-        self._hand_over(frozenset(self._locks.held) - assigned)
+        self._live_peers = self._live_members.poll()
+        assigned = {
+            slot for slot in range(SLOT_COUNT) if assigned_member(slot, self._live_peers) == self.member
+        }
+        self._hand_over(frozenset(self._locks.held_slots) - assigned)
         if self._clock() >= self._next_acquisition_s:
-            held = self._locks.held
-            self._acquire([slot for slot in assigned if slot not in held])
+            held_slots = self._locks.held_slots
+            self._acquire([slot for slot in assigned if slot not in held_slots])
 
     def _run(self) -> None:
         """Maintain the slots until the manager stops. Runs on the thread ``slots``."""
@@ -131,16 +133,16 @@
                     log.exception("slot maintenance failed")
             self._hand_over_all()
         finally:
-            for slot in self._locks.held:
+            for slot in self._locks.held_slots:
                 self._release(slot)
             self._live_members.close()
             self._stopped.set()
 
     def _hand_over_all(self) -> None:
         """Hand all slots over, waiting for operations in flight for a bounded time."""
-        end_s = self._clock() + STOP_HANDOVER_S
-        while self._locks.held and self._clock() < end_s:
-            self._hand_over(frozenset(self._locks.held))
+        deadline_s = self._clock() + STOP_HANDOVER_S
+        while self._locks.held_slots and self._clock() < deadline_s:
+            self._hand_over(frozenset(self._locks.held_slots))
             threading.Event().wait(STOP_RETRY_INTERVAL_S)
 
     def _acquire(self, slots: list[int]) -> None:
@@ -157,7 +159,7 @@
             for slot in acquired:
                 self._release(slot)
             return
-        self._usable |= frozenset(acquired)
+        self._usable_slots |= frozenset(acquired)
 
     def _take_over(self, slots: list[int]) -> None:
         locations: dict[RecordLocation, None] = {}  # in order, each once
@@ -173,12 +175,12 @@
     def _hand_over(self, slots: frozenset[int]) -> None:
         if not slots:
             return
-        self._usable -= slots
+        self._usable_slots -= slots
         for slot, operations in self._handover.hand_over(slots).items():
             if operations:
                 self._locks.write_handover(slot, operations)
             self._release(slot)
 
     def _release(self, slot: int) -> None:
-        self._usable -= {slot}
+        self._usable_slots -= {slot}
         self._locks.release(slot)
--- a/tests/operations/test_deduplication.py
+++ b/tests/operations/test_deduplication.py
@@ -44,52 +44,54 @@
     )
 
 
-@pytest.mark.parametrize("lost", [1, 3])
-@pytest.mark.parametrize("kind", ["RequestResponse", "Event"])
+@pytest.mark.parametrize("lost_responses", [1, 3])
+@pytest.mark.parametrize("invocation_type", ["RequestResponse", "Event"])
 @pytest.mark.parametrize("function", ["record-sale", "adjust-setting", "identify-copy"])
 def test_boto3_retries_lost_responses_and_the_operation_executes_once(
-    tmp_path: pathlib.Path, function: str, kind: str, lost: int
+    tmp_path: pathlib.Path, function: str, invocation_type: str, lost_responses: int
 ) -> None:
     with running(2, ledger=tmp_path) as stack:
-        left = [lost]
+        remaining = [lost_responses]
 
-        def lose() -> bool:
-            left[0] -= 1
-            return left[0] >= 0
+        def loses_response() -> bool:
+            remaining[0] -= 1
+            return remaining[0] >= 0
 
-        relay = Relay(lambda: stack.address, lose)
-        answer = lambda_client(relay.address).invoke(
-            FunctionName=function, InvocationType=kind, Payload=b"{}"
+        relay = Relay(lambda: stack.address, loses_response)
+        response = lambda_client(relay.address).invoke(
+            FunctionName=function, InvocationType=invocation_type, Payload=b"{}"
         )
-        assert answer["StatusCode"] == (200 if kind == "RequestResponse" else 202)
-        headers = answer["ResponseMetadata"]["HTTPHeaders"]
+        assert response["StatusCode"] == (200 if invocation_type == "RequestResponse" else 202)
+        headers = response["ResponseMetadata"]["HTTPHeaders"]
         assert headers["x-saffron-repeated"] == "true"
-        assert answer["ResponseMetadata"]["RetryAttempts"] == lost
-        if kind == "Event":
-            stack.final(answer["ResponseMetadata"]["RequestId"])
+        assert response["ResponseMetadata"]["RetryAttempts"] == lost_responses
+        if invocation_type == "Event":
+            stack.final(response["ResponseMetadata"]["RequestId"])
         assert stack.runs(function) == 1
-        assert relay.lost == lost
+        assert relay.lost == lost_responses
         relay.close()
 
 
 def test_concurrent_requests_of_one_operation_get_one_response(tmp_path: pathlib.Path) -> None:
     with logging_gateway(tmp_path, Profile(work_s=0.1, load_s=0.02)) as stack:
-        found: list[Response] = []
-        gate = threading.Barrier(6)
+        responses: list[Response] = []
+        barrier = threading.Barrier(6)
 
-        def one() -> None:
-            gate.wait(5)
-            found.append(send(stack, "record-sale", "op-1"))
+        def send_one() -> None:
+            barrier.wait(5)
+            responses.append(send(stack, "record-sale", "op-1"))
 
-        threads = [threading.Thread(target=one) for _ in range(6)]
+        threads = [threading.Thread(target=send_one) for _ in range(6)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(10)
-        assert {answer.status for answer in found} == {200}
-        assert len({answer.body for answer in found}) == 1
-        assert len({answer.headers.get("x-amzn-requestid") for answer in found}) == 1
-        assert sorted("x-saffron-repeated" in answer.headers for answer in found) == [False] + 5 * [True]
+        assert {response.status for response in responses} == {200}
+        assert len({response.body for response in responses}) == 1
+        assert len({response.headers.get("x-amzn-requestid") for response in responses}) == 1
+        assert sorted("x-saffron-repeated" in response.headers for response in responses) == [False] + 5 * [
+            True
+        ]
         assert stack.runs("record-sale") == 1
 
 
@@ -102,18 +104,18 @@
         )
         eventually(lambda: stack.runs("record-sale") == 1)
         sock.close()
-        answer = send(stack, "record-sale", "gone")
-        assert (answer.status, "x-saffron-repeated" in answer.headers) == (200, True)
-        assert b'"run"' in answer.body
-        assert send(stack, "record-sale", "gone").body == answer.body
+        response = send(stack, "record-sale", "gone")
+        assert (response.status, "x-saffron-repeated" in response.headers) == (200, True)
+        assert b'"run"' in response.body
+        assert send(stack, "record-sale", "gone").body == response.body
         assert stack.runs("record-sale") == 1
 
 
 def test_a_client_that_disconnects_before_any_attempt_leaves_nothing(tmp_path: pathlib.Path) -> None:
     with logging_gateway(tmp_path) as stack:
         workers = stack.content["workers"]
-        nobody = {**stack.content, "workers": [{**w, "state": "draining"} for w in workers]}
-        stack.gateway.reload(configs.parse(json.dumps(nobody)))
+        all_draining = {**stack.content, "workers": [{**worker, "state": "draining"} for worker in workers]}
+        stack.gateway.reload(configs.parse(json.dumps(all_draining)))
         sock = stack.raw()
         sock.sendall(
             b"POST /2015-03-31/functions/record-sale/invocations HTTP/1.1\r\nHost: a\r\n"
@@ -130,11 +132,11 @@
 def test_a_key_belongs_to_one_payload_and_one_tenant(tmp_path: pathlib.Path) -> None:
     with logging_gateway(tmp_path) as stack:
         first = send(stack, "record-sale", "one", b'{"price": 1}', tenant="corner-books")
-        wrong = send(stack, "record-sale", "one", b'{"price": 2}', tenant="corner-books")
-        assert (wrong.status, b"another payload" in wrong.body) == (400, True)
-        assert first.headers.get("x-amzn-requestid").encode() in wrong.body
-        other = send(stack, "record-sale", "one", b'{"price": 2}', tenant="campus-app")
-        assert (other.status, "x-saffron-repeated" in other.headers) == (200, False)
+        mismatch = send(stack, "record-sale", "one", b'{"price": 2}', tenant="corner-books")
+        assert (mismatch.status, b"another payload" in mismatch.body) == (400, True)
+        assert first.headers.get("x-amzn-requestid").encode() in mismatch.body
+        other_tenant = send(stack, "record-sale", "one", b'{"price": 2}', tenant="campus-app")
+        assert (other_tenant.status, "x-saffron-repeated" in other_tenant.headers) == (200, False)
         assert send(stack, "record-sale", "one", b'{"price": 1}', tenant="corner-books").body == first.body
         assert stack.runs("record-sale") == 2
 
@@ -180,13 +182,13 @@
         shutil.copytree(tmp_path / "first", tmp_path / "second")
         sender.join(10)
     with logging_gateway(tmp_path / "second", fleet=fleet) as stack:
-        answer = send(stack, function, "op")
-        again = send(stack, function, "op")
-        assert answer.status == again.status == 200
-        assert again.body == answer.body
+        response = send(stack, function, "op")
+        replayed = send(stack, function, "op")
+        assert response.status == replayed.status == 200
+        assert replayed.body == response.body
         if function == "record-sale":
-            assert UNKNOWN in answer.body
-            assert answer.headers.get("x-amz-function-error") == "Unhandled"
+            assert UNKNOWN in response.body
+            assert response.headers.get("x-amz-function-error") == "Unhandled"
             assert stack.runs(function) == 1
         else:
             keys = {run["key"] for worker in fleet.workers for run in worker.runs(function)}
@@ -201,12 +203,12 @@
         first = send(stack, "record-sale", "op", b'{"n": 1}')
         deferred = send(stack, "record-sale", "later", kind="Event")
     with logging_gateway(tmp_path, fleet=fleet) as stack:
-        again = send(stack, "record-sale", "op", b'{"n": 1}')
-        assert (again.status, again.body) == (200, first.body)
-        assert again.headers.get("x-amzn-requestid") == first.headers.get("x-amzn-requestid")
-        repeated = send(stack, "record-sale", "later", kind="Event")
-        assert repeated.status == 202
-        assert repeated.headers.get("x-amzn-requestid") == deferred.headers.get("x-amzn-requestid")
+        replayed = send(stack, "record-sale", "op", b'{"n": 1}')
+        assert (replayed.status, replayed.body) == (200, first.body)
+        assert replayed.headers.get("x-amzn-requestid") == first.headers.get("x-amzn-requestid")
+        repeated_event = send(stack, "record-sale", "later", kind="Event")
+        assert repeated_event.status == 202
+        assert repeated_event.headers.get("x-amzn-requestid") == deferred.headers.get("x-amzn-requestid")
         stack.final(deferred.headers.get("x-amzn-requestid"))
         assert stack.runs("record-sale") == 2
     fleet.stop()
@@ -233,26 +235,26 @@
 def test_a_call_without_a_key_that_may_have_executed_is_not_rejected() -> None:
     """Its worker executes it and stops, and no other is in its deduplication scope: a 429 would be wrong."""
     with running(1, profile=Profile(work_s=0.3, load_s=0.02)) as stack:
-        found: list[Response] = []
-        thread = threading.Thread(target=lambda: found.append(stack.call("adjust-setting")))
+        responses: list[Response] = []
+        thread = threading.Thread(target=lambda: responses.append(stack.call("adjust-setting")))
         thread.start()
         eventually(lambda: stack.runs("adjust-setting") == 1)
         stack.fleet.workers[0].stop()
         thread.join(10)
-        assert (found[0].status, UNKNOWN in found[0].body) == (200, True)
-        named: list[Response] = []
+        assert (responses[0].status, UNKNOWN in responses[0].body) == (200, True)
+        keyed_responses: list[Response] = []
         stack.fleet.workers[0].start()
         eventually(lambda: stack.call("identify-copy").status == 200)
-        thread = threading.Thread(target=lambda: named.append(send(stack, "adjust-setting", "op")))
+        thread = threading.Thread(target=lambda: keyed_responses.append(send(stack, "adjust-setting", "op")))
         thread.start()
         eventually(lambda: stack.runs("adjust-setting") == 2)
         stack.fleet.workers[0].stop()
         thread.join(10)
         stack.fleet.workers[0].start()
-        if named[0].status == 429:  # harmless: a retry goes to the same worker with the same key
+        if keyed_responses[0].status == 429:  # harmless: a retry goes to the same worker with the same key
             eventually(lambda: send(stack, "adjust-setting", "op").status == 200)
         else:
-            assert UNKNOWN in named[0].body
+            assert UNKNOWN in keyed_responses[0].body
         keys = [run["key"] for run in stack.fleet.workers[0].runs("adjust-setting")]
         assert keys.count("corner-books:sdk:op") >= 1
 
@@ -263,8 +265,8 @@
         first = send(stack, "record-sale", "before")
         files.is_sealed = True
         for n in range(20):
-            refused = send(stack, "record-sale", f"op-{n}")
-            assert (refused.status, "retry-after" in refused.headers) == (429, True)
+            rejected = send(stack, "record-sale", f"op-{n}")
+            assert (rejected.status, "retry-after" in rejected.headers) == (429, True)
         assert stack.runs("record-sale") == 1
         assert send(stack, "record-sale", "before").body == first.body
         assert send(stack, "identify-copy", "safe").status == 200
@@ -282,8 +284,8 @@
     path = tmp_path / "gateway.json5"
     path.write_text(json.dumps(with_operation_log(configuration(fleet), tmp_path / "operations")))
     command = [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path)]
-    done = subprocess.run(command, check=False, capture_output=True, text=True, timeout=30)
-    assert (done.returncode, "another version" in done.stderr) == (2, True)
+    completed_process = subprocess.run(command, check=False, capture_output=True, text=True, timeout=30)
+    assert (completed_process.returncode, "another version" in completed_process.stderr) == (2, True)
 
 
 def test_memory_is_bounded_and_rejections_say_when_to_retry(tmp_path: pathlib.Path) -> None:
@@ -294,32 +296,32 @@
             worker.faults.reset_mid_answer = True
         statuses = []
         for n in range(250):
-            answer = send(stack, "record-sale", f"op-{n}")
-            statuses.append(answer.status)
+            response = send(stack, "record-sale", f"op-{n}")
+            statuses.append(response.status)
             assert operations.table.memory_bytes <= 65536
-            if answer.status == 429:
-                assert 1 <= int(answer.headers.get("retry-after")) <= 31
+            if response.status == 429:
+                assert 1 <= int(response.headers.get("retry-after")) <= 31
                 break
         assert statuses[-1] == 429
-        ran = stack.runs("record-sale")
+        runs_before = stack.runs("record-sale")
         for n in (0, 5, len(statuses) - 2):  # operations with an unknown outcome are not evicted
             assert UNKNOWN in send(stack, "record-sale", f"op-{n}").body
-        assert stack.runs("record-sale") == ran
+        assert stack.runs("record-sale") == runs_before
         assert send(stack, "identify-copy", "safe").status in (200, 429)
 
 
 def test_requests_before_and_after_the_end_of_the_window(tmp_path: pathlib.Path) -> None:
     """A request before the end is replayed, one after it is executed; the test sets the gateway's clock."""
-    shift = [0.0]
+    clock_offset_s = [0.0]
     fleet = StandInFleet(1)
     content = with_operation_log(configuration(fleet), tmp_path / "o", window_s=50.0)
-    gateway = Gateway(configs.parse(json.dumps(content)), clock=lambda: time.monotonic() + shift[0])
+    gateway = Gateway(configs.parse(json.dumps(content)), clock=lambda: time.monotonic() + clock_offset_s[0])
     host, port = gateway.start()
     stack = Stack(gateway, fleet, content, f"{host}:{port}")
     first = send(stack, "record-sale", "op")
-    shift[0] = 45.0
+    clock_offset_s[0] = 45.0
     assert send(stack, "record-sale", "op").body == first.body
-    shift[0] = 51.0
+    clock_offset_s[0] = 51.0
     assert send(stack, "record-sale", "op").body != first.body
     assert stack.runs("record-sale") == 2
     gateway.stop()
@@ -329,7 +331,7 @@
 def test_operations_on_the_command_line_and_without_deduplication(tmp_path: pathlib.Path) -> None:
     with logging_gateway(tmp_path) as stack:
         send(stack, "record-sale", "op-7", b'{"price": 3}')
-        run = [
+        command = [
             sys.executable,
             "-m",
             "saffronstack.cli.main",
@@ -339,22 +341,22 @@
             "--to",
             stack.address,
         ]
-        shown = subprocess.run(run, check=False, capture_output=True, text=True, timeout=20)
-        assert shown.returncode == 0, shown.stderr
-        assert "record-sale" in shown.stdout
-        assert "ended" in shown.stdout
-        assert "in memory" in shown.stdout
+        found = subprocess.run(command, check=False, capture_output=True, text=True, timeout=20)
+        assert found.returncode == 0, found.stderr
+        assert "record-sale" in found.stdout
+        assert "ended" in found.stdout
+        assert "in memory" in found.stdout
         missing = subprocess.run(
-            [*run[:5], "none", *run[6:]], check=False, capture_output=True, text=True, timeout=20
+            [*command[:5], "none", *command[6:]], check=False, capture_output=True, text=True, timeout=20
         )
         assert (missing.returncode, "No operation" in missing.stderr) == (1, True)
-        other = stack.client(tenant="campus-app")
-        assert other.request("GET", "/operations/op-7").status == 404
-        other.close()
+        other_tenant_client = stack.client(tenant="campus-app")
+        assert other_tenant_client.request("GET", "/operations/op-7").status == 404
+        other_tenant_client.close()
     with running(1, operations=None) as stack:
-        answers = [send(stack, "record-sale", "op") for _ in range(2)]
+        responses = [send(stack, "record-sale", "op") for _ in range(2)]
         assert stack.runs("record-sale") == 2
-        assert "x-saffron-repeated" not in answers[1].headers
+        assert "x-saffron-repeated" not in responses[1].headers
 
 
 def test_contradictory_log_settings_are_rejected() -> None:
@@ -374,8 +376,8 @@
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.005, load_s=0.02))
     path = tmp_path / "gateway.json5"
     content = with_operation_log(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations")
-    held = hold_port("127.0.0.1")  # reserves the port while no gateway listens
-    content["listen"] = f"127.0.0.1:{held.getsockname()[1]}"
+    reserved_port = hold_port("127.0.0.1")  # reserves the port while no gateway listens
+    content["listen"] = f"127.0.0.1:{reserved_port.getsockname()[1]}"
     path.write_text(json.dumps(content))
 
     def start() -> subprocess.Popen[bytes]:
@@ -387,25 +389,27 @@
 
     process = start()
     relay = Relay(lambda: content["listen"], seldom(1 / 3, 5))
-    ended: list[tuple[str, str, Any]] = []
+    results: list[tuple[str, str, Any]] = []
     lock = threading.Lock()
 
-    def work(number: int) -> None:
+    def invoke_operations(number: int) -> None:
         client = lambda_client(relay.address, ("standard", "adaptive")[number % 2], 12)
         for n in range(12):
             op = f"{number}-{n}-{uuid.uuid4().hex[:6]}"
-            kind = ("RequestResponse", "Event")[n % 2]
+            invocation_type = ("RequestResponse", "Event")[n % 2]
             payload = json.dumps({"op": op}).encode()
             function = ("record-sale", "adjust-setting")[n % 3 == 0]
             try:
-                answer = client.invoke(FunctionName=function, InvocationType=kind, Payload=payload)
-                result: Any = answer["ResponseMetadata"]["RequestId"]
+                response = client.invoke(
+                    FunctionName=function, InvocationType=invocation_type, Payload=payload
+                )
+                result: Any = response["ResponseMetadata"]["RequestId"]
             except Exception as error:  # noqa: BLE001 - whatever the SDK raises is the result
                 result = error
             with lock:
-                ended.append((op, kind, result))
+                results.append((op, invocation_type, result))
 
-    threads = [threading.Thread(target=work, args=(n,)) for n in range(6)]
+    threads = [threading.Thread(target=invoke_operations, args=(n,)) for n in range(6)]
     for thread in threads:
         thread.start()
     for _ in range(4):
@@ -419,23 +423,23 @@
         thread.join(120)
         assert not thread.is_alive()
     stack = Stack(None, fleet, content, content["listen"])  # type: ignore[arg-type]
-    for _, kind, result in ended:
-        if kind == "Event" and isinstance(result, str):
+    for _, invocation_type, result in results:
+        if invocation_type == "Event" and isinstance(result, str):
             stack.final(result)
     runs: dict[str, set[str]] = {}
     for worker in fleet.workers:
         for run in worker.runs():
             runs.setdefault(str(run["op"]), set()).add(str(run["id"]))
     sales = [run["op"] for worker in fleet.workers for run in worker.runs("record-sale")]
-    assert len(ended) == 72
+    assert len(results) == 72
     assert len(sales) == len(set(sales)), "a sale ran twice"
     assert all(len(ids) == 1 for ids in runs.values()), "an operation had two calls"
-    assert sum(isinstance(result, str) for _, _, result in ended) >= 70
+    assert sum(isinstance(result, str) for _, _, result in results) >= 70
     assert relay.lost > 10
     process.terminate()
     assert process.wait(20) == 0
     assert process.stdout is not None
     process.stdout.close()
     relay.close()
-    held.close()
+    reserved_port.close()
     fleet.stop()
--- a/tests/operations/test_execution.py
+++ b/tests/operations/test_execution.py
@@ -24,7 +24,7 @@
     )
 
 
-def ended(outcome: Completed | NotCompleted) -> Execution:
+def finished_execution(outcome: Completed | NotCompleted) -> Execution:
     execution = execution_of()
     execution.join()
     execution.outcome = outcome
@@ -34,18 +34,18 @@
 
 
 def test_a_waiting_request_gets_the_response() -> None:
-    execution = ended(Completed(RESPONSE))
+    execution = finished_execution(Completed(RESPONSE))
     assert execution.wait(request_for(execution), lambda: 0.0) is RESPONSE
 
 
 def test_a_waiting_request_gets_the_error() -> None:
-    execution = ended(NotCompleted(RuntimeError("rejected")))
+    execution = finished_execution(NotCompleted(RuntimeError("rejected")))
     with pytest.raises(RuntimeError, match="rejected"):
         execution.wait(request_for(execution), lambda: 0.0)
 
 
 def test_a_waiting_request_may_execute_what_was_abandoned() -> None:
-    execution = ended(NotCompleted(ClientDisconnectedError()))
+    execution = finished_execution(NotCompleted(ClientDisconnectedError()))
     assert execution.wait(request_for(execution), lambda: 0.0) is None
 
 
--- a/tests/operations/test_operation_log.py
+++ b/tests/operations/test_operation_log.py
@@ -25,11 +25,11 @@
     files.is_sealed = True
     executions = []
     for n in range(100_000):
-        step = table.admit(
+        decision = table.admit(
             b"%012d" % n, b"p" * 16, Idempotency.NON_IDEMPOTENT, 900.0, f"id-{n}", operations.now()
         )
-        assert isinstance(step, Execute)
-        step.operation.execution = execution = Execution(step.operation, policy)
+        assert isinstance(decision, Execute)
+        decision.operation.execution = execution = Execution(decision.operation, policy)
         executions.append(execution)
     assert table.memory_bytes <= 256 * 1024 * 1024
     guards = [operations.attempt_guard(execution) for execution in executions]
--- a/tests/operations/test_operation_model.py
+++ b/tests/operations/test_operation_model.py
@@ -34,7 +34,7 @@
     """What the service does with table and log, a step at a time; ``broken`` leaves one defence out."""
 
     durable: bool = True
-    broken: str = ""
+    missing_defence: str = ""
     now: float = 0.0
     table: OperationTable = field(default_factory=lambda: OperationTable(1 << 30))
     disk: list[AnyLogRecord] = field(default_factory=lambda: [LogReset()])
@@ -45,27 +45,33 @@
     responses: dict[bytes, set[bytes]] = field(default_factory=dict)
 
     def send(self, digest: bytes) -> None:
-        step = self.table.admit(
+        decision = self.table.admit(
             digest, FINGERPRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, digest.decode(), self.now
         )
-        if isinstance(step, Execute):
-            self.in_flight[digest] = step.operation
-        elif isinstance(step, Coalesce) and self.broken == "no join":
+        if isinstance(decision, Execute):
+            self.in_flight[digest] = decision.operation
+        elif isinstance(decision, Coalesce) and self.missing_defence == "no join":
             self.execute(digest)
-        elif isinstance(step, Replay):
-            answer = step.record.response
-            self.record_response(digest, answer.body if answer is not None else b"unknown")
+        elif isinstance(decision, Replay):
+            response = decision.record.response
+            self.record_response(digest, response.body if response is not None else b"unknown")
 
     def record_response(self, digest: bytes, body: bytes) -> None:
         if digest in self.first_executed_s and self.now < self.first_executed_s[digest] + WINDOW_S:
             self.responses.setdefault(digest, set()).add(body)
 
     def execute(self, digest: bytes) -> None:
-        if self.durable and digest not in self.logged and self.broken != "log after the byte":
-            one = self.in_flight[digest]
+        if self.durable and digest not in self.logged and self.missing_defence != "log after the byte":
+            operation = self.in_flight[digest]
             self.disk.append(
                 AttemptStarted(
-                    digest, FINGERPRINT, Idempotency.NON_IDEMPOTENT, one.request_id, WINDOW_S, 1, self.now
+                    digest,
+                    FINGERPRINT,
+                    Idempotency.NON_IDEMPOTENT,
+                    operation.request_id,
+                    WINDOW_S,
+                    1,
+                    self.now,
                 )
             )
             self.logged.add(digest)
@@ -75,14 +81,14 @@
         self.executions[digest] += 1
 
     def respond(self, digest: bytes, body: bytes, lost: bool) -> None:
-        one = self.in_flight.pop(digest)
+        operation = self.in_flight.pop(digest)
         outcome = OperationState.OUTCOME_UNKNOWN if lost else OperationState.COMPLETED
-        if lost and self.broken == "a lost response releases":
-            self.table.release(one)
+        if lost and self.missing_defence == "a lost response releases":
+            self.table.release(operation)
             self.disk.append(OperationReleased(digest))
             return
         record = self.table.complete(
-            one, outcome, StoredResponse(200, (), b"unknown" if lost else body), self.now
+            operation, outcome, StoredResponse(200, (), b"unknown" if lost else body), self.now
         )
         if digest in self.logged:
             self.disk.append(OperationFinished(digest, record, self.now + WINDOW_S))
@@ -93,20 +99,20 @@
 
     def crash(self) -> None:
         state = OperationLogState()
-        for entry in self.disk:
-            state.apply(entry)
-        copy = OperationLogState()
-        for entry in state.snapshot():
-            copy.apply(entry)
+        for log_record in self.disk:
+            state.apply(log_record)
+        recovered = OperationLogState()
+        for log_record in state.snapshot():
+            recovered.apply(log_record)
         self.table = OperationTable(1 << 30)
         for digest, record in sorted(
-            copy.recovered_operations(), key=lambda item: decode_record(item[1]).expires_s
+            recovered.recovered_operations(), key=lambda item: decode_record(item[1]).expires_s
         ):
             if decode_record(record).expires_s > self.now:
                 self.table.restore(digest, record)
-        self.disk = list(copy.snapshot())
+        self.disk = list(recovered.snapshot())
         self.in_flight.clear()
-        self.logged = set(copy.in_flight)
+        self.logged = set(recovered.in_flight)
 
     def expire(self) -> None:
         self.table.expire(self.now)
@@ -180,25 +186,25 @@
 TestOperationMachine = OperationMachine.TestCase
 
 
-def explore(broken: str, depth: int) -> str:
+def explore(missing_defence: str, depth: int) -> str:
     """Try all orders of a few steps on one operation, up to a length; return the first fault."""
     steps = ("send", "run", "respond", "lose", "crash")
     for length in range(1, depth + 1):
         for order in itertools.product(steps, repeat=length):
-            model, ran = Model(broken=broken), False
+            model, executed = Model(missing_defence=missing_defence), False
             for step in order:
                 if step == "send":
-                    ran = ran if b"a" in model.in_flight else False
+                    executed = executed if b"a" in model.in_flight else False
                     model.send(b"a")
-                elif step == "run" and b"a" in model.in_flight and not ran:
+                elif step == "run" and b"a" in model.in_flight and not executed:
                     model.execute(b"a")
-                    ran = True
-                elif step in ("respond", "lose") and ran and b"a" in model.in_flight:
+                    executed = True
+                elif step in ("respond", "lose") and executed and b"a" in model.in_flight:
                     model.respond(b"a", b"x", step == "lose")
-                    ran = False
+                    executed = False
                 elif step == "crash":
                     model.crash()
-                    ran = False
+                    executed = False
                 model.now += 0.1
                 try:
                     model.check()
@@ -207,9 +213,9 @@
     return ""
 
 
-@pytest.mark.parametrize("broken", ["no join", "log after the byte", "a lost response releases"])
-def test_exploration_finds_each_defence_left_out(broken: str) -> None:
-    assert "times within its window" in explore(broken, 6)
+@pytest.mark.parametrize("missing_defence", ["no join", "log after the byte", "a lost response releases"])
+def test_exploration_finds_each_defence_left_out(missing_defence: str) -> None:
+    assert "times within its window" in explore(missing_defence, 6)
 
 
 def test_exploration_finds_no_fault_with_all_defences() -> None:
--- a/tests/operations/test_operation_table.py
+++ b/tests/operations/test_operation_table.py
@@ -21,9 +21,9 @@
     table: OperationTable,
     digest: bytes = b"a",
     now: float = 0.0,
-    effect: Idempotency = Idempotency.NON_IDEMPOTENT,
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT,
 ) -> InFlightOperation:
-    decision = table.admit(digest, FINGERPRINT, effect, WINDOW_S, f"id-{digest.hex()}", now)
+    decision = table.admit(digest, FINGERPRINT, idempotency, WINDOW_S, f"id-{digest.hex()}", now)
     assert isinstance(decision, Execute)
     return decision.operation
 
@@ -34,12 +34,12 @@
     again = table.admit(b"a", FINGERPRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "id-2", 1.0)
     assert isinstance(again, Coalesce)
     assert again.operation is first
-    answer = StoredResponse(200, (("A", "b"),), b"body")
-    table.complete(first, OperationState.COMPLETED, answer, 5.0)
+    response = StoredResponse(200, (("A", "b"),), b"body")
+    table.complete(first, OperationState.COMPLETED, response, 5.0)
     for now in (6.0, 104.999):
         decision = table.admit(b"a", FINGERPRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "id-3", now)
         assert isinstance(decision, Replay)
-        assert (decision.record.response, decision.record.request_id) == (answer, first.request_id)
+        assert (decision.record.response, decision.record.request_id) == (response, first.request_id)
     assert isinstance(
         table.admit(b"a", FINGERPRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "id-4", 105.0), Execute
     )
@@ -60,9 +60,9 @@
 
 def test_a_retry_of_what_may_have_executed_names_its_first_worker() -> None:
     table = OperationTable(1 << 20)
-    first = execute(table, effect=Idempotency.WITH_KEY)
+    first = execute(table, idempotency=Idempotency.WITH_KEY)
     table.mark_retryable(first, 7, 3.0, 4.0, 4.5)
-    second = execute(table, now=5.0, effect=Idempotency.WITH_KEY)
+    second = execute(table, now=5.0, idempotency=Idempotency.WITH_KEY)
     assert second.previous is not None
     assert (second.previous.worker_id, second.previous.sent_s, second.request_id) == (
         7,
@@ -71,11 +71,11 @@
     )
     assert second.previous.attempt_in_flight_until_s == 4.5
     table.release(second)  # it was not executed; the first one still may have been
-    third = execute(table, now=7.0, effect=Idempotency.WITH_KEY)
+    third = execute(table, now=7.0, idempotency=Idempotency.WITH_KEY)
     table.mark_retryable(
         third, 9, 6.5, 8.0
     )  # another may have been, elsewhere: the first one is named all the same
-    fourth = execute(table, now=9.0, effect=Idempotency.WITH_KEY)
+    fourth = execute(table, now=9.0, idempotency=Idempotency.WITH_KEY)
     assert fourth.previous is not None
     assert (fourth.previous.worker_id, fourth.previous.sent_s) == (7, 3.0)
 
@@ -83,11 +83,13 @@
 def test_the_memory_limit_evicts_completed_operations_only() -> None:
     table = OperationTable(20_000)
     unknown = [execute(table, bytes([n]), 0.0) for n in range(5)]
-    for n, one in enumerate(unknown):
-        table.complete(one, OperationState.OUTCOME_UNKNOWN, None, float(n))
+    for n, operation in enumerate(unknown):
+        table.complete(operation, OperationState.OUTCOME_UNKNOWN, None, float(n))
     for n in range(200):
-        one = execute(table, b"e%d" % n, 10.0 + n * 0.01)
-        table.complete(one, OperationState.COMPLETED, StoredResponse(200, (), b"x" * 100), 10.0 + n * 0.01)
+        operation = execute(table, b"e%d" % n, 10.0 + n * 0.01)
+        table.complete(
+            operation, OperationState.COMPLETED, StoredResponse(200, (), b"x" * 100), 10.0 + n * 0.01
+        )
         assert table.memory_bytes <= 20_000
     assert table.evicted_early > 100
     for n in range(5):
@@ -117,13 +119,13 @@
 def test_memory_is_counted_back_to_nothing() -> None:
     table = OperationTable(1 << 20)
     for n in range(50):
-        one = execute(table, b"%d" % n, float(n))
+        operation = execute(table, b"%d" % n, float(n))
         if n % 3 == 0:
-            table.release(one)
+            table.release(operation)
         elif n % 3 == 1:
-            table.complete(one, OperationState.COMPLETED, StoredResponse(200, (), b"y" * n), float(n))
+            table.complete(operation, OperationState.COMPLETED, StoredResponse(200, (), b"y" * n), float(n))
         else:
-            table.mark_retryable(one, 1, 0.0, float(n))
+            table.mark_retryable(operation, 1, 0.0, float(n))
     table.expire(1000.0)
     assert (table.memory_bytes, len(table)) == (0, 0)
 
@@ -148,10 +150,10 @@
     )
     assert (RECORD_OVERHEAD_BYTES + len(record)) * 1_000_000 < 512 * 1024 * 1024
     for n in range(20_000):
-        one = table.admit(
+        decision = table.admit(
             n.to_bytes(12, "big"), FINGERPRINT, Idempotency.NON_IDEMPOTENT, WINDOW_S, "0" * 36, 0.0
         )
-        assert isinstance(one, Execute)
-        table.complete(one.operation, OperationState.COMPLETED, StoredResponse(200, headers, b"{}"), 0.0)
+        assert isinstance(decision, Execute)
+        table.complete(decision.operation, OperationState.COMPLETED, StoredResponse(200, headers, b"{}"), 0.0)
     assert table.memory_bytes <= 20_000 * (RECORD_OVERHEAD_BYTES + len(record) + 16)
     assert IN_FLIGHT_BYTES > RECORD_OVERHEAD_BYTES
--- a/tests/operations/test_slot_locks.py
+++ b/tests/operations/test_slot_locks.py
@@ -24,7 +24,7 @@
     assert not other.acquire(3)
     locks.release(3)
     assert other.acquire(3)
-    assert (locks.held, other.held) == ([], [3])
+    assert (locks.held_slots, other.held_slots) == ([], [3])
 
 
 def test_a_holder_without_a_log_is_added_to_the_earlier_ones(locks: SlotLocks) -> None:
--- a/tests/operations/test_slot_manager.py
+++ b/tests/operations/test_slot_manager.py
@@ -37,25 +37,25 @@
         return {slot: [(bytes([slot]), b"left")] for slot in slots - self.busy}
 
 
-def member(directory: pathlib.Path, name: str, **more: Any) -> tuple[SlotManager, RecordingHandover]:
+def member(directory: pathlib.Path, name: str, **options: Any) -> tuple[SlotManager, RecordingHandover]:
     handover = RecordingHandover()
-    clock = more.get("clock", time.monotonic)
+    clock = options.get("clock", time.monotonic)
     own = SlotMember(name, lambda: f"host:{name}", RecordLocation(f"notes-{name}"))
     return SlotManager(directory, own, handover, clock), handover
 
 
 def test_no_slot_has_two_holders_whatever_members_believe(tmp_path: pathlib.Path) -> None:
     """Members whose lists are drawn at random each time: each takes what it believes is its own."""
-    chance = random.Random(7)
+    rng = random.Random(7)
     members = [member(tmp_path, str(n)) for n in range(4)]
     for _, handover in members:
-        handover.busy = set(chance.sample(range(SLOT_COUNT), 10))
+        handover.busy = set(rng.sample(range(SLOT_COUNT), 10))
     for _ in range(120):
-        slots, handover = chance.choice(members)
-        view = chance.sample(["0", "1", "2", "3"], chance.randint(1, 4))
-        peers = {name: Peer(name, name) for name in view}
+        slots, handover = rng.choice(members)
+        listed = rng.sample(["0", "1", "2", "3"], rng.randint(1, 4))
+        peers = {name: Peer(name, name) for name in listed}
         slots._live_members.poll = lambda peers=peers: peers  # type: ignore[method-assign,misc]
-        handover.busy ^= {chance.randrange(SLOT_COUNT)}
+        handover.busy ^= {rng.randrange(SLOT_COUNT)}
         slots.maintain()
         ready = [set(filter(one.is_held, range(SLOT_COUNT))) for one, _ in members]
         for a in range(4):
@@ -69,12 +69,12 @@
     first, _ = member(tmp_path, "a")
     first.start()
     assert first.held_count == SLOT_COUNT
-    second, kept = member(tmp_path, "b")
+    second, second_handover = member(tmp_path, "b")
     second.start()
     eventually(lambda: second.held_count and first.held_count + second.held_count == SLOT_COUNT)
-    assert {location.log_directory for location in kept.locations} == {"notes-a"}
-    left = set(kept.handed_over)
-    assert left == {(bytes([slot]), b"left") for slot in range(SLOT_COUNT) if second.is_held(slot)}
+    assert {location.log_directory for location in second_handover.locations} == {"notes-a"}
+    handed_over = set(second_handover.handed_over)
+    assert handed_over == {(bytes([slot]), b"left") for slot in range(SLOT_COUNT) if second.is_held(slot)}
     peer = first.assigned_peer(next(slot for slot in range(SLOT_COUNT) if second.is_held(slot)))
     assert peer is not None
     assert peer.address == "host:b"
--- a/tests/operations/test_slot_processes.py
+++ b/tests/operations/test_slot_processes.py
@@ -73,15 +73,15 @@
 
     def peer(self, index: int) -> Stack:
         """Return one process, at the address where the others forward requests to it."""
-        place = self.directory / "ledger" / (f"process-{index}" if index else "")
-        address = (place / "peer").read_text().strip()
+        ledger_directory = self.directory / "ledger" / (f"process-{index}" if index else "")
+        address = (ledger_directory / "peer").read_text().strip()
         return Stack(None, self.fleet, {}, address)  # type: ignore[arg-type]
 
     def pid(self, index: int) -> int:
         answer = self.peer(index).get("/status")
         return int(json.loads(answer.body)["pid"])
 
-    def held(self, index: int) -> int:
+    def held_slot_count(self, index: int) -> int:
         try:
             text = self.peer(index).get("/metrics").body.decode()
         except OSError:
@@ -91,20 +91,22 @@
                 return int(float(line.split()[1]))
         return 0
 
-    def settled(self, count: int) -> None:
+    def wait_for_assigned_slots(self, count: int) -> None:
         """Wait until each process holds its assigned slots."""
         live = [str(n) for n in range(count)]
-        wanted = [sum(assigned_member(slot, live) == member for slot in range(SLOT_COUNT)) for member in live]
-        eventually(lambda: [self.held(n) for n in range(count)] == wanted, 20)
+        expected = [
+            sum(assigned_member(slot, live) == member for slot in range(SLOT_COUNT)) for member in live
+        ]
+        eventually(lambda: [self.held_slot_count(n) for n in range(count)] == expected, 20)
 
     def key_of(
-        self, index: int, count: int, function: str = "record-sale", kind: str = "RequestResponse"
+        self, index: int, count: int, function: str = "record-sale", invocation_type: str = "RequestResponse"
     ) -> str:
         """Return a key whose operation is assigned to process ``index`` of ``count``."""
         live = [str(n) for n in range(count)]
         for n in range(10_000):
-            name = OperationIdentity("corner-books", function, "$LATEST", kind, f"sdk:t{n}")
-            if assigned_member(slot_for(name.digest()), live) == str(index):
+            identity = OperationIdentity("corner-books", function, "$LATEST", invocation_type, f"sdk:t{n}")
+            if assigned_member(slot_for(identity.digest()), live) == str(index):
                 return f"t{n}"
         raise AssertionError
 
@@ -112,88 +114,94 @@
 @contextmanager
 def processes(tmp_path: pathlib.Path, profile: Profile, count: int = COUNT) -> Iterator[Processes]:
     fleet = StandInFleet(2, lambda n: profile)
-    held = hold_port("127.0.0.1")
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    found = Processes(tmp_path, fleet, f"127.0.0.1:{held.getsockname()[1]}")
-    held.close()
-    found.start(count)
+    reserved_port = hold_port("127.0.0.1")
+    reserved_port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    gateway = Processes(tmp_path, fleet, f"127.0.0.1:{reserved_port.getsockname()[1]}")
+    reserved_port.close()
+    gateway.start(count)
     try:
-        found.settled(count)
-        yield found
+        gateway.wait_for_assigned_slots(count)
+        yield gateway
     finally:
-        assert found.stop() == 0
+        assert gateway.stop() == 0
         fleet.stop()
 
 
 def test_concurrent_requests_to_several_processes_execute_once(tmp_path: pathlib.Path) -> None:
     with processes(tmp_path, Profile(work_s=0.2, load_s=0.02)) as gateway:
-        for kind in ("RequestResponse", "Event"):
-            token = gateway.key_of(1, COUNT, kind=kind)
-            found: list[Response] = []
-            gate = threading.Barrier(COUNT)
-
-            def one(index: int, into: list[Response], gate: threading.Barrier, kind: str, token: str) -> None:
-                gate.wait(5)
-                into.append(send(gateway.peer(index), "record-sale", token, kind=kind))
-
-            common = found, gate, kind, token
-            threads = [threading.Thread(target=one, args=(n, *common)) for n in range(COUNT)]
+        for invocation_type in ("RequestResponse", "Event"):
+            key = gateway.key_of(1, COUNT, invocation_type=invocation_type)
+            responses: list[Response] = []
+            barrier = threading.Barrier(COUNT)
+
+            def send_one(
+                index: int,
+                results: list[Response],
+                barrier: threading.Barrier,
+                invocation_type: str,
+                key: str,
+            ) -> None:
+                barrier.wait(5)
+                results.append(send(gateway.peer(index), "record-sale", key, kind=invocation_type))
+
+            common = responses, barrier, invocation_type, key
+            threads = [threading.Thread(target=send_one, args=(n, *common)) for n in range(COUNT)]
             for thread in threads:
                 thread.start()
             for thread in threads:
                 thread.join(15)
-            assert len({(a.status, a.headers.get("x-amzn-requestid"), a.body) for a in found}) == 1
-            assert sum("x-saffron-repeated" in a.headers for a in found) == COUNT - 1
-            id_ = found[0].headers.get("x-amzn-requestid")
-            if kind == "Event":
-                assert gateway.stack.final(id_)["requestContext"]["condition"] == "Success"
-            runs = [r for w in gateway.fleet.workers for r in w.runs("record-sale") if r["id"] == id_]
+            assert len({(a.status, a.headers.get("x-amzn-requestid"), a.body) for a in responses}) == 1
+            assert sum("x-saffron-repeated" in a.headers for a in responses) == COUNT - 1
+            request_id = responses[0].headers.get("x-amzn-requestid")
+            if invocation_type == "Event":
+                assert gateway.stack.final(request_id)["requestContext"]["condition"] == "Success"
+            runs = [r for w in gateway.fleet.workers for r in w.runs("record-sale") if r["id"] == request_id]
             assert len(runs) == 1
 
 
 def test_the_slot_holder_crashes_during_an_execution(tmp_path: pathlib.Path) -> None:
     with processes(tmp_path, Profile(work_s=0.4, load_s=0.02)) as gateway:
-        token = gateway.key_of(2, COUNT)
-        found: list[Response] = []
-        sender = threading.Thread(target=lambda: found.append(send(gateway.peer(0), "record-sale", token)))
+        key = gateway.key_of(2, COUNT)
+        forwarded: list[Response] = []
+        sender = threading.Thread(target=lambda: forwarded.append(send(gateway.peer(0), "record-sale", key)))
         sender.start()
         eventually(lambda: gateway.stack.runs("record-sale") == 1)
         os.kill(gateway.pid(2), signal.SIGKILL)
         sender.join(15)
-        answers = [*found, *(send(gateway.peer(n), "record-sale", token) for n in (0, 1))]
-        gateway.settled(COUNT)  # it restarted and has its slots again
-        answers.append(send(gateway.peer(2), "record-sale", token))
-        assert {a.status for a in answers} == {200}
-        assert all(b"OutcomeUnknown" in a.body for a in answers), [(a.status, a.body) for a in answers]
+        responses = [*forwarded, *(send(gateway.peer(n), "record-sale", key) for n in (0, 1))]
+        gateway.wait_for_assigned_slots(COUNT)  # it restarted and has its slots again
+        responses.append(send(gateway.peer(2), "record-sale", key))
+        assert {a.status for a in responses} == {200}
+        assert all(b"OutcomeUnknown" in a.body for a in responses), [(a.status, a.body) for a in responses]
         assert gateway.stack.runs("record-sale") == 1
-        kept = gateway.key_of(2, COUNT, kind="Event")
-        taken = [send(gateway.peer(0), "record-sale", kept, kind="Event")]
+        event_key = gateway.key_of(2, COUNT, invocation_type="Event")
+        event_responses = [send(gateway.peer(0), "record-sale", event_key, kind="Event")]
         os.kill(gateway.pid(2), signal.SIGKILL)
         for index in (0, 1):
-            eventually(lambda index=index: _status(gateway, index, kept, taken) == 202)  # type: ignore[misc]
-        assert len({a.headers.get("x-amzn-requestid") for a in taken}) == 1
-        gateway.settled(COUNT)
+            eventually(lambda index=index: _send_event(gateway, index, event_key, event_responses) == 202)  # type: ignore[misc]
+        assert len({a.headers.get("x-amzn-requestid") for a in event_responses}) == 1
+        gateway.wait_for_assigned_slots(COUNT)
 
 
-def _status(gateway: Processes, index: int, token: str, into: list[Response]) -> int:
-    answer = send(gateway.peer(index), "record-sale", token, kind="Event")
-    if answer.status == 202:
-        into.append(answer)
-    return answer.status
+def _send_event(gateway: Processes, index: int, key: str, accepted: list[Response]) -> int:
+    response = send(gateway.peer(index), "record-sale", key, kind="Event")
+    if response.status == 202:
+        accepted.append(response)
+    return response.status
 
 
 def test_the_slot_holder_is_paused_and_resumed(tmp_path: pathlib.Path) -> None:
     """It keeps its slots; requests meanwhile are answered in time, and none is executed later."""
     with processes(tmp_path, Profile(work_s=0.01, load_s=0.02)) as gateway:
-        token, fresh = gateway.key_of(1, COUNT), f"{gateway.key_of(1, COUNT)}"
-        first = send(gateway.peer(0), "record-sale", token)
+        key, same_key = gateway.key_of(1, COUNT), f"{gateway.key_of(1, COUNT)}"
+        first = send(gateway.peer(0), "record-sale", key)
         assert first.status == 200
         pid = gateway.pid(1)
-        names = [f"x{n}" for n in range(3000)]
+        candidate_keys = [f"x{n}" for n in range(3000)]
         live = [str(n) for n in range(COUNT)]
-        mine = [
+        assigned_keys = [
             n
-            for n in names
+            for n in candidate_keys
             if assigned_member(
                 slot_for(
                     OperationIdentity(
@@ -207,61 +215,61 @@
         before = gateway.stack.runs("record-sale")
         os.kill(pid, signal.SIGSTOP)
         try:
-            began_s = time.monotonic()
-            answers = [send(gateway.peer(0), "record-sale", name) for name in mine]
-            assert time.monotonic() - began_s < 4 * 1.6  # the class's deadline each
-            assert {a.status for a in answers} <= {200, 429}
-            assert all(a.status == 429 or b"OutcomeUnknown" in a.body for a in answers)
-            assert gateway.held(0) + gateway.held(2) < SLOT_COUNT
-            time.sleep(max(0.0, began_s + 10.0 - time.monotonic()))
+            paused_at_s = time.monotonic()
+            responses = [send(gateway.peer(0), "record-sale", name) for name in assigned_keys]
+            assert time.monotonic() - paused_at_s < 4 * 1.6  # the class's deadline each
+            assert {a.status for a in responses} <= {200, 429}
+            assert all(a.status == 429 or b"OutcomeUnknown" in a.body for a in responses)
+            assert gateway.held_slot_count(0) + gateway.held_slot_count(2) < SLOT_COUNT
+            time.sleep(max(0.0, paused_at_s + 10.0 - time.monotonic()))
         finally:
             os.kill(pid, signal.SIGCONT)
-        gateway.settled(COUNT)
+        gateway.wait_for_assigned_slots(COUNT)
         time.sleep(0.5)
         assert (
             gateway.stack.runs("record-sale") == before
         )  # requests from the pause came too late to be executed
-        assert send(gateway.peer(2), "record-sale", fresh).body == first.body
+        assert send(gateway.peer(2), "record-sale", same_key).body == first.body
 
 
 def test_fewer_processes_know_the_operations_of_more(tmp_path: pathlib.Path) -> None:
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02)) as gateway:
-        tokens = [gateway.key_of(n, COUNT) for n in range(COUNT)]
-        firsts = [send(gateway.peer(0), "record-sale", token) for token in tokens]
-        assert {a.status for a in firsts} == {200}
+        keys = [gateway.key_of(n, COUNT) for n in range(COUNT)]
+        first_responses = [send(gateway.peer(0), "record-sale", key) for key in keys]
+        assert {a.status for a in first_responses} == {200}
         assert gateway.stop() == 0
         gateway.start(2)
-        gateway.settled(2)
-        again = [send(gateway.peer(n % 2), "record-sale", token) for n, token in enumerate(tokens)]
-        assert [a.body for a in again] == [a.body for a in firsts]
+        gateway.wait_for_assigned_slots(2)
+        replayed = [send(gateway.peer(n % 2), "record-sale", key) for n, key in enumerate(keys)]
+        assert [a.body for a in replayed] == [a.body for a in first_responses]
         assert gateway.stack.runs("record-sale") == COUNT
 
 
 def test_a_stale_process_keeps_its_slots_while_it_lives(tmp_path: pathlib.Path) -> None:
     """One of three outlives its supervisor while paused; a new gateway of two starts beside it."""
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02)) as gateway:
-        token = gateway.key_of(2, COUNT)
-        first = send(gateway.peer(0), "record-sale", token)
+        key = gateway.key_of(2, COUNT)
+        first = send(gateway.peer(0), "record-sale", key)
         assert first.status == 200
-        stale = gateway.pid(2)
-        os.kill(stale, signal.SIGSTOP)
+        stale_pid = gateway.pid(2)
+        os.kill(stale_pid, signal.SIGSTOP)
         assert gateway.process is not None
         os.kill(gateway.process.pid, signal.SIGKILL)
         gateway.process.wait(10)
-        eventually(lambda: not _lives(tmp_path, "0") and not _lives(tmp_path, "1"))
+        eventually(lambda: not _is_live(tmp_path, "0") and not _is_live(tmp_path, "1"))
         gateway.start(2)
-        eventually(lambda: gateway.held(0) and gateway.held(1))
-        assert gateway.held(0) + gateway.held(1) < SLOT_COUNT
-        answer = send(gateway.peer(0), "record-sale", token)
-        assert answer.status == 429 or b"OutcomeUnknown" in answer.body
-        os.kill(stale, signal.SIGCONT)  # it finds its supervisor gone and stops
-        eventually(lambda: gateway.held(0) + gateway.held(1) == SLOT_COUNT)
-        again = send(gateway.peer(1), "record-sale", token)
-        assert again.body == first.body
+        eventually(lambda: gateway.held_slot_count(0) and gateway.held_slot_count(1))
+        assert gateway.held_slot_count(0) + gateway.held_slot_count(1) < SLOT_COUNT
+        response = send(gateway.peer(0), "record-sale", key)
+        assert response.status == 429 or b"OutcomeUnknown" in response.body
+        os.kill(stale_pid, signal.SIGCONT)  # it finds its supervisor gone and stops
+        eventually(lambda: gateway.held_slot_count(0) + gateway.held_slot_count(1) == SLOT_COUNT)
+        replayed = send(gateway.peer(1), "record-sale", key)
+        assert replayed.body == first.body
         assert gateway.stack.runs("record-sale") == 1
 
 
-def _lives(tmp_path: pathlib.Path, member: str) -> bool:
+def _is_live(tmp_path: pathlib.Path, member: str) -> bool:
     directory = tmp_path / "ledger" / "operation-slots" / LIVE_DIRECTORY
     return member in LiveMembers(directory, "observer", lambda: "").poll()
 
@@ -269,10 +277,10 @@
 @pytest.mark.parametrize("header", ["nonsense", "1.0", ""])
 def test_a_client_cannot_claim_to_be_a_process(tmp_path: pathlib.Path, header: str) -> None:
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02), 2) as gateway:
-        token = gateway.key_of(1, 2)
+        key = gateway.key_of(1, 2)
         client = gateway.peer(0).client()
-        extra = (("amz-sdk-invocation-id", token), ("x-saffron-forwarded", "1"), ("x-saffron-until", header))
-        answer = client.invoke("record-sale", b"{}", "RequestResponse", extra)
-        assert answer.status == 421  # the header claims a forwarded request, but the slot is not held here
+        extra = (("amz-sdk-invocation-id", key), ("x-saffron-forwarded", "1"), ("x-saffron-until", header))
+        response = client.invoke("record-sale", b"{}", "RequestResponse", extra)
+        assert response.status == 421  # the header claims a forwarded request, but the slot is not held here
         assert gateway.stack.runs("record-sale") == 0
         client.close()
