--- a/saffronstack/upstream/deadlines.py
+++ b/saffronstack/upstream/deadlines.py
@@ -56,7 +56,7 @@
         self._log = log
         self._changed = threading.Condition()  # guards all below
         self._heap: list[tuple[float, int, ExchangeKey]] = []
-        self._ticket = count()
+        self._sequence_numbers = count()
         self._next_wake_s = 0.0
         self._is_stopping = False
         # Not `_thread`: mypyc puts an underscore before it, and `__thread` is a keyword of C.
@@ -83,7 +83,7 @@
     def schedule(self, deadline_s: float, key: ExchangeKey) -> None:
         """Expire ``key`` at ``deadline_s`` (clock time)."""
         with self._changed:
-            heapq.heappush(self._heap, (deadline_s, next(self._ticket), key))
+            heapq.heappush(self._heap, (deadline_s, next(self._sequence_numbers), key))
             if deadline_s < self._next_wake_s - RESOLUTION_S:
                 self._changed.notify()
 
--- a/saffronstack/upstream/http/attempt_runner.py
+++ b/saffronstack/upstream/http/attempt_runner.py
@@ -14,7 +14,7 @@
 from saffronstack.upstream.http.worker_context import WorkerContext
 
 MAX_SENDS = 2  # a connection that was kept alive may turn out closed before anything was sent on it
-NO_LONGER_WANTED = AttemptResponse(Result.NOT_STARTED, reason="no longer wanted when it was to be sent")
+NOT_SENT = AttemptResponse(Result.NOT_STARTED, reason="no longer wanted when it was to be sent")
 
 
 class AttemptRunner:
@@ -28,8 +28,8 @@
         context = self._context
         started_s = context.clock()
         response = self._send(job, slot)
-        if response.answer is not None:
-            self._answer_call(job, response)
+        if response.worker_response is not None:
+            self._finish_call(job, response)
         if response.incarnation and response.incarnation != context.incarnation:
             context.incarnation = response.incarnation
             context.report(WorkerObservation(context.spec.number, response.incarnation, response.uptime_s))
@@ -47,14 +47,14 @@
         self._report(job, response, outcome)
         slot.release()
 
-    def _answer_call(self, job: AttemptJob, response: AttemptResponse) -> None:
-        answer = response.answer
-        assert answer is not None
+    def _finish_call(self, job: AttemptJob, response: AttemptResponse) -> None:
+        worker_response = response.worker_response
+        assert worker_response is not None
         final = FinalAnswer(
             FinalStatus.SERVED,
-            answer.payload,
-            answer.function_error,
-            answer.log_tail,
+            worker_response.payload,
+            worker_response.function_error,
+            worker_response.log_tail,
             attempts=job.attempt + 1,
             worker=self._context.spec.name,
         )
@@ -68,7 +68,7 @@
         result = AttemptResult(
             job.call,
             outcome,
-            response.answer,
+            response.worker_response,
             response.reason,
             context.incarnation,
             response.memory_time_kib_us,
@@ -79,13 +79,13 @@
 
     def _may_send(self, job: AttemptJob) -> bool:
         """Return whether the attempt is still wanted; checked right before its first byte."""
-        is_over = self._context.is_closed or job.is_cancelled or job.call.is_finished
-        return not is_over and self._context.clock() < job.deadline_s
+        is_obsolete = self._context.is_closed or job.is_cancelled or job.call.is_finished
+        return not is_obsolete and self._context.clock() < job.deadline_s
 
     def _send(self, job: AttemptJob, slot: ConnectionSlot) -> AttemptResponse:
         """Send the request on a connection that takes it, and return what came of it."""
         if not self._may_send(job):
-            return NO_LONGER_WANTED
+            return NOT_SENT
         guard = job.call.guard
         for _ in range(MAX_SENDS):
             try:
@@ -97,7 +97,7 @@
                     return AttemptResponse(Result.NOT_STARTED, reason="the ledger could not note it")
                 guard = None  # asked once, however often it is sent
             if not self._may_send(job):
-                return NO_LONGER_WANTED
+                return NOT_SENT
             response = self._exchange(job, connection)
             if response is not None:
                 return response
--- a/saffronstack/upstream/http/command_runner.py
+++ b/saffronstack/upstream/http/command_runner.py
@@ -14,7 +14,7 @@
     LoadJob,
     UnloadJob,
     UsageJob,
-    function_of,
+    command_function,
 )
 from saffronstack.upstream.http.protocol import CommandResponse
 from saffronstack.upstream.http.worker_context import WorkerContext
@@ -35,7 +35,7 @@
         response = self._exchange(job, slot, started_s + context.limits.command_timeout_s)
         if not isinstance(job, UnloadJob):
             elapsed_s = context.clock() - started_s
-            number = function_id(function_of(job))
+            number = function_id(command_function(job))
             result = CommandResult(
                 context.spec.number,
                 response.result,
--- a/saffronstack/upstream/http/connection_pool.py
+++ b/saffronstack/upstream/http/connection_pool.py
@@ -15,7 +15,7 @@
 from saffronstack.upstream.http.attempt_runner import AttemptRunner
 from saffronstack.upstream.http.command_runner import CommandRunner
 from saffronstack.upstream.http.connection import ConnectionSlot
-from saffronstack.upstream.http.jobs import AttemptJob, Job, UnloadJob, UsageJob, function_of
+from saffronstack.upstream.http.jobs import AttemptJob, Job, UnloadJob, UsageJob, command_function
 from saffronstack.upstream.http.worker_context import WorkerContext
 
 log = structlog.get_logger("saffronstack.upstream.http")
@@ -37,20 +37,20 @@
 
     def __init__(self, context: WorkerContext) -> None:
         self.spec = context.spec
-        self.attempts = 0  # submitted so far; counted by the dispatcher, under a lock of its own
+        self.attempt_count = 0  # submitted so far; counted by the dispatcher, under a lock of its own
         self._context = context
-        self._attempts = AttemptRunner(context)
-        self._commands = CommandRunner(context)
+        self._attempt_runner = AttemptRunner(context)
+        self._command_runner = CommandRunner(context)
         self._jobs: queue.SimpleQueue[Job | None] = queue.SimpleQueue()  # None ends a thread
         self._lock = threading.Lock()  # guards the counts below
-        self._threads = 0
+        self._thread_count = 0
         self._idle_threads = 0
         self._queued_jobs = 0
 
     @property
-    def threads(self) -> int:
+    def thread_count(self) -> int:
         """Threads, and so connections at most."""
-        return self._threads
+        return self._thread_count
 
     def update(self, spec: WorkerSpec) -> None:
         """Take a changed entry of the endpoint list: nothing new is sent while the worker drains."""
@@ -60,7 +60,7 @@
         """Send nothing new; idle threads and connections end at once, busy ones after their job."""
         self._context.is_closed = True
         with self._lock:
-            for _ in range(self._threads):
+            for _ in range(self._thread_count):
                 self._jobs.put(None)
 
     def submit(self, job: Job) -> None:
@@ -75,13 +75,13 @@
 
     def _start_thread(self) -> Rejection | None:
         """Start one more thread; return why the job can't be queued. The caller holds the lock."""
-        if self._threads >= self._context.limits.connections:
+        if self._thread_count >= self._context.limits.connections:
             return Rejection(Result.AT_CAPACITY, "all connections to the worker are in use")
         try:
             start_detached_thread("worker-exchange", self._run)
         except RuntimeError:  # the system has no more threads: those that there are may come to it
-            return None if self._threads else Rejection(Result.NOT_STARTED, "no thread could be started")
-        self._threads += 1
+            return None if self._thread_count else Rejection(Result.NOT_STARTED, "no thread could be started")
+        self._thread_count += 1
         self._idle_threads += 1
         return None
 
@@ -91,7 +91,7 @@
         with self._context.connection_slot() as slot:
             while (job := self._next_job()) is not None:
                 try:
-                    self._carry_out(job, slot)
+                    self._execute(job, slot)
                 finally:
                     with self._lock:
                         self._idle_threads += 1
@@ -106,25 +106,25 @@
                     if self._queued_jobs >= self._idle_threads:
                         continue  # a job that was queued in this moment counted on this thread
                     self._idle_threads -= 1
-                    self._threads -= 1
+                    self._thread_count -= 1
                     return None
             with self._lock:
                 self._idle_threads -= 1
                 if job is None:
-                    self._threads -= 1
+                    self._thread_count -= 1
                 else:
                     self._queued_jobs -= 1
             return job
 
-    def _carry_out(self, job: Job, slot: ConnectionSlot) -> None:
+    def _execute(self, job: Job, slot: ConnectionSlot) -> None:
         """Carry out a job and report its end, whatever happens."""
         try:
             if isinstance(job, AttemptJob):
-                self._attempts.run(job, slot)
+                self._attempt_runner.run(job, slot)
             elif isinstance(job, UsageJob):
-                self._commands.poll_usage(job, slot)
+                self._command_runner.poll_usage(job, slot)
             else:
-                self._commands.run(job, slot)
+                self._command_runner.run(job, slot)
         except Exception:
             log.exception("worker thread failed", worker=self.spec.name)
             slot.close()
@@ -139,4 +139,4 @@
         elif isinstance(job, UsageJob):
             job.on_response(None)
         elif not isinstance(job, UnloadJob):
-            report(unsent_command(worker_id, result, function_of(job)))
+            report(unsent_command(worker_id, result, command_function(job)))
--- a/saffronstack/upstream/http/dispatcher.py
+++ b/saffronstack/upstream/http/dispatcher.py
@@ -21,7 +21,7 @@
     LoadJob,
     UnloadJob,
     UsageJob,
-    function_of,
+    command_function,
 )
 from saffronstack.upstream.http.usage_observer import UsageObserver
 from saffronstack.upstream.http.worker_context import HttpPoolLimits, WorkerContext
@@ -89,7 +89,7 @@
     @property
     def connection_count(self) -> int:
         """Threads of all pools, each with a connection at most."""
-        return sum(pool.threads for pool in self._pools.snapshot().values())
+        return sum(pool.thread_count for pool in self._pools.snapshot().values())
 
     @property
     def worker_count(self) -> int:
@@ -102,7 +102,8 @@
         with self._lock:
             in_flight = Counter(job.worker_id for job in self._in_flight.values())
             return [
-                WorkerTraffic(pool.spec, pool.attempts, in_flight[number]) for number, pool in pools.items()
+                WorkerTraffic(pool.spec, pool.attempt_count, in_flight[number])
+                for number, pool in pools.items()
             ]
 
     def poll_usage(self, worker_id: int, job: UsageJob) -> None:
@@ -130,7 +131,7 @@
             return
         job = AttemptJob(call, attempt, attempt_deadline_s(call, timeout_s, self._clock()), worker_id)
         with self._lock:
-            pool.attempts += 1
+            pool.attempt_count += 1
             self._in_flight[call.number, attempt] = job
         pool.submit(job)
 
@@ -158,4 +159,4 @@
         if pool is not None:
             pool.submit(job)
         elif not isinstance(job, UnloadJob):
-            self._report(unsent_command(worker_id, Result.CONNECT_FAILED, function_of(job)))
+            self._report(unsent_command(worker_id, Result.CONNECT_FAILED, command_function(job)))
--- a/saffronstack/upstream/http/jobs.py
+++ b/saffronstack/upstream/http/jobs.py
@@ -60,6 +60,6 @@
 Job = AttemptJob | CommandJob | UsageJob
 
 
-def function_of(job: CommandJob) -> FunctionSpec | None:
+def command_function(job: CommandJob) -> FunctionSpec | None:
     """Return the function that a command is about, None for a health check."""
     return None if isinstance(job, HealthCheckJob) else job.function
--- a/saffronstack/upstream/http/protocol.py
+++ b/saffronstack/upstream/http/protocol.py
@@ -43,7 +43,7 @@
 HEADER_CPU_UTILIZATION = "x-saffron-busy"
 HEADER_LOADS_IN_PROGRESS = "x-saffron-loads"
 NOT_EXECUTED = "no"  # the value of `HEADER_EXECUTED` that proves that the function was not executed
-CACHE_STATUS_BY_WORD = {
+CACHE_STATUS_BY_HEADER_VALUE = {
     "warm": CacheStatus.WARM,
     "began-load": CacheStatus.STARTED_LOAD,
     "awaited-load": CacheStatus.JOINED_LOAD,
@@ -65,7 +65,7 @@
         cache_status: Whether the function was loaded when the request came.
         concurrency: Requests that the instance executed beside this one; None where not reported.
         load_report: The worker's load; None where not reported.
-        answer: The function's answer to a successful attempt.
+        worker_response: The function's answer to a successful attempt.
         incarnation: The worker process that answered; empty where not reported.
         uptime_s: How long that process has run, in seconds.
         reason: Why the attempt failed.
@@ -77,7 +77,7 @@
     cache_status: CacheStatus = CacheStatus.UNKNOWN
     concurrency: int | None = None
     load_report: LoadReport | None = None
-    answer: WorkerResponse | None = None
+    worker_response: WorkerResponse | None = None
     incarnation: str = ""
     uptime_s: float = 0.0
     reason: str = ""
@@ -167,22 +167,24 @@
     Only a response that says so itself proves that the function was not executed.
     """
     headers = head.headers
-    concurrency = _number(headers.get(HEADER_CONCURRENCY))
+    concurrency = _parse_number(headers.get(HEADER_CONCURRENCY))
     result = _attempt_result(head)
-    answer = None
+    worker_response = None
     if result is Result.OK:
-        answer = WorkerResponse(body, headers.get(HEADER_FUNCTION_ERROR), headers.get(HEADER_LOG_TAIL))
+        worker_response = WorkerResponse(
+            body, headers.get(HEADER_FUNCTION_ERROR), headers.get(HEADER_LOG_TAIL)
+        )
     return AttemptResponse(
         result,
-        CACHE_STATUS_BY_WORD.get(headers.get(HEADER_CACHE_STATUS), CacheStatus.UNKNOWN),
+        CACHE_STATUS_BY_HEADER_VALUE.get(headers.get(HEADER_CACHE_STATUS), CacheStatus.UNKNOWN),
         None if concurrency is None else int(concurrency),
         decode_load_report(headers),
-        answer,
+        worker_response,
         headers.get(HEADER_INCARNATION)[:MAX_INCARNATION_CHARACTERS],
-        (_number(headers.get(HEADER_UPTIME_MS)) or 0.0) / 1000,
+        (_parse_number(headers.get(HEADER_UPTIME_MS)) or 0.0) / 1000,
         f"worker answered {head.status}" if result is Result.ERROR else "",
         headers.get(HEADER_USAGE_RECORDS),
-        _integer(headers.get(HEADER_MEMORY_TIME)),
+        _parse_integer(headers.get(HEADER_MEMORY_TIME)),
     )
 
 
@@ -211,10 +213,10 @@
 
 def decode_load_report(headers: Headers) -> LoadReport | None:
     """Return the load report in a response's headers, None where there is none."""
-    requests_in_flight = _number(headers.get(HEADER_REQUESTS_IN_FLIGHT))
-    requests_queued = _number(headers.get(HEADER_REQUESTS_QUEUED))
-    cpu_utilization = _number(headers.get(HEADER_CPU_UTILIZATION))
-    loads_in_progress = _number(headers.get(HEADER_LOADS_IN_PROGRESS))
+    requests_in_flight = _parse_number(headers.get(HEADER_REQUESTS_IN_FLIGHT))
+    requests_queued = _parse_number(headers.get(HEADER_REQUESTS_QUEUED))
+    cpu_utilization = _parse_number(headers.get(HEADER_CPU_UTILIZATION))
+    loads_in_progress = _parse_number(headers.get(HEADER_LOADS_IN_PROGRESS))
     values = (requests_in_flight, requests_queued, cpu_utilization, loads_in_progress)
     if all(value is None for value in values):
         return None
@@ -226,13 +228,13 @@
     )
 
 
-def _integer(text: str) -> int:
+def _parse_integer(text: str) -> int:
     """Return a natural number; whatever else a worker writes counts as not reported."""
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_INTEGER_DIGITS
     return int(text) if is_number else 0
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
     """Return a finite number of at least 0; whatever else a worker writes counts as not reported."""
     if not text or len(text) > MAX_NUMBER_CHARACTERS:
         return None
--- a/saffronstack/upstream/multiplexed/codec.py
+++ b/saffronstack/upstream/multiplexed/codec.py
@@ -17,24 +17,24 @@
 from saffronstack.upstream.errors import LineProtocolError
 
 # Words of messages to workers.
-WORD_REQUEST = "CALL"
-WORD_CANCEL = "CANCEL"
-WORD_PING = "PING"
-WORD_LOAD = "LOAD"
-WORD_UNLOAD = "UNLOAD"
+TYPE_REQUEST = "CALL"
+TYPE_CANCEL = "CANCEL"
+TYPE_PING = "PING"
+TYPE_LOAD = "LOAD"
+TYPE_UNLOAD = "UNLOAD"
 # Words of responses.
-RESULT_BY_WORD = {
+RESULT_BY_TYPE = {
     "OK": Result.OK,
     "MISS": Result.NOT_LOADED,
     "BUSY": Result.AT_CAPACITY,
     "ERR": Result.ERROR,
     "VOID": Result.NOT_STARTED,
 }
-WORD_PING_REPLY = "UP"
+TYPE_PING_REPLY = "UP"
 # Keys of the fields of a message.
 FIELD_CLASS = "c"
 FIELD_FUNCTION = "k"
-FIELD_WAIT_MS = "w"
+FIELD_REMAINING_MS = "w"
 FIELD_INSTANCES = "units"
 FIELD_CONCURRENCY = "ahead"
 FIELD_CACHE_STATUS = "note"
@@ -94,7 +94,7 @@
     """One response of a worker, its numbers checked and bounded.
 
     Attributes:
-        word: A key of `RESULT_BY_WORD`, or `WORD_PING_REPLY`.
+        message_type: A key of `RESULT_BY_TYPE`, or `TYPE_PING_REPLY`.
         tag: The tag of the exchange that it answers.
         body: The response body.
         cache_status: Whether the function was loaded when the request came.
@@ -103,7 +103,7 @@
         instances: Loaded instances, after a load command.
     """
 
-    word: str
+    message_type: str
     tag: str
     body: bytes
     cache_status: CacheStatus
@@ -112,35 +112,35 @@
     instances: int
 
 
-def encode_request(tag: str, class_name: str, function: str, wait_ms: int, body: bytes) -> bytes:
-    """Encode a request; ``wait_ms`` is how long the gateway waits for the response, in milliseconds."""
+def encode_request(tag: str, class_name: str, function: str, remaining_ms: int, body: bytes) -> bytes:
+    """Encode a request; ``remaining_ms`` is how long the gateway waits for the response, in milliseconds."""
     fields: dict[str, str | int] = {
         FIELD_CLASS: class_name,
         FIELD_FUNCTION: function,
-        FIELD_WAIT_MS: wait_ms,
+        FIELD_REMAINING_MS: remaining_ms,
     }
-    return _encode(_Request(WORD_REQUEST, tag, fields, body)) + b"\n"
+    return _encode(_Request(TYPE_REQUEST, tag, fields, body)) + b"\n"
 
 
 def encode_cancel(tag: str) -> bytes:
     """Encode the message that a request is cancelled."""
-    return _encode(_BareMessage(WORD_CANCEL, tag)) + b"\n"
+    return _encode(_BareMessage(TYPE_CANCEL, tag)) + b"\n"
 
 
 def encode_ping(tag: str) -> bytes:
     """Encode a health check of the connection."""
-    return _encode(_BareMessage(WORD_PING, tag)) + b"\n"
+    return _encode(_BareMessage(TYPE_PING, tag)) + b"\n"
 
 
 def encode_load_command(tag: str, function: str, instances: int) -> bytes:
     """Encode a command to load so many instances; 0 only asks how many are loaded."""
     fields: dict[str, str | int] = {FIELD_FUNCTION: function, FIELD_INSTANCES: instances}
-    return _encode(_Command(WORD_LOAD, tag, fields)) + b"\n"
+    return _encode(_Command(TYPE_LOAD, tag, fields)) + b"\n"
 
 
 def encode_unload_command(function: str) -> bytes:
     """Encode a command to unload the idle instances of a function; it has no response."""
-    return _encode(_BareMessage(WORD_UNLOAD, function)) + b"\n"
+    return _encode(_BareMessage(TYPE_UNLOAD, function)) + b"\n"
 
 
 def decode_response(line: bytes) -> ExchangeResponse:
@@ -153,7 +153,7 @@
         message = _decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise LineProtocolError(str(error)) from error
-    if message.what not in RESULT_BY_WORD and message.what != WORD_PING_REPLY:
+    if message.what not in RESULT_BY_TYPE and message.what != TYPE_PING_REPLY:
         raise LineProtocolError(f"unknown word {message.what[:MAX_QUOTED_CHARACTERS]!r}")
     fields = message.fields
     concurrency = None
--- a/saffronstack/upstream/multiplexed/connection.py
+++ b/saffronstack/upstream/multiplexed/connection.py
@@ -112,14 +112,14 @@
 
     def _write(self, write_buffer: WriteBuffer, exchange: PendingExchange) -> None:
         if not write_buffer.send(exchange) and self._in_flight.remove(exchange):
-            exchange.on_failure(exchange.result_when_lost(), "the connection accepts nothing more")
+            exchange.on_failure(exchange.result_on_connection_loss(), "the connection accepts nothing more")
 
-    def post(self, data: bytes) -> bool:
+    def send_one_way(self, data: bytes) -> bool:
         """Send bytes that have no response; return False where they are not accepted."""
         write_buffer = self._write_buffer
         return write_buffer is not None and write_buffer.send(OutgoingMessage(data))
 
-    def give_up(self, exchange: PendingExchange, result: Result, reason: str) -> None:
+    def abandon(self, exchange: PendingExchange, result: Result, reason: str) -> None:
         """End an exchange without its response; the worker is notified where any of it was sent."""
         if not self._in_flight.remove(exchange, abandon=True):
             return
@@ -128,9 +128,9 @@
         elif exchange.progress is SendProgress.PARTIAL and self.in_flight == 0:
             self.abort()  # the worker takes no bytes: the rest of the line must not follow once it does
         else:
-            self.post(codec.encode_cancel(exchange.tag))
+            self.send_one_way(codec.encode_cancel(exchange.tag))
         exchange.on_failure(result, reason)
-        self._abort_if_spent()
+        self._abort_if_drained()
 
     def claim(self, exchange: PendingExchange) -> bool:
         """Return whether the first byte of an exchange may be sent."""
@@ -144,12 +144,12 @@
         """End an exchange that was no longer wanted when its first byte was to be sent."""
         if self._in_flight.remove(exchange):
             exchange.on_failure(Result.NOT_STARTED, "no longer wanted when it was to be sent")
-            self._abort_if_spent()
+            self._abort_if_drained()
 
     def close_gracefully(self) -> None:
         """Accept nothing more; close once nothing is in flight."""
         self._in_flight.is_draining = True
-        self._abort_if_spent()
+        self._abort_if_drained()
 
     def abort(self) -> None:
         """Close it now; what is in flight ends as lost."""
@@ -158,8 +158,8 @@
         if stream is not None:
             stream.abort()
 
-    def _abort_if_spent(self) -> None:
-        if self._in_flight.is_spent():
+    def _abort_if_drained(self) -> None:
+        if self._in_flight.is_drained():
             self.abort()
 
     # ---- on the thread that connects
@@ -234,7 +234,7 @@
         exchange = self._in_flight.pop_answered(response.tag)
         if exchange is not None:
             exchange.on_response(response)
-            self._abort_if_spent()
+            self._abort_if_drained()
 
     def _close(self) -> None:
         lost = self._in_flight.close()
@@ -244,5 +244,7 @@
             self._stream.close()
         for exchange in lost:
             with contextlib.suppress(Exception):  # the others must end all the same
-                exchange.on_failure(exchange.result_when_lost(), self.close_reason or "the connection closed")
+                exchange.on_failure(
+                    exchange.result_on_connection_loss(), self.close_reason or "the connection closed"
+                )
         self._on_closed(self)
--- a/saffronstack/upstream/multiplexed/connection_pool.py
+++ b/saffronstack/upstream/multiplexed/connection_pool.py
@@ -85,18 +85,18 @@
             False where no connection is available: nothing was sent.
         """
         for _ in range(MAX_SUBMIT_ATTEMPTS):
-            connection = self._choose(exchange.tag)
+            connection = self._choose_connection(exchange.tag)
             if connection is None:
                 return False
             if connection.submit(exchange):
                 return True
         return False
 
-    def post(self, data: bytes) -> bool:
+    def send_one_way(self, data: bytes) -> bool:
         """Send bytes that have no response on any connection; return False where none accepts them."""
-        return any(connection.post(data) for connection in self.connections)
+        return any(connection.send_one_way(data) for connection in self.connections)
 
-    def _choose(self, tag: str) -> MultiplexedConnection | None:
+    def _choose_connection(self, tag: str) -> MultiplexedConnection | None:
         best: MultiplexedConnection | None = None
         for connection in reversed(self.connections):
             if connection.can_accept(tag):
@@ -105,10 +105,10 @@
                 if best is None or connection.in_flight < best.in_flight:
                     best = connection
         if best is None or len(self._connections) < self.max_connections:
-            best = self._open(is_required=best is None) or best
+            best = self._open_connection(is_required=best is None) or best
         return best
 
-    def _open(self, is_required: bool) -> MultiplexedConnection | None:
+    def _open_connection(self, is_required: bool) -> MultiplexedConnection | None:
         """Open a connection; None where the budget is spent, unless one is required, or no thread starts."""
         if not self._budget.try_acquire():
             self._close_idle_connection()
--- a/saffronstack/upstream/multiplexed/dispatcher.py
+++ b/saffronstack/upstream/multiplexed/dispatcher.py
@@ -142,7 +142,7 @@
 
     def cancel(self, call: Call, attempt: int) -> None:
         """Stop waiting for an attempt and notify its worker."""
-        self._give_up((call.number, attempt), Result.CANCELLED, "cancelled")
+        self._abandon((call.number, attempt), Result.CANCELLED, "cancelled")
 
     def check_health(self, worker_id: int) -> None:
         """Check that a connection to the worker works; ends in one `CommandResult`."""
@@ -156,7 +156,7 @@
         """Command a worker to unload idle instances; no end is reported."""
         pool = self._pools.get(worker_id)
         if pool is not None and not pool.is_closed:
-            pool.post(codec.encode_unload_command(function.name))
+            pool.send_one_way(codec.encode_unload_command(function.name))
 
     def _send_command(self, worker_id: int, function: FunctionSpec | None, instances: int) -> None:
         pool = self._pools.get(worker_id)
@@ -196,9 +196,9 @@
 
     def expire(self, key: ExchangeKey) -> None:
         """End an exchange whose deadline has passed, unless it has ended already."""
-        self._give_up(key, Result.TIMEOUT, "no response in time")
+        self._abandon(key, Result.TIMEOUT, "no response in time")
 
-    def _give_up(self, key: ExchangeKey, result: Result, reason: str) -> None:
+    def _abandon(self, key: ExchangeKey, result: Result, reason: str) -> None:
         exchange = self._exchanges.get(key)
         if exchange is not None and exchange.connection is not None:
-            exchange.connection.give_up(exchange, result, reason)
+            exchange.connection.abandon(exchange, result, reason)
--- a/saffronstack/upstream/multiplexed/exchange.py
+++ b/saffronstack/upstream/multiplexed/exchange.py
@@ -14,7 +14,7 @@
 from saffronstack.upstream.multiplexed import codec
 
 REQUEST_OVERHEAD_BYTES = 256  # of a request's line beside its body
-MIN_WAIT_MS = 1  # workers get to know how long the gateway waits, and zero would be no time at all
+MIN_REMAINING_MS = 1  # workers get to know how long the gateway waits, and zero would be no time at all
 
 
 class ExchangeWorker(Protocol):
@@ -46,7 +46,7 @@
         """End an exchange that was no longer wanted when its first byte was to be sent."""
         ...
 
-    def give_up(self, exchange: PendingExchange, result: Result, reason: str) -> None:
+    def abandon(self, exchange: PendingExchange, result: Result, reason: str) -> None:
         """Stop waiting for the response."""
         ...
 
@@ -124,7 +124,7 @@
         """End it without a response."""
         raise NotImplementedError
 
-    def result_when_lost(self) -> Result:
+    def result_on_connection_loss(self) -> Result:
         """Return the result where the connection breaks: a worker never reads a line that is not complete."""
         return Result.RESET if self.progress is SendProgress.COMPLETE else Result.CONNECT_FAILED
 
@@ -149,19 +149,19 @@
         only now, with the time that is left now: it may have waited for a connection or in a write buffer.
         """
         call = self.call
-        wait_ms = int((self.deadline_s - self.clock()) * 1000)
-        if call.is_finished or wait_ms < MIN_WAIT_MS or not super().prepare_to_send():
+        remaining_ms = int((self.deadline_s - self.clock()) * 1000)
+        if call.is_finished or remaining_ms < MIN_REMAINING_MS or not super().prepare_to_send():
             return False
         self.data = codec.encode_request(
-            call.request_id, call.class_name, call.function.name, wait_ms, call.payload
+            call.request_id, call.class_name, call.function.name, remaining_ms, call.payload
         )
         return True
 
     def on_response(self, response: codec.ExchangeResponse) -> None:
         """End the attempt; a successful one answers the call here, ahead of the decision thread."""
-        result = codec.RESULT_BY_WORD.get(response.word)
+        result = codec.RESULT_BY_TYPE.get(response.message_type)
         if result is None:  # the reply to a ping, under the tag of a request
-            self.on_failure(self.result_when_lost(), "the response belongs to no request")
+            self.on_failure(self.result_on_connection_loss(), "the response belongs to no request")
             return
         answer = None
         if result is Result.ERROR:
@@ -231,16 +231,16 @@
 
     def on_response(self, response: codec.ExchangeResponse) -> None:
         """End it with the number of instances that are loaded."""
-        result = codec.RESULT_BY_WORD.get(response.word)
+        result = codec.RESULT_BY_TYPE.get(response.message_type)
         if result is None:
-            result = Result.OK if response.word == codec.WORD_PING_REPLY else Result.ERROR
-        self._end(result, response.instances, response.load_report)
+            result = Result.OK if response.message_type == codec.TYPE_PING_REPLY else Result.ERROR
+        self._report_result(result, response.instances, response.load_report)
 
     def on_failure(self, result: Result, reason: str) -> None:
         """End it without a response."""
-        self._end(result, 0, None)
+        self._report_result(result, 0, None)
 
-    def _end(self, result: Result, instances: int, load_report: LoadReport | None) -> None:
+    def _report_result(self, result: Result, instances: int, load_report: LoadReport | None) -> None:
         elapsed_s = self.clock() - self.submitted_s
         number = function_id(self.function)
         self.report(CommandResult(self.worker.worker_id, result, elapsed_s, number, instances, load_report))
--- a/saffronstack/upstream/multiplexed/in_flight.py
+++ b/saffronstack/upstream/multiplexed/in_flight.py
@@ -140,7 +140,7 @@
             self._answered_tags = {}
         return lost
 
-    def is_spent(self) -> bool:
+    def is_drained(self) -> bool:
         """Return whether nothing is in flight and nothing will be accepted any more."""
-        is_ending = self.is_draining or len(self._abandoned_tags) >= MAX_ABANDONED_TAGS
-        return is_ending and not self._exchanges
+        accepts_nothing = self.is_draining or len(self._abandoned_tags) >= MAX_ABANDONED_TAGS
+        return accepts_nothing and not self._exchanges
--- a/saffronstack/upstream/pool_registry.py
+++ b/saffronstack/upstream/pool_registry.py
@@ -79,9 +79,9 @@
         """Change the pools and return those that are to be stopped; the caller holds the lock."""
         stopped: list[PoolT] = []
         for number in removed:
-            gone = self._pools.pop(number, None)
-            if gone is not None:
-                stopped.append(gone)
+            removed_pool = self._pools.pop(number, None)
+            if removed_pool is not None:
+                stopped.append(removed_pool)
         for spec in specs:
             pool = self._pools.get(spec.number)
             if pool is not None and (pool.spec.host, pool.spec.port) != (spec.host, spec.port):
--- a/tests/stored_formats/test_platform_message_formats.py
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -37,7 +37,7 @@
 
 
 def test_words_of_hosts_and_of_replies_stand_for_the_same() -> None:
-    assert {word: result.value for word, result in codec.RESULT_BY_WORD.items()} == KEPT["results"]
+    assert {word: result.value for word, result in codec.RESULT_BY_TYPE.items()} == KEPT["results"]
     assert {ending.value: word.decode() for ending, word in connection.STATUS_WORDS.items()} == KEPT[
         "replies"
     ]
@@ -52,7 +52,7 @@
     report = found.load_report and list(dataclasses.astuple(found.load_report))
     cache_status = found.cache_status.value
     return [
-        found.word,
+        found.message_type,
         found.tag,
         found.body.decode(),
         cache_status,
--- a/tests/stored_formats/test_worker_message_formats.py
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("number", range(len(ANSWERS)))
 def test_an_answer_of_a_worker_is_understood_the_same(number: int) -> None:
     found = judged(ANSWERS[number]["answer"])
-    report, answer = found.load_report, found.answer
+    report, answer = found.load_report, found.worker_response
     assert ANSWERS[number]["understood"] == {
         "result": found.result.value,
         "found": found.cache_status.value,
--- a/tests/upstream/multiplexed/test_codec.py
+++ b/tests/upstream/multiplexed/test_codec.py
@@ -27,7 +27,7 @@
         report = first.load_report
         assert report is not None
         assert (report.requests_queued, report.cpu_utilization) == (7.0, 0.6)
-        assert (second.word, second.tag, second.concurrency) == ("BUSY", "b", None)
+        assert (second.message_type, second.tag, second.concurrency) == ("BUSY", "b", None)
 
 
 @given(st.one_of(st.binary(max_size=200), st.recursive(
@@ -35,12 +35,12 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
         st.sampled_from(["what", "tag", "with", "blob", "ahead", "units", "load"]), inner, max_size=5),
 ).map(lambda value: json.dumps(value).encode())))  # fmt: skip
-def test_whatever_hosts_send_is_an_answer_or_an_error(line: bytes) -> None:
+def test_any_line_decodes_or_raises_a_protocol_error(line: bytes) -> None:
     with contextlib.suppress(LineProtocolError):
         codec.decode_response(line)
 
 
-def test_a_line_without_an_end_is_an_error_before_it_fills_memory() -> None:
+def test_an_endless_line_is_an_error_before_it_fills_memory() -> None:
     reader = LineReader(1000)
 
     def feed_endless_line() -> None:
--- a/tests/upstream/multiplexed/test_connection.py
+++ b/tests/upstream/multiplexed/test_connection.py
@@ -29,7 +29,7 @@
 from tests.support.stack import eventually
 from tests.support.unscheduled_threads import returns_without_new_threads
 
-SPEC = WorkerSpec(7, "s-7", "127.0.0.1", 1)
+WORKER = WorkerSpec(7, "s-7", "127.0.0.1", 1)
 
 
 class ThreadlessUpstream:
@@ -47,7 +47,7 @@
         self.dispatcher = MultiplexedDispatcher(
             limits, ConnectionBudget(1), writer, self._report, lambda: self.now, 5.0
         )
-        self.dispatcher.update_workers([SPEC], [])
+        self.dispatcher.update_workers([WORKER], [])
 
     def _report(self, event: Any) -> None:
         self.reported.append(event)
@@ -142,7 +142,7 @@
     assert connection.can_accept("0000000000000001")
 
 
-def test_a_connection_that_owes_many_abandoned_responses_accepts_nothing_new(
+def test_a_connection_with_too_many_abandoned_tags_accepts_nothing_new(
     upstream: ThreadlessUpstream,
 ) -> None:
     connection = None
@@ -178,7 +178,7 @@
     assert not before.connections[0].can_accept("f" * 16)
 
 
-def sent_waits_ms(upstream: ThreadlessUpstream) -> list[int]:
+def sent_remaining_ms(upstream: ThreadlessUpstream) -> list[int]:
     """Return the waiting times that were sent to the worker, in milliseconds."""
     lines = upstream.sockets[0].taken.splitlines()
     return [json.loads(line)["with"]["w"] for line in lines if b'"CALL"' in line]
@@ -191,7 +191,7 @@
     upstream.call(1)  # three seconds, of which two pass in a write buffer
     upstream.now += 2.0
     assert upstream.unblock()
-    assert sent_waits_ms(upstream) == [1000]
+    assert sent_remaining_ms(upstream) == [1000]
 
 
 def test_an_attempt_with_no_time_remaining_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -208,11 +208,11 @@
     must not be taken for rejected, as it may be executing and would be executed twice."""
     call = upstream.call(1)
     connection = upstream.connections[0]
-    full = codec.decode_response(b'{"what":"BUSY","tag":"0000000000000001"}')
-    connection._on_response(full)
+    at_capacity = codec.decode_response(b'{"what":"BUSY","tag":"0000000000000001"}')
+    connection._on_response(at_capacity)
     assert upstream.results() == [(1, Result.AT_CAPACITY)]
     upstream.dispatcher.send(call, 1, 7, 0.0)
-    connection._on_response(full)
+    connection._on_response(at_capacity)
     assert upstream.results() == [(1, Result.AT_CAPACITY)]
     assert len(upstream.connections) == 2
     for number in range(2, 2 + MAX_ANSWERED_TAGS):  # what a connection remembers is bounded
@@ -230,28 +230,28 @@
     claimed = threading.Event()
     send, write_buffer = sock.send, connection._write_buffer
     assert write_buffer is not None
-    end = write_buffer.discard
-    ending = threading.Event()
+    discard_buffer = write_buffer.discard
+    discard_started = threading.Event()
 
-    def late(data: bytes, flags: int = 0) -> int:
+    def send_late(data: bytes, flags: int = 0) -> int:
         claimed.set()
-        assert ending.wait(WAIT_S)
+        assert discard_started.wait(WAIT_S)
         return send(data, flags)
 
     def discard() -> None:
-        ending.set()
-        end()
+        discard_started.set()
+        discard_buffer()
 
     def close_connection() -> None:
         assert claimed.wait(WAIT_S)
         connection._close()
 
-    monkeypatch.setattr(sock, "send", late)
+    monkeypatch.setattr(sock, "send", send_late)
     monkeypatch.setattr(write_buffer, "discard", discard)
-    ender = threading.Thread(target=close_connection)
-    ender.start()
+    closer = threading.Thread(target=close_connection)
+    closer.start()
     upstream.call(2)
-    ender.join(WAIT_S)
+    closer.join(WAIT_S)
     assert sorted(upstream.results()) == [(1, Result.RESET), (2, Result.RESET)]
 
 
@@ -276,11 +276,11 @@
     upstream = ThreadlessUpstream(monkeypatch, capacity=30)
     call = upstream.call(1)
     connection = upstream.connections[0]
-    shut: list[bool] = []
-    monkeypatch.setattr(connection, "abort", lambda: shut.append(True))
+    aborts: list[bool] = []
+    monkeypatch.setattr(connection, "abort", lambda: aborts.append(True))
     call.finish(FinalAnswer(FinalStatus.CLIENT_DISCONNECTED))
     upstream.dispatcher.cancel(call, 0)
-    assert shut == [True]
+    assert aborts == [True]
 
 
 def test_an_attempt_that_expires_while_it_is_submitted_ends_all_the_same(
@@ -289,12 +289,12 @@
     """The deadlines' thread runs between the steps of a send."""
     submit = MultiplexedPool.submit
 
-    def slow(pool: MultiplexedPool, exchange: PendingExchange) -> bool:
+    def expire_then_submit(pool: MultiplexedPool, exchange: PendingExchange) -> bool:
         for key in upstream.dispatcher.deadlines.pop_overdue(exchange.deadline_s):
             upstream.dispatcher.expire(key)
         return submit(pool, exchange)
 
-    monkeypatch.setattr(MultiplexedPool, "submit", slow)
+    monkeypatch.setattr(MultiplexedPool, "submit", expire_then_submit)
     upstream.call(1)
     upstream.now += 4.0
     upstream.expire()
@@ -306,42 +306,42 @@
     """Connections to workers are established once they are released."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.begun, self.release = threading.Semaphore(0), threading.Event()
+        self.started, self.release = threading.Semaphore(0), threading.Event()
         connect = MultiplexedConnection._connect
 
-        def late(connection: MultiplexedConnection) -> bool:
-            self.begun.release()
+        def connect_late(connection: MultiplexedConnection) -> bool:
+            self.started.release()
             assert self.release.wait(WAIT_S)
             return connect(connection)
 
-        monkeypatch.setattr(MultiplexedConnection, "_connect", late)
+        monkeypatch.setattr(MultiplexedConnection, "_connect", connect_late)
 
 
 @pytest.mark.parametrize(
     "change", ["client leaves", "worker drains", "worker is removed", "connection is aborted"]
 )
-def test_nothing_is_sent_on_a_connection_established_after_things_changed(
+def test_an_obsolete_request_is_not_sent_once_its_connection_is_established(
     monkeypatch: pytest.MonkeyPatch, change: str
 ) -> None:
     host = ScriptedHost()
     directory = Directory(Entry("s-1", host.address))
-    slow = SlowConnect(monkeypatch)
+    slow_connect = SlowConnect(monkeypatch)
     with gateway(directory) as service:
         client, other = Client(service.frontend.address), Client(service.frontend.address)
         tag = client.call(cls=b"sell")
-        assert slow.begun.acquire(timeout=WAIT_S)
+        assert slow_connect.started.acquire(timeout=WAIT_S)
         (connection,) = service.dispatcher.pools().popitem()[1].connections
         eventually(lambda: connection.in_flight)  # the call waits for it
-        decided = threading.Event()
+        decisions_resumed = threading.Event()
         if change == "client leaves":  # and nobody has decided yet what that means for its attempt
-            held = threading.Event()
+            decisions_paused = threading.Event()
 
-            def hold(now: float, router: Router) -> None:
-                held.set()
-                assert decided.wait(WAIT_S)
+            def pause_decisions(now: float, router: Router) -> None:
+                decisions_paused.set()
+                assert decisions_resumed.wait(WAIT_S)
 
-            service.engine.inspect(hold)
-            assert held.wait(WAIT_S)
+            service.engine.inspect(pause_decisions)
+            assert decisions_paused.wait(WAIT_S)
             client.sock.close()
             eventually(lambda: not service.frontend.open_calls)
         elif change == "worker drains":
@@ -350,10 +350,10 @@
             directory.tell()
         else:
             connection.abort()
-        slow.release.set()
+        slow_connect.release.set()
         if change == "client leaves":
             eventually(lambda: not connection.in_flight)
-            decided.set()
+            decisions_resumed.set()
             assert other.ask(subject=9)[0] == "OK"
             assert host.next()["with"]["k"] == f"{9:016x}"
         else:  # it never left, and the one host was tried
@@ -369,7 +369,7 @@
     dispatcher = MultiplexedDispatcher(
         ConnectionLimits(), ConnectionBudget(1), WriteLoop(time.monotonic), reported.put, time.monotonic, 5.0
     )
-    dispatcher.update_workers([SPEC], [])
+    dispatcher.update_workers([WORKER], [])
     call = Call(1, "1" * 16, FunctionSpec("f" * 16, 5, 0, 100.0), b"", time.monotonic() + 2 * WAIT_S)
-    assert returns_without_new_threads(lambda: dispatcher.send(call, 0, SPEC.number, 0.0))
+    assert returns_without_new_threads(lambda: dispatcher.send(call, 0, WORKER.number, 0.0))
     assert reported.get(timeout=WAIT_S).outcome.result is Result.CONNECT_FAILED  # nobody listens there
--- a/tests/upstream/multiplexed/test_in_flight.py
+++ b/tests/upstream/multiplexed/test_in_flight.py
@@ -30,14 +30,14 @@
     def on_dropped(self, exchange: PendingExchange) -> None:
         pass
 
-    def give_up(self, exchange: PendingExchange, result: Result, reason: str) -> None:
+    def abandon(self, exchange: PendingExchange, result: Result, reason: str) -> None:
         pass
 
 
 CONNECTION = FakeConnection()
 
 
-def exchange(tag: str, now_s: float = 100.0) -> PendingExchange:
+def new_exchange(tag: str, now_s: float = 100.0) -> PendingExchange:
     def report(event: Any) -> None:
         raise AssertionError("the table reports nothing itself")
 
@@ -53,32 +53,32 @@
 
 
 def test_an_exchange_waits_for_the_connection() -> None:
-    table, first = InFlightTable(2), exchange("a")
+    table, first = InFlightTable(2), new_exchange("a")
     assert table.add(first, CONNECTION) is Admission.QUEUED
     assert first.connection is CONNECTION
     assert table.on_connected() == [first]
-    assert table.add(exchange("b"), CONNECTION) is Admission.SEND_NOW
+    assert table.add(new_exchange("b"), CONNECTION) is Admission.SEND_NOW
 
 
-def test_a_table_that_was_closed_while_it_connected_hands_out_nothing() -> None:
+def test_a_table_that_was_closed_while_it_connected_returns_no_queued_exchange() -> None:
     table = InFlightTable(2)
-    table.add(exchange("a"), CONNECTION)
+    table.add(new_exchange("a"), CONNECTION)
     table.is_closed = True
     assert table.on_connected() == []
     assert len(table) == 1
 
 
 def test_a_full_table_and_a_tag_in_use_are_rejected(table: InFlightTable) -> None:
-    rejected = exchange("a")
-    assert table.add(exchange("a"), CONNECTION) is Admission.SEND_NOW
+    rejected = new_exchange("a")
+    assert table.add(new_exchange("a"), CONNECTION) is Admission.SEND_NOW
     assert table.add(rejected, CONNECTION) is Admission.REJECTED
     assert rejected.connection is None
-    assert table.add(exchange("b"), CONNECTION) is Admission.SEND_NOW
+    assert table.add(new_exchange("b"), CONNECTION) is Admission.SEND_NOW
     assert not table.can_accept("c")
 
 
 def test_each_exchange_is_removed_once(table: InFlightTable) -> None:
-    first, second = exchange("a"), exchange("b")
+    first, second = new_exchange("a"), new_exchange("b")
     table.add(first, CONNECTION)
     table.add(second, CONNECTION)
     assert table.remove(first)
@@ -91,7 +91,7 @@
 
 
 def test_nothing_is_claimed_once_it_has_ended(table: InFlightTable) -> None:
-    first = exchange("a")
+    first = new_exchange("a")
     table.add(first, CONNECTION)
     assert table.claim(first)
     assert first.is_started
@@ -104,7 +104,7 @@
 
 
 def test_the_tag_of_an_abandoned_request_is_free_once_its_response_has_come(table: InFlightTable) -> None:
-    first = exchange("a")
+    first = new_exchange("a")
     table.add(first, CONNECTION)
     table.claim(first)
     assert table.remove(first, abandon=True)
@@ -114,32 +114,32 @@
 
 
 def test_the_tag_of_a_request_that_was_never_sent_is_free_at_once(table: InFlightTable) -> None:
-    first = exchange("a")
+    first = new_exchange("a")
     table.add(first, CONNECTION)
     assert table.remove(first, abandon=True)
     assert table.can_accept("a")
 
 
-def test_a_table_is_spent_when_it_drains_or_owes_too_many_responses(table: InFlightTable) -> None:
-    assert not table.is_spent()
+def test_a_table_is_drained_once_it_accepts_nothing_and_nothing_is_in_flight(table: InFlightTable) -> None:
+    assert not table.is_drained()
     for number in range(MAX_ABANDONED_TAGS):
-        one = exchange(f"{number}")
-        table.add(one, CONNECTION)
-        table.claim(one)
-        table.remove(one, abandon=True)
-    assert table.is_spent()
+        abandoned = new_exchange(f"{number}")
+        table.add(abandoned, CONNECTION)
+        table.claim(abandoned)
+        table.remove(abandoned, abandon=True)
+    assert table.is_drained()
     assert not table.can_accept("new")
     draining = InFlightTable(2)
-    last = exchange("a")
+    last = new_exchange("a")
     draining.add(last, CONNECTION)
     draining.is_draining = True
-    assert not draining.is_spent()
+    assert not draining.is_drained()
     draining.remove(last)
-    assert draining.is_spent()
+    assert draining.is_drained()
 
 
-def test_only_an_idle_table_is_closed_for_its_idleness(table: InFlightTable) -> None:
-    first = exchange("a")
+def test_close_if_idle_closes_only_a_table_without_exchanges(table: InFlightTable) -> None:
+    first = new_exchange("a")
     table.add(first, CONNECTION)
     assert not table.close_if_idle()
     assert not table.is_closed
@@ -150,6 +150,6 @@
 
 def test_the_oldest_exchange_is_the_one_submitted_first(table: InFlightTable) -> None:
     assert table.oldest_submitted_s == math.inf
-    table.add(exchange("a", now_s=100.0), CONNECTION)
-    table.add(exchange("b", now_s=101.0), CONNECTION)
+    table.add(new_exchange("a", now_s=100.0), CONNECTION)
+    table.add(new_exchange("b", now_s=101.0), CONNECTION)
     assert table.oldest_submitted_s == 100.0
--- a/tests/upstream/test_deadlines.py
+++ b/tests/upstream/test_deadlines.py
@@ -13,16 +13,16 @@
 from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.upstream.deadlines import DeadlineTimer, ExchangeKey, attempt_deadline_s
 
-WAIT_S = 10.0  # a bound, never waited out where things go right
+TEST_TIMEOUT_S = 10.0  # a bound, never waited out where things go right
 
 
-class Owner:
+class FakeOwner:
     """Holds pending exchanges; what expires is noted, and one of them is a fault."""
 
-    def __init__(self, faulty: ExchangeKey | None = None) -> None:
+    def __init__(self, failing_key: ExchangeKey | None = None) -> None:
         self.pending: set[ExchangeKey] = set()
         self.expired: queue.Queue[ExchangeKey] = queue.Queue()
-        self.faulty = faulty
+        self.failing_key = failing_key
 
     def is_pending(self, key: ExchangeKey) -> bool:
         return key in self.pending
@@ -30,16 +30,16 @@
     def expire(self, key: ExchangeKey) -> None:
         self.pending.discard(key)
         self.expired.put(key)
-        if key == self.faulty:
+        if key == self.failing_key:
             raise KeyError("a fault of its own")
 
 
-def timer_of(owner: Owner, log: io.StringIO | None = None) -> DeadlineTimer:
+def create_timer(owner: FakeOwner, log: io.StringIO | None = None) -> DeadlineTimer:
     return DeadlineTimer(time.monotonic, owner, KeyValueLogger("test", log or io.StringIO()))
 
 
 def test_overdue_keys_are_popped_once_in_their_order() -> None:
-    timer = timer_of(Owner())
+    timer = create_timer(FakeOwner())
     for deadline_s, key in ((3.0, (3, 0)), (1.0, (1, 0)), (2.0, (2, 1))):
         timer.schedule(deadline_s, key)
     assert timer.pop_overdue(0.5) == []
@@ -49,27 +49,27 @@
 
 
 def test_an_earlier_deadline_wakes_the_thread_and_a_fault_stops_no_other() -> None:
-    owner, log = Owner(faulty=(2, 0)), io.StringIO()
-    timer = timer_of(owner, log)
+    owner, log = FakeOwner(failing_key=(2, 0)), io.StringIO()
+    timer = create_timer(owner, log)
     timer.start()
     owner.pending = {(1, 0), (2, 0), (3, 0)}
     now_s = time.monotonic()
     timer.schedule(now_s + 3600, (1, 0))
     timer.schedule(now_s + 0.02, (2, 0))
     timer.schedule(now_s + 0.04, (3, 0))
-    assert [owner.expired.get(timeout=WAIT_S) for _ in range(2)] == [(2, 0), (3, 0)]
+    assert [owner.expired.get(timeout=TEST_TIMEOUT_S) for _ in range(2)] == [(2, 0), (3, 0)]
     assert timer.stop()
     assert owner.pending == {(1, 0)}
     assert "expiring an exchange failed call=2 attempt=0" in log.getvalue()
 
 
-def test_a_stop_ends_the_thread_within_its_bound() -> None:
-    timer = timer_of(Owner())
+def test_stop_ends_the_thread_within_its_timeout() -> None:
+    timer = create_timer(FakeOwner())
     assert timer.stop()  # never started
     timer.start()
     names = [thread.name for thread in threading.enumerate()]
     assert "deadlines" in names
-    assert timer.stop(WAIT_S)
+    assert timer.stop(TEST_TIMEOUT_S)
 
 
 @pytest.mark.parametrize(
--- a/tests/upstream/test_pool_registry.py
+++ b/tests/upstream/test_pool_registry.py
@@ -63,12 +63,12 @@
     assert len(registry) == 1
 
 
-def test_a_complete_list_removes_what_it_does_not_name(registry: PoolRegistry[FakePool]) -> None:
-    removed, stays = registry.get(1), registry.get(2)
+def test_a_snapshot_removes_the_workers_that_it_does_not_list(registry: PoolRegistry[FakePool]) -> None:
+    removed, kept = registry.get(1), registry.get(2)
     registry.replace_all([SECOND])
     assert removed is not None
     assert removed.is_stopped
-    assert registry.snapshot() == {2: stays}
+    assert registry.snapshot() == {2: kept}
 
 
 def test_clearing_stops_and_returns_every_pool(registry: PoolRegistry[FakePool]) -> None:
