--- a/saffronstack/invoke/operation_calls.py
+++ b/saffronstack/invoke/operation_calls.py
@@ -1,4 +1,4 @@
-"""Sends of one operation that may have an effect: it is performed once, and each send gets its response."""
+"""Executes operations with side effects once; every request of an operation gets its response."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     FUNCTION_ERROR_HEADER,
     REPLAYED_HEADER,
     build_response,
+    outcome_unknown_response,
     rejection_error,
-    replayed,
-    unknown_outcome,
+    replayed_response,
 )
 from saffronstack.invoke.invocation import Invocation, IsClientConnected
 from saffronstack.invoke.response import Response
@@ -42,11 +42,11 @@
     policy: DeduplicationPolicy,
     is_client_connected: IsClientConnected,
 ) -> Response:
-    """Return the response of a synchronous operation; run it on the engine where no other send of it has.
+    """Return the response of a synchronous operation; execute it unless another request does or did.
 
     Raises:
-        InvokeError: It is rejected.
-        ClientDisconnectedError: Nobody waits for it any more.
+        InvokeError: The request is rejected.
+        ClientDisconnectedError: The client disconnected before the response was known.
     """
 
     def run(execution: Execution, prior: PriorAttempt | None) -> Completed | NotCompleted:
@@ -78,7 +78,7 @@
 
 
 def to_stored_response(response: Response) -> StoredResponse:
-    """Return a response as the operations store it."""
+    """Convert a response to the form in which operations store it."""
     return StoredResponse(response.status, response.headers, response.body)
 
 
@@ -91,20 +91,20 @@
     latest_s: float,
     is_client_connected: IsClientConnected,
 ) -> Response:
-    """Return an operation's response, whichever of its sends this is.
+    """Return the response of an operation, whether this or another request executes it.
 
     Args:
-        operations: Performs it.
-        invocation: One send.
+        operations: The service that deduplicates operations.
+        invocation: One request of the operation.
         invocation_type: `SYNCHRONOUS` or `DEFERRED`.
-        policy: Of its class.
-        run: Runs it where this send is the one to do so.
-        latest_s: Clock time until which to wait for another send's.
-        is_client_connected: Of this send.
+        policy: Deduplication policy of the request class.
+        run: Executes the operation if this request is the one to do so.
+        latest_s: Monotonic time until which the request waits for another request's execution.
+        is_client_connected: Tells whether the client of this request is still connected.
 
     Raises:
-        InvokeError: It is rejected, or another operation has its name.
-        ClientDisconnectedError: Nobody waits for it any more.
+        InvokeError: The request is rejected, or its idempotency key was used with another payload.
+        ClientDisconnectedError: The client disconnected before the response was known.
     """
     request = OperationRequest(
         invocation.identity(invocation_type).digest(),
@@ -122,23 +122,23 @@
         raise errors.too_many_requests("Too many operations are remembered.", error.retry_after_s) from error
     except OutcomeUnknownError as error:
         headers = invocation.response_headers(error.request_id)
-        return unknown_outcome(headers, "the gateway was killed before it had an answer")
+        return outcome_unknown_response(headers, "the gateway was killed before it had an answer")
     except ResponseNotStoredError as error:
         return _without_body(invocation, error)
     except OperationInProgressError as error:
         if policy.idempotency is Idempotency.IDEMPOTENT or invocation_type == DEFERRED:
             raise errors.too_many_requests("The operation is still under way.", 1.0) from error
         headers = invocation.response_headers(invocation.request_id)
-        return unknown_outcome(headers, "another send of it is still under way")
+        return outcome_unknown_response(headers, "another send of it is still under way")
     response = result.response
     if result.is_replayed:
-        return replayed(response)
+        return replayed_response(response)
     return Response(response.status, response.headers, response.body)
 
 
 def _without_body(invocation: Invocation, error: ResponseNotStoredError) -> Response:
-    """Return what is known of a response that was too large to store."""
+    """Return the status, length and digest of a response whose body was too large to store."""
     stored = error.response
-    body = errors.response_not_stored(stored.status, stored.body_length, stored.body_digest)
+    body = errors.response_not_stored_payload(stored.status, stored.body_length, stored.body_digest)
     headers = invocation.response_headers(error.request_id)
     return Response(200, (*headers, FUNCTION_ERROR_HEADER, REPLAYED_HEADER), body)
