--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -123,7 +123,7 @@
     try:
         record = decode_record(lease.value.content) if lease is not None else None
     except RecordError:
-        return {}  # of a newer version: its leader sends the commands
+        return {}  # a newer version wrote the record; its leader sends the commands
     if record is None or record.phase is not RolloutPhase.ROLLING_BACK:
         return {}
     return {record.new_release.digest: record.old_release.digest}
--- a/saffronstack/cli/cpu_affinity.py
+++ b/saffronstack/cli/cpu_affinity.py
@@ -14,7 +14,7 @@
 DEFAULT_CPUS = "one"
 IDLE_SAMPLE_S = 0.1  # time over which idle times are measured before the process is pinned
 NO_THREAD = 0  # no thread has this native id
-MAX_THREAD_LISTINGS = 10  # times that one move lists the threads of this process
+MAX_THREAD_LISTINGS = 10  # maximum, in one move of the threads of this process
 
 
 def choose_cpus(selection: str, allowed: set[int], process_number: int) -> set[int]:
--- a/saffronstack/cli/gateway_requests.py
+++ b/saffronstack/cli/gateway_requests.py
@@ -33,7 +33,7 @@
 
     Returns:
         The exit status: 0 if the function succeeded or a deferred call was accepted, 1 if the function
-        failed, 2 if the request was rejected or the gateway is unreachable.
+        failed, 2 if the request was rejected, timed out or could not be sent.
     """
     try:
         body = pathlib.Path(payload[1:]).read_bytes() if payload.startswith("@") else payload.encode()
