--- a/saffronstack/upstream/__init__.py
+++ b/saffronstack/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to workers: the HTTP/1.1 pools and the multiplexed connections of the platform."""
+"""Connections to workers: HTTP/1.1 connection pools, and the platform's multiplexed connections."""
--- a/saffronstack/upstream/errors.py
+++ b/saffronstack/upstream/errors.py
@@ -1,15 +1,15 @@
-"""The errors of connections to workers."""
+"""Errors of connections to workers."""
 
 from __future__ import annotations
 
 
 class UpstreamError(Exception):
-    """Base of all errors that this package raises itself."""
+    """Base class of all errors that this package defines."""
 
 
 class LineProtocolError(UpstreamError, ValueError):
-    """A line that breaks the protocol: the connection that carried it can't be used any further."""
+    """A received line violates the protocol; the connection that carried it must be closed."""
 
 
 class ConnectTimeoutError(UpstreamError, TimeoutError):
-    """No connection could be opened within the time that was left for it."""
+    """The deadline passed before a connection could be opened."""
--- a/saffronstack/upstream/events.py
+++ b/saffronstack/upstream/events.py
@@ -1,4 +1,4 @@
-"""What connections to workers report to the engine."""
+"""Events that connections to workers report to the engine."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def unsent_attempt(call: Call, attempt: int, worker_id: int, result: Result, reason: str) -> AttemptResult:
-    """Return the result of an attempt that was never handed to a connection."""
+    """Return the result of an attempt that was never submitted to a connection."""
     outcome = AttemptOutcome(call.number, attempt, worker_id, result, 0.0, call.is_finished)
     return AttemptResult(call, outcome, reason=reason)
 
 
 def unsent_command(worker_id: int, result: Result, function: FunctionSpec | None) -> CommandResult:
-    """Return the result of a load command, or of a health check (no function), that was never sent."""
+    """Return the result of a load command, or health check (``function`` is None), that was never sent."""
     return CommandResult(worker_id, result, 0.0, function_id(function))
 
 
 def function_id(function: FunctionSpec | None) -> int | None:
-    """Return the number of a load command's function, None for a health check."""
+    """Return the number of a load command's function; None for a health check."""
     return None if function is None else function.number
--- a/saffronstack/upstream/http/attempt_runner.py
+++ b/saffronstack/upstream/http/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Carries out attempts: sends the request of a call to a worker and reports how the attempt ended."""
+"""Runs attempts: sends a call's request to a worker and reports the result."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from saffronstack.upstream.http.protocol import AttemptResponse
 from saffronstack.upstream.http.worker_context import WorkerContext
 
-MAX_SENDS = 2  # a connection that was kept alive may turn out closed before anything was sent on it
+MAX_SENDS = 2  # the second for a keep-alive connection that the worker closed before the first byte
 NOT_SENT = AttemptResponse(Result.NOT_STARTED, reason="no longer wanted when it was to be sent")
 
 
 class AttemptRunner:
-    """Runs attempts on the threads of one worker's pool, several at once."""
+    """Runs attempts on the threads of one worker's pool; several threads use it at once."""
 
     def __init__(self, context: WorkerContext) -> None:
         self._context = context
 
     def run(self, job: AttemptJob, slot: ConnectionSlot) -> None:
-        """Carry out an attempt and report its result."""
+        """Run an attempt and report its result."""
         context = self._context
         started_s = context.clock()
         response = self._send(job, slot)
@@ -78,12 +78,12 @@
         context.report(result)
 
     def _may_send(self, job: AttemptJob) -> bool:
-        """Return whether the attempt is still wanted; checked right before its first byte."""
+        """Return whether the attempt may still be sent; checked immediately before its first byte."""
         is_obsolete = self._context.is_closed or job.is_cancelled or job.call.is_finished
         return not is_obsolete and self._context.clock() < job.deadline_s
 
     def _send(self, job: AttemptJob, slot: ConnectionSlot) -> AttemptResponse:
-        """Send the request on a connection that takes it, and return what came of it."""
+        """Send the request, on a second connection if the first accepts no byte, and return the response."""
         if not self._may_send(job):
             return NOT_SENT
         guard = job.call.guard
@@ -95,7 +95,7 @@
             if guard is not None:
                 if not guard.may_send(job.attempt, self._context.spec.number):
                     return AttemptResponse(Result.NOT_STARTED, reason="the ledger could not note it")
-                guard = None  # asked once, however often it is sent
+                guard = None  # the guard is asked once per attempt, however often the request is sent
             if not self._may_send(job):
                 return NOT_SENT
             response = self._exchange(job, connection)
@@ -104,9 +104,9 @@
         return AttemptResponse(Result.CONNECT_FAILED, reason="the connection took no byte")
 
     def _exchange(self, job: AttemptJob, connection: HttpConnection) -> AttemptResponse | None:
-        """Send the request and await its response; return None where not one byte was sent."""
+        """Send the request and wait for its response; return None if not a single byte was sent."""
         clock = self._context.clock
-        job.connection = connection  # before anything else: a cancellation from here on breaks it
+        job.connection = connection  # set first, so that a cancellation from here on aborts the connection
         request = self._encode(job)
         try:
             if not connection.send(request, job.deadline_s, clock):
--- a/saffronstack/upstream/http/command_runner.py
+++ b/saffronstack/upstream/http/command_runner.py
@@ -1,4 +1,4 @@
-"""Carries out health checks, load commands and polls for usage records."""
+"""Runs health checks, load and unload commands, and polls for usage records."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from saffronstack.upstream.http.protocol import CommandResponse
 from saffronstack.upstream.http.worker_context import WorkerContext
 
-USAGE_TIMEOUT_S = 2.0  # how long a worker may take to answer a poll for usage records
+USAGE_TIMEOUT_S = 2.0  # timeout of a poll for usage records
 
 
 class CommandRunner:
-    """Runs commands on the threads of one worker's pool, several at once."""
+    """Runs commands on the threads of one worker's pool; several threads use it at once."""
 
     def __init__(self, context: WorkerContext) -> None:
         self._context = context
 
     def run(self, job: CommandJob, slot: ConnectionSlot) -> None:
-        """Carry out a health check or a load command; report its result, but not for unloading."""
+        """Run a health check, load command or unload command; the result of an unload is not reported."""
         context = self._context
         started_s = context.clock()
         response = self._exchange(job, slot, started_s + context.limits.command_timeout_s)
@@ -60,7 +60,7 @@
             return CommandResponse(Result.TIMEOUT)
         except ConnectionRefusedError:
             return CommandResponse(Result.CONNECT_FAILED)
-        except (HttpError, OSError):  # the worker may have read the command
+        except (HttpError, OSError):  # the worker may have received the command
             return CommandResponse(Result.RESET)
         return protocol.interpret_command(head, body)
 
@@ -85,7 +85,7 @@
             if connection.send(request, deadline_s, context.clock):
                 head, content = connection.receive(deadline_s, context.clock)
                 body = content if head.status == 200 else None
-        except (HttpError, OSError):  # no response: the records are polled for again
+        except (HttpError, OSError):  # no response: a later poll requests the records again
             body = None
         job.on_response(body)
         slot.release()
--- a/saffronstack/upstream/http/connection.py
+++ b/saffronstack/upstream/http/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a worker, and the slot in which a thread keeps it alive between requests."""
+"""One HTTP/1.1 connection to a worker, and the slot that keeps it open between a thread's requests."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class HttpConnection:
-    """An open connection, used by one thread at a time; `abort` may be called from any."""
+    """An open connection, used by one thread at a time; any thread may call `abort`."""
 
     def __init__(self, sock: socket.socket, limits: MessageLimits) -> None:
         self._stream = Stream(sock)
         self._reader = MessageReader(limits)
-        self.keep_alive = True  # whether it may carry another request
+        self.keep_alive = True  # whether the connection may carry another request
 
     def is_reusable(self) -> bool:
-        """Return whether it is still open and has received nothing that belongs to no request."""
+        """Return whether the connection is still open and has received no unsolicited bytes."""
         return not self._reader.pending and self._stream.is_idle()
 
     def send(self, data: bytes, deadline_s: float, clock: Callable[[], float]) -> bool:
-        """Send a request; a connection that did not take all of it is not kept alive.
+        """Send a request; the connection is not reused unless the whole request was sent.
 
         Returns:
-            False where the socket took not one byte, so that the worker can't have read any.
+            False if the socket accepted not a single byte, so that the worker can't have received any.
 
         Raises:
-            OSError: It took some bytes and failed; TimeoutError where ``deadline_s`` (clock time) passed.
+            OSError: The socket failed after some bytes; TimeoutError if ``deadline_s`` (clock time) passed.
         """
         keep_alive, self.keep_alive = self.keep_alive, False
         if not self._stream.send(data, deadline_s, clock):
@@ -43,10 +43,10 @@
         """Return the response's head and body.
 
         Raises:
-            TimeoutError: It was not complete at ``deadline_s`` (clock time).
-            PeerClosed: The worker closed the connection before.
+            TimeoutError: The response was not complete at ``deadline_s`` (clock time).
+            PeerClosed: The worker closed the connection before the response was complete.
             OSError: The connection failed.
-            HttpError: It is not a valid response.
+            HttpError: The response is not valid.
         """
         self.keep_alive = False
         head = read_until(self._stream, self._reader, self._reader.response, deadline_s, clock)
@@ -55,17 +55,17 @@
         return head, body
 
     def abort(self) -> None:
-        """Break it under the thread that uses it."""
+        """Abort the connection; a send or receive of another thread on it fails at once."""
         self.keep_alive = False
         self._stream.abort()
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection and its socket."""
         self._stream.close()
 
 
 class ConnectionSlot:
-    """Holds at most one connection for one thread, and closes it when the thread leaves the context."""
+    """Holds at most one connection for one thread; closes it at the end of the `with` block."""
 
     def __init__(
         self,
@@ -89,11 +89,11 @@
         self.close()
 
     def acquire(self, deadline_s: float) -> HttpConnection:
-        """Return the connection that was kept alive, or a new one.
+        """Return the keep-alive connection if it is reusable, otherwise a new one.
 
         Raises:
-            OSError: No connection can be opened; TimeoutError where it can't within the connect time-out
-                or until ``deadline_s`` (clock time).
+            OSError: No connection can be opened; TimeoutError if opening one takes longer than the
+                connect timeout, or beyond ``deadline_s`` (clock time).
         """
         if self._connection is not None:
             if self._connection.is_reusable():
@@ -107,7 +107,7 @@
         return self._connection
 
     def release(self) -> None:
-        """Close the connection unless it may carry another request."""
+        """Keep the connection for the next request, or close it if it can't carry one."""
         if self._connection is not None and not self._connection.keep_alive:
             self.close()
 
--- a/saffronstack/upstream/http/connection_pool.py
+++ b/saffronstack/upstream/http/connection_pool.py
@@ -1,4 +1,4 @@
-"""One worker's connections: threads that each hold at most one, and carry out one job at a time."""
+"""One worker's connection pool: each thread holds at most one connection and runs one job at a time."""
 
 from __future__ import annotations
 
@@ -23,69 +23,69 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Why a job can't be carried out."""
+    """The result and reason of a job that can't be queued."""
 
     result: Result
     reason: str
 
 
 class HttpPool:
-    """Starts threads as jobs need them, up to a bound; they end after a while without a job.
+    """Starts threads on demand, up to the connection limit; a thread ends after an idle timeout.
 
-    Any thread may submit jobs and change the pool's state.
+    Thread-safe.
     """
 
     def __init__(self, context: WorkerContext) -> None:
         self.spec = context.spec
-        self.attempt_count = 0  # submitted so far; counted by the dispatcher, under a lock of its own
+        self.attempt_count = 0  # attempts submitted so far; the dispatcher counts them under its own lock
         self._context = context
         self._attempt_runner = AttemptRunner(context)
         self._command_runner = CommandRunner(context)
         self._jobs: queue.SimpleQueue[Job | None] = queue.SimpleQueue()  # None ends a thread
-        self._lock = threading.Lock()  # guards the counts below
+        self._lock = threading.Lock()  # guards the three counts below
         self._thread_count = 0
         self._idle_threads = 0
         self._queued_jobs = 0
 
     @property
     def thread_count(self) -> int:
-        """Threads, and so connections at most."""
+        """Number of threads, which is the maximum number of open connections."""
         return self._thread_count
 
     def update(self, spec: WorkerSpec) -> None:
-        """Take a changed entry of the endpoint list: nothing new is sent while the worker drains."""
+        """Apply a changed endpoint list entry; a draining worker gets no attempts and no load commands."""
         self._context.is_closed = spec.is_draining
 
     def stop(self) -> None:
-        """Send nothing new; idle threads and connections end at once, busy ones after their job."""
+        """Stop sending; idle threads close their connections and end at once, busy ones after their job."""
         self._context.is_closed = True
         with self._lock:
             for _ in range(self._thread_count):
                 self._jobs.put(None)
 
     def submit(self, job: Job) -> None:
-        """Carry out a job on a thread of this pool; at the bound of threads it ends at once, unsent."""
+        """Queue a job for a thread of this pool; report it as unsent if no thread is or can be available."""
         with self._lock:
             rejection = None if self._idle_threads > self._queued_jobs else self._start_thread()
             if rejection is None:
                 self._queued_jobs += 1
                 self._jobs.put(job)
-        if rejection is not None:  # outside the lock: whoever gets the report holds locks of its own
+        if rejection is not None:  # outside the lock: the receiver of the report takes locks of its own
             self._fail(job, rejection.result, rejection.reason)
 
     def _start_thread(self) -> Rejection | None:
-        """Start one more thread; return why the job can't be queued. The caller holds the lock."""
+        """Start one more thread; return why the job can't be queued, else None. The caller holds the lock."""
         if self._thread_count >= self._context.limits.connections:
             return Rejection(Result.AT_CAPACITY, "all connections to the worker are in use")
         try:
             start_detached_thread("worker-exchange", self._run)
-        except RuntimeError:  # the system has no more threads: those that there are may come to it
+        except RuntimeError:  # the system has no more threads: an existing one will take the job
             return None if self._thread_count else Rejection(Result.NOT_STARTED, "no thread could be started")
         self._thread_count += 1
         self._idle_threads += 1
         return None
 
-    # ---- on the threads
+    # ---- on the pool's threads
 
     def _run(self) -> None:
         with self._context.connection_slot() as slot:
@@ -97,14 +97,14 @@
                         self._idle_threads += 1
 
     def _next_job(self) -> Job | None:
-        """Wait for a job; return None where this thread is to end."""
+        """Wait for a job; return None if this thread must end."""
         while True:
             try:
                 job = self._jobs.get(timeout=self._context.limits.idle_timeout_s)
             except queue.Empty:
                 with self._lock:
                     if self._queued_jobs >= self._idle_threads:
-                        continue  # a job that was queued in this moment counted on this thread
+                        continue  # a job was queued meanwhile and needs this thread
                     self._idle_threads -= 1
                     self._thread_count -= 1
                     return None
@@ -117,7 +117,7 @@
             return job
 
     def _execute(self, job: Job, slot: ConnectionSlot) -> None:
-        """Carry out a job and report its end, whatever happens."""
+        """Run a job; if it raises, report it as failed."""
         try:
             if isinstance(job, AttemptJob):
                 self._attempt_runner.run(job, slot)
@@ -128,11 +128,11 @@
         except Exception:
             log.exception("worker thread failed", worker=self.spec.name)
             slot.close()
-            # Whether bytes were sent is not known here: RESET claims nothing.
+            # Whether bytes were sent is unknown here. RESET leaves open whether the worker executed the job.
             self._fail(job, Result.RESET, "the gateway's worker thread failed")
 
     def _fail(self, job: Job, result: Result, reason: str) -> None:
-        """Report the end of a job that was not carried out."""
+        """Report a result for a job that did not complete."""
         report, worker_id = self._context.report, self.spec.number
         if isinstance(job, AttemptJob):
             report(unsent_attempt(job.call, job.attempt, worker_id, result, reason))
--- a/saffronstack/upstream/http/dispatcher.py
+++ b/saffronstack/upstream/http/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries out the engine's actions over HTTP/1.1 connection pools."""
+"""Executes the engine's actions over HTTP/1.1 connection pools."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerTraffic:
-    """The attempts that a worker was given since it was listed, and those of them in flight."""
+    """Attempts submitted to a worker since it was listed, and the number of them in flight."""
 
     spec: WorkerSpec
     attempts: int
@@ -38,11 +38,11 @@
 
 
 class HttpDispatcher:
-    """Sends attempts and commands to workers and reports how each ended.
+    """Sends attempts and commands to workers and reports the result of each.
 
-    Actions come from the decision thread; ends are reported from the pools' threads. A change of the
-    endpoint list must come before the engine learns of it, so that nothing new is sent to a worker that
-    drains or was removed.
+    The decision thread calls the actions. The pools' threads report the results; the decision thread
+    itself reports what can't be sent. An endpoint list update must be applied here before the engine gets
+    it, so that nothing new is sent to a worker that is draining or was removed.
     """
 
     def __init__(
@@ -55,17 +55,17 @@
         """Create a dispatcher without workers.
 
         Args:
-            limits: Bounds of the connections to each worker.
+            limits: Limits of the connections to each worker.
             report: Receives the result of each attempt and command.
             clock: Monotonic time in seconds.
-            usage_observer: Takes part in metering; None without metering.
+            usage_observer: Receives usage for metering; None without metering.
         """
         self._limits = limits
         self._report = report
         self._usage_observer = usage_observer
         self._clock = clock
         self._pools = PoolRegistry[HttpPool](self._create_pool)
-        self._lock = threading.Lock()  # guards the attempts in flight and the pools' counts of attempts
+        self._lock = threading.Lock()  # guards the attempts in flight and each pool's `attempt_count`
         self._in_flight: dict[ExchangeKey, AttemptJob] = {}
 
     def _create_pool(self, spec: WorkerSpec) -> HttpPool:
@@ -75,29 +75,29 @@
         return HttpPool(context)
 
     def replace_workers(self, specs: Iterable[WorkerSpec]) -> None:
-        """Apply a complete endpoint list."""
+        """Apply a snapshot of the endpoint list."""
         self._pools.replace_all(specs)
 
     def update_workers(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> None:
-        """Apply an incremental update: workers that are new or changed, and numbers of those removed."""
+        """Apply an incremental update: new or changed workers, and the numbers of removed ones."""
         self._pools.update(specs, removed)
 
     def stop(self) -> None:
-        """Stop every pool; jobs that were begun are carried out."""
+        """Stop every pool; jobs that have started run to their end."""
         self._pools.clear()
 
     @property
     def connection_count(self) -> int:
-        """Threads of all pools, each with a connection at most."""
+        """Number of threads in all pools; each holds at most one connection."""
         return sum(pool.thread_count for pool in self._pools.snapshot().values())
 
     @property
     def worker_count(self) -> int:
-        """Workers that are listed."""
+        """Number of listed workers."""
         return len(self._pools)
 
     def traffic(self) -> list[WorkerTraffic]:
-        """Return the attempts of each listed worker."""
+        """Return the attempt counts of each listed worker."""
         pools = self._pools.snapshot()
         with self._lock:
             in_flight = Counter(job.worker_id for job in self._in_flight.values())
@@ -123,7 +123,7 @@
     # ---- the engine's actions, on the decision thread
 
     def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
-        """Start an attempt of a call, with a time-out of its own where ``timeout_s`` is over 0."""
+        """Start an attempt of a call; ``timeout_s`` is its own timeout if greater than 0."""
         pool = self._pools.get(worker_id)
         if pool is None:
             reason = "the worker has left the list"
@@ -136,22 +136,22 @@
         pool.submit(job)
 
     def cancel(self, call: Call, attempt: int) -> None:
-        """Stop waiting for an attempt."""
+        """Cancel an attempt if it is in flight."""
         with self._lock:
             job = self._in_flight.get((call.number, attempt))
         if job is not None:
             job.cancel()
 
     def check_health(self, worker_id: int) -> None:
-        """Ask a worker for its load report."""
+        """Send a health check, which requests the worker's load report."""
         self._submit_command(worker_id, HealthCheckJob())
 
     def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
-        """Command a worker to load so many instances."""
+        """Command a worker to load ``instances`` instances; 0 only queries the number loaded."""
         self._submit_command(worker_id, LoadJob(function, instances))
 
     def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
-        """Command a worker to unload idle instances; no end is reported."""
+        """Command a worker to unload a function's idle instances; no result is reported."""
         self._submit_command(worker_id, UnloadJob(function))
 
     def _submit_command(self, worker_id: int, job: CommandJob) -> None:
--- a/saffronstack/upstream/http/jobs.py
+++ b/saffronstack/upstream/http/jobs.py
@@ -1,4 +1,4 @@
-"""What the threads of a worker's pool carry out: one request, and one response, each."""
+"""Jobs that the threads of a worker's pool run; each is one request and its response."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     deadline_s: float
     worker_id: int
     is_cancelled: bool = False
-    connection: HttpConnection | None = None  # while it is sent on and read from
+    connection: HttpConnection | None = None  # set while the attempt uses the connection
 
     def cancel(self) -> None:
-        """Stop waiting, from any thread: the read of the thread that waits ends at once."""
+        """Cancel from any thread: abort the connection, so that a thread waiting on it continues at once."""
         self.is_cancelled = True
         connection = self.connection
         if connection is not None:
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckJob:
-    """Ask the worker for its load report."""
+    """Request the worker's load report."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadJob:
-    """Command the worker to load so many instances; 0 only asks how many are loaded."""
+    """Command the worker to load ``instances`` instances; 0 only queries the number loaded."""
 
     function: FunctionSpec
     instances: int
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadJob:
-    """Command the worker to unload idle instances; no end is reported."""
+    """Command the worker to unload a function's idle instances; no result is reported."""
 
     function: FunctionSpec
 
 
 @dataclass(frozen=True, slots=True)
 class UsageJob:
-    """Poll the worker for usage records; ``on_response`` gets the body, None where there is no response."""
+    """Poll the worker for usage records; ``on_response`` gets the body, or None without a response."""
 
     body: bytes
     on_response: Callable[[bytes | None], None]
@@ -61,5 +61,5 @@
 
 
 def command_function(job: CommandJob) -> FunctionSpec | None:
-    """Return the function that a command is about, None for a health check."""
+    """Return the function of a load or unload command; None for a health check."""
     return None if isinstance(job, HealthCheckJob) else job.function
--- a/saffronstack/upstream/http/protocol.py
+++ b/saffronstack/upstream/http/protocol.py
@@ -1,4 +1,4 @@
-"""Requests to workers and what their responses mean (docs/worker-protocol.md). No I/O."""
+"""Encodes requests to workers and interprets their responses (docs/worker-protocol.md). No I/O."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 HEADER_REQUESTS_QUEUED = "x-saffron-waiting"
 HEADER_CPU_UTILIZATION = "x-saffron-busy"
 HEADER_LOADS_IN_PROGRESS = "x-saffron-loads"
-NOT_EXECUTED = "no"  # the value of `HEADER_EXECUTED` that proves that the function was not executed
+NOT_EXECUTED = "no"  # value of `HEADER_EXECUTED`: the worker did not execute the function
 CACHE_STATUS_BY_HEADER_VALUE = {
     "warm": CacheStatus.WARM,
     "began-load": CacheStatus.STARTED_LOAD,
@@ -58,19 +58,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResponse:
-    """What the response to an attempt means, or why there is none.
+    """The interpreted response to an attempt, or the reason why there is none.
 
     Attributes:
         result: How the attempt ended.
-        cache_status: Whether the function was loaded when the request came.
-        concurrency: Requests that the instance executed beside this one; None where not reported.
-        load_report: The worker's load; None where not reported.
-        worker_response: The function's answer to a successful attempt.
-        incarnation: The worker process that answered; empty where not reported.
-        uptime_s: How long that process has run, in seconds.
+        cache_status: Whether the function was loaded when the request arrived.
+        concurrency: Other requests that the instance executed concurrently; None if not reported.
+        load_report: The worker's load; None if not reported.
+        worker_response: The function's response; None unless the attempt succeeded.
+        incarnation: The incarnation of the worker that responded; empty if not reported.
+        uptime_s: Seconds since that incarnation started.
         reason: Why the attempt failed.
-        usage_records: Records of what its instances used, in base64.
-        memory_time_kib_us: Memory times time that this call used; 0 where not reported.
+        usage_records: Usage records of the worker's instances, in base64.
+        memory_time_kib_us: Memory-time that this call used, in KiB times microseconds; 0 if not reported.
     """
 
     result: Result
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResponse:
-    """What the response to a health check or a load command means."""
+    """The interpreted response to a health check or a load command."""
 
     result: Result
     instances: int = 0
@@ -100,9 +100,10 @@
     Args:
         host: Host and port of the worker.
         call: The call.
-        attempt: The number of the attempt, from 0.
-        remaining_s: How long the gateway waits for the response, in seconds.
-        gateway: The name by which the worker may send usage records with its response; empty for none.
+        attempt: The index of the attempt, from 0.
+        remaining_s: Seconds that the gateway will wait for the response.
+        gateway: The gateway name that invites the worker to attach usage records to its response; empty for
+            no invitation.
     """
     headers = [
         ("Host", host),
@@ -133,7 +134,7 @@
 
 
 def encode_load_command(host: str, function: FunctionSpec, instances: int) -> bytes:
-    """Encode a command to load so many instances; 0 only asks how many are loaded."""
+    """Encode a command to load ``instances`` instances; 0 only queries the number loaded."""
     target = _instances_target(function)
     headers = [("Host", host), *_function_headers(function)]
     if not instances:
@@ -142,7 +143,7 @@
 
 
 def encode_unload_command(host: str, function: FunctionSpec) -> bytes:
-    """Encode a command to unload idle instances."""
+    """Encode a command to unload a function's idle instances."""
     headers = [("Host", host), *_function_headers(function)]
     return writer.request("DELETE", _instances_target(function), headers)
 
@@ -152,19 +153,19 @@
 
 
 def encode_health_check(host: str) -> bytes:
-    """Encode a request for the worker's load report."""
+    """Encode a health check: a request for the worker's load report."""
     return writer.request("GET", LOAD_REPORT_PATH, [("Host", host)])
 
 
 def encode_usage_poll(host: str, body: bytes) -> bytes:
-    """Encode a poll for usage records that acknowledges earlier ones; ``body`` is MessagePack."""
+    """Encode a poll for usage records; ``body`` is MessagePack and acknowledges earlier records."""
     return writer.request("POST", USAGE_PATH, [("Host", host)], body)
 
 
 def interpret_attempt(head: ResponseHead, body: bytes) -> AttemptResponse:
     """Interpret the response to an attempt.
 
-    Only a response that says so itself proves that the function was not executed.
+    Only `HEADER_EXECUTED` with the value `NOT_EXECUTED` proves that the function was not executed.
     """
     headers = head.headers
     concurrency = _parse_number(headers.get(HEADER_CONCURRENCY))
@@ -212,7 +213,7 @@
 
 
 def decode_load_report(headers: Headers) -> LoadReport | None:
-    """Return the load report in a response's headers, None where there is none."""
+    """Return the load report in a response's headers; None if they contain none."""
     requests_in_flight = _parse_number(headers.get(HEADER_REQUESTS_IN_FLIGHT))
     requests_queued = _parse_number(headers.get(HEADER_REQUESTS_QUEUED))
     cpu_utilization = _parse_number(headers.get(HEADER_CPU_UTILIZATION))
@@ -229,13 +230,13 @@
 
 
 def _parse_integer(text: str) -> int:
-    """Return a natural number; whatever else a worker writes counts as not reported."""
+    """Parse a non-negative integer; return 0, as for a missing header, otherwise."""
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_INTEGER_DIGITS
     return int(text) if is_number else 0
 
 
 def _parse_number(text: str) -> float | None:
-    """Return a finite number of at least 0; whatever else a worker writes counts as not reported."""
+    """Parse a finite number of at least 0; return None, as for a missing header, otherwise."""
     if not text or len(text) > MAX_NUMBER_CHARACTERS:
         return None
     try:
--- a/saffronstack/upstream/http/usage_observer.py
+++ b/saffronstack/upstream/http/usage_observer.py
@@ -1,4 +1,4 @@
-"""How connections to workers take part in metering."""
+"""The interface between connections to workers and metering."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class UsageObserver(Protocol):
-    """Is notified of what workers report of usage; called on their threads, and must return at once."""
+    """Receives the usage that workers report; called on the pools' threads, so it must not block."""
 
     def gateway_name_for(self, worker_id: int) -> str:
-        """Return the name by which a worker may send records with its response; empty where it need not."""
+        """Return the gateway name that invites a worker to attach usage records; empty for no invitation."""
         ...
 
     def on_usage_records(self, worker: WorkerSpec, text: str) -> None:
-        """Take the usage header of a response."""
+        """Process the usage header of a response."""
         ...
 
     def on_attempt_result(self, result: AttemptResult) -> None:
-        """Take the result of an attempt."""
+        """Process the result of an attempt."""
         ...
--- a/saffronstack/upstream/http/worker_context.py
+++ b/saffronstack/upstream/http/worker_context.py
@@ -1,4 +1,4 @@
-"""What all threads of one worker's pool share."""
+"""State that all threads of one worker's pool share."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpPoolLimits:
-    """Bounds of the connections to one worker; times in seconds.
+    """Limits of the connections to one worker; times in seconds.
 
     Attributes:
-        connections: Connections, and so threads, at once.
-        connect_timeout_s: Time to open a connection.
-        idle_timeout_s: How long a thread, and its connection, wait for the next job.
-        command_timeout_s: How long a health check or a load command may take.
-        messages: Bounds of a response.
+        connections: Maximum number of connections, and so of threads.
+        connect_timeout_s: Timeout for opening a connection.
+        idle_timeout_s: Idle time after which a thread closes its connection and ends.
+        command_timeout_s: Timeout of a health check or a load command.
+        messages: Size limits of a response.
     """
 
     connections: int = 256
@@ -33,16 +33,17 @@
 
 @dataclass(eq=False, slots=True)
 class WorkerContext:
-    """One worker as the threads of its pool know it.
+    """One worker, as seen by the threads of its pool.
 
     Attributes:
         spec: The worker.
-        limits: Bounds of its connections.
+        limits: Limits of its connections.
         report: Receives the results of attempts and commands.
         clock: Monotonic time in seconds.
-        usage_observer: Takes part in metering; None without metering.
-        is_closed: Whether it drains or was removed: nothing new is sent, whatever was queued.
-        incarnation: The worker process that answered last.
+        usage_observer: Receives usage for metering; None without metering.
+        is_closed: Whether the worker is draining or was removed, so that no attempt or load command is sent,
+            not even a queued one.
+        incarnation: The incarnation in the worker's latest response that reported one.
     """
 
     spec: WorkerSpec
@@ -55,7 +56,7 @@
 
     @property
     def host(self) -> str:
-        """Host and port, as a request's Host header has them."""
+        """Host and port in the form of the Host header."""
         return f"{self.spec.host}:{self.spec.port}"
 
     def connection_slot(self) -> ConnectionSlot:
--- a/saffronstack/upstream/multiplexed/__init__.py
+++ b/saffronstack/upstream/multiplexed/__init__.py
@@ -1,1 +1,1 @@
-"""Multiplexed connections that carry JSON lines to the platform's workers, and the dispatcher over them."""
+"""Multiplexed connections that carry JSON lines to the platform's workers, and their dispatcher."""
--- a/saffronstack/upstream/multiplexed/codec.py
+++ b/saffronstack/upstream/multiplexed/codec.py
@@ -1,7 +1,7 @@
-"""Encodes messages to multiplexed workers and decodes their responses: JSON lines. No I/O.
+"""Encodes messages to workers as JSON lines and decodes their responses. No I/O.
 
-The keys and words below are the platform's and keep its spelling; everything else in this package uses the
-terms of docs/glossary.md.
+The string values below are defined by the platform's wire protocol and must not change; everything else in
+this package uses the terms of docs/glossary.md.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from saffronstack.routing.events import CacheStatus, LoadReport, Result
 from saffronstack.upstream.errors import LineProtocolError
 
-# Words of messages to workers.
+# Types of messages to workers.
 TYPE_REQUEST = "CALL"
 TYPE_CANCEL = "CANCEL"
 TYPE_PING = "PING"
 TYPE_LOAD = "LOAD"
 TYPE_UNLOAD = "UNLOAD"
-# Words of responses.
+# Types of responses.
 RESULT_BY_TYPE = {
     "OK": Result.OK,
     "MISS": Result.NOT_LOADED,
@@ -31,7 +31,7 @@
     "VOID": Result.NOT_STARTED,
 }
 TYPE_PING_REPLY = "UP"
-# Keys of the fields of a message.
+# Keys in the `with` object of a message.
 FIELD_CLASS = "c"
 FIELD_FUNCTION = "k"
 FIELD_REMAINING_MS = "w"
@@ -45,7 +45,7 @@
     "behind": CacheStatus.JOINED_LOAD,
     "crashed": CacheStatus.LOAD_FAILED,
 }
-# A load report's names on the wire, and the names that the settings have for the same values.
+# Load report keys on the wire, mapped to the names that the settings use for the same values.
 _REPORT_KEYS = {
     "inflight": "rif",
     "queue": "q",
@@ -57,7 +57,7 @@
 MAX_REPORT_VALUES = 8
 MAX_CONCURRENCY = 1_000_000
 MAX_INSTANCES = 255
-MAX_QUOTED_CHARACTERS = 20  # of an unknown word, in an error message
+MAX_QUOTED_CHARACTERS = 20  # maximum length of an unknown message type quoted in an error message
 
 
 class _Request(msgspec.Struct, rename={"fields": "with"}):
@@ -91,16 +91,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResponse:
-    """One response of a worker, its numbers checked and bounded.
+    """One response of a worker; its numbers are validated.
 
     Attributes:
         message_type: A key of `RESULT_BY_TYPE`, or `TYPE_PING_REPLY`.
-        tag: The tag of the exchange that it answers.
+        tag: The tag of the exchange that the response belongs to.
         body: The response body.
-        cache_status: Whether the function was loaded when the request came.
-        concurrency: Requests that the instance executed beside this one; None where not reported.
-        load_report: The worker's load; None where not reported.
-        instances: Loaded instances, after a load command.
+        cache_status: Whether the function was loaded when the request arrived.
+        concurrency: Other requests that the instance executed concurrently; None if not reported.
+        load_report: The worker's load; None if not reported.
+        instances: Number of loaded instances after a load command; 0 if not reported.
     """
 
     message_type: str
@@ -113,7 +113,7 @@
 
 
 def encode_request(tag: str, class_name: str, function: str, remaining_ms: int, body: bytes) -> bytes:
-    """Encode a request; ``remaining_ms`` is how long the gateway waits for the response, in milliseconds."""
+    """Encode a request; ``remaining_ms`` is how many milliseconds the gateway waits for the response."""
     fields: dict[str, str | int] = {
         FIELD_CLASS: class_name,
         FIELD_FUNCTION: function,
@@ -123,7 +123,7 @@
 
 
 def encode_cancel(tag: str) -> bytes:
-    """Encode the message that a request is cancelled."""
+    """Encode a message that cancels the request with this tag."""
     return _encode(_BareMessage(TYPE_CANCEL, tag)) + b"\n"
 
 
@@ -133,13 +133,13 @@
 
 
 def encode_load_command(tag: str, function: str, instances: int) -> bytes:
-    """Encode a command to load so many instances; 0 only asks how many are loaded."""
+    """Encode a command to load ``instances`` instances; 0 only queries the number loaded."""
     fields: dict[str, str | int] = {FIELD_FUNCTION: function, FIELD_INSTANCES: instances}
     return _encode(_Command(TYPE_LOAD, tag, fields)) + b"\n"
 
 
 def encode_unload_command(function: str) -> bytes:
-    """Encode a command to unload the idle instances of a function; it has no response."""
+    """Encode a command to unload a function's idle instances; the worker sends no response."""
     return _encode(_BareMessage(TYPE_UNLOAD, function)) + b"\n"
 
 
@@ -147,7 +147,7 @@
     """Decode one line from a worker.
 
     Raises:
-        LineProtocolError: The line is not a response, or one of its numbers is out of range.
+        LineProtocolError: The line is not a valid response, or one of its numbers is out of range.
     """
     try:
         message = _decode(line)
@@ -181,7 +181,7 @@
 
 
 def _decode_load_report(text: str) -> LoadReport:
-    """Decode a load report; values that are not numbers are dropped, as they don't affect the response."""
+    """Decode a load report; skip invalid values, so that they don't invalidate the whole response."""
     values: list[tuple[str, float]] = []
     for pair in text.split(";")[:MAX_REPORT_VALUES]:
         name, _, value = pair.partition(":")
--- a/saffronstack/upstream/multiplexed/connection.py
+++ b/saffronstack/upstream/multiplexed/connection.py
@@ -1,4 +1,4 @@
-"""One multiplexed connection to a worker: connects on a thread of its own, is read by the read loop."""
+"""One multiplexed connection to a worker. It connects on its own thread; the read loop reads it."""
 
 from __future__ import annotations
 
@@ -21,15 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Bounds of one connection; times in seconds, sizes in bytes.
+    """Limits of one connection; times in seconds, sizes in bytes.
 
     Attributes:
-        streams: Exchanges in flight at once.
-        connect_timeout_s: Time to establish the connection.
-        idle_timeout_s: Silence after which a connection with nothing in flight is closed.
-        line_bytes: Length of a response line.
-        write_buffer_bytes: Bytes that wait for the socket to take them.
-        stall_timeout_s: How long the worker may take none of them before the connection is broken.
+        streams: Maximum number of exchanges in flight.
+        connect_timeout_s: Timeout for establishing the connection.
+        idle_timeout_s: Time without received bytes after which a connection with nothing in flight closes.
+        line_bytes: Maximum length of a response line.
+        write_buffer_bytes: Maximum number of bytes buffered until the socket accepts them; more abort the
+            connection.
+        stall_timeout_s: Time without write progress, with bytes buffered, after which the connection is
+            aborted.
     """
 
     streams: int = 32
@@ -42,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionContext:
-    """What all connections of a dispatcher share."""
+    """Limits and services that all connections of a dispatcher share."""
 
     limits: ConnectionLimits
     write_loop: WriteLoop
@@ -51,7 +53,7 @@
 
 
 class MultiplexedConnection:
-    """Carries many exchanges at once; a response is matched to its exchange by tag."""
+    """Carries many exchanges at once; each response is matched to its exchange by tag."""
 
     def __init__(
         self,
@@ -59,12 +61,12 @@
         context: ConnectionContext,
         on_closed: Callable[[MultiplexedConnection], None],
     ) -> None:
-        """Prepare a connection; `start` opens it.
+        """Create an unconnected connection; `start` opens it.
 
         Args:
             address: Host and port of the worker.
-            context: What is shared with other connections.
-            on_closed: Called once it is closed and every exchange on it has ended.
+            context: Limits and services shared with other connections.
+            on_closed: Called once the connection is closed and every exchange on it has ended.
         """
         self._address = address
         self._context = context
@@ -75,11 +77,11 @@
         self._in_flight = InFlightTable(self._limits.streams)
         self._stream: Stream | None = None
         self._write_buffer: WriteBuffer | None = None
-        self.close_reason = ""  # where it broke
+        self.close_reason = ""  # why the connection failed; empty otherwise
         self.last_received_s = self._clock()
 
     def start(self) -> None:
-        """Connect on a new thread; does not wait until that thread is scheduled.
+        """Connect on a new thread, without waiting until that thread is scheduled.
 
         Raises:
             RuntimeError: The system has no more threads.
@@ -88,22 +90,22 @@
 
     @property
     def in_flight(self) -> int:
-        """Exchanges in flight."""
+        """Number of exchanges in flight."""
         return len(self._in_flight)
 
     @property
     def oldest_submitted_s(self) -> float:
-        """When its oldest exchange in flight was submitted (clock time); infinite without one."""
+        """When the oldest exchange in flight was submitted (clock time); infinite if none is in flight."""
         return self._in_flight.oldest_submitted_s
 
     def can_accept(self, tag: str) -> bool:
         """Return whether an exchange with this tag can be submitted."""
         return self._in_flight.can_accept(tag)
 
-    # ---- from any thread
+    # ---- called from any thread
 
     def submit(self, exchange: PendingExchange) -> bool:
-        """Send an exchange, which then ends exactly once; False where it was not accepted."""
+        """Send an exchange, which then ends exactly once; return False if it was not accepted."""
         admission = self._in_flight.add(exchange, self)
         if admission is Admission.SEND_NOW:
             assert self._write_buffer is not None
@@ -115,18 +117,18 @@
             exchange.on_failure(exchange.result_on_connection_loss(), "the connection accepts nothing more")
 
     def send_one_way(self, data: bytes) -> bool:
-        """Send bytes that have no response; return False where they are not accepted."""
+        """Send a message that has no response; return False if it was not accepted."""
         write_buffer = self._write_buffer
         return write_buffer is not None and write_buffer.send(OutgoingMessage(data))
 
     def abandon(self, exchange: PendingExchange, result: Result, reason: str) -> None:
-        """End an exchange without its response; the worker is notified where any of it was sent."""
+        """End an exchange without its response; cancel it at the worker if bytes of it may have been sent."""
         if not self._in_flight.remove(exchange, abandon=True):
             return
         if not exchange.is_started:
             result = Result.NOT_STARTED if result is Result.CANCELLED else Result.CONNECT_FAILED
         elif exchange.progress is SendProgress.PARTIAL and self.in_flight == 0:
-            self.abort()  # the worker takes no bytes: the rest of the line must not follow once it does
+            self.abort()  # so that the rest of the line is not sent once the worker reads again
         else:
             self.send_one_way(codec.encode_cancel(exchange.tag))
         exchange.on_failure(result, reason)
@@ -137,22 +139,22 @@
         return self._in_flight.claim(exchange)
 
     def unclaim(self, exchange: PendingExchange) -> None:
-        """Take back a claim: not one byte was sent."""
+        """Undo a claim because not a single byte was sent."""
         self._in_flight.unclaim(exchange)
 
     def on_dropped(self, exchange: PendingExchange) -> None:
-        """End an exchange that was no longer wanted when its first byte was to be sent."""
+        """End an exchange that became obsolete before its first byte was sent."""
         if self._in_flight.remove(exchange):
             exchange.on_failure(Result.NOT_STARTED, "no longer wanted when it was to be sent")
             self._abort_if_drained()
 
     def close_gracefully(self) -> None:
-        """Accept nothing more; close once nothing is in flight."""
+        """Accept no more exchanges; close once nothing is in flight."""
         self._in_flight.is_draining = True
         self._abort_if_drained()
 
     def abort(self) -> None:
-        """Close it now; what is in flight ends as lost."""
+        """Close the connection now; the exchanges in flight fail."""
         self._in_flight.is_closed = True
         stream = self._stream
         if stream is not None:
@@ -162,7 +164,7 @@
         if self._in_flight.is_drained():
             self.abort()
 
-    # ---- on the thread that connects
+    # ---- on the connecting thread
 
     def _run(self) -> None:
         is_watched = False
@@ -175,7 +177,7 @@
                 self._close()
 
     def _connect(self) -> bool:
-        """Establish the connection and send what was queued; return whether it is still wanted."""
+        """Establish the connection and send queued exchanges; return False if it was closed meanwhile."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.settimeout(self._limits.connect_timeout_s)
@@ -196,12 +198,12 @@
     # ---- on the read loop's thread
 
     def fileno(self) -> int:
-        """Return the socket's descriptor."""
+        """Return the socket's file descriptor."""
         assert self._stream is not None
         return self._stream.sock.fileno()
 
     def on_readable(self, buffer: bytearray, view: memoryview) -> bool:
-        """Handle the responses that have come; return False where the connection is over."""
+        """Handle received responses; return False if the connection must be closed."""
         assert self._stream is not None
         try:
             received = self._stream.sock.recv_into(buffer, 0, socket.MSG_DONTWAIT)
@@ -211,7 +213,7 @@
             self.last_received_s = self._clock()
             for line in self._lines.feed(bytes(view[:received])):
                 self._on_response(codec.decode_response(line))
-        except BlockingIOError:  # nothing has come
+        except BlockingIOError:  # no bytes to read
             return True
         except LineProtocolError as error:
             self.close_reason = f"invalid response: {error}"
@@ -222,12 +224,12 @@
         return True
 
     def on_tick(self, now_s: float) -> bool:
-        """Return False once it was idle for the time-out; it accepts nothing from then on."""
+        """Return False once the idle timeout has passed; the connection accepts nothing from then on."""
         has_timed_out = now_s - self.last_received_s >= self._limits.idle_timeout_s
         return not (has_timed_out and self._in_flight.close_if_idle())
 
     def on_released(self) -> None:
-        """Close it: the read loop has released it."""
+        """Close the connection after the read loop has released it."""
         self._close()
 
     def _on_response(self, response: codec.ExchangeResponse) -> None:
@@ -239,11 +241,13 @@
     def _close(self) -> None:
         lost = self._in_flight.close()
         if self._write_buffer is not None:
-            self._write_buffer.discard()  # waits for a write that is under way: now `progress` is final
+            self._write_buffer.discard()  # waits for a write in progress, so that `progress` is final
         if self._stream is not None:
             self._stream.close()
         for exchange in lost:
-            with contextlib.suppress(Exception):  # the others must end all the same
+            with contextlib.suppress(
+                Exception
+            ):  # a failing callback must not keep the other exchanges from ending
                 exchange.on_failure(
                     exchange.result_on_connection_loss(), self.close_reason or "the connection closed"
                 )
--- a/saffronstack/upstream/multiplexed/connection_budget.py
+++ b/saffronstack/upstream/multiplexed/connection_budget.py
@@ -1,4 +1,4 @@
-"""The bound on open connections to all workers together."""
+"""The limit on open connections to all workers together."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConnectionBudget:
-    """Counts connections that are open or closing; any thread may call."""
+    """Counts connections that are open or closing. Thread-safe."""
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
@@ -15,11 +15,11 @@
 
     @property
     def in_use(self) -> int:
-        """Connections that are open or closing."""
+        """Number of connections that are open or closing."""
         return self._in_use
 
     def try_acquire(self) -> bool:
-        """Count one more connection; return False, counting none, where the budget is spent."""
+        """Count one more connection, or return False without counting it if the limit is reached."""
         with self._lock:
             if self._in_use >= self.max_connections:
                 return False
@@ -27,11 +27,11 @@
             return True
 
     def acquire_over_limit(self) -> None:
-        """Count one more connection even over the limit: every worker may have one."""
+        """Count one more connection even over the limit, as every worker may have one connection."""
         with self._lock:
             self._in_use += 1
 
     def release(self) -> None:
-        """Count one connection fewer."""
+        """Remove one closed connection from the count."""
         with self._lock:
             self._in_use -= 1
--- a/saffronstack/upstream/multiplexed/connection_pool.py
+++ b/saffronstack/upstream/multiplexed/connection_pool.py
@@ -1,4 +1,4 @@
-"""The multiplexed connections to one worker, and the choice among them."""
+"""The multiplexed connections to one worker, and the selection of one for each exchange."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from saffronstack.upstream.multiplexed.connection_budget import ConnectionBudget
 from saffronstack.upstream.multiplexed.exchange import PendingExchange
 
-MAX_SUBMIT_ATTEMPTS = 8  # a connection may close between its choice and the sending
+MAX_SUBMIT_ATTEMPTS = 8  # a connection may close after it is selected and before the exchange is submitted
 
 
 class MultiplexedPool:
-    """The connections to one worker, opened as exchanges need them.
+    """Holds the connections to one worker and opens them on demand.
 
-    Exchanges are submitted by the decision thread alone; connections leave on the read loop's thread.
+    Only the decision thread submits exchanges. Connections are removed on the threads that close them.
     """
 
     def __init__(
@@ -31,33 +31,34 @@
 
         Args:
             spec: The worker.
-            context: What all connections share.
-            budget: Bounds the connections to all workers together.
-            close_idle_connection: Closes an unused connection to any worker; called at the limit.
+            context: Limits and services that all connections share.
+            budget: Limits the connections to all workers together.
+            close_idle_connection: Closes an idle connection to any worker; called at the budget's limit.
         """
         self.spec = spec
         self.worker_id = spec.number
         self.name = spec.name
-        self.is_closed = spec.is_draining  # nothing new is sent, whatever was queued
+        self.is_closed = spec.is_draining  # no attempt or load command is sent, even if queued
         self.max_connections = 1
         self._context = context
         self._budget = budget
         self._close_idle_connection = close_idle_connection
         self._lock = threading.Lock()  # guards the list of connections
         self._connections: list[MultiplexedConnection] = []
-        self.succeeded = 0  # attempts; written by the read loop's thread
+        self.succeeded = 0  # successful attempts; written by the read loop
         self.failed = 0  # attempts that ended in an error, or without a response
 
     @property
     def in_flight(self) -> int:
-        """Exchanges in flight on all connections."""
+        """Number of exchanges in flight on all connections."""
         return sum(connection.in_flight for connection in self.connections)
 
     @property
     def unresponsive_s(self) -> float:
-        """How long, in seconds, nothing was received on any connection while an exchange waits.
+        """Seconds since anything was received on any connection while an exchange is in flight.
 
-        Establishing a connection counts as receiving; 0 where no exchange waits.
+        They count from the submission of the oldest exchange if that is later. Establishing a connection
+        counts as receiving. The value is 0 if no exchange is in flight.
         """
         connections = self.connections
         oldest_s = min((connection.oldest_submitted_s for connection in connections), default=math.inf)
@@ -66,23 +67,23 @@
 
     @property
     def connections(self) -> list[MultiplexedConnection]:
-        """The connections as they are now, the latest opened last."""
+        """A copy of the current connections, in the order in which they were opened."""
         with self._lock:
             return list(self._connections)
 
     def update(self, spec: WorkerSpec) -> None:
-        """Take a changed entry of the endpoint list."""
+        """Apply a changed entry of the endpoint list."""
         self.spec = spec
         self.is_closed = spec.is_draining
 
     def submit(self, exchange: PendingExchange) -> bool:
         """Send an exchange on an idle connection, a new one, or the one with the fewest in flight.
 
-        What breaks a connection breaks all that is in flight on it, so attempts share one only where no
-        further connection may be opened.
+        A connection failure fails every exchange in flight on that connection. Exchanges therefore share one
+        only if no further connection may be opened.
 
         Returns:
-            False where no connection is available: nothing was sent.
+            False if no connection is available, so that nothing was sent.
         """
         for _ in range(MAX_SUBMIT_ATTEMPTS):
             connection = self._choose_connection(exchange.tag)
@@ -93,7 +94,7 @@
         return False
 
     def send_one_way(self, data: bytes) -> bool:
-        """Send bytes that have no response on any connection; return False where none accepts them."""
+        """Send a message that has no response on any connection; return False if none accepts it."""
         return any(connection.send_one_way(data) for connection in self.connections)
 
     def _choose_connection(self, tag: str) -> MultiplexedConnection | None:
@@ -109,7 +110,7 @@
         return best
 
     def _open_connection(self, is_required: bool) -> MultiplexedConnection | None:
-        """Open a connection; None where the budget is spent, unless one is required, or no thread starts."""
+        """Open a connection, over the budget only if ``is_required``; return None if that is not possible."""
         if not self._budget.try_acquire():
             self._close_idle_connection()
             if not is_required:
@@ -133,7 +134,7 @@
         self._budget.release()
 
     def stop(self) -> None:
-        """Send nothing new; connections close once nothing is in flight on them."""
+        """Stop sending; each connection closes once nothing is in flight on it."""
         self.is_closed = True
         for connection in self.connections:
             connection.close_gracefully()
--- a/saffronstack/upstream/multiplexed/dispatcher.py
+++ b/saffronstack/upstream/multiplexed/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries out the engine's actions over multiplexed connections."""
+"""Executes the engine's actions over multiplexed connections."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 )
 from saffronstack.upstream.pool_registry import PoolRegistry
 
-COMMAND_CALL_NUMBER = 0  # the call number in the keys of commands; calls count from 1
+COMMAND_CALL_NUMBER = 0  # call number in the exchange keys of commands; call numbers start at 1
 COMMAND_TAG_PREFIX = "order-"
 
 
 class MultiplexedDispatcher:
-    """Sends attempts and commands to workers, each of which it reports the end of exactly once.
+    """Sends attempts and commands to workers and reports the result of each exactly once.
 
-    Actions come from the decision thread; ends are reported from the threads of the read loop, of the
-    deadlines, and of connections that fail to open.
+    The decision thread calls the actions. Results are reported from several threads: the read loop, the
+    deadline timer, the write loop, the connecting threads, and the decision thread itself.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         """Create a dispatcher without workers.
 
         Args:
-            limits: Bounds of each connection.
-            budget: Bounds the connections to all workers together.
-            write_loop: Writes what sockets do not take at once; started and stopped by its owner.
+            limits: Limits of each connection.
+            budget: Limits the connections to all workers together.
+            write_loop: Writes the bytes that sockets don't accept at once; its owner starts and stops it.
             report: Receives the result of each attempt and command.
             clock: Monotonic time in seconds.
-            command_timeout_s: How long a load command or a health check may take.
-            log: Receives faults; standard error if None.
+            command_timeout_s: Timeout of a load command or a health check.
+            log: Receives unexpected errors; None logs to standard error.
         """
         log = log or KeyValueLogger("upstream")
         self._limits = limits
@@ -76,7 +76,7 @@
         return MultiplexedPool(spec, self._connection_context, self._budget, self._close_idle_connection)
 
     def start(self) -> None:
-        """Start the threads of deadlines and of the read loop."""
+        """Start the threads of the deadline timer and the read loop."""
         self.deadlines.start()
         self.read_loop.start()
 
@@ -91,11 +91,11 @@
     def update_workers(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> None:
         """Apply an incremental update of the endpoint list.
 
-        It must come before the engine learns of it, so that nothing new is sent to a worker that drains or
-        was removed.
+        It must be applied here before the engine gets it, so that nothing new is sent to a worker that is
+        draining or was removed.
 
         Args:
-            specs: Workers that are new or changed.
+            specs: New or changed workers.
             removed: Numbers of workers that were removed.
         """
         self._pools.update(specs, removed)
@@ -106,12 +106,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Attempts and commands that have not ended."""
+        """Number of attempts and commands that have not ended."""
         return len(self._exchanges)
 
     @property
     def connection_count(self) -> int:
-        """Connections that are open or closing."""
+        """Number of connections that are open or closing."""
         return self._budget.in_use
 
     def pools(self) -> dict[int, MultiplexedPool]:
@@ -119,7 +119,7 @@
         return self._pools.snapshot()
 
     def _close_idle_connection(self) -> None:
-        """Close one connection that nothing uses, to the worker that has most connections."""
+        """Close one connection with nothing in flight, of the worker with the most connections."""
         pools = sorted(self._pools.snapshot().values(), key=lambda pool: -len(pool.connections))
         for pool in pools:
             for connection in pool.connections:
@@ -130,7 +130,7 @@
     # ---- the engine's actions, on the decision thread
 
     def send(self, call: Call, attempt: int, worker_id: int, timeout_s: float) -> None:
-        """Start an attempt of a call, with a time-out of its own where ``timeout_s`` is over 0."""
+        """Start an attempt of a call; ``timeout_s`` is its own timeout if greater than 0."""
         pool = self._pools.get(worker_id)
         if pool is None:
             reason = "the worker is not listed any more"
@@ -141,19 +141,19 @@
         self._submit((call.number, attempt), exchange, pool)
 
     def cancel(self, call: Call, attempt: int) -> None:
-        """Stop waiting for an attempt and notify its worker."""
+        """Cancel an attempt and notify its worker."""
         self._abandon((call.number, attempt), Result.CANCELLED, "cancelled")
 
     def check_health(self, worker_id: int) -> None:
-        """Check that a connection to the worker works; ends in one `CommandResult`."""
+        """Send a health check to a worker; its result is one `CommandResult`."""
         self._send_command(worker_id, None, 0)
 
     def load_function(self, worker_id: int, function: FunctionSpec, instances: int) -> None:
-        """Command a worker to load so many instances; ends in one `CommandResult`."""
+        """Command a worker to load ``instances`` instances; the result is one `CommandResult`."""
         self._send_command(worker_id, function, instances)
 
     def unload_function(self, worker_id: int, function: FunctionSpec) -> None:
-        """Command a worker to unload idle instances; no end is reported."""
+        """Command a worker to unload a function's idle instances; no result is reported."""
         pool = self._pools.get(worker_id)
         if pool is not None and not pool.is_closed:
             pool.send_one_way(codec.encode_unload_command(function.name))
@@ -180,7 +180,7 @@
         if not pool.submit(exchange):
             exchange.on_failure(Result.NOT_STARTED, "no connection to the worker is available")
             return
-        # Only once a connection has it: one without a connection can't be given up.
+        # Scheduled after the submission: an exchange without a connection can't be abandoned.
         self.deadlines.schedule(exchange.deadline_s, key)
 
     def _on_attempt_result(self, event: EngineEvent) -> None:
@@ -188,10 +188,10 @@
             self._exchanges.pop((event.call.number, event.outcome.attempt), None)
         self._report(event)
 
-    # ---- the deadlines' owner
+    # ---- the `DeadlineOwner` interface
 
     def is_pending(self, key: ExchangeKey) -> bool:
-        """Return whether an exchange has not ended."""
+        """Return whether an exchange has not ended yet."""
         return key in self._exchanges
 
     def expire(self, key: ExchangeKey) -> None:
--- a/saffronstack/upstream/multiplexed/exchange.py
+++ b/saffronstack/upstream/multiplexed/exchange.py
@@ -1,4 +1,4 @@
-"""What is sent to a worker and answered: attempts and commands, each with exactly one end."""
+"""Exchanges: attempts and commands that await a response from a worker; each ends exactly once."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from saffronstack.upstream.events import EventSink, function_id
 from saffronstack.upstream.multiplexed import codec
 
-REQUEST_OVERHEAD_BYTES = 256  # of a request's line beside its body
-MIN_REMAINING_MS = 1  # workers get to know how long the gateway waits, and zero would be no time at all
+REQUEST_OVERHEAD_BYTES = 256  # estimated size of a request's line without its body
+MIN_REMAINING_MS = 1  # with less, an attempt is not sent: the worker would be told that 0 ms remain
 
 
 class ExchangeWorker(Protocol):
-    """What an exchange needs of the worker that it is sent to."""
+    """The worker that an exchange is sent to, and its counts of attempts."""
 
     worker_id: int
     name: str
@@ -27,7 +27,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the worker drains or was removed: nothing new is sent to it."""
+        """Whether the worker is draining or was removed, so that nothing new is sent to it."""
         ...
 
 
@@ -35,25 +35,25 @@
     """The connection that an exchange was submitted to."""
 
     def claim(self, exchange: PendingExchange) -> bool:
-        """Return whether the first byte may be sent."""
+        """Return whether the first byte of an exchange may be sent."""
         ...
 
     def unclaim(self, exchange: PendingExchange) -> None:
-        """Take back a claim: the socket took not one byte."""
+        """Undo a claim because the socket accepted not a single byte."""
         ...
 
     def on_dropped(self, exchange: PendingExchange) -> None:
-        """End an exchange that was no longer wanted when its first byte was to be sent."""
+        """End an exchange that became obsolete before its first byte was sent."""
         ...
 
     def abandon(self, exchange: PendingExchange, result: Result, reason: str) -> None:
-        """Stop waiting for the response."""
+        """End an exchange without its response."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeContext:
-    """What all exchanges of a dispatcher share: the receiver of their results, and the clock."""
+    """The receiver of the results and the clock (monotonic time in seconds) for exchanges."""
 
     report: EventSink
     clock: Callable[[], float]
@@ -86,7 +86,10 @@
         context: ExchangeContext,
         size: int | None = None,
     ) -> None:
-        """Create an exchange that expires at ``deadline_s`` (clock time); ``size`` is `OutgoingMessage`'s."""
+        """Create an exchange that expires at ``deadline_s`` (clock time).
+
+        ``size`` is what it counts for in a write buffer if ``data`` is encoded only when it is sent.
+        """
         super().__init__(data, size)
         self.tag = tag
         self.worker = worker
@@ -95,37 +98,37 @@
         self.clock = context.clock
         self.submitted_s = context.clock()
         self.connection: ExchangeConnection | None = None
-        self.is_finished = False  # it has ended or was given up: no byte may be sent any more
-        self.is_started = False  # its first byte may have been sent
+        self.is_finished = False  # it has ended or was abandoned, so its first byte must not be sent
+        self.is_started = False  # whether its first byte may have been sent
 
     def prepare_to_send(self) -> bool:
         """Return whether the first byte may be sent now."""
         return not self.worker.is_closed and self.clock() < self.deadline_s and self.claim()
 
     def claim(self) -> bool:
-        """Return whether it was not given up; from then on nobody may report it as not sent."""
+        """Return whether the first byte may be sent; if so, it must not be reported as unsent any more."""
         return self.connection is None or self.connection.claim(self)
 
     def on_blocked(self) -> None:
-        """Record that it is still unsent: whoever gives it up now may report that."""
+        """Undo the claim: the exchange is still unsent and may be reported as unsent."""
         if self.connection is not None:
             self.connection.unclaim(self)
 
     def on_dropped(self) -> None:
-        """End it: it was no longer wanted, and no byte of it is sent."""
+        """End the exchange as unsent: it became obsolete before its first byte was sent."""
         if self.connection is not None:
             self.connection.on_dropped(self)
 
     def on_response(self, response: codec.ExchangeResponse) -> None:
-        """End it with the worker's response; runs on the read loop's thread."""
+        """End the exchange with the worker's response; called on the read loop's thread."""
         raise NotImplementedError
 
     def on_failure(self, result: Result, reason: str) -> None:
-        """End it without a response."""
+        """End the exchange without a response."""
         raise NotImplementedError
 
     def result_on_connection_loss(self) -> Result:
-        """Return the result where the connection breaks: a worker never reads a line that is not complete."""
+        """Return the result if the connection fails; a worker never processes an incomplete line."""
         return Result.RESET if self.progress is SendProgress.COMPLETE else Result.CONNECT_FAILED
 
 
@@ -145,8 +148,9 @@
     def prepare_to_send(self) -> bool:
         """Return whether the first byte may be sent now; encode the request if so.
 
-        Nothing is sent for a call that has its final answer, or too late to be of use. The line is encoded
-        only now, with the time that is left now: it may have waited for a connection or in a write buffer.
+        Nothing is sent for a call that has its final answer, or if no time remains. The line is encoded only
+        now because it contains the remaining time, and the attempt may have waited for a connection or in a
+        write buffer.
         """
         call = self.call
         remaining_ms = int((self.deadline_s - self.clock()) * 1000)
@@ -158,9 +162,9 @@
         return True
 
     def on_response(self, response: codec.ExchangeResponse) -> None:
-        """End the attempt; a successful one answers the call here, ahead of the decision thread."""
+        """End the attempt; a success finishes the call here, without waiting for the decision thread."""
         result = codec.RESULT_BY_TYPE.get(response.message_type)
-        if result is None:  # the reply to a ping, under the tag of a request
+        if result is None:  # a ping reply with the tag of a request
             self.on_failure(self.result_on_connection_loss(), "the response belongs to no request")
             return
         answer = None
@@ -204,7 +208,7 @@
 
 
 class CommandExchange(PendingExchange):
-    """A load command, or a health check of the connection (no function)."""
+    """A load command, or a health check of the connection (``function`` is None)."""
 
     __slots__ = ("function", "instances")
 
@@ -226,18 +230,21 @@
         self.instances = instances
 
     def prepare_to_send(self) -> bool:
-        """Return whether it may be sent; a mere question puts no load on a worker that drains."""
+        """Return whether the first byte may be sent now.
+
+        A command with 0 instances is sent to a draining worker too: a query or health check loads nothing.
+        """
         return super().prepare_to_send() if self.instances else self.claim()
 
     def on_response(self, response: codec.ExchangeResponse) -> None:
-        """End it with the number of instances that are loaded."""
+        """End the command with the number of loaded instances."""
         result = codec.RESULT_BY_TYPE.get(response.message_type)
         if result is None:
             result = Result.OK if response.message_type == codec.TYPE_PING_REPLY else Result.ERROR
         self._report_result(result, response.instances, response.load_report)
 
     def on_failure(self, result: Result, reason: str) -> None:
-        """End it without a response."""
+        """End the command without a response."""
         self._report_result(result, 0, None)
 
     def _report_result(self, result: Result, instances: int, load_report: LoadReport | None) -> None:
--- a/saffronstack/upstream/multiplexed/in_flight.py
+++ b/saffronstack/upstream/multiplexed/in_flight.py
@@ -1,4 +1,4 @@
-"""The exchanges in flight on one connection: who may send them, and who ends each of them, exactly once."""
+"""The exchanges in flight on one connection; decides who may send and who ends each exchange."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 from saffronstack.upstream.multiplexed.exchange import ExchangeConnection, PendingExchange
 
-MAX_ANSWERED_TAGS = 64  # the last tags answered: a second response may come, so none is reused meanwhile
-MAX_ABANDONED_TAGS = 32  # tags given up that may still be answered; at the limit nothing new is accepted
+MAX_ANSWERED_TAGS = 64  # latest answered tags; not reused, as a duplicate response may still arrive
+MAX_ABANDONED_TAGS = 32  # abandoned tags that may still be answered; at the limit nothing is accepted
 
 
 class Admission(Enum):
-    """What became of an exchange that was added."""
+    """The result of adding an exchange."""
 
     REJECTED = 0  # not accepted
-    SEND_NOW = 1  # accepted; the caller sends it
-    QUEUED = 2  # accepted; it is sent once the connection is established
+    SEND_NOW = 1  # accepted; the caller must send it
+    QUEUED = 2  # accepted; sent once the connection is established
 
 
 class InFlightTable:
-    """Exchanges by tag. Whoever removes one, under the lock, is the one to end it: so it ends once.
+    """Holds exchanges by tag. The thread that removes an exchange must end it, so each ends exactly once.
 
-    Any thread may call any method.
+    Thread-safe.
     """
 
     def __init__(self, max_exchanges: int) -> None:
         self._max_exchanges = max_exchanges
-        self._lock = threading.Lock()  # guards all below
+        self._lock = threading.Lock()  # guards all fields below
         self._exchanges: dict[str, PendingExchange] = {}
         self._queued: list[PendingExchange] = []
         self._abandoned_tags: set[str] = set()
-        self._answered_tags: dict[str, None] = {}  # in the order of their responses
+        self._answered_tags: dict[str, None] = {}  # used as an ordered set, oldest response first
         self._is_connected = False
-        self.is_closed = False  # accepts nothing; set without the lock too, as it never goes back
-        self.is_draining = False  # accepts nothing, and is to be closed once nothing is in flight
+        self.is_closed = False  # accepts nothing; also set without the lock, as it is never reset
+        self.is_draining = False  # accepts nothing; to be closed once nothing is in flight
 
     def __len__(self) -> int:
         """Return the number of exchanges in flight."""
@@ -43,7 +43,7 @@
 
     @property
     def oldest_submitted_s(self) -> float:
-        """When the oldest exchange in flight was submitted (clock time); infinite without one."""
+        """When the oldest exchange in flight was submitted (clock time); infinite if none is in flight."""
         with self._lock:
             oldest = next(iter(self._exchanges.values()), None)
         return math.inf if oldest is None else oldest.submitted_s
@@ -61,7 +61,7 @@
         )
 
     def add(self, exchange: PendingExchange, connection: ExchangeConnection) -> Admission:
-        """Add an exchange and tie it to its connection, unless it can't be accepted."""
+        """Add an exchange and set its connection, unless it can't be accepted."""
         with self._lock:
             if not self.can_accept(exchange.tag):
                 return Admission.REJECTED
@@ -73,32 +73,32 @@
             return Admission.QUEUED
 
     def on_connected(self) -> list[PendingExchange]:
-        """Accept exchanges for sending at once; return those queued, none where it was closed meanwhile."""
+        """Stop queueing; return the queued exchanges, or none if the table was closed meanwhile."""
         with self._lock:
             self._is_connected = True
             queued, self._queued = self._queued, []
             return [] if self.is_closed else queued
 
     def claim(self, exchange: PendingExchange) -> bool:
-        """Return whether the first byte may be sent; from here on the exchange may have been executed.
+        """Return whether the first byte may be sent; if so, the exchange may have been executed from now on.
 
-        Giving up and sending are decided under one lock, or a request could be taken for one never sent.
+        The same lock guards removal, as otherwise a request that is being sent could be reported as unsent.
         """
         with self._lock:
             exchange.is_started = not exchange.is_finished
             return exchange.is_started
 
     def unclaim(self, exchange: PendingExchange) -> None:
-        """Take back a claim: not one byte was sent after all."""
+        """Undo a claim because not a single byte was sent."""
         with self._lock:
             exchange.is_started = False
 
     def remove(self, exchange: PendingExchange, abandon: bool = False) -> bool:
-        """Remove an exchange; return whether the caller is the one to end it.
+        """Remove an exchange; return whether it was present, so that the caller must end it.
 
         Args:
-            exchange: The exchange.
-            abandon: Whether its response may still come, so that its tag must not be reused.
+            exchange: The exchange to remove.
+            abandon: Whether a response may still arrive if it was sent, so that its tag must not be reused.
         """
         with self._lock:
             if self._exchanges.get(exchange.tag) is not exchange:
@@ -110,7 +110,7 @@
         return True
 
     def pop_answered(self, tag: str) -> PendingExchange | None:
-        """Remove the exchange that a response belongs to; None where it was given up or never sent."""
+        """Remove and return the exchange of a response; None if it was abandoned or never sent."""
         with self._lock:
             exchange = self._exchanges.pop(tag, None)
             if exchange is None:
@@ -123,17 +123,17 @@
         return exchange
 
     def close_if_idle(self) -> bool:
-        """Close it unless something is in flight; return whether it is closed."""
+        """Close the table unless an exchange is in flight; return whether it is closed."""
         with self._lock:
             self.is_closed = self.is_closed or not self._exchanges
             return self.is_closed
 
     def close(self) -> list[PendingExchange]:
-        """Close it and return what was in flight; no first byte is sent from here on."""
+        """Close the table and return the exchanges in flight; none can be claimed for sending afterwards."""
         with self._lock:
             self.is_closed = True
             lost, self._exchanges = list(self._exchanges.values()), {}
-            for exchange in lost:  # `claim` looks at this under the same lock
+            for exchange in lost:  # `claim` reads this under the same lock
                 exchange.is_finished = True
             self._queued = []
             self._abandoned_tags = set()
@@ -141,6 +141,6 @@
         return lost
 
     def is_drained(self) -> bool:
-        """Return whether nothing is in flight and nothing will be accepted any more."""
+        """Return whether the table accepts nothing more and nothing is in flight."""
         accepts_nothing = self.is_draining or len(self._abandoned_tags) >= MAX_ABANDONED_TAGS
         return accepts_nothing and not self._exchanges
--- a/saffronstack/upstream/multiplexed/line_reader.py
+++ b/saffronstack/upstream/multiplexed/line_reader.py
@@ -4,23 +4,23 @@
 
 from saffronstack.upstream.errors import LineProtocolError
 
-MAX_LINE_PARTS = 64  # pieces of an unfinished line that are stored before they are joined
+MAX_LINE_PARTS = 64  # parts of an incomplete line that are stored before they are joined
 
 
 class LineReader:
-    """Collects bytes that come in pieces of any size, and returns complete lines."""
+    """Buffers received bytes and returns complete lines."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Accept lines of up to ``max_bytes``, their line feed not counted."""
+        """Create a reader for lines of up to ``max_bytes``, not counting the line feed."""
         self._max_bytes = max_bytes
         self._parts: list[bytes] = []
         self._bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes and return the lines that are complete now, without their line feeds.
+        """Add received bytes and return the lines that they complete, without line feeds.
 
         Raises:
-            LineProtocolError: A line, finished or not, is longer than allowed.
+            LineProtocolError: A complete or incomplete line is too long.
         """
         lines = data.split(b"\n")
         if len(lines) == 1:
@@ -38,7 +38,9 @@
     def _append(self, data: bytes) -> None:
         self._parts.append(data)
         self._bytes += len(data)
-        if len(self._parts) > MAX_LINE_PARTS:  # bytes that trickle in must not cost an object each
+        if (
+            len(self._parts) > MAX_LINE_PARTS
+        ):  # bounds the number of objects when bytes arrive in small pieces
             self._parts = [b"".join(self._parts)]
         self._check_length(self._bytes)
 
--- a/saffronstack/upstream/pool_registry.py
+++ b/saffronstack/upstream/pool_registry.py
@@ -1,4 +1,4 @@
-"""The connection pools of all workers, kept in step with the endpoint list."""
+"""The connection pools of all workers, updated with the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     spec: WorkerSpec
 
     def update(self, spec: WorkerSpec) -> None:
-        """Take a changed entry of the endpoint list, at the same address; it may start or end draining."""
+        """Apply a changed endpoint list entry; its address is the same, its draining state may differ."""
         ...
 
     def stop(self) -> None:
-        """Send nothing new; connections close once nothing is in flight on them."""
+        """Stop sending; each connection closes once nothing is in flight on it."""
         ...
 
 
@@ -27,14 +27,14 @@
 
 
 class PoolRegistry(Generic[PoolT]):
-    """One pool for each listed worker, by worker number.
+    """Holds one pool for each listed worker, by worker number.
 
-    Once a change returns, nothing new is sent to workers that drain or were removed. Any thread may call.
+    Once an update returns, nothing new is sent to workers that are draining or were removed. Thread-safe.
     """
 
     def __init__(self, create_pool: Callable[[WorkerSpec], PoolT]) -> None:
         self._create_pool = create_pool
-        self._lock = threading.Lock()  # guards changes of the pools; single look-ups do without
+        self._lock = threading.Lock()  # guards changes of `_pools`; a single lookup needs no lock
         self._pools: dict[int, PoolT] = {}
 
     def __len__(self) -> int:
@@ -42,16 +42,16 @@
         return len(self._pools)
 
     def get(self, worker_id: int) -> PoolT | None:
-        """Return the pool of a worker, None where it is not listed."""
+        """Return the pool of a worker; None if the worker is not listed."""
         return self._pools.get(worker_id)
 
     def snapshot(self) -> dict[int, PoolT]:
-        """Return the pools as they are now."""
+        """Return a copy of the current pools, by worker number."""
         with self._lock:
             return dict(self._pools)
 
     def replace_all(self, specs: Iterable[WorkerSpec]) -> None:
-        """Apply a complete endpoint list."""
+        """Apply a snapshot of the endpoint list."""
         listed = {spec.number: spec for spec in specs}
         with self._lock:
             removed = [number for number in self._pools if number not in listed]
@@ -60,14 +60,14 @@
             pool.stop()
 
     def update(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> None:
-        """Apply an incremental update: workers that are new or changed, and numbers of those removed."""
+        """Apply an incremental update: new or changed workers, and the numbers of removed ones."""
         with self._lock:
             stopped = self._apply(specs, removed)
         for pool in stopped:
             pool.stop()
 
     def clear(self) -> list[PoolT]:
-        """Remove and stop every pool; return them."""
+        """Remove and stop every pool; return the removed pools."""
         with self._lock:
             pools = list(self._pools.values())
             self._pools = {}
@@ -76,7 +76,7 @@
         return pools
 
     def _apply(self, specs: Iterable[WorkerSpec], removed: Iterable[int]) -> list[PoolT]:
-        """Change the pools and return those that are to be stopped; the caller holds the lock."""
+        """Apply changes and return the pools that the caller must stop; the caller holds the lock."""
         stopped: list[PoolT] = []
         for number in removed:
             removed_pool = self._pools.pop(number, None)
@@ -85,7 +85,7 @@
         for spec in specs:
             pool = self._pools.get(spec.number)
             if pool is not None and (pool.spec.host, pool.spec.port) != (spec.host, spec.port):
-                stopped.append(pool)  # another address is another worker: it shares nothing with the old one
+                stopped.append(pool)  # a new address means another worker, so no connection is reused
                 pool = None
             if pool is None:
                 pool = self._create_pool(spec)
--- a/tests/upstream/http/test_dispatcher.py
+++ b/tests/upstream/http/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Every result of an attempt comes from something on a socket: a scripted worker causes each."""
+"""The HTTP dispatcher against a scripted worker, whose socket behavior causes each attempt result."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 FUNCTION = FunctionSpec("f", 5, 0, 64.0)
 WORKER_ID = 9
-TEST_TIMEOUT_S = 5.0  # a bound, never waited out where things go right
-SHORT_DEADLINE_S = 0.4  # a deadline that passes before a worker that waits answers
+TEST_TIMEOUT_S = 5.0  # maximum wait; a passing test does not reach it
+SHORT_DEADLINE_S = 0.4  # expires before a worker that delays its response responds
 Script = Callable[[socket.socket], None]
 
 
 class ScriptedWorker:
-    """Accepts connections and lets the script talk on each, one after another."""
+    """Accepts connections and runs the script for each request, on one thread per connection."""
 
     def __init__(self, script: Script) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -55,7 +55,7 @@
                 self.requests += 1
                 self.script(sock)
         except OSError:
-            return  # the gateway broke the connection, as some tests have it
+            return  # some tests make the gateway abort the connection
         finally:
             sock.close()
 
@@ -94,31 +94,31 @@
 
 @dataclass
 class Upstream:
-    """A dispatcher with one scripted worker; what it reports goes to a queue."""
+    """A dispatcher with one scripted worker; its events go to a queue."""
 
     worker: ScriptedWorker
     dispatcher: HttpDispatcher
     events: queue.SimpleQueue[EngineEvent]
 
     def list_worker(self, draining: bool = False) -> None:
-        """Put the worker on the endpoint list."""
+        """Apply an endpoint list that contains only the worker."""
         spec = WorkerSpec(WORKER_ID, "w", "127.0.0.1", self.worker.port, is_draining=draining)
         self.dispatcher.replace_workers([spec])
 
     def send(self, call: Call) -> AttemptResult:
-        """Send an attempt and return its end."""
+        """Send an attempt and return its result."""
         self.dispatcher.send(call, 0, WORKER_ID, 0.0)
         return self.next_attempt_result()
 
     def next_attempt_result(self) -> AttemptResult:
-        """Return the next end of an attempt."""
+        """Wait for the next result of an attempt; skip other events."""
         while True:
             event = self.events.get(timeout=TEST_TIMEOUT_S)
             if isinstance(event, AttemptResult):
                 return event
 
     def next_command_result(self) -> CommandResult:
-        """Return the next event, the end of a command."""
+        """Wait for the next event, which must be the result of a command."""
         event = self.events.get(timeout=TEST_TIMEOUT_S)
         assert isinstance(event, CommandResult)
         return event
@@ -129,7 +129,7 @@
 
 @pytest.fixture
 def start() -> Iterator[StartUpstream]:
-    """Starts dispatchers over a worker with a script, within given limits; all end with the test."""
+    """Returns a function that starts a dispatcher with a scripted worker; all stop after the test."""
     started: list[Upstream] = []
 
     def start_one(script: Script, limits: HttpPoolLimits | None = None) -> Upstream:
@@ -333,7 +333,8 @@
 
 
 def test_an_attempt_is_sent_without_waiting_for_a_new_thread_to_be_scheduled(start: StartUpstream) -> None:
-    """A worker's new thread that got no processor used to hold the decision thread, and so all calls."""
+    """Regression test: on a busy machine, waiting for a new thread to be scheduled blocked the decision
+    thread, and so delayed all calls."""
     upstream = start(respond(OK_RESPONSE))
     attempt = new_call(timeout_s=4 * TEST_TIMEOUT_S)
     assert returns_without_new_threads(lambda: upstream.dispatcher.send(attempt, 0, WORKER_ID, 0.0))
--- a/tests/upstream/multiplexed/test_codec.py
+++ b/tests/upstream/multiplexed/test_codec.py
@@ -1,4 +1,4 @@
-"""Lines from workers: split at every byte, and fed with noise."""
+"""Lines from workers, split at every byte, and arbitrary input."""
 
 from __future__ import annotations
 
--- a/tests/upstream/multiplexed/test_connection.py
+++ b/tests/upstream/multiplexed/test_connection.py
@@ -1,4 +1,4 @@
-"""Multiplexed connections: what was sent, what never was, and who may report it."""
+"""Multiplexed connections: which bytes are sent, and which result each exchange ends with."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ThreadlessUpstream:
-    """A dispatcher whose connections write to limited sockets, without threads; the tests move its clock."""
+    """A dispatcher without threads: its connections write to limited sockets, tests advance its clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, capacity: int = 1_000_000) -> None:
         self.now = 100.0
@@ -68,18 +68,18 @@
         return call
 
     def unblock(self) -> bool:
-        """Let the first socket take all again; whether everything that waited was written."""
+        """Remove the first socket's limit, flush its write buffer and return whether all was written."""
         self.sockets[0].capacity = 100_000
         write_buffer = self.connections[0]._write_buffer
         return write_buffer is not None and write_buffer.flush()
 
     def expire(self) -> None:
-        """Expire what is overdue, as the deadlines' thread does."""
+        """Expire overdue exchanges, as the deadline timer's thread does."""
         for key in self.dispatcher.deadlines.pop_overdue(self.now):
             self.dispatcher.expire(key)
 
     def results(self) -> list[tuple[int, Result]]:
-        """Return each end that was reported: the call's number, and the result."""
+        """Return the call number and result of each reported attempt."""
         return [(end.call.number, end.outcome.result) for end in self.reported]
 
 
@@ -112,7 +112,7 @@
     upstream.call(2)
     upstream.dispatcher.update_workers([WorkerSpec(7, "s-7", "127.0.0.1", 1, is_draining=True)], [])
     assert upstream.unblock()
-    # Only the line that had begun: half of one breaks the connection.
+    # Only the partially sent line is completed, as an incomplete line would break the connection.
     assert upstream.sockets[0].taken.count(b"CALL") == 1
     assert upstream.results() == [(2, Result.NOT_STARTED)]
 
@@ -134,7 +134,7 @@
     assert upstream.results() == [(1, Result.CANCELLED)]
     assert upstream.sockets[0].taken.endswith(b'{"what":"CANCEL","tag":"0000000000000001"}\n')
     connection = upstream.connections[0]
-    # Its response may still come, and would be taken for a new one's.
+    # Its response may still arrive and would be matched to a new request with this tag.
     assert not connection.can_accept("0000000000000001")
     connection._on_response(codec.decode_response(b'{"what":"OK","tag":"0000000000000001","blob":"eA=="}'))
     assert len(upstream.reported) == 1
@@ -179,7 +179,7 @@
 
 
 def sent_remaining_ms(upstream: ThreadlessUpstream) -> list[int]:
-    """Return the waiting times that were sent to the worker, in milliseconds."""
+    """Return the remaining times, in milliseconds, that were sent to the worker."""
     lines = upstream.sockets[0].taken.splitlines()
     return [json.loads(line)["with"]["w"] for line in lines if b'"CALL"' in line]
 
@@ -188,7 +188,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     upstream = ThreadlessUpstream(monkeypatch, capacity=0)
-    upstream.call(1)  # three seconds, of which two pass in a write buffer
+    upstream.call(1)  # 3 s remain; 2 s of them pass in the write buffer
     upstream.now += 2.0
     assert upstream.unblock()
     assert sent_remaining_ms(upstream) == [1000]
@@ -204,8 +204,11 @@
 
 
 def test_a_duplicate_response_does_not_end_the_next_attempt(upstream: ThreadlessUpstream) -> None:
-    """The worker reported twice that it is at capacity, and the request was sent again between the two: it
-    must not be taken for rejected, as it may be executing and would be executed twice."""
+    """The worker reports twice that it is at capacity, and the request is retried between the two reports.
+
+    The second report must not end the retry: the worker may be executing it, and a further retry would
+    execute the request twice.
+    """
     call = upstream.call(1)
     connection = upstream.connections[0]
     at_capacity = codec.decode_response(b'{"what":"BUSY","tag":"0000000000000001"}')
@@ -215,7 +218,7 @@
     connection._on_response(at_capacity)
     assert upstream.results() == [(1, Result.AT_CAPACITY)]
     assert len(upstream.connections) == 2
-    for number in range(2, 2 + MAX_ANSWERED_TAGS):  # what a connection remembers is bounded
+    for number in range(2, 2 + MAX_ANSWERED_TAGS):  # the number of stored answered tags is bounded
         upstream.call(number)
         connection._on_response(codec.decode_response(b'{"what":"OK","tag":"%016x"}' % number))
     assert len(connection._in_flight._answered_tags) <= MAX_ANSWERED_TAGS
@@ -224,7 +227,7 @@
 def test_a_connection_that_closes_while_a_first_byte_is_sent_reports_what_was_sent(
     upstream: ThreadlessUpstream, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A thread has claimed the exchange to write it, and the connection closes before the bytes are sent."""
+    """The connection closes after a thread has claimed the exchange and before it sends the bytes."""
     upstream.call(1)  # opens the connection
     connection, sock = upstream.connections[0], upstream.sockets[0]
     claimed = threading.Event()
@@ -258,7 +261,7 @@
 def test_an_exchange_whose_connection_has_closed_can_not_be_claimed(
     upstream: ThreadlessUpstream, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Between the close of a connection and the ends of its exchanges no first byte may be sent any more."""
+    """No first byte may be sent after a connection closes and before its exchanges have ended."""
     upstream.call(1)
     connection = upstream.connections[0]
     (exchange,) = connection._in_flight._exchanges.values()
@@ -286,7 +289,7 @@
 def test_an_attempt_that_expires_while_it_is_submitted_ends_all_the_same(
     upstream: ThreadlessUpstream, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The deadlines' thread runs between the steps of a send."""
+    """The deadline timer's thread runs between the steps of a send."""
     submit = MultiplexedPool.submit
 
     def expire_then_submit(pool: MultiplexedPool, exchange: PendingExchange) -> bool:
@@ -303,7 +306,7 @@
 
 
 class SlowConnect:
-    """Connections to workers are established once they are released."""
+    """Delays the establishing of connections to workers until `release` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.started, self.release = threading.Semaphore(0), threading.Event()
@@ -331,9 +334,9 @@
         tag = client.call(cls=b"sell")
         assert slow_connect.started.acquire(timeout=WAIT_S)
         (connection,) = service.dispatcher.pools().popitem()[1].connections
-        eventually(lambda: connection.in_flight)  # the call waits for it
+        eventually(lambda: connection.in_flight)  # the request is queued for it
         decisions_resumed = threading.Event()
-        if change == "client leaves":  # and nobody has decided yet what that means for its attempt
+        if change == "client leaves":  # and the decision thread has not cancelled its attempt yet
             decisions_paused = threading.Event()
 
             def pause_decisions(now: float, router: Router) -> None:
@@ -356,7 +359,7 @@
             decisions_resumed.set()
             assert other.ask(subject=9)[0] == "OK"
             assert host.next()["with"]["k"] == f"{9:016x}"
-        else:  # it never left, and the one host was tried
+        else:  # it was never sent, and the only worker was tried
             assert client.read()[:2] == (tag, "BUSY")
         assert host.seen.empty()
         eventually(lambda: not service.dispatcher.in_flight)
@@ -364,7 +367,8 @@
 
 
 def test_a_call_is_sent_without_waiting_for_a_new_thread_to_be_scheduled() -> None:
-    """A new connection's thread that got no processor used to hold the decision thread, and so all calls."""
+    """Regression test: waiting for a new connection's thread to be scheduled on a busy machine blocked the
+    decision thread, and so delayed all calls."""
     reported: queue.SimpleQueue[Any] = queue.SimpleQueue()
     dispatcher = MultiplexedDispatcher(
         ConnectionLimits(), ConnectionBudget(1), WriteLoop(time.monotonic), reported.put, time.monotonic, 5.0
@@ -372,4 +376,4 @@
     dispatcher.update_workers([WORKER], [])
     call = Call(1, "1" * 16, FunctionSpec("f" * 16, 5, 0, 100.0), b"", time.monotonic() + 2 * WAIT_S)
     assert returns_without_new_threads(lambda: dispatcher.send(call, 0, WORKER.number, 0.0))
-    assert reported.get(timeout=WAIT_S).outcome.result is Result.CONNECT_FAILED  # nobody listens there
+    assert reported.get(timeout=WAIT_S).outcome.result is Result.CONNECT_FAILED  # no listener at that address
--- a/tests/upstream/multiplexed/test_connection_budget.py
+++ b/tests/upstream/multiplexed/test_connection_budget.py
@@ -1,4 +1,4 @@
-"""The bound on connections to all workers together."""
+"""The limit on connections to all workers together."""
 
 from __future__ import annotations
 
--- a/tests/upstream/multiplexed/test_in_flight.py
+++ b/tests/upstream/multiplexed/test_in_flight.py
@@ -1,4 +1,4 @@
-"""Exchanges in flight: what is accepted, and who ends each of them."""
+"""The table of exchanges in flight: which exchanges it accepts, and that each ends exactly once."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class FakeWorker:
-    """A worker that takes requests."""
+    """A worker that accepts requests."""
 
     worker_id, name, succeeded, failed, is_closed = 7, "w-7", 0, 0, False
 
 
 class FakeConnection:
-    """The connection that exchanges are tied to."""
+    """The connection that exchanges are submitted to."""
 
     def claim(self, exchange: PendingExchange) -> bool:
         return True
@@ -39,14 +39,14 @@
 
 def new_exchange(tag: str, now_s: float = 100.0) -> PendingExchange:
     def report(event: Any) -> None:
-        raise AssertionError("the table reports nothing itself")
+        raise AssertionError("the table must not report results")
 
     return PendingExchange(b"line", tag, FakeWorker(), now_s + 3.0, ExchangeContext(report, lambda: now_s))
 
 
 @pytest.fixture
 def table() -> InFlightTable:
-    """A connected table for two exchanges."""
+    """Returns a connected table for two exchanges."""
     table = InFlightTable(2)
     assert table.on_connected() == []
     return table
--- a/tests/upstream/test_deadlines.py
+++ b/tests/upstream/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines: in their order, without those that have ended, and in spite of faults."""
+"""The deadline timer expires exchanges in order, skips ended ones and survives exceptions."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.upstream.deadlines import DeadlineTimer, ExchangeKey, attempt_deadline_s
 
-TEST_TIMEOUT_S = 10.0  # a bound, never waited out where things go right
+TEST_TIMEOUT_S = 10.0  # maximum wait; a passing test does not reach it
 
 
 class FakeOwner:
-    """Holds pending exchanges; what expires is noted, and one of them is a fault."""
+    """Holds pending exchanges and records expired ones; expiring `failing_key` raises."""
 
     def __init__(self, failing_key: ExchangeKey | None = None) -> None:
         self.pending: set[ExchangeKey] = set()
@@ -31,7 +31,7 @@
         self.pending.discard(key)
         self.expired.put(key)
         if key == self.failing_key:
-            raise KeyError("a fault of its own")
+            raise KeyError("expiring this exchange fails")
 
 
 def create_timer(owner: FakeOwner, log: io.StringIO | None = None) -> DeadlineTimer:
--- a/tests/upstream/test_pool_registry.py
+++ b/tests/upstream/test_pool_registry.py
@@ -11,7 +11,7 @@
 
 
 class FakePool:
-    """Records updates and its stop."""
+    """Records updates and whether it was stopped."""
 
     def __init__(self, spec: WorkerSpec) -> None:
         self.spec = spec
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def registry() -> PoolRegistry[FakePool]:
-    """A registry with two workers."""
+    """Returns a registry with two workers."""
     registry = PoolRegistry(FakePool)
     registry.update([FIRST, SECOND], [])
     return registry
@@ -56,7 +56,7 @@
 
 def test_a_removed_worker_loses_its_pool(registry: PoolRegistry[FakePool]) -> None:
     removed = registry.get(1)
-    registry.update([], [1, 77])  # one of them was never listed
+    registry.update([], [1, 77])  # 77 was never listed
     assert removed is not None
     assert removed.is_stopped
     assert registry.get(1) is None
