--- a/saffronstack/upstream/multiplexed/dispatcher.py
+++ b/saffronstack/upstream/multiplexed/dispatcher.py
@@ -100,9 +100,9 @@
         """
         self._pools.update(specs, removed)
         pools = self._pools.snapshot().values()
-        per_worker = self._budget.max_connections // max(1, len(pools))
+        connections_per_worker = self._budget.max_connections // max(1, len(pools))
         for pool in pools:
-            pool.max_connections = max(1, min(self._limits.streams, per_worker))
+            pool.max_connections = max(1, min(self._limits.streams, connections_per_worker))
 
     @property
     def in_flight(self) -> int:
--- a/saffronstack/upstream/multiplexed/exchange.py
+++ b/saffronstack/upstream/multiplexed/exchange.py
@@ -167,12 +167,12 @@
         if result is None:  # a ping reply with the tag of a request
             self.on_failure(self.result_on_connection_loss(), "the response belongs to no request")
             return
-        answer = None
+        worker_response = None
         if result is Result.ERROR:
             self.worker.failed += 1
         elif result is Result.OK:
             self.worker.succeeded += 1
-            answer = WorkerResponse(response.body)
+            worker_response = WorkerResponse(response.body)
             self.call.finish(
                 FinalAnswer(
                     FinalStatus.SERVED, response.body, attempts=self.attempt + 1, worker=self.worker.name
@@ -180,7 +180,7 @@
             )
         concurrency = (response.concurrency or 0) if result in (Result.OK, Result.AT_CAPACITY) else None
         outcome = self._outcome(result, response.cache_status, concurrency, response.load_report)
-        self.report(AttemptResult(self.call, outcome, answer))
+        self.report(AttemptResult(self.call, outcome, worker_response))
 
     def on_failure(self, result: Result, reason: str) -> None:
         """End the attempt without a response."""
