--- a/saffronstack/operations/__init__.py
+++ b/saffronstack/operations/__init__.py
@@ -1,5 +1,6 @@
 """Idempotent requests: deduplication by idempotency key, coalescing, and replay of stored responses.
 
-A request with an idempotency key belongs to an *operation*. However often a client or an SDK retries, the
-operation takes effect once: concurrent requests wait for the one that executes, later ones get its response.
+All requests with the same idempotency key belong to one *operation*, which takes effect once however often a
+client or an SDK retries. Requests that arrive while the operation executes wait for its response. Later
+requests get the stored response.
 """
--- a/saffronstack/operations/decisions.py
+++ b/saffronstack/operations/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions on a request of an operation."""
+"""The decisions that the operation table can make on a request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execute:
-    """Execute the operation: the request is its first one or a retry."""
+    """Execute the operation: the request is its first one, or a retry that must be executed."""
 
     operation: InFlightOperation
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject the request: there is no memory to store its operation."""
+    """Reject the request: the operation table has no memory left for its operation."""
 
     retry_after_s: float
 
--- a/saffronstack/operations/errors.py
+++ b/saffronstack/operations/errors.py
@@ -6,18 +6,18 @@
 
 
 class OperationError(Exception):
-    """An operation was not executed, or its response can't be given."""
+    """Base of errors: an operation was not executed, or its response can't be returned."""
 
 
 class IdempotencyKeyTooLongError(OperationError, ValueError):
-    """A client's ``Idempotency-Key`` header is longer than allowed."""
+    """A request's ``Idempotency-Key`` header is longer than `MAX_KEY_LENGTH` allows."""
 
 
 class FingerprintMismatchError(OperationError):
     """The idempotency key was used before with another payload; nothing was executed.
 
     Attributes:
-        request_id: The request that the key belongs to.
+        request_id: The id of the operation's first request.
     """
 
     def __init__(self, request_id: str) -> None:
@@ -26,10 +26,10 @@
 
 
 class OperationTableFullError(OperationError):
-    """There is no memory to remember one more operation; it was not executed.
+    """The operation table has no memory left for the operation, which was not executed.
 
     Attributes:
-        retry_after_s: When a retry may find memory, in seconds from now.
+        retry_after_s: Seconds from now after which memory may be free for a retry.
     """
 
     def __init__(self, retry_after_s: float) -> None:
@@ -38,22 +38,22 @@
 
 
 class SlotNotHeldError(OperationError):
-    """Another process executes the operations of this slot; nothing was executed here."""
+    """Another process holds the operation's slot; this process executed nothing."""
 
 
 class ClientDisconnectedError(OperationError):
-    """The client disconnected while its operation was in flight."""
+    """The client of a request disconnected while the operation was in flight."""
 
 
 class OperationInProgressError(OperationError, TimeoutError):
-    """The operation was still in flight when the time of a waiting request was up."""
+    """The operation was still in flight at the deadline of a request that waited for it."""
 
 
 class OutcomeUnknownError(OperationError):
-    """The operation may have been executed, and no response is known.
+    """The operation may have been executed, and its response is unknown.
 
     Attributes:
-        request_id: The operation's first request.
+        request_id: The id of the operation's first request.
     """
 
     def __init__(self, request_id: str) -> None:
@@ -62,11 +62,11 @@
 
 
 class ResponseNotStoredError(OperationError):
-    """The operation completed, but the body of its response was too large to store or is damaged.
+    """The operation completed, but the body of its response was too large to store, deleted or damaged.
 
     Attributes:
-        request_id: The operation's first request.
-        response: What is known of the response: all but its body.
+        request_id: The id of the operation's first request.
+        response: The response without its body.
     """
 
     def __init__(self, request_id: str, response: StoredResponse) -> None:
--- a/saffronstack/operations/execution.py
+++ b/saffronstack/operations/execution.py
@@ -1,4 +1,4 @@
-"""The execution of an operation in flight, as the threads of its requests share it."""
+"""The execution of an in-flight operation, shared by the threads of all its requests."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.routing.settings import Idempotency
 
-CLIENT_CHECK_INTERVAL_S = 0.2  # how often a waiting thread looks whether its client is still connected
+CLIENT_CHECK_INTERVAL_S = 0.2  # how often a waiting thread checks that its client is still connected
 
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """An execution ended with the response that every request of the operation gets.
+    """An execution that ended with a response, which every request of the operation gets.
 
     Attributes:
-        is_outcome_unknown: Whether the response says that the outcome is unknown.
+        is_outcome_unknown: Whether the response reports that the operation may or may not have been executed.
     """
 
     response: StoredResponse
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NotCompleted:
-    """An execution ended without a final response: it was rejected, or its client disconnected.
+    """An execution that ended without a final response: it was rejected, or its client disconnected.
 
     Attributes:
-        error: Raised to every request that waits.
-        prior_attempt: The first attempt that may have been executed.
-        attempt_in_flight_until_s: Until when an attempt may still be in flight, by the monotonic clock; 0
-            where none is.
+        error: The exception for the request that executed the operation and for all requests that wait.
+        prior_attempt: The first attempt that may have been executed; None if certainly none was.
+        attempt_in_flight_until_s: The monotonic time until which an attempt may still be in flight; 0 if
+            none is.
     """
 
     error: Exception
@@ -46,12 +46,13 @@
 
 
 class Execution:
-    """What the threads of an operation's requests share.
+    """The state that the threads of one operation's requests share.
 
     Attributes:
-        done: Set at the end; made, under the service's lock, for the first request that joins.
-        outcome: Set before ``done``; None where the execution raised an error.
-        log_ticket: The log record of the first attempt, once it was appended.
+        done: The event that is set when the execution ends. The first request that joins creates it, under
+            the service's lock.
+        outcome: How the execution ended, set before ``done``; None if it raised an exception.
+        log_ticket: The ticket of the first attempt's log record, once the record was appended.
     """
 
     def __init__(self, operation: InFlightOperation, policy: DeduplicationPolicy) -> None:
@@ -60,25 +61,28 @@
         self.done: threading.Event | None = None
         self.outcome: Completed | NotCompleted | None = None
         self.log_ticket: AppendTicket[AnyLogRecord] | None = None
-        self._lock = threading.Lock()  # guards all below
-        self._waiter_count = 0  # besides the request that executes it
+        self._lock = threading.Lock()  # guards the fields below
+        self._waiter_count = 0  # excludes the request that executes the operation
         self._has_sent = False
         self._is_abandoned = False
 
     def join(self) -> None:
-        """Count one more waiting request. The caller holds the service's lock."""
+        """Register one more waiting request. The caller must hold the service's lock."""
         if self.done is None:
             self.done = threading.Event()
         with self._lock:
             self._waiter_count += 1
 
     def wait(self, request: OperationRequest, clock: Callable[[], float]) -> StoredResponse | None:
-        """Wait, for a request that joined; return the response, or None where the execution was abandoned.
+        """Wait for the response on behalf of a request that has joined.
+
+        Returns None if the execution was abandoned or raised an exception: the caller must then ask for a new
+        decision. ``clock`` is monotonic.
 
         Raises:
-            OperationInProgressError: It did not end until the request's deadline, by ``clock``.
-            ClientDisconnectedError: The request's client disconnected.
-            Exception: The error of the execution, which did not complete.
+            OperationInProgressError: The execution did not end by the request's deadline.
+            ClientDisconnectedError: The client of the waiting request disconnected.
+            Exception: The error of an execution that did not complete.
         """
         try:
             self._wait_until_done(request, clock)
@@ -104,9 +108,10 @@
             self._waiter_count -= 1
 
     def try_abandon(self) -> bool:
-        """Abandon the execution, whose client disconnected, unless another request waits for it.
+        """Abandon the execution because its client disconnected; return whether it was abandoned.
 
-        One that may have had an effect is not abandoned either. After True no attempt is sent.
+        An execution is not abandoned if another request waits for it, or if an attempt may have been sent and
+        the operation is not idempotent. No attempt is sent after the execution was abandoned.
         """
         with self._lock:
             if self._waiter_count or (
@@ -117,7 +122,7 @@
             return True
 
     def try_mark_sent(self) -> bool:
-        """Mark that an attempt is sent from now on; return False where it must not be."""
+        """Record that an attempt is about to be sent; return False if the execution was abandoned."""
         with self._lock:
             if self._is_abandoned:
                 return False
@@ -130,6 +135,6 @@
         return self._has_sent
 
 
-# Executes an operation on the thread of its request. The prior attempt (by the monotonic clock) tells where
-# an earlier execution may have happened.
+# Executes an operation on the thread of its request. The prior attempt names a worker that may already have
+# executed the operation, and the monotonic time at which that attempt was sent.
 ExecuteOperation = Callable[[Execution, PriorAttempt | None], Completed | NotCompleted]
--- a/saffronstack/operations/execution_finisher.py
+++ b/saffronstack/operations/execution_finisher.py
@@ -1,4 +1,4 @@
-"""The end of an execution: what the operation table remembers and the operation log records of it."""
+"""Stores the result of an execution in the operation table and in the operation log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ExecutionFinisher:
-    """Ends executions, on the thread of the request that executed them. Thread-safe."""
+    """Finishes each execution on the thread of the request that executed it. Thread-safe."""
 
     def __init__(
         self,
@@ -35,12 +35,12 @@
         self._max_inline_response_bytes = max_inline_response_bytes
 
     def finish(self, execution: Execution, outcome: Completed | NotCompleted | None) -> None:
-        """Remember how an execution ended; ``outcome`` is None where it raised an error."""
+        """Store how an execution ended; ``outcome`` is None if the execution raised an exception."""
         is_idempotent = execution.policy.idempotency is Idempotency.IDEMPOTENT
         match outcome:
             case Completed():
                 if outcome.is_outcome_unknown and is_idempotent:
-                    self._release(execution)  # executing it again does no harm
+                    self._release(execution)  # a retry may execute an idempotent operation again
                 else:
                     self._complete(execution, outcome)
             case NotCompleted(_, prior_attempt, attempt_in_flight_until_s):
@@ -49,7 +49,7 @@
                 else:
                     self._mark_retryable(execution, prior_attempt, attempt_in_flight_until_s)
             case None:
-                if execution.has_sent and not is_idempotent:  # it may have had an effect
+                if execution.has_sent and not is_idempotent:  # the attempt may have had an effect
                     self._store_final_state(execution, OperationState.OUTCOME_UNKNOWN, None)
                 else:
                     self._release(execution)
--- a/saffronstack/operations/idempotency_keys.py
+++ b/saffronstack/operations/idempotency_keys.py
@@ -1,7 +1,7 @@
-"""Idempotency keys: which requests belong to one operation. No I/O.
+"""Idempotency keys, which identify the requests of one operation. No I/O.
 
 A client sends an ``Idempotency-Key`` header; AWS SDKs send ``amz-sdk-invocation-id``, which stays the same
-over all retries. A key is valid within a tenant, a function, its qualifier and the invocation type.
+over all retries. A key is unique within a tenant, function, qualifier and invocation type.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 MAX_KEY_LENGTH = 128  # characters
 DIGEST_BYTES = 12
 CLIENT_KEY_PREFIX = "key:"
-SDK_KEY_PREFIX = "sdk:"  # keeps the id of an SDK apart from any key that a client chooses
+SDK_KEY_PREFIX = "sdk:"  # prevents an SDK's id from matching a key that a client chooses
 
 
 @dataclass(frozen=True, slots=True)
 class OperationIdentity:
-    """Everything that identifies an operation.
+    """The fields that together identify an operation.
 
     Attributes:
         invocation_type: ``RequestResponse`` or ``Event``.
-        key: The idempotency key with its prefix, see `idempotency_key_of`.
+        key: The idempotency key with its prefix, as `idempotency_key_of` returns it.
     """
 
     tenant: str
@@ -37,18 +37,19 @@
     key: str
 
     def digest(self) -> bytes:
-        """Return the digest under which the operation is remembered.
+        """Return the digest by which the operation is stored and looked up.
 
-        The encoding delimits the parts by their lengths, so no choice of one part can imitate another.
+        The encoding prefixes each field with its length, so two different identities never encode to the same
+        bytes.
         """
         parts = self.tenant, self.function, self.qualifier, self.invocation_type, self.key
         return hashlib.blake2b(msgspec.msgpack.encode(parts), digest_size=DIGEST_BYTES).digest()
 
 
 def idempotency_key_of(headers: Headers) -> str:
-    """Return the idempotency key of a request behind its prefix; empty where the request has none.
+    """Return the idempotency key of a request with its prefix; empty if the request has no key.
 
-    An SDK's id that is too long counts as none.
+    An ``amz-sdk-invocation-id`` that is too long is ignored.
 
     Raises:
         IdempotencyKeyTooLongError: The ``Idempotency-Key`` header is too long.
@@ -65,14 +66,14 @@
 
 
 def payload_fingerprint(payload: bytes, context: str) -> bytes:
-    """Return a hash of what all requests of one operation must have in common."""
+    """Return a hash of the payload and its context, which must be equal in all requests of one operation."""
     state = xxhash.xxh3_128(payload)
     state.update(b"\0" + context.encode())
     return state.digest()
 
 
 def worker_idempotency_key(tenant: str, key: str, request_id: str) -> str:
-    """Return the key by which workers deduplicate: the client's key, else the request's own id."""
+    """Return the key by which workers deduplicate: the idempotency key, else the request id."""
     if key.startswith(CLIENT_KEY_PREFIX):
         return f"{tenant}:{key[len(CLIENT_KEY_PREFIX) :]}"
     return f"{tenant}:{key}" if key else request_id
--- a/saffronstack/operations/live_members.py
+++ b/saffronstack/operations/live_members.py
@@ -1,4 +1,4 @@
-"""The live members of a group of processes: each one holds the lock of a file of its own."""
+"""Liveness of the members of a group of processes: each live member holds a lock on its own file."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """A live member, and the address at which it serves the others. Encoded as JSON in its file."""
+    """A live member and the address at which other members reach it. Stored as JSON in its file."""
 
     member: str
     address: str
 
 
 class LiveMembers:
-    """The directory of the members' files. Used by the slot manager's thread."""
+    """The directory that contains one file for each member. Only the slot manager's thread uses it."""
 
     def __init__(self, directory: pathlib.Path, member: str, address: Callable[[], str]) -> None:
-        """Open the directory; ``address`` returns where this member serves the others.
+        """Open the directory; ``address`` returns the address at which others reach this member.
 
         Raises:
             OSError: The directory can't be used.
@@ -36,27 +36,27 @@
         self._descriptor = -1
 
     def announce(self) -> None:
-        """Lock and write this member's file.
+        """Lock this member's file and write the member's name and address to it.
 
         Raises:
-            OSError: Another process has locked it.
+            OSError: Another process holds the lock, or the file can't be written.
         """
         self._descriptor = os.open(self._directory / self._member, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         os.pwrite(self._descriptor, msgspec.json.encode(self._own_peer()).ljust(MAX_FILE_BYTES), 0)
 
     def close(self) -> None:
-        """Give this member's lock back."""
+        """Release the lock on this member's file."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
 
     def poll(self) -> dict[str, Peer]:
-        """Return the live members: this one, and those whose files are locked."""
+        """Return the live members by name: this one and all whose files are locked."""
         live = {self._member: self._own_peer()}
         for path in self._directory.iterdir():
             if path.name == self._member:
                 continue
-            with contextlib.suppress(OSError, msgspec.MsgspecError):  # it is being written, or already gone
+            with contextlib.suppress(OSError, msgspec.MsgspecError):  # the file is being written or is gone
                 peer = _read_if_locked(path)
                 if peer is not None:
                     live[peer.member] = peer
@@ -67,7 +67,7 @@
 
 
 def _read_if_locked(path: pathlib.Path) -> Peer | None:
-    """Return the member of a file; None where the lock can be had, since the member is dead then."""
+    """Return the member of a file; None if the file is not locked, as its process is dead then."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
--- a/saffronstack/operations/operation.py
+++ b/saffronstack/operations/operation.py
@@ -1,4 +1,4 @@
-"""The states of an operation: in flight, or remembered until its deduplication window ends.
+"""The states of an operation: in flight, or stored until its deduplication window ends.
 
 All times are Unix seconds of a clock that never steps (`OperationService.now`).
 """
@@ -18,17 +18,17 @@
 class OperationState(Enum):
     """The state of an operation that is not in flight. The values are stored."""
 
-    COMPLETED = "ended"  # it has a response
-    OUTCOME_UNKNOWN = "unknown"  # it may have been executed, and no response came
-    RETRYABLE = "again"  # it may have been executed; workers recognise a retry by its key
+    COMPLETED = "ended"  # the operation has a response
+    OUTCOME_UNKNOWN = "unknown"  # it may have been executed, and its response is unknown
+    RETRYABLE = "again"  # it may have been executed; a retry is safe, as workers deduplicate by key
 
 
 class StoredResponse(msgspec.Struct, frozen=True, gc=False):
-    """The final response of an operation, or where its body is stored.
+    """The final response of an operation, with its body or a reference to the stored body.
 
     Attributes:
-        file_name: The file of the response store that holds the body; empty where none does.
-        body_digest: The digest of a body that is not in memory; empty where it is.
+        file_name: The file in the response store that contains the body; empty if there is no such file.
+        body_digest: The digest of a body that is not in memory; empty if the body is in memory.
         body_length: The length in bytes of a body that is not in memory.
     """
 
@@ -41,13 +41,14 @@
 
 
 class OperationRecord(msgspec.Struct, frozen=True, gc=False):
-    """What is remembered of an operation that is not in flight.
+    """The stored state of an operation that is not in flight.
 
     Attributes:
-        expires_s: When its deduplication window ends.
-        worker_id: The worker of the first attempt that may have been executed, of a retryable operation.
-        sent_s: When that attempt was sent.
-        attempt_in_flight_until_s: Until when an attempt of a rejected request may still be in flight.
+        expires_s: The time at which the deduplication window ends.
+        request_id: The id of the operation's first request.
+        worker_id: For a retryable operation, the worker of the first attempt that may have been executed.
+        sent_s: The time at which that attempt was sent.
+        attempt_in_flight_until_s: The time until which an attempt of a rejected request may be in flight.
     """
 
     state: OperationState
@@ -66,8 +67,8 @@
     """An operation that is being executed.
 
     Attributes:
-        previous: What an earlier execution left, of a retryable operation.
-        execution: The state that the service's threads share (`execution.Execution`).
+        previous: The record of an earlier execution; None unless the operation was retryable.
+        execution: The state that the service's threads share, an `execution.Execution`.
     """
 
     digest: bytes
--- a/saffronstack/operations/operation_clock.py
+++ b/saffronstack/operations/operation_clock.py
@@ -1,4 +1,4 @@
-"""The clock of operations: Unix seconds, which records on disk need, that never step."""
+"""The clock of operations. It returns Unix seconds for records on disk, and never steps."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class OperationClock:
-    """Unix seconds that follow the monotonic clock from the process's start on."""
+    """Returns Unix seconds, read once at the start and advanced by the monotonic clock from then on."""
 
     def __init__(self, monotonic: Callable[[], float], wall: Callable[[], float]) -> None:
-        """Create the clock from a monotonic clock and one of Unix seconds."""
+        """Create the clock; ``monotonic`` is a monotonic clock, ``wall`` returns Unix seconds."""
         self.monotonic = monotonic
         self._offset_s = wall() - monotonic()
 
--- a/saffronstack/operations/operation_log.py
+++ b/saffronstack/operations/operation_log.py
@@ -1,6 +1,6 @@
-"""The write-ahead log of operations: attempts before their first byte is sent, and how operations ended.
+"""The write-ahead log of operations: it records attempts before they are sent, and how operations ended.
 
-The tags and the order of the fields are data: they are the format on disk.
+The tags and the order of the fields are part of the format on disk.
 """
 
 from __future__ import annotations
@@ -17,24 +17,25 @@
 from saffronstack.operations.record_format import encode_record
 from saffronstack.routing.settings import Idempotency
 
-IN_FLIGHT_SNAPSHOT_BYTES = 160  # of one operation in flight in a snapshot
-FINISHED_SNAPSHOT_BYTES = 60  # of one finished operation, beside its record
-RESET_SNAPSHOT_BYTES = 16
+IN_FLIGHT_SNAPSHOT_BYTES = 160  # estimated bytes of one in-flight operation in a snapshot
+FINISHED_SNAPSHOT_BYTES = 60  # estimated bytes of one finished operation in a snapshot, without its record
+RESET_SNAPSHOT_BYTES = 16  # estimated bytes of the `LogReset` record
 
 
 class LogRecord(msgspec.Struct, array_like=True, frozen=True, tag_field="kind"):
-    """Base of all records."""
+    """Base class of all log records."""
 
 
 class LogReset(LogRecord, frozen=True, tag="s"):
-    """Makes all earlier records void; the first record of a snapshot."""
+    """Invalidates all earlier records; the first record of a snapshot."""
 
 
 class AttemptStarted(LogRecord, frozen=True, tag="n"):
     """The first attempt of an operation is about to be sent.
 
     Attributes:
-        sent_s: When, in Unix seconds.
+        window_s: The length of the deduplication window.
+        sent_s: The time just before the attempt is sent, in Unix seconds.
     """
 
     digest: bytes
@@ -47,11 +48,11 @@
 
 
 class OperationFinished(LogRecord, frozen=True, tag="e"):
-    """An operation has its response, an unknown outcome, or may be retried.
+    """An operation ended with a response, with an unknown outcome, or so that it may be retried.
 
     Attributes:
         record: The encoded `OperationRecord`.
-        expires_s: When its deduplication window ends, in Unix seconds.
+        expires_s: The time at which its deduplication window ends, in Unix seconds.
     """
 
     digest: bytes
@@ -60,13 +61,13 @@
 
 
 class OperationReleased(LogRecord, frozen=True, tag="r"):
-    """An operation whose attempt was logged was certainly not executed."""
+    """An operation was certainly not executed although its attempt was logged."""
 
     digest: bytes
 
 
 class OperationsExpired(LogRecord, frozen=True, tag="x"):
-    """Everything whose deduplication window ended by ``now_s`` (Unix seconds) is forgotten."""
+    """All operations whose deduplication window ended by ``now_s`` (Unix seconds) are removed."""
 
     now_s: float
 
@@ -81,12 +82,12 @@
 
 
 class OperationLogState:
-    """What the records of a log add up to. Owned by the journal's writer thread.
+    """The state that results from the records of a log. Owned by the journal's writer thread.
 
     Attributes:
         in_flight: The first attempt of each operation in flight, by digest.
         finished: Finished operations by digest.
-        in_doubt: Whether records were lost. An operation in flight has an unknown outcome with or without it.
+        in_doubt: Whether records were lost. It does not change how in-flight operations are recovered.
     """
 
     def __init__(self) -> None:
@@ -96,10 +97,10 @@
         self._record_bytes = 0
 
     def apply(self, record: AnyLogRecord) -> None:
-        """Apply one more record."""
+        """Update the state with the next record."""
         match record:
             case AttemptStarted():
-                self.in_flight.setdefault(record.digest, record)  # the first attempt may have been executed
+                self.in_flight.setdefault(record.digest, record)  # keep the first: it may have executed
             case OperationFinished():
                 self.in_flight.pop(record.digest, None)
                 self._forget_finished(record.digest)
@@ -129,13 +130,13 @@
             self._record_bytes -= len(finished.record)
 
     def snapshot(self) -> Iterator[AnyLogRecord]:
-        """Yield records that add up to this state."""
+        """Yield records that rebuild this state."""
         yield LogReset()
         yield from self.finished.values()
         yield from self.in_flight.values()
 
     def estimate_snapshot_bytes(self) -> int:
-        """Return the approximate size of a snapshot."""
+        """Return the estimated size of a snapshot in bytes."""
         return (
             IN_FLIGHT_SNAPSHOT_BYTES * len(self.in_flight)
             + FINISHED_SNAPSHOT_BYTES * len(self.finished)
@@ -144,18 +145,18 @@
         )
 
     def mark_records_lost(self) -> None:
-        """Note that records were lost."""
+        """Set the flag that records were lost."""
         self.in_doubt = True
 
     def spill(self) -> tuple[AnyLogRecord, ...]:
-        """Return no records: the bound of the operation table bounds this state too."""
+        """Return no records to spill, as the memory limit of the operation table bounds this state too."""
         return ()
 
     def recovered_operations(self) -> Iterator[EncodedOperation]:
-        """Yield the operations that the next process or slot holder must know.
+        """Yield the operations that the next process or slot holder must restore.
 
-        One that was in flight may have been executed: it is retryable where workers recognise its key, else
-        its outcome is unknown.
+        An operation that was in flight may have been executed. It is retryable if workers deduplicate by its
+        key; otherwise its outcome is unknown.
         """
         for digest, finished in self.finished.items():
             yield digest, finished.record
@@ -182,9 +183,9 @@
 def open_operation_log(
     directory: str, segment_bytes: int, files: FileOperations | None = None
 ) -> OperationLog:
-    """Lock a directory and read its log.
+    """Lock a directory and recover the log that it contains.
 
     Raises:
-        JournalError: Another process holds the directory, or the log can't be read.
+        JournalError: Another process has locked the directory, or the log can't be read.
     """
     return Journal(directory, OperationLogState(), OPERATION_LOG_CODEC, segment_bytes, files)
--- a/saffronstack/operations/operation_recorder.py
+++ b/saffronstack/operations/operation_recorder.py
@@ -1,4 +1,4 @@
-"""Recording of operations in the write-ahead log: each attempt before its first byte is sent."""
+"""Records operations in the write-ahead log: each attempt before its first byte is sent."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class OperationRecorder:
-    """Appends to the operation log; does nothing where there is none. Thread-safe."""
+    """Appends to the operation log; does nothing if there is no log. Thread-safe."""
 
     def __init__(self, log: OperationLog | None, clock: OperationClock, commit_timeout_s: float) -> None:
         """Create a recorder.
 
         Args:
-            log: The operation log, None where operations are only remembered in memory.
-            clock: Tells when an attempt is sent.
-            commit_timeout_s: How long an attempt waits for the disk.
+            log: The operation log; None if operations are stored in memory only.
+            clock: The clock that dates the attempts.
+            commit_timeout_s: How long an attempt waits for its record to become durable.
         """
         self._log = log
         self._clock = clock
         self._commit_timeout_s = commit_timeout_s
 
     def record_attempt(self, execution: Execution, worker_id: int) -> bool:
-        """Make durable that an attempt is about to be sent; return False where it must not be."""
+        """Log durably that an attempt is about to be sent; return False if it must not be sent."""
         log = self._log
         if log is None:
             return True
@@ -37,7 +37,7 @@
         if ticket is not None:
             return ticket.done.wait(self._commit_timeout_s) and ticket.is_durable
         if log.stalled_s > 0:
-            return False  # the record would wait behind a commit that hangs already
+            return False  # the record would wait behind a commit that already hangs
         operation = execution.operation
         ticket = log.append(
             AttemptStarted(
@@ -54,35 +54,35 @@
             return False
         if ticket.error is not None:
             return False
-        execution.log_ticket = ticket  # it is written or certainly will be: its end must follow it
+        execution.log_ticket = ticket  # the record will be written, so the operation's end must be logged too
         return ticket.done.wait(self._commit_timeout_s) and ticket.is_durable
 
     def record_finish(self, execution: Execution, record: bytes, now: float) -> None:
-        """Log the encoded record of an operation that ended, where its attempt was logged."""
+        """Log the encoded record of an operation that ended, if its attempt was logged."""
         if self._log is not None and execution.log_ticket is not None:
             operation = execution.operation
             self._log.append(OperationFinished(operation.digest, record, now + operation.window_s))
 
     def record_release(self, execution: Execution) -> None:
-        """Log that an operation was not executed, where its attempt was logged."""
+        """Log that an operation was not executed, if its attempt was logged."""
         if self._log is not None and execution.log_ticket is not None:
             self._log.append(OperationReleased(execution.operation.digest))
 
     def record_expiry(self, now: float) -> None:
-        """Log that whatever expired by ``now`` is forgotten."""
+        """Log that all operations that expired by ``now`` are removed."""
         if self._log is not None:
             self._log.append(OperationsExpired(now))
 
 
 class RecordingAttemptGuard:
-    """An `AttemptGuard` that marks an operation as sent, and logs its attempt where its policy says so."""
+    """An `AttemptGuard` that marks an execution as sent, and logs the attempt if the policy requires it."""
 
     def __init__(self, recorder: OperationRecorder, execution: Execution) -> None:
         self._recorder = recorder
         self._execution = execution
 
     def may_send(self, attempt: int, worker_id: int) -> bool:
-        """Return whether the attempt may be sent. Waits for the disk, for a bounded time."""
+        """Return whether the attempt may be sent. Blocks until it is logged, for a bounded time."""
         execution = self._execution
         if execution.policy.is_logged and not self._recorder.record_attempt(execution, worker_id):
             return False
--- a/saffronstack/operations/operation_request.py
+++ b/saffronstack/operations/operation_request.py
@@ -1,4 +1,4 @@
-"""A request of an operation, and what it gets."""
+"""A request of an operation, its deduplication policy and its result."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """How the operations of a class are deduplicated.
 
     Attributes:
-        window_s: The deduplication window, from the operation's end.
+        window_s: The length of the deduplication window, which starts when the operation ends.
         is_logged: Whether the operation log records an attempt durably before its first byte is sent.
         requires_slot: Whether only the holder of the operation's slot may execute it.
     """
@@ -30,10 +30,10 @@
     """One request of an operation.
 
     Attributes:
-        digest: Of the operation's identity.
-        fingerprint: Of the payload.
-        deadline_s: How long the client waits, by the monotonic clock.
-        is_client_connected: Tells whether the client is still there; called on the request's thread.
+        digest: The digest of the operation's identity.
+        fingerprint: The hash of the payload and its context.
+        deadline_s: The monotonic time until which the client waits.
+        is_client_connected: Returns whether the client is still connected; called on the request's thread.
     """
 
     digest: bytes
@@ -49,7 +49,7 @@
     """The response of an operation.
 
     Attributes:
-        is_replayed: Whether another request executed the operation.
+        is_replayed: Whether the response comes from the execution by another request.
     """
 
     response: StoredResponse
--- a/saffronstack/operations/operation_service.py
+++ b/saffronstack/operations/operation_service.py
@@ -1,4 +1,4 @@
-"""Execution of operations with deduplication, coalescing and replay, for every front end."""
+"""Executes operations with deduplication, coalescing and replay, for every API of the gateway."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 from saffronstack.routing.events import PriorAttempt
 from saffronstack.runtime.threads import start_thread
 
-EXPIRY_INTERVAL_S = 30.0
-MAX_PRIOR_ATTEMPT_WAIT_S = 1.0  # an attempt ends at its call's deadline, which is soon after the rejection
+EXPIRY_INTERVAL_S = 30.0  # between two removals of expired operations by the background thread
+MAX_PRIOR_ATTEMPT_WAIT_S = 1.0  # an attempt ends at its call's deadline, soon after the rejection
 REQUEST_COUNT_LABELS = (
     "begun",
     "joined",
@@ -45,16 +45,17 @@
     "unknown_repeated",
     "mismatched",
     "turned_away",
-)  # label values
+)  # label values of the metric
 
 
 @dataclass(frozen=True, slots=True)
 class OperationLimits:
-    """Bounds of the service.
+    """Limits of the service.
 
     Attributes:
-        max_inline_response_bytes: Larger response bodies go to the response store.
-        coalescing_cache_bytes: Memory for responses of idempotent operations.
+        max_inline_response_bytes: Maximum size of a response body in memory; larger ones go to the response
+            store.
+        coalescing_cache_bytes: Memory limit for cached responses of idempotent operations.
         commit_timeout_s: How long an attempt waits for the operation log.
     """
 
@@ -64,14 +65,14 @@
 
 
 class OperationService:
-    """Operations of one process. Thread-safe.
+    """Deduplicates and executes the operations of one process. Thread-safe.
 
     Attributes:
-        table: Operations that are not idempotent by themselves; guarded by the service's lock.
-        coalescing_cache: Idempotent operations.
-        operation_log: None where operations are remembered in memory only.
-        response_store: None where large responses are not stored.
-        request_counts: Requests by what was decided on them, under the label values of the metric.
+        table: The operations that are not idempotent by themselves; guarded by the service's lock.
+        coalescing_cache: The idempotent operations.
+        operation_log: The write-ahead log; None if operations are stored in memory only.
+        response_store: The store of large response bodies; None if they are not stored.
+        request_counts: The number of requests for each decision, by label value of the metric.
     """
 
     def __init__(
@@ -83,7 +84,7 @@
         response_store: ResponseStore | None = None,
         limits: OperationLimits | None = None,
     ) -> None:
-        """Create the service; ``clock`` is monotonic, ``wall_clock`` gives Unix seconds."""
+        """Create the service; ``clock`` is monotonic, ``wall_clock`` returns Unix seconds."""
         limits = limits or OperationLimits()
         self.table = table
         self.coalescing_cache: CoalescingCache[CacheableResponse] = CoalescingCache(
@@ -96,7 +97,7 @@
         self._clock = OperationClock(clock, wall_clock)
         self._recorder = OperationRecorder(operation_log, self._clock, limits.commit_timeout_s)
         self._is_slot_held: Callable[[int], bool] | None = None
-        self._lock = threading.Lock()  # guards the table, the counts by slot, and joins to executions
+        self._lock = threading.Lock()  # guards the table, in-flight counts and joins to executions
         self._finisher = ExecutionFinisher(
             table, self._lock, self._clock, self._recorder, response_store, limits.max_inline_response_bytes
         )
@@ -109,9 +110,9 @@
         return self._clock.now()
 
     def start(self, earlier_operations: Iterable[EncodedOperation] = ()) -> None:
-        """Restore the log's operations and the ``known`` ones, and start the thread that expires them.
+        """Restore ``earlier_operations`` and those of the log, and start the thread that expires operations.
 
-        Where slots are shared between processes, operations are restored with each slot instead.
+        If processes share slots, nothing is restored here: operations are restored when a slot is acquired.
         """
         if self._is_slot_held is None:
             logged = self.operation_log.state.recovered_operations() if self.operation_log is not None else ()
@@ -119,20 +120,20 @@
         start_thread("operations", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
-        """Stop the thread and close the log; return whether both ended in time."""
+        """Stop the thread and close the log; return whether both finished within the timeout."""
         self._stopping.set()
         has_stopped = self._stopped.wait(timeout_s)
         return (self.operation_log is None or self.operation_log.close(timeout_s)) and has_stopped
 
     def restrict_to_slots(self, is_slot_held: Callable[[int], bool]) -> None:
-        """Execute operations that require a slot only in slots that are held."""
+        """From now on, execute operations that require a slot only while this process holds their slot."""
         self._is_slot_held = is_slot_held
 
     def restore(self, operations: Iterable[EncodedOperation]) -> None:
-        """Add operations of earlier processes or slot holders; those known already stay.
+        """Add operations of earlier processes or slot holders; entries that already exist are not replaced.
 
         Raises:
-            JournalError: A record was written by another version.
+            JournalError: A record has the format of another version.
         """
         now = self.now()
         try:
@@ -147,35 +148,35 @@
                     self.table.restore(digest, encoded)
 
     def count_in_flight(self, slot: int) -> int:
-        """Return how many operations of a slot are in flight."""
+        """Return the number of in-flight operations of a slot."""
         with self._lock:
             return self._in_flight_by_slot[slot]
 
     def extract_slots(self, slots: frozenset[int]) -> list[EncodedOperation]:
-        """Remove and return the operations of slots that another process takes over."""
+        """Remove and return the operations of slots that are handed over to another process."""
         with self._lock:
             return self.table.extract(lambda digest: slot_for(digest) in slots)
 
     def find(self, digest: bytes) -> InFlightOperation | OperationRecord | None:
-        """Return what is known of an operation."""
+        """Return an operation that is in flight or the record of one that ended; None if it is not stored."""
         with self._lock:
             return self.table.find(digest)
 
     def attempt_guard(self, execution: Execution) -> RecordingAttemptGuard:
-        """Return the guard that is asked before each attempt's first byte is sent."""
+        """Return the guard that must allow each attempt before its first byte is sent."""
         return RecordingAttemptGuard(self._recorder, execution)
 
     def perform(self, request: OperationRequest, execute: ExecuteOperation) -> OperationResult:
-        """Return the operation's response: execute it, wait for its execution, or replay its response.
+        """Execute the operation, wait for its execution, or replay its response; return the response.
 
         Raises:
             SlotNotHeldError: Another process holds the operation's slot.
-            FingerprintMismatchError: The key belongs to another payload.
-            OperationTableFullError: There is no memory to remember the operation.
-            OutcomeUnknownError: It may have been executed, and no response is known.
-            ResponseNotStoredError: It completed, and its response's body is not stored.
-            OperationInProgressError: Its execution did not end until the request's deadline.
-            ClientDisconnectedError: The client disconnected meanwhile.
+            FingerprintMismatchError: The idempotency key belongs to a request with another payload.
+            OperationTableFullError: The operation table has no memory left for the operation.
+            OutcomeUnknownError: The operation may have been executed, and its response is unknown.
+            ResponseNotStoredError: The operation completed, and the body of its response is not stored.
+            OperationInProgressError: The execution did not end by the request's deadline.
+            ClientDisconnectedError: The client disconnected while the operation was in flight.
             Exception: The error of an execution that did not complete.
         """
         while True:
@@ -197,7 +198,7 @@
                     response = _execution_of(operation).wait(request, self._clock.monotonic)
                     if response is not None:
                         return OperationResult(response, True)
-                    # The execution was abandoned just before this request joined: it is the next to execute.
+                    # The execution was abandoned or raised an exception: decide again.
 
     def _decide(self, request: OperationRequest) -> Decision:
         policy, slot = request.policy, slot_for(request.digest)
@@ -232,7 +233,7 @@
             if execution.policy.requires_slot:
                 with self._lock:
                     self._in_flight_by_slot[slot_for(operation.digest)] -= 1
-            if execution.done is not None:  # no request joins any more: the table knows the operation's end
+            if execution.done is not None:  # no request can join any more: the table has the result
                 execution.done.set()
         if isinstance(outcome, NotCompleted):
             raise outcome.error
@@ -245,7 +246,7 @@
         return PriorAttempt(previous.worker_id, self._clock.to_monotonic(previous.sent_s))
 
     def _wait_for_prior_attempt(self, operation: InFlightOperation) -> None:
-        """Wait until no attempt of an earlier execution is in flight, for a bounded time."""
+        """Wait for a bounded time until no attempt of an earlier execution is in flight."""
         if operation.previous is None:
             return
         wait_s = operation.previous.attempt_in_flight_until_s - self.now()
@@ -256,12 +257,12 @@
         is_completed = record.state is OperationState.COMPLETED
         self.request_counts["repeated" if is_completed else "unknown_repeated"] += 1
         response = load_response(self.response_store, record)
-        if response is None:  # the process that executed it crashed before it had a response
+        if response is None:  # e.g. the process that executed it crashed before the response
             raise OutcomeUnknownError(record.request_id)
         return response
 
     def _run(self) -> None:
-        """Expire operations until the service stops. Runs on the thread ``operations``."""
+        """Remove expired operations until the service stops. Runs on the thread ``operations``."""
         try:
             while not self._stopping.wait(EXPIRY_INTERVAL_S):
                 with self._lock:
@@ -274,5 +275,5 @@
 
 def _execution_of(operation: InFlightOperation) -> Execution:
     execution = operation.execution
-    assert isinstance(execution, Execution)  # `_decide` sets it before any other thread sees the operation
+    assert isinstance(execution, Execution)  # `_decide` sets it before other threads can see the operation
     return execution
--- a/saffronstack/operations/operation_status.py
+++ b/saffronstack/operations/operation_status.py
@@ -1,4 +1,4 @@
-"""The status of operations, for a client that asks by its idempotency key. No I/O."""
+"""The status of operations, which clients query by idempotency key. No I/O."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 SYNCHRONOUS = "RequestResponse"
 INVOCATION_TYPES = (SYNCHRONOUS, "Event")
-IN_FLIGHT = "open"  # the state of an operation in flight
+IN_FLIGHT = "open"  # the ``state`` of an in-flight operation
 HEADER_BY_PREFIX = {CLIENT_KEY_PREFIX: "Idempotency-Key", SDK_KEY_PREFIX: "amz-sdk-invocation-id"}
 
 
 class OperationStatus(msgspec.Struct, kw_only=True, frozen=True):
-    """The JSON answer on one operation; the order and the encoded names of the fields are data."""
+    """The status of one operation as JSON; the order and encoded names of the fields are its format."""
 
     key: str = field(name="operation")
     key_header: str = field(name="namedBy")
@@ -47,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusQuery:
-    """Which operations a client asks for.
+    """A client's query for the status of operations.
 
     Attributes:
-        key: The idempotency key as the client gave it, without a prefix.
-        functions: The functions that may have been called.
+        key: The idempotency key as the client sent it, without a prefix.
+        functions: The functions to search.
     """
 
     tenant: str
@@ -63,12 +63,12 @@
 def find_operations(
     service: OperationService, query: StatusQuery, monotonic_s: float
 ) -> list[OperationStatus]:
-    """Return the status of all operations that match.
+    """Return the status of all operations that match a query.
 
     Args:
-        service: Where to look.
-        query: What to look for.
-        monotonic_s: The time now by the monotonic clock.
+        service: The service whose operations are searched.
+        query: The operations to find.
+        monotonic_s: The current time of the monotonic clock.
     """
     return [
         status
@@ -99,7 +99,7 @@
 def _common_status(
     identity: OperationIdentity, prefix: str, request_id: str, idempotency: Idempotency, state: str
 ) -> OperationStatus:
-    """Return what the status of every operation holds."""
+    """Return a status with the fields that every operation has."""
     return OperationStatus(
         key=identity.key.removeprefix(prefix),
         key_header=HEADER_BY_PREFIX[prefix],
@@ -146,7 +146,7 @@
 def _cached_status(
     service: OperationService, identity: OperationIdentity, prefix: str, monotonic_s: float
 ) -> Iterator[OperationStatus]:
-    """Yield the status of an idempotent operation, which only the coalescing cache knows."""
+    """Yield the status of an idempotent operation, which only the coalescing cache stores."""
     key = CacheKey(identity.tenant, identity.function, identity.qualifier, identity.key)
     entry = service.coalescing_cache.find(key)
     if entry is None or (entry.response is not None and entry.expires_s <= monotonic_s):
--- a/saffronstack/operations/operation_table.py
+++ b/saffronstack/operations/operation_table.py
@@ -1,9 +1,9 @@
-"""The table of operations: decides what a request means, within a bound on memory. No I/O and no clock.
+"""The table of operations, which decides on each request within a memory limit. No I/O and no clock.
 
-An operation is in flight from its first request until it has its response. Afterwards its encoded record
-stays until its deduplication window ends. Over the memory limit the completed operation that expires first is
-evicted. Operations in flight, with an unknown outcome or to be retried are never evicted; new operations that
-are not idempotent are rejected instead.
+An operation is in flight from its first request until its execution ends. The table then stores its encoded
+record until its deduplication window ends. When the memory limit is exceeded, the completed operation that
+expires first is evicted. Operations that are in flight, retryable or have an unknown outcome are never
+evicted. If none can be evicted, new operations that are not idempotent are rejected.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 from saffronstack.operations.record_format import decode_record, encode_record
 from saffronstack.routing.settings import Idempotency
 
-# Bytes of an entry beside its encoded record: table, key and queue (measured, rounded up).
+# Bytes of an entry in addition to its encoded record: dictionary, key and expiry queue.
 RECORD_OVERHEAD_BYTES = 330
-IN_FLIGHT_BYTES = 1200
-EXPIRY_INTERVAL_S = 0.5  # between two scans for expired operations
-RETRY_AFTER_IN_FLIGHT_S = 1.0  # where only operations in flight take the memory: they end at any time
+IN_FLIGHT_BYTES = 1200  # of one operation in flight
+EXPIRY_INTERVAL_S = 0.5  # between two removals of expired operations
+RETRY_AFTER_IN_FLIGHT_S = 1.0  # if operations in flight use all memory: one may end at any time
 MIN_RETRY_AFTER_S = 0.1
 
 
 class OperationTable:
-    """Operations by digest. Not thread-safe: the owner holds a lock around each call.
+    """Operations by digest. Not thread-safe: the owner must hold a lock during each call.
 
     Attributes:
-        memory_bytes: Estimated memory of all entries.
-        evicted_early: Completed operations that were evicted before their window ended.
+        memory_bytes: Estimated memory of all entries in bytes.
+        evicted_early: Number of completed operations that were evicted before their window ended.
     """
 
     def __init__(self, memory_limit_bytes: int) -> None:
         self._memory_limit_bytes = memory_limit_bytes
         self._entries: dict[bytes, InFlightOperation | bytes] = {}
-        self._evictable = ExpiryQueue()  # completed operations
-        self._retained = ExpiryQueue()  # operations with an unknown outcome, or to be retried
+        self._evictable = ExpiryQueue()  # the completed operations
+        self._retained = ExpiryQueue()  # operations that are retryable or have an unknown outcome
         self._next_expiry_s = 0.0
         self.memory_bytes = 0
         self.evicted_early = 0
@@ -59,9 +59,9 @@
         request_id: str,
         now: float,
     ) -> Decision:
-        """Decide what a request means.
+        """Decide on a request.
 
-        An `Execute` puts the operation in flight; `complete`, `mark_retryable` or `release` must end it.
+        After `Execute` the operation is in flight until `complete`, `mark_retryable` or `release` ends it.
         """
         if now >= self._next_expiry_s:
             self.expire(now)
@@ -75,7 +75,7 @@
             record = decode_record(entry)
             if record.fingerprint != fingerprint:
                 return FingerprintMismatch(record.request_id)
-            if record.expires_s > now:  # an expired record may still wait for its removal
+            if record.expires_s > now:  # an expired record may not have been removed yet
                 if record.state is not OperationState.RETRYABLE:
                     return Replay(record)
                 previous = record
@@ -88,13 +88,13 @@
             request_id = previous.request_id
         operation = InFlightOperation(digest, fingerprint, idempotency, window_s, request_id, now, previous)
         if self.memory_bytes + IN_FLIGHT_BYTES <= self._memory_limit_bytes:
-            self._insert(digest, operation)  # else it is idempotent, and executed without being remembered
+            self._insert(digest, operation)  # otherwise it is idempotent, and is executed without an entry
         return Execute(operation)
 
     def complete(
         self, operation: InFlightOperation, state: OperationState, response: StoredResponse | None, now: float
     ) -> bytes:
-        """End an operation that has its response, or whose outcome is unknown; return its encoded record."""
+        """End an operation that has a response or an unknown outcome; return its encoded record."""
         record = OperationRecord(
             state,
             now + operation.window_s,
@@ -113,9 +113,9 @@
         now: float,
         attempt_in_flight_until_s: float = 0.0,
     ) -> bytes:
-        """End an operation that was rejected after it may have been executed; return its encoded record.
+        """End an operation that was rejected but may have been executed; return its encoded record.
 
-        Its retries go to the worker of its first attempt until the window ends.
+        Retries go to the worker of the operation's first attempt until the deduplication window ends.
         """
         previous = operation.previous
         if previous is not None:
@@ -133,9 +133,9 @@
         return self._replace_with_record(operation, record)
 
     def release(self, operation: InFlightOperation) -> bool:
-        """End an operation that was not executed; return whether nothing of it is remembered.
+        """End an operation that was not executed; return whether the table no longer has an entry for it.
 
-        Where an earlier execution of it may have happened, that one's record stands again.
+        If an earlier attempt may have been executed, the record of that attempt is restored.
         """
         if self._entries.get(operation.digest) is not operation:
             return True
@@ -146,14 +146,14 @@
         return True
 
     def restore(self, digest: bytes, encoded: bytes) -> None:
-        """Add the record of an earlier process or slot holder; one that is known already stays."""
+        """Add the record of an earlier process or slot holder, unless the table already has an entry."""
         if digest not in self._entries:
             self._insert(digest, encoded)
             record = decode_record(encoded)
             self._queue_for(record.state).add(0.0, record.expires_s, digest)
 
     def extract(self, matches: Callable[[bytes], bool]) -> list[EncodedOperation]:
-        """Remove and return the operations not in flight whose digest matches."""
+        """Remove and return the operations whose digest matches and that are not in flight."""
         extracted = [
             (digest, entry)
             for digest, entry in self._entries.items()
@@ -164,7 +164,7 @@
         return extracted
 
     def find(self, digest: bytes) -> InFlightOperation | OperationRecord | None:
-        """Return what is known of an operation."""
+        """Return an operation that is in flight or the record of one that ended; None if it is not stored."""
         entry = self._entries.get(digest)
         return decode_record(entry) if isinstance(entry, bytes) else entry
 
@@ -176,7 +176,7 @@
                 self._remove_expired(digest, expires_s)
 
     def counts(self) -> Iterator[tuple[str, int]]:
-        """Yield how many operations are known by state, under the names of the metrics."""
+        """Yield the number of operations by state, each with the last part of its metric's name."""
         retained, completed = len(self._retained), len(self._evictable)
         yield "unknown_or_again", retained
         yield "ended", completed
@@ -203,7 +203,7 @@
         self.memory_bytes -= _size_bytes(entry)
 
     def _remove_expired(self, digest: bytes, expires_s: float) -> bool:
-        """Remove the record that a queue names, unless a newer one has taken its place."""
+        """Remove a queue entry's record unless a newer one replaced it; return whether it was removed."""
         entry = self._entries.get(digest)
         if not isinstance(entry, bytes) or decode_record(entry).expires_s != expires_s:
             return False
@@ -211,7 +211,7 @@
         return True
 
     def _evict(self, needed_bytes: int = 0) -> None:
-        """Evict completed operations until ``needed_bytes`` more fit under the limit, or none is left."""
+        """Evict completed operations until ``needed_bytes`` more fit within the limit, or none is left."""
         while self.memory_bytes + needed_bytes > self._memory_limit_bytes:
             earliest = self._evictable.pop_earliest()
             if earliest is None:
@@ -220,16 +220,16 @@
             self.evicted_early += self._remove_expired(digest, expires_s)
 
     def _make_capacity(self, idempotency: Idempotency) -> bool:
-        """Evict for one more operation; return whether it may be executed.
+        """Evict operations to make capacity for one more; return whether the new one may be executed.
 
-        An idempotent one always may: it needs not be remembered.
+        An idempotent operation may always be executed, because it needs no entry.
         """
         self._evict(IN_FLIGHT_BYTES)
         fits = self.memory_bytes + IN_FLIGHT_BYTES <= self._memory_limit_bytes
         return fits or idempotency is Idempotency.IDEMPOTENT
 
     def _retry_after_s(self, now: float) -> float:
-        """Return in how many seconds enough windows of retained operations end for one more operation."""
+        """Return the seconds until enough retained operations expire to store one more."""
         missing_bytes = self.memory_bytes + IN_FLIGHT_BYTES - self._memory_limit_bytes
         for expires_s, digest in self._retained:
             entry = self._entries.get(digest)
--- a/saffronstack/operations/record_format.py
+++ b/saffronstack/operations/record_format.py
@@ -1,6 +1,6 @@
-"""The stored form of operation records, in memory, in the operation log and in hand-over files.
+"""The encoding of operation records in memory, in the operation log and in hand-over files.
 
-The order of the fields and of the common header words is data.
+The order of the fields and of the common header words is part of the stored format.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 from saffronstack.operations.operation import OperationRecord, OperationState, StoredResponse
 from saffronstack.routing.settings import Idempotency
 
-# Nearly all headers consist of these words. Numbers stand for them: a million responses may be remembered.
+# Most header names and values are among these words. They are stored as their indexes to save memory, as a
+# million responses may be stored.
 _COMMON_HEADER_WORDS = (
     "Content-Type",
     "x-amzn-RequestId",
@@ -25,7 +26,7 @@
     "Handled",
 )
 _INDEX_BY_HEADER_WORD = {word: index for index, word in enumerate(_COMMON_HEADER_WORDS)}
-_REQUEST_ID_INDEX = len(_COMMON_HEADER_WORDS)  # the number that stands for the operation's request id
+_REQUEST_ID_INDEX = len(_COMMON_HEADER_WORDS)  # the index that stands for the operation's request id
 _UUID_PREFIX = b"u"
 _TEXT_PREFIX = b"t"
 _EncodedHeaderWord = int | str
@@ -35,9 +36,9 @@
     state: OperationState
     expires_s: float
     fingerprint: bytes
-    request_id: bytes  # a mark, then a UUID's bytes or a text
+    request_id: bytes  # a prefix, then the bytes of a UUID or of a text
     idempotency: Idempotency
-    status: int = 0  # 0: there is no response
+    status: int = 0  # 0 if there is no response
     header_words: tuple[_EncodedHeaderWord, ...] = ()
     body: bytes = b""
     file_name: str = ""
@@ -54,7 +55,7 @@
 
 
 def encode_record(record: OperationRecord) -> bytes:
-    """Encode a record."""
+    """Encode a record in the stored format."""
     response = record.response or _NO_RESPONSE
     return _encoder.encode(
         _StoredRecord(
@@ -77,10 +78,10 @@
 
 
 def decode_record(data: bytes) -> OperationRecord:
-    """Decode a record.
+    """Decode a record from the stored format.
 
     Raises:
-        ValueError: The bytes are no record of this version.
+        ValueError: The bytes are not a record in the format of this version.
     """
     stored = _decoder.decode(data)
     request_id = _decode_request_id(stored.request_id)
@@ -130,7 +131,7 @@
 def _encode_request_id(request_id: str) -> bytes:
     try:
         parsed = uuid.UUID(request_id)
-    except ValueError:  # any text is a request id
+    except ValueError:  # a request id may be any text
         return _TEXT_PREFIX + request_id.encode()
     if str(parsed) != request_id:
         return _TEXT_PREFIX + request_id.encode()
--- a/saffronstack/operations/request_coalescing.py
+++ b/saffronstack/operations/request_coalescing.py
@@ -1,8 +1,8 @@
 """Coalescing and caching of idempotent requests. No I/O.
 
-Executing an idempotent operation twice does no harm, so nothing of it is logged, owned by a slot or written
-to a file, and a request pays two dictionary look-ups: one at its start, one at its end. The oldest responses
-are evicted first.
+Executing an idempotent operation twice does no harm, so these operations have no log records, no slot and no
+files. A request costs two dictionary look-ups, one at its start and one at its end. The oldest responses are
+evicted first.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from collections import deque
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-ENTRY_OVERHEAD_BYTES = 1600  # of an entry with its response's headers, beside the body (measured, rounded up)
+ENTRY_OVERHEAD_BYTES = 1600  # memory of an entry with its response headers, without the body
 
 
 class CacheableResponse(Protocol):
-    """A response of any front end."""
+    """A response of any API of the gateway that the cache can store."""
 
     @property
     def status(self) -> int:
@@ -37,7 +37,7 @@
 
 
 class CacheKey(NamedTuple):
-    """What identifies an idempotent operation."""
+    """The fields that together identify an idempotent operation."""
 
     tenant: str
     function: str
@@ -46,15 +46,15 @@
 
 
 class CacheEntry(Generic[ResponseT]):
-    """An idempotent operation: in flight until it has a response.
+    """An idempotent operation, which is in flight until it has a response.
 
     Attributes:
-        size_bytes: Estimated memory, once it has a response.
-        payload_hash: The same in all requests of the operation.
-        request_id: The request that executes or executed it.
-        started_s: When it was started, by the cache's clock.
-        expires_s: When its response expires, by the cache's clock.
-        done: Set at its end; made for the first request that waits for it.
+        size_bytes: Estimated memory in bytes, once it has a response.
+        payload_hash: The hash of the payload, equal in all requests of the operation.
+        request_id: The id of the request that executes or executed the operation.
+        started_s: The time at which the execution started, by the cache's clock.
+        expires_s: The time at which the response expires, by the cache's clock.
+        done: The event that is set when the operation ends. The first request that waits creates it.
     """
 
     __slots__ = (
@@ -82,21 +82,21 @@
 
     @property
     def waiter_count(self) -> int:
-        """How many requests wait for it, besides the one that executes it."""
+        """The number of requests that wait for the response, without the one that executes the operation."""
         return self._waiter_count
 
 
 class CoalescingCache(Generic[ResponseT]):
-    """A cache of responses by operation, with a bound on memory. Thread-safe.
+    """A cache of responses by operation, with a memory limit. Thread-safe.
 
     Attributes:
-        memory_bytes: Estimated memory of all responses.
-        evicted_early: Responses that were evicted before they expired.
+        memory_bytes: Estimated memory of all responses in bytes.
+        evicted_early: Number of responses that were evicted before they expired.
     """
 
     def __init__(self, memory_limit_bytes: int) -> None:
         self._memory_limit_bytes = memory_limit_bytes
-        self._lock = threading.Lock()  # guards all below, and the entries' waiters
+        self._lock = threading.Lock()  # guards the fields below and the waiter counts of the entries
         self._entries: dict[CacheKey, CacheEntry[ResponseT]] = {}
         self._by_age: deque[CacheEntry[ResponseT]] = deque()
         self.memory_bytes = 0
@@ -108,10 +108,11 @@
     def join_or_start(
         self, key: CacheKey, payload_hash: int, request_id: str, now: float
     ) -> tuple[CacheEntry[ResponseT], bool]:
-        """Return a request's operation, and whether the request is the one to execute it.
+        """Return the operation of a request, and whether this request must execute it.
 
-        An operation in flight with the same payload is joined: wait for its ``done``, then call `leave`. One
-        with a response is in the cache.
+        If the operation is in flight with the same payload, the request joins it: the caller waits for
+        ``done`` and then calls `leave`. If the operation has a response, the request can use it at once. An
+        operation with another payload is returned without being joined.
         """
         with self._lock:
             entry = self._entries.get(key)
@@ -125,7 +126,7 @@
             return entry, True
 
     def leave(self, entry: CacheEntry[ResponseT]) -> None:
-        """Stop waiting for an operation that was joined."""
+        """Remove one waiting request from an operation that it joined."""
         with self._lock:
             entry._waiter_count -= 1
 
@@ -137,7 +138,7 @@
         expires_s: float,
         now: float,
     ) -> None:
-        """End an operation with a response to cache, or with None: then the next request executes it."""
+        """End an operation and cache its response; if it is None, the next request executes again."""
         with self._lock:
             if response is None:
                 self._remove(entry)
@@ -152,11 +153,11 @@
             entry.done.set()
 
     def find(self, key: CacheKey) -> CacheEntry[ResponseT] | None:
-        """Return what is known of an operation."""
+        """Return the entry of an operation, expired or not; None if there is none."""
         return self._entries.get(key)
 
     def _evict(self, now: float) -> None:
-        """Remove the oldest responses while they are expired or memory is over its limit."""
+        """Remove the oldest responses while they are expired or the memory limit is exceeded."""
         by_age = self._by_age
         while by_age and (self.memory_bytes > self._memory_limit_bytes or by_age[0].expires_s <= now):
             oldest = by_age.popleft()
--- a/saffronstack/operations/response_store.py
+++ b/saffronstack/operations/response_store.py
@@ -1,4 +1,4 @@
-"""A store of response bodies that are too large for memory: one file each, the oldest deleted first."""
+"""A store of response bodies that are too large for memory, with one file for each body."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from saffronstack.operations.operation import OperationRecord, StoredResponse
 
 DIRECTORY_NAME = "answers"
-PARTIAL_SUFFIX = ".tmp"  # of a file that is being written
+PARTIAL_SUFFIX = ".tmp"  # suffix of a file that is being written
 log = structlog.get_logger("saffronstack.operations")
 
 
 class ResponseStore:
-    """FileOperations of bodies, at most ``limit_bytes`` in sum. Thread-safe.
+    """Stores bodies in files of at most ``limit_bytes`` in total; deletes the oldest first. Thread-safe.
 
-    FileOperations are not synced: the digest shows whether a power failure truncated one.
+    The files are not synced to disk. The digest of a body shows whether a power failure truncated its file.
     """
 
     def __init__(self, directory: str, limit_bytes: int, files: FileOperations | None = None) -> None:
-        """Open the store in a subdirectory of ``directory``.
+        """Open the store in a subdirectory of ``directory`` and delete partially written files.
 
         Raises:
             OSError: The directory can't be used.
@@ -35,8 +35,8 @@
         self._directory.mkdir(parents=True, exist_ok=True)
         self._limit_bytes = limit_bytes
         self._files = files or FileOperations()
-        self._lock = threading.Lock()  # guards the sizes
-        self._sizes: OrderedDict[str, int] = OrderedDict()  # in bytes by name, the oldest first
+        self._lock = threading.Lock()  # guards `_sizes`
+        self._sizes: OrderedDict[str, int] = OrderedDict()  # bytes by file name, oldest first
         for path in sorted(self._directory.iterdir(), key=lambda path: path.stat().st_mtime):
             if path.suffix == PARTIAL_SUFFIX:
                 path.unlink(missing_ok=True)
@@ -44,7 +44,7 @@
                 self._sizes[path.name] = path.stat().st_size
 
     def save(self, name: str, body: bytes) -> bool:
-        """Write a body; return False where it is too large or the disk fails."""
+        """Write a body to a file; return False if the body is too large or the write fails."""
         if len(body) > self._limit_bytes:
             return False
         try:
@@ -60,16 +60,16 @@
         return True
 
     def load(self, name: str, digest: str) -> bytes | None:
-        """Return a body; None where it is gone or its digest is another."""
+        """Return a body; None if its file was deleted, can't be read or does not match the digest."""
         try:
             body = (self._directory / name).read_bytes()
-        except OSError:  # it was deleted to keep the limit, or can't be read: either way it is not stored
+        except OSError:  # it was deleted to keep the limit, or can't be read
             return None
         return body if body_digest(body) == digest else None
 
     @property
     def stored_bytes(self) -> int:
-        """The size of all files."""
+        """The total size of all files in bytes."""
         with self._lock:
             return sum(self._sizes.values())
 
@@ -91,21 +91,21 @@
 
     def _delete(self, name: str) -> None:
         self._sizes.pop(name, None)
-        with contextlib.suppress(OSError):  # it is gone already, or the next start counts it again
+        with contextlib.suppress(OSError):  # it is already gone, or the next start counts it again
             (self._directory / name).unlink()
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest that shows whether a stored body is undamaged."""
+    """Return the digest by which a damaged body is detected."""
     return xxhash.xxh3_128_hexdigest(body)
 
 
 def move_large_body(
     store: ResponseStore | None, response: StoredResponse, name: str, max_inline_bytes: int
 ) -> StoredResponse:
-    """Return the response with its body moved to the store where it is larger than ``max_inline_bytes``.
+    """Return the response, with its body moved to the store if it is larger than ``max_inline_bytes``.
 
-    Where the store does not take it, only the body's digest and length stay.
+    If the body can't be stored, the result contains only its digest and length.
     """
     body = response.body
     if len(body) <= max_inline_bytes:
@@ -116,10 +116,10 @@
 
 
 def load_response(store: ResponseStore | None, record: OperationRecord) -> StoredResponse | None:
-    """Return the response of a record with its body; None where the record has no response.
+    """Return the response of a record with its body; None if the record has no response.
 
     Raises:
-        ResponseNotStoredError: The body was not stored, is gone or is damaged.
+        ResponseNotStoredError: The body was not stored, was deleted or is damaged.
     """
     response = record.response
     if response is None or not response.body_digest:
--- a/saffronstack/operations/slot_assignment.py
+++ b/saffronstack/operations/slot_assignment.py
@@ -1,7 +1,8 @@
 """Assignment of operations to processes by rendezvous hashing over slots. No I/O.
 
-Every member computes the same assignment from the same list of live members. Where lists differ for a while,
-two may each be assigned a slot; the slot's lock (`slot_locks`) decides, and the other one waits or forwards.
+Every member computes the same assignment from the same list of live members. While the lists of two members
+differ, both may consider themselves assigned to a slot. Then the holder of the slot's lock (`slot_locks`)
+executes, and the other member waits or forwards requests to it.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 
 
 def assigned_member(slot: int, members: Collection[str]) -> str | None:
-    """Return the live member that should hold a slot; None where there is none.
+    """Return the live member that should hold a slot; None if no member is live.
 
-    A member that joins or leaves moves only the slots that become or were its own.
+    When a member joins or leaves, only the slots that it gains or held are reassigned.
     """
     return max(
         members,
--- a/saffronstack/operations/slot_handover.py
+++ b/saffronstack/operations/slot_handover.py
@@ -1,4 +1,4 @@
-"""Hand-over of a slot's operations between processes, through operation logs, ledgers and hand-over files."""
+"""Moves the operations of slots between processes, by operation logs, ledgers and hand-over files."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from saffronstack.operations.slot_locks import RecordLocation
 from saffronstack.operations.slot_manager import SlotHandover
 
-COMMIT_TIMEOUT_S = 10.0
-MAX_LOG_READS = 5
+COMMIT_TIMEOUT_S = 10.0  # for records to become durable
+MAX_LOG_READS = 5  # reads of a log that is compacted while it is read
 
 
 class OperationHandover(SlotHandover):
-    """Moves operations between the service of this process and the records of other ones."""
+    """Moves operations between the service of this process and the records of other processes."""
 
     def __init__(
         self,
@@ -39,8 +39,8 @@
 
         Args:
             service: The operations of this process.
-            own_log_directory: Of this process's operation log, which only it reads.
-            read_ledger: Reads the operations of deferred calls from a ledger's directory.
+            own_log_directory: The directory of this process's operation log, which is read from memory.
+            read_ledger: Reads the operations of deferred calls from the directory of a ledger.
         """
         self._service = service
         self._own_log_directory = own_log_directory
@@ -49,11 +49,11 @@
     def take_over(
         self, slots: frozenset[int], locations: list[RecordLocation], handed_over: list[EncodedOperation]
     ) -> None:
-        """Read the operations of slots, log them here, and restore them into the service.
+        """Read the operations of acquired slots, log them in this process, and add them to the service.
 
         Raises:
             JournalError: Records can't be read or written.
-            OSError: The same.
+            OSError: Files can't be read or written.
         """
         record_by_digest: dict[bytes, bytes] = {}
         for location in locations:
@@ -76,11 +76,11 @@
         self._service.restore(operations)
 
     def hand_over(self, slots: frozenset[int]) -> dict[int, list[EncodedOperation]]:
-        """Remove the operations of those slots that have none in flight, and return them by slot."""
+        """Remove the operations of all slots that have none in flight; return them by slot."""
         service = self._service
         idle_slots = frozenset(slot for slot in slots if not service.count_in_flight(slot))
         log = service.operation_log
-        # The record changes nothing; once it is durable, so is everything that was logged before it.
+        # This record changes nothing. Once it is durable, so are all records that were logged before it.
         if idle_slots and log is not None and not _commit(log, OperationsExpired(0.0)):
             return {}
         by_slot: dict[int, list[EncodedOperation]] = {slot: [] for slot in idle_slots}
@@ -101,13 +101,13 @@
 
 
 def _commit(log: OperationLog, *records: AnyLogRecord) -> bool:
-    """Append records and wait until they are durable; return False where they are not in time."""
+    """Append records and wait until they are durable; return False if that fails or times out."""
     ticket = log.append(*records)
     return ticket.done.wait(COMMIT_TIMEOUT_S) and ticket.is_durable
 
 
 def _read_log(directory: pathlib.Path) -> list[EncodedOperation]:
-    """Read another member's log. A live member may compact it meanwhile: then it is read again.
+    """Read another member's log; read it again if a live member compacts it at the same time.
 
     Raises:
         JournalError: The log can't be read.
--- a/saffronstack/operations/slot_locks.py
+++ b/saffronstack/operations/slot_locks.py
@@ -1,8 +1,9 @@
 """Slots as locked files: a member executes operations of a slot only while it holds the slot's lock.
 
-The operating system releases a lock when its process dies, and keeps it for one that is paused. So no two
-members ever execute operations of one slot at the same time, whatever they believe of each other. The lock
-file names where earlier holders keep their records: the next holder reads them before it uses the slot.
+The operating system releases a lock when its process dies, and keeps it while the process is paused. Thus no
+two members ever execute operations of one slot at the same time, even if their lists of live members differ.
+The lock file lists where earlier holders store their records. The next holder reads these records before it
+uses the slot.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 
 class RecordLocation(msgspec.Struct, frozen=True):
-    """Where a member keeps records of its operations; empty where it keeps none. Encoded as JSON.
+    """The directories in which a member stores records of its operations. Encoded as JSON.
 
     Attributes:
-        log_directory: Of its operation log.
-        ledger_directory: Of its ledger of deferred calls.
+        log_directory: The directory of its operation log; empty if it has none.
+        ledger_directory: The directory of its ledger of deferred calls; empty if it has none.
     """
 
     log_directory: str = msgspec.field(default="", name="notes")
@@ -34,7 +35,7 @@
 
 
 class SlotLocks:
-    """The lock files that this process holds. Used by the slot manager's thread."""
+    """The slots whose lock files this process has locked. Only the slot manager's thread uses it."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         self._directory = directory
@@ -46,7 +47,7 @@
         return list(self._descriptors)
 
     def acquire(self, slot: int) -> bool:
-        """Lock a slot's file; return False where another process holds it."""
+        """Lock a slot's file; return False if another process holds the lock."""
         descriptor = os.open(self._directory / f"{slot}.lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -57,11 +58,11 @@
         return True
 
     def release(self, slot: int) -> None:
-        """Give a slot's lock back."""
+        """Release the lock of a slot."""
         os.close(self._descriptors.pop(slot))
 
     def read_locations(self, slot: int) -> list[RecordLocation]:
-        """Return where the records of a held slot's earlier holders are, the latest holder last."""
+        """Return the record locations of a held slot's earlier holders, latest holder last."""
         locations = []
         for line in os.pread(self._descriptors[slot], MAX_LOCK_FILE_BYTES, 0).splitlines():
             with contextlib.suppress(msgspec.MsgspecError):  # a crash truncated it: earlier lines are valid
@@ -69,9 +70,10 @@
         return locations
 
     def write_locations(self, slot: int, own_location: RecordLocation) -> None:
-        """Add this member to a held slot's locations.
+        """Add this member's location to those of a held slot.
 
-        With an operation log of its own, which has taken over all earlier records, it replaces them.
+        If this member has an operation log, that log already contains all earlier records, so its location
+        replaces the earlier ones.
         """
         earlier = []
         if not own_location.log_directory:
@@ -83,14 +85,14 @@
         os.fdatasync(descriptor)
 
     def write_handover(self, slot: int, operations: list[EncodedOperation]) -> None:
-        """Write what this member remembers of a slot's operations, for the next holder."""
+        """Write this member's records of a slot's operations to a file for the next holder."""
         path = self._handover_path(slot)
         partial = path.with_name(f"{path.name}.tmp")
         partial.write_bytes(msgspec.msgpack.encode(operations))
         partial.rename(path)
 
     def read_handover(self, slot: int) -> list[EncodedOperation]:
-        """Return what the last holder of a slot wrote; nothing where it wrote none or the file is damaged."""
+        """Return the records that the last holder wrote; none if it wrote no file or the file is damaged."""
         try:
             data = self._handover_path(slot).read_bytes()
         except FileNotFoundError:
@@ -102,7 +104,7 @@
             return []
 
     def delete_handover(self, slot: int) -> None:
-        """Delete the file of the last holder."""
+        """Delete the hand-over file that the last holder wrote."""
         self._handover_path(slot).unlink(missing_ok=True)
 
     def _handover_path(self, slot: int) -> pathlib.Path:
--- a/tests/operations/test_deduplication.py
+++ b/tests/operations/test_deduplication.py
@@ -1,4 +1,4 @@
-"""Operations end to end: lost responses, crashes, coalescing, replay and memory bounds."""
+"""End-to-end tests of operations: lost responses, crashes, coalescing, replay and memory limits."""
 
 from __future__ import annotations
 
@@ -158,7 +158,7 @@
     assert again.body == first.body
     assert stack.runs("record-sale") == 1
     assert gateway.operations is not None
-    assert gateway.operations.table.memory_bytes < 4096  # it is on disk
+    assert gateway.operations.table.memory_bytes < 4096  # the body is on disk
     for path in (tmp_path / "o2" / "answers").iterdir():
         path.write_bytes(path.read_bytes()[:-1])
     damaged = send(stack, "record-sale", "big", payload)
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("function", ["record-sale", "adjust-setting"])
 def test_a_crash_between_execution_and_response(tmp_path: pathlib.Path, function: str) -> None:
-    """The next process knows an unknown outcome, or retries where a worker recognises the key."""
+    """After the restart the outcome is unknown, or a retry is executed if workers deduplicate by key."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.3, load_s=0.02))
     files = SealableFiles()
     with logging_gateway(tmp_path / "first", fleet=fleet, files=files) as stack:
@@ -192,7 +192,7 @@
             assert stack.runs(function) == 1
         else:
             keys = {run["key"] for worker in fleet.workers for run in worker.runs(function)}
-            assert len(keys) == 1  # workers can recognise a retry by its key
+            assert len(keys) == 1  # workers can deduplicate the retry by its key
             assert len({run["id"] for worker in fleet.workers for run in worker.runs(function)}) == 1
     fleet.stop()
 
@@ -233,7 +233,10 @@
 
 
 def test_a_call_without_a_key_that_may_have_executed_is_not_rejected() -> None:
-    """Its worker executes it and stops, and no other is in its deduplication scope: a 429 would be wrong."""
+    """A 429 would report that the call had no effect, but its worker may have executed it before it stopped.
+
+    Only this worker deduplicates the call, so no other worker can take a retry.
+    """
     with running(1, profile=Profile(work_s=0.3, load_s=0.02)) as stack:
         responses: list[Response] = []
         thread = threading.Thread(target=lambda: responses.append(stack.call("adjust-setting")))
@@ -251,7 +254,7 @@
         stack.fleet.workers[0].stop()
         thread.join(10)
         stack.fleet.workers[0].start()
-        if keyed_responses[0].status == 429:  # harmless: a retry goes to the same worker with the same key
+        if keyed_responses[0].status == 429:  # safe: a retry goes to the same worker with the same key
             eventually(lambda: send(stack, "adjust-setting", "op").status == 200)
         else:
             assert UNKNOWN in keyed_responses[0].body
@@ -311,7 +314,7 @@
 
 
 def test_requests_before_and_after_the_end_of_the_window(tmp_path: pathlib.Path) -> None:
-    """A request before the end is replayed, one after it is executed; the test sets the gateway's clock."""
+    """A request within the window gets a replay, a later one is executed. The test moves the clock."""
     clock_offset_s = [0.0]
     fleet = StandInFleet(1)
     content = with_operation_log(configuration(fleet), tmp_path / "o", window_s=50.0)
@@ -372,11 +375,11 @@
 
 
 def test_boto3_through_lost_responses_and_crashes(tmp_path: pathlib.Path) -> None:
-    """A third of the responses is lost and the gateway crashes often: no operation executes twice."""
+    """No operation executes twice while a third of the responses is lost and the gateway crashes."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.005, load_s=0.02))
     path = tmp_path / "gateway.json5"
     content = with_operation_log(configuration(fleet, tmp_path / "ledger"), tmp_path / "operations")
-    reserved_port = hold_port("127.0.0.1")  # reserves the port while no gateway listens
+    reserved_port = hold_port("127.0.0.1")  # keeps the port reserved while no gateway listens
     content["listen"] = f"127.0.0.1:{reserved_port.getsockname()[1]}"
     path.write_text(json.dumps(content))
 
@@ -404,7 +407,7 @@
                     FunctionName=function, InvocationType=invocation_type, Payload=payload
                 )
                 result: Any = response["ResponseMetadata"]["RequestId"]
-            except Exception as error:  # noqa: BLE001 - whatever the SDK raises is the result
+            except Exception as error:  # noqa: BLE001 - any error of the SDK is the result
                 result = error
             with lock:
                 results.append((op, invocation_type, result))
--- a/tests/operations/test_execution.py
+++ b/tests/operations/test_execution.py
@@ -1,4 +1,4 @@
-"""Waiting for an execution, and abandoning it."""
+"""Tests of waiting for an execution and of abandoning it."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     execution.join()
     with pytest.raises(ClientDisconnectedError):
         execution.wait(request_for(execution, is_client_connected=False), lambda: 4.99)
-    assert execution.try_abandon()  # nobody waits any more
+    assert execution.try_abandon()  # no request waits any more
 
 
 def test_nothing_is_sent_after_an_execution_was_abandoned() -> None:
--- a/tests/operations/test_expiry_queue.py
+++ b/tests/operations/test_expiry_queue.py
@@ -1,4 +1,4 @@
-"""The order in which deduplication windows end."""
+"""Tests that operations expire in the order in which their deduplication windows end."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_idempotency_keys.py
+++ b/tests/operations/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys, identities of operations and fingerprints."""
+"""Tests of idempotency keys, operation identities and payload fingerprints."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_live_members.py
+++ b/tests/operations/test_live_members.py
@@ -1,4 +1,4 @@
-"""Which members are live."""
+"""Tests that a member is live while its process holds the lock on its file."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_operation_log.py
+++ b/tests/operations/test_operation_log.py
@@ -1,4 +1,4 @@
-"""The operation log while the disk is full."""
+"""Tests of the operation log while the disk is full."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_a_hundred_thousand_operations_in_flight_while_the_disk_is_full(tmp_path: pathlib.Path) -> None:
-    """None may be sent and all are remembered within the memory limit; they go on once the disk has space."""
+    """No attempt is sent and memory stays limited until the disk has space; then attempts are sent."""
     files = SealableFiles()
     log = open_operation_log(str(tmp_path), 1 << 20, files)
     table = OperationTable(256 * 1024 * 1024)
--- a/tests/operations/test_operation_model.py
+++ b/tests/operations/test_operation_model.py
@@ -1,4 +1,4 @@
-"""A model of one gateway with an operation log: one effect and one response over any order of events."""
+"""Tests with a model of a gateway and its operation log: any order of events has one effect and response."""
 
 from __future__ import annotations
 
@@ -31,7 +31,10 @@
 
 @dataclass
 class Model:
-    """What the service does with table and log, a step at a time; ``broken`` leaves one defence out."""
+    """Executes the service's use of table and log step by step.
+
+    ``missing_defence`` names one defence to leave out, to check that the tests notice its absence.
+    """
 
     durable: bool = True
     missing_defence: str = ""
@@ -41,7 +44,7 @@
     in_flight: dict[bytes, InFlightOperation] = field(default_factory=dict)
     logged: set[bytes] = field(default_factory=set)
     executions: dict[bytes, int] = field(default_factory=dict)
-    first_executed_s: dict[bytes, float] = field(default_factory=dict)  # by digest
+    first_executed_s: dict[bytes, float] = field(default_factory=dict)  # window start by digest
     responses: dict[bytes, set[bytes]] = field(default_factory=dict)
 
     def send(self, digest: bytes) -> None:
@@ -187,7 +190,7 @@
 
 
 def explore(missing_defence: str, depth: int) -> str:
-    """Try all orders of a few steps on one operation, up to a length; return the first fault."""
+    """Run all sequences of up to ``depth`` steps on one operation; return the first violation, or ''."""
     steps = ("send", "run", "respond", "lose", "crash")
     for length in range(1, depth + 1):
         for order in itertools.product(steps, repeat=length):
--- a/tests/operations/test_operation_status.py
+++ b/tests/operations/test_operation_status.py
@@ -1,4 +1,4 @@
-"""The JSON answers on the status of operations."""
+"""Tests of the JSON form of the status of operations."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_operation_table.py
+++ b/tests/operations/test_operation_table.py
@@ -1,4 +1,4 @@
-"""Decisions of the operation table, and its bound on memory."""
+"""Tests of the operation table's decisions and memory limit."""
 
 from __future__ import annotations
 
@@ -70,11 +70,11 @@
         first.request_id,
     )
     assert second.previous.attempt_in_flight_until_s == 4.5
-    table.release(second)  # it was not executed; the first one still may have been
+    table.release(second)  # the retry was not executed; the first attempt may have been
     third = execute(table, now=7.0, idempotency=Idempotency.WITH_KEY)
     table.mark_retryable(
         third, 9, 6.5, 8.0
-    )  # another may have been, elsewhere: the first one is named all the same
+    )  # a second worker may have executed it: the record still names the first
     fourth = execute(table, now=9.0, idempotency=Idempotency.WITH_KEY)
     assert fourth.previous is not None
     assert (fourth.previous.worker_id, fourth.previous.sent_s) == (7, 3.0)
@@ -105,9 +105,9 @@
     rejected = [decision for decision in decisions if isinstance(decision, Reject)]
     assert rejected
     assert table.memory_bytes <= 20_000
-    assert 80.0 <= rejected[0].retry_after_s <= 84.0  # when the windows of enough operations have ended
+    assert 80.0 <= rejected[0].retry_after_s <= 84.0  # until enough windows have ended
     idempotent = table.admit(b"safe", FINGERPRINT, Idempotency.IDEMPOTENT, WINDOW_S, "x", 20.0)
-    assert isinstance(idempotent, Execute)  # it is executed without being remembered
+    assert isinstance(idempotent, Execute)  # it is executed without an entry
     table.complete(idempotent.operation, OperationState.COMPLETED, StoredResponse(200, (), b""), 21.0)
     assert table.find(b"safe") is None
     after = table.admit(
@@ -131,7 +131,10 @@
 
 
 def test_a_million_operations_fit_the_documented_memory() -> None:
-    """A quarter of an hour at 1,100 operations a second, by estimated bytes (benchmarks measure them)."""
+    """The estimated memory of 15 minutes at 1,100 operations per second stays below 512 MiB.
+
+    Benchmarks measure the actual memory.
+    """
     table = OperationTable(512 * 1024 * 1024)
     headers = (
         ("Content-Type", "application/json"),
--- a/tests/operations/test_record_format.py
+++ b/tests/operations/test_record_format.py
@@ -1,4 +1,4 @@
-"""The stored form of operation records."""
+"""Tests of the encoding of operation records."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_response_store.py
+++ b/tests/operations/test_response_store.py
@@ -1,4 +1,4 @@
-"""The store of large response bodies."""
+"""Tests of the store of large response bodies."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_slot_assignment.py
+++ b/tests/operations/test_slot_assignment.py
@@ -1,4 +1,4 @@
-"""Assignment of slots to members."""
+"""Tests of the assignment of slots to members."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_slot_locks.py
+++ b/tests/operations/test_slot_locks.py
@@ -1,4 +1,4 @@
-"""The lock files of slots, and the files that hand them over."""
+"""Tests of the lock files and hand-over files of slots."""
 
 from __future__ import annotations
 
--- a/tests/operations/test_slot_manager.py
+++ b/tests/operations/test_slot_manager.py
@@ -1,4 +1,4 @@
-"""Acquisition and hand-over of slots."""
+"""Tests of the acquisition and hand-over of slots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordingHandover(SlotHandover):
-    """Records what is taken over, hands over one operation a slot, and can fail."""
+    """Records what is taken over, hands over one operation for each slot, and can fail on demand."""
 
     def __init__(self) -> None:
         self.locations: list[RecordLocation] = []
@@ -45,7 +45,7 @@
 
 
 def test_no_slot_has_two_holders_whatever_members_believe(tmp_path: pathlib.Path) -> None:
-    """Members whose lists are drawn at random each time: each takes what it believes is its own."""
+    """Each step gives one member a random list of live members, so that assignments overlap."""
     rng = random.Random(7)
     members = [member(tmp_path, str(n)) for n in range(4)]
     for _, handover in members:
@@ -90,11 +90,11 @@
     slots.maintain()
     assert slots.held_count == 0
     other = SlotLocks(tmp_path)
-    assert other.acquire(3)  # the locks were released
+    assert other.acquire(3)  # the manager released its locks
     other.release(3)
     handover.fails = False
     slots.maintain()
-    assert slots.held_count == 0  # not at once
+    assert slots.held_count == 0  # the manager retries after a backoff
     now[0] = 2.0
     slots.maintain()
     assert slots.held_count == SLOT_COUNT
--- a/tests/operations/test_slot_processes.py
+++ b/tests/operations/test_slot_processes.py
@@ -1,4 +1,4 @@
-"""Operations of a gateway of several processes, which crash, are paused, or are fewer than before."""
+"""Tests of operations across several gateway processes that crash, are paused or are restarted with fewer."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Processes:
-    """A gateway of several processes, each of which can be sent requests by itself."""
+    """A gateway with several processes; a test can send requests to each of them."""
 
     def __init__(self, tmp_path: pathlib.Path, fleet: StandInFleet, listen: str) -> None:
         self.directory = tmp_path
@@ -54,7 +54,7 @@
                 "--processes",
                 str(count),
                 "--replace-stopped",
-                "0",  # a paused process must not be replaced
+                "0",  # the supervisor must not replace a paused process
                 "--log-level",
                 "error",
             ],
@@ -72,7 +72,7 @@
         return self.process.wait(40)
 
     def peer(self, index: int) -> Stack:
-        """Return one process, at the address where the others forward requests to it."""
+        """Return one process, addressed where the other processes forward requests to it."""
         ledger_directory = self.directory / "ledger" / (f"process-{index}" if index else "")
         address = (ledger_directory / "peer").read_text().strip()
         return Stack(None, self.fleet, {}, address)  # type: ignore[arg-type]
@@ -85,7 +85,7 @@
         try:
             text = self.peer(index).get("/metrics").body.decode()
         except OSError:
-            return 0  # it has crashed or not started yet
+            return 0  # the process has crashed or has not started yet
         for line in text.splitlines():
             if line.startswith("saffronstack_operation_slots "):
                 return int(float(line.split()[1]))
@@ -169,7 +169,7 @@
         os.kill(gateway.pid(2), signal.SIGKILL)
         sender.join(15)
         responses = [*forwarded, *(send(gateway.peer(n), "record-sale", key) for n in (0, 1))]
-        gateway.wait_for_assigned_slots(COUNT)  # it restarted and has its slots again
+        gateway.wait_for_assigned_slots(COUNT)  # the process has restarted and acquired its slots again
         responses.append(send(gateway.peer(2), "record-sale", key))
         assert {a.status for a in responses} == {200}
         assert all(b"OutcomeUnknown" in a.body for a in responses), [(a.status, a.body) for a in responses]
@@ -191,7 +191,10 @@
 
 
 def test_the_slot_holder_is_paused_and_resumed(tmp_path: pathlib.Path) -> None:
-    """It keeps its slots; requests meanwhile are answered in time, and none is executed later."""
+    """A paused process keeps its slots.
+
+    Requests during the pause are answered in time, and none is executed when the process resumes.
+    """
     with processes(tmp_path, Profile(work_s=0.01, load_s=0.02)) as gateway:
         key, same_key = gateway.key_of(1, COUNT), f"{gateway.key_of(1, COUNT)}"
         first = send(gateway.peer(0), "record-sale", key)
@@ -217,7 +220,7 @@
         try:
             paused_at_s = time.monotonic()
             responses = [send(gateway.peer(0), "record-sale", name) for name in assigned_keys]
-            assert time.monotonic() - paused_at_s < 4 * 1.6  # the class's deadline each
+            assert time.monotonic() - paused_at_s < 4 * 1.6  # the class's deadline for each request
             assert {a.status for a in responses} <= {200, 429}
             assert all(a.status == 429 or b"OutcomeUnknown" in a.body for a in responses)
             assert gateway.held_slot_count(0) + gateway.held_slot_count(2) < SLOT_COUNT
@@ -228,7 +231,7 @@
         time.sleep(0.5)
         assert (
             gateway.stack.runs("record-sale") == before
-        )  # requests from the pause came too late to be executed
+        )  # requests of the pause have expired and are not executed
         assert send(gateway.peer(2), "record-sale", same_key).body == first.body
 
 
@@ -246,7 +249,7 @@
 
 
 def test_a_stale_process_keeps_its_slots_while_it_lives(tmp_path: pathlib.Path) -> None:
-    """One of three outlives its supervisor while paused; a new gateway of two starts beside it."""
+    """One of three processes is paused while its supervisor dies and a gateway of two processes starts."""
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02)) as gateway:
         key = gateway.key_of(2, COUNT)
         first = send(gateway.peer(0), "record-sale", key)
@@ -262,7 +265,7 @@
         assert gateway.held_slot_count(0) + gateway.held_slot_count(1) < SLOT_COUNT
         response = send(gateway.peer(0), "record-sale", key)
         assert response.status == 429 or b"OutcomeUnknown" in response.body
-        os.kill(stale_pid, signal.SIGCONT)  # it finds its supervisor gone and stops
+        os.kill(stale_pid, signal.SIGCONT)  # it detects that its supervisor has died, and stops
         eventually(lambda: gateway.held_slot_count(0) + gateway.held_slot_count(1) == SLOT_COUNT)
         replayed = send(gateway.peer(1), "record-sale", key)
         assert replayed.body == first.body
@@ -281,6 +284,6 @@
         client = gateway.peer(0).client()
         extra = (("amz-sdk-invocation-id", key), ("x-saffron-forwarded", "1"), ("x-saffron-until", header))
         response = client.invoke("record-sale", b"{}", "RequestResponse", extra)
-        assert response.status == 421  # the header claims a forwarded request, but the slot is not held here
+        assert response.status == 421  # marked as forwarded, but this process does not hold the slot
         assert gateway.stack.runs("record-sale") == 0
         client.close()
