--- a/saffronstack/operations/execution_finisher.py
+++ b/saffronstack/operations/execution_finisher.py
@@ -89,6 +89,6 @@
 
     def _release(self, execution: Execution) -> None:
         with self._table_lock:
-            is_forgotten = self._table.release(execution.operation)
-        if is_forgotten:
+            is_removed = self._table.release(execution.operation)
+        if is_removed:
             self._recorder.record_release(execution)
--- a/saffronstack/operations/operation_log.py
+++ b/saffronstack/operations/operation_log.py
@@ -103,7 +103,7 @@
                 self.in_flight.setdefault(record.digest, record)  # keep the first: it may have executed
             case OperationFinished():
                 self.in_flight.pop(record.digest, None)
-                self._forget_finished(record.digest)
+                self._remove_finished(record.digest)
                 self.finished[record.digest] = record
                 self._record_bytes += len(record.record)
             case OperationReleased():
@@ -117,14 +117,14 @@
 
     def _expire(self, now_s: float) -> None:
         for digest in [digest for digest, record in self.finished.items() if record.expires_s <= now_s]:
-            self._forget_finished(digest)
+            self._remove_finished(digest)
         expired = [
             digest for digest, attempt in self.in_flight.items() if attempt.sent_s + attempt.window_s <= now_s
         ]
         for digest in expired:
             del self.in_flight[digest]
 
-    def _forget_finished(self, digest: bytes) -> None:
+    def _remove_finished(self, digest: bytes) -> None:
         finished = self.finished.pop(digest, None)
         if finished is not None:
             self._record_bytes -= len(finished.record)
--- a/tests/operations/test_deduplication.py
+++ b/tests/operations/test_deduplication.py
@@ -344,15 +344,15 @@
             "--to",
             stack.address,
         ]
-        found = subprocess.run(command, check=False, capture_output=True, text=True, timeout=20)
-        assert found.returncode == 0, found.stderr
-        assert "record-sale" in found.stdout
-        assert "ended" in found.stdout
-        assert "in memory" in found.stdout
-        missing = subprocess.run(
+        show_result = subprocess.run(command, check=False, capture_output=True, text=True, timeout=20)
+        assert show_result.returncode == 0, show_result.stderr
+        assert "record-sale" in show_result.stdout
+        assert "ended" in show_result.stdout
+        assert "in memory" in show_result.stdout
+        unknown_key_result = subprocess.run(
             [*command[:5], "none", *command[6:]], check=False, capture_output=True, text=True, timeout=20
         )
-        assert (missing.returncode, "No operation" in missing.stderr) == (1, True)
+        assert (unknown_key_result.returncode, "No operation" in unknown_key_result.stderr) == (1, True)
         other_tenant_client = stack.client(tenant="campus-app")
         assert other_tenant_client.request("GET", "/operations/op-7").status == 404
         other_tenant_client.close()
--- a/tests/operations/test_slot_processes.py
+++ b/tests/operations/test_slot_processes.py
@@ -282,8 +282,8 @@
     with processes(tmp_path, Profile(work_s=0.005, load_s=0.02), 2) as gateway:
         key = gateway.key_of(1, 2)
         client = gateway.peer(0).client()
-        extra = (("amz-sdk-invocation-id", key), ("x-saffron-forwarded", "1"), ("x-saffron-until", header))
-        response = client.invoke("record-sale", b"{}", "RequestResponse", extra)
+        headers = (("amz-sdk-invocation-id", key), ("x-saffron-forwarded", "1"), ("x-saffron-until", header))
+        response = client.invoke("record-sale", b"{}", "RequestResponse", headers)
         assert response.status == 421  # marked as forwarded, but this process does not hold the slot
         assert gateway.stack.runs("record-sale") == 0
         client.close()
