--- a/saffronstack/operations/execution.py
+++ b/saffronstack/operations/execution.py
@@ -34,7 +34,8 @@
     """An execution that ended without a final response: it was rejected, or its client disconnected.
 
     Attributes:
-        error: The exception for the request that executed the operation and for all requests that wait.
+        error: Raised to the request that executed the operation, and to those that wait unless it is a
+            `ClientDisconnectedError`.
         prior_attempt: The first attempt that may have been executed; None if certainly none was.
         attempt_in_flight_until_s: The monotonic time until which an attempt may still be in flight; 0 if
             none is.
--- a/saffronstack/operations/operation_log.py
+++ b/saffronstack/operations/operation_log.py
@@ -48,7 +48,7 @@
 
 
 class OperationFinished(LogRecord, frozen=True, tag="e"):
-    """An operation ended with a response, with an unknown outcome, or so that it may be retried.
+    """An operation ended with a response, with an unknown outcome, or in a state that allows a retry.
 
     Attributes:
         record: The encoded `OperationRecord`.
--- a/saffronstack/operations/response_store.py
+++ b/saffronstack/operations/response_store.py
@@ -63,7 +63,7 @@
         """Return a body; None if its file was deleted, can't be read or does not match the digest."""
         try:
             body = (self._directory / name).read_bytes()
-        except OSError:  # it was deleted to keep the limit, or can't be read
+        except OSError:  # it was deleted to keep the limit, or can't be read: treat both as not stored
             return None
         return body if body_digest(body) == digest else None
 
