--- a/saffronstack/deferred/attempt_log.py
+++ b/saffronstack/deferred/attempt_log.py
@@ -1,4 +1,4 @@
-"""Checks before the first byte of an attempt: durable records, and the ownership of the ledger."""
+"""Checks before an attempt is sent: its record is durable, or this process still owns the ledger."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AttemptLog:
-    """Writes attempts of calls that are not idempotent to the ledger; used on workers' threads."""
+    """Records attempts of calls that are not idempotent in the ledger; used on workers' threads."""
 
     def __init__(self, ledger: Ledger, clock: SteadyClock, commit_timeout_s: float) -> None:
         """Wait at most ``commit_timeout_s`` for each commit."""
@@ -20,7 +20,7 @@
         self._commit_timeout_s = commit_timeout_s
 
     def store(self, call: TrackedCall, worker_id: int) -> bool:
-        """Return whether the attempt is durable; otherwise it must not be sent."""
+        """Record an attempt; return whether the record is durable. Otherwise the attempt must not be sent."""
         if self._ledger.stalled_s > 0:
             return False
         ticket = self._ledger.append(AttemptStarted(call.accepted.request_id, worker_id, self._clock.now()))
@@ -32,7 +32,7 @@
 
 
 class AttemptLogGuard:
-    """The guard of one call's attempts (`saffronstack.engine.calls.AttemptGuard`)."""
+    """Allows an attempt of one call once its record is durable (`saffronstack.engine.calls.AttemptGuard`)."""
 
     def __init__(self, attempt_log: AttemptLog, call: TrackedCall) -> None:
         """Guard the attempts of ``call``."""
@@ -45,13 +45,13 @@
 
 
 class OwnershipGuard:
-    """The guard of attempts that need no record: those of idempotent calls.
+    """Allows attempts of idempotent calls, which need no record, while this process owns the ledger.
 
-    A gateway that was stopped while another one took its ledger over must send nothing when it wakes.
+    A process that was paused while another one took over its ledger must send nothing when it resumes.
     """
 
     def __init__(self, owns_ledger: Callable[[], bool]) -> None:
-        """``owns_ledger``: whether this process still owns its ledger; any thread."""
+        """``owns_ledger`` returns whether this process still owns its ledger; it is called on any thread."""
         self._owns_ledger = owns_ledger
 
     def may_send(self, attempt: int, worker_id: int) -> bool:
--- a/saffronstack/deferred/call_acceptor.py
+++ b/saffronstack/deferred/call_acceptor.py
@@ -1,4 +1,4 @@
-"""Acceptance of deferred calls: durable before the client is notified of it."""
+"""Accepts deferred calls: a call is durable before its client is notified of the acceptance."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class CallAcceptor:
-    """Writes accepted calls to the ledger; used on the front ends' threads."""
+    """Writes accepted calls to the ledger; used on the threads that serve clients."""
 
     def __init__(self, ledger: Ledger, limits: LedgerSettings, clock: SteadyClock) -> None:
         """Accept calls within ``limits``."""
@@ -38,11 +38,11 @@
         self._clock = clock
 
     def accept(self, submission: Submission) -> CallAccepted:
-        """Return the record of a call's acceptance once it is durable.
+        """Write a call to the ledger, and return its record once it is durable.
 
         Raises:
             LedgerFullError: Too many calls are open.
-            CommitError: The record was not written.
+            CommitError: The record was not written, or not in time.
         """
         self._check_capacity()
         accepted = CallAccepted(
@@ -74,5 +74,5 @@
         if open_calls >= self._limits.open_calls or table.open_bytes >= self._limits.open_bytes:
             raise LedgerFullError(f"{len(table.open)} deferred calls are open.", LEDGER_FULL_RETRY_AFTER_S)
         stalled_s = self._ledger.stalled_s
-        if stalled_s > 0:  # an append would wait behind the stall and end as uncertain
+        if stalled_s > 0:  # an append would wait for the stall to end, and its outcome be unknown
             raise CommitError(f"the disk has not answered for {stalled_s:.1f} s", self._ledger.retry_after_s)
--- a/saffronstack/deferred/call_submitter.py
+++ b/saffronstack/deferred/call_submitter.py
@@ -1,4 +1,4 @@
-"""Submission of attempts at deferred calls to the engine."""
+"""Submits deferred calls to the engine."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     """The part of the engine that executes deferred calls (`saffronstack.engine.engine.Engine`)."""
 
     def next_call_number(self) -> int:
-        """Return a number for a new call."""
+        """Return an unused number for a new call."""
         ...
 
     def submit(self, call: Call) -> bool:
-        """Execute a call; return False where the engine takes no more."""
+        """Accept a call for execution; return False if the engine accepts no more calls."""
         ...
 
 
 class CallSubmitter:
-    """Turns tracked calls into the engine's; used on the dispatcher thread."""
+    """Creates the engine's calls for tracked calls and submits them; used on the dispatcher thread."""
 
     def __init__(
         self,
@@ -42,19 +42,19 @@
         budgets: BudgetEnforcer | None,
         owns_ledger: Callable[[], bool] | None,
     ) -> None:
-        """Submit to ``engine``; `None` for ``budgets`` admits every call, for ``owns_ledger`` too."""
+        """Submit to ``engine``; with `None`, ``budgets`` and ``owns_ledger`` are not checked."""
         self._ownership_guard = OwnershipGuard(owns_ledger) if owns_ledger is not None else None
         self._engine = engine
         self._attempt_log = attempt_log
         self._clock = clock
         self._budgets = budgets
         self._tenant_indexes = {tenant.name: index for index, tenant in enumerate(config.tenants)}
-        self._over_budget_tenant_index = len(self._tenant_indexes)  # the settings' entry for such calls
+        self._over_budget_tenant_index = len(self._tenant_indexes)  # index of the settings for such calls
 
     def admit(self, call: TrackedCall) -> Admission:
         """Return whether the tenant's budget admits an attempt now.
 
-        A call that may have been executed is always admitted: it is not kept from its end.
+        A call that may have been executed is always admitted, so that no budget delays its final record.
         """
         if self._budgets is None or call.state.possible_execution is not None:
             return Admission(True)
@@ -69,14 +69,14 @@
         is_over_budget: bool,
         on_final_answer: Callable[[TrackedCall, FinalAnswer], None],
     ) -> None:
-        """Submit a call, which is answered exactly once.
+        """Submit a call, which gets exactly one final answer.
 
         Args:
             call: The call.
-            function_policy: Its function.
-            deadline_at: When it is owed the answer, in Unix seconds.
+            function_policy: Its function and retry policy.
+            deadline_at: Deadline of the final answer, in Unix seconds.
             is_over_budget: Whether its tenant is over the soft limit of its budget.
-            on_final_answer: Called with the answer, on whichever thread finishes the call.
+            on_final_answer: Called with the final answer, on the thread that finishes the call.
         """
         engine_call = self._make_engine_call(call, function_policy, deadline_at, on_final_answer)
         if is_over_budget:
--- a/saffronstack/deferred/call_table.py
+++ b/saffronstack/deferred/call_table.py
@@ -1,4 +1,4 @@
-"""The state that the ledger's records add up to: open calls and a bounded history. No I/O."""
+"""State that results from the ledger's records: open calls and a bounded history. No I/O."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
     SnapshotStart,
 )
 
-MAX_OPERATIONS = 1_000_000  # the oldest beyond are forgotten
-OPEN_CALL_OVERHEAD_BYTES = 512  # beside the payload
-FINAL_RECORD_OVERHEAD_BYTES = 128
-OPERATION_BYTES = 200
+MAX_OPERATIONS = 1_000_000  # the oldest operations beyond this number are removed
+OPEN_CALL_OVERHEAD_BYTES = 512  # estimated size of an open call without its payload
+FINAL_RECORD_OVERHEAD_BYTES = 128  # estimated size of a final record without its invocation record
+OPERATION_BYTES = 200  # estimated size of an operation
 
 
 @dataclass(slots=True)
 class OpenCall:
-    """A call that is owed its final record."""
+    """An accepted call without a final record."""
 
     accepted: CallAccepted
-    attempts: list[AttemptStarted] = field(default_factory=list)  # that may have been executed
+    attempts: list[AttemptStarted] = field(default_factory=list)  # attempts that may have been executed
 
     @property
     def size_bytes(self) -> int:
-        """Size that counts against the bound on open calls."""
+        """Size in bytes that counts towards the limit on open calls."""
         return len(self.accepted.payload) + OPEN_CALL_OVERHEAD_BYTES
 
 
 class CallTable:
-    """Open calls, final records and named operations.
+    """Open calls, final records and the operations of calls.
 
-    The ledger's writer thread changes it; other threads read single entries.
+    The ledger's writer thread changes the table. Other threads read single entries.
     """
 
     def __init__(self, max_finished: int) -> None:
@@ -71,23 +71,26 @@
                 self._clear()
 
     def mark_records_lost(self) -> None:
-        """Treat every open call as one that may have been executed, by an unknown worker long ago."""
+        """Mark every open call as possibly executed by an unknown worker.
+
+        The time of that attempt is 0, so that its deduplication window counts as over.
+        """
         for call in self.open.values():
             call.attempts.insert(0, AttemptStarted(call.accepted.request_id, 0, 0.0))
 
     def estimate_snapshot_bytes(self) -> int:
-        """Return the approximate size of a snapshot."""
+        """Return the approximate size of a snapshot in bytes."""
         finished_bytes = sum(
             len(record.invocation_record) + FINAL_RECORD_OVERHEAD_BYTES for record in self.finished.values()
         )
         return self.open_bytes + finished_bytes + OPERATION_BYTES * len(self.operations)
 
     def spill(self) -> tuple[LedgerRecord, ...]:
-        """Return no records: open calls are bounded when they are accepted, and nothing leaves memory."""
+        """Return no records: the open calls are limited at acceptance, so all state stays in memory."""
         return ()
 
     def snapshot(self) -> Iterator[LedgerRecord]:
-        """Yield records that add up to this state."""
+        """Yield records that reproduce this state."""
         yield SnapshotStart(len(self.open), len(self.finished))
         yield from self.operations.values()
         yield from self.finished.values()
@@ -118,8 +121,9 @@
             del self.operations[oldest.operation_digest]
 
     def _finish(self, finished: CallFinished) -> None:
-        """Store a call's final record; a second one changes nothing, as the first was the answer."""
-        if finished.request_id not in self.finished:  # a reader must find the call in one of the two tables
+        """Store a call's final record. A second one is ignored, because the first one is the final answer."""
+        # Stored before the open call is removed, so that readers find the call in one of the two tables.
+        if finished.request_id not in self.finished:
             self.finished[finished.request_id] = finished
         self._close(finished.request_id)
         if len(self.finished) > self._max_finished:
--- a/saffronstack/deferred/deferred_calls.py
+++ b/saffronstack/deferred/deferred_calls.py
@@ -1,4 +1,4 @@
-"""Deferred calls in service: acceptance, dispatch and status."""
+"""The service for deferred calls: acceptance, dispatch and status."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class CallStatus(Enum):
-    """How far a call is; the values of open calls appear in JSON answers."""
+    """Progress of a call. The values for open calls appear in JSON responses."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallReport:
-    """What became of a call; ``invocation_record`` is None while it is open."""
+    """Status of a call; ``invocation_record`` is None while the call is open."""
 
     tenant: str
     status: CallStatus
@@ -70,8 +70,9 @@
             functions: The configured functions.
             clock: Monotonic seconds.
             wall_clock: Unix seconds; read once.
-            budgets: Asked before each attempt; a call over its tenant's hard limit waits.
-            owns_ledger: Asked before each attempt where another process may take the ledger over; any thread.
+            budgets: Checked before each attempt; a call waits while its tenant is over the hard limit.
+            owns_ledger: Checked before each attempt, on any thread; None if no other process can take over
+                the ledger.
         """
         assert config.ledger is not None
         self._ledger = ledger
@@ -87,7 +88,7 @@
             config.ledger.in_flight,
             config.seed,
         )
-        self.accepted_count = 0  # since the start
+        self.accepted_count = 0  # number of calls accepted since the start
 
     def start(self) -> None:
         """Continue the open calls of the ledger, and start the dispatcher."""
@@ -106,20 +107,20 @@
 
     @property
     def open_calls(self) -> int:
-        """Calls without a durable final record."""
+        """Number of calls without a durable final record."""
         return len(self._ledger.state.open)
 
     @property
     def finished_by_condition(self) -> dict[str, int]:
-        """Calls that were finished since the start, by condition."""
+        """Number of calls finished since the start, by condition."""
         return self._dispatcher.finished_by_condition
 
     def accept(self, submission: Submission) -> None:
-        """Accept a call, which is durable when this returns; any thread.
+        """Accept a call, which is durable when this returns. Thread-safe.
 
         Raises:
             LedgerFullError: Too many calls are open, or the gateway shuts down.
-            CommitError: The call was not written.
+            CommitError: The call was not written, or not in time.
         """
         if self._dispatcher.is_stopping:
             raise LedgerFullError("The gateway stops.", SHUTDOWN_RETRY_AFTER_S)
@@ -128,7 +129,7 @@
         self._dispatcher.dispatch(track_accepted(accepted))
 
     def report(self, request_id: str) -> CallReport | None:
-        """Return what became of a call, or None where its id is unknown; any thread."""
+        """Return the status of a call, or None if its id is unknown. Thread-safe."""
         finished = self._ledger.state.finished.get(request_id)
         if finished is not None:
             return CallReport(finished.tenant, CallStatus.FINAL, invocation_record=finished.invocation_record)
--- a/saffronstack/deferred/dispatcher.py
+++ b/saffronstack/deferred/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher of deferred calls: one thread that owns all open calls, their retries and their ends."""
+"""The dispatcher of deferred calls: one thread that owns all open calls, their retries and final records."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from saffronstack.engine.timers import Timers
 from saffronstack.runtime.threads import start_thread
 
-IDLE_POLL_S = 0.5
-MIN_BUDGET_WAIT_S = 0.1  # between two attempts at an exhausted budget
-BUDGET_WAIT_JITTER = 0.1  # fraction of the wait
-FIRST_COMMIT_CHECK_S = 0.01  # after a final record was appended
-COMMIT_CHECK_S = 0.02
-FAILED_COMMIT_CHECK_S = 0.5  # while the ledger's last commit failed
+IDLE_POLL_S = 0.5  # longest single wait for a message
+MIN_BUDGET_WAIT_S = 0.1  # minimum time before an exhausted budget is checked again
+BUDGET_WAIT_JITTER = 0.1  # maximum random increase of that time, as a fraction
+FIRST_COMMIT_CHECK_S = 0.01  # time from the append of a final record to the first check of its commit
+COMMIT_CHECK_S = 0.02  # time between later checks
+FAILED_COMMIT_CHECK_S = 0.5  # replaces FIRST_COMMIT_CHECK_S while the ledger's commits fail
 UNKNOWN_WORKER_ID = 0
 NOT_CONFIGURED = "its function is not in the configuration"
 REASON_BY_CONDITION = {
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """The engine answered a call."""
+    """Message that the engine has answered a call."""
 
     call: TrackedCall
     answer: FinalAnswer
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The gateway shuts down."""
+    """Message that the gateway shuts down."""
 
 
 Message = TrackedCall | AttemptFinished | StopRequested
@@ -77,7 +77,7 @@
         max_in_flight: int,
         seed: int,
     ) -> None:
-        """Keep at most ``max_in_flight`` calls in flight; ``seed`` is of the jitter of retries."""
+        """Keep at most ``max_in_flight`` calls in flight; ``seed`` initializes the jitter of retries."""
         self._ledger = ledger
         self._policies = policies
         self._submitter = submitter
@@ -88,7 +88,7 @@
         self._messages: queue.SimpleQueue[Message] = queue.SimpleQueue()
         self._timers: Timers[TrackedCall] = Timers()
         self._calls: dict[str, TrackedCall] = {}  # by request id
-        self._ready_calls: deque[TrackedCall] = deque()  # wait for others in flight to end
+        self._ready_calls: deque[TrackedCall] = deque()  # calls that wait until fewer are in flight
         self._in_flight = 0
         self._thread_ended = threading.Event()
         self.is_stopping = False
@@ -104,18 +104,18 @@
     def stop(self, timeout_s: float) -> bool:
         """Start no more attempts, and wait for those in flight; return whether they ended in time.
 
-        The other calls stay in the ledger for the next start.
+        The other open calls stay in the ledger and are continued at the next start.
         """
         self.is_stopping = True
         self._messages.put(StopRequested())
         return self._thread_ended.wait(timeout_s)
 
     def dispatch(self, call: TrackedCall) -> None:
-        """Hand over an accepted call; any thread."""
+        """Pass an accepted call to the dispatcher thread. Thread-safe."""
         self._messages.put(call)
 
     def find(self, request_id: str) -> TrackedCall | None:
-        """Return a call without a durable final record, or None; any thread."""
+        """Return the call with this id, or None if its final record is durable. Thread-safe."""
         return self._calls.get(request_id)
 
     # ---- the dispatcher thread
@@ -150,14 +150,14 @@
             case AttemptFinished():
                 self._finish_attempt(message.call, message.answer)
             case StopRequested():
-                pass  # it only ends the wait
+                pass  # the message only wakes the thread
 
     def _track(self, call: TrackedCall) -> None:
         self._calls[call.accepted.request_id] = call
         self._ready_calls.append(call)
 
     def _handle_due_call(self, call: TrackedCall) -> None:
-        """Handle a due call: start an attempt, or see to its final record."""
+        """Make a due call ready for an attempt, or check the commit of its final record."""
         if call.outcome is None:
             self._ready_calls.append(call)
         elif call.final_record_ticket is not None and call.final_record_ticket.is_durable:
@@ -168,7 +168,7 @@
             self._write_final_record(call, call.outcome)
 
     def _complete(self, call: TrackedCall, outcome: FinalOutcome) -> None:
-        """Forget a call whose final record is durable, and start its delivery."""
+        """Stop tracking a call whose final record is durable, and track the call that delivers the record."""
         self._calls.pop(call.accepted.request_id, None)
         self.finished_by_condition[outcome.condition.value] += 1
         if call.delivery is not None:
@@ -182,7 +182,7 @@
                 reason = NOT_CONFIGURED if function_policy is None else REASON_BY_CONDITION[condition]
                 self._finish(call, FinalOutcome(condition, reason=reason))
             case StartAttempt(deadline_at):
-                assert function_policy is not None  # no attempt is decided on without a policy
+                assert function_policy is not None  # without a policy, the decision is never an attempt
                 self._submit_within_budget(call, function_policy, deadline_at)
 
     def _submit_within_budget(
@@ -201,7 +201,7 @@
         )
 
     def _enqueue_answer(self, call: TrackedCall, answer: FinalAnswer) -> None:
-        """Pass an answer to the dispatcher thread; any thread."""
+        """Pass a final answer to the dispatcher thread. Thread-safe."""
         self._messages.put(AttemptFinished(call, answer))
 
     def _finish_attempt(self, call: TrackedCall, answer: FinalAnswer) -> None:
@@ -216,7 +216,7 @@
         self._retry_or_finish(call, function_policy.retry_policy, answer, execution)
 
     def _find_possible_execution(self, call: TrackedCall, answer: FinalAnswer) -> PossibleExecution | None:
-        """Return the first attempt that may have been executed, with what the answer says of it."""
+        """Return the first attempt that may have been executed, as of the call's latest answer."""
         execution = call.state.possible_execution
         if answer.status is FinalStatus.SERVED:
             return execution  # the response ends the uncertainty about earlier attempts
@@ -225,7 +225,7 @@
             return PossibleExecution(prior.worker_id, self._clock.to_unix(prior.sent_s))
         if execution is not None:
             return execution
-        if answer.status is FinalStatus.FAILED:  # nothing was seen to execute, but nothing rules it out
+        if answer.status is FinalStatus.FAILED:  # no execution was observed, but none can be ruled out
             return PossibleExecution(UNKNOWN_WORKER_ID, self._clock.now())
         if call.has_stored_attempt:
             call.has_stored_attempt = False
@@ -239,7 +239,7 @@
         answer: FinalAnswer,
         execution: PossibleExecution | None,
     ) -> None:
-        """Retry the call later, or finish it."""
+        """Schedule the next attempt of a call, or write its final record."""
         decision = decide_after_attempt(
             replace(call.state, possible_execution=execution),
             policy,
@@ -254,7 +254,7 @@
             case Finish(condition):
                 outcome = FinalOutcome(condition, None, answer.function_error, REASON_BY_CONDITION[condition])
                 self._finish(call, outcome)
-            case Backoff(until):  # not beside an attempt that is still in flight
+            case Backoff(until):  # no retry while an attempt may still be in flight
                 in_flight_until = self._clock.to_unix(answer.attempt_in_flight_until_s)
                 self._timers.add(max(until, in_flight_until), call)
 
--- a/saffronstack/deferred/errors.py
+++ b/saffronstack/deferred/errors.py
@@ -1,4 +1,4 @@
-"""Why a deferred call is not accepted; all errors carry when the client should retry, in seconds."""
+"""Errors of calls that are not accepted. Each carries after how many seconds the client should retry."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     """The call could not be written to the ledger.
 
     Attributes:
-        may_be_stored: The write was under way and may still reach the disk. If this process is killed before
-            it has withdrawn the call, the call is executed after all.
+        may_be_stored: The write had started and may still reach the disk. If this process is killed before
+            the withdrawal of the call is durable, the next incarnation executes the call.
     """
 
     def __init__(
--- a/saffronstack/deferred/final_record_writer.py
+++ b/saffronstack/deferred/final_record_writer.py
@@ -1,4 +1,4 @@
-"""Writing final records, each with the call that delivers it to the function's destination."""
+"""Writes final records, each with the call that delivers it to the function's destination."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
         self._functions = functions
 
     def write(self, call: TrackedCall, outcome: FinalOutcome, now: float) -> None:
-        """Append the final record and, in the same commit, the call to the destination: both or neither.
+        """Append the final record and the call to its destination; both become durable or neither does.
 
         Args:
-            call: The call; its ticket and delivery are set.
-            outcome: How it ended.
-            now: The present Unix time.
+            call: The finished call. This method sets its ``final_record_ticket`` and ``delivery``.
+            outcome: Outcome of the call.
+            now: Current Unix time.
         """
         accepted = call.accepted
         invocation = CompletedInvocation(
--- a/saffronstack/deferred/function_policies.py
+++ b/saffronstack/deferred/function_policies.py
@@ -1,4 +1,4 @@
-"""What the configuration says of the functions of deferred calls."""
+"""Retry policies of functions for their deferred calls, from the configuration."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionPolicy:
-    """A configured function, and how its deferred calls are retried."""
+    """A configured function, and the retry policy of its deferred calls."""
 
     configured_function: ConfiguredFunction
     retry_policy: RetryPolicy
@@ -27,7 +27,7 @@
         self._classes = {request_class.name: request_class for request_class in config.classes}
 
     def find(self, function: str) -> FunctionPolicy | None:
-        """Return a function's policy, or None where it is not configured."""
+        """Return a function's policy, or None if the function is not configured."""
         configured_function = self._functions.get(function)
         if configured_function is None:
             return None
--- a/saffronstack/deferred/invocation_record.py
+++ b/saffronstack/deferred/invocation_record.py
@@ -1,4 +1,4 @@
-"""The invocation record that a deferred call ends with: Lambda's documented one, version 1.0. No I/O."""
+"""Invocation records of deferred calls, in AWS Lambda's documented format, version 1.0. No I/O."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CompletedInvocation:
-    """How an invocation ended.
+    """An invocation that has ended.
 
     Attributes:
-        request_id: Its identifier.
+        request_id: Identifier of the invocation.
         arn: The function's Amazon resource name, without a version.
         condition: Why it ended.
         attempts: Number of attempts.
-        finished_at: Unix time of its end.
+        finished_at: Unix time at which it ended.
         response: The worker's response, or None.
         function_error: "Handled" or "Unhandled" where the function itself failed.
         reason: Why there is no response.
@@ -39,7 +39,7 @@
 
 
 def encode_invocation_record(invocation: CompletedInvocation, payload: bytes) -> bytes:
-    """Return the record as JSON; a payload or response that is not JSON stands in it as a string."""
+    """Return the record as JSON; a payload or response that is not JSON becomes a string."""
     timestamp = datetime.fromtimestamp(invocation.finished_at, UTC)
     content: dict[str, object] = {
         "version": RECORD_VERSION,
@@ -68,6 +68,10 @@
     try:
         msgspec.json.decode(payload, type=msgspec.Raw)
         payload.decode()
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):  # it is not JSON
+    except (
+        msgspec.DecodeError,
+        UnicodeDecodeError,
+        RecursionError,
+    ):  # the payload is not JSON, or nested too deeply
         return payload.decode("utf-8", "replace")
     return msgspec.Raw(payload)
--- a/saffronstack/deferred/ledger.py
+++ b/saffronstack/deferred/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: a journal whose records add up to the table of deferred calls."""
+"""The ledger: the journal of deferred calls, whose state is a `CallTable`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 CODEC: RecordCodec[LedgerRecord] = RecordCodec(
     encode, decode, lambda record: isinstance(record, SnapshotStart)
 )
-MAX_READ_ATTEMPTS = 5
+MAX_READ_ATTEMPTS = 5  # a compaction may remove a segment while the ledger is read
 Ledger = Journal[LedgerRecord, CallTable]
 
 
@@ -25,22 +25,22 @@
     """Lock and recover a ledger.
 
     Args:
-        directory: Where it is.
+        directory: Directory of the ledger.
         max_finished: Number of final records to keep.
         segment_bytes: Size at which a segment is closed.
         files: Performs the file operations; the system's by default.
 
     Raises:
-        JournalError: Another process holds it, or it cannot be read.
+        JournalError: Another process holds the ledger, or it cannot be read.
     """
     return Journal(directory, CallTable(max_finished), CODEC, segment_bytes, files)
 
 
 def read_call_operations(directory: pathlib.Path) -> list[tuple[bytes, bytes]]:
-    """Return digest and packed answer of a ledger's named operations; the ledger is read without its lock.
+    """Return digest and encoded record of each operation in a ledger, which is read without its lock.
 
     Raises:
-        JournalError: It cannot be read.
+        JournalError: The ledger cannot be read.
     """
     for remaining_attempts in reversed(range(MAX_READ_ATTEMPTS)):
         table = CallTable(0)
--- a/saffronstack/deferred/records.py
+++ b/saffronstack/deferred/records.py
@@ -1,7 +1,7 @@
 """The ledger's records. Times are Unix seconds.
 
-Records are stored as MessagePack arrays: the tag, then the fields in their order. Ledgers of earlier versions
-are read by this module, so the order and the tags are fixed, while the names of the fields are not stored.
+Records are stored as MessagePack arrays: the tag, then the fields in their order. This module reads ledgers
+of earlier versions, so the tags and the order of the fields are fixed. Field names are not stored.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, tag_field="kind"):
-    """What all records share."""
+    """Base class of all records."""
 
 
 class CallAccepted(Record, frozen=True, tag="a"):
-    """A call was accepted: from here on it is owed one final record."""
+    """A call was accepted, and is owed exactly one final record."""
 
     request_id: str
     function: str
@@ -23,13 +23,13 @@
     client_context: str
     idempotency_key: str
     accepted_at: float
-    operation_digest: bytes = b""  # of the operation that the client named, if any
-    packed_operation: bytes = b""  # the answer to repetitions of it (`operations.table.Packed`)
+    operation_digest: bytes = b""  # digest of the operation that the client named, if any
+    packed_operation: bytes = b""  # its encoded record, with the response to repeated requests
     operation_expires_at: float = 0.0
 
 
 class CallOperation(Record, frozen=True, tag="n"):
-    """The operation of a call, in a snapshot: it may be known for longer than the call's final record."""
+    """The operation of a call, in a snapshot. It may be kept for longer than the call's final record."""
 
     operation_digest: bytes
     packed_operation: bytes
@@ -38,7 +38,10 @@
 
 
 class AttemptStarted(Record, frozen=True, tag="t"):
-    """An attempt of a call that is not idempotent is about to be sent; stored before its first byte is."""
+    """An attempt of a call that is not idempotent is about to be sent.
+
+    The record is durable before the first byte of the attempt is sent.
+    """
 
     request_id: str
     worker_id: int
@@ -46,13 +49,13 @@
 
 
 class AttemptsVoided(Record, frozen=True, tag="v"):
-    """All attempts stored so far were certainly not executed."""
+    """None of the attempts of a call that are stored so far was executed."""
 
     request_id: str
 
 
 class CallFinished(Record, frozen=True, tag="f"):
-    """The final record of a call, as it is read and delivered."""
+    """The final record of a call, as clients read it and its destination receives it."""
 
     request_id: str
     function: str
@@ -96,6 +99,6 @@
     """Return the record that these bytes encode.
 
     Raises:
-        ValueError: They do not encode one.
+        ValueError: The bytes do not encode a record.
     """
     return _decode(data)
--- a/saffronstack/deferred/retry_policy.py
+++ b/saffronstack/deferred/retry_policy.py
@@ -1,8 +1,9 @@
-"""Decisions on open deferred calls: after their acceptance, after each attempt, after a restart. No I/O.
+"""Decides on open deferred calls: after acceptance, after each attempt and after a restart. No I/O.
 
-An idempotent call may be retried. One with an idempotency key that may have been executed may be retried only
-within its deduplication window (the router keeps to its scope). Any other is never retried once it may have
-been executed. Whatever is uncertain counts as possibly executed. Times are Unix seconds.
+An idempotent call may be retried. A call with an idempotency key that may have been executed is retried only
+within its deduplication window; the router enforces the deduplication scope. Any other call is never retried
+once it may have been executed. A call whose execution is uncertain counts as possibly executed. Times are
+Unix seconds.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 from saffronstack.engine.calls import FinalStatus
 from saffronstack.routing.settings import Idempotency
 
-WINDOW_MARGIN_S = 0.1  # an attempt must arrive this long before its window ends
-MIN_ATTEMPT_S = 0.2  # no attempt is started with less time than this
+WINDOW_MARGIN_S = 0.1  # an attempt must arrive this long before the deduplication window ends
+MIN_ATTEMPT_S = 0.2  # minimum time to a deadline for an attempt to be started
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 MAX_BACKOFF_DOUBLINGS = 10
-FUNCTION_ERROR_BACKOFF_S = 1.0  # after an error of the function itself, doubled each time
+FUNCTION_ERROR_BACKOFF_S = 1.0  # after the function's first error; doubled after each further one
 
 
 class Condition(Enum):
-    """Why a call ended; the values appear in invocation records, where the last two are extensions."""
+    """Reason why a call ended. Invocation records contain the values; Lambda does not define the last two."""
 
     SUCCESS = "Success"
     RETRIES_EXHAUSTED = "RetriesExhausted"
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """What the configuration says of the call's function and class."""
+    """Retry settings of a call's function and class."""
 
     idempotency: Idempotency
     deduplication_window_s: float
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryState:
-    """What is known of an open call between two attempts."""
+    """State of an open call between two attempts."""
 
     accepted_at: float
     possible_execution: PossibleExecution | None = None
@@ -62,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Submit the call now, to be answered by ``deadline_at``."""
+    """Submit the call now, with the deadline ``deadline_at``."""
 
     deadline_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Decide again at ``until``."""
+    """Wait until ``until``, then decide again."""
 
     until: float
 
@@ -88,7 +89,7 @@
     Attributes:
         status: The final answer's status.
         has_function_error: Whether the function itself failed.
-        retry_after_s: When a retry was advised, in seconds from now.
+        retry_after_s: Seconds after which the final answer advises a retry.
     """
 
     status: FinalStatus
@@ -98,19 +99,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """The state after an attempt, and what follows."""
+    """State of a call after an attempt, and its next step."""
 
     state: RetryState
     step: Backoff | Finish
 
 
 def decide_next_step(state: RetryState, policy: RetryPolicy | None, now: float) -> StartAttempt | Finish:
-    """Decide on a call without an attempt in flight.
+    """Decide whether to start an attempt of a call that has none in flight, or to finish the call.
 
     Args:
-        state: What is known of the call.
-        policy: None where its function is no longer configured.
-        now: The present Unix time.
+        state: State of the call.
+        policy: Its retry policy; None if its function is no longer configured.
+        now: Current Unix time.
     """
     may_have_executed = state.possible_execution is not None
     if policy is None:
@@ -130,9 +131,10 @@
 
 
 def _find_window_end(state: RetryState, policy: RetryPolicy, now: float) -> float | None:
-    """Return until when a call that may have been executed can be retried; None where it cannot.
+    """Return until when a call that may have been executed can be retried; None if it cannot.
 
-    If the present is before the attempt, the clock was set back, and the rest of the window is unknown.
+    If the current time is before the attempt, the clock was set back. The rest of the window is then unknown,
+    and the call cannot be retried.
     """
     execution = state.possible_execution
     if policy.idempotency is not Idempotency.WITH_KEY or execution is None or now < execution.sent_at:
@@ -143,13 +145,13 @@
 def decide_after_attempt(
     state: RetryState, policy: RetryPolicy, result: AttemptResult, now: float, jitter: float
 ) -> Decision:
-    """Decide on a call whose attempt ended.
+    """Decide on the next step of a call whose attempt ended.
 
     Args:
-        state: What is known of the call; its possible execution already includes this attempt.
-        policy: What the configuration says of it.
+        state: State of the call. Its possible execution already includes this attempt.
+        policy: Retry policy of the call.
         result: How the attempt ended.
-        now: The present Unix time.
+        now: Current Unix time.
         jitter: Random number between 0 and 1, which spreads retries of calls that failed together.
     """
     if result.status is FinalStatus.SERVED:
@@ -180,7 +182,7 @@
 def _make_backoff(
     state: RetryState, policy: RetryPolicy, now: float, backoff_s: float, jitter: float
 ) -> Backoff:
-    """Return a pause that ends before the call expires or its deduplication window closes."""
+    """Return a backoff that ends before the call expires or its deduplication window ends."""
     latest_end = state.accepted_at + policy.max_event_age_s
     execution = state.possible_execution
     if execution is not None and policy.idempotency is Idempotency.WITH_KEY:
--- a/saffronstack/deferred/tracked_call.py
+++ b/saffronstack/deferred/tracked_call.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalOutcome:
-    """How a call ended; ``response`` is None where no worker served it, and ``reason`` says why."""
+    """Outcome of a call. ``response`` is None if no worker served the call; ``reason`` then says why."""
 
     condition: Condition
     response: bytes | None = None
@@ -26,14 +26,14 @@
 
     Attributes:
         accepted: The record of its acceptance.
-        state: What the decisions on it need.
+        state: State for the retry decisions.
         attempts: Number of attempts.
-        has_stored_attempt: An attempt was written to the ledger since the last void; set on a worker's
-            thread too.
-        is_running: Whether it was submitted to the engine and not answered.
-        outcome: How it ended, once it has.
+        has_stored_attempt: Whether an attempt was written to the ledger since the last `AttemptsVoided`;
+            also set on a worker's thread.
+        is_running: Whether the engine has the call and has not answered it.
+        outcome: Outcome of the call, once it has ended.
         final_record_ticket: The append of its final record.
-        delivery: The call to its destination, in the same commit as the final record.
+        delivery: The call that delivers the final record to its destination; both are in the same commit.
     """
 
     accepted: CallAccepted
@@ -47,12 +47,12 @@
 
 
 def track_accepted(accepted: CallAccepted) -> TrackedCall:
-    """Return a call without attempts."""
+    """Return the tracked call of a newly accepted call."""
     return TrackedCall(accepted, RetryState(accepted.accepted_at))
 
 
 def track_recovered(call: OpenCall) -> TrackedCall:
-    """Return a call of an earlier incarnation, whose first stored attempt may have been executed."""
+    """Return the tracked call of a recovered call, whose first stored attempt may have been executed."""
     first = call.attempts[0] if call.attempts else None
     execution = None if first is None else PossibleExecution(first.worker_id, first.sent_at)
     return TrackedCall(
--- a/saffronstack/durable/append_ticket.py
+++ b/saffronstack/durable/append_ticket.py
@@ -1,4 +1,4 @@
-"""The progress of one append to a journal."""
+"""Tickets that track appends to a journal."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AppendTicket(Generic[RecordT]):
-    """Records that wait for the writer thread; ``done`` is set once they are written, failed or revoked."""
+    """Records queued for the writer thread; ``done`` is set once they are written, failed or revoked."""
 
     __slots__ = ("_state_lock", "done", "encoded", "error", "is_revoked", "is_started", "records")
 
@@ -25,25 +25,25 @@
         self._state_lock = threading.Lock()  # guards is_revoked and is_started
 
     def start_write(self) -> bool:
-        """Claim the ticket for writing, on the writer thread; False where it was revoked."""
+        """Claim the ticket for writing, on the writer thread; return False if it was revoked."""
         with self._state_lock:
             self.is_started = not self.is_revoked
             return self.is_started
 
     def revoke(self) -> bool:
-        """Withdraw the append; False where the writer has already started it."""
+        """Withdraw the append; return False if the writer thread has already started to write it."""
         with self._state_lock:
             self.is_revoked = not self.is_started
             return self.is_revoked
 
     def fail(self, error: OSError) -> None:
-        """Report that the records could not be written."""
+        """Complete the append with the error that its write failed with."""
         self.error = error
         self.done.set()
 
     @property
     def encoded_bytes(self) -> int:
-        """Size of the encoded records."""
+        """Total size of the encoded records, in bytes."""
         return sum(map(len, self.encoded))
 
     @property
--- a/saffronstack/durable/block_format.py
+++ b/saffronstack/durable/block_format.py
@@ -1,7 +1,8 @@
 """The binary format of blocks, in which segments and sorted runs store their records.
 
-A block is: magic (4 bytes), number (u64), length (u32), xxh64 of number, length and content (u64), content;
-all little-endian. The content is records, each behind its length (u32), and may be compressed as a whole.
+A block consists of magic (4 bytes), number (u64), content length (u32), xxh64 of number, length and content
+(u64), and content. Integers are little-endian. The content is a sequence of records, each preceded by its
+length (u32). It may be compressed as a whole.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 PLAIN_MAGIC = b"SfL1"
 COMPRESSED_MAGIC = b"SfZ1"  # content compressed with zstandard
 MAGIC_BYTES = 4
-HEADER = struct.Struct("<4sQIQ")
-MAX_CONTENT_BYTES = 256 * 1024 * 1024  # of a block, decompressed
+HEADER = struct.Struct("<4sQIQ")  # magic, number, content length, checksum
+MAX_CONTENT_BYTES = 256 * 1024 * 1024  # maximum size of a block's content after decompression
 COMPRESSION_LEVEL = 3
 _RECORD_LENGTH_FORMAT = struct.Struct("<I")
 _CHECKSUMMED_HEADER = struct.Struct("<QI")
@@ -28,16 +29,16 @@
 
 @dataclass(slots=True)
 class Block:
-    """A block that was read, with its position in the file."""
+    """A block read from a file, with its position in the file."""
 
     number: int
     start: int  # byte offset of its header
-    end: int  # byte offset behind its content
+    end: int  # byte offset after its content
     content: bytes
     is_compressed: bool = False
 
     def records(self) -> Iterator[bytes]:
-        """Yield its encoded records.
+        """Yield the encoded records of the block.
 
         Raises:
             ValueError: The content cannot be decompressed.
@@ -66,7 +67,7 @@
 
 
 def decode_block_at(data: bytes, start: int) -> Block | None:
-    """Return the intact block that begins at a byte offset, or None where there is none."""
+    """Return the block that begins at a byte offset, or None if no intact block begins there."""
     magic = data[start : start + MAGIC_BYTES]
     if len(data) - start < HEADER.size or not is_known_magic(magic):
         return None
@@ -81,7 +82,7 @@
 
 
 def find_next_block(data: bytes, start: int) -> Block | None:
-    """Return the first intact block at or behind a byte offset, or None."""
+    """Return the first intact block at or after a byte offset, or None."""
     for match in _KNOWN_MAGICS.finditer(data, start):
         block = decode_block_at(data, match.start())
         if block is not None:
@@ -90,7 +91,7 @@
 
 
 def read_declared_block_bytes(data: bytes, start: int) -> int | None:
-    """Return the size that the header at a byte offset declares for one copy; None without such a header."""
+    """Return the size of one block copy that the header at a byte offset declares; None without a header."""
     header = data[start : start + HEADER.size]
     if len(header) < HEADER.size or not is_known_magic(header[:MAGIC_BYTES]):
         return None
@@ -99,15 +100,15 @@
 
 
 def is_known_magic(magic: bytes) -> bool:
-    """Return whether these bytes begin a block of this version."""
+    """Return whether these bytes are the magic of a block of this version."""
     return magic in (PLAIN_MAGIC, COMPRESSED_MAGIC)
 
 
 def find_unknown_version(data: bytes) -> str:
-    """Return the magic of blocks of another version, or an empty string.
+    """Return the magic of another block version that the data begins with, or an empty string.
 
-    Ask only for files without a single known block: a flipped byte may look like another magic, but not in
-    both copies of a block.
+    Use it only for files in which no block can be decoded. A flipped byte can make a magic look like that of
+    another version, but it damages only one of the two copies of a block.
     """
     magic = data[:MAGIC_BYTES]
     return magic.decode() if _MAGIC_OF_ANY_VERSION.fullmatch(magic) and not is_known_magic(magic) else ""
--- a/saffronstack/durable/directory_lock.py
+++ b/saffronstack/durable/directory_lock.py
@@ -12,13 +12,13 @@
 
 
 class DirectoryLock:
-    """An advisory lock on a file in the directory; the system releases it when the process ends."""
+    """An advisory lock on a file in the directory; the kernel releases it when the process ends."""
 
     def __init__(self, directory: pathlib.Path) -> None:
-        """Create the directory where it is missing, and lock it.
+        """Create the directory if it is missing, and lock it.
 
         Raises:
-            JournalError: The directory cannot be used, or another process holds it.
+            JournalError: The directory cannot be created or opened, or another process holds its lock.
         """
         try:
             directory.mkdir(parents=True, exist_ok=True)
@@ -32,5 +32,5 @@
             raise JournalError(f"{directory}: another process holds this directory") from error
 
     def release(self) -> None:
-        """Give the directory up; call it once."""
+        """Release the lock; call this only once."""
         os.close(self._descriptor)
--- a/saffronstack/durable/errors.py
+++ b/saffronstack/durable/errors.py
@@ -1,4 +1,4 @@
-"""Errors of stored data; their texts name the directory or file, and the byte where there is one."""
+"""Errors of stored data. Messages name the directory or file, and the byte offset if there is one."""
 
 from __future__ import annotations
 
--- a/saffronstack/durable/file_operations.py
+++ b/saffronstack/durable/file_operations.py
@@ -1,4 +1,4 @@
-"""The file operations of stored data, in one class that tests replace to inject faults."""
+"""File operations on stored data, in one class that tests replace to inject faults."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class FileOperations:
-    """System calls on files. All methods raise OSError where the system refuses."""
+    """System calls on files. All methods raise OSError if the system call fails."""
 
     def open(self, path: pathlib.Path) -> int:
-        """Create a file for writing and return its descriptor; it must not exist yet."""
+        """Create a file, which must not exist yet, and return a descriptor for writing."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
 
     def write(self, descriptor: int, data: bytes) -> None:
@@ -20,7 +20,7 @@
             view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Return once everything written so far is on the disk."""
+        """Flush all data written so far to the disk."""
         os.fdatasync(descriptor)
 
     def close(self, descriptor: int) -> None:
@@ -33,7 +33,7 @@
         os.lseek(descriptor, size_bytes, os.SEEK_SET)
 
     def sync_directory(self, directory: pathlib.Path) -> None:
-        """Return once names added to and removed from a directory are on the disk."""
+        """Flush the creations, renames and removals in a directory to the disk."""
         descriptor = os.open(directory, os.O_RDONLY)
         try:
             os.fsync(descriptor)
--- a/saffronstack/durable/journal.py
+++ b/saffronstack/durable/journal.py
@@ -25,18 +25,18 @@
 from saffronstack.runtime.threads import start_thread
 
 MAX_COMMIT_RECORDS = 4096
-COMPACTION_RATIO = 2.0  # segments are compacted when they hold this multiple of what a snapshot needs
-COPIES_PER_BLOCK = 2  # of each block
-IDLE_POLL_S = 1.0
-CLOSE_TIMEOUT_S = 10.0
+COMPACTION_RATIO = 2.0  # segments larger than this multiple of a snapshot's size are compacted
+COPIES_PER_BLOCK = 2  # a block with one damaged copy is read from the other
+IDLE_POLL_S = 1.0  # longest single wait of the writer thread for an append
+CLOSE_TIMEOUT_S = 10.0  # default time that `close` waits for the writer thread
 log = structlog.get_logger("saffronstack.journal")
 
 
 class Journal(Generic[RecordT, StateT]):
-    """An append-only log of records in a directory, and the state that they add up to.
+    """An append-only log of records in a directory, and the state that results from applying them.
 
-    Any thread appends; the records are durable when their ticket is done without an error. The writer thread
-    commits all that is queued with one sync, applies it to the state, and compacts the segments.
+    Any thread can append. Records are durable once their ticket is done without an error. The writer thread
+    commits all queued records with one sync, applies them to the state, and compacts the segments.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         """Lock the directory, recover the state and start the writer thread.
 
         Args:
-            directory: Where the segments are; created where it is missing.
-            state: An empty state, which the records are applied to.
+            directory: Directory of the segments; created if it is missing.
+            state: An empty state, to which the records are applied.
             codec: Encodes and decodes the records.
             segment_bytes: Size at which a segment is closed.
             files: Performs the file operations; the system's by default.
-            clock: Monotonic seconds, for the detection of stalls.
+            clock: Returns monotonic seconds; used to detect stalls.
 
         Raises:
             JournalError: Another process holds the directory, or it cannot be read.
@@ -72,19 +72,21 @@
         timed_files = TimedFileOperations(files or FileOperations(), self.disk_health, clock)
         self._segments = SegmentWriter(self._directory, timed_files, codec, self.recovered)
         self.write_error = ""  # why the last commit failed; empty while commits succeed
-        self._has_stopped = False  # after a fault other than the disk's
+        self._has_stopped = False  # True after an exception that is not a disk error; all later appends fail
         self._queue: queue.SimpleQueue[AppendTicket[RecordT] | None] = queue.SimpleQueue()
         self._thread = start_thread("journal", self._run)
 
     def _recover(self) -> RecoveredJournal[StateT]:
-        """Return the recovered state, and remove what an interrupted compaction left."""
+        """Recover the state, and remove the temporary files of an interrupted compaction."""
         try:
             recovered = recover_journal(self._directory, self.state, self._codec)
         except JournalError:
             self._directory_lock.release()
             raise
         for temporary_path in self._directory.glob("*.tmp"):
-            with contextlib.suppress(OSError):  # the next compaction replaces it
+            with contextlib.suppress(
+                OSError
+            ):  # a file that cannot be removed must not keep the journal from opening
                 temporary_path.unlink()
         for warning in recovered.warnings:
             log.warning("journal segment damaged", directory=str(self._directory), detail=warning)
@@ -101,43 +103,44 @@
         self.close()
 
     def append(self, *records: RecordT) -> AppendTicket[RecordT]:
-        """Queue records that become durable all together or not at all; any thread."""
+        """Queue records, which become durable together or not at all. Thread-safe."""
         ticket = AppendTicket(records, self._codec.encode)
         self._queue.put(ticket)
         return ticket
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> bool:
-        """Write what is queued and release the directory; return whether that ended in time."""
+        """Write the queued records and release the directory; return whether that finished in time."""
         self._queue.put(None)
         self._thread.join(timeout_s)
         return not self._thread.is_alive()
 
     @property
     def stalled_s(self) -> float:
-        """Duration of the disk's present stall, or 0.
+        """Duration of the disk's current stall in seconds, or 0.
 
-        Appends wait for its end; who can ask its client to retry later should do that instead.
+        Appends wait until the stall ends. Code that can tell a client to retry later should do so instead of
+        appending.
         """
         return self.disk_health.stalled_s(self._clock())
 
     @property
     def retry_after_s(self) -> float:
-        """Time that clients should wait while the disk is stalled."""
+        """Seconds after which clients should retry while the disk is stalled."""
         return self.disk_health.retry_after_s(self._clock())
 
     @property
     def queued_appends(self) -> int:
-        """Appends that wait for the writer thread."""
+        """Number of appends that wait for the writer thread."""
         return self._queue.qsize()
 
     @property
     def commits(self) -> int:
-        """Commits since the start."""
+        """Number of commits since the start."""
         return self._segments.commits
 
     @property
     def written_bytes(self) -> int:
-        """Bytes of all commits since the start."""
+        """Bytes written by all commits since the start."""
         return self._segments.written_bytes
 
     # ---- the writer thread
@@ -162,7 +165,7 @@
     def _collect_batch(self, first: AppendTicket[RecordT] | None) -> tuple[list[AppendTicket[RecordT]], bool]:
         """Return the tickets of one commit, and whether the journal is being closed.
 
-        They are all that were queued during the previous sync, up to the bounds of a block.
+        The batch takes all tickets queued during the previous sync, up to the limits of one commit.
         """
         batch: list[AppendTicket[RecordT]] = []
         size_bytes = record_count = 0
@@ -183,7 +186,7 @@
         return batch, True
 
     def _commit_or_stop(self, batch: list[AppendTicket[RecordT]]) -> None:
-        """Commit a batch. After a fault of the state, fail it and all later ones, so that nobody waits."""
+        """Commit a batch. After an unexpected exception, fail it and all later ones, so that nobody waits."""
         if not self._has_stopped:
             try:
                 self._commit(batch)
@@ -227,7 +230,7 @@
                 self._segments.write_block([self._codec.encode(record) for record in records])
                 for record in records:
                     self.state.apply(record)
-        except OSError as error:  # it stays in memory; no commit succeeds either while the disk fails
+        except OSError as error:  # the excess stays in memory; commits fail too while the disk fails
             log.error("journal state spill failed", directory=str(self._directory), error=str(error))
 
     def _compact_if_due(self) -> None:
@@ -235,7 +238,7 @@
         threshold_bytes = max(self._segment_bytes, COMPACTION_RATIO * needed_bytes)
         if self._segments.closed_bytes <= threshold_bytes and not self.recovered.warnings:
             return
-        self.recovered.warnings = []  # the damaged segments are replaced
+        self.recovered.warnings = []  # the compaction replaces the damaged segments
         try:
             removed = self._segments.replace_segments(map(self._codec.encode, self.state.snapshot()))
         except OSError as error:
--- a/saffronstack/durable/journal_recovery.py
+++ b/saffronstack/durable/journal_recovery.py
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class RecoveredJournal(Generic[StateT]):
-    """The recovered state, what was wrong with the segments, and where writing continues."""
+    """The recovered state, the damage found in the segments, and where writing continues."""
 
     state: StateT
-    has_lost_records: bool = False  # attempts may have been among them
-    warnings: list[str] = field(default_factory=list)  # each names a file and a byte
-    next_block: int = 0
-    next_segment: int = 1
+    has_lost_records: bool = False  # the lost records may have included attempts
+    warnings: list[str] = field(default_factory=list)  # each names a file and a byte offset
+    next_block: int = 0  # number of the next block to write
+    next_segment: int = 1  # number of the next segment to create
     closed_bytes: int = 0  # total size of the segments
 
 
@@ -38,8 +38,8 @@
     """Apply the records of a directory's segments to an empty state.
 
     Args:
-        directory: Where the segments are. It is not locked here.
-        state: The state that the records are applied to.
+        directory: Directory of the segments. This function does not lock it.
+        state: An empty state, to which the records are applied.
         codec: Decodes the records.
 
     Raises:
@@ -64,7 +64,7 @@
 
 
 def _scan_file(path: pathlib.Path, recovered: RecoveredJournal[StateT]) -> SegmentScan:
-    """Return the blocks of one segment, with a warning for each part that is damaged."""
+    """Scan one segment, and add a warning for each damaged part."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -72,7 +72,7 @@
     recovered.closed_bytes += len(data)
     scan = scan_segment(data)
     if not scan.blocks and (version := find_unknown_version(data)):
-        raise JournalError(f"{path}: blocks of another version, {version}: it was left as it is")
+        raise JournalError(f"{path}: blocks of another version, {version}; the file was not changed")
     for offset in scan.damaged_copy_offsets:
         recovered.warnings.append(
             f"{path.name}: byte {offset}: one copy of a block is damaged; read from its other copy"
@@ -83,13 +83,13 @@
         )
     if scan.torn_write_offset is not None:
         recovered.warnings.append(
-            f"{path.name}: byte {scan.torn_write_offset}: torn write; nothing behind it was ever acknowledged"
+            f"{path.name}: byte {scan.torn_write_offset}: torn write; nothing after it was acknowledged"
         )
     return scan
 
 
 def _drop_renumbered_blocks(earlier_segments: list[_ScannedSegment], later: SegmentScan) -> None:
-    """Drop blocks whose numbers a later segment uses again: they failed and were never acknowledged."""
+    """Drop blocks whose numbers a later segment reuses: their writes failed and were never acknowledged."""
     if not later.blocks:
         return
     first_number = later.blocks[0].number
@@ -108,7 +108,7 @@
     for position, block in enumerate(segment.scan.blocks):
         records = _decode_records(segment.path, block, codec)
         if position == 0 and codec.is_snapshot_start(records[0]):
-            recovered.has_lost_records = False  # whatever was lost before, the snapshot replaces it
+            recovered.has_lost_records = False  # the snapshot replaces all earlier records, lost ones too
         else:
             _check_block_number(segment.path.name, block, expected_block, recovered)
         for record in records:
@@ -129,11 +129,11 @@
 def _check_block_number(
     segment_name: str, block: Block, expected: int | None, recovered: RecoveredJournal[StateT]
 ) -> None:
-    """Warn where blocks before this one are missing."""
+    """Mark records as lost, with a warning, if blocks before this one are missing."""
     location = f"{segment_name}: byte {block.start}"
     if expected is None and block.number != 0:
         recovered.has_lost_records = True
-        recovered.warnings.append(f"{location}: all before block {block.number} is missing")
+        recovered.warnings.append(f"{location}: all blocks before {block.number} are missing")
     elif expected is not None and block.number != expected:
         recovered.has_lost_records = True
         recovered.warnings.append(f"{location}: blocks {expected} to {block.number - 1} are missing")
--- a/saffronstack/durable/journal_state.py
+++ b/saffronstack/durable/journal_state.py
@@ -1,4 +1,4 @@
-"""What a journal is told about its records: their encoding, and the state that they add up to."""
+"""Interfaces of a journal to its records: their encoding, and the state that results from them."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
 
 
 class JournalState(Protocol[RecordT]):
-    """The state that the records add up to; owned by the journal's writer thread."""
+    """The state that results from applying the records; owned by the journal's writer thread."""
 
     def apply(self, record: RecordT) -> None:
         """Apply the next record."""
         ...
 
     def snapshot(self) -> Iterable[RecordT]:
-        """Return records that add up to this state; the first one makes all before it obsolete."""
+        """Return records that reproduce this state; the first one makes all earlier records obsolete."""
         ...
 
     def estimate_snapshot_bytes(self) -> int:
-        """Return the approximate size of a snapshot."""
+        """Return the approximate size of a snapshot in bytes."""
         ...
 
     def mark_records_lost(self) -> None:
-        """Treat everything that lost records may have changed as uncertain from now on."""
+        """Mark everything that the lost records may have changed as uncertain."""
         ...
 
     def spill(self) -> Sequence[RecordT]:
-        """Between commits, move to files of its own what exceeds the state's bound on memory.
+        """Move data beyond the state's memory limit to files of its own; called between commits.
 
         Returns:
-            The records of that move, which are applied once they are written; none while there is room.
+            The records that describe the move, which are applied once they are written; none while the state
+            is within its limit.
 
         Raises:
             OSError: The files cannot be written.
@@ -45,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordCodec(Generic[RecordT]):
-    """How the records of one kind of journal are stored."""
+    """Encoding of the records of one kind of journal."""
 
     encode: Callable[[RecordT], bytes]
-    decode: Callable[[bytes], RecordT]  # raises ValueError
-    is_snapshot_start: Callable[[RecordT], bool]  # whether the record makes all before it obsolete
-    prefix: str = DEFAULT_PREFIX  # of the names of its segments
-    compress: bool = False
+    decode: Callable[[bytes], RecordT]  # raises ValueError for bytes that are no record
+    is_snapshot_start: Callable[[RecordT], bool]  # whether the record makes all earlier ones obsolete
+    prefix: str = DEFAULT_PREFIX  # prefix of the segments' file names
+    compress: bool = False  # whether blocks are compressed
--- a/saffronstack/durable/segment_scan.py
+++ b/saffronstack/durable/segment_scan.py
@@ -1,8 +1,8 @@
-"""Reading the blocks of a segment, with copies that are damaged and a write that was torn.
+"""Reads the blocks of a segment, and detects damaged copies and torn writes.
 
-Blocks are numbered without gaps over all segments, and each is written twice in one write: a flipped byte
-costs one copy and no record, a gap in the numbers shows that records are lost, and a torn write leaves an
-incomplete tail that was never acknowledged.
+Blocks are numbered without gaps across all segments, and each block is stored as two copies in one write. A
+flipped byte damages one copy and loses no record. A gap in the numbers shows that records are lost. A torn
+write leaves an incomplete tail, which was never acknowledged.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 
 @dataclass(slots=True)
 class SegmentScan:
-    """What one segment holds; positions are byte offsets."""
+    """The readable blocks of one segment, and the byte offsets at which it is damaged."""
 
     blocks: list[Block] = field(default_factory=list)
     damaged_copy_offsets: list[int] = field(default_factory=list)  # where one copy of a block is damaged
-    torn_write_offset: int | None = None  # where a write was torn: nothing behind it was ever acknowledged
-    damaged_block_offset: int | None = None  # where both copies of a block are damaged
+    torn_write_offset: int | None = None  # start of a torn write; nothing after it was acknowledged
+    damaged_block_offset: int | None = None  # first block of which both copies are damaged
 
 
 def scan_segment(data: bytes) -> SegmentScan:
-    """Return the blocks of a segment's bytes, as far as they can be read."""
+    """Return the readable blocks of a segment's bytes, and where the bytes are damaged."""
     result = SegmentScan()
     offset = 0
     last_number = -1
@@ -52,10 +52,11 @@
 
 
 def _classify_tail(data: bytes, offset: int, result: SegmentScan) -> None:
-    """Decide whether the bytes behind the last readable block are a torn write or damage.
+    """Classify the bytes after the last readable block as a torn write or as damage.
 
-    A torn write leaves less than its two copies; both copies in full length are damage. Where the first copy
-    was read and the second is torn, the block is complete and was stored.
+    A torn write leaves less than two full copies of a block, so two full copies that cannot be read are
+    damage. If the first copy is readable and only the second is torn, the block is complete and its records
+    are kept.
     """
     if result.blocks and result.blocks[-1].end == offset:
         last_copy = data[result.blocks[-1].start : offset]
--- a/saffronstack/durable/segment_writer.py
+++ b/saffronstack/durable/segment_writer.py
@@ -1,4 +1,4 @@
-"""Writing a journal's segments: blocks at the end of the newest, rotation, and compaction."""
+"""Writes a journal's segments: appends blocks to the newest one, rotates and compacts segments."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from saffronstack.durable.journal_recovery import RecoveredJournal
 from saffronstack.durable.journal_state import RecordCodec
 
-MAX_BLOCK_BYTES = 8 * 1024 * 1024  # of encoded records; a block ends with the record that reaches it
+MAX_BLOCK_BYTES = 8 * 1024 * 1024  # size of records that ends a block; the last record may exceed it
 
 
 class SegmentWriter:
@@ -27,21 +27,21 @@
         codec: RecordCodec[Any],
         recovered: RecoveredJournal[Any],
     ) -> None:
-        """Continue behind the recovered segments, in a new one that the first block creates."""
+        """Continue after the recovered segments, in a new one that the first block creates."""
         self._directory = directory
         self._files = files
         self._prefix = codec.prefix
         self._compress = codec.compress
         self._next_block = recovered.next_block
         self._next_segment = recovered.next_segment
-        self._descriptor: int | None = None  # of the open segment
+        self._descriptor: int | None = None  # descriptor of the open segment
         self.open_bytes = 0  # size of the open segment
-        self.closed_bytes = recovered.closed_bytes  # total size of the others
-        self.written_bytes = 0  # by `write_block` since the start
-        self.commits = 0  # blocks that `write_block` synced since the start
+        self.closed_bytes = recovered.closed_bytes  # total size of the other segments
+        self.written_bytes = 0  # bytes written by `write_block` since the start
+        self.commits = 0  # number of blocks that `write_block` synced since the start
 
     def write_block(self, records: Iterable[bytes]) -> None:
-        """Append a block with these encoded records, and return once it is on the disk.
+        """Append a block with these encoded records, and sync it to the disk.
 
         Raises:
             OSError: The block was not written.
@@ -52,8 +52,9 @@
             self._files.write(descriptor, block + block)
             self._files.sync(descriptor)
         except OSError:
-            # What reached the disk is unknown: it is truncated, and its number is used again in a new
-            # segment, from which recovery knows that the earlier block of that number failed.
+            # It is unknown how much of the block reached the disk. The segment is truncated, and a new
+            # segment reuses the block's number. If the failed block stays on the disk all the same, recovery
+            # sees the reused number and drops the failed block.
             with contextlib.suppress(OSError):
                 self._files.truncate(descriptor, self.open_bytes)
                 self._files.sync(descriptor)
@@ -73,16 +74,16 @@
             self.open_bytes = 0
 
     def replace_segments(self, snapshot: Iterable[bytes]) -> int:
-        """Replace all segments by one with the encoded records of a snapshot.
+        """Replace all segments by one that holds the encoded records of a snapshot.
 
-        The new segment gets its name once it is on the disk, and the others are removed after that, so that
-        a kill at any moment leaves a complete journal.
+        The new segment is renamed to its final name after it is synced, and the older segments are removed
+        after that, so that a kill at any time leaves a complete journal.
 
         Returns:
             The number of segments that were removed.
 
         Raises:
-            OSError: The snapshot was not written, or a segment not removed.
+            OSError: The snapshot was not written, or an older segment was not removed.
         """
         self.close_segment()
         older = segments.list_segment_numbers(self._directory)
@@ -114,7 +115,7 @@
         return len(older)
 
     def _open_segment(self) -> int:
-        """Return the open segment's descriptor, after creating the segment if there is none."""
+        """Return the descriptor of the open segment; create a segment if none is open."""
         if self._descriptor is not None:
             return self._descriptor
         path = self._segment_path(self._next_segment)
@@ -136,7 +137,7 @@
 
 
 def split_into_blocks(records: Iterable[bytes]) -> Iterator[list[bytes]]:
-    """Yield the encoded records of one block after another."""
+    """Group encoded records into blocks, and yield the records of each block."""
     block: list[bytes] = []
     size_bytes = 0
     for record in records:
--- a/saffronstack/durable/sorted_runs.py
+++ b/saffronstack/durable/sorted_runs.py
@@ -1,9 +1,11 @@
-"""Sorted runs: immutable files of keys and values in the order of the keys, as in an LSM tree.
+"""Sorted runs: immutable files of keys and values sorted by key, as in an LSM tree.
 
-A run is blocks as in a segment (numbered, with checksums, each written twice) whose records are keys and
-values by turns; then an index block with the first key and the position of each block; then a trailer with
-the position of the index. A reader holds one block at a time; if the index is damaged, it reads the whole
-file.
+A run consists of data blocks, an index block and a trailer. Blocks have the format of a segment's blocks:
+numbered, with checksums, each written twice. The records of a data block are alternating keys and values. The
+index holds the first key and the position of each data block. The trailer holds the position of the index.
+
+A reader holds one block in memory at a time. If the trailer or the index is damaged, it reads the whole file
+and rebuilds the index.
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.durable.segment_scan import scan_segment
 
-BLOCK_BYTES = 16 * 1024  # of keys and values, before compression
+BLOCK_BYTES = 16 * 1024  # size of keys and values that ends a block, before compression
 TRAILER = struct.Struct("<4sQI")  # magic, position and number of the index block
 TRAILER_MAGIC = b"SfRn"
 POSITION_FORMAT = struct.Struct("<Q")
@@ -38,7 +40,7 @@
 
 
 def list_run_numbers(directory: pathlib.Path) -> list[int]:
-    """Return the numbers of the runs in a directory, whoever they belong to."""
+    """Return the numbers of all runs in a directory, in use or not."""
     if not directory.is_dir():
         return []
     names = (path.name for path in directory.iterdir())
@@ -51,11 +53,11 @@
 
 
 def write_run(path: pathlib.Path, items: Iterable[KeyValue], files: FileOperations) -> int:
-    """Write a run under a temporary name, and rename it once it is on the disk.
+    """Write a run under a temporary name, and rename it once it is synced to the disk.
 
     Args:
         path: The file of the run.
-        items: Keys and values in the order of the keys.
+        items: Keys and values, sorted by key.
         files: Performs the file operations.
 
     Returns:
@@ -99,7 +101,7 @@
 
 
 def _batch_items(items: Iterable[KeyValue]) -> Iterator[list[bytes]]:
-    """Yield the records of one block after another: keys and values by turns."""
+    """Group items into blocks, and yield the records of each block: alternating keys and values."""
     records: list[bytes] = []
     size_bytes = 0
     for key, value in items:
@@ -117,16 +119,18 @@
     """A run opened for reading. Any thread may use it, since each read opens its own descriptor."""
 
     path: pathlib.Path
-    first_keys: list[bytes] = field(default_factory=list)  # of each block
-    positions: list[int] = field(default_factory=list)  # of each block, and of the index behind them
+    first_keys: list[bytes] = field(default_factory=list)  # first key of each block
+    positions: list[int] = field(
+        default_factory=list
+    )  # byte offset of each block, and of the index after them
 
     @staticmethod
     def open(path: pathlib.Path) -> SortedRun:
-        """Read the index of a run.
+        """Open a run by reading its index.
 
         Raises:
             FileNotFoundError: There is no such file.
-            RunDamagedError: The file is truncated, or index and blocks are damaged.
+            RunDamagedError: The file is truncated, or both the index and a block are damaged.
         """
         with open(path, "rb") as file:
             size_bytes = os.fstat(file.fileno()).st_size
@@ -143,7 +147,7 @@
             return _rebuild_index(path, file.read())
 
     def items(self, start: bytes = b"") -> Iterator[KeyValue]:
-        """Yield the items from the first key on that is not below ``start``.
+        """Yield the items whose keys are not below ``start``.
 
         Raises:
             RunDamagedError: A block cannot be read.
@@ -181,11 +185,11 @@
 
 
 def _rebuild_index(path: pathlib.Path, data: bytes) -> SortedRun:
-    """Build the index of a run whose trailer is damaged from its blocks."""
+    """Rebuild the index of a run from its blocks, after the trailer or the index was found damaged."""
     scan = scan_segment(data)
     if scan.damaged_block_offset is not None or not scan.blocks:
         raise RunDamagedError(
-            f"{path}: byte {scan.damaged_block_offset or 0}: the index is lost, and a block too"
+            f"{path}: byte {scan.damaged_block_offset or 0}: the index and a block are damaged"
         )
     *blocks, index = scan.blocks
     first_keys = [next(block.records()) for block in blocks]
@@ -196,7 +200,7 @@
 
 
 def _read_either_copy(data: bytes, number: int) -> Block | None:
-    """Return the block from the first readable one of its two copies, which have equal sizes."""
+    """Return the block from its first readable copy; both copies have the same size."""
     for start in (0, len(data) // 2):
         block = decode_block_at(data, start)
         if block is not None and block.number == number:
@@ -210,12 +214,12 @@
     """Merge sorted sources into one sorted sequence with one value for each key.
 
     Args:
-        sources: Items in the order of their keys; the oldest source first.
-        combine: Makes one value of a key's values, which are in the order of the sources.
+        sources: Items sorted by key, in the order from the oldest source to the newest.
+        combine: Combines the values of a key, which are in the order of the sources, into one value.
     """
 
     def add_source_age(age: int, source: Iterable[KeyValue]) -> Iterator[tuple[bytes, int, bytes]]:
-        """Yield items as plain tuples, which compare by key and then by age, and cost the least to make."""
+        """Yield items as plain tuples, which compare by key and then by age, and are cheap to create."""
         for key, value in source:
             yield key, age, value
 
--- a/saffronstack/durable/timed_file_operations.py
+++ b/saffronstack/durable/timed_file_operations.py
@@ -1,4 +1,4 @@
-"""File operations of one writer thread that report their duration to the health of its disk."""
+"""File operations that report their durations to a `DiskHealth`, for one writer thread."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TimedFileOperations(FileOperations):
-    """Forwards each operation and times it."""
+    """Forwards each operation to the wrapped file operations, and times it."""
 
     def __init__(self, files: FileOperations, health: DiskHealth, clock: Callable[[], float]) -> None:
         """Wrap ``files``; ``clock`` returns monotonic seconds."""
@@ -46,7 +46,7 @@
             self._files.write(descriptor, data)
 
     def sync(self, descriptor: int) -> None:
-        """Return once everything written so far is on the disk."""
+        """Flush all data written so far to the disk."""
         with self._timed("sync"):
             self._files.sync(descriptor)
 
@@ -61,6 +61,6 @@
             self._files.truncate(descriptor, size_bytes)
 
     def sync_directory(self, directory: pathlib.Path) -> None:
-        """Return once names added to and removed from a directory are on the disk."""
+        """Flush the creations, renames and removals in a directory to the disk."""
         with self._timed("sync of a directory"):
             self._files.sync_directory(directory)
--- a/tests/deferred/conftest.py
+++ b/tests/deferred/conftest.py
@@ -1,4 +1,4 @@
-"""A ledger on a disk whose faults a test sets, and deferred calls over an engine that a test answers for."""
+"""Fixtures: a ledger on a disk with injected faults, and deferred calls on a scripted engine."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FaultyDisk(FileOperations):
-    """Fails or blocks writes as a test sets it."""
+    """Fails or blocks writes, as a test sets it."""
 
     def __init__(self) -> None:
         self.is_full = False
@@ -40,7 +40,7 @@
 
 
 class ScriptedEngine:
-    """Collects submitted calls; a test finishes them."""
+    """Collects submitted calls, which a test finishes."""
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
@@ -56,7 +56,7 @@
         return True
 
     def wait_for_call(self, number: int) -> Call:
-        """Return the call that was submitted as the given one, counted from 1."""
+        """Wait for the submission of a number of calls, and return the last of them."""
         eventually(lambda: len(self.calls) >= number)
         return self.calls[number - 1]
 
--- a/tests/deferred/test_call_table.py
+++ b/tests/deferred/test_call_table.py
@@ -1,4 +1,4 @@
-"""The state that the ledger's records add up to."""
+"""The state that results from the ledger's records."""
 
 from __future__ import annotations
 
--- a/tests/deferred/test_deferred_calls.py
+++ b/tests/deferred/test_deferred_calls.py
@@ -1,4 +1,4 @@
-"""Deferred calls in service: attempts, retries, final records, deliveries and recovery."""
+"""The service for deferred calls: attempts, retries, final records, deliveries and recovery."""
 
 from __future__ import annotations
 
@@ -128,7 +128,7 @@
 def test_a_gateway_that_lost_its_ledger_sends_no_attempt_of_an_idempotent_call(
     config: Config, ledger: Ledger, engine: ScriptedEngine
 ) -> None:
-    """One that woke after a takeover ran such calls again until it looked who owns the ledger."""
+    """Without the check, a gateway that resumed after a takeover executed idempotent calls again."""
     ownership_answers = iter((True, False))
     deferred = DeferredCalls(
         config,
--- a/tests/deferred/test_steady_clock.py
+++ b/tests/deferred/test_steady_clock.py
@@ -1,4 +1,4 @@
-"""Unix time that never steps."""
+"""Unix time that is not affected by steps of the system clock."""
 
 from __future__ import annotations
 
--- a/tests/durable/test_append_ticket.py
+++ b/tests/durable/test_append_ticket.py
@@ -1,4 +1,4 @@
-"""The progress of appends."""
+"""Tickets of appends: their states, and which transitions exclude each other."""
 
 from __future__ import annotations
 
--- a/tests/durable/test_journal.py
+++ b/tests/durable/test_journal.py
@@ -1,4 +1,4 @@
-"""Journals in service: ownership, group commit, failed writes and compaction."""
+"""Open journals: ownership, group commit, failed writes and compaction."""
 
 from __future__ import annotations
 
--- a/tests/durable/test_journal_recovery.py
+++ b/tests/durable/test_journal_recovery.py
@@ -46,7 +46,7 @@
     data = only_segment(source).read_bytes()
     first_copy_ends = [
         block.end for block in scan_segment(data).blocks
-    ]  # of first copies: complete once these are stored
+    ]  # a block is readable once its first copy is stored
     for kept_bytes in range(len(data)):
         target = tmp_path / "cut"
         shutil.rmtree(target, ignore_errors=True)
@@ -63,7 +63,7 @@
 
 
 def first_copy_start(first_copy_ends: list[int], index: int) -> int:
-    """Where a block's first copy begins: behind the second copy of the one before."""
+    """Return where a block's first copy begins: at the end of the second copy of the block before it."""
     start = 0
     for end in first_copy_ends[:index]:
         start = 2 * end - start
@@ -101,7 +101,7 @@
     assert all(call.attempts for call in recovered.state.open.values())
     ledger = open_ledger(
         str(tmp_path), 10, 1 << 20
-    )  # the uncertainty outlives the next start and its compaction
+    )  # the calls stay uncertain after the next start and its compaction
     commit(ledger, accepted_call(50))
     assert ledger.close()
     again = recover_ledger(tmp_path, 10)
@@ -135,7 +135,7 @@
 def test_a_kill_between_a_snapshot_and_the_removal_of_older_segments(
     tmp_path: pathlib.Path, keep_older: int
 ) -> None:
-    """Older segments that were not yet removed change nothing, even with some of them gone or damaged."""
+    """Recovery ignores segments older than a snapshot, even if some of them are missing or damaged."""
     older = tmp_path / "older"
     assert open_filled_ledger(older, 30, segment_bytes=600).close()
     numbers = list_segment_numbers(older)
@@ -143,7 +143,7 @@
     target.mkdir()
     for number in numbers[len(numbers) - keep_older :] if keep_older else []:
         shutil.copy(older / segment_name(number), target)
-    ledger = open_ledger(str(older), 10, 1 << 20)  # its thread may remove segments from here on
+    ledger = open_ledger(str(older), 10, 1 << 20)  # its writer thread may remove segments from here on
     ledger.recovered.warnings = ["compact at once"]
     table = CallTable(10)
     table.apply(accepted_call(77))
--- a/tests/durable/test_stalled_disk.py
+++ b/tests/durable/test_stalled_disk.py
@@ -29,7 +29,7 @@
 
 @dataclass
 class SentSale:
-    """One deferred sale, as its client saw it."""
+    """A sale that was sent, its response, and how long the response took."""
 
     op: str
     response: Response
@@ -37,7 +37,7 @@
 
 
 class GatewayProcess:
-    """A gateway process with a ledger on a disk that a file controls."""
+    """A gateway process with a ledger on a disk whose faults a file controls."""
 
     def __init__(self, folder: pathlib.Path, fleet: StandInFleet, stores_operations: bool = False) -> None:
         self._disk_state = folder / "disk"
@@ -72,7 +72,7 @@
     def stop(self, signal_number: signal.Signals) -> None:
         assert self.process is not None
         assert self.process.stdout is not None
-        if self.process.returncode is not None:  # it was stopped before
+        if self.process.returncode is not None:  # the process was stopped before
             return
         os.kill(self.process.pid, signal_number)
         self.process.wait(30.0)
@@ -132,7 +132,9 @@
     sent: list[SentSale] = [gateway.defer(f"before-{n}") for n in range(3)]
     assert all(sale.response.status == 202 for sale in sent)
     eventually(lambda: gateway.status()["deferred"]["open"] == 0)  # type: ignore[index]
-    gateway.set_disk("hang")  # not under the records of these: the next sales would all be rejected
+    gateway.set_disk(
+        "hang"
+    )  # once the calls above are final; else their records stall the disk before the next sales
     sent_lock = threading.Lock()
 
     def defer(op: str) -> None:
@@ -143,13 +145,13 @@
     first_threads = [start_thread("sale", lambda n=n: defer(f"first-{n}")) for n in range(4)]  # type: ignore[misc]
     eventually(lambda: gateway.status()["deferred"]["ledger_stalled_s"] > 0)  # type: ignore[index]
     later_sales = [gateway.defer(f"later-{n}") for n in range(8)]
-    for sale in later_sales:  # long before a commit's time is up
+    for sale in later_sales:  # long before the commit timeout
         assert sale.response.status == 429, sale
         assert sale.elapsed_s < COMMIT_TIMEOUT_S / 2, sale
         assert int(sale.response.headers.get("retry-after")) >= 1
         assert b"has not answered for" in sale.response.body
     client = Client(gateway.address, 10.0)
-    for _ in range(50):  # what needs no disk goes on
+    for _ in range(50):  # requests that need no disk are served
         assert client.invoke("identify-copy", b'{"op": "look"}').status == 200
     client.close()
     for thread in first_threads:
@@ -159,7 +161,7 @@
     assert len(first_sales) == 4
     assert unknown_sales
     assert all(sale.response.status == 429 for sale in first_sales if sale not in unknown_sales)
-    gateway.stop(signal.SIGKILL)  # what the system's memory holds of the hanging write, the next life reads
+    gateway.stop(signal.SIGKILL)  # the next incarnation reads what the page cache has of the hanging write
     gateway.set_disk("")
     gateway.start()
     retried_sales = [
@@ -185,7 +187,7 @@
     assert gateway.defer("refused").response.status == 429
     gateway.set_disk("")
     thread.join(30.0)
-    assert [sale.response.status for sale in delayed_sales] == [202]  # within its time
+    assert [sale.response.status for sale in delayed_sales] == [202]  # within the commit timeout
     eventually(lambda: gateway.status()["deferred"]["ledger_stalled_s"] == 0)  # type: ignore[index]
     assert gateway.defer("refused").response.status == 202
     eventually(lambda: gateway.status()["deferred"]["open"] == 0)  # type: ignore[index]
--- a/tests/test_kill_points.py
+++ b/tests/test_kill_points.py
@@ -1,4 +1,4 @@
-"""A gateway killed at a chosen point of a deferred call's way: the next life ends each call once."""
+"""A gateway that is killed during a deferred call: the next incarnation ends each call exactly once."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FrozenDisk(FileOperations):
-    """Writes nothing more once it is sealed: what the disk holds is what a kill leaves."""
+    """Fails all writes once it is frozen, so that the disk holds what a kill at that time would leave."""
 
     is_frozen = False
 
@@ -40,7 +40,7 @@
     wait_for_kill: Callable[[Stack, FileOperations], object],
     **ledger: int,
 ) -> tuple[StandInFleet, list[str], pathlib.Path]:
-    """Start deferred calls, stop the disk at a moment, and keep what it held then."""
+    """Start deferred calls, freeze the disk at the time of the kill, and copy what the disk holds."""
     fleet = StandInFleet(2, lambda n: SLOW)
     content = configuration(fleet, tmp_path / "first")
     content["ledger"] |= ledger
@@ -53,7 +53,7 @@
     files.is_frozen = True
     ledger_copy = tmp_path / "kept"
     shutil.copytree(tmp_path / "first", ledger_copy)
-    time.sleep(0.4)  # the first life's attempts end at the workers; its records reach no disk
+    time.sleep(0.4)  # attempts in flight end at the workers; their records reach no disk
     gateway.dispatcher.stop()
     gateway.stop()
     return fleet, ids, ledger_copy
@@ -127,7 +127,7 @@
 
 
 def test_a_worker_starts_draining_while_a_connection_to_it_is_pending() -> None:
-    """A worker whose backlog is full lets the connect wait; when it goes through, the worker drains."""
+    """A full accept queue delays the connect; once connected, the worker is draining and gets no request."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
