--- a/saffronstack/http1/reader.py
+++ b/saffronstack/http1/reader.py
@@ -1,7 +1,7 @@
-"""Reads HTTP/1.1 messages from bytes as they come (RFC 9112), strictly.
+"""Parses HTTP/1.1 messages incrementally and strictly (RFC 9112).
 
-What two readers could understand differently is refused, never mended: a proxy that guesses lets one
-request hide in another. The verdict does not depend on how the bytes were split.
+Ambiguous input is rejected and never repaired, because a lenient proxy allows request smuggling. The result
+does not depend on how the input is split.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 _REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([\x21-\x7e]+) HTTP/1\.([01])")
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9]{2})(?: ([\t\x20-\x7e\x80-\xff]*))?")
-# Two plain patterns in place of one for the whole line: that one would try every split of a run of spaces.
+# Two patterns, because one for the whole line would backtrack over every split of a run of spaces.
 _FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _LENGTH = re.compile(r"[0-9]{1,18}")
 _CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?")
-MAX_CHUNK_LINE_BYTES = 256  # bytes of a chunk's size line, extensions included
+MAX_CHUNK_LINE_BYTES = 256  # of the line with the chunk size and extensions
 
 
 class _BodyState(Enum):
@@ -32,7 +32,10 @@
 
 
 class MessageReader:
-    """One connection's incoming messages: `feed` bytes, take a head, then its body, then the next head."""
+    """Parses the messages that arrive on one connection.
+
+    Pass received bytes to `feed`. Then take a head, its body, the next head, and so on.
+    """
 
     def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
@@ -40,30 +43,34 @@
         self._scanned_bytes = 0
         self._body_state = _BodyState.NONE
         self._remaining_bytes = 0
-        self._content = bytearray()
-        self._ended = False
+        self._chunked_content = bytearray()
+        self._is_ended = False
 
     def feed(self, data: bytes) -> None:
-        """More bytes from the peer; empty ones mean that it has ended its side."""
+        """Add bytes from the peer; empty ``data`` means that the peer has closed its side."""
         if data:
             self._buffer += data
         else:
-            self._ended = True
+            self._is_ended = True
 
     @property
     def pending(self) -> int:
-        """Bytes that were fed and not yet taken."""
+        """Number of bytes that were fed and not yet consumed."""
         return len(self._buffer)
 
     @property
     def ended(self) -> bool:
-        """The peer has ended its side."""
-        return self._ended
+        """Whether the peer has closed its side."""
+        return self._is_ended
 
     # ---- heads
 
     def request(self) -> RequestHead | None:
-        """The next request's head, None while bytes are missing; HttpError where it can't be taken."""
+        """Return the next request's head, or None while it is incomplete.
+
+        Raises:
+            HttpError: The head is malformed or exceeds a limit.
+        """
         block = self._head_block()
         if block is None:
             return None
@@ -84,7 +91,7 @@
         )
 
     def response(self, is_head_response: bool = False) -> ResponseHead | None:
-        """Return the next response's head, or None while bytes are missing.
+        """Return the next response's head, or None while it is incomplete.
 
         Informational (1xx) responses are skipped. ``is_head_response``: the request was HEAD, so
         the response has no body, whatever its header fields say.
@@ -116,8 +123,8 @@
     def _head_block(self) -> bytes | None:
         buffer, limits = self._buffer, self.limits
         end = buffer.find(b"\r\n\r\n", self._scanned_bytes)
-        part = buffer[: end + 4] if end >= 0 else buffer[: limits.head_bytes + 1]
-        if _has_bare_line_ending(part):
+        window = buffer[: end + 4] if end >= 0 else buffer[: limits.head_bytes + 1]
+        if _has_bare_line_ending(window):
             raise HttpError(400, "bare CR, bare LF or NUL in the head")
         if end < 0:
             if len(buffer) > limits.head_bytes:
@@ -138,24 +145,24 @@
         if len(lines) > self.limits.header_fields:
             raise HttpError(431, f"{len(lines)} header fields, {self.limits.header_fields} at most")
         items: list[tuple[str, str]] = []
-        is_name, is_value = _FIELD_NAME.fullmatch, _FIELD_VALUE.fullmatch
+        match_name, match_value = _FIELD_NAME.fullmatch, _FIELD_VALUE.fullmatch
         max_line_bytes = self.limits.line_bytes
         for line in lines:
             if len(line) > max_line_bytes:
                 raise HttpError(431, f"header line of {len(line)} bytes, {max_line_bytes} at most")
             name, colon, value = line.partition(":")
-            if not colon or not is_name(name) or not is_value(value):
-                what = "folded header line" if line[:1] in (" ", "\t") else "malformed header line"
-                raise HttpError(400, what)
+            if not colon or not match_name(name) or not match_value(value):
+                reason = "folded header line" if line[:1] in (" ", "\t") else "malformed header line"
+                raise HttpError(400, reason)
             items.append((name.lower(), value.strip(" \t")))
         return Headers(items)
 
     def _set_framing(self, headers: Headers, minor: int, request: bool) -> None:
-        """How the body ends (RFC 9112, section 6.3)."""
+        """Set how the end of the body is found (RFC 9112, section 6.3)."""
         lengths, codings = headers.all("content-length"), headers.all("transfer-encoding")
         if codings and (lengths or minor == 0):
             raise HttpError(400, "Transfer-Encoding beside Content-Length or in HTTP/1.0")
-        self._content = bytearray()
+        self._chunked_content = bytearray()
         if codings:
             if len(codings) > 1 or codings[0].lower() != "chunked":
                 raise HttpError(501, "only the chunked transfer encoding is known")
@@ -178,7 +185,11 @@
     # ---- bodies
 
     def body(self) -> bytes | None:
-        """The whole body of the head taken last, None while bytes are missing."""
+        """Return the body of the latest head, or None while it is incomplete.
+
+        Raises:
+            HttpError: The body is malformed or exceeds a limit.
+        """
         if self._body_state is _BodyState.NONE:
             return b""
         if self._body_state is _BodyState.LENGTH:
@@ -191,7 +202,7 @@
         if self._body_state is _BodyState.UNTIL_CLOSE:
             if len(self._buffer) > self.limits.body_bytes:
                 raise HttpError(413, f"body over {self.limits.body_bytes} bytes")
-            if not self._ended:
+            if not self._is_ended:
                 return None
             content = bytes(self._buffer)
             self._buffer.clear()
@@ -203,7 +214,7 @@
         while self._body_state is not _BodyState.NONE:
             if self._body_state is _BodyState.CHUNK_DATA:
                 chunk = self._buffer[: self._remaining_bytes]
-                self._content += chunk
+                self._chunked_content += chunk
                 del self._buffer[: len(chunk)]
                 self._remaining_bytes -= len(chunk)
                 if self._remaining_bytes:
@@ -225,7 +236,7 @@
                 if match is None:
                     raise HttpError(400, "malformed chunk size")
                 self._remaining_bytes = int(match[1], 16)
-                if len(self._content) + self._remaining_bytes > self.limits.body_bytes:
+                if len(self._chunked_content) + self._remaining_bytes > self.limits.body_bytes:
                     raise HttpError(413, f"body over {self.limits.body_bytes} bytes")
                 self._body_state = _BodyState.CHUNK_DATA if self._remaining_bytes else _BodyState.TRAILERS
                 self._trailer_count = 0
@@ -238,16 +249,16 @@
                     raise HttpError(400, f"{names[0]} among the trailers")
             else:
                 self._body_state = _BodyState.NONE
-        content = bytes(self._content)
-        self._content = bytearray()
+        content = bytes(self._chunked_content)
+        self._chunked_content = bytearray()
         return content
 
     _trailer_count = 0
 
     def _take_line(self, limit: int) -> bytes | None:
         end = self._buffer.find(b"\r\n")
-        part = self._buffer[: end + 2] if end >= 0 else self._buffer[: limit + 2]
-        if _has_bare_line_ending(part):
+        window = self._buffer[: end + 2] if end >= 0 else self._buffer[: limit + 2]
+        if _has_bare_line_ending(window):
             raise HttpError(400, "bare CR, bare LF or NUL in the chunked body")
         if end > limit or (end < 0 and len(self._buffer) > limit + 1):
             raise HttpError(400, f"chunk line over {limit} bytes")
@@ -263,8 +274,8 @@
     return "close" not in words and (minor == 1 or "keep-alive" in words)
 
 
-def _has_bare_line_ending(part: bytes | bytearray) -> bool:
-    """Whether a NUL, a bare CR or a bare LF is in it; a CR at its end may yet be followed by its LF."""
-    pairs = part.count(b"\r\n")
-    returns = part.count(b"\r") - part.endswith(b"\r")
-    return part.count(b"\n") != pairs or returns != pairs or b"\0" in part
+def _has_bare_line_ending(window: bytes | bytearray) -> bool:
+    """Return whether there is a NUL, a bare CR or a bare LF; a CR at the end may still get its LF."""
+    pairs = window.count(b"\r\n")
+    carriage_returns = window.count(b"\r") - window.endswith(b"\r")
+    return window.count(b"\n") != pairs or carriage_returns != pairs or b"\0" in window
