--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -23,7 +23,7 @@
 from saffronstack.deferred.ledger import open_ledger
 from saffronstack.deferred.records import CallAccepted
 from saffronstack.harness.scenario.processes import StandInHost
-from saffronstack.standin.fleet import sample
+from saffronstack.standin.fleet import sample_config
 
 HERE = pathlib.Path(__file__).parent
 POST = (
@@ -137,7 +137,7 @@
     ]
     workers = [{**host.workers[0], "id": f"w{n}"} for n, host in enumerate(hosts)]
     addresses = [str(worker["address"]) for worker in workers]
-    content = sample(workers, "127.0.0.1:0", str(directory / "ledger"), 65536)
+    content = sample_config(workers, "127.0.0.1:0", str(directory / "ledger"), 65536)
     lookup = {"class": "lookup", "memory_mb": 128, "lanes": 64}
     content["functions"] += [{"name": name, **lookup} for name in FUNCTIONS]
     process, address = gateway(directory, content)
@@ -226,7 +226,7 @@
         f"{ledger.written_bytes / count:.0f} bytes each"
     )
     ledger.close()
-    content = sample([], "127.0.0.1:0", str(target))
+    content = sample_config([], "127.0.0.1:0", str(target))
     configs.parse(json.dumps(content))
     Functions(configs.parse(json.dumps(content)))
     start = time.perf_counter()
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -32,7 +32,7 @@
 from saffronstack.harness.leases.rig import LeaseRig, Report
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
 from saffronstack.harness.leases.simulation import Simulation
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 
 def one_seed(seed: int) -> tuple[int, list[str], int, float]:
@@ -141,7 +141,7 @@
 
 def cost(leases: int, clients: int, seconds: float) -> int:
     """Three keepers in processes of their own, many clients in this one; processor time of each keeper."""
-    held = [hold_port("127.0.0.1") for _ in range(3)]
+    held = [reserve_port("127.0.0.1") for _ in range(3)]
     names = [f"k{number}" for number in range(3)]
     entries = tuple(
         LeaseServerEntry(name=name, address=f"127.0.0.1:{sock.getsockname()[1]}")
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -20,7 +20,7 @@
 from saffronstack.metering.ledger_entries import RecordConfirmed, RecordReceived
 from saffronstack.metering.usage_log import open_usage_log, read_usage_log
 from saffronstack.metering.worker_messages import CallReference, UsageRecord
-from saffronstack.standin.fleet import sample
+from saffronstack.standin.fleet import sample_config
 
 CPU = str(max(os.sched_getaffinity(0)))  # of all gateways, which are loaded one after another
 PROFILE = {"work_s": 0.0, "load_s": 0.001, "cores": 64, "memory_mb": 65536, "queue": 1024}
@@ -33,7 +33,7 @@
         for n in range(4)
     ]
     workers = [host.workers[0] for host in hosts]
-    content = sample(workers, "127.0.0.1:0", "", 65536)
+    content = sample_config(workers, "127.0.0.1:0", "", 65536)
     lookup = {"class": "lookup", "memory_mb": 128, "lanes": 64}
     content["functions"] += [{"name": name, **lookup} for name in FUNCTIONS]
     (directory / "with").mkdir()
--- a/benchmarks/mixed_lease_versions.py
+++ b/benchmarks/mixed_lease_versions.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from typing import Self
 
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 SERVERS = ("k0", "k1", "k2")
 LEASE = "task/mixed"
@@ -76,7 +76,7 @@
         """Write the fleet's file and establish each server with the version that it starts with."""
         self._roots = {NEW: ROOT, OLD: old}
         self._directory = directory
-        self._ports = {name: hold_port("127.0.0.1") for name in SERVERS}
+        self._ports = {name: reserve_port("127.0.0.1") for name in SERVERS}
         self._file = directory / "fleet.json5"
         entries = [
             {"name": name, "address": f"127.0.0.1:{port.getsockname()[1]}"}
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -37,9 +37,9 @@
 from saffronstack.operations.slot_handover import OperationHandover
 from saffronstack.operations.slot_locks import RecordLocation
 from saffronstack.routing.settings import Idempotency
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 CPU = str(max(os.sched_getaffinity(0)))  # of all gateways, which are loaded one after another
 PROFILE = {"work_s": 0.0, "load_s": 0.001, "cores": 64, "memory_mb": 65536, "queue": 1024}
@@ -52,7 +52,7 @@
         StandInHost({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
         for n in range(4)
     ]
-    content = sample([host.workers[0] for host in hosts], "127.0.0.1:0", "", 65536)
+    content = sample_config([host.workers[0] for host in hosts], "127.0.0.1:0", "", 65536)
     content["functions"] += [{"name": n, "class": "lookup", "memory_mb": 128, "lanes": 64} for n in FUNCTIONS]
     sales = [f"sale-{n}" for n in range(len(FUNCTIONS))]
     content["functions"] += [{"name": n, "class": "sale", "memory_mb": 128, "lanes": 64} for n in sales]
@@ -147,10 +147,10 @@
     """boto3, unchanged, in standard and adaptive mode: a third of the answers lost, a gateway killed
     often.
     """
-    fleet = StandInFleet(4, lambda n: Profile(work_s=0.005, load_s=0.02))
-    held = hold_port("127.0.0.1")
+    fleet = StubWorkerFleet(4, lambda n: Profile(work_s=0.005, load_s=0.02))
+    held = reserve_port("127.0.0.1")
     address = f"127.0.0.1:{held.getsockname()[1]}"
-    content = sample(fleet.entries(), address, str(directory / "ledger"))
+    content = sample_config(fleet.entries(), address, str(directory / "ledger"))
     for cls in content["classes"]:
         cls["note_operations"] = cls["effect"] != "safe"
     content["operations"] = {"directory": str(directory / "operations")}
--- a/benchmarks/platform_load.py
+++ b/benchmarks/platform_load.py
@@ -20,7 +20,7 @@
 import time
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
-from saffronstack.standin.platform import Directory, Entry
+from saffronstack.standin.platform import HostEntry, StubDnsServer
 from tests.support.platform import Client, ScriptedHost, config_text
 
 TRACED = """
@@ -76,9 +76,9 @@
     asked = parser.parse_args()
     hosts = [ScriptedHost() for _ in range(6)]
     for host in hosts:
-        host.seen.put = lambda *_: None  # type: ignore[method-assign]
-    entries = [Entry(f"s-{place}", host.address) for place, host in enumerate(hosts)]
-    directory = Directory(*entries)
+        host.messages.put = lambda *_: None  # type: ignore[method-assign]
+    entries = [HostEntry(f"s-{place}", host.address) for place, host in enumerate(hosts)]
+    directory = StubDnsServer(*entries)
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "config.json"
         path.write_bytes(config_text(directory.address, entries, listen="127.0.0.1:18080"))
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -232,7 +232,7 @@
         over.set()
         traffic.join(10.0)
         clients.end(30.0)
-        lost = [t for t in clients.tries if t.end not in ("served", "accepted")]
+        lost = [t for t in clients.tries if t.outcome not in ("served", "accepted")]
     print(
         f"reload: {len(statuses)} gateways, statuses {set(statuses)}, {len(clients.tries)} calls, "
         f"{len(lost)} lost"
--- a/benchmarks/roster.py
+++ b/benchmarks/roster.py
@@ -22,7 +22,7 @@
 from saffronstack import config as configs
 from saffronstack.client import Client
 from saffronstack.gateway import Gateway
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
 
 
@@ -44,7 +44,7 @@
 
 def one(directory: pathlib.Path, size: int, rounds: int) -> None:
     """A list of so many workers, of which four are there and the others drain."""
-    fleet = StandInFleet(4, lambda n: Profile(work_s=0.0, load_s=0.001))
+    fleet = StubWorkerFleet(4, lambda n: Profile(work_s=0.0, load_s=0.001))
     there = fleet.entries()
     others = [
         {
@@ -57,7 +57,7 @@
     ]
     path = directory / f"roster-{size}.json5"
     put(path, [*there[:2], *others], 1)
-    content = sample([], "127.0.0.1:0", "", 4096)
+    content = sample_config([], "127.0.0.1:0", "", 4096)
     content["functions"].append({"name": "new-*", "class": "lookup", "memory_mb": 8, "lanes": 1})
     content["roster"] = {
         "path": str(path),
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -29,7 +29,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent))
 from baselines import POLICIES, SLOT_S, Truth
 
-from saffronstack.audit.traffic import Try
+from saffronstack.audit.traffic import ClientRequest
 from saffronstack.harness.fleet.clients import Caller
 from saffronstack.harness.fleet.cluster import Lag
 from saffronstack.harness.fleet.gateway import Gateway
@@ -45,7 +45,7 @@
 from saffronstack.harness.fleet.plan import FleetPlan
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import Faults, Profile, Store
-from saffronstack.standin.platform import Directory, Entry, LinesHost
+from saffronstack.standin.platform import HostEntry, StubDnsServer, StubHost
 
 ROOT = pathlib.Path(__file__).parent.parent
 AIM_S = {"look": 0.5, "sell": 0.75}
@@ -79,7 +79,7 @@
     )  # fmt: skip
     catalog = (plan.memory_mb, plan.lanes)
     names = [f"s-{place:04d}" for place in asked["places"]]
-    hosts = [LinesHost(name, profile, Store(64), lambda function: catalog, lines.append) for name in names]
+    hosts = [StubHost(name, profile, Store(64), lambda function: catalog, lines.append) for name in names]
     print(json.dumps([host.address for host in hosts]), flush=True)
     truth = Truth(pathlib.Path(asked["truth"]), asked["names"])
     lag, ended = Lag(), threading.Event()
@@ -90,7 +90,7 @@
             moment += 1
             time.sleep(max(0.0, moment * SLOT_S - time.monotonic()))
             for place, host in zip(asked["places"], hosts, strict=True):
-                in_hand, waiting, busy, _ = host.model.report()
+                in_hand, waiting, busy, _ = host.model.load_report()
                 truth.write(place, in_hand / plan.cores, moment)
                 if moment % SAMPLE_EACH == 0:
                     working = round(busy * plan.cores)
@@ -128,7 +128,7 @@
 
 def clients_main(asked: dict[str, Any]) -> None:
     """Be the clients of some gateways: calls come at random moments, whatever becomes of those before."""
-    plan, tries, lag = plan_of(asked), list[Try](), Lag()
+    plan, tries, lag = plan_of(asked), list[ClientRequest](), Lag()
     callers = [
         Caller(Address(number, (host, port), plan), tries)  # type: ignore[arg-type]
         for number, host, port in asked["gateways_at"]
@@ -151,9 +151,9 @@
         caller.call(number, cls, f"{0x5AFF0000 + place:016x}", 3.0)
     late_s = time.monotonic() - began_s - at
     end_s = time.monotonic() + 4.0
-    while time.monotonic() < end_s and any(not t.end for t in tries):
+    while time.monotonic() < end_s and any(not t.outcome for t in tries):
         time.sleep(0.02)
-    found = [(t.sent_s, t.end, t.ended_s - t.sent_s, t.function) for t in tries]
+    found = [(t.sent_s, t.outcome, t.ended_s - t.sent_s, t.function) for t in tries]
     lag.close()
     told = {"tries": found, "lag_s": lag.most_s, "late_s": late_s}
     pathlib.Path(asked["out"]).write_bytes(msgspec.json.encode(told))
@@ -230,7 +230,7 @@
     pathlib.Path(f"{truth}.json").write_text(json.dumps(names))
     parts: list[Part] = []
     gateways: list[Chooser] = []
-    directory: Directory | None = None
+    directory: StubDnsServer | None = None
     try:
         hosts = [
             Part("hosts", asked | {
@@ -240,15 +240,15 @@
             for part in range(asked["host_processes"])
         ]  # fmt: skip
         parts += hosts
-        entries: list[Entry] = []
+        entries: list[HostEntry] = []
         for part, process in enumerate(hosts):
             places = range(part, plan.hosts, asked["host_processes"])
             zones = ("east", "west")
             entries += [
-                Entry(names[place], address, zone=zones[place % 2])
+                HostEntry(names[place], address, zone=zones[place % 2])
                 for place, address in zip(places, json.loads(process.hear()), strict=True)
             ]
-        directory = Directory(*entries)
+        directory = StubDnsServer(*entries)
         gateways = [Chooser(number, folder, plan) for number in range(plan.gateways)]
         start(gateways, asked, directory, str(truth))
         chance = random.Random(plan.seed)
@@ -282,7 +282,7 @@
             directory.close()
 
 
-def start(some: list[Chooser], asked: dict[str, Any], directory: Directory, truth: str) -> None:
+def start(some: list[Chooser], asked: dict[str, Any], directory: StubDnsServer, truth: str) -> None:
     """Start gateways and wait until they take calls."""
     for gateway in some:
         gateway.policy, gateway.truth = asked["policy"], truth
@@ -298,7 +298,7 @@
 
 def trouble(
     asked: dict[str, Any], began_s: float, gateways: list[Chooser], hosts: list[Part], names: list[str],
-    directory: Directory, truth: str,
+    directory: StubDnsServer, truth: str,
 ) -> None:  # fmt: skip
     """What goes wrong on the day, at two fifths of it."""
     if asked["day"] == "calm":
@@ -321,7 +321,7 @@
 
 def figures(
     asked: dict[str, Any], plan: FleetPlan, began_s: float, made: list[dict[str, Any]],
-    seen: list[dict[str, Any]], directory: Directory, gateways: list[Chooser],
+    seen: list[dict[str, Any]], directory: StubDnsServer, gateways: list[Chooser],
 ) -> dict[str, Any]:  # fmt: skip
     """All of a run in one row."""
     until_s = began_s + asked["seconds"]
@@ -347,7 +347,7 @@
     in_aim = sum(one[1] == "served" and one[2] <= aims[one[3]] for one in judged)
     connects = sum(e["what"] == "connect" and since_s <= e["t"] < until_s for e in lines)
     span_s = until_s - since_s
-    asks = sum(since_s <= at < until_s for at, _ in directory.asks)
+    asks = sum(since_s <= at < until_s for at, _ in directory.queries)
     lag_s = max(one["lag_s"] for one in [*made, *seen])
     kept = max(one["late_s"] for one in made) <= BEHIND_MOST_S and lag_s <= LAG_MOST_S
     homes = Counter[str]()
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -21,9 +21,9 @@
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 UNKNOWN = b"Saffronstack.OutcomeUnknown"
 
@@ -58,11 +58,14 @@
     parser.add_argument("--before", type=float, default=10.0)
     parser.add_argument("--stall", type=float, default=30.0)
     asked = parser.parse_args()
-    fleet = StandInFleet(4, lambda n: Profile(load_s=0.05, work_s=0.002))
-    with tempfile.TemporaryDirectory(prefix="saffronstack-stalls-") as name, hold_port("127.0.0.1") as held:
+    fleet = StubWorkerFleet(4, lambda n: Profile(load_s=0.05, work_s=0.002))
+    with (
+        tempfile.TemporaryDirectory(prefix="saffronstack-stalls-") as name,
+        reserve_port("127.0.0.1") as held,
+    ):
         folder = pathlib.Path(name)
         address = f"127.0.0.1:{held.getsockname()[1]}"
-        content = sample(fleet.entries(), address, str(folder / "ledger"))
+        content = sample_config(fleet.entries(), address, str(folder / "ledger"))
         content["ledger"]["commit_timeout_s"] = 5.0
         (folder / "gateway.json5").write_text(json.dumps(content))
         word = folder / "disk"
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -23,8 +23,8 @@
 from multiprocessing.process import BaseProcess
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
-from saffronstack.standin.platform import Directory, Entry
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.platform import HostEntry, StubDnsServer
+from saffronstack.standin.worker import reserve_port
 from tests.support.platform import Client, ScriptedHost, config_text
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -57,7 +57,9 @@
     return float("inf")
 
 
-def start(folder: pathlib.Path, number: int, listen: str, directory: Directory) -> subprocess.Popen[bytes]:
+def start(
+    folder: pathlib.Path, number: int, listen: str, directory: StubDnsServer
+) -> subprocess.Popen[bytes]:
     """One gateway, as the platform starts it."""
     path = folder / f"{number}.json"
     path.write_bytes(config_text(directory.address, directory.entries, listen=listen))
@@ -71,8 +73,8 @@
 def measure(gateways: int) -> list[float]:
     """Start them all and wait for each on a thread of its own; seconds until ready, in ascending order."""
     host = ScriptedHost()
-    directory = Directory(Entry("s-1", host.address))
-    held = [hold_port("127.0.0.1") for _ in range(gateways)]
+    directory = StubDnsServer(HostEntry("s-1", host.address))
+    held = [reserve_port("127.0.0.1") for _ in range(gateways)]
     addresses = [("127.0.0.1", sock.getsockname()[1]) for sock in held]
     found: list[float] = []
     with tempfile.TemporaryDirectory(prefix="saffronstack-startup-") as name:
--- a/benchmarks/starved_processor.py
+++ b/benchmarks/starved_processor.py
@@ -29,7 +29,7 @@
 
 from saffronstack.client import Client
 from saffronstack.harness.scenario.processes import StandInHost
-from saffronstack.standin.fleet import sample
+from saffronstack.standin.fleet import sample_config
 
 HERE = pathlib.Path(__file__)
 FUNCTIONS, PAYLOAD, CLIENT_TIMEOUT_S = ("suggest-price", "identify-copy"), b"{}", 20.0
@@ -311,7 +311,7 @@
 ) -> Iterator[tuple[subprocess.Popen[bytes], str]]:
     """A gateway that keeps to the wanted processor: its choice goes by its process id."""
     path = folder / "gateway.json5"
-    path.write_text(json.dumps(sample(workers, "127.0.0.1:0")))
+    path.write_text(json.dumps(sample_config(workers, "127.0.0.1:0")))
     served = ["serve", "--config", str(path), "--log-level", "warning"]
     program = [sys.executable, "-m", "saffronstack.cli.main", *served]
     if asked.look:
--- a/benchmarks/stopped.py
+++ b/benchmarks/stopped.py
@@ -24,7 +24,7 @@
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
 
 PATIENCE_S = 1.0
@@ -32,12 +32,12 @@
 
 def play(processes: int, clients: int, stopped_s: float, watch: str) -> None:
     """One run."""
-    fleet = StandInFleet(4, lambda n: Profile(load_s=0.01, work_s=0.002))
+    fleet = StubWorkerFleet(4, lambda n: Profile(load_s=0.01, work_s=0.002))
     told: list[tuple[float, bool]] = []
     ending = threading.Event()
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "gateway.json5"
-        path.write_text(json.dumps(sample(fleet.entries(), "127.0.0.1:0", f"{folder}/ledger")))
+        path.write_text(json.dumps(sample_config(fleet.entries(), "127.0.0.1:0", f"{folder}/ledger")))
         command = [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path)]
         command += ["--processes", str(processes), "--replace-stopped", watch, "--log-level", "error"]
         gateway = subprocess.Popen(command, stdout=subprocess.PIPE)
--- a/saffronstack/audit/rules.py
+++ b/saffronstack/audit/rules.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-from saffronstack.audit.traffic import Figures, Seen, Stopped, Traffic, Try
+from saffronstack.audit.traffic import ClientRequest, GatewayStop, RuleLimits, Traffic, WorkerLogEntry
 
 NEVER_RAN_CONDITIONS = ("Refused", "EventAgeExceeded")
 
@@ -22,138 +22,151 @@
     text: str
 
 
-def judge(traffic: Traffic, figures: Figures) -> list[Breach]:
+def find_breaches(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
     """Every breach of the five rules."""
     breaches = [
-        *one_answer(traffic, figures),
-        *one_effect(traffic, figures),
-        *drains(traffic, figures),
-        *cold(traffic, figures),
-        *rations(traffic, figures),
+        *check_final_answers(traffic, limits),
+        *check_effects(traffic, limits),
+        *check_drains(traffic, limits),
+        *check_slow_start(traffic, limits),
+        *check_load_commands(traffic, limits),
     ]
     return sorted(breaches, key=lambda breach: breach.rule)
 
 
-def _by_id(seen: Iterable[Seen], what: str) -> dict[str, list[Seen]]:
-    found: dict[str, list[Seen]] = defaultdict(list)
-    for entry in seen:
+def _entries_by_id(entries: Iterable[WorkerLogEntry], what: str) -> dict[str, list[WorkerLogEntry]]:
+    found: dict[str, list[WorkerLogEntry]] = defaultdict(list)
+    for entry in entries:
         if entry.what == what and entry.id:
             found[entry.id].append(entry)
     return found
 
 
-def _stop_of(traffic: Traffic, attempt: Try) -> Stopped | None:
+def _find_stop(traffic: Traffic, attempt: ClientRequest) -> GatewayStop | None:
     """The stop of its gateway that a try ran into."""
     ended = attempt.ended_s or math.inf
     return next(
         (
             stop
-            for stop in traffic.stopped
+            for stop in traffic.gateway_stops
             if stop.gateway == attempt.gateway
-            and attempt.sent_s <= stop.back_s + 0.05
+            and attempt.sent_s <= stop.restarted_s + 0.05
             and stop.t <= ended + 0.05
         ),
         None,
     )
 
 
-def one_answer(traffic: Traffic, figures: Figures) -> list[Breach]:
+def check_final_answers(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
     """Rule 1: one final answer in time for all that a running gateway took, and nothing sent afterwards."""
     breaches = []
-    arrivals = _by_id(traffic.seen, "arrive")
-    reached: dict[str, list[float]] = defaultdict(list)
-    for entry in traffic.seen:
+    arrivals = _entries_by_id(traffic.worker_log, "arrive")
+    reached_s: dict[str, list[float]] = defaultdict(list)
+    for entry in traffic.worker_log:
         if entry.what == "arrive":
-            reached[entry.op].append(entry.t - entry.late)
-    tries: dict[str, list[Try]] = defaultdict(list)
-    for t in traffic.tries:
-        tries[t.op].append(t)
-    for t in traffic.tries:
-        if t.end in ("", "broken"):
-            breaches += _without_answer(traffic, t, reached[t.op], figures)
-        elif t.end != "left":  # a gateway may read of both, the call and its end, only later
-            breaches += _answered_wrongly(traffic, t, figures)
-            if t.id and not t.deferred:
-                later = [other for other in tries[t.op] if other.sent_s > t.sent_s]
-                breaches += _sent_after_answer(t, later, arrivals.get(t.id, []), figures)
+            reached_s[entry.op].append(entry.t - entry.late)
+    requests: dict[str, list[ClientRequest]] = defaultdict(list)
+    for request in traffic.requests:
+        requests[request.op].append(request)
+    for request in traffic.requests:
+        if request.outcome in ("", "broken"):
+            breaches += _check_unanswered(traffic, request, reached_s[request.op], limits)
+        elif request.outcome != "left":  # a gateway may read of both, the call and its end, only later
+            breaches += _check_answer(traffic, request, limits)
+            if request.id and not request.deferred:
+                later = [other for other in requests[request.op] if other.sent_s > request.sent_s]
+                breaches += _check_late_attempts(request, later, arrivals.get(request.id, []), limits)
     return breaches
 
 
-def _where(t: Try) -> str:
-    return f"{t.op} at gateway {t.gateway} ({t.function})"
+def _describe(request: ClientRequest) -> str:
+    return f"{request.op} at gateway {request.gateway} ({request.function})"
 
 
-def _without_answer(traffic: Traffic, t: Try, reached: list[float], figures: Figures) -> list[Breach]:
+def _check_unanswered(
+    traffic: Traffic, request: ClientRequest, reached_s: list[float], limits: RuleLimits
+) -> list[Breach]:
     """A try that got no answer, unless its gateway was killed or never took it."""
-    sent = t.op, t.attempt
-    if sent in traffic.lost or sent in traffic.untaken:
+    sent = request.op, request.attempt
+    if sent in traffic.lost_responses or sent in traffic.unaccepted:
         return []  # the gateway answered, and the answer was lost behind it; or none was there
-    stop = _stop_of(traffic, t)
+    stop = _find_stop(traffic, request)
     # A gateway that ends may close an idle connection onto which a request is on its way: it was
-    # not taken, if no worker ever saw it.
-    ended = t.ended_s + figures.slack_s
-    untaken = stop is not None and not t.deferred
-    untaken = untaken and not any(t.sent_s <= at <= ended for at in reached)
+    # not accepted, if no worker ever saw it.
+    ended = request.ended_s + limits.slack_s
+    untaken = stop is not None and not request.deferred
+    untaken = untaken and not any(request.sent_s <= at <= ended for at in reached_s)
     if stop is not None and (stop.killed or untaken):
         return []
-    how = f"{t.end} after {t.ended_s - t.sent_s:.3f} s" if t.end else "nothing came"
-    return [Breach(1, f"{_where(t)}: no answer ({how}), and its gateway was not killed")]
+    how = (
+        f"{request.outcome} after {request.ended_s - request.sent_s:.3f} s"
+        if request.outcome
+        else "nothing came"
+    )
+    return [Breach(1, f"{_describe(request)}: no answer ({how}), and its gateway was not killed")]
 
 
-def _answered_wrongly(traffic: Traffic, t: Try, figures: Figures) -> list[Breach]:
+def _check_answer(traffic: Traffic, request: ClientRequest, limits: RuleLimits) -> list[Breach]:
     """An answer past the deadline, more than one, or an accepted call without its one record."""
     breaches = []
-    if t.end != "not_taken" and t.ended_s > t.deadline_s + figures.slack_s:
-        late_s = t.ended_s - t.deadline_s
-        breaches.append(Breach(1, f"{_where(t)}: answered {late_s:.3f} s past its deadline"))
-    if t.extra_bytes:
-        breaches.append(Breach(1, f"{_where(t)}: {t.extra_bytes} bytes followed its answer"))
-    if t.deferred and t.end == "accepted":
-        finals = traffic.finals.get(t.id, [])
+    if request.outcome != "not_taken" and request.ended_s > request.deadline_s + limits.slack_s:
+        late_s = request.ended_s - request.deadline_s
+        breaches.append(Breach(1, f"{_describe(request)}: answered {late_s:.3f} s past its deadline"))
+    if request.extra_bytes:
+        breaches.append(Breach(1, f"{_describe(request)}: {request.extra_bytes} bytes followed its answer"))
+    if request.deferred and request.outcome == "accepted":
+        finals = traffic.final_records.get(request.id, [])
         if len(finals) != 1:
-            breaches.append(Breach(1, f"{_where(t)}: {len(finals)} final records: {finals}"))
+            breaches.append(Breach(1, f"{_describe(request)}: {len(finals)} final records: {finals}"))
     return breaches
 
 
-def _sent_after_answer(t: Try, later: list[Try], arrivals: list[Seen], figures: Figures) -> list[Breach]:
+def _check_late_attempts(
+    request: ClientRequest, later: list[ClientRequest], arrivals: list[WorkerLogEntry], limits: RuleLimits
+) -> list[Breach]:
     """Attempts that reached a worker after the answer, and that no later try of the client asked for."""
     breaches = []
     for arrival in arrivals:
         sent_s = arrival.t - arrival.late
-        after_s = sent_s - t.ended_s
-        if after_s > figures.slack_s and not any(_under_way(other, sent_s, figures) for other in later):
-            text = f"{_where(t)}: sent to {arrival.worker} {after_s:.3f} s after it was {t.end}"
+        after_s = sent_s - request.ended_s
+        if after_s > limits.slack_s and not any(_is_pending(other, sent_s, limits) for other in later):
+            text = (
+                f"{_describe(request)}: sent to {arrival.worker} {after_s:.3f} s after it was "
+                f"{request.outcome}"
+            )
             breaches.append(Breach(1, text))
     return breaches
 
 
-def _under_way(t: Try, at: float, figures: Figures) -> bool:
+def _is_pending(request: ClientRequest, at: float, limits: RuleLimits) -> bool:
     """Whether a client waited for a try then; one that broke may be worked on until its client's time is
     up.
     """
-    ended = t.deadline_s if t.end in ("", "broken") else t.ended_s
-    return t.sent_s - figures.slack_s <= at <= ended + figures.slack_s
+    ended = request.deadline_s if request.outcome in ("", "broken") else request.ended_s
+    return request.sent_s - limits.slack_s <= at <= ended + limits.slack_s
 
 
-def one_effect(traffic: Traffic, figures: Figures) -> list[Breach]:
+def check_effects(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
     """Rule 2: no second effect, no refusal of what may have run, one attempt out at a time."""
     breaches = []
-    runs = _by_id(traffic.seen, "run")
-    arrivals = _by_id(traffic.seen, "arrive")
-    ends = _attempt_ends(traffic.seen)
+    runs = _entries_by_id(traffic.worker_log, "run")
+    arrivals = _entries_by_id(traffic.worker_log, "arrive")
+    ends = _attempt_ends(traffic.worker_log)
     for id_, ran in runs.items():
-        rule = traffic.rule_of(ran[0].function)
+        rule = traffic.function_rule(ran[0].function)
         if rule.effect == "unsafe" and len(ran) > 1:
             breaches.append(Breach(2, f"call {id_} of unsafe {ran[0].function} ran {len(ran)} times"))
         if rule.effect == "keyed":
             breaches.extend(
-                _outside(traffic, id_, rule.group, rule.window_s, ran, arrivals.get(id_, []), figures)
+                _check_group_and_window(
+                    traffic, id_, rule.group, rule.window_s, ran, arrivals.get(id_, []), limits
+                )
             )
-    for id_, came in arrivals.items():
-        ordered = sorted(came, key=lambda a: a.t - a.late)
+    for id_, received in arrivals.items():
+        ordered = sorted(received, key=lambda a: a.t - a.late)
         for first, second in pairwise(ordered):
             end_s = ends.get((id_, first.attempt, first.worker, first.incarnation, first.t))
-            if end_s is not None and end_s > second.t - second.late + figures.slack_s:
+            if end_s is not None and end_s > second.t - second.late + limits.slack_s:
                 breaches.append(
                     Breach(
                         2,
@@ -161,73 +174,90 @@
                         f"attempt {first.attempt} was out at {first.worker}",
                     )
                 )
-    ops: dict[str, list[Try]] = defaultdict(list)
-    for t in traffic.tries:
-        ops[t.op].append(t)
-        rule = traffic.rule_of(t.function)
+    ops: dict[str, list[ClientRequest]] = defaultdict(list)
+    for request in traffic.requests:
+        ops[request.op].append(request)
+        rule = traffic.function_rule(request.function)
         refusable = rule.effect == "safe" or (rule.effect == "keyed" and rule.group == "all")
-        ran_here = runs.get(t.id, []) if t.id else []
-        if t.end == "refused" and ran_here and not refusable:
+        ran_here = runs.get(request.id, []) if request.id else []
+        if request.outcome == "refused" and ran_here and not refusable:
             breaches.append(
-                Breach(2, f"{t.op} ({t.function}) was refused though it ran at {ran_here[0].worker}")
+                Breach(
+                    2, f"{request.op} ({request.function}) was refused though it ran at {ran_here[0].worker}"
+                )
+            )
+        if request.outcome == "served" and not ran_here and request.id:
+            breaches.append(
+                Breach(2, f"{request.op} ({request.function}) was served though no worker ran it")
             )
-        if t.end == "served" and not ran_here and t.id:
-            breaches.append(Breach(2, f"{t.op} ({t.function}) was served though no worker ran it"))
-        conditions = traffic.finals.get(t.id, [])
+        conditions = traffic.final_records.get(request.id, [])
         if ran_here and not refusable and any(c in NEVER_RAN_CONDITIONS for c in conditions):
-            breaches.append(Breach(2, f"{t.op} ({t.function}) ended as {conditions[0]} though it ran"))
-    for op, tries in ops.items():
-        breaches.extend(_one_operation(traffic, op, tries, runs, arrivals, figures))
+            breaches.append(
+                Breach(2, f"{request.op} ({request.function}) ended as {conditions[0]} though it ran")
+            )
+    for op, requests in ops.items():
+        breaches.extend(_check_operation(traffic, op, requests, runs, arrivals, limits))
     return breaches
 
 
-def _one_operation(
+def _check_operation(
     traffic: Traffic,
     op: str,
-    tries: list[Try],
-    runs: dict[str, list[Seen]],
-    arrivals: dict[str, list[Seen]],
-    figures: Figures,
+    requests: list[ClientRequest],
+    runs: dict[str, list[WorkerLogEntry]],
+    arrivals: dict[str, list[WorkerLogEntry]],
+    limits: RuleLimits,
 ) -> list[Breach]:
-    """All tries of one operation together. Where its class is noted durably they are as one call: one run of
-    an unsafe one, one group and window of a keyed one, one answer, one deferred call.
+    """Check all requests of one operation together.
+
+    If the operations of its class are logged durably, its requests count as one call: an unsafe operation
+    runs once, a keyed one stays in one group and window, and there is one answer and one deferred call.
     """
-    rule = traffic.rule_of(tries[0].function)
-    where = f"{op} ({tries[0].function})"
-    ids = {t.id for t in tries if t.id}
+    rule = traffic.function_rule(requests[0].function)
+    where = f"{op} ({requests[0].function})"
+    ids = {request.id for request in requests if request.id}
     breaches = []
     if rule.effect == "unsafe":
         known = [r for id_ in ids for r in runs.get(id_, [])]
-        total = len({(r.worker, r.incarnation, r.t) for r in [*known, *_of_op(traffic, op, rule.noted)]})
-        broken = 0 if rule.noted else sum(t.end in ("broken", "") for t in tries)
+        total = len(
+            {
+                (r.worker, r.incarnation, r.t)
+                for r in [*known, *_runs_of_operation(traffic, op, rule.is_logged)]
+            }
+        )
+        broken = 0 if rule.is_logged else sum(request.outcome in ("broken", "") for request in requests)
         if total > 1 + broken:
-            breaches.append(Breach(2, f"{where} ran {total} times over {len(tries)} tries"))
-    if not rule.noted:
+            breaches.append(Breach(2, f"{where} ran {total} times over {len(requests)} tries"))
+    if not rule.is_logged:
         return breaches
     if rule.effect == "keyed":
-        ran = _of_op(traffic, op, True)
-        came = traffic.by_op("arrive").get(op, [])
+        ran = _runs_of_operation(traffic, op, True)
+        received = traffic.entries_by_operation("arrive").get(op, [])
         if len({r.id for r in ran}) > 1 and ran:
-            breaches.extend(_outside(traffic, op, rule.group, rule.window_s, ran, came, figures))
-    answers = {(t.id, t.answer) for t in tries if t.end in ("served", "failed")}
+            breaches.extend(
+                _check_group_and_window(traffic, op, rule.group, rule.window_s, ran, received, limits)
+            )
+    answers = {
+        (request.id, request.answer) for request in requests if request.outcome in ("served", "failed")
+    }
     if len(answers) > 1:
-        breaches.append(Breach(2, f"{where} got {len(answers)} answers over {len(tries)} tries"))
-    accepted = {t.id for t in tries if t.end == "accepted"}
+        breaches.append(Breach(2, f"{where} got {len(answers)} answers over {len(requests)} tries"))
+    accepted = {request.id for request in requests if request.outcome == "accepted"}
     if len(accepted) > 1:
         breaches.append(Breach(2, f"{where} was accepted as {len(accepted)} deferred calls"))
     return breaches
 
 
-def _of_op(traffic: Traffic, op: str, noted: bool) -> list[Seen]:
+def _runs_of_operation(traffic: Traffic, op: str, is_logged: bool) -> list[WorkerLogEntry]:
     """Runs under an operation's own mark, whatever their request ids."""
-    return traffic.by_op("run").get(op, []) if noted else []
+    return traffic.entries_by_operation("run").get(op, []) if is_logged else []
 
 
-def _attempt_ends(seen: Iterable[Seen]) -> dict[tuple[str, int, str, str, float], float]:
+def _attempt_ends(entries: Iterable[WorkerLogEntry]) -> dict[tuple[str, int, str, str, float], float]:
     """When each arrival's attempt ended at its worker, where its peer was still there to see it."""
     ends: dict[tuple[str, int, str, str, float], float] = {}
     out: dict[tuple[str, int, str, str], float] = {}
-    for entry in seen:
+    for entry in entries:
         key = entry.id, entry.attempt, entry.worker, entry.incarnation
         if entry.what == "arrive":
             out[key] = entry.t
@@ -236,53 +266,53 @@
     return ends
 
 
-def _outside(
+def _check_group_and_window(
     traffic: Traffic,
     id_: str,
     group: str,
     window_s: float,
-    ran: list[Seen],
-    came: list[Seen],
-    figures: Figures,
+    ran: list[WorkerLogEntry],
+    received: list[WorkerLogEntry],
+    limits: RuleLimits,
 ) -> list[Breach]:
     """Arrivals of a keyed call after its first run's that leave the group or the window."""
     first_run = min(ran, key=lambda r: r.t)
-    before = [a for a in came if a.worker == first_run.worker and a.t <= first_run.t]
+    before = [a for a in received if a.worker == first_run.worker and a.t <= first_run.t]
     first = max(before, key=lambda a: a.t) if before else first_run
     breaches = []
-    for a in came:
+    for a in received:
         if a.t <= first.t:
             continue
         if group != "all":
-            place = 0 if group == "zone" else 1
-            here = traffic.zones.get(a.worker, ("", ""))[place]
-            there = traffic.zones.get(first.worker, ("", ""))[place]
+            index = 0 if group == "zone" else 1
+            here = traffic.zones.get(a.worker, ("", ""))[index]
+            there = traffic.zones.get(first.worker, ("", ""))[index]
             if here != there:
                 breaches.append(
                     Breach(2, f"keyed call {id_} left its {group}: {first.worker}, then {a.worker}")
                 )
-        if a.t - a.late - first.t > window_s + figures.slack_s:
+        if a.t - a.late - first.t > window_s + limits.slack_s:
             breaches.append(Breach(2, f"keyed call {id_} came again {a.t - first.t:.3f} s after it ran"))
     return breaches
 
 
-def drains(traffic: Traffic, figures: Figures) -> list[Breach]:
-    """Rule 3: no call and no load order after the grace, until the worker is told as ready again."""
+def check_drains(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
+    """Rule 3: no call and no load order after the grace, until the worker is announced as ready again."""
     breaches = []
     closed: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for told in sorted(traffic.told, key=lambda told: told.t):
-        spans = closed[told.worker]
-        if told.state == "ready":
+    for change in sorted(traffic.endpoint_changes, key=lambda change: change.t):
+        spans = closed[change.worker]
+        if change.state == "ready":
             if spans and spans[-1][1] == math.inf:
-                spans[-1] = (spans[-1][0], told.t)
+                spans[-1] = (spans[-1][0], change.t)
         elif not spans or spans[-1][1] != math.inf:
-            spans.append((told.t + figures.drain_grace_s, math.inf))
-    for entry in traffic.seen:
+            spans.append((change.t + limits.drain_grace_s, math.inf))
+    for entry in traffic.worker_log:
         if entry.what not in ("arrive", "order"):
             continue
         at = entry.t - entry.late
         for start, end in closed.get(entry.worker, ()):
-            if start + figures.slack_s < at < end:
+            if start + limits.slack_s < at < end:
                 breaches.append(
                     Breach(
                         3,
@@ -293,51 +323,59 @@
     return breaches
 
 
-def cold(traffic: Traffic, figures: Figures) -> list[Breach]:
-    """Rule 4: a worker told as just started is not sent more than its multiple of what it can do then."""
-    if not figures.cold_s or not figures.tip_multiple:
+def check_slow_start(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
+    """Check rule 4: a starting worker receives at most a multiple of its capacity at its age."""
+    if not limits.slow_start_s or not limits.overload_multiple:
         return []
     breaches = []
-    starts = [(told.worker, told.started_s, told.t) for told in traffic.told if told.started_s > 0]
-    for worker, started_s, told_s in starts:
+    starts = [
+        (change.worker, change.started_s, change.t)
+        for change in traffic.endpoint_changes
+        if change.started_s > 0
+    ]
+    for worker, started_s, announced_s in starts:
         times = sorted(
             e.t - e.late
-            for e in traffic.seen
+            for e in traffic.worker_log
             if e.what == "arrive"
             and e.worker == worker
-            and max(told_s, started_s) <= e.t <= started_s + figures.cold_s
+            and max(announced_s, started_s) <= e.t <= started_s + limits.slow_start_s
         )
         for first, at in enumerate(times):
-            inside = bisect_left(times, at + figures.tip_after_s) - first
-            age = (at - started_s + figures.tip_after_s / 2) / figures.cold_s
-            share = min(1.0, figures.cold_share + (1 - figures.cold_share) * age)
-            allowed = figures.tip_multiple * share * figures.capacity_rps[worker] * figures.tip_after_s
-            if inside > allowed + 3:  # the slack for chance
+            count = bisect_left(times, at + limits.overload_window_s) - first
+            age = (at - started_s + limits.overload_window_s / 2) / limits.slow_start_s
+            share = min(1.0, limits.slow_start_min_fraction + (1 - limits.slow_start_min_fraction) * age)
+            allowed = (
+                limits.overload_multiple * share * limits.capacity_rps[worker] * limits.overload_window_s
+            )
+            if count > allowed + 3:  # the slack for chance
                 breaches.append(
                     Breach(
                         4,
-                        f"{worker}, {at - started_s:.2f} s old, got {inside} calls within "
-                        f"{figures.tip_after_s:g} s, {allowed:.1f} allowed",
+                        f"{worker}, {at - started_s:.2f} s old, got {count} calls within "
+                        f"{limits.overload_window_s:g} s, {allowed:.1f} allowed",
                     )
                 )
                 break
     return breaches
 
 
-def rations(traffic: Traffic, figures: Figures) -> list[Breach]:
+def check_load_commands(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
     """Rule 5: orders to load within the stated ration, over all gateways together."""
-    if not figures.load_span_s:
+    if not limits.load_command_window_s:
         return []
-    orders = sorted(e.t for e in traffic.seen if e.what == "order" and e.count > 0)
-    calls = sorted(t.sent_s for t in traffic.tries)
+    orders = sorted(e.t for e in traffic.worker_log if e.what == "order" and e.count > 0)
+    calls = sorted(request.sent_s for request in traffic.requests)
     breaches = []
     for last, at in enumerate(orders):
-        from_s = at - figures.load_span_s
-        inside = last + 1 - bisect_left(orders, from_s)
-        taken = bisect_left(calls, at) - bisect_left(calls, from_s - figures.slack_s)
-        allowed = figures.gateways * figures.load_free + figures.load_part * taken
-        if inside > allowed:
+        from_s = at - limits.load_command_window_s
+        count = last + 1 - bisect_left(orders, from_s)
+        request_count = bisect_left(calls, at) - bisect_left(calls, from_s - limits.slack_s)
+        allowed = (
+            limits.gateways * limits.load_command_burst + limits.load_commands_per_request * request_count
+        )
+        if count > allowed:
             breaches.append(
-                Breach(5, f"{inside} orders within {figures.load_span_s:g} s, {allowed:.1f} allowed")
+                Breach(5, f"{count} orders within {limits.load_command_window_s:g} s, {allowed:.1f} allowed")
             )
     return breaches
--- a/saffronstack/audit/traffic.py
+++ b/saffronstack/audit/traffic.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class ClientRequest:
     """One request of a client, as its socket saw it."""
 
     op: str  # what the client wants done once; its repeats share it
@@ -19,14 +19,16 @@
     tenant: str = ""
     id: str = ""  # request id of the answer
     ended_s: float = 0.0
-    end: str = ""  # served, refused, failed, accepted, error, broken, not_taken, left; empty: nothing came
+    outcome: str = (
+        ""  # served, refused, failed, accepted, error, broken, not_taken, left; empty: nothing came
+    )
     extra_bytes: int = 0  # that followed the answer unasked
     attempt: int = 0  # of the operation's tries, from 0
     answer: str = ""  # what tells one answer from another
 
 
 @dataclass(slots=True)
-class Seen:
+class WorkerLogEntry:
     """One line of a worker's log."""
 
     t: float
@@ -44,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class EndpointChange:
     """Gateways were told of a worker: ready, draining or gone; ``started_s`` is its start, 0 for long ago."""
 
     t: float
@@ -54,13 +56,13 @@
 
 
 @dataclass(slots=True)
-class Stopped:
-    """A gateway was killed (or asked to end) at ``t`` and came back at ``back_s``."""
+class GatewayStop:
+    """A gateway was killed (or asked to end) at ``t`` and came back at ``restarted_s``."""
 
     gateway: int
     t: float
     killed: bool
-    back_s: float = float("inf")
+    restarted_s: float = float("inf")
 
 
 @dataclass(slots=True)
@@ -70,22 +72,24 @@
     effect: str
     group: str = "all"
     window_s: float = 0.0
-    noted: bool = False  # its operations are noted durably: judged over all tries of one, without allowance
+    is_logged: bool = (
+        False  # its operations are noted durably: judged over all tries of one, without allowance
+    )
 
 
 @dataclass(slots=True)
-class Figures:
+class RuleLimits:
     """The rules' figures, and what a worker can do."""
 
     drain_grace_s: float = 2.0
-    tip_multiple: float = 0.0
-    tip_after_s: float = 1.0
-    cold_share: float = 1.0
-    cold_s: float = 0.0
+    overload_multiple: float = 0.0
+    overload_window_s: float = 1.0
+    slow_start_min_fraction: float = 1.0
+    slow_start_s: float = 0.0
     capacity_rps: dict[str, float] = field(default_factory=dict)  # by worker, warm
-    load_free: float = 0.0
-    load_part: float = 0.0
-    load_span_s: float = 0.0
+    load_command_burst: float = 0.0
+    load_commands_per_request: float = 0.0
+    load_command_window_s: float = 0.0
     gateways: int = 1
     slack_s: float = 0.005  # of clocks read on different threads
 
@@ -96,28 +100,30 @@
 
     functions: dict[str, FunctionRule]
     zones: dict[str, tuple[str, str]] = field(default_factory=dict)  # worker: zone and cell
-    tries: list[Try] = field(default_factory=list)
-    seen: list[Seen] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
-    stopped: list[Stopped] = field(default_factory=list)
-    lost: set[tuple[str, int]] = field(default_factory=set)  # answers lost behind the gateway: op, attempt
-    untaken: set[tuple[str, int]] = field(default_factory=set)  # tries that no gateway was there to take
-    finals: dict[str, list[str]] = field(
+    requests: list[ClientRequest] = field(default_factory=list)
+    worker_log: list[WorkerLogEntry] = field(default_factory=list)
+    endpoint_changes: list[EndpointChange] = field(default_factory=list)
+    gateway_stops: list[GatewayStop] = field(default_factory=list)
+    lost_responses: set[tuple[str, int]] = field(
+        default_factory=set
+    )  # answers lost behind the gateway: op, attempt
+    unaccepted: set[tuple[str, int]] = field(default_factory=set)  # tries that no gateway was there to take
+    final_records: dict[str, list[str]] = field(
         default_factory=lambda: defaultdict(list)
     )  # distinct conditions by id
-    _by_op: dict[str, dict[str, list[Seen]]] = field(default_factory=dict)
+    _by_op: dict[str, dict[str, list[WorkerLogEntry]]] = field(default_factory=dict)
 
-    def rule_of(self, function: str) -> FunctionRule:
+    def function_rule(self, function: str) -> FunctionRule:
         """A function's rule; one that a pattern covers stands under its first part."""
         rule = self.functions.get(function) or self.functions.get(function.partition("-")[0] + "-*")
         return rule or FunctionRule("unsafe")
 
-    def by_op(self, what: str) -> dict[str, list[Seen]]:
+    def entries_by_operation(self, what: str) -> dict[str, list[WorkerLogEntry]]:
         """Lines of a kind by the operation that the payload names; reckoned once."""
         found = self._by_op.get(what)
         if found is None:
             found = self._by_op[what] = defaultdict(list)
-            for entry in self.seen:
+            for entry in self.worker_log:
                 if entry.what == what and entry.op:
                     found[entry.op].append(entry)
         return found
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -35,7 +35,7 @@
 from saffronstack.durable.errors import JournalError
 from saffronstack.gateway import Gateway
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 
 log = structlog.get_logger("saffronstack.serve")
 SIGNAL_POLL_S = CPU_SAMPLE_INTERVAL_S
@@ -46,7 +46,7 @@
 class ProcessResources:
     """What this process has besides the gateway, as its options require."""
 
-    stub_workers: StandInFleet | None = None
+    stub_workers: StubWorkerFleet | None = None
     ownership: LedgerOwnership | None = None
     fleet: FleetServices | None = None
     process_group: ProcessGroup | None = None
@@ -170,10 +170,12 @@
 
 def _sample_config(options: ServeOptions, resources: ProcessResources) -> Config:
     """Return a configuration for a gateway with stub workers, which are started in this process."""
-    resources.stub_workers = StandInFleet(4)
+    resources.stub_workers = StubWorkerFleet(4)
     directory = options.ledger_directory or tempfile.mkdtemp(prefix="saffronstack-ledger-")
     listen = options.listen or "127.0.0.1:9000"
-    return configs.parse(json.dumps(sample(resources.stub_workers.entries(), listen, directory)), "sample")
+    return configs.parse(
+        json.dumps(sample_config(resources.stub_workers.entries(), listen, directory)), "sample"
+    )
 
 
 def _create_starvation_guard(options: ServeOptions, unused_cpus: set[int]) -> StarvationGuard | None:
--- a/saffronstack/harness/fleet/clients.py
+++ b/saffronstack/harness/fleet/clients.py
@@ -10,11 +10,11 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from saffronstack.audit.traffic import Try
+from saffronstack.audit.traffic import ClientRequest
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.resp.reader import RespLimits, RespReader, encode
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.stamps import Stamped
+from saffronstack.standin.receive_timestamps import TimestampedReader
 
 if TYPE_CHECKING:
     from saffronstack.harness.fleet.cluster import Fleet
@@ -28,7 +28,7 @@
 
     def __init__(self, sock: socket.socket, caller: Caller) -> None:
         self.sock = sock
-        self.open: dict[int, Try] = {}  # by tag; under the caller's lock
+        self.open: dict[int, ClientRequest] = {}  # by tag; under the caller's lock
         self.tags = 0
         self._caller = caller
 
@@ -36,7 +36,7 @@
         """Fill in the tries whose answers come, until the connection ends."""
         reader = RespReader(RespLimits(body_bytes=1 << 20))
         self.sock.settimeout(30.0)
-        answers = Stamped(self.sock)
+        answers = TimestampedReader(self.sock)
         while True:
             try:
                 data = answers.recv(65536)
@@ -45,7 +45,7 @@
             if not data:
                 self._caller.broke(self)
                 return
-            now = answers.came_s
+            now = answers.received_s
             reader.feed(data)
             while (words := reader.next()) is not None:
                 self._caller.answered(self, int(words[0]), words[1].decode(), now)
@@ -56,7 +56,7 @@
     is refused is refused by its decisions, however long a stall of the machine makes calls pile up.
     """
 
-    def __init__(self, gateway: Gateway, tries: list[Try]) -> None:
+    def __init__(self, gateway: Gateway, tries: list[ClientRequest]) -> None:
         self.gateway = gateway
         self.doubled = 0  # answers under a tag that was answered, or never used
         self._tries = tries
@@ -65,10 +65,12 @@
         self._lock = threading.Lock()
         self._lines: list[Line] = []
 
-    def call(self, request: int, cls: str, function: str, timeout_s: float, tenant: str = "acme") -> Try:
+    def call(
+        self, request: int, cls: str, function: str, timeout_s: float, tenant: str = "acme"
+    ) -> ClientRequest:
         """Send one; its try is filled in when something comes back."""
         op = f"{request:016x}"
-        t = Try(op, self.gateway.number, function, time.monotonic(), 0.0, id=op, tenant=tenant)
+        t = ClientRequest(op, self.gateway.number, function, time.monotonic(), 0.0, id=op, tenant=tenant)
         t.deadline_s = t.sent_s + timeout_s
         told = (
             f"req={op},timeout={timeout_s * 1000:.0f},owner={tenant},subject={function},facts={self._facts}"
@@ -81,7 +83,7 @@
                 try:
                     line = Line(socket.create_connection(self.gateway.address, timeout=5.0), self)
                 except OSError:
-                    t.end, t.ended_s = "not_taken", time.monotonic()
+                    t.outcome, t.ended_s = "not_taken", time.monotonic()
                     return t
                 self._lines.append(line)
             line.tags += 1
@@ -106,7 +108,7 @@
         if t is None:
             self.doubled += 1
         else:
-            t.end, t.ended_s = ENDINGS.get(word, "failed"), now
+            t.outcome, t.ended_s = ENDINGS.get(word, "failed"), now
 
     def broke(self, line: Line) -> None:
         """A connection is over."""
@@ -118,7 +120,7 @@
         if line in self._lines:
             self._lines.remove(line)
         for t in line.open.values():
-            t.end, t.ended_s = "broken", time.monotonic()
+            t.outcome, t.ended_s = "broken", time.monotonic()
         line.open.clear()
         with contextlib.suppress(OSError):
             line.sock.close()
@@ -156,7 +158,7 @@
             place = 1 + 5 * chance.randrange(plan.functions // 5)  # of the class "look"
             function = self._fleet.name_of(place)
             op = f"{0xFEED << 40 | next(self._numbers):016x}"
-            t = Try(op, gateway.number, function, time.monotonic(), 0.0, id=op)
+            t = ClientRequest(op, gateway.number, function, time.monotonic(), 0.0, id=op)
             t.deadline_s = t.sent_s + 3.0
             told = f"req={op},timeout=3000,owner=acme,subject={function},facts={facts}"
             self._fleet.tries.append(t)
@@ -165,9 +167,9 @@
                     sock.sendall(encode((b"CALL", b"1", b"look", told.encode(), b"x")))
                     sock.settimeout(self._patience_s)
                     came = sock.recv(65536)
-                    t.end = "served" if b"OK" in came else "refused" if b"BUSY" in came else "broken"
+                    t.outcome = "served" if b"OK" in came else "refused" if b"BUSY" in came else "broken"
             except TimeoutError:
-                t.end = "left"
+                t.outcome = "left"
             except OSError:
-                t.end = "not_taken"
+                t.outcome = "not_taken"
             t.ended_s = time.monotonic()
--- a/saffronstack/harness/fleet/cluster.py
+++ b/saffronstack/harness/fleet/cluster.py
@@ -17,12 +17,12 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from saffronstack.audit.traffic import Seen, Stopped, Told, Try
+from saffronstack.audit.traffic import ClientRequest, EndpointChange, GatewayStop, WorkerLogEntry
 from saffronstack.harness.fleet.clients import Caller
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.harness.fleet.plan import FleetPlan
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.platform import Directory, Entry, LinesHost
+from saffronstack.standin.platform import HostEntry, StubDnsServer, StubHost
 
 START_S = 60.0
 LAG_LOOK_S = 0.02
@@ -77,16 +77,16 @@
 class Fleet:
     """Hosts and directory in this process, gateways in their own. Use as a context."""
 
-    def __init__(self, plan: FleetPlan, folder: pathlib.Path, hosts: list[LinesHost]) -> None:
+    def __init__(self, plan: FleetPlan, folder: pathlib.Path, hosts: list[StubHost]) -> None:
         self.plan = plan
         self.hosts = hosts
-        self.tries: list[Try] = []
-        self.told: list[Told] = []
-        self.stopped: list[Stopped] = []
+        self.tries: list[ClientRequest] = []
+        self.told: list[EndpointChange] = []
+        self.stopped: list[GatewayStop] = []
         self.entries = [
-            Entry(host.name, host.address, weight=plan.size_of(place)) for place, host in enumerate(hosts)
+            HostEntry(host.name, host.address, weight=plan.size_of(place)) for place, host in enumerate(hosts)
         ]
-        self.directory = Directory(*self.entries)
+        self.directory = StubDnsServer(*self.entries)
         self.gateways = [Gateway(number, folder, plan) for number in range(plan.gateways)]
         self.callers = [Caller(gateway, self.tries) for gateway in self.gateways]
         self.began_s = 0.0
@@ -125,30 +125,32 @@
                 assert time.monotonic() < end_s, f"gateway {gateway.number} did not start in time"
                 time.sleep(0.02)
 
-    def tell(self, entries: list[Entry]) -> None:
+    def tell(self, entries: list[HostEntry]) -> None:
         """A new list at the directory; gateways hear of it when they ask."""
         self.entries = entries
-        self.directory.put(*entries)
+        self.directory.update(*entries)
         now = time.monotonic()
         listed = {entry.name for entry in entries}
         for entry in entries:
             started = now - (time.time() - entry.started / 1000) if entry.started else 0.0
-            self.told.append(Told(now, entry.name, "draining" if entry.draining else "ready", started))
+            self.told.append(
+                EndpointChange(now, entry.name, "draining" if entry.draining else "ready", started)
+            )
         for name in {told.worker for told in self.told} - listed:
-            self.told.append(Told(now, name, "gone"))
+            self.told.append(EndpointChange(now, name, "gone"))
 
     def kill(self, gateways: Iterable[Gateway]) -> None:
         """Kill -9, all at once."""
         some = list(gateways)
         for gateway in some:
-            self.stopped.append(Stopped(gateway.number, time.monotonic(), True))
+            self.stopped.append(GatewayStop(gateway.number, time.monotonic(), True))
             gateway.send(signal.SIGKILL)
         for gateway in some:
             gateway.wait()
 
     def leave(self, gateway: Gateway) -> None:
         """SIGTERM."""
-        self.stopped.append(Stopped(gateway.number, time.monotonic(), False))
+        self.stopped.append(GatewayStop(gateway.number, time.monotonic(), False))
         gateway.send(signal.SIGTERM)
 
     def again(self, gateways: Iterable[Gateway]) -> None:
@@ -158,8 +160,8 @@
         now = time.monotonic()
         for gateway in some:
             for stop in self.stopped:
-                if stop.gateway == gateway.number and stop.back_s == float("inf"):
-                    stop.back_s = now
+                if stop.gateway == gateway.number and stop.restarted_s == float("inf"):
+                    stop.restarted_s = now
 
     def play(self, seconds: float, steps: Iterable[tuple[float, Callable[[], None]]] = ()) -> None:
         """Traffic for so long; each step runs at its time, on a thread of its own."""
@@ -189,7 +191,7 @@
             if thread.is_alive():
                 self.faults.append("a step did not end")
         end_s = time.monotonic() + 5.0
-        while time.monotonic() < end_s and any(not t.end for t in self.tries):
+        while time.monotonic() < end_s and any(not t.outcome for t in self.tries):
             time.sleep(0.02)
 
     def _step(self, at: float, step: Callable[[], None]) -> None:
@@ -211,14 +213,14 @@
         """A function's name on the platform."""
         return f"{0x5AFF0000 + place:016x}"
 
-    def sums(self, seen: Iterable[Seen], connects: Iterable[float]) -> Sums:
+    def sums(self, seen: Iterable[WorkerLogEntry], connects: Iterable[float]) -> Sums:
         """What hosts, directory and clients saw, by second."""
         sums = Sums(descriptors=self.most_descriptors, memory_mb=self.most_mb)
         for t in self.tries:
             sums.calls[int(t.sent_s - self.began_s)] += 1
         for at in connects:
             sums.links[int(at - self.began_s)] += 1
-        for at, _ in list(self.directory.asks):
+        for at, _ in list(self.directory.queries):
             sums.asks[int(at - self.began_s)] += 1
         for entry in seen:
             if entry.what == "arrive":
--- a/saffronstack/harness/fleet/faults.py
+++ b/saffronstack/harness/fleet/faults.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from saffronstack.audit.traffic import Seen
+from saffronstack.audit.traffic import WorkerLogEntry
 from saffronstack.harness.fleet.clients import Impatient
 from saffronstack.harness.fleet.cluster import Fleet
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.standin.model import Faults
-from saffronstack.standin.platform import Directory, Entry
+from saffronstack.standin.platform import HostEntry, StubDnsServer
 
 Step = tuple[float, Callable[[], None]]
 
@@ -28,7 +28,9 @@
     served: float  # part of the calls that were taken
     links_per_call: float = 1.0  # new connections to hosts
     plan: dict[str, Any] = field(default_factory=dict)  # what differs from the usual sizes and figures
-    look: Callable[[Fleet, list[Seen], float], list[str]] = lambda fleet, seen, seconds: []  # what is wrong
+    look: Callable[[Fleet, list[WorkerLogEntry], float], list[str]] = (
+        lambda fleet, seen, seconds: []
+    )  # what is wrong
 
 
 def cold(fleet: Fleet, places: range) -> None:
@@ -41,7 +43,7 @@
         host.start()
         started = int(time.time() * 1000)
         weight = fleet.plan.size_of(place)
-        entries[place] = Entry(host.name, host.address, False, started, host_zone(place), weight)
+        entries[place] = HostEntry(host.name, host.address, False, started, host_zone(place), weight)
     fleet.tell(entries)
 
 
@@ -73,8 +75,8 @@
     def moved() -> None:
         with fleet.turn:
             old = fleet.directory
-            fleet.directory = Directory(*fleet.entries, serial=old.serial)
-            fleet.directory.asks.extend(old.asks)
+            fleet.directory = StubDnsServer(*fleet.entries, serial=old.serial)
+            fleet.directory.queries.extend(old.queries)
             for gateway in fleet.gateways:
                 gateway.write(fleet.directory.address, fleet.entries, fleet.directory.serial)
                 gateway.send(signal.SIGHUP)
@@ -104,13 +106,13 @@
         fleet.tell([replace(entry, draining=n == 1) for n, entry in enumerate(fleet.entries)])
 
     def silent() -> None:
-        fleet.directory.spoil = lambda answer: None
+        fleet.directory.edit_response = lambda answer: None
 
     def older() -> None:
         now = fleet.directory
         serial, entries = now.serial, now.entries
         now.serial, now.entries = 1, [entry for entry in entries if not entry.draining][:2]
-        now.spoil = lambda answer: answer
+        now.edit_response = lambda answer: answer
         threading.Event().wait(0.6)
         now.serial, now.entries = serial, entries
 
@@ -127,16 +129,16 @@
 
     def stall() -> None:
         for host in group:
-            host.stall(True)
+            host.set_stalled(True)
 
     def go_on() -> None:
         for host in group:
-            host.stall(False)
+            host.set_stalled(False)
 
     def spoil() -> None:
         for host in others:
             host.faults = Faults(lose_answers=0.02)
-            host.reset_calls = 3
+            host.calls_to_reset = 3
 
     def mend() -> None:
         for host in others:
@@ -167,11 +169,11 @@
 
     def cut() -> None:
         for host in group:
-            host.cut(True)
+            host.set_unreachable(True)
 
     def mend() -> None:
         for host in group:
-            host.cut(False)
+            host.set_unreachable(False)
 
     return [(0.2 * seconds, cut), (0.7 * seconds, mend)]
 
--- a/saffronstack/harness/fleet/gateway.py
+++ b/saffronstack/harness/fleet/gateway.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 
 from saffronstack.harness.fleet.plan import FleetPlan
-from saffronstack.standin.platform import Entry
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.platform import HostEntry
+from saffronstack.standin.worker import reserve_port
 
 
 class Gateway:
@@ -24,12 +24,12 @@
         self.plan = plan
         self.path = folder / f"gateway-{number}.json"
         self.log = folder / f"gateway-{number}.log"
-        self._held = hold_port("127.0.0.1")  # nobody else gets the port between two lives
+        self._held = reserve_port("127.0.0.1")  # nobody else gets the port between two lives
         self.address = ("127.0.0.1", self._held.getsockname()[1])
         self.process: subprocess.Popen[bytes] | None = None
         self.lives = 0
 
-    def write(self, nameserver: str, entries: Iterable[Entry], serial: int) -> None:
+    def write(self, nameserver: str, entries: Iterable[HostEntry], serial: int) -> None:
         """The configuration file, changed as a whole."""
         states = {True: "Terminating", False: "Ready"}
         endpoints = [
--- a/saffronstack/harness/fleet/scenario.py
+++ b/saffronstack/harness/fleet/scenario.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from saffronstack.audit.rules import judge
-from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Traffic
+from saffronstack.audit.rules import find_breaches
+from saffronstack.audit.traffic import FunctionRule, RuleLimits, Traffic, WorkerLogEntry
 from saffronstack.harness.fleet.cluster import Fleet, Sums
 from saffronstack.harness.fleet.faults import DAYS as USUAL
 from saffronstack.harness.fleet.load_spread import Arrival, evenness
 from saffronstack.harness.fleet.plan import EFFECTS, FleetPlan
 from saffronstack.harness.fleet.uneven_load import UNEVEN
 from saffronstack.standin.model import Profile, Store
-from saffronstack.standin.platform import LinesHost
+from saffronstack.standin.platform import StubHost
 
 # One machine plays gateways, hosts and clients at once; how late its threads read comes on top, measured.
 SLACK_S = 0.35
@@ -73,14 +73,14 @@
     """Play a day; the machine must bear the rate."""
     sizes = {"gateways": gateways, "hosts": hosts, "rate": rate, "seed": seed}
     plan = FleetPlan(**{**sizes, **DAYS[name].plan})
-    seen: list[Seen] = []
+    seen: list[WorkerLogEntry] = []
     connects: list[float] = []
 
     def log(entry: dict[str, object]) -> None:
         if entry["what"] == "connect":
             connects.append(float(str(entry["t"])))
         else:
-            seen.append(msgspec.convert(entry, Seen, strict=False))
+            seen.append(msgspec.convert(entry, WorkerLogEntry, strict=False))
 
     profiles = [
         Profile(
@@ -92,7 +92,7 @@
     store = Store(capacity=64)
     catalog = (plan.memory_mb, plan.lanes)
     made = [
-        LinesHost(f"s-{n:04d}", profile, store, lambda function: catalog, log)
+        StubHost(f"s-{n:04d}", profile, store, lambda function: catalog, log)
         for n, profile in enumerate(profiles)
     ]
     with Fleet(plan, folder, made) as fleet:
@@ -102,20 +102,27 @@
 
 
 def _verdict(
-    name: str, plan: FleetPlan, fleet: Fleet, seen: list[Seen], sums: Sums, seconds: float
+    name: str, plan: FleetPlan, fleet: Fleet, seen: list[WorkerLogEntry], sums: Sums, seconds: float
 ) -> Verdict:
     rules = {t.function: FunctionRule(EFFECTS["look"]) for t in fleet.tries}
     rules |= {fleet.name_of(place): FunctionRule(EFFECTS["sell"]) for place in range(0, plan.functions, 5)}
     capacity = plan.cores / plan.work_s
-    figures = Figures(
+    figures = RuleLimits(
         drain_grace_s=2.0 + 1.5,  # a list counts as told 1.5 s after it changed
-        tip_multiple=3.0, cold_share=plan.cold_share, cold_s=plan.cold_s, gateways=plan.gateways,
+        overload_multiple=3.0, slow_start_min_fraction=plan.cold_share, slow_start_s=plan.cold_s,
+        gateways=plan.gateways,
         capacity_rps={told.worker: capacity for told in fleet.told}, slack_s=SLACK_S + fleet.lag.most_s,
     )  # fmt: skip
-    traffic = Traffic(rules, tries=fleet.tries, seen=list(seen), told=fleet.told, stopped=fleet.stopped)
-    ends = Counter(t.end for t in fleet.tries)
+    traffic = Traffic(
+        rules,
+        requests=fleet.tries,
+        worker_log=list(seen),
+        endpoint_changes=fleet.told,
+        gateway_stops=fleet.stopped,
+    )
+    ends = Counter(t.outcome for t in fleet.tries)
     taken = len(fleet.tries) - ends["broken"] - ends["not_taken"] - ends["left"]
-    times = sorted(t.ended_s - t.sent_s for t in fleet.tries if t.end == "served") or [0.0]
+    times = sorted(t.ended_s - t.sent_s for t in fleet.tries if t.outcome == "served") or [0.0]
     verdict = Verdict(name, len(fleet.tries))
     verdict.served, verdict.refused, verdict.failed = (
         ends[end] / max(1, taken) for end in ("served", "refused", "failed")
@@ -123,9 +130,9 @@
     verdict.lag_s = fleet.lag.most_s
     verdict.broken = ends["broken"]
     slack_s = SLACK_S + fleet.lag.most_s
-    answered = [t for t in fleet.tries if t.end in ("served", "refused", "failed")]
+    answered = [t for t in fleet.tries if t.outcome in ("served", "refused", "failed")]
     verdict.late = ends[""] + sum(t.ended_s > t.deadline_s + slack_s for t in answered)
-    verdict.breaches = [f"rule {breach.rule}: {breach.text}" for breach in judge(traffic, figures)]
+    verdict.breaches = [f"rule {breach.rule}: {breach.text}" for breach in find_breaches(traffic, figures)]
     verdict.breaches += fleet.faults
     doubled = sum(caller.doubled for caller in fleet.callers)
     if doubled:
--- a/saffronstack/harness/fleet/uneven_load.py
+++ b/saffronstack/harness/fleet/uneven_load.py
@@ -9,11 +9,11 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from saffronstack.audit.traffic import Seen, Try
+from saffronstack.audit.traffic import ClientRequest, WorkerLogEntry
 from saffronstack.harness.fleet.cluster import Fleet
 from saffronstack.harness.fleet.faults import Day, Step, calm, cold, host_zone
 from saffronstack.standin.model import Faults
-from saffronstack.standin.platform import Entry
+from saffronstack.standin.platform import HostEntry
 
 LATE_LIST_S = 1.2  # a list counts as told 1.5 s after it changed
 FLOOD = 2.0  # calls of the flooding tenant, as a multiple of all others'
@@ -21,19 +21,19 @@
 SETTLED = 0.5  # part of the day after which gateways have learnt of what began early
 
 
-def _arrivals(fleet: Fleet, seen: Iterable[Seen], since_s: float) -> Counter[str]:
+def _arrivals(fleet: Fleet, seen: Iterable[WorkerLogEntry], since_s: float) -> Counter[str]:
     """Calls by host, from so many seconds after the beginning on."""
     since_s += fleet.began_s
     return Counter(one.worker for one in seen if one.what == "arrive" and one.t - one.late >= since_s)
 
 
-def _served(tries: Iterable[Try]) -> float:
+def _served(tries: Iterable[ClientRequest]) -> float:
     """The part of those that were answered or should have been."""
-    ends = Counter(t.end for t in tries if t.end not in ("broken", "not_taken", "left"))
+    ends = Counter(t.outcome for t in tries if t.outcome not in ("broken", "not_taken", "left"))
     return ends["served"] / max(1, ends.total())
 
 
-def _most(fleet: Fleet, seen: list[Seen], seconds: float, host: int, multiple: float) -> list[str]:
+def _most(fleet: Fleet, seen: list[WorkerLogEntry], seconds: float, host: int, multiple: float) -> list[str]:
     """A host that gets more than a multiple of its fair share once the day has settled."""
     came = _arrivals(fleet, seen, SETTLED * seconds)
     name = fleet.hosts[host].name
@@ -41,7 +41,7 @@
     return [f"{name} got {share:.2f} of its fair share, {multiple:g} at most"] if share > multiple else []
 
 
-def _least(fleet: Fleet, seen: list[Seen], seconds: float, host: int, multiple: float) -> list[str]:
+def _least(fleet: Fleet, seen: list[WorkerLogEntry], seconds: float, host: int, multiple: float) -> list[str]:
     """A host that gets less than a part of its fair share though it is well."""
     came = _arrivals(fleet, seen, SETTLED * seconds)
     name = fleet.hosts[host].name
@@ -71,7 +71,7 @@
     return [(0.1 * seconds, lie)]
 
 
-def look_at_liars(fleet: Fleet, seen: list[Seen], seconds: float) -> list[str]:
+def look_at_liars(fleet: Fleet, seen: list[WorkerLogEntry], seconds: float) -> list[str]:
     """The one must not draw the traffic, the other must not be left alone."""
     return _most(fleet, seen, seconds, 0, 2.0) + _least(fleet, seen, seconds, 1, 0.05)
 
@@ -79,29 +79,29 @@
 def apart(fleet: Fleet, seconds: float) -> list[Step]:
     """Half of the gateways hear of each new list late: a host drains, leaves, and another one comes."""
 
-    def change(entries: Callable[[], list[Entry]]) -> Callable[[], None]:
+    def change(entries: Callable[[], list[HostEntry]]) -> Callable[[], None]:
         def step() -> None:
-            fleet.directory.behind = lambda port: port % 2 == 0
+            fleet.directory.gets_previous_list = lambda port: port % 2 == 0
             fleet.tell(entries())
             threading.Event().wait(LATE_LIST_S)
-            fleet.directory.behind = lambda port: False
+            fleet.directory.gets_previous_list = lambda port: False
 
         return step
 
-    def drained() -> list[Entry]:
-        return [Entry(e.name, e.address, n == 2, e.started, e.zone, e.weight)
+    def drained() -> list[HostEntry]:
+        return [HostEntry(e.name, e.address, n == 2, e.started, e.zone, e.weight)
                 for n, e in enumerate(fleet.entries)]  # fmt: skip
 
-    def left() -> list[Entry]:
+    def left() -> list[HostEntry]:
         return [entry for entry in fleet.entries if not entry.draining]
 
-    def back() -> list[Entry]:
+    def back() -> list[HostEntry]:
         host = fleet.hosts[2]
         host.stop()
         host.name += "x"
         host.start()
         started = int(time.time() * 1000)
-        return [*fleet.entries, Entry(host.name, host.address, False, started, host_zone(2))]
+        return [*fleet.entries, HostEntry(host.name, host.address, False, started, host_zone(2))]
 
     return [
         (0.15 * seconds, change(drained)), (0.4 * seconds, change(left)), (0.6 * seconds, change(back))
@@ -123,7 +123,7 @@
     return [(0.2 * seconds, run)]
 
 
-def look_at_flood(fleet: Fleet, seen: list[Seen], seconds: float) -> list[str]:
+def look_at_flood(fleet: Fleet, seen: list[WorkerLogEntry], seconds: float) -> list[str]:
     """Everybody else is served."""
     served = _served(t for t in fleet.tries if t.tenant == "acme")
     return [f"beside the flood {served:.3f} of the others' calls were served"] if served < 0.93 else []
@@ -142,7 +142,7 @@
     return [(0.5 * seconds, pause)]
 
 
-def look_at_sick(fleet: Fleet, seen: list[Seen], seconds: float) -> list[str]:
+def look_at_sick(fleet: Fleet, seen: list[WorkerLogEntry], seconds: float) -> list[str]:
     """A host that fails fast looks idle, and must not draw traffic; a slow one gets less than its share."""
     return _most(fleet, seen, seconds, 1, 0.7) + _most(fleet, seen, seconds, 0, 1.0)
 
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -24,7 +24,7 @@
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 FLEET = "rig"
 LEASE = "task/rig"
@@ -79,7 +79,7 @@
         self._server_names = [f"k{number}" for number in range(options.servers)]
         self._wires = Wires()
         self.judge = LeaseJudge()
-        self._reserved_ports = {name: hold_port("127.0.0.1") for name in self._server_names}
+        self._reserved_ports = {name: reserve_port("127.0.0.1") for name in self._server_names}
         self._addresses = {
             name: f"127.0.0.1:{port.getsockname()[1]}" for name, port in self._reserved_ports.items()
         }
@@ -222,7 +222,7 @@
         """Reserve an address and a disk for the next machine of a name; return the port reserved before."""
         self._machines[server] += 1
         self._snapshots[server].clear()
-        before, self._reserved_ports[server] = self._reserved_ports[server], hold_port("127.0.0.1")
+        before, self._reserved_ports[server] = self._reserved_ports[server], reserve_port("127.0.0.1")
         address = f"127.0.0.1:{self._reserved_ports[server].getsockname()[1]}"
         content = json.loads(self._fleet_file(server).read_text())
         for entry in content["keepers"]:
--- a/saffronstack/harness/rollout/fleet_watcher.py
+++ b/saffronstack/harness/rollout/fleet_watcher.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from saffronstack.audit.traffic import Stopped
+from saffronstack.audit.traffic import GatewayStop
 from saffronstack.fleet.control.messages import GatewayStatus
 from saffronstack.runtime.threads import start_thread
 
@@ -29,7 +29,7 @@
 
     reached: set[str] = field(default_factory=set)
     max_unavailable: int = 0
-    crashes: list[Stopped] = field(default_factory=list)
+    crashes: list[GatewayStop] = field(default_factory=list)
     restarts: dict[str, int] = field(default_factory=dict)
 
     def reset(self) -> None:
@@ -75,7 +75,7 @@
                 observations.reached.add(name)
             if status.restarts > observations.restarts.get(name, 0):  # it crashed, as a bad release does
                 now_s = time.monotonic()
-                crash = Stopped(int(name[1:]), now_s - CRASH_MARGIN_S, True, now_s + CRASH_MARGIN_S)
+                crash = GatewayStop(int(name[1:]), now_s - CRASH_MARGIN_S, True, now_s + CRASH_MARGIN_S)
                 observations.crashes.append(crash)
             observations.restarts[name] = status.restarts
         observations.max_unavailable = max(observations.max_unavailable, unavailable)
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from saffronstack.audit.traffic import Seen
+from saffronstack.audit.traffic import WorkerLogEntry
 from saffronstack.fleet.control.daemon_answers import merge_answers
 from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayStatus
 from saffronstack.fleet.control.releases import read_release
@@ -27,7 +27,7 @@
 from saffronstack.harness.rollout.sample_releases import write_release
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
 
 SAFFRONSTACK = [sys.executable, "-m", "saffronstack.cli.main"]
@@ -45,11 +45,11 @@
     def __init__(self, folder: pathlib.Path, sizes: RigSizes) -> None:
         self.sizes = sizes
         self.layout = RigLayout(folder, sizes)
-        self.worker_log: list[Seen] = []
+        self.worker_log: list[WorkerLogEntry] = []
         profile = Profile(memory_mb=MEMORY_MB, cores=8, work_s=0.01, load_s=0.1, keep_alive_s=30.0, queue=256)
-        self._workers = StandInFleet(
+        self._workers = StubWorkerFleet(
             sizes.workers, lambda number: profile, seed=sizes.seed,
-            log=lambda entry: self.worker_log.append(msgspec.convert(entry, Seen, strict=False)),
+            log=lambda entry: self.worker_log.append(msgspec.convert(entry, WorkerLogEntry, strict=False)),
         )  # fmt: skip
         self.wires = Wires()
         self.fleet_path = self.layout.write_fleet_file("fleet.json5", self.daemons)
@@ -58,7 +58,7 @@
 
     def __enter__(self) -> RolloutRig:
         for name, address in self.gateways.items():
-            content = sample(self._workers.entries(), address, memory_mb=MEMORY_MB)
+            content = sample_config(self._workers.entries(), address, memory_mb=MEMORY_MB)
             content["instances"] = self.sizes.gateways
             self.layout.write_json(f"{name}.json5", content)
         for name in self.keepers:
--- a/saffronstack/harness/rollout/rig_layout.py
+++ b/saffronstack/harness/rollout/rig_layout.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 FLEET = "rig"
 ZONES = ("east", "west", "south")
@@ -51,7 +51,7 @@
         self.folder, self.sizes = folder, sizes
         self.releases = folder / "releases"
         count = KEEPERS + sizes.daemons + sizes.gateways
-        self._ports = [hold_port("127.0.0.1") for _ in range(count)]
+        self._ports = [reserve_port("127.0.0.1") for _ in range(count)]
         addresses = iter([f"127.0.0.1:{port.getsockname()[1]}" for port in self._ports])
         self.keepers = {f"k{number}": next(addresses) for number in range(KEEPERS)}
         self.daemons = {f"d{number}": next(addresses) for number in range(sizes.daemons)}
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from saffronstack.audit.rules import judge
-from saffronstack.audit.traffic import Figures, FunctionRule, Traffic
+from saffronstack.audit.rules import find_breaches
+from saffronstack.audit.traffic import FunctionRule, RuleLimits, Traffic
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.rollout.record import RolloutPhase
 from saffronstack.harness.rollout.fleet_watcher import FleetWatcher
@@ -183,11 +183,14 @@
         record, attempts = self._rig.record(), self._clients.tries
         observations = self._rig.observations
         operations = {one.op for one in attempts}
-        served = {one.op for one in attempts if one.end in ("served", "accepted")}
+        served = {one.op for one in attempts if one.outcome in ("served", "accepted")}
         traffic = Traffic(
-            RULES, tries=attempts, seen=list(self._rig.worker_log), stopped=list(observations.crashes)
+            RULES,
+            requests=attempts,
+            worker_log=list(self._rig.worker_log),
+            gateway_stops=list(observations.crashes),
         )
-        breaches = judge(traffic, Figures(slack_s=SLACK_S, gateways=len(self._rig.gateways)))
+        breaches = find_breaches(traffic, RuleLimits(slack_s=SLACK_S, gateways=len(self._rig.gateways)))
         return RolloutOutcome(
             status=status,
             phase=record.phase if record is not None else None,
@@ -196,7 +199,7 @@
             max_unavailable=observations.max_unavailable,
             operations=len(operations),
             harmed_share=1 - len(served) / max(1, len(operations)),
-            attempt_ends=Counter(one.end for one in attempts),
+            attempt_ends=Counter(one.outcome for one in attempts),
             breaches=[f"rule {breach.rule}: {breach.text}" for breach in breaches] + self._troubles,
             history=list(record.history) if record is not None else [],
         )
--- a/saffronstack/harness/scenario/clients.py
+++ b/saffronstack/harness/scenario/clients.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from saffronstack.audit.traffic import Try
+from saffronstack.audit.traffic import ClientRequest
 from saffronstack.client import Client, Response
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.http1.messages import HttpError
@@ -43,7 +43,7 @@
         ``prefix``: of operations' names, another one for each time that the same workers are called.
         """
         self._prefix = prefix
-        self.tries: list[Try] = []
+        self.tries: list[ClientRequest] = []
         self.dropped = 0
         self._addresses = addresses
         self._mix = mix
@@ -99,7 +99,7 @@
                     self._addresses[gateway], PATIENCE_S, tenant=tenant
                 )
             for attempt in range(self._mix.tries):
-                t = Try(op, gateway, function, 0.0, 0.0, deferred, tenant, attempt=attempt)
+                t = ClientRequest(op, gateway, function, 0.0, 0.0, deferred, tenant, attempt=attempt)
                 if self._try(client, t) in ENDED:
                     break
                 if attempt + 1 < self._mix.tries:
@@ -107,7 +107,7 @@
         for client in clients.values():
             client.close()
 
-    def _try(self, client: Client, t: Try) -> str:
+    def _try(self, client: Client, t: ClientRequest) -> str:
         payload = msgspec.json.encode({"op": t.op, "tenant": t.tenant})
         t.sent_s = time.monotonic()
         t.deadline_s = t.sent_s + PATIENCE_S
@@ -119,18 +119,18 @@
             kind = "Event" if t.deferred else "RequestResponse"
             answer = client.invoke(t.function, payload, kind, named)
         except ConnectionRefusedError:
-            t.end = "not_taken"
+            t.outcome = "not_taken"
         except (OSError, HttpError):
-            t.end = "broken"
+            t.outcome = "broken"
         else:
             t.id = answer.headers.get("x-amzn-requestid")
-            t.end = _ending(answer)
+            t.outcome = _ending(answer)
             t.answer = xxhash.xxh3_64_hexdigest(answer.body)
             t.extra_bytes = client.unsolicited_byte_count()
         t.ended_s = time.monotonic()
         with self._lock:
             self.tries.append(t)
-        return t.end
+        return t.outcome
 
 
 def _ending(answer: Response) -> str:
--- a/saffronstack/harness/scenario/director.py
+++ b/saffronstack/harness/scenario/director.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from saffronstack.audit.traffic import Stopped, Told
+from saffronstack.audit.traffic import EndpointChange, GatewayStop
 from saffronstack.harness.scenario.plan import Plan, Trouble
 from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StandInHost
 from saffronstack.runtime.threads import start_thread
@@ -33,8 +33,8 @@
         seed: int,
     ) -> None:
         """``content`` makes a gateway's configuration of the list of workers."""
-        self.told: list[Told] = []
-        self.stopped: list[Stopped] = []
+        self.told: list[EndpointChange] = []
+        self.stopped: list[GatewayStop] = []
         self.problems: list[str] = []
         self.rate_factor = 1.0
         self.scan_share = 0.0
@@ -110,7 +110,7 @@
                 name = self._host.workers[number]["id"]
                 state = "gone" if entry is None else entry.get("state", "ready")
                 started = entry.get("started_at", 0.0) if entry else 0.0
-                self.told.append(Told(now, name, state, now - (wall - started) if started else 0.0))
+                self.told.append(EndpointChange(now, name, state, now - (wall - started) if started else 0.0))
             self._write()
             for gateway in self._gateways:
                 if gateway.number not in self._down and self._plan.membership == "signal":
@@ -156,7 +156,7 @@
             chosen = self._random.sample(up, min(len(up), max(1, round(trouble.share * len(self._gateways)))))
             self._down.update(g.number for g in chosen)
         for gateway in chosen:
-            stop = Stopped(gateway.number, time.monotonic(), killed=True)
+            stop = GatewayStop(gateway.number, time.monotonic(), killed=True)
             self.stopped.append(stop)
             gateway.kill()
         time.sleep(trouble.for_s)
@@ -169,7 +169,7 @@
                 if gateway.number in self._down:
                     continue
                 self._down.add(gateway.number)
-            self.stopped.append(Stopped(gateway.number, time.monotonic(), killed=False))
+            self.stopped.append(GatewayStop(gateway.number, time.monotonic(), killed=False))
             status = gateway.ask_to_end()
             if status != 0:
                 self.problems.append(f"gateway {gateway.number} ended with status {status} when asked to")
@@ -182,8 +182,8 @@
             self._down.discard(gateway.number)
             gateway.hangup()  # the list may have changed while it read its file
             for stop in self.stopped:
-                if stop.gateway == gateway.number and stop.back_s == float("inf"):
-                    stop.back_s = time.monotonic()
+                if stop.gateway == gateway.number and stop.restarted_s == float("inf"):
+                    stop.restarted_s = time.monotonic()
 
     def _burst(self, trouble: Trouble) -> None:
         self.rate_factor = trouble.factor
--- a/saffronstack/harness/scenario/final_records.py
+++ b/saffronstack/harness/scenario/final_records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from saffronstack.audit.traffic import Try
+from saffronstack.audit.traffic import ClientRequest
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
 
@@ -16,7 +16,7 @@
 
 
 def read_final_records(
-    tries: Iterable[Try], addresses: Mapping[int, str], timeout_s: float
+    tries: Iterable[ClientRequest], addresses: Mapping[int, str], timeout_s: float
 ) -> dict[str, list[str]]:
     """Wait for the final records of all accepted calls.
 
@@ -31,7 +31,7 @@
         The distinct conditions of each call; none where it has no final record in time.
     """
     clients = {number: Client(address, REQUEST_TIMEOUT_S) for number, address in addresses.items()}
-    client_of = {one.id: clients[one.gateway] for one in tries if one.end == "accepted"}
+    client_of = {one.id: clients[one.gateway] for one in tries if one.outcome == "accepted"}
     finals: dict[str, list[str]] = {request_id: [] for request_id in client_of}
     missing = set(finals)
     deadline_s = time.monotonic() + timeout_s
--- a/saffronstack/harness/scenario/processes.py
+++ b/saffronstack/harness/scenario/processes.py
@@ -13,7 +13,7 @@
 from typing import IO, Any
 
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 START_S = 20.0
 ANSWER_S = 30.0
@@ -49,7 +49,7 @@
         self.roster_state = directory / f"roster-{number}"
         self._generation = 0
         self.errors = directory / f"gateway-{number}.log"
-        self._placeholder = hold_port("127.0.0.1")
+        self._placeholder = reserve_port("127.0.0.1")
         self.address = f"127.0.0.1:{self._placeholder.getsockname()[1]}"
         self.process: subprocess.Popen[bytes] | None = None
 
--- a/saffronstack/harness/scenario/report.py
+++ b/saffronstack/harness/scenario/report.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from saffronstack.audit.rules import Breach
-from saffronstack.audit.traffic import Traffic, Try
+from saffronstack.audit.traffic import ClientRequest, Traffic
 from saffronstack.harness.scenario.plan import Plan
 
 IN_TIME_S = 0.5
@@ -48,9 +48,9 @@
     """Print figures, a line for each rule, breaches and problems."""
     _print_sizes(report)
     _print_functions(report)
-    conditions = Counter(one for found in report.traffic.finals.values() for one in found)
+    conditions = Counter(one for found in report.traffic.final_records.values() for one in found)
     ended = ", ".join(f"{count} {name}" for name, count in sorted(conditions.items())) or "none ended"
-    click.echo(f"deferred: {len(report.traffic.finals)} accepted, {ended}")
+    click.echo(f"deferred: {len(report.traffic.final_records)} accepted, {ended}")
     click.echo(f"usage: {report.memory_mb_s:.0f} MB s of loading and running metered")
     broken = Counter(breach.rule for breach in report.breaches)
     for number, name in enumerate(RULES, 1):
@@ -65,10 +65,10 @@
 def _print_sizes(report: Report) -> None:
     plan, traffic = report.plan, report.traffic
     click.echo(
-        f"{report.title}: {len(traffic.tries)} tries, {plan.gateways} gateways "
-        f"before {plan.workers.count} emulated workers, {len(traffic.stopped)} gateway stops, "
+        f"{report.title}: {len(traffic.requests)} tries, {plan.gateways} gateways "
+        f"before {plan.workers.count} emulated workers, {len(traffic.gateway_stops)} gateway stops, "
         f"{report.dropped} calls not sent for want of clients, "
-        f"{len(traffic.lost)} answers lost behind gateways"
+        f"{len(traffic.lost_responses)} answers lost behind gateways"
     )
 
 
@@ -78,21 +78,21 @@
         f"{'p50 ms':>9}{'p99 ms':>9}"
     )
     for function in [*report.plan.traffic.functions, SCAN]:
-        tries = [one for one in report.traffic.tries if _is_counted(one, function)]
+        tries = [one for one in report.traffic.requests if _is_counted(one, function)]
         if tries:
             _print_function(function, tries)
 
 
-def _is_counted(attempt: Try, function: str) -> bool:
-    if attempt.deferred or attempt.end == "not_taken":
+def _is_counted(attempt: ClientRequest, function: str) -> bool:
+    if attempt.deferred or attempt.outcome == "not_taken":
         return False
     is_scan = function == SCAN and attempt.function.startswith(f"{SCAN}-")
     return attempt.function == function or is_scan
 
 
-def _print_function(function: str, tries: list[Try]) -> None:
-    ends = Counter(one.end for one in tries)
-    served_s = [one.ended_s - one.sent_s for one in tries if one.end == "served"]
+def _print_function(function: str, tries: list[ClientRequest]) -> None:
+    ends = Counter(one.outcome for one in tries)
+    served_s = [one.ended_s - one.sent_s for one in tries if one.outcome == "served"]
     latencies = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for time_s in served_s:
         latencies.record_value(max(1, int(time_s * US_PER_S)))
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -14,8 +14,8 @@
 import click
 import msgspec
 
-from saffronstack.audit.rules import judge
-from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Traffic
+from saffronstack.audit.rules import find_breaches
+from saffronstack.audit.traffic import FunctionRule, RuleLimits, Traffic, WorkerLogEntry
 from saffronstack.config import ConfigError
 from saffronstack.harness.scenario import plan as plans
 from saffronstack.harness.scenario.clients import Clients
@@ -28,7 +28,7 @@
 from saffronstack.metering.merged_accounts import merge_accounts
 from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.metering.usage_report import MB_S
-from saffronstack.standin.fleet import sample
+from saffronstack.standin.fleet import sample_config
 
 ANSWER_MARGIN_S = 0.3  # the machine runs gateways, workers and clients at once
 TENANTS = ("corner-books", "campus-app")
@@ -94,7 +94,7 @@
     def content(self, gateway: GatewayProcess, workers: list[dict[str, Any]]) -> dict[str, Any]:
         """A gateway's configuration."""
         plan = self.plan
-        content = sample(workers, gateway.address, str(gateway.ledger), plan.workers.memory_mb)
+        content = sample_config(workers, gateway.address, str(gateway.ledger), plan.workers.memory_mb)
         content["functions"].append(
             {"name": "scan-*", "class": "lookup", "memory_mb": 256, "lanes": 1, "load_s": plan.workers.load_s}
         )
@@ -133,7 +133,7 @@
             host.end()
         problems = played.problems + self._unbalanced()
         traffic = self._traffic(host, played)
-        breaches = judge(traffic, self._figures(host))
+        breaches = find_breaches(traffic, self._figures(host))
         title = f"{self.plan.name}, seed {self.seed}, membership by {self.plan.membership}"
         dropped = played.clients.dropped
         print_report(Report(title, self.plan, traffic, breaches, problems, dropped, self._memory_mb_s))
@@ -153,14 +153,14 @@
         }
         return {"count": workers.count, "log": str(self.log), "seed": self.seed, "profiles": [profile]}
 
-    def _figures(self, host: StandInHost) -> Figures:
+    def _figures(self, host: StandInHost) -> RuleLimits:
         workers, rules = self.plan.workers, self.plan.rules
-        return Figures(
+        return RuleLimits(
             drain_grace_s=rules.drain_grace_s,
-            tip_multiple=rules.tip_multiple,
-            tip_after_s=rules.tip_after_s,
-            cold_share=rules.cold_share,
-            cold_s=rules.cold_s,
+            overload_multiple=rules.tip_multiple,
+            overload_window_s=rules.tip_after_s,
+            slow_start_min_fraction=rules.cold_share,
+            slow_start_s=rules.cold_s,
             capacity_rps={worker["id"]: workers.cores / workers.work_s for worker in host.workers},
             gateways=self.plan.gateways,
         )
@@ -248,19 +248,19 @@
     def _traffic(self, host: StandInHost, played: _PlayedDay) -> Traffic:
         """All that was seen."""
         lines = self.log.read_bytes().splitlines()
-        seen = [msgspec.json.decode(line, type=Seen) for line in lines]
+        seen = [msgspec.json.decode(line, type=WorkerLogEntry) for line in lines]
         seen.sort(key=lambda entry: entry.t)
         functions = {
             "identify-copy": FunctionRule("safe"),
             "suggest-price": FunctionRule("safe"),
             "scan-*": FunctionRule("safe"),
-            "record-sale": FunctionRule("unsafe", noted=True),
-            "adjust-setting": FunctionRule("keyed", "all", 10.0, noted=True),
+            "record-sale": FunctionRule("unsafe", is_logged=True),
+            "adjust-setting": FunctionRule("keyed", "all", 10.0, is_logged=True),
         }
         zones = {w["id"]: (w["zone"], w["cell"]) for w in host.workers}
         told, stopped = played.director.told, played.director.stopped
         traffic = Traffic(functions, zones, played.clients.tries, seen, told, stopped)
-        traffic.finals.update(played.finals)
-        traffic.lost |= played.lost
-        traffic.untaken |= played.untaken
+        traffic.final_records.update(played.finals)
+        traffic.lost_responses |= played.lost
+        traffic.unaccepted |= played.untaken
         return traffic
--- a/saffronstack/harness/soak/http_play.py
+++ b/saffronstack/harness/soak/http_play.py
@@ -15,13 +15,20 @@
 
 import msgspec
 
-from saffronstack.audit.rules import judge
-from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Stopped, Traffic, Try
+from saffronstack.audit.rules import find_breaches
+from saffronstack.audit.traffic import (
+    ClientRequest,
+    FunctionRule,
+    GatewayStop,
+    RuleLimits,
+    Traffic,
+    WorkerLogEntry,
+)
 from saffronstack.client import Client
 from saffronstack.harness.soak.platform_play import PlayError
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
 
 RULES = {
@@ -79,7 +86,7 @@
     """Clients of which each calls again once it is answered, until the gateway takes nothing more."""
 
     def __init__(self, address: str, count: int, seed: int) -> None:
-        self.tries: list[Try] = []
+        self.tries: list[ClientRequest] = []
         self._address = address
         self._terminated = threading.Event()
         self._threads = [
@@ -100,28 +107,30 @@
         chance = random.Random(seed * 1000 + number)
         client = Client(self._address, CLIENT_TIMEOUT_S, tenant=TENANT)
         for call in range(1_000_000):
-            attempt = Try(f"{number}-{call}", 0, chance.choice(sorted(RULES)), 0.0, 0.0, tenant=TENANT)
+            attempt = ClientRequest(
+                f"{number}-{call}", 0, chance.choice(sorted(RULES)), 0.0, 0.0, tenant=TENANT
+            )
             self._call(client, attempt)
             self.tries.append(attempt)
-            if self._terminated.is_set() and attempt.end in ("not_taken", "broken"):
+            if self._terminated.is_set() and attempt.outcome in ("not_taken", "broken"):
                 break
         client.close()
 
-    def _call(self, client: Client, attempt: Try) -> None:
+    def _call(self, client: Client, attempt: ClientRequest) -> None:
         payload = msgspec.json.encode({"op": attempt.op, "tenant": TENANT})
         attempt.sent_s = time.monotonic()
         attempt.deadline_s = attempt.sent_s + CLIENT_TIMEOUT_S
         try:
             answer = client.invoke(attempt.function, payload)
         except ConnectionRefusedError:
-            attempt.end = "not_taken"
+            attempt.outcome = "not_taken"
         except TimeoutError:  # no handshake, or no answer
-            attempt.end = "broken"
+            attempt.outcome = "broken"
         except (OSError, HttpError):
-            attempt.end = "broken"
+            attempt.outcome = "broken"
         else:
             attempt.id = answer.headers.get("x-amzn-requestid")
-            attempt.end = STATUS_ENDS.get(answer.status, "error")
+            attempt.outcome = STATUS_ENDS.get(answer.status, "error")
             attempt.extra_bytes = client.unsolicited_byte_count()
         attempt.ended_s = time.monotonic()
 
@@ -132,11 +141,11 @@
     def __init__(self, schedule: HttpSchedule, folder: pathlib.Path) -> None:
         self._schedule = schedule
         self._folder = folder
-        self._worker_log: list[Seen] = []
+        self._worker_log: list[WorkerLogEntry] = []
         profile = Profile(work_s=0.01, load_s=0.05, cores=8, queue=256)
-        self._workers = StandInFleet(
+        self._workers = StubWorkerFleet(
             3, lambda number: profile, seed=schedule.seed,
-            log=lambda entry: self._worker_log.append(msgspec.convert(entry, Seen, strict=False)),
+            log=lambda entry: self._worker_log.append(msgspec.convert(entry, WorkerLogEntry, strict=False)),
         )  # fmt: skip
 
     def play(self) -> HttpVerdict:
@@ -171,17 +180,22 @@
         clients.join()
         return self._judge(clients.tries, status, terminated_s, ended_s)
 
-    def _judge(self, tries: list[Try], status: int, terminated_s: float, ended_s: float) -> HttpVerdict:
-        stopped = [Stopped(0, terminated_s, killed=False)]
-        traffic = Traffic(RULES, tries=tries, seen=self._worker_log, stopped=stopped)
-        breaches = [f"rule {one.rule}: {one.text}" for one in judge(traffic, Figures(slack_s=JUDGE_SLACK_S))]
+    def _judge(
+        self, tries: list[ClientRequest], status: int, terminated_s: float, ended_s: float
+    ) -> HttpVerdict:
+        stopped = [GatewayStop(0, terminated_s, killed=False)]
+        traffic = Traffic(RULES, requests=tries, worker_log=self._worker_log, gateway_stops=stopped)
+        breaches = [
+            f"rule {one.rule}: {one.text}"
+            for one in find_breaches(traffic, RuleLimits(slack_s=JUDGE_SLACK_S))
+        ]
         if status:
             breaches.append(f"the gateway ended with status {status}")
-        return HttpVerdict(tuple(breaches), Counter(one.end for one in tries), ended_s - terminated_s)
+        return HttpVerdict(tuple(breaches), Counter(one.outcome for one in tries), ended_s - terminated_s)
 
     def _command(self) -> list[str]:
         schedule = self._schedule
-        content = sample(self._workers.entries(), "127.0.0.1:0")
+        content = sample_config(self._workers.entries(), "127.0.0.1:0")
         path = self._folder / f"serve-{schedule.seed}-{schedule.processes}.json5"
         path.write_text(json.dumps(content))
         command = [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path)]
--- a/saffronstack/harness/soak/platform_config.py
+++ b/saffronstack/harness/soak/platform_config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from saffronstack.standin.platform import Entry
+from saffronstack.standin.platform import HostEntry
 
 MEMORY_MB = 128
 CLASSES = {"look": "safe", "sell": "unsafe"}
@@ -26,7 +26,7 @@
 
 
 def write_config(
-    listen: str, nameserver: str, entries: Iterable[Entry], sockets: int, longest_deadline_s: float
+    listen: str, nameserver: str, entries: Iterable[HostEntry], sockets: int, longest_deadline_s: float
 ) -> bytes:
     """Return the file's content.
 
@@ -62,7 +62,7 @@
     return msgspec.json.encode(content)
 
 
-def _endpoint(entry: Entry) -> dict[str, Any]:
+def _endpoint(entry: HostEntry) -> dict[str, Any]:
     return {
         "name": entry.name,
         "address": entry.address,
--- a/saffronstack/harness/soak/platform_play.py
+++ b/saffronstack/harness/soak/platform_play.py
@@ -23,8 +23,8 @@
 from saffronstack.harness.soak.thread_sampler import ThreadSampler
 from saffronstack.harness.soak.traffic import ObservedPlay
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.platform import Directory, Entry
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.platform import HostEntry, StubDnsServer
+from saffronstack.standin.worker import reserve_port
 
 START_TIMEOUT_S = 30.0
 KILLED_TIMEOUT_S = 10.0
@@ -115,8 +115,8 @@
         self._program = program
         self._writes = DelayedWrites()
         self._hosts = [self._make_host(behaviour, number) for number, behaviour in enumerate(schedule.hosts)]
-        self._entries = [Entry(f"s-{number}", host.address) for number, host in enumerate(self._hosts)]
-        self._directory = Directory(*self._entries)
+        self._entries = [HostEntry(f"s-{number}", host.address) for number, host in enumerate(self._hosts)]
+        self._directory = StubDnsServer(*self._entries)
 
     def play(self) -> PlayedSchedule:
         """Play it, and judge it.
@@ -125,7 +125,7 @@
             PlayError: The gateway did not start.
         """
         try:
-            with _without_collections(), hold_port("127.0.0.1") as holder:
+            with _without_collections(), reserve_port("127.0.0.1") as holder:
                 return self._play_on(f"127.0.0.1:{holder.getsockname()[1]}")
         finally:
             self._directory.close()
@@ -196,7 +196,7 @@
         fresh = self._make_host(HostBehaviour.QUICK, len(self._hosts))
         self._hosts.append(fresh)
         draining = replace(gone, draining=True)
-        self._directory.put(*self._entries[:-1], draining, Entry("s-new", fresh.address))
+        self._directory.update(*self._entries[:-1], draining, HostEntry("s-new", fresh.address))
 
     def _make_host(self, behaviour: HostBehaviour, number: int) -> SoakHost:
         schedule = self._schedule
--- a/saffronstack/harness/soak/restart_play.py
+++ b/saffronstack/harness/soak/restart_play.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from saffronstack.audit.rules import judge
-from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Stopped, Traffic
+from saffronstack.audit.rules import find_breaches
+from saffronstack.audit.traffic import FunctionRule, GatewayStop, RuleLimits, Traffic, WorkerLogEntry
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.final_records import read_final_records
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.harness.scenario.processes import GatewayProcess
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
 
 RULES = {
@@ -80,11 +80,11 @@
     def __init__(self, schedule: RestartSchedule, folder: pathlib.Path, program: str = "") -> None:
         """``program``: code to run in place of the second process, for a broken variant."""
         self._schedule, self._program = schedule, program
-        self._worker_log: list[Seen] = []
+        self._worker_log: list[WorkerLogEntry] = []
         profile = Profile(work_s=WORK_S, load_s=0.05, cores=16, queue=256)
-        self._workers = StandInFleet(
+        self._workers = StubWorkerFleet(
             3, lambda number: profile, seed=schedule.seed,
-            log=lambda entry: self._worker_log.append(msgspec.convert(entry, Seen, strict=False)),
+            log=lambda entry: self._worker_log.append(msgspec.convert(entry, WorkerLogEntry, strict=False)),
         )  # fmt: skip
         folder.mkdir(exist_ok=True)
         self._gateway = GatewayProcess(0, folder)
@@ -96,7 +96,7 @@
             ScenarioError: A process did not start.
         """
         gateway = self._gateway
-        gateway.write(sample(self._workers.entries(), gateway.address, str(gateway.ledger)))
+        gateway.write(sample_config(self._workers.entries(), gateway.address, str(gateway.ledger)))
         try:
             return self._play()
         finally:
@@ -119,7 +119,7 @@
         elif status := gateway.ask_to_end():
             problems.append(f"the first process ended with status {status}")
         gateway.start(self._program)
-        stop = Stopped(0, ended_s, schedule.is_killed, time.monotonic())
+        stop = GatewayStop(0, ended_s, schedule.is_killed, time.monotonic())
         time.sleep(AFTER_RESTART_S)
         is_over.set()
         load.join(CLIENTS_END_S)
@@ -131,16 +131,16 @@
         return self._judge(clients, stop, finals, problems)
 
     def _judge(
-        self, clients: Clients, stop: Stopped, finals: dict[str, list[str]], problems: list[str]
+        self, clients: Clients, stop: GatewayStop, finals: dict[str, list[str]], problems: list[str]
     ) -> RestartVerdict:
         seen = sorted(self._worker_log, key=lambda entry: entry.t)
-        traffic = Traffic(RULES, tries=clients.tries, seen=seen, stopped=[stop])
-        traffic.finals.update(finals)
-        found = judge(traffic, Figures(slack_s=JUDGE_SLACK_S))
+        traffic = Traffic(RULES, requests=clients.tries, worker_log=seen, gateway_stops=[stop])
+        traffic.final_records.update(finals)
+        found = find_breaches(traffic, RuleLimits(slack_s=JUDGE_SLACK_S))
         breaches = [f"rule {breach.rule}: {breach.text}" for breach in found]
         conditions = Counter(condition for conditions in finals.values() for condition in conditions)
         return RestartVerdict(
-            tuple(breaches + problems), Counter(one.end for one in clients.tries), conditions
+            tuple(breaches + problems), Counter(one.outcome for one in clients.tries), conditions
         )
 
 
@@ -148,7 +148,7 @@
     """Wait for a time, and for as many accepted calls as are wanted, which take longer on a busy machine."""
     started_s = time.monotonic()
     while time.monotonic() < started_s + MAX_LOAD_S:
-        accepted = sum(one.end == "accepted" for one in list(clients.tries))
+        accepted = sum(one.outcome == "accepted" for one in list(clients.tries))
         if accepted >= MIN_ACCEPTED and time.monotonic() >= started_s + before_s:
             return
         time.sleep(POLL_S)
--- a/saffronstack/standin/fleet.py
+++ b/saffronstack/standin/fleet.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from saffronstack.standin.model import Profile, Store
-from saffronstack.standin.worker import Entry, StandIn
+from saffronstack.standin.worker import LogEntry, StubWorker
 
 
-class StandInFleet:
+class StubWorkerFleet:
     """Workers that share a store."""
 
     def __init__(
@@ -18,12 +18,12 @@
         profile: Callable[[int], Profile] = lambda n: Profile(),
         *,
         seed: int = 0,
-        log: Callable[[Entry], None] | None = None,
+        log: Callable[[LogEntry], None] | None = None,
         first: int = 1,
     ) -> None:
         self.store = Store()
         self.workers = [
-            StandIn(f"worker-{n + first}", profile(n), self.store, seed=seed * 1000 + n, log=log)
+            StubWorker(f"worker-{n + first}", profile(n), self.store, seed=seed * 1000 + n, log=log)
             for n in range(count)
         ]
 
@@ -46,7 +46,7 @@
         ]
 
 
-def sample(
+def sample_config(
     workers: list[dict[str, Any]], listen: str, ledger: str = "", memory_mb: float = 4096.0
 ) -> dict[str, Any]:
     """The sample configuration: two tenants, and functions of each class."""
--- a/saffronstack/standin/host.py
+++ b/saffronstack/standin/host.py
@@ -9,20 +9,20 @@
 import msgspec
 
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from saffronstack.standin.model import Faults, Profile
-from saffronstack.standin.worker import Entry
+from saffronstack.standin.worker import LogEntry
 
 
-class _Log:
+class _LogWriter:
     """Lines written by a thread of their own, so that no worker waits for the disk."""
 
     def __init__(self, path: str) -> None:
         self._file = open(path, "ab")  # noqa: SIM115 - open as long as the process
-        self._queue: queue.SimpleQueue[Entry] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[LogEntry] = queue.SimpleQueue()
         start_thread("log", self._run)
 
-    def write(self, entry: Entry) -> None:
+    def write(self, entry: LogEntry) -> None:
         """One line more."""
         self._queue.put(entry)
 
@@ -35,33 +35,33 @@
             self._file.write(b"\n".join(lines) + b"\n")
             self._file.flush()
 
-    def drained(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether all was written."""
         return self._queue.empty()
 
 
 def main() -> int:
     """``{"count", "log", "seed", "profiles"}`` first, then commands, until the input ends."""
-    head = msgspec.json.decode(sys.stdin.buffer.readline())
-    profiles = [msgspec.convert(profile, Profile) for profile in head["profiles"]]
-    log = _Log(head["log"])
-    fleet = StandInFleet(
-        head["count"],
+    options = msgspec.json.decode(sys.stdin.buffer.readline())
+    profiles = [msgspec.convert(profile, Profile) for profile in options["profiles"]]
+    log = _LogWriter(options["log"])
+    fleet = StubWorkerFleet(
+        options["count"],
         lambda n: profiles[n % len(profiles)],
-        seed=head["seed"],
+        seed=options["seed"],
         log=log.write,
-        first=head.get("first", 1),
+        first=options.get("first", 1),
     )
-    _say({"workers": fleet.entries()})
+    _write_line({"workers": fleet.entries()})
     for line in sys.stdin.buffer:
         command = msgspec.json.decode(line)
-        _obey(fleet, command)
-        _say({"done": command["do"]})
+        _execute_command(fleet, command)
+        _write_line({"done": command["do"]})
     fleet.stop()
     return 0
 
 
-def _obey(fleet: StandInFleet, command: dict[str, Any]) -> None:
+def _execute_command(fleet: StubWorkerFleet, command: dict[str, Any]) -> None:
     if command["do"] == "store":
         fleet.store.slow = float(command["slow"])
         return
@@ -77,8 +77,8 @@
             worker.model.drop()
 
 
-def _say(what: dict[str, Any]) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(what) + b"\n")
+def _write_line(message: dict[str, Any]) -> None:
+    sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
     sys.stdout.buffer.flush()
 
 
--- a/saffronstack/standin/model.py
+++ b/saffronstack/standin/model.py
@@ -1,4 +1,4 @@
-"""What a stand-in worker holds and does with a call: copies in memory, loads, lanes, cores. No sockets."""
+"""Simulates a worker without sockets: instances in memory, loads, concurrent calls and cores."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     told_waiting: int = 0
 
 
-NOBODY = CallReference("", "", "")
+NO_CALL = CallReference("", "", "")
 
 
 class WorkerDiedError(Exception):
@@ -60,66 +60,68 @@
 class Store:
     """The store that all workers fetch from: fetches over its capacity take longer, past a limit none."""
 
-    def __init__(self, capacity: int = 16, most: int = 256) -> None:
+    def __init__(self, capacity: int = 16, max_fetches: int = 256) -> None:
         self.capacity = capacity
-        self.most = most
+        self.max_fetches = max_fetches
         self.slow = 1.0
         self.fetches = 0
-        self._out = 0
+        self._fetches_in_flight = 0
         self._lock = threading.Lock()
 
-    def fetch(self, seconds: float, pause: Callable[[float], None]) -> bool:
+    def fetch(self, seconds: float, sleep: Callable[[float], None]) -> bool:
         """Fetch once; False where the store turned it away."""
         with self._lock:
-            if self._out >= self.most:
+            if self._fetches_in_flight >= self.max_fetches:
                 return False
-            self._out += 1
+            self._fetches_in_flight += 1
             self.fetches += 1
-            crowd = max(1.0, self._out / self.capacity)
+            crowd = max(1.0, self._fetches_in_flight / self.capacity)
         try:
-            pause(seconds * crowd * self.slow)
+            sleep(seconds * crowd * self.slow)
         finally:
             with self._lock:
-                self._out -= 1
+                self._fetches_in_flight -= 1
         return True
 
 
 @dataclass(slots=True)
-class _Copies:
+class _FunctionInstances:
     name: str
     memory_mb: float
-    lanes: int
-    since_us: int
-    waiting: dict[int, CallReference] = field(
+    concurrency: int
+    span_start_us: int
+    waiting_calls: dict[int, CallReference] = field(
         default_factory=dict
     )  # by a ticket: an attempt that was given up may
-    running: dict[int, CallReference] = field(default_factory=dict)  # still run when its call comes again
-    standing: int = 0
+    running_calls: dict[int, CallReference] = field(
+        default_factory=dict
+    )  # still run when its call comes again
+    loaded: int = 0
     loading: int = 0
-    busy: int = 0
-    held: int = 0
-    used_s: float = 0.0
+    busy_slots: int = 0
+    call_count: int = 0
+    last_used_s: float = 0.0
 
     @property
     def total(self) -> int:
-        return self.standing + self.loading
+        return self.loaded + self.loading
 
 
 @dataclass(frozen=True, slots=True)
-class Observed:
-    """A function's copies after a change."""
+class InstanceChange:
+    """A function's instances after a change."""
 
     at_us: int
     function: str
     memory_mb: float
-    lanes: int
+    concurrency: int
     loading: int
-    standing: int
-    waiting: tuple[CallReference, ...]
-    running: tuple[CallReference, ...]
+    loaded: int
+    waiting_calls: tuple[CallReference, ...]
+    running_calls: tuple[CallReference, ...]
 
 
-class Model:
+class WorkerModel:
     """One incarnation of a worker; every wait ends at its caller's deadline or the worker's death."""
 
     def __init__(
@@ -129,31 +131,31 @@
         store: Store,
         clock: Callable[[], float],
         outbox: Outbox | None = None,
-        observe: Callable[[Observed], None] | None = None,
+        on_change: Callable[[InstanceChange], None] | None = None,
     ) -> None:
-        """``observe`` hears of each change, for tests that reckon on their own what was held."""
+        """``on_change`` hears of each change, for tests that reckon on their own what was held."""
         self.profile = profile
         self.started_s = clock()
         self._faults = faults
         self._store = store
         self._clock = clock
         self._outbox = outbox
-        self._observe = observe
+        self._on_change = on_change
         self._state = threading.Condition()
-        self._dead = threading.Event()
-        self._copies: dict[str, _Copies] = {}
-        self._waiting = 0
-        self._working = 0
+        self._killed = threading.Event()
+        self._instances: dict[str, _FunctionInstances] = {}
+        self._waiting_count = 0
+        self._running_count = 0
         self._loads = 0
         self._tickets = count()
 
-    def die(self) -> None:
-        """All copies are void, every call under way ends."""
-        self._dead.set()
+    def kill(self) -> None:
+        """All instances are void, every call under way ends."""
+        self._killed.set()
         with self._state:
             self._state.notify_all()
 
-    def speed(self) -> float:
+    def speed_factor(self) -> float:
         """Part of its capacity that a young worker can do."""
         profile = self.profile
         if not profile.cold_s:
@@ -163,13 +165,13 @@
             profile.cold_share + (1 - profile.cold_share) * (self._clock() - self.started_s) / profile.cold_s,
         )
 
-    def report(self) -> tuple[int, int, float, int]:
+    def load_report(self) -> tuple[int, int, float, int]:
         """Calls in hand, calls waiting, part of the cores busy, loads under way."""
         with self._state:
             return (
-                self._waiting + self._working,
-                self._waiting,
-                min(1.0, self._working / self.profile.cores),
+                self._waiting_count + self._running_count,
+                self._waiting_count,
+                min(1.0, self._running_count / self.profile.cores),
                 self._loads,
             )
 
@@ -177,142 +179,158 @@
         self,
         function: str,
         memory_mb: float,
-        lanes: int,
+        concurrency: int,
         deadline_s: float,
-        ran: Callable[[], None],
-        ref: CallReference = NOBODY,
+        on_run: Callable[[], None],
+        reference: CallReference = NO_CALL,
     ) -> tuple[str, int]:
-        """Run a call; what it found and how many calls of its function were here. ``ran`` marks the run.
+        """Run a call; return its cache status and how many other calls of its function the worker had.
+
+        ``on_run`` is called when the function starts to run.
 
-        Full, TimeoutError or Died where it does not run.
+        Raises:
+            QueueFullError: The queue is full; the function did not run.
+            TimeoutError: No instance or core became free before the deadline; the function did not run.
+            WorkerDiedError: The worker was killed; the function may have run.
         """
         with self._state:
-            if self._waiting >= self.profile.queue:
+            if self._waiting_count >= self.profile.queue:
                 raise QueueFullError
-            copies = self._copies.setdefault(function, _Copies(function, memory_mb, lanes, self._now_us()))
-            self._close(copies)
-            crowd = copies.held
-            copies.held += 1
+            instances = self._instances.setdefault(
+                function, _FunctionInstances(function, memory_mb, concurrency, self._now_us())
+            )
+            self._end_span(instances)
+            crowd = instances.call_count
+            instances.call_count += 1
             ticket = next(self._tickets)
-            copies.waiting[ticket] = ref
-            self._waiting += 1
-            self._changed(copies)
+            instances.waiting_calls[ticket] = reference
+            self._waiting_count += 1
+            self._notify_change(instances)
         try:
-            found = self._lane(copies, ticket, deadline_s)
+            cache_status = self._acquire_slot(instances, ticket, deadline_s)
         except BaseException:
             with self._state:
-                self._close(copies)
-                copies.waiting.pop(ticket, None)
-                self._left(ref)
-                copies.held -= 1
-                self._waiting -= 1
-                self._changed(copies)
+                self._end_span(instances)
+                instances.waiting_calls.pop(ticket, None)
+                self._end_call(reference)
+                instances.call_count -= 1
+                self._waiting_count -= 1
+                self._notify_change(instances)
             raise
         try:
-            self._core(deadline_s)
+            self._acquire_core(deadline_s)
             try:
-                ran()
+                on_run()
                 if self._faults().die_mid_call:
                     raise WorkerDiedError
                 work_s = self.profile.work_by_function.get(function, self.profile.work_s)
-                self._pause(work_s * self._faults().slow / self.speed())
+                self._sleep(work_s * self._faults().slow / self.speed_factor())
             finally:
                 with self._state:
-                    self._working -= 1
+                    self._running_count -= 1
         finally:
             with self._state:
-                self._close(copies)
-                copies.running.pop(ticket, None)
-                self._left(ref)
-                copies.busy -= 1
-                copies.held -= 1
-                copies.used_s = self._clock()
-                self._changed(copies)
+                self._end_span(instances)
+                instances.running_calls.pop(ticket, None)
+                self._end_call(reference)
+                instances.busy_slots -= 1
+                instances.call_count -= 1
+                instances.last_used_s = self._clock()
+                self._notify_change(instances)
                 self._state.notify_all()
-        return found, crowd
+        return cache_status, crowd
 
-    def hold(self, function: str, memory_mb: float, lanes: int, count: int, deadline_s: float) -> int:
-        """An order to hold copies; how many stand. QueueFullError where there is no room."""
+    def load_instances(
+        self, function: str, memory_mb: float, concurrency: int, count: int, deadline_s: float
+    ) -> int:
+        """An order to hold instances; how many stand. QueueFullError where there is no room."""
         with self._state:
-            copies = self._copies.setdefault(function, _Copies(function, memory_mb, lanes, self._now_us()))
-            copies.used_s = self._clock()
+            instances = self._instances.setdefault(
+                function, _FunctionInstances(function, memory_mb, concurrency, self._now_us())
+            )
+            instances.last_used_s = self._clock()
         while True:
             with self._state:
-                missing = count - copies.total
-                if missing > 0 and not self._room(copies):
+                missing = count - instances.total
+                if missing > 0 and not self._evict_idle_for(instances):
                     raise QueueFullError
                 if missing <= 0:
-                    if not self._wait(lambda: copies.standing >= count or not copies.loading, deadline_s):
+                    if not self._wait(lambda: instances.loaded >= count or not instances.loading, deadline_s):
                         raise TimeoutError
-                    return copies.standing
-                self._close(copies)
-                copies.loading += 1
+                    return instances.loaded
+                self._end_span(instances)
+                instances.loading += 1
                 self._loads += 1
-                self._changed(copies)
-            self._load(copies)
+                self._notify_change(instances)
+            self._load_instance(instances)
 
-    def standing(self, function: str) -> int:
+    def loaded_instances(self, function: str) -> int:
         """Copies that stand."""
         with self._state:
-            copies = self._copies.get(function)
-            return copies.standing if copies else 0
+            instances = self._instances.get(function)
+            return instances.loaded if instances else 0
 
-    def drop(self, function: str | None = None) -> None:
-        """Unload idle copies: of one function, or of all (a new release)."""
+    def unload(self, function: str | None = None) -> None:
+        """Unload idle instances: of one function, or of all (a new release)."""
         with self._state:
-            for name, copies in self._copies.items():
+            for name, instances in self._instances.items():
                 if function in (None, name):
-                    self._close(copies)
-                    copies.standing = min(copies.standing, -(-copies.busy // copies.lanes))
-                    self._changed(copies)
+                    self._end_span(instances)
+                    instances.loaded = min(
+                        instances.loaded, -(-instances.busy_slots // instances.concurrency)
+                    )
+                    self._notify_change(instances)
             self._state.notify_all()
 
-    def settle(self) -> None:
+    def end_open_spans(self) -> None:
         """End every open span, so that what stands so far is reported."""
         with self._state:
-            for copies in self._copies.values():
-                self._close(copies)
+            for instances in self._instances.values():
+                self._end_span(instances)
 
     # ---- inside
 
     def _now_us(self) -> int:
         return int(self._clock() * 1e6)
 
-    def _left(self, ref: CallReference) -> None:
+    def _end_call(self, reference: CallReference) -> None:
         if self._outbox is not None:
-            self._outbox.ended(ref.request_id)
+            self._outbox.end_call(reference.request_id)
 
-    def _close(self, copies: _Copies) -> None:
-        """The copies of a function are about to change: what they held since the last change is reported."""
+    def _end_span(self, instances: _FunctionInstances) -> None:
+        """Record the memory that the instances used since their last change; called before each change."""
         now_us = self._now_us()
-        if self._outbox is None or now_us <= copies.since_us:
+        if self._outbox is None or now_us <= instances.span_start_us:
             return
-        run = min(copies.standing, -(-copies.busy // copies.lanes))
-        held = copies.loading, run, copies.standing - run
+        run = min(instances.loaded, -(-instances.busy_slots // instances.concurrency))
+        held = instances.loading, run, instances.loaded - run
         if any(held):
-            self._outbox.add(
-                copies.name,
-                int(copies.memory_mb * 1024),
-                copies.since_us,
+            self._outbox.add_record(
+                instances.name,
+                int(instances.memory_mb * 1024),
+                instances.span_start_us,
                 now_us,
                 held,
-                tuple(copies.waiting.values()),
-                tuple(copies.running.values()),
+                tuple(instances.waiting_calls.values()),
+                tuple(instances.running_calls.values()),
             )
-        copies.since_us = now_us
+        instances.span_start_us = now_us
 
-    def _changed(self, copies: _Copies) -> None:
+    def _notify_change(self, instances: _FunctionInstances) -> None:
         """They have changed; the span before was closed at the same moment, in the same hold of the lock."""
-        if self._observe is not None:
-            waiting, running = tuple(copies.waiting.values()), tuple(copies.running.values())
-            self._observe(
-                Observed(
-                    copies.since_us,
-                    copies.name,
-                    copies.memory_mb,
-                    copies.lanes,
-                    copies.loading,
-                    copies.standing,
+        if self._on_change is not None:
+            waiting, running = (
+                tuple(instances.waiting_calls.values()),
+                tuple(instances.running_calls.values()),
+            )
+            self._on_change(
+                InstanceChange(
+                    instances.span_start_us,
+                    instances.name,
+                    instances.memory_mb,
+                    instances.concurrency,
+                    instances.loading,
+                    instances.loaded,
                     waiting,
                     running,
                 )
@@ -321,7 +339,7 @@
     def _wait(self, ready: Callable[[], bool], deadline_s: float) -> bool:
         """Wait, holding the state, for something or the deadline; WorkerDiedError where the worker did."""
         while not ready():
-            if self._dead.is_set():
+            if self._killed.is_set():
                 raise WorkerDiedError
             left = deadline_s - self._clock()
             if left <= 0:
@@ -329,85 +347,89 @@
             self._state.wait(min(left, 0.5))
         return True
 
-    def _pause(self, seconds: float) -> None:
-        if self._dead.wait(seconds):
+    def _sleep(self, seconds: float) -> None:
+        if self._killed.wait(seconds):
             raise WorkerDiedError
 
-    def _lane(self, copies: _Copies, ticket: int, deadline_s: float) -> str:
-        found = "warm"
+    def _acquire_slot(self, instances: _FunctionInstances, ticket: int, deadline_s: float) -> str:
+        cache_status = "warm"
         while True:
             with self._state:
-                self._expire()
+                self._unload_expired()
 
                 def free() -> bool:
-                    return copies.busy < copies.standing * copies.lanes
+                    return instances.busy_slots < instances.loaded * instances.concurrency
 
                 def may_load() -> bool:
-                    wants = copies.held > copies.total * copies.lanes
-                    return wants and self._loads < self.profile.loads and self._room(copies)
+                    wants = instances.call_count > instances.total * instances.concurrency
+                    return wants and self._loads < self.profile.loads and self._evict_idle_for(instances)
 
                 if not self._wait(lambda: free() or may_load(), deadline_s):
                     raise TimeoutError
-                self._close(copies)
+                self._end_span(instances)
                 if free():
-                    copies.busy += 1
-                    copies.running[ticket] = copies.waiting.pop(ticket)
-                    self._waiting -= 1
-                    self._changed(copies)
-                    return found
-                found = "began-load"
-                copies.loading += 1
+                    instances.busy_slots += 1
+                    instances.running_calls[ticket] = instances.waiting_calls.pop(ticket)
+                    self._waiting_count -= 1
+                    self._notify_change(instances)
+                    return cache_status
+                cache_status = "began-load"
+                instances.loading += 1
                 self._loads += 1
-                self._changed(copies)
-            self._load(copies)
+                self._notify_change(instances)
+            self._load_instance(instances)
 
-    def _load(self, copies: _Copies) -> None:
+    def _load_instance(self, instances: _FunctionInstances) -> None:
         stands = False
         try:
             if self._faults().die_mid_load:
-                self._pause(self.profile.load_s / 2)
+                self._sleep(self.profile.load_s / 2)
                 raise WorkerDiedError
-            stands = self._store.fetch(self.profile.load_s * 0.7, self._pause)
-            self._pause(self.profile.load_s * 0.3)
+            stands = self._store.fetch(self.profile.load_s * 0.7, self._sleep)
+            self._sleep(self.profile.load_s * 0.3)
         finally:
             with self._state:
-                self._close(copies)
-                copies.loading -= 1
-                copies.standing += stands
-                copies.used_s = self._clock()
+                self._end_span(instances)
+                instances.loading -= 1
+                instances.loaded += stands
+                instances.last_used_s = self._clock()
                 self._loads -= 1
-                self._changed(copies)
+                self._notify_change(instances)
                 self._state.notify_all()
 
     def _used_mb(self) -> float:
-        return sum(c.total * c.memory_mb for c in self._copies.values())
+        return sum(c.total * c.memory_mb for c in self._instances.values())
 
-    def _room(self, wanted: _Copies) -> bool:
+    def _evict_idle_for(self, wanted: _FunctionInstances) -> bool:
         """Make room for one more copy out of idle ones, the longest unused first."""
         while self._used_mb() + wanted.memory_mb > self.profile.memory_mb:
             idle = [
                 c
-                for c in self._copies.values()
-                if c is not wanted and c.standing * c.lanes >= c.busy + c.lanes
+                for c in self._instances.values()
+                if c is not wanted and c.loaded * c.concurrency >= c.busy_slots + c.concurrency
             ]
             if not idle:
                 return False
-            oldest = min(idle, key=lambda c: c.used_s)
-            self._close(oldest)
-            oldest.standing -= 1
-            self._changed(oldest)
+            oldest = min(idle, key=lambda c: c.last_used_s)
+            self._end_span(oldest)
+            oldest.loaded -= 1
+            self._notify_change(oldest)
         return True
 
-    def _expire(self) -> None:
+    def _unload_expired(self) -> None:
         now = self._clock()
-        for copies in self._copies.values():
-            if copies.standing and not copies.busy and copies.used_s + self.profile.keep_alive_s < now:
-                self._close(copies)
-                copies.standing = 0
-                self._changed(copies)
-
-    def _core(self, deadline_s: float) -> None:
+        for instances in self._instances.values():
+            if (
+                instances.loaded
+                and not instances.busy_slots
+                and instances.last_used_s + self.profile.keep_alive_s < now
+            ):
+                self._end_span(instances)
+                instances.loaded = 0
+                self._notify_change(instances)
+
+    def _acquire_core(self, deadline_s: float) -> None:
         with self._state:
-            if not self._wait(lambda: self._working < self.profile.cores, deadline_s):
+            if not self._wait(lambda: self._running_count < self.profile.cores, deadline_s):
                 raise TimeoutError
-            self._working += 1
+            self._running_count += 1
--- a/saffronstack/standin/platform.py
+++ b/saffronstack/standin/platform.py
@@ -22,19 +22,19 @@
 import xxhash
 
 from saffronstack.runtime.threads import IdleThreadPool, start_thread
-from saffronstack.standin.model import Faults, Model, Profile, QueueFullError, Store, WorkerDiedError
-from saffronstack.standin.stamps import Stamped, note_times
+from saffronstack.standin.model import Faults, Profile, QueueFullError, Store, WorkerDiedError, WorkerModel
+from saffronstack.standin.receive_timestamps import TimestampedReader, enable_timestamps
 
 Log = Callable[[dict[str, Any]], None]
-FILL_MOST = 16  # connections that fill a queue of none
-FILL_S = 0.1
-LINE_MOST = 128 * 1024
-CALL_MOST_S = 10.0
-NOTES = {"warm": "up", "began-load": "fresh"}
+MAX_FILLER_CONNECTIONS = 16  # connections that fill a queue of none
+FILLER_TIMEOUT_S = 0.1
+MAX_LINE_BYTES = 128 * 1024
+MAX_CALL_S = 10.0
+NOTE_BY_CACHE_STATUS = {"warm": "up", "began-load": "fresh"}
 
 
 @dataclass(frozen=True)
-class Entry:
+class HostEntry:
     """A host as the directory lists it; ``started`` is the Unix millisecond of a late start, or 0;
     ``weight`` its size beside others.
     """
@@ -47,7 +47,7 @@
     weight: int = 1
 
 
-def dns_answer(query: bytes, serial: int, entries: Iterable[Entry]) -> bytes:
+def dns_response(query: bytes, serial: int, entries: Iterable[HostEntry]) -> bytes:
     """A whole answer, with compressed names."""
     question = query[12:]
     services, more = b"", b""
@@ -72,17 +72,19 @@
     return header + question + services + authority + more
 
 
-class Directory:
+class StubDnsServer:
     """Answers with ``entries`` under ``serial``, or with what ``spoil`` makes of that; None says nothing."""
 
-    def __init__(self, *entries: Entry, serial: int = 1, wait_s: float = 10.0) -> None:
+    def __init__(self, *entries: HostEntry, serial: int = 1, wait_s: float = 10.0) -> None:
         self.entries = list(entries)
         self.serial = serial
-        self.spoil: Callable[[bytes], bytes | None] = lambda answer: answer
-        self.behind: Callable[[int], bool] = lambda port: False  # askers that still get the list before
-        self._before: tuple[int, list[Entry]] = (serial, self.entries)
-        self.asked = threading.Semaphore(0)
-        self.asks: list[tuple[float, tuple[str, int]]] = []  # when, and by whom
+        self.edit_response: Callable[[bytes], bytes | None] = lambda answer: answer
+        self.gets_previous_list: Callable[[int], bool] = lambda port: (
+            False
+        )  # askers that still get the list before
+        self._previous_list: tuple[int, list[HostEntry]] = (serial, self.entries)
+        self.responses_sent = threading.Semaphore(0)
+        self.queries: list[tuple[float, tuple[str, int]]] = []  # when, and by whom
         self._wait_s = wait_s
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
@@ -93,55 +95,57 @@
         while True:
             try:
                 query, peer = self._sock.recvfrom(4096)
-                self.asks.append((time.monotonic(), peer))
+                self.queries.append((time.monotonic(), peer))
                 now = self.serial, self.entries
-                answer = self.spoil(dns_answer(query, *(self._before if self.behind(peer[1]) else now)))
+                answer = self.edit_response(
+                    dns_response(query, *(self._previous_list if self.gets_previous_list(peer[1]) else now))
+                )
                 if answer is not None:
                     self._sock.sendto(answer, peer)
             except OSError:
                 return
-            self.asked.release()
+            self.responses_sent.release()
 
-    def tell(self, *entries: Entry) -> None:
+    def update_and_wait(self, *entries: HostEntry) -> None:
         """A new list under the next number; returns once a question after it has been answered."""
-        self.put(*entries)
-        self.wait()
+        self.update(*entries)
+        self.wait_for_queries()
 
-    def put(self, *entries: Entry) -> None:
+    def update(self, *entries: HostEntry) -> None:
         """A new list under the next number."""
-        self._before = self.serial, self.entries
+        self._previous_list = self.serial, self.entries
         self.entries = list(entries)
         self.serial += 1
 
-    def wait(self) -> None:
+    def wait_for_queries(self) -> None:
         """Until three more queries have been answered: the first of them may be an old one, and when the
         third has come the answer to the second has been taken.
         """
-        while self.asked.acquire(blocking=False):
+        while self.responses_sent.acquire(blocking=False):
             pass
         for _ in range(3):
-            assert self.asked.acquire(timeout=self._wait_s)
+            assert self.responses_sent.acquire(timeout=self._wait_s)
 
     def close(self) -> None:
         """Answer no more."""
         self._sock.close()
 
 
-def _part(tag: str) -> float:
+def _tag_fraction(tag: str) -> float:
     """Where a request falls between 0 and 1: the same in every run."""
     return xxhash.xxh32_intdigest(tag.encode()) / 2**32
 
 
-class _Connection:
-    """One link that a gateway opened; answers of many threads leave it one at a time."""
+class _GatewayConnection:
+    """One connection that a gateway opened; answers of many threads leave it one at a time."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self._lock = threading.Lock()
-        self.given_up: set[str] = set()
+        self.cancelled_tags: set[str] = set()
 
     def write(self, data: bytes) -> bool:
-        """Whether it left while the link stood."""
+        """Whether it left while the connection stood."""
         with self._lock:
             try:
                 self.sock.sendall(data)
@@ -157,7 +161,7 @@
             self.sock.close()
 
 
-class LinesHost:
+class StubHost:
     """One host; it keeps its address over its lives. ``faults`` may be changed at any time."""
 
     def __init__(
@@ -174,14 +178,14 @@
         self.profile = profile
         self.faults = Faults()
         self.connections = 0  # opened so far
-        self.reset_calls = 0  # so many of the next calls have their link reset once they have run
+        self.calls_to_reset = 0  # so many of the next calls have their connection reset once they have run
         self._store, self._catalog, self._log, self._clock = store, catalog, log, clock
         self._attempts = count()
-        self._crew = IdleThreadPool("host-call", max_idle=64)
-        self._free = threading.Event()
-        self._free.set()
+        self._threads = IdleThreadPool("host-call", max_idle=64)
+        self._not_stalled = threading.Event()
+        self._not_stalled.set()
         self._lock = threading.Lock()
-        self._links: set[_Connection] = set()
+        self._connections: set[_GatewayConnection] = set()
         self._listener: socket.socket | None = None
         self._fillers: list[socket.socket] = []
         self._port = 0
@@ -196,38 +200,40 @@
     def start(self) -> None:
         """Begin a life: cold, and empty."""
         self.incarnation = uuid.uuid4().hex[:12]
-        self.model = Model(self.profile, lambda: self.faults, self._store, self._clock)
+        self.model = WorkerModel(self.profile, lambda: self.faults, self._store, self._clock)
         self._listener = socket.create_server(("127.0.0.1", self._port), backlog=512)
-        note_times(self._listener)
+        enable_timestamps(self._listener)
         self._port = self._listener.getsockname()[1]
         start_thread(f"host-{self.name}", partial(self._accept, self._listener, self.model))
 
     def stop(self) -> None:
-        """Die: all links are reset, nothing that is under way ends."""
+        """Die: all connections are reset, nothing that is under way ends."""
         with self._lock:
             listener, self._listener = self._listener, None
-            links, self._links = self._links, set()
+            connections, self._connections = self._connections, set()
         if listener is None:
             return
         with contextlib.suppress(OSError):
             listener.shutdown(socket.SHUT_RDWR)
         listener.close()
-        self.model.die()
-        for link in links:
-            link.reset()
+        self.model.kill()
+        for connection in connections:
+            connection.reset()
 
-    def stall(self, stalled: bool) -> None:
+    def set_stalled(self, is_stalled: bool) -> None:
         """Say nothing and read nothing, without a reset; or go on."""
-        if stalled:
-            self._free.clear()
+        if is_stalled:
+            self._not_stalled.clear()
         else:
-            self._free.set()
+            self._not_stalled.set()
 
-    def cut(self, cut: bool) -> None:
-        """Be cut off: links say nothing, and new connections never come up, since the listener's queue is
-        full and nobody accepts; or be back, with what had waited on the links.
+    def set_unreachable(self, is_unreachable: bool) -> None:
+        """Start or end a network partition of this host.
+
+        While it is unreachable, its connections are silent and new connections time out, because the accept
+        queue is full and nothing is accepted. Afterwards it processes what was sent meanwhile.
         """
-        self.stall(cut)
+        self.set_stalled(is_unreachable)
         with self._lock:
             listener, self._listener = self._listener, None
             fillers, self._fillers = self._fillers, []
@@ -237,20 +243,20 @@
             listener.close()
         for filler in fillers:
             filler.close()
-        fresh = socket.socket()
-        fresh.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        fresh.bind(("127.0.0.1", self._port))
-        note_times(fresh)
-        fresh.listen(0 if cut else 512)
+        new_listener = socket.socket()
+        new_listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        new_listener.bind(("127.0.0.1", self._port))
+        enable_timestamps(new_listener)
+        new_listener.listen(0 if is_unreachable else 512)
         with self._lock:
-            self._listener = fresh
-        if not cut:
-            start_thread(f"host-{self.name}", partial(self._accept, fresh, self.model))
+            self._listener = new_listener
+        if not is_unreachable:
+            start_thread(f"host-{self.name}", partial(self._accept, new_listener, self.model))
             return
-        for _ in range(FILL_MOST):
+        for _ in range(MAX_FILLER_CONNECTIONS):
             filler = socket.socket()
             self._fillers.append(filler)
-            filler.settimeout(FILL_S)
+            filler.settimeout(FILLER_TIMEOUT_S)
             try:
                 filler.connect(("127.0.0.1", self._port))
             except TimeoutError:
@@ -258,113 +264,130 @@
             except OSError:
                 continue
 
-    def _accept(self, listener: socket.socket, model: Model) -> None:
+    def _accept(self, listener: socket.socket, model: WorkerModel) -> None:
         while True:
             try:
                 sock, _ = listener.accept()
             except OSError:
                 return
-            link = _Connection(sock)
+            connection = _GatewayConnection(sock)
             with self._lock:
                 if self._listener is not listener:
-                    link.reset()
+                    connection.reset()
                     return
-                self._links.add(link)
+                self._connections.add(connection)
             self.connections += 1
-            self._note("connect", model)
-            self._crew.run(partial(self._serve, link, model))
+            self._log_event("connect", model)
+            self._threads.run(partial(self._serve, connection, model))
 
-    def _serve(self, link: _Connection, model: Model) -> None:
+    def _serve(self, connection: _GatewayConnection, model: WorkerModel) -> None:
         try:
-            lines = Stamped(link.sock)
-            while line := lines.line(LINE_MOST):
-                came_s = lines.came_s
-                self._free.wait(CALL_MOST_S)
+            lines = TimestampedReader(connection.sock)
+            while line := lines.read_line(MAX_LINE_BYTES):
+                received_s = lines.received_s
+                self._not_stalled.wait(MAX_CALL_S)
                 message = msgspec.json.decode(line)
                 if message["what"] == "CALL":
-                    self._crew.run(partial(self._call, link, model, message, came_s))
+                    self._threads.run(partial(self._handle_call, connection, model, message, received_s))
                 elif message["what"] == "CANCEL":
-                    link.given_up.add(message["tag"])
+                    connection.cancelled_tags.add(message["tag"])
                 elif message["what"] == "PING":
-                    self._answer(link, message["tag"], "UP", {})
+                    self._send_response(connection, message["tag"], "UP", {})
                 elif message["what"] == "LOAD":
-                    self._crew.run(partial(self._order, link, model, message, came_s))
+                    self._threads.run(
+                        partial(self._handle_load_command, connection, model, message, received_s)
+                    )
         except (OSError, ValueError, KeyError, msgspec.MsgspecError):
             pass
         finally:
             with self._lock:
-                self._links.discard(link)
+                self._connections.discard(connection)
             with contextlib.suppress(OSError):
-                link.sock.close()
+                connection.sock.close()
 
-    def _note(self, what: str, model: Model, **more: Any) -> None:
+    def _log_event(self, what: str, model: WorkerModel, **more: Any) -> None:
         self._log({"t": self._clock(), "worker": self.name, "what": what, **more})
 
-    def _answer(
-        self, link: _Connection, tag: str, word: str, fields: dict[str, Any], blob: str = ""
+    def _send_response(
+        self,
+        connection: _GatewayConnection,
+        tag: str,
+        answer_word: str,
+        fields: dict[str, Any],
+        blob: str = "",
     ) -> tuple[bool, float]:
         """Whether it left, and from when on a gateway may have it."""
-        self._free.wait(CALL_MOST_S)
+        self._not_stalled.wait(MAX_CALL_S)
         at = self._clock()
-        if tag in link.given_up:
+        if tag in connection.cancelled_tags:
             return False, at
-        content = {"what": word, "tag": tag, "with": fields, **({"blob": blob} if blob else {})}
-        return link.write(msgspec.json.encode(content) + b"\n"), at
+        content = {"what": answer_word, "tag": tag, "with": fields, **({"blob": blob} if blob else {})}
+        return connection.write(msgspec.json.encode(content) + b"\n"), at
 
-    def _call(self, link: _Connection, model: Model, message: dict[str, Any], came_s: float) -> None:
+    def _handle_call(
+        self, connection: _GatewayConnection, model: WorkerModel, message: dict[str, Any], received_s: float
+    ) -> None:
         fields, tag = message["with"], str(message["tag"])
         function = str(fields["k"])
-        who = {
+        attempt_fields = {
             "id": tag, "op": tag, "function": function, "attempt": next(self._attempts),
             "incarnation": self.incarnation,
         }  # fmt: skip
         now = self._clock()  # it lay in the socket, and then waited for this thread
-        self._note("arrive", model, t=now, cls=fields["c"], late=now - came_s, **who)
+        self._log_event("arrive", model, t=now, cls=fields["c"], late=now - received_s, **attempt_fields)
         faults = self.faults
-        if faults.errors and _part(tag) < faults.errors:
-            open_, at = self._answer(link, tag, "ERR", {})
-            self._note("answer", model, t=at, open=open_, **who)
+        if faults.errors and _tag_fraction(tag) < faults.errors:
+            is_open, at = self._send_response(connection, tag, "ERR", {})
+            self._log_event("answer", model, t=at, open=is_open, **attempt_fields)
             return
         memory_mb, lanes = self._catalog(function)
-        until_s = self._clock() + min(CALL_MOST_S, float(fields["w"]) / 1000)
+        deadline_s = self._clock() + min(MAX_CALL_S, float(fields["w"]) / 1000)
         try:
-            found, crowd = model.call(
-                function, memory_mb, lanes, until_s, lambda: self._note("run", model, **who)
+            cache_status, concurrent_calls = model.call(
+                function,
+                memory_mb,
+                lanes,
+                deadline_s,
+                lambda: self._log_event("run", model, **attempt_fields),
             )
         except (QueueFullError, TimeoutError):
-            open_, at = self._answer(link, tag, "BUSY", {})
-            self._note("answer", model, t=at, status=429, open=open_, **who)
+            is_open, at = self._send_response(connection, tag, "BUSY", {})
+            self._log_event("answer", model, t=at, status=429, open=is_open, **attempt_fields)
             return
         except WorkerDiedError:
             return
-        if faults.silent_after_run or _part(tag[::-1]) < faults.lose_answers:
-            self._note("lost", model, **who)
+        if faults.silent_after_run or _tag_fraction(tag[::-1]) < faults.lose_answers:
+            self._log_event("lost", model, **attempt_fields)
             return
         with self._lock:
-            reset, self.reset_calls = self.reset_calls > 0, max(0, self.reset_calls - 1)
+            reset, self.calls_to_reset = self.calls_to_reset > 0, max(0, self.calls_to_reset - 1)
         if reset:
-            link.reset()
+            connection.reset()
             return
-        in_hand, waiting, busy, loads = model.report()
+        in_flight, waiting, busy, loads = model.load_report()
         if faults.told_busy is not None:
             waiting, busy = faults.told_waiting, faults.told_busy
-        told = {
-            "note": NOTES.get(found, "behind"), "ahead": min(30, crowd),
+        fields_sent = {
+            "note": NOTE_BY_CACHE_STATUS.get(cache_status, "behind"), "ahead": min(30, concurrent_calls),
             "load": f"queue:{waiting};util:{busy:.3f}",
         }  # fmt: skip
-        open_, at = self._answer(link, tag, "OK", told, message.get("blob", ""))
-        state = {"found": found, "busy": busy, "hand": in_hand, "loads": loads}
-        self._note("answer", model, t=at, open=open_, **state, **who)
+        is_open, at = self._send_response(connection, tag, "OK", fields_sent, message.get("blob", ""))
+        state = {"found": cache_status, "busy": busy, "hand": in_flight, "loads": loads}
+        self._log_event("answer", model, t=at, open=is_open, **state, **attempt_fields)
 
-    def _order(self, link: _Connection, model: Model, message: dict[str, Any], came_s: float) -> None:
+    def _handle_load_command(
+        self, connection: _GatewayConnection, model: WorkerModel, message: dict[str, Any], received_s: float
+    ) -> None:
         function, units = str(message["with"]["k"]), int(message["with"]["units"])
         now = self._clock()
-        self._note("order", model, t=now, function=function, count=units, late=now - came_s)
+        self._log_event("order", model, t=now, function=function, count=units, late=now - received_s)
         try:
-            held = model.hold(function, *self._catalog(function), units, self._clock() + CALL_MOST_S)
+            held = model.load_instances(function, *self._catalog(function), units, self._clock() + MAX_CALL_S)
         except (QueueFullError, TimeoutError):
-            self._answer(link, message["tag"], "BUSY", {"units": model.standing(function)})
+            self._send_response(
+                connection, message["tag"], "BUSY", {"units": model.loaded_instances(function)}
+            )
             return
         except WorkerDiedError:
             return
-        self._answer(link, message["tag"], "OK", {"units": held})
+        self._send_response(connection, message["tag"], "OK", {"units": held})
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -24,26 +24,26 @@
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import (
     Faults,
-    Model,
-    Observed,
+    InstanceChange,
     Profile,
     QueueFullError,
     Store,
     WorkerDiedError,
+    WorkerModel,
 )
 from saffronstack.standin.usage import Outbox
 
-USAGE_IN_ANSWER = 8  # records in an answer's header
-IDLE_S = 120.0
-LONGEST_S = 60.0
-Entry = dict[str, object]
+MAX_USAGE_RECORDS_IN_HEADER = 8  # records in an answer's header
+IDLE_TIMEOUT_S = 120.0
+MAX_CALL_S = 60.0
+LogEntry = dict[str, object]
 
 
 class _Payload(msgspec.Struct):
     op: str = ""
 
 
-def _op(body: bytes) -> str:
+def _read_operation(body: bytes) -> str:
     """What the client calls its operation, where its payload says so."""
     try:
         return msgspec.json.decode(body, type=_Payload).op
@@ -51,7 +51,7 @@
         return ""
 
 
-def _identity(head: RequestHead, body: bytes) -> Entry:
+def _attempt_fields(head: RequestHead, body: bytes) -> LogEntry:
     """Which call and attempt this is, as every note about it says."""
     get = head.headers.get
     return {
@@ -60,11 +60,11 @@
         "key": get("idempotency-key"),
         "function": get("x-saffron-function"),
         "tenant": get("x-saffron-tenant"),
-        "op": _op(body),
+        "op": _read_operation(body),
     }
 
 
-def hold_port(host: str, port: int = 0) -> socket.socket:
+def reserve_port(host: str, port: int = 0) -> socket.socket:
     """A bound socket that never listens; a listener with SO_REUSEADDR may take the port beside it."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -72,7 +72,7 @@
     return sock
 
 
-class StandIn:
+class StubWorker:
     """One worker. It can stop, and return cold at the same address as another incarnation."""
 
     def __init__(
@@ -85,24 +85,26 @@
         port: int = 0,
         clock: Callable[[], float] = time.monotonic,
         seed: int = 0,
-        log: Callable[[Entry], None] | None = None,
+        log: Callable[[LogEntry], None] | None = None,
     ) -> None:
         self.name = name
         self.profile = profile
         self.faults = Faults()
-        self.log: list[Entry] = []
+        self.log: list[LogEntry] = []
         self.incarnation = ""
-        self.model: Model
+        self.model: WorkerModel
         self.outbox: Outbox
-        self.observed: list[Observed] | None = None  # a list here is given all changes from the next start on
+        self.instance_changes: list[InstanceChange] | None = (
+            None  # a list here is given all changes from the next start on
+        )
         self._store = store
         self._clock = clock
-        self._write = log or self.log.append
+        self._write_entry = log or self.log.append
         self._random = random.Random(seed)
         # Bound and never listening, it keeps the port for the worker's next life: the system would give a
         # port without a listener to the next outgoing connection, and meanwhile it refuses connections.
-        self._placeholder = hold_port(host, port)
-        self._host, self._port = self._placeholder.getsockname()[:2]
+        self._reserved_port = reserve_port(host, port)
+        self._host, self._port = self._reserved_port.getsockname()[:2]
         self._listener: socket.socket | None = None
         self._connections: set[socket.socket] = set()
         self._lock = threading.Lock()
@@ -119,11 +121,13 @@
             return
         self.incarnation = uuid.uuid4().hex[:12]
         self.outbox = Outbox(self.name, self.incarnation)
-        observe = self.observed.append if self.observed is not None else None
-        self.model = Model(self.profile, lambda: self.faults, self._store, self._clock, self.outbox, observe)
+        observe = self.instance_changes.append if self.instance_changes is not None else None
+        self.model = WorkerModel(
+            self.profile, lambda: self.faults, self._store, self._clock, self.outbox, observe
+        )
         listener = self._listener = socket.create_server((self._host, self._port), backlog=512)
         listener.settimeout(0.2)
-        self._note("start")
+        self._log_event("start")
         accept = partial(self._accept, listener, self.model, self.incarnation)  # those of this incarnation
         start_thread(f"standin-{self.name}", accept)
 
@@ -134,25 +138,25 @@
             connections, self._connections = self._connections, set()
         if listener is None:
             return
-        self._note("stop")
+        self._log_event("stop")
         with contextlib.suppress(OSError):
             listener.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept, which keeps the port open
         listener.close()
-        self.model.die()
+        self.model.kill()
         for sock in connections:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
-    def runs(self, function: str = "") -> list[Entry]:
+    def runs(self, function: str = "") -> list[LogEntry]:
         """Log entries of runs."""
         return [e for e in list(self.log) if e["what"] == "run" and function in ("", e["function"])]
 
-    def _note(self, what: str, **more: object) -> None:
-        self._write(
+    def _log_event(self, what: str, **more: object) -> None:
+        self._write_entry(
             {"t": self._clock(), "worker": self.name, "incarnation": self.incarnation, "what": what, **more}
         )
 
-    def _accept(self, listener: socket.socket, model: Model, incarnation: str) -> None:
+    def _accept(self, listener: socket.socket, model: WorkerModel, incarnation: str) -> None:
         while self._listener is listener:
             try:
                 sock, _ = listener.accept()
@@ -167,22 +171,22 @@
                 self._connections.add(sock)
             start_thread("standin-connection", lambda sock=sock: self._serve(sock, model, incarnation))  # type: ignore[misc]
 
-    def _serve(self, sock: socket.socket, model: Model, incarnation: str) -> None:
+    def _serve(self, sock: socket.socket, model: WorkerModel, incarnation: str) -> None:
         stream = Stream(sock)
         reader = MessageReader(MessageLimits(body_bytes=16 * 1024 * 1024))
         try:
-            late_s = self.faults.handshake_s
-            if late_s:
-                time.sleep(late_s)
+            accept_delay_s = self.faults.handshake_s
+            if accept_delay_s:
+                time.sleep(accept_delay_s)
             while True:
                 if not reader.pending:
-                    reader.feed(stream.receive(IDLE_S))
+                    reader.feed(stream.receive(IDLE_TIMEOUT_S))
                 until = self._clock() + 30.0
                 head = read_until(stream, reader, reader.request, until, self._clock)
                 body = read_until(stream, reader, reader.body, until, self._clock)
-                if not self._one(stream, model, incarnation, head, body, late_s):
+                if not self._handle_request(stream, model, incarnation, head, body, accept_delay_s):
                     return
-                late_s = 0.0
+                accept_delay_s = 0.0
         except (OSError, PeerClosed, HttpError, WorkerDiedError):
             pass
         finally:
@@ -190,41 +194,43 @@
                 self._connections.discard(sock)
             stream.close()
 
-    def _one(
+    def _handle_request(
         self,
         stream: Stream,
-        model: Model,
+        model: WorkerModel,
         incarnation: str,
         head: RequestHead,
         body: bytes,
-        late_s: float,
+        accept_delay_s: float,
     ) -> bool:
         path = urlsplit(head.target).path
         if path.startswith("/saffron/v1/copies/"):
-            return self._order(stream, model, incarnation, head, unquote(path.rpartition("/")[2]))
+            return self._handle_load_command(
+                stream, model, incarnation, head, unquote(path.rpartition("/")[2])
+            )
         if path == "/saffron/v1/usage":
-            return self._usage(stream, model, incarnation, body)
+            return self._handle_usage_request(stream, model, incarnation, body)
         if path == "/saffron/v1/report":
-            return self._answer(stream, model, incarnation, 200, (), b"{}")
-        return self._call(stream, model, incarnation, head, body, late_s)
+            return self._send_response(stream, model, incarnation, 200, (), b"{}")
+        return self._handle_call(stream, model, incarnation, head, body, accept_delay_s)
 
-    def _answer(
+    def _send_response(
         self,
         stream: Stream,
-        model: Model,
+        model: WorkerModel,
         incarnation: str,
         status: int,
         extra: tuple[tuple[str, str], ...],
         body: bytes,
     ) -> bool:
-        in_hand, waiting, busy, loads = model.report()
+        in_flight, waiting, busy, loads = model.load_report()
         data = writer.response(
             status,
             (
                 ("Content-Type", "application/json"),
                 ("X-Saffron-Incarnation", incarnation),
                 ("X-Saffron-Uptime-Ms", str(int((self._clock() - model.started_s) * 1000))),
-                ("X-Saffron-In-Hand", str(in_hand)),
+                ("X-Saffron-In-Hand", str(in_flight)),
                 ("X-Saffron-Waiting", str(waiting)),
                 ("X-Saffron-Busy", f"{busy:.3f}"),
                 ("X-Saffron-Loads", str(loads)),
@@ -246,41 +252,45 @@
             return False
         return stream.send(data, until, self._clock)
 
-    def _call(
+    def _handle_call(
         self,
         stream: Stream,
-        model: Model,
+        model: WorkerModel,
         incarnation: str,
         head: RequestHead,
         body: bytes,
-        late_s: float,
+        accept_delay_s: float,
     ) -> bool:
         get = head.headers.get
-        who = _identity(head, body)
-        self._note("arrive", late=late_s, **who)  # ``late``: how long it may have lain in the socket
+        attempt_fields = _attempt_fields(head, body)
+        self._log_event(
+            "arrive", late=accept_delay_s, **attempt_fields
+        )  # ``late``: how long it may have lain in the socket
         faults = self.faults
         if faults.silent:
-            self._hang(stream, model, who)
+            self._wait_without_response(stream, model, attempt_fields)
             return False
         if self._random.random() < faults.errors:
-            self._note("answer", status=500, **who)
-            return self._answer(stream, model, incarnation, 500, (), b'{"errorType":"Standin.Broken"}')
+            self._log_event("answer", status=500, **attempt_fields)
+            return self._send_response(stream, model, incarnation, 500, (), b'{"errorType":"Standin.Broken"}')
         run_id = uuid.uuid4().hex
-        deadline_s = self._clock() + min(LONGEST_S, float(get("x-saffron-left-ms", "3000")) / 1000)
+        deadline_s = self._clock() + min(MAX_CALL_S, float(get("x-saffron-left-ms", "3000")) / 1000)
         try:
-            found, crowd = model.call(
-                str(who["function"]),
+            cache_status, concurrent_calls = model.call(
+                str(attempt_fields["function"]),
                 float(get("x-saffron-memory-mb", "128")),
                 int(get("x-saffron-lanes", "1")),
                 deadline_s,
-                lambda: self._note("run", run=run_id, **who),
-                CallReference(str(who["id"]), str(who["tenant"]), get("x-saffron-class")),
+                lambda: self._log_event("run", run=run_id, **attempt_fields),
+                CallReference(
+                    str(attempt_fields["id"]), str(attempt_fields["tenant"]), get("x-saffron-class")
+                ),
             )
         except (QueueFullError, TimeoutError):
-            self._note("answer", status=429, **who)
-            return self._answer(stream, model, incarnation, 429, (("X-Saffron-Ran", "no"),), b"{}")
+            self._log_event("answer", status=429, **attempt_fields)
+            return self._send_response(stream, model, incarnation, 429, (("X-Saffron-Ran", "no"),), b"{}")
         except WorkerDiedError:
-            self._note("died", **who)
+            self._log_event("died", **attempt_fields)
             if (
                 self._listener is not None
                 and model is self.model
@@ -289,76 +299,90 @@
                 self.stop()
             return False
         if faults.silent_after_run:
-            self._hang(stream, model, who)
+            self._wait_without_response(stream, model, attempt_fields)
             return False
         if self._random.random() < faults.lose_answers:
-            self._note("lost", **who)
+            self._log_event("lost", **attempt_fields)
             return False
-        fields = self._fields(head, who, run_id, found, crowd)
+        fields = self._response_headers(head, attempt_fields, run_id, cache_status, concurrent_calls)
         open_ = stream.is_peer_open()
-        self._note("answer", status=200, open=open_, run=run_id, **who)
-        return self._answer(stream, model, incarnation, 200, fields, self._payload(who, run_id, body))
+        self._log_event("answer", status=200, open=open_, run=run_id, **attempt_fields)
+        return self._send_response(
+            stream, model, incarnation, 200, fields, self._response_body(attempt_fields, run_id, body)
+        )
 
-    def _payload(self, who: Entry, run_id: str, body: bytes) -> bytes:
+    def _response_body(self, attempt_fields: LogEntry, run_id: str, body: bytes) -> bytes:
         """What the function answers: what it was given, and which run of it this was."""
         content = {
             "input": msgspec.Raw(body or b"null"),
             "run": run_id,
-            "function": who["function"],
+            "function": attempt_fields["function"],
             "worker": self.name,
         }
         return msgspec.json.encode(content)
 
-    def _fields(
-        self, head: RequestHead, who: Entry, run_id: str, found: str, crowd: int
+    def _response_headers(
+        self,
+        head: RequestHead,
+        attempt_fields: LogEntry,
+        run_id: str,
+        cache_status: str,
+        concurrent_calls: int,
     ) -> tuple[tuple[str, str], ...]:
         """The header fields of a good answer: instance, waiting calls, usage, and the log where it is asked
         for.
         """
         get = head.headers.get
         fields = [
-            ("X-Saffron-Found", found),
-            ("X-Saffron-Crowd", str(min(30, crowd))),
-            ("X-Saffron-Held", str(self.outbox.held(str(who["id"])))),
+            ("X-Saffron-Found", cache_status),
+            ("X-Saffron-Crowd", str(min(30, concurrent_calls))),
+            ("X-Saffron-Held", str(self.outbox.pop_memory_use(str(attempt_fields["id"])))),
         ]
         if get("x-amz-log-type") == "Tail":
-            text = f"START RequestId: {who['id']}\nrun {run_id}\nEND RequestId: {who['id']}\n"
+            text = (
+                f"START RequestId: {attempt_fields['id']}\nrun {run_id}\n"
+                f"END RequestId: {attempt_fields['id']}\n"
+            )
             fields.append(("X-Amz-Log-Result", base64.b64encode(text.encode()).decode()))
         if get("x-saffron-gateway"):
-            asked = UsageRequest(get("x-saffron-gateway"), max_records=USAGE_IN_ANSWER)
-            offered = msgspec.msgpack.encode(self.outbox.answer(asked, self._clock()))
-            fields.append(("X-Saffron-Usage", base64.b64encode(offered).decode()))
+            asked = UsageRequest(get("x-saffron-gateway"), max_records=MAX_USAGE_RECORDS_IN_HEADER)
+            response = msgspec.msgpack.encode(self.outbox.respond(asked, self._clock()))
+            fields.append(("X-Saffron-Usage", base64.b64encode(response).decode()))
         return tuple(fields)
 
-    def _usage(self, stream: Stream, model: Model, incarnation: str, body: bytes) -> bool:
+    def _handle_usage_request(
+        self, stream: Stream, model: WorkerModel, incarnation: str, body: bytes
+    ) -> bool:
         try:
             asked = msgspec.msgpack.decode(body, type=UsageRequest)
         except (msgspec.MsgspecError, ValueError):
-            return self._answer(stream, model, incarnation, 400, (), b"")
-        model.settle()
-        offered = self.outbox.answer(asked, self._clock())
-        return self._answer(stream, model, incarnation, 200, (), msgspec.msgpack.encode(offered))
+            return self._send_response(stream, model, incarnation, 400, (), b"")
+        model.end_open_spans()
+        response = self.outbox.respond(asked, self._clock())
+        return self._send_response(stream, model, incarnation, 200, (), msgspec.msgpack.encode(response))
 
-    def _hang(self, stream: Stream, model: Model, who: Entry) -> None:
+    def _wait_without_response(self, stream: Stream, model: WorkerModel, attempt_fields: LogEntry) -> None:
         """Hold the connection without an answer until the peer gives up."""
-        end_s = self._clock() + LONGEST_S
+        end_s = self._clock() + MAX_CALL_S
         while self._clock() < end_s and stream.is_peer_open() and model is self.model and self._listener:
             time.sleep(0.02)
-        self._note("abandoned", **who)
+        self._log_event("abandoned", **attempt_fields)
 
-    def _order(
-        self, stream: Stream, model: Model, incarnation: str, head: RequestHead, function: str
+    def _handle_load_command(
+        self, stream: Stream, model: WorkerModel, incarnation: str, head: RequestHead, function: str
     ) -> bool:
         get = head.headers.get
         if head.method == "DELETE":
-            model.drop(function)
-            return self._answer(stream, model, incarnation, 204, (), b"")
+            model.unload(function)
+            return self._send_response(stream, model, incarnation, 204, (), b"")
         if head.method == "GET":
-            return self._answer(stream, model, incarnation, 200, (), str(model.standing(function)).encode())
+            return self._send_response(
+                stream, model, incarnation, 200, (), str(model.loaded_instances(function)).encode()
+            )
         count = int(urlsplit(head.target).query.rpartition("=")[2] or 1)
-        self._note("order", function=function, count=count)
+        self._log_event("order", function=function, count=count)
         try:
-            held = model.hold(
+            held = model.load_instances(
                 function,
                 float(get("x-saffron-memory-mb", "128")),
                 int(get("x-saffron-lanes", "1")),
@@ -366,5 +390,7 @@
                 self._clock() + 8.0,
             )
         except (QueueFullError, TimeoutError):
-            return self._answer(stream, model, incarnation, 429, (), str(model.standing(function)).encode())
-        return self._answer(stream, model, incarnation, 200, (), str(held).encode())
+            return self._send_response(
+                stream, model, incarnation, 429, (), str(model.loaded_instances(function)).encode()
+            )
+        return self._send_response(stream, model, incarnation, 200, (), str(held).encode())
--- a/tests/daemon/test_graceful_takeover.py
+++ b/tests/daemon/test_graceful_takeover.py
@@ -18,8 +18,8 @@
 from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
 from saffronstack.fleet.control.process_discovery import find_processes
 from saffronstack.fleet.control.process_launcher import LaunchSpec, bind_listener, launch
-from saffronstack.standin.fleet import StandInFleet
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.fleet import StubWorkerFleet
+from saffronstack.standin.worker import reserve_port
 from tests.support.stack import AMPLE_DEADLINE_S, configuration, eventually
 
 SERVE = [
@@ -29,7 +29,7 @@
 
 
 @pytest.fixture
-def config_path(tmp_path: pathlib.Path, one_worker: StandInFleet) -> pathlib.Path:
+def config_path(tmp_path: pathlib.Path, one_worker: StubWorkerFleet) -> pathlib.Path:
     """A gateway's configuration."""
     path = tmp_path / "g1.json5"
     path.write_text(json.dumps(configuration(one_worker, deadline_s=AMPLE_DEADLINE_S)))
@@ -39,7 +39,7 @@
 @pytest.fixture
 def address() -> Iterator[str]:
     """A free port that no other process can take while the test runs."""
-    with hold_port("127.0.0.1") as holder:
+    with reserve_port("127.0.0.1") as holder:
         yield f"127.0.0.1:{holder.getsockname()[1]}"
 
 
--- a/tests/daemon/test_starvation_guard.py
+++ b/tests/daemon/test_starvation_guard.py
@@ -22,7 +22,7 @@
 from saffronstack.daemon.processor_starvation import SAMPLE_INTERVAL_S, ThreadSample, read_threads
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from tests.support.stack import AMPLE_DEADLINE_S, configuration, eventually
 
 CHECKS = 5
@@ -253,10 +253,10 @@
 @pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
 @pytest.mark.parametrize(("cpus", "main_runs_anywhere"), [((), True), (("--cpus", "0"), False)])
 def test_a_gateway_is_pinned_to_one_cpu_except_for_the_checking_thread(
-    tmp_path: pathlib.Path, one_worker: StandInFleet, cpus: tuple[str, ...], main_runs_anywhere: bool
+    tmp_path: pathlib.Path, one_worker: StubWorkerFleet, cpus: tuple[str, ...], main_runs_anywhere: bool
 ) -> None:
     path = tmp_path / "gateway.json5"
-    path.write_text(json.dumps(sample(one_worker.entries(), "127.0.0.1:0")))
+    path.write_text(json.dumps(sample_config(one_worker.entries(), "127.0.0.1:0")))
     command = [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path), *cpus]
     with subprocess.Popen(command, stdout=subprocess.PIPE) as process:
         try:
@@ -285,7 +285,7 @@
 
 
 @pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
-def test_a_draining_gateway_runs_on_all_cpus(tmp_path: pathlib.Path, one_worker: StandInFleet) -> None:
+def test_a_draining_gateway_runs_on_all_cpus(tmp_path: pathlib.Path, one_worker: StubWorkerFleet) -> None:
     """No check runs during a drain: a gateway whose CPU became contended then did not exit for 20 s."""
     worker = one_worker.workers[0]
     worker.faults.silent = True
--- a/tests/daemon/test_state_directories.py
+++ b/tests/daemon/test_state_directories.py
@@ -8,12 +8,12 @@
 import sys
 
 from saffronstack.daemon.state_directories import find_stranded_ledgers, process_directory
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from tests.support.stack import configuration
 
 
 def test_ledgers_that_no_process_serves_stop_the_start(
-    tmp_path: pathlib.Path, one_worker: StandInFleet
+    tmp_path: pathlib.Path, one_worker: StubWorkerFleet
 ) -> None:
     directory = tmp_path / "ledger"
     stranded = pathlib.Path(process_directory(str(directory), 5))
--- a/tests/daemon/test_stopped_process.py
+++ b/tests/daemon/test_stopped_process.py
@@ -13,9 +13,9 @@
 from saffronstack.client import Client
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from tests.support.stack import Stack, eventually
-from tests.support.supervised import PROCESSES, process_status, supervised
+from tests.support.supervised import PROCESSES, process_status, supervised_gateway
 
 CLIENTS = 8
 CLIENT_TIMEOUT_S = 5.0
@@ -75,9 +75,9 @@
 
 
 def test_a_stopped_process_is_replaced_while_calls_go_on(
-    tmp_path: pathlib.Path, two_fast_workers: StandInFleet
+    tmp_path: pathlib.Path, two_fast_workers: StubWorkerFleet
 ) -> None:
-    with supervised(tmp_path, two_fast_workers) as (stack, _):
+    with supervised_gateway(tmp_path, two_fast_workers) as (stack, _):
         pids = process_ids(stack)
         clients = SequentialClients(stack.address)
         eventually(lambda: sum(call.succeeded for call in clients.finished_calls) > 50)
--- a/tests/daemon/test_supervised_gateway.py
+++ b/tests/daemon/test_supervised_gateway.py
@@ -12,20 +12,20 @@
 
 from saffronstack.cli.main import main
 from saffronstack.metering.usage_report import MB_S
-from saffronstack.standin.fleet import StandInFleet
-from tests.support.reckoning import truth
+from saffronstack.standin.fleet import StubWorkerFleet
+from tests.support.reckoning import recorded_memory_use
 from tests.support.stack import configuration, eventually
-from tests.support.supervised import PROCESSES, process_status, start_supervisor, supervised
+from tests.support.supervised import PROCESSES, process_status, start_supervisor, supervised_gateway
 
 
 def test_calls_spread_and_every_process_finds_every_record(
-    tmp_path: pathlib.Path, two_workers: StandInFleet
+    tmp_path: pathlib.Path, two_workers: StubWorkerFleet
 ) -> None:
-    with supervised(tmp_path, two_workers) as (stack, _):
+    with supervised_gateway(tmp_path, two_workers) as (stack, _):
         ids = [stack.call("record-sale", kind="Event").headers.get("x-amzn-requestid") for _ in range(40)]
         assert {id_[-2:] for id_ in ids} == {f"{n:02x}" for n in range(PROCESSES)}
-        assert all(stack.final(id_)["requestContext"]["condition"] == "Success" for id_ in ids)
-        assert stack.runs("record-sale") == 40
+        assert all(stack.final_record(id_)["requestContext"]["condition"] == "Success" for id_ in ids)
+        assert stack.run_count("record-sale") == 40
         assert [process_status(stack, n)["process"] for n in range(PROCESSES)] == list(range(PROCESSES))
         assert len({process_status(stack, n)["pid"] for n in range(PROCESSES)}) == PROCESSES
         assert stack.get("/status?process=9").status == 503
@@ -33,29 +33,29 @@
 
 
 def test_a_killed_process_is_restarted_and_finishes_its_deferred_calls(
-    tmp_path: pathlib.Path, two_slow_workers: StandInFleet
+    tmp_path: pathlib.Path, two_slow_workers: StubWorkerFleet
 ) -> None:
     workers = two_slow_workers.workers
-    with supervised(tmp_path, two_slow_workers) as (stack, _):
+    with supervised_gateway(tmp_path, two_slow_workers) as (stack, _):
         ids = [stack.call("record-sale", kind="Event").headers.get("x-amzn-requestid") for _ in range(40)]
         pid = process_status(stack, 1)["pid"]
         os.kill(pid, signal.SIGKILL)
         eventually(lambda: process_status(stack, 1).get("pid", pid) != pid)
         for id_ in ids:
             eventually(lambda id_=id_: stack.get(f"/deferred/{id_}").status == 200)  # type: ignore[misc]
-            condition = stack.final(id_)["requestContext"]["condition"]
+            condition = stack.final_record(id_)["requestContext"]["condition"]
             runs = sum(event["id"] == id_ for worker in workers for event in worker.runs())
             assert runs == 1 if condition == "Success" else (condition == "OutcomeUnknown" and runs <= 1)
 
 
-def test_usage_is_summed_over_the_processes(tmp_path: pathlib.Path, one_slow_worker: StandInFleet) -> None:
+def test_usage_is_summed_over_the_processes(tmp_path: pathlib.Path, one_slow_worker: StubWorkerFleet) -> None:
     metering = {"directory": str(tmp_path / "usage"), "ask_every_s": 0.1}
-    with supervised(tmp_path, one_slow_worker, metering=metering) as (stack, _):
+    with supervised_gateway(tmp_path, one_slow_worker, metering=metering) as (stack, _):
         client = stack.client(tenant="campus-app")
         for _ in range(30):
             client.invoke("identify-copy", b"{}")
             client.close()  # the next connection may reach another process
-        expected = sum(truth(one_slow_worker).values()) / MB_S
+        expected = sum(recorded_memory_use(one_slow_worker).values()) / MB_S
 
         def is_summed() -> bool:
             found = json.loads(client.request("GET", "/usage/campus-app").body)
@@ -69,7 +69,7 @@
     assert sum(row["charged_mb_s"] for row in rows) == pytest.approx(expected, abs=0.01)
 
 
-def test_processes_end_with_a_killed_supervisor(tmp_path: pathlib.Path, one_worker: StandInFleet) -> None:
+def test_processes_end_with_a_killed_supervisor(tmp_path: pathlib.Path, one_worker: StubWorkerFleet) -> None:
     path = tmp_path / "gateway.json5"
     path.write_text(json.dumps(configuration(one_worker)))
     stack, process = start_supervisor(path, one_worker, 2)
@@ -81,8 +81,8 @@
     eventually(lambda: not pathlib.Path(f"/proc/{pid}").exists(), 10)
 
 
-def test_a_hangup_signal_reloads_every_process(tmp_path: pathlib.Path, two_workers: StandInFleet) -> None:
-    with supervised(tmp_path, two_workers) as (stack, process):
+def test_a_hangup_signal_reloads_every_process(tmp_path: pathlib.Path, two_workers: StubWorkerFleet) -> None:
+    with supervised_gateway(tmp_path, two_workers) as (stack, process):
         path = tmp_path / "gateway.json5"
         content = json.loads(path.read_text())
         stack.call("identify-copy")
--- a/tests/deferred/conftest.py
+++ b/tests/deferred/conftest.py
@@ -18,7 +18,7 @@
 from saffronstack.deferred.ledger import Ledger, open_ledger
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.engine.calls import Call
-from saffronstack.standin.fleet import sample
+from saffronstack.standin.fleet import sample_config
 from tests.support.stack import eventually
 
 COMMIT_TIMEOUT_S = 0.3
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def config(tmp_path: pathlib.Path) -> Config:
-    content = sample([], "127.0.0.1:0", str(tmp_path))
+    content = sample_config([], "127.0.0.1:0", str(tmp_path))
     content["ledger"]["commit_timeout_s"] = COMMIT_TIMEOUT_S
     content["ledger"]["open_calls"] = 3
     content["ledger"]["in_flight"] = 2
--- a/tests/discovery/dns/support.py
+++ b/tests/discovery/dns/support.py
@@ -12,18 +12,18 @@
 from saffronstack.discovery.dns.resolver import Resolver, ResolverOptions
 from saffronstack.runtime.logs import KeyValueLogger
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.platform import Entry, dns_answer
+from saffronstack.standin.platform import HostEntry, dns_response
 from tests.support.platform import WAIT_S
 
 NAME = "_work._tcp.fleet.local"
 MESSAGE_ID = 7
-ENTRIES = [Entry("s-1", "127.0.0.1:1001"), Entry("s-2", "127.0.0.1:1002")]
+ENTRIES = [HostEntry("s-1", "127.0.0.1:1001"), HostEntry("s-2", "127.0.0.1:1002")]
 Respond = Callable[[bytes, int], list[bytes]]  # query and the port it came from, to what is sent there
 
 
-def response(serial: int, entries: list[Entry], message_id: int = MESSAGE_ID, name: str = NAME) -> bytes:
+def response(serial: int, entries: list[HostEntry], message_id: int = MESSAGE_ID, name: str = NAME) -> bytes:
     """Return the server's response to a query."""
-    return dns_answer(encode_query(message_id, name), serial, entries)
+    return dns_response(encode_query(message_id, name), serial, entries)
 
 
 class DiscoveryServer:
--- a/tests/discovery/dns/test_resolver.py
+++ b/tests/discovery/dns/test_resolver.py
@@ -10,7 +10,7 @@
 
 from saffronstack.discovery.dns import server_socket
 from saffronstack.discovery.dns.resolver import POLL_JITTER, Rejection, ResolverOptions
-from saffronstack.standin.platform import dns_answer
+from saffronstack.standin.platform import dns_response
 from tests.discovery.dns.conftest import StartDiscovery
 from tests.discovery.dns.support import ENTRIES, DiscoveryServer, ObservedResolver, response
 from tests.support.platform import WAIT_S
@@ -68,7 +68,7 @@
 
     def respond(query: bytes, port: int) -> list[bytes]:
         first.append(port)
-        return [] if port == first[0] else [dns_answer(query, 5, ENTRIES)]
+        return [] if port == first[0] else [dns_response(query, 5, ENTRIES)]
 
     server, observed = start_discovery(respond)
     assert len(observed.wait().updated) == 2
@@ -83,7 +83,7 @@
 
     def respond(query: bytes, port: int) -> list[bytes]:
         polled.release()
-        return [] if silent.is_set() else [dns_answer(query, serial[0], ENTRIES[: 7 - serial[0]])]
+        return [] if silent.is_set() else [dns_response(query, serial[0], ENTRIES[: 7 - serial[0]])]
 
     server, observed = start_discovery(respond)
     observed.wait()
@@ -104,7 +104,7 @@
 
     def respond(query: bytes, port: int) -> list[bytes]:
         queries.append(query)
-        return [dns_answer(queries[-2], 5, ENTRIES)] if len(queries) > 1 else []
+        return [dns_response(queries[-2], 5, ENTRIES)] if len(queries) > 1 else []
 
     _, observed = start_discovery(respond)
     assert len(observed.wait().updated) == 2
@@ -114,7 +114,7 @@
     start_discovery: StartDiscovery,
 ) -> None:
     """It is on its way when the new address is set."""
-    second = DiscoveryServer(lambda query, port: [dns_answer(query, 6, ENTRIES[:1])])
+    second = DiscoveryServer(lambda query, port: [dns_response(query, 6, ENTRIES[:1])])
     asked, ready = threading.Event(), threading.Event()
 
     def respond(query: bytes, port: int) -> list[bytes]:
@@ -123,7 +123,7 @@
             return []
         observed.resolver.set_server(second.address)
         asked.set()
-        return [dns_answer(query, 9, ENTRIES)]
+        return [dns_response(query, 9, ENTRIES)]
 
     _, observed = start_discovery(respond)
     ready.set()
@@ -138,7 +138,7 @@
 
     def respond(query: bytes, port: int) -> list[bytes]:
         polled.release()
-        return [dns_answer(query, serial[0], ENTRIES if serial[0] == 7 else ENTRIES[:1])]
+        return [dns_response(query, serial[0], ENTRIES if serial[0] == 7 else ENTRIES[:1])]
 
     _, observed = start_discovery(respond)
     observed.wait()
@@ -191,7 +191,7 @@
     attempts: list[tuple[str, int]] = []
 
     def respond(query: bytes, port: int) -> list[bytes]:
-        return [] if silent.is_set() else [dns_answer(query, 6 if taken.is_set() else 5, ENTRIES[:1])]
+        return [] if silent.is_set() else [dns_response(query, 6 if taken.is_set() else 5, ENTRIES[:1])]
 
     server, observed = start_discovery(respond)
     observed.wait()
--- a/tests/discovery/dns/test_service_records.py
+++ b/tests/discovery/dns/test_service_records.py
@@ -5,10 +5,10 @@
 from saffronstack.discovery.dns.endpoint_list import ListedEndpoint
 from saffronstack.discovery.dns.messages import decode_response
 from saffronstack.discovery.dns.service_records import parse_snapshot
-from saffronstack.standin.platform import Entry
+from saffronstack.standin.platform import HostEntry
 from tests.discovery.dns.support import MESSAGE_ID, NAME, response
 
-ENTRIES = [Entry("s-1", "127.0.0.1:100"), Entry("s-2", "127.0.0.2:200", True, 1700000000000)]
+ENTRIES = [HostEntry("s-1", "127.0.0.1:100"), HostEntry("s-2", "127.0.0.2:200", True, 1700000000000)]
 
 
 def test_a_response_lists_endpoints_with_their_attributes() -> None:
--- a/tests/discovery/files/support.py
+++ b/tests/discovery/files/support.py
@@ -20,7 +20,7 @@
 from saffronstack.discovery.files.service import FileDiscovery, FileDiscoveryOptions, FileDiscoveryStatus
 from saffronstack.discovery.files.state_directory import StateDirectory
 from saffronstack.gateway import Gateway
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from tests.support.stack import Stack, configuration
 
 KINDS = ("standin",)
@@ -109,7 +109,7 @@
 
 @contextmanager
 def gateway_with_worker_file(
-    directory: pathlib.Path, fleet: StandInFleet, text: str, **options: Any
+    directory: pathlib.Path, fleet: StubWorkerFleet, text: str, **options: Any
 ) -> Iterator[Stack]:
     """A gateway that watches ``roster.json5`` in a directory."""
     path = directory / "roster.json5"
--- a/tests/discovery/files/test_gateway_discovery.py
+++ b/tests/discovery/files/test_gateway_discovery.py
@@ -8,14 +8,14 @@
 import time
 from functools import partial
 
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from saffronstack.standin.model import Profile
 from tests.discovery.files.support import file_text, gateway_with_worker_file
 from tests.support.stack import eventually
 
 
 def test_every_refusal_has_its_reason_while_calls_go_on(tmp_path: pathlib.Path) -> None:
-    fleet = StandInFleet(2)
+    fleet = StubWorkerFleet(2)
     entries = fleet.entries()
     with gateway_with_worker_file(tmp_path, fleet, file_text(*entries, generation=3), poll_s=0.05) as stack:
         path = tmp_path / "roster.json5"
@@ -55,7 +55,7 @@
 
 def test_all_workers_replaced_at_once_under_load(tmp_path: pathlib.Path) -> None:
     """Allowed by the operator; running calls end, new ones go to the new workers, none is lost."""
-    fleet = StandInFleet(6, lambda n: Profile(work_s=0.05, load_s=0.02))
+    fleet = StubWorkerFleet(6, lambda n: Profile(work_s=0.05, load_s=0.02))
     old, new = fleet.entries()[:3], fleet.entries()[3:]
     stopping = threading.Event()
     statuses: list[int] = []
--- a/tests/discovery/files/test_gateway_rewrites.py
+++ b/tests/discovery/files/test_gateway_rewrites.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from saffronstack.standin.model import Profile
 from tests.discovery.files.support import entry, file_text, gateway_with_worker_file
 from tests.support.stack import eventually
@@ -106,7 +106,7 @@
 
 
 def test_five_thousand_rewrites_with_faults_never_route_to_a_phantom(tmp_path: pathlib.Path) -> None:
-    fleet = StandInFleet(6, lambda n: Profile(work_s=0.001, load_s=0.005))
+    fleet = StubWorkerFleet(6, lambda n: Profile(work_s=0.001, load_s=0.005))
     entries = fleet.entries()
     phantoms = [Phantom() for _ in range(2)]
     ghosts = [{**entry(f"g{n}"), "id": f"ghost-{n}", "address": p.address} for n, p in enumerate(phantoms)]
