--- a/saffronstack/audit/__init__.py
+++ b/saffronstack/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules judged from traffic: what clients' and workers' sockets saw, not the gateway's word."""
+"""Checks a run against five rules, from the traffic that clients and workers saw, not the gateway's own logs."""
--- a/saffronstack/audit/rules.py
+++ b/saffronstack/audit/rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each as a judge of traffic that names every breach it finds."""
+"""Five checkers, one for each rule, which return every breach that they find in the traffic of a run."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A rule broken, and by what."""
+    """A broken rule, with a text that names what broke it."""
 
     rule: int
     text: str
 
 
 def find_breaches(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
-    """Every breach of the five rules."""
+    """Return every breach of the five rules, ordered by rule."""
     breaches = [
         *check_final_answers(traffic, limits),
         *check_effects(traffic, limits),
@@ -43,7 +43,7 @@
 
 
 def _find_stop(traffic: Traffic, attempt: ClientRequest) -> GatewayStop | None:
-    """The stop of its gateway that a try ran into."""
+    """Return the stop of the request's gateway during which the request was in flight, if any."""
     ended = attempt.ended_s or math.inf
     return next(
         (
@@ -58,7 +58,10 @@
 
 
 def check_final_answers(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
-    """Rule 1: one final answer in time for all that a running gateway took, and nothing sent afterwards."""
+    """Check rule 1: each request that a running gateway accepted has one final answer before its deadline.
+
+    After the final answer, the gateway sends nothing more to the client and no attempt to a worker.
+    """
     breaches = []
     arrivals = _entries_by_id(traffic.worker_log, "arrive")
     reached_s: dict[str, list[float]] = defaultdict(list)
@@ -71,7 +74,7 @@
     for request in traffic.requests:
         if request.outcome in ("", "broken"):
             breaches += _check_unanswered(traffic, request, reached_s[request.op], limits)
-        elif request.outcome != "left":  # a gateway may read of both, the call and its end, only later
+        elif request.outcome != "left":  # a gateway may read an abandoned request late
             breaches += _check_answer(traffic, request, limits)
             if request.id and not request.deferred:
                 later = [other for other in requests[request.op] if other.sent_s > request.sent_s]
@@ -86,13 +89,13 @@
 def _check_unanswered(
     traffic: Traffic, request: ClientRequest, reached_s: list[float], limits: RuleLimits
 ) -> list[Breach]:
-    """A try that got no answer, unless its gateway was killed or never took it."""
+    """Check a request without a final answer: its gateway must have been killed, or not have accepted it."""
     sent = request.op, request.attempt
     if sent in traffic.lost_responses or sent in traffic.unaccepted:
-        return []  # the gateway answered, and the answer was lost behind it; or none was there
+        return []  # the response was lost after the gateway, or no gateway was there
     stop = _find_stop(traffic, request)
-    # A gateway that ends may close an idle connection onto which a request is on its way: it was
-    # not accepted, if no worker ever saw it.
+    # During a graceful shutdown, a gateway may close an idle connection just when a request arrives on it.
+    # Such a request counts as not accepted if no worker received it.
     ended = request.ended_s + limits.slack_s
     untaken = stop is not None and not request.deferred
     untaken = untaken and not any(request.sent_s <= at <= ended for at in reached_s)
@@ -107,7 +110,10 @@
 
 
 def _check_answer(traffic: Traffic, request: ClientRequest, limits: RuleLimits) -> list[Breach]:
-    """An answer past the deadline, more than one, or an accepted call without its one record."""
+    """Check a final answer: it came before the deadline, and only once.
+
+    An accepted deferred call must have exactly one final record.
+    """
     breaches = []
     if request.outcome != "not_taken" and request.ended_s > request.deadline_s + limits.slack_s:
         late_s = request.ended_s - request.deadline_s
@@ -124,7 +130,7 @@
 def _check_late_attempts(
     request: ClientRequest, later: list[ClientRequest], arrivals: list[WorkerLogEntry], limits: RuleLimits
 ) -> list[Breach]:
-    """Attempts that reached a worker after the answer, and that no later try of the client asked for."""
+    """Return attempts that reached a worker after the final answer, unless a later request caused them."""
     breaches = []
     for arrival in arrivals:
         sent_s = arrival.t - arrival.late
@@ -139,15 +145,19 @@
 
 
 def _is_pending(request: ClientRequest, at: float, limits: RuleLimits) -> bool:
-    """Whether a client waited for a try then; one that broke may be worked on until its client's time is
-    up.
+    """Return whether a request was pending at a time.
+
+    A request whose connection broke may stay pending at the gateway until its deadline.
     """
     ended = request.deadline_s if request.outcome in ("", "broken") else request.ended_s
     return request.sent_s - limits.slack_s <= at <= ended + limits.slack_s
 
 
 def check_effects(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
-    """Rule 2: no second effect, no refusal of what may have run, one attempt out at a time."""
+    """Check rule 2: a request has its effect at most once, and is not rejected if it may have run.
+
+    At most one attempt of a request is in flight at a time.
+    """
     breaches = []
     runs = _entries_by_id(traffic.worker_log, "run")
     arrivals = _entries_by_id(traffic.worker_log, "arrive")
@@ -249,12 +259,12 @@
 
 
 def _runs_of_operation(traffic: Traffic, op: str, is_logged: bool) -> list[WorkerLogEntry]:
-    """Runs under an operation's own mark, whatever their request ids."""
+    """Return the runs whose payload names the operation, whatever their request ids."""
     return traffic.entries_by_operation("run").get(op, []) if is_logged else []
 
 
 def _attempt_ends(entries: Iterable[WorkerLogEntry]) -> dict[tuple[str, int, str, str, float], float]:
-    """When each arrival's attempt ended at its worker, where its peer was still there to see it."""
+    """Return when each attempt ended at its worker, if the gateway's connection was still open then."""
     ends: dict[tuple[str, int, str, str, float], float] = {}
     out: dict[tuple[str, int, str, str], float] = {}
     for entry in entries:
@@ -275,7 +285,7 @@
     received: list[WorkerLogEntry],
     limits: RuleLimits,
 ) -> list[Breach]:
-    """Arrivals of a keyed call after its first run's that leave the group or the window."""
+    """Return attempts of a keyed call, after the one that ran first, that left its group or its window."""
     first_run = min(ran, key=lambda r: r.t)
     before = [a for a in received if a.worker == first_run.worker and a.t <= first_run.t]
     first = max(before, key=lambda a: a.t) if before else first_run
@@ -297,7 +307,10 @@
 
 
 def check_drains(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
-    """Rule 3: no call and no load order after the grace, until the worker is announced as ready again."""
+    """Check rule 3: a draining worker receives no call and no load command after the drain grace.
+
+    The rule ends when the worker is announced as ready again.
+    """
     breaches = []
     closed: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for change in sorted(traffic.endpoint_changes, key=lambda change: change.t):
@@ -348,7 +361,7 @@
             allowed = (
                 limits.overload_multiple * share * limits.capacity_rps[worker] * limits.overload_window_s
             )
-            if count > allowed + 3:  # the slack for chance
+            if count > allowed + 3:  # for random bursts
                 breaches.append(
                     Breach(
                         4,
@@ -361,7 +374,7 @@
 
 
 def check_load_commands(traffic: Traffic, limits: RuleLimits) -> list[Breach]:
-    """Rule 5: orders to load within the stated ration, over all gateways together."""
+    """Check rule 5: the load commands of all gateways together stay within their limit in each window."""
     if not limits.load_command_window_s:
         return []
     orders = sorted(e.t for e in traffic.worker_log if e.what == "order" and e.count > 0)
--- a/saffronstack/audit/traffic.py
+++ b/saffronstack/audit/traffic.py
@@ -1,4 +1,4 @@
-"""What was seen at the sockets. Times are of one monotonic clock, in seconds."""
+"""What clients and workers saw on their sockets. Times are seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -8,28 +8,26 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a client, as its socket saw it."""
+    """A request of a client, as seen on the client's socket."""
 
-    op: str  # what the client wants done once; its repeats share it
+    op: str  # operation that the client wants done once; its retries have the same one
     gateway: int
     function: str
     sent_s: float
-    deadline_s: float  # clock time at which the client gives up
+    deadline_s: float  # time at which the client gives up
     deferred: bool = False
     tenant: str = ""
-    id: str = ""  # request id of the answer
+    id: str = ""  # request id that the response names
     ended_s: float = 0.0
-    outcome: str = (
-        ""  # served, refused, failed, accepted, error, broken, not_taken, left; empty: nothing came
-    )
-    extra_bytes: int = 0  # that followed the answer unasked
-    attempt: int = 0  # of the operation's tries, from 0
-    answer: str = ""  # what tells one answer from another
+    outcome: str = ""  # served, refused, failed, accepted, error, broken, not_taken, left; empty: none yet
+    extra_bytes: int = 0  # bytes after the response that belong to no response
+    attempt: int = 0  # index among the client's requests for the operation
+    answer: str = ""  # digest or text that distinguishes responses
 
 
 @dataclass(slots=True)
 class WorkerLogEntry:
-    """One line of a worker's log."""
+    """An entry of a worker's log."""
 
     t: float
     worker: str
@@ -47,7 +45,10 @@
 
 @dataclass(slots=True)
 class EndpointChange:
-    """Gateways were told of a worker: ready, draining or gone; ``started_s`` is its start, 0 for long ago."""
+    """A change of a worker in the endpoint list: ready, draining or gone.
+
+    ``started_s`` is the start of the worker, 0 if it started long ago.
+    """
 
     t: float
     worker: str
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True)
 class GatewayStop:
-    """A gateway was killed (or asked to end) at ``t`` and came back at ``restarted_s``."""
+    """A gateway was killed, or asked to shut down, at ``t`` and started again at ``restarted_s``."""
 
     gateway: int
     t: float
@@ -67,36 +68,36 @@
 
 @dataclass(slots=True)
 class FunctionRule:
-    """What the rules need of a function."""
+    """What the rules need to know about a function."""
 
     effect: str
     group: str = "all"
     window_s: float = 0.0
-    is_logged: bool = (
-        False  # its operations are noted durably: judged over all tries of one, without allowance
-    )
+    # Its operations are logged durably: the rules hold over all requests of an operation, and a lost response
+    # excuses no second run.
+    is_logged: bool = False
 
 
 @dataclass(slots=True)
 class RuleLimits:
-    """The rules' figures, and what a worker can do."""
+    """Limits that the rules check, and the capacity of the workers."""
 
     drain_grace_s: float = 2.0
     overload_multiple: float = 0.0
     overload_window_s: float = 1.0
     slow_start_min_fraction: float = 1.0
     slow_start_s: float = 0.0
-    capacity_rps: dict[str, float] = field(default_factory=dict)  # by worker, warm
+    capacity_rps: dict[str, float] = field(default_factory=dict)  # by worker, when it is warm
     load_command_burst: float = 0.0
     load_commands_per_request: float = 0.0
     load_command_window_s: float = 0.0
     gateways: int = 1
-    slack_s: float = 0.005  # of clocks read on different threads
+    slack_s: float = 0.005  # tolerance for times that different threads take
 
 
 @dataclass(slots=True)
 class Traffic:
-    """All that was seen in a run."""
+    """The traffic of a run."""
 
     functions: dict[str, FunctionRule]
     zones: dict[str, tuple[str, str]] = field(default_factory=dict)  # worker: zone and cell
@@ -104,22 +105,21 @@
     worker_log: list[WorkerLogEntry] = field(default_factory=list)
     endpoint_changes: list[EndpointChange] = field(default_factory=list)
     gateway_stops: list[GatewayStop] = field(default_factory=list)
-    lost_responses: set[tuple[str, int]] = field(
-        default_factory=set
-    )  # answers lost behind the gateway: op, attempt
-    unaccepted: set[tuple[str, int]] = field(default_factory=set)  # tries that no gateway was there to take
-    final_records: dict[str, list[str]] = field(
-        default_factory=lambda: defaultdict(list)
-    )  # distinct conditions by id
+    # Requests, by operation and attempt, whose response was lost between the gateway and the client.
+    lost_responses: set[tuple[str, int]] = field(default_factory=set)
+    # Requests, by operation and attempt, that were sent while no gateway was running.
+    unaccepted: set[tuple[str, int]] = field(default_factory=set)
+    # The distinct conditions of the final records of a deferred call, by request id.
+    final_records: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))
     _by_op: dict[str, dict[str, list[WorkerLogEntry]]] = field(default_factory=dict)
 
     def function_rule(self, function: str) -> FunctionRule:
-        """A function's rule; one that a pattern covers stands under its first part."""
+        """Return a function's rule; ``prefix-*`` covers all functions whose names start with ``prefix-``."""
         rule = self.functions.get(function) or self.functions.get(function.partition("-")[0] + "-*")
         return rule or FunctionRule("unsafe")
 
     def entries_by_operation(self, what: str) -> dict[str, list[WorkerLogEntry]]:
-        """Lines of a kind by the operation that the payload names; reckoned once."""
+        """Return the log entries of a kind by the operation that the payload names; computed once."""
         found = self._by_op.get(what)
         if found is None:
             found = self._by_op[what] = defaultdict(list)
--- a/saffronstack/standin/__init__.py
+++ b/saffronstack/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in workers with memory, lanes, cores, a shared store and injectable faults, for tests and days."""
+"""Stub workers with memory, cores, a shared artifact store and fault injection, for tests and scenarios."""
--- a/saffronstack/standin/fleet.py
+++ b/saffronstack/standin/fleet.py
@@ -1,4 +1,4 @@
-"""Many stand-in workers in one process, and the sample configuration that goes with them."""
+"""Several stub workers in one process, and a sample configuration for them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StubWorkerFleet:
-    """Workers that share a store."""
+    """Stub workers that share an artifact store."""
 
     def __init__(
         self,
@@ -28,12 +28,12 @@
         ]
 
     def stop(self) -> None:
-        """Stop them all."""
+        """Stop all workers."""
         for worker in self.workers:
             worker.stop()
 
     def entries(self) -> list[dict[str, Any]]:
-        """Their lines of a configuration: two zones, a cell each."""
+        """Return the configuration entries of the workers, spread over two zones with one cell each."""
         return [
             {
                 "id": worker.name,
@@ -49,7 +49,7 @@
 def sample_config(
     workers: list[dict[str, Any]], listen: str, ledger: str = "", memory_mb: float = 4096.0
 ) -> dict[str, Any]:
-    """The sample configuration: two tenants, and functions of each class."""
+    """Return a configuration with two tenants, three classes and functions of each class."""
     content: dict[str, Any] = {
         "listen": listen,
         "keep_alive_s": 10.0,
--- a/saffronstack/standin/host.py
+++ b/saffronstack/standin/host.py
@@ -1,4 +1,4 @@
-"""A process full of stand-in workers, ruled by JSON lines on its standard input, logging to a file."""
+"""A process of stub workers that reads commands as JSON lines from its standard input and logs to a file."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class _LogWriter:
-    """Lines written by a thread of their own, so that no worker waits for the disk."""
+    """Writes log entries on a thread of its own, so that no worker waits for the disk."""
 
     def __init__(self, path: str) -> None:
-        self._file = open(path, "ab")  # noqa: SIM115 - open as long as the process
+        self._file = open(path, "ab")  # noqa: SIM115 - stays open until the process exits
         self._queue: queue.SimpleQueue[LogEntry] = queue.SimpleQueue()
         start_thread("log", self._run)
 
     def write(self, entry: LogEntry) -> None:
-        """One line more."""
+        """Queue an entry for the log file."""
         self._queue.put(entry)
 
     def _run(self) -> None:
@@ -36,12 +36,12 @@
             self._file.flush()
 
     def is_empty(self) -> bool:
-        """Whether all was written."""
+        """Return whether no entry is queued."""
         return self._queue.empty()
 
 
 def main() -> int:
-    """``{"count", "log", "seed", "profiles"}`` first, then commands, until the input ends."""
+    """Read ``{"count", "log", "seed", "profiles"}`` and then commands until the input ends."""
     options = msgspec.json.decode(sys.stdin.buffer.readline())
     profiles = [msgspec.convert(profile, Profile) for profile in options["profiles"]]
     log = _LogWriter(options["log"])
--- a/saffronstack/standin/model.py
+++ b/saffronstack/standin/model.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Profile:
-    """One stand-in worker's figures; times in seconds, memory in MB."""
+    """Capacity and timing of one stub worker; times in seconds, memory in MB."""
 
     memory_mb: float = 4096.0
     cores: int = 4
@@ -29,20 +29,20 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with a worker now; changed as a whole."""
+    """The faults that a stub worker shows now; replaced as a whole."""
 
-    silent: bool = False  # reads the request and never answers, the function does not run
+    silent: bool = False  # reads the request and never responds; the function does not run
     silent_after_run: bool = False
-    lose_answers: float = 0.0  # part of the calls whose answer is lost after the run
+    lose_answers: float = 0.0  # fraction of the calls whose response is lost after the run
     reset_mid_answer: bool = False
     half_header: bool = False
     garbage: bool = False
-    slow: float = 1.0  # times as long
-    errors: float = 0.0  # part of the calls answered 500 at once, the function not run
+    slow: float = 1.0  # multiple of the profile's run time
+    errors: float = 0.0  # fraction of the calls that get status 500 at once; the function does not run
     die_mid_load: bool = False
     die_mid_call: bool = False
     handshake_s: float = 0.0
-    told_busy: float | None = None  # what it says of its cores and its queue, whatever is true
+    told_busy: float | None = None  # CPU utilization in load reports, with told_waiting; None: real values
     told_waiting: int = 0
 
 
@@ -50,15 +50,18 @@
 
 
 class WorkerDiedError(Exception):
-    """The worker died under the call."""
+    """The worker was killed during the call."""
 
 
 class QueueFullError(Exception):
-    """No room to wait: the function did not run."""
+    """The worker's queue or memory is full; the function did not run."""
 
 
 class Store:
-    """The store that all workers fetch from: fetches over its capacity take longer, past a limit none."""
+    """The artifact store from which all workers load functions.
+
+    Above ``capacity`` concurrent fetches, each takes proportionally longer; beyond ``max_fetches`` they fail.
+    """
 
     def __init__(self, capacity: int = 16, max_fetches: int = 256) -> None:
         self.capacity = capacity
@@ -69,7 +72,7 @@
         self._lock = threading.Lock()
 
     def fetch(self, seconds: float, sleep: Callable[[float], None]) -> bool:
-        """Fetch once; False where the store turned it away."""
+        """Fetch once; return False if the store rejected the fetch."""
         with self._lock:
             if self._fetches_in_flight >= self.max_fetches:
                 return False
@@ -90,12 +93,9 @@
     memory_mb: float
     concurrency: int
     span_start_us: int
-    waiting_calls: dict[int, CallReference] = field(
-        default_factory=dict
-    )  # by a ticket: an attempt that was given up may
-    running_calls: dict[int, CallReference] = field(
-        default_factory=dict
-    )  # still run when its call comes again
+    # By ticket, not by call: a cancelled attempt may still run when a retry of its call arrives.
+    waiting_calls: dict[int, CallReference] = field(default_factory=dict)
+    running_calls: dict[int, CallReference] = field(default_factory=dict)
     loaded: int = 0
     loading: int = 0
     busy_slots: int = 0
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceChange:
-    """A function's instances after a change."""
+    """The instances of a function after a change, with the calls that wait for them or run on them."""
 
     at_us: int
     function: str
@@ -122,7 +122,7 @@
 
 
 class WorkerModel:
-    """One incarnation of a worker; every wait ends at its caller's deadline or the worker's death."""
+    """One incarnation of a worker; a call stops waiting at its deadline or when the worker is killed."""
 
     def __init__(
         self,
@@ -133,7 +133,10 @@
         outbox: Outbox | None = None,
         on_change: Callable[[InstanceChange], None] | None = None,
     ) -> None:
-        """``on_change`` hears of each change, for tests that reckon on their own what was held."""
+        """Create a worker without loaded instances.
+
+        ``on_change`` is called after each change, for tests that compute memory use independently.
+        """
         self.profile = profile
         self.started_s = clock()
         self._faults = faults
@@ -150,13 +153,13 @@
         self._tickets = count()
 
     def kill(self) -> None:
-        """All instances are void, every call under way ends."""
+        """End the incarnation: all calls that wait or run raise WorkerDiedError."""
         self._killed.set()
         with self._state:
             self._state.notify_all()
 
     def speed_factor(self) -> float:
-        """Part of its capacity that a young worker can do."""
+        """Return the fraction of its capacity that the worker has at its age."""
         profile = self.profile
         if not profile.cold_s:
             return 1.0
@@ -166,7 +169,7 @@
         )
 
     def load_report(self) -> tuple[int, int, float, int]:
-        """Calls in hand, calls waiting, part of the cores busy, loads under way."""
+        """Return calls in flight, calls queued, fraction of the cores busy and loads in progress."""
         with self._state:
             return (
                 self._waiting_count + self._running_count,
@@ -243,7 +246,12 @@
     def load_instances(
         self, function: str, memory_mb: float, concurrency: int, count: int, deadline_s: float
     ) -> int:
-        """An order to hold instances; how many stand. QueueFullError where there is no room."""
+        """Load instances until ``count`` are loaded or loading; return how many are loaded.
+
+        Raises:
+            QueueFullError: There is not enough memory, even after idle instances were evicted.
+            TimeoutError: The loads that other calls had started did not end before the deadline.
+        """
         with self._state:
             instances = self._instances.setdefault(
                 function, _FunctionInstances(function, memory_mb, concurrency, self._now_us())
@@ -265,13 +273,13 @@
             self._load_instance(instances)
 
     def loaded_instances(self, function: str) -> int:
-        """Copies that stand."""
+        """Return how many instances of a function are loaded."""
         with self._state:
             instances = self._instances.get(function)
             return instances.loaded if instances else 0
 
     def unload(self, function: str | None = None) -> None:
-        """Unload idle instances: of one function, or of all (a new release)."""
+        """Unload the idle instances of one function, or of all functions as a new release does."""
         with self._state:
             for name, instances in self._instances.items():
                 if function in (None, name):
@@ -283,13 +291,11 @@
             self._state.notify_all()
 
     def end_open_spans(self) -> None:
-        """End every open span, so that what stands so far is reported."""
+        """Record the memory use up to now for all functions, so that the next response reports it."""
         with self._state:
             for instances in self._instances.values():
                 self._end_span(instances)
 
-    # ---- inside
-
     def _now_us(self) -> int:
         return int(self._clock() * 1e6)
 
@@ -298,7 +304,7 @@
             self._outbox.end_call(reference.request_id)
 
     def _end_span(self, instances: _FunctionInstances) -> None:
-        """Record the memory that the instances used since their last change; called before each change."""
+        """Record the memory that the instances used since their last change; call it before each change."""
         now_us = self._now_us()
         if self._outbox is None or now_us <= instances.span_start_us:
             return
@@ -317,7 +323,7 @@
         instances.span_start_us = now_us
 
     def _notify_change(self, instances: _FunctionInstances) -> None:
-        """They have changed; the span before was closed at the same moment, in the same hold of the lock."""
+        """Pass a change to ``on_change``; the caller ended the span before under the same lock."""
         if self._on_change is not None:
             waiting, running = (
                 tuple(instances.waiting_calls.values()),
@@ -337,7 +343,11 @@
             )
 
     def _wait(self, ready: Callable[[], bool], deadline_s: float) -> bool:
-        """Wait, holding the state, for something or the deadline; WorkerDiedError where the worker did."""
+        """Wait until ``ready`` returns true; return False at the deadline. The caller holds the lock.
+
+        Raises:
+            WorkerDiedError: The worker was killed.
+        """
         while not ready():
             if self._killed.is_set():
                 raise WorkerDiedError
@@ -401,7 +411,7 @@
         return sum(c.total * c.memory_mb for c in self._instances.values())
 
     def _evict_idle_for(self, wanted: _FunctionInstances) -> bool:
-        """Make room for one more copy out of idle ones, the longest unused first."""
+        """Evict least recently used idle instances until another instance fits; return whether it fits."""
         while self._used_mb() + wanted.memory_mb > self.profile.memory_mb:
             idle = [
                 c
--- a/saffronstack/standin/platform.py
+++ b/saffronstack/standin/platform.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the users' platform: hosts that speak JSON lines, and a directory over DNS, on loopback.
+"""Stubs of the platform on loopback: hosts that speak JSON lines, and a DNS server that lists them.
 
-A host is a `Model` (copies, lanes, loads, queue, slow start) behind the platform's protocol. What it sees on
-its sockets goes to a log in the words of `saffronstack.audit`.
+A host is a `WorkerModel` behind the platform's protocol. It logs the traffic of its sockets as entries that
+`saffronstack.audit` reads.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 from saffronstack.standin.receive_timestamps import TimestampedReader, enable_timestamps
 
 Log = Callable[[dict[str, Any]], None]
-MAX_FILLER_CONNECTIONS = 16  # connections that fill a queue of none
-FILLER_TIMEOUT_S = 0.1
+MAX_FILLER_CONNECTIONS = 16  # more than an accept queue of length 0 takes
+FILLER_TIMEOUT_S = 0.1  # a connection that is not established by then found the accept queue full
 MAX_LINE_BYTES = 128 * 1024
 MAX_CALL_S = 10.0
 NOTE_BY_CACHE_STATUS = {"warm": "up", "began-load": "fresh"}
@@ -35,8 +35,9 @@
 
 @dataclass(frozen=True)
 class HostEntry:
-    """A host as the directory lists it; ``started`` is the Unix millisecond of a late start, or 0;
-    ``weight`` its size beside others.
+    """A host as the DNS server lists it.
+
+    ``started`` is its start in Unix milliseconds, or 0 if it started long ago; ``weight`` its relative size.
     """
 
     name: str
@@ -48,7 +49,7 @@
 
 
 def dns_response(query: bytes, serial: int, entries: Iterable[HostEntry]) -> bytes:
-    """A whole answer, with compressed names."""
+    """Return a complete DNS response with compressed names."""
     question = query[12:]
     services, more = b"", b""
     at = 12 + len(question)
@@ -73,18 +74,20 @@
 
 
 class StubDnsServer:
-    """Answers with ``entries`` under ``serial``, or with what ``spoil`` makes of that; None says nothing."""
+    """Answers queries with ``entries`` under the SOA serial ``serial``.
+
+    ``edit_response`` may change each response; if it returns None, the query gets no response.
+    """
 
     def __init__(self, *entries: HostEntry, serial: int = 1, wait_s: float = 10.0) -> None:
         self.entries = list(entries)
         self.serial = serial
         self.edit_response: Callable[[bytes], bytes | None] = lambda answer: answer
-        self.gets_previous_list: Callable[[int], bool] = lambda port: (
-            False
-        )  # askers that still get the list before
+        # Decides by the client's port which clients still receive the previous list.
+        self.gets_previous_list: Callable[[int], bool] = lambda port: False
         self._previous_list: tuple[int, list[HostEntry]] = (serial, self.entries)
         self.responses_sent = threading.Semaphore(0)
-        self.queries: list[tuple[float, tuple[str, int]]] = []  # when, and by whom
+        self.queries: list[tuple[float, tuple[str, int]]] = []  # time and client address
         self._wait_s = wait_s
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
@@ -107,19 +110,21 @@
             self.responses_sent.release()
 
     def update_and_wait(self, *entries: HostEntry) -> None:
-        """A new list under the next number; returns once a question after it has been answered."""
+        """Change the list, and wait until queries that came after the change were answered."""
         self.update(*entries)
         self.wait_for_queries()
 
     def update(self, *entries: HostEntry) -> None:
-        """A new list under the next number."""
+        """Change the list and increment the serial."""
         self._previous_list = self.serial, self.entries
         self.entries = list(entries)
         self.serial += 1
 
     def wait_for_queries(self) -> None:
-        """Until three more queries have been answered: the first of them may be an old one, and when the
-        third has come the answer to the second has been taken.
+        """Wait until three more queries were answered.
+
+        The first of them may have come before the call; the third shows that its client has processed the
+        response to the second.
         """
         while self.responses_sent.acquire(blocking=False):
             pass
@@ -127,17 +132,17 @@
             assert self.responses_sent.acquire(timeout=self._wait_s)
 
     def close(self) -> None:
-        """Answer no more."""
+        """Stop answering."""
         self._sock.close()
 
 
 def _tag_fraction(tag: str) -> float:
-    """Where a request falls between 0 and 1: the same in every run."""
+    """Return a fraction from 0 to 1 that depends only on the tag, so that each run draws the same faults."""
     return xxhash.xxh32_intdigest(tag.encode()) / 2**32
 
 
 class _GatewayConnection:
-    """One connection that a gateway opened; answers of many threads leave it one at a time."""
+    """A connection that a gateway opened; threads write responses to it one at a time."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -145,7 +150,7 @@
         self.cancelled_tags: set[str] = set()
 
     def write(self, data: bytes) -> bool:
-        """Whether it left while the connection stood."""
+        """Write the data; return False if the connection was lost."""
         with self._lock:
             try:
                 self.sock.sendall(data)
@@ -154,7 +159,7 @@
         return True
 
     def reset(self) -> None:
-        """End it with a reset."""
+        """Close the connection with a TCP reset."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.sock.shutdown(socket.SHUT_RD)
@@ -162,7 +167,7 @@
 
 
 class StubHost:
-    """One host; it keeps its address over its lives. ``faults`` may be changed at any time."""
+    """A stub host that keeps its address over restarts; ``faults`` may be changed at any time."""
 
     def __init__(
         self,
@@ -173,12 +178,12 @@
         log: Log,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """``catalog``: a function's memory in MB and the lanes of a copy."""
+        """Start the host; ``catalog`` returns a function's memory in MB and concurrency per instance."""
         self.name = name
         self.profile = profile
         self.faults = Faults()
-        self.connections = 0  # opened so far
-        self.calls_to_reset = 0  # so many of the next calls have their connection reset once they have run
+        self.connections = 0  # opened since the host was created
+        self.calls_to_reset = 0  # next calls whose connection is reset after they ran
         self._store, self._catalog, self._log, self._clock = store, catalog, log, clock
         self._attempts = count()
         self._threads = IdleThreadPool("host-call", max_idle=64)
@@ -194,11 +199,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, in all its lives."""
+        """Return the address as HOST:PORT."""
         return f"127.0.0.1:{self._port}"
 
     def start(self) -> None:
-        """Begin a life: cold, and empty."""
+        """Start a new incarnation without loaded instances."""
         self.incarnation = uuid.uuid4().hex[:12]
         self.model = WorkerModel(self.profile, lambda: self.faults, self._store, self._clock)
         self._listener = socket.create_server(("127.0.0.1", self._port), backlog=512)
@@ -207,7 +212,7 @@
         start_thread(f"host-{self.name}", partial(self._accept, self._listener, self.model))
 
     def stop(self) -> None:
-        """Die: all connections are reset, nothing that is under way ends."""
+        """Stop at once, as if killed: reset all connections; calls in flight are lost."""
         with self._lock:
             listener, self._listener = self._listener, None
             connections, self._connections = self._connections, set()
@@ -221,7 +226,7 @@
             connection.reset()
 
     def set_stalled(self, is_stalled: bool) -> None:
-        """Say nothing and read nothing, without a reset; or go on."""
+        """Stop or resume reading and responding; connections stay open."""
         if is_stalled:
             self._not_stalled.clear()
         else:
@@ -260,7 +265,7 @@
             try:
                 filler.connect(("127.0.0.1", self._port))
             except TimeoutError:
-                return  # the queue is full: from here on nobody gets in
+                return  # the accept queue is full: no further connection is established
             except OSError:
                 continue
 
@@ -316,7 +321,10 @@
         fields: dict[str, Any],
         blob: str = "",
     ) -> tuple[bool, float]:
-        """Whether it left, and from when on a gateway may have it."""
+        """Send a response unless its request was cancelled or the connection was lost.
+
+        Returns whether it was sent, and the earliest time at which the gateway can have received it.
+        """
         self._not_stalled.wait(MAX_CALL_S)
         at = self._clock()
         if tag in connection.cancelled_tags:
@@ -333,7 +341,7 @@
             "id": tag, "op": tag, "function": function, "attempt": next(self._attempts),
             "incarnation": self.incarnation,
         }  # fmt: skip
-        now = self._clock()  # it lay in the socket, and then waited for this thread
+        now = self._clock()  # later than received_s: the request waited in the socket and for this thread
         self._log_event("arrive", model, t=now, cls=fields["c"], late=now - received_s, **attempt_fields)
         faults = self.faults
         if faults.errors and _tag_fraction(tag) < faults.errors:
--- a/saffronstack/standin/receive_timestamps.py
+++ b/saffronstack/standin/receive_timestamps.py
@@ -1,4 +1,4 @@
-"""When what is read came: the kernel's own word, however late a busy machine lets a thread read it."""
+"""Reads sockets with the kernel's receive timestamps, which do not depend on when a thread is scheduled."""
 
 from __future__ import annotations
 
@@ -17,18 +17,22 @@
 
 
 def enable_timestamps(sock: socket.socket) -> None:
-    """Have the kernel note when data comes; what a listener accepts has it noted from the first byte on."""
+    """Enable the kernel's receive timestamps.
+
+    Connections that a listener accepts inherit the option, so that their first byte has a timestamp too.
+    """
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
 class TimestampedReader:
-    """Reads of one TCP socket, each with the moment at which its newest bytes came, on the reader's clock: a
-    moment, not how long they lay, since a busy machine holds the thread up after each look at a clock.
+    """Reads a TCP socket and tells when the newest bytes of each read arrived, on the reader's clock.
+
+    The result is a time and not an age, because a busy machine may delay the thread after it reads a clock.
 
-    The kernel notes by the wall clock when a segment came (socket(7), SO_TIMESTAMPNS); of segments that were
-    joined it keeps the newest one's moment. Where it gives none, or the clock was set since the last read,
-    nothing lay: an accusation rests on it.
+    The kernel stamps segments by the wall clock (socket(7), SO_TIMESTAMPNS) and keeps the newest timestamp of
+    segments that it merges. Without a timestamp, or if a clock was set since the last read, the time of the
+    read counts as the time of arrival: the audit must not blame a gateway for an age that is not certain.
     """
 
     def __init__(
@@ -38,15 +42,15 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.sock = sock
-        self.received_s = clock()  # what was read last
+        self.received_s = clock()  # of the bytes read last
         self._wall_clock, self._clock = wall_clock, clock
         self._offset_s = self._measure_offset_s(wall_clock())
-        self._last_read_end_s = clock()  # when the last read ended: what is unread came since
+        self._last_read_end_s = clock()  # unread bytes arrived later than this
         self._buffer = b""
         enable_timestamps(sock)
 
     def _measure_offset_s(self, wall_s: float) -> float:
-        """The wall clock less the other one; read again where the thread lost the processor in between."""
+        """Return wall clock minus reader's clock; measure again if the thread was descheduled in between."""
         for _ in range(8):
             before_s = self._clock()
             wall_s = self._wall_clock()
@@ -55,7 +59,7 @@
         return wall_s - before_s
 
     def recv(self, size: int) -> bytes:
-        """Up to ``size`` bytes, none at the end; ``came_s`` is theirs. OSError as of the socket."""
+        """Read up to ``size`` bytes, none at the end of the connection, and set ``received_s``."""
         data, ancillary, _, _ = self.sock.recvmsg(size, 64)
         self.received_s = self._clock()
         previous_offset_s, self._offset_s = self._offset_s, self._measure_offset_s(self._wall_clock())
@@ -95,7 +99,7 @@
             self._buffer += data
 
     def _has_unread_data(self) -> bool:
-        """Whether something came after what was read, which the kernel may have joined to it meanwhile."""
+        """Return whether more bytes have arrived, which the kernel may have merged with those just read."""
         poll = select.poll()
         poll.register(self.sock, select.POLLIN)
         return bool(poll.poll(0)) and bool(self.sock.recv(1, socket.MSG_PEEK))
--- a/saffronstack/standin/usage.py
+++ b/saffronstack/standin/usage.py
@@ -1,4 +1,4 @@
-"""What a stand-in worker says of its copies' memory: numbered records, kept until acknowledged."""
+"""Numbered usage records of a stub worker, which it offers to gateways until one acknowledges them."""
 
 from __future__ import annotations
 
@@ -8,26 +8,25 @@
 from saffronstack.metering.cost_allocation import allocate
 from saffronstack.metering.worker_messages import CallReference, UsageRecord, UsageRequest, UsageResponse
 
-MAX_KEPT_ENTRIES = 100_000  # records, and calls and acknowledgements remembered
-RESEND_INTERVAL_S = 1.0  # a record is offered anew when no acknowledgement came for so long
+MAX_KEPT_ENTRIES = 100_000  # of unacknowledged records, of owners and of ended calls; the oldest are dropped
+RESEND_INTERVAL_S = 1.0  # time after which an unacknowledged record is offered again
 
 
 class Outbox:
-    """Records of one incarnation; used from every connection's thread."""
+    """Usage records of one incarnation; its methods may be called from any thread."""
 
     def __init__(self, worker: str, incarnation: str) -> None:
         self.worker = worker
         self.incarnation = incarnation
         self.dropped = 0
-        self.all_records: list[UsageRecord] = []  # for tests: the truth, whatever was delivered
+        self.all_records: list[UsageRecord] = []  # for tests: also those that were delivered or dropped
         self._seq = 0
         self._lock = threading.Lock()
-        self._unacknowledged: OrderedDict[int, tuple[UsageRecord, float]] = (
-            OrderedDict()
-        )  # record, and when it was offered
+        # By sequence number: the record, and when it was last offered.
+        self._unacknowledged: OrderedDict[int, tuple[UsageRecord, float]] = OrderedDict()
         self._owner_by_seq: OrderedDict[int, str] = OrderedDict()
         self._ended_calls: OrderedDict[str, None] = OrderedDict()
-        self._memory_use_by_call: dict[str, int] = {}  # KiB microseconds of calls that are here
+        self._memory_use_by_call: dict[str, int] = {}  # KiB microseconds; until `pop_memory_use`
 
     def add_record(
         self,
@@ -39,7 +38,7 @@
         waiting: tuple[CallReference, ...],
         running: tuple[CallReference, ...],
     ) -> None:
-        """A span has ended."""
+        """Add a record of a span in which a function's instances did not change."""
         with self._lock:
             self._seq += 1
             usage = UsageRecord(
@@ -68,7 +67,7 @@
                 self._owner_by_seq.popitem(last=False)
 
     def end_call(self, call_id: str) -> None:
-        """Remember that a call has ended; its memory use is recorded completely."""
+        """Note that a call has ended and that all of its memory use is recorded."""
         with self._lock:
             self._ended_calls[call_id] = None
             if len(self._ended_calls) > MAX_KEPT_ENTRIES:
@@ -80,7 +79,10 @@
             return self._memory_use_by_call.pop(call_id, 0)
 
     def respond(self, request: UsageRequest, now_s: float) -> UsageResponse:
-        """Take acknowledgements: a record is the first gateway's that acknowledges it. Offer what is open."""
+        """Process the acknowledgements of a gateway and offer it unacknowledged records.
+
+        A record belongs to the first gateway that acknowledges it.
+        """
         own: list[tuple[str, int]] = []
         owned_by_others: list[tuple[str, int]] = []
         with self._lock:
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in worker on a socket: docs/worker-protocol.md, faults, and a log of what it saw."""
+"""A stub worker that serves docs/worker-protocol.md, shows injected faults and logs its traffic."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 )
 from saffronstack.standin.usage import Outbox
 
-MAX_USAGE_RECORDS_IN_HEADER = 8  # records in an answer's header
+MAX_USAGE_RECORDS_IN_HEADER = 8
 IDLE_TIMEOUT_S = 120.0
 MAX_CALL_S = 60.0
 LogEntry = dict[str, object]
@@ -44,7 +44,7 @@
 
 
 def _read_operation(body: bytes) -> str:
-    """What the client calls its operation, where its payload says so."""
+    """Return the operation that the payload names, or an empty string."""
     try:
         return msgspec.json.decode(body, type=_Payload).op
     except msgspec.MsgspecError:
@@ -52,7 +52,7 @@
 
 
 def _attempt_fields(head: RequestHead, body: bytes) -> LogEntry:
-    """Which call and attempt this is, as every note about it says."""
+    """Return the fields that identify the attempt in each log entry about it."""
     get = head.headers.get
     return {
         "id": get("x-amzn-requestid"),
@@ -65,7 +65,10 @@
 
 
 def reserve_port(host: str, port: int = 0) -> socket.socket:
-    """A bound socket that never listens; a listener with SO_REUSEADDR may take the port beside it."""
+    """Reserve a port with a bound socket that never listens.
+
+    A listener with SO_REUSEADDR can use the same port while the socket stays open.
+    """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, port))
@@ -73,7 +76,7 @@
 
 
 class StubWorker:
-    """One worker. It can stop, and return cold at the same address as another incarnation."""
+    """A stub worker; after a stop, it can start at its address as another incarnation without instances."""
 
     def __init__(
         self,
@@ -94,15 +97,14 @@
         self.incarnation = ""
         self.model: WorkerModel
         self.outbox: Outbox
-        self.instance_changes: list[InstanceChange] | None = (
-            None  # a list here is given all changes from the next start on
-        )
+        # If a test sets a list, all changes from the next start on are appended to it.
+        self.instance_changes: list[InstanceChange] | None = None
         self._store = store
         self._clock = clock
         self._write_entry = log or self.log.append
         self._random = random.Random(seed)
-        # Bound and never listening, it keeps the port for the worker's next life: the system would give a
-        # port without a listener to the next outgoing connection, and meanwhile it refuses connections.
+        # Keeps the port for the next incarnation: the system could give a port without a bound socket to an
+        # outgoing connection. While nothing listens, connections to the port are refused.
         self._reserved_port = reserve_port(host, port)
         self._host, self._port = self._reserved_port.getsockname()[:2]
         self._listener: socket.socket | None = None
@@ -112,11 +114,11 @@
 
     @property
     def address(self) -> str:
-        """HOST:PORT."""
+        """Return the address as HOST:PORT."""
         return f"{self._host}:{self._port}"
 
     def start(self) -> None:
-        """Begin an incarnation: nothing is loaded."""
+        """Start a new incarnation without loaded instances; do nothing if the worker runs."""
         if self._listener is not None:
             return
         self.incarnation = uuid.uuid4().hex[:12]
@@ -128,11 +130,11 @@
         listener = self._listener = socket.create_server((self._host, self._port), backlog=512)
         listener.settimeout(0.2)
         self._log_event("start")
-        accept = partial(self._accept, listener, self.model, self.incarnation)  # those of this incarnation
+        accept = partial(self._accept, listener, self.model, self.incarnation)
         start_thread(f"standin-{self.name}", accept)
 
     def stop(self) -> None:
-        """Die at once: the listener and every connection close, every call under way is lost."""
+        """Stop at once, as if killed: close the listener and all connections; calls in flight are lost."""
         with self._lock:
             listener, self._listener = self._listener, None
             connections, self._connections = self._connections, set()
@@ -140,7 +142,9 @@
             return
         self._log_event("stop")
         with contextlib.suppress(OSError):
-            listener.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept, which keeps the port open
+            listener.shutdown(
+                socket.SHUT_RDWR
+            )  # wakes the thread in accept, which would keep the listener open
         listener.close()
         self.model.kill()
         for sock in connections:
@@ -148,7 +152,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def runs(self, function: str = "") -> list[LogEntry]:
-        """Log entries of runs."""
+        """Return the log entries of all runs, or of those of one function."""
         return [e for e in list(self.log) if e["what"] == "run" and function in ("", e["function"])]
 
     def _log_event(self, what: str, **more: object) -> None:
@@ -263,9 +267,8 @@
     ) -> bool:
         get = head.headers.get
         attempt_fields = _attempt_fields(head, body)
-        self._log_event(
-            "arrive", late=accept_delay_s, **attempt_fields
-        )  # ``late``: how long it may have lain in the socket
+        # ``late`` is the longest time that the request may have waited in the socket's receive buffer.
+        self._log_event("arrive", late=accept_delay_s, **attempt_fields)
         faults = self.faults
         if faults.silent:
             self._wait_without_response(stream, model, attempt_fields)
@@ -312,7 +315,7 @@
         )
 
     def _response_body(self, attempt_fields: LogEntry, run_id: str, body: bytes) -> bytes:
-        """What the function answers: what it was given, and which run of it this was."""
+        """Return the function's output: its input, and which run of it this was."""
         content = {
             "input": msgspec.Raw(body or b"null"),
             "run": run_id,
@@ -329,8 +332,9 @@
         cache_status: str,
         concurrent_calls: int,
     ) -> tuple[tuple[str, str], ...]:
-        """The header fields of a good answer: instance, waiting calls, usage, and the log where it is asked
-        for.
+        """Return the header fields of a successful response: cache status, concurrent calls and memory use.
+
+        If the request asks for them, the function's log and usage records are added.
         """
         get = head.headers.get
         fields = [
@@ -362,7 +366,7 @@
         return self._send_response(stream, model, incarnation, 200, (), msgspec.msgpack.encode(response))
 
     def _wait_without_response(self, stream: Stream, model: WorkerModel, attempt_fields: LogEntry) -> None:
-        """Hold the connection without an answer until the peer gives up."""
+        """Keep the connection open without a response until the gateway closes it or the worker stops."""
         end_s = self._clock() + MAX_CALL_S
         while self._clock() < end_s and stream.is_peer_open() and model is self.model and self._listener:
             time.sleep(0.02)
