--- a/saffronstack/fleet/control/control_endpoint.py
+++ b/saffronstack/fleet/control/control_endpoint.py
@@ -16,7 +16,7 @@
     DaemonStatus,
     GatewayCommand,
 )
-from saffronstack.fleet.http_server import problem
+from saffronstack.fleet.http_server import encode_error
 from saffronstack.http1.messages import RequestHead
 
 ANSWER_TIMEOUT_S = 2.0  # for the daemon's thread, which may wait for its disk
@@ -67,21 +67,23 @@
             return 200, msgspec.json.encode(self._status())
         if head.method == "POST" and head.target == CONTROL_PATH:
             return self._handle_control(body)
-        return 404, problem(f"POST {CONTROL_PATH} or GET {STATUS_PATH}")
+        return 404, encode_error(f"POST {CONTROL_PATH} or GET {STATUS_PATH}")
 
     def _handle_control(self, body: bytes) -> tuple[int, bytes]:
         try:
             request = msgspec.json.decode(body, type=ControlRequest)
         except msgspec.MsgspecError as error:
-            return 400, problem(str(error))
+            return 400, encode_error(str(error))
         if request.fleet != self._fleet:
-            return 403, problem(f"this daemon is of fleet {self._fleet!r}, not of {request.fleet!r}")
+            return 403, encode_error(f"this daemon is of fleet {self._fleet!r}, not of {request.fleet!r}")
         try:
             self._validate(request.commands)  # reads the release, here and not on the daemon's thread
         except ControlError as error:
-            return 400, problem(str(error))
+            return 400, encode_error(str(error))
         pending = PendingRequest(request)
         self._submit(pending)
         if not pending.wait(ANSWER_TIMEOUT_S):
-            return 503, problem("the daemon waits for its disk; whether the commands take effect is unknown")
+            return 503, encode_error(
+                "the daemon waits for its disk; whether the commands take effect is unknown"
+            )
         return pending.status, pending.body
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -22,7 +22,7 @@
 from saffronstack.fleet.control.managed_gateway import ManagedGateway
 from saffronstack.fleet.control.messages import LEADER_LEASE, ControlRequest, DaemonStatus, GatewayCommand
 from saffronstack.fleet.control.releases import find_release
-from saffronstack.fleet.http_server import HttpServer, problem
+from saffronstack.fleet.http_server import HttpServer, encode_error
 from saffronstack.fleet.leases.quorum_read import QuorumRead
 from saffronstack.runtime.threads import start_thread
 
@@ -215,9 +215,9 @@
             self._execute(pending.request)
             status, body = 200, msgspec.json.encode(self._status())
         except RejectedRequestError as error:
-            status, body = 409, problem(str(error))
+            status, body = 409, encode_error(str(error))
         except OSError as error:
-            status, body = 503, problem(f"the desired state can't be stored: {error}")
+            status, body = 503, encode_error(f"the desired state can't be stored: {error}")
         finally:
             pending.answer(status, body)
 
--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -21,7 +21,7 @@
 LISTEN_BACKLOG = 512
 MESSAGE_TIMEOUT_S = 5.0  # for a request, once it began, and for writing its answer
 IDLE_TIMEOUT_S = 120.0
-ERROR_ANSWER_TIMEOUT_S = 1.0
+ERROR_RESPONSE_TIMEOUT_S = 1.0
 ACCEPT_POLL_S = 0.5
 ACCEPT_RETRY_S = 0.05
 JOIN_TIMEOUT_S = 1.0
@@ -62,8 +62,8 @@
         self._listener = socket.create_server((host, port), backlog=LISTEN_BACKLOG)
         self._listener.settimeout(ACCEPT_POLL_S)
         self._drain_timeout_s = drain_timeout_s
-        self._lock = threading.Condition()  # guards _open and _stopping
-        self._open: set[Stream] = set()
+        self._lock = threading.Condition()  # guards _open_streams and _stopping
+        self._open_streams: set[Stream] = set()
         self._stopping = False
         self._accept_thread: threading.Thread | None = None
 
@@ -76,11 +76,11 @@
     @property
     def connections(self) -> int:
         """The number of connections that are open."""
-        return len(self._open)
+        return len(self._open_streams)
 
     def start(self) -> None:
         """Accept connections on a thread of its own."""
-        self._accept_thread = start_thread(f"{self._name}-accept", self._accept_all)
+        self._accept_thread = start_thread(f"{self._name}-accept", self._accept_connections)
 
     def stop(self) -> None:
         """Accept nothing more, answer the requests that have come, and close all connections.
@@ -99,17 +99,17 @@
 
     def _drain(self) -> None:
         with self._lock:
-            streams = list(self._open)
+            streams = list(self._open_streams)
         for stream in streams:
             stream.abort(socket.SHUT_RD)  # what has come is still read; an idle connection ends
         with self._lock:
-            self._lock.wait_for(lambda: not self._open, self._drain_timeout_s)
-            late = list(self._open)
-        for stream in late:
+            self._lock.wait_for(lambda: not self._open_streams, self._drain_timeout_s)
+            unfinished = list(self._open_streams)
+        for stream in unfinished:
             stream.abort()
 
-    def _accept_all(self) -> None:
-        pause = threading.Event()
+    def _accept_connections(self) -> None:
+        retry_delay = threading.Event()
         while not self._stopping:
             try:
                 sock, _ = self._listener.accept()
@@ -119,16 +119,16 @@
                 if self._stopping:
                     return
                 log.error("accept failed", error=str(error))
-                pause.wait(ACCEPT_RETRY_S)
+                retry_delay.wait(ACCEPT_RETRY_S)
                 continue
             self._admit(Stream(sock))
 
     def _admit(self, stream: Stream) -> None:
         """Serve a connection on a thread of its own, or close it where there are too many."""
         with self._lock:
-            is_admitted = len(self._open) < MAX_CONNECTIONS and not self._stopping
+            is_admitted = len(self._open_streams) < MAX_CONNECTIONS and not self._stopping
             if is_admitted:
-                self._open.add(stream)
+                self._open_streams.add(stream)
         if not is_admitted:
             stream.close()
             return
@@ -139,15 +139,15 @@
 
     def _close(self, stream: Stream) -> None:
         with self._lock:
-            self._open.discard(stream)
+            self._open_streams.discard(stream)
             self._lock.notify_all()
         stream.close()
 
     def _serve(self, stream: Stream) -> None:
         try:
-            self._answer_requests(stream)
+            self._serve_requests(stream)
         except HttpError as error:
-            self._answer_error(stream, error)
+            self._send_error_response(stream, error)
         except (OSError, PeerClosed):
             return  # the peer has left, or sends nothing more
         except Exception:
@@ -155,7 +155,7 @@
         finally:
             self._close(stream)
 
-    def _answer_requests(self, stream: Stream) -> None:
+    def _serve_requests(self, stream: Stream) -> None:
         reader = MessageReader(LIMITS)
         while True:
             if not reader.pending:
@@ -165,17 +165,17 @@
             body = read_until(stream, reader, reader.body, deadline_s, self._clock)
             status, content = self._handler(head, body)
             is_last = self._stopping or not head.keep_alive
-            answer = writer.response(status, JSON_FIELDS, content, close=is_last)
-            is_sent = stream.send(answer, self._clock() + MESSAGE_TIMEOUT_S, self._clock)
+            response = writer.response(status, JSON_FIELDS, content, close=is_last)
+            is_sent = stream.send(response, self._clock() + MESSAGE_TIMEOUT_S, self._clock)
             if not is_sent or is_last:
                 return
 
-    def _answer_error(self, stream: Stream, error: HttpError) -> None:
-        answer = writer.response(error.status, JSON_FIELDS, problem(error.text), close=True)
+    def _send_error_response(self, stream: Stream, error: HttpError) -> None:
+        response = writer.response(error.status, JSON_FIELDS, encode_error(error.text), close=True)
         with contextlib.suppress(OSError):  # the peer has left
-            stream.send(answer, self._clock() + ERROR_ANSWER_TIMEOUT_S, self._clock)
+            stream.send(response, self._clock() + ERROR_RESPONSE_TIMEOUT_S, self._clock)
 
 
-def problem(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """Encode the body of an answer that is an error."""
     return msgspec.json.encode({"message": text})
--- a/saffronstack/fleet/leases/acceptor.py
+++ b/saffronstack/fleet/leases/acceptor.py
@@ -96,9 +96,9 @@
         """Return for how many seconds a grant of the lease still runs here; 0 without one."""
         return self.table.remaining_s(now, lease)
 
-    def write_of(self, lease: str) -> int:
+    def required_write(self, lease: str) -> int:
         """Return the number of the write that must be persisted before an answer about the lease is sent."""
-        return self.table.write_of(lease)
+        return self.table.required_write(lease)
 
     def _handle_prepare(self, now: float, request: PrepareRequest) -> list[AcceptorAction]:
         self.recovery.detect_replacement(request.incarnations)
@@ -173,17 +173,17 @@
         """Grant or renew the lease; a plain renewal changes nothing that has to be persisted."""
         entry.expires_s = max(entry.expires_s, now + self.limits.grant_duration_s(request.duration_s))
         entry.waiters.pop(request.candidate, None)
-        before = entry.record
-        is_renewal = before.accepted_ballot == request.ballot
+        previous = entry.record
+        is_renewal = previous.accepted_ballot == request.ballot
         record = replace(
-            before,
+            previous,
             accepted_ballot=request.ballot,
             holder=request.candidate,
-            duration_s=max(request.duration_s, before.duration_s if is_renewal else 0.0),
-            value=max(before.value, request.value, key=recency_key),
+            duration_s=max(request.duration_s, previous.duration_s if is_renewal else 0.0),
+            value=max(previous.value, request.value, key=recency_key),
         )
         observed_writes = self.table.merged_observed_writes(request.observed_writes)
-        if record == before and observed_writes == self.table.observed_writes:
+        if record == previous and observed_writes == self.table.observed_writes:
             return []
         entry.record, self.table.observed_writes = record, observed_writes
         return [self.table.persist(entry)]
--- a/saffronstack/fleet/leases/acceptor_service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -25,10 +25,10 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.keeper")
-SAVE_RETRY_S = 0.5
-IDLE_S = 1.0  # the longest sleep of a thread without work
+WRITE_RETRY_DELAY_S = 0.5
+MAX_SLEEP_S = 1.0  # the longest sleep of a thread without work
 MIN_SLEEP_S = 0.01
-MAX_PENDING_ANSWERS = 1024  # requests that wait for the disk at one time
+MAX_PENDING_REQUESTS = 1024  # requests that wait for the disk at one time
 STOP_TIMEOUT_S = 2.0  # that a stop waits for a write in progress
 
 
@@ -71,7 +71,7 @@
         self._lock = threading.Condition()
         self._unsaved_state: AcceptorState | None = None
         self._persisted_write = loaded.state.last_write
-        self._pending_answers = 0
+        self._pending_requests = 0
         self.mailboxes = Mailboxes()
         self._timer_s: float | None = None
         self._has_ended_polls = False
@@ -113,43 +113,43 @@
         stalled disk is silent, not wrong.
         """
         with self._lock:
-            if self._is_stopping or self._pending_answers >= MAX_PENDING_ANSWERS:
+            if self._is_stopping or self._pending_requests >= MAX_PENDING_REQUESTS:
                 return []
-            answers, notifications = self._decide(sender, messages)
+            responses, notifications = self._decide(sender, messages)
             if not self._wait_until_persisted(messages, timeout_s):
                 return []
         for notification in notifications:
             self._notify(notification)
-        return answers
+        return responses
 
     def _decide(self, sender: str, messages: tuple[Message, ...]) -> tuple[list[Message], list[SendMessage]]:
         """Return the answers to the sender, and the messages to others; the lock is held."""
-        answers: list[Message] = []
+        responses: list[Message] = []
         notifications: list[SendMessage] = []
         now = self._clock()
         for message in messages:
-            speaker = _speaker(sender, message)
-            for action in self._acceptor.handle(now, speaker, message):
+            message_sender = _resolve_sender(sender, message)
+            for action in self._acceptor.handle(now, message_sender, message):
                 match action:
-                    case SendMessage(receiver=receiver) if receiver == speaker:
-                        answers.append(action.message)
+                    case SendMessage(receiver=receiver) if receiver == message_sender:
+                        responses.append(action.message)
                     case SendMessage():
                         notifications.append(action)
                     case _:
                         self._apply(action)
-        return answers, notifications
+        return responses, notifications
 
     def _wait_until_persisted(self, messages: tuple[Message, ...], timeout_s: float) -> bool:
         """Wait for the writes that the answers rest on; the lock is held.
 
         An answer that writes nothing itself may rest on what another request still waits to have written.
         """
-        write = max((self._acceptor.write_of(_lease_of(message)) for message in messages), default=0)
-        self._pending_answers += 1
+        write = max((self._acceptor.required_write(_lease_of(message)) for message in messages), default=0)
+        self._pending_requests += 1
         try:
             self._lock.wait_for(lambda: self._persisted_write >= write or self._is_stopping, timeout_s)
         finally:
-            self._pending_answers -= 1
+            self._pending_requests -= 1
         return self._persisted_write >= write
 
     def poll(self, sender: str, timeout_s: float) -> list[Message]:
@@ -261,14 +261,14 @@
 
     def _sleep_s(self) -> float:
         if self._timer_s is None:
-            return IDLE_S
-        return min(IDLE_S, max(MIN_SLEEP_S, self._timer_s - self._clock()))
+            return MAX_SLEEP_S
+        return min(MAX_SLEEP_S, max(MIN_SLEEP_S, self._timer_s - self._clock()))
 
     def _write_states(self) -> None:
         """Write the newest state; states that were replaced while the disk was busy are skipped."""
         while True:
             with self._lock:
-                self._lock.wait_for(lambda: self._unsaved_state is not None or self._is_stopping, IDLE_S)
+                self._lock.wait_for(lambda: self._unsaved_state is not None or self._is_stopping, MAX_SLEEP_S)
                 if self._is_stopping:
                     return
                 state, self._unsaved_state = self._unsaved_state, None
@@ -283,7 +283,7 @@
             with self._lock:
                 self._disk_error = str(error)
                 self._unsaved_state = self._unsaved_state or state
-                self._lock.wait_for(lambda: self._is_stopping, SAVE_RETRY_S)
+                self._lock.wait_for(lambda: self._is_stopping, WRITE_RETRY_DELAY_S)
             return
         with self._lock:
             self._disk_error = ""
@@ -295,7 +295,7 @@
     return "" if isinstance(message, CatchUpRequest | CatchUpResponse) else message.lease
 
 
-def _speaker(sender: str, message: Message) -> str:
+def _resolve_sender(sender: str, message: Message) -> str:
     """Return who a message is from: a process sends for all its candidates, which are named after it."""
     if isinstance(message, CatchUpRequest | CatchUpResponse):
         return sender
--- a/saffronstack/fleet/leases/candidate.py
+++ b/saffronstack/fleet/leases/candidate.py
@@ -172,7 +172,7 @@
             return self._lose_lease(now, "no majority renewed it in time")
         match message:
             case PrepareResponse() | AcceptResponse() | ReleaseNotification():
-                if message.server != sender or not self._is_addressee_of(message):
+                if message.server != sender or not self._is_for_this_candidate(message):
                     return []
             case _:
                 return []
@@ -184,7 +184,7 @@
             return self._handle_prepare_response(now, message)
         return self._handle_accept_response(now, message)
 
-    def _is_addressee_of(self, message: PrepareResponse | AcceptResponse | ReleaseNotification) -> bool:
+    def _is_for_this_candidate(self, message: PrepareResponse | AcceptResponse | ReleaseNotification) -> bool:
         is_own = (message.lease, message.candidate) == (self.lease, self.name)
         return is_own and message.server in self.limits.servers
 
@@ -216,7 +216,7 @@
         self.holder = response.holder or self.holder
         if self._is_rejected():
             return self._back_off(now)
-        promises = [one for one in self._valid_approvals() if isinstance(one, PrepareResponse)]
+        promises = [approval for approval in self._valid_approvals() if isinstance(approval, PrepareResponse)]
         if len(promises) < self.limits.majority:
             return []
         self.value = max((promise.value for promise in promises), key=recency_key)
@@ -226,7 +226,7 @@
         return [*self._broadcast(self._accept_request(observed_writes)), SetTimer(self._deadline_s)]
 
     def _handle_accept_response(self, now: float, response: AcceptResponse) -> list[CandidateAction]:
-        if not self._is_awaited(response):
+        if not self._is_for_current_round(response):
             return []
         (self._approvals if response.is_accepted else self._rejections)[response.server] = response
         if self.state is CandidateState.ACQUIRING and self._is_rejected():
@@ -241,9 +241,9 @@
             return self._lose_lease(now, "granted too late")
         return self._back_off(now)
 
-    def _is_awaited(self, response: AcceptResponse) -> bool:
-        is_of_this_round = (response.ballot, response.sequence) == (self._ballot, self._sequence)
-        return is_of_this_round and self.state in (CandidateState.ACQUIRING, CandidateState.HOLDING)
+    def _is_for_current_round(self, response: AcceptResponse) -> bool:
+        is_same_round = (response.ballot, response.sequence) == (self._ballot, self._sequence)
+        return is_same_round and self.state in (CandidateState.ACQUIRING, CandidateState.HOLDING)
 
     def _extend_lease(self, expires_s: float) -> list[CandidateAction]:
         """A majority accepted: the lease was acquired or renewed."""
@@ -300,7 +300,9 @@
 
     def _back_off(self, now: float) -> list[CandidateAction]:
         """Wait until the other's grant may have expired, or a jittered time, so that two do not collide."""
-        remaining_s = [one.remaining_s for one in self._rejections.values() if one.remaining_s > 0]
+        remaining_s = [
+            rejection.remaining_s for rejection in self._rejections.values() if rejection.remaining_s > 0
+        ]
         jittered_s = self._backoff_s * (0.5 + self._random.random())
         self._backoff_s = min(2 * self._backoff_s, max(INITIAL_BACKOFF_S, self.lease_s * RENEWAL_FRACTION))
         actions: list[CandidateAction] = []
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -24,10 +24,10 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.leases")
-IDLE_S = 0.5  # the longest sleep of the timer thread
+MAX_SLEEP_S = 0.5  # the longest sleep of the timer thread
 MIN_SLEEP_S = 0.001
-FLUSH_S = 0.5  # how long a close waits until its releases were sent
-MIN_FLUSH_S = 0.01
+FLUSH_TIMEOUT_S = 0.5  # how long a close waits until its releases were sent
+MIN_FLUSH_TIMEOUT_S = 0.01
 
 CandidateFactory = Callable[[str, str, float, LeaseLimits, int], Candidate]
 
@@ -51,9 +51,9 @@
         """See `store.HeldLease`."""
         return self._client.remaining_s(self)
 
-    def put(self, content: bytes, wait_s: float) -> bool:
+    def put(self, content: bytes, timeout_s: float) -> bool:
         """See `store.HeldLease`."""
-        return self._client.put(self, content, wait_s)
+        return self._client.put(self, content, timeout_s)
 
     def release(self) -> None:
         """See `store.HeldLease`."""
@@ -109,11 +109,11 @@
         self._process, self._limits, self._lease_s, self._seed = process, fleet.limits, lease_s, seed
         self._clock = clock
         self._lock = threading.Condition()
-        self._requested: dict[str, _RequestedLease] = {}
+        self._requested_leases: dict[str, _RequestedLease] = {}
         self._timers: list[_Timer] = []  # a heap
         self._serial = 0
         self._lost_callbacks: list[tuple[Callable[[str], None], str]] = []
-        self._grants_nothing = False
+        self._rejects_acquires = False
         self._is_stopping = False
         self._links = {
             server: LeaseServerLink(
@@ -128,7 +128,7 @@
     # ---- requests of the owner
 
     def acquire(
-        self, lease: str, wait_s: float, on_lost: Callable[[str], None] | None = None
+        self, lease: str, timeout_s: float, on_lost: Callable[[str], None] | None = None
     ) -> _ClientLease | None:
         """Acquire a lease, see `store.LeaseStore`.
 
@@ -136,15 +136,15 @@
             LeaseAlreadyRequestedError: This process waits for the lease or holds it already.
         """
         with self._lock:
-            if self._grants_nothing:
+            if self._rejects_acquires:
                 return None
-            if lease in self._requested:
+            if lease in self._requested_leases:
                 raise LeaseAlreadyRequestedError(f"lease {lease!r} is wanted by this process already")
-            requested = self._requested[lease] = _RequestedLease(self._new_candidate(lease), on_lost)
+            requested = self._requested_leases[lease] = _RequestedLease(self._new_candidate(lease), on_lost)
             self._apply(lease, requested.candidate.acquire(self._clock()))
-            self._lock.wait_for(lambda: requested.held is not None or self._grants_nothing, wait_s)
+            self._lock.wait_for(lambda: requested.held is not None or self._rejects_acquires, timeout_s)
             if requested.held is None:
-                self._drop(lease)
+                self._remove_and_release(lease)
             return requested.held
 
     def _new_candidate(self, lease: str) -> Candidate:
@@ -156,16 +156,16 @@
     def remaining_s(self, held: _ClientLease) -> float:
         """Return for how many seconds a lease is held; 0 where it is not."""
         with self._lock:
-            requested = self._requested.get(held.lease)
+            requested = self._requested_leases.get(held.lease)
             if requested is None or requested.held is not held:
                 return 0.0
             now = self._clock()
             return requested.candidate.expires_s - now if requested.candidate.is_holder(now) else 0.0
 
-    def put(self, held: _ClientLease, content: bytes, wait_s: float) -> bool:
+    def put(self, held: _ClientLease, content: bytes, timeout_s: float) -> bool:
         """Store a lease's value, see `store.HeldLease`."""
         with self._lock:
-            requested = self._requested.get(held.lease)
+            requested = self._requested_leases.get(held.lease)
             now = self._clock()
             if requested is None or requested.held is not held or not requested.candidate.is_holder(now):
                 return False
@@ -173,7 +173,7 @@
             version = requested.candidate.value.version
             self._lock.wait_for(
                 lambda: requested.stored_version >= version or requested.has_ended or self._is_stopping,
-                wait_s,
+                timeout_s,
             )
             if requested.stored_version < version:
                 return False
@@ -183,26 +183,26 @@
     def release(self, held: _ClientLease) -> None:
         """Release a lease, see `store.HeldLease`."""
         with self._lock:
-            requested = self._requested.get(held.lease)
+            requested = self._requested_leases.get(held.lease)
             if requested is not None and requested.held is held:
-                self._drop(held.lease)
+                self._remove_and_release(held.lease)
 
     def cancel_acquires(self) -> None:
         """See `store.LeaseStore`."""
         with self._lock:
-            self._grants_nothing = True
+            self._rejects_acquires = True
             self._lock.notify_all()
 
     def close(self) -> None:
-        """Release all leases; waits at most `FLUSH_S` until the releases were sent."""
+        """Release all leases; waits at most `FLUSH_TIMEOUT_S` until the releases were sent."""
         with self._lock:
-            for lease in list(self._requested):
-                self._drop(lease)
-        deadline_s = time.monotonic() + FLUSH_S
+            for lease in list(self._requested_leases):
+                self._remove_and_release(lease)
+        deadline_s = time.monotonic() + FLUSH_TIMEOUT_S
         for link in self._links.values():
-            link.stop(max(MIN_FLUSH_S, deadline_s - time.monotonic()))
+            link.stop(max(MIN_FLUSH_TIMEOUT_S, deadline_s - time.monotonic()))
         with self._lock:
-            self._is_stopping = self._grants_nothing = True
+            self._is_stopping = self._rejects_acquires = True
             self._lock.notify_all()
 
     def link_errors(self) -> dict[str, str]:
@@ -212,19 +212,19 @@
     def holder_of(self, lease: str) -> str:
         """Return the candidate that holds a lease that this process waits for, as the last response said."""
         with self._lock:
-            requested = self._requested.get(lease)
+            requested = self._requested_leases.get(lease)
             return requested.candidate.holder if requested is not None else ""
 
     # ---- actions of candidates; the lock is held
 
-    def _drop(self, lease: str) -> None:
-        requested = self._requested.pop(lease)
+    def _remove_and_release(self, lease: str) -> None:
+        requested = self._requested_leases.pop(lease)
         requested.has_ended = True
         self._apply(lease, requested.candidate.release(self._clock()))
         self._lock.notify_all()
 
     def _apply(self, lease: str, actions: list[CandidateAction]) -> None:
-        requested = self._requested.get(lease)
+        requested = self._requested_leases.get(lease)
         for action in actions:
             match action:
                 case SendMessage(receiver=server, message=message):
@@ -235,9 +235,11 @@
                     self._lock.notify_all()
                 case _:
                     if requested is not None:
-                        self._report(lease, requested, action)
+                        self._handle_candidate_report(lease, requested, action)
 
-    def _report(self, lease: str, requested: _RequestedLease, action: CandidateAction) -> None:
+    def _handle_candidate_report(
+        self, lease: str, requested: _RequestedLease, action: CandidateAction
+    ) -> None:
         """Hand what a candidate reports to whoever waits for it."""
         match action:
             case LeaseAcquired(token=token, value=value):
@@ -248,21 +250,21 @@
                 requested.stored_version = max(requested.stored_version, value.version)
                 self._lock.notify_all()
             case LeaseLost():
-                self._lose(lease, requested, action)
+                self._handle_lease_lost(lease, requested, action)
 
-    def _lose(self, lease: str, requested: _RequestedLease, lost: LeaseLost) -> None:
+    def _handle_lease_lost(self, lease: str, requested: _RequestedLease, lost: LeaseLost) -> None:
         """End a lease for its owner: what it acquires next is another lease with another token."""
         if requested.held is None or requested.has_ended:
             return
         log.warning("lease lost", lease=lease, token=lost.token, reason=lost.reason)
-        if self._requested.get(lease) is requested:
-            self._drop(lease)
+        if self._requested_leases.get(lease) is requested:
+            self._remove_and_release(lease)
         if requested.on_lost is not None:
             self._lost_callbacks.append((requested.on_lost, lost.reason))
 
     def _update_polling(self) -> None:
         """Poll the servers while a candidate waits: they notify the first waiter of a release."""
-        is_waiting = any(requested.candidate.is_waiting for requested in self._requested.values())
+        is_waiting = any(requested.candidate.is_waiting for requested in self._requested_leases.values())
         for link in self._links.values():
             link.set_polling(is_waiting)
 
@@ -275,7 +277,7 @@
             for message in messages:
                 if isinstance(message, CatchUpRequest | CatchUpResponse):
                     continue  # between servers alone
-                requested = self._requested.get(message.lease)
+                requested = self._requested_leases.get(message.lease)
                 if requested is not None:
                     self._apply(message.lease, requested.candidate.handle(now, server, message))
             self._update_polling()
@@ -301,11 +303,11 @@
     def _tick(self, now: float) -> None:
         while self._timers and self._timers[0].deadline_s <= now:
             lease = heapq.heappop(self._timers).lease
-            requested = self._requested.get(lease)
+            requested = self._requested_leases.get(lease)
             if requested is not None:
                 self._apply(lease, requested.candidate.tick(now))
 
     def _sleep_s(self, now: float) -> float:
         if not self._timers:
-            return IDLE_S
-        return min(IDLE_S, max(MIN_SLEEP_S, self._timers[0].deadline_s - now))
+            return MAX_SLEEP_S
+        return min(MAX_SLEEP_S, max(MIN_SLEEP_S, self._timers[0].deadline_s - now))
--- a/saffronstack/fleet/leases/disk.py
+++ b/saffronstack/fleet/leases/disk.py
@@ -102,9 +102,9 @@
         """
         content = encode_state(StoredState(self._fleet, self._server, self._servers, state))
         for number, name in enumerate(COPIES):
-            self._replace(self.directory / name, _pack(content, number, state.last_write))
+            self._replace_file(self.directory / name, _pack(content, number, state.last_write))
 
-    def _replace(self, path: pathlib.Path, data: bytes) -> None:
+    def _replace_file(self, path: pathlib.Path, data: bytes) -> None:
         files, partial = self._files, path.with_suffix(".new")
         partial.unlink(missing_ok=True)
         descriptor = files.open(partial)
--- a/saffronstack/fleet/leases/http_endpoint.py
+++ b/saffronstack/fleet/leases/http_endpoint.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from saffronstack.fleet.http_server import HttpServer, problem
+from saffronstack.fleet.http_server import HttpServer, encode_error
 from saffronstack.fleet.leases import codec
 from saffronstack.fleet.leases.acceptor_service import AcceptorService
 from saffronstack.fleet.leases.codec import MESSAGES_TARGET, Envelope
@@ -29,36 +29,36 @@
         Raises:
             OSError: The address can't be bound.
         """
-        super().__init__("keeper", host, port, self._reply, clock)
+        super().__init__("keeper", host, port, self._handle_http_request, clock)
         self._fleet = fleet
         self._service = service
 
-    def _reply(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
+    def _handle_http_request(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
         """Answer a request, on its connection's thread, with a status and a body."""
         match head.method, head.target:
             case "POST", target if target == MESSAGES_TARGET:
-                return self._reply_to_messages(body)
+                return self._handle_messages(body)
             case "GET", "/status":
                 return 200, msgspec.json.encode(self._status())
             case "GET", "/leases":
                 return 200, msgspec.json.encode(self._service.lease_reports())
             case "GET", target:
-                return 404, problem(f"nothing is at {target}")
+                return 404, encode_error(f"nothing is at {target}")
             case _:
-                return 405, problem("POST /lease/messages, GET /leases, GET /status")
+                return 405, encode_error("POST /lease/messages, GET /leases, GET /status")
 
-    def _reply_to_messages(self, body: bytes) -> tuple[int, bytes]:
+    def _handle_messages(self, body: bytes) -> tuple[int, bytes]:
         try:
             envelope = codec.decode(body)
         except DecodeError as error:
-            return 400, problem(str(error))
+            return 400, encode_error(str(error))
         if envelope.fleet != self._fleet:
-            return 403, problem(f"this keeper is of fleet {self._fleet!r}, not of {envelope.fleet!r}")
+            return 403, encode_error(f"this keeper is of fleet {self._fleet!r}, not of {envelope.fleet!r}")
         if envelope.messages:
-            answers = self._service.handle_request(envelope.sender, envelope.messages, PERSIST_TIMEOUT_S)
+            responses = self._service.handle_request(envelope.sender, envelope.messages, PERSIST_TIMEOUT_S)
         else:
-            answers = self._service.poll(envelope.sender, min(MAX_POLL_S, max(0.0, envelope.poll_s)))
-        return 200, codec.encode(Envelope(self._fleet, "", tuple(answers)))
+            responses = self._service.poll(envelope.sender, min(MAX_POLL_S, max(0.0, envelope.poll_s)))
+        return 200, codec.encode(Envelope(self._fleet, "", tuple(responses)))
 
     def _status(self) -> ServerStatus:
         acceptor = self._service.status()
--- a/saffronstack/fleet/leases/lease_table.py
+++ b/saffronstack/fleet/leases/lease_table.py
@@ -29,8 +29,8 @@
 
         A waiter prepares again at least once in the longest lease; one that does not has left the queue.
         """
-        gone = [waiter for waiter, seen_s in self.waiters.items() if now - seen_s > limits.max_lease_s]
-        for waiter in gone:
+        expired = [waiter for waiter, seen_s in self.waiters.items() if now - seen_s > limits.max_lease_s]
+        for waiter in expired:
             del self.waiters[waiter]
         if candidate in self.waiters or len(self.waiters) < limits.max_waiters:
             self.waiters[candidate] = now
@@ -81,7 +81,7 @@
         entry = self.leases.get(lease)
         return max(0.0, entry.expires_s - now) if entry is not None and entry.record.holder else 0.0
 
-    def write_of(self, lease: str) -> int:
+    def required_write(self, lease: str) -> int:
         """Return the number of the write that the record of a lease rests on; 0 for an unknown lease."""
         entry = self.leases.get(lease)
         return entry.last_write if entry is not None else 0
--- a/saffronstack/fleet/leases/quorum_read.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -16,7 +16,7 @@
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import start_thread
 
-JOIN_S = 0.5  # in addition to the timeout of the exchange
+JOIN_GRACE_S = 0.5  # in addition to the timeout of the exchange
 REQUEST_ERRORS = (NotSentError, NoResponseError, ValueError, msgspec.MsgspecError)
 
 
@@ -70,14 +70,14 @@
         start_thread("read-leases", lambda s=server, a=address: read(s, a))  # type: ignore[misc]
         for server, address in addresses.items()
     ]
-    deadline_s = time.monotonic() + timeout_s + JOIN_S
+    deadline_s = time.monotonic() + timeout_s + JOIN_GRACE_S
     for thread in threads:
         thread.join(max(0.0, deadline_s - time.monotonic()))
-    in_time = dict(reports)  # a server that answers from now on is too late
+    completed_reports = dict(reports)  # a server that answers from now on is too late
     for server in addresses:
-        if server not in in_time:
+        if server not in completed_reports:
             errors.setdefault(server, "no answer in time")
-    return merge_lease_reports(in_time, len(addresses), errors)
+    return merge_lease_reports(completed_reports, len(addresses), errors)
 
 
 def _request_reports(address: str, timeout_s: float) -> list[LeaseReport]:
@@ -103,14 +103,16 @@
     """
     majority = servers // 2 + 1
     by_lease: dict[str, list[LeaseReport]] = {}
-    for of_server in reports.values():
-        for report in of_server:
+    for server_reports in reports.values():
+        for report in server_reports:
             by_lease.setdefault(report.lease, []).append(report)
-    leases = {lease: _merge(lease, of_lease, majority) for lease, of_lease in by_lease.items()}
+    leases = {
+        lease: _merge_reports(lease, lease_reports, majority) for lease, lease_reports in by_lease.items()
+    }
     return QuorumRead(len(reports) >= majority, leases, errors)
 
 
-def _merge(lease: str, reports: list[LeaseReport], majority: int) -> LeaseStatus:
+def _merge_reports(lease: str, reports: list[LeaseReport], majority: int) -> LeaseStatus:
     newest = max(reports, key=lambda report: (report.token, report.remaining_s))
     remaining_s = sorted(
         (report.remaining_s for report in reports if report.token == newest.token and report.remaining_s > 0),
--- a/saffronstack/fleet/leases/recovery.py
+++ b/saffronstack/fleet/leases/recovery.py
@@ -33,7 +33,7 @@
     SetTimer,
 )
 
-RETRY_S = 0.5  # between two catch-up requests to a server that has not answered
+REQUEST_INTERVAL_S = 0.5  # between two catch-up requests to a server that has not answered
 RESPONSE_TIMEOUT_S = 2.0  # after it servers that have not answered are not waited for, where enough have
 
 
@@ -60,7 +60,7 @@
         self.votes_from_s = latest_expiry_s(table.limits, disk_state, now)
         self.has_recovered = disk_state is DiskState.NEW  # whether all that it promised is known
         self.responses: dict[str, CatchUpResponse] = {}  # the last of each server
-        self._requested_s = -RETRY_S
+        self._requested_s = -REQUEST_INTERVAL_S
         self._has_own_incarnation = False  # whether this run took a new incarnation
 
     def can_vote(self, now: float) -> bool:
@@ -74,12 +74,12 @@
             return completed
         if now < self.votes_from_s:
             return [SetTimer(self.votes_from_s)]
-        if now < self._requested_s + RETRY_S:
+        if now < self._requested_s + REQUEST_INTERVAL_S:
             return []
         self._requested_s = now
         request = CatchUpRequest(self.table.server, self.nonce, self.table.incarnation)
         requests = [SendMessage(server, request) for server in self._servers_to_request()]
-        return [*requests, SetTimer(now + RETRY_S)]
+        return [*requests, SetTimer(now + REQUEST_INTERVAL_S)]
 
     def _servers_to_request(self) -> list[str]:
         """A server that was in recovery itself, or was replaced since it answered, is asked again."""
@@ -186,7 +186,7 @@
             IncarnationView(response.server, response.incarnation, response.incarnations)
             for response in self.responses.values()
         ]
-        replaced = find_replaced(views)
+        replaced = find_replaced_servers(views)
         return [
             response
             for response in self.responses.values()
@@ -215,10 +215,10 @@
             entry = self.table.entry(lease)
             if entry.record.promised_ballot:
                 records.append(entry.record)
-            _adopt(entry, records)
+            _merge_records(entry, records)
 
 
-def _adopt(entry: LeaseEntry, records: list[AcceptorRecord]) -> None:
+def _merge_records(entry: LeaseEntry, records: list[AcceptorRecord]) -> None:
     """Merge the records of several servers into an entry.
 
     Where all that know the greatest ballot promised it to one candidate, it is promised to that one here too,
@@ -249,15 +249,15 @@
     incarnations: Incarnations
 
 
-def find_replaced(views: Iterable[IncarnationView]) -> set[str]:
+def find_replaced_servers(views: Iterable[IncarnationView]) -> set[str]:
     """Return the servers of which another view knows a greater incarnation.
 
     The views of a majority show every replacement: a server votes under a new incarnation only once a
     majority of the others has persisted it.
     """
-    known = list(views)
+    all_views = list(views)
     greatest: dict[str, int] = {}
-    for view in known:
+    for view in all_views:
         for server, incarnation in view.incarnations:
             greatest[server] = max(incarnation, greatest.get(server, 0))
-    return {view.server for view in known if view.incarnation < greatest.get(view.server, 0)}
+    return {view.server for view in all_views if view.incarnation < greatest.get(view.server, 0)}
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -23,11 +23,11 @@
 
 HTTP_LIMITS = MessageLimits(body_bytes=4 * 1024 * 1024)
 MAX_BATCH = 256  # messages in one envelope
-MAX_OUTBOX = 10_000
+MAX_OUTBOX_MESSAGES = 10_000
 INITIAL_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 1.0
-IDLE_S = 1.0  # the longest sleep of the sending thread
-POLL_S = 2.0
+MAX_SLEEP_S = 1.0  # the longest sleep of the sending thread
+POLL_DURATION_S = 2.0
 EXCHANGE_ERRORS = (OSError, HttpError, PeerClosed, ValueError)  # what a server or the network can cause
 
 MessageHandler = Callable[[str, tuple[Message, ...]], None]
@@ -57,7 +57,7 @@
 
     def _exchange(self, envelope: Envelope, poll_s: float) -> tuple[Message, ...]:
         deadline_s = self._clock() + self._fleet.timeout_s + poll_s
-        stream, reader = self._connected(), self._reader
+        stream, reader = self._connect_if_needed(), self._reader
         fields = [("Host", self._address), ("Content-Type", "application/json")]
         data = writer.request("POST", MESSAGES_TARGET, fields, codec.encode(envelope))
         if not stream.send(data, deadline_s, self._clock):
@@ -70,7 +70,7 @@
             self.close()
         return codec.decode(body).messages
 
-    def _connected(self) -> Stream:
+    def _connect_if_needed(self) -> Stream:
         if self._stream is not None and not self._stream.is_idle():
             self.close()  # ended while idle; nothing was sent on it
         if self._stream is None:
@@ -134,7 +134,7 @@
 
     def start(self) -> None:
         """Start the sending thread."""
-        start_thread(f"lease-link-{self.server}", self._run)
+        start_thread(f"lease-link-{self.server}", self._run_sender)
 
     def stop(self, flush_s: float = 0.0) -> None:
         """Stop the threads, after what is in the outbox had ``flush_s`` seconds to be sent."""
@@ -151,7 +151,7 @@
         """Put a message into the outbox, or drop it where that is full; does not block."""
         key = _outbox_key(message)
         with self._lock:
-            if key in self._outbox or len(self._outbox) < MAX_OUTBOX:
+            if key in self._outbox or len(self._outbox) < MAX_OUTBOX_MESSAGES:
                 self._outbox.pop(key, None)
                 self._outbox[key] = message
                 self._lock.notify_all()
@@ -166,19 +166,19 @@
                 return
             self._is_polling = True
         try:
-            start_thread(f"lease-poll-{self.server}", self._poll)
+            start_thread(f"lease-poll-{self.server}", self._run_poller)
         except RuntimeError:  # no more threads: the candidate prepares now and then all the same
             with self._lock:
                 self._is_polling = False
 
-    def _poll(self) -> None:
+    def _run_poller(self) -> None:
         while True:
             with self._lock:
                 if not self._is_poll_enabled or self._is_stopping:
                     self._is_polling = False
                     break
             try:
-                messages = self._poll_connection.exchange((), POLL_S)
+                messages = self._poll_connection.exchange((), POLL_DURATION_S)
             except EXCHANGE_ERRORS:  # the sending thread reports what is wrong with the server
                 self._wait_until_stopping(MAX_BACKOFF_S)
                 continue
@@ -190,12 +190,12 @@
         with self._lock:
             self._lock.wait_for(lambda: self._is_stopping, backoff_s * (0.5 + self._random.random()))
 
-    def _run(self) -> None:
+    def _run_sender(self) -> None:
         while True:
             if self._backoff_s:
                 self._wait_until_stopping(self._backoff_s)
             with self._lock:
-                self._lock.wait_for(lambda: bool(self._outbox) or self._is_stopping, IDLE_S)
+                self._lock.wait_for(lambda: bool(self._outbox) or self._is_stopping, MAX_SLEEP_S)
                 if self._is_stopping:
                     break
                 batch = [self._outbox.pop(key) for key in list(self._outbox)[:MAX_BATCH]]
@@ -210,14 +210,14 @@
     def _send_batch(self, batch: list[Message]) -> None:
         """Send messages; where that fails they are dropped, and whoever needs an answer asks again."""
         try:
-            answers = self._connection.exchange(tuple(batch))
+            responses = self._connection.exchange(tuple(batch))
         except EXCHANGE_ERRORS as error:
             self.last_error = str(error) or type(error).__name__
             self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s or INITIAL_BACKOFF_S)
             return
         self.last_error, self._backoff_s = "", 0.0
-        if answers:
-            self._on_messages(self.server, answers)
+        if responses:
+            self._on_messages(self.server, responses)
 
 
 def _outbox_key(message: Message) -> tuple[str, str]:
--- a/saffronstack/fleet/leases/store.py
+++ b/saffronstack/fleet/leases/store.py
@@ -35,8 +35,8 @@
         """
         ...
 
-    def put(self, content: bytes, wait_s: float) -> bool:
-        """Store the value; return whether it is certainly stored after at most ``wait_s`` seconds.
+    def put(self, content: bytes, timeout_s: float) -> bool:
+        """Store the value; return whether it is certainly stored after at most ``timeout_s`` seconds.
 
         False leaves open whether it is stored.
         """
@@ -51,9 +51,9 @@
     """Grants each lease to one holder at a time."""
 
     def acquire(
-        self, lease: str, wait_s: float, on_lost: Callable[[str], None] | None = None
+        self, lease: str, timeout_s: float, on_lost: Callable[[str], None] | None = None
     ) -> HeldLease | None:
-        """Acquire a lease within ``wait_s`` seconds; None where that fails.
+        """Acquire a lease within ``timeout_s`` seconds; None where that fails.
 
         ``on_lost`` is called once with the reason when the lease ends other than by a release, on a thread of
         the store, and must not block.
--- a/saffronstack/fleet/tasks/orphan_takeover.py
+++ b/saffronstack/fleet/tasks/orphan_takeover.py
@@ -14,7 +14,7 @@
 
 log = structlog.get_logger("saffronstack.tasks")
 POLL_INTERVAL_S = 0.1
-LEASE_WAIT_S = 0.5  # a gateway that is alive renews its lease, so it is not granted however long we wait
+ACQUIRE_TIMEOUT_S = 0.5  # a gateway that is alive renews its lease, so it is not granted however long we wait
 
 
 class OrphanTakeoverTask:
@@ -48,7 +48,7 @@
         ledger = LedgerDirectory(str(path))
         if not ledger.is_orphaned():
             return False
-        lease = self._store.acquire(f"gateway/{path.name}", LEASE_WAIT_S)
+        lease = self._store.acquire(f"gateway/{path.name}", ACQUIRE_TIMEOUT_S)
         if lease is None:  # the gateway is alive
             return False
         try:
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -22,7 +22,7 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.tasks")
-LEASE_WAIT_S = 5.0  # for one attempt to acquire the lease
+ACQUIRE_TIMEOUT_S = 5.0  # for one attempt to acquire the lease
 POLL_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 10.0
 
@@ -88,7 +88,7 @@
         self._clock = clock
         self._schedule = TaskSchedule(period_s, run_timeout_s)
         self._lease: HeldLease | None = None  # the deciding thread's alone
-        self._reported = threading.Condition()  # guards the four fields below
+        self._condition = threading.Condition()  # guards the four fields below
         self._lease_lost_reason = ""
         self._ended_runs: list[_EndedRun] = []
         self._current_run: _LeasedRun | None = None
@@ -100,11 +100,11 @@
 
     def request_stop(self) -> None:
         """Cancel the run and have the lease released after it, without waiting."""
-        with self._reported:
+        with self._condition:
             self._is_stopping = True
             if self._current_run is not None:
                 self._current_run.cancel()
-            self._reported.notify_all()
+            self._condition.notify_all()
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
         """Cancel the run, release the lease and wait for both.
@@ -124,14 +124,14 @@
             self._acquire_lease_if_needed()
             now_s = self._clock()
             self._handle_reports(now_s)
-            self._carry_out(self._schedule.tick(now_s))
-            with self._reported:
-                self._reported.wait_for(self._has_reports, POLL_INTERVAL_S)
+            self._apply_actions(self._schedule.tick(now_s))
+            with self._condition:
+                self._condition.wait_for(self._has_reports, POLL_INTERVAL_S)
         if self._lease is not None:
             self._lease.release()
 
     def _has_stopped(self) -> bool:
-        with self._reported:
+        with self._condition:
             is_stopping = self._is_stopping
         return is_stopping and self._schedule.state not in (TaskState.RUNNING, TaskState.CANCELLING)
 
@@ -141,27 +141,27 @@
     def _acquire_lease_if_needed(self) -> None:
         if self._lease is not None or self._schedule.state is not TaskState.STANDBY or self._is_stopping:
             return
-        self._lease = self._store.acquire(f"task/{self.name}", LEASE_WAIT_S, self._report_lease_lost)
+        self._lease = self._store.acquire(f"task/{self.name}", ACQUIRE_TIMEOUT_S, self._report_lease_lost)
         if self._lease is not None:
-            self._carry_out(self._schedule.lease_acquired(self._clock(), self._lease.token))
+            self._apply_actions(self._schedule.lease_acquired(self._clock(), self._lease.token))
 
     def _handle_reports(self, now_s: float) -> None:
-        with self._reported:
+        with self._condition:
             lost_reason, self._lease_lost_reason = self._lease_lost_reason, ""
             ended_runs, self._ended_runs = self._ended_runs, []
         if lost_reason and self._lease is not None:
             self._lease = None
-            self._carry_out(self._schedule.lease_lost(now_s, lost_reason))
+            self._apply_actions(self._schedule.lease_lost(now_s, lost_reason))
         for ended in ended_runs:
-            self._carry_out(self._schedule.run_ended(now_s, ended.number, ended.succeeded))
+            self._apply_actions(self._schedule.run_ended(now_s, ended.number, ended.succeeded))
 
     def _report_lease_lost(self, reason: str) -> None:
         """Note the loss of the lease; called on a thread of the lease store."""
-        with self._reported:
+        with self._condition:
             self._lease_lost_reason = reason
-            self._reported.notify_all()
+            self._condition.notify_all()
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _apply_actions(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case StartRun():
@@ -173,7 +173,7 @@
 
     def _start_run(self, action: StartRun) -> None:
         run = _LeasedRun(action.run_number, action.token, self._lease)
-        with self._reported:
+        with self._condition:
             self._current_run = run
             if self._is_stopping:
                 run.cancel()
@@ -200,6 +200,6 @@
         else:
             succeeded = True
             log.info("task run completed", **fields, summary=summary)
-        with self._reported:
+        with self._condition:
             self._ended_runs.append(_EndedRun(run.number, succeeded))
-            self._reported.notify_all()
+            self._condition.notify_all()
--- a/saffronstack/fleet/tasks/schedule.py
+++ b/saffronstack/fleet/tasks/schedule.py
@@ -90,7 +90,7 @@
         if run_number != self._run_number or self.state not in (TaskState.RUNNING, TaskState.CANCELLING):
             return []
         self._failed_runs = 0 if succeeded else self._failed_runs + 1
-        self._next_run_s = now_s + self._delay_s()
+        self._next_run_s = now_s + self._next_run_delay_s()
         self.state = TaskState.WAITING if self._token else TaskState.STANDBY
         return []
 
@@ -105,7 +105,7 @@
             return [ReleaseLease()]
         return []
 
-    def _delay_s(self) -> float:
+    def _next_run_delay_s(self) -> float:
         """Return the time to the next run: the period, or the backoff after failed runs."""
         if not self._failed_runs:
             return self.period_s
--- a/tests/fleet/leases/test_acceptor_and_candidate.py
+++ b/tests/fleet/leases/test_acceptor_and_candidate.py
@@ -30,8 +30,8 @@
 def test_the_next_candidate_waits_until_the_holder_releases() -> None:
     cluster = ThreeAcceptors()
     first, second = (Candidate(name, "l", 5.0, LIMITS, 1) for name in ("a", "b"))
-    gained = [a for a in cluster.deliver(first, 0.0, first.acquire(0.0)) if isinstance(a, LeaseAcquired)]
-    assert [one.token for one in gained] == [1]
+    acquired = [a for a in cluster.deliver(first, 0.0, first.acquire(0.0)) if isinstance(a, LeaseAcquired)]
+    assert [one.token for one in acquired] == [1]
     assert first.is_holder(4.9)
     assert not first.is_holder(4.96)
     cluster.deliver(second, 1.0, second.acquire(1.0))
@@ -57,10 +57,10 @@
         assert one.is_holder(step * 0.5)
         assert one.token == 1
     cluster.cut = {"k0", "k1"}
-    until_s = one.expires_s
-    told = [a for step in range(40, 60) for a in cluster.deliver(one, step * 0.5, one.tick(step * 0.5))]
-    assert [a.token for a in told if isinstance(a, LeaseLost)] == [1]
-    assert not one.is_holder(until_s)
+    expires_s = one.expires_s
+    actions = [a for step in range(40, 60) for a in cluster.deliver(one, step * 0.5, one.tick(step * 0.5))]
+    assert [a.token for a in actions if isinstance(a, LeaseLost)] == [1]
+    assert not one.is_holder(expires_s)
 
 
 def test_only_the_holder_stores_a_value_and_the_next_holder_reads_it() -> None:
@@ -88,10 +88,10 @@
     assert not rejection.is_promised
     assert rejection.holder == "a"
     assert 4 < rejection.remaining_s < 4.2
-    late = response_of(acceptor.handle(6.0, "b", PrepareRequest("l", "b", 3)))
-    assert isinstance(late, PrepareResponse)
-    assert not late.is_promised
-    assert late.highest_ballot == 3
+    stale_response = response_of(acceptor.handle(6.0, "b", PrepareRequest("l", "b", 3)))
+    assert isinstance(stale_response, PrepareResponse)
+    assert not stale_response.is_promised
+    assert stale_response.highest_ballot == 3
     assert grant(acceptor, 6.0, "b", 4).is_accepted
     late_renewal = AcceptRequest("l", "a", 3, 2, 5.0)
     assert not is_accepted(acceptor, 20.0, late_renewal)
@@ -118,12 +118,12 @@
 
 
 def test_an_acceptor_keeps_its_limits() -> None:
-    small = Acceptor(
+    acceptor = Acceptor(
         "k0", replace(LIMITS, max_leases=2, max_value_bytes=3), DiskState.NEW, AcceptorState(), 0.0, 1
     )
     for lease in ("l1", "l2"):
-        assert small.handle(0.0, "a", PrepareRequest(lease, "a", 1))
-    assert small.handle(0.0, "a", PrepareRequest("l3", "a", 1)) == []
+        assert acceptor.handle(0.0, "a", PrepareRequest(lease, "a", 1))
+    assert acceptor.handle(0.0, "a", PrepareRequest("l3", "a", 1)) == []
     with pytest.raises(ValueError, match="is none of"):
         Acceptor("k9", LIMITS, DiskState.NEW, AcceptorState(), 0.0, 1)
     with pytest.raises(ValueError, match="at most 10 s"):
--- a/tests/fleet/leases/test_commands.py
+++ b/tests/fleet/leases/test_commands.py
@@ -30,16 +30,16 @@
         missing = run_saffron("lease", "run", "x", "--fleet", path, "--", "/nothing/here")
         assert missing.returncode == 127
         assert "/nothing/here" in missing.stderr
-        mark = tmp_path / "went-on"
-        script = f"trap '' TERM; while :; do echo x >> {mark}; sleep 0.05; done"
+        marker_file = tmp_path / "went-on"
+        script = f"trap '' TERM; while :; do echo x >> {marker_file}; sleep 0.05; done"
         command = [sys.executable, "-m", "saffronstack.cli.main", "lease", "run", "job", "--fleet", path]
         running = subprocess.Popen(
             [*command, "--", "/bin/sh", "-c", script], stderr=subprocess.PIPE, text=True
         )
-        eventually(mark.exists)
-        busy = run_saffron("lease", "run", "job", "--fleet", path, "--wait", "0.3", "--", "true")
-        assert busy.returncode == 75
-        assert "not granted within" in busy.stderr
+        eventually(marker_file.exists)
+        rejected = run_saffron("lease", "run", "job", "--fleet", path, "--wait", "0.3", "--", "true")
+        assert rejected.returncode == 75
+        assert "not granted within" in rejected.stderr
         listed = run_saffron("lease", "list", "--fleet", path)
         assert listed.returncode == 0
         assert "job: held by" in listed.stdout
@@ -54,38 +54,40 @@
         assert running.wait(10.0) == 76
         assert running.stderr is not None
         assert "was lost" in running.stderr.read()
-        size = mark.stat().st_size
+        size = marker_file.stat().st_size
         assert run_saffron("keeper", "status", "--fleet", path).returncode == 69
-        none = run_saffron("lease", "run", "job", "--fleet", path, "--wait", "0.5", "--", "true")
-        assert none.returncode == 69
-        assert "no majority" in none.stderr
-        assert mark.stat().st_size == size  # it ignored SIGTERM and was killed, with what it had started
+        unavailable = run_saffron("lease", "run", "job", "--fleet", path, "--wait", "0.5", "--", "true")
+        assert unavailable.returncode == 69
+        assert "no majority" in unavailable.stderr
+        assert (
+            marker_file.stat().st_size == size
+        )  # it ignored SIGTERM and was killed, with what it had started
 
 
 def test_a_signal_is_forwarded_to_the_command_and_its_status_returned(tmp_path: pathlib.Path) -> None:
     with lease_servers(tmp_path, lease_s=2.0) as fleet:
-        mark = tmp_path / "up"
-        script = f"trap 'exit 9' TERM; touch {mark}; while :; do sleep 0.05; done"
+        marker_file = tmp_path / "up"
+        script = f"trap 'exit 9' TERM; touch {marker_file}; while :; do sleep 0.05; done"
         running = subprocess.Popen(
             [sys.executable, "-m", "saffronstack.cli.main", "lease", "run", "job", "--fleet", fleet.file(),
              "--", "/bin/sh", "-c", script]
         )  # fmt: skip
-        eventually(mark.exists)
+        eventually(marker_file.exists)
         running.send_signal(signal.SIGTERM)
         assert running.wait(10.0) == 9
 
 
 def test_a_lease_server_process_prints_its_address_and_rejects_foreign_state(tmp_path: pathlib.Path) -> None:
-    held = [hold_port("127.0.0.1") for _ in NAMES]
+    port_holders = [hold_port("127.0.0.1") for _ in NAMES]
     entries = [
         {"name": name, "address": f"127.0.0.1:{sock.getsockname()[1]}"}
-        for name, sock in zip(NAMES, held, strict=True)
+        for name, sock in zip(NAMES, port_holders, strict=True)
     ]
     path = tmp_path / "fleet.json5"
     path.write_text(json.dumps({"fleet": "f", "keepers": entries}))
-    where = ["--fleet", str(path), "--name", "k0", "--state", str(tmp_path / "k0")]
-    assert run_saffron("keeper", "establish", *where).returncode == 0
-    again = run_saffron("keeper", "establish", *where)
+    server_options = ["--fleet", str(path), "--name", "k0", "--state", str(tmp_path / "k0")]
+    assert run_saffron("keeper", "establish", *server_options).returncode == 0
+    again = run_saffron("keeper", "establish", *server_options)
     assert again.returncode == 2
     assert "there is a keeper's state here" in again.stderr
     other = run_saffron(
@@ -99,19 +101,20 @@
     assert unknown.returncode == 2
     assert "none of the keepers" in unknown.stderr
     process = subprocess.Popen(
-        [sys.executable, "-m", "saffronstack.cli.main", "keeper", "run", *where], stdout=subprocess.PIPE
+        [sys.executable, "-m", "saffronstack.cli.main", "keeper", "run", *server_options],
+        stdout=subprocess.PIPE,
     )
     assert process.stdout is not None
     assert entries[0]["address"] in process.stdout.readline().decode()
     os.kill(process.pid, signal.SIGTERM)
     assert process.wait(10.0) == 0
     process.stdout.close()
-    for sock in held:
+    for sock in port_holders:
         sock.close()
 
 
 @pytest.mark.parametrize(
-    ("changes", "told"),
+    ("changes", "expected_text"),
     [
         (
             {"keepers": [{"name": "a", "address": "h:1"}, {"name": "b", "address": "h:2"}]},
@@ -136,28 +139,28 @@
     ],
 )
 def test_an_invalid_fleet_file_is_rejected_with_place_and_reason(
-    tmp_path: pathlib.Path, changes: dict[str, object], told: str
+    tmp_path: pathlib.Path, changes: dict[str, object], expected_text: str
 ) -> None:
     path = tmp_path / "fleet.json5"
     entries = [{"name": name, "address": f"127.0.0.1:{9000 + n}"} for n, name in enumerate(NAMES)]
     path.write_text(json.dumps({"fleet": "f", "keepers": entries, **changes}))
     with pytest.raises(ConfigError) as raised:
         load_fleet_file(str(path))
-    assert told in str(raised.value)
+    assert expected_text in str(raised.value)
     assert str(path) in str(raised.value)
     if "kepers" not in changes:
         checked = run_saffron("config", "check", str(path))
         assert checked.returncode == 1
-        assert told in checked.stderr
+        assert expected_text in checked.stderr
 
 
 def test_gateways_serve_leases_and_run_tasks_beside_their_calls(tmp_path: pathlib.Path) -> None:
     """Three gateways, each a keeper; one of them runs the fleet's sweep at a time."""
-    standins = StandInFleet(2)
-    held = [hold_port("127.0.0.1") for _ in NAMES]
+    workers = StandInFleet(2)
+    port_holders = [hold_port("127.0.0.1") for _ in NAMES]
     entries = [
         {"name": name, "address": f"127.0.0.1:{sock.getsockname()[1]}"}
-        for name, sock in zip(NAMES, held, strict=True)
+        for name, sock in zip(NAMES, port_holders, strict=True)
     ]
     shared = tmp_path / "fleet.json5"
     task = {
@@ -174,25 +177,27 @@
     for name in NAMES:
         state = str(tmp_path / name)
         run_saffron("keeper", "establish", "--fleet", str(shared), "--name", name, "--state", state)
-        part = {"path": str(shared), "keeper": name, "state_directory": state, "tasks": True}
+        gateway_settings = {"path": str(shared), "keeper": name, "state_directory": state, "tasks": True}
         path = tmp_path / f"{name}.json5"
-        path.write_text(json.dumps({**configuration(standins, tmp_path / f"ledger-{name}"), "fleet": part}))
+        path.write_text(
+            json.dumps({**configuration(workers, tmp_path / f"ledger-{name}"), "fleet": gateway_settings})
+        )
         serve = [sys.executable, "-m", "saffronstack.cli.main", "serve", "--config", str(path)]
         gateways.append(subprocess.Popen([*serve, "--log-level", "error"], stdout=subprocess.PIPE))
     for gateway in gateways:
         assert gateway.stdout is not None
         assert b"http://" in gateway.stdout.readline()
 
-    def listed() -> bool:
+    def is_listed() -> bool:
         return "task/tidy: held by" in run_saffron("lease", "list", "--fleet", str(shared)).stdout
 
-    eventually(listed)
+    eventually(is_listed)
     for gateway in gateways:
         gateway.terminate()
     assert [gateway.wait(30) for gateway in gateways] == [0, 0, 0]
     for gateway in gateways:
         assert gateway.stdout is not None
         gateway.stdout.close()
-    for sock in held:
+    for sock in port_holders:
         sock.close()
-    standins.stop()
+    workers.stop()
--- a/tests/fleet/leases/test_disk.py
+++ b/tests/fleet/leases/test_disk.py
@@ -52,13 +52,13 @@
     disk.save(STATE)
     for name in COPIES:
         good = (tmp_path / name).read_bytes()
-        for at in range(len(good)):
+        for index in range(len(good)):
             bad = bytearray(good)
-            bad[at] ^= 1 << at % 8
+            bad[index] ^= 1 << index % 8
             (tmp_path / name).write_bytes(bad)
             assert disk.load().state == STATE
             assert len(disk.load().warnings) == 1
-            (tmp_path / name).write_bytes(good[:at])
+            (tmp_path / name).write_bytes(good[:index])
             assert disk.load().state == STATE
         (tmp_path / name).write_bytes(good)
 
@@ -107,15 +107,15 @@
     before = AcceptorState(last_write=40)
     outcomes = set()
     for steps in range(12):
-        place = tmp_path / str(steps)
-        acceptor_disk(place).establish()
-        acceptor_disk(place).save(before)
+        directory = tmp_path / str(steps)
+        acceptor_disk(directory).establish()
+        acceptor_disk(directory).save(before)
         try:
-            acceptor_disk(place, FilesFailingAfter(steps)).save(STATE)
+            acceptor_disk(directory, FilesFailingAfter(steps)).save(STATE)
             is_saved = True
         except OSError:
             is_saved = False
-        loaded = acceptor_disk(place).load()
+        loaded = acceptor_disk(directory).load()
         assert loaded.disk_state is DiskState.INTACT
         assert loaded.state == STATE if is_saved else loaded.state in (STATE, before)
         outcomes.add((is_saved, loaded.state.last_write))
@@ -156,12 +156,12 @@
     service = AcceptorService("k0", LIMITS, disk, 5, time.monotonic, lambda to, message: None)
     service.start()
 
-    def has_vote() -> bool:
+    def can_vote() -> bool:
         for server in NAMES[1:]:
             service.handle_responses(server, (CatchUpResponse(server, 5, True, 0),))
         return service.status().can_vote
 
-    eventually(has_vote)
+    eventually(can_vote)
     eventually(lambda: service.status().persisted_write == service.status().last_write)
     return service
 
@@ -180,9 +180,9 @@
     files.is_open.set()
     eventually(lambda: service.status().persisted_write == service.status().last_write)
     assert acceptor_disk(tmp_path).load().state.last_write > before.last_write
-    said = service.handle_request("a", (PrepareRequest("l", "a", 1),), 5.0)
-    assert isinstance(said[0], PrepareResponse)
-    assert said[0].is_promised
+    responses = service.handle_request("a", (PrepareRequest("l", "a", 1),), 5.0)
+    assert isinstance(responses[0], PrepareResponse)
+    assert responses[0].is_promised
     service.stop()
 
 
--- a/tests/fleet/leases/test_lease_server.py
+++ b/tests/fleet/leases/test_lease_server.py
@@ -28,8 +28,8 @@
         assert held.put(b"plan 4", 5.0)
         with pytest.raises(ValueError, match="wanted by this process already"):
             first.acquire("task/usage", 0.1)
-        got: list[HeldLease | None] = []
-        waiter = start_thread("waiter", lambda: got.append(second.acquire("task/usage", 20.0)))
+        acquired_leases: list[HeldLease | None] = []
+        waiter = start_thread("waiter", lambda: acquired_leases.append(second.acquire("task/usage", 20.0)))
         eventually(lambda: second.holder_of("task/usage").startswith("p1."))
         eventually(lambda: "p2" in fleet.servers["k0"].service.mailboxes)  # it polls
         began_s = time.monotonic()
@@ -37,10 +37,10 @@
         waiter.join(20.0)
         # Long before a third of the lease, when it would have prepared again by itself.
         assert time.monotonic() - began_s < 5.0
-        (other,) = got
-        assert other is not None
-        assert other.token > held.token
-        assert other.value == b"plan 4"
+        (acquired,) = acquired_leases
+        assert acquired is not None
+        assert acquired.token > held.token
+        assert acquired.value == b"plan 4"
         assert held.remaining_s() == 0.0
         assert not held.put(b"late", 0.1)
         first.close()
@@ -85,8 +85,8 @@
         fleet.servers.pop("k0").stop()  # the new one is needed from here on
         service = fleet.servers["k2"].service
         eventually(lambda: service.lease_reports()[0].remaining_s > 0)  # it grants without a prepare request
-        until_s = time.monotonic() + fleet.lease_s
-        eventually(lambda: time.monotonic() > until_s or reasons)
+        deadline_s = time.monotonic() + fleet.lease_s
+        eventually(lambda: time.monotonic() > deadline_s or reasons)
         assert held.remaining_s() > 0
         assert not reasons
         client.close()
@@ -111,19 +111,19 @@
 def test_pages_and_bad_requests_of_a_lease_server(tmp_path: pathlib.Path) -> None:
     with lease_servers(tmp_path) as fleet:
         client = Client(fleet.addresses["k0"], 5.0)
-        ask = Envelope("f", "p", (PrepareRequest("l", "p", 1),))
-        assert client.request("POST", "/lease/messages", codec.encode(ask)).status == 200
+        envelope = Envelope("f", "p", (PrepareRequest("l", "p", 1),))
+        assert client.request("POST", "/lease/messages", codec.encode(envelope)).status == 200
         foreign = client.request("POST", "/lease/messages", codec.encode(Envelope("g", "p")))
         assert foreign.status == 403
         assert b"of fleet 'f'" in foreign.body
         for body in (b"", b"{", b'{"fleet":"f"}', b'{"fleet":"f","sender":"p","messages":[{"type":"Nope"}]}'):
             assert client.request("POST", "/lease/messages", body).status == 400
-        many = Envelope("f", "p", (PrepareRequest("l", "p", 1),) * 600)
-        assert client.request("POST", "/lease/messages", codec.encode(many)).status == 400
+        oversized = Envelope("f", "p", (PrepareRequest("l", "p", 1),) * 600)
+        assert client.request("POST", "/lease/messages", codec.encode(oversized)).status == 400
         assert client.request("GET", "/nothing").status == 404
         assert client.request("PUT", "/status").status == 405
-        lines = json.loads(client.request("GET", "/leases").body)
-        assert [line["lease"] for line in lines] == ["l"]
+        reports = json.loads(client.request("GET", "/leases").body)
+        assert [report["lease"] for report in reports] == ["l"]
         client.close()
 
 
@@ -131,9 +131,9 @@
     with lease_servers(tmp_path) as fleet:
         client = Client(fleet.addresses["k0"], 2 * MAX_POLL_S)
         poll = codec.encode(Envelope("f", "p9", poll_s=MAX_POLL_S))
-        answers: list[Response] = []
+        responses: list[Response] = []
         poller = start_thread(
-            "poll", lambda: answers.append(client.request("POST", "/lease/messages", poll))
+            "poll", lambda: responses.append(client.request("POST", "/lease/messages", poll))
         )  # fmt: skip
         server = fleet.servers.pop("k0")
         eventually(lambda: "p9" in server.service.mailboxes)
@@ -141,7 +141,7 @@
         server.stop()
         assert time.monotonic() - began_s < MAX_POLL_S
         poller.join(2 * MAX_POLL_S)
-        (answer,) = answers
-        assert answer.status == 200
-        assert codec.decode(answer.body) == Envelope("f", "")
+        (response,) = responses
+        assert response.status == 200
+        assert codec.decode(response.body) == Envelope("f", "")
         client.close()
--- a/tests/fleet/leases/test_model_checker.py
+++ b/tests/fleet/leases/test_model_checker.py
@@ -27,7 +27,7 @@
 )
 
 
-def play(
+def run_simulations(
     seeds: range,
     make_acceptor: AcceptorFactory = Acceptor,
     make_candidate: CandidateFactory = Candidate,
@@ -49,7 +49,7 @@
 
 
 def test_no_two_hold_a_lease_at_once_and_tokens_grow_over_many_seeds() -> None:
-    assert play(range(150)) == []
+    assert run_simulations(range(150)) == []
 
 
 def test_the_lease_is_held_while_a_majority_can_communicate() -> None:
@@ -61,14 +61,14 @@
 
 @pytest.mark.parametrize("broken", [ForgetsVotes, TreatsLostAsNew, IgnoresEarlierGrants, PromisesBallotTwice])
 def test_the_judge_finds_a_broken_acceptor(broken: type[Acceptor]) -> None:
-    assert any(play(range(seed, seed + 10), make_acceptor=broken) for seed in range(0, 300, 10))
+    assert any(run_simulations(range(seed, seed + 10), make_acceptor=broken) for seed in range(0, 300, 10))
 
 
 def test_the_judge_finds_a_renewal_revived_after_expiry() -> None:
     breaches = [
         breach
         for seed in range(0, 60, 10)
-        for breach in play(range(seed, seed + 10), RenewsExpiredGrant, RenewsAfterExpiry)
+        for breach in run_simulations(range(seed, seed + 10), RenewsExpiredGrant, RenewsAfterExpiry)
     ]
     assert breaches
 
@@ -76,21 +76,21 @@
 def test_recovery_waits_for_the_last_grants_of_a_replaced_server() -> None:
     """Found by seeds 298, 434 and 2336 of 2,400: a replaced server and another granted to one candidate, its
     successor and the third server to the next."""
-    assert play(range(298, 299), VotesImmediately)
-    assert play(range(298, 299)) == []
+    assert run_simulations(range(298, 299), VotesImmediately)
+    assert run_simulations(range(298, 299)) == []
 
 
 @pytest.mark.parametrize("broken", [CountsFromResponse, NeedsOneVote])
 def test_the_judge_finds_a_broken_candidate(broken: type[Candidate]) -> None:
-    assert any(play(range(seed, seed + 10), make_candidate=broken) for seed in range(0, 300, 10))
+    assert any(run_simulations(range(seed, seed + 10), make_candidate=broken) for seed in range(0, 300, 10))
 
 
 def test_the_judge_finds_a_replaced_server_that_is_counted() -> None:
     """Half of the restarts are replacements; the real acceptor and candidate break nothing."""
-    often = FaultRates(replacement=0.5)
-    assert play(range(30), faults=often) == []
+    fault_rates = FaultRates(replacement=0.5)
+    assert run_simulations(range(30), faults=fault_rates) == []
     broken = (
-        play(range(seed, seed + 10), VotesAfterReplacement, CountsReplacedServers, often)
+        run_simulations(range(seed, seed + 10), VotesAfterReplacement, CountsReplacedServers, fault_rates)
         for seed in range(0, 300, 10)
     )
     assert any(broken)
@@ -120,12 +120,12 @@
 
 CAUGHT_UP = ("k0 catches up from k1", "k0 catches up from k2")
 REPLACED = ("k0 is replaced while paused", HALF, HALF, HALF, *CAUGHT_UP, *CAUGHT_UP)
-WAITED = (*REPLACED, HALF, HALF, HALF)
+AFTER_GRANTS_EXPIRED = (*REPLACED, HALF, HALF, HALF)
 
 
 def test_every_order_with_a_replaced_server_awake_is_safe() -> None:
     budget = replace(NO_FAULTS, replacements=1, time_steps=8, partial_deliveries=1, late_responses=1)
-    result = explore(len(WAITED) + 9, budget, max_states=10_000, after=WAITED)
+    result = explore(len(AFTER_GRANTS_EXPIRED) + 9, budget, max_states=10_000, after=AFTER_GRANTS_EXPIRED)
     assert result.breach == "", result
     assert result.states >= 10_000, result
 
@@ -144,7 +144,7 @@
             VotesAfterReplacement,
             CountsReplacedServers,
             replace(NO_FAULTS, replacements=1, time_steps=6),
-            WAITED,
+            AFTER_GRANTS_EXPIRED,
         ),
     ],
 )
--- a/tests/fleet/leases/test_processes.py
+++ b/tests/fleet/leases/test_processes.py
@@ -19,10 +19,10 @@
 from saffronstack.harness.links import Mode, Wires
 from saffronstack.runtime.threads import start_thread
 
-FLEET = pytest.mark.xdist_group("leases")  # heavy ones play one at a time
+SERIAL = pytest.mark.xdist_group("leases")  # heavy ones play one at a time
 
 
-@FLEET
+@SERIAL
 def test_one_holder_acts_at_a_time_through_faults_of_servers_candidates_links_and_disks(
     tmp_path: pathlib.Path,
 ) -> None:
@@ -31,15 +31,15 @@
         report = rig.play(schedule(5, 30.0, 5, 6, every_s=1.2), 30.0)
     finally:
         rig.close()
-    told = report.judgement
-    assert told.breaches == []
-    assert told.acquired >= 4, report
-    assert told.acts > 50, report
+    judgement = report.judgement
+    assert judgement.breaches == []
+    assert judgement.acquired >= 4, report
+    assert judgement.acts > 50, report
     assert sum(report.faults.values()) >= 10, report
     assert report.majority_held_s > 0.4 * report.majority_s > 1.0, report
 
 
-@FLEET
+@SERIAL
 @pytest.mark.parametrize("broken", ["few", "late"])
 def test_the_judge_finds_broken_candidates_among_the_processes(tmp_path: pathlib.Path, broken: str) -> None:
     rig = LeaseRig(
@@ -69,8 +69,8 @@
     faults = schedule(7, 60.0, 5, 6)
     assert faults == schedule(7, 60.0, 5, 6) != schedule(8, 60.0, 5, 6)
     assert len({fault.kind for fault in faults}) > 6
-    wanted = {faults[3], faults[-2]}
-    assert set(shrink(faults, lambda fewer: wanted <= set(fewer), 200)) == wanted
+    failing = {faults[3], faults[-2]}
+    assert set(shrink(faults, lambda fewer: failing <= set(fewer), 200)) == failing
 
 
 def test_a_holder_that_wakes_after_its_lease_reports_that_it_does_not_hold_it() -> None:
@@ -82,9 +82,9 @@
     judge.handle(ActBegun("a", 1, 5.0))
     judge.handle(Acquired("b", 2, 6.0, 9.0))
     judge.handle(ActEnded("a", 1, 4.9, 8.0, expiry_at(8.0, 0.0, 1.0)))
-    told = judge.judge(0.0, 10.0)
-    assert told.breaches == []
-    assert told.overran == 1
+    judgement = judge.judge(0.0, 10.0)
+    assert judgement.breaches == []
+    assert judgement.overran == 1
     judge.close()
 
 
@@ -92,10 +92,10 @@
     now = [0.0]
     steps = ClockSteps(tmp_path / "steps", lambda: now[0])
     assert steps() == 0.0
-    for text, wanted in (("2.5", 2.5), ("", 2.5), ("4", 4.0), ("1", 4.0)):
+    for text, expected_s in (("2.5", 2.5), ("", 2.5), ("4", 4.0), ("1", 4.0)):
         (tmp_path / "steps").write_text(text)
         now[0] += ClockSteps.CHECK_INTERVAL_S
-        assert steps() == wanted
+        assert steps() == expected_s
 
 
 def test_the_judge_distinguishes_two_holders_older_tokens_and_pauses() -> None:
@@ -115,16 +115,16 @@
     judge.handle(ActBegun("b", 2, 9.0))
     # a was stopped in the midst of its act and wakes: its token is refused, and nobody is to blame.
     assert judge.handle(ActEnded("a", 1, 4.9, 7.0, 5.0)) == Answer(False)
-    told = judge.judge(0.0, 10.0)
-    assert told.breaches == []
-    assert told.rejected == 1
-    assert told.longest_free_s == 1.0
+    judgement = judge.judge(0.0, 10.0)
+    assert judgement.breaches == []
+    assert judgement.rejected == 1
+    assert judgement.longest_free_s == 1.0
     judge.handle(Acquired("c", 2, 9.5, 9.6))
     assert "c and b both acquired token 2" in judge.judge(0.0, 10.0).breaches[0]
     judge.close()
 
 
-class Echo:
+class EchoServer:
     """Answers each line with itself."""
 
     def __init__(self) -> None:
@@ -151,52 +151,52 @@
 
 
 def test_wires_hold_delay_lose_reset_and_refuse_each_direction() -> None:
-    echo, wires = Echo(), Wires()
+    echo, wires = EchoServer(), Wires()
     address = wires.pair("a", "b", echo.address)
     host, _, port = address.rpartition(":")
     sock = socket.create_connection((host, int(port)), timeout=10.0)
     sock.sendall(b"one\n")
     assert sock.recv(100) == b"one\n"
-    forth, back = wires.between({"a"}, {"b"}), wires.between({"b"}, {"a"})
-    wires.set(back, Mode.HOLD)
+    forward, backward = wires.between({"a"}, {"b"}), wires.between({"b"}, {"a"})
+    wires.set(backward, Mode.HOLD)
     sock.sendall(b"two\n")
     sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
         sock.recv(100)
     sock.settimeout(10.0)
-    wires.set(back)
+    wires.set(backward)
     assert sock.recv(100) == b"two\n"  # nothing of it was lost
-    wires.set(forth, Mode.LOSE)
+    wires.set(forward, Mode.LOSE)
     sock.sendall(b"gone\n")
     threading.Event().wait(0.1)  # the relay must have read it before the direction passes again
-    wires.set(forth, late_s=0.3)
+    wires.set(forward, late_s=0.3)
     began_s = time.monotonic()
     sock.sendall(b"late\n")
     assert sock.recv(100) == b"late\n"
     assert time.monotonic() - began_s >= 0.3
-    wires.set(forth)
+    wires.set(forward)
     large = bytes(range(256)) * 20_000
     start_thread("sender", lambda: sock.sendall(large))
     received = b""
     while len(received) < len(large):
         received += sock.recv(65536)
     assert received == large
-    wires.reset(forth)
+    wires.reset(forward)
     with pytest.raises(ConnectionResetError):
         sock.recv(100)
-    wires.refuse(forth, True)
+    wires.refuse(forward, True)
 
     def connect_and_receive() -> None:
-        with socket.create_connection((host, int(port)), timeout=10.0) as late:
-            late.recv(100)
+        with socket.create_connection((host, int(port)), timeout=10.0) as connection:
+            connection.recv(100)
 
     with pytest.raises(ConnectionResetError):
         connect_and_receive()
-    wires.refuse(forth, False)
-    with socket.create_connection((host, int(port)), timeout=10.0) as again:
-        again.sendall(b"x")
-        again.shutdown(socket.SHUT_WR)
-        assert again.recv(100) == b"x"
-        assert again.recv(100) == b""
+    wires.refuse(forward, False)
+    with socket.create_connection((host, int(port)), timeout=10.0) as reconnected:
+        reconnected.sendall(b"x")
+        reconnected.shutdown(socket.SHUT_WR)
+        assert reconnected.recv(100) == b"x"
+        assert reconnected.recv(100) == b""
     wires.close()
     echo.listener.close()
--- a/tests/fleet/leases/test_recovery.py
+++ b/tests/fleet/leases/test_recovery.py
@@ -33,7 +33,7 @@
     }
 
 
-def respond(acceptor: Acceptor, now: float, server: str, **changes: object) -> None:
+def send_catch_up_response(acceptor: Acceptor, now: float, server: str, **changes: object) -> None:
     """Let another server answer a catch-up request."""
     response = CatchUpResponse(server, 7, True, 0, observed_incarnation=acceptor.table.incarnation)
     acceptor.handle(now, server, replace_fields(response, **changes))
@@ -109,12 +109,12 @@
 def test_a_replaced_server_that_returns_never_votes() -> None:
     """k0's machine is taken for dead and replaced by an empty one of its name; then it starts restarted."""
     successor = make_acceptor(DiskState.LOST, now=100.0)
-    one, two = (make_acceptor(name=name, now=100.0) for name in ("k1", "k2"))
+    server_1, server_2 = (make_acceptor(name=name, now=100.0) for name in ("k1", "k2"))
 
     def catch_up(server: Acceptor, now: float) -> None:
         for action in server.tick(now):
             if isinstance(action, SendMessage):
-                other = {"k1": one, "k2": two}[action.receiver]
+                other = {"k1": server_1, "k2": server_2}[action.receiver]
                 for reply in other.handle(now, server.name, action.message):
                     if isinstance(reply, SendMessage):
                         server.handle(now, action.receiver, reply.message)
@@ -144,20 +144,20 @@
 def test_a_server_replaced_while_paused_is_not_counted_and_learns_of_it() -> None:
     """k0 pauses, another takes its name; k0 wakes at the address that some candidates still have."""
     paused = make_acceptor()
-    of_successor = PrepareResponse("l", "k0", "a", 5, True, 5, incarnation=1)
-    of_other = PrepareResponse("l", "k1", "a", 5, True, 5, incarnations=(("k0", 1),))
+    successor_response = PrepareResponse("l", "k0", "a", 5, True, 5, incarnation=1)
+    other_response = PrepareResponse("l", "k1", "a", 5, True, 5, incarnations=(("k0", 1),))
     candidate = Candidate("a", "l", 5.0, LIMITS, 1)
     candidate.acquire(0.0)
     ballot = candidate._ballot
-    of_paused = response_of(paused.handle(0.0, "a", PrepareRequest("l", "a", ballot)))
-    assert isinstance(of_paused, PrepareResponse)
-    assert of_paused.is_promised
-    candidate.handle(0.0, "k0", of_paused)
-    candidate.handle(0.0, "k1", replace_fields(of_other, ballot=ballot))
+    paused_response = response_of(paused.handle(0.0, "a", PrepareRequest("l", "a", ballot)))
+    assert isinstance(paused_response, PrepareResponse)
+    assert paused_response.is_promised
+    candidate.handle(0.0, "k0", paused_response)
+    candidate.handle(0.0, "k1", replace_fields(other_response, ballot=ballot))
     assert candidate._valid_approvals() == [
-        replace_fields(of_other, ballot=ballot)
+        replace_fields(other_response, ballot=ballot)
     ]  # k0's promise does not count
-    actions = candidate.handle(0.0, "k0", replace_fields(of_successor, ballot=ballot))
+    actions = candidate.handle(0.0, "k0", replace_fields(successor_response, ballot=ballot))
     assert any(
         isinstance(action, SendMessage) and isinstance(action.message, AcceptRequest) for action in actions
     )
@@ -226,15 +226,15 @@
     now = lost.recovery.votes_from_s + 1.0
     assert requested_servers(lost, now) == {"k1", "k2", "k3", "k4"}
     for name in ("k1", "k2"):
-        respond(lost, now, name, is_recovered=False)
+        send_catch_up_response(lost, now, name, is_recovered=False)
     for name in ("k3", "k4"):
-        respond(lost, now, name)
+        send_catch_up_response(lost, now, name)
     assert lost.table.incarnation == 0
     assert requested_servers(lost, now + 1.0) == {"k1", "k2"}
-    respond(lost, now + 1.0, "k1")
+    send_catch_up_response(lost, now + 1.0, "k1")
     assert lost.table.incarnation == 1, "a majority of others knows what it promised: it begins a incarnation"
     for name in ("k1", "k3", "k4"):
-        respond(lost, now + 1.0, name)
+        send_catch_up_response(lost, now + 1.0, name)
     assert lost.recovery.has_recovered
 
 
@@ -242,11 +242,11 @@
     lost = Acceptor("k0", FIVE, DiskState.LOST, AcceptorState(), 0.0, nonce=7)
     now = lost.recovery.votes_from_s + 1.0
     assert requested_servers(lost, now) == {"k1", "k2", "k3", "k4"}
-    respond(lost, now, "k1")
-    respond(lost, now, "k2")
-    respond(lost, now, "k3", incarnations=(("k1", 1), ("k2", 1)))  # new machines replaced both
+    send_catch_up_response(lost, now, "k1")
+    send_catch_up_response(lost, now, "k2")
+    send_catch_up_response(lost, now, "k3", incarnations=(("k1", 1), ("k2", 1)))  # new machines replaced both
     assert lost.table.incarnation == 0
     assert requested_servers(lost, now + 1.0) == {"k1", "k2", "k4"}
-    respond(lost, now + 1.0, "k1", incarnation=1)
-    respond(lost, now + 1.0, "k2", incarnation=1)
+    send_catch_up_response(lost, now + 1.0, "k1", incarnation=1)
+    send_catch_up_response(lost, now + 1.0, "k2", incarnation=1)
     assert lost.table.incarnation == 1
--- a/tests/fleet/rollout/test_leader.py
+++ b/tests/fleet/rollout/test_leader.py
@@ -46,7 +46,7 @@
     def remaining_s(self) -> float:
         return 10.0
 
-    def put(self, content: bytes, wait_s: float) -> bool:
+    def put(self, content: bytes, timeout_s: float) -> bool:
         self.value = content
         return True
 
--- a/tests/fleet/tasks/fakes.py
+++ b/tests/fleet/tasks/fakes.py
@@ -17,7 +17,7 @@
     def remaining_s(self) -> float:
         return 10.0 if self.is_held else 0.0
 
-    def put(self, content: bytes, wait_s: float) -> bool:
+    def put(self, content: bytes, timeout_s: float) -> bool:
         return False
 
     def release(self) -> None:
@@ -32,7 +32,7 @@
         self.lost_callbacks: list[Callable[[str], None] | None] = []
 
     def acquire(
-        self, lease: str, wait_s: float, on_lost: Callable[[str], None] | None = None
+        self, lease: str, timeout_s: float, on_lost: Callable[[str], None] | None = None
     ) -> FakeLease | None:
         self.granted.append(FakeLease(lease, len(self.granted) + 1))
         self.lost_callbacks.append(on_lost)
--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -25,8 +25,8 @@
 from tests.support.stack import Stack, configuration, eventually
 
 SAFFRON = [sys.executable, "-m", "saffronstack.cli.main"]
-SLOW_WHILE_OPENING = 20.0  # times as long
-TAKEN_OVER = 3  # exit status of a gateway that lost its ledger to a later owner
+SLOWDOWN_WHILE_OPENING = 20.0  # times as long
+TAKEN_OVER_STATUS = 3  # exit status of a gateway that lost its ledger to a later owner
 OPEN_CALLS = int(os.environ.get("SAFFRONSTACK_OPEN", "150"))
 
 
@@ -82,10 +82,11 @@
     The workers take long meanwhile: on a busy machine they ran all before the last was accepted.
     """
     for worker in stack.fleet.workers:
-        worker.faults = Faults(slow=SLOW_WHILE_OPENING)
-    kinds = ("record-sale", "identify-copy")
+        worker.faults = Faults(slow=SLOWDOWN_WHILE_OPENING)
+    functions = ("record-sale", "identify-copy")
     ids = [
-        stack.call(kinds[n % 4 == 3], kind="Event").headers.get("x-amzn-requestid") for n in range(OPEN_CALLS)
+        stack.call(functions[n % 4 == 3], kind="Event").headers.get("x-amzn-requestid")
+        for n in range(OPEN_CALLS)
     ]
     assert stack.runs("record-sale") + stack.runs("identify-copy") < OPEN_CALLS  # most are open
     for worker in stack.fleet.workers:
@@ -133,15 +134,15 @@
             tasks = run_tasks_until_taken_over(shared, ledger)
             runs_before = runs_by_call(workers)
             os.kill(gateway.pid, signal.SIGCONT)
-            assert gateway.wait(10.0) == TAKEN_OVER  # it notices the later owner, and ends
+            assert gateway.wait(10.0) == TAKEN_OVER_STATUS  # it notices the later owner, and ends
         assert_ends_cleanly(tasks, 20.0)
         assert tasks.stdout is not None
         tasks.stdout.close()
         assert_one_final_record_each(ledger.current_path(), ids)
         runs = runs_by_call(workers)
-        sales = [call for n, call in enumerate(ids) if n % 4 != 3]
+        non_idempotent_calls = [call for n, call in enumerate(ids) if n % 4 != 3]
         # No call that is not idempotent ran twice, before and after the stopped gateway woke.
-        assert max(runs[call] for call in sales) == 1
+        assert max(runs[call] for call in non_idempotent_calls) == 1
         assert runs == runs_before
         # The restarted gateway finds every final record.
         with serving(serve, workers) as (restarted, stack):
--- a/tests/fleet/tasks/test_runner.py
+++ b/tests/fleet/tasks/test_runner.py
@@ -5,7 +5,7 @@
 import pathlib
 import time
 
-from saffronstack.fleet.tasks.runner import LEASE_WAIT_S, TaskRunner
+from saffronstack.fleet.tasks.runner import ACQUIRE_TIMEOUT_S, TaskRunner
 from tests.fleet.tasks.fakes import BlockingTask, FakeLeaseStore
 from tests.support.lease_servers import lease_servers
 from tests.support.stack import eventually
@@ -40,6 +40,6 @@
             runner.request_stop()
         waiter.cancel_acquires()
         assert all(runner.stop() for runner in runners)
-        assert time.monotonic() - began_s < LEASE_WAIT_S / 2
+        assert time.monotonic() - began_s < ACQUIRE_TIMEOUT_S / 2
         waiter.close()
         holder.close()
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -27,11 +27,11 @@
     """Takes requests, and answers each once the test says so."""
 
     def __init__(self) -> None:
-        self.taken = threading.Semaphore(0)
+        self.started = threading.Semaphore(0)
         self.may_answer = threading.Event()
 
     def __call__(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
-        self.taken.release()
+        self.started.release()
         assert self.may_answer.wait(TIMEOUT_S)
         return 200, ANSWER_BODY
 
@@ -89,7 +89,7 @@
     address = server.address
     connection = connect(address)
     connection.sendall(REQUEST)
-    assert slow.taken.acquire(timeout=TIMEOUT_S)
+    assert slow.started.acquire(timeout=TIMEOUT_S)
     stopping = start_thread("stop", server.stop)
     eventually(lambda: refuses_connections(address))
     slow.may_answer.set()
@@ -116,7 +116,7 @@
     server = start_server(slow, drain_timeout_s=0.1)
     connection = connect(server.address)
     connection.sendall(REQUEST)
-    assert slow.taken.acquire(timeout=TIMEOUT_S)
+    assert slow.started.acquire(timeout=TIMEOUT_S)
     server.stop()
     assert read_to_end(connection) == b""
 
--- a/tests/stored_formats/test_control_formats.py
+++ b/tests/stored_formats/test_control_formats.py
@@ -27,7 +27,7 @@
 from saffronstack.fleet.control.metrics_poller import GatewayPage
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
 from saffronstack.fleet.control.releases import ReleaseManifest, compute_digest
-from saffronstack.fleet.http_server import problem
+from saffronstack.fleet.http_server import encode_error
 from saffronstack.fleet.rollout.plan import DataFormat
 
 DATA = pathlib.Path(__file__).parent / "data" / "control"
@@ -95,7 +95,7 @@
 
 
 def test_a_problem_is_written_as_before() -> None:
-    assert problem("token 4 is older than 5") == (DATA / "problem.json").read_bytes()
+    assert encode_error("token 4 is older than 5") == (DATA / "problem.json").read_bytes()
 
 
 def test_the_leases_and_the_path_keep_their_names() -> None:
