--- a/saffronstack/fleet/__init__.py
+++ b/saffronstack/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""What gateways of a fleet do together: leases first. Off, and not imported, on the users' platform."""
+"""Coordination of the gateways of a fleet: leases, tasks, control and rollouts.
+
+Disabled, and not imported, on the users' platform.
+"""
--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for the processes of a fleet: one thread for each connection, every wait bounded."""
+"""A small HTTP server for the processes of a fleet: one thread per connection, a timeout on every wait."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 log = structlog.get_logger("saffronstack.fleet")
 MAX_CONNECTIONS = 2048
 LISTEN_BACKLOG = 512
-MESSAGE_TIMEOUT_S = 5.0  # for a request, once it began, and for writing its answer
+MESSAGE_TIMEOUT_S = 5.0  # to receive a request after its first byte, and again to send the response
 IDLE_TIMEOUT_S = 120.0
 ERROR_RESPONSE_TIMEOUT_S = 1.0
 ACCEPT_POLL_S = 0.5
 ACCEPT_RETRY_S = 0.05
 JOIN_TIMEOUT_S = 1.0
-DRAIN_TIMEOUT_S = 3.0  # longer than a lease server waits for its disk
+DRAIN_TIMEOUT_S = 3.0  # exceeds the time that a lease server waits for its disk before it responds
 LIMITS = MessageLimits(body_bytes=4 * 1024 * 1024)
 JSON_FIELDS = [("Content-Type", "application/json")]
 RequestHandler = Callable[[RequestHead, bytes], tuple[int, bytes]]
 
 
 class HttpServer:
-    """Accepts connections, and has a handler answer each request on its connection's thread."""
+    """Accepts connections and calls a handler for each request, on the thread of the request's connection."""
 
     def __init__(
         self,
@@ -43,15 +43,15 @@
         clock: Callable[[], float],
         drain_timeout_s: float = DRAIN_TIMEOUT_S,
     ) -> None:
-        """Listen; connections are accepted after ``start``.
+        """Bind the listener; `start` begins to accept connections.
 
         Args:
-            name: For the names of threads.
-            host: To listen on.
-            port: To listen on; 0 for any.
-            handler: Returns status and JSON body for a request; runs on the connection's thread.
-            clock: Seconds.
-            drain_timeout_s: How long `stop` waits for handlers.
+            name: Prefix of the thread names.
+            host: The host to listen on.
+            port: The port to listen on; 0 for any free port.
+            handler: Returns the status and JSON body of a response; runs on the connection's thread.
+            clock: A monotonic clock, in seconds.
+            drain_timeout_s: Seconds that `stop` waits for handlers that are running.
 
         Raises:
             OSError: The address can't be bound.
@@ -69,28 +69,28 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port that it listens on."""
+        """Return the host and port that the server listens on."""
         host, port = self._listener.getsockname()[:2]
         return host, port
 
     @property
     def connections(self) -> int:
-        """The number of connections that are open."""
+        """Return the number of open connections."""
         return len(self._open_streams)
 
     def start(self) -> None:
-        """Accept connections on a thread of its own."""
+        """Start the thread that accepts connections."""
         self._accept_thread = start_thread(f"{self._name}-accept", self._accept_connections)
 
     def stop(self) -> None:
-        """Accept nothing more, answer the requests that have come, and close all connections.
+        """Stop accepting connections, respond to the requests already received, and close all connections.
 
-        A connection whose handler takes longer than the drain timeout is closed without its answer.
+        A connection whose handler takes longer than the drain timeout is closed without a response.
         """
         with self._lock:
             self._stopping = True
         with contextlib.suppress(OSError):
-            self._listener.shutdown(socket.SHUT_RDWR)  # its port is held while a thread waits on it
+            self._listener.shutdown(socket.SHUT_RDWR)  # the port stays bound while a thread waits on it
         if self._accept_thread is not None:
             self._accept_thread.join(JOIN_TIMEOUT_S)
         with contextlib.suppress(OSError):
@@ -101,7 +101,7 @@
         with self._lock:
             streams = list(self._open_streams)
         for stream in streams:
-            stream.abort(socket.SHUT_RD)  # what has come is still read; an idle connection ends
+            stream.abort(socket.SHUT_RD)  # received bytes can still be read; an idle connection ends
         with self._lock:
             self._lock.wait_for(lambda: not self._open_streams, self._drain_timeout_s)
             unfinished = list(self._open_streams)
@@ -124,7 +124,7 @@
             self._admit(Stream(sock))
 
     def _admit(self, stream: Stream) -> None:
-        """Serve a connection on a thread of its own, or close it where there are too many."""
+        """Serve a connection on a new thread; close it if it is over the limit or the server stops."""
         with self._lock:
             is_admitted = len(self._open_streams) < MAX_CONNECTIONS and not self._stopping
             if is_admitted:
@@ -134,7 +134,7 @@
             return
         try:
             start_thread(f"{self._name}-connection", lambda: self._serve(stream))
-        except RuntimeError:  # the system has no more threads
+        except RuntimeError:  # the system cannot create another thread
             self._close(stream)
 
     def _close(self, stream: Stream) -> None:
@@ -149,7 +149,7 @@
         except HttpError as error:
             self._send_error_response(stream, error)
         except (OSError, PeerClosed):
-            return  # the peer has left, or sends nothing more
+            return  # the peer closed the connection, reset it or stopped sending
         except Exception:
             log.exception("connection thread failed")
         finally:
@@ -172,10 +172,10 @@
 
     def _send_error_response(self, stream: Stream, error: HttpError) -> None:
         response = writer.response(error.status, JSON_FIELDS, encode_error(error.text), close=True)
-        with contextlib.suppress(OSError):  # the peer has left
+        with contextlib.suppress(OSError):  # the peer closed the connection
             stream.send(response, self._clock() + ERROR_RESPONSE_TIMEOUT_S, self._clock)
 
 
 def encode_error(text: str) -> bytes:
-    """Encode the body of an answer that is an error."""
+    """Encode the JSON body of an error response."""
     return msgspec.json.encode({"message": text})
--- a/saffronstack/fleet/leases/__init__.py
+++ b/saffronstack/fleet/leases/__init__.py
@@ -1,7 +1,9 @@
-"""Leases with fencing tokens, for tasks that one process of a fleet may do at a time (`docs/leases.md`).
+"""Leases with fencing tokens: at most one process of a fleet holds a lease at a time (`docs/leases.md`).
 
-Decisions, free of I/O: `acceptor`, `recovery` and `lease_table` (a server), `candidate` (a process that wants
-a lease), with `messages` and `limits`. Around them: `disk`, `acceptor_service`, `http_endpoint` and
-`lease_server` (a server), `server_link` and `client` (a process), `quorum_read` (reads without a lease),
-`store` (the interface that tasks use).
+The protocol logic performs no I/O. `acceptor`, `recovery` and `lease_table` run in a lease server.
+`candidate` runs in a process that requests a lease. `messages` and `limits` are common to both.
+
+The other modules perform I/O. `disk`, `acceptor_service`, `http_endpoint` and `lease_server` are the lease
+server. `server_link` and `client` connect a process to the lease servers. `quorum_read` reads leases without
+holding one. `store` is the interface that tasks use.
 """
--- a/saffronstack/fleet/leases/acceptor.py
+++ b/saffronstack/fleet/leases/acceptor.py
@@ -1,9 +1,13 @@
-"""The acceptor of the lease protocol: it promises ballots and grants leases. Free of I/O, clocks and threads.
+"""The acceptor of the lease protocol: it promises ballots and grants leases.
 
-An acceptor promises each ballot of a lease to one candidate at most, only greater ballots than before, and
-none while another candidate's grant runs. It grants only to the candidate that it promised last. Any two
-majorities share an acceptor, so two holders at once would have needed a grant beside another's, and a later
-holder's ballot is greater.
+The module performs no I/O, reads no clock and starts no thread.
+
+For each lease, an acceptor promises a ballot to at most one candidate. It promises only ballots greater than
+all that it promised before, and promises none to a candidate while the grant of another candidate is valid.
+It grants a lease only to the candidate that it promised the last ballot to.
+
+Any two majorities share an acceptor. Two simultaneous holders would need that acceptor to grant to both,
+which it never does. For the same reason, the ballot of a later holder is greater than that of an earlier one.
 """
 
 from __future__ import annotations
@@ -33,7 +37,7 @@
 
 
 class Acceptor:
-    """One of the fleet's acceptors; `handle` and `tick` take its events and return what to do, in order."""
+    """One acceptor of a fleet. `handle` and `tick` return the actions to apply, in order."""
 
     def __init__(
         self,
@@ -44,18 +48,19 @@
         now: float,
         nonce: int,
     ) -> None:
-        """Start from what the disk showed.
+        """Create an acceptor from the state that was loaded from disk.
 
         Args:
             name: The name of this server, one of ``limits.servers``.
             limits: The limits of the fleet.
-            disk_state: Whether the disk's state can be believed.
-            state: The persisted state; empty where it was lost.
+            disk_state: Whether the loaded state can be trusted.
+            state: The persisted state; empty if it was lost.
             now: The local clock's time, in seconds.
-            nonce: Distinguishes this start from earlier ones in answers to catch-up requests.
+            nonce: Identifies this start of the server, so that responses to catch-up requests of an earlier
+                start are ignored.
 
         Raises:
-            UnknownServerError: The name is none of the fleet's servers.
+            UnknownServerError: The fleet has no server of this name.
         """
         if name not in limits.servers:
             raise UnknownServerError(f"server {name!r} is none of {', '.join(limits.servers)}")
@@ -69,7 +74,7 @@
         return self.recovery.tick(now)
 
     def handle(self, now: float, sender: str, message: Message) -> list[AcceptorAction]:
-        """Handle a message; one that its sender may not send changes nothing."""
+        """Handle a message; ignore a message that names another sender than ``sender``."""
         match message:
             case PrepareRequest(candidate=candidate) if candidate == sender:
                 return self._handle_prepare(now, message)
@@ -85,19 +90,19 @@
                 return []
 
     def can_vote(self, now: float) -> bool:
-        """Return whether it promises and grants now."""
+        """Return whether the acceptor may promise and grant now."""
         return self.recovery.can_vote(now)
 
     def records(self) -> list[AcceptorRecord]:
-        """Return what it has of each lease."""
+        """Return the records of all leases."""
         return list(self.table.records())
 
     def remaining_s(self, now: float, lease: str) -> float:
-        """Return for how many seconds a grant of the lease still runs here; 0 without one."""
+        """Return the seconds until this acceptor's grant of the lease expires; 0 if there is none."""
         return self.table.remaining_s(now, lease)
 
     def required_write(self, lease: str) -> int:
-        """Return the number of the write that must be persisted before an answer about the lease is sent."""
+        """Return the number of the write that must be on disk before a response about the lease is sent."""
         return self.table.required_write(lease)
 
     def _handle_prepare(self, now: float, request: PrepareRequest) -> list[AcceptorAction]:
@@ -170,7 +175,7 @@
         return has_valid_duration and len(request.value.content) <= self.limits.max_value_bytes
 
     def _grant(self, now: float, entry: LeaseEntry, request: AcceptRequest) -> list[AcceptorAction]:
-        """Grant or renew the lease; a plain renewal changes nothing that has to be persisted."""
+        """Grant or renew the lease. A renewal without a change of the persisted state needs no write."""
         entry.expires_s = max(entry.expires_s, now + self.limits.grant_duration_s(request.duration_s))
         entry.waiters.pop(request.candidate, None)
         previous = entry.record
@@ -194,7 +199,7 @@
             return []
         if not _is_promised_to(entry.record, request):
             return []
-        entry.expires_s = 0.0  # an accept request that arrives later finds its ballot released
+        entry.expires_s = 0.0  # a delayed accept request is rejected by the released ballot
         entry.record = replace(entry.record, holder="", released_ballot=request.ballot)
         waiter = entry.pop_waiter(now, self.limits)
         persist = self.table.persist(entry)
@@ -205,5 +210,5 @@
 
 
 def _is_promised_to(record: AcceptorRecord, request: PrepareRequest | AcceptRequest | ReleaseRequest) -> bool:
-    """Return whether exactly this ballot of this candidate is the one promised last."""
+    """Return whether the last promise was for the ballot and the candidate of the request."""
     return (record.promised_ballot, record.candidate) == (request.ballot, request.candidate)
--- a/saffronstack/fleet/leases/acceptor_service.py
+++ b/saffronstack/fleet/leases/acceptor_service.py
@@ -1,4 +1,4 @@
-"""An acceptor with its disk and its clock: no answer leaves before the state behind it is persisted."""
+"""Runs an acceptor with its disk and clock. Responses wait until the state they depend on is on disk."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 log = structlog.get_logger("saffronstack.keeper")
 WRITE_RETRY_DELAY_S = 0.5
-MAX_SLEEP_S = 1.0  # the longest sleep of a thread without work
+MAX_SLEEP_S = 1.0  # longest wait of an idle thread
 MIN_SLEEP_S = 0.01
-MAX_PENDING_REQUESTS = 1024  # requests that wait for the disk at one time
-STOP_TIMEOUT_S = 2.0  # that a stop waits for a write in progress
+MAX_PENDING_REQUESTS = 1024  # requests that may wait for the disk at the same time
+STOP_TIMEOUT_S = 2.0  # how long a stop waits for a write in progress
 
 
 class AcceptorService:
-    """Owns the acceptor, the thread that writes its state and the one that runs its timers.
+    """Owns the acceptor, the thread that writes its state and the thread that runs its timers.
 
-    The lock guards the acceptor and all fields; it is held for decisions alone, never during I/O.
+    The lock guards the acceptor and all fields. It is never held during I/O.
     """
 
     def __init__(
@@ -53,12 +53,12 @@
             name: The name of this server.
             limits: The limits of the fleet.
             disk: The state directory.
-            nonce: Distinguishes this start from earlier ones.
+            nonce: Identifies this start of the server.
             clock: The monotonic clock, in seconds.
             send: Sends a message to another server; must not block.
 
         Raises:
-            ForeignStateError: The state is that of another server or fleet.
+            ForeignStateError: The state belongs to another server or fleet.
             OSError: The directory can't be read.
         """
         self._clock = clock
@@ -76,7 +76,7 @@
         self._timer_s: float | None = None
         self._has_ended_polls = False
         self._is_stopping = False
-        self._disk_error = ""  # of the last write; empty where it succeeded
+        self._disk_error = ""  # error of the last write; empty if it succeeded
         self._writer: threading.Thread | None = None
 
     def start(self) -> None:
@@ -85,15 +85,15 @@
         start_thread("acceptor-timer", self._run_timers)
 
     def end_polls(self) -> None:
-        """Answer all long polls at once, those that wait and those that come; serve other requests on."""
+        """Respond at once to all current and future long polls; other requests are still served."""
         with self._lock:
             self._has_ended_polls = True
             self._lock.notify_all()
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
-        """Answer nobody any more, and end a write in progress, so that another server may use the directory.
+        """Stop responding and wait for a write in progress, so that another server can use the directory.
 
-        A disk that takes longer than ``timeout_s`` is logged and left alone.
+        If the write takes longer than ``timeout_s``, logs an error and returns without waiting further.
         """
         with self._lock:
             self._is_stopping = self._has_ended_polls = True
@@ -107,10 +107,10 @@
     # ---- requests
 
     def handle_request(self, sender: str, messages: tuple[Message, ...], timeout_s: float) -> list[Message]:
-        """Handle the messages of one request and return the answers to its sender.
+        """Handle the messages of one request and return the responses to its sender.
 
-        Returns nothing where the disk does not persist the state within ``timeout_s``: an acceptor with a
-        stalled disk is silent, not wrong.
+        Returns no response if the disk does not persist the state within ``timeout_s``: an acceptor with a
+        stalled disk must not promise or grant what a restart would lose.
         """
         with self._lock:
             if self._is_stopping or self._pending_requests >= MAX_PENDING_REQUESTS:
@@ -123,7 +123,7 @@
         return responses
 
     def _decide(self, sender: str, messages: tuple[Message, ...]) -> tuple[list[Message], list[SendMessage]]:
-        """Return the answers to the sender, and the messages to others; the lock is held."""
+        """Return the responses to the sender and the messages to others; the caller holds the lock."""
         responses: list[Message] = []
         notifications: list[SendMessage] = []
         now = self._clock()
@@ -140,9 +140,9 @@
         return responses, notifications
 
     def _wait_until_persisted(self, messages: tuple[Message, ...], timeout_s: float) -> bool:
-        """Wait for the writes that the answers rest on; the lock is held.
+        """Wait until the writes that the responses depend on are on disk; the caller holds the lock.
 
-        An answer that writes nothing itself may rest on what another request still waits to have written.
+        A message that changes nothing may still depend on a pending write that an earlier request caused.
         """
         write = max((self._acceptor.required_write(_lease_of(message)) for message in messages), default=0)
         self._pending_requests += 1
@@ -153,7 +153,7 @@
         return self._persisted_write >= write
 
     def poll(self, sender: str, timeout_s: float) -> list[Message]:
-        """Return the notifications for a process; waits up to ``timeout_s`` until there are some."""
+        """Return the notifications for a process; wait up to ``timeout_s`` for the first one."""
         with self._lock:
             mailbox = self.mailboxes.open(sender)
             if mailbox is None:
@@ -165,7 +165,10 @@
                 mailbox.end_poll(self._clock())
 
     def _notify(self, notification: SendMessage) -> None:
-        """Send to another server over its link; to a candidate where its process polls, or did just now."""
+        """Deliver a notification.
+
+        A process that polls, or polled recently, gets it in its mailbox; other receivers over a server link.
+        """
         with self._lock:
             if self.mailboxes.put(notification, self._clock()):
                 self._lock.notify_all()
@@ -173,7 +176,7 @@
         self._send(notification.receiver, notification.message)
 
     def handle_responses(self, server: str, messages: tuple[Message, ...]) -> None:
-        """Handle what another server answered; does not block."""
+        """Handle the responses of another server; does not block."""
         with self._lock:
             if self._is_stopping:
                 return
@@ -187,7 +190,7 @@
     # ---- pages
 
     def lease_reports(self) -> list[LeaseReport]:
-        """Return what this acceptor knows of each lease."""
+        """Return this acceptor's view of each lease."""
         with self._lock:
             now = self._clock()
             return [
@@ -222,7 +225,7 @@
     # ---- threads
 
     def _apply(self, action: AcceptorAction) -> None:
-        """Hand a state to the writer or a time to the timer thread; the lock is held."""
+        """Pass a state to the writer thread or a deadline to the timer thread; the caller holds the lock."""
         match action:
             case PersistState(state=state):
                 self._unsaved_state = state
@@ -231,7 +234,7 @@
         self._lock.notify_all()
 
     def _run_timers(self) -> None:
-        """Tick the acceptor, which asks the other servers until it has recovered."""
+        """Tick the acceptor; it sends catch-up requests to the other servers until it has recovered."""
         while True:
             with self._lock:
                 if self._is_stopping:
@@ -243,9 +246,10 @@
                 self._send(request.receiver, request.message)
 
     def _tick(self) -> list[SendMessage]:
-        """Return the requests to send now; the lock is held."""
+        """Tick the acceptor and return the requests to send; the caller holds the lock."""
         self._timer_s = None
-        # An incarnation that others know but the disk does not would be another machine's after a crash.
+        # An incarnation must be on disk before other servers learn of it. Otherwise, after a crash, this
+        # server would attribute it to another machine that replaced it.
         is_persisted = self._persisted_write >= self._acceptor.table.last_write
         requests: list[SendMessage] = []
         for action in self._acceptor.tick(self._clock()):
@@ -256,7 +260,7 @@
                 case SetTimer():
                     self._apply(action)
                 case PersistState():
-                    pass  # of a recovery that the timer completed: written with the next change
+                    pass  # the timer completed the recovery; the next change writes this state
         return requests
 
     def _sleep_s(self) -> float:
@@ -265,7 +269,7 @@
         return min(MAX_SLEEP_S, max(MIN_SLEEP_S, self._timer_s - self._clock()))
 
     def _write_states(self) -> None:
-        """Write the newest state; states that were replaced while the disk was busy are skipped."""
+        """Write the newest state in a loop; skip states that a newer one replaced while the disk was busy."""
         while True:
             with self._lock:
                 self._lock.wait_for(lambda: self._unsaved_state is not None or self._is_stopping, MAX_SLEEP_S)
@@ -296,7 +300,10 @@
 
 
 def _resolve_sender(sender: str, message: Message) -> str:
-    """Return who a message is from: a process sends for all its candidates, which are named after it."""
+    """Return the sender that a message is attributed to.
+
+    A process sends for all its candidates. Their names begin with the name of the process and a dot.
+    """
     if isinstance(message, CatchUpRequest | CatchUpResponse):
         return sender
     return message.candidate if message.candidate.startswith(f"{sender}.") else sender
--- a/saffronstack/fleet/leases/candidate.py
+++ b/saffronstack/fleet/leases/candidate.py
@@ -1,8 +1,10 @@
-"""The candidate (proposer) of the lease protocol: it acquires, renews and releases one lease. Free of I/O.
+"""The candidate (proposer) of the lease protocol: acquires, renews and releases one lease. Performs no I/O.
 
-A candidate counts its lease from before it sent the accept requests, while acceptors count from after they
-received them: by its own clock it stops first. No check of the clock holds over a pause between the check and
-the act it protects, so the protected resource must compare the fencing token.
+A candidate counts the lease duration from before it sends the accept requests. Acceptors count it from when
+they receive them, so the lease expires at the candidate first.
+
+A process may be paused between a check of the clock and the action that the check protects. The check alone
+is therefore not enough: the protected resource must compare the fencing token.
 """
 
 from __future__ import annotations
@@ -29,16 +31,16 @@
     SetTimer,
 )
 
-ROUND_TIMEOUT_S = 1.0  # a round without a majority ends after this, or after RENEWAL_FRACTION of the lease
-RENEWAL_FRACTION = 1 / 3  # of the lease after which it is renewed
-INITIAL_BACKOFF_S = 0.05  # doubled and jittered, up to RENEWAL_FRACTION of the lease
+ROUND_TIMEOUT_S = 1.0  # for a round without a majority; at most RENEWAL_FRACTION of the lease
+RENEWAL_FRACTION = 1 / 3  # a lease is renewed after this fraction of its duration
+INITIAL_BACKOFF_S = 0.05  # doubles up to RENEWAL_FRACTION of the lease; jittered
 
 
 class CandidateState(Enum):
-    """The phase of the protocol that a candidate is in."""
+    """The protocol phase of a candidate."""
 
     IDLE = "idle"
-    PREPARING = "preparing"  # waits for promises
+    PREPARING = "preparing"  # waits for a majority to promise the ballot
     ACQUIRING = "acquiring"  # waits for a majority to accept
     HOLDING = "holding"
     BACKING_OFF = "backing off"  # waits before it prepares again
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The candidate holds the lease under this token until ``expires_s`` (local clock) unless renewed."""
+    """The candidate holds the lease with this token until ``expires_s`` (local clock), unless renewed."""
 
     token: int
     expires_s: float
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewed:
-    """The lease now runs until ``expires_s`` (local clock)."""
+    """The lease was renewed and expires at ``expires_s`` (local clock)."""
 
     token: int
     expires_s: float
@@ -63,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """The candidate does not hold the lease any more; ``reason`` is for the log."""
+    """The candidate no longer holds the lease; ``reason`` is for the log."""
 
     token: int
     reason: str
@@ -80,15 +82,15 @@
 
 
 class Candidate:
-    """A candidate for one lease; each event returns the actions to carry out, in order."""
+    """A candidate for one lease. Each method that handles an event returns the actions to apply, in order."""
 
     def __init__(self, name: str, lease: str, lease_s: float, limits: LeaseLimits, seed: int) -> None:
         """Create an idle candidate.
 
         Args:
-            name: A name that no candidate had before, also not before a restart of the process.
+            name: A name that no other candidate ever used, including candidates before a process restart.
             lease: The lease's name.
-            lease_s: For how long each grant runs, in seconds.
+            lease_s: Duration of each grant, in seconds.
             limits: The limits of the fleet.
             seed: Seeds the jitter of the backoff.
 
@@ -97,14 +99,14 @@
         """
         if not 0 < lease_s <= limits.max_lease_s:
             raise InvalidLeaseDurationError(
-                f"a lease runs for at most {limits.max_lease_s:g} s, and not for {lease_s:g} s"
+                f"lease duration {lease_s:g} s exceeds the limit: at most {limits.max_lease_s:g} s"
             )
         self.name, self.lease, self.lease_s, self.limits = name, lease, lease_s, limits
         self.state = CandidateState.IDLE
         self.token = 0
         self.expires_s = 0.0
         self.value = LeaseValue()
-        self.holder = ""  # another candidate that holds it, as the last response said
+        self.holder = ""  # the candidate that holds the lease according to the last response
         self._is_requested = False
         self._random = random.Random(seed)
         self._ballot = 0
@@ -115,42 +117,42 @@
         self._backoff_s = INITIAL_BACKOFF_S
         self._approvals: dict[str, PrepareResponse | AcceptResponse] = {}  # of this round
         self._rejections: dict[str, PrepareResponse | AcceptResponse] = {}
-        self._incarnations: dict[str, int] = {}  # the greatest that any server reported of each
+        self._incarnations: dict[str, int] = {}  # the greatest that any server reported, by server
         self._pending_value: LeaseValue | None = None
 
     @property
     def is_waiting(self) -> bool:
-        """Return whether it waits for another holder's release or a retry."""
+        """Return whether the candidate waits for another holder to release the lease, or to retry."""
         return self.state is CandidateState.BACKING_OFF
 
     # ---- requests of the owner
 
     def acquire(self, now: float) -> list[CandidateAction]:
-        """Start to acquire the lease, and keep it renewed."""
+        """Start to acquire the lease; once acquired, it is renewed until `release`."""
         self._is_requested = True
         return self._prepare(now) if self.state is CandidateState.IDLE else []
 
     def is_holder(self, now: float) -> bool:
-        """Return whether it holds the lease now."""
+        """Return whether the candidate holds the lease at ``now``."""
         return self.state is CandidateState.HOLDING and now < self.expires_s
 
     def store_value(self, now: float, content: bytes) -> list[CandidateAction]:
-        """Store the lease's value; `ValueStored` follows once a majority has it.
+        """Store the lease's value; `ValueStored` is returned once a majority has persisted it.
 
         Raises:
-            NotHolderError: It does not hold the lease.
+            NotHolderError: The candidate does not hold the lease.
         """
         if not self.is_holder(now):
-            raise NotHolderError("only a holder writes a lease's value")
+            raise NotHolderError("only a holder can store a lease's value")
         self._pending_value = self.value = LeaseValue(self.token, self.value.version + 1, content)
         return self._renew(now)
 
     def release(self, now: float) -> list[CandidateAction]:
-        """Give the lease up at once, so that the next candidate need not wait until it expires."""
+        """Release the lease, so that the next candidate does not have to wait until it expires."""
         was_holder, ballot = self.is_holder(now), self._ballot
         self._is_requested, self.state, self.expires_s = False, CandidateState.IDLE, 0.0
         actions: list[CandidateAction] = [*self._broadcast(ReleaseRequest(self.lease, self.name, ballot))]
-        return [*actions, LeaseLost(self.token, "given back")] if was_holder else actions
+        return [*actions, LeaseLost(self.token, "released")] if was_holder else actions
 
     # ---- events
 
@@ -158,7 +160,7 @@
         """Handle a timer."""
         if self.state is CandidateState.HOLDING:
             if now >= self.expires_s:
-                return self._lose_lease(now, "no majority renewed it in time")
+                return self._lose_lease(now, "no majority renewed the lease in time")
             return self._renew(now) if now >= self._deadline_s else []
         if self.state is CandidateState.IDLE or now < self._deadline_s:
             return []
@@ -167,9 +169,9 @@
         return self._back_off(now)
 
     def handle(self, now: float, sender: str, message: Message) -> list[CandidateAction]:
-        """Handle a server's message; one that is late or meant for another round changes nothing."""
+        """Handle a server's message; ignore late messages, and messages for another candidate or round."""
         if self.state is CandidateState.HOLDING and now >= self.expires_s:
-            return self._lose_lease(now, "no majority renewed it in time")
+            return self._lose_lease(now, "no majority renewed the lease in time")
         match message:
             case PrepareResponse() | AcceptResponse() | ReleaseNotification():
                 if message.server != sender or not self._is_for_this_candidate(message):
@@ -196,7 +198,10 @@
     # ---- rounds
 
     def _start_round(self, now: float) -> None:
-        """Start a round: only responses to it count, and a grant is counted from now."""
+        """Start a round.
+
+        Only responses to this round count. The duration of a grant is counted from ``now``.
+        """
         self._sequence += 1
         self._approvals, self._rejections = {}, {}
         self._round_started_s = now
@@ -236,9 +241,9 @@
         expires_s = self._round_started_s + self.lease_s * (1 - self.limits.max_clock_drift)
         if now < expires_s:
             return self._extend_lease(expires_s)
-        # The responses took longer than the lease.
+        # The responses arrived after the lease would have expired.
         if self.state is CandidateState.HOLDING:
-            return self._lose_lease(now, "granted too late")
+            return self._lose_lease(now, "the renewal was granted after the lease had expired")
         return self._back_off(now)
 
     def _is_for_current_round(self, response: AcceptResponse) -> bool:
@@ -246,7 +251,7 @@
         return is_same_round and self.state in (CandidateState.ACQUIRING, CandidateState.HOLDING)
 
     def _extend_lease(self, expires_s: float) -> list[CandidateAction]:
-        """A majority accepted: the lease was acquired or renewed."""
+        """Set the new expiry after a majority accepted, and report the lease as acquired or renewed."""
         is_acquired = self.state is CandidateState.ACQUIRING
         self.state, self.token = CandidateState.HOLDING, self._ballot
         self.expires_s = expires_s if is_acquired else max(self.expires_s, expires_s)
@@ -263,14 +268,14 @@
         return [*actions, SetTimer(min(self._deadline_s, self.expires_s))]
 
     def _is_rejected(self) -> bool:
-        """Return whether so many servers rejected the round that no majority is left."""
+        """Return whether so many servers rejected the round that a majority can no longer approve it."""
         return len(self._rejections) > len(self.limits.servers) - self.limits.majority
 
     def _valid_approvals(self) -> list[PrepareResponse | AcceptResponse]:
         """Return the approvals of servers that are not known to have been replaced.
 
-        Of two machines of one name, the one that was taken for dead may wake up, and whoever still has its
-        address would count its vote.
+        A machine that was considered dead and was replaced under its name may resume. A candidate that still
+        has its address would otherwise count its vote in addition to that of its successor.
         """
         return [
             response
@@ -299,17 +304,20 @@
         return [*self._broadcast(self._accept_request()), timer]
 
     def _back_off(self, now: float) -> list[CandidateAction]:
-        """Wait until the other's grant may have expired, or a jittered time, so that two do not collide."""
+        """Wait until another holder's grant may have expired, plus a jittered backoff.
+
+        The jitter keeps two candidates from preparing at the same time again and again.
+        """
         remaining_s = [
             rejection.remaining_s for rejection in self._rejections.values() if rejection.remaining_s > 0
         ]
         jittered_s = self._backoff_s * (0.5 + self._random.random())
         self._backoff_s = min(2 * self._backoff_s, max(INITIAL_BACKOFF_S, self.lease_s * RENEWAL_FRACTION))
         actions: list[CandidateAction] = []
-        if self.state is CandidateState.ACQUIRING:  # servers that accepted need not wait until it expires
+        if self.state is CandidateState.ACQUIRING:  # frees the grants of servers that accepted
             actions = [*self._broadcast(ReleaseRequest(self.lease, self.name, self._ballot))]
         self.state = CandidateState.BACKING_OFF
-        # A waiter prepares now and then, so that servers know that it still waits.
+        # Servers drop a waiter that sends no prepare request for the longest lease, so the wait is capped.
         wait_s = min(min(remaining_s, default=0.0), self.lease_s * RENEWAL_FRACTION)
         self._deadline_s = now + wait_s + jittered_s
         return [*actions, SetTimer(self._deadline_s)]
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -1,4 +1,4 @@
-"""The leases of one process: its candidates, their links to the lease servers, and one timer thread."""
+"""The lease client of a process: its candidates, its links to the lease servers, and a timer thread."""
 
 from __future__ import annotations
 
@@ -24,24 +24,25 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.leases")
-MAX_SLEEP_S = 0.5  # the longest sleep of the timer thread
+MAX_SLEEP_S = 0.5  # longest wait of the timer thread
 MIN_SLEEP_S = 0.001
-FLUSH_TIMEOUT_S = 0.5  # how long a close waits until its releases were sent
+FLUSH_TIMEOUT_S = 0.5  # longest wait of `close` until the release requests are sent
 MIN_FLUSH_TIMEOUT_S = 0.01
 
 CandidateFactory = Callable[[str, str, float, LeaseLimits, int], Candidate]
 
 
 def holder_clock() -> float:
-    """Return seconds that also pass while the machine is suspended: a holder must not sleep past its lease.
+    """Return a time in seconds that also advances while the machine is suspended.
 
-    Servers count by CLOCK_MONOTONIC, which stands still meanwhile: they grant later, which is harmless.
+    A holder must find its lease expired after a suspension. Servers use CLOCK_MONOTONIC, which stops during a
+    suspension: they grant the lease to another candidate later, which is safe.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class _ClientLease:
-    """A lease that was acquired, as its owner sees it; a `store.HeldLease`."""
+    """A lease that this process acquired; implements `store.HeldLease`."""
 
     def __init__(self, client: LeaseClient, lease: str, token: int, value: bytes) -> None:
         self._client = client
@@ -61,19 +62,19 @@
 
 
 class _RequestedLease:
-    """One lease that this process waits for or holds."""
+    """A lease that this process waits for or holds."""
 
     def __init__(self, candidate: Candidate, on_lost: Callable[[str], None] | None) -> None:
         self.candidate = candidate
         self.on_lost = on_lost
         self.held: _ClientLease | None = None
-        self.stored_version = 0  # of the newest value that a majority has
+        self.stored_version = 0  # version of the newest value that a majority has persisted
         self.has_ended = False
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Timer:
-    """When to tick a lease's candidate; timers of one deadline are ordered by their serial number."""
+    """The next time to tick a lease's candidate. Timers with the same deadline sort by serial number."""
 
     deadline_s: float
     serial: int
@@ -81,9 +82,9 @@
 
 
 class LeaseClient:
-    """The leases of one process on the fleet's lease servers; a `store.LeaseStore`.
+    """Acquires and holds leases of the fleet's lease servers for one process; implements `store.LeaseStore`.
 
-    The lock guards the candidates and all fields. It is held while candidates decide, never during I/O.
+    The lock guards the candidates and all fields. It is never held during I/O.
     """
 
     def __init__(
@@ -98,12 +99,12 @@
         """Start the links to the servers and the timer thread.
 
         Args:
-            fleet: The lease servers, their limits and the timeout of each exchange.
-            process: A name that no earlier process had.
-            lease_s: For how long each grant runs, in seconds.
+            fleet: The lease servers, their limits and the timeout of an exchange.
+            process: The name of this process. No earlier process may have used it.
+            lease_s: Duration of each grant, in seconds.
             seed: Seeds the jitter of backoffs.
-            clock: The clock that held leases are counted by, in seconds.
-            make_candidate: Makes the candidate of each lease.
+            clock: The clock that times held leases, in seconds.
+            make_candidate: Creates the candidate of each lease.
         """
         self._make_candidate = make_candidate
         self._process, self._limits, self._lease_s, self._seed = process, fleet.limits, lease_s, seed
@@ -130,10 +131,10 @@
     def acquire(
         self, lease: str, timeout_s: float, on_lost: Callable[[str], None] | None = None
     ) -> _ClientLease | None:
-        """Acquire a lease, see `store.LeaseStore`.
+        """See `store.LeaseStore`.
 
         Raises:
-            LeaseAlreadyRequestedError: This process waits for the lease or holds it already.
+            LeaseAlreadyRequestedError: This process already waits for the lease or holds it.
         """
         with self._lock:
             if self._rejects_acquires:
@@ -148,13 +149,13 @@
             return requested.held
 
     def _new_candidate(self, lease: str) -> Candidate:
-        """Each candidate has a name of its own, so that its ballots are its own."""
+        """Create a candidate with a unique name, because a ballot is promised to a candidate by name."""
         self._serial += 1
         name = f"{self._process}.{self._serial}"
         return self._make_candidate(name, lease, self._lease_s, self._limits, self._seed + self._serial)
 
     def remaining_s(self, held: _ClientLease) -> float:
-        """Return for how many seconds a lease is held; 0 where it is not."""
+        """Return the seconds until a lease expires; 0 if it is not held."""
         with self._lock:
             requested = self._requested_leases.get(held.lease)
             if requested is None or requested.held is not held:
@@ -163,7 +164,7 @@
             return requested.candidate.expires_s - now if requested.candidate.is_holder(now) else 0.0
 
     def put(self, held: _ClientLease, content: bytes, timeout_s: float) -> bool:
-        """Store a lease's value, see `store.HeldLease`."""
+        """Store the value of a lease; see `store.HeldLease.put`."""
         with self._lock:
             requested = self._requested_leases.get(held.lease)
             now = self._clock()
@@ -181,7 +182,7 @@
             return True
 
     def release(self, held: _ClientLease) -> None:
-        """Release a lease, see `store.HeldLease`."""
+        """Release a lease; see `store.HeldLease.release`."""
         with self._lock:
             requested = self._requested_leases.get(held.lease)
             if requested is not None and requested.held is held:
@@ -194,7 +195,7 @@
             self._lock.notify_all()
 
     def close(self) -> None:
-        """Release all leases; waits at most `FLUSH_TIMEOUT_S` until the releases were sent."""
+        """Release all leases; wait at most `FLUSH_TIMEOUT_S` until the release requests are sent."""
         with self._lock:
             for lease in list(self._requested_leases):
                 self._remove_and_release(lease)
@@ -206,16 +207,19 @@
             self._lock.notify_all()
 
     def link_errors(self) -> dict[str, str]:
-        """Return the error of the last exchange with each server; empty where it answered."""
+        """Return the error of the last exchange with each server; empty if the exchange succeeded."""
         return {server: link.last_error for server, link in self._links.items()}
 
     def holder_of(self, lease: str) -> str:
-        """Return the candidate that holds a lease that this process waits for, as the last response said."""
+        """Return the holder of a lease that this process waits for, according to the last response.
+
+        Empty if it is unknown or this process does not wait for the lease.
+        """
         with self._lock:
             requested = self._requested_leases.get(lease)
             return requested.candidate.holder if requested is not None else ""
 
-    # ---- actions of candidates; the lock is held
+    # ---- actions of candidates; callers hold the lock
 
     def _remove_and_release(self, lease: str) -> None:
         requested = self._requested_leases.pop(lease)
@@ -240,7 +244,7 @@
     def _handle_candidate_report(
         self, lease: str, requested: _RequestedLease, action: CandidateAction
     ) -> None:
-        """Hand what a candidate reports to whoever waits for it."""
+        """Record a candidate's report and wake the threads that wait for it."""
         match action:
             case LeaseAcquired(token=token, value=value):
                 if requested.held is None:
@@ -253,7 +257,7 @@
                 self._handle_lease_lost(lease, requested, action)
 
     def _handle_lease_lost(self, lease: str, requested: _RequestedLease, lost: LeaseLost) -> None:
-        """End a lease for its owner: what it acquires next is another lease with another token."""
+        """End a lost lease for its owner, which must acquire it again, with a new token."""
         if requested.held is None or requested.has_ended:
             return
         log.warning("lease lost", lease=lease, token=lost.token, reason=lost.reason)
@@ -263,7 +267,7 @@
             self._lost_callbacks.append((requested.on_lost, lost.reason))
 
     def _update_polling(self) -> None:
-        """Poll the servers while a candidate waits: they notify the first waiter of a release."""
+        """Poll the servers while a candidate waits; they notify the first waiter of a release."""
         is_waiting = any(requested.candidate.is_waiting for requested in self._requested_leases.values())
         for link in self._links.values():
             link.set_polling(is_waiting)
@@ -271,12 +275,12 @@
     # ---- threads
 
     def _handle_messages(self, server: str, messages: tuple[Message, ...]) -> None:
-        """Handle a server's messages, on its link's threads."""
+        """Handle a server's messages; runs on the threads of the server's link."""
         with self._lock:
             now = self._clock()
             for message in messages:
                 if isinstance(message, CatchUpRequest | CatchUpResponse):
-                    continue  # between servers alone
+                    continue  # sent only between servers
                 requested = self._requested_leases.get(message.lease)
                 if requested is not None:
                     self._apply(message.lease, requested.candidate.handle(now, server, message))
--- a/saffronstack/fleet/leases/codec.py
+++ b/saffronstack/fleet/leases/codec.py
@@ -1,4 +1,4 @@
-"""Lease messages and acceptor state as bytes: JSON on the links, MessagePack on disk. Free of I/O."""
+"""Encodes lease messages as JSON for the wire and acceptor state as MessagePack for disk. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from saffronstack.fleet.leases.errors import DecodeError
 from saffronstack.fleet.leases.messages import AcceptorState, Message
 
-MESSAGES_TARGET = "/lease/messages"  # the path that envelopes are posted to
-MAX_MESSAGES = 512  # in one envelope
+MESSAGES_TARGET = "/lease/messages"  # path of the POST requests that carry envelopes
+MAX_MESSAGES = 512  # limit per envelope
 
 
 class Envelope(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"poll_s": "wait_s"}):
@@ -17,7 +17,7 @@
     fleet: str
     sender: str
     messages: tuple[Message, ...] = ()
-    poll_s: float = 0.0  # of a request without messages (a long poll): answer at the latest after this
+    poll_s: float = 0.0  # longest wait for a response to a long poll, which is a request without messages
 
 
 class StoredState(
@@ -26,7 +26,7 @@
     forbid_unknown_fields=True,
     rename={"server": "keeper", "servers": "keepers", "state": "saved"},
 ):
-    """The content of a state file: the server that it belongs to, and its state."""
+    """The content of a state file: the state and the server that owns it."""
 
     fleet: str
     server: str
@@ -39,15 +39,15 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Encode an envelope for a link."""
+    """Encode an envelope for the wire."""
     return msgspec.json.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope:
-    """Decode an envelope from a link.
+    """Decode an envelope from the wire.
 
     Raises:
-        DecodeError: The bytes are no envelope, or it holds too many messages.
+        DecodeError: The bytes are not a valid envelope, or it has too many messages.
     """
     try:
         envelope = _envelope_decoder.decode(data)
@@ -67,9 +67,9 @@
     """Decode the content of a state file.
 
     Raises:
-        DecodeError: The bytes are no state.
+        DecodeError: The bytes are not a valid state.
     """
     try:
         return _state_decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise DecodeError(f"no saved state: {error}") from error
+        raise DecodeError(f"invalid acceptor state: {error}") from error
--- a/saffronstack/fleet/leases/disk.py
+++ b/saffronstack/fleet/leases/disk.py
@@ -1,9 +1,10 @@
 """The state files of an acceptor: two copies, written one after the other, each with a checksum.
 
-A write is complete once both copies are on the disk. Whichever one copy is damaged, truncated or an older
-block, the other is at least as new as what was completed. Where neither can be read the state is lost; an
-empty directory counts as lost too, because only `establish` makes a new server. A disk that is rolled back as
-a whole is detected by the other servers (see `recovery`), not here.
+A write is complete once both copies are on disk. If one copy is damaged, truncated or an older version, the
+other is at least as new as the last completed write. If neither copy can be read, the state is lost. An empty
+directory also counts as lost, because only `establish` creates a new server.
+
+A rollback of the whole disk is not detected here: the other servers detect it (see `recovery`).
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from saffronstack.fleet.leases.errors import DecodeError, ForeignStateError, StateExistsError
 from saffronstack.fleet.leases.messages import AcceptorState, DiskState
 
-# Magic, copy (0 or 1), number of the write, length of the content, XXH3-128 of all before it and the content.
+# Magic, copy (0 or 1), write number, content length, XXH3-128 of the fields before it and the content.
 HEADER = struct.Struct("<4sIQI16s")
 CHECKSUM_BYTES = 16
 MAGIC = b"SfK1"
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedState:
-    """What was found at a start; ``warnings`` are for the log."""
+    """The state that was loaded at startup; ``warnings`` are for the log."""
 
     disk_state: DiskState
     state: AcceptorState
@@ -37,7 +38,7 @@
 
 
 class AcceptorDisk:
-    """The state directory of one acceptor. One thread uses it at a time."""
+    """The state directory of one acceptor. Not thread-safe."""
 
     def __init__(
         self,
@@ -47,16 +48,16 @@
         servers: tuple[str, ...],
         files: FileOperations | None = None,
     ) -> None:
-        """Use a directory for the state of ``server``, one of ``servers``; ``files`` does the I/O."""
+        """Use a directory for the state of ``server``, one of ``servers``; ``files`` performs the I/O."""
         self.directory = pathlib.Path(directory)
         self._fleet, self._server, self._servers = fleet, server, servers
         self._files = files or FileOperations()
 
     def establish(self) -> None:
-        """Make this the state of a new server in a fleet whose servers are all new.
+        """Initialize the state of a new server. All servers of the fleet must be new.
 
         Raises:
-            StateExistsError: The directory holds a state.
+            StateExistsError: The directory already contains a state.
             OSError: The directory or its files can't be written.
         """
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
@@ -69,8 +70,8 @@
         """Read the newest valid copy.
 
         Raises:
-            ForeignStateError: The state is that of another server, fleet or set of servers.
-            OSError: The directory can't be read or made.
+            ForeignStateError: The state belongs to another server, fleet or set of servers.
+            OSError: The directory can't be read or created.
         """
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         warnings: list[str] = []
@@ -87,8 +88,8 @@
             self._check_owner(stored)
         if not copies:
             warnings.append(
-                f"{self.directory}: no copy can be read; this server votes once a majority of the others "
-                "answered its catch-up requests"
+                f"{self.directory}: no copy can be read; this server votes only after other servers "
+                "that form a majority have responded to its catch-up requests"
             )
             return LoadedState(DiskState.LOST, AcceptorState(), warnings)
         newest = max((stored.state for stored in copies), key=lambda state: state.last_write)
@@ -98,7 +99,7 @@
         """Write both copies.
 
         Raises:
-            OSError: A write failed; the disk then holds this state or the one before.
+            OSError: A write failed; the disk then holds this state or the previous one.
         """
         content = encode_state(StoredState(self._fleet, self._server, self._servers, state))
         for number, name in enumerate(COPIES):
--- a/saffronstack/fleet/leases/errors.py
+++ b/saffronstack/fleet/leases/errors.py
@@ -1,18 +1,18 @@
-"""The errors of leases. Those that callers handled as built-in errors before are such still."""
+"""Errors of leases. Some also derive from a built-in exception, because callers catch them by that."""
 
 from __future__ import annotations
 
 
 class LeaseError(Exception):
-    """Base class of all errors of this package."""
+    """Base class of all errors that this package raises."""
 
 
 class UnknownServerError(LeaseError, ValueError):
-    """A server's name is none of those of its fleet."""
+    """The fleet has no lease server of the given name."""
 
 
 class InvalidLeaseDurationError(LeaseError, ValueError):
-    """A lease was asked for with a duration that no server grants."""
+    """The requested lease duration exceeds what any server grants."""
 
 
 class LeaseNotGrantedError(LeaseError, ValueError):
@@ -20,24 +20,24 @@
 
 
 class NotHolderError(LeaseError, ValueError):
-    """A value was stored under a lease that the candidate does not hold."""
+    """A candidate tried to store a value under a lease that it does not hold."""
 
 
 class LeaseAlreadyRequestedError(LeaseError, ValueError):
-    """This process waits for the lease or holds it already."""
+    """This process already waits for the lease or holds it."""
 
 
 class DecodeError(LeaseError, ValueError):
-    """Bytes of a link or of the disk are no message or state of this protocol."""
+    """Received or stored bytes are not a valid message or state of this protocol."""
 
 
 class ServerResponseError(LeaseError, ValueError):
-    """A lease server answered a request with an error status."""
+    """A lease server responded with an error status."""
 
 
 class ForeignStateError(LeaseError):
-    """The state directory is another server's or fleet's: starting with it would add a second vote."""
+    """The state directory belongs to another server or fleet; using it would let that server vote twice."""
 
 
 class StateExistsError(LeaseError, FileExistsError):
-    """A new server was to be established in a directory that holds a server's state."""
+    """A new server can't be established in a directory that already contains a server's state."""
--- a/saffronstack/fleet/leases/http_endpoint.py
+++ b/saffronstack/fleet/leases/http_endpoint.py
@@ -1,4 +1,4 @@
-"""The HTTP endpoint of a lease server: messages of candidates and other servers, pages for operators."""
+"""The HTTP endpoint of a lease server: lease messages of processes and servers, JSON pages for operators."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from saffronstack.fleet.leases.reports import ServerStatus
 from saffronstack.http1.messages import RequestHead
 
-PERSIST_TIMEOUT_S = 2.0  # how long an answer waits for the disk; its candidate has ended the round by then
-MAX_POLL_S = 5.0  # the longest poll; a process polls again after it
+PERSIST_TIMEOUT_S = 2.0  # longest wait for the disk; the candidate's round has timed out by then
+MAX_POLL_S = 5.0  # longest duration of a poll; the process then polls again
 
 
 class LeaseHttpEndpoint(HttpServer):
@@ -34,7 +34,7 @@
         self._service = service
 
     def _handle_http_request(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
-        """Answer a request, on its connection's thread, with a status and a body."""
+        """Return the status and body of the response; runs on the connection's thread."""
         match head.method, head.target:
             case "POST", target if target == MESSAGES_TARGET:
                 return self._handle_messages(body)
--- a/saffronstack/fleet/leases/lease_server.py
+++ b/saffronstack/fleet/leases/lease_server.py
@@ -17,7 +17,7 @@
 
 
 class LeaseServer:
-    """One of a fleet's lease servers, in a process of its own or in a gateway's."""
+    """One of a fleet's lease servers. It runs in its own process or inside a gateway process."""
 
     def __init__(
         self,
@@ -29,20 +29,20 @@
         clock: Callable[[], float] = time.monotonic,
         files: FileOperations | None = None,
     ) -> None:
-        """Load the state and bind the address; nothing is served before `start`.
+        """Load the state and bind the address; requests are served after `start`.
 
         Args:
             name: The name of this server, one of the fleet's.
             fleet: The fleet's servers and limits.
             directory: The state directory.
-            listen: The address to bind instead of the one that the fleet has for this server.
-            clock: The monotonic clock, in seconds, that grants are counted by.
-            files: Does the disk's I/O.
+            listen: The address to bind; empty for the address of this server in ``fleet``.
+            clock: The monotonic clock that times grants, in seconds.
+            files: Performs the disk I/O.
 
         Raises:
             UnknownServerError: The fleet has no server of this name.
-            ForeignStateError: The directory holds the state of another server or fleet.
-            OSError: The directory can't be read, or the address not be bound.
+            ForeignStateError: The directory contains the state of another server or fleet.
+            OSError: The directory can't be read, or the address can't be bound.
         """
         addresses = fleet.addresses
         if name not in addresses:
@@ -62,7 +62,7 @@
         }
 
     def start(self) -> tuple[str, int]:
-        """Start to serve; return the host and port that are bound."""
+        """Start serving; return the bound host and port."""
         for link in self._links.values():
             link.start()
         self.service.start()
@@ -70,7 +70,7 @@
         return self.endpoint.address
 
     def stop(self) -> None:
-        """Stop to serve; requests that have come are answered first."""
+        """Respond to the requests already received, then stop serving."""
         self.service.end_polls()
         self.endpoint.stop()
         self.service.stop()
--- a/saffronstack/fleet/leases/lease_table.py
+++ b/saffronstack/fleet/leases/lease_table.py
@@ -1,4 +1,4 @@
-"""What an acceptor knows of its leases and of the other servers: its persisted state, held in memory."""
+"""The in-memory form of an acceptor's state: its leases, and what it knows of the other servers."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @dataclass(slots=True)
 class LeaseEntry:
-    """One lease: its persisted record, and what is kept in memory alone."""
+    """One lease: its persisted record, and state that is kept only in memory."""
 
     record: AcceptorRecord
-    expires_s: float = 0.0  # local clock; a grant runs until then
-    last_write: int = 0  # the write that persists the record as it is
-    waiters: dict[str, float] = field(default_factory=dict)  # in order, and when each was seen last
+    expires_s: float = 0.0  # local clock; expiry of the current grant
+    last_write: int = 0  # number of the write that persists the current record
+    waiters: dict[str, float] = field(default_factory=dict)  # queue; time of the last prepare
 
     def add_waiter(self, candidate: str, now: float, limits: LeaseLimits) -> None:
-        """Queue a candidate that was rejected because of a running grant.
+        """Queue a candidate that was rejected because another candidate's grant is valid.
 
-        A waiter prepares again at least once in the longest lease; one that does not has left the queue.
+        A waiter sends a prepare request at least once per ``max_lease_s``. One that does not is removed.
         """
         expired = [waiter for waiter, seen_s in self.waiters.items() if now - seen_s > limits.max_lease_s]
         for waiter in expired:
@@ -36,7 +36,7 @@
             self.waiters[candidate] = now
 
     def pop_waiter(self, now: float, limits: LeaseLimits) -> str | None:
-        """Remove and return the first candidate that still waits, or None."""
+        """Remove and return the first waiter that has not expired; None if there is none."""
         for waiter, seen_s in self.waiters.items():
             if now - seen_s <= limits.max_lease_s:
                 del self.waiters[waiter]
@@ -45,7 +45,7 @@
 
 
 class LeaseTable:
-    """The records of an acceptor, numbered writes of them, and what it observed of other servers."""
+    """The lease records of an acceptor, the numbers of their writes, and observations of other servers."""
 
     def __init__(self, server: str, limits: LeaseLimits, state: AcceptorState, expires_s: float) -> None:
         """Load a persisted state.
@@ -53,8 +53,8 @@
         Args:
             server: The name of this server.
             limits: The limits of the fleet.
-            state: What was read from the disk.
-            expires_s: Until when (local clock) grants of an earlier incarnation of the process may run.
+            state: The state that was read from disk.
+            expires_s: Latest expiry (local clock) of grants made before this start of the process.
         """
         self.server = server
         self.limits = limits
@@ -65,11 +65,11 @@
         self.leases = {record.lease: LeaseEntry(record, expires_s) for record in state.records}
 
     def has_capacity_for(self, lease: str) -> bool:
-        """Return whether the lease is known or may be added."""
+        """Return whether the table has an entry for the lease or can add one."""
         return lease in self.leases or len(self.leases) < self.limits.max_leases
 
     def entry(self, lease: str) -> LeaseEntry:
-        """Return the entry of a lease, new where there is none."""
+        """Return the entry of a lease; create it if there is none."""
         return self.leases.setdefault(lease, LeaseEntry(AcceptorRecord(lease)))
 
     def records(self) -> tuple[AcceptorRecord, ...]:
@@ -77,17 +77,17 @@
         return tuple(entry.record for entry in self.leases.values())
 
     def remaining_s(self, now: float, lease: str) -> float:
-        """Return for how many seconds a grant of the lease still runs here; 0 without one."""
+        """Return the seconds until this acceptor's grant of the lease expires; 0 if there is none."""
         entry = self.leases.get(lease)
         return max(0.0, entry.expires_s - now) if entry is not None and entry.record.holder else 0.0
 
     def required_write(self, lease: str) -> int:
-        """Return the number of the write that the record of a lease rests on; 0 for an unknown lease."""
+        """Return the number of the write that persists the record of a lease; 0 for an unknown lease."""
         entry = self.leases.get(lease)
         return entry.last_write if entry is not None else 0
 
     def merged_observed_writes(self, observed: ObservedWrites) -> dict[str, int]:
-        """Return the greatest write known of each other server, with those of a request merged in."""
+        """Return the greatest known write of each other server, including those in ``observed``."""
         merged = dict(self.observed_writes)
         for server, write in observed:
             if server in self.limits.servers and server != self.server:
@@ -95,18 +95,21 @@
         return merged
 
     def observe_incarnation(self, server: str, incarnation: int) -> bool:
-        """Remember the greatest incarnation of a server of the fleet; return whether this one is greater."""
+        """Record an incarnation if it is greater than the known one of the server; return whether it is."""
         if server not in self.limits.servers or incarnation <= self.incarnations.get(server, 0):
             return False
         self.incarnations[server] = incarnation
         return True
 
     def known_incarnations(self) -> Incarnations:
-        """Return the greatest incarnation known of each other server, sorted by name."""
+        """Return the greatest known incarnation of each other server, sorted by name."""
         return tuple(sorted(self.incarnations.items()))
 
     def persist(self, changed: LeaseEntry | None = None) -> PersistState:
-        """Number a new write of the whole state; ``changed`` is the one entry that differs, None for all."""
+        """Return the action that writes the whole state, under the next write number.
+
+        ``changed`` is the only entry that differs from the previous write; None if any may differ.
+        """
         self.last_write += 1
         for entry in [changed] if changed is not None else self.leases.values():
             entry.last_write = self.last_write
@@ -119,5 +122,5 @@
 
 
 def recency_key(value: LeaseValue) -> tuple[int, int]:
-    """Return the key by which the newer of two values is the greater."""
+    """Return a sort key; the newer of two values has the greater key."""
     return value.token, value.version
--- a/saffronstack/fleet/leases/mailboxes.py
+++ b/saffronstack/fleet/leases/mailboxes.py
@@ -1,4 +1,7 @@
-"""Notifications of a lease server for the processes that poll for them. Not thread-safe: the owner locks."""
+"""Mailboxes of a lease server for processes that poll for notifications.
+
+Not thread-safe: callers hold a lock.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +10,8 @@
 from saffronstack.fleet.leases.messages import Message, SendMessage
 
 MAX_MAILBOXES = 4096
-MAX_MESSAGES = 64  # older ones that wait for the same process
-EXPIRY_S = 2.0  # a process that polled so lately will poll again
+MAX_MESSAGES = 64  # older messages that are kept when another arrives
+EXPIRY_S = 2.0  # a process that does not poll again within this time is considered gone
 
 
 @dataclass(slots=True)
@@ -25,20 +28,20 @@
         return messages
 
     def end_poll(self, now: float) -> None:
-        """Note the end of a poll at ``now`` (local clock, seconds)."""
+        """Record the end of a poll at ``now`` (local clock, seconds)."""
         self.pollers -= 1
         self.last_polled_s = now
 
     def is_expired(self, now: float) -> bool:
-        """Return whether nobody will fetch the messages."""
+        """Return whether no process polls the mailbox or has polled it recently."""
         return not self.pollers and now - self.last_polled_s > EXPIRY_S
 
 
 class Mailboxes:
-    """The mailboxes of all processes that poll, or did until just now."""
+    """The mailboxes of all processes that poll or polled recently."""
 
     def __init__(self) -> None:
-        """Start without a mailbox."""
+        """Create an empty set of mailboxes."""
         self._by_process: dict[str, Mailbox] = {}
 
     def __contains__(self, process: str) -> bool:
@@ -46,7 +49,7 @@
         return process in self._by_process
 
     def open(self, process: str) -> Mailbox | None:
-        """Begin a poll of a process and return its mailbox; None where there are too many."""
+        """Begin a poll of a process and return its mailbox; None if `MAX_MAILBOXES` others exist."""
         mailbox = self._by_process.get(process)
         if mailbox is None:
             if len(self._by_process) >= MAX_MAILBOXES:
@@ -56,10 +59,10 @@
         return mailbox
 
     def put(self, notification: SendMessage, now: float) -> bool:
-        """Keep a notification for the receiver's process; return whether that has a mailbox."""
+        """Put a notification into the mailbox of the receiver's process; return whether it has a mailbox."""
         for expired in [process for process, box in self._by_process.items() if box.is_expired(now)]:
             del self._by_process[expired]
-        # A process polls for all its candidates, which are named after it.
+        # A process polls for all its candidates; their names are its name, a dot and a number.
         process = notification.receiver.rpartition(".")[0] or notification.receiver
         mailbox = self._by_process.get(process)
         if mailbox is None:
--- a/saffronstack/fleet/leases/messages.py
+++ b/saffronstack/fleet/leases/messages.py
@@ -1,11 +1,12 @@
 """Messages between candidates and lease servers, the persisted state of an acceptor, and its actions.
 
-Leases are granted by a Paxos-like protocol: a candidate (the proposer) sends a *prepare request* with a
-ballot to all lease servers (the acceptors), and after a majority promised the ballot, an *accept request*
-that grants or renews the lease. The ballot that a majority accepted is the lease's fencing token.
+Leases are granted by a protocol based on Paxos. A candidate (the proposer) sends a *prepare request* with a
+ballot to all lease servers (the acceptors). After a majority has promised the ballot, the candidate sends an
+*accept request*, which grants or renews the lease. The ballot that a majority accepted is the fencing token.
 
-All times end in ``_s`` and are seconds. Points in time are those of the local monotonic clock; none is sent
-to another process. Names in ``rename`` and ``tag`` are those on the wire and on disk, and never change.
+Names of times end in ``_s``; the unit is seconds. Points in time are read from the local monotonic clock and
+are never sent to another process. The names in ``rename`` and ``tag`` are used on the wire and on disk and
+must not change: servers of two versions work together.
 """
 
 from __future__ import annotations
@@ -17,24 +18,25 @@
 
 
 class LeaseValue(Struct, frozen=True, order=True, rename={"version": "count"}):
-    """The small value stored with a lease; the newer of two has the greater (token, version)."""
+    """A small value stored with a lease; the newer of two values has the greater (token, version)."""
 
     token: int = 0
     version: int = 0
     content: bytes = b""
 
 
-# Lease servers with the greatest incarnation known of each, sorted by name; incarnation 0 is left out.
+# Pairs of lease server and greatest known incarnation, sorted by name. Servers at incarnation 0 are omitted.
 Incarnations = tuple[tuple[str, int], ...]
 
-# Lease servers with the greatest write known of each.
+# Pairs of lease server and the number of its greatest known write.
 ObservedWrites = tuple[tuple[str, int], ...]
 
 
 class PrepareRequest(Struct, frozen=True, tag="Ask", rename={"ballot": "number", "incarnations": "lives"}):
-    """Ask an acceptor to promise that it grants nothing under a smaller ballot any more.
+    """Asks an acceptor to promise that it will grant nothing for a smaller ballot.
 
-    ``incarnations`` passes on what the candidate knows, so that a server that was replaced learns of it.
+    ``incarnations`` holds those that the candidate knows, so that a replaced server learns that it was
+    replaced.
     """
 
     lease: str
@@ -58,10 +60,10 @@
         "incarnations": "lives",
     },
 ):
-    """Answer a `PrepareRequest`: promised, or rejected for a running grant or a ballot that is too small.
+    """Response to a `PrepareRequest`: promised, or rejected because of a valid grant or a too small ballot.
 
-    ``highest_ballot`` is the greatest ballot ever promised by this server, ``remaining_s`` and ``holder``
-    describe the grant that still runs, ``last_write`` numbers the server's persisted states.
+    ``highest_ballot`` is the greatest ballot that this server has promised. ``remaining_s`` and ``holder``
+    describe a valid grant. ``last_write`` is the number of the server's latest state write.
     """
 
     lease: str
@@ -90,10 +92,11 @@
         "incarnations": "lives",
     },
 ):
-    """Acquire or renew the lease for ``duration_s`` from when each acceptor receives the request.
+    """Acquires or renews the lease for ``duration_s``, counted from when each acceptor receives the request.
 
-    Sent by a candidate whose ballot a majority promised. ``sequence`` counts the candidate's rounds;
-    ``observed_writes`` tells what the promising servers had persisted by then.
+    A candidate sends it after a majority has promised its ballot. ``sequence`` numbers the candidate's
+    rounds. ``observed_writes`` holds the last write of each server that promised; the acceptors remember it
+    to detect a rolled-back disk of one of these servers.
     """
 
     lease: str
@@ -121,7 +124,7 @@
         "incarnations": "lives",
     },
 ):
-    """Answer an `AcceptRequest`."""
+    """Response to an `AcceptRequest`."""
 
     lease: str
     server: str
@@ -136,7 +139,7 @@
 
 
 class ReleaseRequest(Struct, frozen=True, tag="Release", rename={"ballot": "number"}):
-    """Give a lease back before it expires."""
+    """Releases a lease before it expires."""
 
     lease: str
     candidate: str
@@ -144,7 +147,7 @@
 
 
 class ReleaseNotification(Struct, frozen=True, tag="Freed", rename={"server": "keeper"}):
-    """Notify the first waiter that a lease was released, so that it can prepare at once."""
+    """Notifies the first waiter that a lease was released, so that it can prepare immediately."""
 
     lease: str
     server: str
@@ -152,10 +155,10 @@
 
 
 class CatchUpRequest(Struct, frozen=True, tag="Learn", rename={"server": "keeper", "incarnation": "life"}):
-    """Ask another server, after a restart, for its records and for what it observed of the sender.
+    """Asks another server, after a restart, for its records and for what it observed of the sender.
 
-    ``incarnation`` counts how often a new machine took the server's name; of two servers of one name the one
-    with the smaller incarnation is the one that was replaced.
+    ``incarnation`` counts how often a new machine took over the server's name. Of two machines with one name,
+    the one with the smaller incarnation was replaced.
     """
 
     server: str
@@ -173,10 +176,10 @@
         "released_ballot": "closed",
     },
 ):
-    """What an acceptor has persisted of one lease.
+    """The persisted state of one lease at an acceptor.
 
-    ``candidate`` is the one that ``promised_ballot`` was promised to, ``released_ballot`` the greatest ballot
-    that was given back.
+    ``candidate`` received the promise of ``promised_ballot``. ``released_ballot`` is the greatest ballot
+    whose lease was released.
     """
 
     lease: str
@@ -202,11 +205,11 @@
         "incarnations": "lives",
     },
 ):
-    """Answer a `CatchUpRequest`.
+    """Response to a `CatchUpRequest`.
 
-    ``is_recovered`` says whether the responder has all that it had persisted, so that its records count,
-    unless another server of its name replaced it. ``observed_write`` and ``observed_incarnation`` are the
-    greatest known of the server that asked.
+    ``is_recovered`` is true if the responder has all that it ever persisted. Its records then count, unless
+    another machine replaced it under its name. ``observed_write`` and ``observed_incarnation`` are the
+    greatest that the responder knows of the requesting server.
     """
 
     server: str
@@ -232,12 +235,12 @@
 
 
 class DiskState(Enum):
-    """What an acceptor's disk showed at its start; the values stand on the status page."""
+    """Condition of an acceptor's persisted state. The values appear on the status page."""
 
-    NEW = "new"  # established by an operator together with the fleet: nothing was ever promised
+    NEW = "new"  # the fleet was just established by an operator; nothing was ever promised
     INTACT = "sound"
-    LOST = "lost"  # damaged, missing or rolled back: never treated as new
-    REPLACED = "replaced"  # another machine took the server's name: this one must not vote any more
+    LOST = "lost"  # damaged, missing or rolled back; must not be treated as new
+    REPLACED = "replaced"  # another machine took over the server's name; this one must not vote again
 
 
 class AcceptorState(
@@ -250,7 +253,7 @@
         "incarnations": "lives",
     },
 ):
-    """Everything that an acceptor persists. ``observed_writes`` and ``incarnations`` are of other servers."""
+    """All persisted state of an acceptor. ``observed_writes`` and ``incarnations`` describe other servers."""
 
     records: tuple[AcceptorRecord, ...] = ()
     last_write: int = 0
@@ -261,14 +264,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Persist this before any later action is carried out; if that fails or hangs, drop the later ones."""
+    """Persist the state before applying any later action; drop those if the write fails or hangs."""
 
     state: AcceptorState
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message; it may be lost, delayed or duplicated."""
+    """Send a message, which may be lost, delayed or duplicated."""
 
     receiver: str
     message: Message
@@ -276,7 +279,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call ``tick`` at this time of the local clock."""
+    """Call ``tick`` when the local clock reaches ``deadline_s``."""
 
     deadline_s: float
 
--- a/saffronstack/fleet/leases/quorum_read.py
+++ b/saffronstack/fleet/leases/quorum_read.py
@@ -1,4 +1,4 @@
-"""Reads of leases from a majority of servers, for processes that hold none: operators and daemons."""
+"""Reads leases from a majority of servers, for operators and daemons, which hold no lease."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import start_thread
 
-JOIN_GRACE_S = 0.5  # in addition to the timeout of the exchange
+JOIN_GRACE_S = 0.5  # added to the exchange timeout when waiting for the reading threads
 REQUEST_ERRORS = (NotSentError, NoResponseError, ValueError, msgspec.MsgspecError)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseStatus:
-    """One lease by the servers that answered; ``holder`` is empty where no majority shows one.
+    """One lease, merged from the reports of several servers.
 
-    ``granted_by`` counts the servers that show the newest grant as running.
+    ``holder`` is empty if no majority reports the newest grant as valid. ``granted_by`` is the number of
+    servers that do.
     """
 
     lease: str
@@ -37,9 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumRead:
-    """The result of a read; ``errors`` by server.
+    """The result of a read; ``errors`` is keyed by server.
 
-    Where ``has_majority``, any value that was stored before the read began is among those in ``leases``.
+    If ``has_majority`` is true, ``leases`` has each value that was stored before the read began, or a
+    newer one.
     """
 
     has_majority: bool
@@ -48,14 +50,14 @@
 
 
 def read_leases(addresses: Mapping[str, str], timeout_s: float) -> QuorumRead:
-    """Ask all servers at once, for ``timeout_s`` seconds and a little more.
+    """Read the leases of all servers concurrently; return at most `JOIN_GRACE_S` after ``timeout_s``.
 
     Args:
         addresses: The address of each server.
-        timeout_s: Bounds each exchange, in seconds.
+        timeout_s: Timeout of each exchange, in seconds.
 
     Returns:
-        What the servers that answered in time show.
+        The merged reports of the servers that responded in time.
     """
     reports: dict[str, list[LeaseReport]] = {}
     errors: dict[str, str] = {}
@@ -73,10 +75,10 @@
     deadline_s = time.monotonic() + timeout_s + JOIN_GRACE_S
     for thread in threads:
         thread.join(max(0.0, deadline_s - time.monotonic()))
-    completed_reports = dict(reports)  # a server that answers from now on is too late
+    completed_reports = dict(reports)  # a snapshot: threads that are still running may add later reports
     for server in addresses:
         if server not in completed_reports:
-            errors.setdefault(server, "no answer in time")
+            errors.setdefault(server, "no response in time")
     return merge_lease_reports(completed_reports, len(addresses), errors)
 
 
@@ -91,15 +93,15 @@
 def merge_lease_reports(
     reports: Mapping[str, Sequence[LeaseReport]], servers: int, errors: dict[str, str]
 ) -> QuorumRead:
-    """Decide what the reports of several servers mean.
+    """Merge the reports of several servers.
 
     Args:
-        reports: The reports of each server that answered.
-        servers: How many servers the fleet has.
-        errors: Why the other servers did not answer.
+        reports: The reports of each server that responded.
+        servers: Number of lease servers in the fleet.
+        errors: Why other servers did not respond, by server.
 
     Returns:
-        Each reported lease with its holder, where a majority shows one.
+        Each reported lease, with its holder if a majority reports one.
     """
     majority = servers // 2 + 1
     by_lease: dict[str, list[LeaseReport]] = {}
--- a/saffronstack/fleet/leases/recovery.py
+++ b/saffronstack/fleet/leases/recovery.py
@@ -1,17 +1,19 @@
-"""How an acceptor that restarted becomes sure of what it had promised, by catching up from other servers.
-
-After a restart an acceptor first waits until the grants of its earlier run are over, then sends catch-up
-requests to all other servers:
-
-* An *intact* disk is believed when no other server observed a later write of this server. A disk that was
-  silently rolled back is found by the servers that shared its last majority.
-* A *lost* state (damaged, missing, rolled back) is rebuilt from the records of a majority of all servers, not
-  counting this one: each majority that this server was part of shares a member with them.
-* An acceptor with a lost state may run on a new machine in place of one that is only paused. It therefore
-  takes the next *incarnation* of its name, and votes once a majority of others has persisted that. The old
-  machine learns of it from any majority, and never votes again (*replaced*).
-
-Free of I/O, clocks and threads.
+"""Recovery of a restarted acceptor: it verifies or rebuilds its state by catching up from other servers.
+
+After a restart, an acceptor waits until all grants of its earlier run have expired. It must not vote before.
+It then sends catch-up requests to all other servers:
+
+* The state on an *intact* disk is trusted if no other server has observed a later write of this server. The
+  servers of the last majority that this server was part of detect a disk that silently lost a write or was
+  rolled back.
+* A *lost* state (damaged, missing or rolled back) is rebuilt from the records of other servers that form a
+  majority of all servers. Each majority that this server was part of shares a member with them.
+* An acceptor with a lost state may run on a new machine that replaces one that is only paused. It therefore
+  takes the next *incarnation* of its name, and votes only after a majority, not counting itself, has
+  persisted that incarnation. The old machine learns of it from any majority and never votes again
+  (*replaced*).
+
+The module performs no I/O, reads no clock and starts no thread.
 """
 
 from __future__ import annotations
@@ -33,42 +35,45 @@
     SetTimer,
 )
 
-REQUEST_INTERVAL_S = 0.5  # between two catch-up requests to a server that has not answered
-RESPONSE_TIMEOUT_S = 2.0  # after it servers that have not answered are not waited for, where enough have
+REQUEST_INTERVAL_S = 0.5  # between catch-up requests to a server that has not responded
+RESPONSE_TIMEOUT_S = 2.0  # longest wait for all servers; then a majority with this one is enough
 
 
 def latest_expiry_s(limits: LeaseLimits, disk_state: DiskState, now: float) -> float:
-    """Return until when (local clock) grants of an earlier run may go on, renewed just before it ended."""
+    """Return the latest time (local clock) at which grants of an earlier run can expire.
+
+    A grant may have been renewed just before the earlier run ended.
+    """
     return 0.0 if disk_state is DiskState.NEW else now + limits.grant_duration_s(limits.max_lease_s)
 
 
 class Recovery:
-    """The catch-up of one acceptor, and whether it may vote."""
+    """The recovery of one acceptor; decides whether it may vote."""
 
     def __init__(self, table: LeaseTable, disk_state: DiskState, now: float, nonce: int) -> None:
         """Start the recovery of a table that was loaded at ``now`` (local clock, seconds).
 
         Args:
-            table: The acceptor's state, rebuilt in place where it was lost.
-            disk_state: What the disk showed.
+            table: The acceptor's state; rebuilt in place if it was lost.
+            disk_state: The condition of the state on disk.
             now: The local clock's time, in seconds.
-            nonce: Distinguishes answers to this run from those to an earlier one.
+            nonce: Identifies this run; responses to requests of an earlier run are ignored.
         """
         self.table = table
         self.disk_state = disk_state
         self.nonce = nonce
         self.votes_from_s = latest_expiry_s(table.limits, disk_state, now)
-        self.has_recovered = disk_state is DiskState.NEW  # whether all that it promised is known
-        self.responses: dict[str, CatchUpResponse] = {}  # the last of each server
+        self.has_recovered = disk_state is DiskState.NEW  # whether all earlier promises are known
+        self.responses: dict[str, CatchUpResponse] = {}  # the last response of each server
         self._requested_s = -REQUEST_INTERVAL_S
         self._has_own_incarnation = False  # whether this run took a new incarnation
 
     def can_vote(self, now: float) -> bool:
-        """Return whether the acceptor promises and grants now."""
+        """Return whether the acceptor may promise and grant at ``now``."""
         return self.has_recovered and now >= self.votes_from_s
 
     def tick(self, now: float) -> list[AcceptorAction]:
-        """Complete the recovery where possible, else ask the servers whose answers are missing."""
+        """Complete the recovery if possible; otherwise request the missing catch-up responses."""
         completed = self.complete_if_possible(now)
         if self.has_recovered:
             return completed
@@ -82,13 +87,16 @@
         return [*requests, SetTimer(now + REQUEST_INTERVAL_S)]
 
     def _servers_to_request(self) -> list[str]:
-        """A server that was in recovery itself, or was replaced since it answered, is asked again."""
+        """Return the servers without a valid response that knows the current incarnation.
+
+        This includes servers that were in recovery when they responded or were replaced since.
+        """
         answered = {response.server for response in self._current_responses()}
         servers = self.table.limits.servers
         return [server for server in servers if server != self.table.server and server not in answered]
 
     def handle_request(self, request: CatchUpRequest) -> list[AcceptorAction]:
-        """Send another server what is known here, and what was observed of that server."""
+        """Respond with all records, and with what this acceptor observed of the requesting server."""
         actions: list[AcceptorAction] = []
         if self.table.observe_incarnation(request.server, request.incarnation):
             actions.append(self.table.persist())
@@ -105,7 +113,7 @@
         return [*actions, SendMessage(request.server, response)]
 
     def handle_response(self, now: float, response: CatchUpResponse) -> list[AcceptorAction]:
-        """Take the answer of another server into account while the acceptor recovers."""
+        """Handle the catch-up response of another server; ignore it unless the acceptor is in recovery."""
         server = response.server
         is_expected = response.nonce == self.nonce and server != self.table.server
         if not is_expected or server not in self.table.limits.servers:
@@ -121,16 +129,16 @@
         return [*self._begin_incarnation(), *self.complete_if_possible(now)]
 
     def detect_replacement(self, incarnations: Incarnations) -> None:
-        """Stop voting where a candidate passes on that another machine took this server's name."""
-        # One in recovery asks the other servers itself: its state may be lost or rolled back.
+        """Stop voting if a candidate reports that another machine took over this server's name."""
+        # During recovery, the catch-up responses decide this: the own incarnation may be lost or rolled back.
         if self.has_recovered and dict(incarnations).get(self.table.server, 0) > self.table.incarnation:
             self.disk_state, self.has_recovered = DiskState.REPLACED, False
 
     def complete_if_possible(self, now: float) -> list[AcceptorAction]:
-        """Complete the recovery where enough servers have answered.
+        """Complete the recovery if enough servers have responded.
 
-        They are asked only once grants of an earlier run are over: what was on its way then has arrived, or
-        serves nobody.
+        Requests are sent only after all grants of an earlier run have expired. Accept requests that were in
+        flight at the restart have then arrived at the other servers, or can no longer grant a valid lease.
         """
         if self.has_recovered or now < self.votes_from_s or self.disk_state is DiskState.REPLACED:
             return []
@@ -150,26 +158,27 @@
             return confirmed >= limits.majority
         if confirmed >= len(limits.servers) - 1:
             return True
-        # An acceptor that never persisted anything was established just now: with all others, or by mistake
-        # in place of one that had promised, which any of the others may know. Only all of them confirm it.
+        # An acceptor without any write was just established: either together with all others, or by mistake
+        # in place of an acceptor that had made promises. Any of the others may know of such promises, so all
+        # must respond.
         if not self.table.last_write:
             return False
         has_timed_out = now >= self.votes_from_s + RESPONSE_TIMEOUT_S
         return has_timed_out and confirmed >= limits.majority - 1
 
     def _wait_for_replaced_acceptor(self, now: float) -> None:
-        """Wait for grants that an acceptor of an earlier incarnation may have made, unknown here.
+        """Delay voting until grants of an acceptor with an earlier incarnation have expired.
 
-        It can have granted together with one of the others until just now, when the last of a majority of
-        them persisted this incarnation.
+        This acceptor does not know those grants. The earlier one may have granted a lease together with one
+        of the other servers until now, when the last server of a majority persisted the new incarnation.
         """
         limits = self.table.limits
         self.votes_from_s = now + limits.grant_duration_s(limits.max_lease_s)
 
     def _begin_incarnation(self) -> list[AcceptorAction]:
-        """Take the next incarnation as soon as a majority of others answered, where the state was lost.
+        """If the state was lost, take the next incarnation once other servers that form a majority responded.
 
-        A machine of an older incarnation finds this one among any majority that it has to hear.
+        A machine with an older incarnation needs a majority too, so it hears of the new incarnation.
         """
         is_majority = len(self._valid_responses()) >= self.table.limits.majority
         if self._has_own_incarnation or self.disk_state is not DiskState.LOST or not is_majority:
@@ -177,11 +186,11 @@
         self._has_own_incarnation = True
         observed = [response.observed_incarnation for response in self.responses.values()]
         self.table.incarnation = 1 + max(self.table.incarnation, *observed)
-        self._requested_s = -math.inf  # the other servers are asked again, under the new incarnation
+        self._requested_s = -math.inf  # request again at once, with the new incarnation
         return [self.table.persist()]
 
     def _valid_responses(self) -> list[CatchUpResponse]:
-        """Return the answers of servers that have all that they promised and were not replaced."""
+        """Return the responses of servers that know all their promises and were not replaced."""
         views = [
             IncarnationView(response.server, response.incarnation, response.incarnations)
             for response in self.responses.values()
@@ -194,17 +203,18 @@
         ]
 
     def _current_responses(self) -> list[CatchUpResponse]:
-        """Return the valid answers of servers that know the present incarnation."""
+        """Return the valid responses of servers that know this acceptor's current incarnation."""
         incarnation = self.table.incarnation
         return [
             response for response in self._valid_responses() if response.observed_incarnation == incarnation
         ]
 
     def _rebuild_table(self) -> None:
-        """Adopt the greatest ballots and the newest values that any server reported."""
+        """Rebuild the table from the greatest ballots and the newest values that any server reported."""
         reported: dict[str, list[AcceptorRecord]] = {}
         for response in self.responses.values():
-            # As many servers as before must know who was replaced, else its successors count from 1 again.
+            # Adopt known incarnations. Otherwise, if the servers that know of a replacement lose their disks
+            # one after the other, the next machine of the replaced name starts at incarnation 1 again.
             for server, incarnation in ((response.server, response.incarnation), *response.incarnations):
                 if server != self.table.server:
                     self.table.observe_incarnation(server, incarnation)
@@ -221,9 +231,10 @@
 def _merge_records(entry: LeaseEntry, records: list[AcceptorRecord]) -> None:
     """Merge the records of several servers into an entry.
 
-    Where all that know the greatest ballot promised it to one candidate, it is promised to that one here too,
-    so that its holder can go on renewing: another candidate with a majority for the same ballot through this
-    server's lost promise would have shared a server with those that answered.
+    If all records with the greatest ballot name the same candidate, the merged record keeps the promise to
+    that candidate, so that it can continue to renew the lease. This is safe: if another candidate had a
+    majority for the same ballot, including the lost promise of this server, that majority would share a
+    server with those that responded.
     """
     promised_ballot = max(record.promised_ballot for record in records)
     candidates = {record.candidate for record in records if record.promised_ballot == promised_ballot}
@@ -242,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationView:
-    """What one server says of incarnations: its own, and the greatest known of each other server."""
+    """A server's own incarnation, and the greatest that it knows of each other server."""
 
     server: str
     incarnation: int
@@ -250,10 +261,10 @@
 
 
 def find_replaced_servers(views: Iterable[IncarnationView]) -> set[str]:
-    """Return the servers of which another view knows a greater incarnation.
+    """Return the servers of which any view has a greater incarnation than their own.
 
-    The views of a majority show every replacement: a server votes under a new incarnation only once a
-    majority of the others has persisted it.
+    The views of a majority show every replacement, because a server votes with a new incarnation only after
+    other servers that form a majority have persisted it.
     """
     all_views = list(views)
     greatest: dict[str, int] = {}
--- a/saffronstack/fleet/leases/reports.py
+++ b/saffronstack/fleet/leases/reports.py
@@ -1,4 +1,4 @@
-"""The contents of a lease server's pages. Names in ``rename`` are those on the pages, and never change."""
+"""The JSON pages of a lease server. The names in ``rename`` appear on the pages and must not change."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LeaseReport(Struct, frozen=True, rename={"remaining_s": "left_s"}):
-    """One lease as one server shows it."""
+    """One lease as one server reports it."""
 
     lease: str
     holder: str
@@ -33,7 +33,8 @@
 ):
     """The state of an acceptor.
 
-    ``persisted_write`` is the last write on the disk, ``disk_error`` is empty where that succeeded.
+    ``persisted_write`` is the number of the last write on disk. ``disk_error`` is the error of the last write
+    attempt; empty if it succeeded.
     """
 
     server: str
@@ -49,6 +50,6 @@
 
 
 class ServerStatus(AcceptorStatus, frozen=True):
-    """The state of a lease server: that of its acceptor, and the number of open connections."""
+    """The state of a lease server: the state of its acceptor and the number of open connections."""
 
     connections: int
--- a/saffronstack/fleet/leases/server_link.py
+++ b/saffronstack/fleet/leases/server_link.py
@@ -1,6 +1,6 @@
-"""The link of a process to one lease server: a persistent connection, a thread and a bounded outbox.
+"""The link of a process to one lease server: persistent connections, threads and a bounded outbox.
 
-Each server has a link of its own, so that a slow one delays no other.
+Each server has its own link, so that a slow server does not delay messages to the others.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 from saffronstack.runtime.threads import start_thread
 
 HTTP_LIMITS = MessageLimits(body_bytes=4 * 1024 * 1024)
-MAX_BATCH = 256  # messages in one envelope
+MAX_BATCH = 256  # messages per envelope
 MAX_OUTBOX_MESSAGES = 10_000
 INITIAL_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 1.0
-MAX_SLEEP_S = 1.0  # the longest sleep of the sending thread
+MAX_SLEEP_S = 1.0  # longest wait of the sending thread
 POLL_DURATION_S = 2.0
-EXCHANGE_ERRORS = (OSError, HttpError, PeerClosed, ValueError)  # what a server or the network can cause
+EXCHANGE_ERRORS = (OSError, HttpError, PeerClosed, ValueError)  # caused by a server or the network
 
 MessageHandler = Callable[[str, tuple[Message, ...]], None]
 
 
 class _Connection:
-    """One persistent connection to a lease server; one thread uses it at a time."""
+    """One persistent connection to a lease server. Used by one thread at a time."""
 
     def __init__(self, server: str, fleet: LeaseFleet, sender: str, clock: Callable[[], float]) -> None:
         self._address = fleet.addresses[server]
@@ -44,7 +44,7 @@
         self._reader = MessageReader(HTTP_LIMITS)
 
     def exchange(self, messages: tuple[Message, ...], poll_s: float = 0.0) -> tuple[Message, ...]:
-        """Send messages, or poll without any, and return the answer.
+        """Send messages, or a poll if there are none, and return the messages in the response.
 
         Raises:
             OSError, HttpError, PeerClosed, ValueError: The exchange failed; the connection is closed.
@@ -61,7 +61,7 @@
         fields = [("Host", self._address), ("Content-Type", "application/json")]
         data = writer.request("POST", MESSAGES_TARGET, fields, codec.encode(envelope))
         if not stream.send(data, deadline_s, self._clock):
-            raise ConnectionResetError("the keeper took no byte")
+            raise ConnectionResetError("lease server accepted no bytes of the request")
         head = read_until(stream, reader, reader.response, deadline_s, self._clock)
         body = read_until(stream, reader, reader.body, deadline_s, self._clock)
         if head.status != 200:
@@ -72,7 +72,7 @@
 
     def _connect_if_needed(self) -> Stream:
         if self._stream is not None and not self._stream.is_idle():
-            self.close()  # ended while idle; nothing was sent on it
+            self.close()  # the server closed it while it was idle; no request was in flight
         if self._stream is None:
             host, _, port = self._address.rpartition(":")
             sock = socket.create_connection((host, int(port)), timeout=self._fleet.timeout_s)
@@ -80,7 +80,7 @@
         return self._stream
 
     def abort(self) -> None:
-        """Make a wait of the connection's thread return; called on another thread."""
+        """Shut the connection down to end a wait of the thread that uses it; called on another thread."""
         stream = self._stream
         if stream is not None:
             stream.abort()
@@ -93,7 +93,7 @@
 
 
 class LeaseServerLink:
-    """Sends the messages of one process to one lease server, and hands on its answers.
+    """Sends the messages of one process to one lease server and passes its responses to a handler.
 
     The lock guards the outbox and all flags.
     """
@@ -111,7 +111,7 @@
 
         Args:
             server: The name of the server.
-            fleet: Its address and the timeout of each exchange.
+            fleet: The lease servers' addresses and the timeout of an exchange.
             sender: The name of this process.
             on_messages: Receives the server's name and its messages on the link's threads; must not block.
             clock: The monotonic clock, in seconds.
@@ -123,21 +123,21 @@
         self._on_messages = on_messages
         self._random = random.Random(seed)
         self._lock = threading.Condition()
-        # One place for each (lease, candidate): a newer message replaces an older one that waits.
+        # Keyed by (lease, candidate): a newer message replaces an unsent older one.
         self._outbox: dict[tuple[str, str], Message] = {}
         self._is_stopping = False
         self._is_sending = False
         self._is_poll_enabled = False
         self._is_polling = False
         self._backoff_s = 0.0
-        self.last_error = "not asked yet"  # of the last exchange; empty where it succeeded
+        self.last_error = "no exchange yet"  # error of the last exchange; empty if it succeeded
 
     def start(self) -> None:
         """Start the sending thread."""
         start_thread(f"lease-link-{self.server}", self._run_sender)
 
     def stop(self, flush_s: float = 0.0) -> None:
-        """Stop the threads, after what is in the outbox had ``flush_s`` seconds to be sent."""
+        """Stop the threads after waiting up to ``flush_s`` seconds for the outbox to be sent."""
         with self._lock:
             if flush_s:
                 self._lock.wait_for(lambda: not self._outbox and not self._is_sending, flush_s)
@@ -148,7 +148,7 @@
         self._poll_connection.abort()
 
     def send(self, message: Message) -> None:
-        """Put a message into the outbox, or drop it where that is full; does not block."""
+        """Put a message into the outbox, or drop it if the outbox is full; does not block."""
         key = _outbox_key(message)
         with self._lock:
             if key in self._outbox or len(self._outbox) < MAX_OUTBOX_MESSAGES:
@@ -157,7 +157,7 @@
                 self._lock.notify_all()
 
     def set_polling(self, enabled: bool) -> None:
-        """Poll the server for notifications while a candidate of the process waits for a lease."""
+        """Enable or disable polling the server for notifications of released leases."""
         with self._lock:
             if enabled == self._is_poll_enabled:
                 return
@@ -167,7 +167,7 @@
             self._is_polling = True
         try:
             start_thread(f"lease-poll-{self.server}", self._run_poller)
-        except RuntimeError:  # no more threads: the candidate prepares now and then all the same
+        except RuntimeError:  # no thread: without polls, a waiting candidate still retries periodically
             with self._lock:
                 self._is_polling = False
 
@@ -179,7 +179,7 @@
                     break
             try:
                 messages = self._poll_connection.exchange((), POLL_DURATION_S)
-            except EXCHANGE_ERRORS:  # the sending thread reports what is wrong with the server
+            except EXCHANGE_ERRORS:  # the sending thread reports errors of the server
                 self._wait_until_stopping(MAX_BACKOFF_S)
                 continue
             if messages:
@@ -208,7 +208,7 @@
         self._connection.close()
 
     def _send_batch(self, batch: list[Message]) -> None:
-        """Send messages; where that fails they are dropped, and whoever needs an answer asks again."""
+        """Send messages. On failure they are dropped: senders repeat a message if they need a response."""
         try:
             responses = self._connection.exchange(tuple(batch))
         except EXCHANGE_ERRORS as error:
--- a/saffronstack/fleet/leases/store.py
+++ b/saffronstack/fleet/leases/store.py
@@ -1,7 +1,7 @@
-"""The interface of a lease store, as tasks and leaders use it.
+"""The interface of a lease store, which tasks and rollout leaders use.
 
-Behind it stand this project's own lease servers (`client.LeaseClient`) or any other store with sessions,
-fencing tokens and compare-and-set, such as an etcd client.
+`client.LeaseClient` implements it with this project's lease servers. A client of another store with sessions,
+fencing tokens and compare-and-set, such as etcd, can implement it too.
 """
 
 from __future__ import annotations
@@ -11,57 +11,60 @@
 
 
 class HeldLease(Protocol):
-    """A lease that was acquired. Its methods may be called on any thread."""
+    """An acquired lease. Its methods may be called on any thread."""
 
     @property
     def lease(self) -> str:
-        """The lease's name."""
+        """Return the name of the lease."""
         ...
 
     @property
     def token(self) -> int:
-        """The fencing token: greater than any earlier holder's. Work under the lease carries it."""
+        """Return the fencing token. It is greater than that of any earlier holder.
+
+        Writes under the lease carry it, so that the written resource can reject an earlier holder.
+        """
         ...
 
     @property
     def value(self) -> bytes:
-        """The small value that the last holder stored."""
+        """Return the value that was last stored under the lease."""
         ...
 
     def remaining_s(self) -> float:
-        """Return for how many seconds it is held unless renewed; 0 once it is lost.
+        """Return the seconds until the lease expires unless it is renewed; 0 once it is lost.
 
-        No check holds over a pause of the process after it: what is written to must compare the token.
+        The process may be paused after this check, so a resource that it writes to must compare the token.
         """
         ...
 
     def put(self, content: bytes, timeout_s: float) -> bool:
-        """Store the value; return whether it is certainly stored after at most ``timeout_s`` seconds.
+        """Store the value; wait at most ``timeout_s`` and return whether it is certainly stored.
 
-        False leaves open whether it is stored.
+        False means that the outcome is unknown: the value may or may not be stored.
         """
         ...
 
     def release(self) -> None:
-        """Give the lease up, so that the next holder need not wait until it expires."""
+        """Release the lease, so that the next holder does not have to wait until it expires."""
         ...
 
 
 class LeaseStore(Protocol):
-    """Grants each lease to one holder at a time."""
+    """Grants each lease to at most one holder at a time."""
 
     def acquire(
         self, lease: str, timeout_s: float, on_lost: Callable[[str], None] | None = None
     ) -> HeldLease | None:
-        """Acquire a lease within ``timeout_s`` seconds; None where that fails.
+        """Acquire a lease; return None if it is not granted within ``timeout_s`` seconds.
 
-        ``on_lost`` is called once with the reason when the lease ends other than by a release, on a thread of
-        the store, and must not block.
+        If the lease ends other than by `HeldLease.release`, ``on_lost`` is called once with the reason. It
+        runs on a thread of the store and must not block.
         """
         ...
 
     def cancel_acquires(self) -> None:
-        """Have calls of ``acquire``, those that wait and all that come, return None; held leases stay."""
+        """Make all waiting and future calls of `acquire` return None. Held leases are unaffected."""
         ...
 
     def close(self) -> None:
--- a/saffronstack/fleet/tasks/__init__.py
+++ b/saffronstack/fleet/tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduled tasks of a fleet: each runs in one process at a time, under a lease (`docs/leases.md`)."""
+"""Scheduled tasks of a fleet. Each task runs in one process at a time, under a lease (`docs/leases.md`)."""
--- a/saffronstack/fleet/tasks/errors.py
+++ b/saffronstack/fleet/tasks/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the fleet's tasks: writes of a lease holder that a later holder has superseded."""
+"""Errors of the fleet's tasks, for writes of a lease holder that a later holder has superseded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StaleResultError(TaskError):
-    """A result was not published, since a newer one already is."""
+    """A result was not published because a newer one is already published."""
 
     def __init__(self, newest: pathlib.Path, newest_token: int, token: int) -> None:
         """Describe the conflict.
@@ -21,21 +21,21 @@
             newest_token: Fencing token that it was published under.
             token: Fencing token of the rejected result.
         """
-        super().__init__(f"{newest} was published under token {newest_token}, after {token}")
+        super().__init__(f"token {token} is stale: {newest} was already published under token {newest_token}")
         self.newest_token, self.token = newest_token, token
 
 
 class StaleOwnerError(TaskError, PermissionError):
-    """The caller may not become the owner of a ledger, since a later owner already did."""
+    """The caller can't become the owner of a ledger because a later owner exists."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         """Describe the conflict over the ledger in ``directory``."""
-        super().__init__(errno.ESTALE, f"{directory}: a later holder has entered already")
+        super().__init__(errno.ESTALE, f"{directory}: a later lease holder already owns the ledger")
 
 
 class OwnershipLostError(TaskError, OSError):
-    """A write does not count, since a later owner has taken over the ledger."""
+    """A write is void because a later owner has taken over the ledger."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         """Describe the conflict over the ledger in ``directory``."""
-        super().__init__(errno.ESTALE, f"{directory}: taken over by a later holder")
+        super().__init__(errno.ESTALE, f"{directory}: taken over by a later lease holder")
--- a/saffronstack/fleet/tasks/fleet_usage.py
+++ b/saffronstack/fleet/tasks/fleet_usage.py
@@ -25,13 +25,13 @@
 
 
 class FleetUsageTask:
-    """Merges usage logs. A log that is given twice counts once, so repeated runs publish the same totals."""
+    """Merges usage logs. A log that occurs twice counts once, so repeated runs publish the same totals."""
 
     def __init__(self, patterns: Sequence[str], output: str) -> None:
         """Configure the task.
 
         Args:
-            patterns: Glob patterns of usage log directories, on a file system that all machines share.
+            patterns: Glob patterns of usage log directories on a file system that all machines share.
             output: Directory to publish results in.
         """
         self._patterns = list(patterns)
@@ -46,7 +46,7 @@
                 return "stopped"
             try:
                 account, _ = read_usage_log(directory)
-            except JournalError as error:  # being replaced just now: the next run reads it
+            except JournalError as error:  # the log is being replaced; the next run can read it
                 unread.append(f"{directory}: {error}")
                 continue
             if account.gateway:
--- a/saffronstack/fleet/tasks/garbage_collection.py
+++ b/saffronstack/fleet/tasks/garbage_collection.py
@@ -1,4 +1,4 @@
-"""The task that removes files which no process reads any more."""
+"""The task that removes files that no process needs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class GarbageCollectionTask:
-    """Removes results beyond their retention, and ledgers of superseded owners."""
+    """Removes results beyond the retention limit, and the ledgers of superseded owners."""
 
     def __init__(self, outputs: Sequence[str], root: str) -> None:
         """Configure the task.
--- a/saffronstack/fleet/tasks/ledger_directory.py
+++ b/saffronstack/fleet/tasks/ledger_directory.py
@@ -1,13 +1,13 @@
-"""A gateway's ledger on a shared file system: which process owns it, by fencing token, and where it writes.
+"""A gateway's ledger directory on a shared file system, with ownership by fencing token.
 
-Each owner (a holder of the gateway's lease) writes to a subdirectory of its own. It first creates a *fence*
-file with its token, durably, and then copies the segments of the owner before it. An owner checks for a
-greater fence after each sync, before it acknowledges what it wrote. So the copy has all that was
-acknowledged, and nobody reads what a superseded owner writes later. This relies on a file that one machine
-creates being visible at once on the others.
+Each owner (a holder of the gateway's lease) writes to its own subdirectory. A new owner first durably creates
+a *fence* file with its token, and then copies the segments of the previous owner. After each sync, an owner
+checks for a fence with a greater token before it acknowledges the write. The copy therefore contains every
+acknowledged write, and no process reads what a superseded owner writes later. This requires that a file
+created on one machine is immediately visible on the others.
 
-Names in the directory, which processes of other versions read as well: ``fence-TOKEN``, ``place-TOKEN`` (the
-owner's subdirectory) and ``left-TOKEN`` (clean shutdown).
+Processes of other versions read the names in the directory, so they must not change: ``fence-TOKEN``,
+``place-TOKEN`` (the subdirectory of the owner) and ``left-TOKEN`` (clean shutdown).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
         self.directory = pathlib.Path(directory)
 
     def take_ownership(self, token: int) -> pathlib.Path:
-        """Fence off all earlier owners and copy what they wrote.
+        """Fence off all earlier owners and copy the segments of the last one.
 
         Args:
             token: Fencing token of the lease that the caller holds.
@@ -41,7 +41,7 @@
             The subdirectory that the caller may write to.
 
         Raises:
-            StaleOwnerError: A later owner exists already.
+            StaleOwnerError: A later owner already exists.
             OSError: The fence or the copy can't be written.
         """
         self.directory.mkdir(parents=True, exist_ok=True)
@@ -57,7 +57,7 @@
         return target
 
     def mark_clean_shutdown(self, token: int) -> None:
-        """Record that the owner ended with no call in flight, so that nobody needs to take over."""
+        """Record that the owner stopped with no call in flight, so that no process takes over."""
         self._clean_shutdown_path(token).touch()
         self._sync_names()
 
@@ -66,19 +66,21 @@
         return any(other > token for other in self._owner_tokens())
 
     def is_orphaned(self) -> bool:
-        """Return whether the last owner ended without a clean shutdown, or has not ended."""
+        """Return whether the last owner has not shut down cleanly: it is still running or has died."""
         last = max(self._owner_tokens(), default=None)
         return last is not None and not self._clean_shutdown_path(last).exists()
 
     def current_path(self) -> pathlib.Path | None:
-        """Return the subdirectory of the last owner that has one; None before the first owner."""
+        """Return the subdirectory of the last owner that has one; None if there is none."""
         return self._newest_path(self._owner_tokens())
 
     def remove_superseded(self) -> int:
-        """Remove the subdirectories of all owners before the last one that has its own.
+        """Remove the subdirectories of all owners before the last one that has a subdirectory.
+
+        Their fence files are kept.
 
         Returns:
-            How many owners were superseded; their fences stay.
+            The number of superseded owners.
         """
         tokens = sorted(self._owner_tokens())
         last = next((token for token in reversed(tokens) if self._owner_path(token).is_dir()), None)
@@ -95,10 +97,10 @@
         return self.directory / f"left-{token:020d}"
 
     def _source_before(self, token: int) -> pathlib.Path | None:
-        """Return where the newest segments before ``token`` are.
+        """Return the directory with the newest segments of the owners before ``token``.
 
-        An owner that died between fence and copy has no subdirectory. Before the first owner, the segments
-        of a gateway that ran without a fleet are in the directory itself.
+        An owner that died between fence and copy has no subdirectory and is skipped. If no earlier owner has
+        one, the directory itself may contain the segments of a gateway that ran without a fleet.
         """
         newest = self._newest_path([other for other in self._owner_tokens() if other < token])
         if newest is not None:
@@ -123,7 +125,7 @@
 
 
 def _copy_segments(source: pathlib.Path | None, target: pathlib.Path) -> None:
-    """Create ``target`` with durable copies of the segments in ``source``; it appears when it is complete."""
+    """Atomically create ``target`` with durable copies of the segments in ``source``."""
     partial = target.with_suffix(".new")
     shutil.rmtree(partial, ignore_errors=True)
     partial.mkdir()
@@ -135,18 +137,18 @@
 
 
 class FencedFiles(FileOperations):
-    """File operations of one owner; a sync fails once a later owner exists."""
+    """File operations of one owner. A sync fails if a later owner exists."""
 
     def __init__(self, ledger: LedgerDirectory, token: int) -> None:
-        """Guard the files that the owner with ``token`` writes."""
+        """Create the file operations of the owner with ``token``."""
         self._ledger = ledger
         self._token = token
 
     def sync(self, descriptor: int) -> None:
-        """Sync the file's data to disk, then check that it still counts.
+        """Sync the file to disk, then check that no later owner exists.
 
         Raises:
-            OwnershipLostError: A later owner exists; it may not have what was written.
+            OwnershipLostError: A later owner exists; its copy may not contain the synced data.
             OSError: The sync failed.
         """
         super().sync(descriptor)
--- a/saffronstack/fleet/tasks/orphan_takeover.py
+++ b/saffronstack/fleet/tasks/orphan_takeover.py
@@ -1,4 +1,4 @@
-"""The task that finishes deferred calls which dead gateways left open (orphaned calls)."""
+"""The task that finishes orphaned calls: deferred calls that were open when their gateway died."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 log = structlog.get_logger("saffronstack.tasks")
 POLL_INTERVAL_S = 0.1
-ACQUIRE_TIMEOUT_S = 0.5  # a gateway that is alive renews its lease, so it is not granted however long we wait
+ACQUIRE_TIMEOUT_S = 0.5  # a longer wait gains nothing: a live gateway keeps renewing its lease
 
 
 class OrphanTakeoverTask:
-    """Finishes the open calls in ledgers whose gateway died without a clean shutdown."""
+    """Finishes the open calls in the ledgers of gateways that died without a clean shutdown."""
 
     def __init__(self, root: str, config: str, store: LeaseStore) -> None:
         """Configure the task.
 
         Args:
-            root: Directory with one ledger directory for each gateway, under the gateway's name.
+            root: Directory with one ledger directory per gateway, named after the gateway.
             config: Path of a gateway configuration with the functions and workers of all gateways.
-            store: Where the leases of the gateways are acquired.
+            store: The store in which gateways hold their leases.
         """
         self._root = pathlib.Path(root)
         self._config = config
@@ -44,7 +44,7 @@
         return f"finished the calls of {', '.join(finished)}" if finished else "no orphaned calls"
 
     def _take_over(self, path: pathlib.Path, run: TaskRun) -> bool:
-        """Finish the calls of one gateway if it is dead; return whether that was done to the end."""
+        """Finish the open calls of a gateway if it is dead; return whether all were finished."""
         ledger = LedgerDirectory(str(path))
         if not ledger.is_orphaned():
             return False
@@ -52,13 +52,13 @@
         if lease is None:  # the gateway is alive
             return False
         try:
-            # It may have been restarted and shut down cleanly between the check and the grant.
+            # The gateway may have been restarted and cleanly shut down between the check and the grant.
             return ledger.is_orphaned() and self._finish_open_calls(path, lease, run)
         finally:
             lease.release()
 
     def _finish_open_calls(self, path: pathlib.Path, lease: HeldLease, run: TaskRun) -> bool:
-        """Run a gateway on the dead one's ledger until no call is open; return whether it got there."""
+        """Run a gateway on the dead gateway's ledger until no call is open; return whether it succeeded."""
         log.warning("taking over orphaned ledger", gateway=path.name, token=lease.token)
         process = self._start_gateway(path, lease.token)
         try:
@@ -67,7 +67,7 @@
             return process.poll() == 0
         finally:
             if process.poll() is None:
-                # The next owner takes the ledger with a greater token and finds all that was recorded.
+                # Killing it is safe: the next owner has a greater token and finds everything it recorded.
                 process.kill()
             process.wait()
 
--- a/saffronstack/fleet/tasks/result_store.py
+++ b/saffronstack/fleet/tasks/result_store.py
@@ -1,7 +1,8 @@
-"""Results that tasks publish: the one with the greatest fencing token is current.
+"""Results that tasks publish. The result with the greatest fencing token is current.
 
-Each result is a file of its own, named by fencing token and run number, so publishing needs no
-compare-and-set: a lease holder that was paused and continues late writes a file that no reader looks at.
+Each result is a separate file, named by fencing token and run number. Publishing therefore needs no
+compare-and-set: a lease holder that was paused and resumes after losing its lease writes a file that is never
+the current one.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.fleet.tasks.errors import StaleResultError
 
-RETAINED_RESULTS = 3  # for an operator who looks into a result that seems wrong
+RETAINED_RESULTS = 3  # older ones help an operator to investigate a wrong result
 FILE_NAME = re.compile(r"(\d{20})-(\d{10})\.json")
 
 
 class TaskResult(msgspec.Struct, frozen=True):
-    """One published result; its JSON is the content of the file."""
+    """A published result. Its JSON form is the content of the file."""
 
     token: int
     run_number: int = msgspec.field(name="turn")
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _ResultFile:
-    """A result's file. Sorts from the oldest to the current one."""
+    """The file of a result. Files sort from oldest to current."""
 
     token: int
     run_number: int
--- a/saffronstack/fleet/tasks/runner.py
+++ b/saffronstack/fleet/tasks/runner.py
@@ -22,13 +22,13 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.tasks")
-ACQUIRE_TIMEOUT_S = 5.0  # for one attempt to acquire the lease
+ACQUIRE_TIMEOUT_S = 5.0  # per attempt to acquire the lease
 POLL_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 10.0
 
 
 class _LeasedRun:
-    """One run of a task under a lease; implements `TaskRun`."""
+    """A run of a task under a lease; implements `TaskRun`."""
 
     def __init__(self, number: int, token: int, lease: HeldLease | None) -> None:
         self.number = number
@@ -45,13 +45,13 @@
         self._cancelled.wait(seconds)
 
     def cancel(self) -> None:
-        """Ask the task to return soon. Any thread may call it."""
+        """Request that the task returns soon. Thread-safe."""
         self._cancelled.set()
 
 
 @dataclass(frozen=True, slots=True)
 class _EndedRun:
-    """What the thread of a run reports when it ends."""
+    """The outcome of a run, reported by the thread of the run."""
 
     number: int
     succeeded: bool
@@ -60,7 +60,7 @@
 class TaskRunner:
     """Runs one task: acquires its lease, starts runs that are due, cancels a run when the lease is lost.
 
-    A thread of its own makes all decisions; each run has another thread.
+    One control thread makes all decisions. Each run has its own thread.
     """
 
     def __init__(
@@ -72,14 +72,14 @@
         store: LeaseStore,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Prepare the runner; `start` starts it.
+        """Create a runner; `start` starts it.
 
         Args:
             name: The task's name; its lease is ``task/NAME``.
-            task: What to run.
+            task: The task to run.
             period_s: Time between runs.
-            run_timeout_s: How long a run may take before it is cancelled.
-            store: Where the lease is acquired.
+            run_timeout_s: Time after which a run is cancelled.
+            store: The store that grants the lease.
             clock: Monotonic clock in seconds.
         """
         self.name = name
@@ -87,7 +87,7 @@
         self._store = store
         self._clock = clock
         self._schedule = TaskSchedule(period_s, run_timeout_s)
-        self._lease: HeldLease | None = None  # the deciding thread's alone
+        self._lease: HeldLease | None = None  # used only by the control thread
         self._condition = threading.Condition()  # guards the four fields below
         self._lease_lost_reason = ""
         self._ended_runs: list[_EndedRun] = []
@@ -95,11 +95,11 @@
         self._is_stopping = False
 
     def start(self) -> None:
-        """Start the deciding thread."""
+        """Start the control thread."""
         self._thread = start_thread(f"task-{self.name}", self._run_loop)
 
     def request_stop(self) -> None:
-        """Cancel the run and have the lease released after it, without waiting."""
+        """Cancel the current run; the lease is released when the run has ended. Does not wait."""
         with self._condition:
             self._is_stopping = True
             if self._current_run is not None:
@@ -107,10 +107,10 @@
             self._condition.notify_all()
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
-        """Cancel the run, release the lease and wait for both.
+        """Cancel the current run and wait until it has ended and the lease is released.
 
         Args:
-            timeout_s: How long to wait.
+            timeout_s: Longest wait, in seconds.
 
         Returns:
             Whether the run ended in time.
@@ -156,7 +156,7 @@
             self._apply_actions(self._schedule.run_ended(now_s, ended.number, ended.succeeded))
 
     def _report_lease_lost(self, reason: str) -> None:
-        """Note the loss of the lease; called on a thread of the lease store."""
+        """Report the loss of the lease to the control thread; runs on a thread of the lease store."""
         with self._condition:
             self._lease_lost_reason = reason
             self._condition.notify_all()
@@ -190,11 +190,11 @@
             self._lease = None
 
     def _execute(self, run: _LeasedRun) -> None:
-        """Run the task to its end; on a thread of its own."""
+        """Execute the task once; runs on the thread of the run."""
         fields = {"task": self.name, "token": run.token, "run": run.number}
         try:
             summary = self._task.execute(run)
-        except Exception as error:  # noqa: BLE001 - whatever a task raises: the run failed, and is retried after a backoff
+        except Exception as error:  # noqa: BLE001 - any exception fails the run; retried after a backoff
             succeeded = False
             log.error("task run failed", **fields, error=f"{type(error).__name__}: {error}")
         else:
--- a/saffronstack/fleet/tasks/schedule.py
+++ b/saffronstack/fleet/tasks/schedule.py
@@ -1,8 +1,9 @@
-"""Decides when a lease holder starts a run of a task and when it cancels one.
+"""Decides when a lease holder starts and cancels runs of a task.
 
-Free of I/O, clocks and threads; all times are in seconds of one monotonic clock. A lease is kept between
-runs, so that one process runs a task again and again. Whoever acquires it starts a run at once, since it
-does not know when the last one was.
+The module performs no I/O, reads no clock and starts no thread. All times are seconds of one monotonic clock.
+
+The lease is held between runs, so the same process runs the task repeatedly. A new holder starts a run
+immediately, because it does not know when the last run took place.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FIRST_RETRY_DELAY_S = 1.0  # doubled with each failed run in a row, up to the period
-MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two small
-CANCEL_TIMEOUT_S = 5.0  # after that, the lease is released although the run has not ended
+FIRST_RETRY_DELAY_S = 1.0  # doubles with each consecutive failed run, up to the period
+MAX_BACKOFF_DOUBLINGS = 16  # bounds the exponent
+CANCEL_TIMEOUT_S = 5.0  # afterwards the lease is released even if the run has not ended
 
 
 class TaskState(Enum):
     """The state of a task in this process."""
 
-    STANDBY = "standby"  # no lease: another process may hold it
-    WAITING = "waiting"  # lease held, next run not due yet
+    STANDBY = "standby"  # lease not held
+    WAITING = "waiting"  # lease held, next run not due
     RUNNING = "running"
     CANCELLING = "cancelling"
 
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLease:
-    """Release the lease, although a run may not have ended: its fencing token guards what it still writes."""
+    """Release the lease. A run may not have ended yet: the fencing token protects against its late writes."""
 
 
 Action = StartRun | CancelRun | ReleaseLease
@@ -56,19 +57,19 @@
 
         Args:
             period_s: Time between the end of a successful run and the start of the next.
-            run_timeout_s: How long a run may take before it is cancelled.
+            run_timeout_s: Time after which a run is cancelled.
         """
         self.period_s = period_s
         self.run_timeout_s = run_timeout_s
         self.state = TaskState.STANDBY
         self._run_number = 0
         self._token = 0
-        self._failed_runs = 0  # in a row
+        self._failed_runs = 0  # consecutive
         self._next_run_s = 0.0
-        self._deadline_s = 0.0  # of the run, or of its cancellation
+        self._deadline_s = 0.0  # deadline of the run, or of its cancellation
 
     def lease_acquired(self, now_s: float, token: int) -> list[Action]:
-        """Handle a lease that was granted with the given fencing token."""
+        """Handle the grant of the lease, with its fencing token."""
         if self.state is not TaskState.STANDBY:  # a run under an earlier lease has not ended
             return [ReleaseLease()]
         self._token = token
@@ -86,7 +87,7 @@
         return []
 
     def run_ended(self, now_s: float, run_number: int, succeeded: bool) -> list[Action]:
-        """Handle the end of a run, cancelled or not; that of an earlier run changes nothing."""
+        """Handle the end of a run, cancelled or not; ignore the end of an earlier run."""
         if run_number != self._run_number or self.state not in (TaskState.RUNNING, TaskState.CANCELLING):
             return []
         self._failed_runs = 0 if succeeded else self._failed_runs + 1
@@ -99,9 +100,9 @@
         if self.state is TaskState.WAITING and self._token and now_s >= self._next_run_s:
             return self._start_run(now_s)
         if self.state is TaskState.RUNNING and now_s >= self._deadline_s:
-            return self._cancel_run(now_s, f"the run took longer than its {self.run_timeout_s:g} s")
+            return self._cancel_run(now_s, f"the run exceeded its timeout of {self.run_timeout_s:g} s")
         if self.state is TaskState.CANCELLING and now_s >= self._deadline_s and self._token:
-            self._token = 0  # nothing starts here before the run has ended
+            self._token = 0  # no run can start until this one has ended
             return [ReleaseLease()]
         return []
 
--- a/saffronstack/fleet/tasks/task.py
+++ b/saffronstack/fleet/tasks/task.py
@@ -1,4 +1,4 @@
-"""What a scheduled task and one run of it look like to each other."""
+"""The interfaces of a scheduled task and of its runs."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class TaskRun(Protocol):
-    """One run of a task, as the task sees it."""
+    """One run of a task, as passed to the task."""
 
     @property
     def token(self) -> int:
-        """Return the fencing token of the lease that the run holds."""
+        """Return the fencing token of the lease that the run executes under."""
         ...
 
     @property
     def number(self) -> int:
-        """Return the number of the run, counted by the process that runs it."""
+        """Return the sequence number of the run in its process."""
         ...
 
     def may_continue(self) -> bool:
@@ -28,15 +28,15 @@
 
 
 class Task(Protocol):
-    """Work that is due once in each period, somewhere in the fleet.
+    """Work that one process of the fleet executes once per period.
 
-    Runs must be idempotent: a new lease holder starts one at once, and a holder that was paused may finish
-    a run beside the next holder's.
+    Runs must be idempotent. A new lease holder starts a run immediately, and a holder that was paused may
+    finish its run while the next holder executes another.
     """
 
     def execute(self, run: TaskRun) -> str:
-        """Do the work once, and return a summary for the log.
+        """Execute the task once and return a summary for the log.
 
-        Any exception marks the run as failed; it is retried after a backoff.
+        If it raises any exception, the run has failed and is retried after a backoff.
         """
         ...
--- a/tests/fleet/leases/__init__.py
+++ b/tests/fleet/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the leases."""
+"""Tests of leases."""
--- a/tests/fleet/leases/test_acceptor_and_candidate.py
+++ b/tests/fleet/leases/test_acceptor_and_candidate.py
@@ -1,4 +1,4 @@
-"""Candidates and acceptors of leases: each rule of the protocol alone."""
+"""Candidates and acceptors of leases: each protocol rule in isolation."""
 
 from __future__ import annotations
 
@@ -95,10 +95,10 @@
     assert grant(acceptor, 6.0, "b", 4).is_accepted
     late_renewal = AcceptRequest("l", "a", 3, 2, 5.0)
     assert not is_accepted(acceptor, 20.0, late_renewal)
-    assert (
-        acceptor.handle(20.0, "x", AcceptRequest("l", "b", 4, 2, 5.0)) == []
-    )  # not from the candidate that it names
-    assert acceptor.handle(20.0, "b", AcceptRequest("l", "b", 4, 2, 11.0)) == []  # longer than any lease
+    # The sender "x" is not the candidate of the request.
+    assert acceptor.handle(20.0, "x", AcceptRequest("l", "b", 4, 2, 5.0)) == []
+    # The duration exceeds max_lease_s.
+    assert acceptor.handle(20.0, "b", AcceptRequest("l", "b", 4, 2, 11.0)) == []
 
 
 def test_a_late_request_for_a_released_ballot_is_not_accepted() -> None:
--- a/tests/fleet/leases/test_commands.py
+++ b/tests/fleet/leases/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of leases, the fleet's file, and gateways that serve leases."""
+"""The lease commands, the fleet file, and gateways that run lease servers."""
 
 from __future__ import annotations
 
@@ -59,9 +59,8 @@
         unavailable = run_saffron("lease", "run", "job", "--fleet", path, "--wait", "0.5", "--", "true")
         assert unavailable.returncode == 69
         assert "no majority" in unavailable.stderr
-        assert (
-            marker_file.stat().st_size == size
-        )  # it ignored SIGTERM and was killed, with what it had started
+        # The command ignored SIGTERM and was killed with its child processes.
+        assert marker_file.stat().st_size == size
 
 
 def test_a_signal_is_forwarded_to_the_command_and_its_status_returned(tmp_path: pathlib.Path) -> None:
@@ -155,7 +154,7 @@
 
 
 def test_gateways_serve_leases_and_run_tasks_beside_their_calls(tmp_path: pathlib.Path) -> None:
-    """Three gateways, each a keeper; one of them runs the fleet's sweep at a time."""
+    """Three gateways each run a lease server; one gateway at a time runs the fleet's sweep task."""
     workers = StandInFleet(2)
     port_holders = [hold_port("127.0.0.1") for _ in NAMES]
     entries = [
--- a/tests/fleet/leases/test_disk.py
+++ b/tests/fleet/leases/test_disk.py
@@ -1,4 +1,4 @@
-"""The state files of a lease server, and servers whose disk stalls or is full."""
+"""The state files of a lease server, and lease servers with a stalled or full disk."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 class FilesFailingAfter(FileOperations):
-    """Dies at the nth operation, writing part of it."""
+    """Fails after a number of operations; the write at that point is partial."""
 
     def __init__(self, steps: int) -> None:
         self.remaining = steps
@@ -86,7 +86,7 @@
     def _step(self) -> None:
         self.remaining -= 1
         if self.remaining < 0:
-            raise OSError(errno.EIO, "the power is gone")
+            raise OSError(errno.EIO, "simulated power loss")
 
     def write(self, descriptor: int, data: bytes) -> None:
         if self.remaining == 0:
@@ -133,7 +133,7 @@
 
 
 class StallingFiles(FileOperations):
-    """A disk that saves nothing while it is shut, and then is full for a while."""
+    """A disk whose syncs block while `is_open` is clear, and whose opens fail while `is_full` is set."""
 
     def __init__(self) -> None:
         self.is_open = threading.Event()
@@ -173,7 +173,8 @@
     service = voting_service(tmp_path, files)
     files.is_open.clear()
     assert service.handle_request("a", (PrepareRequest("l", "a", 1),), 0.05) == []
-    # An answer that saves nothing itself may not pass it: it rests on what is not saved. Others' may.
+    # A response to a request that changes nothing must wait too, because it depends on the unsaved state of
+    # the same lease. Responses about other leases need not wait.
     assert service.handle_request("b", (PrepareRequest("l", "b", 1),), 0.05) == []
     assert service.handle_request("b", (AcceptRequest("other", "b", 1, 1, 0.5),), 0.05)
     before = acceptor_disk(tmp_path).load().state
@@ -199,7 +200,7 @@
 
 
 class SlowSyncFiles(StallingFiles):
-    """A disk whose next sync begins and then lasts until the stop has returned, half a second at most."""
+    """A disk whose sync lasts until the stop has returned, half a second at most."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -214,7 +215,7 @@
 
 
 def test_stop_waits_for_the_write_in_progress(tmp_path: pathlib.Path) -> None:
-    """Else the copies change under the server that is started next on this directory."""
+    """Guards against a write that changes the state files after the directory's next server has started."""
     files = SlowSyncFiles()
     service = voting_service(tmp_path, files)
     files.is_slow = True
--- a/tests/fleet/leases/test_lease_server.py
+++ b/tests/fleet/leases/test_lease_server.py
@@ -1,4 +1,4 @@
-"""Lease servers and clients on sockets: changes of holder, lost leases, replaced servers, pages."""
+"""Lease servers and clients over sockets: changes of the holder, lost leases, replaced servers, pages."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
         acquired_leases: list[HeldLease | None] = []
         waiter = start_thread("waiter", lambda: acquired_leases.append(second.acquire("task/usage", 20.0)))
         eventually(lambda: second.holder_of("task/usage").startswith("p1."))
-        eventually(lambda: "p2" in fleet.servers["k0"].service.mailboxes)  # it polls
+        eventually(lambda: "p2" in fleet.servers["k0"].service.mailboxes)  # p2 polls
         began_s = time.monotonic()
         held.release()
         waiter.join(20.0)
-        # Long before a third of the lease, when it would have prepared again by itself.
+        # Without the notification, the waiter would prepare again after a third of the lease (10 s).
         assert time.monotonic() - began_s < 5.0
         (acquired,) = acquired_leases
         assert acquired is not None
@@ -82,9 +82,10 @@
         assert acceptor_disk(tmp_path / "k2", server="k2").load().disk_state is DiskState.LOST
         fleet.start("k2")
         fleet.wait()
-        fleet.servers.pop("k0").stop()  # the new one is needed from here on
+        fleet.servers.pop("k0").stop()  # from now on, a majority needs the new server
         service = fleet.servers["k2"].service
-        eventually(lambda: service.lease_reports()[0].remaining_s > 0)  # it grants without a prepare request
+        # The new server accepts renewals without a prepare request.
+        eventually(lambda: service.lease_reports()[0].remaining_s > 0)
         deadline_s = time.monotonic() + fleet.lease_s
         eventually(lambda: time.monotonic() > deadline_s or reasons)
         assert held.remaining_s() > 0
@@ -93,10 +94,13 @@
 
 
 def test_a_lost_state_is_still_lost_after_a_crash_during_recovery(tmp_path: pathlib.Path) -> None:
-    """It has persisted nothing: treated as new, it would vote beside the server that it replaced."""
+    """A server that has persisted nothing must not count as new.
+
+    It would vote in addition to the server that it replaced.
+    """
     with lease_servers(tmp_path) as fleet:
         for server in list(fleet.servers.values()):
-            server.stop()  # nobody answers its catch-up requests
+            server.stop()  # no server responds to its catch-up requests
         fleet.servers.clear()
         for name in COPIES:
             (tmp_path / "k2" / name).unlink()
--- a/tests/fleet/leases/test_mailboxes.py
+++ b/tests/fleet/leases/test_mailboxes.py
@@ -1,4 +1,4 @@
-"""Mailboxes: notifications of a lease server for the processes that poll for them."""
+"""Mailboxes of a lease server for processes that poll for notifications."""
 
 from __future__ import annotations
 
--- a/tests/fleet/leases/test_model_checker.py
+++ b/tests/fleet/leases/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Leases in virtual time under faults, and in every order of a few steps; broken variants must be found."""
+"""Leases in simulations with faults and in the model checker, both of which must detect broken variants."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     make_candidate: CandidateFactory = Candidate,
     faults: FaultRates | None = None,
 ) -> list[str]:
-    """Run a simulation for each seed; return the breaches that the judge found."""
+    """Run a simulation for each seed; return the rule breaches that the checker found."""
     breaches: list[str] = []
     for seed in seeds:
         simulation = Simulation(
@@ -56,7 +56,7 @@
     simulations = [Simulation(seed) for seed in range(20)]
     results = [simulation.run(120.0) for simulation in simulations]
     assert sum(result.held_s for result in results) > 0.35 * 20 * 120.0
-    assert sum(result.rejected for result in results) > 10  # late acts
+    assert sum(result.rejected for result in results) > 10  # actions under an expired lease
 
 
 @pytest.mark.parametrize("broken", [ForgetsVotes, TreatsLostAsNew, IgnoresEarlierGrants, PromisesBallotTwice])
@@ -74,8 +74,11 @@
 
 
 def test_recovery_waits_for_the_last_grants_of_a_replaced_server() -> None:
-    """Found by seeds 298, 434 and 2336 of 2,400: a replaced server and another granted to one candidate, its
-    successor and the third server to the next."""
+    """Guards against two holders after a server is replaced, found by seeds 298, 434 and 2336 of 2,400.
+
+    A replaced server and another server granted the lease to one candidate; the successor of the replaced
+    server and the third server granted it to the next.
+    """
     assert run_simulations(range(298, 299), VotesImmediately)
     assert run_simulations(range(298, 299)) == []
 
@@ -86,7 +89,7 @@
 
 
 def test_the_judge_finds_a_replaced_server_that_is_counted() -> None:
-    """Half of the restarts are replacements; the real acceptor and candidate break nothing."""
+    """Half of the restarts are replacements; the correct acceptor and candidate breach no rule."""
     fault_rates = FaultRates(replacement=0.5)
     assert run_simulations(range(30), faults=fault_rates) == []
     broken = (
@@ -157,5 +160,5 @@
     result = explore(18, budget, make_acceptor, make_candidate, 40_000, after)
     assert result.breach, result
     assert result.trail, result
-    # The same steps of the real ones, to the same depth.
+    # The correct implementation breaches no rule in the same steps, to the same depth.
     assert explore(result.depth, budget, max_states=2_000, after=after).breach == ""
--- a/tests/fleet/leases/test_processes.py
+++ b/tests/fleet/leases/test_processes.py
@@ -1,4 +1,4 @@
-"""Lease servers and candidates as processes under faults, and the judge."""
+"""Lease servers and candidates as processes under faults, and the checker of their reports."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from saffronstack.harness.links import Mode, Wires
 from saffronstack.runtime.threads import start_thread
 
-SERIAL = pytest.mark.xdist_group("leases")  # heavy ones play one at a time
+SERIAL = pytest.mark.xdist_group("leases")  # tests with many processes run one at a time
 
 
 @SERIAL
@@ -45,7 +45,7 @@
     rig = LeaseRig(
         tmp_path, RigOptions(seed=2, servers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
     )
-    # What they do wrong shows where a majority is out of reach, or the holder itself.
+    # The defects show when a candidate reaches no majority, or when the holder is disconnected.
     kind = {"few": "cut", "late": "cut candidates"}[broken]
     faults = [
         Fault(
@@ -74,7 +74,10 @@
 
 
 def test_a_holder_that_wakes_after_its_lease_reports_that_it_does_not_hold_it() -> None:
-    """Its "until now" stood for a lease that had ended seconds ago, and the judge blamed the next holder."""
+    """Guards against a holder that reports an expired lease as valid until the current time.
+
+    The checker then blamed the next holder.
+    """
     assert expiry_at(100.0, 0.995, 0.995) == 101.0
     assert expiry_at(100.0, 0.0, 1.0) == 0.0
     judge = LeaseJudge()
@@ -113,7 +116,7 @@
     judge.handle(ActBegun("a", 1, 5.0))
     judge.handle(Acquired("b", 2, 6.0, 9.0))
     judge.handle(ActBegun("b", 2, 9.0))
-    # a was stopped in the midst of its act and wakes: its token is refused, and nobody is to blame.
+    # a was paused during its action and resumes: its token is rejected, which is no breach.
     assert judge.handle(ActEnded("a", 1, 4.9, 7.0, 5.0)) == Answer(False)
     judgement = judge.judge(0.0, 10.0)
     assert judgement.breaches == []
@@ -125,7 +128,7 @@
 
 
 class EchoServer:
-    """Answers each line with itself."""
+    """Sends received data back to the client."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -165,10 +168,10 @@
         sock.recv(100)
     sock.settimeout(10.0)
     wires.set(backward)
-    assert sock.recv(100) == b"two\n"  # nothing of it was lost
+    assert sock.recv(100) == b"two\n"  # no data was lost
     wires.set(forward, Mode.LOSE)
     sock.sendall(b"gone\n")
-    threading.Event().wait(0.1)  # the relay must have read it before the direction passes again
+    threading.Event().wait(0.1)  # the relay must read the data before this direction forwards again
     wires.set(forward, late_s=0.3)
     began_s = time.monotonic()
     sock.sendall(b"late\n")
--- a/tests/fleet/leases/test_quorum_read.py
+++ b/tests/fleet/leases/test_quorum_read.py
@@ -1,4 +1,4 @@
-"""What a majority of lease servers shows."""
+"""Reads of leases from a majority of lease servers."""
 
 from __future__ import annotations
 
--- a/tests/fleet/leases/test_recovery.py
+++ b/tests/fleet/leases/test_recovery.py
@@ -1,4 +1,4 @@
-"""How an acceptor recovers after a restart, and how replaced machines are found."""
+"""Recovery of an acceptor after a restart, and detection of replaced servers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def requested_servers(acceptor: Acceptor, now: float) -> set[str]:
-    """Return the servers that it sends catch-up requests to."""
+    """Return the servers that the acceptor sends catch-up requests to."""
     return {
         action.receiver
         for action in acceptor.tick(now)
@@ -34,7 +34,7 @@
 
 
 def send_catch_up_response(acceptor: Acceptor, now: float, server: str, **changes: object) -> None:
-    """Let another server answer a catch-up request."""
+    """Deliver the catch-up response of another server."""
     response = CatchUpResponse(server, 7, True, 0, observed_incarnation=acceptor.table.incarnation)
     acceptor.handle(now, server, replace_fields(response, **changes))
 
@@ -43,9 +43,8 @@
     earlier = make_acceptor()
     grant(earlier, 0.0, "a", 4)
     acceptor = make_acceptor(DiskState.INTACT, persisted_state(earlier), now=100.0)
-    acceptor.handle(
-        100.1, "k1", CatchUpResponse("k1", 7, True, 0)
-    )  # too early: requests may be on their way to k1
+    # Ignored, because accept requests may still be in flight to k1.
+    acceptor.handle(100.1, "k1", CatchUpResponse("k1", 7, True, 0))
     assert acceptor.tick(105.0) == [SetTimer(acceptor.recovery.votes_from_s)]
     assert acceptor.recovery.votes_from_s > 110.0
     assert acceptor.handle(105.0, "b", PrepareRequest("l", "b", 9)) == []
@@ -54,7 +53,7 @@
         "k2",
     ]
     acceptor.handle(111.0, "k1", CatchUpResponse("k1", 7, True, 0))
-    assert not acceptor.recovery.has_recovered  # the other earlier may know better
+    assert not acceptor.recovery.has_recovered  # k2 may have observed a later write
     acceptor.tick(113.0)
     promise = response_of(acceptor.handle(113.0, "b", PrepareRequest("l", "b", 9)))
     assert isinstance(promise, PrepareResponse)
@@ -71,11 +70,11 @@
     )
     assert acceptor.recovery.disk_state is DiskState.LOST
     assert not acceptor.recovery.has_recovered
-    acceptor.handle(111.0, "k2", CatchUpResponse("k2", 6, True, 0))  # an answer to an earlier run
-    acceptor.handle(111.0, "k2", CatchUpResponse("k2", 7, False, 0))  # earlier that is not sure of itself
+    acceptor.handle(111.0, "k2", CatchUpResponse("k2", 6, True, 0))  # the nonce of an earlier run
+    acceptor.handle(111.0, "k2", CatchUpResponse("k2", 7, False, 0))  # k2 has not recovered
     assert not acceptor.recovery.has_recovered
     acceptor.handle(111.0, "k2", CatchUpResponse("k2", 7, True, 0))
-    # A new incarnation, which a majority of others persists first.
+    # The acceptor has begun a new incarnation, which a majority of others must persist first.
     assert acceptor.table.incarnation == 1
     assert not acceptor.recovery.has_recovered
     acceptor.handle(
@@ -102,12 +101,12 @@
     assert not acceptor.recovery.has_recovered
     acceptor.handle(200.1, "k1", CatchUpResponse("k1", 7, True, 0, (), 1))
     acceptor.handle(200.1, "k2", CatchUpResponse("k2", 7, True, 5, (RECORD,), 1))
-    assert acceptor.recovery.has_recovered  # both answered, and know its new incarnation
+    assert acceptor.recovery.has_recovered  # both responded and know its new incarnation
     assert [record.promised_ballot for record in acceptor.records()] == [8]
 
 
 def test_a_replaced_server_that_returns_never_votes() -> None:
-    """k0's machine is taken for dead and replaced by an empty one of its name; then it starts restarted."""
+    """k0's machine is considered dead and is replaced by one with an empty disk; then it restarts."""
     successor = make_acceptor(DiskState.LOST, now=100.0)
     server_1, server_2 = (make_acceptor(name=name, now=100.0) for name in ("k1", "k2"))
 
@@ -124,7 +123,7 @@
     assert successor.table.incarnation == 1
     assert not successor.recovery.has_recovered
     catch_up(successor, 111.0)
-    # Its predecessor may have granted together with one of the others until they persisted that.
+    # The predecessor may have granted with one of the others until they persisted the incarnation.
     assert successor.recovery.has_recovered
     assert not successor.can_vote(121.0)
     assert successor.can_vote(111.0 + LIMITS.grant_duration_s(LIMITS.max_lease_s))
@@ -138,11 +137,11 @@
     assert predecessor.handle(200.0, "c", PrepareRequest("l", "c", 9)) == []
     restarted = make_acceptor(DiskState.INTACT, successor.table.persist().state, now=300.0)
     catch_up(restarted, 311.0)
-    assert restarted.can_vote(311.0)  # the successor restarts as any other server
+    assert restarted.can_vote(311.0)  # the successor restarts like any other server
 
 
 def test_a_server_replaced_while_paused_is_not_counted_and_learns_of_it() -> None:
-    """k0 pauses, another takes its name; k0 wakes at the address that some candidates still have."""
+    """k0 is paused and replaced under its name; it resumes at an address that some candidates still use."""
     paused = make_acceptor()
     successor_response = PrepareResponse("l", "k0", "a", 5, True, 5, incarnation=1)
     other_response = PrepareResponse("l", "k1", "a", 5, True, 5, incarnations=(("k0", 1),))
@@ -156,7 +155,7 @@
     candidate.handle(0.0, "k1", replace_fields(other_response, ballot=ballot))
     assert candidate._valid_approvals() == [
         replace_fields(other_response, ballot=ballot)
-    ]  # k0's promise does not count
+    ]  # the promise of the replaced k0 does not count
     actions = candidate.handle(0.0, "k0", replace_fields(successor_response, ballot=ballot))
     assert any(
         isinstance(action, SendMessage) and isinstance(action.message, AcceptRequest) for action in actions
@@ -177,8 +176,11 @@
 
 
 def test_recovery_adopts_the_incarnations_of_other_servers() -> None:
-    """Seen after seven minutes of faults: all others had lost their disks by turns, and nobody knew k1's
-    incarnations any more; its next machine took the first one, and a server that knew more rejected it."""
+    """Guards against an incarnation that starts at 1 again, seen after seven minutes of faults.
+
+    All other servers had lost their disks one after the other, and no server knew the incarnations of k1 any
+    more. The next machine of k1 took incarnation 1, and a server that knew a greater one rejected it.
+    """
     acceptor = make_acceptor(DiskState.LOST, now=100.0, name="k2")
     responses = [
         CatchUpResponse("k0", 7, True, 0, incarnation=2),
@@ -195,7 +197,7 @@
 
 
 def test_records_of_a_replaced_server_do_not_count_in_recovery() -> None:
-    """k2 has lost its disk; the old k0 knows nothing of what its successor granted."""
+    """k2 has lost its disk. The old machine of k0 does not know what its successor granted."""
     acceptor = make_acceptor(DiskState.LOST, now=100.0, name="k2")
     acceptor.handle(111.0, "k0", CatchUpResponse("k0", 7, True, 0))
     acceptor.handle(111.0, "k1", CatchUpResponse("k1", 7, True, 0, incarnations=(("k0", 1),)))
@@ -221,7 +223,10 @@
 
 
 def test_a_server_in_recovery_is_asked_again_until_it_has_recovered() -> None:
-    """Else a server that lost its disk while two others were in recovery never votes again."""
+    """Guards against a server that never votes again.
+
+    It lost its disk while two others were in recovery, and did not ask them again.
+    """
     lost = Acceptor("k0", FIVE, DiskState.LOST, AcceptorState(), 0.0, nonce=7)
     now = lost.recovery.votes_from_s + 1.0
     assert requested_servers(lost, now) == {"k1", "k2", "k3", "k4"}
@@ -232,7 +237,7 @@
     assert lost.table.incarnation == 0
     assert requested_servers(lost, now + 1.0) == {"k1", "k2"}
     send_catch_up_response(lost, now + 1.0, "k1")
-    assert lost.table.incarnation == 1, "a majority of others knows what it promised: it begins a incarnation"
+    assert lost.table.incarnation == 1, "no new incarnation although a majority of others has responded"
     for name in ("k1", "k3", "k4"):
         send_catch_up_response(lost, now + 1.0, name)
     assert lost.recovery.has_recovered
@@ -244,7 +249,7 @@
     assert requested_servers(lost, now) == {"k1", "k2", "k3", "k4"}
     send_catch_up_response(lost, now, "k1")
     send_catch_up_response(lost, now, "k2")
-    send_catch_up_response(lost, now, "k3", incarnations=(("k1", 1), ("k2", 1)))  # new machines replaced both
+    send_catch_up_response(lost, now, "k3", incarnations=(("k1", 1), ("k2", 1)))  # k1 and k2 were replaced
     assert lost.table.incarnation == 0
     assert requested_servers(lost, now + 1.0) == {"k1", "k2", "k4"}
     send_catch_up_response(lost, now + 1.0, "k1", incarnation=1)
--- a/tests/fleet/tasks/fakes.py
+++ b/tests/fleet/tasks/fakes.py
@@ -1,4 +1,4 @@
-"""A lease store and runs of a task that tests control."""
+"""Test doubles of a lease store, of a task and of its runs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FakeLease:
-    """A lease that is held until a test or its holder ends it; `store.HeldLease`."""
+    """A `store.HeldLease` that is held until a test or its holder ends it."""
 
     def __init__(self, lease: str, token: int) -> None:
         self.lease, self.token, self.value, self.is_held = lease, token, b"", True
@@ -61,7 +61,7 @@
 
 
 class UncancelledRun:
-    """A run for tasks that a test executes itself."""
+    """A `TaskRun` that is never cancelled, for tests that execute a task directly."""
 
     token, number = 4, 1
 
--- a/tests/fleet/tasks/test_fleet_usage.py
+++ b/tests/fleet/tasks/test_fleet_usage.py
@@ -1,4 +1,4 @@
-"""The totals of all gateways' usage logs, and what garbage collection leaves of them."""
+"""Published totals of all gateways' usage logs, and their garbage collection."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def write_usage_log(directory: pathlib.Path, number: int, workers: StandInFleet) -> None:
-    """Let a gateway with the given number run five calls and end."""
+    """Run gateway ``number`` for five calls, so that it writes its usage log."""
     usage = directory / f"g{number}" / "usage"
     config = configuration(workers, directory / f"l{number}", metering={"directory": str(usage)})
     path = directory / f"g{number}.json5"
--- a/tests/fleet/tasks/test_ledger_directory.py
+++ b/tests/fleet/tasks/test_ledger_directory.py
@@ -1,4 +1,4 @@
-"""Owners of a gateway's ledger, one after the other."""
+"""Successive owners of a gateway's ledger directory."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     assert isinstance(raised.value, OwnershipLostError)
     os.close(descriptor)
     assert (second / SEGMENT).read_bytes() == b"acknowledged"
-    with pytest.raises(OSError, match="a later holder has entered") as rejected:
+    with pytest.raises(OSError, match="a later lease holder already owns the ledger") as rejected:
         ledger.take_ownership(4)
     assert isinstance(rejected.value, StaleOwnerError)
 
@@ -54,7 +54,7 @@
 
 def test_an_owner_that_died_between_fence_and_copy_loses_nothing(ledger: LedgerDirectory) -> None:
     (ledger.take_ownership(3) / SEGMENT).write_bytes(b"x")
-    (ledger.directory / f"fence-{5:020d}").touch()  # and no subdirectory of its own
+    (ledger.directory / f"fence-{5:020d}").touch()  # the fence exists, the subdirectory does not
     assert (ledger.take_ownership(6) / SEGMENT).read_bytes() == b"x"
 
 
@@ -62,5 +62,5 @@
     ledger: LedgerDirectory,
 ) -> None:
     ledger.directory.mkdir()
-    (ledger.directory / SEGMENT).write_bytes(b"from before there were homes")
+    (ledger.directory / SEGMENT).write_bytes(b"written without a fleet")
     assert (ledger.take_ownership(1) / SEGMENT).exists()
--- a/tests/fleet/tasks/test_orphan_takeover.py
+++ b/tests/fleet/tasks/test_orphan_takeover.py
@@ -1,4 +1,4 @@
-"""A gateway that is stopped, taken over, and wakes."""
+"""Takeover of a paused gateway's calls by another process, and the end of the gateway when it resumes."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from tests.support.stack import Stack, configuration, eventually
 
 SAFFRON = [sys.executable, "-m", "saffronstack.cli.main"]
-SLOWDOWN_WHILE_OPENING = 20.0  # times as long
+SLOWDOWN_WHILE_OPENING = 20.0  # factor on the workers' execution time
 TAKEN_OVER_STATUS = 3  # exit status of a gateway that lost its ledger to a later owner
 OPEN_CALLS = int(os.environ.get("SAFFRONSTACK_OPEN", "150"))
 
 
 class FinalRecords(CallTable):
-    """Open calls as read back from a ledger, and how many final records each call has."""
+    """The open calls of a ledger, and the number of final records per call."""
 
     def __init__(self) -> None:
         super().__init__(OPEN_CALLS * 2)
@@ -52,7 +52,7 @@
 
 @contextmanager
 def serving(command: list[str], workers: StandInFleet) -> Iterator[tuple[subprocess.Popen[bytes], Stack]]:
-    """A gateway process that `command` starts, and a client's view of it."""
+    """Start a gateway with ``command``; yield its process and a client for it."""
     process = subprocess.Popen(command, stdout=subprocess.PIPE)
     assert process.stdout is not None
     address = process.stdout.readline().decode().strip().rpartition("/")[2]
@@ -65,7 +65,7 @@
 
 
 def run_tasks_until_taken_over(shared: str, ledger: LedgerDirectory) -> subprocess.Popen[bytes]:
-    """Start a process that runs the fleet's tasks, and wait until the ledger's next owner ended cleanly."""
+    """Start a process that runs the fleet's tasks; wait until the ledger's next owner shut down cleanly."""
     tasks = subprocess.Popen([*SAFFRON, "tasks", "run", "--fleet", shared], stdout=subprocess.PIPE)
 
     def is_finished() -> bool:
@@ -77,9 +77,10 @@
 
 
 def open_deferred_calls(stack: Stack) -> list[str]:
-    """Have the gateway accept `OPEN_CALLS` deferred calls; their ids. One in four is idempotent.
+    """Send `OPEN_CALLS` deferred calls, one in four idempotent; return their ids.
 
-    The workers take long meanwhile: on a busy machine they ran all before the last was accepted.
+    The workers are slowed down meanwhile: on a busy machine they executed all calls before the last one was
+    accepted.
     """
     for worker in stack.fleet.workers:
         worker.faults = Faults(slow=SLOWDOWN_WHILE_OPENING)
@@ -88,14 +89,14 @@
         stack.call(functions[n % 4 == 3], kind="Event").headers.get("x-amzn-requestid")
         for n in range(OPEN_CALLS)
     ]
-    assert stack.runs("record-sale") + stack.runs("identify-copy") < OPEN_CALLS  # most are open
+    assert stack.runs("record-sale") + stack.runs("identify-copy") < OPEN_CALLS  # some calls are still open
     for worker in stack.fleet.workers:
         worker.faults = Faults()
     return ids
 
 
 def assert_one_final_record_each(path: pathlib.Path | None, ids: list[str]) -> None:
-    """Check the ledger in ``path``: no call is open, and each has exactly one final record."""
+    """Assert that no call in the ledger in ``path`` is open, and that each has exactly one final record."""
     assert path is not None
     finals = FinalRecords()
     assert not recover_journal(path, finals, CODEC).has_lost_records
@@ -113,7 +114,7 @@
 def test_a_stopped_gateways_open_calls_are_finished_by_another_and_it_wakes_to_nothing(
     tmp_path: pathlib.Path, workers: StandInFleet
 ) -> None:
-    """SAFFRONSTACK_OPEN=1000 plays it at full size. Judged from the workers and the last owner's ledger."""
+    """Checks the workers' executions and the last owner's ledger. SAFFRONSTACK_OPEN=1000 is the full size."""
     ledgers = tmp_path / "ledgers"
     path = tmp_path / "gateway.json5"
     path.write_text(json.dumps(configuration(workers, ledgers / "g1")))
@@ -134,14 +135,14 @@
             tasks = run_tasks_until_taken_over(shared, ledger)
             runs_before = runs_by_call(workers)
             os.kill(gateway.pid, signal.SIGCONT)
-            assert gateway.wait(10.0) == TAKEN_OVER_STATUS  # it notices the later owner, and ends
+            assert gateway.wait(10.0) == TAKEN_OVER_STATUS  # it detects the later owner and exits
         assert_ends_cleanly(tasks, 20.0)
         assert tasks.stdout is not None
         tasks.stdout.close()
         assert_one_final_record_each(ledger.current_path(), ids)
         runs = runs_by_call(workers)
         non_idempotent_calls = [call for n, call in enumerate(ids) if n % 4 != 3]
-        # No call that is not idempotent ran twice, before and after the stopped gateway woke.
+        # No non-idempotent call was executed twice, and the resumed gateway executed none.
         assert max(runs[call] for call in non_idempotent_calls) == 1
         assert runs == runs_before
         # The restarted gateway finds every final record.
--- a/tests/fleet/tasks/test_result_store.py
+++ b/tests/fleet/tasks/test_result_store.py
@@ -1,4 +1,4 @@
-"""Which published result is current, and how long others are kept."""
+"""Which published result is current, and how many older results are retained."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def store(tmp_path: pathlib.Path) -> ResultStore:
-    """A store with one result of token 4 and a newer one of token 7."""
+    """A store with a result published under token 4 and a newer one under token 7."""
     results = ResultStore(str(tmp_path / "out"))
     assert results.newest() is None
     results.publish(4, 1, {"a": 1})
@@ -22,13 +22,13 @@
 
 
 def write_late_result(tmp_path: pathlib.Path) -> None:
-    """Write what a holder of token 4 does that checked for newer results and was then paused until now."""
+    """Write the result of a holder with token 4 that was paused between its check and its write."""
     late = tmp_path / "out" / f"{4:020d}-{9:010d}.json"
     late.write_text('{"token": 4, "turn": 9, "content": {"a": 9}}')
 
 
 def test_a_result_of_an_older_token_is_rejected(store: ResultStore) -> None:
-    with pytest.raises(StaleResultError, match="under token 7, after 4"):
+    with pytest.raises(StaleResultError, match=r"token 4 is stale: .* under token 7"):
         store.publish(4, 2, {"a": 3})
 
 
--- a/tests/fleet/tasks/test_runner.py
+++ b/tests/fleet/tasks/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner of one task, on a lease store that the test controls."""
+"""The runner of one task, with a fake lease store or real lease servers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_runners_that_wait_for_leases_of_others_end_at_once(tmp_path: pathlib.Path) -> None:
-    """A gateway that ends is followed by its successor only after that."""
+    """Guards against a slow restart: a gateway's successor starts only after its runners have stopped."""
     with lease_servers(tmp_path, lease_s=30.0) as fleet:
         holder, waiter = fleet.client("p1"), fleet.client("p2")
         assert all(holder.acquire(f"task/{name}", 10.0) for name in ("a", "b"))
--- a/tests/fleet/tasks/test_schedule.py
+++ b/tests/fleet/tasks/test_schedule.py
@@ -1,4 +1,4 @@
-"""When a task's runs start and when they are cancelled."""
+"""When the runs of a task start and when they are cancelled."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
     schedule.lease_acquired(0.0, 3)
     (cancel,) = schedule.tick(10.0)
     assert isinstance(cancel, CancelRun)
-    assert "longer than its 10 s" in cancel.reason
+    assert "exceeded its timeout of 10 s" in cancel.reason
     assert schedule.tick(10.0 + CANCEL_TIMEOUT_S - 0.1) == []
     assert schedule.tick(10.0 + CANCEL_TIMEOUT_S) == [ReleaseLease()]
-    # Nothing starts beside the run that has not ended.
+    # No run starts while the cancelled run has not ended.
     assert schedule.lease_acquired(30.0, 9) == [ReleaseLease()]
     assert schedule.tick(31.0) == []
     schedule.run_ended(40.0, 1, True)
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -1,6 +1,7 @@
-"""The end of a fleet's HTTP server under requests on real connections.
+"""Stopping the HTTP server of a fleet while clients send requests.
 
-Each request that a handler has taken is answered; one without an answer was never taken."""
+Every request that a handler has started gets a response; a request without a response was never started.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +25,7 @@
 
 
 class SlowHandler:
-    """Takes requests, and answers each once the test says so."""
+    """Blocks each request until the test sets `may_answer`."""
 
     def __init__(self) -> None:
         self.started = threading.Semaphore(0)
@@ -37,7 +38,7 @@
 
 
 class CountingHandler:
-    """Answers at once and counts."""
+    """Counts requests and responds immediately."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
