--- a/tests/fleet/leases/test_lease_server.py
+++ b/tests/fleet/leases/test_lease_server.py
@@ -131,7 +131,7 @@
         client.close()
 
 
-def test_a_long_poll_that_stands_open_at_a_servers_end_is_answered_at_once(tmp_path: pathlib.Path) -> None:
+def test_a_pending_long_poll_is_answered_when_the_server_stops(tmp_path: pathlib.Path) -> None:
     with lease_servers(tmp_path) as fleet:
         client = Client(fleet.addresses["k0"], 2 * MAX_POLL_S)
         poll = codec.encode(Envelope("f", "p9", poll_s=MAX_POLL_S))
--- a/tests/fleet/leases/test_model_checker.py
+++ b/tests/fleet/leases/test_model_checker.py
@@ -48,7 +48,7 @@
     return breaches
 
 
-def test_no_two_hold_a_lease_at_once_and_tokens_grow_over_many_seeds() -> None:
+def test_a_lease_has_one_holder_at_a_time_and_tokens_increase_over_many_seeds() -> None:
     assert run_simulations(range(150)) == []
 
 
@@ -60,11 +60,11 @@
 
 
 @pytest.mark.parametrize("broken", [ForgetsVotes, TreatsLostAsNew, IgnoresEarlierGrants, PromisesBallotTwice])
-def test_the_judge_finds_a_broken_acceptor(broken: type[Acceptor]) -> None:
+def test_the_checker_finds_a_broken_acceptor(broken: type[Acceptor]) -> None:
     assert any(run_simulations(range(seed, seed + 10), make_acceptor=broken) for seed in range(0, 300, 10))
 
 
-def test_the_judge_finds_a_renewal_revived_after_expiry() -> None:
+def test_the_checker_finds_a_renewal_after_expiry() -> None:
     breaches = [
         breach
         for seed in range(0, 60, 10)
@@ -84,11 +84,11 @@
 
 
 @pytest.mark.parametrize("broken", [CountsFromResponse, NeedsOneVote])
-def test_the_judge_finds_a_broken_candidate(broken: type[Candidate]) -> None:
+def test_the_checker_finds_a_broken_candidate(broken: type[Candidate]) -> None:
     assert any(run_simulations(range(seed, seed + 10), make_candidate=broken) for seed in range(0, 300, 10))
 
 
-def test_the_judge_finds_a_replaced_server_that_is_counted() -> None:
+def test_the_checker_finds_a_replaced_server_that_is_counted() -> None:
     """Half of the restarts are replacements; the correct acceptor and candidate breach no rule."""
     fault_rates = FaultRates(replacement=0.5)
     assert run_simulations(range(30), faults=fault_rates) == []
@@ -126,7 +126,7 @@
 AFTER_GRANTS_EXPIRED = (*REPLACED, HALF, HALF, HALF)
 
 
-def test_every_order_with_a_replaced_server_awake_is_safe() -> None:
+def test_every_order_with_a_resumed_replaced_server_is_safe() -> None:
     budget = replace(NO_FAULTS, replacements=1, time_steps=8, partial_deliveries=1, late_responses=1)
     result = explore(len(AFTER_GRANTS_EXPIRED) + 9, budget, max_states=10_000, after=AFTER_GRANTS_EXPIRED)
     assert result.breach == "", result
--- a/tests/fleet/leases/test_processes.py
+++ b/tests/fleet/leases/test_processes.py
@@ -41,7 +41,7 @@
 
 @SERIAL
 @pytest.mark.parametrize("broken", ["few", "late"])
-def test_the_judge_finds_broken_candidates_among_the_processes(tmp_path: pathlib.Path, broken: str) -> None:
+def test_the_checker_finds_broken_candidate_processes(tmp_path: pathlib.Path, broken: str) -> None:
     rig = LeaseRig(
         tmp_path, RigOptions(seed=2, servers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
     )
@@ -73,7 +73,7 @@
     assert set(shrink(faults, lambda fewer: failing <= set(fewer), 200)) == failing
 
 
-def test_a_holder_that_wakes_after_its_lease_reports_that_it_does_not_hold_it() -> None:
+def test_a_holder_that_resumes_after_expiry_reports_that_it_does_not_hold_the_lease() -> None:
     """Guards against a holder that reports an expired lease as valid until the current time.
 
     The checker then blamed the next holder.
@@ -101,7 +101,7 @@
         assert steps() == expected_s
 
 
-def test_the_judge_distinguishes_two_holders_older_tokens_and_pauses() -> None:
+def test_the_checker_distinguishes_two_holders_older_tokens_and_pauses() -> None:
     judge = LeaseJudge()
     judge.handle(Acquired("a", 1, 0.0, 5.0))
     assert judge.handle(ActBegun("a", 1, 5.0)) == Answer(True)
--- a/tests/fleet/tasks/test_runner.py
+++ b/tests/fleet/tasks/test_runner.py
@@ -26,7 +26,7 @@
     assert not store.granted[-1].is_held
 
 
-def test_runners_that_wait_for_leases_of_others_end_at_once(tmp_path: pathlib.Path) -> None:
+def test_runners_that_wait_for_leases_of_others_stop_immediately(tmp_path: pathlib.Path) -> None:
     """Guards against a slow restart: a gateway's successor starts only after its runners have stopped."""
     with lease_servers(tmp_path, lease_s=30.0) as fleet:
         holder, waiter = fleet.client("p1"), fleet.client("p2")
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -83,7 +83,7 @@
     handler.may_answer.set()
 
 
-def test_a_request_that_is_handled_at_the_end_is_answered_and_its_connection_closed(
+def test_a_request_that_is_handled_during_a_stop_is_answered_and_its_connection_closed(
     slow: SlowHandler,
 ) -> None:
     server = start_server(slow)
@@ -102,7 +102,7 @@
     assert server.connections == 0
 
 
-def test_an_idle_connection_does_not_hold_the_end_up() -> None:
+def test_an_idle_connection_does_not_delay_the_stop() -> None:
     server = start_server(CountingHandler())
     idle = connect(server.address)
     idle.sendall(REQUEST)
@@ -113,7 +113,7 @@
     assert read_to_end(idle) == b""
 
 
-def test_a_handler_that_does_not_return_holds_the_end_up_for_a_bounded_time(slow: SlowHandler) -> None:
+def test_a_handler_that_does_not_return_delays_the_stop_for_a_bounded_time(slow: SlowHandler) -> None:
     server = start_server(slow, drain_timeout_s=0.1)
     connection = connect(server.address)
     connection.sendall(REQUEST)
@@ -122,7 +122,7 @@
     assert read_to_end(connection) == b""
 
 
-def test_clients_in_closed_loops_miss_no_answer_to_a_request_that_was_taken() -> None:
+def test_every_started_request_of_clients_in_closed_loops_is_answered_during_a_stop() -> None:
     handler = CountingHandler()
     server = start_server(handler)
     answered = [0] * CLIENTS
