--- a/saffronstack/fleet/http_server.py
+++ b/saffronstack/fleet/http_server.py
@@ -90,7 +90,8 @@
         with self._lock:
             self._stopping = True
         with contextlib.suppress(OSError):
-            self._listener.shutdown(socket.SHUT_RDWR)  # the port stays bound while a thread waits on it
+            # A close alone would leave the port bound while a thread waits in accept.
+            self._listener.shutdown(socket.SHUT_RDWR)
         if self._accept_thread is not None:
             self._accept_thread.join(JOIN_TIMEOUT_S)
         with contextlib.suppress(OSError):
--- a/saffronstack/fleet/leases/candidate.py
+++ b/saffronstack/fleet/leases/candidate.py
@@ -314,7 +314,7 @@
         jittered_s = self._backoff_s * (0.5 + self._random.random())
         self._backoff_s = min(2 * self._backoff_s, max(INITIAL_BACKOFF_S, self.lease_s * RENEWAL_FRACTION))
         actions: list[CandidateAction] = []
-        if self.state is CandidateState.ACQUIRING:  # frees the grants of servers that accepted
+        if self.state is CandidateState.ACQUIRING:  # frees grants before they expire
             actions = [*self._broadcast(ReleaseRequest(self.lease, self.name, self._ballot))]
         self.state = CandidateState.BACKING_OFF
         # Servers drop a waiter that sends no prepare request for the longest lease, so the wait is capped.
--- a/saffronstack/fleet/leases/lease_table.py
+++ b/saffronstack/fleet/leases/lease_table.py
@@ -22,7 +22,7 @@
     record: AcceptorRecord
     expires_s: float = 0.0  # local clock; expiry of the current grant
     last_write: int = 0  # number of the write that persists the current record
-    waiters: dict[str, float] = field(default_factory=dict)  # queue; time of the last prepare
+    waiters: dict[str, float] = field(default_factory=dict)  # in queue order; last prepare time
 
     def add_waiter(self, candidate: str, now: float, limits: LeaseLimits) -> None:
         """Queue a candidate that was rejected because another candidate's grant is valid.
--- a/saffronstack/fleet/leases/recovery.py
+++ b/saffronstack/fleet/leases/recovery.py
@@ -1,7 +1,7 @@
 """Recovery of a restarted acceptor: it verifies or rebuilds its state by catching up from other servers.
 
-After a restart, an acceptor waits until all grants of its earlier run have expired. It must not vote before.
-It then sends catch-up requests to all other servers:
+After a restart, an acceptor must not vote until its state is verified or rebuilt. It first waits until all
+grants of its earlier run have expired. It then sends catch-up requests to all other servers:
 
 * The state on an *intact* disk is trusted if no other server has observed a later write of this server. The
   servers of the last majority that this server was part of detect a disk that silently lost a write or was
@@ -87,9 +87,9 @@
         return [*requests, SetTimer(now + REQUEST_INTERVAL_S)]
 
     def _servers_to_request(self) -> list[str]:
-        """Return the servers without a valid response that knows the current incarnation.
+        """Return the servers that have not sent a valid response for the current incarnation.
 
-        This includes servers that were in recovery when they responded or were replaced since.
+        They include servers that were in recovery when they responded, or that were replaced since then.
         """
         answered = {response.server for response in self._current_responses()}
         servers = self.table.limits.servers
@@ -130,7 +130,7 @@
 
     def detect_replacement(self, incarnations: Incarnations) -> None:
         """Stop voting if a candidate reports that another machine took over this server's name."""
-        # During recovery, the catch-up responses decide this: the own incarnation may be lost or rolled back.
+        # During recovery, catch-up responses decide this: the incarnation on disk may be lost or rolled back.
         if self.has_recovered and dict(incarnations).get(self.table.server, 0) > self.table.incarnation:
             self.disk_state, self.has_recovered = DiskState.REPLACED, False
 
@@ -203,7 +203,7 @@
         ]
 
     def _current_responses(self) -> list[CatchUpResponse]:
-        """Return the valid responses of servers that know this acceptor's current incarnation."""
+        """Return the valid responses that confirm this acceptor's current incarnation."""
         incarnation = self.table.incarnation
         return [
             response for response in self._valid_responses() if response.observed_incarnation == incarnation
