--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -85,7 +85,7 @@
     start = time.perf_counter()
     account, _ = read_usage_log(directory)
     took = time.perf_counter() - start
-    print(f"read {count} records back in {took:.1f} s; in balance: {account.unbalanced() == []}")
+    print(f"read {count} records back in {took:.1f} s; in balance: {account.find_imbalances() == []}")
 
 
 def resident_mb() -> float:
@@ -115,14 +115,15 @@
     assert account.windows is not None
     print(
         f"{count} tenants, {records} records in {took:.0f} s: {most - before:.0f} MB more resident at most, "
-        f"{len(account.totals)} sums and {account.windows.parts} parts in memory, {account.runs} runs"
+        f"{len(account.totals)} sums and {account.windows.bucket_count} parts in memory, "
+        f"{account.run_count} runs"
     )
     start = time.perf_counter()
     for n in range(200):
         account.windows.total(f"tenant-{n * 499 % count}", 1e9 + 3600)
     print(f"a window that left memory: {(time.perf_counter() - start) / 200 * 1e3:.2f} ms to look up, once")
     start = time.perf_counter()
-    whole = sum(load + run for _, (load, run, _, _) in account.sums())
+    whole = sum(load + run for _, (load, run, _, _) in account.read_totals())
     right = whole == records * 700 * 1024
     print(f"all sums read in {time.perf_counter() - start:.1f} s; exact: {right}")
 
--- a/saffronstack/cli/usage.py
+++ b/saffronstack/cli/usage.py
@@ -112,19 +112,19 @@
     def read_and_print() -> int:
         damaged = []
         for directory in _list_log_directories(directories):
-            damaged += read_usage_log(pathlib.Path(directory))[0].problems()
+            damaged += read_usage_log(pathlib.Path(directory))[0].find_archive_damage()
         if damaged:
             for line in damaged:
                 click.echo(line)
             click.echo(f"{len(damaged)} parts of archives can't be read: NOT in balance")
             return 1
         merged, notes = _read_logs(directories)
-        problems = [f"unbalanced: {line}" for line in merged.unbalanced()]
+        problems = [f"unbalanced: {line}" for line in merged.find_imbalances()]
         if merged.in_doubt:
             problems.append("records of a log are lost: sums may miss some")
         for line in [*notes, *problems]:
             click.echo(line)
-        workers = len({worker for worker, _ in merged.holdings()})
+        workers = len({worker for worker, _ in merged.read_occupancy()})
         click.echo(
             f"{merged.confirmed} records confirmed, {merged.unconfirmed} not yet, {len(merged.provisional)} "
             f"provisional charges, {workers} workers: {'NOT ' if problems else ''}in balance"
--- a/saffronstack/fleet/tasks/fleet_usage.py
+++ b/saffronstack/fleet/tasks/fleet_usage.py
@@ -52,7 +52,7 @@
             if account.gateway:
                 accounts.append(account)
         merged = merge_accounts(accounts)
-        totals = dict(sorted(merged.by_tenant().items()))
+        totals = dict(sorted(merged.charges_by_tenant().items()))
         report = FleetUsageReport(totals, len(accounts), unread, merged.notes)
         self._results.publish(run.token, run.number, report)
         return f"{len(accounts)} logs, {len(totals)} tenants"
--- a/saffronstack/gateway_components.py
+++ b/saffronstack/gateway_components.py
@@ -104,7 +104,7 @@
     windows = journal.state.windows
     enforcer = None
     if windows is not None:
-        windows.begin(clocks.monotonic() + offset_s)
+        windows.resume_at(clocks.monotonic() + offset_s)
         enforcer = BudgetEnforcer(budgets, windows, config.instances, config.keep_alive_s, offset_s)
 
     def memory_kib(worker: WorkerSpec) -> int:
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -242,8 +242,8 @@
             problems += [f"usage of gateway {gateway.number}: {line}" for line in lines if "cut" not in line]
             accounts.append(account)
         whole = merge_accounts(accounts)
-        self._memory_mb_s = sum(amount for _, amounts in whole.sums() for amount in amounts[:2]) / MB_S
-        return problems + [f"usage out of balance: {line}" for line in whole.unbalanced()]
+        self._memory_mb_s = sum(amount for _, amounts in whole.read_totals() for amount in amounts[:2]) / MB_S
+        return problems + [f"usage out of balance: {line}" for line in whole.find_imbalances()]
 
     def _traffic(self, host: StandInHost, played: _PlayedDay) -> Traffic:
         """All that was seen."""
--- a/saffronstack/invoke/metrics.py
+++ b/saffronstack/invoke/metrics.py
@@ -209,7 +209,7 @@
 def _usage_gauges(meter: Meter) -> Iterator[MetricValue]:
     account, journal = meter.journal.state, meter.journal
     yield MetricValue("usage_sums", "Sums of usage held in memory", len(account.totals))
-    yield MetricValue("usage_runs", "Runs of sums that left memory", account.runs)
+    yield MetricValue("usage_runs", "Runs of sums that left memory", account.run_count)
     yield MetricValue(
         "usage_unconfirmed", "Usage records that no worker has confirmed", len(account.unconfirmed)
     )
@@ -261,7 +261,7 @@
     yield MetricValue("usage_records", "Usage records taken", meter.accepted)
     yield MetricValue("usage_refused", "Usage records that can't be believed", meter.rejected)
     yield MetricValue(
-        "usage_postponed", "Answers whose usage was left with the worker for later", meter.postponed
+        "usage_postponed", "Answers whose usage was left with the worker for later", meter.postponed_headers
     )
     yield MetricValue("usage_lost_at_workers", "Usage records that workers' own bounds cost", lost)
     yield MetricValue("usage_log_bytes", "Bytes written to the usage log", meter.journal.written_bytes)
--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -25,13 +25,13 @@
         OSError: The archive can't be read.
     """
     functions: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
-    for (_, function, _, _, _), amounts in account.sums(tenant):
+    for (_, function, _, _, _), amounts in account.read_totals(tenant):
         for field, amount in zip(AMOUNT_FIELDS, amounts, strict=True):
             functions[function][field] += amount
     for charge in list(account.provisional.values()):
         if charge.call.tenant == tenant:
             functions[charge.function]["provisional_mb_s"] += account.charges.outstanding(charge)
-    for charge, amount in account.charges.estimated():
+    for charge, amount in account.charges.estimated_charges():
         if charge.call.tenant == tenant:
             functions[charge.function]["estimated_mb_s"] += amount
     report: dict[str, Any] = {
@@ -47,8 +47,8 @@
             "soft_mb_s": budget_usage.budget.soft_limit / MB_S,
             "hard_mb_s": budget_usage.budget.hard_limit / MB_S,
             "used_here_mb_s": budget_usage.used / MB_S,
-            "standing": budget_usage.verdict.status.value,
-            "free_in_s": round(budget_usage.verdict.retry_after_s, 3),
+            "standing": budget_usage.evaluation.status.value,
+            "free_in_s": round(budget_usage.evaluation.retry_after_s, 3),
         }
     return report
 
--- a/saffronstack/metering/account.py
+++ b/saffronstack/metering/account.py
@@ -52,7 +52,7 @@
         gateway: str = "",
         archive: Archive | None = None,
         budget_windows: Mapping[str, float] | None = None,
-        bounds: AccountLimits | None = None,
+        limits: AccountLimits | None = None,
     ) -> None:
         """Create an empty account.
 
@@ -60,14 +60,14 @@
             gateway: Name of the gateway that owns the log.
             archive: Stores what is too much for memory.
             budget_windows: Window of each tenant that has a budget, in seconds.
-            bounds: How much stays in memory.
+            limits: How much stays in memory.
         """
         self._archive = archive
         self.windows: SlidingWindows | None = None
         if budget_windows:
-            window_parts = archive.window_parts if archive is not None else None
-            self.windows = SlidingWindows(budget_windows, window_parts)
-        self._limits = bounds or AccountLimits()
+            read_window_buckets = archive.read_window_buckets if archive is not None else None
+            self.windows = SlidingWindows(budget_windows, read_window_buckets)
+        self._limits = limits or AccountLimits()
         # Held while totals move from memory to a run, and while a reader looks at both.
         self._transfer_lock = threading.Lock()
         self.in_doubt = False
@@ -113,10 +113,10 @@
 
     def snapshot(self) -> Iterator[AnyLedgerEntry]:
         """Return entries that add up to this state."""
-        uncounted = Account()  # unconfirmed records stand as themselves, so they are taken off the totals
+        unconfirmed = Account()  # unconfirmed records stand as themselves, so they are taken off the totals
         for received in self.records.unconfirmed.values():
-            uncounted.count_record(received, 1)
-        return account_snapshot.snapshot_entries(self._state(), uncounted.usage_totals, uncounted.charges)
+            unconfirmed.count_record(received, 1)
+        return account_snapshot.snapshot_entries(self._state(), unconfirmed.usage_totals, unconfirmed.charges)
 
     def estimate_snapshot_bytes(self) -> int:
         """Return the approximate size of a snapshot."""
@@ -141,9 +141,9 @@
         usage = entry.usage
         hour_start_s = int(entry.ended_unix_s // HOUR_S) * HOUR_S
         incarnation = incarnation_key(usage.worker, usage.incarnation)
-        for share in allocate(usage):
-            call, amount = share.call, sign * share.amount
-            self.usage_totals.add_allocation(usage, hour_start_s, share, sign)
+        for allocation in allocate(usage):
+            call, amount = allocation.call, sign * allocation.amount
+            self.usage_totals.add_allocation(usage, hour_start_s, allocation, sign)
             if call.request_id:
                 self.charges.add_recorded((incarnation, call.request_id), amount)
                 if self.windows is not None:
@@ -153,11 +153,11 @@
     # ---- the archive's runs, from the thread that merges them
 
     @property
-    def runs(self) -> int:
+    def run_count(self) -> int:
         """How many runs belong to the account."""
         return len(self._archive.runs) if self._archive is not None else 0
 
-    def mergeable(self) -> tuple[int, ...]:
+    def find_mergeable_runs(self) -> tuple[int, ...]:
         """Return the runs that one run should replace."""
         return self._archive.find_mergeable_runs() if self._archive is not None else ()
 
@@ -173,12 +173,12 @@
         assert self._archive is not None
         return self._archive.merge_runs(runs, self._is_needed)
 
-    def drop_runs(self, runs: tuple[int, ...]) -> None:
+    def remove_runs(self, runs: tuple[int, ...]) -> None:
         """Remove runs that another one replaces."""
         if self._archive is not None:
             self._archive.remove_runs(runs)
 
-    def problems(self) -> list[str]:
+    def find_archive_damage(self) -> list[str]:
         """Read the whole archive; return what cannot be read, a line each."""
         return self._archive.find_damage() if self._archive is not None else []
 
@@ -204,19 +204,19 @@
         """Unconfirmed records that are in memory."""
         return self.records.unconfirmed
 
-    def knows(self, worker: str, incarnation: str, sequence_number: int) -> bool:
+    def has_record(self, worker: str, incarnation: str, sequence_number: int) -> bool:
         """Return whether a record counts or is confirmed.
 
         Raises:
             RunDamagedError: If the archive cannot tell.
         """
-        return self.records.knows(worker, incarnation, sequence_number)
+        return self.records.has_record(worker, incarnation, sequence_number)
 
-    def sums(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
+    def read_totals(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
         """Yield totals, of one tenant or of all, from memory and from the archive; a key may come twice."""
-        return self.usage_totals.read_amounts(tenant)
+        return self.usage_totals.read_totals(tenant)
 
-    def holdings(self) -> Iterator[tuple[str, Amounts]]:
+    def read_occupancy(self) -> Iterator[tuple[str, Amounts]]:
         """Yield what workers' instances occupied, from memory and archive; a worker may come twice."""
         return self.usage_totals.read_occupancy()
 
@@ -225,20 +225,20 @@
         """Provisional charges by incarnation key and request id."""
         return self.charges.provisional
 
-    def by_tenant(self) -> dict[str, int]:
+    def charges_by_tenant(self) -> dict[str, int]:
         """Return loading and running with estimated and provisional charges, in KiB microseconds."""
         charged: dict[str, int] = defaultdict(int)
-        for key, (loading, running, _, estimated) in self.usage_totals.read_amounts():
+        for key, (loading, running, _, estimated) in self.usage_totals.read_totals():
             charged[key.tenant] += loading + running + estimated
         for charge in list(self.provisional.values()):
             charged[charge.call.tenant] += self.charges.outstanding(charge)
-        for charge, amount in self.charges.estimated():
+        for charge, amount in self.charges.estimated_charges():
             charged[charge.call.tenant] += amount
         return dict(charged)
 
-    def unbalanced(self) -> list[str]:
+    def find_imbalances(self) -> list[str]:
         """Return workers whose allocations do not sum up to what their instances occupied, a line each."""
-        return find_imbalances(self.usage_totals.read_amounts(), self.usage_totals.read_occupancy())
+        return find_imbalances(self.usage_totals.read_totals(), self.usage_totals.read_occupancy())
 
     # ---- entries
 
@@ -255,7 +255,7 @@
             if self._archive is not None:
                 self._archive.set_runs((*self._archive.runs, entry.run))
             if self.windows is not None:
-                self.windows.move_parts_to_archive()
+                self.windows.move_buckets_to_archive()
 
     def _replace_merged_runs(self, entry: RunsMerged) -> None:
         if self._archive is None:
--- a/saffronstack/metering/account_limits.py
+++ b/saffronstack/metering/account_limits.py
@@ -11,7 +11,7 @@
 
     Attributes:
         totals: Totals by key.
-        parts: Parts of budget windows.
+        window_buckets: Parts of budget windows.
         unconfirmed: Unconfirmed records.
         incarnations: Incarnations with confirmed sequence numbers.
         provisional: Provisional charges; the oldest beyond them become estimated charges.
@@ -19,7 +19,7 @@
     """
 
     totals: int = 50_000
-    parts: int = 200_000
+    window_buckets: int = 200_000
     unconfirmed: int = 20_000
     incarnations: int = 10_000
     provisional: int = 50_000
--- a/saffronstack/metering/account_snapshot.py
+++ b/saffronstack/metering/account_snapshot.py
@@ -10,7 +10,7 @@
     AnyLedgerEntry,
     ArchivedRecordRelinquished,
     ArchiveRuns,
-    BudgetWindowPart,
+    BudgetWindowBucket,
     CallCharge,
     ConfirmedInterval,
     EstimatedCharge,
@@ -28,7 +28,7 @@
 # Approximate sizes of entries in bytes.
 TOTAL_BYTES = 80
 RECORD_BYTES = 200
-WINDOW_PART_BYTES = 40
+WINDOW_BUCKET_BYTES = 40
 START_BYTES = 64
 
 
@@ -46,36 +46,36 @@
 
 def estimate_snapshot_bytes(state: AccountState) -> int:
     """Return the approximate size of a snapshot."""
-    part_count = state.windows.parts if state.windows is not None else 0
+    bucket_count = state.windows.bucket_count if state.windows is not None else 0
     record_count = len(state.records.unconfirmed) + len(state.charges.provisional)
     return (
         TOTAL_BYTES * len(state.totals.by_key)
         + RECORD_BYTES * record_count
-        + WINDOW_PART_BYTES * part_count
+        + WINDOW_BUCKET_BYTES * bucket_count
         + START_BYTES
     )
 
 
 def snapshot_entries(
-    state: AccountState, uncounted_totals: UsageTotals, uncounted_charges: CallCharges
+    state: AccountState, unconfirmed_totals: UsageTotals, unconfirmed_charges: CallCharges
 ) -> Iterator[AnyLedgerEntry]:
     """Yield entries that add up to a state.
 
     Args:
         state: The state.
-        uncounted_totals: Totals of the unconfirmed records, which stand in the snapshot as themselves.
-        uncounted_charges: Their charges.
+        unconfirmed_totals: Totals of the unconfirmed records, which stand in the snapshot as themselves.
+        unconfirmed_charges: Their charges.
     """
     yield LedgerStarted(state.gateway)
     if state.runs:
         yield ArchiveRuns(state.runs)
-    yield from _total_entries(state.totals, uncounted_totals)
-    yield from _occupancy_entries(state.totals, uncounted_totals)
+    yield from _total_entries(state.totals, unconfirmed_totals)
+    yield from _occupancy_entries(state.totals, unconfirmed_totals)
     for incarnation, intervals in state.records.confirmed.items():
         for low, high in intervals.intervals:
             yield ConfirmedInterval(*incarnation, low, high)
     yield from state.records.unconfirmed.values()
-    yield from state.charges.snapshot(uncounted_charges)
+    yield from state.charges.snapshot(unconfirmed_charges)
     for record in state.records.relinquished:
         yield ArchivedRecordRelinquished(*record)
     if state.windows is not None:
@@ -101,26 +101,26 @@
         case ArchivedRecordRelinquished():
             record = RecordId(entry.worker, entry.incarnation, entry.sequence_number)
             state.records.relinquished.add(record)
-        case BudgetWindowPart():
+        case BudgetWindowBucket():
             if state.windows is not None:
                 state.windows.restore(entry.tenant, entry.window_s, entry.start_s, int(entry.amount))
 
 
-def _total_entries(totals: UsageTotals, uncounted: UsageTotals) -> Iterator[AnyLedgerEntry]:
+def _total_entries(totals: UsageTotals, unconfirmed: UsageTotals) -> Iterator[AnyLedgerEntry]:
     for key, amounts in totals.by_key.items():
-        remaining = _subtract(amounts, uncounted.by_key.get(key, [0, 0, 0, 0]))
+        remaining = _subtract(amounts, unconfirmed.by_key.get(key, [0, 0, 0, 0]))
         if any(remaining):
             yield UsageTotal(*key, *map(to_stored_amount, remaining))
-    for key, amounts in uncounted.by_key.items():
+    for key, amounts in unconfirmed.by_key.items():
         if key not in totals.by_key and any(amounts):  # its total is in a run
             yield UsageTotal(*key, *(to_stored_amount(-amount) for amount in amounts))
 
 
-def _occupancy_entries(totals: UsageTotals, uncounted: UsageTotals) -> Iterator[AnyLedgerEntry]:
-    for worker in {**totals.occupancy_by_worker, **uncounted.occupancy_by_worker}:
+def _occupancy_entries(totals: UsageTotals, unconfirmed: UsageTotals) -> Iterator[AnyLedgerEntry]:
+    for worker in {**totals.occupancy_by_worker, **unconfirmed.occupancy_by_worker}:
         remaining = _subtract(
             totals.occupancy_by_worker.get(worker, [0, 0, 0]),
-            uncounted.occupancy_by_worker.get(worker, [0, 0, 0]),
+            unconfirmed.occupancy_by_worker.get(worker, [0, 0, 0]),
         )
         if any(remaining):
             yield OccupancyTotal(worker, *map(to_stored_amount, remaining))
@@ -128,9 +128,11 @@
 
 def _window_entries(windows: SlidingWindows) -> Iterator[AnyLedgerEntry]:
     """Yield the windows' parts, last of all: the first one voids what entries before it added to windows."""
-    yield BudgetWindowPart("", 0.0, 0.0, 0)
-    for part in windows.snapshot():
-        yield BudgetWindowPart(part.tenant, part.window_s, part.start_s, to_stored_amount(part.amount))
+    yield BudgetWindowBucket("", 0.0, 0.0, 0)
+    for bucket in windows.snapshot():
+        yield BudgetWindowBucket(
+            bucket.tenant, bucket.window_s, bucket.start_s, to_stored_amount(bucket.amount)
+        )
 
 
 def _subtract(amounts: Amounts, subtrahend: Amounts) -> Amounts:
--- a/saffronstack/metering/archive.py
+++ b/saffronstack/metering/archive.py
@@ -161,7 +161,7 @@
 
         return self._retry_if_merged(query)
 
-    def window_parts(self, tenant: str) -> Iterator[tuple[float, int]]:
+    def read_window_buckets(self, tenant: str) -> Iterator[tuple[float, int]]:
         """Yield the archived parts of a tenant's budget window, as start and amount."""
         prefix = encode_key_prefix(WINDOW_KEY_LENGTH, "w", tenant)
 
--- a/saffronstack/metering/archive_compactor.py
+++ b/saffronstack/metering/archive_compactor.py
@@ -24,7 +24,7 @@
 
     def start_if_needed(self) -> None:
         """Start a merge where there are many runs and none is merged already."""
-        runs = self._journal.state.mergeable()
+        runs = self._journal.state.find_mergeable_runs()
         if not runs or self._is_merging.is_set():
             return
         self._is_merging.set()
@@ -36,7 +36,7 @@
             merged_run = account.merge_runs(runs)
             ticket = self._journal.append(RunsMerged(runs, merged_run))
             if ticket.done.wait(COMMIT_TIMEOUT_S) and ticket.is_durable:
-                account.drop_runs(runs)
+                account.remove_runs(runs)
         except (RunDamagedError, OSError) as error:  # the old runs still hold everything
             log.error("usage archive compaction failed", error=str(error))
         finally:
--- a/saffronstack/metering/archive_transfer.py
+++ b/saffronstack/metering/archive_transfer.py
@@ -36,7 +36,7 @@
         or len(memory.records.confirmed) > limits.incarnations
         or len(memory.records.relinquished) > limits.unconfirmed
         or memory.charges.archivable_count > limits.estimates
-        or (memory.windows is not None and memory.windows.parts > limits.parts)
+        or (memory.windows is not None and memory.windows.bucket_count > limits.window_buckets)
     )
 
 
@@ -88,7 +88,7 @@
 
 def _window_items(windows: SlidingWindows) -> Iterator[KeyValue]:
     amounts: dict[tuple[str, float], int] = defaultdict(int)
-    for part in windows.parts_in_memory():
-        amounts[part.tenant, part.start_s] += part.amount
+    for bucket in windows.buckets_in_memory():
+        amounts[bucket.tenant, bucket.start_s] += bucket.amount
     for key, amount in amounts.items():
         yield encode_key("w", *key), encode_amounts((amount,))
--- a/saffronstack/metering/budgets.py
+++ b/saffronstack/metering/budgets.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetVerdict:
+class BudgetEvaluation:
     """A tenant's status.
 
     Attributes:
@@ -69,7 +69,7 @@
 
     budget: Budget
     used: int
-    verdict: BudgetVerdict
+    evaluation: BudgetEvaluation
 
 
 class BudgetEnforcer:
@@ -104,7 +104,7 @@
         self.rejected = 0
         self.deprioritized = 0  # admitted over the soft limit
 
-    def note_loaded(self, function: str, now_s: float) -> None:
+    def mark_loaded(self, function: str, now_s: float) -> None:
         """Note that an instance of a function is loaded at some worker."""
         with self._lock:
             self._loaded_s.pop(function, None)
@@ -116,32 +116,32 @@
         """Decide whether a call is admitted: over the hard limit only where its function is loaded."""
         if tenant not in self._budgets:
             return Admission(True)
-        verdict = self.evaluate(tenant, now_s)
-        if verdict.status is BudgetStatus.WITHIN:
+        evaluation = self.evaluate(tenant, now_s)
+        if evaluation.status is BudgetStatus.WITHIN:
             return Admission(True)
         with self._lock:
-            if verdict.status is BudgetStatus.OVER_HARD and not self._is_loaded(function, now_s):
+            if evaluation.status is BudgetStatus.OVER_HARD and not self._is_loaded(function, now_s):
                 self.rejected += 1
-                return Admission(False, retry_after_s=verdict.retry_after_s)
+                return Admission(False, retry_after_s=evaluation.retry_after_s)
             self.deprioritized += 1
         return Admission(True, is_over_soft_limit=True)
 
-    def evaluate(self, tenant: str, now_s: float) -> BudgetVerdict:
+    def evaluate(self, tenant: str, now_s: float) -> BudgetEvaluation:
         """Return a tenant's status."""
         budget = self._budgets.get(tenant)
         if budget is None:
-            return BudgetVerdict(BudgetStatus.WITHIN)
+            return BudgetEvaluation(BudgetStatus.WITHIN)
         steady_s = now_s + self._steady_offset_s
         used = self._windows.total(tenant, steady_s)
         if used <= budget.soft_limit / self._gateway_count:  # under both limits, whatever others use
-            return BudgetVerdict(BudgetStatus.WITHIN)
-        used_by_all = self._windows.whole(steady_s)
+            return BudgetEvaluation(BudgetStatus.WITHIN)
+        used_by_all = self._windows.total_of_all_tenants(steady_s)
         if used > self._local_limit(budget.hard_limit, self._hard_limit_sum, used_by_all):
             retry_after_s = self._retry_after_s(tenant, budget, used, steady_s)
-            return BudgetVerdict(BudgetStatus.OVER_HARD, retry_after_s)
+            return BudgetEvaluation(BudgetStatus.OVER_HARD, retry_after_s)
         if used > self._local_limit(budget.soft_limit, self._soft_limit_sum, used_by_all):
-            return BudgetVerdict(BudgetStatus.OVER_SOFT)
-        return BudgetVerdict(BudgetStatus.WITHIN)
+            return BudgetEvaluation(BudgetStatus.OVER_SOFT)
+        return BudgetEvaluation(BudgetStatus.WITHIN)
 
     def usage_of(self, tenant: str, now_s: float) -> BudgetUsage | None:
         """Return a tenant's budget and usage; None where it has no budget."""
@@ -165,7 +165,7 @@
         The part of the limit by usage falls with the usage, so the equal part, which does not, counts.
         """
         remaining = used
-        for start_s, amount in self._windows.used(tenant, steady_s):
+        for start_s, amount in self._windows.buckets_in_window(tenant, steady_s):
             remaining -= amount
             if remaining <= budget.hard_limit / self._gateway_count:
                 return max(0.0, start_s + budget.window_s - steady_s)
--- a/saffronstack/metering/call_charges.py
+++ b/saffronstack/metering/call_charges.py
@@ -133,16 +133,16 @@
             case RetainedCallCharge():
                 self._retained[entry.incarnation_key, entry.request_id] = int(entry.amount)
 
-    def snapshot(self, uncounted: CallCharges) -> Iterator[AnyLedgerEntry]:
-        """Yield entries that add up to this state, less ``uncounted``, which the snapshot holds elsewhere."""
+    def snapshot(self, unconfirmed: CallCharges) -> Iterator[AnyLedgerEntry]:
+        """Yield entries that add up to this state, less ``unconfirmed``, held elsewhere in it."""
         for call, amount in list(self._recent.items())[-MAX_RECENT_IN_SNAPSHOT:]:
-            if remaining := amount - uncounted.charged(*call):
+            if remaining := amount - unconfirmed.recorded_in_memory(*call):
                 yield CallCharge(*call, to_stored_amount(remaining))
         yield from self.provisional.values()
         for charge in self.estimates.values():
             yield EstimatedCharge(charge)
         for call, amount in self._retained.items():
-            yield RetainedCallCharge(*call, to_stored_amount(amount - uncounted.charged(*call)))
+            yield RetainedCallCharge(*call, to_stored_amount(amount - unconfirmed.recorded_in_memory(*call)))
 
     def archive_items(self) -> Iterator[KeyValue]:
         """Yield what a run would hold."""
@@ -171,14 +171,14 @@
             for charge in islice(self.provisional.values(), excess)
         ]
 
-    def charged(self, incarnation: str, request_id: str) -> int:
+    def recorded_in_memory(self, incarnation: str, request_id: str) -> int:
         """Return what records of an incarnation charge a call, as far as is in memory."""
         calls = {(incarnation, request_id), (worker_of_incarnation(incarnation), request_id)}
         return sum(self._recent.get(call, 0) + self._retained.get(call, 0) for call in calls)
 
     def outstanding(self, charge: ProvisionalCharge) -> int:
         """Return what a lost call is charged beyond the records that arrived, as far as is in memory."""
-        return max(0, int(charge.amount) - self.charged(*charge_key(charge)))
+        return max(0, int(charge.amount) - self.recorded_in_memory(*charge_key(charge)))
 
     def final_charges(self) -> Iterator[ProvisionalCharge]:
         """Yield estimated charges before what records charge is deducted, from memory and archive."""
@@ -205,7 +205,7 @@
                 _, incarnation, request_id = decode_key(key)
                 yield (str(incarnation), str(request_id)), decode_amounts(value)[0]
 
-    def estimated(self) -> list[tuple[ProvisionalCharge, int]]:
+    def estimated_charges(self) -> list[tuple[ProvisionalCharge, int]]:
         """Return estimated charges, each with what is charged by it."""
         charges = list(self.final_charges())
         recorded: dict[CallKey, int] = defaultdict(int)
--- a/saffronstack/metering/charge_estimation.py
+++ b/saffronstack/metering/charge_estimation.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallPresence:
+class CallInterval:
     """When a call was at the worker, in microseconds of any one clock."""
 
     start_us: int
@@ -26,25 +26,25 @@
     concurrency: int
 
 
-def estimate_shares(presences: Sequence[CallPresence]) -> list[int]:
+def estimate_shares(intervals: Sequence[CallInterval]) -> list[int]:
     """Return what each of one function's calls used, in KiB microseconds, in the order of the calls."""
-    amounts = [0.0] * len(presences)
-    edges = sorted({edge for presence in presences for edge in (presence.start_us, presence.end_us)})
+    amounts = [0.0] * len(intervals)
+    edges = sorted({edge for interval in intervals for edge in (interval.start_us, interval.end_us)})
     arrivals: dict[int, list[int]] = defaultdict(list)
     departures: dict[int, list[int]] = defaultdict(list)
-    for index, presence in enumerate(presences):
-        arrivals[presence.start_us].append(index)
-        departures[presence.end_us].append(index)
+    for index, interval in enumerate(intervals):
+        arrivals[interval.start_us].append(index)
+        departures[interval.end_us].append(index)
     present: set[int] = set()
     for edge, next_edge in zip(edges, [*edges[1:], edges[-1] if edges else 0], strict=True):
         present.update(arrivals[edge])
         present.difference_update(departures[edge])
         if present:
-            concurrency = min(presences[index].concurrency for index in present)
+            concurrency = min(intervals[index].concurrency for index in present)
             instances = -(-len(present) // concurrency)
             fraction = instances / len(present)
             for index in present:
-                amounts[index] += presences[index].memory_kib * (next_edge - edge) * fraction
+                amounts[index] += intervals[index].memory_kib * (next_edge - edge) * fraction
     return [round(amount) for amount in amounts]
 
 
@@ -56,14 +56,14 @@
             by_function[charge.function].append(index)
     reduced = list(charges)
     for indexes in by_function.values():
-        amounts = estimate_shares([_presence_of(charges[index]) for index in indexes])
+        amounts = estimate_shares([_call_interval(charges[index]) for index in indexes])
         for index, amount in zip(indexes, amounts, strict=True):
             stored = to_stored_amount(amount)
             reduced[index] = structs.replace(charges[index], amount=stored, memory_kib=0)
     return reduced
 
 
-def _presence_of(charge: ProvisionalCharge) -> CallPresence:
+def _call_interval(charge: ProvisionalCharge) -> CallInterval:
     end_us = int((charge.lost_steady_s or charge.lost_unix_s) * 1e6)
     start_us = end_us - int(charge.amount) // charge.memory_kib
-    return CallPresence(start_us, end_us, charge.memory_kib, max(1, charge.concurrency))
+    return CallInterval(start_us, end_us, charge.memory_kib, max(1, charge.concurrency))
--- a/saffronstack/metering/html_report.py
+++ b/saffronstack/metering/html_report.py
@@ -31,21 +31,21 @@
 def render_html_report(merged: MergedAccounts, notes: Iterable[str]) -> str:
     """Return the report as one HTML page; everything that workers or clients named is escaped."""
     by_tenant = summarize_usage(merged, ("tenant",))
-    by_day = sorted(summarize_usage(merged, ("day",)), key=lambda row: row.by)
+    by_day = sorted(summarize_usage(merged, ("day",)), key=lambda row: row.group)
     by_function = summarize_usage(merged, ("function",))
-    wrong = merged.unbalanced()
+    problems = merged.find_imbalances()
     if merged.in_doubt:
-        wrong.append("records of a log are lost: sums may miss some")
-    whole = sum(row.charged for row in by_tenant)
-    days = f"{by_day[0].by[0]} to {by_day[-1].by[0]}" if by_day else "no usage"
-    state = "in balance" if not wrong else "NOT in balance"
+        problems.append("records of a log are lost: sums may miss some")
+    total = sum(row.charged for row in by_tenant)
+    days = f"{by_day[0].group[0]} to {by_day[-1].group[0]}" if by_day else "no usage"
+    state = "in balance" if not problems else "NOT in balance"
     parts = [
         "<!doctype html><html lang='en'><head><meta charset='utf-8'><title>Usage</title>",
         f"<style>{STYLE}</style></head><body><h1>Memory-seconds, {days}</h1>",
-        f"<p>{whole:,.1f} MB s charged ({whole / 1024 / 3600:,.4f} GB h) to {len(by_tenant)} tenants; "
+        f"<p>{total:,.1f} MB s charged ({total / 1024 / 3600:,.4f} GB h) to {len(by_tenant)} tenants; "
         f"{merged.confirmed} records confirmed, {merged.unconfirmed} not yet; {state}. "
         "Idle time is shown in the tables and not charged.</p>",
-        *(f"<p class='bad'>{escape(line)}</p>" for line in [*wrong, *notes]),
+        *(f"<p class='bad'>{escape(line)}</p>" for line in [*problems, *notes]),
         "<h2>By day</h2>",
         _draw_chart(by_day, is_vertical=True),
         "<h2>By tenant</h2>",
@@ -59,53 +59,53 @@
     return "\n".join(parts)
 
 
-def _largest(found: list[UsageRow]) -> list[UsageRow]:
+def _largest(rows: list[UsageRow]) -> list[UsageRow]:
     """Return the largest rows, and the rest as one row."""
-    rest = found[MAX_BARS:]
+    rest = rows[MAX_BARS:]
     if not rest:
-        return found
+        return rows
     sums = [sum(getattr(row, name) for row in rest) for name in (*PHASES[:2], "idle", *PHASES[2:])]
-    return [*found[:MAX_BARS], UsageRow((f"{len(rest)} others",), *sums)]
+    return [*rows[:MAX_BARS], UsageRow((f"{len(rest)} others",), *sums)]
 
 
-def _draw_chart(found: list[UsageRow], is_vertical: bool = False) -> str:
+def _draw_chart(rows: list[UsageRow], is_vertical: bool = False) -> str:
     """Return stacked bars as SVG; a sentence where there are none."""
-    if not found:
+    if not rows:
         return "<p>Nothing was metered.</p>"
-    size = (9.0, 3.2) if is_vertical else (9.0, 0.6 + 0.28 * len(found))
+    size = (9.0, 3.2) if is_vertical else (9.0, 0.6 + 0.28 * len(rows))
     with rc_context({"svg.hashsalt": "usage", "text.parse_math": False}):
         figure = Figure(figsize=size, layout="constrained")
         axes = figure.subplots()
-        names = [row.by[0][:40] for row in found]
-        places = list(range(len(found)))
-        bottom = [0.0] * len(found)
+        names = [row.group[0][:40] for row in rows]
+        positions = list(range(len(rows)))
+        bottom = [0.0] * len(rows)
         for phase, colour in zip(PHASES, COLOURS, strict=True):
-            amounts = [getattr(row, phase) for row in found]
+            amounts = [getattr(row, phase) for row in rows]
             if is_vertical:
-                axes.bar(places, amounts, bottom=bottom, color=colour, label=phase)
+                axes.bar(positions, amounts, bottom=bottom, color=colour, label=phase)
             else:
-                axes.barh(places, amounts, left=bottom, color=colour, label=phase)
+                axes.barh(positions, amounts, left=bottom, color=colour, label=phase)
             bottom = [a + b for a, b in zip(bottom, amounts, strict=True)]
         if is_vertical:
-            axes.set_xticks(places, names, rotation=45, ha="right")
+            axes.set_xticks(positions, names, rotation=45, ha="right")
             axes.set_ylabel("MB s")
         else:
-            axes.set_yticks(places, names)
+            axes.set_yticks(positions, names)
             axes.invert_yaxis()
             axes.set_xlabel("MB s")
         axes.legend(loc="best", frameon=False)
-        out = io.StringIO()
-        figure.savefig(out, format="svg", metadata={"Date": None})
-    text = out.getvalue()
+        output = io.StringIO()
+        figure.savefig(output, format="svg", metadata={"Date": None})
+    text = output.getvalue()
     return text[text.index("<svg") :]
 
 
-def _format_table(found: list[UsageRow], name: str) -> str:
-    heads = "".join(f"<th>{head.replace('_mb_s', '')} MB s</th>" for head in AMOUNT_COLUMNS)
-    lines = [f"<table><tr><th class='n'>{name}</th>{heads}</tr>"]
-    for row in found[:MAX_ROWS]:
+def _format_table(rows: list[UsageRow], name: str) -> str:
+    headings = "".join(f"<th>{heading.replace('_mb_s', '')} MB s</th>" for heading in AMOUNT_COLUMNS)
+    lines = [f"<table><tr><th class='n'>{name}</th>{headings}</tr>"]
+    for row in rows[:MAX_ROWS]:
         numbers = "".join(f"<td>{cell:,.3f}</td>" for cell in amounts_in_column_order(row))
-        lines.append(f"<tr><td class='n'>{escape(row.by[0])}</td>{numbers}</tr>")
-    if len(found) > MAX_ROWS:
-        lines.append(f"<tr><td class='n'>{len(found) - MAX_ROWS} more: saffronstack usage show</td></tr>")
+        lines.append(f"<tr><td class='n'>{escape(row.group[0])}</td>{numbers}</tr>")
+    if len(rows) > MAX_ROWS:
+        lines.append(f"<tr><td class='n'>{len(rows) - MAX_ROWS} more: saffronstack usage show</td></tr>")
     return "\n".join([*lines, "</table>"])
--- a/saffronstack/metering/interval_set.py
+++ b/saffronstack/metering/interval_set.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-ABOVE_ALL = 1 << 62  # greater than any sequence number
+ABOVE_ANY_NUMBER = 1 << 62  # greater than any sequence number
 
 
 @dataclass(slots=True)
@@ -17,12 +17,12 @@
     intervals: list[tuple[int, int]] = field(default_factory=list)
 
     def __contains__(self, number: int) -> bool:
-        position = bisect_right(self.intervals, (number, ABOVE_ALL)) - 1
+        position = bisect_right(self.intervals, (number, ABOVE_ANY_NUMBER)) - 1
         return position >= 0 and self.intervals[position][0] <= number <= self.intervals[position][1]
 
     def add(self, low: int, high: int) -> None:
         """Add all integers from ``low`` to ``high``."""
-        first = bisect_right(self.intervals, (low, ABOVE_ALL))
+        first = bisect_right(self.intervals, (low, ABOVE_ANY_NUMBER))
         if first and self.intervals[first - 1][1] >= low - 1:
             first -= 1
             low = self.intervals[first][0]
--- a/saffronstack/metering/ledger_entries.py
+++ b/saffronstack/metering/ledger_entries.py
@@ -192,7 +192,7 @@
     idle: StoredAmount
 
 
-class BudgetWindowPart(LedgerEntry, frozen=True, tag="w"):
+class BudgetWindowBucket(LedgerEntry, frozen=True, tag="w"):
     """In a snapshot: a part of a budget window; of all tenants with that window where none is named."""
 
     tenant: str
@@ -248,7 +248,7 @@
     | UsageTotal
     | ConfirmedInterval
     | OccupancyTotal
-    | BudgetWindowPart
+    | BudgetWindowBucket
     | ArchiveRuns
     | MovedToArchive
     | RunsMerged
--- a/saffronstack/metering/loss_charger.py
+++ b/saffronstack/metering/loss_charger.py
@@ -58,7 +58,7 @@
             spec.number,
             polled_s,
             not response.remaining_records,
-            lambda request_id: self._journal.state.charges.charged(incarnation, request_id),
+            lambda request_id: self._journal.state.charges.recorded_in_memory(incarnation, request_id),
         )
 
     def charge_lost_attempt(self, result: AttemptResult, lost_s: float, lost_unix_s: float) -> None:
@@ -117,10 +117,10 @@
         now_s, now_unix_s = self._clock.monotonic(), self._clock.wall()
         key = incarnation_key(worker, ended_incarnation)
         charges = []
-        for call in self._unconfirmed.take_calls_of_dead_worker(worker_number(worker)):
+        for call in self._unconfirmed.pop_calls_of_dead_worker(worker_number(worker)):
             if call.incarnation == new_incarnation:  # answered before the new incarnation was known
                 continue
-            if call.amount <= self._journal.state.charges.charged(key, call.request_id):
+            if call.amount <= self._journal.state.charges.recorded_in_memory(key, call.request_id):
                 continue
             charges.append(
                 ProvisionalCharge(
--- a/saffronstack/metering/merged_accounts.py
+++ b/saffronstack/metering/merged_accounts.py
@@ -63,58 +63,66 @@
                     self.provisional[call] = charge
 
     def _match_records(self) -> None:
-        own: list[dict[tuple[str, str], IntervalSet]] = []
+        confirmed_by_account: list[dict[tuple[str, str], IntervalSet]] = []
         for account in self._accounts:
-            ranges: dict[tuple[str, str], IntervalSet] = defaultdict(IntervalSet)
+            confirmed: dict[tuple[str, str], IntervalSet] = defaultdict(IntervalSet)
             for incarnation, (low, high) in account.records.confirmed_intervals():
-                ranges[incarnation].add(low, high)
-            for incarnation, found in ranges.items():
-                both = sum(found.overlap(other[incarnation]) for other in own if incarnation in other)
-                self.confirmed += sum(high - low + 1 for low, high in found.intervals) - both
-                if both:
+                confirmed[incarnation].add(low, high)
+            for incarnation, intervals in confirmed.items():
+                shared = sum(
+                    intervals.overlap(other[incarnation])
+                    for other in confirmed_by_account
+                    if incarnation in other
+                )
+                self.confirmed += sum(high - low + 1 for low, high in intervals.intervals) - shared
+                if shared:
                     self.notes.append(
-                        f"{incarnation[0]} {incarnation[1]}: {both} records are confirmed by two gateways"
+                        f"{incarnation[0]} {incarnation[1]}: {shared} records are confirmed by two gateways"
                     )
-            own.append(ranges)
-        seen: set[RecordId] = set()
-        for account, mine in zip(self._accounts, own, strict=True):
-            for number, received in account.records.unconfirmed_records():
-                worker, incarnation_, seq = number
-                holders = [r for r in own if (worker, incarnation_) in r and seq in r[worker, incarnation_]]
-                if any(holder is mine for holder in holders):
+            confirmed_by_account.append(confirmed)
+        counted: set[RecordId] = set()
+        for account, own in zip(self._accounts, confirmed_by_account, strict=True):
+            for record, received in account.records.unconfirmed_records():
+                worker, incarnation_id, sequence_number = record
+                confirming = [
+                    r
+                    for r in confirmed_by_account
+                    if (worker, incarnation_id) in r and sequence_number in r[worker, incarnation_id]
+                ]
+                if any(confirmed is own for confirmed in confirming):
                     continue  # confirmed by now; the archive only holds its text still
-                if holders or number in seen:
+                if confirming or record in counted:
                     self._duplicates.count_record(received, -1)
                 else:
-                    seen.add(number)
-        self.unconfirmed = len(seen)
+                    counted.add(record)
+        self.unconfirmed = len(counted)
 
-    def sums(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
+    def read_totals(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
         """Yield totals by key, of one tenant or of all; a key may come several times, and negative."""
         for account in (*self._accounts, self._duplicates):
-            yield from account.sums(tenant)
+            yield from account.read_totals(tenant)
 
-    def holdings(self) -> Iterator[tuple[str, Amounts]]:
+    def read_occupancy(self) -> Iterator[tuple[str, Amounts]]:
         """Yield what workers' instances occupied; a worker may come several times."""
         for account in (*self._accounts, self._duplicates):
-            yield from account.holdings()
+            yield from account.read_occupancy()
 
     def outstanding(self, charge: ProvisionalCharge) -> int:
         """Return what a lost call is charged beyond the records that arrived at any gateway."""
         return max(0, int(charge.amount) - recorded_amount(self._recorded, charge))
 
-    def by_tenant(self) -> dict[str, int]:
+    def charges_by_tenant(self) -> dict[str, int]:
         """Return loading and running with estimated and provisional charges, in KiB microseconds."""
         sums: dict[str, int] = defaultdict(int)
-        for (tenant, *_), (load, run, _, estimated) in self.sums():
+        for (tenant, *_), (load, run, _, estimated) in self.read_totals():
             sums[tenant] += load + run + estimated
         for charge in (*self.provisional.values(), *self.estimates.values()):
             sums[charge.call.tenant] += self.outstanding(charge)
         return dict(sums)
 
-    def unbalanced(self) -> list[str]:
+    def find_imbalances(self) -> list[str]:
         """Return workers whose allocations do not sum up to what their instances occupied, a line each."""
-        return find_imbalances(self.sums(), self.holdings())
+        return find_imbalances(self.read_totals(), self.read_occupancy())
 
 
 def merge_accounts(accounts: Iterable[Account]) -> MergedAccounts:
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -52,7 +52,9 @@
             budgets: Is notified of functions that are loaded somewhere.
         """
         self.journal = journal
-        self.postponed = 0  # headers that the queue's bound cost; their workers offer the records again
+        self.postponed_headers = (
+            0  # headers that the queue's bound cost; their workers offer the records again
+        )
         self._clock = clock
         self._interval_s = poll_interval_s
         self._workers = MeteredWorkers()
@@ -107,7 +109,7 @@
     def on_usage_records(self, worker: WorkerSpec, text: str) -> None:
         """Take the usage header of a response."""
         if self._queue.qsize() > MAX_QUEUED_STEPS:
-            self.postponed += 1
+            self.postponed_headers += 1
             return
         self._queue.put(lambda: self._collector.collect_header(worker, text))
 
@@ -160,9 +162,9 @@
 
     def _on_poll_response(self, spec: WorkerSpec, body: bytes | None, polled_s: float) -> None:
         """Called on any thread."""
-        self._queue.put(lambda: self._take_poll_response(spec, body, polled_s))
+        self._queue.put(lambda: self._process_poll_response(spec, body, polled_s))
 
-    def _take_poll_response(self, spec: WorkerSpec, body: bytes | None, polled_s: float) -> None:
+    def _process_poll_response(self, spec: WorkerSpec, body: bytes | None, polled_s: float) -> None:
         self._poller.end_poll(spec.name)
         response = self._collector.collect(spec, body) if body is not None else None
         if response is not None:
--- a/saffronstack/metering/record_collector.py
+++ b/saffronstack/metering/record_collector.py
@@ -103,7 +103,7 @@
         entries += [
             RecordConfirmed(worker.name, *interval) for interval in group_into_intervals(response.confirmed)
         ]
-        entries += [RecordRelinquished(worker.name, *number) for number in response.relinquished]
+        entries += [RecordRelinquished(worker.name, *record) for record in response.relinquished]
         incarnation = incarnation_key(worker.name, response.incarnation)
         entries += [
             ProvisionalChargeVoided(incarnation, request_id) for request_id in response.ended_request_ids
@@ -123,7 +123,7 @@
                 pending.append(commit)
         self._pending = pending
 
-    def take_rejected(self, worker: str) -> list[tuple[str, int]]:
+    def pop_rejected(self, worker: str) -> list[tuple[str, int]]:
         """Remove and return the rejected records of a worker, which are acknowledged so that they end."""
         return self._rejected_numbers.pop(worker, [])
 
@@ -153,7 +153,7 @@
                 continue
             self._pending_records.add(record)
             if self._budgets is not None and (usage.running_instances or usage.idle_instances):
-                self._budgets.note_loaded(usage.function, now_s)
+                self._budgets.mark_loaded(usage.function, now_s)
             age_s = max(0.0, (response.now_us - usage.end_us) / 1e6)
             accepted.append(
                 RecordReceived(usage, now_unix_s - age_s, self._clock.steady_unix_s(now_s) - age_s)
@@ -163,7 +163,7 @@
     def _is_known(self, record: RecordId) -> bool:
         """Return whether a record need not be taken; where the archive cannot tell, its worker keeps it."""
         try:
-            return record in self._pending_records or self._journal.state.knows(*record)
+            return record in self._pending_records or self._journal.state.has_record(*record)
         except (RunDamagedError, OSError) as error:
             log.error("usage archive unreadable; record left with its worker", error=str(error))
             return True
--- a/saffronstack/metering/record_registry.py
+++ b/saffronstack/metering/record_registry.py
@@ -46,7 +46,7 @@
         usage = entry.usage
         record = RecordId(usage.worker, usage.incarnation, usage.sequence_number)
         # It was not known when it was taken, so one of which the archive cannot tell counts.
-        if self._ask_archive(lambda: self.knows(*record), False):
+        if self._query_archive(lambda: self.has_record(*record), False):
             return False
         self.unconfirmed[record] = entry
         return True
@@ -78,7 +78,7 @@
         if found is not None or archive is None or not archive.runs or record in self.relinquished:
             return found
         intervals = self.confirmed.get((record.worker, record.incarnation))
-        value = self._ask_archive(lambda: archive.find(encode_key("u", *record)), None)
+        value = self._query_archive(lambda: archive.find(encode_key("u", *record)), None)
         if not value or (intervals is not None and record.sequence_number in intervals):
             return None
         self.relinquished.add(record)
@@ -95,7 +95,7 @@
 
     # ---- questions
 
-    def knows(self, worker: str, incarnation: str, sequence_number: int) -> bool:
+    def has_record(self, worker: str, incarnation: str, sequence_number: int) -> bool:
         """Return whether a record counts or is confirmed.
 
         Raises:
@@ -134,9 +134,9 @@
 
     def _is_archived(self, record: RecordId) -> bool:
         archive = self._archive
-        return archive is not None and self._ask_archive(lambda: archive.has_record(*record), True)
+        return archive is not None and self._query_archive(lambda: archive.has_record(*record), True)
 
-    def _ask_archive(self, query: Callable[[], T], default: T) -> T:
+    def _query_archive(self, query: Callable[[], T], default: T) -> T:
         """Return what the archive answers. Where it is unreadable the log's records still count, in doubt."""
         try:
             return query()
--- a/saffronstack/metering/unconfirmed_usage.py
+++ b/saffronstack/metering/unconfirmed_usage.py
@@ -73,7 +73,7 @@
             if amount:
                 self._update_typical_amount(call.function, amount)
 
-    def take_calls_of_dead_worker(self, worker_id: int) -> list[UnconfirmedCall]:
+    def pop_calls_of_dead_worker(self, worker_id: int) -> list[UnconfirmedCall]:
         """Remove and return the calls of a dead worker, whose records may be lost.
 
         Where the worker reported no amount, a call's is at most what such a call typically uses: the time to
--- a/saffronstack/metering/usage_log.py
+++ b/saffronstack/metering/usage_log.py
@@ -32,7 +32,7 @@
     segment_bytes: int,
     files: FileOperations | None = None,
     budget_windows: Mapping[str, float] | None = None,
-    bounds: AccountLimits | None = None,
+    limits: AccountLimits | None = None,
 ) -> UsageLog:
     """Lock and read a usage log; a new one gets a gateway name of its own.
 
@@ -41,13 +41,13 @@
         segment_bytes: Size at which a segment is closed.
         files: The file layer; tests replace it.
         budget_windows: Window of each tenant that has a budget, in seconds.
-        bounds: How much of the account stays in memory.
+        limits: How much of the account stays in memory.
 
     Raises:
         JournalError: If the log cannot be locked or read.
     """
     archive = Archive(pathlib.Path(directory), files)
-    account = Account(archive=archive, budget_windows=budget_windows, bounds=bounds)
+    account = Account(archive=archive, budget_windows=budget_windows, limits=limits)
     journal = Journal(directory, account, CODEC, segment_bytes, files)
     archive.remove_orphans()
     for problem in archive.find_unopenable_runs():
--- a/saffronstack/metering/usage_poller.py
+++ b/saffronstack/metering/usage_poller.py
@@ -66,7 +66,7 @@
             if now_s - self._polled_s.get(name, -1e9) < self._timeout_s:
                 continue
             self._polled_s[name] = now_s
-            numbers = [*self._collector.take_rejected(name), *acknowledged[name]]
+            numbers = [*self._collector.pop_rejected(name), *acknowledged[name]]
             request = UsageRequest(
                 self._journal.state.gateway,
                 tuple(numbers[:MAX_ACKNOWLEDGEMENTS]),
--- a/saffronstack/metering/usage_report.py
+++ b/saffronstack/metering/usage_report.py
@@ -25,7 +25,7 @@
 class UsageRow:
     """One total, in MB s; ``provisional`` is charged until a worker's record or death settles it."""
 
-    by: tuple[str, ...]
+    group: tuple[str, ...]
     loading: float
     running: float
     idle: float
@@ -38,35 +38,37 @@
         return self.loading + self.running + self.estimated + self.provisional
 
 
-def summarize_usage(merged: MergedAccounts, by: tuple[str, ...], tenant: str | None = None) -> list[UsageRow]:
+def summarize_usage(
+    merged: MergedAccounts, group_by: tuple[str, ...], tenant: str | None = None
+) -> list[UsageRow]:
     """Return totals by some of the columns, largest charge first.
 
     Args:
         merged: The accounts.
-        by: Names of columns.
+        group_by: Names of columns.
         tenant: The tenant whose usage is summed; None for all.
 
     Raises:
         ValueError: If there is no such column.
     """
-    unknown = [name for name in by if name not in COLUMNS]
+    unknown = [name for name in group_by if name not in COLUMNS]
     if unknown:
         raise ValueError(f"no column {unknown[0]!r}; there are {', '.join(COLUMNS)}")
     sums: dict[tuple[str, ...], list[int]] = defaultdict(lambda: [0, 0, 0, 0, 0])
-    for key, amounts in merged.sums(tenant):
-        row = sums[_select_columns(by, key)]
+    for key, amounts in merged.read_totals(tenant):
+        row = sums[_select_columns(group_by, key)]
         for column, amount in enumerate(amounts):
             row[column] += amount
     for column, charges in ((ESTIMATED_COLUMN, merged.estimates), (PROVISIONAL_COLUMN, merged.provisional)):
         for charge in charges.values():
             if tenant is None or charge.call.tenant == tenant:
-                sums[_select_columns(by, _key_of(charge))][column] += merged.outstanding(charge)
-    found = [
+                sums[_select_columns(group_by, _key_of(charge))][column] += merged.outstanding(charge)
+    rows = [
         UsageRow(values, *(amount / MB_S for amount in amounts))
         for values, amounts in sums.items()
         if any(amounts)
     ]
-    return sorted(found, key=lambda row: (-row.charged, row.by))
+    return sorted(rows, key=lambda row: (-row.charged, row.group))
 
 
 def _key_of(charge: ProvisionalCharge) -> TotalKey:
@@ -74,7 +76,7 @@
     return TotalKey(call.tenant, charge.function, call.request_class, charge.worker, int(charge.lost_unix_s))
 
 
-def _select_columns(by: tuple[str, ...], key: TotalKey) -> tuple[str, ...]:
+def _select_columns(group_by: tuple[str, ...], key: TotalKey) -> tuple[str, ...]:
     when = datetime.fromtimestamp(key.hour_start_s, UTC)
     values = {
         "tenant": key.tenant or "(nobody)",
@@ -84,7 +86,7 @@
         "day": f"{when:%Y-%m-%d}",
         "hour": f"{when:%Y-%m-%dT%H}",
     }
-    return tuple(values[name] for name in by)
+    return tuple(values[name] for name in group_by)
 
 
 def amounts_in_column_order(row: UsageRow) -> list[float]:
@@ -102,21 +104,23 @@
 )
 
 
-def format_table(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
+def format_table(rows: Iterable[UsageRow], group_by: tuple[str, ...]) -> str:
     """Return aligned columns; the charge also in GB h."""
-    found = list(found)
-    widths = [max([len(name), *(len(row.by[place]) for row in found)]) for place, name in enumerate(by)]
+    rows = list(rows)
+    widths = [
+        max([len(name), *(len(row.group[index]) for row in rows)]) for index, name in enumerate(group_by)
+    ]
     lines = [
         "  ".join(
             [
-                *(name.ljust(width) for name, width in zip(by, widths, strict=True)),
-                *(head.rjust(16) for head in AMOUNT_COLUMNS),
+                *(name.ljust(width) for name, width in zip(group_by, widths, strict=True)),
+                *(heading.rjust(16) for heading in AMOUNT_COLUMNS),
                 "charged_gb_h".rjust(13),
             ]
         )
     ]
-    for row in found:
-        names = (text.ljust(width) for text, width in zip(row.by, widths, strict=True))
+    for row in rows:
+        names = (text.ljust(width) for text, width in zip(row.group, widths, strict=True))
         lines.append(
             "  ".join(
                 [
@@ -129,27 +133,27 @@
     return "\n".join(lines)
 
 
-def format_json_lines(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
+def format_json_lines(rows: Iterable[UsageRow], group_by: tuple[str, ...]) -> str:
     """Return one JSON object a line."""
     return "\n".join(
         msgspec.json.encode(
             {
-                **dict(zip(by, row.by, strict=True)),
+                **dict(zip(group_by, row.group, strict=True)),
                 **dict(zip(AMOUNT_COLUMNS, amounts_in_column_order(row), strict=True)),
             }
         ).decode()
-        for row in found
+        for row in rows
     )
 
 
-def format_csv(found: Iterable[UsageRow], by: tuple[str, ...]) -> str:
+def format_csv(rows: Iterable[UsageRow], group_by: tuple[str, ...]) -> str:
     """Return comma-separated values as in RFC 4180."""
-    out = io.StringIO()
-    writer = csv.writer(out)
-    writer.writerow([*by, *AMOUNT_COLUMNS])
-    for row in found:
-        writer.writerow([*row.by, *(f"{cell:.6f}" for cell in amounts_in_column_order(row))])
-    return out.getvalue().rstrip("\r\n")
+    output = io.StringIO()
+    writer = csv.writer(output)
+    writer.writerow([*group_by, *AMOUNT_COLUMNS])
+    for row in rows:
+        writer.writerow([*row.group, *(f"{cell:.6f}" for cell in amounts_in_column_order(row))])
+    return output.getvalue().rstrip("\r\n")
 
 
 FORMATTERS = {"table": format_table, "jsonl": format_json_lines, "csv": format_csv}
--- a/saffronstack/metering/usage_totals.py
+++ b/saffronstack/metering/usage_totals.py
@@ -39,11 +39,13 @@
         self.by_key: dict[TotalKey, Amounts] = defaultdict(lambda: [0, 0, 0, 0])
         self.occupancy_by_worker: dict[str, Amounts] = defaultdict(lambda: [0, 0, 0])
 
-    def add_allocation(self, usage: UsageRecord, hour_start_s: int, share: Allocation, sign: int) -> None:
+    def add_allocation(
+        self, usage: UsageRecord, hour_start_s: int, allocation: Allocation, sign: int
+    ) -> None:
         """Add the allocation of a record to the totals; with a negative sign subtract it."""
-        call = share.call
+        call = allocation.call
         key = TotalKey(call.tenant, usage.function, call.request_class, usage.worker, hour_start_s)
-        self.by_key[key][PHASE_COLUMNS[share.phase]] += sign * share.amount
+        self.by_key[key][PHASE_COLUMNS[allocation.phase]] += sign * allocation.amount
 
     def add_occupancy(self, usage: UsageRecord, sign: int) -> None:
         """Add what the instances of a record occupied; with a negative sign subtract it."""
@@ -55,7 +57,7 @@
         self.by_key.clear()
         self.occupancy_by_worker.clear()
 
-    def read_amounts(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
+    def read_totals(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
         """Yield totals, of one tenant or of all, from memory and from the archive; a key may come twice."""
         with self._transfer_lock:
             runs = self._archive.runs if self._archive is not None else ()
--- a/tests/metering/test_budgets.py
+++ b/tests/metering/test_budgets.py
@@ -14,7 +14,7 @@
 from saffronstack import config as configs
 from saffronstack.config.build import OVER_BUDGET_TENANT, build_settings
 from saffronstack.metering.budgets import Budget, BudgetEnforcer, BudgetStatus
-from saffronstack.metering.sliding_windows import PARTS_PER_WINDOW, SlidingWindows
+from saffronstack.metering.sliding_windows import BUCKETS_PER_WINDOW, SlidingWindows
 from saffronstack.standin.model import Profile
 from tests.support.stack import eventually, running
 from tests.test_config import valid_configuration
@@ -46,9 +46,9 @@
     found.charge("a", 50, 10.0)
     assert found.evaluate("a", 11.0).status is SOFT
     found.charge("a", 60, 20.0)
-    verdict = found.evaluate("a", 21.0)
-    assert (verdict.status, verdict.retry_after_s) == (HARD, 39.0)
-    assert found.evaluate("a", 21.0 + verdict.retry_after_s).status is not HARD
+    evaluation = found.evaluate("a", 21.0)
+    assert (evaluation.status, evaluation.retry_after_s) == (HARD, 39.0)
+    assert found.evaluate("a", 21.0 + evaluation.retry_after_s).status is not HARD
     assert found.evaluate("a", 100.0).status is WITHIN
 
 
@@ -62,10 +62,10 @@
     for pause, amount in steps:
         now += pause
         found.charge("a", amount, now)
-    verdict = found.evaluate("a", now)
-    assert 0 <= verdict.retry_after_s <= 60.0 + 1e-6
-    if verdict.status is HARD:
-        assert found.evaluate("a", now + verdict.retry_after_s + 1e-6).status is not HARD
+    evaluation = found.evaluate("a", now)
+    assert 0 <= evaluation.retry_after_s <= 60.0 + 1e-6
+    if evaluation.status is HARD:
+        assert found.evaluate("a", now + evaluation.retry_after_s + 1e-6).status is not HARD
 
 
 def test_a_window_holds_a_bounded_number_of_parts() -> None:
@@ -73,7 +73,7 @@
     for n in range(10_000):
         found.charge("a", 1, n * 0.1)
         found.evaluate("a", n * 0.1)
-    assert len(found.windows.used("a", 999.9)) <= PARTS_PER_WINDOW + 2
+    assert len(found.windows.buckets_in_window("a", 999.9)) <= BUCKETS_PER_WINDOW + 2
 
 
 def test_over_only_where_amount_and_part_of_own_usage_say_so() -> None:
@@ -93,7 +93,7 @@
     found.charge("a", 500, 0.0)
     refused = found.admit("a", "f", 1.0)
     assert (refused.is_admitted, refused.retry_after_s) == (False, 59.0)
-    found.note_loaded("f", 1.0)
+    found.mark_loaded("f", 1.0)
     assert found.admit("a", "f", 9.0).is_admitted
     assert found.admit("a", "f", 9.0).is_over_soft_limit
     assert not found.admit("a", "f", 12.0).is_admitted
--- a/tests/metering/test_metering.py
+++ b/tests/metering/test_metering.py
@@ -161,11 +161,13 @@
     assert {w: v for w, v in account.usage_totals.occupancy_by_worker.items() if any(v)} == {
         w: v for w, v in held.items() if any(v)
     }
-    assert account.unbalanced() == []
+    assert account.find_imbalances() == []
     copy = Account()
     for entry in account.snapshot():
         copy.apply(decode_entry(encode_entry(entry)))
-    assert copy.by_tenant() == {t: v for t, v in account.by_tenant().items() if v or t in copy.by_tenant()}
+    assert copy.charges_by_tenant() == {
+        t: v for t, v in account.charges_by_tenant().items() if v or t in copy.charges_by_tenant()
+    }
     assert copy.unconfirmed == account.unconfirmed
     assert {k: r.intervals for k, r in copy.records.confirmed.items()} == {
         k: r.intervals for k, r in account.records.confirmed.items()
@@ -176,14 +178,14 @@
     charge = ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0)
     account = Account("g")
     account.apply(charge)
-    assert account.by_tenant() == {"a": 1_500_000}
+    assert account.charges_by_tenant() == {"a": 1_500_000}
     account.apply(RecordReceived(usage(), 0.0))
-    assert account.by_tenant() == {"a": 1_500_000}  # of which a record tells 1,000,000
+    assert account.charges_by_tenant() == {"a": 1_500_000}  # of which a record tells 1,000,000
     account.apply(RecordReceived(usage(2), 0.0))
-    assert account.by_tenant() == {"a": 2_000_000}
+    assert account.charges_by_tenant() == {"a": 2_000_000}
     account.apply(ProvisionalChargeVoided("w1", "id-1"))
     account.apply(RecordRelinquished("w1", "i", 2))
-    assert account.by_tenant() == {"a": 1_000_000}
+    assert account.charges_by_tenant() == {"a": 1_000_000}
     account.apply(ProvisionalCharge("w1", "i", CallReference("id-3", "b", "c"), "f", 50, 0.0))
     account.apply(charge)
     account.apply(IncarnationEnded("w1", "other"))
@@ -194,10 +196,10 @@
     for each in (account, copy):
         each.apply(IncarnationEnded("w1", "i"))  # dead: what no record told stays as an estimate
         assert each.provisional == {}
-        assert each.by_tenant() == {"a": 1_500_000, "b": 50}
-        assert sum(amount for _, amount in each.charges.estimated()) == 500_050
+        assert each.charges_by_tenant() == {"a": 1_500_000, "b": 50}
+        assert sum(amount for _, amount in each.charges.estimated_charges()) == 500_050
         each.apply(RecordReceived(usage(7), 0.0))  # it came late after all: less is left to the estimate
-        assert each.by_tenant() == {"a": 2_000_000, "b": 50}
+        assert each.charges_by_tenant() == {"a": 2_000_000, "b": 50}
 
 
 def test_a_call_that_comes_again_to_a_workers_next_life_is_charged_in_both() -> None:
@@ -214,12 +216,12 @@
     for entry in account.snapshot():
         copy.apply(decode_entry(encode_entry(entry)))
     for each in (account, copy):
-        assert each.by_tenant() == {"a": 2_700_000}
-        assert merge_accounts([each]).by_tenant() == {"a": 2_700_000}
+        assert each.charges_by_tenant() == {"a": 2_700_000}
+        assert merge_accounts([each]).charges_by_tenant() == {"a": 2_700_000}
         each.apply(ProvisionalChargeVoided(incarnation_key("w1", "j"), "id-1"))  # the second life told all
-        assert each.by_tenant() == {"a": 2_500_000}
+        assert each.charges_by_tenant() == {"a": 2_500_000}
         each.apply(IncarnationEnded("w1", "j"))
-        assert each.by_tenant() == {"a": 2_500_000}
+        assert each.charges_by_tenant() == {"a": 2_500_000}
 
 
 def test_of_two_losses_of_a_call_in_one_life_the_longer_is_charged() -> None:
@@ -236,16 +238,16 @@
         copy.apply(decode_entry(encode_entry(entry)))
     for each in (account, copy):
         each.apply(IncarnationEnded("w1", "i"))
-        assert each.by_tenant() == {"a": 1_500_000}
+        assert each.charges_by_tenant() == {"a": 1_500_000}
 
 
 def test_charges_of_older_logs_that_knew_no_lives_still_count() -> None:
     account = Account("g")
     account.apply(CallCharge("w1", "id-1", 1_000_000))
     account.apply(ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0))
-    assert account.by_tenant() == {"a": 500_000}
+    assert account.charges_by_tenant() == {"a": 500_000}
     account.apply(IncarnationEnded("w1", "i"))
-    assert account.by_tenant() == merge_accounts([account]).by_tenant() == {"a": 500_000}
+    assert account.charges_by_tenant() == merge_accounts([account]).charges_by_tenant() == {"a": 500_000}
 
 
 def test_merging_counts_a_record_of_two_gateways_and_a_file_given_twice_once() -> None:
@@ -262,10 +264,10 @@
         two.apply(entry)
     for accounts in ([one, two], [two, one], [one, two, one]):
         merged = merge_accounts(accounts)
-        assert {t: v for t, v in merged.by_tenant().items() if v} == {"a": 2_000_000, "b": 1_000_000}
-        assert merged.unbalanced() == []
+        assert {t: v for t, v in merged.charges_by_tenant().items() if v} == {"a": 2_000_000, "b": 1_000_000}
+        assert merged.find_imbalances() == []
     assert "given twice" in merge_accounts([one, one]).notes[0]
-    assert one.by_tenant() == {"a": 2_000_000, "b": 9}  # merging changes nothing
+    assert one.charges_by_tenant() == {"a": 2_000_000, "b": 9}  # merging changes nothing
 
 
 @pytest.mark.parametrize(
@@ -329,7 +331,7 @@
     meter = stack.gateway.meter
     assert meter is not None
     account = meter.journal.state
-    return not account.provisional and near(account.by_tenant(), truth(stack.fleet))
+    return not account.provisional and near(account.charges_by_tenant(), truth(stack.fleet))
 
 
 @pytest.mark.parametrize("fault", ["none", "lose_answers", "reset_mid_answer", "garbage", "silent_after_run"])
@@ -357,7 +359,7 @@
             worker.faults = type(worker.faults)()
         eventually(lambda: settled(stack), 15)
         assert stack.gateway.meter is not None
-        assert stack.gateway.meter.journal.state.unbalanced() == []
+        assert stack.gateway.meter.journal.state.find_imbalances() == []
         assert stack.gateway.meter.rejected == 0
 
 
@@ -380,7 +382,7 @@
         eventually(lambda: not meter.journal.state.provisional)
         account = meter.journal.state
         told = sum(sum(amounts[:2]) for key, amounts in account.totals.items() if key[1] == "record-sale")
-        estimates = account.charges.estimated()
+        estimates = account.charges.estimated_charges()
         guessed = sum(amount for charge, amount in estimates if charge.function == "record-sale")
         assert guessed > 0  # what no record told
         assert told + guessed > 0.08 * 1e6 * 128 * 1024
@@ -408,7 +410,7 @@
 
         def whole() -> bool:
             found = merge_accounts(read_usage_log(path)[0] for path in (kept, tmp_path / "two" / "usage"))
-            return found.unbalanced() == [] and near(found.by_tenant(), truth(fleet))
+            return found.find_imbalances() == [] and near(found.charges_by_tenant(), truth(fleet))
 
         eventually(whole, 15)
     fleet.stop()
@@ -426,12 +428,12 @@
         ticket = journal.append(entry)
     assert ticket.done.wait(10)
     name = journal.state.gateway
-    sums = journal.state.by_tenant()
+    sums = journal.state.charges_by_tenant()
     assert journal.close()
     again = open_usage_log(str(tmp_path), 4096)
     assert again.state.gateway == name != ""
-    assert again.state.by_tenant() == sums == {"a": 199_000_000, "b": 200_000_000}
-    assert again.state.knows("w1", "i", 77)
+    assert again.state.charges_by_tenant() == sums == {"a": 199_000_000, "b": 200_000_000}
+    assert again.state.has_record("w1", "i", 77)
     assert again.close()
     assert sum(path.stat().st_size for path in tmp_path.glob("*.seg")) < 20_000
     assert all(path.name.startswith("usage-") for path in tmp_path.glob("*.seg"))
--- a/tests/metering/test_usage_faults.py
+++ b/tests/metering/test_usage_faults.py
@@ -71,9 +71,11 @@
     def metered(self) -> dict[str, float]:
         """What the logs say together, read as the command line reads them."""
         whole = merge_accounts(read_usage_log(log)[0] for log in self.logs)
-        assert whole.unbalanced() == []
+        assert whole.find_imbalances() == []
         return {
-            row.by[0]: row.charged for row in summarize_usage(whole, ("tenant",)) if row.by[0] != "(nobody)"
+            row.group[0]: row.charged
+            for row in summarize_usage(whole, ("tenant",))
+            if row.group[0] != "(nobody)"
         }
 
     def agrees(self, exact: bool) -> bool:
@@ -271,7 +273,9 @@
         calls(stack, 20, 3)
         found.settles()
         whole = merge_accounts(read_usage_log(log)[0] for log in found.logs)
-        hours = [int(row.by[0][8:10]) * 24 + int(row.by[0][11:]) for row in summarize_usage(whole, ("hour",))]
+        hours = [
+            int(row.group[0][8:10]) * 24 + int(row.group[0][11:]) for row in summarize_usage(whole, ("hour",))
+        ]
         assert len(set(hours)) >= 3
 
 
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -84,7 +84,7 @@
     merged = merge_accounts([account])
     found = summarize_usage(merged, COLUMNS)
     return {
-        "by_tenant": dict(sorted(account.by_tenant().items())),
+        "by_tenant": dict(sorted(account.charges_by_tenant().items())),
         "statement": merge_usage([tenant_usage(account, None, TENANT, AT)], []),
         "csv": format_csv(found, COLUMNS),
         "jsonl": format_json_lines(found, COLUMNS),
@@ -182,9 +182,9 @@
 def test_a_kept_archive_is_charged_and_reported_the_same() -> None:
     account, lines = read_usage_log(ARCHIVE)
     assert not lines
-    assert not account.problems()
+    assert not account.find_archive_damage()
     assert account.gateway == "gateway-two"
-    assert account.runs == len(RUNS)
+    assert account.run_count == len(RUNS)
     assert figures_of(account) == json.loads((ARCHIVE / "figures.json").read_text())
 
 
@@ -197,7 +197,7 @@
     blocks = segment_blocks((ARCHIVE / "usage-0000000001.seg").read_bytes())
     archive = Archive(tmp_path)
     account = Account(
-        archive=archive, budget_windows=BUDGET_WINDOWS, bounds=AccountLimits(6, 8, 5, 1, 100, 2)
+        archive=archive, budget_windows=BUDGET_WINDOWS, limits=AccountLimits(6, 8, 5, 1, 100, 2)
     )
     journal = Journal(str(tmp_path), account, USAGE_CODEC, SEGMENT_BYTES)
     for record in segment_records(ARCHIVE / "usage-0000000001.seg"):
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -47,7 +47,7 @@
     shutil.copytree(FORMATS / commit, folder)
     told = json.loads((folder / "told.json").read_text())
     before, _ = read_usage_log(folder / "usage")
-    charged = dict(before.by_tenant())
+    charged = dict(before.charges_by_tenant())
     assert charged
     assert sum(charged.values()) > 0
     fleet = StandInFleet(2, lambda n: Profile(load_s=0.01, work_s=0.005))
@@ -68,7 +68,7 @@
         assert gateway.stop()
         assert not any(worker.runs() for worker in fleet.workers)  # nothing of it ran again
     after, _ = read_usage_log(folder / "usage")
-    assert dict(after.by_tenant()) == charged
+    assert dict(after.charges_by_tenant()) == charged
     fleet.stop()
 
 
--- a/tests/test_usage_archive.py
+++ b/tests/test_usage_archive.py
@@ -48,7 +48,7 @@
 from saffronstack.metering.usage_log import open_usage_log, read_usage_log
 from saffronstack.metering.worker_messages import CallReference, UsageRecord
 
-SMALL = AccountLimits(totals=6, parts=8, unconfirmed=5, incarnations=3, provisional=2)
+SMALL_LIMITS = AccountLimits(totals=6, window_buckets=8, unconfirmed=5, incarnations=3, provisional=2)
 
 
 def items(count: int, first: int = 0) -> list[tuple[bytes, bytes]]:
@@ -166,7 +166,7 @@
     def __init__(self, directory: pathlib.Path) -> None:
         self.archive = Archive(directory)
         self.entries: list[bytes] = []
-        self.account = Account(archive=self.archive, budget_windows=LENGTHS, bounds=SMALL)
+        self.account = Account(archive=self.archive, budget_windows=LENGTHS, limits=SMALL_LIMITS)
         self.take(LedgerStarted("g"))
 
     def take(self, entry: AnyLedgerEntry) -> None:
@@ -180,7 +180,7 @@
 
     def reopen(self) -> None:
         self.archive = Archive(self.archive.directory.parent)
-        self.account = Account(archive=self.archive, budget_windows=LENGTHS, bounds=SMALL)
+        self.account = Account(archive=self.archive, budget_windows=LENGTHS, limits=SMALL_LIMITS)
         for data in self.entries:
             self.account.apply(decode(data))
         self.archive.remove_orphans()
@@ -189,7 +189,7 @@
         runs = self.archive.runs[-3:]
         if len(runs) > 1:
             self.take(RunsMerged(runs, self.account.merge_runs(runs)))
-            self.account.drop_runs(runs)
+            self.account.remove_runs(runs)
             self.entries = [encode(entry) for entry in self.account.snapshot()]  # the old runs are gone
 
 
@@ -241,26 +241,26 @@
                 kept.take(one)
                 if isinstance(one, IncarnationEnded):
                     plain.apply(one)
-    assert len(kept.account.totals) <= SMALL.totals
-    assert len(kept.account.unconfirmed) <= SMALL.unconfirmed
-    assert len(kept.account.provisional) <= SMALL.provisional
+    assert len(kept.account.totals) <= SMALL_LIMITS.totals
+    assert len(kept.account.unconfirmed) <= SMALL_LIMITS.unconfirmed
+    assert len(kept.account.provisional) <= SMALL_LIMITS.provisional
 
     def real(found: dict[str, int]) -> dict[str, int]:
         return {tenant: amount for tenant, amount in found.items() if amount}
 
-    assert real(kept.account.by_tenant()) == real(plain.by_tenant())
-    assert kept.account.unbalanced() == plain.unbalanced() == []
+    assert real(kept.account.charges_by_tenant()) == real(plain.charges_by_tenant())
+    assert kept.account.find_imbalances() == plain.find_imbalances() == []
     for number in taken - given_away:
-        assert kept.account.knows(*number)
+        assert kept.account.has_record(*number)
     assert kept.account.windows is not None
     assert plain.windows is not None
     for tenant in LENGTHS:
         assert kept.account.windows.total(tenant, at) == plain.windows.total(tenant, at)
-        parts = [part for part in kept.account.windows.used(tenant, at) if part[1]]
-        assert parts == [part for part in plain.windows.used(tenant, at) if part[1]]
-    assert kept.account.windows.whole(at) == plain.windows.whole(at)
+        parts = [part for part in kept.account.windows.buckets_in_window(tenant, at) if part[1]]
+        assert parts == [part for part in plain.windows.buckets_in_window(tenant, at) if part[1]]
+    assert kept.account.windows.total_of_all_tenants(at) == plain.windows.total_of_all_tenants(at)
     whole = merge_accounts([kept.account])
-    assert real(whole.by_tenant()) == real(plain.by_tenant())
+    assert real(whole.charges_by_tenant()) == real(plain.charges_by_tenant())
     assert whole.unconfirmed == len(taken - given_away - confirmed)
 
 
@@ -280,8 +280,8 @@
         second.spill()
     for order in ([first, second], [second, first]):
         whole = merge_accounts(kept.account for kept in order)
-        assert sum(whole.by_tenant().values()) == held["w1"]
-        assert whole.unbalanced() == []
+        assert sum(whole.charges_by_tenant().values()) == held["w1"]
+        assert whole.find_imbalances() == []
         assert whole.unconfirmed + whole.confirmed == 59
 
 
@@ -297,17 +297,17 @@
         assert ticket.done.wait(10)
     wanted = 39 * (512 << 20) * day
     assert wanted > 1 << 65
-    assert journal.state.by_tenant() == {"a": wanted}
+    assert journal.state.charges_by_tenant() == {"a": wanted}
     assert journal.close()
     assert len(list(tmp_path.glob("*.seg"))) < 10  # it was compacted meanwhile
     account, lines = read_usage_log(tmp_path)
-    assert (account.by_tenant(), lines, account.unbalanced()) == ({"a": wanted}, [], [])
+    assert (account.charges_by_tenant(), lines, account.find_imbalances()) == ({"a": wanted}, [], [])
 
 
 def test_a_hundred_thousand_tenants_stay_under_the_bounds_and_come_back(tmp_path: pathlib.Path) -> None:
-    bounds = AccountLimits(totals=4_000, parts=4_000, unconfirmed=2_000, incarnations=50)
+    limits = AccountLimits(totals=4_000, window_buckets=4_000, unconfirmed=2_000, incarnations=50)
     lengths = {f"t{n}": 3600.0 for n in range(100_000)}
-    journal = open_usage_log(str(tmp_path), 1 << 20, budget_windows=lengths, bounds=bounds)
+    journal = open_usage_log(str(tmp_path), 1 << 20, budget_windows=lengths, limits=limits)
     ticket = None
     for n in range(0, 100_000, 4):
         tenants = tuple(f"t{n + k}" for k in range(4))
@@ -317,22 +317,22 @@
         ticket = journal.append(entry, RecordConfirmed("w1", "i", n // 4 + 1))
         if n % 2000 == 0:
             assert ticket.done.wait(30)
-            assert len(journal.state.totals) <= bounds.totals + 4096
+            assert len(journal.state.totals) <= limits.totals + 4096
             assert journal.state.windows is not None
-            assert journal.state.windows.parts <= bounds.parts + 4096
+            assert journal.state.windows.bucket_count <= limits.window_buckets + 4096
     assert ticket is not None
     assert ticket.done.wait(30)
     assert journal.close()
     windows = journal.state.windows
     assert windows is not None
     for n in (0, 1, 50_003, 99_999):
-        assert [sum(a[:3]) for _, a in journal.state.sums(f"t{n}")] == [1000 + (n // 4 * 4) % 7]
+        assert [sum(a[:3]) for _, a in journal.state.read_totals(f"t{n}")] == [1000 + (n // 4 * 4) % 7]
         assert windows.total(f"t{n}", 8200.0) == 1000 + (n // 4 * 4) % 7
-    assert windows.whole(8200.0) == sum(4 * (1000 + n % 7) for n in range(0, 100_000, 4))
-    again = open_usage_log(str(tmp_path), 1 << 20, budget_windows=lengths, bounds=bounds)
+    assert windows.total_of_all_tenants(8200.0) == sum(4 * (1000 + n % 7) for n in range(0, 100_000, 4))
+    again = open_usage_log(str(tmp_path), 1 << 20, budget_windows=lengths, limits=limits)
     assert again.state.windows is not None
     assert again.state.windows.total("t50003", 8200.0) == 1000 + 50_000 % 7
-    assert len(again.state.by_tenant()) == 100_000
+    assert len(again.state.charges_by_tenant()) == 100_000
     assert again.close()
 
 
@@ -346,11 +346,11 @@
     second = SlidingWindows({"a": 60.0})
     for part in first.snapshot():
         second.restore(*part)
-    assert second.total("a", 1040.0) == second.whole(1040.0) == 120
-    second.begin(500.0)
+    assert second.total("a", 1040.0) == second.total_of_all_tenants(1040.0) == 120
+    second.resume_at(500.0)
     assert second.total("a", 500.0) == 120
     assert second.total("a", 559.0) == 120
-    assert second.total("a", 561.0) == second.whole(561.0) == 0
+    assert second.total("a", 561.0) == second.total_of_all_tenants(561.0) == 0
 
 
 def test_amounts_are_taken_back_and_late_ones_count_where_they_belong() -> None:
@@ -361,8 +361,12 @@
     windows.add("a", 100.0, -4)
     windows.add("b", 100.0, 1)
     windows.add("stranger", 100.0, 1)
-    assert windows.used("a", 101.0) == [(70.0, 5), (100.0, 6)]
-    assert (windows.total("a", 131.0), windows.whole(101.0), windows.whole(131.0)) == (6, 12, 6)
+    assert windows.buckets_in_window("a", 101.0) == [(70.0, 5), (100.0, 6)]
+    assert (
+        windows.total("a", 131.0),
+        windows.total_of_all_tenants(101.0),
+        windows.total_of_all_tenants(131.0),
+    ) == (6, 12, 6)
 
 
 # ---- kills at each write
@@ -432,10 +436,10 @@
     for commit in commits:
         for entry in commit:
             account.apply(entry)
-    return {tenant: amount for tenant, amount in account.by_tenant().items() if amount}
+    return {tenant: amount for tenant, amount in account.charges_by_tenant().items() if amount}
 
 
-BOUNDS = AccountLimits(totals=20, parts=30, unconfirmed=4, incarnations=2, provisional=3)
+LIMITS = AccountLimits(totals=20, window_buckets=30, unconfirmed=4, incarnations=2, provisional=3)
 WINDOWS = {"a": 3600.0, "b": 60000.0}
 
 
@@ -443,7 +447,7 @@
     commits = script()
     files = Photographs(tmp_path / "log", tmp_path / "kept")
     (tmp_path / "log").mkdir()
-    journal = open_usage_log(str(tmp_path / "log"), 4096, files, WINDOWS, BOUNDS)
+    journal = open_usage_log(str(tmp_path / "log"), 4096, files, WINDOWS, LIMITS)
     for commit in commits:
         assert journal.append(*commit).done.wait(10)
         files.acknowledged += 1
@@ -456,8 +460,8 @@
     assert len(files.taken) > 200
     assert sum(len(list(path.glob("runs/*.run"))) > 0 for path, _ in files.taken) > 20
     for path, acknowledged in files.taken:
-        again = open_usage_log(str(path), 4096, budget_windows=WINDOWS, bounds=BOUNDS)
-        found = {tenant: amount for tenant, amount in again.state.by_tenant().items() if amount}
+        again = open_usage_log(str(path), 4096, budget_windows=WINDOWS, limits=LIMITS)
+        found = {tenant: amount for tenant, amount in again.state.charges_by_tenant().items() if amount}
         assert found in wanted[acknowledged : acknowledged + 2], path
         assert not again.state.in_doubt
         # The worker offers again what was not acknowledged; what was counted before counts no second time.
@@ -468,9 +472,9 @@
                 ticket = again.append(commit[0])
         assert ticket.done.wait(10)
         assert again.close()  # its thread moves sums after the ticket is done: look at what stands at last
-        found = {tenant: amount for tenant, amount in again.state.by_tenant().items() if amount}
+        found = {tenant: amount for tenant, amount in again.state.charges_by_tenant().items() if amount}
         assert found == wanted[-1], path
-        assert again.state.unbalanced() == []
+        assert again.state.find_imbalances() == []
 
 
 CHILD = """
@@ -478,7 +482,7 @@
 sys.path.insert(0, {root!r})
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.metering.usage_log import open_usage_log
-from tests.test_usage_archive import BOUNDS, WINDOWS, script
+from tests.test_usage_archive import LIMITS, WINDOWS, script
 left = int(sys.argv[2])
 class Killed(FileOperations):
     def count(self):
@@ -500,7 +504,7 @@
         self.count()
         super().sync_directory(directory)
         self.count()
-journal = open_usage_log(sys.argv[1], 4096, Killed(), WINDOWS, BOUNDS)
+journal = open_usage_log(sys.argv[1], 4096, Killed(), WINDOWS, LIMITS)
 for commit in script():
     journal.append(*commit).done.wait(10)
     print("ok", flush=True)
@@ -520,25 +524,25 @@
     assert child.returncode == -9, child.stderr.decode()
     acknowledged = child.stdout.count(b"ok")
     commits = script()
-    again = open_usage_log(str(tmp_path / "log"), 4096, budget_windows=WINDOWS, bounds=BOUNDS)
+    again = open_usage_log(str(tmp_path / "log"), 4096, budget_windows=WINDOWS, limits=LIMITS)
     assert again.close()
-    found = {tenant: amount for tenant, amount in again.state.by_tenant().items() if amount}
+    found = {tenant: amount for tenant, amount in again.state.charges_by_tenant().items() if amount}
     assert found in [sums_after(commits[:n]) for n in (acknowledged, acknowledged + 1)]
-    assert again.state.unbalanced() == []
+    assert again.state.find_imbalances() == []
 
 
 def test_a_run_that_is_gone_is_said_and_nothing_else_is_lost(tmp_path: pathlib.Path) -> None:
-    journal = open_usage_log(str(tmp_path), 4096, None, WINDOWS, BOUNDS)
+    journal = open_usage_log(str(tmp_path), 4096, None, WINDOWS, LIMITS)
     for commit in script():
         assert journal.append(*commit).done.wait(10)
     assert journal.close()
     runs = sorted((tmp_path / "runs").glob("*.run"))
     assert runs
     runs[0].unlink()
-    again = open_usage_log(str(tmp_path), 4096, None, WINDOWS, BOUNDS)
+    again = open_usage_log(str(tmp_path), 4096, None, WINDOWS, LIMITS)
     assert again.state.in_doubt
     assert again.append(RecordReceived(usage(99, "w9", "i", ("z",), 5, 1000), 0.0)).done.wait(10)
-    assert again.state.knows("w9", "i", 99)
-    assert again.state.problems()
-    assert runs[0].name in again.state.problems()[0]
+    assert again.state.has_record("w9", "i", 99)
+    assert again.state.find_archive_damage()
+    assert runs[0].name in again.state.find_archive_damage()[0]
     assert again.close()
