--- a/tests/metering/test_metering.py
+++ b/tests/metering/test_metering.py
@@ -47,8 +47,10 @@
 from tests.support.reckoning import truth
 from tests.support.stack import Stack, eventually, running
 
-refs = st.builds(CallReference, st.uuids().map(str), st.sampled_from(["a", "b", "c"]), st.just("lookup"))
-some = st.lists(refs, max_size=7, unique_by=lambda ref: ref.request_id).map(tuple)
+call_reference = st.builds(
+    CallReference, st.uuids().map(str), st.sampled_from(["a", "b", "c"]), st.just("lookup")
+)
+call_references = st.lists(call_reference, max_size=7, unique_by=lambda ref: ref.request_id).map(tuple)
 records = st.builds(
     UsageRecord,
     st.sampled_from(["w1", "w2"]),
@@ -61,8 +63,8 @@
     st.integers(0, 3),
     st.integers(0, 3),
     st.integers(0, 3),
-    some,
-    some,
+    call_references,
+    call_references,
 )
 
 
@@ -71,7 +73,7 @@
     worker: str = "w1",
     incarnation: str = "i",
     running_instances: int = 1,
-    **more: Any,
+    **changes: Any,
 ) -> UsageRecord:
     base: dict[str, Any] = {
         "function": "f",
@@ -88,13 +90,13 @@
         incarnation=incarnation,
         sequence_number=sequence_number,
         running_instances=running_instances,
-        **{**base, **more},
+        **{**base, **changes},
     )
 
 
 @given(records)
 @settings(derandomize=True, max_examples=300)
-def test_shares_sum_up_to_what_was_held(record: UsageRecord) -> None:
+def test_allocations_sum_up_to_the_occupancy(record: UsageRecord) -> None:
     sums = dict.fromkeys(Phase, 0)
     for share in allocate(record):
         assert share.amount > 0
@@ -105,7 +107,7 @@
         assert not parts or (max(parts) - min(parts) <= 1 and len(calls) >= len(parts))
 
 
-def test_the_worked_example() -> None:
+def test_allocation_of_overlapping_calls() -> None:
     """Three calls of two tenants overlap on a copy of 1,000 KiB; two of them wait for a load."""
     a, b, c = (
         CallReference("1", "corner", "x"),
@@ -126,20 +128,22 @@
 
 @given(st.lists(st.tuples(st.integers(0, 60), st.integers(0, 9))))
 @settings(derandomize=True, max_examples=300)
-def test_ranges_hold_what_was_added(spans: list[tuple[int, int]]) -> None:
-    ranges, plain = IntervalSet(), set()
+def test_an_interval_set_contains_what_was_added(spans: list[tuple[int, int]]) -> None:
+    intervals, plain = IntervalSet(), set()
     for low, length in spans:
-        ranges.add(low, low + length)
+        intervals.add(low, low + length)
         plain |= set(range(low, low + length + 1))
-    assert [n for n in range(80) if n in ranges] == sorted(plain)
-    assert all(a[1] + 1 < b[0] for a, b in zip(ranges.intervals, ranges.intervals[1:], strict=False))
+    assert [n for n in range(80) if n in intervals] == sorted(plain)
+    assert all(a[1] + 1 < b[0] for a, b in zip(intervals.intervals, intervals.intervals[1:], strict=False))
 
 
 @given(
     st.lists(st.tuples(records, st.sampled_from(["received", "again", "confirmed", "given"])), max_size=40)
 )
 @settings(derandomize=True, max_examples=200)
-def test_each_record_counts_once_and_a_snapshot_is_the_state(steps: list[tuple[UsageRecord, str]]) -> None:
+def test_each_record_counts_once_and_a_snapshot_restores_the_state(
+    steps: list[tuple[UsageRecord, str]],
+) -> None:
     account = Account("g")
     first: dict[tuple[str, str, int], UsageRecord] = {}
     for record, step in steps:
@@ -156,8 +160,8 @@
             del first[key]
     held: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0])
     for record in first.values():
-        for place, amount in enumerate(total_occupancy(record)):
-            held[record.worker][place] += amount
+        for column, amount in enumerate(total_occupancy(record)):
+            held[record.worker][column] += amount
     assert {w: v for w, v in account.usage_totals.occupancy_by_worker.items() if any(v)} == {
         w: v for w, v in held.items() if any(v)
     }
@@ -174,7 +178,7 @@
     }
 
 
-def test_a_loss_is_charged_less_what_records_say_until_its_worker_says_it_ended() -> None:
+def test_a_lost_call_is_charged_less_its_records_until_its_worker_reports_its_end() -> None:
     charge = ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0)
     account = Account("g")
     account.apply(charge)
@@ -202,7 +206,7 @@
         assert each.charges_by_tenant() == {"a": 2_000_000, "b": 50}
 
 
-def test_a_call_that_comes_again_to_a_workers_next_life_is_charged_in_both() -> None:
+def test_a_call_that_is_retried_in_a_workers_next_incarnation_is_charged_in_both() -> None:
     """Seen as 13.9 MB s short a tenant: what the next life recorded was taken off the last one's estimate."""
     account = Account("g")
     account.apply(ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0))
@@ -224,7 +228,7 @@
         assert each.charges_by_tenant() == {"a": 2_500_000}
 
 
-def test_of_two_losses_of_a_call_in_one_life_the_longer_is_charged() -> None:
+def test_of_two_losses_of_a_call_in_one_incarnation_the_longer_is_charged() -> None:
     """A reset as its worker dies sends it again on a connection that the kernel still takes: lost anew."""
     account = Account("g")
     losses = [
@@ -241,7 +245,7 @@
         assert each.charges_by_tenant() == {"a": 1_500_000}
 
 
-def test_charges_of_older_logs_that_knew_no_lives_still_count() -> None:
+def test_charges_of_older_logs_without_incarnations_still_count() -> None:
     account = Account("g")
     account.apply(CallCharge("w1", "id-1", 1_000_000))
     account.apply(ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0))
@@ -250,7 +254,7 @@
     assert account.charges_by_tenant() == merge_accounts([account]).charges_by_tenant() == {"a": 500_000}
 
 
-def test_merging_counts_a_record_of_two_gateways_and_a_file_given_twice_once() -> None:
+def test_merging_counts_shared_records_and_repeated_logs_once() -> None:
     one, two = Account("g1"), Account("g2")
     for entry in (
         RecordReceived(usage(1), 0.0),
@@ -271,7 +275,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "message"),
     [
         ({"start_us": -5}, "span"),
         ({"end_us": 0}, "span"),
@@ -288,22 +292,22 @@
         ({"function": "f" * 300}, "too long"),
     ],
 )
-def test_lies_are_refused(change: dict[str, Any], words: str) -> None:
+def test_invalid_records_are_rejected(change: dict[str, Any], message: str) -> None:
     assert find_rejection_reason(usage(), "w1", "i", 2_000_000, 4_000_000) == ""
-    assert words in find_rejection_reason(
+    assert message in find_rejection_reason(
         usage(**{"sequence_number": 1, **change}), "w1", "i", 2_000_000, 4_000_000
     )
 
 
 def test_an_outbox_gives_each_record_to_one_gateway() -> None:
-    box = Outbox("w1", "i")
-    box.add("f", 1, 0, 5, (0, 1, 0), (), (CallReference("a", "t", "c"),))
-    box.ended("a")
-    assert [r.sequence_number for r in box.answer(UsageRequest("g1"), 10.0).records] == [1]
-    assert box.answer(UsageRequest("g2"), 10.5).records == ()
-    assert [r.sequence_number for r in box.answer(UsageRequest("g2"), 12.0).records] == [1]
-    assert box.answer(UsageRequest("g2", (("i", 1),), ("a", "b")), 12.0).confirmed == (("i", 1),)
-    late = box.answer(UsageRequest("g1", (("i", 1), ("old", 1)), ("a", "b")), 20.0)
+    outbox = Outbox("w1", "i")
+    outbox.add("f", 1, 0, 5, (0, 1, 0), (), (CallReference("a", "t", "c"),))
+    outbox.ended("a")
+    assert [r.sequence_number for r in outbox.answer(UsageRequest("g1"), 10.0).records] == [1]
+    assert outbox.answer(UsageRequest("g2"), 10.5).records == ()
+    assert [r.sequence_number for r in outbox.answer(UsageRequest("g2"), 12.0).records] == [1]
+    assert outbox.answer(UsageRequest("g2", (("i", 1),), ("a", "b")), 12.0).confirmed == (("i", 1),)
+    late = outbox.answer(UsageRequest("g1", (("i", 1), ("old", 1)), ("a", "b")), 20.0)
     assert (late.relinquished, late.confirmed, late.ended_request_ids, late.records) == (
         (("i", 1),),
         (),
@@ -315,11 +319,11 @@
 # ---- the whole path
 
 
-def metered(tmp_path: pathlib.Path, **more: Any) -> dict[str, Any]:
-    return {"metering": {"directory": str(tmp_path / "usage"), "ask_every_s": 0.1}, **more}
+def metering_settings(tmp_path: pathlib.Path, **changes: Any) -> dict[str, Any]:
+    return {"metering": {"directory": str(tmp_path / "usage"), "ask_every_s": 0.1}, **changes}
 
 
-def near(found: dict[str, int], wanted: dict[str, int]) -> bool:
+def nearly_equal(found: dict[str, int], wanted: dict[str, int]) -> bool:
     """Equal but for what division leaves over."""
     found = {tenant: amount for tenant, amount in found.items() if tenant and amount}
     return set(found) == set(wanted) and all(
@@ -327,23 +331,23 @@
     )
 
 
-def settled(stack: Stack) -> bool:
+def is_charged(stack: Stack) -> bool:
     meter = stack.gateway.meter
     assert meter is not None
     account = meter.journal.state
-    return not account.provisional and near(account.charges_by_tenant(), truth(stack.fleet))
+    return not account.provisional and nearly_equal(account.charges_by_tenant(), truth(stack.fleet))
 
 
 @pytest.mark.parametrize("fault", ["none", "lose_answers", "reset_mid_answer", "garbage", "silent_after_run"])
-def test_totals_are_the_workers_own_whatever_answers_are_lost(tmp_path: pathlib.Path, fault: str) -> None:
-    with running(2, profile=Profile(work_s=0.02, load_s=0.05), **metered(tmp_path)) as stack:
-        chance = random.Random(7)
+def test_totals_equal_the_workers_records_when_responses_are_lost(tmp_path: pathlib.Path, fault: str) -> None:
+    with running(2, profile=Profile(work_s=0.02, load_s=0.05), **metering_settings(tmp_path)) as stack:
+        rng = random.Random(7)
         for worker in stack.fleet.workers:
             if fault != "none":
                 setattr(worker.faults, fault, 0.4 if fault == "lose_answers" else True)
         threads = []
         for n in range(24):
-            function = chance.choice(["identify-copy", "suggest-price", "record-sale", "adjust-setting"])
+            function = rng.choice(["identify-copy", "suggest-price", "record-sale", "adjust-setting"])
 
             def call(function: str = function, tenant: str = ("corner-books", "campus-app")[n % 2]) -> None:
                 client = stack.client(tenant=tenant)
@@ -357,19 +361,19 @@
             thread.join(10)
         for worker in stack.fleet.workers:
             worker.faults = type(worker.faults)()
-        eventually(lambda: settled(stack), 15)
+        eventually(lambda: is_charged(stack), 15)
         assert stack.gateway.meter is not None
         assert stack.gateway.meter.journal.state.find_imbalances() == []
         assert stack.gateway.meter.rejected == 0
 
 
-def test_a_worker_that_dies_with_the_answer_leaves_an_estimate(tmp_path: pathlib.Path) -> None:
-    with running(1, profile=Profile(work_s=0.3, load_s=0.02), **metered(tmp_path)) as stack:
+def test_a_call_of_a_dead_worker_is_charged_by_estimate(tmp_path: pathlib.Path) -> None:
+    with running(1, profile=Profile(work_s=0.3, load_s=0.02), **metering_settings(tmp_path)) as stack:
         worker = stack.fleet.workers[0]
         assert stack.call("suggest-price").status == 200
         meter = stack.gateway.meter
         assert meter is not None
-        eventually(lambda: settled(stack))
+        eventually(lambda: is_charged(stack))
         thread = threading.Thread(target=lambda: stack.call("record-sale"))
         thread.start()
         eventually(lambda: stack.runs("record-sale") == 1)
@@ -381,42 +385,44 @@
         eventually(lambda: stack.call("suggest-price").status == 200)
         eventually(lambda: not meter.journal.state.provisional)
         account = meter.journal.state
-        told = sum(sum(amounts[:2]) for key, amounts in account.totals.items() if key[1] == "record-sale")
+        recorded = sum(sum(amounts[:2]) for key, amounts in account.totals.items() if key[1] == "record-sale")
         estimates = account.charges.estimated_charges()
-        guessed = sum(amount for charge, amount in estimates if charge.function == "record-sale")
-        assert guessed > 0  # what no record told
-        assert told + guessed > 0.08 * 1e6 * 128 * 1024
+        estimated = sum(amount for charge, amount in estimates if charge.function == "record-sale")
+        assert estimated > 0  # what no record told
+        assert recorded + estimated > 0.08 * 1e6 * 128 * 1024
 
 
-def test_a_kill_between_receipt_and_commit_and_a_record_offered_to_two_gateways(
+def test_records_that_a_killed_gateway_did_not_commit_go_to_another_gateway(
     tmp_path: pathlib.Path,
 ) -> None:
     """The first gateway's log is cut off at a moment; what it lacks, a second one gets, nothing twice."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.01, load_s=0.02))
-    with running(fleet=fleet, **metered(tmp_path / "one")) as stack:
+    with running(fleet=fleet, **metering_settings(tmp_path / "one")) as stack:
         for _ in range(10):
             stack.call("identify-copy")
-        kept = tmp_path / "kept"
-        shutil.copytree(tmp_path / "one" / "usage", kept)  # what a kill at this moment leaves
+        killed_log = tmp_path / "kept"
+        shutil.copytree(tmp_path / "one" / "usage", killed_log)  # what a kill at this moment leaves
         meter = stack.gateway.meter
         assert meter is not None
         meter._poller._send_poll = lambda worker, body, done: (
             None
         )  # and from here on nothing of it reaches a worker
-    with running(fleet=fleet, **metered(tmp_path / "two")) as stack:
+    with running(fleet=fleet, **metering_settings(tmp_path / "two")) as stack:
         for _ in range(10):
             stack.call("identify-copy")
         time.sleep(1.2)
 
-        def whole() -> bool:
-            found = merge_accounts(read_usage_log(path)[0] for path in (kept, tmp_path / "two" / "usage"))
-            return found.find_imbalances() == [] and near(found.charges_by_tenant(), truth(fleet))
+        def totals_match() -> bool:
+            found = merge_accounts(
+                read_usage_log(path)[0] for path in (killed_log, tmp_path / "two" / "usage")
+            )
+            return found.find_imbalances() == [] and nearly_equal(found.charges_by_tenant(), truth(fleet))
 
-        eventually(whole, 15)
+        eventually(totals_match, 15)
     fleet.stop()
 
 
-def test_a_usage_log_survives_and_compacts(tmp_path: pathlib.Path) -> None:
+def test_a_usage_log_is_compacted_and_restored(tmp_path: pathlib.Path) -> None:
     journal = open_usage_log(str(tmp_path), 4096)
     entries: list[AnyLedgerEntry] = []
     for n in range(1, 400):
@@ -439,8 +445,8 @@
     assert all(path.name.startswith("usage-") for path in tmp_path.glob("*.seg"))
 
 
-def test_a_lying_worker_costs_only_its_lies(tmp_path: pathlib.Path) -> None:
-    with running(1, **metered(tmp_path)) as stack:
+def test_invalid_records_cost_no_valid_ones(tmp_path: pathlib.Path) -> None:
+    with running(1, **metering_settings(tmp_path)) as stack:
         worker = stack.fleet.workers[0]
         stack.call("identify-copy")
         worker.outbox.add(
@@ -450,25 +456,25 @@
         stack.call("identify-copy")
         meter = stack.gateway.meter
         assert meter is not None
-        eventually(lambda: meter.rejected and settled(stack))
+        eventually(lambda: meter.rejected and is_charged(stack))
         meter.on_usage_records(meter._workers.specs["worker-1"], "!!")
         meter.on_usage_records(meter._workers.specs["worker-1"], "AAAA")
         eventually(lambda: meter.rejected >= 3)
         assert stack.call("identify-copy").status == 200
 
 
-def test_the_configuration_knows_metering() -> None:
+def test_an_unknown_metering_setting_is_rejected() -> None:
     with pytest.raises(configs.ConfigError, match=r"metering\.dir: unknown key; did you mean 'directory'"):
         configs.parse(json.dumps({"metering": {"dir": "x"}}))
 
 
-def test_the_log_begins_with_its_gateways_name() -> None:
+def test_the_first_log_entry_names_the_gateway() -> None:
     account = Account()
     account.apply(LedgerStarted("g"))
     assert account.gateway == "g"
 
 
-def test_a_page_escapes_what_workers_and_clients_named() -> None:
+def test_the_html_report_escapes_names() -> None:
     from saffronstack.metering.html_report import render_html_report
 
     account = Account("g")
@@ -525,8 +531,8 @@
     assert good.exit_code == 0, good.output
     assert "1 records confirmed, 1 not yet, 1 provisional charges, 1 workers: in balance" in good.output
     assert journal.close()
-    forged = open_usage_log(directory, 1 << 20)
-    assert forged.append(UsageTotal("a", "f", "c", "w1", 0, 0, 5, 0, 0)).done.wait(5)
-    assert forged.close()
+    unbalanced = open_usage_log(directory, 1 << 20)
+    assert unbalanced.append(UsageTotal("a", "f", "c", "w1", 0, 0, 5, 0, 0)).done.wait(5)
+    assert unbalanced.close()
     bad = run(main, ["usage", "verify", directory])
     assert (bad.exit_code, "NOT in balance" in bad.output) == (1, True)
--- a/tests/metering/test_usage_faults.py
+++ b/tests/metering/test_usage_faults.py
@@ -31,18 +31,18 @@
 FUNCTIONS = ("identify-copy", "suggest-price", "record-sale", "adjust-setting")
 
 
-class Switched(FileOperations):
+class DiskThatFills(FileOperations):
     """A disk that can be full."""
 
-    full = False
+    is_full = False
 
     def write(self, descriptor: int, data: bytes) -> None:
-        if self.full:
+        if self.is_full:
             raise OSError(errno.ENOSPC, "No space left on device")
         super().write(descriptor, data)
 
 
-class Site:
+class MeteredDeployment:
     """Gateways one after another or side by side before one watched fleet."""
 
     def __init__(self, tmp_path: pathlib.Path, fleet: StandInFleet) -> None:
@@ -68,54 +68,56 @@
         self.running.remove(stack)
         stack.gateway.stop()
 
-    def metered(self) -> dict[str, float]:
+    def charges_by_tenant(self) -> dict[str, float]:
         """What the logs say together, read as the command line reads them."""
-        whole = merge_accounts(read_usage_log(log)[0] for log in self.logs)
-        assert whole.find_imbalances() == []
+        merged = merge_accounts(read_usage_log(log)[0] for log in self.logs)
+        assert merged.find_imbalances() == []
         return {
             row.group[0]: row.charged
-            for row in summarize_usage(whole, ("tenant",))
+            for row in summarize_usage(merged, ("tenant",))
             if row.group[0] != "(nobody)"
         }
 
-    def agrees(self, exact: bool) -> bool:
+    def is_charged(self, exact: bool) -> bool:
         """Within a hundredth of the oracle; and, where no record was lost, exactly what workers recorded."""
-        found = self.metered()
+        found = self.charges_by_tenant()
         if not near(found, self.watch.held(), 0.01):
             return False
-        told = {tenant: amount / MB_S for tenant, amount in truth(self.fleet).items()}
-        return not exact or near(found, told, 1e-9, 0.01)
+        recorded = {tenant: amount / MB_S for tenant, amount in truth(self.fleet).items()}
+        return not exact or near(found, recorded, 1e-9, 0.01)
 
-    def settles(self, exact: bool = True) -> None:
+    def wait_until_charged(self, exact: bool = True) -> None:
         """Wait until all is told."""
         try:
-            eventually(lambda: self.agrees(exact), 10)
+            eventually(lambda: self.is_charged(exact), 10)
         except AssertionError:
-            told = {tenant: amount / MB_S for tenant, amount in truth(self.fleet).items()}
-            raise AssertionError(f"{self.metered()}, held {self.watch.held()}, told {told}") from None
+            recorded = {tenant: amount / MB_S for tenant, amount in truth(self.fleet).items()}
+            raise AssertionError(
+                f"{self.charges_by_tenant()}, held {self.watch.held()}, told {recorded}"
+            ) from None
 
 
 @contextmanager
-def site(tmp_path: pathlib.Path, count: int = 2, **profile: Any) -> Iterator[Site]:
-    figures = Profile(**{"work_s": 0.02, "load_s": 0.05, **profile})
-    fleet = StandInFleet(count, lambda n: figures)
-    found = Site(tmp_path, fleet)
+def deployed(tmp_path: pathlib.Path, count: int = 2, **profile: Any) -> Iterator[MeteredDeployment]:
+    stub_profile = Profile(**{"work_s": 0.02, "load_s": 0.05, **profile})
+    fleet = StandInFleet(count, lambda n: stub_profile)
+    deployment = MeteredDeployment(tmp_path, fleet)
     try:
-        yield found
+        yield deployment
     finally:
-        for stack in list(found.running):
-            found.stop(stack)
+        for stack in list(deployment.running):
+            deployment.stop(stack)
         fleet.stop()
 
 
-def calls(
+def send_calls(
     stack: Stack, count: int, seed: int = 0, functions: tuple[str, ...] = FUNCTIONS, pause_s: float = 0.004
 ) -> None:
     """So many calls of all tenants, overlapping."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     threads = []
     for n in range(count):
-        function, tenant = chance.choice(functions), TENANTS[n % 3]
+        function, tenant = rng.choice(functions), TENANTS[n % 3]
 
         def call(function: str = function, tenant: str = tenant) -> None:
             client = stack.client(tenant=tenant)
@@ -128,67 +130,72 @@
 
         threads.append(threading.Thread(target=call))
         threads[-1].start()
-        time.sleep(chance.random() * 2 * pause_s)
+        time.sleep(rng.random() * 2 * pause_s)
     for thread in threads:
         thread.join(15)
 
 
-def test_a_copy_that_three_tenants_share_and_a_load_that_they_wait_for(tmp_path: pathlib.Path) -> None:
+def test_three_tenants_share_an_instance_and_a_load(tmp_path: pathlib.Path) -> None:
     functions = [{"name": "wide", "class": "lookup", "memory_mb": 700, "lanes": 8}]
-    with site(tmp_path, 1, work_s=0.15, load_s=0.3) as found:
-        stack = found.start("one", functions=functions)
-        calls(stack, 24, functions=("wide",), pause_s=0.03)
-        found.settles()
-        held = found.watch.held()
+    with deployed(tmp_path, 1, work_s=0.15, load_s=0.3) as deployment:
+        stack = deployment.start("one", functions=functions)
+        send_calls(stack, 24, functions=("wide",), pause_s=0.03)
+        deployment.wait_until_charged()
+        held = deployment.watch.held()
         assert min(held.values()) > 20  # MB s: each waited for the load and ran beside the others
-        copies = {change.standing for change in found.fleet.workers[0].observed or ()}
+        copies = {change.standing for change in deployment.fleet.workers[0].observed or ()}
         assert 1 in copies
 
 
-def test_a_load_that_fails_is_cut_off_or_dies(tmp_path: pathlib.Path) -> None:
-    with site(tmp_path, 2, work_s=0.08, load_s=0.4) as found:
-        stack = found.start("one")
-        calls(stack, 300, 9)  # an hour's worth beside which one cut-off load is small, in little
-        for one in found.fleet.workers:
-            one.model.drop()
-        found.fleet.store.most = 0  # the store turns every fetch away
-        threads = [threading.Thread(target=calls, args=(stack, 6, seed)) for seed in range(2)]
+def test_failed_and_interrupted_loads_are_charged(tmp_path: pathlib.Path) -> None:
+    with deployed(tmp_path, 2, work_s=0.08, load_s=0.4) as deployment:
+        stack = deployment.start("one")
+        send_calls(stack, 300, 9)  # an hour's worth beside which one cut-off load is small, in little
+        for worker in deployment.fleet.workers:
+            worker.model.drop()
+        deployment.fleet.store.most = 0  # the store turns every fetch away
+        threads = [threading.Thread(target=send_calls, args=(stack, 6, seed)) for seed in range(2)]
         for thread in threads:
             thread.start()
         time.sleep(0.3)
-        found.fleet.store.most = 256
+        deployment.fleet.store.most = 256
         for thread in threads:
             thread.join(20)
-        found.settles()
-        assert found.metered()  # loads that failed held memory too, for those who waited
-        lost = _noted_losses(stack)
-        cut = threading.Thread(target=calls, args=(stack, 3, 5, ("identify-copy",)))
-        for one in found.fleet.workers:
-            one.model.profile.load_s = 1.2  # so that a busy machine does not let it end before the death
-        found.fleet.workers[0].model.drop()
-        found.fleet.workers[1].model.drop()
+        deployment.wait_until_charged()
+        assert deployment.charges_by_tenant()  # loads that failed held memory too, for those who waited
+        lost = _record_losses(stack)
+        cut = threading.Thread(target=send_calls, args=(stack, 3, 5, ("identify-copy",)))
+        for worker in deployment.fleet.workers:
+            worker.model.profile.load_s = 1.2  # so that a busy machine does not let it end before the death
+        deployment.fleet.workers[0].model.drop()
+        deployment.fleet.workers[1].model.drop()
         cut.start()
-        eventually(lambda: any(worker.model.report()[3] for worker in found.fleet.workers))
-        number = next(n for n, worker in enumerate(found.fleet.workers) if worker.model.report()[3])
+        eventually(lambda: any(worker.model.report()[3] for worker in deployment.fleet.workers))
+        number = next(n for n, worker in enumerate(deployment.fleet.workers) if worker.model.report()[3])
         time.sleep(0.1)
-        found.watch.die(number)
+        deployment.watch.die(number)
         cut.join(20)
         # The gateway knows of a cut-off call from its send to its end there: so much later and longer than
         # the worker had it, and no more, may its memory be told wrongly.
-        there = found.watch.stays()
-        death_s = max(to_s for _, to_s in there.values())
-        came = {i: there.get(i, (death_s, death_s))[0] for i, _, _ in lost}  # or was never read there
-        off_s = sum(max(0.0, came[i] - from_s) + abs(to_s - death_s) for i, from_s, to_s in lost)
+        stays = deployment.watch.stays()
+        death_s = max(to_s for _, to_s in stays.values())
+        arrived_s = {i: stays.get(i, (death_s, death_s))[0] for i, _, _ in lost}  # or was never read there
+        error_s = sum(max(0.0, arrived_s[i] - from_s) + abs(to_s - death_s) for i, from_s, to_s in lost)
         assert lost
-        assert there
+        assert stays
         try:
-            eventually(lambda: near(found.metered(), found.watch.held(), 1e-6, 512 * off_s + 0.05), 10)
+            eventually(
+                lambda: near(
+                    deployment.charges_by_tenant(), deployment.watch.held(), 1e-6, 512 * error_s + 0.05
+                ),
+                10,
+            )
         except AssertionError:
-            told = found.metered(), found.watch.held(), lost, there
-            raise AssertionError(f"{told}, {off_s:.4f} s off") from None
+            observed = deployment.charges_by_tenant(), deployment.watch.held(), lost, stays
+            raise AssertionError(f"{observed}, {error_s:.4f} s off") from None
 
 
-def _noted_losses(stack: Stack) -> list[tuple[str, float, float]]:
+def _record_losses(stack: Stack) -> list[tuple[str, float, float]]:
     """Calls whose ends the meter hears of as lost from now on: id, send and end by the monotonic clock."""
     meter, lost = stack.gateway.meter, list[tuple[str, float, float]]()
     assert meter is not None
@@ -202,89 +209,91 @@
     return lost
 
 
-def test_answers_lost_and_then_workers_die(tmp_path: pathlib.Path) -> None:
+def test_lost_responses_and_dead_workers_are_estimated(tmp_path: pathlib.Path) -> None:
     """What no record will ever tell is estimated: calls in flight, and answered ones whose records died."""
-    with site(tmp_path, 2) as found:
-        stack = found.start("one")
-        calls(stack, 150, 1)
-        for worker in found.fleet.workers:
+    with deployed(tmp_path, 2) as deployment:
+        stack = deployment.start("one")
+        send_calls(stack, 150, 1)
+        for worker in deployment.fleet.workers:
             worker.faults.lose_answers = 0.3
-        calls(stack, 40, 2)
-        for worker in found.fleet.workers:
+        send_calls(stack, 40, 2)
+        for worker in deployment.fleet.workers:
             worker.faults.lose_answers = 0.0
-        calls(stack, 30, 3)
-        found.watch.die(0)
-        found.watch.die(1)
-        calls(stack, 100, 4)  # numbers begin again in the new lives
-        found.settles(exact=False)
-        assert all(worker.outbox.all[0].sequence_number == 1 for worker in found.fleet.workers)
-
-
-def test_a_killed_gateway_and_another_share_the_records(tmp_path: pathlib.Path) -> None:
-    with site(tmp_path, 2) as found:
-        files = Switched()
-        first, second = found.start("one", files), found.start("two")
-        pair = [
-            threading.Thread(target=calls, args=(stack, 40, n)) for n, stack in enumerate((first, second))
+        send_calls(stack, 30, 3)
+        deployment.watch.die(0)
+        deployment.watch.die(1)
+        send_calls(stack, 100, 4)  # numbers begin again in the new lives
+        deployment.wait_until_charged(exact=False)
+        assert all(worker.outbox.all[0].sequence_number == 1 for worker in deployment.fleet.workers)
+
+
+def test_a_killed_gateway_and_another_count_each_record_once(tmp_path: pathlib.Path) -> None:
+    with deployed(tmp_path, 2) as deployment:
+        files = DiskThatFills()
+        first, second = deployment.start("one", files), deployment.start("two")
+        threads = [
+            threading.Thread(target=send_calls, args=(stack, 40, n))
+            for n, stack in enumerate((first, second))
         ]
-        for thread in pair:
+        for thread in threads:
             thread.start()
         time.sleep(0.08)
-        files.full = True  # from here on what it takes reaches no disk, as after a kill
-        for thread in pair:
+        files.is_full = True  # from here on what it takes reaches no disk, as after a kill
+        for thread in threads:
             thread.join(20)
-        found.stop(first)
-        third = found.start("one")
-        calls(third, 10, 9)
-        found.settles()
-
-
-def test_a_full_disk_keeps_the_records_with_their_workers(tmp_path: pathlib.Path) -> None:
-    with site(tmp_path, 1) as found:
-        files = Switched()
-        stack = found.start("one", files)
-        calls(stack, 20, 1)
-        found.settles()
-        before = sum(found.metered().values())
-        files.full = True
-        calls(stack, 20, 2)
+        deployment.stop(first)
+        third = deployment.start("one")
+        send_calls(third, 10, 9)
+        deployment.wait_until_charged()
+
+
+def test_on_a_full_disk_records_stay_with_their_workers(tmp_path: pathlib.Path) -> None:
+    with deployed(tmp_path, 1) as deployment:
+        files = DiskThatFills()
+        stack = deployment.start("one", files)
+        send_calls(stack, 20, 1)
+        deployment.wait_until_charged()
+        before = sum(deployment.charges_by_tenant().values())
+        files.is_full = True
+        send_calls(stack, 20, 2)
         meter = stack.gateway.meter
         assert meter is not None
         eventually(lambda: meter.journal.write_error)
         assert stack.call("identify-copy").status == 200  # calls go on
-        assert sum(found.metered().values()) == before
-        files.full = False
-        found.settles()
-        assert sum(found.metered().values()) > before
+        assert sum(deployment.charges_by_tenant().values()) == before
+        files.is_full = False
+        deployment.wait_until_charged()
+        assert sum(deployment.charges_by_tenant().values()) > before
 
 
-def test_a_clock_that_is_set_back_moves_labels_and_no_amounts(tmp_path: pathlib.Path) -> None:
+def test_wall_clock_steps_move_hours_but_not_amounts(tmp_path: pathlib.Path) -> None:
     step_s = 0.0
 
     def wall() -> float:
         return time.time() + step_s
 
-    with site(tmp_path, 1) as found:
-        stack = found.start("one", parts={"wall": wall})
-        calls(stack, 20, 1)
+    with deployed(tmp_path, 1) as deployment:
+        stack = deployment.start("one", parts={"wall": wall})
+        send_calls(stack, 20, 1)
         step_s = -7200.0
-        calls(stack, 20, 2)
+        send_calls(stack, 20, 2)
         step_s = 86400.0
-        calls(stack, 20, 3)
-        found.settles()
-        whole = merge_accounts(read_usage_log(log)[0] for log in found.logs)
+        send_calls(stack, 20, 3)
+        deployment.wait_until_charged()
+        merged = merge_accounts(read_usage_log(log)[0] for log in deployment.logs)
         hours = [
-            int(row.group[0][8:10]) * 24 + int(row.group[0][11:]) for row in summarize_usage(whole, ("hour",))
+            int(row.group[0][8:10]) * 24 + int(row.group[0][11:])
+            for row in summarize_usage(merged, ("hour",))
         ]
         assert len(set(hours)) >= 3
 
 
-def test_a_record_that_comes_a_day_late(tmp_path: pathlib.Path) -> None:
-    with site(tmp_path, 1) as found:
-        stack = found.start("one")
-        calls(stack, 10, 1)
-        found.settles()
-        worker = found.fleet.workers[0]
+def test_a_record_that_arrives_a_day_late_counts_for_its_day(tmp_path: pathlib.Path) -> None:
+    with deployed(tmp_path, 1) as deployment:
+        stack = deployment.start("one")
+        send_calls(stack, 10, 1)
+        deployment.wait_until_charged()
+        worker = deployment.fleet.workers[0]
         day_us = 24 * 3600 * 1_000_000
         # Its clock goes on by a day: what it still held then is a day old when it is offered.
         late = worker.outbox
@@ -302,14 +311,14 @@
                 offered.remaining_records,
             )
         )(real(asked, now_s))
-        calls(stack, 10, 2)
-        found.settles()
-        whole = merge_accounts(read_usage_log(log)[0] for log in found.logs)
-        assert len(summarize_usage(whole, ("day",))) == 2
+        send_calls(stack, 10, 2)
+        deployment.wait_until_charged()
+        merged = merge_accounts(read_usage_log(log)[0] for log in deployment.logs)
+        assert len(summarize_usage(merged, ("day",))) == 2
 
 
 @pytest.mark.parametrize(
-    "lie",
+    "change",
     [
         {"running_instances": -1},
         {"end_us": 1 << 60},
@@ -320,16 +329,16 @@
         {"running_calls": tuple(CallReference(str(n), "campus-app", "c") for n in range(20_000))},
     ],
 )
-def test_a_worker_that_lies_is_refused_and_nothing_else_is_lost(
-    tmp_path: pathlib.Path, lie: dict[str, Any]
+def test_an_invalid_record_is_rejected_and_no_other_is_lost(
+    tmp_path: pathlib.Path, change: dict[str, Any]
 ) -> None:
-    with site(tmp_path, 2) as found:
-        stack = found.start("one")
-        calls(stack, 6, 1)
-        box = found.fleet.workers[0].outbox
-        good: dict[str, Any] = {
-            "worker": box.worker,
-            "incarnation": box.incarnation,
+    with deployed(tmp_path, 2) as deployment:
+        stack = deployment.start("one")
+        send_calls(stack, 6, 1)
+        outbox = deployment.fleet.workers[0].outbox
+        valid: dict[str, Any] = {
+            "worker": outbox.worker,
+            "incarnation": outbox.incarnation,
             "function": "identify-copy",
             "memory_kib": 1024,
             "start_us": 0,
@@ -340,30 +349,30 @@
             "waiting_calls": (),
             "running_calls": (CallReference("x", "campus-app", "c"),),
         }
-        with box._lock:
-            box._seq += 1
-            box._open[box._seq] = UsageRecord(sequence_number=box._seq, **{**good, **lie}), -1e9
-        calls(stack, 6, 2)
+        with outbox._lock:
+            outbox._seq += 1
+            outbox._open[outbox._seq] = UsageRecord(sequence_number=outbox._seq, **{**valid, **change}), -1e9
+        send_calls(stack, 6, 2)
         meter = stack.gateway.meter
         assert meter is not None
         eventually(lambda: meter.rejected)
-        found.settles()
-        refused = meter.rejected
-        calls(stack, 6, 3)
-        found.settles()
-        assert meter.rejected <= refused + 2  # it is not offered for ever
+        deployment.wait_until_charged()
+        rejected = meter.rejected
+        send_calls(stack, 6, 3)
+        deployment.wait_until_charged()
+        assert meter.rejected <= rejected + 2  # it is not offered for ever
 
 
-def test_a_random_run_against_the_oracle(tmp_path: pathlib.Path) -> None:
+def test_random_faults_do_not_change_the_totals(tmp_path: pathlib.Path) -> None:
     """Two gateways, three workers, faults drawn from a seed: lost and broken answers, silence, full disks."""
-    chance = random.Random(20261201)
-    with site(tmp_path, 3, load_s=0.03) as found:
-        files = [Switched(), Switched()]
-        stacks = [found.start(name, disk) for name, disk in zip(("one", "two"), files, strict=True)]
-        for turn in range(8):
-            for worker in found.fleet.workers:
+    rng = random.Random(20261201)
+    with deployed(tmp_path, 3, load_s=0.03) as deployment:
+        files = [DiskThatFills(), DiskThatFills()]
+        stacks = [deployment.start(name, disk) for name, disk in zip(("one", "two"), files, strict=True)]
+        for round_number in range(8):
+            for worker in deployment.fleet.workers:
                 worker.faults = type(worker.faults)()
-                fault = chance.choice(["none", "lose", "reset", "silent_after_run", "errors", "slow"])
+                fault = rng.choice(["none", "lose", "reset", "silent_after_run", "errors", "slow"])
                 if fault == "lose":
                     worker.faults.lose_answers = 0.5
                 elif fault == "errors":
@@ -373,32 +382,32 @@
                 elif fault == "reset":
                     worker.faults.reset_mid_answer = True
                 elif fault == "silent_after_run":
-                    worker.faults.silent_after_run = chance.random() < 0.5
+                    worker.faults.silent_after_run = rng.random() < 0.5
             for disk in files:
-                disk.full = chance.random() < 0.2
+                disk.is_full = rng.random() < 0.2
             workload: list[Callable[[], None]] = [
-                lambda stack=stack, seed=seed: calls(stack, 14, seed)  # type: ignore[misc]
-                for seed, stack in enumerate(stacks, turn * 10)
+                lambda stack=stack, seed=seed: send_calls(stack, 14, seed)  # type: ignore[misc]
+                for seed, stack in enumerate(stacks, round_number * 10)
             ]
             threads = [threading.Thread(target=one) for one in workload]
             for thread in threads:
                 thread.start()
             for thread in threads:
                 thread.join(30)
-            if chance.random() < 0.4:
-                found.fleet.workers[chance.randrange(3)].model.drop()
-        for worker in found.fleet.workers:
+            if rng.random() < 0.4:
+                deployment.fleet.workers[rng.randrange(3)].model.drop()
+        for worker in deployment.fleet.workers:
             worker.faults = type(worker.faults)()
         for disk in files:
-            disk.full = False
-        found.settles()
+            disk.is_full = False
+        deployment.wait_until_charged()
 
 
-def test_a_budget_outlives_a_restart_and_holds_deferred_calls_back(tmp_path: pathlib.Path) -> None:
+def test_a_budget_survives_a_restart_and_delays_deferred_calls(tmp_path: pathlib.Path) -> None:
     budget = {"window_s": 4, "soft_mb_s": 5, "hard_mb_s": 20}
     tenants = [{"name": "corner-books", "budget": budget}, {"name": "campus-app"}]
-    with site(tmp_path, 1, work_s=0.1) as found:
-        stack = found.start("one", tenants=tenants)
+    with deployed(tmp_path, 1, work_s=0.1) as deployment:
+        stack = deployment.start("one", tenants=tenants)
         client = stack.client(tenant="corner-books")
         for _ in range(6):
             assert client.invoke("identify-copy", b"{}").status == 200
@@ -406,36 +415,36 @@
         assert limits is not None
         eventually(lambda: limits.evaluate("corner-books", time.monotonic()).retry_after_s)
         client.close()
-        found.stop(stack)
-        again = found.start("one", tenants=tenants, ledger=tmp_path / "ledger")
+        deployment.stop(stack)
+        again = deployment.start("one", tenants=tenants, ledger=tmp_path / "ledger")
         client = again.client(tenant="corner-books")
-        refused = client.invoke("suggest-price", b"{}")
-        assert (refused.status, 1 <= int(refused.headers.get("retry-after")) <= 5) == (429, True)
+        rejected = client.invoke("suggest-price", b"{}")
+        assert (rejected.status, 1 <= int(rejected.headers.get("retry-after")) <= 5) == (429, True)
         began_s = time.monotonic()
-        taken = client.invoke("suggest-price", b"{}", "Event")
-        assert taken.status == 202
+        accepted = client.invoke("suggest-price", b"{}", "Event")
+        assert accepted.status == 202
         assert again.runs("suggest-price") == 0
-        record = again.final(taken.headers.get("x-amzn-requestid"))
+        record = again.final(accepted.headers.get("x-amzn-requestid"))
         assert record["requestContext"]["condition"] == "Success"
         assert record["requestContext"]["approximateInvokeCount"] == 1
         assert time.monotonic() - began_s > 0.5
         client.close()
 
 
-def test_usage_pages_for_a_tenants_own_key_and_for_operators(tmp_path: pathlib.Path) -> None:
+def test_usage_pages_of_tenants_and_operators(tmp_path: pathlib.Path) -> None:
     budget = {"window_s": 60, "soft_mb_s": 500, "hard_mb_s": 2000}
     tenants = [{"name": "corner-books", "budget": budget}, {"name": "campus-app"}]
-    with site(tmp_path, 1) as found:
-        stack = found.start("one", tenants=tenants)
+    with deployed(tmp_path, 1) as deployment:
+        stack = deployment.start("one", tenants=tenants)
         client = stack.client(tenant="corner-books")
         assert client.invoke("identify-copy", b"{}").status == 200
-        eventually(lambda: found.agrees(True))
+        eventually(lambda: deployment.is_charged(True))
         # The disk has it a moment before the account that the page reads.
         eventually(lambda: json.loads(client.request("GET", "/usage/corner-books").body)["charged_mb_s"])
         answer = client.request("GET", "/usage/corner-books")
         own = json.loads(answer.body)
         assert answer.status == 200
-        assert own["charged_mb_s"] == pytest.approx(found.watch.held()["corner-books"], rel=0.01)
+        assert own["charged_mb_s"] == pytest.approx(deployment.watch.held()["corner-books"], rel=0.01)
         assert own["functions"][0]["function"] == "identify-copy"
         assert own["budget"]["standing"] == "within"
         assert own["budget"]["used_here_mb_s"] == pytest.approx(own["charged_mb_s"], rel=1e-6)
--- a/tests/test_usage_archive.py
+++ b/tests/test_usage_archive.py
@@ -73,23 +73,23 @@
     assert list(SortedRun.open(tmp_path / "empty.run").items()) == []
 
 
-def test_a_flipped_byte_costs_nothing_and_two_are_named(tmp_path: pathlib.Path) -> None:
+def test_one_flipped_bit_is_repaired_and_two_are_reported(tmp_path: pathlib.Path) -> None:
     wanted = items(5_000)
     path = tmp_path / "a.run"
     write_run(path, iter(wanted), FileOperations())
     data = path.read_bytes()
-    chance = random.Random(3)
-    places = SortedRun.open(path).positions
+    rng = random.Random(3)
+    positions = SortedRun.open(path).positions
     for _ in range(60):
-        at = chance.randrange(len(data))
-        path.write_bytes(data[:at] + bytes([data[at] ^ (1 << chance.randrange(8))]) + data[at + 1 :])
+        at = rng.randrange(len(data))
+        path.write_bytes(data[:at] + bytes([data[at] ^ (1 << rng.randrange(8))]) + data[at + 1 :])
         assert list(SortedRun.open(path).items()) == wanted
-    half = (places[1] - places[0]) // 2
+    half = (positions[1] - positions[0]) // 2
     bad = bytearray(data)
-    bad[places[1] + 40] ^= 4
-    bad[places[1] + 40 + (places[2] - places[1]) // 2] ^= 4
+    bad[positions[1] + 40] ^= 4
+    bad[positions[1] + 40 + (positions[2] - positions[1]) // 2] ^= 4
     path.write_bytes(bad)
-    with pytest.raises(RunDamagedError, match=rf"a\.run: byte {places[1]}: both copies"):
+    with pytest.raises(RunDamagedError, match=rf"a\.run: byte {positions[1]}: both copies"):
         list(SortedRun.open(path).items())
     assert half > 0
     for cut in (1, 10, 100, len(data) // 2, len(data) - 20, len(data) - 3):
@@ -106,16 +106,16 @@
 
 
 def test_a_full_disk_leaves_no_run(tmp_path: pathlib.Path) -> None:
-    class Full(FileOperations):
+    class FullDisk(FileOperations):
         def write(self, descriptor: int, data: bytes) -> None:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     with pytest.raises(OSError, match="No space"):
-        write_run(tmp_path / "a.run", iter(items(10)), Full())
+        write_run(tmp_path / "a.run", iter(items(10)), FullDisk())
     assert list(tmp_path.iterdir()) == []
 
 
-def test_runs_merge_by_kind() -> None:
+def test_runs_merge_by_kind_of_key() -> None:
     old = [
         (encode_key("h", "w", "i", 1), encode_amounts((5,))),
         (encode_key("t", "a"), encode_amounts((1, 2))),
@@ -144,43 +144,47 @@
     return UsageRecord(worker, incarnation, seq, f"f{seq % 3}", kib, 0, us, 0, 1, 0, (), refs)
 
 
-def number_of(record: RecordReceived) -> tuple[str, str, int]:
+def record_id_of(record: RecordReceived) -> tuple[str, str, int]:
     return record.usage.worker, record.usage.incarnation, record.usage.sequence_number
 
 
-names = st.sampled_from(["a", "b", "c", "d"])
-some = st.tuples(st.sampled_from(["w1", "w2"]), st.sampled_from("ijkl"), st.integers(1, 12))
-step: Any = st.one_of(
-    st.tuples(st.just("received"), some, st.lists(names, min_size=1, max_size=3, unique=True)),
-    st.tuples(st.sampled_from(["confirmed", "given"]), some, st.just([])),
-    st.tuples(st.sampled_from(["lost", "replaced", "dead"]), some, st.lists(names, min_size=1, max_size=1)),
-    st.tuples(st.sampled_from(["relieve", "reopen", "merge", "snapshot"]), some, st.just([])),
+tenant_names = st.sampled_from(["a", "b", "c", "d"])
+record_ids = st.tuples(st.sampled_from(["w1", "w2"]), st.sampled_from("ijkl"), st.integers(1, 12))
+steps_strategy: Any = st.one_of(
+    st.tuples(st.just("received"), record_ids, st.lists(tenant_names, min_size=1, max_size=3, unique=True)),
+    st.tuples(st.sampled_from(["confirmed", "given"]), record_ids, st.just([])),
+    st.tuples(
+        st.sampled_from(["lost", "replaced", "dead"]),
+        record_ids,
+        st.lists(tenant_names, min_size=1, max_size=1),
+    ),
+    st.tuples(st.sampled_from(["relieve", "reopen", "merge", "snapshot"]), record_ids, st.just([])),
 )
-LENGTHS = {"a": 600.0, "b": 60.0}
+WINDOW_LENGTHS_S = {"a": 600.0, "b": 60.0}
 
 
-class Kept:
+class SpillingAccount:
     """An account with tiny bounds, kept as entries; it can be read anew, and stand for itself as a
     snapshot."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         self.archive = Archive(directory)
         self.entries: list[bytes] = []
-        self.account = Account(archive=self.archive, budget_windows=LENGTHS, limits=SMALL_LIMITS)
-        self.take(LedgerStarted("g"))
+        self.account = Account(archive=self.archive, budget_windows=WINDOW_LENGTHS_S, limits=SMALL_LIMITS)
+        self.apply(LedgerStarted("g"))
 
-    def take(self, entry: AnyLedgerEntry) -> None:
+    def apply(self, entry: AnyLedgerEntry) -> None:
         self.entries.append(encode(entry))
         self.account.apply(entry)
 
     def spill(self) -> None:
         while moved := self.account.spill():
             for entry in moved:
-                self.take(entry)
+                self.apply(entry)
 
     def reopen(self) -> None:
         self.archive = Archive(self.archive.directory.parent)
-        self.account = Account(archive=self.archive, budget_windows=LENGTHS, limits=SMALL_LIMITS)
+        self.account = Account(archive=self.archive, budget_windows=WINDOW_LENGTHS_S, limits=SMALL_LIMITS)
         for data in self.entries:
             self.account.apply(decode(data))
         self.archive.remove_orphans()
@@ -188,104 +192,104 @@
     def merge(self) -> None:
         runs = self.archive.runs[-3:]
         if len(runs) > 1:
-            self.take(RunsMerged(runs, self.account.merge_runs(runs)))
+            self.apply(RunsMerged(runs, self.account.merge_runs(runs)))
             self.account.remove_runs(runs)
             self.entries = [encode(entry) for entry in self.account.snapshot()]  # the old runs are gone
 
 
-@given(st.lists(step, max_size=60), st.randoms(use_true_random=False))
+@given(st.lists(steps_strategy, max_size=60), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=150, deadline=None)
-def test_an_account_that_spills_is_the_one_that_does_not(
-    tmp_path_factory: pytest.TempPathFactory, steps: list[Any], chance: random.Random
+def test_an_account_that_spills_equals_one_in_memory(
+    tmp_path_factory: pytest.TempPathFactory, steps: list[Any], rng: random.Random
 ) -> None:
-    kept = Kept(tmp_path_factory.mktemp("usage"))
-    plain = Account("g", budget_windows=LENGTHS)
+    spilling = SpillingAccount(tmp_path_factory.mktemp("usage"))
+    in_memory = Account("g", budget_windows=WINDOW_LENGTHS_S)
     at = 1_000_000.0
-    taken: set[tuple[str, str, int]] = set()
+    received: set[tuple[str, str, int]] = set()
     confirmed: set[tuple[str, str, int]] = set()
     given_away: set[tuple[str, str, int]] = set()
-    for what, (worker, incarnation, seq), tenants in steps:
-        at += chance.random() * 20
-        number = worker, incarnation, seq
+    for action, (worker, incarnation, seq), tenants in steps:
+        at += rng.random() * 20
+        record_id = worker, incarnation, seq
         entry: AnyLedgerEntry | None = None
-        if what == "received" and number not in given_away:  # its worker offers it to nobody any more
+        if action == "received" and record_id not in given_away:  # its worker offers it to nobody any more
             entry = RecordReceived(
                 usage(seq, worker, incarnation, tuple(tenants), 10 + seq, 100 + seq), at, at
             )
-            taken.add(number)
-        elif what == "confirmed" and number not in given_away:
-            entry = RecordConfirmed(*number)
-            confirmed |= {number} & taken
-        elif what == "given" and number not in confirmed:
-            entry = RecordRelinquished(*number)
-            given_away.add(number)
-        elif what == "lost":
+            received.add(record_id)
+        elif action == "confirmed" and record_id not in given_away:
+            entry = RecordConfirmed(*record_id)
+            confirmed |= {record_id} & received
+        elif action == "given" and record_id not in confirmed:
+            entry = RecordRelinquished(*record_id)
+            given_away.add(record_id)
+        elif action == "lost":
             ref = CallReference(f"lost-{incarnation}-{seq}", tenants[0], "c")
             entry = ProvisionalCharge(worker, incarnation, ref, "f0", 999, at, at)
-        elif what == "replaced":
+        elif action == "replaced":
             entry = ProvisionalChargeVoided(worker, f"lost-{incarnation}-{seq}")
-        elif what == "dead":
+        elif action == "dead":
             entry = IncarnationEnded(worker, incarnation)
-        elif what == "reopen":
-            kept.reopen()
-        elif what == "merge":
-            kept.merge()
-        elif what == "snapshot":
-            kept.entries = [encode(one) for one in kept.account.snapshot()]
-            kept.reopen()
+        elif action == "reopen":
+            spilling.reopen()
+        elif action == "merge":
+            spilling.merge()
+        elif action == "snapshot":
+            spilling.entries = [encode(one) for one in spilling.account.snapshot()]
+            spilling.reopen()
         if entry is not None:
-            plain.apply(entry)
-            kept.take(entry)
-        while moved := kept.account.spill():
+            in_memory.apply(entry)
+            spilling.apply(entry)
+        while moved := spilling.account.spill():
             for one in moved:
-                kept.take(one)
+                spilling.apply(one)
                 if isinstance(one, IncarnationEnded):
-                    plain.apply(one)
-    assert len(kept.account.totals) <= SMALL_LIMITS.totals
-    assert len(kept.account.unconfirmed) <= SMALL_LIMITS.unconfirmed
-    assert len(kept.account.provisional) <= SMALL_LIMITS.provisional
+                    in_memory.apply(one)
+    assert len(spilling.account.totals) <= SMALL_LIMITS.totals
+    assert len(spilling.account.unconfirmed) <= SMALL_LIMITS.unconfirmed
+    assert len(spilling.account.provisional) <= SMALL_LIMITS.provisional
 
-    def real(found: dict[str, int]) -> dict[str, int]:
+    def nonzero(found: dict[str, int]) -> dict[str, int]:
         return {tenant: amount for tenant, amount in found.items() if amount}
 
-    assert real(kept.account.charges_by_tenant()) == real(plain.charges_by_tenant())
-    assert kept.account.find_imbalances() == plain.find_imbalances() == []
-    for number in taken - given_away:
-        assert kept.account.has_record(*number)
-    assert kept.account.windows is not None
-    assert plain.windows is not None
-    for tenant in LENGTHS:
-        assert kept.account.windows.total(tenant, at) == plain.windows.total(tenant, at)
-        parts = [part for part in kept.account.windows.buckets_in_window(tenant, at) if part[1]]
-        assert parts == [part for part in plain.windows.buckets_in_window(tenant, at) if part[1]]
-    assert kept.account.windows.total_of_all_tenants(at) == plain.windows.total_of_all_tenants(at)
-    whole = merge_accounts([kept.account])
-    assert real(whole.charges_by_tenant()) == real(plain.charges_by_tenant())
-    assert whole.unconfirmed == len(taken - given_away - confirmed)
-
-
-def test_two_spilled_accounts_that_hold_the_same_records_count_them_once(tmp_path: pathlib.Path) -> None:
-    first, second = Kept(tmp_path / "one"), Kept(tmp_path / "two")
-    second.take(LedgerStarted("h"))
+    assert nonzero(spilling.account.charges_by_tenant()) == nonzero(in_memory.charges_by_tenant())
+    assert spilling.account.find_imbalances() == in_memory.find_imbalances() == []
+    for record_id in received - given_away:
+        assert spilling.account.has_record(*record_id)
+    assert spilling.account.windows is not None
+    assert in_memory.windows is not None
+    for tenant in WINDOW_LENGTHS_S:
+        assert spilling.account.windows.total(tenant, at) == in_memory.windows.total(tenant, at)
+        buckets = [bucket for bucket in spilling.account.windows.buckets_in_window(tenant, at) if bucket[1]]
+        assert buckets == [bucket for bucket in in_memory.windows.buckets_in_window(tenant, at) if bucket[1]]
+    assert spilling.account.windows.total_of_all_tenants(at) == in_memory.windows.total_of_all_tenants(at)
+    merged = merge_accounts([spilling.account])
+    assert nonzero(merged.charges_by_tenant()) == nonzero(in_memory.charges_by_tenant())
+    assert merged.unconfirmed == len(received - given_away - confirmed)
+
+
+def test_merging_counts_archived_records_of_two_accounts_once(tmp_path: pathlib.Path) -> None:
+    first, second = SpillingAccount(tmp_path / "one"), SpillingAccount(tmp_path / "two")
+    second.apply(LedgerStarted("h"))
     held: dict[str, int] = defaultdict(int)
     for seq in range(1, 60):
         record = RecordReceived(usage(seq, "w1", "i", ("a", "b"), 100, 1000), 0.0)
         held["w1"] += total_occupancy(record.usage)[1]
-        for kept in (first, second):
-            if kept is first or seq % 3 == 0:
-                kept.take(record)
-                kept.spill()
+        for spilling in (first, second):
+            if spilling is first or seq % 3 == 0:
+                spilling.apply(record)
+                spilling.spill()
     for seq in range(1, 60, 6):
-        second.take(RecordConfirmed("w1", "i", seq if seq % 3 == 0 else seq + 2))
+        second.apply(RecordConfirmed("w1", "i", seq if seq % 3 == 0 else seq + 2))
         second.spill()
     for order in ([first, second], [second, first]):
-        whole = merge_accounts(kept.account for kept in order)
-        assert sum(whole.charges_by_tenant().values()) == held["w1"]
-        assert whole.find_imbalances() == []
-        assert whole.unconfirmed + whole.confirmed == 59
+        merged = merge_accounts(spilling.account for spilling in order)
+        assert sum(merged.charges_by_tenant().values()) == held["w1"]
+        assert merged.find_imbalances() == []
+        assert merged.unconfirmed + merged.confirmed == 59
 
 
-def test_sums_beyond_64_bits_survive(tmp_path: pathlib.Path) -> None:
+def test_totals_beyond_64_bits_are_stored(tmp_path: pathlib.Path) -> None:
     """A worker of 512 GB holds more KiB microseconds in a day than 64 bits take."""
     journal = open_usage_log(str(tmp_path), 4096)
     day = 24 * 3600 * 1_000_000
@@ -304,7 +308,7 @@
     assert (account.charges_by_tenant(), lines, account.find_imbalances()) == ({"a": wanted}, [], [])
 
 
-def test_a_hundred_thousand_tenants_stay_under_the_bounds_and_come_back(tmp_path: pathlib.Path) -> None:
+def test_a_hundred_thousand_tenants_stay_within_the_memory_limits(tmp_path: pathlib.Path) -> None:
     limits = AccountLimits(totals=4_000, window_buckets=4_000, unconfirmed=2_000, incarnations=50)
     lengths = {f"t{n}": 3600.0 for n in range(100_000)}
     journal = open_usage_log(str(tmp_path), 1 << 20, budget_windows=lengths, limits=limits)
@@ -339,13 +343,13 @@
 # ---- windows
 
 
-def test_windows_after_a_restart_with_a_clock_that_was_set_back() -> None:
+def test_windows_are_restored_after_the_clock_was_set_back() -> None:
     first = SlidingWindows({"a": 60.0})
     first.add("a", 1000.0, 50)
     first.add("a", 1030.0, 70)
     second = SlidingWindows({"a": 60.0})
-    for part in first.snapshot():
-        second.restore(*part)
+    for bucket in first.snapshot():
+        second.restore(*bucket)
     assert second.total("a", 1040.0) == second.total_of_all_tenants(1040.0) == 120
     second.resume_at(500.0)
     assert second.total("a", 500.0) == 120
@@ -353,7 +357,7 @@
     assert second.total("a", 561.0) == second.total_of_all_tenants(561.0) == 0
 
 
-def test_amounts_are_taken_back_and_late_ones_count_where_they_belong() -> None:
+def test_amounts_are_subtracted_and_late_ones_count_in_their_bucket() -> None:
     windows = SlidingWindows({"a": 60.0, "b": 10.0})
     windows.add("a", 100.0, 10)
     windows.add("a", 70.0, 5)
@@ -372,42 +376,42 @@
 # ---- kills at each write
 
 
-class Photographs(FileOperations):
+class DiskCopier(FileOperations):
     """Keeps what the disk holds before and after each operation, and after half of each write."""
 
-    def __init__(self, directory: pathlib.Path, to: pathlib.Path) -> None:
-        self.directory, self.to = directory, to
+    def __init__(self, directory: pathlib.Path, copies_directory: pathlib.Path) -> None:
+        self.directory, self.copies_directory = directory, copies_directory
         self.acknowledged = 0
-        self.taken: list[tuple[pathlib.Path, int]] = []
+        self.copies: list[tuple[pathlib.Path, int]] = []
 
-    def photograph(self) -> None:
-        target = self.to / str(len(self.taken))
+    def copy_directory(self) -> None:
+        target = self.copies_directory / str(len(self.copies))
         shutil.copytree(self.directory, target)
-        self.taken.append((target, self.acknowledged))
+        self.copies.append((target, self.acknowledged))
 
     def open(self, path: pathlib.Path) -> int:
-        self.photograph()
+        self.copy_directory()
         return super().open(path)
 
     def write(self, descriptor: int, data: bytes) -> None:
-        self.photograph()
+        self.copy_directory()
         half = len(data) // 2 + 3
         super().write(descriptor, data[:half])
-        self.photograph()
+        self.copy_directory()
         super().write(descriptor, data[half:])
 
     def sync(self, descriptor: int) -> None:
-        self.photograph()
+        self.copy_directory()
         super().sync(descriptor)
-        self.photograph()
+        self.copy_directory()
 
     def sync_directory(self, directory: pathlib.Path) -> None:
-        self.photograph()
+        self.copy_directory()
         super().sync_directory(directory)
-        self.photograph()
+        self.copy_directory()
 
 
-def script() -> list[tuple[AnyLedgerEntry, ...]]:
+def scripted_commits() -> list[tuple[AnyLedgerEntry, ...]]:
     """Commits of a gateway: records, confirmations, losses; enough for segments, compaction and runs."""
     commits: list[tuple[AnyLedgerEntry, ...]] = []
     for n in range(1, 41):
@@ -431,7 +435,7 @@
     return commits
 
 
-def sums_after(commits: list[tuple[AnyLedgerEntry, ...]]) -> dict[str, int]:
+def charges_after(commits: list[tuple[AnyLedgerEntry, ...]]) -> dict[str, int]:
     account = Account("g")
     for commit in commits:
         for entry in commit:
@@ -443,23 +447,23 @@
 WINDOWS = {"a": 3600.0, "b": 60000.0}
 
 
-def test_a_kill_at_every_write_boundary_keeps_what_was_acknowledged(tmp_path: pathlib.Path) -> None:
-    commits = script()
-    files = Photographs(tmp_path / "log", tmp_path / "kept")
+def test_a_kill_at_any_write_keeps_acknowledged_commits(tmp_path: pathlib.Path) -> None:
+    commits = scripted_commits()
+    files = DiskCopier(tmp_path / "log", tmp_path / "kept")
     (tmp_path / "log").mkdir()
     journal = open_usage_log(str(tmp_path / "log"), 4096, files, WINDOWS, LIMITS)
     for commit in commits:
         assert journal.append(*commit).done.wait(10)
         files.acknowledged += 1
     assert journal.close()
-    wanted = [sums_after(commits[:n]) for n in range(len(commits) + 1)]
+    wanted = [charges_after(commits[:n]) for n in range(len(commits) + 1)]
     entries = [entry for commit in commits for entry in commit]
     given_away = {
         (e.worker, e.incarnation, e.sequence_number) for e in entries if isinstance(e, RecordRelinquished)
     }
-    assert len(files.taken) > 200
-    assert sum(len(list(path.glob("runs/*.run"))) > 0 for path, _ in files.taken) > 20
-    for path, acknowledged in files.taken:
+    assert len(files.copies) > 200
+    assert sum(len(list(path.glob("runs/*.run"))) > 0 for path, _ in files.copies) > 20
+    for path, acknowledged in files.copies:
         again = open_usage_log(str(path), 4096, budget_windows=WINDOWS, limits=LIMITS)
         found = {tenant: amount for tenant, amount in again.state.charges_by_tenant().items() if amount}
         assert found in wanted[acknowledged : acknowledged + 2], path
@@ -468,7 +472,7 @@
         for commit in commits[acknowledged:]:
             ticket = again.append(*commit)
         for commit in commits[:acknowledged]:
-            if isinstance(commit[0], RecordReceived) and number_of(commit[0]) not in given_away:
+            if isinstance(commit[0], RecordReceived) and record_id_of(commit[0]) not in given_away:
                 ticket = again.append(commit[0])
         assert ticket.done.wait(10)
         assert again.close()  # its thread moves sums after the ticket is done: look at what stands at last
@@ -482,13 +486,13 @@
 sys.path.insert(0, {root!r})
 from saffronstack.durable.file_operations import FileOperations
 from saffronstack.metering.usage_log import open_usage_log
-from tests.test_usage_archive import LIMITS, WINDOWS, script
-left = int(sys.argv[2])
+from tests.test_usage_archive import LIMITS, WINDOWS, scripted_commits
+writes_left = int(sys.argv[2])
 class Killed(FileOperations):
     def count(self):
-        global left
-        left -= 1
-        if left == 0:
+        global writes_left
+        writes_left -= 1
+        if writes_left == 0:
             os.kill(os.getpid(), signal.SIGKILL)
     def write(self, descriptor, data):
         half = len(data) // 2
@@ -505,14 +509,14 @@
         super().sync_directory(directory)
         self.count()
 journal = open_usage_log(sys.argv[1], 4096, Killed(), WINDOWS, LIMITS)
-for commit in script():
+for commit in scripted_commits():
     journal.append(*commit).done.wait(10)
     print("ok", flush=True)
 """
 
 
 @pytest.mark.parametrize("at", [3, 40, 77, 121, 160, 201])
-def test_a_process_killed_at_a_write_loses_nothing_it_acknowledged(tmp_path: pathlib.Path, at: int) -> None:
+def test_a_process_killed_at_a_write_loses_no_acknowledged_commit(tmp_path: pathlib.Path, at: int) -> None:
     root = str(pathlib.Path(__file__).parent.parent)
     child = subprocess.run(
         [sys.executable, "-c", CHILD.format(root=root), str(tmp_path / "log"), str(at)],
@@ -523,17 +527,17 @@
     )
     assert child.returncode == -9, child.stderr.decode()
     acknowledged = child.stdout.count(b"ok")
-    commits = script()
+    commits = scripted_commits()
     again = open_usage_log(str(tmp_path / "log"), 4096, budget_windows=WINDOWS, limits=LIMITS)
     assert again.close()
     found = {tenant: amount for tenant, amount in again.state.charges_by_tenant().items() if amount}
-    assert found in [sums_after(commits[:n]) for n in (acknowledged, acknowledged + 1)]
+    assert found in [charges_after(commits[:n]) for n in (acknowledged, acknowledged + 1)]
     assert again.state.find_imbalances() == []
 
 
-def test_a_run_that_is_gone_is_said_and_nothing_else_is_lost(tmp_path: pathlib.Path) -> None:
+def test_a_missing_run_is_reported_and_nothing_else_is_lost(tmp_path: pathlib.Path) -> None:
     journal = open_usage_log(str(tmp_path), 4096, None, WINDOWS, LIMITS)
-    for commit in script():
+    for commit in scripted_commits():
         assert journal.append(*commit).done.wait(10)
     assert journal.close()
     runs = sorted((tmp_path / "runs").glob("*.run"))
