--- a/saffronstack/metering/account.py
+++ b/saffronstack/metering/account.py
@@ -1,6 +1,7 @@
-"""The account: what the entries of a usage log add up to. Each record counts once, however often it arrives.
+"""The account: the usage and charges that the entries of a usage log add up to.
 
-Free of I/O but for its archive, which stores what is too much for memory (``archive.py``) and is queried.
+Each usage record counts once, however often it arrives. Only the archive (``archive.py``) performs I/O: it
+stores what exceeds the memory limits and is queried for it.
 """
 
 from __future__ import annotations
@@ -36,15 +37,15 @@
 
 
 class Account:
-    """Owned by the journal's writer thread; other threads read copies.
+    """Sums up usage and charges. The journal's writer thread owns it; other threads read copies.
 
     Attributes:
         gateway: Name of the gateway that owns the log.
-        in_doubt: Whether entries of the log are lost, so that totals may miss some.
-        windows: What tenants with a budget used; None where none has one.
+        in_doubt: Whether entries of the log are lost, so that totals may be incomplete.
+        windows: Recent usage of tenants with a budget; None if no tenant has one.
         usage_totals: Usage by key and hour.
-        records: Which records are counted.
-        charges: What single calls are charged.
+        records: The counted usage records.
+        charges: Charges of single calls.
     """
 
     def __init__(
@@ -58,9 +59,9 @@
 
         Args:
             gateway: Name of the gateway that owns the log.
-            archive: Stores what is too much for memory.
+            archive: Stores what exceeds the memory limits.
             budget_windows: Window of each tenant that has a budget, in seconds.
-            limits: How much stays in memory.
+            limits: How many items of each kind stay in memory.
         """
         self._archive = archive
         self.windows: SlidingWindows | None = None
@@ -68,7 +69,7 @@
             read_window_buckets = archive.read_window_buckets if archive is not None else None
             self.windows = SlidingWindows(budget_windows, read_window_buckets)
         self._limits = limits or AccountLimits()
-        # Held while totals move from memory to a run, and while a reader looks at both.
+        # Held while totals move from memory to a run and while a reader copies both.
         self._transfer_lock = threading.Lock()
         self.in_doubt = False
         self._clear(gateway)
@@ -113,7 +114,8 @@
 
     def snapshot(self) -> Iterator[AnyLedgerEntry]:
         """Return entries that add up to this state."""
-        unconfirmed = Account()  # unconfirmed records stand as themselves, so they are taken off the totals
+        # A snapshot contains unconfirmed records as entries, so the totals exclude their usage.
+        unconfirmed = Account()
         for received in self.records.unconfirmed.values():
             unconfirmed.count_record(received, 1)
         return account_snapshot.snapshot_entries(self._state(), unconfirmed.usage_totals, unconfirmed.charges)
@@ -123,13 +125,13 @@
         return account_snapshot.estimate_snapshot_bytes(self._state())
 
     def mark_records_lost(self) -> None:
-        """Note that entries of the log are lost, so that totals may miss some."""
+        """Record that entries of the log are lost, so that totals may be incomplete."""
         self.in_doubt = True
 
     def spill(self) -> list[AnyLedgerEntry]:
-        """Move what is too much for memory to a run; return the entries that say so."""
+        """Write what exceeds the memory limits to a run; return the entries that complete the move."""
         excess_charges = self.charges.oldest_provisional_beyond(self._limits.provisional)
-        if excess_charges:  # alone: a run that is written now would lack what these add to totals
+        if excess_charges:  # no run yet: it would lack the estimated charges that these entries create
             return [*excess_charges]
         memory = archive_transfer.AccountMemory(self.usage_totals, self.records, self.charges, self.windows)
         if self._archive is None or not archive_transfer.exceeds_limits(memory, self._limits):
@@ -150,40 +152,40 @@
                     self.windows.add(call.tenant, entry.ended_steady_s or entry.ended_unix_s, amount)
         self.usage_totals.add_occupancy(usage, sign)
 
-    # ---- the archive's runs, from the thread that merges them
+    # ---- merging of archive runs, called on the compactor's thread
 
     @property
     def run_count(self) -> int:
-        """How many runs belong to the account."""
+        """Number of archive runs that belong to the account."""
         return len(self._archive.runs) if self._archive is not None else 0
 
     def find_mergeable_runs(self) -> tuple[int, ...]:
-        """Return the runs that one run should replace."""
+        """Return the runs to merge into one; empty if no merge is due."""
         return self._archive.find_mergeable_runs() if self._archive is not None else ()
 
     def merge_runs(self, runs: tuple[int, ...]) -> int:
-        """Write one run that adds up to some; return its number.
+        """Merge runs into a new run and return its number.
 
-        It belongs to the account once a ``RunsMerged`` entry is applied.
+        The new run belongs to the account once a ``RunsMerged`` entry is applied.
 
         Raises:
-            OSError: If it cannot be written.
+            OSError: If the new run cannot be written.
             RunDamagedError: If a run cannot be read.
         """
         assert self._archive is not None
         return self._archive.merge_runs(runs, self._is_needed)
 
     def remove_runs(self, runs: tuple[int, ...]) -> None:
-        """Remove runs that another one replaces."""
+        """Delete runs that a merged run replaces."""
         if self._archive is not None:
             self._archive.remove_runs(runs)
 
     def find_archive_damage(self) -> list[str]:
-        """Read the whole archive; return what cannot be read, a line each."""
+        """Read the whole archive; return one line for each run that cannot be read."""
         return self._archive.find_damage() if self._archive is not None else []
 
     def _is_needed(self, key: bytes, value: bytes) -> bool:
-        """Return whether an item of the oldest run is still needed."""
+        """Return whether a merge must keep an item of the oldest run."""
         kind, *parts = decode_key(key)
         if kind == "u":
             return bool(value)
@@ -192,11 +194,11 @@
             return self.windows is not None and self.windows.is_in_window(str(tenant), float(start_s))
         return True
 
-    # ---- questions
+    # ---- queries
 
     @property
     def totals(self) -> dict[TotalKey, Amounts]:
-        """Usage by key and hour that is in memory."""
+        """Usage by key and hour, as far as it is in memory."""
         return self.usage_totals.by_key
 
     @property
@@ -208,16 +210,16 @@
         """Return whether a record counts or is confirmed.
 
         Raises:
-            RunDamagedError: If the archive cannot tell.
+            RunDamagedError: If the archive cannot be read.
         """
         return self.records.has_record(worker, incarnation, sequence_number)
 
     def read_totals(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
-        """Yield totals, of one tenant or of all, from memory and from the archive; a key may come twice."""
+        """Yield totals of one tenant or of all from memory and archive; a key may occur twice."""
         return self.usage_totals.read_totals(tenant)
 
     def read_occupancy(self) -> Iterator[tuple[str, Amounts]]:
-        """Yield what workers' instances occupied, from memory and archive; a worker may come twice."""
+        """Yield what workers' instances occupied, from memory and archive; a worker may occur twice."""
         return self.usage_totals.read_occupancy()
 
     @property
@@ -226,7 +228,7 @@
         return self.charges.provisional
 
     def charges_by_tenant(self) -> dict[str, int]:
-        """Return loading and running with estimated and provisional charges, in KiB microseconds."""
+        """Return each tenant's loading, running, estimated and provisional charges, in KiB microseconds."""
         charged: dict[str, int] = defaultdict(int)
         for key, (loading, running, _, estimated) in self.usage_totals.read_totals():
             charged[key.tenant] += loading + running + estimated
@@ -237,7 +239,7 @@
         return dict(charged)
 
     def find_imbalances(self) -> list[str]:
-        """Return workers whose allocations do not sum up to what their instances occupied, a line each."""
+        """Return one line for each worker whose allocations differ from what its instances occupied."""
         return find_imbalances(self.usage_totals.read_totals(), self.usage_totals.read_occupancy())
 
     # ---- entries
--- a/saffronstack/metering/account_limits.py
+++ b/saffronstack/metering/account_limits.py
@@ -1,4 +1,4 @@
-"""How much of an account stays in memory."""
+"""Limits on the memory that an account uses."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountLimits:
-    """Numbers of items, about 100 MB together; what exceeds them moves to the archive.
+    """Maximum numbers of items in memory, about 100 MB together; the excess moves to the archive.
 
     Attributes:
-        totals: Totals by key.
-        window_buckets: Parts of budget windows.
+        totals: Totals by key and hour.
+        window_buckets: Buckets of budget windows.
         unconfirmed: Unconfirmed records.
         incarnations: Incarnations with confirmed sequence numbers.
-        provisional: Provisional charges; the oldest beyond them become estimated charges.
-        estimates: Estimated charges, and calls of dead workers.
+        provisional: Provisional charges; the oldest beyond this number become estimated charges.
+        estimates: Estimated charges; also recorded amounts of calls of dead workers.
     """
 
     totals: int = 50_000
--- a/saffronstack/metering/account_snapshot.py
+++ b/saffronstack/metering/account_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of an account: entries that add up to its state."""
+"""Converts the state of an account to snapshot entries and back."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from saffronstack.metering.sliding_windows import SlidingWindows
 from saffronstack.metering.usage_totals import Amounts, TotalKey, UsageTotals
 
-# Approximate sizes of entries in bytes.
+# Approximate sizes of snapshot entries.
 TOTAL_BYTES = 80
 RECORD_BYTES = 200
 WINDOW_BUCKET_BYTES = 40
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountState:
-    """The parts of an account that a snapshot stands for."""
+    """The parts of an account that a snapshot contains."""
 
     gateway: str
     runs: tuple[int, ...]
@@ -45,7 +45,7 @@
 
 
 def estimate_snapshot_bytes(state: AccountState) -> int:
-    """Return the approximate size of a snapshot."""
+    """Return the approximate size of a snapshot in bytes."""
     bucket_count = state.windows.bucket_count if state.windows is not None else 0
     record_count = len(state.records.unconfirmed) + len(state.charges.provisional)
     return (
@@ -62,9 +62,10 @@
     """Yield entries that add up to a state.
 
     Args:
-        state: The state.
-        unconfirmed_totals: Totals of the unconfirmed records, which stand in the snapshot as themselves.
-        unconfirmed_charges: Their charges.
+        state: The state of an account.
+        unconfirmed_totals: Totals of the unconfirmed records. They are subtracted, because the snapshot
+            contains the unconfirmed records as entries.
+        unconfirmed_charges: What the unconfirmed records charge; subtracted as well.
     """
     yield LedgerStarted(state.gateway)
     if state.runs:
@@ -83,7 +84,7 @@
 
 
 def restore_entry(state: AccountState, entry: AnyLedgerEntry) -> None:
-    """Apply an entry of a snapshot to the part of the state that it stands for."""
+    """Apply an entry of a snapshot to the matching part of the state."""
     match entry:
         case UsageTotal():
             key = TotalKey(
@@ -112,7 +113,7 @@
         if any(remaining):
             yield UsageTotal(*key, *map(to_stored_amount, remaining))
     for key, amounts in unconfirmed.by_key.items():
-        if key not in totals.by_key and any(amounts):  # its total is in a run
+        if key not in totals.by_key and any(amounts):  # its total has moved to a run
             yield UsageTotal(*key, *(to_stored_amount(-amount) for amount in amounts))
 
 
@@ -127,7 +128,10 @@
 
 
 def _window_entries(windows: SlidingWindows) -> Iterator[AnyLedgerEntry]:
-    """Yield the windows' parts, last of all: the first one voids what entries before it added to windows."""
+    """Yield the buckets of the windows, after an empty one that clears what earlier entries added.
+
+    Unconfirmed records precede them in the snapshot and add to windows too.
+    """
     yield BudgetWindowBucket("", 0.0, 0.0, 0)
     for bucket in windows.snapshot():
         yield BudgetWindowBucket(
--- a/saffronstack/metering/archive.py
+++ b/saffronstack/metering/archive.py
@@ -1,4 +1,4 @@
-"""The archive of an account: sorted runs beside the usage log, queries on them, and their merging."""
+"""The archive of an account: writes, queries and merges sorted runs beside the usage log."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 )
 
 MIN_RUNS_TO_MERGE = 8
-MAX_CACHED_INCARNATIONS = 4096  # of which the highest archived sequence number is cached
-MAX_OPEN_RUNS = 64  # whose indexes stay in memory
+MAX_CACHED_INCARNATIONS = 4096  # whose highest archived sequence number is cached
+MAX_OPEN_RUNS = 64  # their indexes stay in memory
 MAX_QUERY_ATTEMPTS = 5
-RECORD_KEY_LENGTH = 4  # parts of an archive key, its letter included
+RECORD_KEY_LENGTH = 4  # parts of an archive key, including its kind
 WINDOW_KEY_LENGTH = 3
 T = TypeVar("T")
 
 
 class Archive:
-    """The runs of one usage log; used on any thread.
+    """Stores the runs of one usage log. Any thread may use it.
 
-    Queries raise RunDamagedError where a run cannot be read, and FileNotFoundError where a run is gone and
-    the log must be read again.
+    Queries raise RunDamagedError if a run cannot be read. They raise FileNotFoundError if a run was removed,
+    for example after a merge; the usage log must then be read again.
 
     Attributes:
         directory: Where the runs are stored.
@@ -51,15 +51,15 @@
         self.directory = directory / "runs"
         self.runs: tuple[int, ...] = ()
         self._files = files or FileOperations()
-        self._lock = threading.Lock()  # guards all below, and changes of ``runs``
+        self._lock = threading.Lock()  # guards the attributes below and changes of ``runs``
         self._open_runs: OrderedDict[int, SortedRun] = OrderedDict()
         self._last_number = 0
         self._highest: OrderedDict[tuple[str, str], int] = OrderedDict()  # by worker and incarnation
 
-    # ---- changes, made by the journal's owner alone
+    # ---- changes, made only by the process that owns the journal
 
     def write_run(self, items: Iterable[KeyValue]) -> int:
-        """Write a run and return its number. It belongs to the archive once the log says so."""
+        """Write a run and return its number. It belongs to the archive once the log names it."""
         self.directory.mkdir(parents=True, exist_ok=True)
         with self._lock:
             self._last_number = max([self._last_number, *self.runs, *list_run_numbers(self.directory)]) + 1
@@ -74,34 +74,34 @@
             self._highest.clear()
 
     def remove_orphans(self) -> None:
-        """Remove files that do not belong to it: the process was killed before the log named them."""
+        """Delete files that the log does not name: the process was killed while it wrote or removed them."""
         if not self.directory.is_dir():
             return
         for partial in self.directory.glob("*.tmp"):
-            with contextlib.suppress(OSError):  # it is removed at the next start
+            with contextlib.suppress(OSError):  # the next start tries again
                 partial.unlink()
         self.remove_runs(number for number in list_run_numbers(self.directory) if number not in self.runs)
 
     def remove_runs(self, numbers: Iterable[int]) -> None:
-        """Remove runs that another one replaces."""
+        """Delete the files of runs that do not belong to the archive any more."""
         for number in numbers:
             with self._lock:
                 self._open_runs.pop(number, None)
-            with contextlib.suppress(OSError):  # it is an orphan, which the next start removes
+            with contextlib.suppress(OSError):  # the next start removes it as an orphan
                 self._path_of(number).unlink()
 
     def find_mergeable_runs(self) -> tuple[int, ...]:
-        """Return the runs that one run should replace; none where there are few.
+        """Return the runs to merge into one; empty if there are too few runs.
 
-        They are the newest ones, as far back as each is no larger than all after it, so that each amount is
-        rewritten only as often as the archive doubles.
+        The newest runs are merged, beginning at the oldest run that is no larger than all newer ones
+        together. So an amount is rewritten only as often as the archive doubles in size.
         """
         runs = self.runs
         if len(runs) < MIN_RUNS_TO_MERGE:
             return ()
         try:
             sizes = [self._path_of(number).stat().st_size for number in runs]
-        except OSError:  # a run is missing: its damage is reported where it is read
+        except OSError:  # a run is missing: queries report the damage
             return ()
         for position in range(len(runs) - 1):
             if sizes[position] <= sum(sizes[position + 1 :]):
@@ -109,11 +109,12 @@
         return runs[-2:]
 
     def merge_runs(self, numbers: Sequence[int], is_needed: Callable[[bytes, bytes], bool]) -> int:
-        """Write one run that adds up to some consecutive ones; return its number.
+        """Merge consecutive runs into a new run and return its number.
 
         Args:
-            numbers: The runs.
-            is_needed: Whether an item is kept, asked where the oldest run is among them.
+            numbers: Numbers of the runs to merge, oldest first.
+            is_needed: Returns whether an item is kept. It is called only if the oldest run of the archive
+                is merged; otherwise an item may override one of an older run.
         """
         includes_oldest = numbers[0] == self.runs[0]
         items = merge_sorted([self._open(number).items() for number in numbers], combine_values)
@@ -122,15 +123,15 @@
     # ---- queries
 
     def find_damage(self) -> list[str]:
-        """Read all of it; return what cannot be read, a line each."""
+        """Read all runs completely; return one line for each run that cannot be read."""
         return self._describe_faults(_read_all)
 
     def find_unopenable_runs(self) -> list[str]:
-        """Read the runs' indexes alone; return the runs that are missing or cut, a line each."""
+        """Read only the indexes of the runs; return one line for each run that is missing or truncated."""
         return self._describe_faults(lambda run: None)
 
     def items_with_prefix(self, prefix: bytes, runs: tuple[int, ...] | None = None) -> Iterator[KeyValue]:
-        """Yield the items whose keys begin with a prefix, combined over all runs or those given."""
+        """Yield the items whose keys begin with a prefix, combined over all runs or the given ones."""
         chosen = self.runs if runs is None else runs
         return merge_sorted(
             [self._open(number).items_with_prefix(prefix) for number in chosen], combine_values
@@ -145,7 +146,7 @@
         return self._retry_if_merged(query)
 
     def has_record(self, worker: str, incarnation: str, sequence_number: int) -> bool:
-        """Return whether a record is archived, as itself or among confirmed sequence numbers."""
+        """Return whether a record is archived, unconfirmed or as a confirmed sequence number."""
         if not self.runs or sequence_number > self._highest_archived(worker, incarnation):
             return False
         value = self.find(encode_key("u", worker, incarnation, sequence_number))
@@ -162,7 +163,7 @@
         return self._retry_if_merged(query)
 
     def read_window_buckets(self, tenant: str) -> Iterator[tuple[float, int]]:
-        """Yield the archived parts of a tenant's budget window, as start and amount."""
+        """Yield start and amount of the archived buckets of a tenant's budget window."""
         prefix = encode_key_prefix(WINDOW_KEY_LENGTH, "w", tenant)
 
         def query() -> list[tuple[float, int]]:
@@ -173,7 +174,7 @@
 
         return iter(self._retry_if_merged(query)) if self.runs else iter(())
 
-    # ---- inside
+    # ---- helpers
 
     def _path_of(self, number: int) -> pathlib.Path:
         return self.directory / run_name(number)
@@ -190,7 +191,7 @@
         return lines
 
     def _highest_archived(self, worker: str, incarnation: str) -> int:
-        """Return an incarnation's highest archived sequence number; new records nearly always exceed it."""
+        """Return an incarnation's highest archived sequence number. Most new records exceed it."""
         highest = self._highest.get((worker, incarnation))
         if highest is None:
             highest = self._retry_if_merged(lambda: self._query_highest(worker, incarnation))
@@ -207,7 +208,7 @@
         return max([0, *highs, *(int(decode_key(key)[3]) for key, _ in records)])
 
     def _retry_if_merged(self, query: Callable[[], T]) -> T:
-        """Query again where a run was replaced meanwhile."""
+        """Run a query; repeat it if a merge removed one of its runs meanwhile."""
         for _ in range(MAX_QUERY_ATTEMPTS):
             try:
                 return query()
--- a/saffronstack/metering/archive_compactor.py
+++ b/saffronstack/metering/archive_compactor.py
@@ -1,4 +1,4 @@
-"""Compacts the archive of a usage log on a thread of its own, beside everything else."""
+"""Compacts the archive of a usage log on a background thread."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from saffronstack.metering.usage_log import UsageLog
 from saffronstack.runtime.threads import start_thread
 
-COMMIT_TIMEOUT_S = 600.0  # for the entry that says that runs were merged to be durable
+COMMIT_TIMEOUT_S = 600.0  # until the entry that records a merge is durable
 log = structlog.get_logger("saffronstack.metering")
 
 
 class ArchiveCompactor:
-    """Merges runs, one merge at a time."""
+    """Merges archive runs, one merge at a time."""
 
     def __init__(self, journal: UsageLog) -> None:
         self._journal = journal
         self._is_merging = threading.Event()
 
     def start_if_needed(self) -> None:
-        """Start a merge where there are many runs and none is merged already."""
+        """Start a merge if one is due and none is in progress."""
         runs = self._journal.state.find_mergeable_runs()
         if not runs or self._is_merging.is_set():
             return
@@ -37,7 +37,7 @@
             ticket = self._journal.append(RunsMerged(runs, merged_run))
             if ticket.done.wait(COMMIT_TIMEOUT_S) and ticket.is_durable:
                 account.remove_runs(runs)
-        except (RunDamagedError, OSError) as error:  # the old runs still hold everything
+        except (RunDamagedError, OSError) as error:  # nothing is lost: the old runs remain
             log.error("usage archive compaction failed", error=str(error))
         finally:
             self._is_merging.clear()
--- a/saffronstack/metering/archive_transfer.py
+++ b/saffronstack/metering/archive_transfer.py
@@ -1,4 +1,4 @@
-"""Moves what is too much for memory from an account to its archive."""
+"""Moves what exceeds the memory limits from an account to its archive."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountMemory:
-    """What an account holds in memory."""
+    """The parts of an account that are in memory."""
 
     totals: UsageTotals
     records: RecordRegistry
@@ -41,10 +41,12 @@
 
 
 def write_run(memory: AccountMemory, limits: AccountLimits, archive: Archive) -> MovedToArchive:
-    """Write totals, windows, and the oldest half of records and incarnations beyond the limits to a run.
+    """Write totals, charges, windows and the oldest records and incarnations to a run.
+
+    Up to half their limits of records and incarnations stay in memory.
 
     Returns:
-        The entry that moves them there once it is applied.
+        The entry that removes them from memory when it is applied.
 
     Raises:
         OSError: If the run cannot be written.
--- a/saffronstack/metering/budgets.py
+++ b/saffronstack/metering/budgets.py
@@ -1,8 +1,8 @@
-"""Budgets of memory-seconds: whether a call is admitted, and when its tenant may retry. No I/O.
+"""Enforces budgets of memory-seconds: whether a call is admitted and when its tenant may retry. No I/O.
 
-A gateway sees its own part of the usage. As the router does with request rates, a tenant counts as over a
-limit only where both its amount (against an equal part of the limit for one gateway) and its fraction of this
-gateway's usage (against its fraction of all tenants' limits) exceed it: gateways carry unequal traffic.
+A gateway knows only its own usage, and gateways carry unequal traffic. So a tenant is over a limit only if
+two conditions hold, as for request rates in the router: its usage here exceeds an equal part of the limit for
+one gateway, and its fraction of this gateway's usage exceeds its fraction of the sum of all tenants' limits.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 from saffronstack.metering.sliding_windows import SlidingWindows
 
-MAX_LOADED_FUNCTIONS = 10_000  # remembered as loaded
-NEVER_S = -1e18
+MAX_LOADED_FUNCTIONS = 10_000  # whose last time of being loaded is remembered
+NEVER_S = -1e18  # time of a function that was never loaded
 
 
 class BudgetStatus(Enum):
-    """Where a tenant stands with its budget; the values are those of the usage page."""
+    """Status of a tenant against its budget. The usage page shows the values."""
 
     WITHIN = "within"
-    OVER_SOFT = "over soft"  # its calls have a lower priority
-    OVER_HARD = "over hard"  # calls that would need a load are rejected
+    OVER_SOFT = "over soft"  # calls have a lower priority
+    OVER_HARD = "over hard"  # calls of functions that are not loaded are rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """A tenant's budget over all gateways; limits in KiB microseconds of loading and running."""
+    """A tenant's budget for all gateways together; limits are in KiB microseconds of loading and running."""
 
     window_s: float
     soft_limit: int
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetEvaluation:
-    """A tenant's status.
+    """Result of comparing a tenant's usage with its budget.
 
     Attributes:
         status: The status.
-        retry_after_s: When the tenant is under its hard limit again without further usage; 0 while it is.
+        retry_after_s: Seconds until the tenant is under its hard limit without further usage; 0 if it is now.
     """
 
     status: BudgetStatus
@@ -50,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether a call may go to the router now.
+    """Decision on whether a call is passed to the router.
 
     Attributes:
-        is_admitted: Whether it may.
-        is_over_soft_limit: Whether it goes as one of a tenant over its soft limit.
-        retry_after_s: Where it may not, seconds until it may.
+        is_admitted: Whether the call is passed on.
+        is_over_soft_limit: Whether an admitted call gets the lower priority of a tenant over its soft limit.
+        retry_after_s: Seconds until the client may retry a rejected call.
     """
 
     is_admitted: bool
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetUsage:
-    """What a tenant used of its budget at this gateway, in KiB microseconds."""
+    """A tenant's budget and its usage at this gateway, in KiB microseconds."""
 
     budget: Budget
     used: int
@@ -73,7 +73,7 @@
 
 
 class BudgetEnforcer:
-    """Called on the front ends' threads; times are the gateway's monotonic clock, in seconds."""
+    """Compares usage with budgets. Called on the listeners' threads; times are monotonic seconds."""
 
     def __init__(
         self,
@@ -87,10 +87,10 @@
 
         Args:
             budgets: Budgets by tenant.
-            windows: What was used.
+            windows: Recent usage by tenant.
             gateway_count: How many gateways share the budgets.
-            keep_alive_s: How long a function that was loaded counts as loaded.
-            steady_offset_s: What added to the gateway's clock makes the windows' time.
+            keep_alive_s: Seconds for which a function counts as loaded after it was last seen loaded.
+            steady_offset_s: Offset from the monotonic clock to the time of the windows, in seconds.
         """
         self._budgets = dict(budgets)
         self._windows = windows
@@ -99,13 +99,13 @@
         self._steady_offset_s = steady_offset_s
         self._soft_limit_sum = sum(budget.soft_limit for budget in budgets.values()) or 1
         self._hard_limit_sum = sum(budget.hard_limit for budget in budgets.values()) or 1
-        self._lock = threading.Lock()  # guards all below
-        self._loaded_s: dict[str, float] = {}  # when functions were last seen loaded, the latest last
+        self._lock = threading.Lock()  # guards the attributes below
+        self._loaded_s: dict[str, float] = {}  # when each function was last seen loaded, most recent last
         self.rejected = 0
-        self.deprioritized = 0  # admitted over the soft limit
+        self.deprioritized = 0  # calls admitted over the soft limit
 
     def mark_loaded(self, function: str, now_s: float) -> None:
-        """Note that an instance of a function is loaded at some worker."""
+        """Record that an instance of a function is loaded at some worker."""
         with self._lock:
             self._loaded_s.pop(function, None)
             self._loaded_s[function] = now_s
@@ -113,7 +113,7 @@
                 del self._loaded_s[next(iter(self._loaded_s))]
 
     def admit(self, tenant: str, function: str, now_s: float) -> Admission:
-        """Decide whether a call is admitted: over the hard limit only where its function is loaded."""
+        """Decide whether a call is admitted. Over the hard limit, only calls of loaded functions are."""
         if tenant not in self._budgets:
             return Admission(True)
         evaluation = self.evaluate(tenant, now_s)
@@ -127,13 +127,13 @@
         return Admission(True, is_over_soft_limit=True)
 
     def evaluate(self, tenant: str, now_s: float) -> BudgetEvaluation:
-        """Return a tenant's status."""
+        """Compare a tenant's usage with its budget."""
         budget = self._budgets.get(tenant)
         if budget is None:
             return BudgetEvaluation(BudgetStatus.WITHIN)
         steady_s = now_s + self._steady_offset_s
         used = self._windows.total(tenant, steady_s)
-        if used <= budget.soft_limit / self._gateway_count:  # under both limits, whatever others use
+        if used <= budget.soft_limit / self._gateway_count:  # within both limits, whatever other tenants use
             return BudgetEvaluation(BudgetStatus.WITHIN)
         used_by_all = self._windows.total_of_all_tenants(steady_s)
         if used > self._local_limit(budget.hard_limit, self._hard_limit_sum, used_by_all):
@@ -144,7 +144,7 @@
         return BudgetEvaluation(BudgetStatus.WITHIN)
 
     def usage_of(self, tenant: str, now_s: float) -> BudgetUsage | None:
-        """Return a tenant's budget and usage; None where it has no budget."""
+        """Return a tenant's budget and usage; None if it has no budget."""
         budget = self._budgets.get(tenant)
         if budget is None:
             return None
@@ -155,14 +155,14 @@
         return now_s - self._loaded_s.get(function, NEVER_S) <= self._keep_alive_s
 
     def _local_limit(self, limit: int, limit_sum: int, used_by_all: int) -> float:
-        """Return this gateway's part of a limit: an equal part, or its part by usage where that is larger."""
+        """Return this gateway's part of a limit: an equal part, or a part by usage if that is larger."""
         by_usage = limit / limit_sum * used_by_all if len(self._budgets) > 1 else 0.0
         return max(limit / self._gateway_count, by_usage)
 
     def _retry_after_s(self, tenant: str, budget: Budget, used: int, steady_s: float) -> float:
-        """Return when so many of the oldest parts have left the window that the rest is under the hard limit.
+        """Return the seconds until the oldest buckets expire and the rest is within the hard limit.
 
-        The part of the limit by usage falls with the usage, so the equal part, which does not, counts.
+        Only the equal part of the limit counts: the part by usage shrinks while usage expires.
         """
         remaining = used
         for start_s, amount in self._windows.buckets_in_window(tenant, steady_s):
--- a/saffronstack/metering/call_charges.py
+++ b/saffronstack/metering/call_charges.py
@@ -1,5 +1,7 @@
-"""What single calls are charged: by records, provisionally while their responses are lost, and by estimate
-once their worker is dead. No I/O but for the archive's answers.
+"""Charges of single calls. Only the archive performs I/O.
+
+Records charge a call for what it used. A call without a response is charged provisionally until its worker
+reports its end. If the worker's incarnation ends first, the provisional charge becomes an estimated one.
 """
 
 from __future__ import annotations
@@ -33,39 +35,45 @@
     worker_of_incarnation,
 )
 
-MAX_RECENT_IN_SNAPSHOT = 10_000  # a loss is noticed within a deadline of its record
-MAX_RECENT_CALLS = 50_000  # so that a loss that is noticed after its records is not charged again
-CHARGE_KEY_LENGTH = 3  # parts of an archive key, its letter included
+MAX_RECENT_IN_SNAPSHOT = 10_000  # fewer suffice: a lost response is noticed within a deadline of its record
+MAX_RECENT_CALLS = 50_000  # kept so that a loss noticed after its records is not charged twice
+CHARGE_KEY_LENGTH = 3  # parts of an archive key, including its kind
 CallKey = tuple[str, str]  # incarnation key, request id
 
 
 def charge_key(charge: ProvisionalCharge) -> CallKey:
-    """Return the key that a charge is stored by."""
+    """Return the incarnation and request id by which a charge is stored."""
     return incarnation_key(charge.worker, charge.incarnation), charge.call.request_id
 
 
 def recorded_amount(recorded: Mapping[CallKey, int], charge: ProvisionalCharge) -> int:
-    """Return what records charge a lost call, in the incarnation that it was lost in."""
-    keys = {charge_key(charge), (charge.worker, charge.call.request_id)}  # older logs name the worker alone
+    """Return what records charge a lost call in the incarnation that lost it."""
+    # The second key is that of older logs, which have no incarnations.
+    keys = {charge_key(charge), (charge.worker, charge.call.request_id)}
     return sum(recorded.get(key, 0) for key in keys)
 
 
 class CallCharges:
-    """Owned by the account; other threads read copies.
+    """Recorded, provisional and estimated charges by call. The account owns it; other threads read copies.
 
     Attributes:
-        provisional: Charges of lost calls that are not settled.
-        estimates: Final charges, from which what records charge is deducted.
+        provisional: Charges of calls whose response was lost and whose end is not known.
+        estimates: Estimated charges of calls of dead workers, before recorded amounts are deducted.
     """
 
     def __init__(self, archive: Archive | None, transfer_lock: AbstractContextManager[object]) -> None:
-        """``transfer_lock`` guards the moment at which charges move from memory to a run."""
+        """Create empty charges.
+
+        Args:
+            archive: Stores estimated charges that exceed the memory limits.
+            transfer_lock: Is held while charges move from memory to a run.
+        """
         self._archive = archive
         self._transfer_lock = transfer_lock
         self.provisional: dict[CallKey, ProvisionalCharge] = {}
         self.estimates: dict[CallKey, ProvisionalCharge] = {}
-        self._recent: OrderedDict[CallKey, int] = OrderedDict()  # what records charged lately
-        # The same of calls of dead workers: never forgotten, as another gateway may have estimated them.
+        self._recent: OrderedDict[CallKey, int] = OrderedDict()  # recorded amounts of recent calls
+        # Recorded amounts of dead workers' calls: never dropped, as another gateway may have estimated them.
         self._retained: dict[CallKey, int] = {}
 
     # ---- changes
@@ -73,21 +81,21 @@
     def add_provisional(self, charge: ProvisionalCharge) -> None:
         """Charge a call whose response was lost.
 
-        Of two losses in one incarnation the longer counts: a retry may have met a dying worker's socket for a
-        millisecond, and the sum of both would be too much.
+        Of two losses in one incarnation the larger counts. A retry may reach the socket of a dying worker for
+        a millisecond, so the sum of both would be too much.
         """
         before = self.provisional.get(charge_key(charge))
         if before is None or int(before.amount) <= int(charge.amount):
             self.provisional[charge_key(charge)] = charge
 
     def void_provisional(self, incarnation: str, request_id: str) -> None:
-        """Remove a call's provisional charge: its records are complete."""
+        """Remove a call's provisional charge, because its records are complete."""
         self.provisional.pop((incarnation, request_id), None)
         worker = worker_of_incarnation(incarnation)
         if worker != incarnation:
             self.provisional.pop((worker, request_id), None)
             return
-        # An older log did not name the incarnation.
+        # The entry of an older log has no incarnation.
         for key in list(self.provisional):
             if key[1] == request_id and worker_of_incarnation(key[0]) == worker:
                 del self.provisional[key]
@@ -102,7 +110,7 @@
             self._recent.popitem(last=False)
 
     def finalize(self, entry: IncarnationEnded) -> list[tuple[ProvisionalCharge, int]]:
-        """Make provisional charges final; return each with what is charged by it now."""
+        """Turn provisional charges into estimated ones; return each with the amount beyond its records."""
         incarnation = incarnation_key(entry.worker, entry.incarnation)
         if entry.request_id:
             call = incarnation, entry.request_id
@@ -134,7 +142,7 @@
                 self._retained[entry.incarnation_key, entry.request_id] = int(entry.amount)
 
     def snapshot(self, unconfirmed: CallCharges) -> Iterator[AnyLedgerEntry]:
-        """Yield entries that add up to this state, less ``unconfirmed``, held elsewhere in it."""
+        """Yield entries that add up to this state less ``unconfirmed``, which the snapshot has as records."""
         for call, amount in list(self._recent.items())[-MAX_RECENT_IN_SNAPSHOT:]:
             if remaining := amount - unconfirmed.recorded_in_memory(*call):
                 yield CallCharge(*call, to_stored_amount(remaining))
@@ -145,26 +153,26 @@
             yield RetainedCallCharge(*call, to_stored_amount(amount - unconfirmed.recorded_in_memory(*call)))
 
     def archive_items(self) -> Iterator[KeyValue]:
-        """Yield what a run would hold."""
+        """Yield the items to write to a run."""
         for call, charge in self.estimates.items():
             yield encode_key("e", *call), encode_entry(charge)
         for call, amount in self._retained.items():
             yield encode_key("k", *call), encode_amounts((amount,))
 
     def forget_archived(self) -> None:
-        """Forget what a run holds now."""
+        """Forget what was moved to a run."""
         self.estimates.clear()
         self._retained.clear()
 
-    # ---- questions
+    # ---- queries
 
     @property
     def archivable_count(self) -> int:
-        """How many entries a run would hold at least."""
+        """Number of entries compared with the limit on estimates."""
         return max(len(self.estimates), len(self._retained))
 
     def oldest_provisional_beyond(self, limit: int) -> list[IncarnationEnded]:
-        """Return the entries that make the oldest provisional charges beyond a limit final."""
+        """Return entries that turn the oldest provisional charges beyond a limit into estimated ones."""
         excess = max(0, len(self.provisional) - limit)
         return [
             IncarnationEnded(charge.worker, charge.incarnation, charge.call.request_id)
@@ -172,16 +180,16 @@
         ]
 
     def recorded_in_memory(self, incarnation: str, request_id: str) -> int:
-        """Return what records of an incarnation charge a call, as far as is in memory."""
+        """Return what records of an incarnation charge a call, as far as they are in memory."""
         calls = {(incarnation, request_id), (worker_of_incarnation(incarnation), request_id)}
         return sum(self._recent.get(call, 0) + self._retained.get(call, 0) for call in calls)
 
     def outstanding(self, charge: ProvisionalCharge) -> int:
-        """Return what a lost call is charged beyond the records that arrived, as far as is in memory."""
+        """Return what a lost call is charged beyond its records, as far as these are in memory."""
         return max(0, int(charge.amount) - self.recorded_in_memory(*charge_key(charge)))
 
     def final_charges(self) -> Iterator[ProvisionalCharge]:
-        """Yield estimated charges before what records charge is deducted, from memory and archive."""
+        """Yield estimated charges from memory and archive, before recorded amounts are deducted."""
         with self._transfer_lock:
             runs = self._archive.runs if self._archive is not None else ()
             in_memory = list(self.estimates.values())
@@ -194,7 +202,7 @@
                 yield charge
 
     def recorded_amounts(self) -> Iterator[tuple[CallKey, int]]:
-        """Yield what records charge calls, of dead workers always, else lately. A call may come twice."""
+        """Yield what records charge calls of dead workers, and recent calls. A call may occur twice."""
         with self._transfer_lock:
             runs = self._archive.runs if self._archive is not None else ()
             in_memory = [*self._recent.items(), *self._retained.items()]
@@ -206,7 +214,7 @@
                 yield (str(incarnation), str(request_id)), decode_amounts(value)[0]
 
     def estimated_charges(self) -> list[tuple[ProvisionalCharge, int]]:
-        """Return estimated charges, each with what is charged by it."""
+        """Return estimated charges, each with the amount that is left after recorded amounts are deducted."""
         charges = list(self.final_charges())
         recorded: dict[CallKey, int] = defaultdict(int)
         if charges:
--- a/saffronstack/metering/charge_estimation.py
+++ b/saffronstack/metering/charge_estimation.py
@@ -1,8 +1,8 @@
-"""Estimates what calls of a dead worker used, from the times at which they were there. No I/O.
+"""Estimates what calls of a dead worker used, from the intervals in which they were at the worker. No I/O.
 
-Calls of one function that were there together shared its instances, and before all a load. How many instances
-there were is not known; as few as their concurrency allows are assumed, so that a shared load is not charged
-once for each call that waited for it.
+Concurrent calls of one function share its instances and, above all, a load. The number of instances is not
+known. The estimate assumes as few as the concurrency allows, so that a shared load is not charged once for
+each call that waited for it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallInterval:
-    """When a call was at the worker, in microseconds of any one clock."""
+    """The interval in which a call was at its worker, in microseconds of a clock that all calls share."""
 
     start_us: int
     end_us: int
@@ -27,7 +27,7 @@
 
 
 def estimate_shares(intervals: Sequence[CallInterval]) -> list[int]:
-    """Return what each of one function's calls used, in KiB microseconds, in the order of the calls."""
+    """Return what each call of one function used, in KiB microseconds, in the order of the intervals."""
     amounts = [0.0] * len(intervals)
     edges = sorted({edge for interval in intervals for edge in (interval.start_us, interval.end_us)})
     arrivals: dict[int, list[int]] = defaultdict(list)
@@ -49,7 +49,7 @@
 
 
 def share_instances(charges: list[ProvisionalCharge]) -> list[ProvisionalCharge]:
-    """Return charges for calls of a dead worker, reduced to their parts of the instances that they shared."""
+    """Reduce the charges of a dead worker's calls to their parts of the instances that they shared."""
     by_function: dict[str, list[int]] = defaultdict(list)
     for index, charge in enumerate(charges):
         if charge.memory_kib:
--- a/saffronstack/metering/cost_allocation.py
+++ b/saffronstack/metering/cost_allocation.py
@@ -1,10 +1,10 @@
-"""Allocates what a usage record reports to calls, exactly. No I/O.
+"""Allocates the memory-time of a usage record to calls, exactly. No I/O.
 
-Loading is divided equally among the calls that wait for the load, running among the calls that run on the
-instances in that span. Amounts are integers; what does not divide goes, one unit each, to the first calls in
-the order of their ids. So the allocations of a record always sum up to memory x instances x time. What no
-call waits for (an instance loaded by a command, a client that disconnected) and what is idle belongs to no
-call.
+Loading time is divided equally among the calls that wait for the load, and running time among the calls that
+run in that span. Amounts are integers. The remainder of a division goes, one unit each, to the first calls in
+the order of their ids, so that the allocations of a record always sum up to memory x instances x time. Idle
+time is allocated to no call, and neither is loading or running without calls: an instance may be loaded by a
+load command, or its client may have disconnected.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Phase(Enum):
-    """What an instance was doing."""
+    """Phase of an instance."""
 
     LOAD = "load"
     RUN = "run"
@@ -27,7 +27,7 @@
 
 
 class Occupancy(NamedTuple):
-    """What instances occupied, in KiB microseconds."""
+    """Memory-time that instances occupied, in KiB microseconds."""
 
     loading: int
     running: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Allocation:
-    """What one call used in one phase, in KiB microseconds."""
+    """Memory-time of one call in one phase, in KiB microseconds."""
 
     call: CallReference
     phase: Phase
@@ -44,7 +44,7 @@
 
 
 def total_occupancy(usage: UsageRecord) -> Occupancy:
-    """Return what the instances of a record occupied, by multiplication alone."""
+    """Return what the instances of a record occupied, without allocating it to calls."""
     per_instance = usage.memory_kib * (usage.end_us - usage.start_us)
     return Occupancy(
         per_instance * usage.loading_instances,
@@ -54,7 +54,7 @@
 
 
 def allocate(usage: UsageRecord) -> list[Allocation]:
-    """Return the allocations of a record; none of them is zero."""
+    """Return the nonzero allocations of a record."""
     total = total_occupancy(usage)
     allocations = _allocate_equally(total.loading, usage.waiting_calls, Phase.LOAD)
     allocations += _allocate_equally(total.running, usage.running_calls, Phase.RUN)
--- a/saffronstack/metering/html_report.py
+++ b/saffronstack/metering/html_report.py
@@ -1,4 +1,4 @@
-"""An HTML report of usage with charts, for customers who receive a bill. Needs matplotlib."""
+"""Renders an HTML usage report with charts, for customers who receive a bill. Needs matplotlib."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     summarize_usage,
 )
 
-MAX_BARS = 20  # in a chart; the rest is one more bar
-MAX_ROWS = 500  # in a table; `usage show` has all
+MAX_BARS = 20  # in a chart; one more bar has the sum of the rest
+MAX_ROWS = 500  # in a table; `usage show` prints all
 PHASES = ("loading", "running", "estimated", "provisional")
 COLOURS = ("#c9822b", "#3d6f8e", "#a8453e", "#9a9a9a")
 STYLE = (
@@ -29,7 +29,7 @@
 
 
 def render_html_report(merged: MergedAccounts, notes: Iterable[str]) -> str:
-    """Return the report as one HTML page; everything that workers or clients named is escaped."""
+    """Return the report as one HTML page. Names from workers and clients are escaped."""
     by_tenant = summarize_usage(merged, ("tenant",))
     by_day = sorted(summarize_usage(merged, ("day",)), key=lambda row: row.group)
     by_function = summarize_usage(merged, ("function",))
@@ -60,7 +60,7 @@
 
 
 def _largest(rows: list[UsageRow]) -> list[UsageRow]:
-    """Return the largest rows, and the rest as one row."""
+    """Return the first rows and the sum of the rest as one row; rows are sorted by charge."""
     rest = rows[MAX_BARS:]
     if not rest:
         return rows
@@ -69,7 +69,7 @@
 
 
 def _draw_chart(rows: list[UsageRow], is_vertical: bool = False) -> str:
-    """Return stacked bars as SVG; a sentence where there are none."""
+    """Return a chart of stacked bars as SVG, or a sentence if there are no rows."""
     if not rows:
         return "<p>Nothing was metered.</p>"
     size = (9.0, 3.2) if is_vertical else (9.0, 0.6 + 0.28 * len(rows))
--- a/saffronstack/metering/interval_set.py
+++ b/saffronstack/metering/interval_set.py
@@ -1,4 +1,4 @@
-"""Sets of integers as intervals: the known records of a worker take a few numbers, not one each. No I/O."""
+"""Sets of integers as intervals, so that the known records of a worker take little memory. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class IntervalSet:
-    """Integers as disjoint intervals in ascending order; both ends of an interval belong to it."""
+    """A set of integers, stored as disjoint intervals in ascending order that include both ends."""
 
     intervals: list[tuple[int, int]] = field(default_factory=list)
 
@@ -47,7 +47,7 @@
 
 
 class IncarnationInterval(NamedTuple):
-    """Consecutive sequence numbers of one incarnation; both ends are included."""
+    """Consecutive sequence numbers of one incarnation, including both ends."""
 
     incarnation: str
     low: int
@@ -55,7 +55,7 @@
 
 
 def group_into_intervals(numbers: Iterable[tuple[str, int]]) -> list[IncarnationInterval]:
-    """Return sequence numbers of incarnations as intervals without gaps."""
+    """Group pairs of incarnation and sequence number into intervals without gaps."""
     intervals: list[IncarnationInterval] = []
     for incarnation, number in sorted(numbers):
         last = intervals[-1] if intervals else None
--- a/saffronstack/metering/ledger_entries.py
+++ b/saffronstack/metering/ledger_entries.py
@@ -1,8 +1,8 @@
-"""Entries of the usage log, the journal that the account is rebuilt from.
+"""Entries of the usage log, the journal from which the account is restored.
 
-Entries are MessagePack arrays that begin with a one-letter tag: the order of the fields and the tags are the
-stored format; the names are not. Memory is in KiB, amounts are in KiB microseconds (integers), times are in
-Unix seconds.
+Entries are MessagePack arrays that begin with a one-letter tag. Tags and the order of fields are the stored
+format; field names are not stored. Memory is in KiB, amounts are integers in KiB microseconds, times are Unix
+seconds.
 """
 
 from __future__ import annotations
@@ -13,11 +13,13 @@
 
 from saffronstack.metering.worker_messages import CallReference, UsageRecord
 
-StoredAmount = int | str  # MessagePack integers end at 64 bits; sums over a worker's incarnation do not
+StoredAmount = (
+    int | str
+)  # MessagePack integers have at most 64 bits; a sum over a worker's incarnation may need more
 
 
 def to_stored_amount(amount: int) -> StoredAmount:
-    """Return an integer of any size in the form that an entry can hold; ``int`` converts it back."""
+    """Return an integer of any size in the form that entries store; ``int`` converts it back."""
     return amount if -(1 << 63) <= amount < 1 << 63 else str(amount)
 
 
@@ -30,7 +32,7 @@
 
 
 class RecordInterval(NamedTuple):
-    """Consecutive usage records of one incarnation; both ends are included."""
+    """Consecutive usage records of one incarnation, including both ends."""
 
     worker: str
     incarnation: str
@@ -43,26 +45,26 @@
 
 
 def incarnation_key(worker: str, incarnation: str) -> str:
-    """Return the key of one incarnation of a worker among charges.
+    """Return the key under which charges of one incarnation of a worker are stored.
 
-    A call that is retried at a worker that has restarted is charged again there. Without an incarnation the
-    key is the worker's name alone, as in older logs.
+    Incarnations are separate because a call that is retried at a restarted worker is charged again there.
+    Without an incarnation, as in older logs, the key is the worker's name.
     """
     return f"{worker}\0{incarnation}" if incarnation else worker
 
 
 def worker_of_incarnation(key: str) -> str:
-    """Return the worker of an incarnation key."""
+    """Return the worker's name in an incarnation key."""
     return key.partition("\0")[0]
 
 
 class RecordReceived(LedgerEntry, frozen=True, tag="r"):
-    """A worker's usage record was accepted.
+    """The gateway accepted a worker's usage record.
 
     Attributes:
         usage: The record.
-        ended_unix_s: When its span ended, by the wall clock.
-        ended_steady_s: The same in Unix seconds that no clock step moves, for budgets; 0 in older logs.
+        ended_unix_s: End of the record's span by the wall clock.
+        ended_steady_s: The same end in Unix seconds without clock steps, for budgets; 0 in older logs.
     """
 
     usage: UsageRecord
@@ -71,9 +73,11 @@
 
 
 class RecordConfirmed(LedgerEntry, frozen=True, tag="c"):
-    """The worker confirmed that records belong to this gateway and will offer them to no other.
+    """A worker confirmed that records belong to this gateway; it offers them to no other gateway.
 
-    They are the records from ``sequence_number`` to ``last``; one record where ``last`` is 0.
+    Attributes:
+        sequence_number: The first confirmed record.
+        last: The last confirmed record; 0 if there is only one.
     """
 
     worker: str
@@ -83,7 +87,7 @@
 
 
 class RecordRelinquished(LedgerEntry, frozen=True, tag="g"):
-    """Another gateway acknowledged a record first: it does not belong to this account."""
+    """Another gateway acknowledged a record first, so it does not belong to this account."""
 
     worker: str
     incarnation: str
@@ -91,14 +95,14 @@
 
 
 class ProvisionalCharge(LedgerEntry, frozen=True, tag="p"):
-    """A call whose response was lost is charged provisionally, from its sending to its loss.
+    """A call whose response was lost is charged for the time from its sending to the loss.
 
-    What records charge for it is deducted. The charge stands until the worker reports that the call has ended
-    there, and so that all its records are on their way.
+    Recorded amounts of the call are deducted. The charge is valid until the worker reports that the call has
+    ended there: then all its records have been created.
 
     Attributes:
-        memory_kib: Memory of an instance, where the amount is that over a time; 0 for any other estimate.
-        concurrency: How many calls share an instance.
+        memory_kib: Memory of an instance if the amount is this memory times a duration; 0 otherwise.
+        concurrency: Maximum number of calls that share an instance.
     """
 
     worker: str
@@ -113,20 +117,20 @@
 
 
 class ProvisionalChargeVoided(LedgerEntry, frozen=True, tag="x"):
-    """A provisional charge is void: its worker reported that the call ended, so its records are complete."""
+    """A provisional charge is void: the worker reported that the call ended, so its records are complete."""
 
     incarnation_key: str  # a bare worker name in older logs
     request_id: str
 
 
 class EstimatedCharge(LedgerEntry, frozen=True, tag="f"):
-    """In a snapshot: a final charge for a call of a dead worker, before what records charge."""
+    """In a snapshot: the estimated charge of a dead worker's call, before recorded amounts are deducted."""
 
     charge: ProvisionalCharge
 
 
 class RetainedCallCharge(LedgerEntry, frozen=True, tag="q"):
-    """In a snapshot: what records charge a call of a dead worker; others may have estimated it."""
+    """In a snapshot: what records charge a dead worker's call, which other gateways may have estimated."""
 
     incarnation_key: str  # a bare worker name in older logs
     request_id: str
@@ -134,7 +138,7 @@
 
 
 class ArchivedRecordRelinquished(LedgerEntry, frozen=True, tag="y"):
-    """In a snapshot: a record that is stored in a run belongs to another gateway after all."""
+    """In a snapshot: a record in a run belongs to another gateway and does not count."""
 
     worker: str
     incarnation: str
@@ -150,9 +154,9 @@
 
 
 class IncarnationEnded(LedgerEntry, frozen=True, tag="e"):
-    """A worker's incarnation has ended: its provisional charges become final, as estimates.
+    """A worker's incarnation has ended, so its provisional charges become estimated charges.
 
-    With ``request_id`` only that call's charge does, because there are too many.
+    With ``request_id`` only the charge of that call does, because there are too many provisional charges.
     """
 
     worker: str
@@ -193,7 +197,11 @@
 
 
 class BudgetWindowBucket(LedgerEntry, frozen=True, tag="w"):
-    """In a snapshot: a part of a budget window; of all tenants with that window where none is named."""
+    """In a snapshot: a bucket of a tenant's budget window.
+
+    With an empty tenant it is the sum of all tenants with that window length. With a window of 0 s it clears
+    all buckets.
+    """
 
     tenant: str
     window_s: float
@@ -208,11 +216,11 @@
 
 
 class MovedToArchive(LedgerEntry, frozen=True, tag="m"):
-    """Totals, windows and what is named here moved from memory to a run.
+    """Totals, estimated charges, windows and the items named here moved from memory to a run.
 
     Attributes:
         run: Number of the run.
-        incarnations: Those whose confirmed sequence numbers moved, as worker and incarnation.
+        incarnations: Worker and incarnation of the confirmed sequence numbers that moved.
         unconfirmed: Unconfirmed records that moved.
     """
 
@@ -229,7 +237,7 @@
 
 
 class LedgerStarted(LedgerEntry, frozen=True, tag="s"):
-    """All entries before this one are void; names the gateway that owns the log."""
+    """All earlier entries are void. Names the gateway that owns the log."""
 
     gateway: str
 
@@ -264,9 +272,9 @@
 
 
 def decode_entry(data: bytes) -> AnyLedgerEntry:
-    """Return the entry that bytes stand for.
+    """Decode an entry from MessagePack.
 
     Raises:
-        ValueError: If the bytes are no entry.
+        ValueError: If the bytes are not a valid entry.
     """
     return _decode(data)
--- a/saffronstack/metering/loss_charger.py
+++ b/saffronstack/metering/loss_charger.py
@@ -1,4 +1,4 @@
-"""Charges calls whose usage records may never arrive: lost responses and workers that died."""
+"""Charges calls whose usage records may never arrive: the response was lost or the worker died."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 from saffronstack.metering.worker_messages import CallReference, UsageResponse
 
 KIB_PER_MB = 1024
-# A call may report at most this many times its memory over its time: it may have shared several instances.
+# Maximum ratio of a reported amount to memory x duration; a call may have used several instances.
 MAX_REPORTED_MULTIPLE = 10
 
 
 class LossCharger:
-    """Owned by the metering thread, but for ``add_answered_call``."""
+    """Appends charges for lost usage to the log.
+
+    Only the metering thread uses it, except for ``add_answered_call``.
+    """
 
     def __init__(self, journal: UsageLog, workers: MeteredWorkers, clock: MeterClock) -> None:
         self._journal = journal
@@ -32,10 +35,10 @@
         self._unconfirmed = UnconfirmedUsage()
 
     def add_answered_call(self, result: AttemptResult) -> None:
-        """Remember an answered call until its records must have arrived; called on workers' threads."""
+        """Remember an answered call until its records must have arrived. Called on workers' threads."""
         call, outcome = result.call, result.outcome
         maximum = int(call.function.memory_mb * KIB_PER_MB) * int(outcome.elapsed_s * 1e6)
-        # Otherwise the worker does not report it, or the report is implausible.
+        # A worker may report no amount or an implausible one.
         is_reported = 0 < result.memory_time_kib_us <= MAX_REPORTED_MULTIPLE * maximum
         self._unconfirmed.add(
             outcome.worker_id,
@@ -52,7 +55,7 @@
         )
 
     def confirm_answered_calls(self, spec: WorkerSpec, response: UsageResponse, polled_s: float) -> None:
-        """Forget the answered calls whose records must have arrived by a worker's response to a poll."""
+        """Forget the answered calls whose records must have arrived, given a worker's response to a poll."""
         incarnation = incarnation_key(spec.name, response.incarnation)
         self._unconfirmed.confirm(
             spec.number,
@@ -62,10 +65,10 @@
         )
 
     def charge_lost_attempt(self, result: AttemptResult, lost_s: float, lost_unix_s: float) -> None:
-        """Charge an attempt without a response provisionally, until its worker reports that it ended.
+        """Charge an attempt without a response provisionally, until its worker reports the end of the call.
 
-        A connection that never reported its worker's incarnation led to the one that is known; where none is
-        known, nothing was ever charged there.
+        If the connection did not report the worker's incarnation, the last known one is used. If none is
+        known, no call was charged at this worker before.
         """
         call, outcome = result.call, result.outcome
         worker = self._workers.find_name(outcome.worker_id)
@@ -88,13 +91,13 @@
         )
 
     def end_incarnation(self, worker: str, new_incarnation: str) -> None:
-        """Make the charges of a worker's earlier incarnations final: no more records of theirs will arrive.
+        """Turn the charges of a worker's ended incarnations into estimates, as no more records will arrive.
 
-        Calls that were answered and whose records may be lost are charged as calls with lost responses are.
+        Answered calls whose records may be lost are charged like calls whose response was lost.
 
         Args:
             worker: Name of the worker.
-            new_incarnation: The incarnation that it reports now; empty where it was removed.
+            new_incarnation: The incarnation that the worker reports now; empty if the worker was removed.
         """
         account = self._journal.state
         ended = {
@@ -118,7 +121,7 @@
         key = incarnation_key(worker, ended_incarnation)
         charges = []
         for call in self._unconfirmed.pop_calls_of_dead_worker(worker_number(worker)):
-            if call.incarnation == new_incarnation:  # answered before the new incarnation was known
+            if call.incarnation == new_incarnation:  # answered before the new incarnation was known here
                 continue
             if call.amount <= self._journal.state.charges.recorded_in_memory(key, call.request_id):
                 continue
--- a/saffronstack/metering/merged_accounts.py
+++ b/saffronstack/metering/merged_accounts.py
@@ -1,6 +1,6 @@
-"""Accounts of several gateways as one: one that is given twice counts once, and so does a record of two.
+"""Merges the accounts of several gateways. Accounts given twice and records of several accounts count once.
 
-Totals are read from each account's memory and archive on demand; they are never in memory all at once.
+Totals are read on demand from each account's memory and archive, so they are never in memory all at once.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class MergedAccounts:
-    """What accounts add up to. Creating it reads their records' numbers, not their totals.
+    """The sum of several accounts. Its creation reads their records and charges, but not their totals.
 
     Attributes:
-        notes: What an operator should know, a line each.
+        notes: Lines of information for an operator.
         in_doubt: Whether entries of a log are lost.
-        confirmed: How many records are confirmed.
-        unconfirmed: How many are not.
-        provisional: Provisional charges of calls that no account estimates.
+        confirmed: Number of confirmed records.
+        unconfirmed: Number of unconfirmed records.
+        provisional: Provisional charges of calls for which no account has an estimated charge.
         estimates: The largest estimated charge of each call.
     """
 
@@ -45,7 +45,7 @@
         self.confirmed = 0
         self.unconfirmed = 0
         self.provisional: dict[tuple[str, str], ProvisionalCharge] = {}
-        self._duplicates = Account("merged")  # what two accounts count, once and negative
+        self._duplicates = Account("merged")  # negative amounts of records that several accounts count
         self._recorded: dict[tuple[str, str], int] = defaultdict(int)
         self._match_records()
         for account in (*self._accounts, self._duplicates):
@@ -90,7 +90,7 @@
                     if (worker, incarnation_id) in r and sequence_number in r[worker, incarnation_id]
                 ]
                 if any(confirmed is own for confirmed in confirming):
-                    continue  # confirmed by now; the archive only holds its text still
+                    continue  # the record is confirmed; the archive still has its unconfirmed version
                 if confirming or record in counted:
                     self._duplicates.count_record(received, -1)
                 else:
@@ -98,21 +98,21 @@
         self.unconfirmed = len(counted)
 
     def read_totals(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
-        """Yield totals by key, of one tenant or of all; a key may come several times, and negative."""
+        """Yield totals of one tenant or of all; a key may occur several times, with negative amounts too."""
         for account in (*self._accounts, self._duplicates):
             yield from account.read_totals(tenant)
 
     def read_occupancy(self) -> Iterator[tuple[str, Amounts]]:
-        """Yield what workers' instances occupied; a worker may come several times."""
+        """Yield what workers' instances occupied; a worker may occur several times."""
         for account in (*self._accounts, self._duplicates):
             yield from account.read_occupancy()
 
     def outstanding(self, charge: ProvisionalCharge) -> int:
-        """Return what a lost call is charged beyond the records that arrived at any gateway."""
+        """Return what a lost call is charged beyond the records that any gateway received."""
         return max(0, int(charge.amount) - recorded_amount(self._recorded, charge))
 
     def charges_by_tenant(self) -> dict[str, int]:
-        """Return loading and running with estimated and provisional charges, in KiB microseconds."""
+        """Return each tenant's loading, running, estimated and provisional charges, in KiB microseconds."""
         sums: dict[str, int] = defaultdict(int)
         for (tenant, *_), (load, run, _, estimated) in self.read_totals():
             sums[tenant] += load + run + estimated
@@ -121,10 +121,10 @@
         return dict(sums)
 
     def find_imbalances(self) -> list[str]:
-        """Return workers whose allocations do not sum up to what their instances occupied, a line each."""
+        """Return one line for each worker whose allocations differ from what its instances occupied."""
         return find_imbalances(self.read_totals(), self.read_occupancy())
 
 
 def merge_accounts(accounts: Iterable[Account]) -> MergedAccounts:
-    """Return what accounts add up to; they are not changed."""
+    """Return the sum of accounts, which are not changed."""
     return MergedAccounts(accounts)
--- a/saffronstack/metering/meter.py
+++ b/saffronstack/metering/meter.py
@@ -1,4 +1,4 @@
-"""The meter of a gateway: the thread that collects usage records, acknowledges them and charges losses."""
+"""The meter of a gateway: a thread that collects and acknowledges usage records and charges lost calls."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from saffronstack.runtime.threads import start_thread
 
 POLL_INTERVAL_S = 1.0
-# Records come with a response this often; reading them on each response costs a fifth of the throughput.
+# Minimum time between invitations of a worker. Records on every response cost a fifth of the throughput.
 INVITATION_INTERVAL_S = 0.1
 MAX_QUEUED_STEPS = 100_000
 ANSWERED = (Result.OK, Result.ERROR)
@@ -30,7 +30,7 @@
 
 
 class Meter:
-    """One thread owns what is in progress; the journal's writer thread owns the account."""
+    """Meters calls on a thread of its own. The journal's writer thread owns the account."""
 
     def __init__(
         self,
@@ -48,13 +48,11 @@
             send_poll: Sends a poll to a worker.
             clock: The gateway's clocks.
             memory_kib: Returns the memory of a worker in the configuration.
-            poll_interval_s: How often workers are polled.
-            budgets: Is notified of functions that are loaded somewhere.
+            poll_interval_s: Seconds between polls of a worker.
+            budgets: Is notified of functions that are loaded at some worker.
         """
         self.journal = journal
-        self.postponed_headers = (
-            0  # headers that the queue's bound cost; their workers offer the records again
-        )
+        self.postponed_headers = 0  # headers that a full queue dropped; their workers offer the records again
         self._clock = clock
         self._interval_s = poll_interval_s
         self._workers = MeteredWorkers()
@@ -63,42 +61,45 @@
         self._poller = UsagePoller(journal, self._workers, self._collector, send_poll, poll_interval_s)
         self._compactor = ArchiveCompactor(journal)
         self._queue: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
-        self._invited_s: dict[int, float] = {}  # by worker id; a race costs one more invitation
+        self._invited_s: dict[int, float] = {}  # by worker id; a race only causes one more invitation
         self._ended = threading.Event()
 
     def start(self) -> None:
-        """Start the thread. Records that were received but never confirmed are acknowledged again."""
+        """Start the thread. It acknowledges received but unconfirmed records again."""
         start_thread("meter", self._run)
 
     def stop(self, timeout_s: float = 5.0) -> bool:
-        """Process what is queued, write it and end; return whether that was in time."""
+        """Process and write what is queued, then end; return whether this took less than the timeout."""
         self._queue.put(None)
         return self._ended.wait(timeout_s) and self.journal.close(timeout_s)
 
     def update_workers(self, specs: list[WorkerSpec]) -> None:
-        """Replace the workers to poll. The provisional charges of a removed one become estimated charges."""
+        """Replace the workers to poll. Provisional charges of removed workers become estimated charges."""
         self._queue.put(lambda: self._replace_workers(specs))
 
     @property
     def accepted(self) -> int:
-        """How many records were accepted."""
+        """Number of accepted records."""
         return self._collector.accepted
 
     @property
     def rejected(self) -> int:
-        """How many records or messages were rejected as invalid."""
+        """Number of records and messages that were rejected as invalid."""
         return self._collector.rejected
 
     def records_dropped_by_workers(self) -> int:
-        """Return how many records workers' own bounds cost, in the incarnations that were seen."""
+        """Return the number of records that workers dropped because of their own limits.
+
+        Incarnations that this gateway never polled are not included.
+        """
         return self._collector.records_dropped_by_workers()
 
     # ---- on the workers' threads
 
     def gateway_name_for(self, worker_id: int) -> str:
-        """Return the name by which a worker may send records with its response.
+        """Return the gateway name that invites a worker to send records with its response.
 
-        It is empty where the worker was invited a moment ago.
+        It is empty if the worker was invited within the last ``INVITATION_INTERVAL_S``.
         """
         now_s = self._clock.monotonic()
         if now_s - self._invited_s.get(worker_id, -1e9) < INVITATION_INTERVAL_S:
@@ -107,17 +108,17 @@
         return self.journal.state.gateway
 
     def on_usage_records(self, worker: WorkerSpec, text: str) -> None:
-        """Take the usage header of a response."""
+        """Queue the usage header of a response."""
         if self._queue.qsize() > MAX_QUEUED_STEPS:
             self.postponed_headers += 1
             return
         self._queue.put(lambda: self._collector.collect_header(worker, text))
 
     def on_attempt_result(self, result: AttemptResult) -> None:
-        """Take the result of an attempt; one that may have run without a response is charged."""
+        """Process the result of an attempt. One without a response is charged, because it may have run."""
         outcome = result.outcome
         if outcome.result in LOST:
-            # Read here: the meter's thread may come to it late.
+            # The clocks are read here because the meter's thread may process the result late.
             lost_s, lost_unix_s = self._clock.monotonic(), self._clock.wall()
             self._queue.put(lambda: self._losses.charge_lost_attempt(result, lost_s, lost_unix_s))
         elif outcome.result in ANSWERED:
@@ -161,7 +162,7 @@
         self._poller.poll_all(self._clock.monotonic(), self._on_poll_response)
 
     def _on_poll_response(self, spec: WorkerSpec, body: bytes | None, polled_s: float) -> None:
-        """Called on any thread."""
+        """Queue the response to a poll. Called on any thread."""
         self._queue.put(lambda: self._process_poll_response(spec, body, polled_s))
 
     def _process_poll_response(self, spec: WorkerSpec, body: bytes | None, polled_s: float) -> None:
@@ -172,4 +173,4 @@
 
 
 def _no_step() -> None:
-    """Stands for an empty queue: it is time to poll."""
+    """Do nothing. Represents an empty queue at the time of the next poll."""
--- a/saffronstack/metering/metered_workers.py
+++ b/saffronstack/metering/metered_workers.py
@@ -1,4 +1,4 @@
-"""What the metering thread knows of workers and of time."""
+"""The clocks and the workers of the metering thread."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     Attributes:
         monotonic: Returns seconds of the gateway's monotonic clock.
-        wall: Returns Unix seconds, which steps of the system clock move.
-        steady_offset_s: What added to the monotonic clock makes Unix seconds that no clock step moves.
+        wall: Returns Unix seconds of the system clock, which may step.
+        steady_offset_s: Offset from the monotonic clock to Unix seconds without clock steps.
     """
 
     monotonic: Callable[[], float]
@@ -24,7 +24,7 @@
     steady_offset_s: float = 0.0
 
     def steady_unix_s(self, monotonic_s: float) -> float:
-        """Return Unix seconds that no clock step moves."""
+        """Convert monotonic seconds to Unix seconds without clock steps."""
         return monotonic_s + self.steady_offset_s
 
 
@@ -36,5 +36,5 @@
         self.incarnations: dict[str, str] = {}
 
     def find_name(self, worker_id: int) -> str:
-        """Return the name of a worker; empty where it is not polled."""
+        """Return the name of a worker, or an empty string if it is not polled."""
         return next((name for name in self.specs if worker_number(name) == worker_id), "")
--- a/saffronstack/metering/record_collector.py
+++ b/saffronstack/metering/record_collector.py
@@ -1,4 +1,4 @@
-"""Collects the usage records that workers offer: validates them and appends them to the usage log."""
+"""Collects usage records from workers, validates them and appends them to the usage log."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingCommit:
-    """Records that were appended to the log and may not be in the account yet."""
+    """Records that are appended to the log but may not be in the account yet."""
 
     ticket: AppendTicket[AnyLedgerEntry]
     records: list[RecordId]
 
 
 class RecordCollector:
-    """Owned by the metering thread; the counters are read on any thread."""
+    """Appends workers' records to the log. The metering thread owns it; any thread may read the counters."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
 
         Args:
             journal: The usage log.
-            workers: The workers and their incarnations, which are updated here.
+            workers: The workers and their incarnations; the collector updates the incarnations.
             losses: Is notified of incarnations that ended.
             clock: The gateway's clocks.
             memory_kib: Returns the memory of a worker in the configuration.
-            budgets: Is notified of functions that are loaded somewhere.
+            budgets: Is notified of functions that are loaded at some worker.
         """
         self.accepted = 0
         self.rejected = 0
@@ -75,22 +75,29 @@
         self._pending: list[_PendingCommit] = []
         self._pending_records: set[RecordId] = set()
         self._rejected_numbers: dict[str, list[tuple[str, int]]] = defaultdict(list)  # by worker
-        self._dropped: dict[str, tuple[str, int]] = {}  # worker: incarnation, records that its bound cost
+        self._dropped: dict[str, tuple[str, int]] = {}  # by worker: incarnation, dropped records
         self._dropped_in_ended_incarnations = 0
 
     def records_dropped_by_workers(self) -> int:
-        """Return how many records workers' own bounds cost, in the incarnations that were seen."""
+        """Return the number of records that workers dropped because of their own limits.
+
+        Incarnations that this gateway never polled are not included.
+        """
         return self._dropped_in_ended_incarnations + sum(count for _, count in list(self._dropped.values()))
 
     def collect_header(self, worker: WorkerSpec, text: str) -> None:
-        """Take the usage header of a response."""
+        """Collect the records in the usage header of a response."""
         try:
             self.collect(worker, base64.b64decode(text, validate=True))
         except binascii.Error:
             self._reject(worker.name, "its usage header is not base64")
 
     def collect(self, worker: WorkerSpec, body: bytes) -> UsageResponse | None:
-        """Take a worker's records, confirmations and ended calls; return its message or None."""
+        """Append a worker's records, confirmations and ended calls to the log.
+
+        Returns:
+            The decoded message, or None if it is invalid.
+        """
         try:
             response = msgspec.msgpack.decode(body, type=UsageResponse)
         except (msgspec.MsgspecError, ValueError) as error:
@@ -114,7 +121,7 @@
         return response
 
     def forget_committed(self) -> None:
-        """Forget the pending records that are in the account, or failed: their worker offers them again."""
+        """Forget pending records whose commit is done. Workers offer the records of a failed commit again."""
         pending = []
         for commit in self._pending:
             if commit.ticket.done.is_set():
@@ -124,7 +131,7 @@
         self._pending = pending
 
     def pop_rejected(self, worker: str) -> list[tuple[str, int]]:
-        """Remove and return the rejected records of a worker, which are acknowledged so that they end."""
+        """Remove and return a worker's rejected records. Once acknowledged, they are not offered again."""
         return self._rejected_numbers.pop(worker, [])
 
     def _update_incarnation(self, worker: str, response: UsageResponse) -> None:
@@ -161,7 +168,10 @@
         return accepted
 
     def _is_known(self, record: RecordId) -> bool:
-        """Return whether a record need not be taken; where the archive cannot tell, its worker keeps it."""
+        """Return whether to ignore a record: it is known, or an unreadable archive leaves this open.
+
+        An ignored record is not acknowledged, so its worker keeps it.
+        """
         try:
             return record in self._pending_records or self._journal.state.has_record(*record)
         except (RunDamagedError, OSError) as error:
--- a/saffronstack/metering/record_registry.py
+++ b/saffronstack/metering/record_registry.py
@@ -1,4 +1,4 @@
-"""Which usage records are counted: each counts once, however often it arrives. No I/O but for the archive."""
+"""Registers the counted usage records, so that each counts once. Only the archive performs I/O."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     decode_entry,
 )
 
-RECORD_KEY_LENGTH = 4  # parts of an archive key, its letter included
+RECORD_KEY_LENGTH = 4  # parts of an archive key, including its kind
 Incarnation = tuple[str, str]  # worker, incarnation
 T = TypeVar("T")
 
 
 class RecordRegistry:
-    """Owned by the account; other threads read copies.
+    """The counted records, confirmed or not. The account owns it; other threads read copies.
 
     Attributes:
-        unconfirmed: Records that count, and that no worker has confirmed.
-        confirmed: Sequence numbers of confirmed records, the incarnation confirmed longest ago first.
-        relinquished: Records that a run still stores, and that another gateway was given.
+        unconfirmed: Counted records that their worker has not confirmed.
+        confirmed: Sequence numbers of confirmed records; the incarnation confirmed longest ago is first.
+        relinquished: Records in a run that belong to another gateway.
     """
 
     def __init__(self, archive: Archive | None, on_archive_fault: Callable[[], None]) -> None:
@@ -42,17 +42,17 @@
     # ---- changes
 
     def add(self, entry: RecordReceived) -> bool:
-        """Add a record; return whether it is new and counts from now on."""
+        """Add a record unless it is counted already; return whether it was added."""
         usage = entry.usage
         record = RecordId(usage.worker, usage.incarnation, usage.sequence_number)
-        # It was not known when it was taken, so one of which the archive cannot tell counts.
+        # The gateway accepted the record as unknown, so it counts even if the archive cannot be read.
         if self._query_archive(lambda: self.has_record(*record), False):
             return False
         self.unconfirmed[record] = entry
         return True
 
     def confirm(self, entry: RecordConfirmed) -> None:
-        """Turn counted records into sequence numbers; one that is not counted here stays unknown."""
+        """Replace counted records by their sequence numbers; skip records that are not counted here."""
         low, last = entry.sequence_number, max(entry.sequence_number, entry.last)
         incarnation = entry.worker, entry.incarnation
         intervals = []
@@ -68,11 +68,11 @@
             self.confirmed.move_to_end(incarnation)
 
     def restore_confirmed(self, incarnation: Incarnation, low: int, high: int) -> None:
-        """Add an interval of a snapshot."""
+        """Add an interval of confirmed sequence numbers from a snapshot."""
         self.confirmed.setdefault(incarnation, IntervalSet()).add(low, high)
 
     def remove_unconfirmed(self, record: RecordId) -> RecordReceived | None:
-        """Remove and return an unconfirmed record, from memory or archive; None where it does not count."""
+        """Remove and return an unconfirmed record from memory or archive; None if it is not counted."""
         found = self.unconfirmed.pop(record, None)
         archive = self._archive
         if found is not None or archive is None or not archive.runs or record in self.relinquished:
@@ -85,7 +85,7 @@
         return _decode_record(value)
 
     def forget_archived(self, entry: MovedToArchive) -> None:
-        """Forget what a run holds now."""
+        """Forget what was moved to a run."""
         self.relinquished.clear()
         for incarnation in entry.incarnations:
             self.confirmed.pop(incarnation, None)
@@ -93,13 +93,13 @@
             for sequence_number in range(moved.low, moved.high + 1):
                 self.unconfirmed.pop(RecordId(moved.worker, moved.incarnation, sequence_number), None)
 
-    # ---- questions
+    # ---- queries
 
     def has_record(self, worker: str, incarnation: str, sequence_number: int) -> bool:
         """Return whether a record counts or is confirmed.
 
         Raises:
-            RunDamagedError: If the archive cannot tell.
+            RunDamagedError: If the archive cannot be read.
         """
         intervals = self.confirmed.get((worker, incarnation))
         if RecordId(worker, incarnation, sequence_number) in self.unconfirmed:
@@ -109,7 +109,7 @@
         return self._archive is not None and self._archive.has_record(worker, incarnation, sequence_number)
 
     def confirmed_intervals(self) -> Iterator[tuple[Incarnation, tuple[int, int]]]:
-        """Yield intervals of confirmed sequence numbers, from memory and from the archive."""
+        """Yield intervals of confirmed sequence numbers from memory and archive."""
         for incarnation, intervals in list(self.confirmed.items()):
             for interval in list(intervals.intervals):
                 yield incarnation, interval
@@ -119,9 +119,9 @@
                 yield (str(worker), str(name)), (int(low), decode_amounts(value)[0])
 
     def unconfirmed_records(self) -> Iterator[tuple[RecordId, RecordReceived]]:
-        """Yield unconfirmed records, from memory and from the archive.
+        """Yield unconfirmed records from memory and archive.
 
-        One of the archive's may be among the confirmed sequence numbers by now.
+        A record from the archive may have been confirmed since; then its sequence number is confirmed too.
         """
         yield from list(self.unconfirmed.items())
         if self._archive is not None and self._archive.runs:
@@ -137,7 +137,7 @@
         return archive is not None and self._query_archive(lambda: archive.has_record(*record), True)
 
     def _query_archive(self, query: Callable[[], T], default: T) -> T:
-        """Return what the archive answers. Where it is unreadable the log's records still count, in doubt."""
+        """Query the archive. If it is unreadable, return the default and mark the account as in doubt."""
         try:
             return query()
         except (RunDamagedError, OSError):
--- a/saffronstack/metering/sliding_windows.py
+++ b/saffronstack/metering/sliding_windows.py
@@ -1,9 +1,8 @@
-"""What tenants with a budget used lately, in buckets of their sliding windows. No I/O.
+"""Recent usage of tenants with a budget, in buckets of sliding windows. No I/O.
 
-A window's buckets are its sixtieths, at fixed positions on a clock that no step moves. A bucket leaves as a
-whole when its start has left the window, so that amounts can leave a sixtieth of the window early, and never
-late. Amounts may be subtracted again; times may come out of order. Archived buckets add to those in
-memory.
+A bucket is a sixtieth of a window, at a fixed position on a clock without steps. A bucket expires as a whole
+when its start leaves the window, so amounts expire at most a sixtieth of the window early and never late.
+Amounts may be subtracted again, and times may be out of order. Archived buckets add to those in memory.
 """
 
 from __future__ import annotations
@@ -16,11 +15,11 @@
 
 BUCKETS_PER_WINDOW = 60
 MAX_CACHED_TENANTS = 10_000  # whose archived buckets are cached
-Buckets = dict[float, int]  # start: amount
+Buckets = dict[float, int]  # amount by start
 
 
 class WindowBucket(NamedTuple):
-    """A bucket of a tenant's window; of all tenants with that window where none is named."""
+    """A bucket of a tenant's window, or with an empty tenant of all tenants with that window length."""
 
     tenant: str
     window_s: float
@@ -30,14 +29,14 @@
 
 @dataclass(slots=True)
 class SlidingWindow:
-    """One sliding window."""
+    """A sliding window and the sum of its buckets."""
 
     buckets: Buckets = field(default_factory=dict)
     total: int = 0
     oldest_start_s: float = float("inf")
 
     def add(self, start_s: float, amount: int) -> None:
-        """Add an amount to the bucket that starts then."""
+        """Add an amount to the bucket with this start."""
         self.buckets[start_s] = self.buckets.get(start_s, 0) + amount
         self.total += amount
         if start_s < self.oldest_start_s:
@@ -50,7 +49,7 @@
             self.oldest_start_s = min(self.buckets, default=float("inf"))
 
     def move_future_buckets(self, now_s: float) -> None:
-        """Move the buckets that start after now to now."""
+        """Merge the buckets that start after ``now_s`` into one that starts then."""
         for start_s in [start_s for start_s in self.buckets if start_s > now_s]:
             amount = self.buckets.pop(start_s)
             self.buckets[now_s] = self.buckets.get(now_s, 0) + amount
@@ -60,7 +59,7 @@
 class SlidingWindows:
     """The windows of all tenants with a budget.
 
-    Amounts come from the account's thread, questions from any; times are steady Unix seconds.
+    The account's thread adds amounts; any thread may query. Times are Unix seconds without clock steps.
     """
 
     def __init__(
@@ -71,12 +70,12 @@
         """Create empty windows.
 
         Args:
-            window_lengths: Each tenant's window in seconds.
-            archived_buckets: Returns start and amount of a tenant's archived buckets.
+            window_lengths: Window length of each tenant in seconds.
+            archived_buckets: Yields start and amount of a tenant's archived buckets.
         """
         self._window_lengths = dict(window_lengths)
         self._archived_buckets = archived_buckets
-        self._lock = threading.Lock()  # guards all below
+        self._lock = threading.Lock()  # guards the attributes below
         self._windows: dict[str, SlidingWindow] = {}
         self._sums_by_length: dict[float, SlidingWindow] = {
             length_s: SlidingWindow() for length_s in set(self._window_lengths.values())
@@ -84,17 +83,17 @@
         self._archive_cache: OrderedDict[str, SlidingWindow] = OrderedDict()
         self._is_archive_used = False
         self._latest_s = 0.0
-        self.bucket_count = 0  # in memory; an upper bound
+        self.bucket_count = 0  # in memory; may include expired buckets
 
     def resume_at(self, now_s: float) -> None:
-        """After a restart: what was noted by a clock that stood later counts from now."""
+        """Set the time after a restart. Usage after this time, from a clock that was ahead, counts from now."""
         with self._lock:
             self._latest_s = now_s
             for window in (*self._windows.values(), *self._sums_by_length.values()):
                 window.move_future_buckets(now_s)
 
     def add(self, tenant: str, at_s: float, amount: int) -> None:
-        """Add an amount that was used then; a negative one subtracts."""
+        """Add an amount that was used at a time; a negative amount subtracts."""
         length_s = self._window_lengths.get(tenant)
         if length_s is None:
             return
@@ -116,7 +115,7 @@
             total.add(start_s, amount)
 
     def buckets_in_window(self, tenant: str, now_s: float) -> list[tuple[float, int]]:
-        """Return start and amount of a tenant's buckets that are in its window now, oldest first."""
+        """Return start and amount of the buckets in a tenant's window, oldest first."""
         buckets: Buckets = {}
         with self._lock:
             for window in self._current_windows(tenant, now_s - self._window_lengths[tenant]):
@@ -125,34 +124,34 @@
         return sorted(buckets.items())
 
     def total(self, tenant: str, now_s: float) -> int:
-        """Return what a tenant used in its window."""
+        """Return the usage of a tenant in its window."""
         with self._lock:
             windows = self._current_windows(tenant, now_s - self._window_lengths[tenant])
             return sum(window.total for window in windows)
 
     def total_of_all_tenants(self, now_s: float) -> int:
-        """Return what all tenants with a budget used, each in its own window."""
+        """Return the usage of all tenants with a budget, each in its own window."""
         with self._lock:
             for length_s, window in self._sums_by_length.items():
                 window.expire(now_s - length_s)
             return sum(window.total for window in self._sums_by_length.values())
 
     def is_in_window(self, tenant: str, start_s: float) -> bool:
-        """Return whether a bucket is in its tenant's window, as far as the latest amount tells."""
+        """Return whether a bucket is in its tenant's window at the time of the latest amount."""
         length_s = self._window_lengths.get(tenant)
         return length_s is not None and start_s > self._latest_s - length_s
 
     # ---- state
 
     def clear(self) -> None:
-        """Forget everything: nothing was used, and nothing was archived."""
+        """Reset to no usage and no archive."""
         with self._lock:
             self._forget_buckets()
             self._archive_cache.clear()
             self._is_archive_used = False
 
     def snapshot(self) -> Iterator[WindowBucket]:
-        """Yield the buckets in memory, by tenant and then of all tenants by length."""
+        """Yield the buckets in memory: first those of each tenant, then the sums by window length."""
         with self._lock:
             for tenant, window in self._windows.items():
                 yield from self._buckets_of_window(tenant, self._window_lengths[tenant], window)
@@ -160,9 +159,9 @@
                 yield from self._buckets_of_window("", length_s, window)
 
     def restore(self, tenant: str, window_s: float, start_s: float, amount: int) -> None:
-        """Add a bucket of a snapshot; one of a tenant that has no budget any more is dropped.
+        """Add a bucket from a snapshot. Buckets of tenants that no longer have a budget are dropped.
 
-        Without a tenant and a window: the buckets that follow are all there are.
+        A window length of 0 removes all buckets instead: the snapshot's buckets follow.
         """
         with self._lock:
             if not window_s:
@@ -176,7 +175,7 @@
                 window.add(start_s, amount)
 
     def buckets_in_memory(self) -> list[WindowBucket]:
-        """Return the buckets that a run would hold."""
+        """Return the buckets to write to a run."""
         with self._lock:
             return [
                 bucket
@@ -185,7 +184,7 @@
             ]
 
     def move_buckets_to_archive(self) -> None:
-        """Forget the buckets in memory, which a run holds now."""
+        """Forget the buckets in memory, which were written to a run."""
         with self._lock:
             self._is_archive_used = True
             for tenant, window in self._windows.items():
@@ -197,10 +196,10 @@
             self.bucket_count = 0
 
     def mark_archive_used(self) -> None:
-        """Note that there are runs, which may hold buckets."""
+        """Record that the archive has runs, which may contain buckets."""
         self._is_archive_used = True
 
-    # ---- inside, under the lock
+    # ---- helpers, called under the lock
 
     def _buckets_of_window(
         self, tenant: str, length_s: float, window: SlidingWindow
@@ -210,7 +209,7 @@
                 yield WindowBucket(tenant, length_s, start_s, amount)
 
     def _current_windows(self, tenant: str, before_s: float) -> list[SlidingWindow]:
-        """Return a tenant's window in memory and the archived one, without what has expired."""
+        """Return a tenant's windows in memory and from the archive, without expired buckets."""
         window = self._windows.get(tenant)
         windows = []
         if window is not None:
--- a/saffronstack/metering/usage_log.py
+++ b/saffronstack/metering/usage_log.py
@@ -1,4 +1,4 @@
-"""The usage log: the journal of an account, with its archive beside it."""
+"""Opens and reads the usage log: the journal of an account and the archive beside it."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from saffronstack.metering.archive import Archive
 from saffronstack.metering.ledger_entries import AnyLedgerEntry, LedgerStarted, decode_entry, encode_entry
 
-MAX_READ_ATTEMPTS = 10  # a gateway that writes the log may replace files while they are read
-NAME_COMMIT_TIMEOUT_S = 10.0  # for the name of a new log to be durable
+MAX_READ_ATTEMPTS = 10  # the gateway that owns the log may replace files during a read
+NAME_COMMIT_TIMEOUT_S = 10.0  # until the gateway name in a new log is durable
 CODEC: RecordCodec[AnyLedgerEntry] = RecordCodec(
     encode_entry, decode_entry, lambda entry: isinstance(entry, LedgerStarted), "usage", compress=True
 )
@@ -34,14 +34,14 @@
     budget_windows: Mapping[str, float] | None = None,
     limits: AccountLimits | None = None,
 ) -> UsageLog:
-    """Lock and read a usage log; a new one gets a gateway name of its own.
+    """Lock and read a usage log. A new log gets a random gateway name.
 
     Args:
         directory: Where the log is stored.
         segment_bytes: Size at which a segment is closed.
         files: The file layer; tests replace it.
         budget_windows: Window of each tenant that has a budget, in seconds.
-        limits: How much of the account stays in memory.
+        limits: How many items of the account stay in memory.
 
     Raises:
         JournalError: If the log cannot be locked or read.
@@ -59,7 +59,7 @@
 
 
 def read_usage_log(directory: pathlib.Path) -> tuple[Account, list[str]]:
-    """Read a usage log without locking it; return its account and what is damaged, a line each.
+    """Read a usage log without locking it; return its account and one line for each damage.
 
     Raises:
         JournalError: If the log cannot be read.
--- a/saffronstack/metering/usage_poller.py
+++ b/saffronstack/metering/usage_poller.py
@@ -1,4 +1,4 @@
-"""Polls workers for usage: acknowledges what is durable, and asks for calls whose records are missing."""
+"""Polls workers for usage: acknowledges durable records and asks about calls whose records are missing."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from saffronstack.metering.usage_log import UsageLog
 from saffronstack.metering.worker_messages import UsageRequest
 
-MAX_ACKNOWLEDGEMENTS = 2000  # in one poll
-MAX_UNRESOLVED = 500
-POLL_TIMEOUT_INTERVALS = 3  # a poll is given up after so many intervals
-POLL_TIMEOUT_MARGIN_S = 2.0  # and this
+MAX_ACKNOWLEDGEMENTS = 2000  # records in one poll
+MAX_UNRESOLVED = 500  # calls in one poll
+POLL_TIMEOUT_INTERVALS = 3  # poll intervals until a poll times out, plus the margin
+POLL_TIMEOUT_MARGIN_S = 2.0
 
 
 class WorkerPoller(Protocol):
     """Sends a poll to a worker."""
 
     def __call__(self, worker: int, body: bytes, done: Callable[[bytes | None], None]) -> None:
-        """Send it and return at once.
+        """Send a poll without waiting for the response.
 
         Args:
             worker: Number of the worker.
             body: The poll.
-            done: Is called with the body of the response, None where none came.
+            done: Is called with the body of the response, or None if there was none.
         """
         ...
 
 
 class UsagePoller:
-    """Owned by the metering thread."""
+    """Sends polls to workers, one at a time for each. Owned by the metering thread."""
 
     def __init__(
         self,
@@ -50,14 +50,14 @@
         self._collector = collector
         self._send_poll = send_poll
         self._timeout_s = POLL_TIMEOUT_INTERVALS * interval_s + POLL_TIMEOUT_MARGIN_S
-        self._polled_s: dict[str, float] = {}  # workers with a poll in flight, and since when
+        self._polled_s: dict[str, float] = {}  # when the poll in flight was sent, by worker
 
     def poll_all(self, now_s: float, on_response: Callable[[WorkerSpec, bytes | None, float], None]) -> None:
         """Poll each worker that has no poll in flight.
 
         Args:
-            now_s: The time, by the monotonic clock.
-            on_response: Is called on any thread with the worker, the body and the time of the poll.
+            now_s: The current time by the monotonic clock.
+            on_response: Is called on any thread with the worker, the response body and the time of the poll.
         """
         acknowledged = self._records_to_acknowledge()
         unresolved = self._unresolved_calls()
@@ -79,11 +79,11 @@
             self._send_poll(spec.number, msgspec.msgpack.encode(request), done)
 
     def end_poll(self, worker: str) -> None:
-        """Note that a worker's poll was answered or failed."""
+        """Record that a worker's poll was answered or failed."""
         self._polled_s.pop(worker, None)
 
     def _records_to_acknowledge(self) -> dict[str, list[tuple[str, int]]]:
-        """Return the unconfirmed records by worker. A dead incarnation cannot tell to whom they belong."""
+        """Return the unconfirmed records by worker. Only a current incarnation can confirm its records."""
         found: dict[str, list[tuple[str, int]]] = defaultdict(list)
         for worker, incarnation, sequence_number in list(self._journal.state.unconfirmed):
             if self._workers.incarnations.get(worker) == incarnation:
@@ -91,7 +91,7 @@
         return found
 
     def _unresolved_calls(self) -> dict[str, list[str]]:
-        """Return the request ids of provisional charges by worker, of those whose incarnation can answer."""
+        """Return request ids of provisional charges by worker, if their incarnation is current or unknown."""
         found: dict[str, list[str]] = defaultdict(list)
         for charge in list(self._journal.state.provisional.values()):
             if charge.incarnation in ("", self._workers.incarnations.get(charge.worker)):
--- a/saffronstack/metering/usage_report.py
+++ b/saffronstack/metering/usage_report.py
@@ -1,4 +1,4 @@
-"""Usage reports: totals by chosen columns, as a table, JSON lines or CSV. No I/O."""
+"""Sums up usage by chosen columns and formats it as a table, JSON lines or CSV. No I/O."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 from saffronstack.metering.usage_totals import TotalKey
 
 MB_S = 1024 * 1_000_000  # KiB microseconds in a megabyte second
-ESTIMATED_COLUMN = 3  # of the amounts of a row
+ESTIMATED_COLUMN = 3  # index in the amounts of a row
 PROVISIONAL_COLUMN = 4
 COLUMNS = ("tenant", "function", "class", "worker", "day", "hour")
 
 
 @dataclass(frozen=True, slots=True)
 class UsageRow:
-    """One total, in MB s; ``provisional`` is charged until a worker's record or death settles it."""
+    """One total in MB s.
+
+    ``provisional`` is charged until the worker reports the end of the call or its incarnation ends.
+    """
 
     group: tuple[str, ...]
     loading: float
@@ -41,12 +44,12 @@
 def summarize_usage(
     merged: MergedAccounts, group_by: tuple[str, ...], tenant: str | None = None
 ) -> list[UsageRow]:
-    """Return totals by some of the columns, largest charge first.
+    """Return totals grouped by some of the columns, largest charge first.
 
     Args:
         merged: The accounts.
-        group_by: Names of columns.
-        tenant: The tenant whose usage is summed; None for all.
+        group_by: Names of the columns.
+        tenant: The tenant whose usage is summed, or None for all tenants.
 
     Raises:
         ValueError: If there is no such column.
@@ -90,7 +93,7 @@
 
 
 def amounts_in_column_order(row: UsageRow) -> list[float]:
-    """Its amounts in the order of the heads, in MB s."""
+    """Return the amounts of a row in the order of ``AMOUNT_COLUMNS``, in MB s."""
     return [row.loading, row.running, row.estimated, row.provisional, row.charged, row.idle]
 
 
@@ -105,7 +108,7 @@
 
 
 def format_table(rows: Iterable[UsageRow], group_by: tuple[str, ...]) -> str:
-    """Return aligned columns; the charge also in GB h."""
+    """Return rows as aligned columns, with the charge in GB h as a further column."""
     rows = list(rows)
     widths = [
         max([len(name), *(len(row.group[index]) for row in rows)]) for index, name in enumerate(group_by)
@@ -134,7 +137,7 @@
 
 
 def format_json_lines(rows: Iterable[UsageRow], group_by: tuple[str, ...]) -> str:
-    """Return one JSON object a line."""
+    """Return rows as one JSON object per line."""
     return "\n".join(
         msgspec.json.encode(
             {
@@ -147,7 +150,7 @@
 
 
 def format_csv(rows: Iterable[UsageRow], group_by: tuple[str, ...]) -> str:
-    """Return comma-separated values as in RFC 4180."""
+    """Return rows as comma-separated values (RFC 4180)."""
     output = io.StringIO()
     writer = csv.writer(output)
     writer.writerow([*group_by, *AMOUNT_COLUMNS])
--- a/saffronstack/metering/usage_totals.py
+++ b/saffronstack/metering/usage_totals.py
@@ -1,4 +1,4 @@
-"""Totals of usage by key and hour, and of what workers' instances occupied. No I/O but for the archive."""
+"""Totals of usage by key and hour, and of workers' occupancy. Only the archive performs I/O."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 HOUR_S = 3600
 PHASE_COLUMNS = {Phase.LOAD: 0, Phase.RUN: 1, Phase.IDLE: 2}
-TOTAL_KEY_LENGTH = 6  # parts of an archive key, its letter included
+TOTAL_KEY_LENGTH = 6  # parts of an archive key, including its kind
 OCCUPANCY_KEY_LENGTH = 2
-Amounts = list[int]  # loading, running, idle, and for totals estimated; in KiB microseconds
+Amounts = list[int]  # loading, running, idle and, in totals, estimated; in KiB microseconds
 
 
 class TotalKey(NamedTuple):
-    """What usage is summed by."""
+    """Attributes by which usage is summed."""
 
     tenant: str
     function: str
@@ -30,10 +30,15 @@
 
 
 class UsageTotals:
-    """Owned by the account; other threads read copies."""
+    """Totals in memory and in the archive. The account owns them; other threads read copies."""
 
     def __init__(self, archive: Archive | None, transfer_lock: AbstractContextManager[object]) -> None:
-        """``transfer_lock`` guards the moment at which totals move from memory to a run."""
+        """Create empty totals.
+
+        Args:
+            archive: Stores totals that exceed the memory limits.
+            transfer_lock: Is held while totals move from memory to a run.
+        """
         self._archive = archive
         self._transfer_lock = transfer_lock
         self.by_key: dict[TotalKey, Amounts] = defaultdict(lambda: [0, 0, 0, 0])
@@ -42,23 +47,23 @@
     def add_allocation(
         self, usage: UsageRecord, hour_start_s: int, allocation: Allocation, sign: int
     ) -> None:
-        """Add the allocation of a record to the totals; with a negative sign subtract it."""
+        """Add an allocation of a record to the totals; a negative sign subtracts it."""
         call = allocation.call
         key = TotalKey(call.tenant, usage.function, call.request_class, usage.worker, hour_start_s)
         self.by_key[key][PHASE_COLUMNS[allocation.phase]] += sign * allocation.amount
 
     def add_occupancy(self, usage: UsageRecord, sign: int) -> None:
-        """Add what the instances of a record occupied; with a negative sign subtract it."""
+        """Add what the instances of a record occupied; a negative sign subtracts it."""
         for column, amount in enumerate(total_occupancy(usage)):
             self.occupancy_by_worker[usage.worker][column] += sign * amount
 
     def clear(self) -> None:
-        """Forget what is in memory: a run holds it now."""
+        """Forget the totals in memory, which were moved to a run."""
         self.by_key.clear()
         self.occupancy_by_worker.clear()
 
     def read_totals(self, tenant: str | None = None) -> Iterator[tuple[TotalKey, Amounts]]:
-        """Yield totals, of one tenant or of all, from memory and from the archive; a key may come twice."""
+        """Yield totals of one tenant or of all from memory and archive; a key may occur twice."""
         with self._transfer_lock:
             runs = self._archive.runs if self._archive is not None else ()
             in_memory = [
@@ -74,7 +79,7 @@
                 yield _decode_total_key(key), decode_amounts(value)
 
     def read_occupancy(self) -> Iterator[tuple[str, Amounts]]:
-        """Yield what workers' instances occupied, from memory and archive; a worker may come twice."""
+        """Yield what workers' instances occupied, from memory and archive; a worker may occur twice."""
         with self._transfer_lock:
             runs = self._archive.runs if self._archive is not None else ()
             in_memory = [
@@ -96,7 +101,7 @@
 def find_imbalances(
     totals: Iterable[tuple[TotalKey, Amounts]], occupancies: Iterable[tuple[str, Amounts]]
 ) -> list[str]:
-    """Return the workers whose allocations do not sum up to what their instances occupied, a line each."""
+    """Return one line for each worker whose allocations differ from what its instances occupied."""
     allocated: dict[str, Amounts] = defaultdict(lambda: [0, 0, 0])
     occupied: dict[str, Amounts] = defaultdict(lambda: [0, 0, 0])
     for key, amounts in totals:
--- a/saffronstack/metering/worker_messages.py
+++ b/saffronstack/metering/worker_messages.py
@@ -1,8 +1,8 @@
 """Messages between gateways and workers about usage.
 
-Memory is in KiB, spans are in microseconds of the worker's own monotonic clock. ``CallReference`` and
-``UsageRecord`` are MessagePack arrays, the order of their fields is the format; ``UsageRequest`` and
-``UsageResponse`` are maps, whose keys are given beside the fields.
+Memory is in KiB; times are microseconds of the worker's monotonic clock. ``CallReference`` and
+``UsageRecord`` are MessagePack arrays, so the order of their fields is part of the format. ``UsageRequest``
+and ``UsageResponse`` are maps; where a key differs from the field, ``name`` gives it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class CallReference(msgspec.Struct, array_like=True, frozen=True):
-    """A call, as a worker knows it."""
+    """Identifies a call in usage records."""
 
     request_id: str
     tenant: str
@@ -21,12 +21,14 @@
 
 
 class UsageRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What the instances of one function occupied at one worker between two changes.
+    """What the instances of one function occupied at one worker in a span.
+
+    A span ends when the instances or the calls on them change.
 
     Attributes:
         sequence_number: Counts from 1 in each incarnation, without gaps.
-        waiting_calls: The calls that wait for the instances that load.
-        running_calls: The calls that run on the running instances.
+        waiting_calls: The calls that wait for the loading instances.
+        running_calls: The calls on the running instances.
     """
 
     worker: str
@@ -44,11 +46,11 @@
 
 
 class UsageRequest(msgspec.Struct, frozen=True):
-    """A gateway acknowledges usage records and asks for more.
+    """A gateway's poll: acknowledges usage records and asks for more.
 
     Attributes:
-        acknowledged: Records that are durable in the gateway's log, as incarnation and sequence number.
-        unresolved_request_ids: Calls whose records the gateway misses.
+        acknowledged: Incarnation and sequence number of records that are durable in the gateway's log.
+        unresolved_request_ids: Calls whose end the gateway does not know.
     """
 
     gateway: str
@@ -58,15 +60,14 @@
 
 
 class UsageResponse(msgspec.Struct, frozen=True):
-    """A worker's response to a `UsageRequest`. Records are named by incarnation and sequence number.
+    """A worker's response to a ``UsageRequest``. Incarnation and sequence number identify records.
 
     Attributes:
-        confirmed: Acknowledged records that belong to this gateway, which acknowledged them first.
-        relinquished: Acknowledged records that another gateway acknowledged before.
-        ended_request_ids: Those of the unresolved calls that have ended: all their records are made.
-        dropped_records: Records that the worker's own bound cost since its start.
-        remaining_records: Records beyond these that no gateway has acknowledged; -1 where it is not
-            reported.
+        confirmed: Acknowledged records that belong to this gateway, as it acknowledged them first.
+        relinquished: Acknowledged records that another gateway acknowledged earlier.
+        ended_request_ids: Unresolved calls that have ended, so that all their records exist.
+        dropped_records: Records that the worker has dropped since its start because of its own limit.
+        remaining_records: Further records that no gateway has acknowledged; -1 if not reported.
     """
 
     worker: str
