--- a/saffronstack/metering/sliding_windows.py
+++ b/saffronstack/metering/sliding_windows.py
@@ -86,7 +86,7 @@
         self.bucket_count = 0  # in memory; may include expired buckets
 
     def resume_at(self, now_s: float) -> None:
-        """Set the time after a restart. Usage after this time, from a clock that was ahead, counts from now."""
+        """Set the time after a restart. Usage after this time, by a clock that was ahead, counts from now."""
         with self._lock:
             self._latest_s = now_s
             for window in (*self._windows.values(), *self._sums_by_length.values()):
--- a/tests/metering/test_budgets.py
+++ b/tests/metering/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: marks by window and by share of own usage, an honest time to come back, the whole path."""
+"""Tests of budgets: limits by window and by fraction of usage, the retry time, and a running gateway."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ChargedEnforcer(BudgetEnforcer):
-    """Limits over windows that a test charges."""
+    """A budget enforcer with windows that a test charges."""
 
     def __init__(self, budgets: dict[str, Budget], gateway_count: int) -> None:
         self.windows = SlidingWindows({tenant: budget.window_s for tenant, budget in budgets.items()})
@@ -78,10 +78,10 @@
 
 def test_a_tenant_is_over_a_limit_only_by_amount_and_by_fraction_of_usage() -> None:
     budgets = {"a": Budget(60.0, 100, 400), "b": Budget(60.0, 100, 400)}
-    busy = make_enforcer(4, **budgets)  # a front end with most of the fleet's traffic
+    busy = make_enforcer(4, **budgets)  # a gateway with most of the fleet's traffic
     busy.charge("a", 60, 0.0)
     busy.charge("b", 70, 0.0)
-    assert busy.evaluate("a", 1.0).status is WITHIN  # over a quarter of its mark, but not over its part here
+    assert busy.evaluate("a", 1.0).status is WITHIN  # exceeds its equal part, but not its part by usage
     assert busy.evaluate("b", 1.0).status is SOFT
     quiet = make_enforcer(4, **budgets)
     quiet.charge("a", 20, 0.0)
@@ -140,15 +140,15 @@
         client = stack.client(tenant="corner-books")
         gateway = stack.gateway
         assert gateway.budgets is not None
-        for _ in range(60):  # 512 MB for 0.1 s each
+        for _ in range(60):  # each uses 512 MB for 0.1 s
             assert client.invoke("identify-copy", b"{}").status == 200
             if gateway.budgets.evaluate("corner-books", time.monotonic()).status is HARD:
                 break
-        rejected = client.invoke("suggest-price", b"{}")  # not loaded: it would need a load
+        rejected = client.invoke("suggest-price", b"{}")  # rejected because it needs a load
         assert rejected.status == 429
         assert 1 <= int(rejected.headers.get("retry-after")) <= 4
         assert b"memory budget of corner-books" in rejected.body
-        assert client.invoke("identify-copy", b"{}").status == 200  # its copy stands
+        assert client.invoke("identify-copy", b"{}").status == 200  # its instance is loaded
         other = stack.client(tenant="campus-app")
         assert other.invoke("adjust-setting", b"{}").status == 200
         assert stack.runs("suggest-price") == 0
--- a/tests/metering/test_metering.py
+++ b/tests/metering/test_metering.py
@@ -1,4 +1,4 @@
-"""Metering: exact shares, each record once, whatever is lost, killed, repeated or lied about."""
+"""Tests of metering: allocations are exact, and each record counts once despite losses and kills."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
 
 
 def test_allocation_of_overlapping_calls() -> None:
-    """Three calls of two tenants overlap on a copy of 1,000 KiB; two of them wait for a load."""
+    """Three calls of two tenants overlap on an instance of 1,000 KiB; two of them wait for a load."""
     a, b, c = (
         CallReference("1", "corner", "x"),
         CallReference("2", "campus", "x"),
@@ -184,7 +184,7 @@
     account.apply(charge)
     assert account.charges_by_tenant() == {"a": 1_500_000}
     account.apply(RecordReceived(usage(), 0.0))
-    assert account.charges_by_tenant() == {"a": 1_500_000}  # of which a record tells 1,000,000
+    assert account.charges_by_tenant() == {"a": 1_500_000}  # a record accounts for 1,000,000 of it
     account.apply(RecordReceived(usage(2), 0.0))
     assert account.charges_by_tenant() == {"a": 2_000_000}
     account.apply(ProvisionalChargeVoided("w1", "id-1"))
@@ -198,44 +198,47 @@
     for entry in account.snapshot():
         copy.apply(entry)
     for each in (account, copy):
-        each.apply(IncarnationEnded("w1", "i"))  # dead: what no record told stays as an estimate
+        each.apply(IncarnationEnded("w1", "i"))  # what no record accounts for becomes an estimate
         assert each.provisional == {}
         assert each.charges_by_tenant() == {"a": 1_500_000, "b": 50}
         assert sum(amount for _, amount in each.charges.estimated_charges()) == 500_050
-        each.apply(RecordReceived(usage(7), 0.0))  # it came late after all: less is left to the estimate
+        each.apply(RecordReceived(usage(7), 0.0))  # a late record reduces the estimate
         assert each.charges_by_tenant() == {"a": 2_000_000, "b": 50}
 
 
 def test_a_call_that_is_retried_in_a_workers_next_incarnation_is_charged_in_both() -> None:
-    """Seen as 13.9 MB s short a tenant: what the next life recorded was taken off the last one's estimate."""
+    """Records of the next incarnation must not reduce the estimate of the last one.
+
+    When they did, a tenant was charged 13.9 MB s too little.
+    """
     account = Account("g")
     account.apply(ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", 1_500_000, 0.0))
-    account.apply(RecordReceived(usage(), 0.0))  # 1,000,000 in the life that ended
+    account.apply(RecordReceived(usage(), 0.0))  # 1,000,000 in the first incarnation
     account.apply(IncarnationEnded("w1", "i"))
-    account.apply(RecordReceived(structs.replace(usage(1), incarnation="j"), 0.0))  # it goes again
-    account.apply(
-        ProvisionalCharge("w1", "j", CallReference("id-1", "a", "c"), "f", 1_200_000, 0.0)
-    )  # and is lost again
+    account.apply(RecordReceived(structs.replace(usage(1), incarnation="j"), 0.0))  # the retry
+    # The response to the retry is lost too.
+    account.apply(ProvisionalCharge("w1", "j", CallReference("id-1", "a", "c"), "f", 1_200_000, 0.0))
     copy = Account()
     for entry in account.snapshot():
         copy.apply(decode_entry(encode_entry(entry)))
     for each in (account, copy):
         assert each.charges_by_tenant() == {"a": 2_700_000}
         assert merge_accounts([each]).charges_by_tenant() == {"a": 2_700_000}
-        each.apply(ProvisionalChargeVoided(incarnation_key("w1", "j"), "id-1"))  # the second life told all
+        # The records of the second incarnation are complete.
+        each.apply(ProvisionalChargeVoided(incarnation_key("w1", "j"), "id-1"))
         assert each.charges_by_tenant() == {"a": 2_500_000}
         each.apply(IncarnationEnded("w1", "j"))
         assert each.charges_by_tenant() == {"a": 2_500_000}
 
 
 def test_of_two_losses_of_a_call_in_one_incarnation_the_longer_is_charged() -> None:
-    """A reset as its worker dies sends it again on a connection that the kernel still takes: lost anew."""
+    """A dying worker resets a connection. The kernel still accepts another one, which loses the retry."""
     account = Account("g")
     losses = [
         ProvisionalCharge("w1", "i", CallReference("id-1", "a", "c"), "f", n, 0.0)
         for n in (1_500_000, 20_000)
     ]
-    for loss in (*losses, *losses):  # a commit that was not acknowledged comes twice
+    for loss in (*losses, *losses):  # an unacknowledged commit is repeated
         account.apply(loss)
     copy = Account()
     for entry in account.snapshot():
@@ -271,7 +274,7 @@
         assert {t: v for t, v in merged.charges_by_tenant().items() if v} == {"a": 2_000_000, "b": 1_000_000}
         assert merged.find_imbalances() == []
     assert "given twice" in merge_accounts([one, one]).notes[0]
-    assert one.charges_by_tenant() == {"a": 2_000_000, "b": 9}  # merging changes nothing
+    assert one.charges_by_tenant() == {"a": 2_000_000, "b": 9}  # merging does not change an account
 
 
 @pytest.mark.parametrize(
@@ -324,7 +327,7 @@
 
 
 def nearly_equal(found: dict[str, int], wanted: dict[str, int]) -> bool:
-    """Equal but for what division leaves over."""
+    """Compare amounts by tenant, allowing for rounding by division."""
     found = {tenant: amount for tenant, amount in found.items() if tenant and amount}
     return set(found) == set(wanted) and all(
         abs(found[t] - wanted[t]) <= wanted[t] // 100_000 + 1000 for t in wanted
@@ -388,25 +391,23 @@
         recorded = sum(sum(amounts[:2]) for key, amounts in account.totals.items() if key[1] == "record-sale")
         estimates = account.charges.estimated_charges()
         estimated = sum(amount for charge, amount in estimates if charge.function == "record-sale")
-        assert estimated > 0  # what no record told
+        assert estimated > 0  # usage without records
         assert recorded + estimated > 0.08 * 1e6 * 128 * 1024
 
 
 def test_records_that_a_killed_gateway_did_not_commit_go_to_another_gateway(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The first gateway's log is cut off at a moment; what it lacks, a second one gets, nothing twice."""
+    """Records that the log of a killed gateway lacks go to a second gateway. No record counts twice."""
     fleet = StandInFleet(2, lambda n: Profile(work_s=0.01, load_s=0.02))
     with running(fleet=fleet, **metering_settings(tmp_path / "one")) as stack:
         for _ in range(10):
             stack.call("identify-copy")
         killed_log = tmp_path / "kept"
-        shutil.copytree(tmp_path / "one" / "usage", killed_log)  # what a kill at this moment leaves
+        shutil.copytree(tmp_path / "one" / "usage", killed_log)  # state of the disk after a kill at this time
         meter = stack.gateway.meter
         assert meter is not None
-        meter._poller._send_poll = lambda worker, body, done: (
-            None
-        )  # and from here on nothing of it reaches a worker
+        meter._poller._send_poll = lambda worker, body, done: None  # the killed gateway sends no more polls
     with running(fleet=fleet, **metering_settings(tmp_path / "two")) as stack:
         for _ in range(10):
             stack.call("identify-copy")
--- a/tests/metering/test_usage_faults.py
+++ b/tests/metering/test_usage_faults.py
@@ -1,4 +1,4 @@
-"""Metering through faults, end to end: totals beside what an oracle reckons from the workers' own changes."""
+"""End-to-end tests of metering under faults. An oracle computes the totals from the stub workers' own changes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class DiskThatFills(FileOperations):
-    """A disk that can be full."""
+    """File operations of a disk that a test can fill."""
 
     is_full = False
 
@@ -43,7 +43,7 @@
 
 
 class MeteredDeployment:
-    """Gateways one after another or side by side before one watched fleet."""
+    """One or more gateways, successive or concurrent, in front of a fleet of observed stub workers."""
 
     def __init__(self, tmp_path: pathlib.Path, fleet: StandInFleet) -> None:
         self.tmp_path, self.fleet = tmp_path, fleet
@@ -69,7 +69,7 @@
         stack.gateway.stop()
 
     def charges_by_tenant(self) -> dict[str, float]:
-        """What the logs say together, read as the command line reads them."""
+        """Merge the usage logs as the command line does and return the charges by tenant in MB s."""
         merged = merge_accounts(read_usage_log(log)[0] for log in self.logs)
         assert merged.find_imbalances() == []
         return {
@@ -79,7 +79,7 @@
         }
 
     def is_charged(self, exact: bool) -> bool:
-        """Within a hundredth of the oracle; and, where no record was lost, exactly what workers recorded."""
+        """Compare charges with the oracle, within 1%, and if ``exact`` with the workers' records."""
         found = self.charges_by_tenant()
         if not near(found, self.watch.held(), 0.01):
             return False
@@ -87,13 +87,13 @@
         return not exact or near(found, recorded, 1e-9, 0.01)
 
     def wait_until_charged(self, exact: bool = True) -> None:
-        """Wait until all is told."""
+        """Wait until all usage is charged."""
         try:
             eventually(lambda: self.is_charged(exact), 10)
         except AssertionError:
             recorded = {tenant: amount / MB_S for tenant, amount in truth(self.fleet).items()}
             raise AssertionError(
-                f"{self.charges_by_tenant()}, held {self.watch.held()}, told {recorded}"
+                f"{self.charges_by_tenant()}, occupied {self.watch.held()}, recorded {recorded}"
             ) from None
 
 
@@ -113,7 +113,7 @@
 def send_calls(
     stack: Stack, count: int, seed: int = 0, functions: tuple[str, ...] = FUNCTIONS, pause_s: float = 0.004
 ) -> None:
-    """So many calls of all tenants, overlapping."""
+    """Send overlapping calls of all tenants and wait for their ends."""
     rng = random.Random(seed)
     threads = []
     for n in range(count):
@@ -142,7 +142,7 @@
         send_calls(stack, 24, functions=("wide",), pause_s=0.03)
         deployment.wait_until_charged()
         held = deployment.watch.held()
-        assert min(held.values()) > 20  # MB s: each waited for the load and ran beside the others
+        assert min(held.values()) > 20  # MB s: each tenant waited for the load and shared the instance
         copies = {change.standing for change in deployment.fleet.workers[0].observed or ()}
         assert 1 in copies
 
@@ -150,10 +150,10 @@
 def test_failed_and_interrupted_loads_are_charged(tmp_path: pathlib.Path) -> None:
     with deployed(tmp_path, 2, work_s=0.08, load_s=0.4) as deployment:
         stack = deployment.start("one")
-        send_calls(stack, 300, 9)  # an hour's worth beside which one cut-off load is small, in little
+        send_calls(stack, 300, 9)  # enough usage that one interrupted load is small beside it
         for worker in deployment.fleet.workers:
             worker.model.drop()
-        deployment.fleet.store.most = 0  # the store turns every fetch away
+        deployment.fleet.store.most = 0  # the model store rejects every fetch
         threads = [threading.Thread(target=send_calls, args=(stack, 6, seed)) for seed in range(2)]
         for thread in threads:
             thread.start()
@@ -162,11 +162,11 @@
         for thread in threads:
             thread.join(20)
         deployment.wait_until_charged()
-        assert deployment.charges_by_tenant()  # loads that failed held memory too, for those who waited
+        assert deployment.charges_by_tenant()  # failed loads occupied memory too, for the calls that waited
         lost = _record_losses(stack)
         cut = threading.Thread(target=send_calls, args=(stack, 3, 5, ("identify-copy",)))
         for worker in deployment.fleet.workers:
-            worker.model.profile.load_s = 1.2  # so that a busy machine does not let it end before the death
+            worker.model.profile.load_s = 1.2  # on a busy machine, the worker must die before the load ends
         deployment.fleet.workers[0].model.drop()
         deployment.fleet.workers[1].model.drop()
         cut.start()
@@ -175,11 +175,12 @@
         time.sleep(0.1)
         deployment.watch.die(number)
         cut.join(20)
-        # The gateway knows of a cut-off call from its send to its end there: so much later and longer than
-        # the worker had it, and no more, may its memory be told wrongly.
+        # For an interrupted call, the gateway knows only when it sent the call and noticed the loss. The
+        # estimate may differ by the time between these and the call's arrival and end at the worker.
         stays = deployment.watch.stays()
         death_s = max(to_s for _, to_s in stays.values())
-        arrived_s = {i: stays.get(i, (death_s, death_s))[0] for i, _, _ in lost}  # or was never read there
+        # A call that the worker never read counts as if it arrived at the worker's death.
+        arrived_s = {i: stays.get(i, (death_s, death_s))[0] for i, _, _ in lost}
         error_s = sum(max(0.0, arrived_s[i] - from_s) + abs(to_s - death_s) for i, from_s, to_s in lost)
         assert lost
         assert stays
@@ -196,7 +197,7 @@
 
 
 def _record_losses(stack: Stack) -> list[tuple[str, float, float]]:
-    """Calls whose ends the meter hears of as lost from now on: id, send and end by the monotonic clock."""
+    """Record calls that the meter is told are lost from now on: id, and monotonic times of send and loss."""
     meter, lost = stack.gateway.meter, list[tuple[str, float, float]]()
     assert meter is not None
     charge = meter._losses.charge_lost_attempt
@@ -210,7 +211,7 @@
 
 
 def test_lost_responses_and_dead_workers_are_estimated(tmp_path: pathlib.Path) -> None:
-    """What no record will ever tell is estimated: calls in flight, and answered ones whose records died."""
+    """Calls in flight and answered calls whose records are lost with the worker are estimated."""
     with deployed(tmp_path, 2) as deployment:
         stack = deployment.start("one")
         send_calls(stack, 150, 1)
@@ -222,7 +223,7 @@
         send_calls(stack, 30, 3)
         deployment.watch.die(0)
         deployment.watch.die(1)
-        send_calls(stack, 100, 4)  # numbers begin again in the new lives
+        send_calls(stack, 100, 4)  # sequence numbers restart in the new incarnations
         deployment.wait_until_charged(exact=False)
         assert all(worker.outbox.all[0].sequence_number == 1 for worker in deployment.fleet.workers)
 
@@ -238,7 +239,7 @@
         for thread in threads:
             thread.start()
         time.sleep(0.08)
-        files.is_full = True  # from here on what it takes reaches no disk, as after a kill
+        files.is_full = True  # from now on nothing it accepts reaches the disk, as after a kill
         for thread in threads:
             thread.join(20)
         deployment.stop(first)
@@ -259,7 +260,7 @@
         meter = stack.gateway.meter
         assert meter is not None
         eventually(lambda: meter.journal.write_error)
-        assert stack.call("identify-copy").status == 200  # calls go on
+        assert stack.call("identify-copy").status == 200  # calls are still served
         assert sum(deployment.charges_by_tenant().values()) == before
         files.is_full = False
         deployment.wait_until_charged()
@@ -295,7 +296,7 @@
         deployment.wait_until_charged()
         worker = deployment.fleet.workers[0]
         day_us = 24 * 3600 * 1_000_000
-        # Its clock goes on by a day: what it still held then is a day old when it is offered.
+        # The worker's clock advances by a day, so a record that it offers afterwards is a day old.
         late = worker.outbox
         real = late.answer
         late.answer = lambda asked, now_s: (  # type: ignore[method-assign]
@@ -360,11 +361,11 @@
         rejected = meter.rejected
         send_calls(stack, 6, 3)
         deployment.wait_until_charged()
-        assert meter.rejected <= rejected + 2  # it is not offered for ever
+        assert meter.rejected <= rejected + 2  # the worker stops offering the invalid record
 
 
 def test_random_faults_do_not_change_the_totals(tmp_path: pathlib.Path) -> None:
-    """Two gateways, three workers, faults drawn from a seed: lost and broken answers, silence, full disks."""
+    """Two gateways and three workers with seeded random faults: lost and broken responses, full disks."""
     rng = random.Random(20261201)
     with deployed(tmp_path, 3, load_s=0.03) as deployment:
         files = [DiskThatFills(), DiskThatFills()]
@@ -439,7 +440,7 @@
         client = stack.client(tenant="corner-books")
         assert client.invoke("identify-copy", b"{}").status == 200
         eventually(lambda: deployment.is_charged(True))
-        # The disk has it a moment before the account that the page reads.
+        # The log on disk has the usage a moment before the account that the page reads.
         eventually(lambda: json.loads(client.request("GET", "/usage/corner-books").body)["charged_mb_s"])
         answer = client.request("GET", "/usage/corner-books")
         own = json.loads(answer.body)
--- a/tests/test_usage_archive.py
+++ b/tests/test_usage_archive.py
@@ -1,4 +1,4 @@
-"""What leaves memory comes back exactly: runs, the account's archive, windows, kills at every write."""
+"""Tests that archived usage is read back exactly: runs, accounts, windows, kills at every write."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
         if damage:
             assert str(path) in damage
         else:
-            assert found == wanted  # the trailer alone was cut
+            assert found == wanted  # only the trailer was cut off
 
 
 def test_a_full_disk_leaves_no_run(tmp_path: pathlib.Path) -> None:
@@ -164,8 +164,7 @@
 
 
 class SpillingAccount:
-    """An account with tiny bounds, kept as entries; it can be read anew, and stand for itself as a
-    snapshot."""
+    """An account with low memory limits and the entries of its log, from which it can be restored."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         self.archive = Archive(directory)
@@ -194,7 +193,8 @@
         if len(runs) > 1:
             self.apply(RunsMerged(runs, self.account.merge_runs(runs)))
             self.account.remove_runs(runs)
-            self.entries = [encode(entry) for entry in self.account.snapshot()]  # the old runs are gone
+            # The earlier entries name runs that no longer exist.
+            self.entries = [encode(entry) for entry in self.account.snapshot()]
 
 
 @given(st.lists(steps_strategy, max_size=60), st.randoms(use_true_random=False))
@@ -212,7 +212,9 @@
         at += rng.random() * 20
         record_id = worker, incarnation, seq
         entry: AnyLedgerEntry | None = None
-        if action == "received" and record_id not in given_away:  # its worker offers it to nobody any more
+        if (
+            action == "received" and record_id not in given_away
+        ):  # a worker offers no records that it gave away
             entry = RecordReceived(
                 usage(seq, worker, incarnation, tuple(tenants), 10 + seq, 100 + seq), at, at
             )
@@ -290,7 +292,7 @@
 
 
 def test_totals_beyond_64_bits_are_stored(tmp_path: pathlib.Path) -> None:
-    """A worker of 512 GB holds more KiB microseconds in a day than 64 bits take."""
+    """A worker of 512 GB occupies more KiB microseconds in a day than 64 bits can hold."""
     journal = open_usage_log(str(tmp_path), 4096)
     day = 24 * 3600 * 1_000_000
     for seq in range(1, 40):
@@ -303,7 +305,7 @@
     assert wanted > 1 << 65
     assert journal.state.charges_by_tenant() == {"a": wanted}
     assert journal.close()
-    assert len(list(tmp_path.glob("*.seg"))) < 10  # it was compacted meanwhile
+    assert len(list(tmp_path.glob("*.seg"))) < 10  # the log was compacted meanwhile
     account, lines = read_usage_log(tmp_path)
     assert (account.charges_by_tenant(), lines, account.find_imbalances()) == ({"a": wanted}, [], [])
 
@@ -361,7 +363,7 @@
     windows = SlidingWindows({"a": 60.0, "b": 10.0})
     windows.add("a", 100.0, 10)
     windows.add("a", 70.0, 5)
-    windows.add("a", 30.0, 999)  # out of the window already
+    windows.add("a", 30.0, 999)  # before the window
     windows.add("a", 100.0, -4)
     windows.add("b", 100.0, 1)
     windows.add("stranger", 100.0, 1)
@@ -377,7 +379,7 @@
 
 
 class DiskCopier(FileOperations):
-    """Keeps what the disk holds before and after each operation, and after half of each write."""
+    """A disk whose content is copied before and after each operation, and after half of each write."""
 
     def __init__(self, directory: pathlib.Path, copies_directory: pathlib.Path) -> None:
         self.directory, self.copies_directory = directory, copies_directory
@@ -412,7 +414,7 @@
 
 
 def scripted_commits() -> list[tuple[AnyLedgerEntry, ...]]:
-    """Commits of a gateway: records, confirmations, losses; enough for segments, compaction and runs."""
+    """Return commits with records, confirmations and losses, enough for segments, compaction and runs."""
     commits: list[tuple[AnyLedgerEntry, ...]] = []
     for n in range(1, 41):
         record = RecordReceived(
@@ -468,14 +470,14 @@
         found = {tenant: amount for tenant, amount in again.state.charges_by_tenant().items() if amount}
         assert found in wanted[acknowledged : acknowledged + 2], path
         assert not again.state.in_doubt
-        # The worker offers again what was not acknowledged; what was counted before counts no second time.
+        # The worker offers unacknowledged records again. Records that are counted already do not count twice.
         for commit in commits[acknowledged:]:
             ticket = again.append(*commit)
         for commit in commits[:acknowledged]:
             if isinstance(commit[0], RecordReceived) and record_id_of(commit[0]) not in given_away:
                 ticket = again.append(commit[0])
         assert ticket.done.wait(10)
-        assert again.close()  # its thread moves sums after the ticket is done: look at what stands at last
+        assert again.close()  # totals may move to a run after the ticket is done, so compare after close
         found = {tenant: amount for tenant, amount in again.state.charges_by_tenant().items() if amount}
         assert found == wanted[-1], path
         assert again.state.find_imbalances() == []
