--- a/saffronstack/cli/roster.py
+++ b/saffronstack/cli/roster.py
@@ -28,7 +28,7 @@
     """The version at a path; without ``kinds`` any kind will do."""
     try:
         text = read_version(pathlib.Path(path))
-        return parse_version(text.parts, text.digest, kinds, text.generation)
+        return parse_version(text.files, text.digest, kinds, text.generation)
     except DiscoveryError as error:
         raise UnusableError(str(error)) from error
 
@@ -69,10 +69,10 @@
     guards = GuardSettings(
         allow_empty=config.roster.allow_empty,
         max_removed_fraction=config.roster.removed_share,
-        always_removable=config.roster.removed_free,
+        always_removable_count=config.roster.removed_free,
         allow_older=config.roster.allow_older,
     )
-    current = StateDirectory(pathlib.Path(config.roster.state_directory)).last()
+    current = StateDirectory(pathlib.Path(config.roster.state_directory)).last_good_version()
     approval = review_version(guards, current, found, is_approved=False)
     if approval is not None:
         click.echo(f"{path}: would be held: {approval.reason}")
@@ -103,12 +103,12 @@
 def show(config_path: str) -> int:
     """The list applied last, and what operators said."""
     state = _state_directory(config_path)
-    last = state.last()
+    last = state.last_good_version()
     if last is None:
         click.echo("no list was applied yet")
         return 1
     click.echo(f"generation {last.generation}, digest {last.digest}, {len(last.workers)} workers")
-    drains = state.drains()
+    drains = state.drained_workers()
     for worker in last.workers:
         worker_state = "draining (operator)" if worker.id in drains else worker.state
         click.echo(
@@ -116,21 +116,21 @@
         )
     for name in sorted(drains - {worker.id for worker in last.workers}):
         click.echo(f"  {name:<24} not listed, drained by an operator")
-    if state.pinned():
-        click.echo(f"pinned to {state.pinned()}: the file is not followed")
+    if state.pinned_digest():
+        click.echo(f"pinned to {state.pinned_digest()}: the file is not followed")
     return 0
 
 
 def drain(config_path: str, workers: tuple[str, ...], undo: bool) -> int:
     """Drain workers, whatever any source says, or no longer."""
     state = _state_directory(config_path)
-    names = state.drains() - set(workers) if undo else state.drains() | set(workers)
-    known = state.last()
+    names = state.drained_workers() - set(workers) if undo else state.drained_workers() | set(workers)
+    known = state.last_good_version()
     listed = {worker.id for worker in known.workers} if known is not None else set()
     for name in workers:
         if name not in listed and not undo:
             click.echo(f"{name}: in no list that was applied; it is drained should it come", err=True)
-    state.tell("drains", "\n".join(sorted(names)))
+    state.set_override("drains", "\n".join(sorted(names)))
     click.echo(f"drained by operators: {', '.join(sorted(names)) or 'none'}")
     return 0
 
@@ -138,7 +138,7 @@
 def accept(config_path: str, digest: str) -> int:
     """Let a held version be applied: this one and no other."""
     state = _state_directory(config_path)
-    state.tell("accept", digest)
+    state.set_override("accept", digest)
     click.echo(f"{digest}: accepted; a gateway that holds it applies it within a second")
     return 0
 
@@ -146,9 +146,9 @@
 def history(config_path: str, back: int | None, follow: bool) -> int:
     """The versions that are kept; go back to one, or follow the file again."""
     state = _state_directory(config_path)
-    found = state.history()
+    found = state.stored_versions()
     if follow:
-        state.tell("pinned", "")
+        state.set_override("pinned", "")
         click.echo("the file is followed")
         return 0
     if back is not None:
@@ -157,7 +157,7 @@
             raise UnusableError(
                 f"no version {back} is kept; there are {', '.join(str(n) for n, _, _ in found)}"
             )
-        state.tell("pinned", chosen.digest)
+        state.set_override("pinned", chosen.digest)
         click.echo(f"back to version {back}, generation {chosen.generation}; --follow ends it")
         return 0
     for number, at, one in found:
--- a/saffronstack/discovery/dns/endpoint_list.py
+++ b/saffronstack/discovery/dns/endpoint_list.py
@@ -10,7 +10,7 @@
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
 
-WORKER_NUMBERS = 1 << 32
+WORKER_NUMBER_COUNT = 1 << 32
 MILLISECONDS_PER_S = 1000
 
 WorkerChanges: TypeAlias = EndpointChanges[WorkerSpec, int]
@@ -52,13 +52,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownWorker:
+class _ListedWorker:
     """An endpoint and what the gateway was told of it."""
 
     endpoint: ListedEndpoint
     spec: WorkerSpec
 
-    def has_address_of(self, endpoint: ListedEndpoint) -> bool:
+    def has_same_address(self, endpoint: ListedEndpoint) -> bool:
         """Return whether an endpoint is at the same address and port."""
         return (self.endpoint.host, self.endpoint.port) == (endpoint.host, endpoint.port)
 
@@ -74,7 +74,7 @@
         """Start with an empty list; names of zones and kinds are known by their index from then on."""
         self._zone_indexes = {name: index for index, name in enumerate(zones)}
         self._kind_indexes = {name: index for index, name in enumerate(kinds)}
-        self._workers: dict[str, _KnownWorker] = {}
+        self._workers: dict[str, _ListedWorker] = {}
         self.serial = 0
 
     @property
@@ -111,25 +111,25 @@
             known = self._workers.get(endpoint.name)
             if known is not None and known.endpoint == endpoint:
                 continue
-            if known is not None and not known.has_address_of(endpoint):
+            if known is not None and not known.has_same_address(endpoint):
                 removed_numbers.append(known.spec.number)  # another worker under a former one's name
                 known = None
-            number = known.spec.number if known is not None else self._free_number(endpoint.name)
+            number = known.spec.number if known is not None else self._allocate_number(endpoint.name)
             spec = self._make_spec(endpoint, number)
-            self._workers[endpoint.name] = _KnownWorker(endpoint, spec)
+            self._workers[endpoint.name] = _ListedWorker(endpoint, spec)
             updated.append(spec)
         return EndpointChanges(tuple(updated), tuple(removed_numbers))
 
-    def _free_number(self, name: str) -> int:
+    def _allocate_number(self, name: str) -> int:
         """Return a worker's number: the same at every gateway, so that they rank workers alike."""
         number = worker_number(name)
-        taken = {worker.spec.number for worker in self._workers.values()}
-        while number in taken:
-            number = (number + 1) % WORKER_NUMBERS
+        used_numbers = {worker.spec.number for worker in self._workers.values()}
+        while number in used_numbers:
+            number = (number + 1) % WORKER_NUMBER_COUNT
         return number
 
     def _make_spec(self, endpoint: ListedEndpoint, number: int) -> WorkerSpec:
-        unknown_kind, unknown_zone = len(self._kind_indexes), len(self._zone_indexes)
+        unknown_kind_index, unknown_zone_index = len(self._kind_indexes), len(self._zone_indexes)
         return WorkerSpec(
             number,
             endpoint.name,
@@ -137,8 +137,8 @@
             endpoint.port,
             endpoint.is_draining,
             endpoint.weight,
-            self._kind_indexes.get(endpoint.kind, unknown_kind),
-            self._zone_indexes.get(endpoint.zone, unknown_zone),
+            self._kind_indexes.get(endpoint.kind, unknown_kind_index),
+            self._zone_indexes.get(endpoint.zone, unknown_zone_index),
             endpoint.cell,
             endpoint.started_ms / MILLISECONDS_PER_S,
         )
--- a/saffronstack/discovery/dns/messages.py
+++ b/saffronstack/discovery/dns/messages.py
@@ -15,16 +15,16 @@
 INTERNET_CLASS = 1
 MAX_LABEL_BYTES = 63
 MAX_NAME_BYTES = 255
-MAX_POINTERS = 32  # that one name may follow
+MAX_POINTERS_PER_NAME = 32  # that one name may follow
 MAX_RECORDS = 4096
 _HEADER = struct.Struct(">HHHHHH")  # identifier, flags, number of questions, of records by section
 _QUESTION = struct.Struct(">HH")  # type, class
-_RECORD = struct.Struct(">HHIH")  # type, class, time to live, bytes of data
-_SERVICE = struct.Struct(">HHH")  # priority, weight, port
+_RECORD_HEADER = struct.Struct(">HHIH")  # type, class, time to live, bytes of data
+_SRV_FIELDS = struct.Struct(">HHH")  # priority, weight, port
 _SERIAL = struct.Struct(">I")
 _IPV4_BYTES = 4
 _SOA_NUMBERS_BYTES = 20  # five numbers of 32 bits, the serial first
-_POINTER_MARK = 0xC0  # the two highest bits of a length byte mark a compression pointer
+_POINTER_BITS = 0xC0  # the two highest bits of a length byte mark a compression pointer
 _FLAG_RESPONSE = 0x8000
 _FLAG_TRUNCATED = 0x0200
 _FLAG_RECURSION_DESIRED = 0x0100
@@ -122,7 +122,7 @@
         self._message = message
 
     @property
-    def at_end(self) -> bool:
+    def is_at_end(self) -> bool:
         """Whether all bytes were read."""
         return self.position == len(self._message)
 
@@ -132,7 +132,7 @@
         self.position += layout.size
         return values
 
-    def take(self, size: int) -> bytes:
+    def read(self, size: int) -> bytes:
         """Read some bytes."""
         data = self._message[self.position : self.position + size]
         self.position += size
@@ -149,11 +149,11 @@
         end = -1  # of the name where it stands: behind its first pointer
         pointers = name_bytes = 0
         while size := message[position]:
-            if size >= _POINTER_MARK:
-                target = (size & ~_POINTER_MARK) << 8 | message[position + 1]
+            if size >= _POINTER_BITS:
+                target = (size & ~_POINTER_BITS) << 8 | message[position + 1]
                 end = position + 2 if end < 0 else end
                 pointers += 1
-                if target >= position or pointers > MAX_POINTERS:  # backwards only, or it could loop
+                if target >= position or pointers > MAX_POINTERS_PER_NAME:  # backwards only, or it could loop
                     raise DnsMessageError("name has a pointer that leads forwards, or too many of them")
                 position = target
                 continue
@@ -178,7 +178,7 @@
     for section, records in zip(Section, records_by_section, strict=True):
         for _ in range(records):
             _decode_record(reader, response, section)
-    if not reader.at_end:
+    if not reader.is_at_end:
         raise DnsMessageError("bytes follow the last record")
     return response
 
@@ -196,17 +196,17 @@
 
 def _decode_record(reader: _MessageReader, response: DnsResponse, section: Section) -> None:
     name = reader.read_name()
-    record_type, _, _, data_bytes = reader.unpack(_RECORD)
+    record_type, _, _, data_bytes = reader.unpack(_RECORD_HEADER)
     if not reader.has_bytes(data_bytes):
         raise DnsMessageError("record is cut short")
     end = reader.position + data_bytes
     match record_type:
         case RecordType.SRV if section is Section.ANSWER:
-            priority, weight, port = reader.unpack(_SERVICE)
+            priority, weight, port = reader.unpack(_SRV_FIELDS)
             response.services.append(ServiceRecord(priority, weight, port, reader.read_name()))
             _require_end(reader, end)
         case RecordType.A:
-            response.addresses[name] = ".".join(map(str, reader.take(_IPV4_BYTES)))
+            response.addresses[name] = ".".join(map(str, reader.read(_IPV4_BYTES)))
             _require_end(reader, end)
         case RecordType.TXT:
             response.attributes.setdefault(name, {}).update(_decode_attributes(reader, end))
@@ -219,10 +219,10 @@
 def _decode_attributes(reader: _MessageReader, end: int) -> dict[str, str]:
     attributes = {}
     while reader.position < end:
-        (size,) = reader.take(1)
+        (size,) = reader.read(1)
         if reader.position + size > end:
             raise DnsMessageError("text in a TXT record is cut short")
-        key, _, value = reader.take(size).decode("ascii").partition("=")
+        key, _, value = reader.read(size).decode("ascii").partition("=")
         attributes[key] = value
     return attributes
 
--- a/saffronstack/discovery/dns/resolver.py
+++ b/saffronstack/discovery/dns/resolver.py
@@ -20,7 +20,7 @@
 MAX_RESPONSE_BYTES = 16 * 1024  # more than any response holds
 MESSAGE_ID_BITS = 16
 MESSAGE_ID_BYTES = 2
-SILENCE_WARNING_S = 3.0  # without a valid response for so long, the log says so, once
+NO_RESPONSE_WARNING_S = 3.0  # without a valid response for so long, the log says so, once
 POLL_JITTER = 0.1  # fraction of the interval: many gateways must not poll at one moment
 MAX_REJECTION_REASONS = 32  # that are counted one by one
 MAX_REASON_LENGTH = 60
@@ -64,7 +64,7 @@
     """Keeps an endpoint list current on a thread of its own; `set_server` may be called from any thread.
 
     Attributes:
-        last_accepted_s: When the last valid response came, on the resolver's clock.
+        last_response_s: When the last valid response came, on the resolver's clock.
         counts: Counters since the start.
     """
 
@@ -99,10 +99,10 @@
         self._random = random.Random(options.seed)
         self._thread = BackgroundThread("dns-discovery", self._run)
         self._socket = ServerSocket()
-        self._last_message = b""  # that was accepted, behind its identifier
+        self._last_payload = b""  # that was accepted, behind its identifier
         self._last_serial: int | None = None  # of the list that came last in a response
-        self._is_silent = False
-        self.last_accepted_s = clock()
+        self._is_unresponsive = False
+        self.last_response_s = clock()
         self.counts = ResolverCounts()
 
     def start(self) -> None:
@@ -122,7 +122,7 @@
             started_s = self._clock()
             is_answered = self._poll()
             self._socket.record_result(is_answered)
-            self._log_silence(is_answered)
+            self._log_responsiveness(is_answered)
             interval_s = self._options.interval_s * self._random.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
             self._thread.stopping.wait(max(0.0, interval_s - (self._clock() - started_s)))
         self._socket.close()
@@ -180,23 +180,23 @@
         if message_id not in message_ids:
             self._count_rejection(Rejection.UNKNOWN_QUERY)
             return False
-        if message[MESSAGE_ID_BYTES:] == self._last_message:
+        if message[MESSAGE_ID_BYTES:] == self._last_payload:
             self.counts.accepted += 1
             return True
-        present = self._endpoint_list
+        endpoint_list = self._endpoint_list
         try:
             snapshot = parse_snapshot(decode_response(message), message_id, self._name)
         except DnsMessageError as error:
             self._count_rejection(str(error))
             return False
-        if snapshot.serial != present.serial and not is_newer(snapshot.serial, present.serial):
+        if snapshot.serial != endpoint_list.serial and not is_newer(snapshot.serial, endpoint_list.serial):
             self._count_rejection(Rejection.STALE_LIST)
             return False
-        if snapshot.serial == self._last_serial and not present.matches(snapshot.endpoints):
+        if snapshot.serial == self._last_serial and not endpoint_list.matches(snapshot.endpoints):
             self._count_rejection(Rejection.CONFLICTING_LIST)
             return False
-        changes = present.apply_snapshot(snapshot)
-        self._last_message = message[MESSAGE_ID_BYTES:]
+        changes = endpoint_list.apply_snapshot(snapshot)
+        self._last_payload = message[MESSAGE_ID_BYTES:]
         self._last_serial = snapshot.serial
         self.counts.accepted += 1
         if changes:
@@ -209,16 +209,16 @@
         if reason in rejected or len(rejected) < MAX_REJECTION_REASONS:
             rejected[reason] = rejected.get(reason, 0) + 1
 
-    def _log_silence(self, is_answered: bool) -> None:
+    def _log_responsiveness(self, is_answered: bool) -> None:
         now = self._clock()
-        silent_s = now - self.last_accepted_s
+        elapsed_s = now - self.last_response_s
         if is_answered:
-            if self._is_silent:
-                self._log.info("discovery server responds again", elapsed_s=round(silent_s, 1))
-            self._is_silent = False
-            self.last_accepted_s = now
-        elif not self._is_silent and silent_s > SILENCE_WARNING_S:
-            self._is_silent = True
+            if self._is_unresponsive:
+                self._log.info("discovery server responds again", elapsed_s=round(elapsed_s, 1))
+            self._is_unresponsive = False
+            self.last_response_s = now
+        elif not self._is_unresponsive and elapsed_s > NO_RESPONSE_WARNING_S:
+            self._is_unresponsive = True
             self._log.warning(
-                "discovery server is silent", elapsed_s=SILENCE_WARNING_S, rejected=self.counts.rejected
+                "discovery server is silent", elapsed_s=NO_RESPONSE_WARNING_S, rejected=self.counts.rejected
             )
--- a/saffronstack/discovery/dns/server_socket.py
+++ b/saffronstack/discovery/dns/server_socket.py
@@ -9,7 +9,7 @@
 # the socket is replaced; each time the number doubles, up to the largest.
 MIN_QUERIES_BEFORE_REPLACEMENT = 4
 MAX_QUERIES_BEFORE_REPLACEMENT = 64
-REMEMBERED_QUERIES = 64  # a response may come after later queries were sent
+MAX_REMEMBERED_QUERIES = 64  # a response may come after later queries were sent
 
 
 def connect_udp(server: tuple[str, int]) -> socket.socket:
@@ -38,10 +38,10 @@
     def __init__(self) -> None:
         """Start without a socket; `open` makes the first."""
         self.server: tuple[str, int] | None = None
-        self.message_ids: deque[int] = deque(maxlen=REMEMBERED_QUERIES)
+        self.message_ids: deque[int] = deque(maxlen=MAX_REMEMBERED_QUERIES)
         self._socket: socket.socket | None = None
-        self._unanswered = 0  # queries in a row
-        self._max_unanswered = MIN_QUERIES_BEFORE_REPLACEMENT
+        self._unanswered_queries = 0  # queries in a row
+        self._replacement_threshold = MIN_QUERIES_BEFORE_REPLACEMENT
 
     def open(self, server: tuple[str, int]) -> socket.socket:
         """Return a socket connected to a server: the present one, or another that replaces it.
@@ -51,23 +51,27 @@
         Raises:
             OSError: A new socket is needed, and none is to be had.
         """
-        present = self._socket
+        current_socket = self._socket
         has_moved = self.server != server
-        if present is not None and not has_moved and self._unanswered < self._max_unanswered:
-            return present
+        if (
+            current_socket is not None
+            and not has_moved
+            and self._unanswered_queries < self._replacement_threshold
+        ):
+            return current_socket
         try:
             replacement = connect_udp(server)
         except OSError:
-            if present is None or has_moved:
+            if current_socket is None or has_moved:
                 raise
-            return present  # without a free descriptor: the present socket may work yet
+            return current_socket  # without a free descriptor: the present socket may work yet
         self.close()
         self._socket = replacement
         if has_moved:
-            self._max_unanswered = MIN_QUERIES_BEFORE_REPLACEMENT
+            self._replacement_threshold = MIN_QUERIES_BEFORE_REPLACEMENT
         else:
-            self._max_unanswered = min(MAX_QUERIES_BEFORE_REPLACEMENT, 2 * self._max_unanswered)
-        self._unanswered = 0
+            self._replacement_threshold = min(MAX_QUERIES_BEFORE_REPLACEMENT, 2 * self._replacement_threshold)
+        self._unanswered_queries = 0
         self.message_ids.clear()
         self.server = server
         return replacement
@@ -75,10 +79,10 @@
     def record_result(self, is_answered: bool) -> None:
         """Count a query that did or did not bring a valid response."""
         if is_answered:
-            self._unanswered = 0
-            self._max_unanswered = MIN_QUERIES_BEFORE_REPLACEMENT
+            self._unanswered_queries = 0
+            self._replacement_threshold = MIN_QUERIES_BEFORE_REPLACEMENT
         else:
-            self._unanswered += 1
+            self._unanswered_queries += 1
 
     def close(self) -> None:
         """Close the present socket, if there is one."""
--- a/saffronstack/discovery/dns/service_records.py
+++ b/saffronstack/discovery/dns/service_records.py
@@ -14,8 +14,8 @@
 DRAINING_PRIORITY = 1  # the SRV priority of a worker that is draining; that of others is lower
 WEIGHT_SCALE = 10.0  # SRV weights are whole numbers: ten times the worker's weight
 MAX_DIGITS = 16  # of a number in a TXT record
-MAX_QUOTED_NAME = 60  # characters of a server's names and texts that errors quote
-MAX_QUOTED_TEXT = 20
+MAX_QUOTED_NAME_LENGTH = 60  # characters of a server's names and texts that errors quote
+MAX_QUOTED_TEXT_LENGTH = 20
 
 
 def parse_snapshot(response: DnsResponse, message_id: int, name: str) -> EndpointSnapshot:
@@ -41,7 +41,7 @@
     """Return one endpoint; its target is named ``worker.zone.…``."""
     address = response.addresses.get(service.target)
     if address is None:
-        raise DnsMessageError(f"no address for {service.target[:MAX_QUOTED_NAME]}")
+        raise DnsMessageError(f"no address for {service.target[:MAX_QUOTED_NAME_LENGTH]}")
     labels = service.target.split(".")
     attributes = response.attributes.get(service.target, {})
     return ListedEndpoint(
@@ -59,5 +59,5 @@
 
 def _parse_number(text: str) -> int:
     if not text.isdigit() or len(text) > MAX_DIGITS:
-        raise DnsMessageError(f"attribute is not a whole number: {text[:MAX_QUOTED_TEXT]!r}")
+        raise DnsMessageError(f"attribute is not a whole number: {text[:MAX_QUOTED_TEXT_LENGTH]!r}")
     return int(text)
--- a/saffronstack/discovery/files/capacity_ramp.py
+++ b/saffronstack/discovery/files/capacity_ramp.py
@@ -16,12 +16,12 @@
     """The capacities of the moment; times in seconds of any one clock.
 
     Attributes:
-        is_moving: Whether a capacity has not reached its listed value.
+        is_ramping: Whether a capacity has not reached its listed value.
     """
 
     def __init__(self) -> None:
         """Start without workers."""
-        self.is_moving = False
+        self.is_ramping = False
         self._capacities: dict[str, float] = {}  # of the moment, by worker
         self._last_step_s = 0.0
 
@@ -38,7 +38,7 @@
             capacity = self._capacities.get(name, worker.size)
             capacities[name] = _step_towards(worker.size, capacity) if is_step_due else capacity
         self._capacities = capacities
-        self.is_moving = any(capacities[name] != worker.size for name, worker in workers.items())
+        self.is_ramping = any(capacities[name] != worker.size for name, worker in workers.items())
         return {name: _with_capacity(worker, capacities[name]) for name, worker in workers.items()}
 
 
--- a/saffronstack/discovery/files/change_guards.py
+++ b/saffronstack/discovery/files/change_guards.py
@@ -20,14 +20,14 @@
     Attributes:
         allow_empty: Whether a version may list no workers.
         max_removed_fraction: Fraction of the ready workers that one version may remove.
-        always_removable: Workers that a version may remove whatever fraction they are.
+        always_removable_count: Workers that a version may remove whatever fraction they are.
         allow_older: Whether a version may have a lower generation than the one in force.
         flapping: When a worker counts as flapping.
     """
 
     allow_empty: bool = False
     max_removed_fraction: float = 0.5
-    always_removable: int = 2
+    always_removable_count: int = 2
     allow_older: bool = False
     flapping: FlapSettings = field(default_factory=FlapSettings)
 
@@ -80,6 +80,6 @@
 ) -> ApprovalRequired | None:
     ready = {worker.id for worker in current.workers if worker.state == "ready"}
     removed = ready - {worker.id for worker in candidate.workers}
-    if len(removed) > max(settings.always_removable, settings.max_removed_fraction * len(ready)):
+    if len(removed) > max(settings.always_removable_count, settings.max_removed_fraction * len(ready)):
         return ApprovalRequired(f"{len(removed)} of {len(ready)} ready workers are gone from it")
     return None
--- a/saffronstack/discovery/files/file_reader.py
+++ b/saffronstack/discovery/files/file_reader.py
@@ -18,7 +18,7 @@
 
 MAX_VERSION_BYTES = 32 * 1024 * 1024  # 10,000 workers take about 1.5 MB
 MAX_FILES = 256
-MANIFEST = "manifest.json5"
+MANIFEST_FILE_NAME = "manifest.json5"
 _CHUNK_BYTES = 1 << 20
 # Errors of a path that is being replaced: another attempt may succeed.
 _TRANSIENT_ERRORS = (errno.ENOTDIR, errno.EISDIR, errno.ESTALE)
@@ -29,21 +29,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VersionText:
+class VersionFiles:
     """The files of a version as they were read.
 
     Attributes:
-        parts: The files.
+        files: The files.
         digest: xxh3-128 of the file or the manifest, in hexadecimal.
         generation: That of the manifest; 0 without one.
     """
 
-    parts: tuple[SourceFile, ...]
+    files: tuple[SourceFile, ...]
     digest: str
     generation: int = 0
 
 
-def read_version(path: pathlib.Path, max_bytes: int = MAX_VERSION_BYTES) -> VersionText:
+def read_version(path: pathlib.Path, max_bytes: int = MAX_VERSION_BYTES) -> VersionFiles:
     """Read what stands at a path now.
 
     Raises:
@@ -54,7 +54,7 @@
         if path.is_dir():
             return _read_directory(path, max_bytes)
         data = _read_bytes(path, max_bytes)
-        return VersionText((_decode(path, data),), xxhash.xxh3_128_hexdigest(data))
+        return VersionFiles((_decode(path, data),), xxhash.xxh3_128_hexdigest(data))
     except FileNotFoundError as error:
         raise FileNotReadyError(f"{error.filename}: not there") from error
     except OSError as error:
@@ -64,13 +64,15 @@
         raise InvalidWorkerFileError(f"{name}: can't be read: {error.strerror}") from error
 
 
-def _read_directory(path: pathlib.Path, max_bytes: int) -> VersionText:
+def _read_directory(path: pathlib.Path, max_bytes: int) -> VersionFiles:
     """Read a manifest, the files that it names, and the manifest again, which must not have changed."""
     directory = pathlib.Path(os.path.realpath(path))  # a symbolic link may be replaced meanwhile
-    manifest_data = _read_bytes(directory / MANIFEST, max_bytes)
-    manifest = parse_manifest(_decode(directory / MANIFEST, manifest_data))
+    manifest_data = _read_bytes(directory / MANIFEST_FILE_NAME, max_bytes)
+    manifest = parse_manifest(_decode(directory / MANIFEST_FILE_NAME, manifest_data))
     if len(manifest.files) > MAX_FILES:
-        raise InvalidWorkerFileError(f"{MANIFEST}: {len(manifest.files)} files, {MAX_FILES} at most")
+        raise InvalidWorkerFileError(
+            f"{MANIFEST_FILE_NAME}: {len(manifest.files)} files, {MAX_FILES} at most"
+        )
     files = []
     remaining_bytes = max_bytes
     for name, digest in sorted(manifest.files.items()):
@@ -81,9 +83,9 @@
                 f"{name}: not the file of the manifest's generation {manifest.generation}"
             )
         files.append(_decode(directory / name, data))
-    if _read_bytes(directory / MANIFEST, max_bytes) != manifest_data:
-        raise FileNotReadyError(f"{MANIFEST}: changed while the files were read")
-    return VersionText(tuple(files), xxhash.xxh3_128_hexdigest(manifest_data), manifest.generation)
+    if _read_bytes(directory / MANIFEST_FILE_NAME, max_bytes) != manifest_data:
+        raise FileNotReadyError(f"{MANIFEST_FILE_NAME}: changed while the files were read")
+    return VersionFiles(tuple(files), xxhash.xxh3_128_hexdigest(manifest_data), manifest.generation)
 
 
 def _read_bytes(path: pathlib.Path, max_bytes: int) -> bytes:
--- a/saffronstack/discovery/files/file_watcher.py
+++ b/saffronstack/discovery/files/file_watcher.py
@@ -11,10 +11,10 @@
 from saffronstack.discovery.background_thread import BackgroundThread
 
 DEBOUNCE_MS = 20  # events within this time are one
-POLL_STEP_MS = 5  # between looks at collected events
-MAX_WAIT_MS = 1000  # after which the watch looks whether it is to stop or to watch elsewhere
-RETRY_S = 1.0  # after which a watch is set up anew where none of the paths exists
-RESTART_S = 0.01  # the same where some do
+EVENT_POLL_INTERVAL_MS = 5  # between looks at collected events
+STOP_CHECK_INTERVAL_MS = 1000  # after which the watch looks whether it is to stop or to watch elsewhere
+MISSING_PATH_RETRY_DELAY_S = 1.0  # after which a watch is set up anew where none of the paths exists
+RESTART_DELAY_S = 0.01  # the same where some do
 log = structlog.get_logger("saffronstack.discovery")
 
 
@@ -44,7 +44,7 @@
                 self._watch(paths, existing)
             except (OSError, RuntimeError) as error:
                 log.warning("worker file watch interrupted", error=str(error))
-            stopping.wait(RESTART_S if existing else RETRY_S)
+            stopping.wait(RESTART_DELAY_S if existing else MISSING_PATH_RETRY_DELAY_S)
 
     def _watch(self, paths: set[pathlib.Path], existing: list[pathlib.Path]) -> None:
         """Report events until the thread is to stop, or the file's links lead elsewhere."""
@@ -52,9 +52,9 @@
             *existing,
             watch_filter=None,
             debounce=DEBOUNCE_MS,
-            step=POLL_STEP_MS,
+            step=EVENT_POLL_INTERVAL_MS,
             stop_event=self._thread.stopping,
-            rust_timeout=MAX_WAIT_MS,
+            rust_timeout=STOP_CHECK_INTERVAL_MS,
             yield_on_timeout=True,
             recursive=False,
             raise_interrupt=False,
--- a/saffronstack/discovery/files/line_numbers.py
+++ b/saffronstack/discovery/files/line_numbers.py
@@ -46,7 +46,7 @@
     is_object: bool
     index: int = 0  # of the next element
 
-    def path_of(self, key: str) -> str:
+    def child_path(self, key: str) -> str:
         """Return the path of a key's value, or of the next element."""
         if not self.is_object:
             return f"{self.path}[{self.index}]"
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         self.lines = {"": 1}
-        self._open: list[_Container] = []
+        self._open_containers: list[_Container] = []
         self._line = 1
         self._path = ""  # of the value that was read last
         self._key = ""
@@ -72,43 +72,43 @@
             if match is None:
                 return
             token = match[0]
-            if match.lastgroup == "mark" and token in "}]" and not self._open:
+            if match.lastgroup == "mark" and token in "}]" and not self._open_containers:
                 return
-            self._take(token, str(match.lastgroup))
+            self._handle_token(token, str(match.lastgroup))
             self._line += token.count("\n")
             position = match.end()
 
-    def _take(self, token: str, kind: str) -> None:
+    def _handle_token(self, token: str, kind: str) -> None:
         if kind == "skip":
             return
         if kind == "mark":
-            self._take_mark(token)
+            self._handle_mark(token)
         elif self._expects_key:
             self._key = token[1:-1] if kind == "text" else token
-            self.lines.setdefault(self._open[-1].path_of(self._key), self._line)
+            self.lines.setdefault(self._open_containers[-1].child_path(self._key), self._line)
         else:
-            self._take_value()
+            self._record_value()
 
-    def _take_mark(self, mark: str) -> None:
+    def _handle_mark(self, mark: str) -> None:
         match mark:
             case ":":
                 self._expects_key = False
             case ",":
                 self._start_next_element()
             case "{" | "[":
-                self._take_value()
-                self._open.append(_Container(self._path, is_object=mark == "{"))
+                self._record_value()
+                self._open_containers.append(_Container(self._path, is_object=mark == "{"))
                 self._expects_key = mark == "{"
             case _:
-                self._path = self._open.pop().path
+                self._path = self._open_containers.pop().path
                 self._expects_key = False
 
     def _start_next_element(self) -> None:
-        if self._open:
-            self._open[-1].index += 1
-            self._expects_key = self._open[-1].is_object
+        if self._open_containers:
+            self._open_containers[-1].index += 1
+            self._expects_key = self._open_containers[-1].is_object
 
-    def _take_value(self) -> None:
-        if self._open:
-            self._path = self._open[-1].path_of(self._key)
+    def _record_value(self) -> None:
+        if self._open_containers:
+            self._path = self._open_containers[-1].child_path(self._key)
         self.lines.setdefault(self._path, self._line)
--- a/saffronstack/discovery/files/merging.py
+++ b/saffronstack/discovery/files/merging.py
@@ -29,7 +29,7 @@
         workers: The workers that it lists.
         drains: Names of workers to drain, beyond those that it lists as draining.
         is_complete: Whether it lists all workers there are, and hides sources below it.
-        is_known: Whether it has said anything yet; it hides nothing before.
+        is_loaded: Whether it has said anything yet; it hides nothing before.
     """
 
     name: str
@@ -37,7 +37,7 @@
     workers: tuple[Worker, ...] = ()
     drains: frozenset[str] = frozenset()
     is_complete: bool = False
-    is_known: bool = True
+    is_loaded: bool = True
 
     def draining_names(self) -> frozenset[str]:
         """Return the names of all workers that it wants drained."""
@@ -64,7 +64,7 @@
     for source in ordered:
         for worker in source.workers:
             merger.add(source.name, worker)
-        if source.is_complete and source.is_known:
+        if source.is_complete and source.is_loaded:
             break  # it hides those below
     workers = merger.workers
     names = set(draining).union(*(source.draining_names() for source in ordered))
@@ -79,26 +79,26 @@
     def __init__(self) -> None:
         self.workers: dict[str, Worker] = {}
         self.conflicts: list[str] = []
-        self._sources: dict[str, str] = {}  # by worker
-        self._names: dict[str, str] = {}  # by address
+        self._sources_by_worker: dict[str, str] = {}  # by worker
+        self._names_by_address: dict[str, str] = {}  # by address
 
     def add(self, source: str, worker: Worker) -> None:
         """Take a worker, unless its name or its address is taken."""
         known = self.workers.get(worker.id)
         if known is not None:
             if known.address != worker.address:
-                first = f"{self._sources[worker.id]} says {known.address}"
+                first = f"{self._sources_by_worker[worker.id]} says {known.address}"
                 self.conflicts.append(f"{worker.id}: {first}, {source} {worker.address}")
             return
-        if worker.address in self._names:
-            name = self._names[worker.address]
+        if worker.address in self._names_by_address:
+            name = self._names_by_address[worker.address]
             self.conflicts.append(
-                f"{worker.address}: {self._sources[name]} says {name}, {source} {worker.id}"
+                f"{worker.address}: {self._sources_by_worker[name]} says {name}, {source} {worker.id}"
             )
             return
         self.workers[worker.id] = worker
-        self._sources[worker.id] = source
-        self._names[worker.address] = worker.id
+        self._sources_by_worker[worker.id] = source
+        self._names_by_address[worker.address] = worker.id
 
 
 def compare_lists(before: Mapping[str, Worker], after: Mapping[str, Worker]) -> WorkerChanges:
--- a/saffronstack/discovery/files/parsing.py
+++ b/saffronstack/discovery/files/parsing.py
@@ -84,7 +84,7 @@
     try:
         manifest = convert(file.text, Manifest, file.name)
     except ConfigError as error:
-        raise InvalidWorkerFileError(_add_line(str(error), file)) from error
+        raise InvalidWorkerFileError(_add_location(str(error), file)) from error
     for name in manifest.files:
         if "/" in name or name.startswith("."):
             raise InvalidWorkerFileError(f"{file.name}: files: {name!r} is no plain file name")
@@ -121,37 +121,37 @@
         self.workers: list[Worker] = []
         self.errors: list[str] = []
         self._kinds = kinds
-        self._first_lines: dict[str, str] = {}  # file and line by what may be listed once
+        self._first_locations: dict[str, str] = {}  # file and line by what may be listed once
 
     def parse(self, file: SourceFile) -> None:
         """Take the workers of one file, and note its errors."""
         try:
             content = convert(file.text, WorkerFile, file.name)
         except ConfigError as error:
-            self.errors += [_add_line(line, file) for line in str(error).splitlines()]
+            self.errors += [_add_location(line, file) for line in str(error).splitlines()]
             return
         if self.generation and content.generation not in (0, self.generation):
             self.errors.append(
-                f"{_line_of(file, 'generation')}: generation {content.generation}, "
+                f"{_location_of(file, 'generation')}: generation {content.generation}, "
                 f"the manifest's is {self.generation}"
             )
         for index, worker in enumerate(content.workers):
-            self._add(file, f"workers[{index}]", worker)
+            self._add_worker(file, f"workers[{index}]", worker)
         self.generation = self.generation or content.generation
 
-    def _add(self, file: SourceFile, path: str, worker: Worker) -> None:
+    def _add_worker(self, file: SourceFile, path: str, worker: Worker) -> None:
         for error in _check_worker(worker, self._kinds):
-            line = _line_of(file, f"{path}.{error.field}")
+            line = _location_of(file, f"{path}.{error.field}")
             self.errors.append(f"{line}: {path} ({worker.id}).{error.field}: {error.reason}")
-        line = _line_of(file, path)
+        line = _location_of(file, path)
         for value in (f"worker {worker.id!r}", f"address {worker.address}"):
             self._require_unique(value, line, path)
         self.workers.append(worker)
 
     def _require_unique(self, value: str, line: str, path: str) -> None:
-        if value in self._first_lines:
-            self.errors.append(f"{line}: {path}: {value} stands at {self._first_lines[value]} already")
-        self._first_lines.setdefault(value, line)
+        if value in self._first_locations:
+            self.errors.append(f"{line}: {path}: {value} stands at {self._first_locations[value]} already")
+        self._first_locations.setdefault(value, line)
 
 
 def _check_worker(worker: Worker, kinds: Collection[str] | None) -> Iterator[_FieldError]:
@@ -179,11 +179,11 @@
     return ""
 
 
-def _line_of(file: SourceFile, path: str) -> str:
+def _location_of(file: SourceFile, path: str) -> str:
     return f"{file.name}:{find_line(file.text, path)}"
 
 
-def _add_line(error: str, file: SourceFile) -> str:
+def _add_location(error: str, file: SourceFile) -> str:
     """Return an error of the schema with its line."""
     detail = error.removeprefix(f"{file.name}: ")
     if match := _JSON5_ERROR_LINE.search(detail):
--- a/saffronstack/discovery/files/service.py
+++ b/saffronstack/discovery/files/service.py
@@ -19,7 +19,7 @@
 from saffronstack.discovery.files.version_selector import VersionSelector
 from saffronstack.discovery.files.worker_list import WorkerList
 
-SETTLING_POLL_S = 0.05  # between polls while a file is being written
+REPORT_PENDING_POLL_INTERVAL_S = 0.05  # between polls while a file is being written
 STOP_TIMEOUT_S = 5.0
 OPERATOR_PRIORITY, FILE_PRIORITY, CONFIGURATION_PRIORITY = 30, 20, 0
 log = structlog.get_logger("saffronstack.discovery")
@@ -33,13 +33,13 @@
         path: The file, or a directory with a manifest.
         kinds: Kinds of workers that the gateway knows.
         guards: What needs no operator's approval.
-        poll_s: Seconds between polls, where no event of the file system comes before.
+        poll_interval_s: Seconds between polls, where no event of the file system comes before.
     """
 
     path: pathlib.Path
     kinds: tuple[str, ...]
     guards: GuardSettings = field(default_factory=GuardSettings)
-    poll_s: float = 1.0
+    poll_interval_s: float = 1.0
 
 
 class FileDiscoveryCounts(
@@ -102,16 +102,16 @@
             clock: Monotonic time in seconds.
             unix_clock: Unix time in seconds.
         """
-        self._poll_s = options.poll_s
+        self._poll_interval_s = options.poll_interval_s
         self._state_directory = state_directory
         self._configured_workers = configured_workers
         self._on_change = on_change
         self._clock = clock
-        self._versions = VersionSelector(
+        self._version_selector = VersionSelector(
             options.path, options.kinds, options.guards, state_directory, unix_clock
         )
-        self._list = WorkerList(options.guards.flapping)
-        self._polls = 0
+        self._worker_list = WorkerList(options.guards.flapping)
+        self._poll_count = 0
         self._wake_ups: queue.SimpleQueue[None] = queue.SimpleQueue()
         self._thread = BackgroundThread("file-discovery", self._run)
 
@@ -125,9 +125,9 @@
         """Return the workers to begin with: the file's, or those of the last known good version."""
         self._poll_sources(now)
         self._update_list(now)
-        self._versions.use_stored_copy()
+        self._version_selector.use_stored_copy()
         self._update_list(now)
-        return dict(self._list.workers)
+        return dict(self._worker_list.workers)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
         """End the thread; return whether it ended in time."""
@@ -146,24 +146,24 @@
 
     def status(self) -> FileDiscoveryStatus:
         """Return the state of the service; from any thread."""
-        versions, workers = self._versions, self._list.workers
-        applied = versions.applied
+        versions, workers = self._version_selector, self._worker_list.workers
+        applied = versions.applied_version
         return FileDiscoveryStatus(
             generation=applied.generation if applied else None,
             digest=applied.digest if applied else "",
             workers=len(workers),
             draining=sum(worker.state == "draining" for worker in workers.values()),
             is_from_stored_copy=versions.is_from_stored_copy,
-            rejection=versions.settling.rejection,
+            rejection=versions.file_state.rejection,
             pending_reason=versions.pending_reason,
             pending_digest=versions.pending_digest,
-            conflicts=self._list.conflicts,
+            conflicts=self._worker_list.conflicts,
             counts=FileDiscoveryCounts(
                 applied=versions.applied_count,
-                rejected=versions.settling.rejected_count,
+                rejected=versions.file_state.rejected_count,
                 pending=versions.pending_count,
-                not_ready=versions.settling.not_ready_count,
-                polls=self._polls,
+                not_ready=versions.file_state.not_ready_count,
+                polls=self._poll_count,
             ),
         )
 
@@ -172,7 +172,7 @@
         self._poll_sources(now)
         changes = self._update_list(now)
         if changes:
-            self._on_change(changes, self._list.workers)
+            self._on_change(changes, self._worker_list.workers)
 
     def _run(self) -> None:
         while not self._thread.stopping.is_set():
@@ -187,35 +187,35 @@
     def _wait_for_wake_up(self) -> None:
         """Wait until it is time to poll; wake-ups that came together are one."""
         try:
-            self._wake_ups.get(timeout=self._pause_s())
+            self._wake_ups.get(timeout=self._poll_delay_s())
             while True:
                 self._wake_ups.get_nowait()
         except queue.Empty:
             return  # the pause is over, or all wake-ups are taken
 
-    def _pause_s(self) -> float:
-        if self._versions.settling.is_settling:
-            return SETTLING_POLL_S
-        if self._list.is_ramping:
-            return min(self._poll_s, STEP_INTERVAL_S)
-        return self._poll_s
+    def _poll_delay_s(self) -> float:
+        if self._version_selector.file_state.is_report_pending:
+            return REPORT_PENDING_POLL_INTERVAL_S
+        if self._worker_list.is_ramping:
+            return min(self._poll_interval_s, STEP_INTERVAL_S)
+        return self._poll_interval_s
 
     def _poll_sources(self, now: float) -> None:
-        self._polls += 1
-        self._versions.poll(now)
+        self._poll_count += 1
+        self._version_selector.poll(now)
 
     def _update_list(self, now: float) -> WorkerChanges:
-        applied = self._versions.applied
+        applied = self._version_selector.applied_version
         sources = (
-            WorkerSource("operator", OPERATOR_PRIORITY, drains=self._state_directory.drains()),
+            WorkerSource("operator", OPERATOR_PRIORITY, drains=self._state_directory.drained_workers()),
             WorkerSource(
                 "file",
                 FILE_PRIORITY,
                 applied.workers if applied is not None else (),
-                self._versions.pending_drains,
+                self._version_selector.pending_drains,
                 is_complete=True,
-                is_known=applied is not None,
+                is_loaded=applied is not None,
             ),
             WorkerSource("configuration", CONFIGURATION_PRIORITY, self._configured_workers),
         )
-        return self._list.update(sources, now)
+        return self._worker_list.update(sources, now)
--- a/saffronstack/discovery/files/settling.py
+++ b/saffronstack/discovery/files/settling.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 REJECTION_DELAY_S = 0.2  # an unusable file is rejected once it stood unchanged for so long
-MAX_SETTLING_S = 5.0  # a file that is missing or changing for so long is reported
+NOT_READY_REPORT_DELAY_S = 5.0  # a file that is missing or changing for so long is reported
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +16,7 @@
     since_s: float
 
 
-class FileSettling:
+class FileStateTracker:
     """Tracks a file from one poll to the next; times in seconds of any one clock.
 
     Attributes:
@@ -35,7 +35,7 @@
         self._is_not_ready_reported = False
 
     @property
-    def is_settling(self) -> bool:
+    def is_report_pending(self) -> bool:
         """Whether a report may follow soon, so that the file should be polled soon."""
         if self._not_ready_since_s is not None and not self._is_not_ready_reported:
             return True
@@ -60,11 +60,11 @@
             self._not_ready_since_s = now
             self._is_not_ready_reported = False
             self.not_ready_count += 1
-        if now - self._not_ready_since_s < MAX_SETTLING_S or self._is_not_ready_reported:
+        if now - self._not_ready_since_s < NOT_READY_REPORT_DELAY_S or self._is_not_ready_reported:
             return False
         self._is_not_ready_reported = True
         self._unusable = None
-        self._reject(f"{reason}; so for {MAX_SETTLING_S:g} s")
+        self._reject(f"{reason}; so for {NOT_READY_REPORT_DELAY_S:g} s")
         return True
 
     def record_unusable(self, identity: str, reason: str, now: float) -> bool:
--- a/saffronstack/discovery/files/state_directory.py
+++ b/saffronstack/discovery/files/state_directory.py
@@ -23,7 +23,7 @@
 MAX_VERSIONS = 20
 MAX_OVERRIDE_CHARACTERS = 1 << 20
 OverrideName: TypeAlias = Literal["accept", "pinned", "drains"]  # these are file names
-_FILE_NAME = re.compile(r"(\d{8})-([0-9a-f]{32})\.json")
+_VERSION_FILE_NAME = re.compile(r"(\d{8})-([0-9a-f]{32})\.json")
 log = structlog.get_logger("saffronstack.discovery")
 
 
@@ -65,12 +65,12 @@
             OSError: It can't be created.
         """
         self._directory = directory
-        self._versions = directory / "versions"
-        self._versions.mkdir(parents=True, exist_ok=True)
+        self._versions_directory = directory / "versions"
+        self._versions_directory.mkdir(parents=True, exist_ok=True)
 
     # ---- versions
 
-    def keep(self, version: WorkerListVersion, applied_at: float) -> None:
+    def store_version(self, version: WorkerListVersion, applied_at: float) -> None:
         """Store a version that was applied at a time in Unix seconds, and delete the oldest ones.
 
         A failure to write is logged: the version is in force all the same.
@@ -78,52 +78,54 @@
         body = msgspec.json.encode(
             _StoredContent(version.generation, version.digest, applied_at, version.workers)
         )
-        files = self._find_versions()
+        files = self._list_version_files()
         number = files[-1].number + 1 if files else 1
-        path = self._versions / f"{number:08d}-{version.digest}.json"
+        path = self._versions_directory / f"{number:08d}-{version.digest}.json"
         try:
             write_atomically(path, xxhash.xxh3_128_hexdigest(body).encode() + b"\n" + body)
-            for file in self._find_versions()[:-MAX_VERSIONS]:
+            for file in self._list_version_files()[:-MAX_VERSIONS]:
                 file.path.unlink()
         except OSError as error:
             log.error("worker list version not stored", error=str(error))
 
-    def last(self) -> WorkerListVersion | None:
+    def last_good_version(self) -> WorkerListVersion | None:
         """Return the last known good version: the latest one that can still be read."""
-        for file in reversed(self._find_versions()):
+        for file in reversed(self._list_version_files()):
             content = _read_content(file.path)
             if content is not None and content.digest == file.digest:
                 return content.version()
         return None
 
-    def history(self) -> list[StoredVersion]:
+    def stored_versions(self) -> list[StoredVersion]:
         """Return all stored versions that can be read, the oldest first."""
         stored = []
-        for file in self._find_versions():
+        for file in self._list_version_files():
             content = _read_content(file.path)
             if content is not None:
                 stored.append(StoredVersion(file.number, content.applied_at, content.version()))
         return stored
 
-    def _find_versions(self) -> list[_VersionFile]:
-        matches = ((_FILE_NAME.fullmatch(path.name), path) for path in self._versions.iterdir())
+    def _list_version_files(self) -> list[_VersionFile]:
+        matches = (
+            (_VERSION_FILE_NAME.fullmatch(path.name), path) for path in self._versions_directory.iterdir()
+        )
         return sorted(_VersionFile(int(match[1]), match[2], path) for match, path in matches if match)
 
     # ---- overrides by operators
 
-    def accepted(self) -> str:
+    def approved_digest(self) -> str:
         """Return the digest of the version that an operator approved; empty without one."""
         return self._read_override("accept")
 
-    def pinned(self) -> str:
+    def pinned_digest(self) -> str:
         """Return the digest of the stored version that stands in place of the file; empty without one."""
         return self._read_override("pinned")
 
-    def drains(self) -> frozenset[str]:
+    def drained_workers(self) -> frozenset[str]:
         """Return the names of workers that operators drain."""
         return frozenset(self._read_override("drains").split())
 
-    def tell(self, name: OverrideName, text: str) -> None:
+    def set_override(self, name: OverrideName, text: str) -> None:
         """Set an override by an operator; an empty text takes it back.
 
         Raises:
--- a/saffronstack/discovery/files/version_selector.py
+++ b/saffronstack/discovery/files/version_selector.py
@@ -8,9 +8,9 @@
 import structlog
 
 from saffronstack.discovery.files.change_guards import GuardSettings, review_version
-from saffronstack.discovery.files.file_reader import FileNotReadyError, VersionText, read_version
+from saffronstack.discovery.files.file_reader import FileNotReadyError, VersionFiles, read_version
 from saffronstack.discovery.files.parsing import InvalidWorkerFileError, WorkerListVersion, parse_version
-from saffronstack.discovery.files.settling import FileSettling
+from saffronstack.discovery.files.settling import FileStateTracker
 from saffronstack.discovery.files.state_directory import StateDirectory
 
 log = structlog.get_logger("saffronstack.discovery")
@@ -20,7 +20,7 @@
     """The version in force, and what stands in the way of the next; polled on one thread.
 
     Attributes:
-        applied: The version in force; None before the first.
+        applied_version: The version in force; None before the first.
         is_from_stored_copy: Whether it is the last known good copy, since the file could not be read yet.
         pending_reason: Why a version waits for an operator's approval; empty where none does.
         pending_digest: Digest of that version.
@@ -47,14 +47,14 @@
             state_directory: Where versions are stored, and what operators asked for.
             unix_clock: Unix time in seconds.
         """
-        self.applied: WorkerListVersion | None = None
+        self.applied_version: WorkerListVersion | None = None
         self.is_from_stored_copy = False
         self.pending_reason = ""
         self.pending_digest = ""
         self.pending_drains: frozenset[str] = frozenset()
         self.applied_count = 0
         self.pending_count = 0
-        self.settling = FileSettling()
+        self.file_state = FileStateTracker()
         self._path = path
         self._kinds = kinds
         self._guards = guards
@@ -63,7 +63,7 @@
 
     def poll(self, now: float) -> None:
         """Read the file, or follow an operator's pin, and apply a version where there is a new one."""
-        pinned_digest = self._state_directory.pinned()
+        pinned_digest = self._state_directory.pinned_digest()
         if pinned_digest:
             self._poll_pin(pinned_digest, now)
         else:
@@ -71,20 +71,20 @@
 
     def use_stored_copy(self) -> None:
         """Put the last known good version in force, if none is yet and one is stored."""
-        if self.applied is not None:
+        if self.applied_version is not None:
             return
-        version = self._state_directory.last()
+        version = self._state_directory.last_good_version()
         if version is None:
             return
-        self.applied, self.is_from_stored_copy = version, True
+        self.applied_version, self.is_from_stored_copy = version, True
         log.warning(
             "last known good worker list in use", generation=version.generation, workers=len(version.workers)
         )
 
     def _poll_pin(self, digest: str, now: float) -> None:
-        if self.applied is not None and self.applied.digest == digest:
+        if self.applied_version is not None and self.applied_version.digest == digest:
             return
-        history = self._state_directory.history()
+        history = self._state_directory.stored_versions()
         version = next((stored.version for stored in history if stored.version.digest == digest), None)
         if version is None:
             self._record_unusable(f"pinned {digest}", f"no stored version has the digest {digest}", now)
@@ -94,43 +94,45 @@
 
     def _poll_file(self, now: float) -> None:
         try:
-            text = read_version(self._path)
+            version_files = read_version(self._path)
         except FileNotReadyError as error:
-            if self.settling.record_not_ready(str(error), now):
+            if self.file_state.record_not_ready(str(error), now):
                 self._log_rejection()
             return
         except InvalidWorkerFileError as error:
             self._record_unusable(str(error), str(error), now)
             return
-        self.settling.record_readable()
-        if self._is_applied(text):
+        self.file_state.record_readable()
+        if self._is_applied(version_files):
             self._clear_problems()
-        elif not self.settling.is_rejected(text.digest):
-            self._check(text, now)
+        elif not self.file_state.is_rejected(version_files.digest):
+            self._review(version_files, now)
 
-    def _is_applied(self, text: VersionText) -> bool:
-        is_same = self.applied is not None and self.applied.digest == text.digest
+    def _is_applied(self, version_files: VersionFiles) -> bool:
+        is_same = self.applied_version is not None and self.applied_version.digest == version_files.digest
         return is_same and not self.is_from_stored_copy
 
-    def _check(self, text: VersionText, now: float) -> None:
+    def _review(self, version_files: VersionFiles, now: float) -> None:
         """Parse and review a version; apply it where nothing stands in its way."""
         try:
-            version = parse_version(text.parts, text.digest, self._kinds, text.generation)
+            version = parse_version(
+                version_files.files, version_files.digest, self._kinds, version_files.generation
+            )
         except InvalidWorkerFileError as error:
-            self._record_unusable(text.digest, str(error), now)
+            self._record_unusable(version_files.digest, str(error), now)
             return
-        is_approved = self._state_directory.accepted() == version.digest
-        approval = review_version(self._guards, self.applied, version, is_approved)
+        is_approved = self._state_directory.approved_digest() == version.digest
+        approval = review_version(self._guards, self.applied_version, version, is_approved)
         if approval is not None:
-            self._wait_for_approval(version, approval.reason)
+            self._record_pending(version, approval.reason)
             return
         self._clear_problems()
         if is_approved:
-            self._state_directory.tell("accept", "")
+            self._state_directory.set_override("accept", "")
         self._apply(version)
 
-    def _wait_for_approval(self, version: WorkerListVersion, reason: str) -> None:
-        self.settling.record_usable()
+    def _record_pending(self, version: WorkerListVersion, reason: str) -> None:
+        self.file_state.record_usable()
         if self.pending_digest != version.digest:
             self.pending_count += 1
             log.error(
@@ -144,10 +146,10 @@
         self.pending_drains = frozenset(worker.id for worker in version.workers if worker.state == "draining")
 
     def _apply(self, version: WorkerListVersion) -> None:
-        self.applied = version
+        self.applied_version = version
         self.is_from_stored_copy = False
         self.applied_count += 1
-        self._state_directory.keep(version, self._unix_clock())
+        self._state_directory.store_version(version, self._unix_clock())
         log.info(
             "worker list version applied",
             generation=version.generation,
@@ -156,13 +158,13 @@
         )
 
     def _clear_problems(self) -> None:
-        self.settling.record_usable()
+        self.file_state.record_usable()
         self.pending_reason = self.pending_digest = ""
         self.pending_drains = frozenset()
 
     def _record_unusable(self, identity: str, reason: str, now: float) -> None:
-        if self.settling.record_unusable(identity, reason, now):
+        if self.file_state.record_unusable(identity, reason, now):
             self._log_rejection()
 
     def _log_rejection(self) -> None:
-        log.error("worker file rejected, last good version stays in force", error=self.settling.rejection)
+        log.error("worker file rejected, last good version stays in force", error=self.file_state.rejection)
--- a/saffronstack/discovery/files/worker_list.py
+++ b/saffronstack/discovery/files/worker_list.py
@@ -27,36 +27,36 @@
         """Start without workers; ``flap_settings`` say when one flaps."""
         self.workers: dict[str, Worker] = {}
         self.conflicts: tuple[str, ...] = ()
-        self._listed: dict[str, Worker] = {}  # as the sources have it
-        self._flaps = FlapDetector(flap_settings)
-        self._capacities = CapacityRamp()
+        self._listed_workers: dict[str, Worker] = {}  # as the sources have it
+        self._flap_detector = FlapDetector(flap_settings)
+        self._capacity_ramp = CapacityRamp()
 
     @property
     def is_ramping(self) -> bool:
         """Whether capacities have not reached their listed values: `update` is to be called again soon."""
-        return self._capacities.is_moving
+        return self._capacity_ramp.is_ramping
 
     def update(self, sources: Sequence[WorkerSource], now: float) -> WorkerChanges:
         """Build the list anew and return what changed."""
         merged = merge_sources(sources)
         self._record_state_changes(merged.workers, now)
-        self._listed = merged.workers
-        flapping = self._flaps.find_flapping(now)
+        self._listed_workers = merged.workers
+        flapping = self._flap_detector.find_flapping(now)
         if flapping:
             merged = merge_sources(sources, flapping)
         if merged.conflicts and merged.conflicts != self.conflicts:
             log.warning("worker sources conflict", conflicts=list(merged.conflicts[:MAX_LOGGED_CONFLICTS]))
         self.conflicts = merged.conflicts
-        workers = self._capacities.advance(merged.workers, now)
+        workers = self._capacity_ramp.advance(merged.workers, now)
         changes = compare_lists(self.workers, workers)
         self.workers = workers
         return changes
 
     def _record_state_changes(self, listed: Mapping[str, Worker], now: float) -> None:
-        if not self._listed:
+        if not self._listed_workers:
             return  # the first list is no change
-        for name in self._listed.keys() & listed.keys():
-            if self._listed[name].state != listed[name].state:
-                self._flaps.record_change(name, now)
-        for name in self._listed.keys() ^ listed.keys():
-            self._flaps.record_change(name, now)
+        for name in self._listed_workers.keys() & listed.keys():
+            if self._listed_workers[name].state != listed[name].state:
+                self._flap_detector.record_change(name, now)
+        for name in self._listed_workers.keys() ^ listed.keys():
+            self._flap_detector.record_change(name, now)
--- a/saffronstack/gateway_components.py
+++ b/saffronstack/gateway_components.py
@@ -153,7 +153,7 @@
     guards = GuardSettings(
         allow_empty=roster.allow_empty,
         max_removed_fraction=roster.removed_share,
-        always_removable=roster.removed_free,
+        always_removable_count=roster.removed_free,
         allow_older=roster.allow_older,
         flapping=FlapSettings(roster.flaps, roster.flap_span_s, roster.flap_quiet_s),
     )
--- a/tests/discovery/dns/test_resolver.py
+++ b/tests/discovery/dns/test_resolver.py
@@ -115,14 +115,14 @@
 ) -> None:
     """It is on its way when the new address is set."""
     second = DiscoveryServer(lambda query, port: [dns_answer(query, 6, ENTRIES[:1])])
-    asked, ready = threading.Event(), threading.Event()
+    has_moved, ready = threading.Event(), threading.Event()
 
     def respond(query: bytes, port: int) -> list[bytes]:
         assert ready.wait(WAIT_S)
-        if asked.is_set():
+        if has_moved.is_set():
             return []
         observed.resolver.set_server(second.address)
-        asked.set()
+        has_moved.set()
         return [dns_answer(query, 9, ENTRIES)]
 
     _, observed = start_discovery(respond)
@@ -157,16 +157,16 @@
     monkeypatch: pytest.MonkeyPatch, observed: ObservedResolver, is_refused: bool
 ) -> None:
     """A refusal comes at once, and used to be polled after 20 times a second."""
-    now, pauses = [0.0], list[float]()
+    now, waits = [0.0], list[float]()
     resolver = observed.resolver
     monkeypatch.setattr(resolver, "_clock", lambda: now[0])
 
     class FortyWaits(threading.Event):
         def wait(self, timeout: float | None = None) -> bool:
             assert timeout is not None
-            pauses.append(timeout)
+            waits.append(timeout)
             now[0] += timeout
-            if len(pauses) == 40:
+            if len(waits) == 40:
                 self.set()
             return self.is_set()
 
@@ -179,23 +179,23 @@
     monkeypatch.setattr(resolver._thread, "stopping", FortyWaits())
     monkeypatch.setattr(resolver, "query", query)
     resolver._run()
-    least_s, most_s = 40 * INTERVAL_S * (1 - POLL_JITTER), 40 * INTERVAL_S * (1 + POLL_JITTER)
-    assert least_s <= now[0] <= most_s + 0.2
-    assert len({round(pause, 6) for pause in pauses}) > 20
+    min_elapsed_s, max_elapsed_s = 40 * INTERVAL_S * (1 - POLL_JITTER), 40 * INTERVAL_S * (1 + POLL_JITTER)
+    assert min_elapsed_s <= now[0] <= max_elapsed_s + 0.2
+    assert len({round(wait_s, 6) for wait_s in waits}) > 20
 
 
 def test_without_a_free_descriptor_the_present_socket_stays_in_use(
     monkeypatch: pytest.MonkeyPatch, start_discovery: StartDiscovery
 ) -> None:
-    silent, taken = threading.Event(), threading.Event()
+    silent, is_exhausted = threading.Event(), threading.Event()
     attempts: list[tuple[str, int]] = []
 
     def respond(query: bytes, port: int) -> list[bytes]:
-        return [] if silent.is_set() else [dns_answer(query, 6 if taken.is_set() else 5, ENTRIES[:1])]
+        return [] if silent.is_set() else [dns_answer(query, 6 if is_exhausted.is_set() else 5, ENTRIES[:1])]
 
     server, observed = start_discovery(respond)
     observed.wait()
-    taken.set()
+    is_exhausted.set()
     silent.set()
 
     def fail(address: tuple[str, int]) -> socket.socket:
@@ -218,9 +218,9 @@
 ) -> None:
     now = [0.0]
     monkeypatch.setattr(observed.resolver, "_clock", lambda: now[0])
-    observed.resolver.last_accepted_s = 0.0
+    observed.resolver.last_response_s = 0.0
     for now[0], is_answered in ((2.0, False), (3.5, False), (4.0, False), (4.5, True), (5.0, True)):
-        observed.resolver._log_silence(is_answered)
+        observed.resolver._log_responsiveness(is_answered)
     lines = [line.split(": ", 1)[1] for line in observed.log.getvalue().splitlines()]
     assert lines == [
         "discovery server is silent elapsed_s=3.0 rejected={}",
--- a/tests/discovery/files/support.py
+++ b/tests/discovery/files/support.py
@@ -14,7 +14,7 @@
 from saffronstack import config as configs
 from saffronstack.config.schema import Worker
 from saffronstack.discovery.files.change_guards import GuardSettings
-from saffronstack.discovery.files.file_reader import MANIFEST
+from saffronstack.discovery.files.file_reader import MANIFEST_FILE_NAME
 from saffronstack.discovery.files.merging import WorkerChanges
 from saffronstack.discovery.files.parsing import SourceFile, WorkerListVersion, parse_version
 from saffronstack.discovery.files.service import FileDiscovery, FileDiscoveryOptions, FileDiscoveryStatus
@@ -49,11 +49,11 @@
 def write_directory(path: pathlib.Path, generation: int, **files: str) -> None:
     """Write worker files, and a manifest that names them."""
     path.mkdir(exist_ok=True)
-    sums = {}
+    digests = {}
     for name, text in files.items():
         (path / f"{name}.json5").write_text(text)
-        sums[f"{name}.json5"] = xxhash.xxh3_128_hexdigest(text.encode())
-    (path / MANIFEST).write_text(json.dumps({"generation": generation, "files": sums}))
+        digests[f"{name}.json5"] = xxhash.xxh3_128_hexdigest(text.encode())
+    (path / MANIFEST_FILE_NAME).write_text(json.dumps({"generation": generation, "files": digests}))
 
 
 class SteppedDiscovery:
@@ -68,7 +68,7 @@
         self.service = self._make_service()
 
     def _make_service(self) -> FileDiscovery:
-        options = FileDiscoveryOptions(self.path, KINDS, GuardSettings(), poll_s=60.0)
+        options = FileDiscoveryOptions(self.path, KINDS, GuardSettings(), poll_interval_s=60.0)
         configured = (worker("w50"),)
 
         def clock() -> float:
--- a/tests/discovery/files/test_capacity_ramp.py
+++ b/tests/discovery/files/test_capacity_ramp.py
@@ -15,7 +15,7 @@
     now = 1.0
     while True:
         seen.append(ramp.advance({"w1": worker("w1", size=4.0)}, now)["w1"].size)
-        if not ramp.is_moving:
+        if not ramp.is_ramping:
             break
         now += 0.5
     assert seen == [1.5, 1.5, 2.25, 2.25, 3.375, 3.375, 4.0]
--- a/tests/discovery/files/test_file_reader.py
+++ b/tests/discovery/files/test_file_reader.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from saffronstack.discovery.files.file_reader import MANIFEST, FileNotReadyError, read_version
+from saffronstack.discovery.files.file_reader import MANIFEST_FILE_NAME, FileNotReadyError, read_version
 from saffronstack.discovery.files.parsing import InvalidWorkerFileError, WorkerListVersion, parse_version
 from tests.discovery.files.support import KINDS, entry, file_text, write_directory
 
 
 def read_and_parse(path: pathlib.Path) -> WorkerListVersion:
-    text = read_version(path)
-    return parse_version(text.parts, text.digest, KINDS, text.generation)
+    version_files = read_version(path)
+    return parse_version(version_files.files, version_files.digest, KINDS, version_files.generation)
 
 
 @pytest.fixture
@@ -52,7 +52,7 @@
 
 
 def test_a_manifest_that_names_other_directories_is_rejected(directory: pathlib.Path) -> None:
-    (directory / MANIFEST).write_text('{"generation": 5, "files": {"../x": "' + "0" * 32 + '"}}')
+    (directory / MANIFEST_FILE_NAME).write_text('{"generation": 5, "files": {"../x": "' + "0" * 32 + '"}}')
     with pytest.raises(InvalidWorkerFileError, match="no plain file name"):
         read_version(directory)
 
--- a/tests/discovery/files/test_gateway_discovery.py
+++ b/tests/discovery/files/test_gateway_discovery.py
@@ -20,10 +20,10 @@
     with gateway_with_worker_file(tmp_path, fleet, file_text(*entries, generation=3), poll_s=0.05) as stack:
         path = tmp_path / "roster.json5"
 
-        def says(what: str, words: str) -> bool:
-            return words in json.loads(stack.get("/status").body)["roster"][what]
+        def status_contains(field: str, reason: str) -> bool:
+            return reason in json.loads(stack.get("/status").body)["roster"][field]
 
-        for what, text, words in (
+        for field, text, reason in (
             ("refused", '{"workers": [{]}', "not JSON5"),
             ("refused", file_text(entries[0], entries[0]), "stands at roster.json5:"),
             ("refused", '{"workers": 5}', "Expected `array`"),
@@ -36,7 +36,7 @@
             ("held", file_text(*entries, generation=2), "older than 3"),
         ):
             path.write_text(text)
-            eventually(partial(says, what, words))
+            eventually(partial(status_contains, field, reason))
             assert stack.call("identify-copy").status == 200
         assert "saffronstack_roster_held 1.0" in stack.get("/metrics").body.decode()
         path.unlink()
@@ -63,24 +63,24 @@
         tmp_path, fleet, file_text(*old, generation=1), removed_share=1.0, poll_s=0.05
     ) as stack:
 
-        def calls() -> None:
+        def send_requests() -> None:
             client = stack.client()
             while not stopping.is_set():
                 statuses.append(client.invoke("identify-copy", b"{}").status)
             client.close()
 
-        threads = [threading.Thread(target=calls) for _ in range(4)]
+        threads = [threading.Thread(target=send_requests) for _ in range(4)]
         for thread in threads:
             thread.start()
         eventually(lambda: len(statuses) > 20)
         (tmp_path / "roster.json5").write_text(file_text(*new, generation=2))
         eventually(lambda: sum(len(one.runs()) for one in fleet.workers[3:]) > 20)
-        at = [len(one.runs()) for one in fleet.workers[:3]]
+        run_counts = [len(one.runs()) for one in fleet.workers[:3]]
         eventually(lambda: len(statuses) > 100)
         stopping.set()
         for thread in threads:
             thread.join(10)
-        assert [len(one.runs()) for one in fleet.workers[:3]] == at
+        assert [len(one.runs()) for one in fleet.workers[:3]] == run_counts
     assert set(statuses) <= {200, 429}
     assert statuses.count(429) <= len(statuses) // 20
     fleet.stop()
--- a/tests/discovery/files/test_gateway_rewrites.py
+++ b/tests/discovery/files/test_gateway_rewrites.py
@@ -18,7 +18,7 @@
 from tests.support.stack import eventually
 
 
-class Phantom:
+class ConnectionCounter:
     """An address at which no worker ever was; whoever connects is counted."""
 
     def __init__(self) -> None:
@@ -46,10 +46,10 @@
 
 
 class FileRewriter:
-    """Replaces the workers' file by good versions and by faulty ones that list phantoms."""
+    """Replaces the workers' file by good versions and by faulty ones that list addresses without a worker."""
 
     def __init__(
-        self, path: pathlib.Path, entries: list[dict[str, Any]], ghosts: list[dict[str, Any]]
+        self, path: pathlib.Path, entries: list[dict[str, Any]], unlisted_entries: list[dict[str, Any]]
     ) -> None:
         self.generation = 1
         self.draining_since: dict[str, float] = {}
@@ -57,22 +57,22 @@
         self._path = path
         self._entries = entries
         self._good = entries
-        self._ghosts = ghosts
+        self._unlisted_entries = unlisted_entries
         self._rewrites: dict[str, Callable[[], object]] = {
             "good": self._write_good,
             "cut": self._write_cut,
             "empty": lambda: self._path.write_text(file_text(generation=self.generation + 1)),
-            "shape": lambda: self._path.write_text(json.dumps({"workers": {"ghost": ghosts[0]}})),
+            "shape": lambda: self._path.write_text(json.dumps({"workers": {"ghost": unlisted_entries[0]}})),
             "ghosts": self._write_unknown_kind,
             "twice": self._write_duplicate,
-            "old": lambda: self._path.write_text(file_text(*self._good, *ghosts, generation=1)),
+            "old": lambda: self._path.write_text(file_text(*self._good, *unlisted_entries, generation=1)),
             "bytes": lambda: self._path.write_bytes(b'{"workers": [\xff'),
         }
 
     def rewrite(self) -> None:
         """Write one version, good or faulty, at random."""
-        kinds = ["good", "good", "cut", "empty", "shape", "ghosts", "twice", "old", "bytes"]
-        self._rewrites[self._random.choice(kinds)]()
+        rewrite_names = ["good", "good", "cut", "empty", "shape", "ghosts", "twice", "old", "bytes"]
+        self._rewrites[self._random.choice(rewrite_names)]()
 
     def replace(self, entries: list[dict[str, Any]]) -> None:
         """Replace the file atomically by the next generation."""
@@ -93,27 +93,32 @@
         self.replace(self._good)
 
     def _write_cut(self) -> None:
-        text = file_text(*self._good, *self._ghosts, generation=self.generation + 1)
+        text = file_text(*self._good, *self._unlisted_entries, generation=self.generation + 1)
         self._path.write_text(text[: self._random.randrange(1, len(text) - 2)])
 
     def _write_unknown_kind(self) -> None:
-        ghost = {**self._ghosts[0], "kind": "phantom"}
-        self._path.write_text(file_text(*self._good, ghost, generation=self.generation + 1))
+        unlisted_entry = {**self._unlisted_entries[0], "kind": "phantom"}
+        self._path.write_text(file_text(*self._good, unlisted_entry, generation=self.generation + 1))
 
     def _write_duplicate(self) -> None:
-        ghosts = [self._ghosts[0], {**self._ghosts[1], "id": "ghost-0"}]
-        self._path.write_text(file_text(*self._good, *ghosts, generation=self.generation + 1))
+        unlisted_entries = [self._unlisted_entries[0], {**self._unlisted_entries[1], "id": "ghost-0"}]
+        self._path.write_text(file_text(*self._good, *unlisted_entries, generation=self.generation + 1))
 
 
-def test_five_thousand_rewrites_with_faults_never_route_to_a_phantom(tmp_path: pathlib.Path) -> None:
+def test_five_thousand_rewrites_with_faults_never_route_to_an_unlisted_address(
+    tmp_path: pathlib.Path,
+) -> None:
     fleet = StandInFleet(6, lambda n: Profile(work_s=0.001, load_s=0.005))
     entries = fleet.entries()
-    phantoms = [Phantom() for _ in range(2)]
-    ghosts = [{**entry(f"g{n}"), "id": f"ghost-{n}", "address": p.address} for n, p in enumerate(phantoms)]
-    rewriter = FileRewriter(tmp_path / "roster.json5", entries, ghosts)
+    unused_listeners = [ConnectionCounter() for _ in range(2)]
+    unlisted_entries = [
+        {**entry(f"g{n}"), "id": f"ghost-{n}", "address": listener.address}
+        for n, listener in enumerate(unused_listeners)
+    ]
+    rewriter = FileRewriter(tmp_path / "roster.json5", entries, unlisted_entries)
     stopping = threading.Event()
     statuses: list[int] = []
-    late: list[str] = []
+    late_arrivals: list[str] = []
 
     def watch_drains() -> None:
         """A call that arrives at a worker long after it was told as draining is a lost drain."""
@@ -124,42 +129,44 @@
                     seen[one.name] += 1
                     since = rewriter.draining_since.get(one.name)
                     if line["what"] == "arrive" and since is not None and float(str(line["t"])) > since + 2.0:
-                        late.append(one.name)
+                        late_arrivals.append(one.name)
             time.sleep(0.01)
 
     with gateway_with_worker_file(tmp_path, fleet, file_text(*entries, generation=1), flaps=1000) as stack:
 
-        def calls() -> None:
+        def send_requests() -> None:
             client = stack.client()
             while not stopping.is_set():
                 statuses.append(client.invoke("identify-copy", b"{}").status)
             client.close()
 
-        threads = [threading.Thread(target=calls) for _ in range(3)] + [threading.Thread(target=watch_drains)]
+        threads = [threading.Thread(target=send_requests) for _ in range(3)] + [
+            threading.Thread(target=watch_drains)
+        ]
         for thread in threads:
             thread.start()
-        roster = stack.gateway.file_discovery
-        assert roster is not None
+        file_discovery = stack.gateway.file_discovery
+        assert file_discovery is not None
         for n in range(5000):
             rewriter.rewrite()
             if n % 7 == 0:
                 time.sleep(0.004)
         rewriter.generation += 1
         rewriter.replace(entries)
-        eventually(lambda: roster.status().generation == rewriter.generation)
-        assert roster.status().rejection == ""
+        eventually(lambda: file_discovery.status().generation == rewriter.generation)
+        assert file_discovery.status().rejection == ""
         rewriter.draining_since.clear()
         assert stack.call("identify-copy").status == 200
         stopping.set()
         for thread in threads:
             thread.join(10)
-        counts = roster.status().counts
-    assert [phantom.connections for phantom in phantoms] == [0, 0]
-    assert late == []
+        counts = file_discovery.status().counts
+    assert [listener.connections for listener in unused_listeners] == [0, 0]
+    assert late_arrivals == []
     assert len(statuses) > 500
     assert statuses.count(200) / len(statuses) > 0.9
     assert counts.polls > 200
     assert counts.applied > 20
-    for phantom in phantoms:
-        phantom.close()
+    for listener in unused_listeners:
+        listener.close()
     fleet.stop()
--- a/tests/discovery/files/test_merging.py
+++ b/tests/discovery/files/test_merging.py
@@ -35,7 +35,7 @@
 
 
 def test_a_source_that_is_not_known_yet_hides_nothing() -> None:
-    unknown = WorkerSource("file", 20, is_complete=True, is_known=False)
+    unknown = WorkerSource("file", 20, is_complete=True, is_loaded=False)
     merged = merge_sources([CONFIGURATION, unknown], draining=["w8"])
     assert merged.workers["w8"].state == "draining"
     assert len(merged.workers) == 3
--- a/tests/discovery/files/test_roster_command.py
+++ b/tests/discovery/files/test_roster_command.py
@@ -16,8 +16,8 @@
 
 def test_the_roster_on_the_command_line(tmp_path: pathlib.Path) -> None:
     def run(*arguments: str) -> tuple[int, str]:
-        done = CliRunner().invoke(main, ["roster", *arguments])
-        return done.exit_code, done.output
+        result = CliRunner().invoke(main, ["roster", *arguments])
+        return result.exit_code, result.output
 
     fleet = StandInFleet(1)
     entries = [{**fleet.entries()[0], "id": f"w{n}", "address": f"127.0.0.1:{2000 + n}"} for n in range(6)]
@@ -27,36 +27,36 @@
     config.write_text(json.dumps(content))
     fleet.stop()
     path.write_text(file_text(*entries, generation=2))
-    code, said = run("check", str(path))
-    assert (code, "6 workers" in said) == (0, True)
+    code, output = run("check", str(path))
+    assert (code, "6 workers" in output) == (0, True)
     assert run("show", "--config", str(config)) == (1, "no list was applied yet\n")
-    StateDirectory(state).keep(parse(path.read_text()), 0.0)
+    StateDirectory(state).store_version(parse(path.read_text()), 0.0)
     other.write_text(file_text({**entries[0], "size": 2}, {**entries[1], "state": "draining"}, generation=3))
-    code, said = run("diff", str(path), str(other))
+    code, output = run("diff", str(path), str(other))
     assert code == 1
-    assert "~ w0: size 1.0 -> 2.0" in said
-    assert "~ w1: state ready -> draining" in said
-    assert "- w5 at" in said
+    assert "~ w0: size 1.0 -> 2.0" in output
+    assert "~ w1: state ready -> draining" in output
+    assert "- w5 at" in output
     assert run("diff", str(path), str(path)) == (0, "")
-    code, said = run("check", str(other), "--config", str(config))
-    assert (code, "would be held: 4 of 6 ready workers" in said) == (1, True)
+    code, output = run("check", str(other), "--config", str(config))
+    assert (code, "would be held: 4 of 6 ready workers" in output) == (1, True)
     other.write_text('{"workers": [\n{"id": 5}]}')
-    code, said = run("check", str(other))
-    assert (code, "other.json5:2: workers[0]" in said) == (1, True)
-    code, said = run("drain", "w3", "w99", "--config", str(config))
+    code, output = run("check", str(other))
+    assert (code, "other.json5:2: workers[0]" in output) == (1, True)
+    code, output = run("drain", "w3", "w99", "--config", str(config))
     assert code == 0
-    assert "w99: in no list" in said
+    assert "w99: in no list" in output
     assert "draining (operator)" in run("show", "--config", str(config))[1]
     assert "drained by operators: w99" in run("drain", "w3", "--undo", "--config", str(config))[1]
     assert run("accept", "abc", "--config", str(config))[0] == 0
-    assert StateDirectory(state).accepted() == "abc"
-    code, said = run("history", "--config", str(config))
-    assert "generation 2" in said
+    assert StateDirectory(state).approved_digest() == "abc"
+    code, output = run("history", "--config", str(config))
+    assert "generation 2" in output
     assert run("history", "--back", "7", "--config", str(config))[0] == 1
     assert run("history", "--back", "1", "--config", str(config))[0] == 0
-    assert StateDirectory(state).pinned() == parse(path.read_text()).digest
+    assert StateDirectory(state).pinned_digest() == parse(path.read_text()).digest
     assert run("history", "--follow", "--config", str(config))[0] == 0
-    assert StateDirectory(state).pinned() == ""
+    assert StateDirectory(state).pinned_digest() == ""
     content.pop("roster")
     config.write_text(json.dumps(content))
     assert "names no roster" in run("show", "--config", str(config))[1]
--- a/tests/discovery/files/test_service.py
+++ b/tests/discovery/files/test_service.py
@@ -52,12 +52,12 @@
     assert "6 of 8 ready workers are gone" in status.pending_reason
     assert len(discovery.workers) == 8
     assert discovery.workers["w2"].state == "draining"
-    discovery.state.tell("accept", "0" * 32)
+    discovery.state.set_override("accept", "0" * 32)
     assert len(discovery.poll()) == 8
-    discovery.state.tell("accept", status.pending_digest)
+    discovery.state.set_override("accept", status.pending_digest)
     assert set(discovery.poll()) == {"w1", "w2"}
     assert discovery.status.pending_reason == ""
-    assert discovery.state.accepted() == ""
+    assert discovery.state.approved_digest() == ""
     discovery.replace_file(file_text(*eight, generation=1))
     discovery.poll()
     assert "generation 1 is older than 2" in discovery.status.pending_reason
@@ -66,9 +66,9 @@
 def test_operators_drain_workers(discovery: SteppedDiscovery) -> None:
     discovery.replace_file(file_text(entry("w1"), entry("w2"), generation=1))
     discovery.start()
-    discovery.state.tell("drains", "w2")
+    discovery.state.set_override("drains", "w2")
     assert str(discovery.poll()["w2"].state) == "draining"
-    discovery.state.tell("drains", "")
+    discovery.state.set_override("drains", "")
     assert str(discovery.poll()["w2"].state) == "ready"
 
 
@@ -77,17 +77,17 @@
     discovery.start()
     discovery.replace_file(file_text(entry("w1"), entry("w2"), entry("w3"), generation=2))
     assert len(discovery.poll()) == 3
-    history = discovery.state.history()
+    history = discovery.state.stored_versions()
     assert [stored.version.generation for stored in history] == [1, 2]
-    discovery.state.tell("pinned", history[0].version.digest)
+    discovery.state.set_override("pinned", history[0].version.digest)
     assert set(discovery.poll()) == {"w1", "w2"}
     discovery.replace_file(file_text(entry("w9"), generation=3))
     assert set(discovery.poll()) == {"w1", "w2"}
-    discovery.state.tell("pinned", "nonsense")
+    discovery.state.set_override("pinned", "nonsense")
     discovery.poll()
     discovery.poll(1.0)
     assert "no stored version" in discovery.status.rejection
-    discovery.state.tell("pinned", "")
+    discovery.state.set_override("pinned", "")
     discovery.replace_file(file_text(entry("w1"), entry("w4"), generation=4))
     assert set(discovery.poll()) == {"w1", "w4"}
 
--- a/tests/discovery/files/test_settling.py
+++ b/tests/discovery/files/test_settling.py
@@ -4,47 +4,51 @@
 
 import pytest
 
-from saffronstack.discovery.files.settling import MAX_SETTLING_S, REJECTION_DELAY_S, FileSettling
+from saffronstack.discovery.files.settling import (
+    NOT_READY_REPORT_DELAY_S,
+    REJECTION_DELAY_S,
+    FileStateTracker,
+)
 
 
 @pytest.fixture
-def settling() -> FileSettling:
-    return FileSettling()
-
-
-def test_an_unusable_file_is_rejected_once_it_stands_unchanged(settling: FileSettling) -> None:
-    assert not settling.record_unusable("digest", "not JSON5", 0.0)
-    assert settling.is_settling
-    assert settling.rejection == ""
-    assert settling.record_unusable("digest", "not JSON5", REJECTION_DELAY_S)
-    assert settling.rejection == "not JSON5"
-    assert settling.is_rejected("digest")
-    assert not settling.is_settling
-    assert not settling.record_unusable("digest", "not JSON5", 20.0)
-    assert settling.rejected_count == 1
-
-
-def test_another_content_starts_the_delay_anew(settling: FileSettling) -> None:
-    settling.record_unusable("first", "reason", 0.0)
-    assert not settling.record_unusable("second", "reason", REJECTION_DELAY_S)
-    assert settling.record_unusable("second", "reason", 2 * REJECTION_DELAY_S)
-    assert not settling.is_rejected("first")
-
-
-def test_a_missing_file_is_reported_once_it_was_missing_for_long(settling: FileSettling) -> None:
-    assert not settling.record_not_ready("not there", 0.0)
-    assert not settling.record_not_ready("not there", MAX_SETTLING_S - 0.1)
-    assert settling.record_not_ready("not there", MAX_SETTLING_S)
-    assert settling.rejection == "not there; so for 5 s"
-    assert not settling.record_not_ready("not there", 2 * MAX_SETTLING_S)
-    assert (settling.not_ready_count, settling.rejected_count) == (1, 1)
-
-
-def test_a_usable_file_ends_a_rejection(settling: FileSettling) -> None:
-    settling.record_unusable("digest", "not JSON5", 0.0)
-    settling.record_unusable("digest", "not JSON5", 1.0)
-    settling.record_readable()
-    settling.record_usable()
-    assert settling.rejection == ""
-    assert not settling.is_rejected("digest")
-    assert not settling.is_settling
+def file_state() -> FileStateTracker:
+    return FileStateTracker()
+
+
+def test_an_unusable_file_is_rejected_once_it_stands_unchanged(file_state: FileStateTracker) -> None:
+    assert not file_state.record_unusable("digest", "not JSON5", 0.0)
+    assert file_state.is_report_pending
+    assert file_state.rejection == ""
+    assert file_state.record_unusable("digest", "not JSON5", REJECTION_DELAY_S)
+    assert file_state.rejection == "not JSON5"
+    assert file_state.is_rejected("digest")
+    assert not file_state.is_report_pending
+    assert not file_state.record_unusable("digest", "not JSON5", 20.0)
+    assert file_state.rejected_count == 1
+
+
+def test_another_content_starts_the_delay_anew(file_state: FileStateTracker) -> None:
+    file_state.record_unusable("first", "reason", 0.0)
+    assert not file_state.record_unusable("second", "reason", REJECTION_DELAY_S)
+    assert file_state.record_unusable("second", "reason", 2 * REJECTION_DELAY_S)
+    assert not file_state.is_rejected("first")
+
+
+def test_a_missing_file_is_reported_once_it_was_missing_for_long(file_state: FileStateTracker) -> None:
+    assert not file_state.record_not_ready("not there", 0.0)
+    assert not file_state.record_not_ready("not there", NOT_READY_REPORT_DELAY_S - 0.1)
+    assert file_state.record_not_ready("not there", NOT_READY_REPORT_DELAY_S)
+    assert file_state.rejection == "not there; so for 5 s"
+    assert not file_state.record_not_ready("not there", 2 * NOT_READY_REPORT_DELAY_S)
+    assert (file_state.not_ready_count, file_state.rejected_count) == (1, 1)
+
+
+def test_a_usable_file_ends_a_rejection(file_state: FileStateTracker) -> None:
+    file_state.record_unusable("digest", "not JSON5", 0.0)
+    file_state.record_unusable("digest", "not JSON5", 1.0)
+    file_state.record_readable()
+    file_state.record_usable()
+    assert file_state.rejection == ""
+    assert not file_state.is_rejected("digest")
+    assert not file_state.is_report_pending
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -46,7 +46,7 @@
 
 def version_of(source: pathlib.Path) -> Version:
     text = read(source)
-    return version(text.parts, text.digest, ("standin",), text.generation)
+    return version(text.files, text.digest, ("standin",), text.generation)
 
 
 # ---- the roster
@@ -70,23 +70,23 @@
 
 def test_the_last_good_copy_and_the_history_are_read(kept: Kept) -> None:
     expected = [version_of(source) for source in SOURCES]
-    assert kept.last() == expected[1]
-    assert kept.history() == [(1, APPLIED_AT, expected[0]), (2, APPLIED_AT + 1, expected[1])]
+    assert kept.last_good_version() == expected[1]
+    assert kept.stored_versions() == [(1, APPLIED_AT, expected[0]), (2, APPLIED_AT + 1, expected[1])]
 
 
 def test_what_operators_said_is_read(kept: Kept) -> None:
-    assert kept.accepted() == "0" * 32
-    assert kept.pinned() == version_of(SOURCES[0]).digest
-    assert kept.drains() == {"worker-1", "worker-3"}
+    assert kept.approved_digest() == "0" * 32
+    assert kept.pinned_digest() == version_of(SOURCES[0]).digest
+    assert kept.drained_workers() == {"worker-1", "worker-3"}
 
 
 def test_the_state_directory_is_written_as_it_was(tmp_path: pathlib.Path) -> None:
     written = Kept(tmp_path)
     for number, source in enumerate(SOURCES):
-        written.keep(version_of(source), APPLIED_AT + number)
-    written.tell("accept", "0" * 32)
-    written.tell("pinned", version_of(SOURCES[0]).digest)
-    written.tell("drains", "worker-1 worker-3")
+        written.store_version(version_of(source), APPLIED_AT + number)
+    written.set_override("accept", "0" * 32)
+    written.set_override("pinned", version_of(SOURCES[0]).digest)
+    written.set_override("drains", "worker-1 worker-3")
     names = [f"versions/{name}" for name in VERSIONS] + ["accept", "pinned", "drains"]
     assert len(VERSIONS) == len(SOURCES)
     assert {str(path.relative_to(tmp_path)) for path in tmp_path.rglob("*") if path.is_file()} == set(names)
