--- a/saffronstack/discovery/background_thread.py
+++ b/saffronstack/discovery/background_thread.py
@@ -1,4 +1,4 @@
-"""A thread with a start, a request to stop, and a bounded join."""
+"""A thread that can be started, asked to stop, and joined with a timeout."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class BackgroundThread:
-    """Owns one thread; the function that it runs returns soon after `stopping` was set.
+    """Owns one thread. The function that it runs has to return soon after `stopping` is set.
 
     Attributes:
-        stopping: Set once the thread is to end; its function waits on it between steps.
+        stopping: Event that asks the thread to end. The function of the thread waits on it between steps.
     """
 
     def __init__(self, name: str, run: Callable[[], object]) -> None:
-        """Prepare the thread; `run` is the function that it executes."""
+        """Prepare the thread, which executes the function `run`."""
         self.stopping = threading.Event()
         self._name = name
         self._run = run
@@ -26,16 +26,16 @@
         """Start the thread.
 
         Raises:
-            RuntimeError: The system has no more threads.
+            RuntimeError: The system can't start another thread.
         """
         self._thread = start_thread(self._name, self._run)
 
     def request_stop(self) -> None:
-        """Ask the thread to end, without waiting for it; from any thread."""
+        """Ask the thread to end without waiting for it. Any thread may call this."""
         self.stopping.set()
 
     def join(self, timeout_s: float) -> bool:
-        """Wait up to `timeout_s` seconds for the end; return whether no thread runs now."""
+        """Wait up to `timeout_s` seconds for the thread to end. Return whether it is not running."""
         if self._thread is None:
             return True
         self._thread.join(timeout_s)
--- a/saffronstack/discovery/changes.py
+++ b/saffronstack/discovery/changes.py
@@ -1,4 +1,4 @@
-"""Incremental updates of an endpoint list, as both kinds of discovery report them."""
+"""Incremental updates of an endpoint list, used by DNS discovery and by file discovery."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointChanges(Generic[EndpointT, IdT]):
-    """The difference between two endpoint lists; false where there is none.
+    """The difference between two endpoint lists. It is falsy if the lists are equal.
 
     Attributes:
         updated: Endpoints that are new or changed.
--- a/saffronstack/discovery/dns/__init__.py
+++ b/saffronstack/discovery/dns/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery over DNS: a resolver polls a server for SRV records and keeps the endpoint list current."""
+"""Discovery over DNS. A resolver polls a server for SRV records and updates the endpoint list."""
--- a/saffronstack/discovery/dns/endpoint_list.py
+++ b/saffronstack/discovery/dns/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of DNS discovery: snapshots and incremental updates in, differences out. No I/O."""
+"""The endpoint list of DNS discovery. It applies snapshots and incremental updates. No I/O."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One worker as discovery lists it.
+    """One worker in the endpoint list of the discovery server.
 
     Attributes:
         name: Name of the worker, unique in the list.
         host: IPv4 address.
         port: TCP port.
-        zone: Name of its zone.
-        kind: Name of its kind.
-        cell: Number of its cell.
-        is_draining: Whether it is shutting down gracefully.
+        zone: Name of the availability zone.
+        kind: Name of the worker kind.
+        cell: Number of the cell.
+        is_draining: Whether the worker is draining.
         weight: Capacity relative to other workers.
-        started_ms: When it started, in Unix milliseconds; 0 means long ago.
+        started_ms: Start time of the worker in Unix milliseconds; 0 means long ago.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """A complete list and the serial number under which the server has it."""
+    """A complete endpoint list and its serial number at the server."""
 
     serial: int
     endpoints: tuple[ListedEndpoint, ...]
@@ -53,25 +53,25 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListedWorker:
-    """An endpoint and what the gateway was told of it."""
+    """An endpoint and the `WorkerSpec` that the gateway received for it."""
 
     endpoint: ListedEndpoint
     spec: WorkerSpec
 
     def has_same_address(self, endpoint: ListedEndpoint) -> bool:
-        """Return whether an endpoint is at the same address and port."""
+        """Return whether an endpoint has the same host and port."""
         return (self.endpoint.host, self.endpoint.port) == (endpoint.host, endpoint.port)
 
 
 class EndpointList:
-    """The present endpoint list; one thread owns it. It remembers nothing of former lists.
+    """The current endpoint list, owned by one thread. It keeps no data of former lists.
 
     Attributes:
-        serial: Serial number of the present list.
+        serial: Serial number of the current list.
     """
 
     def __init__(self, zones: Iterable[str], kinds: Iterable[str]) -> None:
-        """Start with an empty list; names of zones and kinds are known by their index from then on."""
+        """Start with an empty list. Specs refer to a zone or kind by its index in ``zones`` or ``kinds``."""
         self._zone_indexes = {name: index for index, name in enumerate(zones)}
         self._kind_indexes = {name: index for index, name in enumerate(kinds)}
         self._workers: dict[str, _ListedWorker] = {}
@@ -83,12 +83,12 @@
         return tuple(worker.spec for worker in self._workers.values())
 
     def matches(self, endpoints: Iterable[ListedEndpoint]) -> bool:
-        """Return whether the present list has just these endpoints, in whatever order."""
+        """Return whether the current list has exactly these endpoints, in any order."""
         present = {name: worker.endpoint for name, worker in self._workers.items()}
         return {endpoint.name: endpoint for endpoint in endpoints} == present
 
     def apply_snapshot(self, snapshot: EndpointSnapshot) -> WorkerChanges:
-        """Replace the list by a complete one and return what changed."""
+        """Replace the list by a snapshot and return the changes."""
         listed = {endpoint.name: endpoint for endpoint in snapshot.endpoints}
         missing = [name for name in self._workers if name not in listed]
         return self.apply_update(snapshot.serial, listed.values(), missing)
@@ -96,12 +96,12 @@
     def apply_update(
         self, serial: int, endpoints: Iterable[ListedEndpoint], removed: Iterable[str]
     ) -> WorkerChanges:
-        """Apply an incremental update and return what changed.
+        """Apply an incremental update and return the changes.
 
         Args:
-            serial: Serial number of the list with the update.
+            serial: Serial number of the list after the update.
             endpoints: Endpoints that are new or may have changed.
-            removed: Names of endpoints that are gone; names that are not listed are ignored.
+            removed: Names of removed endpoints. Names that are not listed are ignored.
         """
         self.serial = serial
         listed = [name for name in removed if name in self._workers]
@@ -112,7 +112,7 @@
             if known is not None and known.endpoint == endpoint:
                 continue
             if known is not None and not known.has_same_address(endpoint):
-                removed_numbers.append(known.spec.number)  # another worker under a former one's name
+                removed_numbers.append(known.spec.number)  # a new worker has the name of a former one
                 known = None
             number = known.spec.number if known is not None else self._allocate_number(endpoint.name)
             spec = self._make_spec(endpoint, number)
@@ -121,7 +121,10 @@
         return EndpointChanges(tuple(updated), tuple(removed_numbers))
 
     def _allocate_number(self, name: str) -> int:
-        """Return a worker's number: the same at every gateway, so that they rank workers alike."""
+        """Return an unused number for a worker.
+
+        It is derived from the name, so that all gateways rank workers alike.
+        """
         number = worker_number(name)
         used_numbers = {worker.spec.number for worker in self._workers.values()}
         while number in used_numbers:
--- a/saffronstack/discovery/dns/messages.py
+++ b/saffronstack/discovery/dns/messages.py
@@ -1,7 +1,7 @@
-"""DNS messages (RFC 1035, RFC 2782): queries are encoded, responses decoded. No I/O.
+"""Encodes DNS queries and decodes DNS responses (RFC 1035, RFC 2782). No I/O.
 
-Whatever bytes come, `decode_response` raises nothing but `DnsMessageError`. dnspython was considered: its
-import costs a small gateway 12 MB (docs/gateway-design.md).
+For any bytes, `decode_response` raises no error but `DnsMessageError`. dnspython is not used because its
+import adds 12 MB to the memory of a small gateway (docs/gateway-design.md).
 """
 
 from __future__ import annotations
@@ -15,15 +15,17 @@
 INTERNET_CLASS = 1
 MAX_LABEL_BYTES = 63
 MAX_NAME_BYTES = 255
-MAX_POINTERS_PER_NAME = 32  # that one name may follow
+MAX_POINTERS_PER_NAME = 32  # compression pointers
 MAX_RECORDS = 4096
-_HEADER = struct.Struct(">HHHHHH")  # identifier, flags, number of questions, of records by section
+_HEADER = struct.Struct(
+    ">HHHHHH"
+)  # identifier, flags, number of questions, number of records in each section
 _QUESTION = struct.Struct(">HH")  # type, class
 _RECORD_HEADER = struct.Struct(">HHIH")  # type, class, time to live, bytes of data
 _SRV_FIELDS = struct.Struct(">HHH")  # priority, weight, port
 _SERIAL = struct.Struct(">I")
 _IPV4_BYTES = 4
-_SOA_NUMBERS_BYTES = 20  # five numbers of 32 bits, the serial first
+_SOA_NUMBERS_BYTES = 20  # five 32-bit numbers; the serial number is the first
 _POINTER_BITS = 0xC0  # the two highest bits of a length byte mark a compression pointer
 _FLAG_RESPONSE = 0x8000
 _FLAG_TRUNCATED = 0x0200
@@ -32,7 +34,7 @@
 
 
 class RecordType(enum.IntEnum):
-    """Types of records that discovery reads."""
+    """Record types that discovery uses."""
 
     A = 1
     SOA = 6
@@ -41,7 +43,7 @@
 
 
 class Section(enum.IntEnum):
-    """Sections of a response, in their order."""
+    """Sections of a response, in the order in which they are sent."""
 
     ANSWER = 0
     AUTHORITY = 1
@@ -49,12 +51,12 @@
 
 
 class DnsMessageError(DiscoveryError, ValueError):
-    """A message can't be used; the text says why."""
+    """A message can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """What a query asks for."""
+    """The name and record type of a query."""
 
     name: str
     record_type: int
@@ -72,11 +74,11 @@
 
 @dataclass(slots=True)
 class DnsResponse:
-    """The content of one response; names are in lower case, without the final dot.
+    """The content of one response. Names are in lower case, without the final dot.
 
     Attributes:
-        message_id: Identifier of the query that it answers.
-        question: The question, repeated by the server.
+        message_id: Identifier of the query.
+        question: The question of the query, repeated by the server.
         serial: Serial number of the zone, from the SOA record; None without one.
         services: The SRV records that answer the question.
         addresses: IPv4 addresses by name.
@@ -95,7 +97,7 @@
     """Return a query for one name.
 
     Raises:
-        ValueError: No message can hold the name.
+        ValueError: The name is not valid in a DNS message.
     """
     labels = b"".join(bytes([len(label)]) + label.encode("ascii") for label in name.split("."))
     header = _HEADER.pack(message_id, _FLAG_RECURSION_DESIRED, 1, 0, 0, 0)
@@ -106,7 +108,7 @@
     """Return the content of a complete and successful response.
 
     Raises:
-        DnsMessageError: It is anything else.
+        DnsMessageError: The response is malformed, incomplete or reports a failure.
     """
     try:
         return _decode(_MessageReader(message))
@@ -115,7 +117,7 @@
 
 
 class _MessageReader:
-    """Reads a message from its start to its end; `position` is that of the next byte."""
+    """Reads a message from start to end. `position` is the index of the next byte."""
 
     def __init__(self, message: bytes) -> None:
         self.position = 0
@@ -123,37 +125,37 @@
 
     @property
     def is_at_end(self) -> bool:
-        """Whether all bytes were read."""
+        """Whether all bytes are read."""
         return self.position == len(self._message)
 
     def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
-        """Read numbers of fixed size; struct.error where too few bytes are left."""
+        """Read the numbers of a struct; raise struct.error if too few bytes are left."""
         values: tuple[int, ...] = layout.unpack_from(self._message, self.position)
         self.position += layout.size
         return values
 
     def read(self, size: int) -> bytes:
-        """Read some bytes."""
+        """Read up to `size` bytes."""
         data = self._message[self.position : self.position + size]
         self.position += size
         return data
 
     def has_bytes(self, size: int) -> bool:
-        """Return whether so many bytes are left."""
+        """Return whether at least `size` bytes are left."""
         return self.position + size <= len(self._message)
 
     def read_name(self) -> str:
         """Read a name and follow its compression pointers (RFC 1035, 4.1.4)."""
         message, position = self._message, self.position
         labels: list[str] = []
-        end = -1  # of the name where it stands: behind its first pointer
+        end = -1  # end of the name at its original position, after the first pointer
         pointers = name_bytes = 0
         while size := message[position]:
             if size >= _POINTER_BITS:
                 target = (size & ~_POINTER_BITS) << 8 | message[position + 1]
                 end = position + 2 if end < 0 else end
                 pointers += 1
-                if target >= position or pointers > MAX_POINTERS_PER_NAME:  # backwards only, or it could loop
+                if target >= position or pointers > MAX_POINTERS_PER_NAME:  # a forward pointer could loop
                     raise DnsMessageError("name has a pointer that leads forwards, or too many of them")
                 position = target
                 continue
@@ -213,7 +215,7 @@
         case RecordType.SOA if section is Section.AUTHORITY:
             response.serial = _decode_serial(reader, end)
         case _:
-            reader.position = end  # no other record says anything of endpoints
+            reader.position = end  # other records have no data of endpoints
 
 
 def _decode_attributes(reader: _MessageReader, end: int) -> dict[str, str]:
@@ -229,7 +231,7 @@
 
 def _decode_serial(reader: _MessageReader, end: int) -> int:
     reader.read_name()  # primary server
-    reader.read_name()  # mailbox of whoever is responsible
+    reader.read_name()  # mailbox of the responsible person
     if reader.position + _SOA_NUMBERS_BYTES != end:
         raise DnsMessageError("record has a wrong length")
     (serial,) = reader.unpack(_SERIAL)
--- a/saffronstack/discovery/dns/resolver.py
+++ b/saffronstack/discovery/dns/resolver.py
@@ -17,17 +17,17 @@
 from saffronstack.discovery.dns.service_records import parse_snapshot
 from saffronstack.runtime.logs import Logger
 
-MAX_RESPONSE_BYTES = 16 * 1024  # more than any response holds
+MAX_RESPONSE_BYTES = 16 * 1024  # larger than any response
 MESSAGE_ID_BITS = 16
 MESSAGE_ID_BYTES = 2
-NO_RESPONSE_WARNING_S = 3.0  # without a valid response for so long, the log says so, once
-POLL_JITTER = 0.1  # fraction of the interval: many gateways must not poll at one moment
-MAX_REJECTION_REASONS = 32  # that are counted one by one
-MAX_REASON_LENGTH = 60
+NO_RESPONSE_WARNING_S = 3.0  # time without a valid response after which one warning is logged
+POLL_JITTER = 0.1  # fraction of the interval, so that gateways do not poll at the same time
+MAX_REJECTION_REASONS = 32  # limit on the reasons that are counted
+MAX_REASON_LENGTH = 60  # characters
 
 
 class Rejection(enum.StrEnum):
-    """Why a well-formed response is not applied."""
+    """Reasons for which a well-formed response is not applied."""
 
     UNKNOWN_QUERY = "response to no recent query"
     FORMER_SERVER = "response of a server that is no longer asked"
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolverOptions:
-    """Times of polling. Both together stay well inside a worker's drain, though responses get lost.
+    """Settings of polling. The defaults detect a drain before it ends, even if some responses are lost.
 
     Attributes:
-        interval_s: Between two queries.
-        timeout_s: After which a query counts as unanswered.
-        seed: Of message identifiers and jitter; None for a random one.
+        interval_s: Seconds between two queries, before jitter.
+        timeout_s: Seconds to wait for the response to a query.
+        seed: Seed of message identifiers and jitter; None for a random seed.
     """
 
     interval_s: float = 0.25
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class ResolverCounts:
-    """Counters, written by the resolver's thread."""
+    """Counters of the resolver, written by its thread."""
 
     queries: int = 0
     accepted: int = 0
@@ -61,10 +61,10 @@
 
 
 class Resolver:
-    """Keeps an endpoint list current on a thread of its own; `set_server` may be called from any thread.
+    """Updates an endpoint list on its own thread. Any thread may call `set_server`.
 
     Attributes:
-        last_response_s: When the last valid response came, on the resolver's clock.
+        last_response_s: Time of the last valid response, on the resolver's clock.
         counts: Counters since the start.
     """
 
@@ -81,13 +81,13 @@
         """Prepare polling of a server.
 
         Args:
-            endpoint_list: The list to keep current, owned by the resolver's thread from `start` on.
-            name: Service to ask for, as ``_work._tcp.fleet.local``.
+            endpoint_list: The list to update, owned by the resolver's thread after `start`.
+            name: Service name to query, such as ``_work._tcp.fleet.local``.
             server: Address of the discovery server.
             on_change: Called on the resolver's thread with each change of the list.
-            log: Where silence of the server and faults are written.
+            log: Receives warnings about an unresponsive server, and errors.
             clock: Monotonic time in seconds.
-            options: Times of polling.
+            options: Settings of polling.
         """
         self._endpoint_list = endpoint_list
         self._name = name
@@ -99,8 +99,8 @@
         self._random = random.Random(options.seed)
         self._thread = BackgroundThread("dns-discovery", self._run)
         self._socket = ServerSocket()
-        self._last_payload = b""  # that was accepted, behind its identifier
-        self._last_serial: int | None = None  # of the list that came last in a response
+        self._last_payload = b""  # last accepted response, without its message identifier
+        self._last_serial: int | None = None  # of the last list from a response
         self._is_unresponsive = False
         self.last_response_s = clock()
         self.counts = ResolverCounts()
@@ -110,11 +110,11 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask the thread to end; it does within an interval."""
+        """Ask the thread to end. It ends within an interval."""
         self._thread.request_stop()
 
     def set_server(self, server: tuple[str, int]) -> None:
-        """Poll another server from the next query on; its serial numbers continue those of the former."""
+        """Use another server from the next query on. Its serial numbers continue those of the former one."""
         self._server = server
 
     def _run(self) -> None:
@@ -130,22 +130,22 @@
     def _poll(self) -> bool:
         try:
             return self.query(self._socket.open(self._server))
-        except OSError as error:  # nobody listens there, or no descriptor is free
+        except OSError as error:  # the server port is closed, or no file descriptor is free
             self._count_rejection(type(error).__name__)
-        except Exception:  # noqa: BLE001 - discovery must continue whatever one response did
+        except Exception:  # noqa: BLE001 - an error in one poll must not stop discovery
             self._log.exception("discovery poll failed")
         return False
 
     def query(self, udp_socket: socket.socket) -> bool:
-        """Send one query on a connected socket and wait for a response, up to the timeout.
+        """Send one query on a connected socket and wait for a response up to the timeout.
 
-        A response to an earlier query on this socket is as good.
+        A response to an earlier query on this socket is accepted too.
 
         Returns:
-            Whether a valid response came.
+            Whether a valid response was received.
 
         Raises:
-            OSError: The socket can't be used, or nobody listens at the server's port.
+            OSError: The socket can't be used, or the port of the server is closed.
         """
         message_id = self._random.getrandbits(MESSAGE_ID_BITS)
         self._socket.message_ids.append(message_id)
@@ -167,14 +167,14 @@
         return False
 
     def handle_response(self, message: bytes, message_ids: Collection[int]) -> bool:
-        """Apply a response completely, or reject it.
+        """Apply a response completely or reject it.
 
         Args:
             message: A datagram.
-            message_ids: Identifiers of the queries that it may answer.
+            message_ids: Identifiers of the recent queries.
 
         Returns:
-            Whether it was accepted.
+            Whether the response was accepted.
         """
         message_id = int.from_bytes(message[:MESSAGE_ID_BYTES], "big")
         if message_id not in message_ids:
@@ -204,7 +204,7 @@
         return True
 
     def _count_rejection(self, reason: str) -> None:
-        reason = str(reason).split(":")[0][:MAX_REASON_LENGTH]  # without what the server chose
+        reason = str(reason).split(":")[0][:MAX_REASON_LENGTH]  # omit the details, which the server can vary
         rejected = self.counts.rejected
         if reason in rejected or len(rejected) < MAX_REJECTION_REASONS:
             rejected[reason] = rejected.get(reason, 0) + 1
--- a/saffronstack/discovery/dns/server_socket.py
+++ b/saffronstack/discovery/dns/server_socket.py
@@ -1,22 +1,22 @@
-"""A UDP socket to the discovery server, replaced where the server moves or stays silent."""
+"""A UDP socket to the discovery server, replaced if the server moves or does not respond."""
 
 from __future__ import annotations
 
 import socket
 from collections import deque
 
-# The port of a socket or the path to it may be dead: after so many queries in a row without a valid response
-# the socket is replaced; each time the number doubles, up to the largest.
+# Number of consecutive queries without a valid response after which the socket is replaced, because its local
+# port or the network path may not work. The number doubles with each replacement, up to the maximum.
 MIN_QUERIES_BEFORE_REPLACEMENT = 4
 MAX_QUERIES_BEFORE_REPLACEMENT = 64
-MAX_REMEMBERED_QUERIES = 64  # a response may come after later queries were sent
+MAX_REMEMBERED_QUERIES = 64  # a response may arrive after later queries were sent
 
 
 def connect_udp(server: tuple[str, int]) -> socket.socket:
-    """Return a socket that receives from one server alone: the system drops datagrams of any other.
+    """Return a connected socket. The kernel drops datagrams from any other address.
 
     Raises:
-        OSError: No socket is to be had.
+        OSError: No socket can be created.
     """
     udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -28,28 +28,28 @@
 
 
 class ServerSocket:
-    """The present socket, and the queries sent on it; the resolver's thread owns it.
+    """The current socket and its recent queries, owned by the resolver's thread.
 
     Attributes:
-        server: Address that the present socket is connected to; None before the first.
-        message_ids: Identifiers of recent queries on the present socket.
+        server: Address that the current socket is connected to; None before the first socket.
+        message_ids: Identifiers of recent queries on the current socket.
     """
 
     def __init__(self) -> None:
-        """Start without a socket; `open` makes the first."""
+        """Start without a socket; `open` creates it."""
         self.server: tuple[str, int] | None = None
         self.message_ids: deque[int] = deque(maxlen=MAX_REMEMBERED_QUERIES)
         self._socket: socket.socket | None = None
-        self._unanswered_queries = 0  # queries in a row
+        self._unanswered_queries = 0  # consecutive
         self._replacement_threshold = MIN_QUERIES_BEFORE_REPLACEMENT
 
     def open(self, server: tuple[str, int]) -> socket.socket:
-        """Return a socket connected to a server: the present one, or another that replaces it.
+        """Return a socket that is connected to a server: the current one or its replacement.
 
-        The present one is closed only once there is another.
+        The current socket is closed only after the replacement is connected.
 
         Raises:
-            OSError: A new socket is needed, and none is to be had.
+            OSError: A new socket is needed and can't be created.
         """
         current_socket = self._socket
         has_moved = self.server != server
@@ -64,7 +64,7 @@
         except OSError:
             if current_socket is None or has_moved:
                 raise
-            return current_socket  # without a free descriptor: the present socket may work yet
+            return current_socket  # no file descriptor is free, and the current socket may still work
         self.close()
         self._socket = replacement
         if has_moved:
@@ -77,7 +77,7 @@
         return replacement
 
     def record_result(self, is_answered: bool) -> None:
-        """Count a query that did or did not bring a valid response."""
+        """Record whether a query received a valid response."""
         if is_answered:
             self._unanswered_queries = 0
             self._replacement_threshold = MIN_QUERIES_BEFORE_REPLACEMENT
@@ -85,7 +85,7 @@
             self._unanswered_queries += 1
 
     def close(self) -> None:
-        """Close the present socket, if there is one."""
+        """Close the current socket, if there is one."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
--- a/saffronstack/discovery/dns/service_records.py
+++ b/saffronstack/discovery/dns/service_records.py
@@ -1,4 +1,4 @@
-"""Endpoints in a DNS response: SRV records with the addresses and attributes of their targets. No I/O."""
+"""Parses endpoints from a DNS response: SRV records with addresses and attributes of targets. No I/O."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
     ServiceRecord,
 )
 
-DRAINING_PRIORITY = 1  # the SRV priority of a worker that is draining; that of others is lower
-WEIGHT_SCALE = 10.0  # SRV weights are whole numbers: ten times the worker's weight
-MAX_DIGITS = 16  # of a number in a TXT record
-MAX_QUOTED_NAME_LENGTH = 60  # characters of a server's names and texts that errors quote
-MAX_QUOTED_TEXT_LENGTH = 20
+DRAINING_PRIORITY = 1  # lowest SRV priority of a draining worker; other workers have a lower value
+WEIGHT_SCALE = 10.0  # an SRV weight is an integer, ten times the weight of the worker
+MAX_DIGITS = 16  # in a number of a TXT record
+MAX_QUOTED_NAME_LENGTH = 60  # characters of a name from the server that an error message quotes
+MAX_QUOTED_TEXT_LENGTH = 20  # characters of an attribute value that an error message quotes
 
 
 def parse_snapshot(response: DnsResponse, message_id: int, name: str) -> EndpointSnapshot:
-    """Return the endpoint list in the response to a query for a service's SRV records.
+    """Return the endpoint list from the response to a query for the SRV records of a service.
 
     Args:
         response: The decoded response.
         message_id: Identifier of the query.
-        name: Name that the query asked for.
+        name: Name in the query.
 
     Raises:
-        DnsMessageError: It answers another query, or a part of the list is missing or malformed.
+        DnsMessageError: The response is for another query, or a part of the list is missing or malformed.
     """
     if response.message_id != message_id or response.question != Question(name, RecordType.SRV):
         raise DnsMessageError("response to another question")
@@ -38,7 +38,7 @@
 
 
 def _parse_endpoint(response: DnsResponse, service: ServiceRecord) -> ListedEndpoint:
-    """Return one endpoint; its target is named ``worker.zone.…``."""
+    """Return the endpoint of an SRV record, whose target is named ``worker.zone.…``."""
     address = response.addresses.get(service.target)
     if address is None:
         raise DnsMessageError(f"no address for {service.target[:MAX_QUOTED_NAME_LENGTH]}")
--- a/saffronstack/discovery/dns/startup_events.py
+++ b/saffronstack/discovery/dns/startup_events.py
@@ -1,4 +1,4 @@
-"""Watch events that the platform hands a gateway at its start, before the first DNS response. No I/O."""
+"""Applies the watch events that a gateway receives from the platform at its start. No I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """One event: a snapshot, or an incremental update."""
+    """One watch event, which is a snapshot or an incremental update."""
 
     serial: int
     is_snapshot: bool
@@ -30,14 +30,14 @@
 
 
 def apply_startup_events(endpoint_list: EndpointList, known: Mapping[str, Any]) -> WorkerChanges:
-    """Apply the events in their order and return the complete list as a change.
+    """Apply the watch events in order, and return the resulting list as one change.
 
     Args:
         endpoint_list: An empty list.
         known: The ``known`` part of the platform's configuration.
 
     Raises:
-        AttributeError, KeyError, OverflowError, TypeError, ValueError: It is malformed.
+        AttributeError, KeyError, OverflowError, TypeError, ValueError: ``known`` is malformed.
     """
     for index, raw in enumerate(known.get("notices") or ()):
         event = _parse_event(raw)
@@ -63,7 +63,7 @@
 
 
 def _parse_name(item: Mapping[str, Any]) -> str:
-    return str(item["name"]).lower()  # as names in DNS are
+    return str(item["name"]).lower()  # names from DNS are in lower case too
 
 
 def _parse_endpoint(item: Mapping[str, Any]) -> ListedEndpoint:
--- a/saffronstack/discovery/errors.py
+++ b/saffronstack/discovery/errors.py
@@ -4,4 +4,4 @@
 
 
 class DiscoveryError(Exception):
-    """Base of all errors that discovery raises itself."""
+    """Base class of the errors that the discovery package defines."""
--- a/saffronstack/discovery/files/atomic_write.py
+++ b/saffronstack/discovery/files/atomic_write.py
@@ -1,4 +1,4 @@
-"""Files that are replaced atomically and durably."""
+"""Replaces files atomically and durably."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def write_atomically(path: pathlib.Path, data: bytes) -> None:
-    """Replace a file: it has the new bytes, synchronised to disk, or its former ones.
+    """Replace a file. After a crash it has either its former bytes or all new bytes, synced to disk.
 
     Raises:
-        OSError: It could not be replaced.
+        OSError: The file could not be replaced.
     """
     partial = path.with_name(f".{path.name}.{os.getpid()}.tmp")
     descriptor = os.open(partial, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
--- a/saffronstack/discovery/files/capacity_ramp.py
+++ b/saffronstack/discovery/files/capacity_ramp.py
@@ -1,4 +1,4 @@
-"""Moves the capacities of workers in steps, where a new list changes them by much. No I/O."""
+"""Ramps the capacities of workers in steps when a new list changes them by a large factor. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from saffronstack.config.schema import Worker
 
-MAX_STEP_FACTOR = 1.5  # a capacity changes by at most this factor in one step
+MAX_STEP_FACTOR = 1.5  # largest factor by which a capacity changes in one step
 STEP_INTERVAL_S = 1.0
 
 
 class CapacityRamp:
-    """The capacities of the moment; times in seconds of any one clock.
+    """Tracks the current capacities. All times are seconds of the same clock.
 
     Attributes:
         is_ramping: Whether a capacity has not reached its listed value.
@@ -22,13 +22,13 @@
     def __init__(self) -> None:
         """Start without workers."""
         self.is_ramping = False
-        self._capacities: dict[str, float] = {}  # of the moment, by worker
+        self._capacities: dict[str, float] = {}  # current capacity by worker
         self._last_step_s = 0.0
 
     def advance(self, workers: Mapping[str, Worker], now: float) -> dict[str, Worker]:
-        """Return the workers with their capacities of this moment.
+        """Return the workers with their current capacities.
 
-        New workers start with their listed one: warming them up is the router's concern (slow start).
+        New workers start with their listed capacity, because slow start is done by the router.
         """
         is_step_due = now - self._last_step_s >= STEP_INTERVAL_S
         if is_step_due:
--- a/saffronstack/discovery/files/change_guards.py
+++ b/saffronstack/discovery/files/change_guards.py
@@ -1,8 +1,9 @@
 """Decides whether a valid version may be applied without an operator's approval. No I/O.
 
-A list that can be read may still be wrong: written by a broken script, restored from an old copy, cut to one
-rack. Such a version waits for approval by its digest, and the last one stays in force. Workers that it shows
-as draining are drained all the same: an unneeded drain does no harm, a missed one does.
+A valid list may still be wrong. It may be written by a broken script, restored from an old copy, or reduced
+to one rack. Such a version waits until an operator approves its digest, and the previous version stays in
+force. Workers that it marks as draining are drained at once, because an unnecessary drain does no harm and a
+missed one does.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardSettings:
-    """What needs no approval.
+    """Limits within which a version needs no approval.
 
     Attributes:
         allow_empty: Whether a version may list no workers.
-        max_removed_fraction: Fraction of the ready workers that one version may remove.
-        always_removable_count: Workers that a version may remove whatever fraction they are.
+        max_removed_fraction: Largest fraction of the ready workers that one version may remove.
+        always_removable_count: Number of ready workers that a version may remove regardless of the fraction.
         allow_older: Whether a version may have a lower generation than the one in force.
-        flapping: When a worker counts as flapping.
+        flapping: Thresholds of flap detection.
     """
 
     allow_empty: bool = False
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApprovalRequired:
-    """A version waits for an operator."""
+    """A version needs the approval of an operator before it is applied."""
 
     reason: str
 
@@ -45,13 +46,13 @@
     candidate: WorkerListVersion,
     is_approved: bool,
 ) -> ApprovalRequired | None:
-    """Return why a version needs approval; None where it may be applied.
+    """Return the reason for which a version needs approval, or None if it may be applied.
 
     Args:
-        settings: What needs no approval.
-        current: The version in force; None before the first.
+        settings: Limits within which no approval is needed.
+        current: The version in force; None before the first version.
         candidate: The version to apply.
-        is_approved: Whether an operator approved it.
+        is_approved: Whether an operator approved the candidate.
     """
     if is_approved:
         return None
@@ -71,7 +72,9 @@
             f"generation {generation} is older than {current.generation}, which is applied"
         )
     if generation and generation == current.generation and candidate.workers != current.workers:
-        return ApprovalRequired(f"generation {generation} is applied with other workers: two writers?")
+        return ApprovalRequired(
+            f"generation {generation} is already applied with different workers: two writers?"
+        )
     return None
 
 
@@ -81,5 +84,5 @@
     ready = {worker.id for worker in current.workers if worker.state == "ready"}
     removed = ready - {worker.id for worker in candidate.workers}
     if len(removed) > max(settings.always_removable_count, settings.max_removed_fraction * len(ready)):
-        return ApprovalRequired(f"{len(removed)} of {len(ready)} ready workers are gone from it")
+        return ApprovalRequired(f"{len(removed)} of {len(ready)} ready workers would be removed")
     return None
--- a/saffronstack/discovery/files/file_reader.py
+++ b/saffronstack/discovery/files/file_reader.py
@@ -1,6 +1,6 @@
-"""Reads a worker file, or a directory with its manifest, as one version or not at all.
+"""Reads a worker file, or a directory with a manifest, as one consistent version.
 
-What is read is bounded, and never comes through a pipe or a device.
+The size is limited, and only regular files are read.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 MAX_FILES = 256
 MANIFEST_FILE_NAME = "manifest.json5"
 _CHUNK_BYTES = 1 << 20
-# Errors of a path that is being replaced: another attempt may succeed.
+# Errors that occur while a path is being replaced; a retry may succeed.
 _TRANSIENT_ERRORS = (errno.ENOTDIR, errno.EISDIR, errno.ESTALE)
 
 
 class FileNotReadyError(DiscoveryError):
-    """A file is missing or changes while it is read, or files do not fit together yet: worth a retry soon."""
+    """A file is missing, changes during the read, or does not match the manifest yet. A retry may succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionFiles:
-    """The files of a version as they were read.
+    """The files of a version, read but not parsed.
 
     Attributes:
-        files: The files.
+        files: Names and texts of the files.
         digest: xxh3-128 of the file or the manifest, in hexadecimal.
-        generation: That of the manifest; 0 without one.
+        generation: Generation of the manifest; 0 without a manifest.
     """
 
     files: tuple[SourceFile, ...]
@@ -44,11 +44,11 @@
 
 
 def read_version(path: pathlib.Path, max_bytes: int = MAX_VERSION_BYTES) -> VersionFiles:
-    """Read what stands at a path now.
+    """Read the version that is at a path now.
 
     Raises:
-        FileNotReadyError: Another attempt may succeed.
-        InvalidWorkerFileError: Another attempt would find the same.
+        FileNotReadyError: The read failed, and a retry may succeed.
+        InvalidWorkerFileError: The content is invalid, and a retry would fail too.
     """
     try:
         if path.is_dir():
@@ -56,7 +56,7 @@
         data = _read_bytes(path, max_bytes)
         return VersionFiles((_decode(path, data),), xxhash.xxh3_128_hexdigest(data))
     except FileNotFoundError as error:
-        raise FileNotReadyError(f"{error.filename}: not there") from error
+        raise FileNotReadyError(f"{error.filename}: no such file") from error
     except OSError as error:
         if error.errno in _TRANSIENT_ERRORS:
             raise FileNotReadyError(f"{error.filename}: {error.strerror}") from error
@@ -65,8 +65,8 @@
 
 
 def _read_directory(path: pathlib.Path, max_bytes: int) -> VersionFiles:
-    """Read a manifest, the files that it names, and the manifest again, which must not have changed."""
-    directory = pathlib.Path(os.path.realpath(path))  # a symbolic link may be replaced meanwhile
+    """Read a manifest and the files that it names. Read the manifest again to detect a change meanwhile."""
+    directory = pathlib.Path(os.path.realpath(path))  # a symbolic link may be replaced during the read
     manifest_data = _read_bytes(directory / MANIFEST_FILE_NAME, max_bytes)
     manifest = parse_manifest(_decode(directory / MANIFEST_FILE_NAME, manifest_data))
     if len(manifest.files) > MAX_FILES:
@@ -80,7 +80,7 @@
         remaining_bytes -= len(data)
         if xxhash.xxh3_128_hexdigest(data) != digest:
             raise FileNotReadyError(
-                f"{name}: not the file of the manifest's generation {manifest.generation}"
+                f"{name}: digest differs from the manifest of generation {manifest.generation}"
             )
         files.append(_decode(directory / name, data))
     if _read_bytes(directory / MANIFEST_FILE_NAME, max_bytes) != manifest_data:
@@ -89,12 +89,12 @@
 
 
 def _read_bytes(path: pathlib.Path, max_bytes: int) -> bytes:
-    """Read a regular file completely; neither its size nor its modification time may change meanwhile."""
+    """Read a regular file completely. Its size and modification time must not change during the read."""
     descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     try:
         before = os.fstat(descriptor)
         if not stat.S_ISREG(before.st_mode):
-            raise InvalidWorkerFileError(f"{path.name}: no regular file")
+            raise InvalidWorkerFileError(f"{path.name}: not a regular file")
         if before.st_size > max_bytes:
             raise InvalidWorkerFileError(f"{path.name}: {before.st_size} bytes, {max_bytes} at most")
         data = _read_up_to(descriptor, max_bytes + 1)
--- a/saffronstack/discovery/files/file_watcher.py
+++ b/saffronstack/discovery/files/file_watcher.py
@@ -1,4 +1,4 @@
-"""Watches a path for events of the file system. They are hints: polling finds what a watch misses."""
+"""Watches a path for file system events. Events are hints; polling finds the changes that a watch misses."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 from saffronstack.discovery.background_thread import BackgroundThread
 
-DEBOUNCE_MS = 20  # events within this time are one
-EVENT_POLL_INTERVAL_MS = 5  # between looks at collected events
-STOP_CHECK_INTERVAL_MS = 1000  # after which the watch looks whether it is to stop or to watch elsewhere
-MISSING_PATH_RETRY_DELAY_S = 1.0  # after which a watch is set up anew where none of the paths exists
-RESTART_DELAY_S = 0.01  # the same where some do
+DEBOUNCE_MS = 20  # events within this time are merged into one
+EVENT_POLL_INTERVAL_MS = 5  # interval at which collected events are checked
+STOP_CHECK_INTERVAL_MS = 1000  # longest time until a stop request or a changed symbolic link is noticed
+MISSING_PATH_RETRY_DELAY_S = 1.0  # before a watch is restarted if none of the paths exists
+RESTART_DELAY_S = 0.01  # before a watch is restarted if a path exists
 log = structlog.get_logger("saffronstack.discovery")
 
 
 class FileWatcher:
-    """Reports changes in a file's directory, and where symbolic links of the file lead."""
+    """Reports changes in the directory of a file and at the target of its symbolic links."""
 
     def __init__(self, path: pathlib.Path, on_event: Callable[[], None]) -> None:
-        """Prepare the watch; ``on_event`` is called on its thread, also without an event now and then."""
+        """Prepare the watch. Its thread calls ``on_event`` for events, and now and then without one."""
         self._path = path
         self._on_event = on_event
         self._thread = BackgroundThread("file-watcher", self._run)
@@ -32,7 +32,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask the thread to end; it does within about a second."""
+        """Ask the thread to end. It ends within about a second."""
         self._thread.request_stop()
 
     def _run(self) -> None:
@@ -47,7 +47,7 @@
             stopping.wait(RESTART_DELAY_S if existing else MISSING_PATH_RETRY_DELAY_S)
 
     def _watch(self, paths: set[pathlib.Path], existing: list[pathlib.Path]) -> None:
-        """Report events until the thread is to stop, or the file's links lead elsewhere."""
+        """Report events until the thread is asked to stop or a symbolic link of the file has a new target."""
         events = watchfiles.watch(
             *existing,
             watch_filter=None,
--- a/saffronstack/discovery/files/flap_detection.py
+++ b/saffronstack/discovery/files/flap_detection.py
@@ -1,4 +1,4 @@
-"""Detects workers that come and go too often; they count as draining until they are stable. No I/O."""
+"""Detects flapping workers. They count as draining until they are stable. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FlapSettings:
-    """When a worker flaps.
+    """Thresholds of flap detection.
 
     Attributes:
-        changes: So many changes of state within the window are flapping.
+        changes: Number of state changes within the window from which a worker is flapping.
         window_s: Length of the window, in seconds.
-        stable_s: Seconds without a change after which it flaps no longer.
+        stable_s: Seconds without a change after which a worker is no longer flapping.
     """
 
     changes: int = 4
@@ -22,16 +22,16 @@
 
 
 class FlapDetector:
-    """Remembers the latest changes of each worker; times in seconds of any one clock."""
+    """Tracks the latest state changes of each worker. All times are seconds of the same clock."""
 
     def __init__(self, settings: FlapSettings) -> None:
-        """Start without changes; ``settings`` say when a worker flaps."""
+        """Start without changes. ``settings`` has the thresholds."""
         self._settings = settings
         self._changes: dict[str, deque[float]] = {}  # times of the latest changes, by worker
-        self._last_change_s: dict[str, float] = {}  # of workers that flap
+        self._last_change_s: dict[str, float] = {}  # of flapping workers
 
     def record_change(self, worker: str, now: float) -> None:
-        """Note that a worker was added, removed, or changed between ready and draining."""
+        """Record that a worker was added, removed, or changed between ready and draining."""
         changes = self._changes.setdefault(worker, deque(maxlen=self._settings.changes))
         changes.append(now)
         is_full = len(changes) == self._settings.changes
@@ -39,7 +39,7 @@
             self._last_change_s[worker] = now
 
     def find_flapping(self, now: float) -> set[str]:
-        """Return the workers that flap, and forget changes that no longer matter."""
+        """Return the flapping workers, and discard outdated changes."""
         for worker, last_s in list(self._last_change_s.items()):
             if now - last_s >= self._settings.stable_s:
                 del self._last_change_s[worker]
--- a/saffronstack/discovery/files/line_numbers.py
+++ b/saffronstack/discovery/files/line_numbers.py
@@ -1,4 +1,4 @@
-"""Line numbers of the values in a JSON5 text, so that an error can name its line. No I/O."""
+"""Finds the line numbers of values in a JSON5 text, which error messages show. No I/O."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def locate_values(text: str) -> dict[str, int]:
-    """Return line numbers, from 1, by path.
+    """Return the line number of each value by its path. The first line is 1.
 
-    A path is as ``workers[3].address``; that of the whole text is empty. Where the text is not JSON5, paths
-    before the error are returned.
+    A path looks like ``workers[3].address``; the path of the top level is empty. If the text is not JSON5,
+    the result has the paths before the error.
     """
     scanner = _Scanner()
     scanner.scan(text)
@@ -25,7 +25,7 @@
 
 
 def find_line(text: str, path: str) -> int:
-    """Return the line of a path, or of the innermost value around it that is known."""
+    """Return the line of the value at a path. If there is none, return the line of its nearest parent."""
     lines = _locate_cached(text)
     while path not in lines:
         parent_end = max(path.rfind("."), path.rfind("["))
@@ -33,39 +33,39 @@
     return lines[path]
 
 
-@lru_cache(maxsize=1)  # all errors in a text ask for it in turn
+@lru_cache(maxsize=1)  # all errors of a text use the same line numbers
 def _locate_cached(text: str) -> dict[str, int]:
     return locate_values(text)
 
 
 @dataclass(slots=True)
 class _Container:
-    """An object or array that is open where the scanner stands."""
+    """An object or array that contains the current token."""
 
     path: str
     is_object: bool
     index: int = 0  # of the next element
 
     def child_path(self, key: str) -> str:
-        """Return the path of a key's value, or of the next element."""
+        """Return the path of the value at a key of an object, or of the next element of an array."""
         if not self.is_object:
             return f"{self.path}[{self.index}]"
         return f"{self.path}.{key}" if self.path else key
 
 
 class _Scanner:
-    """Goes through the tokens of a text once."""
+    """Scans the tokens of a text and records the lines of values."""
 
     def __init__(self) -> None:
         self.lines = {"": 1}
         self._open_containers: list[_Container] = []
         self._line = 1
-        self._path = ""  # of the value that was read last
+        self._path = ""  # of the latest value
         self._key = ""
         self._expects_key = False
 
     def scan(self, text: str) -> None:
-        """Collect the lines of all values, up to the first thing that is not JSON5."""
+        """Record the lines of all values up to the first token that is not JSON5."""
         position = 0
         while position < len(text):
             match = _TOKEN.match(text, position)
--- a/saffronstack/discovery/files/merging.py
+++ b/saffronstack/discovery/files/merging.py
@@ -1,8 +1,9 @@
 """Merges the workers of several sources into one list, and compares lists. No I/O.
 
-Sources have a priority; a complete one hides those below it, others add to them. Where several list a worker,
-the entry of the highest source counts; a drain from any source counts, also from one that is hidden or whose
-version waits for approval. Contradictions are reported, and decided by priority.
+Each source has a priority. A complete source hides all sources of lower priority. Any other source adds its
+workers to theirs. If several sources list a worker, the entry with the highest priority is used. If any
+source drains a worker, the worker drains, even if that source is hidden or its version waits for approval.
+Conflicts between sources are resolved by priority and reported.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSource:
-    """What one source says.
+    """The workers and drains that one source lists.
 
     Attributes:
-        name: Name in reports of contradictions.
-        priority: The highest counts.
+        name: Name of the source in reports of conflicts.
+        priority: Entries of the source with the highest priority are used.
         workers: The workers that it lists.
-        drains: Names of workers to drain, beyond those that it lists as draining.
-        is_complete: Whether it lists all workers there are, and hides sources below it.
-        is_loaded: Whether it has said anything yet; it hides nothing before.
+        drains: Names of workers to drain, in addition to those that the source lists as draining.
+        is_complete: Whether the source lists all workers and hides sources of lower priority.
+        is_loaded: Whether the source has been read once. It hides no other source before.
     """
 
     name: str
@@ -40,24 +41,24 @@
     is_loaded: bool = True
 
     def draining_names(self) -> frozenset[str]:
-        """Return the names of all workers that it wants drained."""
+        """Return the names of all workers that the source drains."""
         return self.drains | {worker.id for worker in self.workers if worker.state == "draining"}
 
 
 @dataclass(frozen=True, slots=True)
 class MergedList:
-    """The workers of all sources by name, and the contradictions between sources."""
+    """The workers of all sources by name, and the conflicts between sources."""
 
     workers: dict[str, Worker]
     conflicts: tuple[str, ...]
 
 
 def merge_sources(sources: Iterable[WorkerSource], draining: Iterable[str] = ()) -> MergedList:
-    """Return the list of all sources.
+    """Return the merged list of all sources.
 
     Args:
         sources: The sources, in any order.
-        draining: Names of workers that count as draining for another reason.
+        draining: Names of further workers to mark as draining.
     """
     ordered = sorted(sources, key=lambda source: (-source.priority, source.name))
     merger = _Merger()
@@ -65,7 +66,7 @@
         for worker in source.workers:
             merger.add(source.name, worker)
         if source.is_complete and source.is_loaded:
-            break  # it hides those below
+            break  # a complete source hides those of lower priority
     workers = merger.workers
     names = set(draining).union(*(source.draining_names() for source in ordered))
     for name in names & workers.keys():
@@ -74,26 +75,26 @@
 
 
 class _Merger:
-    """Takes workers by falling priority of their sources."""
+    """Collects workers. Its caller adds them in the order of descending source priority."""
 
     def __init__(self) -> None:
         self.workers: dict[str, Worker] = {}
         self.conflicts: list[str] = []
-        self._sources_by_worker: dict[str, str] = {}  # by worker
-        self._names_by_address: dict[str, str] = {}  # by address
+        self._sources_by_worker: dict[str, str] = {}
+        self._names_by_address: dict[str, str] = {}
 
     def add(self, source: str, worker: Worker) -> None:
-        """Take a worker, unless its name or its address is taken."""
+        """Add a worker, unless its name or its address is already listed."""
         known = self.workers.get(worker.id)
         if known is not None:
             if known.address != worker.address:
-                first = f"{self._sources_by_worker[worker.id]} says {known.address}"
-                self.conflicts.append(f"{worker.id}: {first}, {source} {worker.address}")
+                first = f"{self._sources_by_worker[worker.id]} lists {known.address}"
+                self.conflicts.append(f"{worker.id}: {first}, {source} lists {worker.address}")
             return
         if worker.address in self._names_by_address:
             name = self._names_by_address[worker.address]
             self.conflicts.append(
-                f"{worker.address}: {self._sources_by_worker[name]} says {name}, {source} {worker.id}"
+                f"{worker.address}: {self._sources_by_worker[name]} lists {name}, {source} lists {worker.id}"
             )
             return
         self.workers[worker.id] = worker
@@ -102,7 +103,7 @@
 
 
 def compare_lists(before: Mapping[str, Worker], after: Mapping[str, Worker]) -> WorkerChanges:
-    """Return what differs between two lists; draining workers come first, since they are urgent."""
+    """Return the difference between two lists, with draining workers first because they are urgent."""
     updated = [worker for name, worker in after.items() if before.get(name) != worker]
     updated.sort(key=lambda worker: worker.state != "draining")
     return EndpointChanges(tuple(updated), tuple(name for name in before if name not in after))
--- a/saffronstack/discovery/files/parsing.py
+++ b/saffronstack/discovery/files/parsing.py
@@ -1,4 +1,4 @@
-"""Worker files: their text is parsed and checked, with file, line and reason of all errors. No I/O."""
+"""Parses and checks the text of worker files. Reports file, line and reason of each error. No I/O."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 
 class WorkerFile(Struct, frozen=True, kw_only=True):
-    """One file. ``generation`` rises with each version; 0 where it is not counted."""
+    """Content of one worker file. ``generation`` increases with each version; 0 means that it is not set."""
 
     generation: Annotated[int, msgspec.Meta(ge=0)] = 0
     workers: tuple[Worker, ...]
 
 
 class Manifest(Struct, frozen=True, kw_only=True):
-    """The files of a directory's version: names and the xxh3-128 of their bytes, in hexadecimal."""
+    """The manifest of a directory. ``files`` maps each file name to its xxh3-128 digest in hexadecimal."""
 
     generation: Annotated[int, msgspec.Meta(ge=1)]
     files: dict[str, Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{32}$")]]
 
 
 class InvalidWorkerFileError(DiscoveryError, ValueError):
-    """A version can't be used; the text names file, line and reason, one error a line."""
+    """A version can't be used. The message has one line for each error, with file, line number and reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class SourceFile:
-    """A file of a version."""
+    """Name and text of one file of a version."""
 
     name: str
     text: str
@@ -53,7 +53,7 @@
     """A complete and valid list of workers.
 
     Attributes:
-        generation: Number that its writer gave it; 0 without one.
+        generation: Generation number that the writer of the file set; 0 if there is none.
         digest: xxh3-128 of the file or the manifest, in hexadecimal.
         workers: The listed workers.
     """
@@ -63,23 +63,23 @@
     workers: tuple[Worker, ...]
 
     def by_name(self) -> dict[str, Worker]:
-        """Return the workers by their names."""
+        """Return the workers keyed by name."""
         return {worker.id: worker for worker in self.workers}
 
 
 @dataclass(frozen=True, slots=True)
 class _FieldError:
-    """Why a worker's field can't be used."""
+    """An invalid field of a worker, and the reason."""
 
     field: str
     reason: str
 
 
 def parse_manifest(file: SourceFile) -> Manifest:
-    """Return a directory's manifest.
+    """Parse the manifest of a directory.
 
     Raises:
-        InvalidWorkerFileError: It is none, or names files of other directories.
+        InvalidWorkerFileError: The text is not a manifest, or it names files in other directories.
     """
     try:
         manifest = convert(file.text, Manifest, file.name)
@@ -87,23 +87,23 @@
         raise InvalidWorkerFileError(_add_location(str(error), file)) from error
     for name in manifest.files:
         if "/" in name or name.startswith("."):
-            raise InvalidWorkerFileError(f"{file.name}: files: {name!r} is no plain file name")
+            raise InvalidWorkerFileError(f"{file.name}: files: {name!r} is not a plain file name")
     return manifest
 
 
 def parse_version(
     files: Iterable[SourceFile], digest: str, kinds: Collection[str] | None, generation: int = 0
 ) -> WorkerListVersion:
-    """Return the version that some files make together.
+    """Parse the files of a version.
 
     Args:
         files: All files of the version.
-        digest: What tells it from any other version.
-        kinds: Kinds of workers that the gateway knows; None allows any.
-        generation: That of the manifest; 0 takes the first one in a file.
+        digest: Digest that identifies the version.
+        kinds: Names of the worker kinds in the configuration; None allows any kind.
+        generation: Generation of the manifest. If it is 0, the first generation in a file is used.
 
     Raises:
-        InvalidWorkerFileError: It can't be used; the text has every error found.
+        InvalidWorkerFileError: The version can't be used. The message has all errors that were found.
     """
     parser = _VersionParser(kinds, generation)
     for file in files:
@@ -114,17 +114,17 @@
 
 
 class _VersionParser:
-    """Collects the workers of several files, and what is wrong with them."""
+    """Collects the workers and the errors of several files."""
 
     def __init__(self, kinds: Collection[str] | None, generation: int) -> None:
         self.generation = generation
         self.workers: list[Worker] = []
         self.errors: list[str] = []
         self._kinds = kinds
-        self._first_locations: dict[str, str] = {}  # file and line by what may be listed once
+        self._first_locations: dict[str, str] = {}  # file and line, by value that has to be unique
 
     def parse(self, file: SourceFile) -> None:
-        """Take the workers of one file, and note its errors."""
+        """Add the workers and the errors of one file."""
         try:
             content = convert(file.text, WorkerFile, file.name)
         except ConfigError as error:
@@ -150,32 +150,32 @@
 
     def _require_unique(self, value: str, line: str, path: str) -> None:
         if value in self._first_locations:
-            self.errors.append(f"{line}: {path}: {value} stands at {self._first_locations[value]} already")
+            self.errors.append(f"{line}: {path}: {value} is already listed at {self._first_locations[value]}")
         self._first_locations.setdefault(value, line)
 
 
 def _check_worker(worker: Worker, kinds: Collection[str] | None) -> Iterator[_FieldError]:
     host, _, port = worker.address.rpartition(":")
     if not 0 < int(port) <= MAX_PORT:
-        yield _FieldError("address", f"no port {port}")
+        yield _FieldError("address", f"port {port} is out of range")
     if reason := _check_host(host):
         yield _FieldError("address", reason)
     if not MIN_CAPACITY <= worker.size <= MAX_CAPACITY:
         yield _FieldError("size", f"{worker.size:g} is not between {MIN_CAPACITY:g} and {MAX_CAPACITY:g}")
     if kinds is not None and worker.kind not in kinds:
-        yield _FieldError("kind", f"no kind is named {worker.kind!r}; a new one needs a restart")
+        yield _FieldError("kind", f"no kind is named {worker.kind!r}; a new kind requires a restart")
 
 
 def _check_host(host: str) -> str:
-    """Return why a host can't be used, empty where it can; host names are left to the resolver."""
+    """Return why a host can't be used; empty if it can. Host names are checked by the resolver."""
     if not _DIGITS_AND_DOTS.fullmatch(host):
         return ""
     try:
         address = ipaddress.ip_address(host)
     except ValueError:
-        return f"{host} is no IP address"
+        return f"{host} is not an IP address"
     if address.is_unspecified or address.is_multicast:
-        return f"no worker can be at {host}"
+        return f"a worker can't have the address {host}"
     return ""
 
 
@@ -184,7 +184,7 @@
 
 
 def _add_location(error: str, file: SourceFile) -> str:
-    """Return an error of the schema with its line."""
+    """Prepend file and line to an error of the schema check."""
     detail = error.removeprefix(f"{file.name}: ")
     if match := _JSON5_ERROR_LINE.search(detail):
         return f"{file.name}:{match[1]}: {detail}"
--- a/saffronstack/discovery/files/service.py
+++ b/saffronstack/discovery/files/service.py
@@ -1,4 +1,4 @@
-"""The service that polls the worker file and reports changes of the list in force."""
+"""The service that polls the worker file and reports changes to the list in force."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from saffronstack.discovery.files.version_selector import VersionSelector
 from saffronstack.discovery.files.worker_list import WorkerList
 
-REPORT_PENDING_POLL_INTERVAL_S = 0.05  # between polls while a file is being written
+REPORT_PENDING_POLL_INTERVAL_S = 0.05  # while a problem with the file is not reported yet
 STOP_TIMEOUT_S = 5.0
 OPERATOR_PRIORITY, FILE_PRIORITY, CONFIGURATION_PRIORITY = 30, 20, 0
 log = structlog.get_logger("saffronstack.discovery")
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FileDiscoveryOptions:
-    """What a service watches, and how.
+    """Settings of file discovery.
 
     Attributes:
         path: The file, or a directory with a manifest.
-        kinds: Kinds of workers that the gateway knows.
-        guards: What needs no operator's approval.
-        poll_interval_s: Seconds between polls, where no event of the file system comes before.
+        kinds: Names of the worker kinds in the configuration.
+        guards: Limits within which a version needs no approval by an operator.
+        poll_interval_s: Maximum seconds between polls. A file system event triggers a poll earlier.
     """
 
     path: pathlib.Path
@@ -47,7 +47,7 @@
     frozen=True,
     rename={"pending": "held", "rejected": "refused", "not_ready": "unready", "polls": "looks"},
 ):
-    """Counters since the start; the renamed fields keep their keys in JSON."""
+    """Counters since the start. `rename` keeps the keys in JSON."""
 
     applied: int
     rejected: int
@@ -66,7 +66,7 @@
         "pending_digest": "held_digest",
     },
 ):
-    """The state of the service as ``/status`` shows it; the renamed fields keep their keys in JSON."""
+    """The state of the service in the response of ``/status``. `rename` keeps the keys in JSON."""
 
     generation: int | None
     digest: str
@@ -81,7 +81,7 @@
 
 
 class FileDiscovery:
-    """Polls on a thread of its own, where it reports one change after another."""
+    """Polls the worker file on its own thread, and reports each change there."""
 
     def __init__(
         self,
@@ -95,10 +95,10 @@
         """Prepare the service.
 
         Args:
-            options: What it watches, and how.
-            state_directory: Where versions are stored, and what operators asked for.
-            configured_workers: Workers of the configuration, in force until the file lists any.
-            on_change: Called on the service's thread with each change and the complete list.
+            options: Settings of the service.
+            state_directory: Stored versions and overrides by operators.
+            configured_workers: Workers of the configuration, used until a version of the file is applied.
+            on_change: Called on the service's thread with each change and the complete list in force.
             clock: Monotonic time in seconds.
             unix_clock: Unix time in seconds.
         """
@@ -116,13 +116,13 @@
         self._thread = BackgroundThread("file-discovery", self._run)
 
     def start(self, now: float) -> dict[str, Worker]:
-        """Start polling; return the workers to begin with, as `load` does."""
+        """Start polling. Return the initial workers as `load` does."""
         workers = self.load(now)
         self._thread.start()
         return workers
 
     def load(self, now: float) -> dict[str, Worker]:
-        """Return the workers to begin with: the file's, or those of the last known good version."""
+        """Return the initial workers: those of the file, or else of the last known good version."""
         self._poll_sources(now)
         self._update_list(now)
         self._version_selector.use_stored_copy()
@@ -130,22 +130,22 @@
         return dict(self._worker_list.workers)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
-        """End the thread; return whether it ended in time."""
+        """Stop the thread. Return whether it ended within the timeout."""
         self._thread.request_stop()
         self.wake()
         return self._thread.join(timeout_s)
 
     def wake(self) -> None:
-        """Poll soon, since something may have changed; from any thread."""
+        """Trigger a poll, since a source may have changed. Any thread may call this."""
         self._wake_ups.put(None)
 
     def set_configured_workers(self, workers: tuple[Worker, ...]) -> None:
-        """Take the workers of a configuration that was read again; from any thread."""
+        """Replace the configured workers after the configuration was reloaded. Any thread may call this."""
         self._configured_workers = workers
         self.wake()
 
     def status(self) -> FileDiscoveryStatus:
-        """Return the state of the service; from any thread."""
+        """Return the state of the service. Any thread may call this."""
         versions, workers = self._version_selector, self._worker_list.workers
         applied = versions.applied_version
         return FileDiscoveryStatus(
@@ -168,7 +168,7 @@
         )
 
     def poll(self, now: float) -> None:
-        """Read, check and merge all sources, and report what changed."""
+        """Read, check and merge all sources, and report the changes."""
         self._poll_sources(now)
         changes = self._update_list(now)
         if changes:
@@ -181,17 +181,17 @@
                 return
             try:
                 self.poll(self._clock())
-            except Exception:  # discovery must continue whatever one poll met
+            except Exception:  # an error in one poll must not stop discovery
                 log.exception("worker file poll failed")
 
     def _wait_for_wake_up(self) -> None:
-        """Wait until it is time to poll; wake-ups that came together are one."""
+        """Wait until the next poll is due. Merge all wake-ups that are queued."""
         try:
             self._wake_ups.get(timeout=self._poll_delay_s())
             while True:
                 self._wake_ups.get_nowait()
         except queue.Empty:
-            return  # the pause is over, or all wake-ups are taken
+            return  # the delay has passed, or the queue of wake-ups is empty
 
     def _poll_delay_s(self) -> float:
         if self._version_selector.file_state.is_report_pending:
--- a/saffronstack/discovery/files/settling.py
+++ b/saffronstack/discovery/files/settling.py
@@ -1,32 +1,32 @@
-"""Decides when a file that can't be used is reported: its writer may be half-way through it. No I/O."""
+"""Delays the report of an unusable file, since a writer may not have finished it. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-REJECTION_DELAY_S = 0.2  # an unusable file is rejected once it stood unchanged for so long
-NOT_READY_REPORT_DELAY_S = 5.0  # a file that is missing or changing for so long is reported
+REJECTION_DELAY_S = 0.2  # time for which an unusable file has to be unchanged before it is rejected
+NOT_READY_REPORT_DELAY_S = 5.0  # time for which a file is missing or changing before it is reported
 
 
 @dataclass(frozen=True, slots=True)
 class _UnusableFile:
-    """What can't be used, and since when it stands unchanged."""
+    """Identity of an unusable file, and the time since which it is unchanged."""
 
     identity: str
     since_s: float
 
 
 class FileStateTracker:
-    """Tracks a file from one poll to the next; times in seconds of any one clock.
+    """Tracks the state of a file across polls. All times are seconds of the same clock.
 
     Attributes:
-        rejection: Why the file is rejected, as it was reported; empty where it is not.
-        not_ready_count: How often the file became unreadable, as while it is replaced.
-        rejected_count: How often a rejection was reported.
+        rejection: Reported reason for which the file is rejected; empty if it is not rejected.
+        not_ready_count: Number of times the file became unreadable, for example during its replacement.
+        rejected_count: Number of reported rejections.
     """
 
     def __init__(self) -> None:
-        """Start with a file of which nothing is known."""
+        """Start without any knowledge of the file."""
         self.rejection = ""
         self.not_ready_count = 0
         self.rejected_count = 0
@@ -36,26 +36,26 @@
 
     @property
     def is_report_pending(self) -> bool:
-        """Whether a report may follow soon, so that the file should be polled soon."""
+        """Whether a problem is observed but not reported yet, so that the file should be polled soon."""
         if self._not_ready_since_s is not None and not self._is_not_ready_reported:
             return True
         return self._unusable is not None and not self.rejection
 
     def is_rejected(self, identity: str) -> bool:
-        """Return whether just this content was rejected already."""
+        """Return whether this content has already been rejected."""
         return self._unusable is not None and self._unusable.identity == identity and bool(self.rejection)
 
     def record_readable(self) -> None:
-        """Note that the file could be read completely."""
+        """Record that the file was read completely."""
         self._not_ready_since_s = None
 
     def record_usable(self) -> None:
-        """Note that nothing is wrong with the file."""
+        """Record that the file has no errors."""
         self.rejection = ""
         self._unusable = None
 
     def record_not_ready(self, reason: str, now: float) -> bool:
-        """Note that the file is missing or being written; return whether to report it now."""
+        """Record that the file is missing or being written. Return whether to report it now."""
         if self._not_ready_since_s is None:
             self._not_ready_since_s = now
             self._is_not_ready_reported = False
@@ -64,16 +64,16 @@
             return False
         self._is_not_ready_reported = True
         self._unusable = None
-        self._reject(f"{reason}; so for {NOT_READY_REPORT_DELAY_S:g} s")
+        self._reject(f"{reason}; not ready for {NOT_READY_REPORT_DELAY_S:g} s")
         return True
 
     def record_unusable(self, identity: str, reason: str, now: float) -> bool:
-        """Note that the file can't be used; return whether to report it now.
+        """Record that the file can't be used. Return whether to report it now.
 
         Args:
-            identity: What tells this content, or this error, from others.
-            reason: Why it can't be used.
-            now: The present time.
+            identity: Value that distinguishes this content or error from others.
+            reason: Reason for which the file can't be used.
+            now: Current time.
         """
         self._not_ready_since_s = None
         if self._unusable is None or self._unusable.identity != identity:
--- a/saffronstack/discovery/files/state_directory.py
+++ b/saffronstack/discovery/files/state_directory.py
@@ -1,7 +1,7 @@
-"""The state directory: versions that were applied, and what operators asked for on the command line.
+"""The state directory. It holds applied versions and the overrides that operators set on the command line.
 
-On disk: ``versions/NUMBER-DIGEST.json`` holds a checksum's line and a version in JSON; the files ``accept``,
-``pinned`` and ``drains`` hold what operators asked for.
+A file ``versions/NUMBER-DIGEST.json`` has a checksum on its first line and a version in JSON after it. The
+files ``accept``, ``pinned`` and ``drains`` hold one override each.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 MAX_VERSIONS = 20
 MAX_OVERRIDE_CHARACTERS = 1 << 20
-OverrideName: TypeAlias = Literal["accept", "pinned", "drains"]  # these are file names
+OverrideName: TypeAlias = Literal["accept", "pinned", "drains"]  # names of the files on disk
 _VERSION_FILE_NAME = re.compile(r"(\d{8})-([0-9a-f]{32})\.json")
 log = structlog.get_logger("saffronstack.discovery")
 
 
 class _StoredContent(msgspec.Struct, frozen=True):
-    """A version as it is stored; the names of its fields are keys on disk."""
+    """The stored form of a version. Its field names are keys on disk."""
 
     generation: int
     digest: str
@@ -36,12 +36,12 @@
     workers: tuple[Worker, ...]
 
     def version(self) -> WorkerListVersion:
-        """Return the version that was stored."""
+        """Return the version without the time of its application."""
         return WorkerListVersion(self.generation, self.digest, self.workers)
 
 
 class StoredVersion(NamedTuple):
-    """A version that was applied, when (Unix seconds), and its number: the latest has the highest."""
+    """An applied version, its number, and the time of application in Unix seconds. Numbers increase."""
 
     number: int
     applied_at: float
@@ -56,13 +56,13 @@
 
 
 class StateDirectory:
-    """A state directory. Gateways write versions; the command line writes what operators ask for."""
+    """Access to a state directory. Gateways write versions; the command line writes overrides."""
 
     def __init__(self, directory: pathlib.Path) -> None:
-        """Open a directory and create what is missing.
+        """Open a state directory, and create it if it is missing.
 
         Raises:
-            OSError: It can't be created.
+            OSError: The directory can't be created.
         """
         self._directory = directory
         self._versions_directory = directory / "versions"
@@ -71,9 +71,9 @@
     # ---- versions
 
     def store_version(self, version: WorkerListVersion, applied_at: float) -> None:
-        """Store a version that was applied at a time in Unix seconds, and delete the oldest ones.
+        """Store a version that was applied at `applied_at`, in Unix seconds. Delete the oldest versions.
 
-        A failure to write is logged: the version is in force all the same.
+        A write error is logged only, because the version stays in force without a stored copy.
         """
         body = msgspec.json.encode(
             _StoredContent(version.generation, version.digest, applied_at, version.workers)
@@ -89,7 +89,7 @@
             log.error("worker list version not stored", error=str(error))
 
     def last_good_version(self) -> WorkerListVersion | None:
-        """Return the last known good version: the latest one that can still be read."""
+        """Return the last known good version, which is the latest stored one that is readable."""
         for file in reversed(self._list_version_files()):
             content = _read_content(file.path)
             if content is not None and content.digest == file.digest:
@@ -97,7 +97,7 @@
         return None
 
     def stored_versions(self) -> list[StoredVersion]:
-        """Return all stored versions that can be read, the oldest first."""
+        """Return all readable stored versions, the oldest first."""
         stored = []
         for file in self._list_version_files():
             content = _read_content(file.path)
@@ -114,11 +114,11 @@
     # ---- overrides by operators
 
     def approved_digest(self) -> str:
-        """Return the digest of the version that an operator approved; empty without one."""
+        """Return the digest of the version that an operator approved; empty if there is none."""
         return self._read_override("accept")
 
     def pinned_digest(self) -> str:
-        """Return the digest of the stored version that stands in place of the file; empty without one."""
+        """Return the digest of the stored version that replaces the file; empty if none is pinned."""
         return self._read_override("pinned")
 
     def drained_workers(self) -> frozenset[str]:
@@ -126,26 +126,26 @@
         return frozenset(self._read_override("drains").split())
 
     def set_override(self, name: OverrideName, text: str) -> None:
-        """Set an override by an operator; an empty text takes it back.
+        """Set an override of an operator. An empty text removes it.
 
         Raises:
-            OSError: It can't be written.
+            OSError: The override can't be written.
         """
         if text:
             write_atomically(self._directory / name, text.encode())
         else:
-            with contextlib.suppress(FileNotFoundError):  # there was none
+            with contextlib.suppress(FileNotFoundError):  # no override was set
                 (self._directory / name).unlink()
 
     def _read_override(self, name: OverrideName) -> str:
         try:
             return (self._directory / name).read_text()[:MAX_OVERRIDE_CHARACTERS].strip()
-        except (OSError, UnicodeDecodeError):  # none is set, or it is no text of ours
+        except (OSError, UnicodeDecodeError):  # no override is set, or the file is not valid text
             return ""
 
 
 def _read_content(path: pathlib.Path) -> _StoredContent | None:
-    """Return a stored version; None where the file is damaged or has just been deleted."""
+    """Return the content of a version file; None if the file is damaged or has just been deleted."""
     try:
         checksum, _, body = path.read_bytes().partition(b"\n")
         if xxhash.xxh3_128_hexdigest(body).encode() != checksum:
--- a/saffronstack/discovery/files/version_selector.py
+++ b/saffronstack/discovery/files/version_selector.py
@@ -1,4 +1,4 @@
-"""Selects the version of the worker list that is in force: the file's, a stored one, or a pinned one."""
+"""Selects the worker list version that is in force: that of the file, a stored one, or a pinned one."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class VersionSelector:
-    """The version in force, and what stands in the way of the next; polled on one thread.
+    """Tracks the version in force, and why the next one is not applied. One thread polls it.
 
     Attributes:
-        applied_version: The version in force; None before the first.
-        is_from_stored_copy: Whether it is the last known good copy, since the file could not be read yet.
-        pending_reason: Why a version waits for an operator's approval; empty where none does.
-        pending_digest: Digest of that version.
-        pending_drains: Workers that it shows as draining.
-        applied_count: How many versions were applied.
-        pending_count: How many versions had to wait for approval.
-        settling: What is wrong with the file.
+        applied_version: The version in force; None before the first version.
+        is_from_stored_copy: Whether it is the last known good copy, used until the file is readable.
+        pending_reason: Why a version waits for the approval of an operator; empty if no version waits.
+        pending_digest: Digest of the version that waits for approval.
+        pending_drains: Names of the workers that are draining in the version that waits for approval.
+        applied_count: Number of applied versions.
+        pending_count: Number of versions that had to wait for approval.
+        file_state: Whether the file is usable, and the reason if not.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         state_directory: StateDirectory,
         unix_clock: Callable[[], float],
     ) -> None:
-        """Prepare to read a file.
+        """Start without a version.
 
         Args:
             path: The file, or a directory with a manifest.
-            kinds: Kinds of workers that the gateway knows.
-            guards: What needs no approval.
-            state_directory: Where versions are stored, and what operators asked for.
+            kinds: Names of the worker kinds in the configuration.
+            guards: Limits within which a version needs no approval.
+            state_directory: Stored versions and overrides by operators.
             unix_clock: Unix time in seconds.
         """
         self.applied_version: WorkerListVersion | None = None
@@ -62,7 +62,7 @@
         self._unix_clock = unix_clock
 
     def poll(self, now: float) -> None:
-        """Read the file, or follow an operator's pin, and apply a version where there is a new one."""
+        """Read the pinned version, or else the file, and apply the version if it is new."""
         pinned_digest = self._state_directory.pinned_digest()
         if pinned_digest:
             self._poll_pin(pinned_digest, now)
@@ -70,7 +70,7 @@
             self._poll_file(now)
 
     def use_stored_copy(self) -> None:
-        """Put the last known good version in force, if none is yet and one is stored."""
+        """Apply the last known good version, if one is stored and no version is in force."""
         if self.applied_version is not None:
             return
         version = self._state_directory.last_good_version()
@@ -113,7 +113,7 @@
         return is_same and not self.is_from_stored_copy
 
     def _review(self, version_files: VersionFiles, now: float) -> None:
-        """Parse and review a version; apply it where nothing stands in its way."""
+        """Parse and review a version. Apply it if it is valid and needs no approval."""
         try:
             version = parse_version(
                 version_files.files, version_files.digest, self._kinds, version_files.generation
--- a/saffronstack/discovery/files/worker_list.py
+++ b/saffronstack/discovery/files/worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers in force: all sources merged, flapping workers drained, capacities moved in steps."""
+"""The list of workers in force. It merges all sources, drains flapping workers and ramps capacities."""
 
 from __future__ import annotations
 
@@ -16,28 +16,30 @@
 
 
 class WorkerList:
-    """Kept current on one thread; times in seconds of any one clock.
+    """The workers in force, updated on one thread. All times are seconds of the same clock.
 
     Attributes:
         workers: The list in force, by name.
-        conflicts: Contradictions between the sources.
+        conflicts: Conflicts between the sources.
     """
 
     def __init__(self, flap_settings: FlapSettings) -> None:
-        """Start without workers; ``flap_settings`` say when one flaps."""
+        """Start without workers. ``flap_settings`` has the thresholds of flap detection."""
         self.workers: dict[str, Worker] = {}
         self.conflicts: tuple[str, ...] = ()
-        self._listed_workers: dict[str, Worker] = {}  # as the sources have it
+        self._listed_workers: dict[
+            str, Worker
+        ] = {}  # as in the sources, without flap detection and capacity ramp
         self._flap_detector = FlapDetector(flap_settings)
         self._capacity_ramp = CapacityRamp()
 
     @property
     def is_ramping(self) -> bool:
-        """Whether capacities have not reached their listed values: `update` is to be called again soon."""
+        """Whether a capacity has not reached its listed value, so that `update` has to be called soon."""
         return self._capacity_ramp.is_ramping
 
     def update(self, sources: Sequence[WorkerSource], now: float) -> WorkerChanges:
-        """Build the list anew and return what changed."""
+        """Rebuild the list from the sources and return the changes."""
         merged = merge_sources(sources)
         self._record_state_changes(merged.workers, now)
         self._listed_workers = merged.workers
@@ -54,7 +56,7 @@
 
     def _record_state_changes(self, listed: Mapping[str, Worker], now: float) -> None:
         if not self._listed_workers:
-            return  # the first list is no change
+            return  # the first list changes no state
         for name in self._listed_workers.keys() & listed.keys():
             if self._listed_workers[name].state != listed[name].state:
                 self._flap_detector.record_change(name, now)
--- a/tests/discovery/dns/conftest.py
+++ b/tests/discovery/dns/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of discovery over DNS."""
+"""Fixtures for the tests of discovery over DNS."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def start_discovery() -> Iterator[StartDiscovery]:
-    """A function that starts a server and a resolver that polls it."""
+    """Return a function that starts a server and a resolver that polls it."""
     with ExitStack() as stack:
 
         def start(respond: Respond) -> tuple[DiscoveryServer, ObservedResolver]:
@@ -29,5 +29,5 @@
 
 @pytest.fixture
 def observed() -> ObservedResolver:
-    """A resolver that is not started: the test hands it responses."""
+    """Return a resolver without a running thread, to which the test passes responses."""
     return ObservedResolver()
--- a/tests/discovery/dns/support.py
+++ b/tests/discovery/dns/support.py
@@ -1,4 +1,4 @@
-"""A discovery server that answers as a test says, and a resolver that reports to the test."""
+"""A discovery server with responses chosen by the test, and a resolver whose changes are recorded."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
 NAME = "_work._tcp.fleet.local"
 MESSAGE_ID = 7
 ENTRIES = [Entry("s-1", "127.0.0.1:1001"), Entry("s-2", "127.0.0.1:1002")]
-Respond = Callable[[bytes, int], list[bytes]]  # query and the port it came from, to what is sent there
+Respond = Callable[
+    [bytes, int], list[bytes]
+]  # takes a query and its source port, returns the datagrams to send
 
 
 def response(serial: int, entries: list[Entry], message_id: int = MESSAGE_ID, name: str = NAME) -> bytes:
-    """Return the server's response to a query."""
+    """Return a response of the server."""
     return dns_answer(encode_query(message_id, name), serial, entries)
 
 
 class DiscoveryServer:
-    """Answers queries as ``respond`` says; `ports` are those that queries came from."""
+    """Responds to queries with the datagrams from ``respond``. `ports` has the source port of each query."""
 
     def __init__(self, respond: Respond) -> None:
         self.ports: list[int] = []
@@ -52,7 +54,7 @@
 
 
 class ObservedResolver:
-    """A resolver, and the changes that it reported."""
+    """Records the changes that a resolver reports."""
 
     def __init__(self, server: tuple[str, int] = ("127.0.0.1", 9), interval_s: float = 0.25) -> None:
         self.changes: list[WorkerChanges] = []
@@ -73,10 +75,10 @@
         self._reported.release()
 
     def wait(self) -> WorkerChanges:
-        """Return the next change."""
+        """Wait for the next change and return the latest one."""
         assert self._reported.acquire(timeout=WAIT_S)
         return self.changes[-1]
 
     def handle(self, message: bytes) -> bool:
-        """Hand it a response to the query `MESSAGE_ID`; return whether it was accepted."""
+        """Pass a response to the query `MESSAGE_ID` to the resolver. Return whether it was accepted."""
         return self.resolver.handle_response(message, [MESSAGE_ID])
--- a/tests/discovery/dns/test_endpoint_list.py
+++ b/tests/discovery/dns/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list over several snapshots."""
+"""Tests of the endpoint list over several snapshots."""
 
 from __future__ import annotations
 
--- a/tests/discovery/dns/test_gateway_discovery.py
+++ b/tests/discovery/dns/test_gateway_discovery.py
@@ -1,4 +1,4 @@
-"""A gateway of the platform while its discovery server is down."""
+"""Tests of a platform gateway while its discovery server is down."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_a_gateway_serves_from_the_list_of_its_start_while_discovery_is_down() -> None:
-    """Idle clients fill its descriptors meanwhile, and discovery polls on from sockets of its own."""
+    """Idle clients use up the gateway's descriptors meanwhile. Discovery continues on its own sockets."""
     host = ScriptedHost()
     directory = Directory(Entry("s-1", host.address))
     silent = threading.Event()
--- a/tests/discovery/dns/test_messages.py
+++ b/tests/discovery/dns/test_messages.py
@@ -1,4 +1,4 @@
-"""DNS messages: complete ones are decoded, anything else is an error."""
+"""Tests that complete DNS messages are decoded and all other bytes raise an error."""
 
 from __future__ import annotations
 
--- a/tests/discovery/dns/test_resolver.py
+++ b/tests/discovery/dns/test_resolver.py
@@ -1,4 +1,4 @@
-"""The resolver where the server is silent, refuses, answers late, is behind, contradicts itself or moves."""
+"""Tests of the resolver with an unresponsive, refusing, late, stale, inconsistent or moving server."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 INTERVAL_S = ResolverOptions().interval_s
 
 
-# ---- responses that the test hands over
+# ---- responses passed in by the test
 
 
 def test_only_complete_valid_and_new_responses_are_accepted(observed: ObservedResolver) -> None:
@@ -31,8 +31,8 @@
     assert len(observed.changes) == 1
     rejected = [
         valid[:-3],  # cut short
-        valid[:2] + struct.pack(">H", 0x8602) + valid[4:],  # truncated, by its flags
-        valid[:2] + struct.pack(">H", 0x8403) + valid[4:],  # a failure
+        valid[:2] + struct.pack(">H", 0x8602) + valid[4:],  # marked as truncated in the flags
+        valid[:2] + struct.pack(">H", 0x8403) + valid[4:],  # response code NXDOMAIN
         response(11, [], message_id=8),
         response(11, [], name="_other._tcp.fleet.local"),
         response(9, ENTRIES[:1]),  # an older list
@@ -63,7 +63,7 @@
 
 
 def test_a_port_that_gets_no_responses_is_replaced(start_discovery: StartDiscovery) -> None:
-    """The server answers, but nothing reaches the port that was asked from first."""
+    """The server responds, but no response reaches the source port of the first query."""
     first: list[int] = []
 
     def respond(query: bytes, port: int) -> list[bytes]:
@@ -91,7 +91,7 @@
     for _ in range(40):
         assert polled.acquire(timeout=WAIT_S)
     assert len(observed.endpoint_list.specs) == 2
-    assert 2 <= len(set(server.ports)) <= 8  # replaced now and then, ever more rarely
+    assert 2 <= len(set(server.ports)) <= 8  # the socket is replaced, at growing intervals
     serial[0] = 6
     silent.clear()
     assert observed.wait().removed
@@ -113,7 +113,7 @@
 def test_a_response_of_the_former_server_is_rejected_once_it_has_moved(
     start_discovery: StartDiscovery,
 ) -> None:
-    """It is on its way when the new address is set."""
+    """The response is in flight when the new server address is set."""
     second = DiscoveryServer(lambda query, port: [dns_answer(query, 6, ENTRIES[:1])])
     has_moved, ready = threading.Event(), threading.Event()
 
@@ -156,7 +156,7 @@
 def test_queries_keep_their_interval_with_jitter_whether_refused_or_unanswered(
     monkeypatch: pytest.MonkeyPatch, observed: ObservedResolver, is_refused: bool
 ) -> None:
-    """A refusal comes at once, and used to be polled after 20 times a second."""
+    """Guards against polling 20 times a second, since a refusal is received immediately."""
     now, waits = [0.0], list[float]()
     resolver = observed.resolver
     monkeypatch.setattr(resolver, "_clock", lambda: now[0])
@@ -203,7 +203,8 @@
         raise OSError(24, "Too many open files")
 
     monkeypatch.setattr(server_socket, "connect_udp", fail)
-    # On a busy machine a socket may have been replaced before; the one after two more queries is the last.
+    # On a busy machine a replacement may have happened before `fail` was set. The socket that is in use two
+    # queries later is not replaced any more.
     before = len(server.ports)
     eventually(lambda: len(server.ports) >= before + 2, WAIT_S)
     queries, present = len(server.ports), server.ports[-1]
--- a/tests/discovery/dns/test_serial_numbers.py
+++ b/tests/discovery/dns/test_serial_numbers.py
@@ -1,4 +1,4 @@
-"""Comparison of serial numbers that wrap around."""
+"""Tests of the comparison of serial numbers that wrap around."""
 
 from __future__ import annotations
 
--- a/tests/discovery/dns/test_server_socket.py
+++ b/tests/discovery/dns/test_server_socket.py
@@ -1,4 +1,4 @@
-"""When the socket to the discovery server is replaced."""
+"""Tests of the replacement of the socket to the discovery server."""
 
 from __future__ import annotations
 
--- a/tests/discovery/dns/test_service_records.py
+++ b/tests/discovery/dns/test_service_records.py
@@ -1,4 +1,4 @@
-"""The endpoint list in a DNS response."""
+"""Tests of the endpoint list in a DNS response."""
 
 from __future__ import annotations
 
--- a/tests/discovery/dns/test_startup_events.py
+++ b/tests/discovery/dns/test_startup_events.py
@@ -1,4 +1,4 @@
-"""Watch events of the start, and what responses may change of them."""
+"""Tests of watch events at the start, and of later responses."""
 
 from __future__ import annotations
 
--- a/tests/discovery/files/__init__.py
+++ b/tests/discovery/files/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of discovery by watched files."""
+"""Tests of file discovery."""
--- a/tests/discovery/files/conftest.py
+++ b/tests/discovery/files/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of discovery by watched files."""
+"""Fixtures for the tests of file discovery."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 @pytest.fixture
 def discovery(tmp_path: pathlib.Path) -> SteppedDiscovery:
-    """A service that watches ``roster.json5`` in the test's directory."""
+    """Return a service that watches ``roster.json5`` in the temporary directory."""
     return SteppedDiscovery(tmp_path)
--- a/tests/discovery/files/support.py
+++ b/tests/discovery/files/support.py
@@ -1,4 +1,4 @@
-"""Worker files and their lists, and a discovery service whose clock the test sets."""
+"""Helpers that make worker files, and a discovery service with a manual clock."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def worker(name: str, port: int = 0, **more: Any) -> Worker:
-    """Return a worker named as ``w7``, at port 1007 where none is given."""
+    """Return a worker. Without a port, the worker ``w7`` has port 1007."""
     return Worker(id=name, address=f"127.0.0.1:{port or 1000 + int(name[1:])}", kind="standin", **more)
 
 
 def entry(name: str, port: int = 0, **more: Any) -> dict[str, Any]:
-    """Return the same as an entry of a worker file."""
+    """Return the entry of a worker file for such a worker."""
     return {"id": name, "address": f"127.0.0.1:{port or 1000 + int(name[1:])}", "kind": "standin", **more}
 
 
@@ -42,12 +42,12 @@
 
 
 def parse(text: str, name: str = "roster.json5") -> WorkerListVersion:
-    """Return the version that one file makes."""
+    """Return the version of a single file."""
     return parse_version([SourceFile(name, text)], xxhash.xxh3_128_hexdigest(text.encode()), KINDS)
 
 
 def write_directory(path: pathlib.Path, generation: int, **files: str) -> None:
-    """Write worker files, and a manifest that names them."""
+    """Write worker files and their manifest."""
     path.mkdir(exist_ok=True)
     digests = {}
     for name, text in files.items():
@@ -57,7 +57,7 @@
 
 
 class SteppedDiscovery:
-    """A service without its thread, which the test polls step by step."""
+    """Runs a discovery service without its thread; the test calls `poll`."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         self.path = directory / "roster.json5"
@@ -85,17 +85,17 @@
         return self.service.status()
 
     def start(self) -> dict[str, Worker]:
-        """Load the first list of a service that was not polled yet."""
+        """Load the initial list of a new service."""
         self.workers = self.service.load(self.now)
         return self.workers
 
     def restart(self) -> dict[str, Worker]:
-        """Replace the service, as if the process had been killed, and load its first list."""
+        """Replace the service, as after a kill of the process, and load its initial list."""
         self.service = self._make_service()
         return self.start()
 
     def poll(self, after_s: float = 0.1) -> dict[str, Worker]:
-        """Poll some time later; return the list in force."""
+        """Advance the clock and poll. Return the list in force."""
         self.now += after_s
         self.service.poll(self.now)
         return self.workers
@@ -111,7 +111,7 @@
 def gateway_with_worker_file(
     directory: pathlib.Path, fleet: StandInFleet, text: str, **options: Any
 ) -> Iterator[Stack]:
-    """A gateway that watches ``roster.json5`` in a directory."""
+    """Run a gateway that watches ``roster.json5`` in a directory."""
     path = directory / "roster.json5"
     path.write_text(text)
     roster = {"path": str(path), "state_directory": str(directory / "state"), "poll_s": 0.2, **options}
--- a/tests/discovery/files/test_change_guards.py
+++ b/tests/discovery/files/test_change_guards.py
@@ -1,4 +1,4 @@
-"""Which versions need an operator's approval."""
+"""Tests of the rules that require approval of a version."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     ("candidate", "words"),
     [
         (version(generation=2), "it lists no workers"),
-        (version("w1", "w2", "w3", generation=0), "3 of 6 ready workers are gone from it"),
+        (version("w1", "w2", "w3", generation=0), "3 of 6 ready workers would be removed"),
         (version("w1", "w2", "w3", "w4", "w5", "w6", generation=4), "generation 4 is older than 5"),
         (version("w1", "w2", "w3", "w4", "w5", "w7", generation=5), "two writers?"),
     ],
--- a/tests/discovery/files/test_file_reader.py
+++ b/tests/discovery/files/test_file_reader.py
@@ -1,4 +1,4 @@
-"""Files and directories are read as one version or not at all."""
+"""Tests that files and directories are read as one consistent version."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def directory(tmp_path: pathlib.Path) -> pathlib.Path:
-    """A directory with two worker files and their manifest, of generation 4."""
+    """Return a directory with two worker files and their manifest of generation 4."""
     path = tmp_path / "roster"
     write_directory(path, 4, a=file_text(entry("w1")), b=file_text(entry("w2"), generation=4))
     return path
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def file(tmp_path: pathlib.Path) -> pathlib.Path:
-    """A path without a file."""
+    """Return a path at which no file exists."""
     return tmp_path / "roster.json5"
 
 
@@ -38,10 +38,12 @@
 
 def test_a_directory_whose_file_does_not_fit_the_manifest_is_not_ready(directory: pathlib.Path) -> None:
     (directory / "a.json5").write_text(file_text(entry("w3")))
-    with pytest.raises(FileNotReadyError, match=r"a\.json5: not the file of the manifest's generation 4"):
+    with pytest.raises(
+        FileNotReadyError, match=r"a\.json5: digest differs from the manifest of generation 4"
+    ):
         read_version(directory)
     (directory / "a.json5").unlink()
-    with pytest.raises(FileNotReadyError, match="not there"):
+    with pytest.raises(FileNotReadyError, match="no such file"):
         read_version(directory)
 
 
@@ -53,18 +55,18 @@
 
 def test_a_manifest_that_names_other_directories_is_rejected(directory: pathlib.Path) -> None:
     (directory / MANIFEST_FILE_NAME).write_text('{"generation": 5, "files": {"../x": "' + "0" * 32 + '"}}')
-    with pytest.raises(InvalidWorkerFileError, match="no plain file name"):
+    with pytest.raises(InvalidWorkerFileError, match="is not a plain file name"):
         read_version(directory)
 
 
 def test_a_missing_file_is_not_ready(file: pathlib.Path) -> None:
-    with pytest.raises(FileNotReadyError, match="not there"):
+    with pytest.raises(FileNotReadyError, match="no such file"):
         read_version(file)
 
 
 def test_a_pipe_is_rejected(file: pathlib.Path) -> None:
     os.mkfifo(file)
-    with pytest.raises(InvalidWorkerFileError, match="no regular file"):
+    with pytest.raises(InvalidWorkerFileError, match="not a regular file"):
         read_version(file)
 
 
@@ -82,5 +84,5 @@
 
 def test_a_directory_without_its_manifest_is_not_ready(file: pathlib.Path) -> None:
     file.mkdir()
-    with pytest.raises(FileNotReadyError, match="not there"):
+    with pytest.raises(FileNotReadyError, match="no such file"):
         read_version(file)
--- a/tests/discovery/files/test_gateway_discovery.py
+++ b/tests/discovery/files/test_gateway_discovery.py
@@ -1,4 +1,4 @@
-"""A gateway that watches a worker file, while requests are served."""
+"""Tests of a gateway that watches a worker file while it serves requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
         for field, text, reason in (
             ("refused", '{"workers": [{]}', "not JSON5"),
-            ("refused", file_text(entries[0], entries[0]), "stands at roster.json5:"),
+            ("refused", file_text(entries[0], entries[0]), "is already listed at roster.json5:"),
             ("refused", '{"workers": 5}', "Expected `array`"),
             (
                 "refused",
@@ -54,7 +54,7 @@
 
 
 def test_all_workers_replaced_at_once_under_load(tmp_path: pathlib.Path) -> None:
-    """Allowed by the operator; running calls end, new ones go to the new workers, none is lost."""
+    """Requests in flight end, new ones go to the new workers. ``removed_share=1.0`` allows the change."""
     fleet = StandInFleet(6, lambda n: Profile(work_s=0.05, load_s=0.02))
     old, new = fleet.entries()[:3], fleet.entries()[3:]
     stopping = threading.Event()
--- a/tests/discovery/files/test_gateway_rewrites.py
+++ b/tests/discovery/files/test_gateway_rewrites.py
@@ -1,4 +1,4 @@
-"""A gateway whose worker file is rewritten thousands of times, with faults."""
+"""Tests a gateway whose worker file is rewritten thousands of times, with faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ConnectionCounter:
-    """An address at which no worker ever was; whoever connects is counted."""
+    """A listener without a worker, which counts connections."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=64)
@@ -46,7 +46,7 @@
 
 
 class FileRewriter:
-    """Replaces the workers' file by good versions and by faulty ones that list addresses without a worker."""
+    """Replaces the worker file by valid versions, and by faulty ones that list addresses without a worker."""
 
     def __init__(
         self, path: pathlib.Path, entries: list[dict[str, Any]], unlisted_entries: list[dict[str, Any]]
@@ -70,12 +70,12 @@
         }
 
     def rewrite(self) -> None:
-        """Write one version, good or faulty, at random."""
+        """Write a random valid or faulty version."""
         rewrite_names = ["good", "good", "cut", "empty", "shape", "ghosts", "twice", "old", "bytes"]
         self._rewrites[self._random.choice(rewrite_names)]()
 
     def replace(self, entries: list[dict[str, Any]]) -> None:
-        """Replace the file atomically by the next generation."""
+        """Replace the file atomically by a version with the current generation."""
         other = self._path.with_name("new")
         other.write_text(file_text(*entries, generation=self.generation))
         os.replace(other, self._path)
@@ -85,7 +85,7 @@
         self._good = [
             {**one, "state": "draining" if self._random.random() < 0.15 else "ready"} for one in self._entries
         ]
-        for one in self._good:  # told at once when written; ready again ends it
+        for one in self._good:  # a drain starts when it is written, and ends when the worker is ready again
             if one["state"] == "draining":
                 self.draining_since.setdefault(one["id"], time.monotonic())
             else:
@@ -121,7 +121,7 @@
     late_arrivals: list[str] = []
 
     def watch_drains() -> None:
-        """A call that arrives at a worker long after it was told as draining is a lost drain."""
+        """Record requests that arrive at a worker over 2 s after its drain was written."""
         seen = dict.fromkeys((one["id"] for one in entries), 0)
         while not stopping.is_set():
             for one in fleet.workers:
--- a/tests/discovery/files/test_line_numbers.py
+++ b/tests/discovery/files/test_line_numbers.py
@@ -1,4 +1,4 @@
-"""Line numbers of values in JSON5 texts."""
+"""Tests of the line numbers of values in JSON5 texts."""
 
 from __future__ import annotations
 
--- a/tests/discovery/files/test_merging.py
+++ b/tests/discovery/files/test_merging.py
@@ -1,4 +1,4 @@
-"""One list out of all sources, and the difference of two lists."""
+"""Tests of the merge of all sources, and of the difference between two lists."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def test_contradictions_are_decided_by_priority_and_reported() -> None:
     merged = merge_sources([CONFIGURATION, WorkerSource("etcd", 20, FILE.workers)])
     assert list(merged.workers) == ["w1", "w2", "w3", "w8"]
-    assert len(merged.conflicts) == 2  # w1's address, and who is at port 5
+    assert len(merged.conflicts) == 2  # the address of w1, and the worker at port 5
 
 
 def test_a_drain_of_a_hidden_source_counts() -> None:
@@ -55,6 +55,6 @@
         state[updated.id] = updated
     assert state == new
     states = [updated.state for updated in changes.updated]
-    assert states == sorted(states, key=lambda s: s != "draining")  # drains first
+    assert states == sorted(states, key=lambda s: s != "draining")  # draining workers come first
     assert not compare_lists(new, new)
     assert all(new[name].state == "draining" for name in drains & set(new))
--- a/tests/discovery/files/test_parsing.py
+++ b/tests/discovery/files/test_parsing.py
@@ -1,4 +1,4 @@
-"""Texts of worker files: valid ones become a version, others an error with its line."""
+"""Tests that a valid worker file becomes a version, and an invalid one an error with its line."""
 
 from __future__ import annotations
 
@@ -21,15 +21,18 @@
             '{"workers": [\n{"id": "w1", "address": "h:1", "kind": "standin"},\n{"id": "w2"}]}',
             "roster.json5:3: workers[1]: Object missing required field `address`",
         ),
-        (file_text(entry("w1"), entry("w1", 7)), "worker 'w1' stands at roster.json5:"),
-        (file_text(entry("w1", 7), entry("w2", 7)), "address 127.0.0.1:7 stands at roster.json5:"),
+        (file_text(entry("w1"), entry("w1", 7)), "worker 'w1' is already listed at roster.json5:"),
+        (file_text(entry("w1", 7), entry("w2", 7)), "address 127.0.0.1:7 is already listed at roster.json5:"),
         (file_text(entry("w1", size=1000)), "workers[0] (w1).size: 1000 is not between 0.01 and 100"),
-        (file_text({**entry("w1"), "address": "127.0.0.1:99999"}), "address: no port 99999"),
-        (file_text({**entry("w1"), "address": "999.0.0.1:80"}), "address: 999.0.0.1 is no IP address"),
-        (file_text({**entry("w1"), "address": "0.0.0.0:80"}), "address: no worker can be at 0.0.0.0"),
+        (file_text({**entry("w1"), "address": "127.0.0.1:99999"}), "address: port 99999 is out of range"),
+        (file_text({**entry("w1"), "address": "999.0.0.1:80"}), "address: 999.0.0.1 is not an IP address"),
+        (
+            file_text({**entry("w1"), "address": "0.0.0.0:80"}),
+            "address: a worker can't have the address 0.0.0.0",
+        ),
         (
             file_text({**entry("w1"), "kind": "new"}),
-            "kind: no kind is named 'new'; a new one needs a restart",
+            "kind: no kind is named 'new'; a new kind requires a restart",
         ),
         ('{"generation": -1, "workers": []}', "roster.json5:1: generation: Expected `int` >= 0"),
         ("{workers: " + "[" * 5000 + "]" * 5000 + "}", "roster.json5"),
@@ -56,5 +59,5 @@
     ]
     started_s = time.process_time()
     assert len(parse(file_text(*entries)).workers) == 10_000
-    # Processor time: on a machine that runs other tests beside, the wall clock measures those as well.
-    assert time.process_time() - started_s < 10.0  # it took 44 s for a thousand
+    # CPU time, since wall clock time includes other tests that run on the machine.
+    assert time.process_time() - started_s < 10.0  # a former implementation took 44 s for 1,000 workers
--- a/tests/discovery/files/test_roster_command.py
+++ b/tests/discovery/files/test_roster_command.py
@@ -1,4 +1,4 @@
-"""The command ``saffronstack roster``."""
+"""Tests of the command ``saffronstack roster``."""
 
 from __future__ import annotations
 
--- a/tests/discovery/files/test_service.py
+++ b/tests/discovery/files/test_service.py
@@ -1,4 +1,4 @@
-"""The service polled step by step, with the clock in the test's hand."""
+"""Tests of the service, which each test polls step by step with a manual clock."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 def test_the_last_good_list_stays_and_outlives_a_restart(
     discovery: SteppedDiscovery, tmp_path: pathlib.Path
 ) -> None:
-    assert set(discovery.start()) == {"w50"}  # the configuration's, until the file lists any
+    assert set(discovery.start()) == {"w50"}  # from the configuration, until a version of the file is applied
     discovery.replace_file(file_text(entry("w1"), entry("w2")))
     assert set(discovery.poll()) == {"w1", "w2"}
     discovery.replace_file('{"workers": [')
     discovery.poll()
-    assert discovery.status.rejection == ""  # it may be half-written
+    assert discovery.status.rejection == ""  # the writer may not have finished
     discovery.poll(0.3)
     assert "roster.json5:1: not JSON5" in discovery.status.rejection
     discovery.poll(5.0)
@@ -26,12 +26,12 @@
     discovery.path.unlink()
     discovery.poll()
     discovery.poll(6.0)
-    assert "not there; so for 5 s" in discovery.status.rejection
+    assert "no such file; not ready for 5 s" in discovery.status.rejection
     assert set(discovery.workers) == {"w1", "w2"}
     assert set(discovery.restart()) == {
         "w1",
         "w2",
-    }  # killed between reading and applying, or at any other time
+    }  # as after a kill at any time
     assert discovery.status.is_from_stored_copy
     discovery.replace_file(file_text(entry("w1"), entry("w2"), entry("w3")))
     assert set(discovery.poll()) == {"w1", "w2", "w3"}
@@ -39,7 +39,7 @@
     newest = max((tmp_path / "state" / "versions").iterdir())
     newest.write_bytes(newest.read_bytes()[:-4])
     discovery.path.unlink()
-    assert set(discovery.restart()) == {"w1", "w2"}  # the copy before the damaged one
+    assert set(discovery.restart()) == {"w1", "w2"}  # the copy before the damaged copy
 
 
 def test_a_version_waits_for_approval_and_its_drains_count(discovery: SteppedDiscovery) -> None:
@@ -49,7 +49,7 @@
     discovery.replace_file(file_text(entry("w1"), entry("w2", state="draining"), generation=2))
     discovery.poll()
     status = discovery.status
-    assert "6 of 8 ready workers are gone" in status.pending_reason
+    assert "6 of 8 ready workers would be removed" in status.pending_reason
     assert len(discovery.workers) == 8
     assert discovery.workers["w2"].state == "draining"
     discovery.state.set_override("accept", "0" * 32)
@@ -104,7 +104,7 @@
 def test_a_flapping_worker_drains_until_it_is_stable(discovery: SteppedDiscovery) -> None:
     discovery.replace_file(file_text(entry("w1"), entry("w2")))
     discovery.start()
-    for number in range(6):  # from the fourth change within a minute on it flaps
+    for number in range(6):  # w1 is flapping from the fourth change within a minute
         discovery.replace_file(file_text(*([entry("w1")] if number % 2 else []), entry("w2")))
         discovery.poll(1.0)
     assert str(discovery.workers["w1"].state) == "draining"
@@ -115,7 +115,7 @@
 def test_a_version_is_replaced_by_a_symbolic_link_and_truncated_in_place(
     discovery: SteppedDiscovery, tmp_path: pathlib.Path
 ) -> None:
-    """As mounted configuration does it: ``roster -> ..data -> ..one``."""
+    """The links are as in a Kubernetes ConfigMap volume: ``roster -> ..data -> ..one``."""
     discovery.path = tmp_path / "roster"
     write_directory(tmp_path / "..one", 1, a=file_text(entry("w1")))
     write_directory(tmp_path / "..two", 2, a=file_text(entry("w1"), entry("w2")))
@@ -128,7 +128,7 @@
     (tmp_path / "..two" / "a.json5").write_text("")
     discovery.poll()
     discovery.poll(6.0)
-    assert "not the file of the manifest's generation" in discovery.status.rejection
+    assert "digest differs from the manifest of generation" in discovery.status.rejection
     assert set(discovery.workers) == {"w1", "w2"}
 
 
--- a/tests/discovery/files/test_settling.py
+++ b/tests/discovery/files/test_settling.py
@@ -1,4 +1,4 @@
-"""When a file that can't be used is reported."""
+"""Tests of the time at which an unusable file is reported."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 
 def test_a_missing_file_is_reported_once_it_was_missing_for_long(file_state: FileStateTracker) -> None:
-    assert not file_state.record_not_ready("not there", 0.0)
-    assert not file_state.record_not_ready("not there", NOT_READY_REPORT_DELAY_S - 0.1)
-    assert file_state.record_not_ready("not there", NOT_READY_REPORT_DELAY_S)
-    assert file_state.rejection == "not there; so for 5 s"
-    assert not file_state.record_not_ready("not there", 2 * NOT_READY_REPORT_DELAY_S)
+    assert not file_state.record_not_ready("no such file", 0.0)
+    assert not file_state.record_not_ready("no such file", NOT_READY_REPORT_DELAY_S - 0.1)
+    assert file_state.record_not_ready("no such file", NOT_READY_REPORT_DELAY_S)
+    assert file_state.rejection == "no such file; not ready for 5 s"
+    assert not file_state.record_not_ready("no such file", 2 * NOT_READY_REPORT_DELAY_S)
     assert (file_state.not_ready_count, file_state.rejected_count) == (1, 1)
 
 
--- a/tests/discovery/files/test_state_directory.py
+++ b/tests/discovery/files/test_state_directory.py
@@ -1,4 +1,4 @@
-"""Versions that were applied, and operators' overrides, on disk."""
+"""Tests of applied versions and operator overrides on disk."""
 
 from __future__ import annotations
 
@@ -49,6 +49,6 @@
 
 
 def test_a_version_that_cannot_be_written_is_no_error(state: StateDirectory, tmp_path: pathlib.Path) -> None:
-    (tmp_path / "versions" / f".{1:08d}-{1:032x}.json.{os.getpid()}.tmp").mkdir()  # where it is written first
+    (tmp_path / "versions" / f".{1:08d}-{1:032x}.json.{os.getpid()}.tmp").mkdir()  # blocks the temporary file
     state.store_version(version(1), 1.0)
     assert state.last_good_version() is None
