--- a/saffronstack/discovery/__init__.py
+++ b/saffronstack/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: which workers there are, over DNS (`dns`) or from watched files (`files`)."""
+"""Discovery of workers over DNS (package `dns`) or from watched files (package `files`)."""
