--- a/saffronstack/upstream/http/attempt_runner.py
+++ b/saffronstack/upstream/http/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Carries out attempts: sends the request of a call to a worker and reports how the attempt ended."""
+"""Runs attempts: sends a call's request to a worker and reports the result."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from saffronstack.upstream.http.protocol import AttemptResponse
 from saffronstack.upstream.http.worker_context import WorkerContext
 
-MAX_SENDS = 2  # a connection that was kept alive may turn out closed before anything was sent on it
-NO_LONGER_WANTED = AttemptResponse(Result.NOT_STARTED, reason="no longer wanted when it was to be sent")
+MAX_SENDS = 2  # the second for a keep-alive connection that the worker closed before the first byte
+NOT_SENT = AttemptResponse(Result.NOT_STARTED, reason="no longer wanted when it was to be sent")
 
 
 class AttemptRunner:
-    """Runs attempts on the threads of one worker's pool, several at once."""
+    """Runs attempts on the threads of one worker's pool; several threads use it at once."""
 
     def __init__(self, context: WorkerContext) -> None:
         self._context = context
 
     def run(self, job: AttemptJob, slot: ConnectionSlot) -> None:
-        """Carry out an attempt and report its result."""
+        """Run an attempt and report its result."""
         context = self._context
         started_s = context.clock()
         response = self._send(job, slot)
-        if response.answer is not None:
-            self._answer_call(job, response)
+        if response.worker_response is not None:
+            self._finish_call(job, response)
         if response.incarnation and response.incarnation != context.incarnation:
             context.incarnation = response.incarnation
             context.report(WorkerObservation(context.spec.number, response.incarnation, response.uptime_s))
@@ -47,14 +47,14 @@
         self._report(job, response, outcome)
         slot.release()
 
-    def _answer_call(self, job: AttemptJob, response: AttemptResponse) -> None:
-        answer = response.answer
-        assert answer is not None
+    def _finish_call(self, job: AttemptJob, response: AttemptResponse) -> None:
+        worker_response = response.worker_response
+        assert worker_response is not None
         final = FinalAnswer(
             FinalStatus.SERVED,
-            answer.payload,
-            answer.function_error,
-            answer.log_tail,
+            worker_response.payload,
+            worker_response.function_error,
+            worker_response.log_tail,
             attempts=job.attempt + 1,
             worker=self._context.spec.name,
         )
@@ -68,7 +68,7 @@
         result = AttemptResult(
             job.call,
             outcome,
-            response.answer,
+            response.worker_response,
             response.reason,
             context.incarnation,
             response.memory_time_kib_us,
@@ -78,14 +78,14 @@
         context.report(result)
 
     def _may_send(self, job: AttemptJob) -> bool:
-        """Return whether the attempt is still wanted; checked right before its first byte."""
-        is_over = self._context.is_closed or job.is_cancelled or job.call.is_finished
-        return not is_over and self._context.clock() < job.deadline_s
+        """Return whether the attempt may still be sent; checked immediately before its first byte."""
+        is_obsolete = self._context.is_closed or job.is_cancelled or job.call.is_finished
+        return not is_obsolete and self._context.clock() < job.deadline_s
 
     def _send(self, job: AttemptJob, slot: ConnectionSlot) -> AttemptResponse:
-        """Send the request on a connection that takes it, and return what came of it."""
+        """Send the request, on a second connection if the first accepts no byte, and return the response."""
         if not self._may_send(job):
-            return NO_LONGER_WANTED
+            return NOT_SENT
         guard = job.call.guard
         for _ in range(MAX_SENDS):
             try:
@@ -95,18 +95,18 @@
             if guard is not None:
                 if not guard.may_send(job.attempt, self._context.spec.number):
                     return AttemptResponse(Result.NOT_STARTED, reason="the ledger could not note it")
-                guard = None  # asked once, however often it is sent
+                guard = None  # the guard is asked once per attempt, however often the request is sent
             if not self._may_send(job):
-                return NO_LONGER_WANTED
+                return NOT_SENT
             response = self._exchange(job, connection)
             if response is not None:
                 return response
         return AttemptResponse(Result.CONNECT_FAILED, reason="the connection took no byte")
 
     def _exchange(self, job: AttemptJob, connection: HttpConnection) -> AttemptResponse | None:
-        """Send the request and await its response; return None where not one byte was sent."""
+        """Send the request and wait for its response; return None if not a single byte was sent."""
         clock = self._context.clock
-        job.connection = connection  # before anything else: a cancellation from here on breaks it
+        job.connection = connection  # set first, so that a cancellation from here on aborts the connection
         request = self._encode(job)
         try:
             if not connection.send(request, job.deadline_s, clock):
--- a/tests/upstream/test_pool_registry.py
+++ b/tests/upstream/test_pool_registry.py
@@ -11,7 +11,7 @@
 
 
 class FakePool:
-    """Records updates and its stop."""
+    """Records updates and whether it was stopped."""
 
     def __init__(self, spec: WorkerSpec) -> None:
         self.spec = spec
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def registry() -> PoolRegistry[FakePool]:
-    """A registry with two workers."""
+    """Returns a registry with two workers."""
     registry = PoolRegistry(FakePool)
     registry.update([FIRST, SECOND], [])
     return registry
@@ -56,19 +56,19 @@
 
 def test_a_removed_worker_loses_its_pool(registry: PoolRegistry[FakePool]) -> None:
     removed = registry.get(1)
-    registry.update([], [1, 77])  # one of them was never listed
+    registry.update([], [1, 77])  # 77 was never listed
     assert removed is not None
     assert removed.is_stopped
     assert registry.get(1) is None
     assert len(registry) == 1
 
 
-def test_a_complete_list_removes_what_it_does_not_name(registry: PoolRegistry[FakePool]) -> None:
-    removed, stays = registry.get(1), registry.get(2)
+def test_a_snapshot_removes_the_workers_that_it_does_not_list(registry: PoolRegistry[FakePool]) -> None:
+    removed, kept = registry.get(1), registry.get(2)
     registry.replace_all([SECOND])
     assert removed is not None
     assert removed.is_stopped
-    assert registry.snapshot() == {2: stays}
+    assert registry.snapshot() == {2: kept}
 
 
 def test_clearing_stops_and_returns_every_pool(registry: PoolRegistry[FakePool]) -> None:
