--- a/tests/discovery/dns/test_endpoint_list.py
+++ b/tests/discovery/dns/test_endpoint_list.py
@@ -5,7 +5,7 @@
 from saffronstack.discovery.dns.endpoint_list import EndpointList, EndpointSnapshot, ListedEndpoint
 
 
-def test_a_name_that_returns_at_another_address_is_another_worker() -> None:
+def test_a_name_at_a_new_address_is_a_new_worker() -> None:
     endpoint_list = EndpointList(["east"], ["std"])
     former = ListedEndpoint("s-1", "127.0.0.1", 100, "east", "std")
     moved = ListedEndpoint("s-1", "127.0.0.1", 101, "east", "std")
--- a/tests/discovery/dns/test_resolver.py
+++ b/tests/discovery/dns/test_resolver.py
@@ -75,7 +75,7 @@
     assert len(set(server.ports)) >= 2
 
 
-def test_while_the_server_is_silent_the_list_stays_and_polling_continues(
+def test_an_unresponsive_server_changes_neither_list_nor_polling(
     start_discovery: StartDiscovery,
 ) -> None:
     silent, polled = threading.Event(), threading.Semaphore(0)
@@ -133,7 +133,7 @@
     second.close()
 
 
-def test_a_server_that_is_behind_is_rejected_until_it_has_caught_up(start_discovery: StartDiscovery) -> None:
+def test_older_lists_are_rejected_until_the_server_has_a_newer_one(start_discovery: StartDiscovery) -> None:
     serial, polled = [7], threading.Semaphore(0)
 
     def respond(query: bytes, port: int) -> list[bytes]:
@@ -184,7 +184,7 @@
     assert len({round(wait_s, 6) for wait_s in waits}) > 20
 
 
-def test_without_a_free_descriptor_the_present_socket_stays_in_use(
+def test_the_current_socket_is_kept_when_no_file_descriptor_is_free(
     monkeypatch: pytest.MonkeyPatch, start_discovery: StartDiscovery
 ) -> None:
     silent, is_exhausted = threading.Event(), threading.Event()
@@ -214,7 +214,7 @@
     assert set(server.ports[queries:]) == {present}
 
 
-def test_silence_and_its_end_are_logged_once(
+def test_an_unresponsive_server_and_its_recovery_are_logged_once(
     observed: ObservedResolver, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = [0.0]
--- a/tests/discovery/dns/test_server_socket.py
+++ b/tests/discovery/dns/test_server_socket.py
@@ -32,13 +32,13 @@
     return queries
 
 
-def test_a_silent_socket_is_replaced_ever_more_rarely(sockets: ServerSocket) -> None:
+def test_an_unresponsive_socket_is_replaced_at_growing_intervals(sockets: ServerSocket) -> None:
     assert [queries_until_replaced(sockets) for _ in range(6)] == [4, 8, 16, 32, 64, 64]
     sockets.record_result(is_answered=True)
     assert queries_until_replaced(sockets) == MIN_QUERIES_BEFORE_REPLACEMENT
 
 
-def test_a_server_that_moves_gets_a_socket_that_knows_no_queries(sockets: ServerSocket) -> None:
+def test_a_server_that_moves_gets_a_new_socket_without_queries(sockets: ServerSocket) -> None:
     first = sockets.open(SERVER)
     sockets.message_ids.append(5)
     assert sockets.open(OTHER) is not first
@@ -47,7 +47,7 @@
     assert first.fileno() == -1
 
 
-def test_without_a_descriptor_the_present_socket_is_used_unless_the_server_moved(
+def test_without_a_free_descriptor_the_socket_is_kept_unless_the_server_moved(
     sockets: ServerSocket, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     present = sockets.open(SERVER)
--- a/tests/discovery/dns/test_startup_events.py
+++ b/tests/discovery/dns/test_startup_events.py
@@ -32,7 +32,7 @@
     assert observed.handle(response(2, ENTRIES))
 
 
-def test_a_drain_of_the_start_holds_against_an_older_list(observed: ObservedResolver) -> None:
+def test_a_drain_in_startup_events_is_kept_when_an_older_list_arrives(observed: ObservedResolver) -> None:
     known = {"rev": 41, "notices": [event(41, endpoint("s-1", "Terminating"))]}
     apply_startup_events(observed.endpoint_list, known)
     assert not observed.handle(response(40, ENTRIES))
--- a/tests/discovery/files/test_file_reader.py
+++ b/tests/discovery/files/test_file_reader.py
@@ -36,7 +36,7 @@
     assert (version.generation, [worker.id for worker in version.workers]) == (4, ["w1", "w2"])
 
 
-def test_a_directory_whose_file_does_not_fit_the_manifest_is_not_ready(directory: pathlib.Path) -> None:
+def test_a_directory_with_a_digest_mismatch_is_not_ready(directory: pathlib.Path) -> None:
     (directory / "a.json5").write_text(file_text(entry("w3")))
     with pytest.raises(
         FileNotReadyError, match=r"a\.json5: digest differs from the manifest of generation 4"
--- a/tests/discovery/files/test_gateway_discovery.py
+++ b/tests/discovery/files/test_gateway_discovery.py
@@ -14,7 +14,7 @@
 from tests.support.stack import eventually
 
 
-def test_every_refusal_has_its_reason_while_calls_go_on(tmp_path: pathlib.Path) -> None:
+def test_each_rejection_has_its_reason_while_requests_are_served(tmp_path: pathlib.Path) -> None:
     fleet = StandInFleet(2)
     entries = fleet.entries()
     with gateway_with_worker_file(tmp_path, fleet, file_text(*entries, generation=3), poll_s=0.05) as stack:
--- a/tests/discovery/files/test_line_numbers.py
+++ b/tests/discovery/files/test_line_numbers.py
@@ -19,7 +19,7 @@
     assert (lines["workers[1]"], lines["workers[1].id"], lines["workers[1].size"]) == (4, 5, 6)
 
 
-def test_an_unknown_path_has_the_line_of_what_is_around_it() -> None:
+def test_an_unknown_path_has_the_line_of_its_nearest_parent() -> None:
     assert find_line(TEXT, "workers[1].address") == 4
     assert find_line(TEXT, "workers[7].address") == 2
     assert find_line(TEXT, "generation") == 1
--- a/tests/discovery/files/test_merging.py
+++ b/tests/discovery/files/test_merging.py
@@ -14,7 +14,7 @@
 LISTS = st.lists(NAMES, unique=True, max_size=12)
 
 
-def test_a_complete_source_hides_those_below_and_drains_of_any_count() -> None:
+def test_a_complete_source_hides_lower_ones_but_all_drains_apply() -> None:
     operator = WorkerSource("operator", 30, drains=frozenset({"w2", "w77"}))
     merged = merge_sources([CONFIGURATION, FILE, operator])
     assert list(merged.workers) == ["w1", "w2", "w3"]
@@ -23,18 +23,18 @@
     assert merged.conflicts == ()
 
 
-def test_contradictions_are_decided_by_priority_and_reported() -> None:
+def test_conflicts_are_resolved_by_priority_and_reported() -> None:
     merged = merge_sources([CONFIGURATION, WorkerSource("etcd", 20, FILE.workers)])
     assert list(merged.workers) == ["w1", "w2", "w3", "w8"]
     assert len(merged.conflicts) == 2  # the address of w1, and the worker at port 5
 
 
-def test_a_drain_of_a_hidden_source_counts() -> None:
+def test_a_drain_of_a_hidden_source_is_applied() -> None:
     hidden = WorkerSource("configuration", 0, (worker("w1", state="draining"),))
     assert merge_sources([hidden, FILE]).workers["w1"].state == "draining"
 
 
-def test_a_source_that_is_not_known_yet_hides_nothing() -> None:
+def test_a_source_that_is_not_loaded_hides_nothing() -> None:
     unknown = WorkerSource("file", 20, is_complete=True, is_loaded=False)
     merged = merge_sources([CONFIGURATION, unknown], draining=["w8"])
     assert merged.workers["w8"].state == "draining"
--- a/tests/discovery/files/test_parsing.py
+++ b/tests/discovery/files/test_parsing.py
@@ -52,7 +52,7 @@
     assert len(parse(text).workers) == 2
 
 
-def test_ten_thousand_workers_are_parsed_in_a_moment() -> None:
+def test_ten_thousand_workers_are_parsed_within_ten_seconds() -> None:
     entries = [
         {**entry("w1"), "id": f"w-{n}", "address": f"127.{n // 40000}.{n // 200 % 200}.{n % 200 + 1}:80"}
         for n in range(10_000)
--- a/tests/discovery/files/test_roster_command.py
+++ b/tests/discovery/files/test_roster_command.py
@@ -14,7 +14,7 @@
 from tests.support.stack import configuration
 
 
-def test_the_roster_on_the_command_line(tmp_path: pathlib.Path) -> None:
+def test_the_roster_commands(tmp_path: pathlib.Path) -> None:
     def run(*arguments: str) -> tuple[int, str]:
         result = CliRunner().invoke(main, ["roster", *arguments])
         return result.exit_code, result.output
--- a/tests/discovery/files/test_service.py
+++ b/tests/discovery/files/test_service.py
@@ -10,7 +10,7 @@
 from tests.discovery.files.support import SteppedDiscovery, entry, file_text, write_directory
 
 
-def test_the_last_good_list_stays_and_outlives_a_restart(
+def test_the_last_good_list_is_kept_across_errors_and_a_restart(
     discovery: SteppedDiscovery, tmp_path: pathlib.Path
 ) -> None:
     assert set(discovery.start()) == {"w50"}  # from the configuration, until a version of the file is applied
@@ -42,7 +42,7 @@
     assert set(discovery.restart()) == {"w1", "w2"}  # the copy before the damaged copy
 
 
-def test_a_version_waits_for_approval_and_its_drains_count(discovery: SteppedDiscovery) -> None:
+def test_drains_of_a_version_that_waits_for_approval_are_applied(discovery: SteppedDiscovery) -> None:
     eight = [entry(f"w{number}") for number in range(1, 9)]
     discovery.replace_file(file_text(*eight, generation=1))
     discovery.start()
@@ -72,7 +72,7 @@
     assert str(discovery.poll()["w2"].state) == "ready"
 
 
-def test_operators_go_back_to_a_stored_version(discovery: SteppedDiscovery) -> None:
+def test_operators_pin_a_stored_version(discovery: SteppedDiscovery) -> None:
     discovery.replace_file(file_text(entry("w1"), entry("w2"), generation=1))
     discovery.start()
     discovery.replace_file(file_text(entry("w1"), entry("w2"), entry("w3"), generation=2))
--- a/tests/discovery/files/test_settling.py
+++ b/tests/discovery/files/test_settling.py
@@ -16,7 +16,7 @@
     return FileStateTracker()
 
 
-def test_an_unusable_file_is_rejected_once_it_stands_unchanged(file_state: FileStateTracker) -> None:
+def test_an_unusable_file_is_rejected_once_it_is_unchanged(file_state: FileStateTracker) -> None:
     assert not file_state.record_unusable("digest", "not JSON5", 0.0)
     assert file_state.is_report_pending
     assert file_state.rejection == ""
@@ -28,14 +28,14 @@
     assert file_state.rejected_count == 1
 
 
-def test_another_content_starts_the_delay_anew(file_state: FileStateTracker) -> None:
+def test_changed_content_restarts_the_delay(file_state: FileStateTracker) -> None:
     file_state.record_unusable("first", "reason", 0.0)
     assert not file_state.record_unusable("second", "reason", REJECTION_DELAY_S)
     assert file_state.record_unusable("second", "reason", 2 * REJECTION_DELAY_S)
     assert not file_state.is_rejected("first")
 
 
-def test_a_missing_file_is_reported_once_it_was_missing_for_long(file_state: FileStateTracker) -> None:
+def test_a_missing_file_is_reported_once_after_the_delay(file_state: FileStateTracker) -> None:
     assert not file_state.record_not_ready("no such file", 0.0)
     assert not file_state.record_not_ready("no such file", NOT_READY_REPORT_DELAY_S - 0.1)
     assert file_state.record_not_ready("no such file", NOT_READY_REPORT_DELAY_S)
--- a/tests/discovery/files/test_state_directory.py
+++ b/tests/discovery/files/test_state_directory.py
@@ -39,7 +39,7 @@
     assert [stored.version for stored in state.stored_versions()] == [version(1)]
 
 
-def test_an_override_is_taken_back_by_an_empty_text(state: StateDirectory) -> None:
+def test_an_empty_text_removes_an_override(state: StateDirectory) -> None:
     assert (state.approved_digest(), state.pinned_digest(), state.drained_workers()) == ("", "", frozenset())
     state.set_override("drains", "w1\nw2")
     assert state.drained_workers() == {"w1", "w2"}
