--- a/saffronstack/discovery/dns/messages.py
+++ b/saffronstack/discovery/dns/messages.py
@@ -17,9 +17,7 @@
 MAX_NAME_BYTES = 255
 MAX_POINTERS_PER_NAME = 32  # compression pointers
 MAX_RECORDS = 4096
-_HEADER = struct.Struct(
-    ">HHHHHH"
-)  # identifier, flags, number of questions, number of records in each section
+_HEADER = struct.Struct(">HHHHHH")  # identifier, flags, question count, record count of each section
 _QUESTION = struct.Struct(">HH")  # type, class
 _RECORD_HEADER = struct.Struct(">HHIH")  # type, class, time to live, bytes of data
 _SRV_FIELDS = struct.Struct(">HHH")  # priority, weight, port
--- a/saffronstack/discovery/files/__init__.py
+++ b/saffronstack/discovery/files/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery by watched files: lists of workers are read, checked, guarded, merged and applied completely."""
+"""Discovery from watched files. Worker lists are read, checked, reviewed, merged and applied as a whole."""
--- a/saffronstack/discovery/files/file_watcher.py
+++ b/saffronstack/discovery/files/file_watcher.py
@@ -22,7 +22,7 @@
     """Reports changes in the directory of a file and at the target of its symbolic links."""
 
     def __init__(self, path: pathlib.Path, on_event: Callable[[], None]) -> None:
-        """Prepare the watch. Its thread calls ``on_event`` for events, and now and then without one."""
+        """Prepare the watch. Its thread calls ``on_event`` on events, and once a second without one."""
         self._path = path
         self._on_event = on_event
         self._thread = BackgroundThread("file-watcher", self._run)
--- a/saffronstack/discovery/files/merging.py
+++ b/saffronstack/discovery/files/merging.py
@@ -30,7 +30,7 @@
         workers: The workers that it lists.
         drains: Names of workers to drain, in addition to those that the source lists as draining.
         is_complete: Whether the source lists all workers and hides sources of lower priority.
-        is_loaded: Whether the source has been read once. It hides no other source before.
+        is_loaded: Whether the workers of the source are known. It hides no other source before.
     """
 
     name: str
--- a/tests/discovery/dns/support.py
+++ b/tests/discovery/dns/support.py
@@ -18,9 +18,7 @@
 NAME = "_work._tcp.fleet.local"
 MESSAGE_ID = 7
 ENTRIES = [Entry("s-1", "127.0.0.1:1001"), Entry("s-2", "127.0.0.1:1002")]
-Respond = Callable[
-    [bytes, int], list[bytes]
-]  # takes a query and its source port, returns the datagrams to send
+Respond = Callable[[bytes, int], list[bytes]]  # from a query and its source port to the responses
 
 
 def response(serial: int, entries: list[Entry], message_id: int = MESSAGE_ID, name: str = NAME) -> bytes:
