--- a/saffronstack/discovery/files/merging.py
+++ b/saffronstack/discovery/files/merging.py
@@ -88,13 +88,13 @@
         known = self.workers.get(worker.id)
         if known is not None:
             if known.address != worker.address:
-                first = f"{self._sources_by_worker[worker.id]} lists {known.address}"
-                self.conflicts.append(f"{worker.id}: {first}, {source} lists {worker.address}")
+                first = f"{self._sources_by_worker[worker.id]} says {known.address}"
+                self.conflicts.append(f"{worker.id}: {first}, {source} {worker.address}")
             return
         if worker.address in self._names_by_address:
             name = self._names_by_address[worker.address]
             self.conflicts.append(
-                f"{worker.address}: {self._sources_by_worker[name]} lists {name}, {source} lists {worker.id}"
+                f"{worker.address}: {self._sources_by_worker[name]} says {name}, {source} {worker.id}"
             )
             return
         self.workers[worker.id] = worker
