--- a/saffronstack/discovery/dns/messages.py
+++ b/saffronstack/discovery/dns/messages.py
@@ -1,7 +1,7 @@
-"""DNS messages (RFC 1035, RFC 2782): queries are encoded, responses decoded. No I/O.
+"""Encodes DNS queries and decodes DNS responses (RFC 1035, RFC 2782). No I/O.
 
-Whatever bytes come, `decode_response` raises nothing but `DnsMessageError`. dnspython was considered: its
-import costs a small gateway 12 MB (docs/gateway-design.md).
+For any bytes, `decode_response` raises no error but `DnsMessageError`. dnspython is not used because its
+import adds 12 MB to the memory of a small gateway (docs/gateway-design.md).
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 INTERNET_CLASS = 1
 MAX_LABEL_BYTES = 63
 MAX_NAME_BYTES = 255
-MAX_POINTERS = 32  # that one name may follow
+MAX_POINTERS_PER_NAME = 32  # compression pointers
 MAX_RECORDS = 4096
-_HEADER = struct.Struct(">HHHHHH")  # identifier, flags, number of questions, of records by section
+_HEADER = struct.Struct(">HHHHHH")  # identifier, flags, question count, record count of each section
 _QUESTION = struct.Struct(">HH")  # type, class
-_RECORD = struct.Struct(">HHIH")  # type, class, time to live, bytes of data
-_SERVICE = struct.Struct(">HHH")  # priority, weight, port
+_RECORD_HEADER = struct.Struct(">HHIH")  # type, class, time to live, bytes of data
+_SRV_FIELDS = struct.Struct(">HHH")  # priority, weight, port
 _SERIAL = struct.Struct(">I")
 _IPV4_BYTES = 4
-_SOA_NUMBERS_BYTES = 20  # five numbers of 32 bits, the serial first
-_POINTER_MARK = 0xC0  # the two highest bits of a length byte mark a compression pointer
+_SOA_NUMBERS_BYTES = 20  # five 32-bit numbers; the serial number is the first
+_POINTER_BITS = 0xC0  # the two highest bits of a length byte mark a compression pointer
 _FLAG_RESPONSE = 0x8000
 _FLAG_TRUNCATED = 0x0200
 _FLAG_RECURSION_DESIRED = 0x0100
@@ -32,7 +32,7 @@
 
 
 class RecordType(enum.IntEnum):
-    """Types of records that discovery reads."""
+    """Record types that discovery uses."""
 
     A = 1
     SOA = 6
@@ -41,7 +41,7 @@
 
 
 class Section(enum.IntEnum):
-    """Sections of a response, in their order."""
+    """Sections of a response, in the order in which they are sent."""
 
     ANSWER = 0
     AUTHORITY = 1
@@ -49,12 +49,12 @@
 
 
 class DnsMessageError(DiscoveryError, ValueError):
-    """A message can't be used; the text says why."""
+    """A message can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """What a query asks for."""
+    """The name and record type of a query."""
 
     name: str
     record_type: int
@@ -72,11 +72,11 @@
 
 @dataclass(slots=True)
 class DnsResponse:
-    """The content of one response; names are in lower case, without the final dot.
+    """The content of one response. Names are in lower case, without the final dot.
 
     Attributes:
-        message_id: Identifier of the query that it answers.
-        question: The question, repeated by the server.
+        message_id: Identifier of the query.
+        question: The question of the query, repeated by the server.
         serial: Serial number of the zone, from the SOA record; None without one.
         services: The SRV records that answer the question.
         addresses: IPv4 addresses by name.
@@ -95,7 +95,7 @@
     """Return a query for one name.
 
     Raises:
-        ValueError: No message can hold the name.
+        ValueError: The name is not valid in a DNS message.
     """
     labels = b"".join(bytes([len(label)]) + label.encode("ascii") for label in name.split("."))
     header = _HEADER.pack(message_id, _FLAG_RECURSION_DESIRED, 1, 0, 0, 0)
@@ -106,7 +106,7 @@
     """Return the content of a complete and successful response.
 
     Raises:
-        DnsMessageError: It is anything else.
+        DnsMessageError: The response is malformed, incomplete or reports a failure.
     """
     try:
         return _decode(_MessageReader(message))
@@ -115,45 +115,45 @@
 
 
 class _MessageReader:
-    """Reads a message from its start to its end; `position` is that of the next byte."""
+    """Reads a message from start to end. `position` is the index of the next byte."""
 
     def __init__(self, message: bytes) -> None:
         self.position = 0
         self._message = message
 
     @property
-    def at_end(self) -> bool:
-        """Whether all bytes were read."""
+    def is_at_end(self) -> bool:
+        """Whether all bytes are read."""
         return self.position == len(self._message)
 
     def unpack(self, layout: struct.Struct) -> tuple[int, ...]:
-        """Read numbers of fixed size; struct.error where too few bytes are left."""
+        """Read the numbers of a struct; raise struct.error if too few bytes are left."""
         values: tuple[int, ...] = layout.unpack_from(self._message, self.position)
         self.position += layout.size
         return values
 
-    def take(self, size: int) -> bytes:
-        """Read some bytes."""
+    def read(self, size: int) -> bytes:
+        """Read up to `size` bytes."""
         data = self._message[self.position : self.position + size]
         self.position += size
         return data
 
     def has_bytes(self, size: int) -> bool:
-        """Return whether so many bytes are left."""
+        """Return whether at least `size` bytes are left."""
         return self.position + size <= len(self._message)
 
     def read_name(self) -> str:
         """Read a name and follow its compression pointers (RFC 1035, 4.1.4)."""
         message, position = self._message, self.position
         labels: list[str] = []
-        end = -1  # of the name where it stands: behind its first pointer
+        end = -1  # end of the name at its original position, after the first pointer
         pointers = name_bytes = 0
         while size := message[position]:
-            if size >= _POINTER_MARK:
-                target = (size & ~_POINTER_MARK) << 8 | message[position + 1]
+            if size >= _POINTER_BITS:
+                target = (size & ~_POINTER_BITS) << 8 | message[position + 1]
                 end = position + 2 if end < 0 else end
                 pointers += 1
-                if target >= position or pointers > MAX_POINTERS:  # backwards only, or it could loop
+                if target >= position or pointers > MAX_POINTERS_PER_NAME:  # a forward pointer could loop
                     raise DnsMessageError("name has a pointer that leads forwards, or too many of them")
                 position = target
                 continue
@@ -178,7 +178,7 @@
     for section, records in zip(Section, records_by_section, strict=True):
         for _ in range(records):
             _decode_record(reader, response, section)
-    if not reader.at_end:
+    if not reader.is_at_end:
         raise DnsMessageError("bytes follow the last record")
     return response
 
@@ -196,40 +196,40 @@
 
 def _decode_record(reader: _MessageReader, response: DnsResponse, section: Section) -> None:
     name = reader.read_name()
-    record_type, _, _, data_bytes = reader.unpack(_RECORD)
+    record_type, _, _, data_bytes = reader.unpack(_RECORD_HEADER)
     if not reader.has_bytes(data_bytes):
         raise DnsMessageError("record is cut short")
     end = reader.position + data_bytes
     match record_type:
         case RecordType.SRV if section is Section.ANSWER:
-            priority, weight, port = reader.unpack(_SERVICE)
+            priority, weight, port = reader.unpack(_SRV_FIELDS)
             response.services.append(ServiceRecord(priority, weight, port, reader.read_name()))
             _require_end(reader, end)
         case RecordType.A:
-            response.addresses[name] = ".".join(map(str, reader.take(_IPV4_BYTES)))
+            response.addresses[name] = ".".join(map(str, reader.read(_IPV4_BYTES)))
             _require_end(reader, end)
         case RecordType.TXT:
             response.attributes.setdefault(name, {}).update(_decode_attributes(reader, end))
         case RecordType.SOA if section is Section.AUTHORITY:
             response.serial = _decode_serial(reader, end)
         case _:
-            reader.position = end  # no other record says anything of endpoints
+            reader.position = end  # other records have no data of endpoints
 
 
 def _decode_attributes(reader: _MessageReader, end: int) -> dict[str, str]:
     attributes = {}
     while reader.position < end:
-        (size,) = reader.take(1)
+        (size,) = reader.read(1)
         if reader.position + size > end:
             raise DnsMessageError("text in a TXT record is cut short")
-        key, _, value = reader.take(size).decode("ascii").partition("=")
+        key, _, value = reader.read(size).decode("ascii").partition("=")
         attributes[key] = value
     return attributes
 
 
 def _decode_serial(reader: _MessageReader, end: int) -> int:
     reader.read_name()  # primary server
-    reader.read_name()  # mailbox of whoever is responsible
+    reader.read_name()  # mailbox of the responsible person
     if reader.position + _SOA_NUMBERS_BYTES != end:
         raise DnsMessageError("record has a wrong length")
     (serial,) = reader.unpack(_SERIAL)
