--- a/tests/discovery/files/test_merging.py
+++ b/tests/discovery/files/test_merging.py
@@ -1,4 +1,4 @@
-"""One list out of all sources, and the difference of two lists."""
+"""Tests of the merge of all sources, and of the difference between two lists."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 LISTS = st.lists(NAMES, unique=True, max_size=12)
 
 
-def test_a_complete_source_hides_those_below_and_drains_of_any_count() -> None:
+def test_a_complete_source_hides_lower_ones_but_all_drains_apply() -> None:
     operator = WorkerSource("operator", 30, drains=frozenset({"w2", "w77"}))
     merged = merge_sources([CONFIGURATION, FILE, operator])
     assert list(merged.workers) == ["w1", "w2", "w3"]
@@ -23,19 +23,19 @@
     assert merged.conflicts == ()
 
 
-def test_contradictions_are_decided_by_priority_and_reported() -> None:
+def test_conflicts_are_resolved_by_priority_and_reported() -> None:
     merged = merge_sources([CONFIGURATION, WorkerSource("etcd", 20, FILE.workers)])
     assert list(merged.workers) == ["w1", "w2", "w3", "w8"]
-    assert len(merged.conflicts) == 2  # w1's address, and who is at port 5
+    assert len(merged.conflicts) == 2  # the address of w1, and the worker at port 5
 
 
-def test_a_drain_of_a_hidden_source_counts() -> None:
+def test_a_drain_of_a_hidden_source_is_applied() -> None:
     hidden = WorkerSource("configuration", 0, (worker("w1", state="draining"),))
     assert merge_sources([hidden, FILE]).workers["w1"].state == "draining"
 
 
-def test_a_source_that_is_not_known_yet_hides_nothing() -> None:
-    unknown = WorkerSource("file", 20, is_complete=True, is_known=False)
+def test_a_source_that_is_not_loaded_hides_nothing() -> None:
+    unknown = WorkerSource("file", 20, is_complete=True, is_loaded=False)
     merged = merge_sources([CONFIGURATION, unknown], draining=["w8"])
     assert merged.workers["w8"].state == "draining"
     assert len(merged.workers) == 3
@@ -55,6 +55,6 @@
         state[updated.id] = updated
     assert state == new
     states = [updated.state for updated in changes.updated]
-    assert states == sorted(states, key=lambda s: s != "draining")  # drains first
+    assert states == sorted(states, key=lambda s: s != "draining")  # draining workers come first
     assert not compare_lists(new, new)
     assert all(new[name].state == "draining" for name in drains & set(new))
