--- a/saffronstack/metering/budgets.py
+++ b/saffronstack/metering/budgets.py
@@ -73,7 +73,7 @@
 
 
 class BudgetEnforcer:
-    """Compares usage with budgets. Called on the listeners' threads; times are monotonic seconds."""
+    """Compares usage with budgets. Any thread that admits calls may use it; times are monotonic seconds."""
 
     def __init__(
         self,
--- a/tests/metering/test_usage_faults.py
+++ b/tests/metering/test_usage_faults.py
@@ -1,4 +1,4 @@
-"""End-to-end tests of metering under faults. An oracle computes the totals from the stub workers' own changes."""
+"""End-to-end tests of metering under faults. An oracle computes the totals from the stub workers."""
 
 from __future__ import annotations
 
