--- a/saffronstack/cli/control.py
+++ b/saffronstack/cli/control.py
@@ -23,7 +23,7 @@
 from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError
 from saffronstack.fleet.control.daemon import Daemon
-from saffronstack.fleet.control.daemon_answers import FleetStatus, merge_answers
+from saffronstack.fleet.control.daemon_answers import FleetStatus, merge_responses
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.daemon_options import DaemonOptions, GatewaySpec
 from saffronstack.fleet.control.errors import UnusableReleaseError
@@ -86,7 +86,7 @@
     click.echo(f"saffronstack daemon {name} of fleet {fleet.fleet} on http://{host}:{port}")
     sys.stdout.flush()
     number = _wait_for_signal(signals)
-    return 0 if daemon.stop(end_gateways=number == signal.SIGINT) else 1
+    return 0 if daemon.stop(terminate_gateways=number == signal.SIGINT) else 1
 
 
 def _create_daemon(fleet: FleetFile, path: str, name: str) -> Daemon:
@@ -210,7 +210,7 @@
 ) -> _SentCommands:
     """Send the command to each gateway whose daemon responds."""
     daemon_of = fleet.daemons_by_gateway()
-    before = merge_answers(client.poll())
+    before = merge_responses(client.poll())
     sent = _SentCommands()
     commands: dict[str, list[GatewayCommand]] = {}
     for name in names:
@@ -222,7 +222,7 @@
         sent.targets[name] = release
         command = GatewayCommand(name, release, action == "reload")
         commands.setdefault(daemon_of[name], []).append(command)
-    sent.rejected.update(merge_answers(client.send(commands)).unavailable)
+    sent.rejected.update(merge_responses(client.send(commands)).unavailable)
     return sent
 
 
@@ -239,7 +239,7 @@
     sent = _send_commands(client, fleet, names, action, digest)
     deadline_s = time.monotonic() + options.wait_s
     while True:
-        status = merge_answers(client.poll())
+        status = merge_responses(client.poll())
         not_reached = [
             name for name in names
             if not _has_reached(status.gateways.get(name), sent.targets.get(name))
@@ -273,7 +273,7 @@
         click.echo(str(error), err=True)
         return INVALID_INPUT_STATUS
     addresses = {daemon.name: daemon.address for daemon in fleet.daemons}
-    polled = merge_answers(poll_daemons(addresses, fleet.wait_s))
+    polled = merge_responses(poll_daemons(addresses, fleet.wait_s))
     print_gateways(fleet, polled, as_json)
     is_settled = all(
         gateway.desired_release == gateway.running_release for gateway in polled.gateways.values()
--- a/saffronstack/cli/rollout_leader.py
+++ b/saffronstack/cli/rollout_leader.py
@@ -13,7 +13,7 @@
 from saffronstack.cli.rollout import STORE_TIMEOUT_S, read_record, rollout_fleet, summarize
 from saffronstack.config.fleet import FleetFile, load_fleet_file
 from saffronstack.config.load import ConfigError, convert, read_text
-from saffronstack.fleet.control.daemon_answers import merge_answers
+from saffronstack.fleet.control.daemon_answers import merge_responses
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.errors import UnusableReleaseError
 from saffronstack.fleet.control.messages import LEADER_LEASE
@@ -90,7 +90,7 @@
 
 def _fleet_problems(daemons: DaemonClient, plan: RolloutPlan) -> list[str]:
     """Return the daemons that do not respond, and the gateways that do not run the plan's base release."""
-    polled = merge_answers(daemons.poll())
+    polled = merge_responses(daemons.poll())
     unavailable = [
         f"fleet: daemon {name} does not respond: {why}" for name, why in polled.unavailable.items()
     ]
--- a/saffronstack/fleet/control/control_endpoint.py
+++ b/saffronstack/fleet/control/control_endpoint.py
@@ -19,7 +19,7 @@
 from saffronstack.fleet.http_server import problem
 from saffronstack.http1.messages import RequestHead
 
-ANSWER_TIMEOUT_S = 2.0  # for the daemon's thread, which may wait for its disk
+RESPONSE_TIMEOUT_S = 2.0  # for the daemon's thread, which may wait for its disk
 
 
 @dataclass(eq=False, slots=True)
@@ -29,16 +29,16 @@
     request: ControlRequest
     status: int = 503
     body: bytes = b""
-    _answered: threading.Event = field(default_factory=threading.Event)
+    _has_response: threading.Event = field(default_factory=threading.Event)
 
-    def answer(self, status: int, body: bytes) -> None:
+    def respond(self, status: int, body: bytes) -> None:
         """Give the answer; the connection's thread goes on."""
         self.status, self.body = status, body
-        self._answered.set()
+        self._has_response.set()
 
     def wait(self, timeout_s: float) -> bool:
         """Wait for the answer; return whether there is one in time."""
-        return self._answered.wait(timeout_s)
+        return self._has_response.wait(timeout_s)
 
 
 class ControlEndpoint:
@@ -82,6 +82,6 @@
             return 400, problem(str(error))
         pending = PendingRequest(request)
         self._submit(pending)
-        if not pending.wait(ANSWER_TIMEOUT_S):
+        if not pending.wait(RESPONSE_TIMEOUT_S):
             return 503, problem("the daemon waits for its disk; whether the commands take effect is unknown")
         return pending.status, pending.body
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -36,7 +36,7 @@
 Replacements = Mapping[str, str]
 
 
-def no_replacements(reading: QuorumRead) -> Replacements:
+def no_replacements(quorum_read: QuorumRead) -> Replacements:
     """Replace no release."""
     return {}
 
@@ -71,7 +71,7 @@
         self._queue: queue.SimpleQueue[PendingRequest | ProcessEvent | QuorumRead | None] = (
             queue.SimpleQueue()
         )
-        self._has_started_gateways, self._has_majority_reading = False, False
+        self._has_started_gateways, self._has_majority_read = False, False
         self._stopping = threading.Event()
         self._thread: threading.Thread | None = None
         self._lease_observer = LeaseObserver(read_leases, self._queue.put)
@@ -107,11 +107,11 @@
             gateway.start_metrics()
         self._server.start()
 
-    def stop(self, end_gateways: bool) -> bool:
+    def stop(self, terminate_gateways: bool) -> bool:
         """Accept no more commands and end the daemon's threads.
 
         Args:
-            end_gateways: Terminate the gateways too; otherwise they go on to serve.
+            terminate_gateways: Terminate the gateways too; otherwise they go on to serve.
 
         Returns:
             Whether all gateways that were terminated ended in time; those that did not are killed.
@@ -124,29 +124,29 @@
         self._queue.put(None)
         if self._thread is not None:
             self._thread.join(STOP_TIMEOUT_S)
-        is_clean = self._end_gateways() if end_gateways else True
+        gateways_ended_in_time = self._terminate_gateways() if terminate_gateways else True
         self._close_gateways()
-        return is_clean
+        return gateways_ended_in_time
 
-    def _end_gateways(self) -> bool:
+    def _terminate_gateways(self) -> bool:
         """Terminate all gateways; return whether they ended in time."""
         gateways = self._gateways.values()
         for gateway in gateways:
             gateway.terminate_all()
-        longest_s = max((gateway.spec.drain_timeout_s for gateway in gateways), default=0.0)
-        deadline_s = self._clock() + longest_s + DRAIN_MARGIN_S
+        longest_drain_s = max((gateway.spec.drain_timeout_s for gateway in gateways), default=0.0)
+        deadline_s = self._clock() + longest_drain_s + DRAIN_MARGIN_S
         while any(gateway.has_processes for gateway in gateways) and self._clock() < deadline_s:
-            self._release_starved()
+            self._unpin_starved_processes()
             try:
                 event = self._queue.get(timeout=EVENT_POLL_S)
             except queue.Empty:
                 continue
             if isinstance(event, ProcessEvent) and event.kind is ProcessEventKind.ENDED:
-                self._gateways[event.gateway].forget(event.incarnation)
-        late = [gateway for gateway in gateways if gateway.has_processes]
-        for gateway in late:
+                self._gateways[event.gateway].remove_process(event.incarnation)
+        still_running = [gateway for gateway in gateways if gateway.has_processes]
+        for gateway in still_running:
             gateway.kill_all()
-        return not late
+        return not still_running
 
     def _close_gateways(self) -> None:
         for gateway in self._gateways.values():
@@ -183,7 +183,7 @@
                 self._handle(item)
                 for gateway in self._gateways.values():
                     gateway.reconcile_if_due()
-                self._release_starved()
+                self._unpin_starved_processes()
             except Exception:
                 log.exception("daemon step failed")
 
@@ -191,9 +191,9 @@
         """Return the ids of all gateway processes that are known to run; may be called from any thread."""
         return [pid for gateway in self._gateways.values() for pid in gateway.pids()]
 
-    def _release_starved(self) -> None:
+    def _unpin_starved_processes(self) -> None:
         for pid in self._starvation_monitor.check(self.pids()):
-            owner = next((name for name, one in self._gateways.items() if pid in one.pids()), "")
+            owner = next((name for name, gateway in self._gateways.items() if pid in gateway.pids()), "")
             log.warning(
                 "gateway process got no processor, it may use all from now on", gateway=owner, pid=pid
             )
@@ -201,15 +201,15 @@
     def _handle(self, item: PendingRequest | ProcessEvent | QuorumRead | None) -> None:
         match item:
             case PendingRequest():
-                self._answer(item)
+                self._respond(item)
             case ProcessEvent():
                 self._gateways[item.gateway].handle(item)
             case QuorumRead():
-                self._apply_reading(item)
+                self._apply_quorum_read(item)
             case None:
                 pass  # woken to stop, or to reconcile
 
-    def _answer(self, pending: PendingRequest) -> None:
+    def _respond(self, pending: PendingRequest) -> None:
         status, body = 503, b""  # the answer where a step fails
         try:
             self._execute(pending.request)
@@ -219,7 +219,7 @@
         except OSError as error:
             status, body = 503, problem(f"the desired state can't be stored: {error}")
         finally:
-            pending.answer(status, body)
+            pending.respond(status, body)
 
     def _execute(self, request: ControlRequest) -> None:
         """Store and carry out the commands of a request.
@@ -248,36 +248,36 @@
         self._state_file.write(desired)
         self._desired = desired
 
-    def _apply_reading(self, reading: QuorumRead) -> None:
+    def _apply_quorum_read(self, quorum_read: QuorumRead) -> None:
         """Start the desired releases by the first reading, and correct them by the first of a majority.
 
         The desired state on the disk may be older than a rollout that went back meanwhile, so a machine that
         comes back to one starts the old release; without lease servers it starts what it ran before.
         """
-        if self._has_majority_reading or (self._has_started_gateways and not reading.has_majority):
+        if self._has_majority_read or (self._has_started_gateways and not quorum_read.has_majority):
             return
-        if reading.has_majority:
-            self._recover_token(reading)
-            self._replace_releases(self._replacements(reading))
-            self._has_majority_reading = True
+        if quorum_read.has_majority:
+            self._recover_token(quorum_read)
+            self._replace_releases(self._replacements(quorum_read))
+            self._has_majority_read = True
             self._lease_observer.stop()
         self._has_started_gateways = True
         for name, release in self._desired.releases.items():
             if name in self._gateways:
                 self._gateways[name].set_desired(release)
 
-    def _recover_token(self, reading: QuorumRead) -> None:
+    def _recover_token(self, quorum_read: QuorumRead) -> None:
         if not self._fence.is_token_lost:
             return
-        shown = reading.leases.get(LEADER_LEASE)
-        token = shown.token if shown is not None else 0
+        leader_lease = quorum_read.leases.get(LEADER_LEASE)
+        token = leader_lease.token if leader_lease is not None else 0
         self._store(msgspec.structs.replace(self._desired, token=token))
         self._fence.learn_token(token)
         log.info("fencing token recovered", token=token)
 
     def _replace_releases(self, replacements: Replacements) -> None:
-        before = self._desired.releases
-        releases = {name: replacements.get(release, release) for name, release in before.items()}
-        if releases != before:
+        previous = self._desired.releases
+        releases = {name: replacements.get(release, release) for name, release in previous.items()}
+        if releases != previous:
             log.warning("desired release replaced by a rollback", replacements=replacements)
             self._store(msgspec.structs.replace(self._desired, releases=releases))
--- a/saffronstack/fleet/control/daemon_answers.py
+++ b/saffronstack/fleet/control/daemon_answers.py
@@ -11,7 +11,7 @@
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.messages import DaemonStatus, GatewayStatus
 
-MAX_SHOWN_BYTES = 200  # of an answer that is an error
+MAX_ERROR_TEXT_BYTES = 200  # of an answer that is an error
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     reason: str
 
 
-DaemonAnswer = DaemonStatus | UnavailableDaemon
+DaemonResponse = DaemonStatus | UnavailableDaemon
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,26 +32,26 @@
     unavailable: dict[str, str] = field(default_factory=dict)
 
 
-def merge_answers(answers: Mapping[str, DaemonAnswer]) -> FleetStatus:
+def merge_responses(responses: Mapping[str, DaemonResponse]) -> FleetStatus:
     """Sort the answers of all daemons."""
     merged = FleetStatus()
-    for daemon, answer in answers.items():
-        match answer:
+    for daemon, response in responses.items():
+        match response:
             case UnavailableDaemon(reason):
                 merged.unavailable[daemon] = reason
             case DaemonStatus():
-                merged.gateways.update(answer.gateways)
+                merged.gateways.update(response.gateways)
     return merged
 
 
 def request_status(
     address: str, request: bytes, deadline_s: float, clock: Callable[[], float]
-) -> DaemonAnswer:
+) -> DaemonResponse:
     """Send a request whose answer is a daemon's status, bounded by ``deadline_s`` of the clock."""
     try:
         head, body = exchange(address, request, deadline_s, clock)
         if head.status != 200:
-            text = body[:MAX_SHOWN_BYTES].decode("utf-8", "replace")
+            text = body[:MAX_ERROR_TEXT_BYTES].decode("utf-8", "replace")
             return UnavailableDaemon(f"rejected with {head.status}: {text}")
         return msgspec.json.decode(body, type=DaemonStatus)
     except (NotSentError, NoResponseError, msgspec.MsgspecError) as error:
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
+from saffronstack.fleet.control.daemon_answers import DaemonResponse, UnavailableDaemon, request_status
 from saffronstack.fleet.control.messages import CONTROL_PATH, ControlRequest, DaemonStatus, GatewayCommand
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import IdleThreadPool
@@ -34,37 +34,39 @@
         self._addresses, self._clock = dict(addresses), clock
         self._sequence = 0
         self._incarnations: dict[str, int] = {}  # of daemons, as last seen
-        self._crew = IdleThreadPool("daemon-request")
-        self._answered = threading.Condition()  # guards the answers of a round
+        self._request_threads = IdleThreadPool("daemon-request")
+        self._responses_changed = threading.Condition()  # guards the responses of a round
 
-    def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
+    def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonResponse]:
         """Send each daemon its commands, and return its status after them.
 
         An answer that is missing leaves open whether the commands took effect.
         """
-        answers: dict[str, DaemonAnswer] = {}
+        responses: dict[str, DaemonResponse] = {}
         deadline_s = self._clock() + REQUEST_TIMEOUT_S
 
         def run(name: str, request: ControlRequest) -> None:
-            answer = self._request(name, request, deadline_s)
-            with self._answered:
-                answers[name] = answer
-                self._answered.notify_all()
+            response = self._request(name, request, deadline_s)
+            with self._responses_changed:
+                responses[name] = response
+                self._responses_changed.notify_all()
 
-        for name, some in commands.items():
-            self._crew.run(functools.partial(run, name, self._next_request(name, some)))
-        with self._answered:
-            self._answered.wait_for(
-                lambda: len(answers) == len(commands), REQUEST_TIMEOUT_S + WAIT_MARGIN_S
+        for name, gateway_commands in commands.items():
+            self._request_threads.run(
+                functools.partial(run, name, self._next_request(name, gateway_commands))
+            )
+        with self._responses_changed:
+            self._responses_changed.wait_for(
+                lambda: len(responses) == len(commands), REQUEST_TIMEOUT_S + WAIT_MARGIN_S
             )  # fmt: skip
-            in_time = dict(answers)
-        for name, answer in in_time.items():
-            if isinstance(answer, DaemonStatus):
-                self._incarnations[name] = answer.incarnation
+            in_time = dict(responses)
+        for name, response in in_time.items():
+            if isinstance(response, DaemonStatus):
+                self._incarnations[name] = response.incarnation
         late = {name: UnavailableDaemon("no answer in time") for name in commands if name not in in_time}
         return in_time | late
 
-    def poll(self) -> dict[str, DaemonAnswer]:
+    def poll(self) -> dict[str, DaemonResponse]:
         """Return the status of all daemons, without commands."""
         return self.send(dict.fromkeys(self._addresses, ()))
 
@@ -73,7 +75,7 @@
         incarnation = self._incarnations.get(name, 0)
         return ControlRequest(self._fleet, self._token, self._sequence, incarnation, tuple(commands))
 
-    def _request(self, name: str, request: ControlRequest, deadline_s: float) -> DaemonAnswer:
+    def _request(self, name: str, request: ControlRequest, deadline_s: float) -> DaemonResponse:
         address = self._addresses[name]
         fields = [("Host", address), ("Connection", "close"), ("Content-Type", "application/json")]
         content = writer.request("POST", CONTROL_PATH, fields, msgspec.json.encode(request))
--- a/saffronstack/fleet/control/desired_state.py
+++ b/saffronstack/fleet/control/desired_state.py
@@ -76,12 +76,12 @@
             OSError: It could not be stored.
         """
         content = msgspec.msgpack.encode(state)
-        partial = self.path.with_suffix(".new")
-        with open(partial, "wb") as file:
+        temporary_path = self.path.with_suffix(".new")
+        with open(temporary_path, "wb") as file:
             file.write(xxhash.xxh3_128_digest(content) + content)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(partial, self.path)
+        os.replace(temporary_path, self.path)
         self._sync_directory()
 
     def _sync_directory(self) -> None:
--- a/saffronstack/fleet/control/gateway_process.py
+++ b/saffronstack/fleet/control/gateway_process.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 WAIT_POLL_MS = 1000
-NOT_CLEAN_STATUS = 1  # `serve` ended by itself, with calls that it had to give up
+UNCLEAN_EXIT_STATUS = 1  # `serve` ended by itself, with calls that it had to give up
 
 
 class ProcessEventKind(enum.Enum):
@@ -61,7 +61,7 @@
     @property
     def has_crashed(self) -> bool:
         """Whether it ended without having stopped by itself, as far as that is known."""
-        return self.status not in (None, 0, NOT_CLEAN_STATUS)
+        return self.status not in (None, 0, UNCLEAN_EXIT_STATUS)
 
 
 class GatewayProcess:
--- a/saffronstack/fleet/control/gateway_reconciler.py
+++ b/saffronstack/fleet/control/gateway_reconciler.py
@@ -67,7 +67,7 @@
     _retry_at_s: float = 0.0
     _failed_starts: int = 0  # of the target release in a row
     _restart_backoff: RestartBackoff = field(default_factory=RestartBackoff)
-    _last_number: int = 0
+    _last_incarnation: int = 0
 
     def set_desired(self, now_s: float, release: str) -> list[ProcessAction]:
         """Take a command. Repeating one changes nothing, but retries a release that was given up."""
@@ -85,10 +85,10 @@
         Its release is the desired one until a command says otherwise: a daemon that lost its desired state
         terminates nothing.
         """
-        self._last_number += 1
+        self._last_incarnation += 1
         self.desired_release = release
-        self.current = Incarnation(self._last_number, release, now_s, IncarnationPhase.SERVING)
-        return self._last_number
+        self.current = Incarnation(self._last_incarnation, release, now_s, IncarnationPhase.SERVING)
+        return self._last_incarnation
 
     def observe(self) -> ObservedGateway:
         """Return the observed state."""
@@ -107,8 +107,8 @@
     def on_prepared(self, now_s: float, number: int) -> list[ProcessAction]:
         """Record that an incarnation has loaded its program and configuration."""
         for incarnation in (self.successor, self.fallback):
-            is_meant = incarnation is not None and incarnation.number == number
-            if incarnation is not None and is_meant and incarnation.phase is IncarnationPhase.PREPARING:
+            is_reported = incarnation is not None and incarnation.number == number
+            if incarnation is not None and is_reported and incarnation.phase is IncarnationPhase.PREPARING:
                 incarnation.enter(IncarnationPhase.PREPARED)
                 return self.reconcile(now_s)
         return []
@@ -121,7 +121,7 @@
         successor.enter(IncarnationPhase.SERVING)
         successor.started_s = now_s
         self.current, self.successor = successor, None
-        if successor.release == self._target():
+        if successor.release == self._target_release():
             self._failed_starts = 0
         return self._drop_fallback() + self.reconcile(now_s)
 
@@ -160,14 +160,14 @@
         actions = self._kill_overdue(now_s)
         actions += self._advance_successor(now_s)
         actions += self._start_successor(now_s)
-        if not self._target() and _is_serving(self.current):
+        if not self._target_release() and _is_serving(self.current):
             actions += self._terminate_current(now_s)
         return actions
 
     def next_deadline_s(self) -> float:
         """Return by when ``reconcile`` is due again; infinity for never."""
         deadlines = [one.deadline_s for one in self._incarnations()]
-        if self.successor is None and self._target() and self._retry_at_s > 0:
+        if self.successor is None and self._target_release() and self._retry_at_s > 0:
             deadlines.append(self._retry_at_s)
         return min(deadlines, default=math.inf)
 
@@ -179,9 +179,9 @@
             return GatewayPhase.STARTING if self.current is None else GatewayPhase.CHANGING
         if self.current is not None:
             return GatewayPhase.SERVING if is_serving else GatewayPhase.DRAINING
-        return GatewayPhase.DOWN if self._target() else GatewayPhase.STOPPED
+        return GatewayPhase.DOWN if self._target_release() else GatewayPhase.STOPPED
 
-    def _target(self) -> str:
+    def _target_release(self) -> str:
         """Return what is to run: the desired release, or the previous one where that was given up."""
         is_given_up = self.failed_release != "" and self.failed_release == self.desired_release
         return self.previous_release if is_given_up else self.desired_release
@@ -190,8 +190,8 @@
         actions: list[ProcessAction] = []
         for incarnation in self._incarnations():
             if now_s >= incarnation.deadline_s:
-                text = f"{incarnation.release} {incarnation.phase.value} for too long and was killed"
-                self.last_error = self.last_error or text
+                error = f"{incarnation.release} {incarnation.phase.value} for too long and was killed"
+                self.last_error = self.last_error or error
                 incarnation.deadline_s = now_s + KILL_GRACE_S
                 incarnation.is_killed = True
                 actions.append(Kill(incarnation.number))
@@ -202,7 +202,7 @@
         successor = self.successor
         if successor is None:
             return []
-        if successor.release != self._target() and successor.is_standby:
+        if successor.release != self._target_release() and successor.is_standby:
             self.successor = None
             return [Kill(successor.number), *self._drop_fallback()]
         if successor.phase not in (IncarnationPhase.PREPARED, IncarnationPhase.FOLLOWING):
@@ -221,7 +221,7 @@
         return [ServeAfter(successor.number, self.current.number), *self._terminate_current(now_s)]
 
     def _start_successor(self, now_s: float) -> list[ProcessAction]:
-        target = self._target()
+        target = self._target_release()
         if self.successor is not None or not target or now_s < self._retry_at_s:
             return []
         current = self.current
@@ -232,8 +232,8 @@
         return [StartProcess(self.successor.number, target)]
 
     def _create_incarnation(self, now_s: float, release: str) -> Incarnation:
-        self._last_number += 1
-        return Incarnation(self._last_number, release, now_s, deadline_s=now_s + self.start_timeout_s)
+        self._last_incarnation += 1
+        return Incarnation(self._last_incarnation, release, now_s, deadline_s=now_s + self.start_timeout_s)
 
     def _terminate_current(self, now_s: float) -> list[ProcessAction]:
         assert self.current is not None
@@ -254,7 +254,7 @@
     def _promote_fallback(self, now_s: float) -> list[ProcessAction]:
         """Let the fallback take the place of a successor that failed; drop one not needed or not ready."""
         fallback, predecessor = self.fallback, self.current
-        is_needed = self._target() != "" and not _is_serving(predecessor)
+        is_needed = self._target_release() != "" and not _is_serving(predecessor)
         if fallback is None or not is_needed or fallback.phase is not IncarnationPhase.PREPARED:
             return self._drop_fallback()
         self.successor, self.fallback = fallback, None
@@ -268,7 +268,7 @@
 
     def _record_failed_start(self, now_s: float, failed: Incarnation, reason: str) -> list[ProcessAction]:
         self.successor = None
-        if failed.release == self._target():
+        if failed.release == self._target_release():
             self._failed_starts += 1
             self.last_error = f"{failed.release} did not start: {reason}"
             self._retry_at_s = self._restart_backoff.process_exited(now_s, now_s)
@@ -280,7 +280,7 @@
         self.restarts += 1
         self.last_error = f"{crashed.release} ended: {reason}"
         self._retry_at_s = self._restart_backoff.process_exited(crashed.started_s, now_s)
-        if self._restart_backoff.exits >= MAX_CRASHES and crashed.release == self._target():
+        if self._restart_backoff.exits >= MAX_CRASHES and crashed.release == self._target_release():
             self._give_up(crashed.release)
 
     def _record_crash_in_drain(self, crashed: Incarnation, reason: str) -> None:
@@ -290,8 +290,8 @@
 
     def _give_up(self, release: str) -> None:
         """Fall back to the previous release, where there is one; the leader sees it in the observed state."""
-        has_fallback = self.previous_release not in ("", release)
-        if release == self.desired_release and has_fallback:
+        can_fall_back = self.previous_release not in ("", release)
+        if release == self.desired_release and can_fall_back:
             self.failed_release = release
             self._reset_retries(0.0)
 
--- a/saffronstack/fleet/control/managed_gateway.py
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -61,7 +61,7 @@
         self._log_path = pathlib.Path(options.state_directory) / f"{spec.name}.log"
         self._reconciler = GatewayReconciler(spec.drain_timeout_s, options.start_timeout_s)
         self._processes: dict[int, GatewayProcess] = {}  # by incarnation
-        self._to_reload: set[int] = (
+        self._reload_when_serving: set[int] = (
             set()
         )  # incarnations that were started before a reload and do not serve yet
         self._listener = process_launcher.bind_listener(spec.listen)
@@ -110,9 +110,9 @@
 
     def reload_settings(self) -> None:
         """Have the present process reload its settings, and those that are to follow once they serve."""
-        present = self._reconciler.observe().incarnation
-        self._to_reload = set(self._processes) - {present}
-        process = self._processes.get(present)
+        current = self._reconciler.observe().incarnation
+        self._reload_when_serving = set(self._processes) - {current}
+        process = self._processes.get(current)
         if process is not None:
             process.send_signal(signal.SIGHUP)
 
@@ -127,11 +127,11 @@
                 process = self._processes.get(event.incarnation)
                 if process is not None:
                     self._metrics_poller.watch(event.incarnation, process)
-                    if event.incarnation in self._to_reload:
+                    if event.incarnation in self._reload_when_serving:
                         process.send_signal(signal.SIGHUP)
-                    self._to_reload.discard(event.incarnation)
+                    self._reload_when_serving.discard(event.incarnation)
             case ProcessEventKind.ENDED:
-                self.forget(event.incarnation)
+                self.remove_process(event.incarnation)
                 self._carry_out(
                     self._reconciler.on_ended(now_s, event.incarnation, event.reason, event.has_crashed)
                 )
@@ -177,10 +177,10 @@
         """Return the ids of its processes; may be called from any thread."""
         return [process.pid for process in list(self._processes.values())]
 
-    def forget(self, incarnation: int) -> None:
+    def remove_process(self, incarnation: int) -> None:
         """Drop a process that has ended."""
         self._processes.pop(incarnation, None)
-        self._to_reload.discard(incarnation)
+        self._reload_when_serving.discard(incarnation)
 
     def close(self) -> None:
         """Close the listening socket."""
@@ -193,9 +193,9 @@
                 continue
             process = self._processes.get(action.incarnation)
             if process is not None:
-                self._act_on(process, action)
+                self._apply_action(process, action)
 
-    def _act_on(
+    def _apply_action(
         self, process: GatewayProcess, action: AllowServing | ServeAfter | Terminate | Kill | Discard
     ) -> None:
         match action:
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -20,7 +20,7 @@
 POLL_TIMEOUT_S = 1.0
 
 
-class GatewayPage(msgspec.Struct, frozen=True, rename={"outcomes": "classes", "latencies": "times"}):
+class GatewayStatusPage(msgspec.Struct, frozen=True, rename={"outcomes": "classes", "latencies": "times"}):
     """The part of a gateway's status page that rollouts compare."""
 
     pid: int
@@ -29,19 +29,19 @@
     latencies: dict[str, str] = {}
 
 
-def fetch_page(address: str, clock: Callable[[], float]) -> GatewayPage | None:
+def fetch_status_page(address: str, clock: Callable[[], float]) -> GatewayStatusPage | None:
     """Return the page of whichever process answers on an address; None where none does within a second."""
     request = writer.request("GET", STATUS_PATH, [("Host", address), ("Connection", "close")])
     try:
         head, body = exchange(address, request, clock() + POLL_TIMEOUT_S, clock)
-        return msgspec.json.decode(body, type=GatewayPage) if head.status == 200 else None
+        return msgspec.json.decode(body, type=GatewayStatusPage) if head.status == 200 else None
     except (NotSentError, NoResponseError, msgspec.MsgspecError):
         return None  # it starts, ends or is overloaded; metrics grow old, which readers see by their age
 
 
 def find_serving_pid(address: str, clock: Callable[[], float]) -> int | None:
     """Return the process that serves on an address; None where none does."""
-    page = fetch_page(address, clock)
+    page = fetch_status_page(address, clock)
     return None if page is None else page.pid
 
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PolledMetrics:
+class _TimedMetrics:
     incarnation: int
     polled_s: float
     metrics: GatewayMetrics
@@ -65,7 +65,7 @@
         self._address, self._clock = address, clock
         self._lock = threading.Lock()  # guards _polled_process and _latest
         self._polled_process: _PolledProcess | None = None
-        self._latest: _PolledMetrics | None = None
+        self._latest: _TimedMetrics | None = None
         self._stopping = threading.Event()
         self._thread: threading.Thread | None = None
 
@@ -104,7 +104,7 @@
 
     def _poll(self, incarnation: int, process: GatewayProcess) -> None:
         polled_s = self._clock()
-        page = fetch_page(self._address, self._clock)
+        page = fetch_status_page(self._address, self._clock)
         if page is None or page.pid != process.pid:
             return  # another incarnation answered: one that drains, or one of an earlier daemon
         metrics = GatewayMetrics(
@@ -116,4 +116,4 @@
             reported_release=page.release,
         )
         with self._lock:
-            self._latest = _PolledMetrics(incarnation, polled_s, metrics)
+            self._latest = _TimedMetrics(incarnation, polled_s, metrics)
--- a/saffronstack/fleet/control/process_discovery.py
+++ b/saffronstack/fleet/control/process_discovery.py
@@ -33,9 +33,9 @@
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit() or int(entry.name) == os.getpid():
             continue
-        one = _read_process(entry, f"{MARK_VARIABLE}={mark}/".encode())
-        if one is not None:
-            marked.append(one)
+        process = _read_process(entry, f"{MARK_VARIABLE}={mark}/".encode())
+        if process is not None:
+            marked.append(process)
     return [one.process for one in sorted(marked, key=lambda one: one.started_ticks)]
 
 
--- a/saffronstack/fleet/control/status_poller.py
+++ b/saffronstack/fleet/control/status_poller.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Mapping
 
-from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon, request_status
+from saffronstack.fleet.control.daemon_answers import DaemonResponse, UnavailableDaemon, request_status
 from saffronstack.fleet.control.messages import STATUS_PATH
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import start_thread
@@ -14,13 +14,13 @@
 JOIN_MARGIN_S = 0.5  # over the exchange's own bound
 
 
-def poll_daemons(addresses: Mapping[str, str], timeout_s: float) -> dict[str, DaemonAnswer]:
+def poll_daemons(addresses: Mapping[str, str], timeout_s: float) -> dict[str, DaemonResponse]:
     """Poll all daemons at once; takes little more than ``timeout_s``."""
-    answers: dict[str, DaemonAnswer] = {}
+    responses: dict[str, DaemonResponse] = {}
 
     def poll(name: str, address: str) -> None:
         request = writer.request("GET", STATUS_PATH, [("Host", address), ("Connection", "close")])
-        answers[name] = request_status(address, request, time.monotonic() + timeout_s, time.monotonic)
+        responses[name] = request_status(address, request, time.monotonic() + timeout_s, time.monotonic)
 
     threads = [
         start_thread("poll-daemon", functools.partial(poll, name, address))
@@ -29,5 +29,5 @@
     deadline_s = time.monotonic() + timeout_s + JOIN_MARGIN_S
     for thread in threads:
         thread.join(max(0.0, deadline_s - time.monotonic()))
-    in_time = dict(answers)  # later answers are not waited for
+    in_time = dict(responses)  # later answers are not waited for
     return {name: in_time.get(name, UnavailableDaemon("no answer in time")) for name in addresses}
--- a/saffronstack/fleet/rollout/bake.py
+++ b/saffronstack/fleet/rollout/bake.py
@@ -17,7 +17,7 @@
 
     _settled_since_s: float | None = None
     _started_s: float | None = None
-    _analyzed_s: float = 0.0
+    _last_analysis_s: float = 0.0
     _is_analyzing: bool = False
 
     @property
@@ -49,10 +49,10 @@
         bake_s = record.plan.stages[record.stage].bake_s
         max_progress = 1.0 if is_settled else MAX_UNSETTLED_PROGRESS
         progress = min(max_progress, (now_s - self._started_s) / bake_s)
-        is_too_early = now_s - self._analyzed_s < bake_s / ANALYSES_PER_BAKE and progress < 1
+        is_too_early = now_s - self._last_analysis_s < bake_s / ANALYSES_PER_BAKE and progress < 1
         if self._is_analyzing or is_too_early:
             return None
-        self._is_analyzing, self._analyzed_s = True, now_s
+        self._is_analyzing, self._last_analysis_s = True, now_s
         return AnalyzeStage(record.stage, progress, record.alpha_spent)
 
     def _start_if_settled(self, now_s: float, record: RolloutRecord, is_settled: bool) -> StartBake | None:
@@ -63,5 +63,5 @@
             self._settled_since_s = now_s
         if now_s - self._settled_since_s < record.plan.settle_s:
             return None
-        self._started_s = self._analyzed_s = now_s
+        self._started_s = self._last_analysis_s = now_s
         return StartBake(record.stage)
--- a/saffronstack/fleet/rollout/canary_sampler.py
+++ b/saffronstack/fleet/rollout/canary_sampler.py
@@ -69,8 +69,8 @@
             else:
                 measured.append(_MeasuredGateway(gateway, status, since_start))
         baseline = (one.since_start for one in measured if one.status.desired_release != new_digest)
-        late_bounds = _late_bounds(baseline)
-        return unreachable + [self._sample(one, late_bounds, new_digest) for one in measured]
+        lateness_thresholds = _lateness_thresholds(baseline)
+        return unreachable + [self._sample(one, lateness_thresholds, new_digest) for one in measured]
 
     def _since_start(self, name: str, status: GatewayStatus | None) -> MetricsSnapshot | None:
         snapshot = take_snapshot(status) if status is not None else None
@@ -96,14 +96,14 @@
         )
 
     def _sample(
-        self, measured: _MeasuredGateway, late_bounds: Mapping[str, int], new_digest: str
+        self, measured: _MeasuredGateway, lateness_thresholds: Mapping[str, int], new_digest: str
     ) -> GatewaySample:
         since_start = measured.since_start
         return GatewaySample(
             gateway=measured.gateway.name,
             zone=measured.gateway.zone,
             is_canary=measured.status.desired_release == new_digest,
-            ratios=_failure_ratios(since_start, late_bounds),
+            ratios=_failure_ratios(since_start, lateness_thresholds),
             gauges={"memory_mb": since_start.memory_mb, "descriptors": since_start.open_descriptors},
             restarts=self._restarts(measured.gateway.name, measured.status),
         )
@@ -115,7 +115,9 @@
         return max(0, status.restarts - started.restarts)
 
 
-def _failure_ratios(since_start: MetricsSnapshot, late_bounds: Mapping[str, int]) -> dict[str, FailureRatio]:
+def _failure_ratios(
+    since_start: MetricsSnapshot, lateness_thresholds: Mapping[str, int]
+) -> dict[str, FailureRatio]:
     """Return the failures and late calls of each class, and the failures of all classes together.
 
     A small increase in each class is significant in the total first.
@@ -127,26 +129,26 @@
         calls = sum(outcomes.values())
         for failure in FAILURES:
             ratios[f"{failure}/{call_class}"] = FailureRatio(outcomes.get(failure, 0), calls)
-        if call_class in late_bounds:
+        if call_class in lateness_thresholds:
             latencies = since_start.latencies_by_class.get(call_class, Counter())
-            late = sum(count for value, count in latencies.items() if value > late_bounds[call_class])
+            late = sum(count for value, count in latencies.items() if value > lateness_thresholds[call_class])
             ratios[f"late/{call_class}"] = FailureRatio(late, latencies.total())
     for failure in FAILURES:
         ratios[f"{failure}/all"] = FailureRatio(all_outcomes[failure], all_outcomes.total())
     return ratios
 
 
-def _late_bounds(baseline: Iterable[MetricsSnapshot]) -> dict[str, int]:
+def _lateness_thresholds(baseline: Iterable[MetricsSnapshot]) -> dict[str, int]:
     """Return for each class the latency that `IN_TIME_FRACTION` of the baseline's calls did not exceed."""
     merged: dict[str, Counter[int]] = {}
     for snapshot in baseline:
         for call_class, latencies in snapshot.latencies_by_class.items():
             merged.setdefault(call_class, Counter()).update(latencies)
-    bounds = {call_class: _late_bound(latencies) for call_class, latencies in merged.items()}
-    return {call_class: bound for call_class, bound in bounds.items() if bound is not None}
+    thresholds = {call_class: _latency_quantile(latencies) for call_class, latencies in merged.items()}
+    return {call_class: threshold for call_class, threshold in thresholds.items() if threshold is not None}
 
 
-def _late_bound(latencies: Counter[int]) -> int | None:
+def _latency_quantile(latencies: Counter[int]) -> int | None:
     remaining = IN_TIME_FRACTION * latencies.total()
     for value in sorted(latencies):
         remaining -= latencies[value]
--- a/saffronstack/fleet/rollout/command_scheduler.py
+++ b/saffronstack/fleet/rollout/command_scheduler.py
@@ -46,12 +46,12 @@
         ]  # fmt: skip
         due -= unavailable
         for batch in self._batches(record, list(targets)):
-            waiting = [name for name in batch if name in due]
-            for name in waiting:
+            due_in_batch = [name for name in batch if name in due]
+            for name in due_in_batch:
                 if self._may_interrupt(record, name, unavailable):
                     unavailable.add(name)
                     commands.append(self._command(now_s, name, targets[name]))
-            if waiting or not all(self._view.is_settled(name, targets[name]) for name in batch):
+            if due_in_batch or not all(self._view.is_settled(name, targets[name]) for name in batch):
                 break
         return commands
 
@@ -70,7 +70,7 @@
             return False
         has_given_up = observed.desired_release == release == observed.failed_release
         if has_given_up and record.phase is RolloutPhase.ROLLING_BACK:  # there is nowhere else to go
-            return now_s - self._view.commanded_s(gateway) >= ROLLBACK_RETRY_S
+            return now_s - self._view.last_commanded_s(gateway) >= ROLLBACK_RETRY_S
         return observed.desired_release != release
 
     def _batches(self, record: RolloutRecord, names: list[str]) -> Iterable[tuple[str, ...]]:
@@ -79,9 +79,9 @@
         if record.phase is RolloutPhase.ROLLING_BACK:
             yield from zone_batches(names, self._fleet.gateways, limit)
             return
-        before: tuple[str, ...] = ()
+        previous_stage: tuple[str, ...] = ()
         for stage in self._stage_targets[: record.stage + 1]:
-            yield from zone_batches(stage[len(before) :], self._fleet.gateways, limit)
-            before = stage
-        remaining = [name for name in names if name not in before]
+            yield from zone_batches(stage[len(previous_stage) :], self._fleet.gateways, limit)
+            previous_stage = stage
+        remaining = [name for name in names if name not in previous_stage]
         yield from zone_batches(remaining, self._fleet.gateways, limit)
--- a/saffronstack/fleet/rollout/controller.py
+++ b/saffronstack/fleet/rollout/controller.py
@@ -137,8 +137,8 @@
     def _stalled(self) -> RolloutRecord:
         reason = f"no step for {self._stall_timeout_s:g} s: {self.describe_pending()}"
         if self.record.phase is RolloutPhase.PROGRESSING:
-            return record_updates.stop_inconclusive(self.record, reason)
-        return record_updates.note_stalled_rollback(self.record, reason)
+            return record_updates.apply_inconclusive_policy(self.record, reason)
+        return record_updates.report_stalled_rollback(self.record, reason)
 
     def _store(self, record: RolloutRecord) -> StoreRecord:
         self._record_being_stored = record
--- a/saffronstack/fleet/rollout/fleet_view.py
+++ b/saffronstack/fleet/rollout/fleet_view.py
@@ -19,7 +19,7 @@
         self._fleet = fleet
         self._observed: dict[str, ObservedGateway] = {}  # of daemons that answered last
         self._pending: dict[str, str] = {}  # commanded releases by gateway
-        self._commanded_s: dict[str, float] = {}
+        self._last_commanded_s: dict[str, float] = {}
 
     @property
     def observed(self) -> Mapping[str, ObservedGateway]:
@@ -52,11 +52,11 @@
 
     def add_command(self, now_s: float, gateway: str, release: str) -> None:
         """Remember a command that is sent."""
-        self._pending[gateway], self._commanded_s[gateway] = release, now_s
+        self._pending[gateway], self._last_commanded_s[gateway] = release, now_s
 
-    def commanded_s(self, gateway: str) -> float:
+    def last_commanded_s(self, gateway: str) -> float:
         """Return when a gateway was commanded last."""
-        return self._commanded_s.get(gateway, -math.inf)
+        return self._last_commanded_s.get(gateway, -math.inf)
 
     def is_settled(self, gateway: str, release: str) -> bool:
         """Return whether a gateway runs a release, and is to."""
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon
+from saffronstack.fleet.control.daemon_answers import DaemonResponse, UnavailableDaemon
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.messages import OPERATOR_REQUEST_LEASE, GatewayCommand, GatewayStatus
 from saffronstack.fleet.control.observed_gateway import ObservedGateway
@@ -80,10 +80,10 @@
     def __init__(
         self,
         fleet: RolloutFleet,
-        daemons: DaemonClient,
+        daemon_client: DaemonClient,
         lease: HeldLease,
         read_leases: Callable[[], QuorumRead],
-        on_round: Callable[[RolloutRecord, str], None] = lambda record, waits_for: None,
+        on_round: Callable[[RolloutRecord, str], None] = lambda record, pending: None,
         clock: Callable[[], float] = time.monotonic,
         options: LeaderOptions = DEFAULT_OPTIONS,
     ) -> None:
@@ -91,19 +91,19 @@
 
         Args:
             fleet: The gateways and their daemons.
-            daemons: Their client, under this lease's token.
+            daemon_client: Their client, under this lease's token.
             lease: The leader's lease, which is held.
             read_leases: Reads what lease servers show, for operators' requests.
             on_round: Called after each round with the record and what the rollout waits for.
             clock: Seconds.
             options: Times.
         """
-        self._fleet, self._daemons, self._lease = fleet, daemons, lease
+        self._fleet, self._daemon_client, self._lease = fleet, daemon_client, lease
         self._read_leases, self._on_round, self._clock = read_leases, on_round, clock
         self._options = options
         self._sampler = CanarySampler(fleet.gateways)
         self._statuses: dict[str, GatewayStatus] = {}
-        self._polled_s = 0.0  # when the last poll of the daemons began
+        self._poll_started_s = 0.0  # when the last poll of the daemons began
         self._requests_polled_s = 0.0
 
     def lead(self, record: RolloutRecord, stopping: threading.Event) -> RolloutRecord:
@@ -116,7 +116,7 @@
         # The record may have been read from less than a majority: it is stored anew first.
         self._lease.put(encode_record(record), STORE_TIMEOUT_S)
         while not stopping.is_set() and self._holds_lease() and not controller.record.is_finished:
-            if self._play_round(controller):
+            if self._run_round(controller):
                 continue  # what the commands changed is polled at once
             self._on_round(controller.record, controller.describe_pending())
             stopping.wait(self._options.round_interval_s)
@@ -126,28 +126,30 @@
     def _holds_lease(self) -> bool:
         return self._lease.remaining_s() > 0
 
-    def _play_round(self, controller: RolloutController) -> bool:
+    def _run_round(self, controller: RolloutController) -> bool:
         """Poll, decide and send commands; return whether any were sent."""
-        self._polled_s = self._clock()
-        reports = self._report_events(self._daemons.poll())
+        self._poll_started_s = self._clock()
+        reports = self._report_events(self._daemon_client.poll())
         events = [*reports, *self._request_events(controller.record), Tick()]
         commands: dict[str, list[GatewayCommand]] = {}
         for event in events:
-            for one in self._carry_out(controller, controller.handle(self._clock(), event)):
-                commands.setdefault(one.daemon, []).append(GatewayCommand(one.gateway, one.release))
+            for command in self._carry_out(controller, controller.handle(self._clock(), event)):
+                commands.setdefault(command.daemon, []).append(
+                    GatewayCommand(command.gateway, command.release)
+                )
         if not commands or not self._holds_lease():
             return False
-        for daemon, answer in self._daemons.send(commands).items():
-            if isinstance(answer, UnavailableDaemon):
-                log.warning("command not confirmed", daemon=daemon, error=answer.reason)
+        for daemon, response in self._daemon_client.send(commands).items():
+            if isinstance(response, UnavailableDaemon):
+                log.warning("command not confirmed", daemon=daemon, error=response.reason)
         return True
 
     def _carry_out(self, controller: RolloutController, actions: Sequence[Action]) -> list[SetRelease]:
         """Do what can be done here and report it to the controller; return the commands that are left."""
         commands: list[SetRelease] = []
-        waiting = deque(actions)
-        while waiting:
-            action = waiting.popleft()
+        pending = deque(actions)
+        while pending:
+            action = pending.popleft()
             match action:
                 case SetRelease():
                     commands.append(action)
@@ -160,18 +162,18 @@
                     if is_confirmed:
                         _log_progress(controller.record, record)
                     stored = RecordStored(record, is_confirmed)
-                    waiting.extend(controller.handle(self._clock(), stored))
+                    pending.extend(controller.handle(self._clock(), stored))
                 case AnalyzeStage():
                     completed = self._analyze(controller.record, action)
-                    waiting.extend(controller.handle(self._clock(), completed))
+                    pending.extend(controller.handle(self._clock(), completed))
         return commands
 
     def _analyze(self, record: RolloutRecord, action: AnalyzeStage) -> AnalysisCompleted:
         # Metrics reach the leader late, most of all on a busy machine: the bake is over once they cover it.
-        covered_s = self._sampler.covered_s(self._statuses, self._polled_s)
+        covered_s = self._sampler.covered_s(self._statuses, self._poll_started_s)
         progress = min(action.progress, covered_s / record.plan.stages[action.stage].bake_s)
         samples = self._sampler.samples(self._statuses, record.new_release.digest)
-        result = analyze(_limits_of(record.plan), samples, progress, action.alpha_spent)
+        result = analyze(_create_limits(record.plan), samples, progress, action.alpha_spent)
         log.info(
             "canary analysis completed", stage=action.stage, progress=round(progress, 2),
             verdict=result.verdict.value, reasons=result.reasons,
@@ -179,17 +181,17 @@
         )  # fmt: skip
         return AnalysisCompleted(action.stage, result)
 
-    def _report_events(self, answers: Mapping[str, DaemonAnswer]) -> list[Event]:
+    def _report_events(self, responses: Mapping[str, DaemonResponse]) -> list[Event]:
         events: list[Event] = []
-        for daemon, answer in sorted(answers.items()):
-            if isinstance(answer, UnavailableDaemon):
+        for daemon, response in sorted(responses.items()):
+            if isinstance(response, UnavailableDaemon):
                 for name, owner in self._fleet.daemon_of.items():
                     if owner == daemon:
                         self._statuses.pop(name, None)
                 events.append(DaemonUnreachable(daemon))
                 continue
-            self._statuses |= answer.gateways
-            observed = {name: _observe(status) for name, status in answer.gateways.items()}
+            self._statuses |= response.gateways
+            observed = {name: _create_observation(status) for name, status in response.gateways.items()}
             events.append(DaemonReported(daemon, observed))
         return events
 
@@ -199,14 +201,14 @@
         if now_s < self._requests_polled_s + REQUEST_POLL_INTERVAL_S:
             return []
         self._requests_polled_s = now_s
-        shown = self._read_leases().leases.get(OPERATOR_REQUEST_LEASE)
-        request = decode_request(shown.value.content) if shown is not None else None
+        request_lease = self._read_leases().leases.get(OPERATOR_REQUEST_LEASE)
+        request = decode_request(request_lease.value.content) if request_lease is not None else None
         if request is None or request.rollout != record.plan.name:
             return []
         return [OperatorRequested(request.number, request.action)]
 
 
-def _limits_of(plan: RolloutPlan) -> AnalysisLimits:
+def _create_limits(plan: RolloutPlan) -> AnalysisLimits:
     return AnalysisLimits(
         false_stop_probability=plan.false_stop_probability,
         min_calls=plan.min_calls,
@@ -218,7 +220,7 @@
     )
 
 
-def _observe(status: GatewayStatus) -> ObservedGateway:
+def _create_observation(status: GatewayStatus) -> ObservedGateway:
     return ObservedGateway(
         desired_release=status.desired_release,
         running_release=running_release(status),
--- a/saffronstack/fleet/rollout/record_updates.py
+++ b/saffronstack/fleet/rollout/record_updates.py
@@ -29,7 +29,7 @@
     return add_history(changed, f"goes back: {reason}")
 
 
-def stop_inconclusive(record: RolloutRecord, reason: str) -> RolloutRecord:
+def apply_inconclusive_policy(record: RolloutRecord, reason: str) -> RolloutRecord:
     """Hold the rollout or take it back, as the plan says."""
     if record.plan.on_inconclusive is InconclusivePolicy.ROLL_BACK:
         return roll_back(record, f"doubt: {reason}")
@@ -37,7 +37,7 @@
     return add_history(changed, f"held: {reason}")
 
 
-def note_stalled_rollback(record: RolloutRecord, reason: str) -> RolloutRecord:
+def report_stalled_rollback(record: RolloutRecord, reason: str) -> RolloutRecord:
     """Record that a rollback makes no progress, and why."""
     return add_history(replace(record, reason=reason[:MAX_REASON_LENGTH]), f"going back: {reason}")
 
@@ -66,8 +66,8 @@
         case OperatorAction.RESUME:
             is_on_hold = record.phase is RolloutPhase.ON_HOLD
             phase = RolloutPhase.PROGRESSING if is_on_hold else record.phase
-            resumed = replace(record, is_paused=False, phase=phase, reason="")
-            return add_history(resumed, "resumed by the operator")
+            changed = replace(record, is_paused=False, phase=phase, reason="")
+            return add_history(changed, "resumed by the operator")
         case OperatorAction.ABORT:
             return roll_back(record, "aborted by the operator")
 
@@ -79,7 +79,7 @@
         case Verdict.FAILED:
             return roll_back(replace(record, alpha_spent=result.alpha_spent), f"worse: {reasons}")
         case Verdict.INCONCLUSIVE:
-            return stop_inconclusive(replace(record, alpha_spent=result.alpha_spent), reasons)
+            return apply_inconclusive_policy(replace(record, alpha_spent=result.alpha_spent), reasons)
         case Verdict.RUNNING if result.alpha_spent > record.alpha_spent:
             # What an analysis spent is stored, or the next leader would spend it again.
             return replace(record, alpha_spent=result.alpha_spent)
--- a/saffronstack/fleet/rollout/rollout_order.py
+++ b/saffronstack/fleet/rollout/rollout_order.py
@@ -32,20 +32,22 @@
     Zones take turns in proportion, so that each zone has canaries and baselines side by side as early as
     possible; within a zone the order is drawn by the plan's name.
     """
-    drawn = interleave_zones(plan.name, fleet)
+    ordered = interleave_zones(plan.name, fleet)
     targets: list[tuple[str, ...]] = []
     for stage in plan.stages:
-        before = targets[-1] if targets else ()
-        targets.append(before + _added_by(stage, drawn, before))
+        previous_target = targets[-1] if targets else ()
+        targets.append(previous_target + _names_added_by(stage, ordered, previous_target))
     return targets
 
 
-def _added_by(stage: Stage, drawn: Sequence[FleetGateway], before: tuple[str, ...]) -> tuple[str, ...]:
-    remaining = [gateway for gateway in drawn if gateway.name not in before]
+def _names_added_by(
+    stage: Stage, ordered: Sequence[FleetGateway], previous_target: tuple[str, ...]
+) -> tuple[str, ...]:
+    remaining = [gateway for gateway in ordered if gateway.name not in previous_target]
     if stage.groups:
         return tuple(gateway.name for gateway in remaining if gateway.group in stage.groups)
-    size = stage.count or math.ceil(stage.share * len(drawn) - ROUNDING_MARGIN)
-    return tuple(gateway.name for gateway in remaining[: max(0, size - len(before))])
+    size = stage.count or math.ceil(stage.share * len(ordered) - ROUNDING_MARGIN)
+    return tuple(gateway.name for gateway in remaining[: max(0, size - len(previous_target))])
 
 
 def interleave_zones(seed: str, fleet: Sequence[FleetGateway]) -> list[FleetGateway]:
@@ -53,12 +55,12 @@
     zones: dict[str, list[FleetGateway]] = defaultdict(list)
     for gateway in sorted(fleet, key=lambda one: xxhash.xxh3_64_intdigest(f"{seed}/{one.name}".encode())):
         zones[gateway.zone].append(gateway)
-    placed = {
+    gateway_by_placement = {
         _Placement((index + 0.5) / len(members), zone, index): gateway
         for zone, members in zones.items()
         for index, gateway in enumerate(members)
     }
-    return [placed[placement] for placement in sorted(placed)]
+    return [gateway_by_placement[placement] for placement in sorted(gateway_by_placement)]
 
 
 def zone_batches(
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from saffronstack.audit.traffic import Seen
-from saffronstack.fleet.control.daemon_answers import merge_answers
+from saffronstack.fleet.control.daemon_answers import merge_responses
 from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayStatus
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.control.status_poller import poll_daemons
@@ -190,7 +190,7 @@
 
     def statuses(self) -> dict[str, GatewayStatus]:
         """Poll all daemons for their gateways; those of unavailable daemons are missing."""
-        return merge_answers(poll_daemons(self.daemons, self.sizes.wait_s)).gateways
+        return merge_responses(poll_daemons(self.daemons, self.sizes.wait_s)).gateways
 
     def record(self) -> RolloutRecord | None:
         """Return the recorded rollout; None where it can't be read."""
--- a/tests/fleet/control/test_command_fence.py
+++ b/tests/fleet/control/test_command_fence.py
@@ -13,7 +13,7 @@
 )
 
 
-def test_nothing_older_out_of_order_or_for_another_incarnation_is_accepted() -> None:
+def test_older_unordered_and_misaddressed_requests_are_rejected() -> None:
     fence = CommandFence(incarnation=7, token=3)
     with pytest.raises(StaleTokenError, match=r"^token 2 is older than 3$"):
         fence.check(2, 9, 7, has_commands=True)
--- a/tests/fleet/control/test_daemon.py
+++ b/tests/fleet/control/test_daemon.py
@@ -30,9 +30,9 @@
 from saffronstack.standin.worker import hold_port
 from tests.support.stack import eventually
 
-EMPTY = QuorumRead(True, {})
+EMPTY_READ = QuorumRead(True, {})
 LEADER = LeaseStatus(LEADER_LEASE, "p", 9, 3, 5.0, LeaseValue())
-UNUSABLE = "does not start"  # the fault of most releases here
+START_FAULT = "does not start"  # the fault of most releases here
 # A standby that has signals queued, as a gateway has; started a second time it is prepared only once a file
 # says so.
 STANDBY_PROGRAM = """
@@ -53,7 +53,7 @@
 """
 
 
-class DaemonRig:
+class DaemonHarness:
     """Daemons with one gateway, one after the other, on one state directory."""
 
     def __init__(self, folder: pathlib.Path, gateway_address: str) -> None:
@@ -72,12 +72,12 @@
 
     def write_release(self, version: str) -> str:
         """Install a release that does not start; return its digest."""
-        directory = write_release(self._folder / "releases", version, UNUSABLE)
+        directory = write_release(self._folder / "releases", version, START_FAULT)
         return read_release(directory).release.digest
 
     def write_standby_release(self, version: str) -> str:
         """Install a release whose second process is prepared after `let_prepare`; return its digest."""
-        directory = write_release(self._folder / "releases", version, UNUSABLE)
+        directory = write_release(self._folder / "releases", version, START_FAULT)
         (pathlib.Path(directory) / "gateway.py").write_text(STANDBY_PROGRAM)
         return read_release(directory).release.digest
 
@@ -89,10 +89,10 @@
         """Return whether a process of a standby release got SIGHUP while or after it was prepared."""
         return (self._folder / f"{version}-started-reloaded").exists()
 
-    def start(self, read: QuorumRead = EMPTY, **more: Any) -> None:
+    def start(self, read: QuorumRead = EMPTY_READ, **options: Any) -> None:
         """Start a daemon, after the end of the one before."""
         self.stop()
-        self._daemon = Daemon(self._options, lambda: read, **more)
+        self._daemon = Daemon(self._options, lambda: read, **options)
         self._daemon.start()
 
     def processes(self) -> list[int]:
@@ -103,7 +103,7 @@
     def stop(self) -> None:
         """End the daemon and its gateway."""
         if self._daemon is not None:
-            assert self._daemon.stop(end_gateways=True)
+            assert self._daemon.stop(terminate_gateways=True)
         self._daemon = None
 
     def post(self, request: ControlRequest) -> tuple[int, Any]:
@@ -112,12 +112,12 @@
         host, port = self._daemon.address
         client = Client(f"{host}:{port}", 10.0)
         try:
-            answer = client.request("POST", CONTROL_PATH, msgspec.json.encode(request))
+            response = client.request("POST", CONTROL_PATH, msgspec.json.encode(request))
         finally:
             client.close()
-        if answer.status != 200:
-            return answer.status, json.loads(answer.body)["message"]
-        return 200, msgspec.json.decode(answer.body, type=DaemonStatus)
+        if response.status != 200:
+            return response.status, json.loads(response.body)["message"]
+        return 200, msgspec.json.decode(response.body, type=DaemonStatus)
 
     def command(self, command: GatewayCommand) -> int:
         """Send a command under token 4; return the answer's status."""
@@ -136,32 +136,32 @@
 
 
 @pytest.fixture
-def rig(tmp_path: pathlib.Path) -> Iterator[DaemonRig]:
+def harness(tmp_path: pathlib.Path) -> Iterator[DaemonHarness]:
     with ExitStack() as stack:
         held_port = stack.enter_context(hold_port("127.0.0.1"))
-        rig = DaemonRig(tmp_path, f"127.0.0.1:{held_port.getsockname()[1]}")
-        stack.callback(rig.stop)
-        yield rig
+        harness = DaemonHarness(tmp_path, f"127.0.0.1:{held_port.getsockname()[1]}")
+        stack.callback(harness.stop)
+        yield harness
 
 
 @pytest.fixture
-def command(rig: DaemonRig) -> Callable[..., ControlRequest]:
+def create_command(harness: DaemonHarness) -> Callable[..., ControlRequest]:
     """A daemon that accepted token 5, and commands to run an installed release."""
-    digest = rig.write_release("1")
-    rig.start()
-    incarnation = rig.poll(5).incarnation
+    digest = harness.write_release("1")
+    harness.start()
+    incarnation = harness.poll(5).incarnation
 
     def create(**changed: Any) -> ControlRequest:
         commands = (GatewayCommand("g1", digest),)
-        valid = ControlRequest("f", 5, next(rig.sequences), incarnation, commands)
+        valid = ControlRequest("f", 5, next(harness.sequences), incarnation, commands)
         return msgspec.structs.replace(valid, **changed)
 
     return create
 
 
-def test_a_poll_returns_the_token_that_was_accepted(rig: DaemonRig) -> None:
-    rig.start()
-    status = rig.poll(5)
+def test_a_poll_returns_the_token_that_was_accepted(harness: DaemonHarness) -> None:
+    harness.start()
+    status = harness.poll(5)
     assert status.token == 5
     assert not status.is_token_lost
 
@@ -177,81 +177,87 @@
         ({"commands": (GatewayCommand("g1", "ab"),)}, 400, "no release has"),
     ],
 )
-def test_a_request_that_does_not_count_is_rejected_and_changes_nothing(
-    rig: DaemonRig,
-    command: Callable[..., ControlRequest],
+def test_a_rejected_request_changes_nothing(
+    harness: DaemonHarness,
+    create_command: Callable[..., ControlRequest],
     changed: dict[str, Any],
     status: int,
     reason: str,
 ) -> None:
-    answer = rig.post(command(**changed))
-    assert answer[0] == status
-    assert reason in answer[1]
-    assert rig.poll(6).gateways["g1"].desired_release == ""
+    response = harness.post(create_command(**changed))
+    assert response[0] == status
+    assert reason in response[1]
+    assert harness.poll(6).gateways["g1"].desired_release == ""
 
 
 def test_a_command_sets_the_desired_release_and_outlives_the_daemon(
-    rig: DaemonRig, command: Callable[..., ControlRequest]
+    harness: DaemonHarness, create_command: Callable[..., ControlRequest]
 ) -> None:
-    request = command()
+    request = create_command()
     digest = request.commands[0].release
-    status, answer = rig.post(request)
+    status, content = harness.post(request)
     assert status == 200
-    assert answer.gateways["g1"].desired_release == digest
-    rig.start()
-    assert rig.poll(6).gateways["g1"].desired_release == digest
-    assert rig.post(ControlRequest("f", 5, next(rig.sequences)))[0] == 409
+    assert content.gateways["g1"].desired_release == digest
+    harness.start()
+    assert harness.poll(6).gateways["g1"].desired_release == digest
+    assert harness.post(ControlRequest("f", 5, next(harness.sequences)))[0] == 409
 
 
 def test_a_release_that_does_not_start_is_reported(
-    rig: DaemonRig, command: Callable[..., ControlRequest]
+    harness: DaemonHarness, create_command: Callable[..., ControlRequest]
 ) -> None:
-    assert rig.post(command())[0] == 200
-    eventually(lambda: "did not start" in rig.poll(6).gateways["g1"].last_error)
+    assert harness.post(create_command())[0] == 200
+    eventually(lambda: "did not start" in harness.poll(6).gateways["g1"].last_error)
 
 
-def test_a_lost_token_is_learned_from_lease_keepers_before_any_request_counts(rig: DaemonRig) -> None:
-    rig.start(QuorumRead(False, {LEADER_LEASE: LEADER}))
-    status, reason = rig.post(ControlRequest("f", 99, 1))
+def test_a_lost_token_is_learned_from_lease_servers_before_any_request_is_accepted(
+    harness: DaemonHarness,
+) -> None:
+    harness.start(QuorumRead(False, {LEADER_LEASE: LEADER}))
+    status, reason = harness.post(ControlRequest("f", 99, 1))
     assert status == 409
     assert "lease servers have not reported" in reason
-    rig.start(QuorumRead(True, {LEADER_LEASE: LEADER}))
-    assert rig.poll(9).token == 9
-    assert rig.post(ControlRequest("f", 8, next(rig.sequences))) == (409, "token 8 is older than 9")
-
-
-def test_a_daemon_that_returns_to_a_rollback_starts_with_the_old_release(rig: DaemonRig) -> None:
-    old, new = rig.write_release("old"), rig.write_release("new")
-    rig.state_file.write(DesiredState("f", "d1", 3, {"g1": new}))
-    rig.start(replacements=lambda read: {new: old})
-    eventually(lambda: rig.poll(4).gateways["g1"].desired_release == old)
-    rig.stop()
-    stored = rig.state_file.read()
+    harness.start(QuorumRead(True, {LEADER_LEASE: LEADER}))
+    assert harness.poll(9).token == 9
+    assert harness.post(ControlRequest("f", 8, next(harness.sequences))) == (409, "token 8 is older than 9")
+
+
+def test_a_daemon_that_restarts_after_a_rollback_runs_the_old_release(harness: DaemonHarness) -> None:
+    old, new = harness.write_release("old"), harness.write_release("new")
+    harness.state_file.write(DesiredState("f", "d1", 3, {"g1": new}))
+    harness.start(replacements=lambda read: {new: old})
+    eventually(lambda: harness.poll(4).gateways["g1"].desired_release == old)
+    harness.stop()
+    stored = harness.state_file.read()
     assert stored is not None
     assert stored.releases == {"g1": old}
 
 
 @pytest.fixture
-def changing(rig: DaemonRig) -> DaemonRig:
+def changing_harness(harness: DaemonHarness) -> DaemonHarness:
     """A gateway between two releases: `new` is prepared, and the fallback with `old` is not."""
-    old, new = rig.write_standby_release("old"), rig.write_standby_release("new")
-    rig.state_file.write(DesiredState("f", "d1", 3, {"g1": old}))
-    rig.start()
-    eventually(lambda: rig.poll(4).gateways["g1"].running_release == old)
-    assert rig.command(GatewayCommand("g1", new)) == 200
-    eventually(lambda: len(rig.processes()) == 3)
-    return rig
+    old, new = harness.write_standby_release("old"), harness.write_standby_release("new")
+    harness.state_file.write(DesiredState("f", "d1", 3, {"g1": old}))
+    harness.start()
+    eventually(lambda: harness.poll(4).gateways["g1"].running_release == old)
+    assert harness.command(GatewayCommand("g1", new)) == 200
+    eventually(lambda: len(harness.processes()) == 3)
+    return harness
 
 
-def test_a_daemon_that_ends_in_the_midst_of_a_change_ends_its_standbys_too(changing: DaemonRig) -> None:
+def test_a_daemon_that_stops_during_a_release_change_ends_its_standbys_too(
+    changing_harness: DaemonHarness,
+) -> None:
     """They hold nothing and await a command: SIGTERM alone would let it wait for its longest drain."""
-    changing.stop()
+    changing_harness.stop()
 
 
-def test_a_reload_in_the_midst_of_a_change_reaches_the_successor_once_it_serves(changing: DaemonRig) -> None:
+def test_a_reload_during_a_release_change_reaches_the_successor_once_it_serves(
+    changing_harness: DaemonHarness,
+) -> None:
     """It has read its configuration already, perhaps an older one."""
-    assert changing.command(GatewayCommand("g1", reload=True)) == 200
-    eventually(lambda: changing.has_reloaded("old"))
-    assert not changing.has_reloaded("new")
-    changing.let_prepare("old")
-    eventually(lambda: changing.has_reloaded("new"))
+    assert changing_harness.command(GatewayCommand("g1", reload=True)) == 200
+    eventually(lambda: changing_harness.has_reloaded("old"))
+    assert not changing_harness.has_reloaded("new")
+    changing_harness.let_prepare("old")
+    eventually(lambda: changing_harness.has_reloaded("new"))
--- a/tests/fleet/control/test_gateway_process.py
+++ b/tests/fleet/control/test_gateway_process.py
@@ -13,7 +13,7 @@
 from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEnd
 
 
-def test_a_command_to_a_process_whose_end_was_awaited_meanwhile_is_without_effect() -> None:
+def test_a_command_to_an_ended_process_has_no_effect() -> None:
     """The daemon's thread acts before it has handled that end; an error would drop its further actions."""
     child = subprocess.Popen([sys.executable, "-c", ""], stdin=subprocess.PIPE)
     process = GatewayProcess(child.pid, "r", os.pidfd_open(child.pid), child)
@@ -23,7 +23,7 @@
     assert process.has_ended()
 
 
-def test_a_signal_does_not_reach_a_process_that_got_the_descriptor_number(
+def test_a_signal_does_not_reach_a_process_whose_pidfd_reuses_the_number(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The daemon signals while the thread that waited for the end is between its close and its note of it."""
@@ -61,5 +61,5 @@
 @pytest.mark.parametrize(
     ("status", "has_crashed"), [(0, False), (1, False), (None, False), (9, True), (-9, True), (-11, True)]
 )
-def test_a_process_has_crashed_unless_it_stopped_by_itself(status: int | None, has_crashed: bool) -> None:
+def test_a_process_has_crashed_unless_it_exited_by_itself(status: int | None, has_crashed: bool) -> None:
     assert ProcessEnd(status).has_crashed is has_crashed
--- a/tests/fleet/control/test_gateway_reconciler.py
+++ b/tests/fleet/control/test_gateway_reconciler.py
@@ -69,7 +69,7 @@
     assert draining.on_ended(6.6, 1, "status -9") == [AllowServing(2)]
 
 
-def test_a_release_that_can_not_be_prepared_costs_no_call_and_is_given_up(
+def test_a_release_that_cannot_be_prepared_is_given_up_while_the_old_one_serves(
     serving: GatewayReconciler,
 ) -> None:
     serving.set_desired(1.0, "new")
@@ -101,7 +101,7 @@
     assert draining.observe().running_release == "old"
 
 
-def test_the_fallback_serves_at_once_where_the_successor_fails(draining: GatewayReconciler) -> None:
+def test_the_fallback_serves_at_once_if_the_successor_fails(draining: GatewayReconciler) -> None:
     draining.on_ended(2.0, 1, "status 0")
     assert draining.on_ended(2.1, 2, "status 2") == [AllowServing(3)]
     assert draining.on_serving(2.15, 3) == []
@@ -123,7 +123,7 @@
     assert draining.on_ended(2.1, 1, "status 0") == [AllowServing(3)]
 
 
-def test_a_fallback_that_hangs_when_it_is_prepared_is_killed_and_done_without(
+def test_a_fallback_that_hangs_during_preparation_is_killed_and_the_update_continues(
     serving: GatewayReconciler,
 ) -> None:
     serving.set_desired(1.0, "new")
@@ -140,7 +140,7 @@
     assert serving.on_prepared(1.6, 3) == []
 
 
-def test_a_fallback_is_of_no_use_where_the_gateway_is_to_stop(draining: GatewayReconciler) -> None:
+def test_a_fallback_is_discarded_if_the_gateway_is_to_stop(draining: GatewayReconciler) -> None:
     draining.set_desired(2.0, "")
     draining.on_ended(2.1, 1, "status 0")
     assert draining.on_ended(2.2, 2, "status 2") == [Discard(3)]
@@ -185,7 +185,7 @@
     assert serving.on_ended(1.3, 2, "status -9") == []
 
 
-def test_a_successor_that_may_serve_already_is_not_dropped_by_a_command(draining: GatewayReconciler) -> None:
+def test_a_successor_that_may_already_serve_is_not_dropped_by_a_command(draining: GatewayReconciler) -> None:
     """It watches for its predecessor's end itself, and may hold calls before that end is known here."""
     assert draining.set_desired(2.0, "old") == []
     assert draining.on_serving(2.1, 2) == [Discard(3), StartProcess(4, "old")]
@@ -212,7 +212,7 @@
     assert observed.last_error == "old ended while it drained: status 9"
 
 
-def test_an_incarnation_that_was_killed_for_its_drain_has_not_crashed(draining: GatewayReconciler) -> None:
+def test_an_incarnation_killed_at_its_drain_timeout_has_not_crashed(draining: GatewayReconciler) -> None:
     assert draining.reconcile(6.5) == [Kill(1)]
     assert draining.on_ended(6.6, 1, "status -9", has_crashed=True) == [AllowServing(2)]
     assert draining.observe().restarts == 0
--- a/tests/fleet/control/test_releases.py
+++ b/tests/fleet/control/test_releases.py
@@ -17,7 +17,7 @@
     return pathlib.Path(write_release(tmp_path, "1"))
 
 
-def digest_of(directory: pathlib.Path) -> str:
+def read_digest(directory: pathlib.Path) -> str:
     return read_release(str(directory)).release.digest
 
 
@@ -28,25 +28,25 @@
 
 
 def test_a_digest_covers_names_contents_and_modes(directory: pathlib.Path) -> None:
-    digests = [digest_of(directory)]
+    digests = [read_digest(directory)]
     (directory / "more").write_text("x")
-    digests.append(digest_of(directory))
+    digests.append(read_digest(directory))
     (directory / "more").rename(directory / "other")
-    digests.append(digest_of(directory))
+    digests.append(read_digest(directory))
     (directory / "other").chmod(0o755)
-    digests.append(digest_of(directory))
+    digests.append(read_digest(directory))
     assert len(set(digests)) == 4
 
 
-def test_a_digest_leaves_out_what_a_run_writes(directory: pathlib.Path) -> None:
-    digest = digest_of(directory)
+def test_a_digest_excludes_files_that_a_running_program_writes(directory: pathlib.Path) -> None:
+    digest = read_digest(directory)
     (directory / "__pycache__").mkdir()
     (directory / "__pycache__" / "a.pyc").write_text("written by a run")
-    assert digest_of(directory) == digest
+    assert read_digest(directory) == digest
 
 
 def test_a_release_is_found_by_its_digest_until_its_files_change(directory: pathlib.Path) -> None:
-    digest = digest_of(directory)
+    digest = read_digest(directory)
     assert find_release(str(directory.parent), digest).path == str(directory)
     (directory / "more").write_text("x")
     with pytest.raises(UnusableReleaseError, match="no release has the digest"):
--- a/tests/fleet/rollout/test_leader.py
+++ b/tests/fleet/rollout/test_leader.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from saffronstack.fleet.control.daemon_answers import DaemonAnswer
+from saffronstack.fleet.control.daemon_answers import DaemonResponse
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.messages import DaemonStatus, GatewayCommand, GatewayMetrics, GatewayStatus
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Lease:
+class UnlosableLease:
     """A lease that is never lost."""
 
     lease: str = "rollout"
@@ -58,13 +58,13 @@
     """One daemon with one gateway that runs at once what it is commanded. Its metrics are polled every
     ``interval_s`` seconds, and not after ``last_poll_s``."""
 
-    def __init__(self, clock: ManualClock, interval_s: float, last_poll_s: float) -> None:
+    def __init__(self, clock: ManualClock, poll_interval_s: float, last_poll_s: float) -> None:
         super().__init__("fleet", {}, 1, lambda: True, clock)
-        self._manual_clock, self._interval_s, self._last_poll_s = clock, interval_s, last_poll_s
+        self._manual_clock, self._poll_interval_s, self._last_poll_s = clock, poll_interval_s, last_poll_s
         self._release, self._incarnation, self._started_s = "old", 1, clock()
         self._histogram = empty_histogram().encode().decode()
 
-    def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonAnswer]:
+    def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonResponse]:
         for command in commands.get("d", ()):
             self._release, self._incarnation, self._started_s = (
                 command.release,
@@ -73,36 +73,40 @@
             )
         return {"d": DaemonStatus("d", 1, False, 1, {"g": self._status()})}
 
-    def poll(self) -> dict[str, DaemonAnswer]:
+    def poll(self) -> dict[str, DaemonResponse]:
         self._manual_clock.now_s += ROUND_S
         return self.send({})
 
     def _status(self) -> GatewayStatus:
-        now = min(self._manual_clock(), self._last_poll_s)
-        read_s = max(self._started_s, now - (now - self._started_s) % self._interval_s)
-        calls = {"lookup": {"served": int((read_s - self._started_s) * CALLS_PER_S)}}
+        latest_s = min(self._manual_clock(), self._last_poll_s)
+        polled_s = max(self._started_s, latest_s - (latest_s - self._started_s) % self._poll_interval_s)
+        calls = {"lookup": {"served": int((polled_s - self._started_s) * CALLS_PER_S)}}
         metrics = GatewayMetrics(
-            self._manual_clock() - read_s, calls, {"lookup": self._histogram}, reported_release=self._release
+            self._manual_clock() - polled_s,
+            calls,
+            {"lookup": self._histogram},
+            reported_release=self._release,
         )
         return GatewayStatus(
             self._release, self._release, GatewayPhase.SERVING, self._incarnation, 0, metrics=metrics
         )
 
 
-def lead_rollout(interval_s: float, last_poll_s: float = 1e9) -> tuple[RolloutRecord, float]:
+def lead_rollout(poll_interval_s: float, last_poll_s: float = 1e9) -> tuple[RolloutRecord, float]:
     """The record at the end of a rollout, and how long it took on the clock."""
     clock = ManualClock()
     started_s = clock()
     stopping = threading.Event()
     gateway = FleetGateway(name="g", zone="east")
 
-    def stop_on_hold(record: RolloutRecord, waits: str) -> None:
+    def stop_on_hold(record: RolloutRecord, pending: str) -> None:
         if record.phase is RolloutPhase.ON_HOLD:
             stopping.set()
 
     leader = RolloutLeader(
-        RolloutFleet((gateway,), {"g": "d"}), SimulatedDaemonClient(clock, interval_s, last_poll_s), Lease(),
-        lambda: QuorumRead(True, {}), stop_on_hold, clock, LeaderOptions(round_interval_s=0.0),
+        RolloutFleet((gateway,), {"g": "d"}), SimulatedDaemonClient(clock, poll_interval_s, last_poll_s),
+        UnlosableLease(), lambda: QuorumRead(True, {}), stop_on_hold, clock,
+        LeaderOptions(round_interval_s=0.0),
     )  # fmt: skip
     record = leader.lead(create_record(PLAN, OLD, NEW), stopping)
     return record, clock() - started_s
@@ -110,19 +114,19 @@
 
 def test_a_bake_ends_once_metrics_cover_it() -> None:
     """Metrics come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
-    record, elapsed_s = lead_rollout(interval_s=2.9)
+    record, elapsed_s = lead_rollout(poll_interval_s=2.9)
     assert record.phase is RolloutPhase.COMPLETED, record.history
     assert BAKE_S < elapsed_s < 2 * BAKE_S + 2.9
 
 
-def test_fresh_metrics_make_no_bake_longer() -> None:
-    record, elapsed_s = lead_rollout(interval_s=ROUND_S)
+def test_fresh_metrics_do_not_prolong_a_bake() -> None:
+    record, elapsed_s = lead_rollout(poll_interval_s=ROUND_S)
     assert record.phase is RolloutPhase.COMPLETED, record.history
     assert elapsed_s <= BAKE_S + 4 * ROUND_S
 
 
-def test_a_gateway_that_reports_no_metrics_any_more_is_not_waited_for() -> None:
-    record, elapsed_s = lead_rollout(interval_s=ROUND_S, last_poll_s=101.0)
+def test_a_bake_does_not_wait_for_a_gateway_without_metrics() -> None:
+    record, elapsed_s = lead_rollout(poll_interval_s=ROUND_S, last_poll_s=101.0)
     assert record.phase is RolloutPhase.ON_HOLD, record.history
     assert "could not be asked" in record.history[-1], record.history
     assert elapsed_s < BAKE_S + 4.0
--- a/tests/fleet/rollout/test_plan.py
+++ b/tests/fleet/rollout/test_plan.py
@@ -61,26 +61,30 @@
         ({"min_calls": 0}, "calls_least: 0"),
     ],
 )  # fmt: skip
-def test_a_problem_is_reported_with_its_place(change: dict[str, Any], line: str) -> None:
+def test_a_problem_is_reported_with_its_path(change: dict[str, Any], line: str) -> None:
     assert line in problems(replace(PLAN, **change))
 
 
 def test_a_format_that_can_not_be_read_back_is_rejected_unless_the_plan_allows_it() -> None:
-    writes = replace(
+    new_write_format = replace(
         NEW, formats=(DataFormat(component="ledger", readable_versions=(2, 3), written_version=3),)
     )
-    assert "release.formats[0] (ledger).writes: 1.4 can't read format 3 back" in problems(new=writes)
-    assert problems(replace(PLAN, allow_irreversible=True), new=writes) == ""
-    reads = replace(NEW, formats=(DataFormat(component="ledger", readable_versions=(3,), written_version=2),))
-    assert "reads: format 2, which 1.4 wrote, is missing" in problems(new=reads)
-    more = replace(
+    assert "release.formats[0] (ledger).writes: 1.4 can't read format 3 back" in problems(
+        new=new_write_format
+    )
+    assert problems(replace(PLAN, allow_irreversible=True), new=new_write_format) == ""
+    unreadable_old_format = replace(
+        NEW, formats=(DataFormat(component="ledger", readable_versions=(3,), written_version=2),)
+    )
+    assert "reads: format 2, which 1.4 wrote, is missing" in problems(new=unreadable_old_format)
+    added_component = replace(
         NEW, formats=(*NEW.formats, DataFormat(component="copies", readable_versions=(1,), written_version=1))
     )
-    assert problems(new=more) == ""  # a part that the old one does not know, and leaves alone
+    assert problems(new=added_component) == ""  # a part that the old one does not know, and leaves alone
     assert "ledger, which 1.4 writes, is unknown to 1.5" in problems(new=replace(NEW, formats=()))
 
 
-def test_a_second_rollout_a_name_twice_and_a_plan_without_a_change_are_rejected() -> None:
+def test_concurrent_rollouts_duplicate_names_and_plans_without_change_are_rejected() -> None:
     assert validate_plan(PLAN, FLEET, OLD, NEW, ["other"]) == [
         "name: a rollout is under way already, 'other': end or abort it"
     ]
@@ -90,12 +94,12 @@
 
 
 def test_a_stage_contains_the_one_before_and_canaries_of_each_zone() -> None:
-    one, tenth, half, all_ = stage_targets(PLAN, FLEET)
-    assert [len(stage) for stage in (one, tenth, half, all_)] == [1, 4, 20, 40]
-    assert tenth[:1] == one
+    first, tenth, half, whole = stage_targets(PLAN, FLEET)
+    assert [len(stage) for stage in (first, tenth, half, whole)] == [1, 4, 20, 40]
+    assert tenth[:1] == first
     assert half[:4] == tenth
-    assert all_[:20] == half
-    assert set(all_) == {gateway.name for gateway in FLEET}
+    assert whole[:20] == half
+    assert set(whole) == {gateway.name for gateway in FLEET}
     zone_of = {gateway.name: gateway.zone for gateway in FLEET}
     assert set(Counter(zone_of[name] for name in tenth)) == {"a", "b", "c"}
     assert max(Counter(zone_of[name] for name in half).values()) <= 7
@@ -108,19 +112,21 @@
 
 
 def test_a_stage_of_groups_reaches_their_gateways() -> None:
-    first, rest = stage_targets(replace(PLAN, stages=(Stage(groups=("ring0",)), Stage(share=1.0))), FLEET)
-    assert set(first) == {"g00", "g01"}
+    group, rest = stage_targets(replace(PLAN, stages=(Stage(groups=("ring0",)), Stage(share=1.0))), FLEET)
+    assert set(group) == {"g00", "g01"}
     assert len(rest) == 40
 
 
 @settings(deadline=None, max_examples=100, derandomize=True)
 @given(st.lists(st.sampled_from("abcd"), min_size=1, max_size=60), st.integers(1, 7))
-def test_a_batch_has_one_zone_and_no_more_than_may_be_down(zones: list[str], max_unavailable: int) -> None:
+def test_a_batch_has_one_zone_and_respects_the_limit_of_unavailable_gateways(
+    zones: list[str], max_unavailable: int
+) -> None:
     fleet = [FleetGateway(name=f"g{n}", zone=zone) for n, zone in enumerate(zones)]
     zone_of = {gateway.name: gateway.zone for gateway in fleet}
-    changed = [gateway.name for gateway in interleave_zones("p", fleet)]
-    found = zone_batches(changed, fleet, max_unavailable)
-    assert sorted(name for batch in found for name in batch) == sorted(changed)  # each once
-    for batch in found:
+    ordered = [gateway.name for gateway in interleave_zones("p", fleet)]
+    batches = zone_batches(ordered, fleet, max_unavailable)
+    assert sorted(name for batch in batches for name in batch) == sorted(ordered)  # each once
+    for batch in batches:
         assert 1 <= len(batch) <= max_unavailable
         assert len({zone_of[name] for name in batch}) == 1
--- a/tests/fleet/rollout/test_record.py
+++ b/tests/fleet/rollout/test_record.py
@@ -13,7 +13,7 @@
 MAX_LEASE_VALUE_BYTES = 4096
 
 
-def test_a_record_of_another_version_or_none_at_all_is_told_apart() -> None:
+def test_missing_unreadable_and_newer_records_are_distinguished() -> None:
     assert decode_record(b"") is None
     with pytest.raises(RecordError, match="version 9"):
         decode_record(b'{"version": 9}')
@@ -21,7 +21,7 @@
         decode_record(b"\xff")
 
 
-def test_a_record_with_the_longest_history_fits_the_lease_s_value() -> None:
+def test_a_record_with_the_longest_history_fits_the_lease_value() -> None:
     stages = Stage(count=1, bake_s=10.0), Stage(share=1.0, bake_s=10.0)
     plan = RolloutPlan(name="p", base_digest="old", stages=stages, settle_s=0.0)
     record = create_record(plan, Release(version="1", digest="old"), Release(version="2", digest="new"))
--- a/tests/stored_formats/test_control_formats.py
+++ b/tests/stored_formats/test_control_formats.py
@@ -24,7 +24,7 @@
     GatewayMetrics,
     GatewayStatus,
 )
-from saffronstack.fleet.control.metrics_poller import GatewayPage
+from saffronstack.fleet.control.metrics_poller import GatewayStatusPage
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
 from saffronstack.fleet.control.releases import ReleaseManifest, compute_digest
 from saffronstack.fleet.http_server import problem
@@ -83,7 +83,7 @@
                 {phase.value: GatewayStatus("aa", "aa", phase, 1, 0) for phase in GatewayPhase},
             ),
         ),
-        ("gateway_page", GatewayPage(99, "aa", {"sale": {"served": 1}}, {"sale": "HIST"})),
+        ("gateway_page", GatewayStatusPage(99, "aa", {"sale": {"served": 1}}, {"sale": "HIST"})),
         ("release_manifest", MANIFEST),
     ],
 )
