--- a/saffronstack/cli/roster.py
+++ b/saffronstack/cli/roster.py
@@ -1,4 +1,4 @@
-"""`saffronstack roster`: checking lists, and saying to gateways what operators say."""
+"""`saffronstack roster`: checks and compares worker lists, and stores operators' commands for gateways."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class RosterCommandError(Exception):
-    """What stands in the way, for the person who called."""
+    """A command can't be carried out; the text gives the reason."""
 
 
 def _load_version(path: str, kinds: tuple[str, ...] | None) -> WorkerListVersion:
-    """The version at a path; without ``kinds`` any kind will do."""
+    """Load the list version at a path; without ``kinds``, all kinds of workers are allowed."""
     try:
         text = read_version(pathlib.Path(path))
-        return parse_version(text.parts, text.digest, kinds, text.generation)
+        return parse_version(text.files, text.digest, kinds, text.generation)
     except DiscoveryError as error:
         raise RosterCommandError(str(error)) from error
 
@@ -54,8 +54,10 @@
 
 
 def check(path: str, config_path: str | None) -> int:
-    """Check a file or directory; with a configuration also what its guards would say. 0, or 1 with
-    reasons.
+    """Check a file or directory; with a configuration, apply its change guards too.
+
+    Returns:
+        The exit status: 0, or 1 if a guard would hold the version.
     """
     config = _load_config(config_path) if config_path else None
     kinds = tuple(kind.name for kind in config.kinds) if config else None
@@ -69,10 +71,10 @@
     guards = GuardSettings(
         allow_empty=config.roster.allow_empty,
         max_removed_fraction=config.roster.removed_share,
-        always_removable=config.roster.removed_free,
+        always_removable_count=config.roster.removed_free,
         allow_older=config.roster.allow_older,
     )
-    current = StateDirectory(pathlib.Path(config.roster.state_directory)).last()
+    current = StateDirectory(pathlib.Path(config.roster.state_directory)).last_good_version()
     approval = review_version(guards, current, version, is_approved=False)
     if approval is not None:
         click.echo(f"{path}: would be held: {approval.reason}")
@@ -81,7 +83,7 @@
 
 
 def diff(before: str, after: str) -> int:
-    """What changes from one list to another, in meaning; 0 where nothing does, else 1."""
+    """Print the changes of meaning between two lists; return the exit status, 0 without changes, else 1."""
     old_workers, new_workers = _load_version(before, None).by_name(), _load_version(after, None).by_name()
     changes = compare_lists(old_workers, new_workers)
     for name in changes.removed:
@@ -101,14 +103,14 @@
 
 
 def show(config_path: str) -> int:
-    """The list applied last, and what operators said."""
+    """Print the last applied list and the operators' commands; return the exit status, 1 without a list."""
     state = _state_directory(config_path)
-    applied = state.last()
+    applied = state.last_good_version()
     if applied is None:
         click.echo("no list was applied yet")
         return 1
     click.echo(f"generation {applied.generation}, digest {applied.digest}, {len(applied.workers)} workers")
-    drains = state.drains()
+    drains = state.drained_workers()
     for worker in applied.workers:
         worker_state = "draining (operator)" if worker.id in drains else worker.state
         click.echo(
@@ -116,48 +118,48 @@
         )
     for name in sorted(drains - {worker.id for worker in applied.workers}):
         click.echo(f"  {name:<24} not listed, drained by an operator")
-    if state.pinned():
-        click.echo(f"pinned to {state.pinned()}: the file is not followed")
+    if state.pinned_digest():
+        click.echo(f"pinned to {state.pinned_digest()}: the file is not followed")
     return 0
 
 
 def drain(config_path: str, workers: tuple[str, ...], undo: bool) -> int:
-    """Drain workers, whatever any source says, or no longer."""
+    """Drain workers, whatever their lists say, or undo that."""
     state = _state_directory(config_path)
-    names = state.drains() - set(workers) if undo else state.drains() | set(workers)
-    applied = state.last()
+    names = state.drained_workers() - set(workers) if undo else state.drained_workers() | set(workers)
+    applied = state.last_good_version()
     listed = {worker.id for worker in applied.workers} if applied is not None else set()
     for name in workers:
         if name not in listed and not undo:
-            click.echo(f"{name}: in no list that was applied; it is drained should it come", err=True)
-    state.tell("drains", "\n".join(sorted(names)))
+            click.echo(f"{name}: in no list that was applied; it will be drained if it is added", err=True)
+    state.set_override("drains", "\n".join(sorted(names)))
     click.echo(f"drained by operators: {', '.join(sorted(names)) or 'none'}")
     return 0
 
 
 def accept(config_path: str, digest: str) -> int:
-    """Let a held version be applied: this one and no other."""
+    """Accept a held version, which gateways then apply: this version and no other."""
     state = _state_directory(config_path)
-    state.tell("accept", digest)
+    state.set_override("accept", digest)
     click.echo(f"{digest}: accepted; a gateway that holds it applies it within a second")
     return 0
 
 
 def history(config_path: str, back: int | None, follow: bool) -> int:
-    """The versions that are kept; go back to one, or follow the file again."""
+    """Print the versions that are kept, pin one of them, or follow the file again."""
     state = _state_directory(config_path)
-    versions = state.history()
+    versions = state.stored_versions()
     if follow:
-        state.tell("pinned", "")
+        state.set_override("pinned", "")
         click.echo("the file is followed")
         return 0
     if back is not None:
         chosen = next((version for number, _, version in versions if number == back), None)
         if chosen is None:
             raise RosterCommandError(
-                f"no version {back} is kept; there are {', '.join(str(n) for n, _, _ in versions)}"
+                f"version {back} is not kept; there are {', '.join(str(n) for n, _, _ in versions)}"
             )
-        state.tell("pinned", chosen.digest)
+        state.set_override("pinned", chosen.digest)
         click.echo(f"back to version {back}, generation {chosen.generation}; --follow ends it")
         return 0
     for number, applied_at_s, version in versions:
