--- a/tests/discovery/files/test_gateway_rewrites.py
+++ b/tests/discovery/files/test_gateway_rewrites.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from saffronstack.standin.model import Profile
 from tests.discovery.files.support import entry, file_text, gateway_with_worker_file
 from tests.support.stack import eventually
@@ -108,7 +108,7 @@
 def test_five_thousand_rewrites_with_faults_never_route_to_an_unlisted_address(
     tmp_path: pathlib.Path,
 ) -> None:
-    fleet = StandInFleet(6, lambda n: Profile(work_s=0.001, load_s=0.005))
+    fleet = StubWorkerFleet(6, lambda n: Profile(work_s=0.001, load_s=0.005))
     entries = fleet.entries()
     unused_listeners = [ConnectionCounter() for _ in range(2)]
     unlisted_entries = [
