--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -18,7 +18,7 @@
 import sys
 import tempfile
 
-from saffronstack.harness.fleet.scenario import DAYS, play
+from saffronstack.harness.fleet.scenario import SCENARIOS, run_scenario
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -29,7 +29,7 @@
     """0 where every rule was kept."""
     plain = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
-    parser.add_argument("--day", nargs="*", choices=sorted(DAYS), default=sorted(DAYS))
+    parser.add_argument("--day", nargs="*", choices=sorted(SCENARIOS), default=sorted(SCENARIOS))
     parser.add_argument("--gateways", type=int, default=200)
     parser.add_argument("--hosts", type=int, default=36)
     parser.add_argument("--rate", type=float, default=300.0, help="calls a second over the fleet")
@@ -43,7 +43,7 @@
     for name in asked.day:
         for seed in asked.seeds:
             with tempfile.TemporaryDirectory(prefix="saffronstack-fleet-") as folder:
-                verdict = play(
+                verdict = run_scenario(
                     name, pathlib.Path(folder), gateways=asked.gateways, hosts=asked.hosts, rate=asked.rate,
                     seconds=asked.seconds, seed=seed,
                 )  # fmt: skip
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -22,7 +22,7 @@
 from saffronstack.config.build import Functions
 from saffronstack.deferred.ledger import open_ledger
 from saffronstack.deferred.records import CallAccepted
-from saffronstack.harness.scenario.processes import StandInHost
+from saffronstack.harness.scenario.processes import StubWorkersProcess
 from saffronstack.standin.fleet import sample
 
 HERE = pathlib.Path(__file__).parent
@@ -123,7 +123,7 @@
 def throughput(directory: pathlib.Path, seconds: float, connections: list[int]) -> None:
     """Direct, proxy, gateway, side by side at each number of connections."""
     hosts = [
-        StandInHost(
+        StubWorkersProcess(
             {
                 "count": 1,
                 "log": os.devnull,
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -16,7 +16,7 @@
 import psutil
 from gateway import CALLS, FUNCTIONS, gateway, load
 
-from saffronstack.harness.scenario.processes import StandInHost
+from saffronstack.harness.scenario.processes import StubWorkersProcess
 from saffronstack.metering.ledger_entries import RecordConfirmed, RecordReceived
 from saffronstack.metering.usage_log import open_usage_log, read_usage_log
 from saffronstack.metering.worker_messages import CallReference, UsageRecord
@@ -29,7 +29,7 @@
 def throughput(directory: pathlib.Path, rounds: int, seconds: float) -> None:
     """Two gateways before the same workers, loaded in turn: the ratio pair by pair."""
     hosts = [
-        StandInHost({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
+        StubWorkersProcess({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
         for n in range(4)
     ]
     workers = [host.workers[0] for host in hosts]
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -26,8 +26,8 @@
 from botocore.config import Config as BotoConfig
 from gateway import FUNCTIONS, POST, gateway, load
 
-from saffronstack.harness.scenario.processes import StandInHost
-from saffronstack.harness.scenario.relay import Relay, seldom
+from saffronstack.harness.scenario.processes import StubWorkersProcess
+from saffronstack.harness.scenario.relay import Relay, lose_randomly
 from saffronstack.operations.decisions import Execute
 from saffronstack.operations.operation import OperationState, StoredResponse
 from saffronstack.operations.operation_log import AttemptStarted, open_operation_log
@@ -49,7 +49,7 @@
 def throughput(directory: pathlib.Path, rounds: int, seconds: float) -> None:
     """Gateways before the same workers, loaded in turn: safe with and without, unsafe noted and not."""
     hosts = [
-        StandInHost({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
+        StubWorkersProcess({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
         for n in range(4)
     ]
     content = sample([host.workers[0] for host in hosts], "127.0.0.1:0", "", 65536)
@@ -174,7 +174,7 @@
         return process
 
     process = start()
-    relay = Relay(lambda: address, seldom(1 / 3, 1))
+    relay = Relay(lambda: address, lose_randomly(1 / 3, 1))
     ended: list[tuple[str, str, bool]] = []
     threads = 20
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -31,7 +31,7 @@
 from saffronstack.fleet.rollout.canary_analysis import analyze
 from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
 from saffronstack.fleet.rollout.record import RolloutPhase
-from saffronstack.harness.links import Mode
+from saffronstack.harness.links import LinkMode
 from saffronstack.harness.rollout.defects import Defect
 from saffronstack.harness.rollout.exploration import explore
 from saffronstack.harness.rollout.process_rig import RolloutRig
@@ -132,7 +132,7 @@
 
 def _draw_fault(chance: random.Random, rig: RolloutRig) -> Fault:
     daemon, keeper = chance.choice(list(rig.daemons)), chance.choice(list(rig.keepers))
-    mode = chance.choice((Mode.HOLD, Mode.LOSE))
+    mode = chance.choice((LinkMode.HOLD, LinkMode.LOSE))
     return chance.choice((
         Fault("kill leader", lambda: rig.kill("rollout")),
         Fault(
@@ -144,7 +144,10 @@
             "stop daemon",
             lambda: rig.signal(daemon, signal.SIGSTOP), lambda: rig.signal(daemon, signal.SIGCONT),
         ),
-        Fault("cut", lambda: rig.cut("leader", daemon, mode), lambda: rig.cut("leader", daemon, Mode.PASS)),
+        Fault(
+            "cut",
+            lambda: rig.cut("leader", daemon, mode), lambda: rig.cut("leader", daemon, LinkMode.PASS),
+        ),
         Fault("disk lost", lambda: rig.lose_disk(daemon), lambda: rig.start_daemon(daemon)),
         Fault("kill keeper", lambda: rig.kill(keeper), lambda: rig.start_keeper(keeper)),
         Fault("kill gateway", lambda: _kill_some_gateway(rig, chance)),
@@ -224,7 +227,7 @@
             lambda at: asked.rate, lambda name: name, ("corner-books", "campus-app"), "reload",
         )  # fmt: skip
         over = threading.Event()
-        traffic = start_thread("traffic", lambda: clients.play(3600.0, over))
+        traffic = start_thread("traffic", lambda: clients.generate_load(3600.0, over))
         statuses = []
         for gateway in rig.gateways:
             ran = rig.run("fleet", "reload", "--fleet", str(rig.fleet_path), gateway, "--wait", "20")
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -23,18 +23,20 @@
 
 from saffronstack.harness.soak import http_play, restart_play
 from saffronstack.harness.soak.defects import DEFECTS
-from saffronstack.harness.soak.platform_play import PlatformPlay, PlayedSchedule
+from saffronstack.harness.soak.platform_play import PlatformRun, RunResult
 from saffronstack.harness.soak.schedule import Schedule, draw
 
 MAX_BREACHES_SHOWN = 5
 
 
-def play(schedule: Schedule, folder: pathlib.Path, options: argparse.Namespace) -> PlayedSchedule:
+def play(schedule: Schedule, folder: pathlib.Path, options: argparse.Namespace) -> RunResult:
     """Play one schedule and print its line."""
-    played = PlatformPlay(schedule, folder, DEFECTS[options.defect] if options.defect else "").play()
-    verdict = played.verdict
+    played = PlatformRun(schedule, folder, DEFECTS[options.defect] if options.defect else "").run()
+    verdict = played.report
     ended = f"ended +{verdict.ended_after_s:.2f}" if verdict.ended_after_s is not None else "killed"
-    text = f"{schedule.seed:>5} {len(verdict.breaches):>4} breaches  {ended:<12} {dict(verdict.answers)}"
+    text = (
+        f"{schedule.seed:>5} {len(verdict.breaches):>4} breaches  {ended:<12} {dict(verdict.response_counts)}"
+    )
     text += f" in the margin {verdict.within_margin}, crossed {verdict.crossed}"
     text += f" (of busy clients {verdict.busy_crossed})"
     if verdict.breaches:
@@ -46,12 +48,12 @@
     return played
 
 
-def play_http(seed: int, folder: pathlib.Path, processes: int) -> http_play.HttpVerdict:
+def play_http(seed: int, folder: pathlib.Path, processes: int) -> http_play.HttpReport:
     """Play one SIGTERM on the HTTP gateway and print its line."""
     schedule = http_play.draw(seed, processes)
-    verdict = http_play.HttpPlay(schedule, folder).play()
+    verdict = http_play.HttpRun(schedule, folder).run()
     ended = f"ended +{verdict.ended_after_s:.2f}"
-    text = f"{seed:>5} {len(verdict.breaches):>4} breaches  {ended}  {dict(verdict.ends)}"
+    text = f"{seed:>5} {len(verdict.breaches):>4} breaches  {ended}  {dict(verdict.outcomes)}"
     if verdict.breaches:
         text += f"\n      {schedule}"
         text += "".join(f"\n      {breach}" for breach in verdict.breaches[:MAX_BREACHES_SHOWN])
@@ -63,18 +65,18 @@
     """Play all seeds on the HTTP gateway."""
     verdicts = list(pool.map(lambda seed: play_http(seed, folder, options.http), options.seeds))
     failed = sum(bool(one.breaches) for one in verdicts)
-    ends = sum((one.ends for one in verdicts), Counter[str]())
+    ends = sum((one.outcomes for one in verdicts), Counter[str]())
     slowest_s = max(one.ended_after_s for one in verdicts)
     print(f"{len(verdicts)} seeds, {failed} with breaches; {dict(ends)}; the slowest end +{slowest_s:.2f} s")
     return 1 if failed else 0
 
 
-def play_restart(seed: int, folder: pathlib.Path) -> restart_play.RestartVerdict:
+def play_restart(seed: int, folder: pathlib.Path) -> restart_play.RestartReport:
     """Play one restart on a ledger and print its line."""
     schedule = restart_play.draw(seed)
-    verdict = restart_play.RestartPlay(schedule, folder / f"restart-{seed}").play()
+    verdict = restart_play.RestartRun(schedule, folder / f"restart-{seed}").run()
     end = "killed" if schedule.is_killed else "ended "
-    text = f"{seed:>5} {len(verdict.breaches):>4} breaches  {end} {dict(verdict.ends)}"
+    text = f"{seed:>5} {len(verdict.breaches):>4} breaches  {end} {dict(verdict.outcomes)}"
     text += f" final records {dict(verdict.conditions)}"
     text += "".join(f"\n      {breach}" for breach in verdict.breaches[:MAX_BREACHES_SHOWN])
     print(text, flush=True)
@@ -108,10 +110,10 @@
             return main_http(options, pathlib.Path(folder), pool)
         schedules = [draw(seed) for seed in options.seeds]
         played = list(pool.map(lambda one: play(one, pathlib.Path(folder), options), schedules))
-    answers = sum((one.verdict.answers for one in played), Counter[str]())
-    failed = sum(bool(one.verdict.breaches) for one in played)
-    crossed = sum(one.verdict.crossed for one in played)
-    busy_crossed = sum(one.verdict.busy_crossed for one in played)
+    answers = sum((one.report.response_counts for one in played), Counter[str]())
+    failed = sum(bool(one.report.breaches) for one in played)
+    crossed = sum(one.report.crossed for one in played)
+    busy_crossed = sum(one.report.busy_crossed for one in played)
     text = f"{len(played)} seeds, {failed} with breaches; answers {dict(answers)}"
     print(f"{text}, crossed {crossed} (of busy clients {busy_crossed})")
     return 1 if failed else 0
--- a/benchmarks/soak_forced_orders.py
+++ b/benchmarks/soak_forced_orders.py
@@ -20,7 +20,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from saffronstack.harness.soak.platform_play import PlatformPlay
+from saffronstack.harness.soak.platform_play import PlatformRun
 from saffronstack.harness.soak.schedule import draw
 
 SEED = 9
@@ -152,7 +152,7 @@
     case, schedule = CASES[name], draw(SEED)
     program = _PRELUDE.format(processor=processor, kill_s=schedule.kill_s) + case.program + _MAIN
     with tempfile.TemporaryDirectory() as folder:
-        breaches = PlatformPlay(schedule, pathlib.Path(folder), program).play().verdict.breaches
+        breaches = PlatformRun(schedule, pathlib.Path(folder), program).run().report.breaches
     is_right = bool(breaches) is case.must_break
     verdict = "as it has to be" if is_right else ("open" if case.is_open else "WRONG")
     shown = "".join(f"\n      {breach}" for breach in breaches[:MAX_BREACHES_SHOWN])
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -30,14 +30,14 @@
 from baselines import POLICIES, SLOT_S, Truth
 
 from saffronstack.audit.traffic import Try
-from saffronstack.harness.fleet.clients import Caller
-from saffronstack.harness.fleet.cluster import Lag
+from saffronstack.harness.fleet.clients import GatewayClients
+from saffronstack.harness.fleet.cluster import ReadLag
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.harness.fleet.load_spread import (
     Arrival,
     Sample,
     evenness,
-    expected_most,
+    expected_max_load,
     herds,
     idle_beside_queue,
     quantile,
@@ -82,7 +82,7 @@
     hosts = [LinesHost(name, profile, Store(64), lambda function: catalog, lines.append) for name in names]
     print(json.dumps([host.address for host in hosts]), flush=True)
     truth = Truth(pathlib.Path(asked["truth"]), asked["names"])
-    lag, ended = Lag(), threading.Event()
+    lag, ended = ReadLag(), threading.Event()
 
     def sample() -> None:
         moment = Truth.moment()
@@ -112,7 +112,7 @@
     ended.set()
     sampler.join()
     lag.close()
-    pathlib.Path(asked["out"]).write_bytes(msgspec.json.encode({"lines": lines, "lag_s": lag.most_s}))
+    pathlib.Path(asked["out"]).write_bytes(msgspec.json.encode({"lines": lines, "lag_s": lag.max_s}))
     os._exit(0)
 
 
@@ -128,9 +128,9 @@
 
 def clients_main(asked: dict[str, Any]) -> None:
     """Be the clients of some gateways: calls come at random moments, whatever becomes of those before."""
-    plan, tries, lag = plan_of(asked), list[Try](), Lag()
+    plan, tries, lag = plan_of(asked), list[Try](), ReadLag()
     callers = [
-        Caller(Address(number, (host, port), plan), tries)  # type: ignore[arg-type]
+        GatewayClients(Address(number, (host, port), plan), tries)  # type: ignore[arg-type]
         for number, host, port in asked["gateways_at"]
     ]
     chance = random.Random(plan.seed * 1000 + asked["part"])
@@ -155,7 +155,7 @@
         time.sleep(0.02)
     found = [(t.sent_s, t.end, t.ended_s - t.sent_s, t.function) for t in tries]
     lag.close()
-    told = {"tries": found, "lag_s": lag.most_s, "late_s": late_s}
+    told = {"tries": found, "lag_s": lag.max_s, "late_s": late_s}
     pathlib.Path(asked["out"]).write_bytes(msgspec.json.encode(told))
     os._exit(0)
 
@@ -210,7 +210,7 @@
         if self.policy == "ours":
             super().start()
             return
-        self.lives += 1
+        self.start_count += 1
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, str(ROOT / "benchmarks" / "baselines.py")], stderr=log,
@@ -290,7 +290,7 @@
         gateway.start()
     end_s = time.monotonic() + START_MOST_S
     for gateway in some:
-        while not gateway.ready():
+        while not gateway.is_ready():
             if time.monotonic() > end_s:
                 raise TimeoutError(f"gateway {gateway.number} did not start in time")
             time.sleep(0.05)
@@ -361,8 +361,8 @@
         "max_over_mean_worst": max((one.max_over_mean for one in windows), default=0.0),
         "p99_over_mean": quantile([one.p99_over_mean for one in windows], 0.5),
         "deviation": quantile([one.deviation for one in windows], 0.5),
-        "by_chance_random": expected_most(balls, plan.hosts, 1, 20),
-        "by_chance_two": expected_most(balls, plan.hosts, 2, 20),
+        "by_chance_random": expected_max_load(balls, plan.hosts, 1, 20),
+        "by_chance_two": expected_max_load(balls, plan.hosts, 2, 20),
         "idle_beside_queue": idle.share, "idle_longest_s": idle.longest_s,
         "herds_a_second": len(herds(inside, shares, ROUND_TRIP_S)) / span_s,
         "warm": found["warm"] / max(1, len(answers)),
@@ -372,7 +372,7 @@
         "served": ends["served"] / max(1, len(judged)), "in_aim": in_aim / max(1, len(judged)),
         "p50_ms": 1000 * quantile(times, 0.5), "p99_ms": 1000 * quantile(times, 0.99), "lag_s": lag_s,
         "gateway_mb": max(gateway.memory_mb() for gateway in gateways[:8]),
-        "descriptors": max(gateway.descriptors() for gateway in gateways[:8]),
+        "descriptors": max(gateway.descriptor_count() for gateway in gateways[:8]),
         "by_host": [
             [round(one.since_s - began_s, 1), one.calls, round(one.max_over_mean, 3)] for one in windows
         ],
--- a/benchmarks/starved_processor.py
+++ b/benchmarks/starved_processor.py
@@ -28,7 +28,7 @@
 from dataclasses import asdict, dataclass, field
 
 from saffronstack.client import Client
-from saffronstack.harness.scenario.processes import StandInHost
+from saffronstack.harness.scenario.processes import StubWorkersProcess
 from saffronstack.standin.fleet import sample
 
 HERE = pathlib.Path(__file__)
@@ -500,7 +500,7 @@
     allowed = os.sched_getaffinity(0)
     os.sched_setaffinity(0, allowed - {asked.processor})
     profile = {"work_s": asked.work, "load_s": 0.05, "cores": 64, "queue": 256}
-    host = StandInHost({"count": 4, "log": os.devnull, "seed": 1, "profiles": [profile]})
+    host = StubWorkersProcess({"count": 4, "log": os.devnull, "seed": 1, "profiles": [profile]})
     os.sched_setaffinity(0, allowed)
     print(HEADER, flush=True)
     for case in cases(asked):
--- a/saffronstack/harness/fleet/clients.py
+++ b/saffronstack/harness/fleet/clients.py
@@ -19,155 +19,163 @@
 if TYPE_CHECKING:
     from saffronstack.harness.fleet.cluster import Fleet
 
-OPEN_MOST = 24  # calls on one connection of clients
-ENDINGS = {"OK": "served", "BUSY": "refused"}
+MAX_IN_FLIGHT_PER_CONNECTION = 24  # calls on one connection of clients
+OUTCOMES = {"OK": "served", "BUSY": "refused"}
 
 
-class Line:
+class ClientConnection:
     """One connection of a gateway's clients; it ends with the first error."""
 
-    def __init__(self, sock: socket.socket, caller: Caller) -> None:
+    def __init__(self, sock: socket.socket, clients: GatewayClients) -> None:
         self.sock = sock
-        self.open: dict[int, Try] = {}  # by tag; under the caller's lock
-        self.tags = 0
-        self._caller = caller
+        self.in_flight: dict[int, Try] = {}  # by tag; under the caller's lock
+        self.last_tag = 0
+        self._clients = clients
 
     def read(self) -> None:
         """Fill in the tries whose answers come, until the connection ends."""
         reader = RespReader(RespLimits(body_bytes=1 << 20))
         self.sock.settimeout(30.0)
-        answers = Stamped(self.sock)
+        receiver = Stamped(self.sock)
         while True:
             try:
-                data = answers.recv(65536)
+                data = receiver.recv(65536)
             except OSError:
                 data = b""
             if not data:
-                self._caller.broke(self)
+                self._clients.connection_ended(self)
                 return
-            now = answers.came_s
+            now = receiver.came_s
             reader.feed(data)
             while (words := reader.next()) is not None:
-                self._caller.answered(self, int(words[0]), words[1].decode(), now)
+                self._clients.response_received(self, int(words[0]), words[1].decode(), now)
 
 
-class Caller:
+class GatewayClients:
     """The clients of one gateway. Each connection carries fewer calls than a gateway lets one have open: what
     is refused is refused by its decisions, however long a stall of the machine makes calls pile up.
     """
 
     def __init__(self, gateway: Gateway, tries: list[Try]) -> None:
         self.gateway = gateway
-        self.doubled = 0  # answers under a tag that was answered, or never used
+        self.unexpected_responses = 0  # answers under a tag that was answered, or never used
         self._tries = tries
         plan = gateway.plan
         self._facts = f"memory_mb:{plan.memory_mb:g};lanes:{plan.lanes}"
         self._lock = threading.Lock()
-        self._lines: list[Line] = []
+        self._connections: list[ClientConnection] = []
 
-    def call(self, request: int, cls: str, function: str, timeout_s: float, tenant: str = "acme") -> Try:
+    def call(
+        self, request: int, class_name: str, function: str, timeout_s: float, tenant: str = "acme"
+    ) -> Try:
         """Send one; its try is filled in when something comes back."""
         op = f"{request:016x}"
-        t = Try(op, self.gateway.number, function, time.monotonic(), 0.0, id=op, tenant=tenant)
-        t.deadline_s = t.sent_s + timeout_s
-        told = (
+        attempt = Try(op, self.gateway.number, function, time.monotonic(), 0.0, id=op, tenant=tenant)
+        attempt.deadline_s = attempt.sent_s + timeout_s
+        fields = (
             f"req={op},timeout={timeout_s * 1000:.0f},owner={tenant},subject={function},facts={self._facts}"
         )
         with self._lock:
-            self._tries.append(t)
-            line = next((one for one in self._lines if len(one.open) < OPEN_MOST), None)
-            fresh = line is None
-            if line is None:
+            self._tries.append(attempt)
+            connection = next(
+                (one for one in self._connections if len(one.in_flight) < MAX_IN_FLIGHT_PER_CONNECTION), None
+            )
+            is_new = connection is None
+            if connection is None:
                 try:
-                    line = Line(socket.create_connection(self.gateway.address, timeout=5.0), self)
+                    connection = ClientConnection(
+                        socket.create_connection(self.gateway.address, timeout=5.0), self
+                    )
                 except OSError:
-                    t.end, t.ended_s = "not_taken", time.monotonic()
-                    return t
-                self._lines.append(line)
-            line.tags += 1
-            words = (b"CALL", b"%d" % line.tags, cls.encode(), told.encode(), b"x")
-            line.open[line.tags] = t
-            t.sent_s = time.monotonic()  # its time runs from here, however long the connection took
-            t.deadline_s = t.sent_s + timeout_s
+                    attempt.end, attempt.ended_s = "not_taken", time.monotonic()
+                    return attempt
+                self._connections.append(connection)
+            connection.last_tag += 1
+            words = (b"CALL", b"%d" % connection.last_tag, class_name.encode(), fields.encode(), b"x")
+            connection.in_flight[connection.last_tag] = attempt
+            attempt.sent_s = time.monotonic()  # its time runs from here, however long the connection took
+            attempt.deadline_s = attempt.sent_s + timeout_s
             try:
-                line.sock.sendall(encode(words))
+                connection.sock.sendall(encode(words))
             except OSError:
-                self._end(line)
-                return t
+                self._close_connection(connection)
+                return attempt
             # After the first bytes: a thread may be long in starting, and a gateway waits 2 s for them.
-            if fresh:
-                start_thread("caller", line.read)
-        return t
+            if is_new:
+                start_thread("caller", connection.read)
+        return attempt
 
-    def answered(self, line: Line, tag: int, word: str, now: float) -> None:
+    def response_received(self, connection: ClientConnection, tag: int, word: str, now: float) -> None:
         """An answer came on a connection."""
         with self._lock:
-            t = line.open.pop(tag, None)
-        if t is None:
-            self.doubled += 1
+            attempt = connection.in_flight.pop(tag, None)
+        if attempt is None:
+            self.unexpected_responses += 1
         else:
-            t.end, t.ended_s = ENDINGS.get(word, "failed"), now
+            attempt.end, attempt.ended_s = OUTCOMES.get(word, "failed"), now
 
-    def broke(self, line: Line) -> None:
+    def connection_ended(self, connection: ClientConnection) -> None:
         """A connection is over."""
         with self._lock:
-            self._end(line)
+            self._close_connection(connection)
 
-    def _end(self, line: Line) -> None:
+    def _close_connection(self, connection: ClientConnection) -> None:
         """What was open on it got nothing."""
-        if line in self._lines:
-            self._lines.remove(line)
-        for t in line.open.values():
-            t.end, t.ended_s = "broken", time.monotonic()
-        line.open.clear()
+        if connection in self._connections:
+            self._connections.remove(connection)
+        for attempt in connection.in_flight.values():
+            attempt.end, attempt.ended_s = "broken", time.monotonic()
+        connection.in_flight.clear()
         with contextlib.suppress(OSError):
-            line.sock.close()
+            connection.sock.close()
 
     def close(self) -> None:
         """End the connections."""
         with self._lock:
-            for line in list(self._lines):
-                self._end(line)
+            for connection in list(self._connections):
+                self._close_connection(connection)
 
 
-class Impatient:
+class ImpatientClients:
     """Clients that leave long before their answer and come again as somebody new, far too often."""
 
-    def __init__(self, fleet: Fleet, clients: int, patience_s: float, seconds: float) -> None:
-        self._fleet, self._patience_s, self._seconds = fleet, patience_s, seconds
+    def __init__(self, fleet: Fleet, clients: int, timeout_s: float, duration_s: float) -> None:
+        self._fleet, self._timeout_s, self._duration_s = fleet, timeout_s, duration_s
         self._clients = clients
         self._numbers = count(1)
 
     def run(self) -> None:
         """Until its time is over."""
-        end_s = time.monotonic() + self._seconds
+        end_s = time.monotonic() + self._duration_s
         threads = [
             start_thread("impatient", lambda n=n: self._client(random.Random(n), end_s))  # type: ignore[misc]
             for n in range(self._clients)
         ]
         for thread in threads:
-            thread.join(self._seconds + 10.0)
+            thread.join(self._duration_s + 10.0)
 
-    def _client(self, chance: random.Random, end_s: float) -> None:
+    def _client(self, rng: random.Random, end_s: float) -> None:
         plan = self._fleet.plan
         facts = f"memory_mb:{plan.memory_mb:g};lanes:{plan.lanes}"
         while time.monotonic() < end_s:
-            gateway = chance.choice(self._fleet.gateways)
-            place = 1 + 5 * chance.randrange(plan.functions // 5)  # of the class "look"
-            function = self._fleet.name_of(place)
+            gateway = rng.choice(self._fleet.gateways)
+            function_number = 1 + 5 * rng.randrange(plan.functions // 5)  # of the class "look"
+            function = self._fleet.function_id(function_number)
             op = f"{0xFEED << 40 | next(self._numbers):016x}"
-            t = Try(op, gateway.number, function, time.monotonic(), 0.0, id=op)
-            t.deadline_s = t.sent_s + 3.0
-            told = f"req={op},timeout=3000,owner=acme,subject={function},facts={facts}"
-            self._fleet.tries.append(t)
+            attempt = Try(op, gateway.number, function, time.monotonic(), 0.0, id=op)
+            attempt.deadline_s = attempt.sent_s + 3.0
+            fields = f"req={op},timeout=3000,owner=acme,subject={function},facts={facts}"
+            self._fleet.tries.append(attempt)
             try:
                 with socket.create_connection(gateway.address, timeout=5.0) as sock:
-                    sock.sendall(encode((b"CALL", b"1", b"look", told.encode(), b"x")))
-                    sock.settimeout(self._patience_s)
-                    came = sock.recv(65536)
-                    t.end = "served" if b"OK" in came else "refused" if b"BUSY" in came else "broken"
+                    sock.sendall(encode((b"CALL", b"1", b"look", fields.encode(), b"x")))
+                    sock.settimeout(self._timeout_s)
+                    received = sock.recv(65536)
+                    attempt.end = (
+                        "served" if b"OK" in received else "refused" if b"BUSY" in received else "broken"
+                    )
             except TimeoutError:
-                t.end = "left"
+                attempt.end = "left"
             except OSError:
-                t.end = "not_taken"
-            t.ended_s = time.monotonic()
+                attempt.end = "not_taken"
+            attempt.ended_s = time.monotonic()
--- a/saffronstack/harness/fleet/cluster.py
+++ b/saffronstack/harness/fleet/cluster.py
@@ -18,23 +18,23 @@
 from dataclasses import dataclass, field
 
 from saffronstack.audit.traffic import Seen, Stopped, Told, Try
-from saffronstack.harness.fleet.clients import Caller
+from saffronstack.harness.fleet.clients import GatewayClients
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.harness.fleet.plan import FleetPlan
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.platform import Directory, Entry, LinesHost
 
-START_S = 60.0
-LAG_LOOK_S = 0.02
-ONCE = 1 << 16  # places of functions that are asked once; all of the class "look"
+START_TIMEOUT_S = 60.0
+LAG_SEND_INTERVAL_S = 0.02
+SINGLE_USE_OFFSET = 1 << 16  # places of functions that are asked once; all of the class "look"
 
 
 @dataclass
-class Sums:
+class FleetCounts:
     """What the fleet did together, by second since the beginning of the traffic."""
 
     calls: Counter[int] = field(default_factory=Counter)
-    links: Counter[int] = field(default_factory=Counter)  # opened to hosts
+    connections: Counter[int] = field(default_factory=Counter)  # opened to hosts
     asks: Counter[int] = field(default_factory=Counter)  # for the list
     arrivals: Counter[tuple[str, int]] = field(default_factory=Counter)  # by host
     loads: int = 0
@@ -42,16 +42,16 @@
     descriptors: int = 0  # the most that one gateway held
     memory_mb: float = 0.0
 
-    def per_second(self, counted: Counter[int], since: int, until: int) -> float:
+    def per_second(self, counts: Counter[int], since: int, until: int) -> float:
         """The mean over whole seconds."""
-        return sum(counted[second] for second in range(since, until)) / max(1, until - since)
+        return sum(counts[second] for second in range(since, until)) / max(1, until - since)
 
 
-class Lag:
+class ReadLag:
     """How late a thread of this process reads what has come; what clients and hosts here saw may be so."""
 
     def __init__(self) -> None:
-        self.most_s = 0.0
+        self.max_s = 0.0
         self._near, self._far = socket.socketpair()
         self._ended = False
         self._threads = [start_thread("lag-writer", self._write), start_thread("lag-reader", self._read)]
@@ -59,12 +59,12 @@
     def _write(self) -> None:
         while not self._ended:
             self._near.sendall(struct.pack("d", time.monotonic()))
-            time.sleep(LAG_LOOK_S)
+            time.sleep(LAG_SEND_INTERVAL_S)
 
     def _read(self) -> None:
         with self._far:
             while (sent := self._far.recv(8)) and len(sent) == 8:
-                self.most_s = max(self.most_s, time.monotonic() - float(struct.unpack("d", sent)[0]))
+                self.max_s = max(self.max_s, time.monotonic() - float(struct.unpack("d", sent)[0]))
 
     def close(self) -> None:
         """End its threads."""
@@ -84,27 +84,29 @@
         self.told: list[Told] = []
         self.stopped: list[Stopped] = []
         self.entries = [
-            Entry(host.name, host.address, weight=plan.size_of(place)) for place, host in enumerate(hosts)
+            Entry(host.name, host.address, weight=plan.host_size(index)) for index, host in enumerate(hosts)
         ]
         self.directory = Directory(*self.entries)
         self.gateways = [Gateway(number, folder, plan) for number in range(plan.gateways)]
-        self.callers = [Caller(gateway, self.tries) for gateway in self.gateways]
-        self.began_s = 0.0
-        self.turn = threading.Lock()  # steps that must not cross: SIGHUP before a gateway is ready ends it
-        self.faults: list[str] = []  # steps that did not come off
-        self.lag = Lag()
-        self.most_descriptors = 0
-        self.most_mb = 0.0
+        self.clients_by_gateway = [GatewayClients(gateway, self.tries) for gateway in self.gateways]
+        self.start_s = 0.0
+        self.restart_lock = (
+            threading.Lock()
+        )  # steps that must not cross: SIGHUP before a gateway is ready ends it
+        self.failed_steps: list[str] = []  # steps that did not come off
+        self.lag = ReadLag()
+        self.max_descriptors = 0
+        self.max_memory_mb = 0.0
 
     def __enter__(self) -> Fleet:
         self.start(self.gateways)
         return self
 
     def __exit__(self, *exc: object) -> None:
-        for caller in self.callers:
-            caller.close()
+        for clients in self.clients_by_gateway:
+            clients.close()
         for gateway in self.gateways:
-            gateway.send(signal.SIGKILL)
+            gateway.send_signal(signal.SIGKILL)
         for gateway in self.gateways:
             if gateway.process is not None:
                 gateway.wait()
@@ -115,17 +117,17 @@
 
     def start(self, gateways: Iterable[Gateway]) -> None:
         """Start them all at once, and return when they take calls."""
-        some = list(gateways)
-        for gateway in some:
+        batch = list(gateways)
+        for gateway in batch:
             gateway.write(self.directory.address, self.entries, self.directory.serial)
             gateway.start()
-        end_s = time.monotonic() + START_S
-        for gateway in some:
-            while not gateway.ready():
+        end_s = time.monotonic() + START_TIMEOUT_S
+        for gateway in batch:
+            while not gateway.is_ready():
                 assert time.monotonic() < end_s, f"gateway {gateway.number} did not start in time"
                 time.sleep(0.02)
 
-    def tell(self, entries: list[Entry]) -> None:
+    def publish_endpoints(self, entries: list[Entry]) -> None:
         """A new list at the directory; gateways hear of it when they ask."""
         self.entries = entries
         self.directory.put(*entries)
@@ -139,88 +141,91 @@
 
     def kill(self, gateways: Iterable[Gateway]) -> None:
         """Kill -9, all at once."""
-        some = list(gateways)
-        for gateway in some:
+        batch = list(gateways)
+        for gateway in batch:
             self.stopped.append(Stopped(gateway.number, time.monotonic(), True))
-            gateway.send(signal.SIGKILL)
-        for gateway in some:
+            gateway.send_signal(signal.SIGKILL)
+        for gateway in batch:
             gateway.wait()
 
-    def leave(self, gateway: Gateway) -> None:
+    def terminate(self, gateway: Gateway) -> None:
         """SIGTERM."""
         self.stopped.append(Stopped(gateway.number, time.monotonic(), False))
-        gateway.send(signal.SIGTERM)
+        gateway.send_signal(signal.SIGTERM)
 
-    def again(self, gateways: Iterable[Gateway]) -> None:
+    def restart(self, gateways: Iterable[Gateway]) -> None:
         """Start killed or ended gateways again."""
-        some = list(gateways)
-        self.start(some)
+        batch = list(gateways)
+        self.start(batch)
         now = time.monotonic()
-        for gateway in some:
+        for gateway in batch:
             for stop in self.stopped:
                 if stop.gateway == gateway.number and stop.back_s == float("inf"):
                     stop.back_s = now
 
-    def play(self, seconds: float, steps: Iterable[tuple[float, Callable[[], None]]] = ()) -> None:
+    def run(self, duration_s: float, steps: Iterable[tuple[float, Callable[[], None]]] = ()) -> None:
         """Traffic for so long; each step runs at its time, on a thread of its own."""
-        plan, chance = self.plan, random.Random(self.plan.seed)
-        shares = [chance.random() ** (plan.uneven - 1) + 0.1 for _ in self.gateways]
-        popular = plan.popularity()
-        self.began_s = time.monotonic()
-        threads = [start_thread("step", lambda at=at, step=step: self._step(at, step)) for at, step in steps]  # type: ignore[misc]
-        at, request, looked_s = 0.0, len(self.tries), 0.0
-        while at < seconds:
-            at += chance.expovariate(plan.rate)
-            pause = self.began_s + at - time.monotonic()
-            if pause > 0:
-                time.sleep(pause)
+        plan, rng = self.plan, random.Random(self.plan.seed)
+        shares = [rng.random() ** (plan.uneven - 1) + 0.1 for _ in self.gateways]
+        weights = plan.function_weights()
+        self.start_s = time.monotonic()
+        threads = [
+            start_thread("step", lambda at_s=at_s, step=step: self._step(at_s, step))  # type: ignore[misc]
+            for at_s, step in steps
+        ]
+        at_s, request, sampled_s = 0.0, len(self.tries), 0.0
+        while at_s < duration_s:
+            at_s += rng.expovariate(plan.rate)
+            delay_s = self.start_s + at_s - time.monotonic()
+            if delay_s > 0:
+                time.sleep(delay_s)
             request += 1
-            place = chance.choices(range(plan.functions), popular)[0]
-            if chance.random() < plan.once:
-                place = ONCE + 5 * request + 1
-            cls = "sell" if place % 5 == 0 else "look"
-            caller = chance.choices(self.callers, shares)[0]
-            caller.call(plan.seed << 32 | request, cls, self.name_of(place), 3.0)
-            if at > looked_s + 1.0:
-                looked_s = at
-                self.look()
+            index = rng.choices(range(plan.functions), weights)[0]
+            if rng.random() < plan.once:
+                index = SINGLE_USE_OFFSET + 5 * request + 1
+            class_name = "sell" if index % 5 == 0 else "look"
+            clients = rng.choices(self.clients_by_gateway, shares)[0]
+            clients.call(plan.seed << 32 | request, class_name, self.function_id(index), 3.0)
+            if at_s > sampled_s + 1.0:
+                sampled_s = at_s
+                self.sample_resources()
         for thread in threads:
             thread.join(60.0)
             if thread.is_alive():
-                self.faults.append("a step did not end")
+                self.failed_steps.append("a step did not end")
         end_s = time.monotonic() + 5.0
-        while time.monotonic() < end_s and any(not t.end for t in self.tries):
+        while time.monotonic() < end_s and any(not attempt.end for attempt in self.tries):
             time.sleep(0.02)
 
-    def _step(self, at: float, step: Callable[[], None]) -> None:
-        time.sleep(max(0.0, self.began_s + at - time.monotonic()))
+    def _step(self, at_s: float, step: Callable[[], None]) -> None:
+        time.sleep(max(0.0, self.start_s + at_s - time.monotonic()))
         try:
             step()
         except Exception as error:  # noqa: BLE001 - the verdict names it
-            self.faults.append(f"step at {at:.1f} s: {error!r}")
+            self.failed_steps.append(f"step at {at_s:.1f} s: {error!r}")
 
-    def look(self) -> None:
+    def sample_resources(self) -> None:
         """Descriptors and memory of a few gateways."""
         for gateway in self.gateways[:: max(1, len(self.gateways) // 8)]:
             if gateway.process is not None:
-                self.most_descriptors = max(self.most_descriptors, gateway.descriptors())
-                self.most_mb = max(self.most_mb, gateway.memory_mb())
+                self.max_descriptors = max(self.max_descriptors, gateway.descriptor_count())
+                self.max_memory_mb = max(self.max_memory_mb, gateway.memory_mb())
 
     @staticmethod
-    def name_of(place: int) -> str:
+    def function_id(index: int) -> str:
         """A function's name on the platform."""
-        return f"{0x5AFF0000 + place:016x}"
+        return f"{0x5AFF0000 + index:016x}"
 
-    def sums(self, seen: Iterable[Seen], connects: Iterable[float]) -> Sums:
+    def counts(self, seen: Iterable[Seen], connects: Iterable[float]) -> FleetCounts:
         """What hosts, directory and clients saw, by second."""
-        sums = Sums(descriptors=self.most_descriptors, memory_mb=self.most_mb)
-        for t in self.tries:
-            sums.calls[int(t.sent_s - self.began_s)] += 1
-        for at in connects:
-            sums.links[int(at - self.began_s)] += 1
-        for at, _ in list(self.directory.asks):
-            sums.asks[int(at - self.began_s)] += 1
+        counts = FleetCounts(descriptors=self.max_descriptors, memory_mb=self.max_memory_mb)
+        for attempt in self.tries:
+            counts.calls[int(attempt.sent_s - self.start_s)] += 1
+        for at_s in connects:
+            counts.connections[int(at_s - self.start_s)] += 1
+        for at_s, _ in list(self.directory.asks):
+            counts.asks[int(at_s - self.start_s)] += 1
         for entry in seen:
             if entry.what == "arrive":
-                sums.arrivals[entry.worker, int(entry.t - self.began_s)] += 1
-        return sums
+                counts.arrivals[entry.worker, int(entry.t - self.start_s)] += 1
+        return counts
--- a/saffronstack/harness/fleet/faults.py
+++ b/saffronstack/harness/fleet/faults.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from saffronstack.audit.traffic import Seen
-from saffronstack.harness.fleet.clients import Impatient
+from saffronstack.harness.fleet.clients import ImpatientClients
 from saffronstack.harness.fleet.cluster import Fleet
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.standin.model import Faults
@@ -20,107 +20,116 @@
 
 
 @dataclass(frozen=True)
-class Day:
+class Scenario:
     """A day's steps, as shares of its time, and what must at least come of it."""
 
-    about: str
+    description: str
     steps: Callable[[Fleet, float], list[Step]]
-    served: float  # part of the calls that were taken
-    links_per_call: float = 1.0  # new connections to hosts
+    min_served_fraction: float  # part of the calls that were taken
+    max_connections_per_call: float = 1.0  # new connections to hosts
     plan: dict[str, Any] = field(default_factory=dict)  # what differs from the usual sizes and figures
-    look: Callable[[Fleet, list[Seen], float], list[str]] = lambda fleet, seen, seconds: []  # what is wrong
+    find_problems: Callable[[Fleet, list[Seen], float], list[str]] = (
+        lambda fleet, seen, duration_s: []
+    )  # what is wrong
 
 
-def cold(fleet: Fleet, places: range) -> None:
+def restart_hosts_cold(fleet: Fleet, indices: range) -> None:
     """Hosts end and return cold at their addresses, under new names: nothing of theirs is left."""
     entries = list(fleet.entries)
-    for place in places:
-        host = fleet.hosts[place]
+    for index in indices:
+        host = fleet.hosts[index]
         host.stop()
         host.name += "x"
         host.start()
         started = int(time.time() * 1000)
-        weight = fleet.plan.size_of(place)
-        entries[place] = Entry(host.name, host.address, False, started, host_zone(place), weight)
-    fleet.tell(entries)
+        weight = fleet.plan.host_size(index)
+        entries[index] = Entry(host.name, host.address, False, started, host_zone(index), weight)
+    fleet.publish_endpoints(entries)
 
 
-def host_zone(place: int) -> str:
+def host_zone(index: int) -> str:
     """Every other host stands in the other zone."""
-    return ("east", "west")[place % 2]
+    return ("east", "west")[index % 2]
 
 
-def calm(fleet: Fleet, seconds: float) -> list[Step]:
+def calm(fleet: Fleet, duration_s: float) -> list[Step]:
     """Nothing goes wrong."""
     return []
 
 
-def herd(fleet: Fleet, seconds: float) -> list[Step]:
+def herd(fleet: Fleet, duration_s: float) -> list[Step]:
     """Seven in ten gateways are killed at once and start together, before hosts that returned cold."""
-    victims = fleet.gateways[: len(fleet.gateways) * 7 // 10]
+    killed_gateways = fleet.gateways[: len(fleet.gateways) * 7 // 10]
 
     def kill() -> None:
-        fleet.kill(victims)
-        cold(fleet, range(0, max(1, len(fleet.hosts) // 4)))
-        fleet.again(victims)
+        fleet.kill(killed_gateways)
+        restart_hosts_cold(fleet, range(0, max(1, len(fleet.hosts) // 4)))
+        fleet.restart(killed_gateways)
 
-    return [(0.3 * seconds, kill)]
+    return [(0.3 * duration_s, kill)]
 
 
-def roll(fleet: Fleet, seconds: float) -> list[Step]:
+def roll(fleet: Fleet, duration_s: float) -> list[Step]:
     """A tenth at a time ends by SIGTERM with calls arriving, while SIGHUP moves the directory."""
 
-    def moved() -> None:
-        with fleet.turn:
+    def move_directory() -> None:
+        with fleet.restart_lock:
             old = fleet.directory
             fleet.directory = Directory(*fleet.entries, serial=old.serial)
             fleet.directory.asks.extend(old.asks)
             for gateway in fleet.gateways:
                 gateway.write(fleet.directory.address, fleet.entries, fleet.directory.serial)
-                gateway.send(signal.SIGHUP)
+                gateway.send_signal(signal.SIGHUP)
             old.close()
 
-    def tenth(some: list[Gateway]) -> Callable[[], None]:
+    def restart_step(batch: list[Gateway]) -> Callable[[], None]:
         def restart() -> None:
-            with fleet.turn:
-                for gateway in some:
-                    fleet.leave(gateway)
-                for gateway in some:
+            with fleet.restart_lock:
+                for gateway in batch:
+                    fleet.terminate(gateway)
+                for gateway in batch:
                     assert gateway.wait() == 0, gateway.log.read_text()[-2000:]
-                fleet.again(some)
+                fleet.restart(batch)
 
         return restart
 
     size = max(1, len(fleet.gateways) // 10)
     groups = [fleet.gateways[at : at + size] for at in range(0, size * 3, size)]
-    steps: list[Step] = [((0.1 + 0.2 * n) * seconds, tenth(group)) for n, group in enumerate(groups)]
-    return [*steps, (0.55 * seconds, moved)]
+    steps: list[Step] = [
+        ((0.1 + 0.2 * n) * duration_s, restart_step(group)) for n, group in enumerate(groups)
+    ]
+    return [*steps, (0.55 * duration_s, move_directory)]
 
 
-def lists(fleet: Fleet, seconds: float) -> list[Step]:
+def lists(fleet: Fleet, duration_s: float) -> list[Step]:
     """A host drains, leaves and returns cold; the directory falls silent, then tells an older list."""
 
     def drain() -> None:
-        fleet.tell([replace(entry, draining=n == 1) for n, entry in enumerate(fleet.entries)])
+        fleet.publish_endpoints([replace(entry, draining=n == 1) for n, entry in enumerate(fleet.entries)])
 
-    def silent() -> None:
+    def stop_answering() -> None:
         fleet.directory.spoil = lambda answer: None
 
-    def older() -> None:
-        now = fleet.directory
-        serial, entries = now.serial, now.entries
-        now.serial, now.entries = 1, [entry for entry in entries if not entry.draining][:2]
-        now.spoil = lambda answer: answer
+    def answer_older_list() -> None:
+        directory = fleet.directory
+        serial, entries = directory.serial, directory.entries
+        directory.serial, directory.entries = 1, [entry for entry in entries if not entry.draining][:2]
+        directory.spoil = lambda answer: answer
         threading.Event().wait(0.6)
-        now.serial, now.entries = serial, entries
+        directory.serial, directory.entries = serial, entries
 
-    def back() -> None:
-        cold(fleet, range(1, 2))
+    def return_cold() -> None:
+        restart_hosts_cold(fleet, range(1, 2))
 
-    return [(0.2 * seconds, drain), (0.35 * seconds, silent), (0.5 * seconds, older), (0.7 * seconds, back)]
+    return [
+        (0.2 * duration_s, drain),
+        (0.35 * duration_s, stop_answering),
+        (0.5 * duration_s, answer_older_list),
+        (0.7 * duration_s, return_cold),
+    ]
 
 
-def split(fleet: Fleet, seconds: float) -> list[Step]:
+def split(fleet: Fleet, duration_s: float) -> list[Step]:
     """A group of hosts says nothing for a while, without a reset; then answers get lost, links break."""
     group = fleet.hosts[: max(1, len(fleet.hosts) // 5)]
     others = fleet.hosts[len(group) :]
@@ -129,11 +138,11 @@
         for host in group:
             host.stall(True)
 
-    def go_on() -> None:
+    def resume() -> None:
         for host in group:
             host.stall(False)
 
-    def spoil() -> None:
+    def lose_and_reset() -> None:
         for host in others:
             host.faults = Faults(lose_answers=0.02)
             host.reset_calls = 3
@@ -142,26 +151,31 @@
         for host in others:
             host.faults = Faults()
 
-    return [(0.15 * seconds, stall), (0.5 * seconds, go_on), (0.6 * seconds, spoil), (0.8 * seconds, mend)]
+    return [
+        (0.15 * duration_s, stall),
+        (0.5 * duration_s, resume),
+        (0.6 * duration_s, lose_and_reset),
+        (0.8 * duration_s, mend),
+    ]
 
 
-def sick(fleet: Fleet, seconds: float) -> list[Step]:
+def sick(fleet: Fleet, duration_s: float) -> list[Step]:
     """One host is slow and one fails fast, for most of the day."""
 
-    def fall_ill() -> None:
+    def start_faults() -> None:
         fleet.hosts[0].faults = Faults(slow=8.0)
         fleet.hosts[1].faults = Faults(errors=0.9)
 
-    return [(0.1 * seconds, fall_ill)]
+    return [(0.1 * duration_s, start_faults)]
 
 
-def impatient(fleet: Fleet, seconds: float) -> list[Step]:
+def impatient(fleet: Fleet, duration_s: float) -> list[Step]:
     """Clients that leave after 70 ms, mostly before a copy is loaded, and come again at once."""
-    crowd = Impatient(fleet, clients=12, patience_s=0.07, seconds=0.6 * seconds)
-    return [(0.2 * seconds, crowd.run)]
+    clients = ImpatientClients(fleet, clients=12, timeout_s=0.07, duration_s=0.6 * duration_s)
+    return [(0.2 * duration_s, clients.run)]
 
 
-def unreachable(fleet: Fleet, seconds: float) -> list[Step]:
+def unreachable(fleet: Fleet, duration_s: float) -> list[Step]:
     """A fifth of the hosts is cut off so that connections never come up, and is back."""
     group = fleet.hosts[: max(1, len(fleet.hosts) // 5)]
 
@@ -173,16 +187,16 @@
         for host in group:
             host.cut(False)
 
-    return [(0.2 * seconds, cut), (0.7 * seconds, mend)]
+    return [(0.2 * duration_s, cut), (0.7 * duration_s, mend)]
 
 
-DAYS: dict[str, Day] = {
-    "calm": Day("no fault", calm, 0.97, 0.6),
-    "herd": Day("seven in ten killed and started together before cold hosts", herd, 0.85),
-    "roll": Day("restarts a tenth at a time, the directory moves", roll, 0.93),
-    "lists": Day("a drain, a silent directory, an older list, a cold return", lists, 0.93),
-    "split": Day("a fifth of the hosts stalls and returns, answers lost, links reset", split, 0.80),
-    "impatient": Day("clients leave after 70 ms and come again", impatient, 0.9, 1.0),
-    "unreachable": Day("a fifth of the hosts can't be reached, and is back", unreachable, 0.80),
-    "sick": Day("one host slow, one failing fast", sick, 0.88),
+FAULT_SCENARIOS: dict[str, Scenario] = {
+    "calm": Scenario("no fault", calm, 0.97, 0.6),
+    "herd": Scenario("seven in ten killed and started together before cold hosts", herd, 0.85),
+    "roll": Scenario("restarts a tenth at a time, the directory moves", roll, 0.93),
+    "lists": Scenario("a drain, a silent directory, an older list, a cold return", lists, 0.93),
+    "split": Scenario("a fifth of the hosts stalls and returns, answers lost, links reset", split, 0.80),
+    "impatient": Scenario("clients leave after 70 ms and come again", impatient, 0.9, 1.0),
+    "unreachable": Scenario("a fifth of the hosts can't be reached, and is back", unreachable, 0.80),
+    "sick": Scenario("one host slow, one failing fast", sick, 0.88),
 }
--- a/saffronstack/harness/fleet/gateway.py
+++ b/saffronstack/harness/fleet/gateway.py
@@ -24,10 +24,10 @@
         self.plan = plan
         self.path = folder / f"gateway-{number}.json"
         self.log = folder / f"gateway-{number}.log"
-        self._held = hold_port("127.0.0.1")  # nobody else gets the port between two lives
-        self.address = ("127.0.0.1", self._held.getsockname()[1])
+        self._port_holder = hold_port("127.0.0.1")  # nobody else gets the port between two lives
+        self.address = ("127.0.0.1", self._port_holder.getsockname()[1])
         self.process: subprocess.Popen[bytes] | None = None
-        self.lives = 0
+        self.start_count = 0
 
     def write(self, nameserver: str, entries: Iterable[Entry], serial: int) -> None:
         """The configuration file, changed as a whole."""
@@ -42,7 +42,7 @@
         pool = {"index": 0, "snapshot": True, "endpoints": endpoints}
         content = {
             "name": f"n{self.number}", "listen": f"{self.address[0]}:{self.address[1]}",
-            "seed": f"{self.plan.seed * 100_000 + self.number * 100 + self.lives:016x}",
+            "seed": f"{self.plan.seed * 100_000 + self.number * 100 + self.start_count:016x}",
             "nameserver": nameserver, "known": {"rev": serial, "notices": [{"rev": serial, "pool": pool}]},
             "limits": {
                 "cores": 1.0, "memory_mb": self.plan.memory_limit_mb, "sockets": self.plan.sockets,
@@ -55,20 +55,20 @@
 
     def start(self) -> None:
         """Start it; ``ready`` tells when it takes calls."""
-        self.lives += 1
+        self.start_count += 1
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "saffronstack.platform"], stderr=log,
                 env={**os.environ, "LB_CONFIG": str(self.path), "LB_NAME": f"n{self.number}"},
             )  # fmt: skip
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this life takes calls; AssertionError where it ended instead."""
         assert self.process is not None, self.log.read_text()
         assert self.process.poll() is None, self.log.read_text()
-        return self.log.read_text().count("takes calls") >= self.lives
+        return self.log.read_text().count("takes calls") >= self.start_count
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """A signal to its process."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
@@ -83,7 +83,7 @@
             self.process.wait()
             return -int(signal.SIGKILL)
 
-    def descriptors(self) -> int:
+    def descriptor_count(self) -> int:
         """How many it holds; 0 where it is gone."""
         assert self.process is not None
         with contextlib.suppress(OSError):
--- a/saffronstack/harness/fleet/load_spread.py
+++ b/saffronstack/harness/fleet/load_spread.py
@@ -13,8 +13,10 @@
 from dataclasses import dataclass
 from statistics import fmean, pstdev
 
-HERD = 4.0  # a host that gets more than this multiple of its share within one round trip is herded on
-HERD_LEAST = 4  # and at least so many calls: two by chance are none
+HERD_SHARE_MULTIPLE = (
+    4.0  # a host that gets more than this multiple of its share within one round trip is herded on
+)
+MIN_HERD_CALLS = 4  # and at least so many calls: two by chance are none
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,17 +59,17 @@
     """
     if not math.isclose(sum(shares.values()), 1.0, rel_tol=1e-6):
         raise ValueError(f"the hosts' shares add up to {sum(shares.values()):g}, not 1")
-    inside: dict[int, dict[str, float]] = defaultdict(lambda: dict.fromkeys(shares, 0.0))
+    work_by_window: dict[int, dict[str, float]] = defaultdict(lambda: dict.fromkeys(shares, 0.0))
     calls: Counter[int] = Counter()
     for arrival in arrivals:
         if since_s <= arrival.t < until_s and arrival.host in shares:
             window = int((arrival.t - since_s) / span_s)
-            inside[window][arrival.host] += arrival.work_s
+            work_by_window[window][arrival.host] += arrival.work_s
             calls[window] += 1
     found = []
-    for window in sorted(inside):
-        total = sum(inside[window].values())
-        loads = sorted(inside[window][host] / (total * share) for host, share in shares.items())
+    for window in sorted(work_by_window):
+        total = sum(work_by_window[window].values())
+        loads = sorted(work_by_window[window][host] / (total * share) for host, share in shares.items())
         found.append(
             Evenness(
                 since_s + window * span_s,
@@ -90,21 +92,23 @@
     for arrival in ordered:
         by_host[arrival.host].append(arrival.t)
     found: list[Arrival] = []
-    for host, came in by_host.items():
-        free_s = -math.inf
-        for first, t in enumerate(came):
-            if t < free_s:
+    for host, times_at_host in by_host.items():
+        counted_until_s = -math.inf
+        for first, t in enumerate(times_at_host):
+            if t < counted_until_s:
                 continue  # of a herd that is counted
-            here = bisect_left(came, t + round_trip_s) - first
-            fleet = bisect_left(times, t + round_trip_s) - bisect_left(times, t)
-            if here >= HERD_LEAST and here > HERD * fleet * shares.get(host, 0.0):
-                found.append(Arrival(t, host, float(here)))
-                free_s = t + round_trip_s
+            host_calls = bisect_left(times_at_host, t + round_trip_s) - first
+            fleet_calls = bisect_left(times, t + round_trip_s) - bisect_left(times, t)
+            if host_calls >= MIN_HERD_CALLS and host_calls > HERD_SHARE_MULTIPLE * fleet_calls * shares.get(
+                host, 0.0
+            ):
+                found.append(Arrival(t, host, float(host_calls)))
+                counted_until_s = t + round_trip_s
     return sorted(found, key=lambda arrival: arrival.t)
 
 
 @dataclass(frozen=True, slots=True)
-class Idle:
+class IdleBesideQueue:
     """Ready hosts with room that stood idle while another one's calls waited."""
 
     share: float  # of all samples of ready hosts
@@ -112,13 +116,13 @@
     host: str  # where that was
 
 
-def idle_beside_queue(samples: Iterable[Sample]) -> Idle:
+def idle_beside_queue(samples: Iterable[Sample]) -> IdleBesideQueue:
     """From samples that all hosts made at the same moments."""
     moments: dict[float, list[Sample]] = defaultdict(list)
     for sample in samples:
         moments[sample.t].append(sample)
     since: dict[str, float] = {}
-    longest_s, where = 0.0, ""
+    longest_s, longest_host = 0.0, ""
     idle = ready = 0
     for t in sorted(moments):
         queued = any(sample.waiting for sample in moments[t])
@@ -128,29 +132,29 @@
                 idle += 1
                 began_s = since.setdefault(sample.host, t)
                 if t - began_s > longest_s:
-                    longest_s, where = t - began_s, sample.host
+                    longest_s, longest_host = t - began_s, sample.host
             else:
                 since.pop(sample.host, None)
-    return Idle(idle / max(1, ready), longest_s, where)
+    return IdleBesideQueue(idle / max(1, ready), longest_s, longest_host)
 
 
-def expected_most(balls: int, bins: int, choices: int, plays: int = 200, seed: int = 1) -> float:
+def expected_max_load(balls: int, bins: int, choices: int, repetitions: int = 200, seed: int = 1) -> float:
     """The fullest bin's mean load, as a multiple of the mean, where each ball goes to the emptiest of so many
     bins drawn at random; played out. Checks a rig against what is known: with one choice the excess over the
     mean grows with the square root of the balls, with two it does not (Mitzenmacher 2001).
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     total = 0.0
-    for _ in range(plays):
+    for _ in range(repetitions):
         loads = [0] * bins
         for _ in range(balls):
-            best = min((chance.randrange(bins) for _ in range(choices)), key=loads.__getitem__)
+            best = min((rng.randrange(bins) for _ in range(choices)), key=loads.__getitem__)
             loads[best] += 1
         total += max(loads)
-    return total / plays / (balls / bins)
+    return total / repetitions / (balls / bins)
 
 
-def quantile(values: Sequence[float], part: float) -> float:
+def quantile(values: Sequence[float], fraction: float) -> float:
     """The value under which that part lies; 0 of none."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, max(0, math.ceil(part * len(ordered)) - 1))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, max(0, math.ceil(fraction * len(ordered)) - 1))] if ordered else 0.0
--- a/saffronstack/harness/fleet/plan.py
+++ b/saffronstack/harness/fleet/plan.py
@@ -38,13 +38,13 @@
     sizes: tuple[int, ...] = (1,)  # of the hosts, in turn: weight, and cores as a multiple
     seed: int = 1
 
-    def size_of(self, place: int) -> int:
+    def host_size(self, index: int) -> int:
         """A host's."""
-        return self.sizes[place % len(self.sizes)]
+        return self.sizes[index % len(self.sizes)]
 
-    def popularity(self) -> list[float]:
+    def function_weights(self) -> list[float]:
         """How often each function is called beside others."""
-        usual = [1.0 / (place + 2) for place in range(self.functions)]
+        usual = [1.0 / (index + 2) for index in range(self.functions)]
         if not self.hot:
             return usual
         rest = sum(usual[self.hot :])
--- a/saffronstack/harness/fleet/scenario.py
+++ b/saffronstack/harness/fleet/scenario.py
@@ -10,22 +10,22 @@
 
 from saffronstack.audit.rules import judge
 from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Traffic
-from saffronstack.harness.fleet.cluster import Fleet, Sums
-from saffronstack.harness.fleet.faults import DAYS as USUAL
+from saffronstack.harness.fleet.cluster import Fleet, FleetCounts
+from saffronstack.harness.fleet.faults import FAULT_SCENARIOS
 from saffronstack.harness.fleet.load_spread import Arrival, evenness
 from saffronstack.harness.fleet.plan import EFFECTS, FleetPlan
-from saffronstack.harness.fleet.uneven_load import UNEVEN
+from saffronstack.harness.fleet.uneven_load import UNEVEN_LOAD_SCENARIOS
 from saffronstack.standin.model import Profile, Store
 from saffronstack.standin.platform import LinesHost
 
 # One machine plays gateways, hosts and clients at once; how late its threads read comes on top, measured.
 SLACK_S = 0.35
-SPAN_S, WARM_UP_S = 5.0, 2.0  # over which evenness is judged, after copies stand
-DAYS = USUAL | UNEVEN
+WINDOW_S, WARM_UP_S = 5.0, 2.0  # over which evenness is judged, after copies stand
+SCENARIOS = FAULT_SCENARIOS | UNEVEN_LOAD_SCENARIOS
 
 
 @dataclass
-class Verdict:
+class FleetReport:
     """What was found."""
 
     day: str
@@ -60,7 +60,7 @@
         )
 
 
-def play(
+def run_scenario(
     name: str,
     folder: pathlib.Path,
     *,
@@ -69,10 +69,10 @@
     rate: float,
     seconds: float,
     seed: int = 1,
-) -> Verdict:
+) -> FleetReport:
     """Play a day; the machine must bear the rate."""
     sizes = {"gateways": gateways, "hosts": hosts, "rate": rate, "seed": seed}
-    plan = FleetPlan(**{**sizes, **DAYS[name].plan})
+    plan = FleetPlan(**{**sizes, **SCENARIOS[name].plan})
     seen: list[Seen] = []
     connects: list[float] = []
 
@@ -84,68 +84,72 @@
 
     profiles = [
         Profile(
-            memory_mb=plan.host_mb, cores=plan.cores * plan.size_of(n), work_s=plan.work_s,
+            memory_mb=plan.host_mb, cores=plan.cores * plan.host_size(n), work_s=plan.work_s,
             load_s=plan.load_s, keep_alive_s=plan.keep_alive_s, queue=64,
         )
         for n in range(hosts)
     ]  # fmt: skip
     store = Store(capacity=64)
     catalog = (plan.memory_mb, plan.lanes)
-    made = [
+    stub_hosts = [
         LinesHost(f"s-{n:04d}", profile, store, lambda function: catalog, log)
         for n, profile in enumerate(profiles)
     ]
-    with Fleet(plan, folder, made) as fleet:
-        fleet.play(seconds, DAYS[name].steps(fleet, seconds))
-        sums = fleet.sums(seen, connects)
-        return _verdict(name, plan, fleet, seen, sums, seconds)
+    with Fleet(plan, folder, stub_hosts) as fleet:
+        fleet.run(seconds, SCENARIOS[name].steps(fleet, seconds))
+        counts = fleet.counts(seen, connects)
+        return _report(name, plan, fleet, seen, counts, seconds)
 
 
-def _verdict(
-    name: str, plan: FleetPlan, fleet: Fleet, seen: list[Seen], sums: Sums, seconds: float
-) -> Verdict:
-    rules = {t.function: FunctionRule(EFFECTS["look"]) for t in fleet.tries}
-    rules |= {fleet.name_of(place): FunctionRule(EFFECTS["sell"]) for place in range(0, plan.functions, 5)}
+def _report(
+    name: str, plan: FleetPlan, fleet: Fleet, seen: list[Seen], counts: FleetCounts, seconds: float
+) -> FleetReport:
+    rules = {attempt.function: FunctionRule(EFFECTS["look"]) for attempt in fleet.tries}
+    rules |= {
+        fleet.function_id(index): FunctionRule(EFFECTS["sell"]) for index in range(0, plan.functions, 5)
+    }
     capacity = plan.cores / plan.work_s
     figures = Figures(
         drain_grace_s=2.0 + 1.5,  # a list counts as told 1.5 s after it changed
         tip_multiple=3.0, cold_share=plan.cold_share, cold_s=plan.cold_s, gateways=plan.gateways,
-        capacity_rps={told.worker: capacity for told in fleet.told}, slack_s=SLACK_S + fleet.lag.most_s,
+        capacity_rps={told.worker: capacity for told in fleet.told}, slack_s=SLACK_S + fleet.lag.max_s,
     )  # fmt: skip
     traffic = Traffic(rules, tries=fleet.tries, seen=list(seen), told=fleet.told, stopped=fleet.stopped)
-    ends = Counter(t.end for t in fleet.tries)
-    taken = len(fleet.tries) - ends["broken"] - ends["not_taken"] - ends["left"]
-    times = sorted(t.ended_s - t.sent_s for t in fleet.tries if t.end == "served") or [0.0]
-    verdict = Verdict(name, len(fleet.tries))
-    verdict.served, verdict.refused, verdict.failed = (
-        ends[end] / max(1, taken) for end in ("served", "refused", "failed")
+    outcomes = Counter(attempt.end for attempt in fleet.tries)
+    accepted = len(fleet.tries) - outcomes["broken"] - outcomes["not_taken"] - outcomes["left"]
+    latencies_s = sorted(
+        attempt.ended_s - attempt.sent_s for attempt in fleet.tries if attempt.end == "served"
+    ) or [0.0]
+    report = FleetReport(name, len(fleet.tries))
+    report.served, report.refused, report.failed = (
+        outcomes[end] / max(1, accepted) for end in ("served", "refused", "failed")
     )
-    verdict.lag_s = fleet.lag.most_s
-    verdict.broken = ends["broken"]
-    slack_s = SLACK_S + fleet.lag.most_s
-    answered = [t for t in fleet.tries if t.end in ("served", "refused", "failed")]
-    verdict.late = ends[""] + sum(t.ended_s > t.deadline_s + slack_s for t in answered)
-    verdict.breaches = [f"rule {breach.rule}: {breach.text}" for breach in judge(traffic, figures)]
-    verdict.breaches += fleet.faults
-    doubled = sum(caller.doubled for caller in fleet.callers)
-    if doubled:
-        verdict.breaches.append(f"rule 1: {doubled} answers that nobody waited for")
-    whole = range(1, max(2, int(seconds)))
-    verdict.links_per_call = sum(sums.links.values()) / max(1, len(fleet.tries))
-    verdict.asks_per_gateway = sums.per_second(sums.asks, 1, int(seconds)) / plan.gateways
-    fair = {second: max(1.0, sums.calls[second] / plan.hosts) for second in whole}
-    arrived = sums.arrivals.items()
-    verdict.busiest = max((number / fair[s] for (_, s), number in arrived if s in fair), default=0.0)
-    sizes = {host.name.rstrip("x"): plan.size_of(place) for place, host in enumerate(fleet.hosts)}
+    report.lag_s = fleet.lag.max_s
+    report.broken = outcomes["broken"]
+    slack_s = SLACK_S + fleet.lag.max_s
+    answered = [attempt for attempt in fleet.tries if attempt.end in ("served", "refused", "failed")]
+    report.late = outcomes[""] + sum(attempt.ended_s > attempt.deadline_s + slack_s for attempt in answered)
+    report.breaches = [f"rule {breach.rule}: {breach.text}" for breach in judge(traffic, figures)]
+    report.breaches += fleet.failed_steps
+    unexpected = sum(clients.unexpected_responses for clients in fleet.clients_by_gateway)
+    if unexpected:
+        report.breaches.append(f"rule 1: {unexpected} answers that nobody waited for")
+    full_seconds = range(1, max(2, int(seconds)))
+    report.links_per_call = sum(counts.connections.values()) / max(1, len(fleet.tries))
+    report.asks_per_gateway = counts.per_second(counts.asks, 1, int(seconds)) / plan.gateways
+    fair = {second: max(1.0, counts.calls[second] / plan.hosts) for second in full_seconds}
+    arrived = counts.arrivals.items()
+    report.busiest = max((number / fair[s] for (_, s), number in arrived if s in fair), default=0.0)
+    sizes = {host.name.rstrip("x"): plan.host_size(index) for index, host in enumerate(fleet.hosts)}
     shares = {name: size / sum(sizes.values()) for name, size in sizes.items()}
-    since_s, until_s = fleet.began_s + WARM_UP_S, fleet.began_s + seconds
-    came = [
+    since_s, until_s = fleet.start_s + WARM_UP_S, fleet.start_s + seconds
+    arrivals = [
         Arrival(one.t - one.late, one.worker.rstrip("x"), plan.work_s) for one in seen if one.what == "arrive"
     ]
-    windows = evenness(came, shares, since_s, until_s, SPAN_S)
-    verdict.uneven = max((one.max_over_mean for one in windows), default=0.0)
-    verdict.complaints = DAYS[name].look(fleet, seen, seconds)
-    verdict.descriptors, verdict.memory_mb = sums.descriptors, sums.memory_mb
-    verdict.p50_ms = 1000 * times[len(times) // 2]
-    verdict.p99_ms = 1000 * times[min(len(times) - 1, len(times) * 99 // 100)]
-    return verdict
+    windows = evenness(arrivals, shares, since_s, until_s, WINDOW_S)
+    report.uneven = max((one.max_over_mean for one in windows), default=0.0)
+    report.complaints = SCENARIOS[name].find_problems(fleet, seen, seconds)
+    report.descriptors, report.memory_mb = counts.descriptors, counts.memory_mb
+    report.p50_ms = 1000 * latencies_s[len(latencies_s) // 2]
+    report.p99_ms = 1000 * latencies_s[min(len(latencies_s) - 1, len(latencies_s) * 99 // 100)]
+    return report
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -20,7 +20,7 @@
 from saffronstack.client import Client
 from saffronstack.harness.leases.judge import LeaseJudge
 from saffronstack.harness.leases.peer import CandidateOptions, ServerOptions
-from saffronstack.harness.links import Wires
+from saffronstack.harness.links import LinkRelay
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
@@ -77,7 +77,7 @@
         self._options = options
         self._random = random.Random(options.seed)
         self._server_names = [f"k{number}" for number in range(options.servers)]
-        self._wires = Wires()
+        self._wires = LinkRelay()
         self.judge = LeaseJudge()
         self._reserved_ports = {name: hold_port("127.0.0.1") for name in self._server_names}
         self._addresses = {
@@ -128,7 +128,7 @@
         """Write the fleet's file of a process, which reaches others through the rig's relays."""
         entries = []
         for server, address in self._addresses.items():
-            own = address if server == name else self._wires.pair(name, server, address)
+            own = address if server == name else self._wires.add_link(name, server, address)
             entries.append({"name": server, "address": own})
         content = {
             "fleet": FLEET,
--- a/saffronstack/harness/leases/rig_faults.py
+++ b/saffronstack/harness/leases/rig_faults.py
@@ -15,13 +15,13 @@
 from saffronstack.harness.leases.faulty_environment import DiskFault
 from saffronstack.harness.leases.processes import LeaseProcesses
 from saffronstack.harness.leases.schedule import Fault
-from saffronstack.harness.links import Mode, Pair
+from saffronstack.harness.links import Link, LinkMode
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.runtime.threads import start_thread
 
 RESET_S = 0.1  # for how long a reset counts as a fault
 MAX_SNAPSHOTS = 20  # of each server
-Directions = list[tuple[Pair, bool]]  # of links, as `Wires` takes them
+Directions = list[tuple[Link, bool]]  # of links, as `Wires` takes them
 
 
 class RigFaults(LeaseProcesses):
@@ -67,7 +67,7 @@
     def _kill_candidates(self, fault: Fault, numbers: list[int]) -> None:
         for number in numbers:
             self._kill(self._candidates[number])
-            self._wires.drop(self._candidates[number].name)
+            self._wires.remove_links_from(self._candidates[number].name)
             self._candidates[number] = self._start_candidate()
 
     def _step_clocks(self, fault: Fault, numbers: list[int]) -> None:
@@ -88,18 +88,18 @@
     def _cut_candidates(self, fault: Fault, numbers: list[int]) -> None:
         names = {self._candidates[number].name for number in numbers}
         servers = set(self._server_names)
-        cut = self._wires.between(names, servers) + self._wires.between(servers, names)
-        self._wires.set(cut, Mode(fault.how))
+        cut = self._wires.directions_between(names, servers) + self._wires.directions_between(servers, names)
+        self._wires.set_mode(cut, LinkMode(fault.how))
         self._schedule(fault.length_s, lambda: self._repair_links(cut, fault.how == "lose"))
 
     def _others(self, servers: Sequence[str]) -> set[str]:
         return (set(self._server_names) | {one.name for one in self._candidates}) - set(servers)
 
     def _links_to(self, servers: Sequence[str]) -> Directions:
-        return self._wires.between(self._others(servers), set(servers))
+        return self._wires.directions_between(self._others(servers), set(servers))
 
     def _links_from(self, servers: Sequence[str]) -> Directions:
-        return self._wires.between(set(servers), self._others(servers))
+        return self._wires.directions_between(set(servers), self._others(servers))
 
     def _kill_servers(self, fault: Fault, servers: list[str]) -> None:
         for server in servers:
@@ -135,29 +135,29 @@
     def _cut_off_servers(self, fault: Fault, servers: list[str]) -> None:
         links_to, links_from = self._links_to(servers), self._links_from(servers)
         cut = links_to + links_from if fault.kind == "cut" else self._random.choice((links_to, links_from))
-        self._wires.set(cut, Mode(fault.how))
+        self._wires.set_mode(cut, LinkMode(fault.how))
         # Streams that lost bytes make no sense: they end by a reset.
         self._end_after(fault.length_s, servers, lambda: self._repair_links(cut, fault.how == "lose"))
 
     def _delay_servers(self, fault: Fault, servers: list[str]) -> None:
         both = self._links_to(servers) + self._links_from(servers)
-        self._wires.set(both, late_s=fault.length_s / 5)
-        self._end_after(fault.length_s, servers, lambda: self._wires.set(both))
+        self._wires.set_mode(both, delay_s=fault.length_s / 5)
+        self._end_after(fault.length_s, servers, lambda: self._wires.set_mode(both))
 
     def _reset_servers(self, fault: Fault, servers: list[str]) -> None:
-        self._wires.reset(self._links_to(servers) + self._links_from(servers))
+        self._wires.reset_connections(self._links_to(servers) + self._links_from(servers))
         self._end_after(RESET_S, servers, lambda: None)
 
     def _refuse_servers(self, fault: Fault, servers: list[str]) -> None:
         both = self._links_to(servers) + self._links_from(servers)
-        self._wires.refuse(both, True)
-        self._wires.reset(both)
-        self._end_after(fault.length_s, servers, lambda: self._wires.refuse(both, False))
+        self._wires.set_refusing(both, True)
+        self._wires.reset_connections(both)
+        self._end_after(fault.length_s, servers, lambda: self._wires.set_refusing(both, False))
 
     def _repair_links(self, cut: Directions, reset: bool) -> None:
-        self._wires.set(cut)
+        self._wires.set_mode(cut)
         if reset:
-            self._wires.reset(cut)
+            self._wires.reset_connections(cut)
 
     def _end_after(self, after_s: float, servers: Sequence[str], end: Callable[[], object]) -> None:
         """End a fault of some servers after its time."""
@@ -189,7 +189,7 @@
         for server in servers:
             held = self._reserve_machine(server)
             held.close()
-            self._wires.move(server, self._addresses[server])
+            self._wires.redirect(server, self._addresses[server])
         self._restart(servers)
 
     def _replace_paused(self, server: str, unaware: set[str], awake_s: float) -> None:
@@ -198,8 +198,8 @@
         self._replaced.append(replaced)
         held = self._reserve_machine(server)
         aware = (set(self._server_names) | {one.name for one in self._candidates}) - unaware - {server}
-        self._wires.move(server, self._addresses[server], but=unaware)
-        self._wires.reset(self._wires.between(aware, {server}))
+        self._wires.redirect(server, self._addresses[server], excluded_sources=unaware)
+        self._wires.reset_connections(self._wires.directions_between(aware, {server}))
         self._start_server(server)
         self._signal(replaced, signal.SIGCONT)
         with self._lock:
@@ -209,8 +209,8 @@
         self._sleep(awake_s)
         self._kill(replaced)
         held.close()
-        self._wires.move(server, self._addresses[server])
-        self._wires.reset(self._wires.between(unaware, {server}))
+        self._wires.redirect(server, self._addresses[server])
+        self._wires.reset_connections(self._wires.directions_between(unaware, {server}))
 
     def _restart(self, servers: Sequence[str]) -> None:
         for server in servers:
--- a/saffronstack/harness/links.py
+++ b/saffronstack/harness/links.py
@@ -20,13 +20,13 @@
 
 from saffronstack.runtime.threads import start_thread
 
-READ = 64 * 1024
-HOLD_MOST = 1 << 20  # bytes that a direction keeps before it stops reading
-LOOK_S = 0.05
-_RESET = struct.pack("ii", 1, 0)
+READ_BYTES = 64 * 1024
+MAX_BUFFERED_BYTES = 1 << 20  # bytes that a direction keeps before it stops reading
+MAX_SELECT_WAIT_S = 0.05
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Mode(Enum):
+class LinkMode(Enum):
     """What happens to the bytes of one direction."""
 
     PASS = "pass"
@@ -35,263 +35,271 @@
 
 
 @dataclass(eq=False)
-class _Side:
+class _ConnectionEnd:
     """One end of a carried connection, and what waits to be written to it."""
 
     sock: socket.socket
-    pair: Pair
-    forth: bool  # what this end sends goes forth, from the pair's first process to its second
-    other: _Side | None = None
-    waiting: deque[tuple[float, bytes]] = field(default_factory=deque)
-    size: int = 0
-    ended: bool = False
+    link: Link
+    is_forward: bool  # what this end sends goes forth, from the pair's first process to its second
+    peer: _ConnectionEnd | None = None
+    outgoing: deque[tuple[float, bytes]] = field(default_factory=deque)
+    buffered_bytes: int = 0
+    is_write_closed: bool = False
 
 
 @dataclass(eq=False)
-class Pair:
+class Link:
     """From one process to another; ``address`` is where the first reaches the second."""
 
-    first: str
-    second: str
+    source: str
+    destination: str
     target: str
     listener: socket.socket
     address: str
-    modes: dict[bool, Mode] = field(default_factory=lambda: {True: Mode.PASS, False: Mode.PASS})
-    late_s: dict[bool, float] = field(default_factory=lambda: {True: 0.0, False: 0.0})
-    refuses: bool = False
-    connections: int = 0
-    carried: int = 0
+    modes: dict[bool, LinkMode] = field(default_factory=lambda: {True: LinkMode.PASS, False: LinkMode.PASS})
+    delay_s: dict[bool, float] = field(default_factory=lambda: {True: 0.0, False: 0.0})
+    refuses_connections: bool = False
+    connection_count: int = 0
+    forwarded_bytes: int = 0
 
 
-class Wires:
+class LinkRelay:
     """All pairs of a rig. Its methods may be called from any thread."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         self._lock = threading.RLock()
-        self._sides: set[_Side] = set()
-        self._late: list[tuple[float, int, _Side]] = []
-        self._order = 0
-        self._ended = False
-        self.pairs: dict[tuple[str, str], Pair] = {}
+        self._ends: set[_ConnectionEnd] = set()
+        self._delayed: list[tuple[float, int, _ConnectionEnd]] = []
+        self._sequence_number = 0
+        self._is_closed = False
+        self.links: dict[tuple[str, str], Link] = {}
         self._thread = start_thread("wires", self._run)
 
-    def pair(self, first: str, second: str, target: str) -> str:
+    def add_link(self, source: str, destination: str, target: str) -> str:
         """The address under which ``first`` reaches ``second`` at ``target``."""
         listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         listener.setblocking(False)
         host, port = listener.getsockname()[:2]
-        made = Pair(first, second, target, listener, f"{host}:{port}")
+        link = Link(source, destination, target, listener, f"{host}:{port}")
         with self._lock:
-            self.pairs[first, second] = made
-            self._selector.register(listener, selectors.EVENT_READ, made)
-        return made.address
+            self.links[source, destination] = link
+            self._selector.register(listener, selectors.EVENT_READ, link)
+        return link.address
 
-    def between(self, one: set[str], others: set[str]) -> list[tuple[Pair, bool]]:
+    def directions_between(self, one: set[str], others: set[str]) -> list[tuple[Link, bool]]:
         """Each direction that leads from ``one`` to ``others``."""
         with self._lock:
             found = [
-                (pair, True) for pair in self.pairs.values() if pair.first in one and pair.second in others
+                (link, True)
+                for link in self.links.values()
+                if link.source in one and link.destination in others
             ]
             return found + [
-                (pair, False) for pair in self.pairs.values() if pair.second in one and pair.first in others
+                (link, False)
+                for link in self.links.values()
+                if link.destination in one and link.source in others
             ]
 
-    def set(self, directions: list[tuple[Pair, bool]], mode: Mode = Mode.PASS, late_s: float = 0.0) -> None:
+    def set_mode(
+        self, directions: list[tuple[Link, bool]], mode: LinkMode = LinkMode.PASS, delay_s: float = 0.0
+    ) -> None:
         """From now on; what was held leaves once the direction passes again."""
         with self._lock:
-            for pair, forth in directions:
-                pair.modes[forth] = mode
-                pair.late_s[forth] = late_s
-            for side in list(self._sides):
-                if side.other is not None:
-                    self._flush(side.other)
-
-    def refuse(self, directions: list[tuple[Pair, bool]], refuses: bool) -> None:
+            for link, is_forward in directions:
+                link.modes[is_forward] = mode
+                link.delay_s[is_forward] = delay_s
+            for end in list(self._ends):
+                if end.peer is not None:
+                    self._flush(end.peer)
+
+    def set_refusing(self, directions: list[tuple[Link, bool]], refuses_connections: bool) -> None:
         """Whether new connections are closed at once."""
         with self._lock:
-            for pair, _ in directions:
-                pair.refuses = refuses
+            for link, _ in directions:
+                link.refuses_connections = refuses_connections
 
-    def reset(self, directions: list[tuple[Pair, bool]]) -> None:
+    def reset_connections(self, directions: list[tuple[Link, bool]]) -> None:
         """Reset what is open."""
-        wanted = {pair for pair, _ in directions}
+        wanted = {link for link, _ in directions}
         with self._lock:
-            for side in list(self._sides):
-                if side.pair in wanted:
-                    self._close(side, reset=True)
+            for end in list(self._ends):
+                if end.link in wanted:
+                    self._close(end, reset=True)
 
-    def move(self, second: str, target: str, but: Collection[str] = ()) -> None:
+    def redirect(self, destination: str, target: str, excluded_sources: Collection[str] = ()) -> None:
         """A process is at another address now, for all ``but`` some; what is open goes on to where it was."""
         with self._lock:
-            for pair in self.pairs.values():
-                if pair.second == second and pair.first not in but:
-                    pair.target = target
+            for link in self.links.values():
+                if link.destination == destination and link.source not in excluded_sources:
+                    link.target = target
 
-    def drop(self, first: str) -> None:
+    def remove_links_from(self, source: str) -> None:
         """Forget the pairs of a process that is gone."""
         with self._lock:
-            gone = {key: pair for key, pair in self.pairs.items() if pair.first == first}
-            for key, pair in gone.items():
-                self._selector.unregister(pair.listener)
-                pair.listener.close()
-                del self.pairs[key]
-            for side in list(self._sides):
-                if side.pair in gone.values():
-                    self._close(side)
+            removed = {key: link for key, link in self.links.items() if link.source == source}
+            for key, link in removed.items():
+                self._selector.unregister(link.listener)
+                link.listener.close()
+                del self.links[key]
+            for end in list(self._ends):
+                if end.link in removed.values():
+                    self._close(end)
 
     def close(self) -> None:
         """End all."""
         with self._lock:
-            self._ended = True
+            self._is_closed = True
         self._thread.join(2.0)
         with self._lock:
-            for side in list(self._sides):
-                self._close(side)
-            for pair in self.pairs.values():
-                pair.listener.close()
+            for end in list(self._ends):
+                self._close(end)
+            for link in self.links.values():
+                link.listener.close()
             self._selector.close()
 
     # ---- the one thread
 
     def _run(self) -> None:
-        while not self._ended:
-            wait_s = LOOK_S
+        while not self._is_closed:
+            wait_s = MAX_SELECT_WAIT_S
             with self._lock:
-                if self._late:
-                    wait_s = min(wait_s, max(0.0, self._late[0][0] - time.monotonic()))
+                if self._delayed:
+                    wait_s = min(wait_s, max(0.0, self._delayed[0][0] - time.monotonic()))
             ready = self._selector.select(wait_s)
             with self._lock:
-                if self._ended:
+                if self._is_closed:
                     return
                 for key, mask in ready:
-                    if isinstance(key.data, Pair):
+                    if isinstance(key.data, Link):
                         self._accept(key.data)
-                    elif key.data in self._sides:
+                    elif key.data in self._ends:
                         if mask & selectors.EVENT_READ:
                             self._read(key.data)
-                        if mask & selectors.EVENT_WRITE and key.data in self._sides:
+                        if mask & selectors.EVENT_WRITE and key.data in self._ends:
                             self._flush(key.data)
                 now = time.monotonic()
-                while self._late and self._late[0][0] <= now:
-                    side = heapq.heappop(self._late)[2]
-                    if side in self._sides:
-                        self._flush(side)
+                while self._delayed and self._delayed[0][0] <= now:
+                    end = heapq.heappop(self._delayed)[2]
+                    if end in self._ends:
+                        self._flush(end)
 
-    def _accept(self, pair: Pair) -> None:
+    def _accept(self, link: Link) -> None:
         with contextlib.suppress(OSError):
-            near, _ = pair.listener.accept()
-            if pair.refuses:
-                near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-                near.close()
+            source_sock, _ = link.listener.accept()
+            if link.refuses_connections:
+                source_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+                source_sock.close()
                 return
-            host, _, port = pair.target.rpartition(":")
-            far = socket.socket()
+            host, _, port = link.target.rpartition(":")
+            destination_sock = socket.socket()
             try:
-                far.settimeout(0.5)  # loopback: it listens or it does not
-                far.connect((host, int(port)))
+                destination_sock.settimeout(0.5)  # loopback: it listens or it does not
+                destination_sock.connect((host, int(port)))
             except OSError:
-                far.close()
-                near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-                near.close()
+                destination_sock.close()
+                source_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+                source_sock.close()
                 return
-            one, two = _Side(near, pair, True), _Side(far, pair, False)
-            one.other, two.other = two, one
-            pair.connections += 1
-            for side in (one, two):
-                side.sock.setblocking(False)
-                side.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self._sides.add(side)
-                self._selector.register(side.sock, selectors.EVENT_READ, side)
-
-    def _read(self, side: _Side) -> None:
-        other = side.other
-        if other is None:
+            one, two = _ConnectionEnd(source_sock, link, True), _ConnectionEnd(destination_sock, link, False)
+            one.peer, two.peer = two, one
+            link.connection_count += 1
+            for end in (one, two):
+                end.sock.setblocking(False)
+                end.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                self._ends.add(end)
+                self._selector.register(end.sock, selectors.EVENT_READ, end)
+
+    def _read(self, end: _ConnectionEnd) -> None:
+        peer = end.peer
+        if peer is None:
             return
         try:
-            data = side.sock.recv(READ)
+            data = end.sock.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            self._close(side, reset=True)
+            self._close(end, reset=True)
             return
-        pair = side.pair
-        if data and pair.modes[side.forth] is Mode.LOSE:
+        link = end.link
+        if data and link.modes[end.is_forward] is LinkMode.LOSE:
             return
-        pair.carried += len(data)
-        at = time.monotonic() + pair.late_s[side.forth]
-        other.waiting.append((at, data))  # empty: the end, in its turn
-        other.size += len(data)
-        if at > time.monotonic():
-            self._order += 1
-            heapq.heappush(self._late, (at, self._order, other))
-        self._flush(other)
-        if side in self._sides:
-            self._watch(side)
-
-    def _flush(self, side: _Side) -> None:
+        link.forwarded_bytes += len(data)
+        due_s = time.monotonic() + link.delay_s[end.is_forward]
+        peer.outgoing.append((due_s, data))  # empty: the end, in its turn
+        peer.buffered_bytes += len(data)
+        if due_s > time.monotonic():
+            self._sequence_number += 1
+            heapq.heappush(self._delayed, (due_s, self._sequence_number, peer))
+        self._flush(peer)
+        if end in self._ends:
+            self._watch(end)
+
+    def _flush(self, end: _ConnectionEnd) -> None:
         """Write what is due to this end."""
-        other = side.other
-        if side not in self._sides or other is None:
+        peer = end.peer
+        if end not in self._ends or peer is None:
             return
         now = time.monotonic()
-        while side.waiting and side.pair.modes[other.forth] is not Mode.HOLD:
-            at, data = side.waiting[0]
-            if at > now:
+        while end.outgoing and end.link.modes[peer.is_forward] is not LinkMode.HOLD:
+            due_s, data = end.outgoing[0]
+            if due_s > now:
                 break
             if not data:
-                side.waiting.popleft()
-                side.ended = True
-                if other.ended:  # both have been told that the other one says no more
-                    self._close(side)
+                end.outgoing.popleft()
+                end.is_write_closed = True
+                if peer.is_write_closed:  # both have been told that the other one says no more
+                    self._close(end)
                     return
                 with contextlib.suppress(OSError):
-                    side.sock.shutdown(socket.SHUT_WR)
+                    end.sock.shutdown(socket.SHUT_WR)
                 continue
             try:
-                sent = side.sock.send(data)
+                sent = end.sock.send(data)
             except BlockingIOError:
                 break
             except OSError:
-                self._close(side, reset=True)
+                self._close(end, reset=True)
                 return
-            side.size -= sent
+            end.buffered_bytes -= sent
             if sent < len(data):
-                side.waiting[0] = (at, data[sent:])
+                end.outgoing[0] = (due_s, data[sent:])
                 break
-            side.waiting.popleft()
-        self._watch(side)
-        self._watch(other)
+            end.outgoing.popleft()
+        self._watch(end)
+        self._watch(peer)
 
-    def _watch(self, side: _Side) -> None:
-        if side not in self._sides or side.other is None:
+    def _watch(self, end: _ConnectionEnd) -> None:
+        if end not in self._ends or end.peer is None:
             return
         wanted = 0
-        if side.other.size < HOLD_MOST and not (side.other.waiting and not side.other.waiting[-1][1]):
+        if end.peer.buffered_bytes < MAX_BUFFERED_BYTES and not (
+            end.peer.outgoing and not end.peer.outgoing[-1][1]
+        ):
             wanted |= selectors.EVENT_READ
         now = time.monotonic()
-        due = side.waiting and side.waiting[0][0] <= now
-        if due and side.pair.modes[side.other.forth] is not Mode.HOLD:
+        has_due_data = end.outgoing and end.outgoing[0][0] <= now
+        if has_due_data and end.link.modes[end.peer.is_forward] is not LinkMode.HOLD:
             wanted |= selectors.EVENT_WRITE
         try:
-            known = self._selector.get_key(side.sock)
+            registered = self._selector.get_key(end.sock)
         except KeyError:
-            known = None
-        if known is None and wanted:
-            self._selector.register(side.sock, wanted, side)
-        elif known is not None and not wanted:
-            self._selector.unregister(side.sock)
-        elif known is not None and known.events != wanted:
-            self._selector.modify(side.sock, wanted, side)
-
-    def _close(self, side: _Side, reset: bool = False) -> None:
-        for one in (side, side.other):
-            if one is None or one not in self._sides:
+            registered = None
+        if registered is None and wanted:
+            self._selector.register(end.sock, wanted, end)
+        elif registered is not None and not wanted:
+            self._selector.unregister(end.sock)
+        elif registered is not None and registered.events != wanted:
+            self._selector.modify(end.sock, wanted, end)
+
+    def _close(self, end: _ConnectionEnd, reset: bool = False) -> None:
+        for one in (end, end.peer):
+            if one is None or one not in self._ends:
                 continue
-            self._sides.discard(one)
+            self._ends.discard(one)
             with contextlib.suppress(KeyError, ValueError):
                 self._selector.unregister(one.sock)
             with contextlib.suppress(OSError):
                 if reset:
-                    one.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                    one.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
                 one.sock.close()
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -21,7 +21,7 @@
 from saffronstack.fleet.control.status_poller import poll_daemons
 from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.rollout.record import RolloutRecord, decode_record
-from saffronstack.harness.links import Mode, Wires
+from saffronstack.harness.links import LinkMode, LinkRelay
 from saffronstack.harness.rollout.fleet_watcher import FleetObservations
 from saffronstack.harness.rollout.rig_layout import RigLayout, RigSizes
 from saffronstack.harness.rollout.sample_releases import write_release
@@ -51,7 +51,7 @@
             sizes.workers, lambda number: profile, seed=sizes.seed,
             log=lambda entry: self.worker_log.append(msgspec.convert(entry, Seen, strict=False)),
         )  # fmt: skip
-        self.wires = Wires()
+        self.wires = LinkRelay()
         self.fleet_path = self.layout.write_fleet_file("fleet.json5", self.daemons)
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.observations = FleetObservations()
@@ -199,12 +199,12 @@
 
     # ---- links between a leader and daemons
 
-    def cut(self, leader: str, daemon: str, mode: Mode) -> None:
+    def cut(self, leader: str, daemon: str, mode: LinkMode) -> None:
         """Hold, lose or pass what a leader and a daemon send each other."""
-        self.wires.set(self.wires.between({leader}, {daemon}), mode)
-        self.wires.set(self.wires.between({daemon}, {leader}), mode)
+        self.wires.set_mode(self.wires.directions_between({leader}, {daemon}), mode)
+        self.wires.set_mode(self.wires.directions_between({daemon}, {leader}), mode)
 
     def write_relayed_fleet_file(self, leader: str) -> pathlib.Path:
         """Write a fleet file by which a leader reaches daemons through relays."""
-        relayed = {name: self.wires.pair(leader, name, address) for name, address in self.daemons.items()}
+        relayed = {name: self.wires.add_link(leader, name, address) for name, address in self.daemons.items()}
         return self.layout.write_fleet_file(f"fleet-{leader}.json5", relayed)
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -159,7 +159,7 @@
             self._troubles.append(f"faults: {error!r}")
 
     def _play_clients(self, is_over: threading.Event) -> None:
-        self._clients.play(MAX_PLAY_S, is_over)
+        self._clients.generate_load(MAX_PLAY_S, is_over)
         if not self._clients.end(CLIENTS_END_S):
             self._troubles.append("clients did not end")
 
--- a/saffronstack/harness/scenario/clients.py
+++ b/saffronstack/harness/scenario/clients.py
@@ -18,10 +18,10 @@
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
 
-PATIENCE_S = 3.0  # the classes' deadline in the sample configuration
-PAUSE_MOST_S = 4.0
-ENDED = ("served", "failed", "accepted", "error")
-UNKNOWN = b"Saffronstack.OutcomeUnknown"
+CALL_TIMEOUT_S = 3.0  # the classes' deadline in the sample configuration
+MAX_BACKOFF_S = 4.0
+FINAL_OUTCOMES = ("served", "failed", "accepted", "error")
+OUTCOME_UNKNOWN = b"Saffronstack.OutcomeUnknown"
 
 
 class Clients:
@@ -35,7 +35,7 @@
         mix: Mix,
         seed: int,
         rate: Callable[[float], float],
-        name_of: Callable[[str], str],
+        choose_function: Callable[[str], str],
         tenants: tuple[str, ...],
         prefix: str = "op",
     ) -> None:
@@ -47,33 +47,33 @@
         self.dropped = 0
         self._addresses = addresses
         self._mix = mix
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._rate = rate
-        self._name_of = name_of
+        self._choose_function = choose_function
         self._tenants = tenants
         self._queue: queue.Queue[tuple[str, str, bool, str] | None] = queue.Queue(maxsize=mix.clients * 4)
         self._lock = threading.Lock()
         self._threads = [start_thread("client", partial(self._run, n)) for n in range(mix.clients)]
 
-    def play(self, seconds: float, over: threading.Event | None = None) -> None:
+    def generate_load(self, seconds: float, stop_event: threading.Event | None = None) -> None:
         """Send for so long, or until it is over, at random moments; what no thread is free for is dropped and
         counted.
         """
         functions, weights = zip(*self._mix.functions.items(), strict=True)
         start = time.monotonic()
-        at = 0.0
+        at_s = 0.0
         number = 0
-        while at < seconds and not (over is not None and over.is_set()):
-            at += self._random.expovariate(max(0.1, self._rate(at)))
-            pause = start + at - time.monotonic()
+        while at_s < seconds and not (stop_event is not None and stop_event.is_set()):
+            at_s += self._rng.expovariate(max(0.1, self._rate(at_s)))
+            pause = start + at_s - time.monotonic()
             if pause > 0:
                 time.sleep(pause)
-            function = self._name_of(self._random.choices(functions, weights)[0])
-            deferred = self._random.random() < self._mix.deferred_share
+            function = self._choose_function(self._rng.choices(functions, weights)[0])
+            deferred = self._rng.random() < self._mix.deferred_share
             number += 1
             try:
                 self._queue.put_nowait(
-                    (f"{self._prefix}-{number}", function, deferred, self._random.choice(self._tenants))
+                    (f"{self._prefix}-{number}", function, deferred, self._rng.choice(self._tenants))
                 )
             except queue.Full:
                 self.dropped += 1
@@ -89,53 +89,53 @@
 
     def _run(self, number: int) -> None:
         clients: dict[tuple[int, str], Client] = {}
-        chance = random.Random(number)
+        rng = random.Random(number)
         while (item := self._queue.get()) is not None:
             op, function, deferred, tenant = item
-            gateway = chance.randrange(len(self._addresses))
+            gateway = rng.randrange(len(self._addresses))
             client = clients.get((gateway, tenant))
             if client is None:
                 client = clients[gateway, tenant] = Client(
-                    self._addresses[gateway], PATIENCE_S, tenant=tenant
+                    self._addresses[gateway], CALL_TIMEOUT_S, tenant=tenant
                 )
             for attempt in range(self._mix.tries):
-                t = Try(op, gateway, function, 0.0, 0.0, deferred, tenant, attempt=attempt)
-                if self._try(client, t) in ENDED:
+                record = Try(op, gateway, function, 0.0, 0.0, deferred, tenant, attempt=attempt)
+                if self._send(client, record) in FINAL_OUTCOMES:
                     break
                 if attempt + 1 < self._mix.tries:
-                    time.sleep(chance.random() * min(PAUSE_MOST_S, 2.0**attempt))
+                    time.sleep(rng.random() * min(MAX_BACKOFF_S, 2.0**attempt))
         for client in clients.values():
             client.close()
 
-    def _try(self, client: Client, t: Try) -> str:
-        payload = msgspec.json.encode({"op": t.op, "tenant": t.tenant})
-        t.sent_s = time.monotonic()
-        t.deadline_s = t.sent_s + PATIENCE_S
+    def _send(self, client: Client, record: Try) -> str:
+        payload = msgspec.json.encode({"op": record.op, "tenant": record.tenant})
+        record.sent_s = time.monotonic()
+        record.deadline_s = record.sent_s + CALL_TIMEOUT_S
         try:
-            named = (
-                ("amz-sdk-invocation-id", t.op),
-                ("amz-sdk-request", f"attempt={t.attempt + 1}; max={self._mix.tries}"),
+            operation_headers = (
+                ("amz-sdk-invocation-id", record.op),
+                ("amz-sdk-request", f"attempt={record.attempt + 1}; max={self._mix.tries}"),
             )
-            kind = "Event" if t.deferred else "RequestResponse"
-            answer = client.invoke(t.function, payload, kind, named)
+            invocation_type = "Event" if record.deferred else "RequestResponse"
+            answer = client.invoke(record.function, payload, invocation_type, operation_headers)
         except ConnectionRefusedError:
-            t.end = "not_taken"
+            record.end = "not_taken"
         except (OSError, HttpError):
-            t.end = "broken"
+            record.end = "broken"
         else:
-            t.id = answer.headers.get("x-amzn-requestid")
-            t.end = _ending(answer)
-            t.answer = xxhash.xxh3_64_hexdigest(answer.body)
-            t.extra_bytes = client.unsolicited_byte_count()
-        t.ended_s = time.monotonic()
+            record.id = answer.headers.get("x-amzn-requestid")
+            record.end = _outcome(answer)
+            record.answer = xxhash.xxh3_64_hexdigest(answer.body)
+            record.extra_bytes = client.unsolicited_byte_count()
+        record.ended_s = time.monotonic()
         with self._lock:
-            self.tries.append(t)
-        return t.end
+            self.tries.append(record)
+        return record.end
 
 
-def _ending(answer: Response) -> str:
+def _outcome(answer: Response) -> str:
     if answer.status == 202:
         return "accepted"
     if answer.status == 200:
-        return "failed" if UNKNOWN in answer.body else "served"
+        return "failed" if OUTCOME_UNKNOWN in answer.body else "served"
     return "refused" if answer.status == 429 else "error"
--- a/saffronstack/harness/scenario/director.py
+++ b/saffronstack/harness/scenario/director.py
@@ -12,23 +12,23 @@
 import msgspec
 
 from saffronstack.audit.traffic import Stopped, Told
-from saffronstack.harness.scenario.plan import Plan, Trouble
-from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StandInHost
+from saffronstack.harness.scenario.plan import Plan, ScheduledFault
+from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StubWorkersProcess
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import Faults
 
-LIST_LATE_S = 1.0  # how late the list tells of workers that died by themselves
-SCAN_NAMES = 400
+LIST_DELAY_S = 1.0  # how late the list tells of workers that died by themselves
+SCAN_FUNCTION_COUNT = 400
 
 
-class Director:
+class FaultInjector:
     """Owns the roster as it is told, the workers' faults and the gateways' lives."""
 
     def __init__(
         self,
         plan: Plan,
         gateways: list[GatewayProcess],
-        host: StandInHost,
+        host: StubWorkersProcess,
         content: Callable[[GatewayProcess, list[dict[str, Any]]], dict[str, Any]],
         seed: int,
     ) -> None:
@@ -39,26 +39,26 @@
         self.rate_factor = 1.0
         self.scan_share = 0.0
         self.rotation = 0
-        self.reply_lost = 0.0  # part of the gateways' answers that the relays lose
-        self.reply_late_s = 0.0
+        self.response_loss_probability = 0.0  # part of the gateways' answers that the relays lose
+        self.max_response_delay_s = 0.0
         self._plan = plan
         self._gateways = gateways
         self._host = host
         self._content = content
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._lock = threading.RLock()
         self._roster: dict[int, dict[str, Any]] = dict(enumerate(host.workers))
         self._faults: dict[int, Faults] = {n: Faults() for n in self._roster}
-        self._away: set[int] = set()  # workers that some trouble has in hand
-        self._down: set[int] = set()  # gateways
+        self._reserved: set[int] = set()  # workers that some trouble has in hand
+        self._stopped_gateways: set[int] = set()  # gateways
         self._threads: list[threading.Thread] = []
 
     def begin(self, start_s: float) -> None:
         """Set every trouble going; ``start_s`` is the day's start on the monotonic clock."""
-        for trouble in self._plan.troubles:
-            if trouble.at_s >= self._plan.seconds:
+        for fault in self._plan.troubles:
+            if fault.at_s >= self._plan.seconds:
                 continue  # of a day played short
-            self._threads.append(start_thread(trouble.kind, lambda t=trouble: self._one(start_s, t)))  # type: ignore[misc]
+            self._threads.append(start_thread(fault.kind, lambda t=fault: self._inject(start_s, t)))  # type: ignore[misc]
 
     def end(self, timeout_s: float) -> None:
         """Wait until all troubles are over."""
@@ -68,36 +68,36 @@
             if thread.is_alive():
                 self.problems.append(f"trouble {thread.name} did not end")
 
-    def name_of(self, function: str) -> str:
+    def choose_function(self, function: str) -> str:
         """Which function a client calls in place of the usual one, under the troubles of the moment."""
         with self._lock:
-            if self.scan_share and self._random.random() < self.scan_share:
-                return f"scan-{self._random.randrange(SCAN_NAMES)}"
+            if self.scan_share and self._rng.random() < self.scan_share:
+                return f"scan-{self._rng.randrange(SCAN_FUNCTION_COUNT)}"
             if self.rotation and function in ("identify-copy", "suggest-price"):
                 return "suggest-price" if function == "identify-copy" else "identify-copy"
             return function
 
-    def _one(self, start_s: float, trouble: Trouble) -> None:
-        time.sleep(max(0.0, start_s + trouble.at_s - time.monotonic()))
+    def _inject(self, start_s: float, fault: ScheduledFault) -> None:
+        time.sleep(max(0.0, start_s + fault.at_s - time.monotonic()))
         try:
-            getattr(self, f"_{trouble.kind}")(trouble)
+            getattr(self, f"_{fault.kind}")(fault)
         except (ScenarioError, OSError) as error:
-            self.problems.append(f"{trouble.kind}: {error}")
+            self.problems.append(f"{fault.kind}: {error}")
 
     # ---- choosing and telling
 
-    def _take(self, share: float) -> list[int]:
+    def _reserve_workers(self, share: float) -> list[int]:
         with self._lock:
-            free = [n for n in sorted(self._roster) if n not in self._away]
-            chosen = self._random.sample(free, min(len(free), max(1, round(share * len(self._roster)))))
-            self._away.update(chosen)
+            free = [n for n in sorted(self._roster) if n not in self._reserved]
+            chosen = self._rng.sample(free, min(len(free), max(1, round(share * len(self._roster)))))
+            self._reserved.update(chosen)
             return chosen
 
-    def _give_back(self, workers: list[int]) -> None:
+    def _release_workers(self, workers: list[int]) -> None:
         with self._lock:
-            self._away.difference_update(workers)
+            self._reserved.difference_update(workers)
 
-    def _tell(self, changes: dict[int, dict[str, Any] | None]) -> None:
+    def _publish_changes(self, changes: dict[int, dict[str, Any] | None]) -> None:
         """Change the list at every gateway; None: the worker is gone from it."""
         with self._lock:
             for number, entry in changes.items():
@@ -111,12 +111,12 @@
                 state = "gone" if entry is None else entry.get("state", "ready")
                 started = entry.get("started_at", 0.0) if entry else 0.0
                 self.told.append(Told(now, name, state, now - (wall - started) if started else 0.0))
-            self._write()
+            self._write_lists()
             for gateway in self._gateways:
-                if gateway.number not in self._down and self._plan.membership == "signal":
-                    gateway.hangup()
+                if gateway.number not in self._stopped_gateways and self._plan.membership == "signal":
+                    gateway.reload()
 
-    def _write(self) -> None:
+    def _write_lists(self) -> None:
         roster = [self._roster[n] for n in sorted(self._roster)]
         for gateway in self._gateways:
             if self._plan.membership == "file":
@@ -128,138 +128,138 @@
         with self._lock:
             for number in workers:
                 self._faults[number] = replace(self._faults[number], **changes)
-                self._host.order("faults", [number], faults=msgspec.to_builtins(self._faults[number]))
+                self._host.send_command("faults", [number], faults=msgspec.to_builtins(self._faults[number]))
 
-    def _for_a_while(self, trouble: Trouble, **faults: Any) -> None:
-        workers = self._take(trouble.share)
-        plain = {name: getattr(Faults(), name) for name in faults}
+    def _apply_worker_faults(self, fault: ScheduledFault, **faults: Any) -> None:
+        workers = self._reserve_workers(fault.share)
+        defaults = {name: getattr(Faults(), name) for name in faults}
         self._set_faults(workers, **faults)
-        time.sleep(trouble.for_s)
-        self._set_faults(workers, **plain)
-        self._give_back(workers)
+        time.sleep(fault.for_s)
+        self._set_faults(workers, **defaults)
+        self._release_workers(workers)
 
-    def _return_cold(self, workers: list[int]) -> None:
+    def _restart_cold(self, workers: list[int]) -> None:
         with self._lock:
             for number in workers:
                 self._faults[number] = Faults()
-            self._host.order("faults", workers, faults=msgspec.to_builtins(Faults()))
-            self._host.order("start", workers)
+            self._host.send_command("faults", workers, faults=msgspec.to_builtins(Faults()))
+            self._host.send_command("start", workers)
         now = time.time()
-        self._tell({n: {**self._host.workers[n], "started_at": now} for n in workers})
-        self._give_back(workers)
+        self._publish_changes({n: {**self._host.workers[n], "started_at": now} for n in workers})
+        self._release_workers(workers)
 
     # ---- the troubles
 
-    def _balancer_crash(self, trouble: Trouble) -> None:
+    def _balancer_crash(self, fault: ScheduledFault) -> None:
         with self._lock:
-            up = [g for g in self._gateways if g.number not in self._down]
-            chosen = self._random.sample(up, min(len(up), max(1, round(trouble.share * len(self._gateways)))))
-            self._down.update(g.number for g in chosen)
+            up = [gateway for gateway in self._gateways if gateway.number not in self._stopped_gateways]
+            chosen = self._rng.sample(up, min(len(up), max(1, round(fault.share * len(self._gateways)))))
+            self._stopped_gateways.update(gateway.number for gateway in chosen)
         for gateway in chosen:
             stop = Stopped(gateway.number, time.monotonic(), killed=True)
             self.stopped.append(stop)
             gateway.kill()
-        time.sleep(trouble.for_s)
+        time.sleep(fault.for_s)
         for gateway in chosen:
-            self._bring_back(gateway)
+            self._restart(gateway)
 
-    def _balancer_roll(self, trouble: Trouble) -> None:
+    def _balancer_roll(self, fault: ScheduledFault) -> None:
         for gateway in self._gateways:
             with self._lock:
-                if gateway.number in self._down:
+                if gateway.number in self._stopped_gateways:
                     continue
-                self._down.add(gateway.number)
+                self._stopped_gateways.add(gateway.number)
             self.stopped.append(Stopped(gateway.number, time.monotonic(), killed=False))
-            status = gateway.ask_to_end()
+            status = gateway.terminate()
             if status != 0:
                 self.problems.append(f"gateway {gateway.number} ended with status {status} when asked to")
-            self._bring_back(gateway)
-            time.sleep(trouble.for_s / len(self._gateways))
+            self._restart(gateway)
+            time.sleep(fault.for_s / len(self._gateways))
 
-    def _bring_back(self, gateway: GatewayProcess) -> None:
+    def _restart(self, gateway: GatewayProcess) -> None:
         gateway.start()
         with self._lock:
-            self._down.discard(gateway.number)
-            gateway.hangup()  # the list may have changed while it read its file
+            self._stopped_gateways.discard(gateway.number)
+            gateway.reload()  # the list may have changed while it read its file
             for stop in self.stopped:
                 if stop.gateway == gateway.number and stop.back_s == float("inf"):
                     stop.back_s = time.monotonic()
 
-    def _burst(self, trouble: Trouble) -> None:
-        self.rate_factor = trouble.factor
-        time.sleep(trouble.for_s)
+    def _burst(self, fault: ScheduledFault) -> None:
+        self.rate_factor = fault.factor
+        time.sleep(fault.for_s)
         self.rate_factor = 1.0
 
-    def _slow(self, trouble: Trouble) -> None:
-        self._for_a_while(trouble, slow=trouble.factor)
+    def _slow(self, fault: ScheduledFault) -> None:
+        self._apply_worker_faults(fault, slow=fault.factor)
 
-    def _fast_errors(self, trouble: Trouble) -> None:
-        self._for_a_while(trouble, errors=1.0)
+    def _fast_errors(self, fault: ScheduledFault) -> None:
+        self._apply_worker_faults(fault, errors=1.0)
 
-    def _answer_lost(self, trouble: Trouble) -> None:
+    def _answer_lost(self, fault: ScheduledFault) -> None:
         with self._lock:
             workers = sorted(self._faults)
-        self._set_faults(workers, lose_answers=trouble.share)
-        time.sleep(trouble.for_s)
+        self._set_faults(workers, lose_answers=fault.share)
+        time.sleep(fault.for_s)
         self._set_faults(workers, lose_answers=0.0)
 
-    def _handshake_slow(self, trouble: Trouble) -> None:
-        self._for_a_while(trouble, handshake_s=0.1 * trouble.factor)
+    def _handshake_slow(self, fault: ScheduledFault) -> None:
+        self._apply_worker_faults(fault, handshake_s=0.1 * fault.factor)
 
-    def _flush(self, trouble: Trouble) -> None:
-        self._host.order("flush", sorted(self._faults))
+    def _flush(self, fault: ScheduledFault) -> None:
+        self._host.send_command("flush", sorted(self._faults))
 
-    def _origin_slow(self, trouble: Trouble) -> None:
-        self._host.order("store", [], slow=trouble.factor)
-        time.sleep(trouble.for_s)
-        self._host.order("store", [], slow=1.0)
+    def _origin_slow(self, fault: ScheduledFault) -> None:
+        self._host.send_command("store", [], slow=fault.factor)
+        time.sleep(fault.for_s)
+        self._host.send_command("store", [], slow=1.0)
 
-    def _scan(self, trouble: Trouble) -> None:
-        self.scan_share = trouble.share
-        time.sleep(trouble.for_s)
+    def _scan(self, fault: ScheduledFault) -> None:
+        self.scan_share = fault.share
+        time.sleep(fault.for_s)
         self.scan_share = 0.0
 
-    def _shift(self, trouble: Trouble) -> None:
+    def _shift(self, fault: ScheduledFault) -> None:
         self.rotation = 1
-        time.sleep(trouble.for_s)
+        time.sleep(fault.for_s)
         self.rotation = 0
 
-    def _reply_lost(self, trouble: Trouble) -> None:
-        self.reply_lost = trouble.share
-        time.sleep(trouble.for_s)
-        self.reply_lost = 0.0
+    def _reply_lost(self, fault: ScheduledFault) -> None:
+        self.response_loss_probability = fault.share
+        time.sleep(fault.for_s)
+        self.response_loss_probability = 0.0
 
-    def _reply_late(self, trouble: Trouble) -> None:
-        self.reply_late_s = 0.1 * trouble.factor
-        time.sleep(trouble.for_s)
-        self.reply_late_s = 0.0
+    def _reply_late(self, fault: ScheduledFault) -> None:
+        self.max_response_delay_s = 0.1 * fault.factor
+        time.sleep(fault.for_s)
+        self.max_response_delay_s = 0.0
 
-    def _deploy(self, trouble: Trouble) -> None:
+    def _deploy(self, fault: ScheduledFault) -> None:
         """A rolling replacement: a tenth of the fleet at a time drains, ends, and comes back cold."""
-        workers = self._take(trouble.share)
+        workers = self._reserve_workers(fault.share)
         step = max(1, len(self._faults) // 10)
         groups = [workers[n : n + step] for n in range(0, len(workers), step)]
         for group in groups:
-            self._tell({n: {**self._roster[n], "state": "draining"} for n in group})
-            time.sleep(max(trouble.for_s / len(groups), self._plan.rules.drain_grace_s + 0.5))
-            self._host.order("stop", group)
-            self._return_cold(group)
+            self._publish_changes({n: {**self._roster[n], "state": "draining"} for n in group})
+            time.sleep(max(fault.for_s / len(groups), self._plan.rules.drain_grace_s + 0.5))
+            self._host.send_command("stop", group)
+            self._restart_cold(group)
 
-    def _mass_restart(self, trouble: Trouble) -> None:
+    def _mass_restart(self, fault: ScheduledFault) -> None:
         """Workers die at once; the list tells late, and they come back cold."""
-        workers = self._take(trouble.share)
-        self._host.order("stop", workers)
-        time.sleep(LIST_LATE_S)
-        self._tell(dict.fromkeys(workers))
-        time.sleep(max(0.0, trouble.for_s - LIST_LATE_S))
-        self._return_cold(workers)
-
-    def _preempt(self, trouble: Trouble) -> None:
+        workers = self._reserve_workers(fault.share)
+        self._host.send_command("stop", workers)
+        time.sleep(LIST_DELAY_S)
+        self._publish_changes(dict.fromkeys(workers))
+        time.sleep(max(0.0, fault.for_s - LIST_DELAY_S))
+        self._restart_cold(workers)
+
+    def _preempt(self, fault: ScheduledFault) -> None:
         """A short notice, then the end; they come back cold."""
-        workers = self._take(trouble.share)
-        self._tell({n: {**self._roster[n], "state": "draining"} for n in workers})
+        workers = self._reserve_workers(fault.share)
+        self._publish_changes({n: {**self._roster[n], "state": "draining"} for n in workers})
         time.sleep(1.0)
-        self._host.order("stop", workers)
-        self._tell(dict.fromkeys(workers))
-        time.sleep(max(0.0, trouble.for_s - 1.0))
-        self._return_cold(workers)
+        self._host.send_command("stop", workers)
+        self._publish_changes(dict.fromkeys(workers))
+        time.sleep(max(0.0, fault.for_s - 1.0))
+        self._restart_cold(workers)
--- a/saffronstack/harness/scenario/final_records.py
+++ b/saffronstack/harness/scenario/final_records.py
@@ -31,21 +31,21 @@
         The distinct conditions of each call; none where it has no final record in time.
     """
     clients = {number: Client(address, REQUEST_TIMEOUT_S) for number, address in addresses.items()}
-    client_of = {one.id: clients[one.gateway] for one in tries if one.end == "accepted"}
-    finals: dict[str, list[str]] = {request_id: [] for request_id in client_of}
+    clients_by_request = {one.id: clients[one.gateway] for one in tries if one.end == "accepted"}
+    finals: dict[str, list[str]] = {request_id: [] for request_id in clients_by_request}
     missing = set(finals)
     deadline_s = time.monotonic() + timeout_s
     while missing and time.monotonic() < deadline_s:
         for request_id in sorted(missing):
-            condition = _read_condition(client_of[request_id], request_id)
+            condition = _read_condition(clients_by_request[request_id], request_id)
             if condition is not None:
                 finals[request_id].append(condition)
                 missing.discard(request_id)
         time.sleep(POLL_INTERVAL_S)
     for request_id, conditions in finals.items():
-        again = _read_condition(client_of[request_id], request_id)
-        if again is not None and again not in conditions:
-            conditions.append(again)
+        second = _read_condition(clients_by_request[request_id], request_id)
+        if second is not None and second not in conditions:
+            conditions.append(second)
     for client in clients.values():
         client.close()
     return finals
--- a/saffronstack/harness/scenario/plan.py
+++ b/saffronstack/harness/scenario/plan.py
@@ -9,7 +9,7 @@
 from saffronstack.config.load import convert, read_text
 from saffronstack.config.schema import Count, NonNegative, Positive, Share, Struct
 
-Kind = Literal[
+FaultKind = Literal[
     "balancer_crash",
     "balancer_roll",
     "burst",
@@ -29,10 +29,10 @@
 ]
 
 
-class Trouble(Struct, frozen=True, kw_only=True):
+class ScheduledFault(Struct, frozen=True, kw_only=True):
     """One trouble: from ``at_s`` for ``for_s`` on a ``share`` of what it strikes, ``factor`` times as bad."""
 
-    kind: Kind
+    kind: FaultKind
     at_s: NonNegative
     for_s: Positive = 5.0
     share: Share = 0.3
@@ -88,7 +88,7 @@
     traffic: Mix = Mix()
     rules: DayRules = DayRules()
     membership: Literal["signal", "file"] = "signal"  # how gateways are told of workers
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[ScheduledFault, ...] = ()
 
 
 def load(path: str) -> Plan:
--- a/saffronstack/harness/scenario/processes.py
+++ b/saffronstack/harness/scenario/processes.py
@@ -15,15 +15,15 @@
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.worker import hold_port
 
-START_S = 20.0
-ANSWER_S = 30.0
+START_TIMEOUT_S = 20.0
+RESPONSE_TIMEOUT_S = 30.0
 
 
 class ScenarioError(Exception):
     """The day itself could not be played: a process did not do its part."""
 
 
-def _lines(stream: IO[bytes]) -> queue.SimpleQueue[bytes]:
+def _read_lines(stream: IO[bytes]) -> queue.SimpleQueue[bytes]:
     """Lines of a process, read by a thread, so that waiting for one has a time-out."""
     lines: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
@@ -48,9 +48,9 @@
         self.roster = directory / f"roster-{number}.json5"
         self.roster_state = directory / f"roster-{number}"
         self._generation = 0
-        self.errors = directory / f"gateway-{number}.log"
-        self._placeholder = hold_port("127.0.0.1")
-        self.address = f"127.0.0.1:{self._placeholder.getsockname()[1]}"
+        self.log_path = directory / f"gateway-{number}.log"
+        self._port_holder = hold_port("127.0.0.1")
+        self.address = f"127.0.0.1:{self._port_holder.getsockname()[1]}"
         self.process: subprocess.Popen[bytes] | None = None
 
     def write(self, content: dict[str, Any]) -> None:
@@ -72,7 +72,7 @@
         Raises:
             ScenarioError: It does not.
         """
-        with open(self.errors, "ab") as errors:
+        with open(self.log_path, "ab") as log_file:
             self.process = subprocess.Popen(
                 [
                     sys.executable,
@@ -86,18 +86,18 @@
                     "json",
                 ],
                 stdout=subprocess.PIPE,
-                stderr=errors,
+                stderr=log_file,
             )
         assert self.process.stdout is not None
         try:
-            line = _lines(self.process.stdout).get(timeout=START_S).decode()
+            line = _read_lines(self.process.stdout).get(timeout=START_TIMEOUT_S).decode()
         except queue.Empty:
             line = ""
         if "http://" not in line:
-            raise ScenarioError(f"gateway {self.number} did not start; see {self.errors}")
+            raise ScenarioError(f"gateway {self.number} did not start; see {self.log_path}")
         self.address = line.strip().rpartition("http://")[2]
 
-    def hangup(self) -> None:
+    def reload(self) -> None:
         """Have it reread its configuration."""
         if self.process is not None:
             self.process.send_signal(signal.SIGHUP)
@@ -106,43 +106,43 @@
         """Kill it outright."""
         assert self.process is not None
         self.process.kill()
-        self.process.wait(ANSWER_S)
+        self.process.wait(RESPONSE_TIMEOUT_S)
 
-    def ask_to_end(self) -> int:
+    def terminate(self) -> int:
         """SIGTERM and wait; its exit status."""
         assert self.process is not None
         self.process.terminate()
         try:
-            return self.process.wait(ANSWER_S)
+            return self.process.wait(RESPONSE_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             return -9
 
 
-class StandInHost:
+class StubWorkersProcess:
     """The process with all stand-in workers."""
 
-    def __init__(self, head: dict[str, Any]) -> None:
+    def __init__(self, settings: dict[str, Any]) -> None:
         self._process = subprocess.Popen(
             [sys.executable, "-m", "saffronstack.standin.host"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
         )
         assert self._process.stdout is not None
-        self._answers = _lines(self._process.stdout)
-        self.workers: list[dict[str, Any]] = self._ask(head)["workers"]
+        self._responses = _read_lines(self._process.stdout)
+        self.workers: list[dict[str, Any]] = self._request(settings)["workers"]
 
-    def _ask(self, what: dict[str, Any]) -> dict[str, Any]:
+    def _request(self, message: dict[str, Any]) -> dict[str, Any]:
         assert self._process.stdin is not None
         try:
-            self._process.stdin.write(json.dumps(what).encode() + b"\n")
+            self._process.stdin.write(json.dumps(message).encode() + b"\n")
             self._process.stdin.flush()
-            answer: dict[str, Any] = json.loads(self._answers.get(timeout=ANSWER_S) or b"{}")
+            response: dict[str, Any] = json.loads(self._responses.get(timeout=RESPONSE_TIMEOUT_S) or b"{}")
         except (OSError, queue.Empty) as error:
             raise ScenarioError("the stand-ins' process does not answer") from error
-        return answer
+        return response
 
-    def order(self, do: str, workers: list[int], **more: Any) -> None:
+    def send_command(self, command: str, workers: list[int], **parameters: Any) -> None:
         """A command for some workers, by number."""
-        self._ask({"do": do, "workers": workers, **more})
+        self._request({"do": command, "workers": workers, **parameters})
 
     def end(self) -> None:
         """End the process once its log is written."""
@@ -150,6 +150,6 @@
         time.sleep(0.3)
         self._process.stdin.close()
         try:
-            self._process.wait(ANSWER_S)
+            self._process.wait(RESPONSE_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self._process.kill()
--- a/saffronstack/harness/scenario/relay.py
+++ b/saffronstack/harness/scenario/relay.py
@@ -19,20 +19,20 @@
     def __init__(
         self,
         target: Callable[[], str],
-        lose: Callable[[], bool],
+        should_lose: Callable[[], bool],
         delay_s: Callable[[], float] = lambda: 0.0,
-        heard: Callable[[bytes], None] = lambda request: None,
-        refused: Callable[[bytes], None] = lambda request: None,
+        on_lost: Callable[[bytes], None] = lambda request: None,
+        on_refused: Callable[[bytes], None] = lambda request: None,
     ) -> None:
         """``target`` is asked for HOST:PORT at each request, ``lose`` and ``delay_s`` at each answer;
         ``heard`` is given the request whose answer is lost, ``refused`` one that the gateway was not there to
         take, before its client sees that.
         """
         self._target = target
-        self._lose = lose
+        self._should_lose = should_lose
         self._delay_s = delay_s
-        self._heard = heard
-        self._refused = refused
+        self._on_lost = on_lost
+        self._on_refused = on_refused
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         self._listener.settimeout(0.2)
         host, port = self._listener.getsockname()[:2]
@@ -60,36 +60,36 @@
         client.settimeout(20)
         with contextlib.suppress(OSError), client:
             while True:
-                request = self._message(client)
+                request = self._read_message(client)
                 if not request:
                     return
                 host, _, port = self._target().rpartition(":")
                 try:
                     gateway = socket.create_connection((host, int(port)), timeout=20)
                 except ConnectionRefusedError:
-                    self._refused(request)
+                    self._on_refused(request)
                     return
                 with gateway:
                     gateway.settimeout(20)
                     gateway.sendall(request)
-                    answer = self._message(gateway)
-                if not answer:
+                    response = self._read_message(gateway)
+                if not response:
                     return
                 self._ended.wait(self._delay_s())
-                if self._lose():
+                if self._should_lose():
                     self.lost += 1
-                    self._heard(request)
+                    self._on_lost(request)
                     return
-                client.sendall(answer)
+                client.sendall(response)
 
     @staticmethod
-    def _message(sock: socket.socket) -> bytes:
+    def _read_message(sock: socket.socket) -> bytes:
         data = b""
         while b"\r\n\r\n" not in data:
-            more = sock.recv(65536)
-            if not more:
+            chunk = sock.recv(65536)
+            if not chunk:
                 return b""
-            data += more
+            data += chunk
         head, _, body = data.partition(b"\r\n\r\n")
         length = 0
         for line in head.split(b"\r\n")[1:]:
@@ -99,20 +99,20 @@
             if name.strip().lower() == b"expect":
                 sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
         while len(body) < length:
-            more = sock.recv(65536)
-            if not more:
+            chunk = sock.recv(65536)
+            if not chunk:
                 return b""
-            body += more
+            body += chunk
         return head + b"\r\n\r\n" + body
 
 
-def seldom(share: float, seed: int) -> Callable[[], bool]:
+def lose_randomly(share: float, seed: int) -> Callable[[], bool]:
     """Loses so large a part, by a seed."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     lock = threading.Lock()
 
-    def lose() -> bool:
+    def should_lose() -> bool:
         with lock:
-            return chance.random() < share
+            return rng.random() < share
 
-    return lose
+    return should_lose
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -19,10 +19,10 @@
 from saffronstack.config import ConfigError
 from saffronstack.harness.scenario import plan as plans
 from saffronstack.harness.scenario.clients import Clients
-from saffronstack.harness.scenario.director import Director
+from saffronstack.harness.scenario.director import FaultInjector
 from saffronstack.harness.scenario.final_records import read_final_records
 from saffronstack.harness.scenario.plan import Plan
-from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StandInHost
+from saffronstack.harness.scenario.processes import GatewayProcess, ScenarioError, StubWorkersProcess
 from saffronstack.harness.scenario.relay import Relay
 from saffronstack.harness.scenario.report import Report, print_report
 from saffronstack.metering.merged_accounts import merge_accounts
@@ -32,11 +32,11 @@
 
 ANSWER_MARGIN_S = 0.3  # the machine runs gateways, workers and clients at once
 TENANTS = ("corner-books", "campus-app")
-TROUBLES_END_S = 60.0
-CLIENTS_END_S = 30.0
-FINALS_S = 40.0  # how long deferred calls may take to end after the last was sent
-_NAMED = re.compile(rb"\r\namz-sdk-invocation-id: ([^\r]+)\r\n", re.I)
-_ATTEMPT = re.compile(rb"\r\namz-sdk-request: attempt=(\d+);", re.I)
+FAULTS_END_TIMEOUT_S = 60.0
+CLIENTS_END_TIMEOUT_S = 30.0
+FINAL_RECORDS_TIMEOUT_S = 40.0  # how long deferred calls may take to end after the last was sent
+_OPERATION_HEADER = re.compile(rb"\r\namz-sdk-invocation-id: ([^\r]+)\r\n", re.I)
+_ATTEMPT_HEADER = re.compile(rb"\r\namz-sdk-request: attempt=(\d+);", re.I)
 
 
 def run(path: str, seed: int, seconds: float | None, keep: str | None, membership: str | None = None) -> int:
@@ -55,14 +55,14 @@
             else:
                 directory = pathlib.Path(keep)
                 directory.mkdir(parents=True, exist_ok=True)
-            return _Day(plan, seed, directory).play()
+            return _ScenarioRun(plan, seed, directory).run()
     except (ConfigError, ScenarioError, OSError) as error:
         click.echo(f"{path}: {error}", err=True)
         return 2
 
 
 @dataclass(frozen=True, slots=True)
-class _PlayedDay:
+class _RunResult:
     """What is left of a day that was played.
 
     Attributes:
@@ -75,14 +75,14 @@
     """
 
     clients: Clients
-    director: Director
+    fault_injector: FaultInjector
     finals: dict[str, list[str]]
     lost: set[tuple[str, int]]
     untaken: set[tuple[str, int]]
     problems: list[str]
 
 
-class _Day:
+class _ScenarioRun:
     def __init__(self, plan: Plan, seed: int, directory: pathlib.Path) -> None:
         self.plan = plan
         self.seed = seed
@@ -107,8 +107,8 @@
                 "removed_share": 1.0,  # the day restarts as many as it likes
                 "flaps": 100,
             }
-        for cls in content["classes"]:
-            cls["note_operations"] = cls["effect"] != "safe"
+        for request_class in content["classes"]:
+            request_class["note_operations"] = request_class["effect"] != "safe"
         return {
             **content,
             "instances": plan.gateways,
@@ -121,21 +121,21 @@
             "rules": msgspec.to_builtins(plan.rules),
         }
 
-    def play(self) -> int:
+    def run(self) -> int:
         """Play it, print the report, and return the exit status."""
-        host = StandInHost(self._host_settings())
+        host = StubWorkersProcess(self._host_settings())
         try:
-            played = self._play(host)
+            result = self._run(host)
         finally:
             for gateway in self.gateways:
                 if gateway.process is not None and gateway.process.poll() is None:
                     gateway.kill()
             host.end()
-        problems = played.problems + self._unbalanced()
-        traffic = self._traffic(host, played)
+        problems = result.problems + self._check_usage()
+        traffic = self._observed_traffic(host, result)
         breaches = judge(traffic, self._figures(host))
         title = f"{self.plan.name}, seed {self.seed}, membership by {self.plan.membership}"
-        dropped = played.clients.dropped
+        dropped = result.clients.dropped
         print_report(Report(title, self.plan, traffic, breaches, problems, dropped, self._memory_mb_s))
         return 1 if breaches or problems else 0
 
@@ -153,7 +153,7 @@
         }
         return {"count": workers.count, "log": str(self.log), "seed": self.seed, "profiles": [profile]}
 
-    def _figures(self, host: StandInHost) -> Figures:
+    def _figures(self, host: StubWorkersProcess) -> Figures:
         workers, rules = self.plan.workers, self.plan.rules
         return Figures(
             drain_grace_s=rules.drain_grace_s,
@@ -165,36 +165,36 @@
             gateways=self.plan.gateways,
         )
 
-    def _play(self, host: StandInHost) -> _PlayedDay:
+    def _run(self, host: StubWorkersProcess) -> _RunResult:
         """Play it from the first process to the end of the last gateway."""
         plan = self.plan
         self._start_gateways(host)
-        director = Director(plan, self.gateways, host, self.content, self.seed)
+        fault_injector = FaultInjector(plan, self.gateways, host, self.content, self.seed)
         lost: set[tuple[str, int]] = set()
         untaken: set[tuple[str, int]] = set()
-        relays = self._relays(director, lost, untaken)
+        relays = self._relays(fault_injector, lost, untaken)
         clients = Clients(
             [relay.address for relay in relays],
             plan.traffic,
             self.seed,
-            lambda at: plan.traffic.rate * director.rate_factor,
-            director.name_of,
+            lambda at: plan.traffic.rate * fault_injector.rate_factor,
+            fault_injector.choose_function,
             TENANTS,
         )
-        director.begin(time.monotonic())
-        clients.play(plan.seconds)
-        director.end(TROUBLES_END_S)
-        problems = director.problems
-        if not clients.end(CLIENTS_END_S):
+        fault_injector.begin(time.monotonic())
+        clients.generate_load(plan.seconds)
+        fault_injector.end(FAULTS_END_TIMEOUT_S)
+        problems = fault_injector.problems
+        if not clients.end(CLIENTS_END_TIMEOUT_S):
             problems.append("clients did not end")
         for relay in relays:
             relay.close()
         addresses = {gateway.number: gateway.address for gateway in self.gateways}
-        finals = read_final_records(clients.tries, addresses, FINALS_S)
+        finals = read_final_records(clients.tries, addresses, FINAL_RECORDS_TIMEOUT_S)
         problems += self._end_gateways()
-        return _PlayedDay(clients, director, finals, lost, untaken, problems)
+        return _RunResult(clients, fault_injector, finals, lost, untaken, problems)
 
-    def _start_gateways(self, host: StandInHost) -> None:
+    def _start_gateways(self, host: StubWorkersProcess) -> None:
         for gateway in self.gateways:
             gateway.write(self.content(gateway, host.workers))
             gateway.write_roster(host.workers)
@@ -202,38 +202,38 @@
 
     def _end_gateways(self) -> list[str]:
         """Ask all to end; return what went wrong."""
-        statuses = {gateway.number: gateway.ask_to_end() for gateway in self.gateways}
+        statuses = {gateway.number: gateway.terminate() for gateway in self.gateways}
         return [
             f"gateway {number} ended with status {status} when asked to"
             for number, status in statuses.items() if status != 0
         ]  # fmt: skip
 
     def _relays(
-        self, director: Director, lost: set[tuple[str, int]], untaken: set[tuple[str, int]]
+        self, fault_injector: FaultInjector, lost: set[tuple[str, int]], untaken: set[tuple[str, int]]
     ) -> list[Relay]:
         """What stands between clients and each gateway; ``lost`` gets the tries whose answers it loses,
         ``untaken`` those that no gateway was there to take.
         """
-        chance = random.Random(self.seed)
+        rng = random.Random(self.seed)
 
-        def note(request: bytes, into: set[tuple[str, int]]) -> None:
-            named = _NAMED.search(request)
-            attempt = _ATTEMPT.search(request)
-            if named and attempt:
-                into.add((named[1].decode(), int(attempt[1]) - 1))
+        def record_attempt(request: bytes, attempts: set[tuple[str, int]]) -> None:
+            operation = _OPERATION_HEADER.search(request)
+            attempt = _ATTEMPT_HEADER.search(request)
+            if operation and attempt:
+                attempts.add((operation[1].decode(), int(attempt[1]) - 1))
 
         return [
             Relay(
                 lambda gateway=gateway: gateway.address,  # type: ignore[misc]
-                lambda: chance.random() < director.reply_lost,
-                lambda: director.reply_late_s * chance.random(),
-                lambda request: note(request, lost),
-                lambda request: note(request, untaken),
+                lambda: rng.random() < fault_injector.response_loss_probability,
+                lambda: fault_injector.max_response_delay_s * rng.random(),
+                lambda request: record_attempt(request, lost),
+                lambda request: record_attempt(request, untaken),
             )
             for gateway in self.gateways
         ]
 
-    def _unbalanced(self) -> list[str]:
+    def _check_usage(self) -> list[str]:
         """What is wrong with the usage that the gateways metered, over all their lives."""
         accounts = []
         problems = []
@@ -241,11 +241,11 @@
             account, lines = read_usage_log(gateway.usage)
             problems += [f"usage of gateway {gateway.number}: {line}" for line in lines if "cut" not in line]
             accounts.append(account)
-        whole = merge_accounts(accounts)
-        self._memory_mb_s = sum(amount for _, amounts in whole.sums() for amount in amounts[:2]) / MB_S
-        return problems + [f"usage out of balance: {line}" for line in whole.unbalanced()]
+        merged = merge_accounts(accounts)
+        self._memory_mb_s = sum(amount for _, amounts in merged.sums() for amount in amounts[:2]) / MB_S
+        return problems + [f"usage out of balance: {line}" for line in merged.unbalanced()]
 
-    def _traffic(self, host: StandInHost, played: _PlayedDay) -> Traffic:
+    def _observed_traffic(self, host: StubWorkersProcess, result: _RunResult) -> Traffic:
         """All that was seen."""
         lines = self.log.read_bytes().splitlines()
         seen = [msgspec.json.decode(line, type=Seen) for line in lines]
@@ -258,9 +258,9 @@
             "adjust-setting": FunctionRule("keyed", "all", 10.0, noted=True),
         }
         zones = {w["id"]: (w["zone"], w["cell"]) for w in host.workers}
-        told, stopped = played.director.told, played.director.stopped
-        traffic = Traffic(functions, zones, played.clients.tries, seen, told, stopped)
-        traffic.finals.update(played.finals)
-        traffic.lost |= played.lost
-        traffic.untaken |= played.untaken
+        told, stopped = result.fault_injector.told, result.fault_injector.stopped
+        traffic = Traffic(functions, zones, result.clients.tries, seen, told, stopped)
+        traffic.finals.update(result.finals)
+        traffic.lost |= result.lost
+        traffic.untaken |= result.untaken
         return traffic
--- a/saffronstack/harness/scenario/slow_disk.py
+++ b/saffronstack/harness/scenario/slow_disk.py
@@ -15,10 +15,10 @@
 
 from saffronstack.durable.file_operations import FileOperations
 
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
-def _told(path: pathlib.Path) -> str:
+def _read_mode(path: pathlib.Path) -> str:
     try:
         return path.read_text().strip()
     except OSError:
@@ -27,14 +27,14 @@
 
 def install(path: pathlib.Path) -> None:
     """From now on all file operations of journals go by the file."""
-    whole = FileOperations.sync
+    sync_file = FileOperations.sync
 
     def sync(self: FileOperations, descriptor: int) -> None:
-        while (word := _told(path)) == "hang":
-            time.sleep(LOOK_S)
-        if word == "fail":
+        while (mode := _read_mode(path)) == "hang":
+            time.sleep(POLL_INTERVAL_S)
+        if mode == "fail":
             raise OSError(errno.EIO, "Input/output error")
-        whole(self, descriptor)
+        sync_file(self, descriptor)
 
     FileOperations.sync = sync  # type: ignore[method-assign]
 
--- a/saffronstack/harness/soak/clients.py
+++ b/saffronstack/harness/soak/clients.py
@@ -14,60 +14,60 @@
 
 from saffronstack.harness.soak.kernel_times import read_tcp_times
 from saffronstack.harness.soak.schedule import ClientKind
-from saffronstack.harness.soak.traffic import ReceivedAnswer, SentRequest
+from saffronstack.harness.soak.traffic import ReceivedResponse, SentRequest
 from saffronstack.resp.reader import RespError, RespLimits, RespReader, encode
 from saffronstack.runtime.threads import start_thread
 
-POLL_S = 0.005
-READ_TO_END_S = 5.0
+POLL_INTERVAL_S = 0.005
+FINAL_READ_TIMEOUT_S = 5.0
 CONNECT_TIMEOUT_S = 2.0
-CONNECTS_PER_PASS = 8  # more would keep answers on connections that stand unread
+MAX_CONNECTS_PER_ITERATION = 8  # more would keep answers on connections that stand unread
 PIPELINE_DEPTH = 4
 OPEN_LOOP_INTERVAL_S = (0.02, 0.12)
-PAUSE_BETWEEN_PIECES_S = (0.005, 0.2)
-CROWD_RETURN_S = (0.05, 0.3)  # until a client of the crowd whose connection has ended comes again
+PAUSE_BETWEEN_PARTS_S = (0.005, 0.2)
+IDLE_RECONNECT_DELAY_S = (0.05, 0.3)  # until a client of the crowd whose connection has ended comes again
 FUNCTIONS = 12
-TIMED_KINDS = (ClientKind.OPEN_LOOP, ClientKind.IN_PIECES)  # they write when a time has come
+TIMED_KINDS = (ClientKind.OPEN_LOOP, ClientKind.IN_PARTS)  # they write when a time has come
 RECEIVE_BYTES = 65536
-ANSWER_LIMITS = RespLimits(body_bytes=1 << 20)
+RESPONSE_LIMITS = RespLimits(body_bytes=1 << 20)
 TENANT = "acme"
 
 
 class ClientConnection:
     """One kept connection, and what is open on it."""
 
-    def __init__(
-        self, kind: ClientKind, sock: socket.socket, chance: random.Random, timeout_s: float
-    ) -> None:
+    def __init__(self, kind: ClientKind, sock: socket.socket, rng: random.Random, timeout_s: float) -> None:
         self.kind = kind
         self.sock = sock
         self.sent: list[SentRequest] = []
         self._by_tag: dict[int, SentRequest] = {}
-        self._open: dict[int, SentRequest] = {}  # by tag
-        self._chance = chance
+        self._in_flight: dict[int, SentRequest] = {}  # by tag
+        self._rng = rng
         self._timeout_s = timeout_s
-        self._reader = RespReader(ANSWER_LIMITS)
+        self._reader = RespReader(RESPONSE_LIMITS)
         self._tag = 0
-        self._rest: tuple[float, bytes, int, SentRequest] | None = None  # of a request in pieces, and when
-        self._next_s = 0.0  # of an open loop
+        self._unsent_part: tuple[float, bytes, int, SentRequest] | None = (
+            None  # of a request in pieces, and when
+        )
+        self._next_send_s = 0.0  # of an open loop
         self._was_reset = False
-        self._has_read_fin = False  # and no reset before it
+        self._has_received_fin = False  # and no reset before it
 
     def send_due(self, now: float) -> None:
         """Write what is due; OSError where the connection has ended."""
         match self.kind:
             case ClientKind.OPEN_LOOP:
-                if now >= self._next_s and len(self._open) < PIPELINE_DEPTH:
-                    self._next_s = now + self._chance.uniform(*OPEN_LOOP_INTERVAL_S)
+                if now >= self._next_send_s and len(self._in_flight) < PIPELINE_DEPTH:
+                    self._next_send_s = now + self._rng.uniform(*OPEN_LOOP_INTERVAL_S)
                     self._send(1)
-            case ClientKind.PIPELINED if not self._open:
+            case ClientKind.PIPELINED if not self._in_flight:
                 self._send(PIPELINE_DEPTH)
-            case ClientKind.CLOSED_LOOP if not self._open:
+            case ClientKind.CLOSED_LOOP if not self._in_flight:
                 self._send(1)
-            case ClientKind.CROWD if not self.sent:
+            case ClientKind.IDLE if not self.sent:
                 self._send(1)
-            case ClientKind.IN_PIECES:
-                self._send_piece(now)
+            case ClientKind.IN_PARTS:
+                self._send_part(now)
 
     def receive(self) -> bool:
         """Read what has come; False where the gateway has ended the connection."""
@@ -79,46 +79,46 @@
             self._was_reset = True
             return False
         if not received:
-            self._has_read_fin = not self._was_reset
+            self._has_received_fin = not self._was_reset
             return False
         now = time.monotonic()
         self._reader.feed(received)
         while (words := self._reader.next()) is not None:
-            self._take_answer(words, now)
+            self._record_response(words, now)
         return True
 
     def end(self, now: float) -> None:
         """Note that the gateway has ended it; ``now``: read once that was seen."""
-        ended_s = read_tcp_times(self.sock).latest_end_s(now) if self._has_read_fin else now
-        for request in self._open.values():
-            if not request.answers:
+        ended_s = read_tcp_times(self.sock).latest_end_s(now) if self._has_received_fin else now
+        for request in self._in_flight.values():
+            if not request.responses:
                 request.connection_ended_s = ended_s
         self.sock.close()
 
-    def _take_answer(self, words: tuple[bytes, ...], now: float) -> None:
+    def _record_response(self, words: tuple[bytes, ...], now: float) -> None:
         tag = int(words[0])
-        self._open.pop(tag, None)
+        self._in_flight.pop(tag, None)
         body = words[3] if len(words) > 3 else b""
-        self._by_tag[tag].answers.append(ReceivedAnswer(now, words[1].decode(), body))
+        self._by_tag[tag].responses.append(ReceivedResponse(now, words[1].decode(), body))
 
     def _send(self, requests: int) -> None:
-        made = [self._make() for _ in range(requests)]
-        sent_s = self._write(b"".join(frame for _, _, frame in made))
-        for tag, request, _ in made:
-            self._note(tag, request, sent_s)
-
-    def _send_piece(self, now: float) -> None:
-        if self._rest is not None:
-            due_s, rest, tag, request = self._rest
+        created = [self._create_request() for _ in range(requests)]
+        sent_s = self._write(b"".join(frame for _, _, frame in created))
+        for tag, request, _ in created:
+            self._record_sent(tag, request, sent_s)
+
+    def _send_part(self, now: float) -> None:
+        if self._unsent_part is not None:
+            due_s, unsent, tag, request = self._unsent_part
             if now >= due_s:
-                self._rest = None
-                self._note(tag, request, self._write(rest))
-        elif not self._open:
-            tag, request, frame = self._make()
-            cut = self._chance.randrange(1, len(frame))
+                self._unsent_part = None
+                self._record_sent(tag, request, self._write(unsent))
+        elif not self._in_flight:
+            tag, request, frame = self._create_request()
+            cut = self._rng.randrange(1, len(frame))
             self._write(frame[:cut])
-            due_s = now + self._chance.uniform(*PAUSE_BETWEEN_PIECES_S)
-            self._rest = (due_s, frame[cut:], tag, request)
+            due_s = now + self._rng.uniform(*PAUSE_BETWEEN_PARTS_S)
+            self._unsent_part = (due_s, frame[cut:], tag, request)
 
     def _write(self, data: bytes) -> float:
         """Write without a look at what has come; the earliest moment at which it can have been sent."""
@@ -130,25 +130,25 @@
             raise
         return read_tcp_times(self.sock).earliest_send_s(before_s)
 
-    def _make(self) -> tuple[int, SentRequest, bytes]:
+    def _create_request(self) -> tuple[int, SentRequest, bytes]:
         """A new request, its tag and its frame."""
         self._tag += 1
-        request_id = f"{self._chance.getrandbits(64):016x}"
-        is_unsafe = self._chance.random() < 0.3
-        body = self._chance.randbytes(self._chance.randrange(1, 200))
+        request_id = f"{self._rng.getrandbits(64):016x}"
+        is_unsafe = self._rng.random() < 0.3
+        body = self._rng.randbytes(self._rng.randrange(1, 200))
         fields = (
             f"req={request_id},timeout={round(self._timeout_s * 1000)},owner={TENANT},"
-            f"subject={self._chance.randrange(1, FUNCTIONS):016x},facts=memory_mb:100;lanes:32"
+            f"subject={self._rng.randrange(1, FUNCTIONS):016x},facts=memory_mb:100;lanes:32"
         )
         name = b"sell" if is_unsafe else b"look"
         frame = encode((b"CALL", b"%d" % self._tag, name, fields.encode(), body))
-        request = SentRequest(request_id, is_unsafe, body, 0.0, self._timeout_s, not self._open)
-        request.is_of_busy_client = self.kind is not ClientKind.CROWD
+        request = SentRequest(request_id, is_unsafe, body, 0.0, self._timeout_s, not self._in_flight)
+        request.is_from_busy_client = self.kind is not ClientKind.IDLE
         return self._tag, request, frame
 
-    def _note(self, tag: int, request: SentRequest, sent_s: float) -> None:
+    def _record_sent(self, tag: int, request: SentRequest, sent_s: float) -> None:
         request.sent_s = sent_s
-        self._open[tag] = self._by_tag[tag] = request
+        self._in_flight[tag] = self._by_tag[tag] = request
         self.sent.append(request)
 
 
@@ -160,11 +160,13 @@
     ) -> None:
         self._address = address
         self._timeout_s = timeout_s
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._selector = selectors.DefaultSelector()
         self.failed_connects = 0  # before the gateway was terminated
-        self._numbers = itertools.count()
-        self._waiting = [(0.0, next(self._numbers), kind) for kind in kinds]  # a heap: when they connect
+        self._sequence_numbers = itertools.count()
+        self._pending_connects = [
+            (0.0, next(self._sequence_numbers), kind) for kind in kinds
+        ]  # a heap: when they connect
         self._connecting: dict[ClientConnection, float] = {}  # and when each is given up
         self._connections: set[ClientConnection] = set()
         self._timed: set[ClientConnection] = set()  # of the kinds that write when a time has come
@@ -173,7 +175,7 @@
         self._terminated = threading.Event()
         self._thread = start_thread("soak-clients", self._run)
 
-    def gateway_terminated(self) -> None:
+    def stop_reconnecting(self) -> None:
         """From now on a client whose connection ends does not connect again."""
         self._terminated.set()
 
@@ -186,19 +188,21 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             self._connect_due(time.monotonic())
-            self._step()
+            self._poll_sockets()
             now = time.monotonic()
             for connection in list(self._timed):
                 self._send_due(connection, now)
             self._give_up_connecting(now)
-        self._waiting.clear()
+        self._pending_connects.clear()
         self._read_to_end()
         for connection in (*self._connections, *self._connecting):
             connection.sock.close()
         self._selector.close()
 
-    def _step(self) -> None:
-        for key, _ in self._selector.select(0.0 if self._must_connect(time.monotonic()) else POLL_S):
+    def _poll_sockets(self) -> None:
+        for key, _ in self._selector.select(
+            0.0 if self._is_connect_due(time.monotonic()) else POLL_INTERVAL_S
+        ):
             connection: ClientConnection = key.data
             if connection in self._connecting:
                 self._continue_connecting(connection)
@@ -207,32 +211,32 @@
 
     def _read_to_end(self) -> None:
         """Read until each connection has ended: an answer may wait unread where this thread was late."""
-        deadline_s = time.monotonic() + READ_TO_END_S
+        deadline_s = time.monotonic() + FINAL_READ_TIMEOUT_S
         while self._connections and time.monotonic() < deadline_s:
-            self._step()
+            self._poll_sockets()
 
     # ---- connecting, without waiting
 
-    def _must_connect(self, now: float) -> bool:
-        return bool(self._waiting) and self._waiting[0][0] <= now
+    def _is_connect_due(self, now: float) -> bool:
+        return bool(self._pending_connects) and self._pending_connects[0][0] <= now
 
     def _connect_due(self, now: float) -> None:
         if self._terminated.is_set():
-            self._waiting.clear()
-        for _ in range(CONNECTS_PER_PASS):
-            if self._must_connect(now):
-                _, _, kind = heapq.heappop(self._waiting)
+            self._pending_connects.clear()
+        for _ in range(MAX_CONNECTS_PER_ITERATION):
+            if self._is_connect_due(now):
+                _, _, kind = heapq.heappop(self._pending_connects)
                 self._connect(kind)
 
     def _connect_again(self, kind: ClientKind, now: float) -> None:
-        wait_s = self._chance.uniform(*CROWD_RETURN_S) if kind is ClientKind.CROWD else 0.0
-        heapq.heappush(self._waiting, (now + wait_s, next(self._numbers), kind))
+        wait_s = self._rng.uniform(*IDLE_RECONNECT_DELAY_S) if kind is ClientKind.IDLE else 0.0
+        heapq.heappush(self._pending_connects, (now + wait_s, next(self._sequence_numbers), kind))
 
     def _connect(self, kind: ClientKind) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setblocking(False)
-        connection = ClientConnection(kind, sock, self._chance, self._timeout_s)
+        connection = ClientConnection(kind, sock, self._rng, self._timeout_s)
         self._requests.append(connection.sent)
         self._connecting[connection] = time.monotonic() + CONNECT_TIMEOUT_S
         self._selector.register(sock, selectors.EVENT_WRITE, connection)
--- a/saffronstack/harness/soak/hosts.py
+++ b/saffronstack/harness/soak/hosts.py
@@ -16,8 +16,8 @@
 from saffronstack.harness.soak.schedule import HostBehaviour
 from saffronstack.runtime.threads import start_thread
 
-IDLE_S = 0.5
-SLOW_SHARE = 0.6  # of the longest deadline
+MAX_IDLE_WAIT_S = 0.5
+SLOW_DEADLINE_FRACTION = 0.6  # of the longest deadline
 
 
 class DelayedWrites:
@@ -26,14 +26,14 @@
     def __init__(self) -> None:
         self._changed = threading.Condition()  # guards what is below
         self._due: list[tuple[float, int, socket.socket, bytes]] = []
-        self._numbers = count()
+        self._sequence_numbers = count()
         self._is_closed = False
         start_thread("host-answers", self._run)
 
     def add(self, at_s: float, sock: socket.socket, data: bytes) -> None:
         """Write at ``at_s`` (monotonic)."""
         with self._changed:
-            heapq.heappush(self._due, (at_s, next(self._numbers), sock, data))
+            heapq.heappush(self._due, (at_s, next(self._sequence_numbers), sock, data))
             self._changed.notify()
 
     def close(self) -> None:
@@ -51,11 +51,11 @@
     def _next(self) -> tuple[socket.socket, bytes] | None:
         with self._changed:
             while not self._is_closed:
-                wait_s = self._due[0][0] - time.monotonic() if self._due else IDLE_S
+                wait_s = self._due[0][0] - time.monotonic() if self._due else MAX_IDLE_WAIT_S
                 if wait_s <= 0:
                     _, _, sock, data = heapq.heappop(self._due)
                     return sock, data
-                self._changed.wait(min(wait_s, IDLE_S))
+                self._changed.wait(min(wait_s, MAX_IDLE_WAIT_S))
         return None
 
 
@@ -70,12 +70,12 @@
         self, behaviour: HostBehaviour, delay_s: float, deadline_s: float, writes: DelayedWrites, seed: int
     ) -> None:
         self.calls: Counter[str] = Counter()
-        self.answers_s: dict[str, float] = {}
+        self.response_times_s: dict[str, float] = {}
         self._behaviour = behaviour
         self._delay_s = delay_s
-        self._slow_s = SLOW_SHARE * deadline_s
+        self._slow_s = SLOW_DEADLINE_FRACTION * deadline_s
         self._writes = writes
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._lock = threading.Lock()  # guards `calls` and the random numbers
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
@@ -106,10 +106,10 @@
         match message["what"]:
             case "CALL":
                 request_id = str(message["tag"])
-                delay_s = self._take(request_id)
+                delay_s = self._record_call(request_id)
                 if self._behaviour is HostBehaviour.HANGING:
                     return
-                self.answers_s.setdefault(request_id, time.monotonic() + delay_s)
+                self.response_times_s.setdefault(request_id, time.monotonic() + delay_s)
                 fields["note"] = "up"
             case "LOAD":
                 delay_s = 0.0
@@ -119,10 +119,10 @@
         answer = {"what": "OK", "tag": message["tag"], "with": fields, "blob": message.get("blob", "")}
         self._writes.add(time.monotonic() + delay_s, sock, msgspec.json.encode(answer) + b"\n")
 
-    def _take(self, request_id: str) -> float:
+    def _record_call(self, request_id: str) -> float:
         """Count a call; how long it takes."""
         with self._lock:
             self.calls[request_id] += 1
             if self._behaviour is HostBehaviour.SLOW:
                 return self._slow_s
-            return self._chance.uniform(0.0, self._delay_s)
+            return self._rng.uniform(0.0, self._delay_s)
--- a/saffronstack/harness/soak/http_play.py
+++ b/saffronstack/harness/soak/http_play.py
@@ -18,7 +18,7 @@
 from saffronstack.audit.rules import judge
 from saffronstack.audit.traffic import Figures, FunctionRule, Seen, Stopped, Traffic, Try
 from saffronstack.client import Client
-from saffronstack.harness.soak.platform_play import PlayError
+from saffronstack.harness.soak.platform_play import GatewayStartError
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.fleet import StandInFleet, sample
@@ -31,12 +31,12 @@
 }
 TENANT = "corner-books"
 CLIENT_TIMEOUT_S = 5.0
-END_TIMEOUT_S = 20.0
+SHUTDOWN_TIMEOUT_S = 20.0
 JOIN_TIMEOUT_S = 10.0
-JUDGE_SLACK_S = 0.5
-MANY_EVERY = 3  # one in so many seeds has many clients
+CHECK_SLACK_S = 0.5
+MANY_CLIENTS_SEED_STEP = 3  # one in so many seeds has many clients
 CLIENTS, MANY_CLIENTS = 12, 40
-STATUS_ENDS = {200: "served", 429: "refused"}
+STATUS_OUTCOMES = {200: "served", 429: "refused"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,22 +60,22 @@
 
 def draw(seed: int, processes: int = 1) -> HttpSchedule:
     """Draw the play of a seed; the same one each time."""
-    chance = random.Random(seed)
-    signals = tuple(chance.choice(("SIGHUP", "SIGTERM")) for _ in range(chance.randrange(3)))
-    clients = MANY_CLIENTS if seed % MANY_EVERY == 0 else CLIENTS
-    return HttpSchedule(seed, processes, clients, chance.uniform(0.8, 1.4), signals)
+    rng = random.Random(seed)
+    signals = tuple(rng.choice(("SIGHUP", "SIGTERM")) for _ in range(rng.randrange(3)))
+    clients = MANY_CLIENTS if seed % MANY_CLIENTS_SEED_STEP == 0 else CLIENTS
+    return HttpSchedule(seed, processes, clients, rng.uniform(0.8, 1.4), signals)
 
 
 @dataclass(frozen=True, slots=True)
-class HttpVerdict:
+class HttpReport:
     """What a play came to: breaches, how tries ended, and how long the gateway took to end."""
 
     breaches: tuple[str, ...]
-    ends: Counter[str]
+    outcomes: Counter[str]
     ended_after_s: float
 
 
-class _ClosedLoops:
+class _ClosedLoopClients:
     """Clients of which each calls again once it is answered, until the gateway takes nothing more."""
 
     def __init__(self, address: str, count: int, seed: int) -> None:
@@ -87,7 +87,7 @@
             for number in range(count)
         ]
 
-    def gateway_terminated(self) -> None:
+    def stop_reconnecting(self) -> None:
         """From now on a client that is not let in calls no more."""
         self._terminated.set()
 
@@ -97,17 +97,17 @@
             thread.join(JOIN_TIMEOUT_S)
 
     def _run(self, number: int, seed: int) -> None:
-        chance = random.Random(seed * 1000 + number)
+        rng = random.Random(seed * 1000 + number)
         client = Client(self._address, CLIENT_TIMEOUT_S, tenant=TENANT)
         for call in range(1_000_000):
-            attempt = Try(f"{number}-{call}", 0, chance.choice(sorted(RULES)), 0.0, 0.0, tenant=TENANT)
-            self._call(client, attempt)
+            attempt = Try(f"{number}-{call}", 0, rng.choice(sorted(RULES)), 0.0, 0.0, tenant=TENANT)
+            self._invoke(client, attempt)
             self.tries.append(attempt)
             if self._terminated.is_set() and attempt.end in ("not_taken", "broken"):
                 break
         client.close()
 
-    def _call(self, client: Client, attempt: Try) -> None:
+    def _invoke(self, client: Client, attempt: Try) -> None:
         payload = msgspec.json.encode({"op": attempt.op, "tenant": TENANT})
         attempt.sent_s = time.monotonic()
         attempt.deadline_s = attempt.sent_s + CLIENT_TIMEOUT_S
@@ -121,12 +121,12 @@
             attempt.end = "broken"
         else:
             attempt.id = answer.headers.get("x-amzn-requestid")
-            attempt.end = STATUS_ENDS.get(answer.status, "error")
+            attempt.end = STATUS_OUTCOMES.get(answer.status, "error")
             attempt.extra_bytes = client.unsolicited_byte_count()
         attempt.ended_s = time.monotonic()
 
 
-class HttpPlay:
+class HttpRun:
     """One play; use it once."""
 
     def __init__(self, schedule: HttpSchedule, folder: pathlib.Path) -> None:
@@ -139,45 +139,45 @@
             log=lambda entry: self._worker_log.append(msgspec.convert(entry, Seen, strict=False)),
         )  # fmt: skip
 
-    def play(self) -> HttpVerdict:
+    def run(self) -> HttpReport:
         """Play it, and judge it.
 
         Raises:
             PlayError: The gateway did not start.
         """
         try:
-            return self._play()
+            return self._run_schedule()
         finally:
             self._workers.stop()
 
-    def _play(self) -> HttpVerdict:
+    def _run_schedule(self) -> HttpReport:
         schedule = self._schedule
         with subprocess.Popen(self._command(), stdout=subprocess.PIPE) as gateway:
             try:
                 assert gateway.stdout is not None
                 line = gateway.stdout.readline().decode()
                 if "takes calls" not in line:
-                    raise PlayError(line)
-                clients = _ClosedLoops(line.strip().rpartition("/")[2], schedule.clients, schedule.seed)
+                    raise GatewayStartError(line)
+                clients = _ClosedLoopClients(line.strip().rpartition("/")[2], schedule.clients, schedule.seed)
                 time.sleep(schedule.before_s)
                 terminated_s = time.monotonic()
-                clients.gateway_terminated()
+                clients.stop_reconnecting()
                 for name in ("SIGTERM", *schedule.signals):
                     gateway.send_signal(signal.Signals[name])
-                status = gateway.wait(END_TIMEOUT_S)
+                status = gateway.wait(SHUTDOWN_TIMEOUT_S)
                 ended_s = time.monotonic()
             finally:
                 gateway.kill()
         clients.join()
-        return self._judge(clients.tries, status, terminated_s, ended_s)
+        return self._check(clients.tries, status, terminated_s, ended_s)
 
-    def _judge(self, tries: list[Try], status: int, terminated_s: float, ended_s: float) -> HttpVerdict:
+    def _check(self, tries: list[Try], status: int, terminated_s: float, ended_s: float) -> HttpReport:
         stopped = [Stopped(0, terminated_s, killed=False)]
         traffic = Traffic(RULES, tries=tries, seen=self._worker_log, stopped=stopped)
-        breaches = [f"rule {one.rule}: {one.text}" for one in judge(traffic, Figures(slack_s=JUDGE_SLACK_S))]
+        breaches = [f"rule {one.rule}: {one.text}" for one in judge(traffic, Figures(slack_s=CHECK_SLACK_S))]
         if status:
             breaches.append(f"the gateway ended with status {status}")
-        return HttpVerdict(tuple(breaches), Counter(one.end for one in tries), ended_s - terminated_s)
+        return HttpReport(tuple(breaches), Counter(one.end for one in tries), ended_s - terminated_s)
 
     def _command(self) -> list[str]:
         schedule = self._schedule
--- a/saffronstack/harness/soak/judge.py
+++ b/saffronstack/harness/soak/judge.py
@@ -5,21 +5,21 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from saffronstack.harness.soak.thread_samples import process_wait_s, thread_named, thread_wait_s
-from saffronstack.harness.soak.traffic import ObservedPlay, SentRequest
+from saffronstack.harness.soak.thread_samples import find_thread, process_wait_s, thread_wait_s
+from saffronstack.harness.soak.traffic import ObservedRun, SentRequest
 from saffronstack.platform.front import CLIENTS_THREAD
 
 KILL_MARGIN_S = 0.05  # a request that the gateway had less processor time for may be without an answer
 COUNTED_WAIT_SPAN_S = 0.2  # before the kill; an earlier wait for a processor excuses nothing
-ANSWER_DUE_S = 0.1  # before the kill a call that is with a host is to be answered, if not before
+RESPONSE_DUE_S = 0.1  # before the kill a call that is with a host is to be answered, if not before
 CROSSING_S = 0.05  # by the protocol's page: a request may cross the end of a connection with nothing open
 MAX_BUSY_CROSSINGS = 0  # in a play whose busy clients need no more connections than clients may use
-LATE_S = 0.5  # after its time a request counts as lost
-SERVED, REFUSED = "OK", "BUSY"
+MAX_LATENESS_S = 0.5  # after its time a request counts as lost
+SERVED, REJECTED = "OK", "BUSY"
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class CheckReport:
     """What a play came to.
 
     Attributes:
@@ -32,121 +32,121 @@
     """
 
     breaches: tuple[str, ...]
-    answers: Counter[str]
+    response_counts: Counter[str]
     within_margin: int
     crossed: int
     busy_crossed: int
     ended_after_s: float | None = None
 
 
-def judge(play: ObservedPlay) -> Verdict:
+def check_run(run: ObservedRun) -> CheckReport:
     """Find every breach."""
     breaches: list[str] = []
-    answers: Counter[str] = Counter()
+    response_counts: Counter[str] = Counter()
     within_margin = crossed = busy_crossed = 0
-    if play.exit_status not in (None, 0):
-        breaches.append(f"the gateway ended with status {play.exit_status}")
-    if play.failed_connects:
-        breaches.append(f"{play.failed_connects} clients were not let in before SIGTERM")
-    for request in play.requests:
-        breaches += _effects(request, play.calls[request.request_id])
-        if request.answers:
-            answers[request.answers[0].word] += 1
-            breaches += _answers(request, play)
-        elif play.killed_s is not None and _is_within_margin(request, play, play.killed_s):
+    if run.exit_status not in (None, 0):
+        breaches.append(f"the gateway ended with status {run.exit_status}")
+    if run.failed_connects:
+        breaches.append(f"{run.failed_connects} clients were not let in before SIGTERM")
+    for request in run.requests:
+        breaches += _check_effects(request, run.calls[request.request_id])
+        if request.responses:
+            response_counts[request.responses[0].word] += 1
+            breaches += _check_responses(request, run)
+        elif run.killed_s is not None and _is_within_margin(request, run, run.killed_s):
             within_margin += 1
-        elif _has_crossed(request, play):
+        elif _has_crossed(request, run):
             crossed += 1
-            busy_crossed += request.is_of_busy_client and _was_on_its_way(request)
+            busy_crossed += request.is_from_busy_client and _was_sent_before_client_knew(request)
         else:
-            breaches.append(f"{_when(request, play)}: no answer{_end(request, play)}")
-    if play.busy_clients_fit and busy_crossed > MAX_BUSY_CROSSINGS:
+            breaches.append(
+                f"{_describe_time(request, run)}: no answer{_describe_connection_end(request, run)}"
+            )
+    if run.busy_clients_fit and busy_crossed > MAX_BUSY_CROSSINGS:
         breaches.append(f"{busy_crossed} requests of busy clients crossed the end of an idle connection")
-    return Verdict(tuple(breaches), answers, within_margin, crossed, busy_crossed)
+    return CheckReport(tuple(breaches), response_counts, within_margin, crossed, busy_crossed)
 
 
-def _is_within_margin(request: SentRequest, play: ObservedPlay, killed_s: float) -> bool:
+def _is_within_margin(request: SentRequest, run: ObservedRun, killed_s: float) -> bool:
     """Whether the kill came before the gateway had time to answer; not where it had ended the connection."""
     ended_s = request.connection_ended_s
     if ended_s is not None and ended_s < killed_s - KILL_MARGIN_S:
         return False
-    return _available_s(request, play, killed_s) < KILL_MARGIN_S
+    return _cpu_available_s(request, run, killed_s) < KILL_MARGIN_S
 
 
-def _available_s(request: SentRequest, play: ObservedPlay, killed_s: float) -> float:
+def _cpu_available_s(request: SentRequest, run: ObservedRun, killed_s: float) -> float:
     """How long the gateway had a processor to answer a request before it was killed.
 
     One that no host has seen waits for the thread that reads. A call that a host has seen waits for several
     threads in turn, from when the host answered, its time was over, or its answer fell due.
     """
-    if not play.calls[request.request_id]:
-        return killed_s - request.sent_s - _reader_wait_s(request, play, killed_s)
+    if not run.calls[request.request_id]:
+        return killed_s - request.sent_s - _reader_wait_s(request, run, killed_s)
     due_s = min(
-        killed_s - ANSWER_DUE_S,
+        killed_s - RESPONSE_DUE_S,
         request.sent_s + request.timeout_s,
-        play.host_answers_s.get(request.request_id, killed_s),
+        run.host_response_times_s.get(request.request_id, killed_s),
     )
     due_s = max(request.sent_s, due_s)
     counted_s = max(due_s, killed_s - COUNTED_WAIT_SPAN_S)
-    return killed_s - due_s - process_wait_s(play.samples, counted_s, killed_s)
+    return killed_s - due_s - process_wait_s(run.samples, counted_s, killed_s)
 
 
-def _reader_wait_s(request: SentRequest, play: ObservedPlay, killed_s: float) -> float:
+def _reader_wait_s(request: SentRequest, run: ObservedRun, killed_s: float) -> float:
     """How long the thread that reads waited for a processor while a request was there."""
-    reader = thread_named(play.samples, CLIENTS_THREAD)
+    reader = find_thread(run.samples, CLIENTS_THREAD)
     if reader is None:
         return 0.0
     begin_s = max(request.sent_s, killed_s - COUNTED_WAIT_SPAN_S)
-    return thread_wait_s(play.samples, reader, begin_s, killed_s)
+    return thread_wait_s(run.samples, reader, begin_s, killed_s)
 
 
-def _effects(request: SentRequest, calls: int) -> list[str]:
+def _check_effects(request: SentRequest, calls: int) -> list[str]:
     if not request.is_unsafe:
         return []
     if calls > 1:
         return [f"{request.request_id}: an unsafe call reached hosts {calls} times"]
-    if calls and request.answers and request.answers[0].word == REFUSED:
+    if calls and request.responses and request.responses[0].word == REJECTED:
         return [f"{request.request_id}: an unsafe call was refused, and reached a host"]
     return []
 
 
-def _answers(request: SentRequest, play: ObservedPlay) -> list[str]:
-    first = request.answers[0]
+def _check_responses(request: SentRequest, run: ObservedRun) -> list[str]:
+    first = request.responses[0]
     breaches = []
-    if len(request.answers) > 1:
-        breaches.append(f"{_when(request, play)}: {len(request.answers)} answers")
+    if len(request.responses) > 1:
+        breaches.append(f"{_describe_time(request, run)}: {len(request.responses)} answers")
     if first.word == SERVED and first.body != request.body:
-        breaches.append(f"{_when(request, play)}: served with a body that no host sent")
+        breaches.append(f"{_describe_time(request, run)}: served with a body that no host sent")
     late_s = first.at_s - request.sent_s - request.timeout_s
-    if late_s > LATE_S:
-        breaches.append(f"{_when(request, play)}: answered {late_s:.3f} s after its time")
+    if late_s > MAX_LATENESS_S:
+        breaches.append(f"{_describe_time(request, run)}: answered {late_s:.3f} s after its time")
     return breaches
 
 
-def _has_crossed(request: SentRequest, play: ObservedPlay) -> bool:
+def _has_crossed(request: SentRequest, run: ObservedRun) -> bool:
     """Whether it crossed the end of an idle connection at a gateway that goes on: it is sent again there."""
     ended_s = request.connection_ended_s
     if ended_s is None or not request.on_idle_connection or ended_s - request.sent_s > CROSSING_S:
         return False
-    return ended_s < play.terminated_s or (
-        play.killed_s is not None and ended_s < play.killed_s - KILL_MARGIN_S
-    )
+    return ended_s < run.terminated_s or (run.killed_s is not None and ended_s < run.killed_s - KILL_MARGIN_S)
 
 
-def _was_on_its_way(request: SentRequest) -> bool:
+def _was_sent_before_client_knew(request: SentRequest) -> bool:
     """Whether its client can't have known of the end; one that writes later had not looked for so long."""
     ended_s = request.connection_ended_s
     return ended_s is not None and request.sent_s - ended_s <= CROSSING_S
 
 
-def _when(request: SentRequest, play: ObservedPlay) -> str:
-    text = f"{request.request_id} at {request.sent_s - play.terminated_s:+.3f} s of SIGTERM"
-    if play.killed_s is not None:
-        text += f", {play.killed_s - request.sent_s:.3f} s before the kill"
+def _describe_time(request: SentRequest, run: ObservedRun) -> str:
+    text = f"{request.request_id} at {request.sent_s - run.terminated_s:+.3f} s of SIGTERM"
+    if run.killed_s is not None:
+        text += f", {run.killed_s - request.sent_s:.3f} s before the kill"
     return text
 
 
-def _end(request: SentRequest, play: ObservedPlay) -> str:
+def _describe_connection_end(request: SentRequest, run: ObservedRun) -> str:
     if request.connection_ended_s is None:
         return ""
-    return f" (connection ended at {request.connection_ended_s - play.terminated_s:+.3f} s)"
+    return f" (connection ended at {request.connection_ended_s - run.terminated_s:+.3f} s)"
--- a/saffronstack/harness/soak/platform_config.py
+++ b/saffronstack/harness/soak/platform_config.py
@@ -26,7 +26,7 @@
 
 
 def write_config(
-    listen: str, nameserver: str, entries: Iterable[Entry], sockets: int, longest_deadline_s: float
+    listen: str, nameserver: str, entries: Iterable[Entry], descriptor_limit: int, longest_deadline_s: float
 ) -> bytes:
     """Return the file's content.
 
@@ -34,7 +34,7 @@
         listen: Where the gateway listens, HOST:PORT.
         nameserver: Where the directory answers.
         entries: The hosts of the start.
-        sockets: The limit of descriptors.
+        descriptor_limit: The limit of descriptors.
         longest_deadline_s: The deadline of all classes.
     """
     endpoints = [_endpoint(entry) for entry in entries]
@@ -52,7 +52,7 @@
         "listen": listen,
         "seed": "8c1f30d27a5be964",
         "nameserver": nameserver,
-        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets},
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": descriptor_limit},
         "known": {
             "rev": 1,
             "notices": [{"rev": 1, "pool": {"index": 0, "snapshot": True, "endpoints": endpoints}}],
--- a/saffronstack/harness/soak/platform_play.py
+++ b/saffronstack/harness/soak/platform_play.py
@@ -17,44 +17,44 @@
 
 from saffronstack.harness.soak.clients import SoakClients
 from saffronstack.harness.soak.hosts import DelayedWrites, SoakHost
-from saffronstack.harness.soak.judge import Verdict, judge
+from saffronstack.harness.soak.judge import CheckReport, check_run
 from saffronstack.harness.soak.platform_config import write_config
 from saffronstack.harness.soak.schedule import HostBehaviour, Schedule, SignalAt
 from saffronstack.harness.soak.thread_sampler import ThreadSampler
-from saffronstack.harness.soak.traffic import ObservedPlay
+from saffronstack.harness.soak.traffic import ObservedRun
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.platform import Directory, Entry
 from saffronstack.standin.worker import hold_port
 
 START_TIMEOUT_S = 30.0
 KILLED_TIMEOUT_S = 10.0
-AFTER_END_S = 0.1  # for clients to see the end of their connections
-READY_LINE = "takes calls"
+DISCONNECT_WAIT_S = 0.1  # for clients to see the end of their connections
+READY_TEXT = "takes calls"
 
 
-class PlayError(Exception):
+class GatewayStartError(Exception):
     """The gateway of a play did not start."""
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedSchedule:
+class RunResult:
     """A verdict, and the gateway's log."""
 
-    verdict: Verdict
+    report: CheckReport
     log: str
 
 
-def first_times_s(times_s: Iterable[Mapping[str, float]]) -> dict[str, float]:
+def earliest_times_s(times_s: Iterable[Mapping[str, float]]) -> dict[str, float]:
     """Return the earliest time of each key."""
     first_s: dict[str, float] = {}
-    for some_s in times_s:
-        for key, at_s in some_s.items():
+    for times_by_key in times_s:
+        for key, at_s in times_by_key.items():
             first_s[key] = min(at_s, first_s.get(key, at_s))
     return first_s
 
 
 @contextlib.contextmanager
-def _without_collections() -> Iterator[None]:
+def _without_garbage_collection() -> Iterator[None]:
     """Keep full collections of garbage from pausing the clients: they walk all objects of the process."""
     was_enabled = gc.isenabled()
     gc.disable()
@@ -78,17 +78,17 @@
         self._is_ready = threading.Event()
         self._reader = start_thread("gateway-log", self._read)
 
-    def wait_ready(self) -> None:
+    def wait_until_ready(self) -> None:
         """PlayError where it does not get there."""
         if not self._is_ready.wait(START_TIMEOUT_S) or self.process.poll() is not None:
             self.process.kill()
-            raise PlayError("".join(self.lines))
+            raise GatewayStartError("".join(self.lines))
 
     def send_signal(self, name: str) -> None:
         """Send a signal, unless it has ended."""
         self.process.send_signal(signal.Signals[name])
 
-    def end(self) -> str:
+    def stop(self) -> str:
         """Kill it, if it has not ended; its log."""
         self.process.kill()
         self.process.wait(KILLED_TIMEOUT_S)
@@ -100,12 +100,12 @@
         with self.process.stderr as stream:
             for line in stream:
                 self.lines.append(line)
-                if READY_LINE in line:
+                if READY_TEXT in line:
                     self._is_ready.set()
         self._is_ready.set()
 
 
-class PlatformPlay:
+class PlatformRun:
     """One play; use it once."""
 
     def __init__(self, schedule: Schedule, folder: pathlib.Path, program: str = "") -> None:
@@ -118,50 +118,50 @@
         self._entries = [Entry(f"s-{number}", host.address) for number, host in enumerate(self._hosts)]
         self._directory = Directory(*self._entries)
 
-    def play(self) -> PlayedSchedule:
+    def run(self) -> RunResult:
         """Play it, and judge it.
 
         Raises:
             PlayError: The gateway did not start.
         """
         try:
-            with _without_collections(), hold_port("127.0.0.1") as holder:
-                return self._play_on(f"127.0.0.1:{holder.getsockname()[1]}")
+            with _without_garbage_collection(), hold_port("127.0.0.1") as holder:
+                return self._run_on(f"127.0.0.1:{holder.getsockname()[1]}")
         finally:
             self._directory.close()
             self._writes.close()
             for host in self._hosts:
                 host.close()
 
-    def _play_on(self, listen: str) -> PlayedSchedule:
+    def _run_on(self, listen: str) -> RunResult:
         schedule = self._schedule
         gateway = _Gateway(self._write_config(listen), self._program)
         try:
-            gateway.wait_ready()
+            gateway.wait_until_ready()
             sampler = ThreadSampler(gateway.process.pid)
             host, _, port = listen.rpartition(":")
             timeout_s = schedule.longest_deadline_s
             clients = SoakClients((host, int(port)), schedule.clients, schedule.seed, timeout_s)
             time.sleep(schedule.before_s)
-            clients.gateway_terminated()
+            clients.stop_reconnecting()
             terminated_s, killed_s = self._shut_down(gateway)
-            time.sleep(AFTER_END_S)
+            time.sleep(DISCONNECT_WAIT_S)
             requests = clients.stop()
         finally:
-            log = gateway.end()
-        observed = ObservedPlay(
+            log = gateway.stop()
+        observed = ObservedRun(
             requests,
-            sum((played.calls for played in self._hosts), Counter[str]()),
+            sum((host.calls for host in self._hosts), Counter[str]()),
             terminated_s,
             killed_s,
             exit_status=gateway.process.returncode if killed_s is None else None,
             failed_connects=clients.failed_connects,
             busy_clients_fit=schedule.busy_clients_fit,
-            host_answers_s=first_times_s(played.answers_s for played in self._hosts),
+            host_response_times_s=earliest_times_s(host.response_times_s for host in self._hosts),
             samples=sampler.samples(),
         )
         ended_after_s = self._ended_s - terminated_s if killed_s is None else None
-        return PlayedSchedule(replace(judge(observed), ended_after_s=ended_after_s), log)
+        return RunResult(replace(check_run(observed), ended_after_s=ended_after_s), log)
 
     def _shut_down(self, gateway: _Gateway) -> tuple[float, float | None]:
         """Send the signals, and kill; when SIGTERM and the kill came, None where it had ended."""
@@ -169,8 +169,8 @@
         first_s = min([0.0, *(one.at_s for one in schedule.signals)])
         terminate_s = time.monotonic() - first_s
         steps = [*schedule.signals, SignalAt("SIGTERM", 0.0), SignalAt("SIGKILL", schedule.kill_s)]
-        if schedule.discovery_moves_at_s is not None:
-            timer = threading.Timer(max(0.0, schedule.discovery_moves_at_s - first_s), self._move_discovery)
+        if schedule.host_replaced_at_s is not None:
+            timer = threading.Timer(max(0.0, schedule.host_replaced_at_s - first_s), self._replace_host)
             timer.daemon = True
             timer.start()
         for step in sorted(steps, key=lambda one: one.at_s):
@@ -190,13 +190,13 @@
         self._ended_s = time.monotonic()
         return True
 
-    def _move_discovery(self) -> None:
+    def _replace_host(self) -> None:
         """The last host leaves the list, and a new one takes its place."""
-        gone = self._entries[-1]
-        fresh = self._make_host(HostBehaviour.QUICK, len(self._hosts))
-        self._hosts.append(fresh)
-        draining = replace(gone, draining=True)
-        self._directory.put(*self._entries[:-1], draining, Entry("s-new", fresh.address))
+        removed = self._entries[-1]
+        replacement = self._make_host(HostBehaviour.QUICK, len(self._hosts))
+        self._hosts.append(replacement)
+        draining = replace(removed, draining=True)
+        self._directory.put(*self._entries[:-1], draining, Entry("s-new", replacement.address))
 
     def _make_host(self, behaviour: HostBehaviour, number: int) -> SoakHost:
         schedule = self._schedule
@@ -213,7 +213,7 @@
         path = self._folder / f"soak-{schedule.seed}.json"
         nameserver = self._directory.address
         content = write_config(
-            listen, nameserver, self._entries, schedule.sockets, schedule.longest_deadline_s
+            listen, nameserver, self._entries, schedule.descriptor_limit, schedule.longest_deadline_s
         )
         path.write_bytes(content)
         return path
--- a/saffronstack/harness/soak/restart_play.py
+++ b/saffronstack/harness/soak/restart_play.py
@@ -35,13 +35,13 @@
     functions={"identify-copy": 0.3, "adjust-setting": 0.2, "record-sale": 0.5},
 )  # fmt: skip
 WORK_S = 0.2  # so that calls are open at any moment
-AFTER_RESTART_S = 0.5
+LOAD_AFTER_RESTART_S = 0.5
 MIN_ACCEPTED = 10  # deferred calls before the end, so that some are open then
 MAX_LOAD_S = 60.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 CLIENTS_END_S = 20.0
 FINAL_RECORDS_S = 20.0
-JUDGE_SLACK_S = 0.5
+CHECK_SLACK_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,20 +61,20 @@
 
 def draw(seed: int) -> RestartSchedule:
     """Draw the play of a seed; the same one each time."""
-    chance = random.Random(seed)
-    return RestartSchedule(seed, seed % 2 == 1, chance.uniform(0.8, 1.4))
+    rng = random.Random(seed)
+    return RestartSchedule(seed, seed % 2 == 1, rng.uniform(0.8, 1.4))
 
 
 @dataclass(frozen=True, slots=True)
-class RestartVerdict:
+class RestartReport:
     """What a play came to: breaches, how tries ended, and the conditions of final records."""
 
     breaches: tuple[str, ...]
-    ends: Counter[str]
+    outcomes: Counter[str]
     conditions: Counter[str]
 
 
-class RestartPlay:
+class RestartRun:
     """One play; use it once."""
 
     def __init__(self, schedule: RestartSchedule, folder: pathlib.Path, program: str = "") -> None:
@@ -89,7 +89,7 @@
         folder.mkdir(exist_ok=True)
         self._gateway = GatewayProcess(0, folder)
 
-    def play(self) -> RestartVerdict:
+    def run(self) -> RestartReport:
         """Play it, and judge it.
 
         Raises:
@@ -98,48 +98,48 @@
         gateway = self._gateway
         gateway.write(sample(self._workers.entries(), gateway.address, str(gateway.ledger)))
         try:
-            return self._play()
+            return self._run()
         finally:
             if gateway.process is not None and gateway.process.poll() is None:
                 gateway.kill()
             self._workers.stop()
 
-    def _play(self) -> RestartVerdict:
+    def _run(self) -> RestartReport:
         schedule, gateway = self._schedule, self._gateway
         gateway.start()
         clients = Clients(
             [gateway.address], MIX, schedule.seed, lambda at: MIX.rate, lambda name: name, TENANTS
         )  # fmt: skip
-        is_over = threading.Event()
-        load = start_thread("load", lambda: clients.play(MAX_LOAD_S, is_over))
+        stop_event = threading.Event()
+        load = start_thread("load", lambda: clients.generate_load(MAX_LOAD_S, stop_event))
         _wait_for_load(clients, schedule.before_s)
         ended_s, problems = time.monotonic(), []
         if schedule.is_killed:
             gateway.kill()
-        elif status := gateway.ask_to_end():
+        elif status := gateway.terminate():
             problems.append(f"the first process ended with status {status}")
         gateway.start(self._program)
-        stop = Stopped(0, ended_s, schedule.is_killed, time.monotonic())
-        time.sleep(AFTER_RESTART_S)
-        is_over.set()
+        restart_record = Stopped(0, ended_s, schedule.is_killed, time.monotonic())
+        time.sleep(LOAD_AFTER_RESTART_S)
+        stop_event.set()
         load.join(CLIENTS_END_S)
         if not clients.end(CLIENTS_END_S):
             problems.append("clients did not end")
         finals = read_final_records(clients.tries, {0: gateway.address}, FINAL_RECORDS_S)
-        if status := gateway.ask_to_end():
+        if status := gateway.terminate():
             problems.append(f"the second process ended with status {status}")
-        return self._judge(clients, stop, finals, problems)
+        return self._check(clients, restart_record, finals, problems)
 
-    def _judge(
-        self, clients: Clients, stop: Stopped, finals: dict[str, list[str]], problems: list[str]
-    ) -> RestartVerdict:
+    def _check(
+        self, clients: Clients, restart_record: Stopped, finals: dict[str, list[str]], problems: list[str]
+    ) -> RestartReport:
         seen = sorted(self._worker_log, key=lambda entry: entry.t)
-        traffic = Traffic(RULES, tries=clients.tries, seen=seen, stopped=[stop])
+        traffic = Traffic(RULES, tries=clients.tries, seen=seen, stopped=[restart_record])
         traffic.finals.update(finals)
-        found = judge(traffic, Figures(slack_s=JUDGE_SLACK_S))
+        found = judge(traffic, Figures(slack_s=CHECK_SLACK_S))
         breaches = [f"rule {breach.rule}: {breach.text}" for breach in found]
         conditions = Counter(condition for conditions in finals.values() for condition in conditions)
-        return RestartVerdict(
+        return RestartReport(
             tuple(breaches + problems), Counter(one.end for one in clients.tries), conditions
         )
 
@@ -151,4 +151,4 @@
         accepted = sum(one.end == "accepted" for one in list(clients.tries))
         if accepted >= MIN_ACCEPTED and time.monotonic() >= started_s + before_s:
             return
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
