--- a/saffronstack/harness/soak/schedule.py
+++ b/saffronstack/harness/soak/schedule.py
@@ -10,11 +10,14 @@
 COUNTED_DEADLINE_MAX_S = 3.0  # by the protocol's page
 KILL_AFTER_S = 0.7  # the earliest kill: this long after SIGTERM and the counted deadline
 CLIENTS, MANY_CLIENTS = 16, 60
-MANY_EVERY = 3  # one in so many seeds has many clients
+MANY_CLIENTS_SEED_STEP = 3  # one in so many seeds has many clients
 SOCKET_LIMITS = (256, 1024)
-CLIENT_SHARE = 3  # clients use at most one in so many of the gateway's descriptors
-CROWD_CHANCE = 0.3
-CROWD_SIZES = (1.0, 1.5)  # of what clients may use; the gateway holds fewer connections than the larger one
+CLIENT_DESCRIPTOR_DIVISOR = 3  # clients use at most one in so many of the gateway's descriptors
+IDLE_CLIENTS_PROBABILITY = 0.3
+CONNECTION_LIMIT_MULTIPLES = (
+    1.0,
+    1.5,
+)  # of what clients may use; the gateway holds fewer connections than the larger one
 
 
 class HostBehaviour(Enum):
@@ -31,8 +34,8 @@
     CLOSED_LOOP = "closed loop"  # the next request once the last is answered
     OPEN_LOOP = "open loop"  # at a rate of its own
     PIPELINED = "pipelined"  # several requests in one write
-    IN_PIECES = "in pieces"  # each request in two writes with a pause between them
-    CROWD = "crowd"  # one request, and then the connection is kept; where it has ended, again after a while
+    IN_PARTS = "in pieces"  # each request in two writes with a pause between them
+    IDLE = "crowd"  # one request, and then the connection is kept; where it has ended, again after a while
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,10 +67,10 @@
     host_delay_s: float
     hosts: tuple[HostBehaviour, ...]
     clients: tuple[ClientKind, ...]
-    sockets: int
+    descriptor_limit: int
     before_s: float
     signals: tuple[SignalAt, ...]
-    discovery_moves_at_s: float | None
+    host_replaced_at_s: float | None
 
     @property
     def kill_s(self) -> float:
@@ -77,8 +80,8 @@
     @property
     def busy_clients_fit(self) -> bool:
         """Whether the clients that go on calling need no more connections than clients may use."""
-        busy_clients = sum(kind is not ClientKind.CROWD for kind in self.clients)
-        return busy_clients <= self.sockets // CLIENT_SHARE
+        busy_clients = sum(kind is not ClientKind.IDLE for kind in self.clients)
+        return busy_clients <= self.descriptor_limit // CLIENT_DESCRIPTOR_DIVISOR
 
     def describe(self) -> str:
         """Return a line for a person."""
@@ -86,50 +89,52 @@
         signals = [f"{signal.name} {signal.at_s:+.2f}" for signal in self.signals]
         return (
             f"seed {self.seed}: deadline {self.longest_deadline_s:g} s, kill +{self.kill_s:.1f} s, "
-            f"hosts {[host.value for host in self.hosts]}, clients {kinds}, {self.sockets} descriptors, "
-            f"signals {signals}, discovery {self.discovery_moves_at_s}"
+            f"hosts {[host.value for host in self.hosts]}, clients {kinds}, "
+            f"{self.descriptor_limit} descriptors, "
+            f"signals {signals}, discovery {self.host_replaced_at_s}"
         )
 
 
 def draw(seed: int) -> Schedule:
     """Draw the play of a seed; the same one each time."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     longest_s = LONGEST_DEADLINES_S[seed % len(LONGEST_DEADLINES_S)]
-    sockets = chance.choice(SOCKET_LIMITS)
+    descriptor_limit = rng.choice(SOCKET_LIMITS)
     kill_s = min(longest_s, COUNTED_DEADLINE_MAX_S) + KILL_AFTER_S
     return Schedule(
         seed=seed,
         longest_deadline_s=longest_s,
         host_delay_s=min(0.3, longest_s / 4),
-        hosts=_draw_hosts(chance),
-        clients=_draw_clients(seed, chance, sockets),
-        sockets=sockets,
-        before_s=chance.uniform(1.1, 1.6),
-        signals=_draw_signals(chance, kill_s),
-        discovery_moves_at_s=chance.choice((None, chance.uniform(-0.5, kill_s))),
+        hosts=_draw_hosts(rng),
+        clients=_draw_clients(seed, rng, descriptor_limit),
+        descriptor_limit=descriptor_limit,
+        before_s=rng.uniform(1.1, 1.6),
+        signals=_draw_signals(rng, kill_s),
+        host_replaced_at_s=rng.choice((None, rng.uniform(-0.5, kill_s))),
     )
 
 
-def _draw_hosts(chance: random.Random) -> tuple[HostBehaviour, ...]:
-    odd = chance.choice((HostBehaviour.QUICK, HostBehaviour.QUICK, HostBehaviour.SLOW, HostBehaviour.HANGING))
-    return (HostBehaviour.QUICK, HostBehaviour.QUICK, odd)
+def _draw_hosts(rng: random.Random) -> tuple[HostBehaviour, ...]:
+    third = rng.choice((HostBehaviour.QUICK, HostBehaviour.QUICK, HostBehaviour.SLOW, HostBehaviour.HANGING))
+    return (HostBehaviour.QUICK, HostBehaviour.QUICK, third)
 
 
-def _draw_clients(seed: int, chance: random.Random, sockets: int) -> tuple[ClientKind, ...]:
-    many = seed % MANY_EVERY == 0
-    clients = [ClientKind.CLOSED_LOOP] * (MANY_CLIENTS if many else CLIENTS)
-    others = (ClientKind.OPEN_LOOP, ClientKind.PIPELINED, ClientKind.IN_PIECES)
-    clients += [kind for kind in others for _ in range(chance.randrange(4))]
-    if chance.random() < CROWD_CHANCE:
-        connections = round(chance.choice(CROWD_SIZES) * sockets / CLIENT_SHARE)
-        clients += [ClientKind.CROWD] * max(0, connections - len(clients))
+def _draw_clients(seed: int, rng: random.Random, descriptor_limit: int) -> tuple[ClientKind, ...]:
+    has_many_clients = seed % MANY_CLIENTS_SEED_STEP == 0
+    clients = [ClientKind.CLOSED_LOOP] * (MANY_CLIENTS if has_many_clients else CLIENTS)
+    others = (ClientKind.OPEN_LOOP, ClientKind.PIPELINED, ClientKind.IN_PARTS)
+    clients += [kind for kind in others for _ in range(rng.randrange(4))]
+    if rng.random() < IDLE_CLIENTS_PROBABILITY:
+        connections = round(
+            rng.choice(CONNECTION_LIMIT_MULTIPLES) * descriptor_limit / CLIENT_DESCRIPTOR_DIVISOR
+        )
+        clients += [ClientKind.IDLE] * max(0, connections - len(clients))
     return tuple(clients)
 
 
-def _draw_signals(chance: random.Random, kill_s: float) -> tuple[SignalAt, ...]:
-    early = [SignalAt("SIGHUP", -chance.choice((0.001, 0.05, 0.3))) for _ in range(chance.randrange(3))]
+def _draw_signals(rng: random.Random, kill_s: float) -> tuple[SignalAt, ...]:
+    early = [SignalAt("SIGHUP", -rng.choice((0.001, 0.05, 0.3))) for _ in range(rng.randrange(3))]
     late = [
-        SignalAt(chance.choice(("SIGHUP", "SIGTERM")), chance.uniform(0.0, kill_s))
-        for _ in range(chance.randrange(3))
+        SignalAt(rng.choice(("SIGHUP", "SIGTERM")), rng.uniform(0.0, kill_s)) for _ in range(rng.randrange(3))
     ]
     return tuple(sorted([*early, *late], key=lambda signal: signal.at_s))
--- a/saffronstack/harness/soak/thread_sampler.py
+++ b/saffronstack/harness/soak/thread_sampler.py
@@ -20,7 +20,7 @@
 from saffronstack.harness.soak.thread_samples import ProcessSample, ThreadSample
 
 INTERVAL_S = 0.004
-KEPT_S = 11.0  # before the end, for which a killed process is given 10 s
+RETENTION_S = 11.0  # before the end, for which a killed process is given 10 s
 MAX_S = 60.0
 END_TIMEOUT_S = 10.0
 NANOSECONDS = 1e9
@@ -44,9 +44,11 @@
     state = rest[:1]
     if state in (b"Z", b"X"):
         return None
-    ran, waited, turns = _read(f"{path}/schedstat").split()
+    ran, waited, times_scheduled = _read(f"{path}/schedstat").split()
     name = identity.partition(b" (")[2].decode(errors="replace")
-    return ThreadSample(state == b"R", int(ran) / NANOSECONDS, int(waited) / NANOSECONDS, int(turns), name)
+    return ThreadSample(
+        state == b"R", int(ran) / NANOSECONDS, int(waited) / NANOSECONDS, int(times_scheduled), name
+    )
 
 
 def _read(path: str) -> bytes:
@@ -70,7 +72,7 @@
         if not threads:
             break
         samples.append(ProcessSample(now, threads))
-        while now - samples[0].at_s > KEPT_S:
+        while now - samples[0].at_s > RETENTION_S:
             samples.popleft()
         pause(INTERVAL_S)
     return list(samples)
@@ -102,7 +104,13 @@
             [
                 sample.at_s,
                 {
-                    thread: [found.is_ready, found.ran_s, found.waited_s, found.turns, found.name]
+                    thread: [
+                        found.is_runnable,
+                        found.ran_s,
+                        found.waited_s,
+                        found.times_scheduled,
+                        found.name,
+                    ]
                     for thread, found in sample.threads.items()
                 },
             ]
--- a/saffronstack/harness/soak/thread_samples.py
+++ b/saffronstack/harness/soak/thread_samples.py
@@ -23,10 +23,10 @@
         name: In the system; a new thread has its creator's until it sets its own.
     """
 
-    is_ready: bool
+    is_runnable: bool
     ran_s: float
     waited_s: float
-    turns: int
+    times_scheduled: int
     name: str = ""
 
 
@@ -38,7 +38,7 @@
     threads: Mapping[int, ThreadSample]
 
 
-def thread_named(samples: Sequence[ProcessSample], name: str) -> int | None:
+def find_thread(samples: Sequence[ProcessSample], name: str) -> int | None:
     """Return the thread that the system knows by a name, the first one seen; None where there is none."""
     for sample in samples:
         for thread, found in sample.threads.items():
@@ -53,7 +53,7 @@
     As far as the samples show it.
     """
     return sum(
-        _foreign_wait_between_s(before, after, thread) * _part_within(before, after, begin_s, end_s)
+        _external_wait_between_s(before, after, thread) * _overlap_fraction(before, after, begin_s, end_s)
         for before, after in pairwise(samples)
     )
 
@@ -64,12 +64,12 @@
     A thread that never ran before counts for nothing: whoever waits for it to begin is at fault.
     """
     return sum(
-        _idle_wait_between_s(before, after) * _part_within(before, after, begin_s, end_s)
+        _process_wait_between_s(before, after) * _overlap_fraction(before, after, begin_s, end_s)
         for before, after in pairwise(samples)
     )
 
 
-def _part_within(before: ProcessSample, after: ProcessSample, begin_s: float, end_s: float) -> float:
+def _overlap_fraction(before: ProcessSample, after: ProcessSample, begin_s: float, end_s: float) -> float:
     """Which part of the time between two samples lies within a span."""
     within_s = min(after.at_s, end_s) - max(before.at_s, begin_s)
     return max(0.0, within_s) / (after.at_s - before.at_s) if after.at_s > before.at_s else 0.0
@@ -80,12 +80,16 @@
     if old is None or new is None:
         return 0.0
     elapsed_s = after.at_s - before.at_s
-    if old.is_ready and new.is_ready and (old.ran_s, old.turns) == (new.ran_s, new.turns):
+    if (
+        old.is_runnable
+        and new.is_runnable
+        and (old.ran_s, old.times_scheduled) == (new.ran_s, new.times_scheduled)
+    ):
         return elapsed_s
     return min(elapsed_s, new.waited_s - old.waited_s)
 
 
-def _foreign_wait_between_s(before: ProcessSample, after: ProcessSample, thread: int) -> float:
+def _external_wait_between_s(before: ProcessSample, after: ProcessSample, thread: int) -> float:
     """How long a thread waited while no thread of its process ran."""
     ran_s = sum(
         after.threads[other].ran_s - found.ran_s
@@ -95,6 +99,6 @@
     return max(0.0, min(_wait_between_s(before, after, thread), after.at_s - before.at_s - ran_s))
 
 
-def _idle_wait_between_s(before: ProcessSample, after: ProcessSample) -> float:
-    begun = [thread for thread, found in before.threads.items() if found.ran_s > 0]
-    return max((_foreign_wait_between_s(before, after, thread) for thread in begun), default=0.0)
+def _process_wait_between_s(before: ProcessSample, after: ProcessSample) -> float:
+    started = [thread for thread, found in before.threads.items() if found.ran_s > 0]
+    return max((_external_wait_between_s(before, after, thread) for thread in started), default=0.0)
--- a/saffronstack/harness/soak/traffic.py
+++ b/saffronstack/harness/soak/traffic.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReceivedAnswer:
+class ReceivedResponse:
     """One answer as it came."""
 
     at_s: float
@@ -41,13 +41,13 @@
     sent_s: float
     timeout_s: float
     on_idle_connection: bool
-    answers: list[ReceivedAnswer] = field(default_factory=list)
+    responses: list[ReceivedResponse] = field(default_factory=list)
     connection_ended_s: float | None = None
-    is_of_busy_client: bool = True
+    is_from_busy_client: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class ObservedPlay:
+class ObservedRun:
     """One play as seen from clients and hosts.
 
     Attributes:
@@ -69,5 +69,5 @@
     exit_status: int | None
     failed_connects: int = 0
     busy_clients_fit: bool = True
-    host_answers_s: Mapping[str, float] = field(default_factory=dict)
+    host_response_times_s: Mapping[str, float] = field(default_factory=dict)
     samples: tuple[ProcessSample, ...] = ()
--- a/tests/fleet/leases/test_processes.py
+++ b/tests/fleet/leases/test_processes.py
@@ -16,7 +16,7 @@
 from saffronstack.harness.leases.processes import RigOptions
 from saffronstack.harness.leases.rig import LeaseRig
 from saffronstack.harness.leases.schedule import Fault, schedule, shrink
-from saffronstack.harness.links import Mode, Wires
+from saffronstack.harness.links import LinkMode, LinkRelay
 from saffronstack.runtime.threads import start_thread
 
 FLEET = pytest.mark.xdist_group("leases")  # heavy ones play one at a time
@@ -151,40 +151,40 @@
 
 
 def test_wires_hold_delay_lose_reset_and_refuse_each_direction() -> None:
-    echo, wires = Echo(), Wires()
-    address = wires.pair("a", "b", echo.address)
+    echo, wires = Echo(), LinkRelay()
+    address = wires.add_link("a", "b", echo.address)
     host, _, port = address.rpartition(":")
     sock = socket.create_connection((host, int(port)), timeout=10.0)
     sock.sendall(b"one\n")
     assert sock.recv(100) == b"one\n"
-    forth, back = wires.between({"a"}, {"b"}), wires.between({"b"}, {"a"})
-    wires.set(back, Mode.HOLD)
+    forth, back = wires.directions_between({"a"}, {"b"}), wires.directions_between({"b"}, {"a"})
+    wires.set_mode(back, LinkMode.HOLD)
     sock.sendall(b"two\n")
     sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
         sock.recv(100)
     sock.settimeout(10.0)
-    wires.set(back)
+    wires.set_mode(back)
     assert sock.recv(100) == b"two\n"  # nothing of it was lost
-    wires.set(forth, Mode.LOSE)
+    wires.set_mode(forth, LinkMode.LOSE)
     sock.sendall(b"gone\n")
     threading.Event().wait(0.1)  # the relay must have read it before the direction passes again
-    wires.set(forth, late_s=0.3)
+    wires.set_mode(forth, delay_s=0.3)
     began_s = time.monotonic()
     sock.sendall(b"late\n")
     assert sock.recv(100) == b"late\n"
     assert time.monotonic() - began_s >= 0.3
-    wires.set(forth)
+    wires.set_mode(forth)
     large = bytes(range(256)) * 20_000
     start_thread("sender", lambda: sock.sendall(large))
     received = b""
     while len(received) < len(large):
         received += sock.recv(65536)
     assert received == large
-    wires.reset(forth)
+    wires.reset_connections(forth)
     with pytest.raises(ConnectionResetError):
         sock.recv(100)
-    wires.refuse(forth, True)
+    wires.set_refusing(forth, True)
 
     def connect_and_receive() -> None:
         with socket.create_connection((host, int(port)), timeout=10.0) as late:
@@ -192,7 +192,7 @@
 
     with pytest.raises(ConnectionResetError):
         connect_and_receive()
-    wires.refuse(forth, False)
+    wires.set_refusing(forth, False)
     with socket.create_connection((host, int(port)), timeout=10.0) as again:
         again.sendall(b"x")
         again.shutdown(socket.SHUT_WR)
--- a/tests/fleet/rollout/test_processes.py
+++ b/tests/fleet/rollout/test_processes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from saffronstack.fleet.rollout.record import RolloutPhase
-from saffronstack.harness.links import Mode
+from saffronstack.harness.links import LinkMode
 from saffronstack.harness.rollout.process_rig import RolloutRig
 from saffronstack.harness.rollout.rig_layout import RigSizes
 from saffronstack.harness.rollout.rollout_run import RolloutRun, RunOptions
@@ -38,9 +38,9 @@
     rig.kill("rollout")  # a standby leader goes on from the record
     rig.kill("d1")
     rig.start_daemon("d1")  # it adopts the gateways that serve
-    rig.cut("leader", "d2", Mode.HOLD)
+    rig.cut("leader", "d2", LinkMode.HOLD)
     threading.Event().wait(LONGER_THAN_A_POLL_S)  # it is unreachable
-    rig.cut("leader", "d2", Mode.PASS)
+    rig.cut("leader", "d2", LinkMode.PASS)
 
 
 @HEAVY
--- a/tests/harness/test_soak.py
+++ b/tests/harness/test_soak.py
@@ -10,19 +10,19 @@
 
 from saffronstack.harness.soak import http_play, restart_play
 from saffronstack.harness.soak.defects import DEFECTS, RUNS_AGAIN_AFTER_RESTART
-from saffronstack.harness.soak.judge import CROSSING_S, KILL_MARGIN_S, Verdict, judge
-from saffronstack.harness.soak.platform_play import PlatformPlay
+from saffronstack.harness.soak.judge import CROSSING_S, KILL_MARGIN_S, CheckReport, check_run
+from saffronstack.harness.soak.platform_play import PlatformRun
 from saffronstack.harness.soak.schedule import KILL_AFTER_S, draw
 from saffronstack.harness.soak.thread_samples import ProcessSample, ThreadSample
-from saffronstack.harness.soak.traffic import ObservedPlay, ReceivedAnswer, SentRequest
+from saffronstack.harness.soak.traffic import ObservedRun, ReceivedResponse, SentRequest
 from saffronstack.platform.front import CLIENTS_THREAD
 
 SEEDS = range(1, 11)
 HTTP_SEEDS = range(1, 4)
 RESTART_SEEDS = range(1, 5)
 KILLED_SEED = 1
-CROWD_SEED = 6
-CROWD_DEFECTS = ("closes busy connections",)  # these show only where connections are closed for others
+IDLE_CLIENTS_SEED = 6
+IDLE_CLIENTS_DEFECTS = ("closes busy connections",)  # these show only where connections are closed for others
 DEFECT_BREACHES = {
     "closes busy connections": "of busy clients crossed the end of an idle connection",
     "drops an answer": "no answer",
@@ -36,15 +36,15 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_request_is_unanswered_until_the_kill(tmp_path: pathlib.Path, seed: int) -> None:
     """A gateway used to end before the kill with its clients at work, and lost what crossed its close."""
-    played = PlatformPlay(draw(seed), tmp_path).play()
-    assert played.verdict.breaches == (), f"{draw(seed).describe()}\n{played.log}"
-    assert played.verdict.answers["OK"] > 0
+    result = PlatformRun(draw(seed), tmp_path).run()
+    assert result.report.breaches == (), f"{draw(seed).describe()}\n{result.log}"
+    assert result.report.response_counts["OK"] > 0
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
 def test_the_judge_finds_a_broken_gateway(tmp_path: pathlib.Path, defect: str) -> None:
-    seed = CROWD_SEED if defect in CROWD_DEFECTS else 1
-    breaches = PlatformPlay(draw(seed), tmp_path, DEFECTS[defect]).play().verdict.breaches
+    seed = IDLE_CLIENTS_SEED if defect in IDLE_CLIENTS_DEFECTS else 1
+    breaches = PlatformRun(draw(seed), tmp_path, DEFECTS[defect]).run().report.breaches
     assert any(DEFECT_BREACHES[defect] in breach for breach in breaches)
 
 
@@ -52,22 +52,22 @@
 @pytest.mark.parametrize("seed", HTTP_SEEDS)
 def test_no_call_is_lost_as_the_http_gateway_stops(tmp_path: pathlib.Path, seed: int, processes: int) -> None:
     """It used to go on accepting clients that connect again, for seconds, and reset the last of them."""
-    verdict = http_play.HttpPlay(http_play.draw(seed, processes), tmp_path).play()
-    assert verdict.breaches == ()
-    assert verdict.ends["served"] > 0
+    report = http_play.HttpRun(http_play.draw(seed, processes), tmp_path).run()
+    assert report.breaches == ()
+    assert report.outcomes["served"] > 0
 
 
 @pytest.mark.parametrize("seed", RESTART_SEEDS)
 def test_a_restart_loses_no_deferred_call_and_runs_none_again(tmp_path: pathlib.Path, seed: int) -> None:
-    verdict = restart_play.RestartPlay(restart_play.draw(seed), tmp_path).play()
-    assert verdict.breaches == ()
-    assert verdict.ends["accepted"] > 0
+    report = restart_play.RestartRun(restart_play.draw(seed), tmp_path).run()
+    assert report.breaches == ()
+    assert report.outcomes["accepted"] > 0
 
 
-def test_the_judge_finds_an_unsafe_call_that_runs_again_after_a_restart(tmp_path: pathlib.Path) -> None:
+def test_the_checker_finds_an_unsafe_call_that_runs_again_after_a_restart(tmp_path: pathlib.Path) -> None:
     schedule = restart_play.draw(KILLED_SEED)
-    verdict = restart_play.RestartPlay(schedule, tmp_path, RUNS_AGAIN_AFTER_RESTART).play()
-    assert any("of unsafe record-sale ran 2 times" in breach for breach in verdict.breaches)
+    report = restart_play.RestartRun(schedule, tmp_path, RUNS_AGAIN_AFTER_RESTART).run()
+    assert any("of unsafe record-sale ran 2 times" in breach for breach in report.breaches)
 
 
 def test_a_seed_draws_one_schedule_and_the_kill_is_the_earliest_allowed() -> None:
@@ -78,39 +78,39 @@
 
 
 def request(sent_s: float, *words: str, unsafe: bool = False, ended_s: float | None = None) -> SentRequest:
-    answers = [ReceivedAnswer(sent_s + 0.1, word, b"x") for word in words]
+    answers = [ReceivedResponse(sent_s + 0.1, word, b"x") for word in words]
     return SentRequest("0" * 16, unsafe, b"x", sent_s, 1.0, True, answers, ended_s)
 
 
-def verdict(*requests: SentRequest, calls: int = 1, killed_s: float | None = KILLED_S) -> Verdict:
+def check_requests(*requests: SentRequest, calls: int = 1, killed_s: float | None = KILLED_S) -> CheckReport:
     exit_status = 0 if killed_s is None else None
-    return judge(
-        ObservedPlay(list(requests), Counter({"0" * 16: calls}), TERMINATED_S, killed_s, exit_status)
+    return check_run(
+        ObservedRun(list(requests), Counter({"0" * 16: calls}), TERMINATED_S, killed_s, exit_status)
     )
 
 
-def test_one_whole_answer_is_no_breach() -> None:
-    found = verdict(request(101.0, "OK"), request(101.0, "BUSY"), request(101.0, "FAILED"))
+def test_one_response_per_request_breaks_no_rule() -> None:
+    found = check_requests(request(101.0, "OK"), request(101.0, "BUSY"), request(101.0, "FAILED"))
     assert found.breaches == ()
-    assert found.answers == {"OK": 1, "BUSY": 1, "FAILED": 1}
+    assert found.response_counts == {"OK": 1, "BUSY": 1, "FAILED": 1}
 
 
-def test_a_request_without_an_answer_is_excused_only_right_before_the_kill() -> None:
-    late = verdict(request(KILLED_S - KILL_MARGIN_S / 2))
+def test_an_unanswered_request_is_excused_only_right_before_the_kill() -> None:
+    late = check_requests(request(KILLED_S - KILL_MARGIN_S / 2))
     assert (late.breaches, late.within_margin) == ((), 1)
-    assert len(verdict(request(KILLED_S - KILL_MARGIN_S * 2)).breaches) == 1
+    assert len(check_requests(request(KILLED_S - KILL_MARGIN_S * 2)).breaches) == 1
 
 
-READER, OTHER, BEGUN = 1, 2, 3  # threads; the last one never ran
-NAMES = {READER: CLIENTS_THREAD, OTHER: "decisions", BEGUN: "worker-connect"}
+READER, OTHER, NEVER_RAN = 1, 2, 3  # threads; the last one never ran
+NAMES = {READER: CLIENTS_THREAD, OTHER: "decisions", NEVER_RAN: "worker-connect"}
 
 
-def judged(
+def check_with_samples(
     request: SentRequest,
     *waiting_s: tuple[int, float, float],
-    host_s: float | None = None,
+    host_response_s: float | None = None,
     busiest: int = READER,
-) -> Verdict:
+) -> CheckReport:
     """Judge a request beside threads that wait for processors in spans before the kill, and sleep else.
 
     ``host_s``: when before the kill a host that saw it answered; infinite for never. ``busiest``: the thread
@@ -124,22 +124,22 @@
                 any(one == thread and begin_s >= before_s >= end_s for one, begin_s, end_s in waiting_s),
                 ran_s=ran_s + (0.1 if thread == busiest and number < 100 else 0.0),
                 waited_s=0.0,
-                turns=0,
+                times_scheduled=0,
                 name=NAMES[thread],
             )
-            for thread, ran_s in ((READER, 1.0), (OTHER, 2.0), (BEGUN, 0.0))
+            for thread, ran_s in ((READER, 1.0), (OTHER, 2.0), (NEVER_RAN, 0.0))
         }
         samples.append(ProcessSample(KILLED_S - before_s, threads))
-    calls = Counter({request.request_id: 1} if host_s is not None else {})
-    answers_s = {request.request_id: KILLED_S - host_s} if host_s is not None else {}
-    return judge(
-        ObservedPlay(
+    calls = Counter({request.request_id: 1} if host_response_s is not None else {})
+    answers_s = {request.request_id: KILLED_S - host_response_s} if host_response_s is not None else {}
+    return check_run(
+        ObservedRun(
             [request],
             calls,
             TERMINATED_S,
             KILLED_S,
             exit_status=None,
-            host_answers_s=answers_s,
+            host_response_times_s=answers_s,
             samples=tuple(samples),
         )
     )
@@ -157,82 +157,92 @@
         (0.3, [(READER, 0.3, 0.0)], 1),  # longer ago than what is counted
     ],
 )
-def test_only_the_readers_wait_while_it_is_unread_excuses_a_request(
+def test_an_unread_request_is_excused_only_while_the_reader_thread_waits_for_a_cpu(
     unanswered_s: float, waiting_s: list[tuple[int, float, float]], breaches: int, busiest: int
 ) -> None:
     """The wait of whichever thread ran most used to: the reader's did not, and another one's did."""
     unread = request(KILLED_S - unanswered_s)
-    assert len(judged(unread, *waiting_s, busiest=busiest).breaches) == breaches
+    assert len(check_with_samples(unread, *waiting_s, busiest=busiest).breaches) == breaches
 
 
-def test_no_wait_excuses_a_request_whose_connection_the_gateway_ended() -> None:
+def test_no_cpu_wait_excuses_a_request_whose_connection_the_gateway_closed() -> None:
     """A wait that lasted until the kill would excuse a gateway that ends connections before it."""
     waiting_s = (READER, 0.2, 0.0)
-    assert judged(request(KILLED_S - 0.2), waiting_s).breaches == ()
-    assert len(judged(request(KILLED_S - 0.2, ended_s=KILLED_S - 0.07), waiting_s).breaches) == 1
+    assert check_with_samples(request(KILLED_S - 0.2), waiting_s).breaches == ()
+    assert len(check_with_samples(request(KILLED_S - 0.2, ended_s=KILLED_S - 0.07), waiting_s).breaches) == 1
 
 
 @pytest.mark.parametrize(
-    ("host_s", "waiting_s", "breaches"),
+    ("host_response_s", "waiting_s", "breaches"),
     [
         (-math.inf, [(OTHER, 0.1, 0.07), (READER, 0.07, 0.035)], 0),  # one thread after the other
         (-math.inf, [(OTHER, 0.1, 0.07)], 1),
         (-math.inf, [], 1),
-        (-math.inf, [(BEGUN, 0.5, 0.0)], 1),  # a thread is held by the start of another
+        (-math.inf, [(NEVER_RAN, 0.5, 0.0)], 1),  # a thread is held by the start of another
         (0.4, [(OTHER, 0.1, 0.0)], 1),  # answered long before, and dropped
         (0.4, [(OTHER, 0.4, 0.0)], 1),  # longer ago than what is counted
     ],
 )
-def test_a_call_with_a_host_is_due_before_the_kill(
-    host_s: float, waiting_s: list[tuple[int, float, float]], breaches: int
+def test_a_call_that_a_host_has_received_must_be_answered_before_the_kill(
+    host_response_s: float, waiting_s: list[tuple[int, float, float]], breaches: int
 ) -> None:
     """An answer that fell due where no thread had a processor counted from the arrival of its request."""
-    assert len(judged(request(KILLED_S - 0.45), *waiting_s, host_s=host_s).breaches) == breaches
+    assert (
+        len(
+            check_with_samples(request(KILLED_S - 0.45), *waiting_s, host_response_s=host_response_s).breaches
+        )
+        == breaches
+    )
 
 
-def test_no_wait_excuses_a_call_whose_time_was_over_long_before() -> None:
+def test_no_cpu_wait_excuses_a_call_whose_deadline_passed_long_before() -> None:
     """A gateway that loses a deadline passed beside any thread that waited right before the kill."""
-    assert len(judged(request(KILLED_S - 3.0), (OTHER, 0.1, 0.0), host_s=-math.inf).breaches) == 1
+    assert (
+        len(
+            check_with_samples(request(KILLED_S - 3.0), (OTHER, 0.1, 0.0), host_response_s=-math.inf).breaches
+        )
+        == 1
+    )
 
 
-def test_a_request_that_crosses_an_idle_close_is_excused_only_where_the_gateway_goes_on() -> None:
+def test_a_request_that_crosses_an_idle_close_is_excused_only_while_the_gateway_runs() -> None:
     crossing = request(101.0, ended_s=101.01)
-    crossing.is_of_busy_client = False
-    excused = verdict(crossing)
+    crossing.is_from_busy_client = False
+    excused = check_requests(crossing)
     assert (excused.breaches, excused.crossed, excused.busy_crossed) == ((), 1, 0)
-    assert len(verdict(crossing, killed_s=None).breaches) == 1
-    assert len(verdict(request(101.0, ended_s=101.2)).breaches) == 1
+    assert len(check_requests(crossing, killed_s=None).breaches) == 1
+    assert len(check_requests(request(101.0, ended_s=101.2)).breaches) == 1
 
 
-def test_no_request_of_a_busy_client_crosses_a_close_where_there_is_room() -> None:
+def test_no_request_of_a_busy_client_crosses_a_close_below_the_connection_limit() -> None:
     """A gateway beside a crowd used to close the connections in use, and no play noticed."""
     crossings = [request(101.0, ended_s=100.0 + 1.01), request(101.0, ended_s=101.0 - CROSSING_S / 2)]
-    assert [len(verdict(crossing).breaches) for crossing in crossings] == [1, 1]
-    crowded = ObservedPlay(crossings, Counter(), TERMINATED_S, KILLED_S, None, busy_clients_fit=False)
-    assert (judge(crowded).breaches, judge(crowded).busy_crossed) == ((), 2)
+    assert [len(check_requests(crossing).breaches) for crossing in crossings] == [1, 1]
+    over_capacity = ObservedRun(crossings, Counter(), TERMINATED_S, KILLED_S, None, busy_clients_fit=False)
+    assert (check_run(over_capacity).breaches, check_run(over_capacity).busy_crossed) == ((), 2)
 
 
-def test_a_request_written_long_after_the_end_is_no_crossing_of_a_busy_client() -> None:
-    unaware = verdict(request(101.0, ended_s=101.0 - CROSSING_S * 2))
+def test_a_request_written_long_after_the_close_is_not_counted_as_crossing_it() -> None:
+    unaware = check_requests(request(101.0, ended_s=101.0 - CROSSING_S * 2))
     assert (unaware.breaches, unaware.crossed, unaware.busy_crossed) == ((), 1, 0)
 
 
 @pytest.mark.parametrize(
     "broken",
     [
-        verdict(request(101.0, "OK", "OK")),
-        verdict(request(101.0, "OK", unsafe=True), calls=2),
-        verdict(request(101.0, "BUSY", unsafe=True)),
-        judge(ObservedPlay([], Counter(), TERMINATED_S, None, 1)),
-        judge(ObservedPlay([], Counter(), TERMINATED_S, KILLED_S, None, failed_connects=1)),
+        check_requests(request(101.0, "OK", "OK")),
+        check_requests(request(101.0, "OK", unsafe=True), calls=2),
+        check_requests(request(101.0, "BUSY", unsafe=True)),
+        check_run(ObservedRun([], Counter(), TERMINATED_S, None, 1)),
+        check_run(ObservedRun([], Counter(), TERMINATED_S, KILLED_S, None, failed_connects=1)),
     ],
     ids=["two answers", "two effects", "refused with an effect", "exit status", "not let in"],
 )
-def test_each_breach_is_found(broken: Verdict) -> None:
+def test_each_breach_is_reported(broken: CheckReport) -> None:
     assert len(broken.breaches) == 1
 
 
-def test_a_late_answer_and_a_foreign_body_are_found() -> None:
+def test_a_late_response_and_a_wrong_body_are_reported() -> None:
     late = request(101.0)
-    late.answers.append(ReceivedAnswer(102.6, "OK", b"y"))
-    assert len(verdict(late).breaches) == 2
+    late.responses.append(ReceivedResponse(102.6, "OK", b"y"))
+    assert len(check_requests(late).breaches) == 2
--- a/tests/harness/test_soak_clients.py
+++ b/tests/harness/test_soak_clients.py
@@ -53,7 +53,7 @@
         yield Pair(client, gateway)
 
 
-def test_a_pause_of_the_client_does_not_move_the_end_of_its_connection(pair: Pair) -> None:
+def test_a_paused_client_does_not_delay_the_recorded_connection_end(pair: Pair) -> None:
     """A full collection of garbage in the client's thread was judged as a gateway that closes 0.14 s late."""
     pair.gateway.recv(1024)
     pair.gateway.close()
@@ -66,7 +66,7 @@
     assert ended_s < arrived_s + PAUSE_S
 
 
-def test_a_reset_counts_from_when_it_was_seen(pair: Pair) -> None:
+def test_a_reset_is_timed_when_the_client_reads_it(pair: Pair) -> None:
     """The kernel notes no time of a reset alone: an earlier end would excuse a request."""
     pair.gateway.close()  # with the request unread
     pair.wait_for(select.POLLHUP)
@@ -76,7 +76,7 @@
     assert pair.client.sent[0].connection_ended_s == seen_s
 
 
-def test_a_reset_that_a_write_has_met_counts_from_when_it_was_seen(pair: Pair) -> None:
+def test_a_reset_that_a_write_reported_is_timed_when_the_client_reads_it(pair: Pair) -> None:
     """The failed write takes the error from the socket, which then reads as after a FIN."""
     pair.gateway.close()
     pair.wait_for(select.POLLHUP)
@@ -88,17 +88,17 @@
     assert pair.client.sent[0].connection_ended_s == seen_s
 
 
-def test_a_write_counts_from_before_it_but_for_a_pause_before_it() -> None:
+def test_the_send_time_excludes_a_pause_before_the_write() -> None:
     assert TcpTimes(sent_s=5.0, received_s=0.0).earliest_send_s(5.0) == 5.0
     assert TcpTimes(sent_s=5.2, received_s=0.0).earliest_send_s(5.0) == 5.2 - KERNEL_TICK_S
 
 
-def test_an_end_counts_until_it_was_seen_but_for_a_pause_after_it() -> None:
+def test_the_connection_end_excludes_a_pause_after_it() -> None:
     assert TcpTimes(sent_s=0.0, received_s=5.0).latest_end_s(5.0) == 5.0
     assert TcpTimes(sent_s=0.0, received_s=5.0).latest_end_s(5.2) == 5.0 + KERNEL_TICK_S
 
 
-def test_a_client_that_is_not_let_in_holds_up_no_other() -> None:
+def test_a_client_that_cannot_connect_delays_no_other_client() -> None:
     """One connect that waited used to stop all clients of the play for up to 2 s."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         listener.settimeout(TIMEOUT_S)
@@ -108,14 +108,14 @@
         with gateway:
             gateway.settimeout(TIMEOUT_S)
             assert gateway.recv(1024).startswith(b"*")
-            clients.gateway_terminated()
+            clients.stop_reconnecting()
     assert len(clients.stop()) >= 1
 
 
-def test_an_answer_that_waits_is_read_though_a_write_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_received_response_is_read_after_a_write_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client whose write met a reset used to drop the answers that it had not read."""
     write_failed = threading.Event()
-    send_due, step = ClientConnection.send_due, SoakClients._step
+    send_due, step = ClientConnection.send_due, SoakClients._poll_sockets
 
     def note_failed_write(connection: ClientConnection, now: float) -> None:
         try:
@@ -129,36 +129,36 @@
             step(clients)
 
     monkeypatch.setattr(ClientConnection, "send_due", note_failed_write)
-    monkeypatch.setattr(SoakClients, "_step", step_after_failed_write)
+    monkeypatch.setattr(SoakClients, "_poll_sockets", step_after_failed_write)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.settimeout(TIMEOUT_S)
         clients = SoakClients(listener.getsockname(), (ClientKind.OPEN_LOOP,), seed=1, timeout_s=1.0)
         gateway, _ = listener.accept()
-        clients.gateway_terminated()
+        clients.stop_reconnecting()
         gateway.settimeout(TIMEOUT_S)
         gateway.recv(1024)
         gateway.sendall(encode((b"1", b"OK", b"", b"x")))
         gateway.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
         gateway.close()
         assert write_failed.wait(TIMEOUT_S)
-    assert [answer.word for answer in clients.stop()[0].answers] == ["OK"]
+    assert [answer.word for answer in clients.stop()[0].responses] == ["OK"]
 
 
-def test_a_client_that_waits_to_come_again_stays_away_from_a_gateway_that_stops(
+def test_a_client_waiting_to_reconnect_does_not_connect_to_a_stopping_gateway(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A client of the crowd came up to 0.3 s after SIGTERM, to a gateway that may have ended."""
     connect_again = SoakClients._connect_again
 
-    def terminate_meanwhile(clients: SoakClients, kind: ClientKind, now: float) -> None:
+    def stop_reconnecting_meanwhile(clients: SoakClients, kind: ClientKind, now: float) -> None:
         connect_again(clients, kind, now)
-        clients.gateway_terminated()
+        clients.stop_reconnecting()
 
-    monkeypatch.setattr(SoakClients, "_connect_again", terminate_meanwhile)
-    monkeypatch.setattr("saffronstack.harness.soak.clients.CROWD_RETURN_S", (0.0, 0.0))
+    monkeypatch.setattr(SoakClients, "_connect_again", stop_reconnecting_meanwhile)
+    monkeypatch.setattr("saffronstack.harness.soak.clients.IDLE_RECONNECT_DELAY_S", (0.0, 0.0))
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.settimeout(TIMEOUT_S)
-        clients = SoakClients(listener.getsockname(), (ClientKind.CROWD,), seed=1, timeout_s=1.0)
+        clients = SoakClients(listener.getsockname(), (ClientKind.IDLE,), seed=1, timeout_s=1.0)
         gateway, _ = listener.accept()
         gateway.recv(1024)
         gateway.close()
--- a/tests/harness/test_soak_thread_samples.py
+++ b/tests/harness/test_soak_thread_samples.py
@@ -11,12 +11,18 @@
 import pytest
 
 from saffronstack.harness.soak.judge import COUNTED_WAIT_SPAN_S
-from saffronstack.harness.soak.thread_sampler import KEPT_S, decode, encode, read_threads, sample_until_end
+from saffronstack.harness.soak.thread_sampler import (
+    RETENTION_S,
+    decode,
+    encode,
+    read_threads,
+    sample_until_end,
+)
 from saffronstack.harness.soak.thread_samples import (
     ProcessSample,
     ThreadSample,
+    find_thread,
     process_wait_s,
-    thread_named,
     thread_wait_s,
 )
 from saffronstack.runtime.threads import start_thread
@@ -36,9 +42,7 @@
     [(WAITING, WAITING, 0.1), (WAITING, WAITED, 0.04), (WAITING, RAN, 0.0), (ASLEEP, ASLEEP, 0.0)],
     ids=["goes on", "is over", "ran", "slept"],
 )
-def test_a_wait_counts_also_while_it_goes_on(
-    before: ThreadSample, after: ThreadSample, wait_s: float
-) -> None:
+def test_an_unfinished_cpu_wait_is_counted(before: ThreadSample, after: ThreadSample, wait_s: float) -> None:
     """The kernel's counter alone showed 0 s of a wait of 0.195 s that lasted until the kill."""
     samples = pair({1: before}, {1: after})
     assert thread_wait_s(samples, 1, 99.0, 101.0) == pytest.approx(wait_s)
@@ -46,7 +50,7 @@
     assert thread_wait_s(samples, 2, 99.0, 101.0) == 0.0
 
 
-def test_a_thread_that_waits_behind_its_own_process_has_a_processor() -> None:
+def test_a_wait_behind_a_thread_of_the_same_process_is_not_counted() -> None:
     """A gateway whose other threads keep the one that reads from running was excused."""
     behind = ThreadSample(True, 5.0, 0.0, 1), ThreadSample(True, 5.08, 0.0, 1)
     samples = pair({1: WAITING, 2: behind[0]}, {1: WAITING, 2: behind[1]})
@@ -62,7 +66,7 @@
     assert process_wait_s(pair({1: never_ran}, {1: never_ran}), 0, 200) == 0.0
 
 
-def test_a_thread_is_found_by_its_name_whichever_ran_most() -> None:
+def test_a_thread_is_found_by_name_regardless_of_cpu_time() -> None:
     """The busiest one was taken for the reader, which at times was the thread that decides."""
     decisions, busier = (
         ThreadSample(True, 9.0, 0.0, 1, "decisions"),
@@ -70,20 +74,20 @@
     )
     unnamed, clients = ThreadSample(True, 1.0, 0.0, 1, "python"), ThreadSample(True, 1.1, 0.0, 2, "clients")
     samples = pair({1: decisions, 2: unnamed}, {1: busier, 2: clients})
-    assert thread_named(samples, "clients") == 2
-    assert thread_named(samples, "writer") is None
-    assert thread_named([], "clients") is None
+    assert find_thread(samples, "clients") == 2
+    assert find_thread(samples, "writer") is None
+    assert find_thread([], "clients") is None
 
 
 def test_a_sampler_keeps_the_last_samples_until_no_thread_is_left() -> None:
-    times_s = itertools.count(100.0, KEPT_S / 2)
+    times_s = itertools.count(100.0, RETENTION_S / 2)
     found = iter([{1: WAITING}] * 9 + [{}])
     samples = sample_until_end(lambda: next(found), lambda: next(times_s), lambda _: None)
-    assert [sample.at_s for sample in samples] == [100.0 + number * KEPT_S / 2 for number in (7, 8, 9)]
+    assert [sample.at_s for sample in samples] == [100.0 + number * RETENTION_S / 2 for number in (7, 8, 9)]
     assert decode(encode(samples)) == tuple(samples)
 
 
-def test_samples_of_before_the_kill_are_kept_though_the_process_takes_seconds_to_end() -> None:
+def test_samples_from_before_the_kill_are_kept_when_the_process_takes_seconds_to_exit() -> None:
     """One that others kept from a processor for 1.6 s after the kill left no sample of before it."""
     killed_s = 101.0
     times_s = itertools.count(100.0, 0.1)
@@ -92,16 +96,16 @@
     assert samples[0].at_s <= killed_s - COUNTED_WAIT_SPAN_S
 
 
-def test_the_kernel_tells_of_each_thread_of_a_process_that_runs() -> None:
+def test_the_counters_of_each_thread_of_a_running_process_are_read() -> None:
     assert read_threads(os.getpid())[threading.get_native_id()].ran_s > 0
-    ends = threading.Event()
-    thread = start_thread("odd ) name (", ends.wait)
+    stop_event = threading.Event()
+    thread = start_thread("odd ) name (", stop_event.wait)
     try:
         assert thread.native_id is not None
         while (sample := read_threads(os.getpid())[thread.native_id]).name != "odd ) name (":
             assert sample.ran_s < WAIT_S  # it has not named itself yet
     finally:
-        ends.set()
-    ended = subprocess.Popen([sys.executable, "-c", ""])
-    ended.wait(WAIT_S)
-    assert read_threads(ended.pid) == {}
+        stop_event.set()
+    exited = subprocess.Popen([sys.executable, "-c", ""])
+    exited.wait(WAIT_S)
+    assert read_threads(exited.pid) == {}
--- a/tests/operations/test_deduplication.py
+++ b/tests/operations/test_deduplication.py
@@ -21,7 +21,7 @@
 from saffronstack import config as configs
 from saffronstack.client import Response
 from saffronstack.gateway import Gateway
-from saffronstack.harness.scenario.relay import Relay, seldom
+from saffronstack.harness.scenario.relay import Relay, lose_randomly
 from saffronstack.operations.operation_log import OperationFinished, open_operation_log
 from saffronstack.standin.fleet import StandInFleet
 from saffronstack.standin.model import Profile
@@ -391,7 +391,7 @@
         return process
 
     process = start()
-    relay = Relay(lambda: content["listen"], seldom(1 / 3, 5))
+    relay = Relay(lambda: content["listen"], lose_randomly(1 / 3, 5))
     results: list[tuple[str, str, Any]] = []
     lock = threading.Lock()
 
--- a/tests/test_spread_run.py
+++ b/tests/test_spread_run.py
@@ -8,18 +8,18 @@
 import sys
 
 ROOT = pathlib.Path(__file__).parent.parent
-RUN_MOST_S = 120.0
+RUN_TIMEOUT_S = 120.0
 
 
-def test_a_day_with_most_gateways_killed_is_measured_beside_a_plain_policy() -> None:
+def test_a_run_with_most_gateways_killed_is_compared_with_a_plain_policy() -> None:
     sizes = ["--gateways", "8", "--hosts", "4", "--rate", "40", "--seconds", "8", "--functions", "60"]
     command = [sys.executable, str(ROOT / "benchmarks" / "spread.py"), *sizes, "--day", "herd"]
-    ran = subprocess.run(
+    completed = subprocess.run(
         [*command, "--policy", "ours", "late", "--host-processes", "2"],
-        cwd=ROOT, check=False, capture_output=True, text=True, timeout=RUN_MOST_S,
+        cwd=ROOT, check=False, capture_output=True, text=True, timeout=RUN_TIMEOUT_S,
     )  # fmt: skip
-    assert ran.returncode in (0, 1), ran.stderr  # 1: this machine did not bear the rate, and it says so
-    ours, late = (json.loads(line) for line in ran.stdout.splitlines())
+    assert completed.returncode in (0, 1), completed.stderr  # 1: the machine did not sustain the rate
+    ours, late = (json.loads(line) for line in completed.stdout.splitlines())
     assert (ours["policy"], late["policy"]) == ("ours", "late")
     for row in (ours, late):
         assert row["calls"] > 150, row
