--- a/saffronstack/harness/__init__.py
+++ b/saffronstack/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Fault injection: real gateway processes, stub servers, traffic, faults, and the verdict on the rules."""
+"""Test harnesses: gateway processes, stub servers, traffic, fault injection and a checker of the rules."""
--- a/saffronstack/harness/fleet/__init__.py
+++ b/saffronstack/harness/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many gateways of the platform among stub servers: cluster, faults, load, verdict."""
+"""Runs many platform gateways with stub hosts under fault injection, and checks the run."""
--- a/saffronstack/harness/fleet/clients.py
+++ b/saffronstack/harness/fleet/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a fleet: every try is noted as its socket saw it."""
+"""Clients of a fleet. Each attempt is recorded as its socket observed it."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 if TYPE_CHECKING:
     from saffronstack.harness.fleet.cluster import Fleet
 
-MAX_IN_FLIGHT_PER_CONNECTION = 24  # calls on one connection of clients
+MAX_IN_FLIGHT_PER_CONNECTION = 24  # calls
 OUTCOMES = {"OK": "served", "BUSY": "refused"}
 
 
 class ClientConnection:
-    """One connection of a gateway's clients; it ends with the first error."""
+    """One connection of a gateway's clients. It is closed at the first error."""
 
     def __init__(self, sock: socket.socket, clients: GatewayClients) -> None:
         self.sock = sock
-        self.in_flight: dict[int, Try] = {}  # by tag; under the caller's lock
+        self.in_flight: dict[int, Try] = {}  # by tag; guarded by the lock of `GatewayClients`
         self.last_tag = 0
         self._clients = clients
 
     def read(self) -> None:
-        """Fill in the tries whose answers come, until the connection ends."""
+        """Record received responses until the connection ends."""
         reader = RespReader(RespLimits(body_bytes=1 << 20))
         self.sock.settimeout(30.0)
         receiver = Stamped(self.sock)
@@ -52,13 +52,15 @@
 
 
 class GatewayClients:
-    """The clients of one gateway. Each connection carries fewer calls than a gateway lets one have open: what
-    is refused is refused by its decisions, however long a stall of the machine makes calls pile up.
+    """The clients of one gateway.
+
+    Each connection carries fewer calls than the gateway's limit per connection. A rejection is thus a routing
+    decision, even if a stall of the machine makes calls pile up.
     """
 
     def __init__(self, gateway: Gateway, tries: list[Try]) -> None:
         self.gateway = gateway
-        self.unexpected_responses = 0  # answers under a tag that was answered, or never used
+        self.unexpected_responses = 0  # responses with a tag that was answered before or never used
         self._tries = tries
         plan = gateway.plan
         self._facts = f"memory_mb:{plan.memory_mb:g};lanes:{plan.lanes}"
@@ -68,7 +70,7 @@
     def call(
         self, request: int, class_name: str, function: str, timeout_s: float, tenant: str = "acme"
     ) -> Try:
-        """Send one; its try is filled in when something comes back."""
+        """Send a call; return its attempt, whose outcome is filled in once a response arrives."""
         op = f"{request:016x}"
         attempt = Try(op, self.gateway.number, function, time.monotonic(), 0.0, id=op, tenant=tenant)
         attempt.deadline_s = attempt.sent_s + timeout_s
@@ -93,20 +95,21 @@
             connection.last_tag += 1
             words = (b"CALL", b"%d" % connection.last_tag, class_name.encode(), fields.encode(), b"x")
             connection.in_flight[connection.last_tag] = attempt
-            attempt.sent_s = time.monotonic()  # its time runs from here, however long the connection took
+            attempt.sent_s = time.monotonic()  # the deadline excludes the time that the connect took
             attempt.deadline_s = attempt.sent_s + timeout_s
             try:
                 connection.sock.sendall(encode(words))
             except OSError:
                 self._close_connection(connection)
                 return attempt
-            # After the first bytes: a thread may be long in starting, and a gateway waits 2 s for them.
+            # The thread starts after the first bytes are sent. The gateway waits only 2 s for them, and the
+            # start of a thread can be delayed.
             if is_new:
                 start_thread("caller", connection.read)
         return attempt
 
     def response_received(self, connection: ClientConnection, tag: int, word: str, now: float) -> None:
-        """An answer came on a connection."""
+        """Record a response that arrived on a connection."""
         with self._lock:
             attempt = connection.in_flight.pop(tag, None)
         if attempt is None:
@@ -115,12 +118,12 @@
             attempt.end, attempt.ended_s = OUTCOMES.get(word, "failed"), now
 
     def connection_ended(self, connection: ClientConnection) -> None:
-        """A connection is over."""
+        """Remove a connection that has ended."""
         with self._lock:
             self._close_connection(connection)
 
     def _close_connection(self, connection: ClientConnection) -> None:
-        """What was open on it got nothing."""
+        """Close a connection, and record its attempts in flight as broken."""
         if connection in self._connections:
             self._connections.remove(connection)
         for attempt in connection.in_flight.values():
@@ -130,14 +133,14 @@
             connection.sock.close()
 
     def close(self) -> None:
-        """End the connections."""
+        """Close all connections."""
         with self._lock:
             for connection in list(self._connections):
                 self._close_connection(connection)
 
 
 class ImpatientClients:
-    """Clients that leave long before their answer and come again as somebody new, far too often."""
+    """Clients that disconnect long before the response and send a new request at once on a new connection."""
 
     def __init__(self, fleet: Fleet, clients: int, timeout_s: float, duration_s: float) -> None:
         self._fleet, self._timeout_s, self._duration_s = fleet, timeout_s, duration_s
@@ -145,7 +148,7 @@
         self._numbers = count(1)
 
     def run(self) -> None:
-        """Until its time is over."""
+        """Run the clients for the duration."""
         end_s = time.monotonic() + self._duration_s
         threads = [
             start_thread("impatient", lambda n=n: self._client(random.Random(n), end_s))  # type: ignore[misc]
--- a/saffronstack/harness/fleet/cluster.py
+++ b/saffronstack/harness/fleet/cluster.py
@@ -1,7 +1,7 @@
-"""Many gateways of the platform's front, each a process, among stand-ins, with faults between; and the sums.
+"""Runs many platform gateways as processes, with stub hosts and fault injection, and counts what they did.
 
-Clients send at random moments and stop waiting at their own time; every try is noted as its socket saw it,
-every call and run as the hosts saw it, and `saffronstack.audit` judges both.
+Clients send at random times and have their own timeouts. Each attempt is recorded as its socket observed it,
+and each call and execution as the hosts observed it. `saffronstack.audit` checks both.
 """
 
 from __future__ import annotations
@@ -26,29 +26,32 @@
 
 START_TIMEOUT_S = 60.0
 LAG_SEND_INTERVAL_S = 0.02
-SINGLE_USE_OFFSET = 1 << 16  # places of functions that are asked once; all of the class "look"
+SINGLE_USE_OFFSET = 1 << 16  # numbers of functions that are called once start here; all in the class "look"
 
 
 @dataclass
 class FleetCounts:
-    """What the fleet did together, by second since the beginning of the traffic."""
+    """Counts over the whole fleet, by second since the start of the traffic."""
 
     calls: Counter[int] = field(default_factory=Counter)
-    connections: Counter[int] = field(default_factory=Counter)  # opened to hosts
-    asks: Counter[int] = field(default_factory=Counter)  # for the list
-    arrivals: Counter[tuple[str, int]] = field(default_factory=Counter)  # by host
+    connections: Counter[int] = field(default_factory=Counter)  # opened by gateways to hosts
+    asks: Counter[int] = field(default_factory=Counter)  # polls of the endpoint list
+    arrivals: Counter[tuple[str, int]] = field(default_factory=Counter)  # of calls, by host
     loads: int = 0
     warm: int = 0
-    descriptors: int = 0  # the most that one gateway held
+    descriptors: int = 0  # maximum of one gateway
     memory_mb: float = 0.0
 
     def per_second(self, counts: Counter[int], since: int, until: int) -> float:
-        """The mean over whole seconds."""
+        """Return the mean per second over whole seconds."""
         return sum(counts[second] for second in range(since, until)) / max(1, until - since)
 
 
 class ReadLag:
-    """How late a thread of this process reads what has come; what clients and hosts here saw may be so."""
+    """Measures how late a thread of this process reads received bytes.
+
+    The times that clients and hosts of this process record can be late by as much.
+    """
 
     def __init__(self) -> None:
         self.max_s = 0.0
@@ -67,7 +70,7 @@
                 self.max_s = max(self.max_s, time.monotonic() - float(struct.unpack("d", sent)[0]))
 
     def close(self) -> None:
-        """End its threads."""
+        """Stop the threads."""
         self._ended = True
         self._threads[0].join(5.0)
         self._near.close()
@@ -75,7 +78,7 @@
 
 
 class Fleet:
-    """Hosts and directory in this process, gateways in their own. Use as a context."""
+    """Hosts and directory in this process, gateways in processes of their own. A context manager."""
 
     def __init__(self, plan: FleetPlan, folder: pathlib.Path, hosts: list[LinesHost]) -> None:
         self.plan = plan
@@ -90,10 +93,9 @@
         self.gateways = [Gateway(number, folder, plan) for number in range(plan.gateways)]
         self.clients_by_gateway = [GatewayClients(gateway, self.tries) for gateway in self.gateways]
         self.start_s = 0.0
-        self.restart_lock = (
-            threading.Lock()
-        )  # steps that must not cross: SIGHUP before a gateway is ready ends it
-        self.failed_steps: list[str] = []  # steps that did not come off
+        # Serializes restarts and reloads: SIGHUP ends a gateway that has not started yet.
+        self.restart_lock = threading.Lock()
+        self.failed_steps: list[str] = []  # errors of steps that failed
         self.lag = ReadLag()
         self.max_descriptors = 0
         self.max_memory_mb = 0.0
@@ -116,7 +118,7 @@
             host.stop()
 
     def start(self, gateways: Iterable[Gateway]) -> None:
-        """Start them all at once, and return when they take calls."""
+        """Start gateways at the same time; return once all accept calls."""
         batch = list(gateways)
         for gateway in batch:
             gateway.write(self.directory.address, self.entries, self.directory.serial)
@@ -128,7 +130,7 @@
                 time.sleep(0.02)
 
     def publish_endpoints(self, entries: list[Entry]) -> None:
-        """A new list at the directory; gateways hear of it when they ask."""
+        """Publish a new endpoint list at the directory; gateways get it at their next poll."""
         self.entries = entries
         self.directory.put(*entries)
         now = time.monotonic()
@@ -140,7 +142,7 @@
             self.told.append(Told(now, name, "gone"))
 
     def kill(self, gateways: Iterable[Gateway]) -> None:
-        """Kill -9, all at once."""
+        """Kill gateways at the same time with SIGKILL."""
         batch = list(gateways)
         for gateway in batch:
             self.stopped.append(Stopped(gateway.number, time.monotonic(), True))
@@ -149,12 +151,12 @@
             gateway.wait()
 
     def terminate(self, gateway: Gateway) -> None:
-        """SIGTERM."""
+        """Send SIGTERM to a gateway."""
         self.stopped.append(Stopped(gateway.number, time.monotonic(), False))
         gateway.send_signal(signal.SIGTERM)
 
     def restart(self, gateways: Iterable[Gateway]) -> None:
-        """Start killed or ended gateways again."""
+        """Start gateways again that were killed or have ended."""
         batch = list(gateways)
         self.start(batch)
         now = time.monotonic()
@@ -164,7 +166,7 @@
                     stop.back_s = now
 
     def run(self, duration_s: float, steps: Iterable[tuple[float, Callable[[], None]]] = ()) -> None:
-        """Traffic for so long; each step runs at its time, on a thread of its own."""
+        """Send traffic for a duration, and run each step at its time on a thread of its own."""
         plan, rng = self.plan, random.Random(self.plan.seed)
         shares = [rng.random() ** (plan.uneven - 1) + 0.1 for _ in self.gateways]
         weights = plan.function_weights()
@@ -201,11 +203,11 @@
         time.sleep(max(0.0, self.start_s + at_s - time.monotonic()))
         try:
             step()
-        except Exception as error:  # noqa: BLE001 - the verdict names it
+        except Exception as error:  # noqa: BLE001 - the report names it
             self.failed_steps.append(f"step at {at_s:.1f} s: {error!r}")
 
     def sample_resources(self) -> None:
-        """Descriptors and memory of a few gateways."""
+        """Sample the open descriptors and the memory of some gateways."""
         for gateway in self.gateways[:: max(1, len(self.gateways) // 8)]:
             if gateway.process is not None:
                 self.max_descriptors = max(self.max_descriptors, gateway.descriptor_count())
@@ -213,11 +215,11 @@
 
     @staticmethod
     def function_id(index: int) -> str:
-        """A function's name on the platform."""
+        """Return the id of a function on the platform."""
         return f"{0x5AFF0000 + index:016x}"
 
     def counts(self, seen: Iterable[Seen], connects: Iterable[float]) -> FleetCounts:
-        """What hosts, directory and clients saw, by second."""
+        """Count by second what hosts, directory and clients observed."""
         counts = FleetCounts(descriptors=self.max_descriptors, memory_mb=self.max_memory_mb)
         for attempt in self.tries:
             counts.calls[int(attempt.sent_s - self.start_s)] += 1
--- a/saffronstack/harness/fleet/faults.py
+++ b/saffronstack/harness/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Days of many gateways: what goes wrong when."""
+"""Scenarios of a fleet with fault injection."""
 
 from __future__ import annotations
 
@@ -21,20 +21,19 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A day's steps, as shares of its time, and what must at least come of it."""
+    """A scenario: the steps of its run, and what the run must achieve."""
 
     description: str
     steps: Callable[[Fleet, float], list[Step]]
-    min_served_fraction: float  # part of the calls that were taken
-    max_connections_per_call: float = 1.0  # new connections to hosts
-    plan: dict[str, Any] = field(default_factory=dict)  # what differs from the usual sizes and figures
-    find_problems: Callable[[Fleet, list[Seen], float], list[str]] = (
-        lambda fleet, seen, duration_s: []
-    )  # what is wrong
+    min_served_fraction: float  # of the calls that gateways accepted
+    max_connections_per_call: float = 1.0  # connections that gateways open to hosts
+    plan: dict[str, Any] = field(default_factory=dict)  # overrides of `FleetPlan`
+    # Returns a text for each expectation that the run did not meet.
+    find_problems: Callable[[Fleet, list[Seen], float], list[str]] = lambda fleet, seen, duration_s: []
 
 
 def restart_hosts_cold(fleet: Fleet, indices: range) -> None:
-    """Hosts end and return cold at their addresses, under new names: nothing of theirs is left."""
+    """Restart hosts at the same addresses under new names, without any loaded instance."""
     entries = list(fleet.entries)
     for index in indices:
         host = fleet.hosts[index]
@@ -48,17 +47,17 @@
 
 
 def host_zone(index: int) -> str:
-    """Every other host stands in the other zone."""
+    """Return the zone of a host: hosts alternate between two zones."""
     return ("east", "west")[index % 2]
 
 
 def calm(fleet: Fleet, duration_s: float) -> list[Step]:
-    """Nothing goes wrong."""
+    """Inject no fault."""
     return []
 
 
 def herd(fleet: Fleet, duration_s: float) -> list[Step]:
-    """Seven in ten gateways are killed at once and start together, before hosts that returned cold."""
+    """Kill 70% of the gateways at once, restart a quarter of the hosts cold, and restart the killed gateways."""
     killed_gateways = fleet.gateways[: len(fleet.gateways) * 7 // 10]
 
     def kill() -> None:
@@ -70,7 +69,7 @@
 
 
 def roll(fleet: Fleet, duration_s: float) -> list[Step]:
-    """A tenth at a time ends by SIGTERM with calls arriving, while SIGHUP moves the directory."""
+    """Restart three tenths of the gateways in turn, by SIGTERM under load; move the directory by SIGHUP."""
 
     def move_directory() -> None:
         with fleet.restart_lock:
@@ -102,7 +101,7 @@
 
 
 def lists(fleet: Fleet, duration_s: float) -> list[Step]:
-    """A host drains, leaves and returns cold; the directory falls silent, then tells an older list."""
+    """Drain a host and restart it cold; the directory stops answering, then answers with an older list."""
 
     def drain() -> None:
         fleet.publish_endpoints([replace(entry, draining=n == 1) for n, entry in enumerate(fleet.entries)])
@@ -130,7 +129,7 @@
 
 
 def split(fleet: Fleet, duration_s: float) -> list[Step]:
-    """A group of hosts says nothing for a while, without a reset; then answers get lost, links break."""
+    """Stall a fifth of the hosts without a reset; then lose responses of the others and reset connections."""
     group = fleet.hosts[: max(1, len(fleet.hosts) // 5)]
     others = fleet.hosts[len(group) :]
 
@@ -160,7 +159,7 @@
 
 
 def sick(fleet: Fleet, duration_s: float) -> list[Step]:
-    """One host is slow and one fails fast, for most of the day."""
+    """Make one host slow and one host fail fast, for most of the run."""
 
     def start_faults() -> None:
         fleet.hosts[0].faults = Faults(slow=8.0)
@@ -170,13 +169,13 @@
 
 
 def impatient(fleet: Fleet, duration_s: float) -> list[Step]:
-    """Clients that leave after 70 ms, mostly before a copy is loaded, and come again at once."""
+    """Run clients that disconnect after 70 ms, mostly before an instance is loaded, and reconnect at once."""
     clients = ImpatientClients(fleet, clients=12, timeout_s=0.07, duration_s=0.6 * duration_s)
     return [(0.2 * duration_s, clients.run)]
 
 
 def unreachable(fleet: Fleet, duration_s: float) -> list[Step]:
-    """A fifth of the hosts is cut off so that connections never come up, and is back."""
+    """Make a fifth of the hosts unreachable, so that connects never complete; then reconnect them."""
     group = fleet.hosts[: max(1, len(fleet.hosts) // 5)]
 
     def cut() -> None:
--- a/saffronstack/harness/fleet/gateway.py
+++ b/saffronstack/harness/fleet/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process of a fleet over its lives."""
+"""One gateway of a fleet, which can be started again."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class Gateway:
-    """One gateway process; its address and configuration file stay over its lives."""
+    """One gateway process. Its address and configuration file stay the same over restarts."""
 
     def __init__(self, number: int, folder: pathlib.Path, plan: FleetPlan) -> None:
         self.number = number
         self.plan = plan
         self.path = folder / f"gateway-{number}.json"
         self.log = folder / f"gateway-{number}.log"
-        self._port_holder = hold_port("127.0.0.1")  # nobody else gets the port between two lives
+        self._port_holder = hold_port("127.0.0.1")  # reserves the port between two incarnations
         self.address = ("127.0.0.1", self._port_holder.getsockname()[1])
         self.process: subprocess.Popen[bytes] | None = None
         self.start_count = 0
 
     def write(self, nameserver: str, entries: Iterable[Entry], serial: int) -> None:
-        """The configuration file, changed as a whole."""
+        """Replace the configuration file atomically."""
         states = {True: "Terminating", False: "Ready"}
         endpoints = [
             {
@@ -54,7 +54,7 @@
         os.replace(partial, self.path)
 
     def start(self) -> None:
-        """Start it; ``ready`` tells when it takes calls."""
+        """Start the process; `is_ready` returns whether it accepts calls."""
         self.start_count += 1
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
@@ -63,18 +63,22 @@
             )  # fmt: skip
 
     def is_ready(self) -> bool:
-        """Whether this life takes calls; AssertionError where it ended instead."""
+        """Return whether this incarnation accepts calls.
+
+        Raises:
+            AssertionError: The process has ended.
+        """
         assert self.process is not None, self.log.read_text()
         assert self.process.poll() is None, self.log.read_text()
         return self.log.read_text().count("takes calls") >= self.start_count
 
     def send_signal(self, number: signal.Signals) -> None:
-        """A signal to its process."""
+        """Send a signal, unless the process has ended."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def wait(self, timeout_s: float = 20.0) -> int:
-        """Its exit status; it is killed where it does not end in time."""
+        """Wait for the process; return its exit status. A process that does not end in time is killed."""
         assert self.process is not None
         try:
             return self.process.wait(timeout_s)
@@ -84,14 +88,14 @@
             return -int(signal.SIGKILL)
 
     def descriptor_count(self) -> int:
-        """How many it holds; 0 where it is gone."""
+        """Return the number of open file descriptors; 0 if the process has ended."""
         assert self.process is not None
         with contextlib.suppress(OSError):
             return len(os.listdir(f"/proc/{self.process.pid}/fd"))
         return 0
 
     def memory_mb(self) -> float:
-        """Resident memory; 0 where it is gone."""
+        """Return the resident memory; 0 if the process has ended."""
         assert self.process is not None
         with contextlib.suppress(OSError):
             pages = int(pathlib.Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
--- a/saffronstack/harness/fleet/load_spread.py
+++ b/saffronstack/harness/fleet/load_spread.py
@@ -1,6 +1,6 @@
-"""How evenly a fleet loads its hosts, reckoned from what the hosts saw. No I/O.
+"""Measures how evenly a fleet loads its hosts, from the arrivals that the hosts recorded. No I/O.
 
-Times are in seconds on one clock; an arrival is a call that reached a host, with the work it brought.
+Times are in seconds on one clock. An arrival is a call that reached a host, with its amount of work.
 """
 
 from __future__ import annotations
@@ -13,15 +13,14 @@
 from dataclasses import dataclass
 from statistics import fmean, pstdev
 
-HERD_SHARE_MULTIPLE = (
-    4.0  # a host that gets more than this multiple of its share within one round trip is herded on
-)
-MIN_HERD_CALLS = 4  # and at least so many calls: two by chance are none
+# A herd is a burst of calls to one host within one round trip.
+HERD_SHARE_MULTIPLE = 4.0  # a herd exceeds this multiple of the host's fair share
+MIN_HERD_CALLS = 4  # of a herd; two calls can coincide by chance
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One call at one host."""
+    """One call that reached a host."""
 
     t: float
     host: str
@@ -30,19 +29,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What a host had to do at one moment."""
+    """The load of a host at one time."""
 
     t: float
     host: str
-    waiting: int  # calls that wait for a lane, a load or a core
-    working: int  # calls that run
+    waiting: int  # calls that wait for a concurrency slot, an instance load or a core
+    working: int  # calls that execute
     cores: int
     ready: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """One window's figures; 1 is a fair share."""
+    """How evenly the hosts were loaded in one time window; 1 is a host's fair share."""
 
     since_s: float
     calls: int
@@ -54,8 +53,10 @@
 def evenness(
     arrivals: Iterable[Arrival], shares: dict[str, float], since_s: float, until_s: float, span_s: float
 ) -> list[Evenness]:
-    """Work by host against its fair share, window by window. ``shares``: of the fleet's capacity, by host;
-    they add up to 1. Windows without a call are left out.
+    """Compare the work of each host with its fair share, for each time window of ``span_s``.
+
+    ``shares`` is the fraction of the fleet's capacity by host; the fractions add up to 1. Windows without a
+    call are left out.
     """
     if not math.isclose(sum(shares.values()), 1.0, rel_tol=1e-6):
         raise ValueError(f"the hosts' shares add up to {sum(shares.values()):g}, not 1")
@@ -83,8 +84,10 @@
 
 
 def herds(arrivals: Iterable[Arrival], shares: dict[str, float], round_trip_s: float) -> list[Arrival]:
-    """The first call of each herd: a host that gets more than `HERD` times its share of the fleet's calls
-    within one round trip, before any sender can have heard of the others.
+    """Return the first call of each herd, with the number of its calls as ``work_s``.
+
+    In a herd a host gets more than `HERD_SHARE_MULTIPLE` times its share of the fleet's calls within one
+    round trip, before any sender can know of the other senders' calls.
     """
     ordered = sorted(arrivals, key=lambda arrival: arrival.t)
     times = [arrival.t for arrival in ordered]
@@ -96,7 +99,7 @@
         counted_until_s = -math.inf
         for first, t in enumerate(times_at_host):
             if t < counted_until_s:
-                continue  # of a herd that is counted
+                continue  # part of a herd that is already counted
             host_calls = bisect_left(times_at_host, t + round_trip_s) - first
             fleet_calls = bisect_left(times, t + round_trip_s) - bisect_left(times, t)
             if host_calls >= MIN_HERD_CALLS and host_calls > HERD_SHARE_MULTIPLE * fleet_calls * shares.get(
@@ -109,15 +112,15 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleBesideQueue:
-    """Ready hosts with room that stood idle while another one's calls waited."""
+    """How long ready hosts were idle while calls were queued at another host."""
 
-    share: float  # of all samples of ready hosts
+    share: float  # fraction of all samples of ready hosts
     longest_s: float
-    host: str  # where that was
+    host: str  # the host of `longest_s`
 
 
 def idle_beside_queue(samples: Iterable[Sample]) -> IdleBesideQueue:
-    """From samples that all hosts made at the same moments."""
+    """Compute the idle time from samples that all hosts took at the same times."""
     moments: dict[float, list[Sample]] = defaultdict(list)
     for sample in samples:
         moments[sample.t].append(sample)
@@ -139,9 +142,11 @@
 
 
 def expected_max_load(balls: int, bins: int, choices: int, repetitions: int = 200, seed: int = 1) -> float:
-    """The fullest bin's mean load, as a multiple of the mean, where each ball goes to the emptiest of so many
-    bins drawn at random; played out. Checks a rig against what is known: with one choice the excess over the
-    mean grows with the square root of the balls, with two it does not (Mitzenmacher 2001).
+    """Simulate balls into bins; return the fullest bin's expected load as a multiple of the mean load.
+
+    Each ball goes to the emptiest of ``choices`` random bins. The result checks measurements against theory:
+    with one choice the excess over the mean grows with the square root of the number of balls, with two
+    choices it does not (Mitzenmacher 2001).
     """
     rng = random.Random(seed)
     total = 0.0
@@ -155,6 +160,6 @@
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
-    """The value under which that part lies; 0 of none."""
+    """Return the value below which that fraction of the values lies; 0 without values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, max(0, math.ceil(fraction * len(ordered)) - 1))] if ordered else 0.0
--- a/saffronstack/harness/fleet/plan.py
+++ b/saffronstack/harness/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Sizes and figures of a fleet that a scenario plays, and the settings they become."""
+"""Sizes and parameters of the fleet of a scenario, and the gateway settings that follow from them."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class FleetPlan:
-    """Sizes and figures; times in seconds, rates in calls a second over the fleet."""
+    """Sizes and parameters; times in seconds, rates in calls per second over the whole fleet."""
 
     gateways: int = 40
     hosts: int = 8
     rate: float = 160.0
     functions: int = 40
     sell_part: float = 0.2
-    memory_mb: float = 1000.0  # of a copy
+    memory_mb: float = 1000.0  # of an instance
     host_mb: float = 16000.0
     lanes: int = 2
     cores: int = 4
@@ -30,20 +30,20 @@
     cold_share: float = 0.4
     cold_s: float = 6.0
     keep_alive_s: float = 8.0
-    uneven: float = 3.0  # how often the busiest gateways' share holds the mean
+    uneven: float = 3.0  # load of the busiest gateways, as a multiple of the mean
     sockets: int = 256
     memory_limit_mb: int = 96
-    hot: int = 0  # so many functions take four in five of the calls
-    once: float = 0.0  # part of the calls for functions that are asked once and never again
-    sizes: tuple[int, ...] = (1,)  # of the hosts, in turn: weight, and cores as a multiple
+    hot: int = 0  # number of functions that get 80% of the calls; 0 for none
+    once: float = 0.0  # fraction of calls to functions that are called only once
+    sizes: tuple[int, ...] = (1,)  # of the hosts in turn: weight, and multiple of `cores`
     seed: int = 1
 
     def host_size(self, index: int) -> int:
-        """A host's."""
+        """Return the size of a host: its weight, and its multiple of `cores`."""
         return self.sizes[index % len(self.sizes)]
 
     def function_weights(self) -> list[float]:
-        """How often each function is called beside others."""
+        """Return the relative call rate of each function."""
         usual = [1.0 / (index + 2) for index in range(self.functions)]
         if not self.hot:
             return usual
@@ -51,7 +51,7 @@
         return [4 * rest / self.hot] * self.hot + usual[self.hot :]
 
     def settings(self, gateway: int) -> dict[str, Any]:
-        """What the platform hands a gateway."""
+        """Return the settings that the platform hands a gateway."""
         return {
             "Areas": ["east", "west"], "Kinds": ["std"], "Instances": self.gateways, "SelfIndex": gateway,
             "FamilyInfo": {
--- a/saffronstack/harness/fleet/scenario.py
+++ b/saffronstack/harness/fleet/scenario.py
@@ -1,4 +1,4 @@
-"""Plays a day of many gateways and judges it from the sockets."""
+"""Runs a scenario on a fleet of gateways, and checks it from what sockets observed."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
 from saffronstack.standin.model import Profile, Store
 from saffronstack.standin.platform import LinesHost
 
-# One machine plays gateways, hosts and clients at once; how late its threads read comes on top, measured.
+# Gateways, hosts and clients share one machine. The measured read lag of its threads is added to this slack.
 SLACK_S = 0.35
-WINDOW_S, WARM_UP_S = 5.0, 2.0  # over which evenness is judged, after copies stand
+WINDOW_S, WARM_UP_S = 5.0, 2.0  # window of the evenness check; time until instances are loaded
 SCENARIOS = FAULT_SCENARIOS | UNEVEN_LOAD_SCENARIOS
 
 
 @dataclass
 class FleetReport:
-    """What was found."""
+    """The result of a scenario run."""
 
     day: str
     calls: int = 0
     served: float = 0.0
     refused: float = 0.0
     failed: float = 0.0
-    broken: int = 0  # with a gateway that was killed
-    late: int = 0  # calls that got no answer in time though their gateway lived
+    broken: int = 0  # attempts whose connection broke, as when a gateway is killed
+    late: int = 0  # calls without a response in time though their gateway was running
     breaches: list[str] = field(default_factory=list)
     links_per_call: float = 0.0
-    asks_per_gateway: float = 0.0  # for the list, a second
-    busiest: float = 0.0  # most calls to one host in a second, as a multiple of its fair share
-    uneven: float = 0.0  # and over any 5 s, by its size
-    complaints: list[str] = field(default_factory=list)  # what the day asks for and did not find
+    asks_per_gateway: float = 0.0  # polls of the endpoint list per second
+    busiest: float = 0.0  # most calls to one host in one second, as a multiple of its fair share
+    uneven: float = 0.0  # the same over any 5 s, relative to the host's size
+    complaints: list[str] = field(default_factory=list)  # expectations of the scenario that were not met
     descriptors: int = 0
     memory_mb: float = 0.0
-    lag_s: float = 0.0  # how late threads of the rig read what had come, at most
+    lag_s: float = 0.0  # maximum delay with which a thread of the harness read received bytes
     p50_ms: float = 0.0
     p99_ms: float = 0.0
 
     def line(self) -> str:
-        """All of it, for a person."""
+        """Return the result as one readable line."""
         return (
             f"{self.day}: {self.calls} calls, served {self.served:.3f}, refused {self.refused:.3f}, "
             f"failed {self.failed:.3f}, broken {self.broken}, late {self.late}, "
@@ -70,7 +70,7 @@
     seconds: float,
     seed: int = 1,
 ) -> FleetReport:
-    """Play a day; the machine must bear the rate."""
+    """Run a scenario. The machine must sustain the rate."""
     sizes = {"gateways": gateways, "hosts": hosts, "rate": rate, "seed": seed}
     plan = FleetPlan(**{**sizes, **SCENARIOS[name].plan})
     seen: list[Seen] = []
@@ -110,7 +110,7 @@
     }
     capacity = plan.cores / plan.work_s
     figures = Figures(
-        drain_grace_s=2.0 + 1.5,  # a list counts as told 1.5 s after it changed
+        drain_grace_s=2.0 + 1.5,  # an endpoint list counts as published 1.5 s after its change
         tip_multiple=3.0, cold_share=plan.cold_share, cold_s=plan.cold_s, gateways=plan.gateways,
         capacity_rps={told.worker: capacity for told in fleet.told}, slack_s=SLACK_S + fleet.lag.max_s,
     )  # fmt: skip
--- a/saffronstack/harness/fleet/uneven_load.py
+++ b/saffronstack/harness/fleet/uneven_load.py
@@ -1,4 +1,4 @@
-"""Days on which many gateways that see little must load their hosts evenly all the same."""
+"""Scenarios in which many gateways with few calls each must still load their hosts evenly."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from saffronstack.standin.model import Faults
 from saffronstack.standin.platform import Entry
 
-STALE_LIST_S = 1.2  # a list counts as told 1.5 s after it changed
-FLOOD_RATE_MULTIPLE = 2.0  # calls of the flooding tenant, as a multiple of all others'
+STALE_LIST_S = 1.2  # an endpoint list counts as published 1.5 s after its change
+FLOOD_RATE_MULTIPLE = 2.0  # calls of the flooding tenant, as a multiple of the others' calls
 PAUSE_S = 0.6
-SETTLED_FRACTION = 0.5  # part of the day after which gateways have learnt of what began early
+SETTLED_FRACTION = 0.5  # of the run, after which gateways have reacted to early faults
 
 
 def _arrivals(fleet: Fleet, seen: Iterable[Seen], since_s: float) -> Counter[str]:
-    """Calls by host, from so many seconds after the beginning on."""
+    """Count calls by host, from ``since_s`` seconds after the start."""
     since_s += fleet.start_s
     return Counter(one.worker for one in seen if one.what == "arrive" and one.t - one.late >= since_s)
 
 
 def _served_fraction(tries: Iterable[Try]) -> float:
-    """The part of those that were answered or should have been."""
+    """Return the served fraction of the attempts that were or should have been answered."""
     outcomes = Counter(attempt.end for attempt in tries if attempt.end not in ("broken", "not_taken", "left"))
     return outcomes["served"] / max(1, outcomes.total())
 
@@ -36,7 +36,7 @@
 def _check_max_share(
     fleet: Fleet, seen: list[Seen], duration_s: float, host: int, multiple: float
 ) -> list[str]:
-    """A host that gets more than a multiple of its fair share once the day has settled."""
+    """Return a problem if a host got more than a multiple of its fair share in the settled part."""
     arrivals = _arrivals(fleet, seen, SETTLED_FRACTION * duration_s)
     name = fleet.hosts[host].name
     share = arrivals[name] / max(1, arrivals.total()) * len(fleet.hosts)
@@ -46,7 +46,7 @@
 def _check_min_share(
     fleet: Fleet, seen: list[Seen], duration_s: float, host: int, multiple: float
 ) -> list[str]:
-    """A host that gets less than a part of its fair share though it is well."""
+    """Return a problem if a healthy host got less than a multiple of its fair share in the settled part."""
     arrivals = _arrivals(fleet, seen, SETTLED_FRACTION * duration_s)
     name = fleet.hosts[host].name
     share = arrivals[name] / max(1, arrivals.total()) * len(fleet.hosts)
@@ -54,7 +54,7 @@
 
 
 def replaced(fleet: Fleet, duration_s: float) -> list[Step]:
-    """Six in ten hosts return cold under new names, within most of the day; the rest has to bear it."""
+    """Replace 60% of the hosts one by one with cold ones under new names; the others take their load."""
     count = max(1, round(0.6 * len(fleet.hosts)))
     indices = list(range(count))
     span = 0.6 * duration_s / count
@@ -66,7 +66,7 @@
 
 
 def liars(fleet: Fleet, duration_s: float) -> list[Step]:
-    """One host always says that it is idle, while it is slow; another that it is full, while it is well."""
+    """Make one slow host report that it is idle, and a healthy one that it is full."""
 
     def report_wrong_load() -> None:
         fleet.hosts[0].faults = Faults(told_busy=0.0, slow=3.0)
@@ -76,14 +76,14 @@
 
 
 def check_liars(fleet: Fleet, seen: list[Seen], duration_s: float) -> list[str]:
-    """The one must not draw the traffic, the other must not be left alone."""
+    """Check that the slow host does not attract the traffic and that the healthy one gets some."""
     return _check_max_share(fleet, seen, duration_s, 0, 2.0) + _check_min_share(
         fleet, seen, duration_s, 1, 0.05
     )
 
 
 def apart(fleet: Fleet, duration_s: float) -> list[Step]:
-    """Half of the gateways hear of each new list late: a host drains, leaves, and another one comes."""
+    """Publish lists that half of the gateways get late: a host drains, is removed, and comes back as new."""
 
     def change(entries: Callable[[], list[Entry]]) -> Callable[[], None]:
         def step() -> None:
@@ -117,7 +117,7 @@
 
 
 def flood(fleet: Fleet, duration_s: float) -> list[Step]:
-    """One tenant floods one gateway with more than all others send anywhere."""
+    """Make one tenant send more calls to one gateway than all others send to the fleet."""
 
     def run() -> None:
         rng = random.Random(fleet.plan.seed)
@@ -134,13 +134,13 @@
 
 
 def check_flood(fleet: Fleet, seen: list[Seen], duration_s: float) -> list[str]:
-    """Everybody else is served."""
+    """Check that the calls of the other tenants are served."""
     served = _served_fraction(attempt for attempt in fleet.tries if attempt.tenant == "acme")
     return [f"beside the flood {served:.3f} of the others' calls were served"] if served < 0.93 else []
 
 
 def paused(fleet: Fleet, duration_s: float) -> list[Step]:
-    """Gateways stop for longer than calls take, and go on: what piled up meanwhile comes at once."""
+    """Pause the gateways for longer than calls take; the calls that piled up then arrive at once."""
 
     def pause() -> None:
         for gateway in fleet.gateways:
@@ -153,7 +153,7 @@
 
 
 def check_sick(fleet: Fleet, seen: list[Seen], duration_s: float) -> list[str]:
-    """A host that fails fast looks idle, and must not draw traffic; a slow one gets less than its share."""
+    """Check that a fast-failing host, which seems idle, and a slow one get less than their share."""
     return _check_max_share(fleet, seen, duration_s, 1, 0.7) + _check_max_share(
         fleet, seen, duration_s, 0, 1.0
     )
--- a/saffronstack/harness/links.py
+++ b/saffronstack/harness/links.py
@@ -1,7 +1,8 @@
-"""Connections between processes that pass through the rig, a relay for each directed pair of them.
+"""Relays TCP connections between the processes of a test harness and injects faults into them.
 
-One thread carries all. A direction of a pair passes, is late, is held without a reset (what was sent waits in
-bounded memory, then in the sender's socket), or loses what is sent; a pair can be reset or refuse.
+A link is a relay from one process to another. One thread serves all links. Each direction of a link forwards
+bytes, delays them, holds them without a reset, or discards them. Held bytes stay in a bounded buffer, and
+after that in the sender's socket. The connections of a link can be reset, and a link can refuse new ones.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from saffronstack.runtime.threads import start_thread
 
 READ_BYTES = 64 * 1024
-MAX_BUFFERED_BYTES = 1 << 20  # bytes that a direction keeps before it stops reading
+MAX_BUFFERED_BYTES = 1 << 20  # of one direction; above it the relay stops reading from the sender
 MAX_SELECT_WAIT_S = 0.05
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class LinkMode(Enum):
-    """What happens to the bytes of one direction."""
+    """How a link treats the bytes of one direction: it forwards, holds or discards them."""
 
     PASS = "pass"
     HOLD = "hold"
@@ -36,11 +37,11 @@
 
 @dataclass(eq=False)
 class _ConnectionEnd:
-    """One end of a carried connection, and what waits to be written to it."""
+    """One of the two sockets of a relayed connection, and the bytes that wait to be written to it."""
 
     sock: socket.socket
     link: Link
-    is_forward: bool  # what this end sends goes forth, from the pair's first process to its second
+    is_forward: bool  # whether bytes from this socket go from the link's source to its destination
     peer: _ConnectionEnd | None = None
     outgoing: deque[tuple[float, bytes]] = field(default_factory=deque)
     buffered_bytes: int = 0
@@ -49,7 +50,7 @@
 
 @dataclass(eq=False)
 class Link:
-    """From one process to another; ``address`` is where the first reaches the second."""
+    """A link from one process to another. The source connects to ``address`` to reach the destination."""
 
     source: str
     destination: str
@@ -64,7 +65,7 @@
 
 
 class LinkRelay:
-    """All pairs of a rig. Its methods may be called from any thread."""
+    """Serves all links of a test harness. Its methods may be called from any thread."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
@@ -77,7 +78,7 @@
         self._thread = start_thread("wires", self._run)
 
     def add_link(self, source: str, destination: str, target: str) -> str:
-        """The address under which ``first`` reaches ``second`` at ``target``."""
+        """Add a link to ``target``; return the address at which ``source`` reaches ``destination``."""
         listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         listener.setblocking(False)
         host, port = listener.getsockname()[:2]
@@ -88,7 +89,7 @@
         return link.address
 
     def directions_between(self, one: set[str], others: set[str]) -> list[tuple[Link, bool]]:
-        """Each direction that leads from ``one`` to ``others``."""
+        """Return each direction of a link that leads from ``one`` to ``others``."""
         with self._lock:
             found = [
                 (link, True)
@@ -104,7 +105,7 @@
     def set_mode(
         self, directions: list[tuple[Link, bool]], mode: LinkMode = LinkMode.PASS, delay_s: float = 0.0
     ) -> None:
-        """From now on; what was held leaves once the direction passes again."""
+        """Set mode and delay from now on. Held bytes are sent once the direction forwards again."""
         with self._lock:
             for link, is_forward in directions:
                 link.modes[is_forward] = mode
@@ -114,13 +115,13 @@
                     self._flush(end.peer)
 
     def set_refusing(self, directions: list[tuple[Link, bool]], refuses_connections: bool) -> None:
-        """Whether new connections are closed at once."""
+        """Set whether the links of the directions reset each new connection at once."""
         with self._lock:
             for link, _ in directions:
                 link.refuses_connections = refuses_connections
 
     def reset_connections(self, directions: list[tuple[Link, bool]]) -> None:
-        """Reset what is open."""
+        """Reset all open connections of the links of the directions."""
         wanted = {link for link, _ in directions}
         with self._lock:
             for end in list(self._ends):
@@ -128,14 +129,17 @@
                     self._close(end, reset=True)
 
     def redirect(self, destination: str, target: str, excluded_sources: Collection[str] = ()) -> None:
-        """A process is at another address now, for all ``but`` some; what is open goes on to where it was."""
+        """Forward new connections to ``destination`` to another address, except those of excluded sources.
+
+        Open connections stay with the former address.
+        """
         with self._lock:
             for link in self.links.values():
                 if link.destination == destination and link.source not in excluded_sources:
                     link.target = target
 
     def remove_links_from(self, source: str) -> None:
-        """Forget the pairs of a process that is gone."""
+        """Remove the links from a process that has ended."""
         with self._lock:
             removed = {key: link for key, link in self.links.items() if link.source == source}
             for key, link in removed.items():
@@ -147,7 +151,7 @@
                     self._close(end)
 
     def close(self) -> None:
-        """End all."""
+        """Stop the thread, and close all connections and listeners."""
         with self._lock:
             self._is_closed = True
         self._thread.join(2.0)
@@ -158,7 +162,7 @@
                 link.listener.close()
             self._selector.close()
 
-    # ---- the one thread
+    # ---- on the relay thread
 
     def _run(self) -> None:
         while not self._is_closed:
@@ -194,7 +198,7 @@
             host, _, port = link.target.rpartition(":")
             destination_sock = socket.socket()
             try:
-                destination_sock.settimeout(0.5)  # loopback: it listens or it does not
+                destination_sock.settimeout(0.5)  # on loopback a listening socket accepts at once
                 destination_sock.connect((host, int(port)))
             except OSError:
                 destination_sock.close()
@@ -226,7 +230,7 @@
             return
         link.forwarded_bytes += len(data)
         due_s = time.monotonic() + link.delay_s[end.is_forward]
-        peer.outgoing.append((due_s, data))  # empty: the end, in its turn
+        peer.outgoing.append((due_s, data))  # empty data marks the end of the stream
         peer.buffered_bytes += len(data)
         if due_s > time.monotonic():
             self._sequence_number += 1
@@ -236,7 +240,7 @@
             self._watch(end)
 
     def _flush(self, end: _ConnectionEnd) -> None:
-        """Write what is due to this end."""
+        """Write the bytes that are due to this socket."""
         peer = end.peer
         if end not in self._ends or peer is None:
             return
@@ -248,7 +252,7 @@
             if not data:
                 end.outgoing.popleft()
                 end.is_write_closed = True
-                if peer.is_write_closed:  # both have been told that the other one says no more
+                if peer.is_write_closed:  # both sockets have been shut down for writing
                     self._close(end)
                     return
                 with contextlib.suppress(OSError):
--- a/saffronstack/harness/scenario/__init__.py
+++ b/saffronstack/harness/scenario/__init__.py
@@ -1,1 +1,1 @@
-"""One scripted day of gateway processes under faults: plan, director, clients, verdict."""
+"""Scenario runs of gateway processes under fault injection: plan, fault injector, clients and report."""
--- a/saffronstack/harness/scenario/clients.py
+++ b/saffronstack/harness/scenario/clients.py
@@ -1,4 +1,4 @@
-"""The day's clients: open-loop traffic whose every try is noted as its socket saw it."""
+"""Clients of a scenario run: open-loop traffic. Each attempt is recorded as its socket observed it."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
 
-CALL_TIMEOUT_S = 3.0  # the classes' deadline in the sample configuration
+CALL_TIMEOUT_S = 3.0  # the deadline of the request classes in the sample configuration
 MAX_BACKOFF_S = 4.0
 FINAL_OUTCOMES = ("served", "failed", "accepted", "error")
 OUTCOME_UNKNOWN = b"Saffronstack.OutcomeUnknown"
 
 
 class Clients:
-    """Threads that take operations from one queue, and send each again as an AWS SDK does: to the same
-    address, under the same name, after a pause that doubles, where it was refused, broken or not taken.
+    """Client threads that take operations from one queue and retry them as an AWS SDK does.
+
+    A client retries an operation that was rejected, broken or not accepted. It sends the retry to the same
+    address with the same idempotency key, after an exponential backoff.
     """
 
     def __init__(
@@ -39,8 +41,10 @@
         tenants: tuple[str, ...],
         prefix: str = "op",
     ) -> None:
-        """``rate``: calls a second at a time into the day; ``name_of``: what is called in place of one;
-        ``prefix``: of operations' names, another one for each time that the same workers are called.
+        """``rate`` returns the calls per second at a time of the run, in seconds since its start.
+
+        ``choose_function`` returns the function to call in place of another. ``prefix`` begins each
+        idempotency key; it must differ between runs on the same workers.
         """
         self._prefix = prefix
         self.tries: list[Try] = []
@@ -56,8 +60,9 @@
         self._threads = [start_thread("client", partial(self._run, n)) for n in range(mix.clients)]
 
     def generate_load(self, seconds: float, stop_event: threading.Event | None = None) -> None:
-        """Send for so long, or until it is over, at random moments; what no thread is free for is dropped and
-        counted.
+        """Send calls at random times for ``seconds`` or until ``stop_event`` is set.
+
+        A call that does not fit in the queue is dropped and counted.
         """
         functions, weights = zip(*self._mix.functions.items(), strict=True)
         start = time.monotonic()
@@ -79,7 +84,7 @@
                 self.dropped += 1
 
     def end(self, timeout_s: float) -> bool:
-        """Let every operation end; whether all did in time."""
+        """Wait for all operations; return whether all ended in time."""
         for _ in self._threads:
             self._queue.put(None)
         end_s = time.monotonic() + timeout_s
--- a/saffronstack/harness/scenario/director.py
+++ b/saffronstack/harness/scenario/director.py
@@ -1,4 +1,4 @@
-"""Brings a day's troubles about, in time, each on a thread of its own; notes what gateways were told."""
+"""Injects the faults of a scenario, each on its own thread, and records the published worker states."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import Faults
 
-LIST_DELAY_S = 1.0  # how late the list tells of workers that died by themselves
+LIST_DELAY_S = 1.0  # until the endpoint list shows that a worker has died
 SCAN_FUNCTION_COUNT = 400
 
 
 class FaultInjector:
-    """Owns the roster as it is told, the workers' faults and the gateways' lives."""
+    """Owns the endpoint list, the injected worker faults, and the stops and restarts of gateways."""
 
     def __init__(
         self,
@@ -32,14 +32,14 @@
         content: Callable[[GatewayProcess, list[dict[str, Any]]], dict[str, Any]],
         seed: int,
     ) -> None:
-        """``content`` makes a gateway's configuration of the list of workers."""
+        """``content`` returns a gateway's configuration for a list of workers."""
         self.told: list[Told] = []
         self.stopped: list[Stopped] = []
         self.problems: list[str] = []
         self.rate_factor = 1.0
         self.scan_share = 0.0
         self.rotation = 0
-        self.response_loss_probability = 0.0  # part of the gateways' answers that the relays lose
+        self.response_loss_probability = 0.0  # of a gateway's response, in the relay
         self.max_response_delay_s = 0.0
         self._plan = plan
         self._gateways = gateways
@@ -49,27 +49,27 @@
         self._lock = threading.RLock()
         self._roster: dict[int, dict[str, Any]] = dict(enumerate(host.workers))
         self._faults: dict[int, Faults] = {n: Faults() for n in self._roster}
-        self._reserved: set[int] = set()  # workers that some trouble has in hand
-        self._stopped_gateways: set[int] = set()  # gateways
+        self._reserved: set[int] = set()  # workers that a fault in progress affects
+        self._stopped_gateways: set[int] = set()  # numbers of gateways
         self._threads: list[threading.Thread] = []
 
     def begin(self, start_s: float) -> None:
-        """Set every trouble going; ``start_s`` is the day's start on the monotonic clock."""
+        """Start a thread for each fault; ``start_s`` is the start of the run on the monotonic clock."""
         for fault in self._plan.troubles:
             if fault.at_s >= self._plan.seconds:
-                continue  # of a day played short
+                continue  # the run was shortened
             self._threads.append(start_thread(fault.kind, lambda t=fault: self._inject(start_s, t)))  # type: ignore[misc]
 
     def end(self, timeout_s: float) -> None:
-        """Wait until all troubles are over."""
+        """Wait until all faults have ended."""
         end_s = time.monotonic() + timeout_s
         for thread in self._threads:
             thread.join(max(0.0, end_s - time.monotonic()))
             if thread.is_alive():
-                self.problems.append(f"trouble {thread.name} did not end")
+                self.problems.append(f"fault {thread.name} did not end")
 
     def choose_function(self, function: str) -> str:
-        """Which function a client calls in place of the usual one, under the troubles of the moment."""
+        """Return the function that a client calls in place of ``function`` under the current faults."""
         with self._lock:
             if self.scan_share and self._rng.random() < self.scan_share:
                 return f"scan-{self._rng.randrange(SCAN_FUNCTION_COUNT)}"
@@ -84,7 +84,7 @@
         except (ScenarioError, OSError) as error:
             self.problems.append(f"{fault.kind}: {error}")
 
-    # ---- choosing and telling
+    # ---- choosing workers and publishing the endpoint list
 
     def _reserve_workers(self, share: float) -> list[int]:
         with self._lock:
@@ -98,7 +98,7 @@
             self._reserved.difference_update(workers)
 
     def _publish_changes(self, changes: dict[int, dict[str, Any] | None]) -> None:
-        """Change the list at every gateway; None: the worker is gone from it."""
+        """Change the endpoint list of every gateway; None removes a worker."""
         with self._lock:
             for number, entry in changes.items():
                 if entry is None:
@@ -148,7 +148,7 @@
         self._publish_changes({n: {**self._host.workers[n], "started_at": now} for n in workers})
         self._release_workers(workers)
 
-    # ---- the troubles
+    # ---- the faults, each in a method named after its kind
 
     def _balancer_crash(self, fault: ScheduledFault) -> None:
         with self._lock:
@@ -180,7 +180,7 @@
         gateway.start()
         with self._lock:
             self._stopped_gateways.discard(gateway.number)
-            gateway.reload()  # the list may have changed while it read its file
+            gateway.reload()  # the endpoint list may have changed while the gateway read it
             for stop in self.stopped:
                 if stop.gateway == gateway.number and stop.back_s == float("inf"):
                     stop.back_s = time.monotonic()
@@ -235,7 +235,7 @@
         self.max_response_delay_s = 0.0
 
     def _deploy(self, fault: ScheduledFault) -> None:
-        """A rolling replacement: a tenth of the fleet at a time drains, ends, and comes back cold."""
+        """Replace workers in a rolling update: a tenth of all at a time drains, stops and returns cold."""
         workers = self._reserve_workers(fault.share)
         step = max(1, len(self._faults) // 10)
         groups = [workers[n : n + step] for n in range(0, len(workers), step)]
@@ -246,7 +246,7 @@
             self._restart_cold(group)
 
     def _mass_restart(self, fault: ScheduledFault) -> None:
-        """Workers die at once; the list tells late, and they come back cold."""
+        """Stop workers at once, without a notice; the list shows it late, and they return cold."""
         workers = self._reserve_workers(fault.share)
         self._host.send_command("stop", workers)
         time.sleep(LIST_DELAY_S)
@@ -255,7 +255,7 @@
         self._restart_cold(workers)
 
     def _preempt(self, fault: ScheduledFault) -> None:
-        """A short notice, then the end; they come back cold."""
+        """Stop workers one second after they are marked as draining; they return cold."""
         workers = self._reserve_workers(fault.share)
         self._publish_changes({n: {**self._roster[n], "state": "draining"} for n in workers})
         time.sleep(1.0)
--- a/saffronstack/harness/scenario/final_records.py
+++ b/saffronstack/harness/scenario/final_records.py
@@ -20,15 +20,15 @@
 ) -> dict[str, list[str]]:
     """Wait for the final records of all accepted calls.
 
-    Each is asked for again once all are there: one that changed would show as two.
+    Each record is read a second time at the end, so that a changed record shows as two conditions.
 
     Args:
-        tries: Of clients; those that were accepted count.
-        addresses: Of the gateways, by number.
-        timeout_s: How long to wait for the last.
+        tries: The attempts of clients; only accepted ones count.
+        addresses: Addresses of the gateways, by number.
+        timeout_s: Time limit for all records.
 
     Returns:
-        The distinct conditions of each call; none where it has no final record in time.
+        The distinct conditions of each call; none for a call without a final record in time.
     """
     clients = {number: Client(address, REQUEST_TIMEOUT_S) for number, address in addresses.items()}
     clients_by_request = {one.id: clients[one.gateway] for one in tries if one.end == "accepted"}
--- a/saffronstack/harness/scenario/plan.py
+++ b/saffronstack/harness/scenario/plan.py
@@ -1,4 +1,4 @@
-"""A day file: sites, traffic and troubles, by a schema."""
+"""The schema of a scenario file: gateways, workers, traffic and faults."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ScheduledFault(Struct, frozen=True, kw_only=True):
-    """One trouble: from ``at_s`` for ``for_s`` on a ``share`` of what it strikes, ``factor`` times as bad."""
+    """One fault: from ``at_s`` for ``for_s``, on a ``share`` of its targets, with a severity ``factor``."""
 
     kind: FaultKind
     at_s: NonNegative
@@ -40,7 +40,7 @@
 
 
 class Workers(Struct, frozen=True, kw_only=True):
-    """The stand-in workers."""
+    """The stub workers."""
 
     count: Count = 12
     memory_mb: Positive = 2048.0
@@ -52,7 +52,7 @@
 
 
 class Mix(Struct, frozen=True, kw_only=True):
-    """The traffic, in calls a second over all gateways."""
+    """The traffic; ``rate`` is in calls per second over all gateways."""
 
     rate: Positive = 100.0
     deferred_share: Share = 0.1
@@ -69,7 +69,7 @@
 
 
 class DayRules(Struct, frozen=True, kw_only=True):
-    """Figures of the rules for this day."""
+    """Parameters of the rules in this scenario."""
 
     drain_grace_s: NonNegative = 2.0
     cold_share: Share = 0.15
@@ -79,7 +79,7 @@
 
 
 class Plan(Struct, frozen=True, kw_only=True):
-    """The whole day."""
+    """A scenario."""
 
     name: str
     seconds: Positive = 60.0
@@ -87,10 +87,14 @@
     workers: Workers = Workers()
     traffic: Mix = Mix()
     rules: DayRules = DayRules()
-    membership: Literal["signal", "file"] = "signal"  # how gateways are told of workers
+    membership: Literal["signal", "file"] = "signal"  # how gateways learn of workers
     troubles: tuple[ScheduledFault, ...] = ()
 
 
 def load(path: str) -> Plan:
-    """The plan in a file; ConfigError names what is wrong and where."""
+    """Read a scenario file.
+
+    Raises:
+        ConfigError: The file does not fit the schema.
+    """
     return convert(read_text(path), Plan, path)
--- a/saffronstack/harness/scenario/processes.py
+++ b/saffronstack/harness/scenario/processes.py
@@ -1,4 +1,4 @@
-"""The day's processes: gateways that can be killed and come back, and the stand-ins' host."""
+"""The processes of a scenario run: gateways that can be restarted, and one process with all stub workers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class ScenarioError(Exception):
-    """The day itself could not be played: a process did not do its part."""
+    """The scenario could not be run because a process failed."""
 
 
 def _read_lines(stream: IO[bytes]) -> queue.SimpleQueue[bytes]:
-    """Lines of a process, read by a thread, so that waiting for one has a time-out."""
+    """Read lines of a process on a thread, so that a wait for one can have a timeout."""
     lines: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
     def read() -> None:
@@ -37,7 +37,7 @@
 
 
 class GatewayProcess:
-    """One gateway: its configuration file, ledger and port stay over its lives."""
+    """One gateway. Its configuration file, ledger and port stay the same over restarts."""
 
     def __init__(self, number: int, directory: pathlib.Path) -> None:
         self.number = number
@@ -54,23 +54,23 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def write(self, content: dict[str, Any]) -> None:
-        """Change the configuration file as a whole."""
+        """Replace the configuration file atomically."""
         partial = self.path.with_suffix(".tmp")
         partial.write_text(json.dumps(content, indent=1))
         os.replace(partial, self.path)
 
     def write_roster(self, workers: list[dict[str, Any]]) -> None:
-        """A new generation of its list of workers, as a whole."""
+        """Replace the endpoint list atomically, with the next generation number."""
         self._generation += 1
         partial = self.roster.with_suffix(".tmp")
         partial.write_text(json.dumps({"generation": self._generation, "workers": workers}, indent=1))
         os.replace(partial, self.roster)
 
     def start(self, program: str = "") -> None:
-        """Start it and wait until it takes calls; ``program``: code to run in place of the gateway's.
+        """Start the gateway and wait until it accepts calls; ``program`` is code to run in its place.
 
         Raises:
-            ScenarioError: It does not.
+            ScenarioError: The process did not start in time.
         """
         with open(self.log_path, "ab") as log_file:
             self.process = subprocess.Popen(
@@ -98,18 +98,18 @@
         self.address = line.strip().rpartition("http://")[2]
 
     def reload(self) -> None:
-        """Have it reread its configuration."""
+        """Make the gateway read its configuration again."""
         if self.process is not None:
             self.process.send_signal(signal.SIGHUP)
 
     def kill(self) -> None:
-        """Kill it outright."""
+        """Kill the process with SIGKILL."""
         assert self.process is not None
         self.process.kill()
         self.process.wait(RESPONSE_TIMEOUT_S)
 
     def terminate(self) -> int:
-        """SIGTERM and wait; its exit status."""
+        """Send SIGTERM, wait for the process, and return its exit status."""
         assert self.process is not None
         self.process.terminate()
         try:
@@ -120,7 +120,7 @@
 
 
 class StubWorkersProcess:
-    """The process with all stand-in workers."""
+    """The process that runs all stub workers."""
 
     def __init__(self, settings: dict[str, Any]) -> None:
         self._process = subprocess.Popen(
@@ -137,11 +137,11 @@
             self._process.stdin.flush()
             response: dict[str, Any] = json.loads(self._responses.get(timeout=RESPONSE_TIMEOUT_S) or b"{}")
         except (OSError, queue.Empty) as error:
-            raise ScenarioError("the stand-ins' process does not answer") from error
+            raise ScenarioError("the process of the stub workers does not answer") from error
         return response
 
     def send_command(self, command: str, workers: list[int], **parameters: Any) -> None:
-        """A command for some workers, by number."""
+        """Send a command for some workers, given by number."""
         self._request({"do": command, "workers": workers, **parameters})
 
     def end(self) -> None:
--- a/saffronstack/harness/scenario/relay.py
+++ b/saffronstack/harness/scenario/relay.py
@@ -1,6 +1,4 @@
-"""A relay between clients and a gateway that delays answers and loses them: the gateway has given them, and
-the client never sees them.
-"""
+"""A relay between clients and a gateway that delays or drops responses after the gateway has sent them."""
 
 from __future__ import annotations
 
@@ -14,7 +12,7 @@
 
 
 class Relay:
-    """Passes whole requests on, each over a connection of its own."""
+    """Forwards complete requests, each over a new connection."""
 
     def __init__(
         self,
@@ -24,9 +22,10 @@
         on_lost: Callable[[bytes], None] = lambda request: None,
         on_refused: Callable[[bytes], None] = lambda request: None,
     ) -> None:
-        """``target`` is asked for HOST:PORT at each request, ``lose`` and ``delay_s`` at each answer;
-        ``heard`` is given the request whose answer is lost, ``refused`` one that the gateway was not there to
-        take, before its client sees that.
+        """``target`` is called for HOST:PORT per request, ``should_lose`` and ``delay_s`` per response.
+
+        ``on_lost`` gets each request whose response is dropped. ``on_refused`` gets each request for which
+        the gateway refused the connection, before its client notices.
         """
         self._target = target
         self._should_lose = should_lose
@@ -42,7 +41,7 @@
         start_thread("relay", self._accept)
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         self._ended.set()
         self._listener.close()
 
@@ -107,7 +106,7 @@
 
 
 def lose_randomly(share: float, seed: int) -> Callable[[], bool]:
-    """Loses so large a part, by a seed."""
+    """Return a function that selects a random share of responses to lose, by a seed."""
     rng = random.Random(seed)
     lock = threading.Lock()
 
--- a/saffronstack/harness/scenario/report.py
+++ b/saffronstack/harness/scenario/report.py
@@ -1,4 +1,4 @@
-"""Prints what a scripted day came to."""
+"""Prints the report of a scenario run."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What is printed.
+    """The content of the report.
 
     Attributes:
-        title: Which day it was.
-        plan: Of the day.
-        traffic: All that was seen.
-        breaches: Of the rules.
-        problems: Of the day itself.
-        dropped: Calls that were not sent for want of clients.
-        memory_mb_s: Memory times time of loading and running, as metered.
+        title: Scenario, seed and membership.
+        plan: The scenario.
+        traffic: All observed attempts, executions and published states.
+        breaches: Breaches of the rules.
+        problems: Failures of the run itself.
+        dropped: Number of calls that were not sent because no client was free.
+        memory_mb_s: Metered usage of loading and running, in megabyte-seconds.
     """
 
     title: str
@@ -45,7 +45,7 @@
 
 
 def print_report(report: Report) -> None:
-    """Print figures, a line for each rule, breaches and problems."""
+    """Print statistics, a line for each rule, breaches and problems."""
     _print_sizes(report)
     _print_functions(report)
     conditions = Counter(one for found in report.traffic.finals.values() for one in found)
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -1,4 +1,4 @@
-"""`saffronstack day run`: plays a day, gathers what the sockets saw, prints the verdict."""
+"""`saffronstack day run`: runs a scenario, checks what sockets observed, and prints the report."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 from saffronstack.metering.usage_report import MB_S
 from saffronstack.standin.fleet import sample
 
-ANSWER_MARGIN_S = 0.3  # the machine runs gateways, workers and clients at once
+ANSWER_MARGIN_S = 0.3  # gateways, workers and clients share one machine
 TENANTS = ("corner-books", "campus-app")
 FAULTS_END_TIMEOUT_S = 60.0
 CLIENTS_END_TIMEOUT_S = 30.0
-FINAL_RECORDS_TIMEOUT_S = 40.0  # how long deferred calls may take to end after the last was sent
+FINAL_RECORDS_TIMEOUT_S = 40.0  # for deferred calls, after the last one was sent
 _OPERATION_HEADER = re.compile(rb"\r\namz-sdk-invocation-id: ([^\r]+)\r\n", re.I)
 _ATTEMPT_HEADER = re.compile(rb"\r\namz-sdk-request: attempt=(\d+);", re.I)
 
 
 def run(path: str, seed: int, seconds: float | None, keep: str | None, membership: str | None = None) -> int:
-    """Play the day in a file; 0 with all rules kept, 1 with one broken, 2 where it can't be played."""
+    """Run a scenario file; return 0 if all rules are kept, 1 if one is broken, 2 if the run fails."""
     try:
         plan = plans.load(path)
         if seconds is not None:
@@ -63,15 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _RunResult:
-    """What is left of a day that was played.
+    """The result of a scenario run.
 
     Attributes:
-        clients: They have ended.
-        director: It has ended.
+        clients: The clients, which have ended.
+        fault_injector: The fault injector, which has ended.
         finals: The conditions of deferred calls' final records.
-        lost: Tries whose answers were lost behind gateways: operation and attempt.
-        untaken: Tries that no gateway was there to take.
-        problems: Of the day itself.
+        lost: Attempts whose responses a relay dropped: idempotency key and attempt number.
+        untaken: Attempts for which no gateway accepted the connection.
+        problems: Failures of the run itself.
     """
 
     clients: Clients
@@ -92,7 +92,7 @@
         self.gateways = [GatewayProcess(n, directory) for n in range(plan.gateways)]
 
     def content(self, gateway: GatewayProcess, workers: list[dict[str, Any]]) -> dict[str, Any]:
-        """A gateway's configuration."""
+        """Return a gateway's configuration."""
         plan = self.plan
         content = sample(workers, gateway.address, str(gateway.ledger), plan.workers.memory_mb)
         content["functions"].append(
@@ -104,7 +104,7 @@
                 "path": str(gateway.roster),
                 "state_directory": str(gateway.roster_state),
                 "poll_s": 0.2,
-                "removed_share": 1.0,  # the day restarts as many as it likes
+                "removed_share": 1.0,  # a scenario may restart all workers
                 "flaps": 100,
             }
         for request_class in content["classes"]:
@@ -122,7 +122,7 @@
         }
 
     def run(self) -> int:
-        """Play it, print the report, and return the exit status."""
+        """Run the scenario, print the report, and return the exit status."""
         host = StubWorkersProcess(self._host_settings())
         try:
             result = self._run(host)
@@ -166,7 +166,7 @@
         )
 
     def _run(self, host: StubWorkersProcess) -> _RunResult:
-        """Play it from the first process to the end of the last gateway."""
+        """Run the scenario from the first process to the end of the last gateway."""
         plan = self.plan
         self._start_gateways(host)
         fault_injector = FaultInjector(plan, self.gateways, host, self.content, self.seed)
@@ -201,7 +201,7 @@
             gateway.start()
 
     def _end_gateways(self) -> list[str]:
-        """Ask all to end; return what went wrong."""
+        """Send SIGTERM to all gateways; return what went wrong."""
         statuses = {gateway.number: gateway.terminate() for gateway in self.gateways}
         return [
             f"gateway {number} ended with status {status} when asked to"
@@ -211,8 +211,10 @@
     def _relays(
         self, fault_injector: FaultInjector, lost: set[tuple[str, int]], untaken: set[tuple[str, int]]
     ) -> list[Relay]:
-        """What stands between clients and each gateway; ``lost`` gets the tries whose answers it loses,
-        ``untaken`` those that no gateway was there to take.
+        """Return a relay between the clients and each gateway.
+
+        The relays add to ``lost`` each attempt whose response they drop, and to ``untaken`` each attempt for
+        which the gateway refused the connection.
         """
         rng = random.Random(self.seed)
 
@@ -234,7 +236,7 @@
         ]
 
     def _check_usage(self) -> list[str]:
-        """What is wrong with the usage that the gateways metered, over all their lives."""
+        """Return the problems of the usage that the gateways metered over all their incarnations."""
         accounts = []
         problems = []
         for gateway in self.gateways:
@@ -246,7 +248,7 @@
         return problems + [f"usage out of balance: {line}" for line in merged.unbalanced()]
 
     def _observed_traffic(self, host: StubWorkersProcess, result: _RunResult) -> Traffic:
-        """All that was seen."""
+        """Return everything that was observed."""
         lines = self.log.read_bytes().splitlines()
         seen = [msgspec.json.decode(line, type=Seen) for line in lines]
         seen.sort(key=lambda entry: entry.t)
--- a/saffronstack/harness/scenario/slow_disk.py
+++ b/saffronstack/harness/scenario/slow_disk.py
@@ -1,9 +1,9 @@
-"""A gateway whose disk hangs or fails when a file says so.
+"""Runs a gateway whose disk hangs or fails, as a control file says.
 
     python -m saffronstack.harness.scenario.slow_disk FILE serve
 
-The file holds one word: ``hang`` (syncs wait until it says something else), ``fail`` (they fail), or nothing.
-Only the rig starts gateways so; the program knows no such switch.
+The file holds one word: ``hang`` (each fsync waits until the word changes), ``fail`` (each fsync fails), or
+nothing. Only test harnesses use this; the program itself has no such option.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def install(path: pathlib.Path) -> None:
-    """From now on all file operations of journals go by the file."""
+    """Make each fsync of a journal follow the control file from now on."""
     sync_file = FileOperations.sync
 
     def sync(self: FileOperations, descriptor: int) -> None:
@@ -40,7 +40,7 @@
 
 
 def main() -> None:
-    """See above."""
+    """Install the faulty fsync and run the program."""
     install(pathlib.Path(sys.argv[1]))
     del sys.argv[1]
     from saffronstack.cli.main import main as program
--- a/saffronstack/harness/soak/__init__.py
+++ b/saffronstack/harness/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded restarts of a real gateway process under clients that keep their connections."""
+"""Restarts a gateway process, by a seeded schedule, under clients that keep their connections open."""
--- a/saffronstack/harness/soak/clients.py
+++ b/saffronstack/harness/soak/clients.py
@@ -1,4 +1,4 @@
-"""All clients of a play, on one thread: they send on kept connections until the gateway ends or is killed."""
+"""All clients of a run, on one thread: they send on persistent connections until the gateway ends."""
 
 from __future__ import annotations
 
@@ -21,40 +21,47 @@
 POLL_INTERVAL_S = 0.005
 FINAL_READ_TIMEOUT_S = 5.0
 CONNECT_TIMEOUT_S = 2.0
-MAX_CONNECTS_PER_ITERATION = 8  # more would keep answers on connections that stand unread
+MAX_CONNECTS_PER_ITERATION = 8  # more would delay the reading of responses on open connections
 PIPELINE_DEPTH = 4
 OPEN_LOOP_INTERVAL_S = (0.02, 0.12)
 PAUSE_BETWEEN_PARTS_S = (0.005, 0.2)
-IDLE_RECONNECT_DELAY_S = (0.05, 0.3)  # until a client of the crowd whose connection has ended comes again
+IDLE_RECONNECT_DELAY_S = (0.05, 0.3)  # of an idle client whose connection has ended
 FUNCTIONS = 12
-TIMED_KINDS = (ClientKind.OPEN_LOOP, ClientKind.IN_PARTS)  # they write when a time has come
+TIMED_KINDS = (
+    ClientKind.OPEN_LOOP,
+    ClientKind.IN_PARTS,
+)  # kinds that write at certain times, not after a response
 RECEIVE_BYTES = 65536
 RESPONSE_LIMITS = RespLimits(body_bytes=1 << 20)
 TENANT = "acme"
 
 
 class ClientConnection:
-    """One kept connection, and what is open on it."""
+    """One persistent connection, and the requests that were sent on it."""
 
     def __init__(self, kind: ClientKind, sock: socket.socket, rng: random.Random, timeout_s: float) -> None:
         self.kind = kind
         self.sock = sock
         self.sent: list[SentRequest] = []
         self._by_tag: dict[int, SentRequest] = {}
-        self._in_flight: dict[int, SentRequest] = {}  # by tag
+        self._in_flight: dict[int, SentRequest] = {}  # by tag, without a response
         self._rng = rng
         self._timeout_s = timeout_s
         self._reader = RespReader(RESPONSE_LIMITS)
         self._tag = 0
         self._unsent_part: tuple[float, bytes, int, SentRequest] | None = (
-            None  # of a request in pieces, and when
+            None  # when it is due; the bytes left; tag; request
         )
-        self._next_send_s = 0.0  # of an open loop
+        self._next_send_s = 0.0  # of an open-loop client
         self._was_reset = False
-        self._has_received_fin = False  # and no reset before it
+        self._has_received_fin = False  # and no reset before the FIN
 
     def send_due(self, now: float) -> None:
-        """Write what is due; OSError where the connection has ended."""
+        """Send the requests that are due.
+
+        Raises:
+            OSError: The connection has ended.
+        """
         match self.kind:
             case ClientKind.OPEN_LOOP:
                 if now >= self._next_send_s and len(self._in_flight) < PIPELINE_DEPTH:
@@ -70,7 +77,7 @@
                 self._send_part(now)
 
     def receive(self) -> bool:
-        """Read what has come; False where the gateway has ended the connection."""
+        """Read received bytes; return False if the gateway has closed the connection."""
         try:
             received = self.sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
@@ -88,7 +95,7 @@
         return True
 
     def end(self, now: float) -> None:
-        """Note that the gateway has ended it; ``now``: read once that was seen."""
+        """Record that the gateway closed the connection; ``now`` is a time after the client noticed."""
         ended_s = read_tcp_times(self.sock).latest_end_s(now) if self._has_received_fin else now
         for request in self._in_flight.values():
             if not request.responses:
@@ -121,17 +128,17 @@
             self._unsent_part = (due_s, frame[cut:], tag, request)
 
     def _write(self, data: bytes) -> float:
-        """Write without a look at what has come; the earliest moment at which it can have been sent."""
+        """Write without reading responses first; return the earliest time at which the data can have left."""
         before_s = time.monotonic()
         try:
             self.sock.sendall(data)
         except ConnectionError:
-            self._was_reset = True  # the socket gives the error once, and then reads as after a FIN
+            self._was_reset = True  # the socket reports a reset once; later reads look as after a FIN
             raise
         return read_tcp_times(self.sock).earliest_send_s(before_s)
 
     def _create_request(self) -> tuple[int, SentRequest, bytes]:
-        """A new request, its tag and its frame."""
+        """Return the tag of a new request, the request and its encoded frame."""
         self._tag += 1
         request_id = f"{self._rng.getrandbits(64):016x}"
         is_unsafe = self._rng.random() < 0.3
@@ -153,7 +160,7 @@
 
 
 class SoakClients:
-    """Connects all clients and plays them until `stop`."""
+    """Connects all clients and lets them send until `stop`."""
 
     def __init__(
         self, address: tuple[str, int], kinds: tuple[ClientKind, ...], seed: int, timeout_s: float
@@ -162,25 +169,25 @@
         self._timeout_s = timeout_s
         self._rng = random.Random(seed)
         self._selector = selectors.DefaultSelector()
-        self.failed_connects = 0  # before the gateway was terminated
+        self.failed_connects = 0  # before SIGTERM
         self._sequence_numbers = itertools.count()
         self._pending_connects = [
             (0.0, next(self._sequence_numbers), kind) for kind in kinds
-        ]  # a heap: when they connect
-        self._connecting: dict[ClientConnection, float] = {}  # and when each is given up
+        ]  # heap of (time to connect, sequence number, kind)
+        self._connecting: dict[ClientConnection, float] = {}  # with the time at which the attempt expires
         self._connections: set[ClientConnection] = set()
-        self._timed: set[ClientConnection] = set()  # of the kinds that write when a time has come
+        self._timed: set[ClientConnection] = set()  # connections of `TIMED_KINDS`
         self._requests: list[list[SentRequest]] = []
         self._stopping = threading.Event()
         self._terminated = threading.Event()
         self._thread = start_thread("soak-clients", self._run)
 
     def stop_reconnecting(self) -> None:
-        """From now on a client whose connection ends does not connect again."""
+        """Stop clients from connecting: called right before SIGTERM."""
         self._terminated.set()
 
     def stop(self) -> list[SentRequest]:
-        """Once the gateway has gone, read what it wrote to the end; the requests that were written."""
+        """Read what the gateway wrote before it ended; return all requests that were sent in full."""
         self._stopping.set()
         self._thread.join()
         return [request for sent in self._requests for request in sent]
@@ -210,12 +217,12 @@
                 self._on_readable(connection)
 
     def _read_to_end(self) -> None:
-        """Read until each connection has ended: an answer may wait unread where this thread was late."""
+        """Read until each connection has ended: responses can be unread if this thread was delayed."""
         deadline_s = time.monotonic() + FINAL_READ_TIMEOUT_S
         while self._connections and time.monotonic() < deadline_s:
             self._poll_sockets()
 
-    # ---- connecting, without waiting
+    # ---- non-blocking connects
 
     def _is_connect_due(self, now: float) -> bool:
         return bool(self._pending_connects) and self._pending_connects[0][0] <= now
@@ -241,7 +248,7 @@
         self._connecting[connection] = time.monotonic() + CONNECT_TIMEOUT_S
         self._selector.register(sock, selectors.EVENT_WRITE, connection)
         self._continue_connecting(connection)
-        if connection in self._connecting:  # on loopback it stands by now
+        if connection in self._connecting:  # on loopback it is established by now
             self._continue_connecting(connection)
 
     def _continue_connecting(self, connection: ClientConnection) -> None:
@@ -269,12 +276,12 @@
         connection.sock.close()
         self.failed_connects += not self._terminated.is_set()
 
-    # ---- connections that stand
+    # ---- established connections
 
     def _send_due(self, connection: ClientConnection, now: float) -> None:
         if self._stopping.is_set():
             return
-        with contextlib.suppress(OSError):  # where it has ended, what came before the end is read first
+        with contextlib.suppress(OSError):  # responses received before the close are still read
             connection.send_due(now)
 
     def _on_readable(self, connection: ClientConnection) -> None:
--- a/saffronstack/harness/soak/defects.py
+++ b/saffronstack/harness/soak/defects.py
@@ -1,4 +1,4 @@
-"""Broken variants of the gateways that a judge must find: code that runs before the program."""
+"""Broken variants of the gateways that the checker must find: code that runs before the program."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
             return
 Frontend._add, Frontend._on_event = add_for_one_in_use, close_one_in_use
 """
-# Of `serve`, in the place of the process that follows a restart: it forgets which calls may have run.
+# Replaces `serve` after a restart: this variant forgets which calls may have executed, and sends them again.
 RUNS_AGAIN_AFTER_RESTART = """
 from saffronstack.deferred import deferred_calls
 from saffronstack.deferred.tracked_call import track_accepted
--- a/saffronstack/harness/soak/hosts.py
+++ b/saffronstack/harness/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of the platform's protocol for a play: they answer soon, slowly or never, and count calls."""
+"""Stub hosts of the platform protocol: they respond quickly, slowly or never, and count calls."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from saffronstack.runtime.threads import start_thread
 
 MAX_IDLE_WAIT_S = 0.5
-SLOW_DEADLINE_FRACTION = 0.6  # of the longest deadline
+SLOW_DEADLINE_FRACTION = 0.6  # a slow host responds after this fraction of the longest deadline
 
 
 class DelayedWrites:
     """One thread that writes to sockets at given times."""
 
     def __init__(self) -> None:
-        self._changed = threading.Condition()  # guards what is below
+        self._changed = threading.Condition()  # guards the fields below
         self._due: list[tuple[float, int, socket.socket, bytes]] = []
         self._sequence_numbers = count()
         self._is_closed = False
         start_thread("host-answers", self._run)
 
     def add(self, at_s: float, sock: socket.socket, data: bytes) -> None:
-        """Write at ``at_s`` (monotonic)."""
+        """Schedule a write at ``at_s`` (monotonic seconds)."""
         with self._changed:
             heapq.heappush(self._due, (at_s, next(self._sequence_numbers), sock, data))
             self._changed.notify()
 
     def close(self) -> None:
-        """Write nothing more."""
+        """Stop the thread; writes that are not due yet are dropped."""
         with self._changed:
             self._is_closed = True
             self._changed.notify()
@@ -45,7 +45,7 @@
     def _run(self) -> None:
         while (write := self._next()) is not None:
             sock, data = write
-            with contextlib.suppress(OSError):  # the gateway has gone
+            with contextlib.suppress(OSError):  # the gateway has closed the connection
                 sock.sendall(data)
 
     def _next(self) -> tuple[socket.socket, bytes] | None:
@@ -60,10 +60,10 @@
 
 
 class SoakHost:
-    """One host.
+    """One stub host.
 
-    ``calls`` counts by request id how often a call arrived, which is when it takes effect; ``answers_s`` is
-    when each was answered first (monotonic).
+    ``calls`` counts how often each request id arrived; a call takes effect when it arrives.
+    ``response_times_s`` holds when each request id was first answered, in monotonic seconds.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         start_thread("host", self._accept)
 
     def close(self) -> None:
-        """Accept no more connections; those that stand end with the gateway."""
+        """Accept no more connections. Open connections end with the gateway."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -120,7 +120,7 @@
         self._writes.add(time.monotonic() + delay_s, sock, msgspec.json.encode(answer) + b"\n")
 
     def _record_call(self, request_id: str) -> float:
-        """Count a call; how long it takes."""
+        """Count a call; return the delay of its response in seconds."""
         with self._lock:
             self.calls[request_id] += 1
             if self._behaviour is HostBehaviour.SLOW:
--- a/saffronstack/harness/soak/http_play.py
+++ b/saffronstack/harness/soak/http_play.py
@@ -1,4 +1,4 @@
-"""Plays one SIGTERM on a real `saffronstack serve` under clients in closed loops, and judges it."""
+"""Sends SIGTERM to a `saffronstack serve` process under closed-loop clients, and checks the run."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
 SHUTDOWN_TIMEOUT_S = 20.0
 JOIN_TIMEOUT_S = 10.0
 CHECK_SLACK_S = 0.5
-MANY_CLIENTS_SEED_STEP = 3  # one in so many seeds has many clients
+MANY_CLIENTS_SEED_STEP = 3  # each third seed uses MANY_CLIENTS
 CLIENTS, MANY_CLIENTS = 12, 40
 STATUS_OUTCOMES = {200: "served", 429: "refused"}
 
 
 @dataclass(frozen=True, slots=True)
 class HttpSchedule:
-    """One play, drawn from its seed; times in seconds.
+    """The parameters of one run, drawn from a seed.
 
     Attributes:
-        seed: It was drawn from.
-        processes: Of the gateway.
-        clients: Of which each keeps one connection, and connects again after `Connection: close`.
-        before_s: Of load before SIGTERM.
-        signals: Sent right after SIGTERM.
+        seed: The seed.
+        processes: Number of gateway processes.
+        clients: Number of clients. Each keeps one connection, and reconnects after `Connection: close`.
+        before_s: Seconds of load before SIGTERM.
+        signals: Signals that are sent right after SIGTERM.
     """
 
     seed: int
@@ -59,7 +59,7 @@
 
 
 def draw(seed: int, processes: int = 1) -> HttpSchedule:
-    """Draw the play of a seed; the same one each time."""
+    """Draw the schedule of a seed; the same seed always gives the same schedule."""
     rng = random.Random(seed)
     signals = tuple(rng.choice(("SIGHUP", "SIGTERM")) for _ in range(rng.randrange(3)))
     clients = MANY_CLIENTS if seed % MANY_CLIENTS_SEED_STEP == 0 else CLIENTS
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpReport:
-    """What a play came to: breaches, how tries ended, and how long the gateway took to end."""
+    """The result of a run: breached rules, outcomes of attempts, and seconds from SIGTERM to exit."""
 
     breaches: tuple[str, ...]
     outcomes: Counter[str]
@@ -76,7 +76,7 @@
 
 
 class _ClosedLoopClients:
-    """Clients of which each calls again once it is answered, until the gateway takes nothing more."""
+    """Clients that each send the next request once the last is answered, until the gateway is gone."""
 
     def __init__(self, address: str, count: int, seed: int) -> None:
         self.tries: list[Try] = []
@@ -88,7 +88,7 @@
         ]
 
     def stop_reconnecting(self) -> None:
-        """From now on a client that is not let in calls no more."""
+        """Stop each client at its next refused or broken connection."""
         self._terminated.set()
 
     def join(self) -> None:
@@ -115,7 +115,7 @@
             answer = client.invoke(attempt.function, payload)
         except ConnectionRefusedError:
             attempt.end = "not_taken"
-        except TimeoutError:  # no handshake, or no answer
+        except TimeoutError:  # of the connect or of the response
             attempt.end = "broken"
         except (OSError, HttpError):
             attempt.end = "broken"
@@ -127,7 +127,7 @@
 
 
 class HttpRun:
-    """One play; use it once."""
+    """One run; not reusable."""
 
     def __init__(self, schedule: HttpSchedule, folder: pathlib.Path) -> None:
         self._schedule = schedule
@@ -140,10 +140,10 @@
         )  # fmt: skip
 
     def run(self) -> HttpReport:
-        """Play it, and judge it.
+        """Execute the run and check it.
 
         Raises:
-            PlayError: The gateway did not start.
+            GatewayStartError: The gateway did not start.
         """
         try:
             return self._run_schedule()
--- a/saffronstack/harness/soak/judge.py
+++ b/saffronstack/harness/soak/judge.py
@@ -1,4 +1,4 @@
-"""Judges a play: one whole answer for each request, no effect twice. No I/O."""
+"""Checks a run: each request gets one complete response, and no unsafe call takes effect twice. No I/O."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from saffronstack.harness.soak.traffic import ObservedRun, SentRequest
 from saffronstack.platform.front import CLIENTS_THREAD
 
-KILL_MARGIN_S = 0.05  # a request that the gateway had less processor time for may be without an answer
-COUNTED_WAIT_SPAN_S = 0.2  # before the kill; an earlier wait for a processor excuses nothing
-RESPONSE_DUE_S = 0.1  # before the kill a call that is with a host is to be answered, if not before
-CROSSING_S = 0.05  # by the protocol's page: a request may cross the end of a connection with nothing open
-MAX_BUSY_CROSSINGS = 0  # in a play whose busy clients need no more connections than clients may use
-MAX_LATENESS_S = 0.5  # after its time a request counts as lost
+KILL_MARGIN_S = 0.05  # a request may stay unanswered if the gateway had less CPU time for it before the kill
+COUNTED_WAIT_SPAN_S = 0.2  # before the kill; an earlier wait for a CPU excuses no missing response
+RESPONSE_DUE_S = 0.1  # a call at a host must be answered at the latest this long before the kill
+CROSSING_S = 0.05  # the protocol lets a request that crosses the close of an idle connection go unanswered
+MAX_BUSY_CROSSINGS = 0  # in a run whose busy clients fit within the connection limit
+MAX_LATENESS_S = 0.5  # a response that is later than this after its deadline is a breach
 SERVED, REJECTED = "OK", "BUSY"
 
 
 @dataclass(frozen=True, slots=True)
 class CheckReport:
-    """What a play came to.
+    """The result of a check.
 
     Attributes:
-        breaches: What broke a rule, one line each.
-        answers: How many requests got which word.
-        within_margin: Requests without an answer that arrived right before the kill.
-        crossed: Requests without an answer that crossed the end of an idle connection.
-        busy_crossed: Those among them of clients that go on calling.
-        ended_after_s: When the gateway ended by itself, relative to SIGTERM; None where it was killed.
+        breaches: One line for each breach of a rule.
+        response_counts: Number of requests by the status word of their first response.
+        within_margin: Number of unanswered requests that are excused because the kill came so soon.
+        crossed: Number of unanswered requests that were sent as the gateway closed an idle connection.
+        busy_crossed: Number of those that busy clients sent, which send until the end of the run.
+        ended_after_s: Seconds from SIGTERM until the gateway exited; None if it was killed.
     """
 
     breaches: tuple[str, ...]
@@ -40,7 +40,7 @@
 
 
 def check_run(run: ObservedRun) -> CheckReport:
-    """Find every breach."""
+    """Return a report with every breach."""
     breaches: list[str] = []
     response_counts: Counter[str] = Counter()
     within_margin = crossed = busy_crossed = 0
@@ -68,7 +68,10 @@
 
 
 def _is_within_margin(request: SentRequest, run: ObservedRun, killed_s: float) -> bool:
-    """Whether the kill came before the gateway had time to answer; not where it had ended the connection."""
+    """Return whether the kill excuses a missing response.
+
+    It does if the gateway had too little CPU time to respond, unless it closed the connection before.
+    """
     ended_s = request.connection_ended_s
     if ended_s is not None and ended_s < killed_s - KILL_MARGIN_S:
         return False
@@ -76,10 +79,11 @@
 
 
 def _cpu_available_s(request: SentRequest, run: ObservedRun, killed_s: float) -> float:
-    """How long the gateway had a processor to answer a request before it was killed.
+    """Return for how many seconds before the kill the gateway had a CPU to answer a request.
 
-    One that no host has seen waits for the thread that reads. A call that a host has seen waits for several
-    threads in turn, from when the host answered, its time was over, or its answer fell due.
+    A request that reached no host waits for the thread that reads clients. A call that reached a host needs
+    several threads in turn. Its time counts from the host's response, its deadline or its latest response
+    time, whichever comes first.
     """
     if not run.calls[request.request_id]:
         return killed_s - request.sent_s - _reader_wait_s(request, run, killed_s)
@@ -94,7 +98,7 @@
 
 
 def _reader_wait_s(request: SentRequest, run: ObservedRun, killed_s: float) -> float:
-    """How long the thread that reads waited for a processor while a request was there."""
+    """Return for how many seconds the reader thread waited for a CPU after a request was sent."""
     reader = find_thread(run.samples, CLIENTS_THREAD)
     if reader is None:
         return 0.0
@@ -126,7 +130,10 @@
 
 
 def _has_crossed(request: SentRequest, run: ObservedRun) -> bool:
-    """Whether it crossed the end of an idle connection at a gateway that goes on: it is sent again there."""
+    """Return whether a request crossed the close of an idle connection while the gateway kept running.
+
+    A client can send such a request again.
+    """
     ended_s = request.connection_ended_s
     if ended_s is None or not request.on_idle_connection or ended_s - request.sent_s > CROSSING_S:
         return False
@@ -134,7 +141,10 @@
 
 
 def _was_sent_before_client_knew(request: SentRequest) -> bool:
-    """Whether its client can't have known of the end; one that writes later had not looked for so long."""
+    """Return whether the request was sent so soon that its client could not know of the close.
+
+    A client that writes later had not read from its connection for that long.
+    """
     ended_s = request.connection_ended_s
     return ended_s is not None and request.sent_s - ended_s <= CROSSING_S
 
--- a/saffronstack/harness/soak/kernel_times.py
+++ b/saffronstack/harness/soak/kernel_times.py
@@ -1,4 +1,4 @@
-"""When a TCP socket sent and received last, as the kernel counts it, however late its thread looks."""
+"""Reads from the kernel when a TCP socket last sent and received, however late its thread runs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TcpTimes:
-    """Monotonic seconds, each true within a tick.
+    """Monotonic seconds, each accurate to one kernel tick.
 
     Attributes:
         sent_s: When data was sent last.
@@ -26,16 +26,20 @@
     received_s: float
 
     def earliest_send_s(self, before_s: float) -> float:
-        """Return a bound of the last write from below; ``before_s``: read right before it."""
+        """Return a lower bound of the last write's time; ``before_s`` is the time right before the write."""
         return max(before_s, self.sent_s - KERNEL_TICK_S)
 
     def latest_end_s(self, seen_s: float) -> float:
-        """Return a bound of the peer's FIN from above; ``seen_s``: read once it was seen."""
+        """Return an upper bound of the time of the peer's FIN; ``seen_s`` is when it was read."""
         return min(seen_s, self.received_s + KERNEL_TICK_S)
 
 
 def read_tcp_times(sock: socket.socket, clock: Callable[[], float] = time.monotonic) -> TcpTimes:
-    """Read the times of a connection; a pause meanwhile widens the bounds. OSError where it is closed."""
+    """Read the times of a connection. A pause between the clock readings widens the bounds.
+
+    Raises:
+        OSError: The socket is closed.
+    """
     before_s = clock()
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
     after_s = clock()
--- a/saffronstack/harness/soak/platform_config.py
+++ b/saffronstack/harness/soak/platform_config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands a gateway, for a play."""
+"""The configuration file that the platform hands a gateway, with the settings of a soak run."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 def write_config(
     listen: str, nameserver: str, entries: Iterable[Entry], descriptor_limit: int, longest_deadline_s: float
 ) -> bytes:
-    """Return the file's content.
+    """Return the content of the configuration file.
 
     Args:
         listen: Where the gateway listens, HOST:PORT.
-        nameserver: Where the directory answers.
-        entries: The hosts of the start.
-        descriptor_limit: The limit of descriptors.
-        longest_deadline_s: The deadline of all classes.
+        nameserver: Address of the discovery directory.
+        entries: The hosts at the start.
+        descriptor_limit: The maximum of open file descriptors.
+        longest_deadline_s: The deadline of all request classes.
     """
     endpoints = [_endpoint(entry) for entry in entries]
     classes = [
--- a/saffronstack/harness/soak/platform_play.py
+++ b/saffronstack/harness/soak/platform_play.py
@@ -1,4 +1,4 @@
-"""Plays one schedule on a real process of the platform's gateway, among hosts and a directory on loopback."""
+"""Runs one schedule on a process of the platform gateway, with stub hosts and a directory on loopback."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 START_TIMEOUT_S = 30.0
 KILLED_TIMEOUT_S = 10.0
-DISCONNECT_WAIT_S = 0.1  # for clients to see the end of their connections
+DISCONNECT_WAIT_S = 0.1  # in which clients can notice that their connections have ended
 READY_TEXT = "takes calls"
 
 
 class GatewayStartError(Exception):
-    """The gateway of a play did not start."""
+    """The gateway of a run did not start."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """A verdict, and the gateway's log."""
+    """The checker's report of a run, and the gateway's log."""
 
     report: CheckReport
     log: str
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def _without_garbage_collection() -> Iterator[None]:
-    """Keep full collections of garbage from pausing the clients: they walk all objects of the process."""
+    """Disable garbage collection: a full collection visits all objects and would pause the clients."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -79,17 +79,21 @@
         self._reader = start_thread("gateway-log", self._read)
 
     def wait_until_ready(self) -> None:
-        """PlayError where it does not get there."""
+        """Wait until the gateway accepts calls.
+
+        Raises:
+            GatewayStartError: It ended or did not start in time.
+        """
         if not self._is_ready.wait(START_TIMEOUT_S) or self.process.poll() is not None:
             self.process.kill()
             raise GatewayStartError("".join(self.lines))
 
     def send_signal(self, name: str) -> None:
-        """Send a signal, unless it has ended."""
+        """Send a signal, unless the process has ended."""
         self.process.send_signal(signal.Signals[name])
 
     def stop(self) -> str:
-        """Kill it, if it has not ended; its log."""
+        """Kill the process if it still runs; return its log."""
         self.process.kill()
         self.process.wait(KILLED_TIMEOUT_S)
         self._reader.join(KILLED_TIMEOUT_S)
@@ -106,10 +110,10 @@
 
 
 class PlatformRun:
-    """One play; use it once."""
+    """One run; not reusable."""
 
     def __init__(self, schedule: Schedule, folder: pathlib.Path, program: str = "") -> None:
-        """``program``: code to run in place of the gateway, for broken variants."""
+        """``program`` is code to run in place of the gateway, for broken variants."""
         self._schedule = schedule
         self._folder = folder
         self._program = program
@@ -119,10 +123,10 @@
         self._directory = Directory(*self._entries)
 
     def run(self) -> RunResult:
-        """Play it, and judge it.
+        """Execute the run and check it.
 
         Raises:
-            PlayError: The gateway did not start.
+            GatewayStartError: The gateway did not start.
         """
         try:
             with _without_garbage_collection(), hold_port("127.0.0.1") as holder:
@@ -164,7 +168,10 @@
         return RunResult(replace(check_run(observed), ended_after_s=ended_after_s), log)
 
     def _shut_down(self, gateway: _Gateway) -> tuple[float, float | None]:
-        """Send the signals, and kill; when SIGTERM and the kill came, None where it had ended."""
+        """Send the signals and the kill; return the times of SIGTERM and of the kill.
+
+        The latter is None if the gateway exited before.
+        """
         schedule = self._schedule
         first_s = min([0.0, *(one.at_s for one in schedule.signals)])
         terminate_s = time.monotonic() - first_s
@@ -178,7 +185,7 @@
                 return terminate_s, None
             at_s = time.monotonic()
             if step.name == "SIGTERM" and step.at_s == 0.0:
-                terminate_s = at_s  # the kill counts from when it was sent
+                terminate_s = at_s  # the kill is timed from when SIGTERM was really sent
             gateway.send_signal(step.name)
         return terminate_s, at_s
 
@@ -191,7 +198,7 @@
         return True
 
     def _replace_host(self) -> None:
-        """The last host leaves the list, and a new one takes its place."""
+        """Mark the last host of the endpoint list as draining, and add a new host."""
         removed = self._entries[-1]
         replacement = self._make_host(HostBehaviour.QUICK, len(self._hosts))
         self._hosts.append(replacement)
--- a/saffronstack/harness/soak/restart_play.py
+++ b/saffronstack/harness/soak/restart_play.py
@@ -1,6 +1,6 @@
-"""Plays an end and a restart of a real `saffronstack serve` under deferred calls, and judges it.
+"""Ends or kills a `saffronstack serve` process under deferred calls, restarts it, and checks the run.
 
-The calls that are open at the end, or at the kill, are in the ledger; the next process finishes them.
+The calls that are open when the first process ends are in its ledger; the second process finishes them.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
     rate=60.0, deferred_share=0.7, tries=1, clients=32,
     functions={"identify-copy": 0.3, "adjust-setting": 0.2, "record-sale": 0.5},
 )  # fmt: skip
-WORK_S = 0.2  # so that calls are open at any moment
+WORK_S = 0.2  # long enough that some calls are open at any time
 LOAD_AFTER_RESTART_S = 0.5
-MIN_ACCEPTED = 10  # deferred calls before the end, so that some are open then
+MIN_ACCEPTED = 10  # deferred calls accepted before the end, so that some are open then
 MAX_LOAD_S = 60.0
 POLL_INTERVAL_S = 0.02
 CLIENTS_END_S = 20.0
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartSchedule:
-    """One play, drawn from its seed.
+    """The parameters of one run, drawn from a seed.
 
     Attributes:
-        seed: It was drawn from.
-        is_killed: Whether the first process is killed, or asked to end.
-        before_s: Of load before that, at least.
+        seed: The seed.
+        is_killed: Whether the first process is killed; otherwise it gets SIGTERM.
+        before_s: Minimum seconds of load before that.
     """
 
     seed: int
@@ -60,14 +60,14 @@
 
 
 def draw(seed: int) -> RestartSchedule:
-    """Draw the play of a seed; the same one each time."""
+    """Draw the schedule of a seed; the same seed always gives the same schedule."""
     rng = random.Random(seed)
     return RestartSchedule(seed, seed % 2 == 1, rng.uniform(0.8, 1.4))
 
 
 @dataclass(frozen=True, slots=True)
 class RestartReport:
-    """What a play came to: breaches, how tries ended, and the conditions of final records."""
+    """The result of a run: breached rules, outcomes of attempts, and the conditions of final records."""
 
     breaches: tuple[str, ...]
     outcomes: Counter[str]
@@ -75,10 +75,10 @@
 
 
 class RestartRun:
-    """One play; use it once."""
+    """One run; not reusable."""
 
     def __init__(self, schedule: RestartSchedule, folder: pathlib.Path, program: str = "") -> None:
-        """``program``: code to run in place of the second process, for a broken variant."""
+        """``program`` is code to run in place of the second process, for a broken variant."""
         self._schedule, self._program = schedule, program
         self._worker_log: list[Seen] = []
         profile = Profile(work_s=WORK_S, load_s=0.05, cores=16, queue=256)
@@ -90,7 +90,7 @@
         self._gateway = GatewayProcess(0, folder)
 
     def run(self) -> RestartReport:
-        """Play it, and judge it.
+        """Execute the run and check it.
 
         Raises:
             ScenarioError: A process did not start.
@@ -145,7 +145,7 @@
 
 
 def _wait_for_load(clients: Clients, before_s: float) -> None:
-    """Wait for a time, and for as many accepted calls as are wanted, which take longer on a busy machine."""
+    """Wait for ``before_s`` and for `MIN_ACCEPTED` accepted calls, which take longer on a busy machine."""
     started_s = time.monotonic()
     while time.monotonic() < started_s + MAX_LOAD_S:
         accepted = sum(one.end == "accepted" for one in list(clients.tries))
--- a/saffronstack/harness/soak/schedule.py
+++ b/saffronstack/harness/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens in one play, drawn from its seed. No I/O; all times in seconds."""
+"""Draws the schedule of one run from a seed. No I/O; all times in seconds."""
 
 from __future__ import annotations
 
@@ -7,40 +7,38 @@
 from enum import Enum
 
 LONGEST_DEADLINES_S = (0.3, 1.0, 3.0, 8.0)
-COUNTED_DEADLINE_MAX_S = 3.0  # by the protocol's page
-KILL_AFTER_S = 0.7  # the earliest kill: this long after SIGTERM and the counted deadline
+COUNTED_DEADLINE_MAX_S = 3.0  # the platform counts at most this much of the deadline before a kill
+KILL_AFTER_S = 0.7  # after SIGTERM plus the counted deadline; no earlier kill is allowed
 CLIENTS, MANY_CLIENTS = 16, 60
-MANY_CLIENTS_SEED_STEP = 3  # one in so many seeds has many clients
+MANY_CLIENTS_SEED_STEP = 3  # each third seed uses MANY_CLIENTS
 SOCKET_LIMITS = (256, 1024)
-CLIENT_DESCRIPTOR_DIVISOR = 3  # clients use at most one in so many of the gateway's descriptors
+CLIENT_DESCRIPTOR_DIVISOR = 3  # the connection limit is the descriptor limit divided by this
 IDLE_CLIENTS_PROBABILITY = 0.3
-CONNECTION_LIMIT_MULTIPLES = (
-    1.0,
-    1.5,
-)  # of what clients may use; the gateway holds fewer connections than the larger one
+# Client connections as multiples of the connection limit; the gateway can't keep all of the larger multiple.
+CONNECTION_LIMIT_MULTIPLES = (1.0, 1.5)
 
 
 class HostBehaviour(Enum):
-    """How a host treats calls."""
+    """How a host responds to calls."""
 
     QUICK = "quick"
-    SLOW = "slow"  # takes a large part of the deadline
-    HANGING = "hanging"  # reads calls and never answers
+    SLOW = "slow"  # responds after a large part of the deadline
+    HANGING = "hanging"  # reads calls and never responds
 
 
 class ClientKind(Enum):
     """How a client sends on its connection."""
 
-    CLOSED_LOOP = "closed loop"  # the next request once the last is answered
-    OPEN_LOOP = "open loop"  # at a rate of its own
-    PIPELINED = "pipelined"  # several requests in one write
-    IN_PARTS = "in pieces"  # each request in two writes with a pause between them
-    IDLE = "crowd"  # one request, and then the connection is kept; where it has ended, again after a while
+    CLOSED_LOOP = "closed loop"  # sends the next request once the last is answered
+    OPEN_LOOP = "open loop"  # sends at its own rate
+    PIPELINED = "pipelined"  # sends several requests in one write
+    IN_PARTS = "in pieces"  # sends each request in two writes with a pause between them
+    IDLE = "crowd"  # sends one request and keeps the connection; reconnects with a delay
 
 
 @dataclass(frozen=True, slots=True)
 class SignalAt:
-    """A signal to the gateway, at a time relative to SIGTERM."""
+    """A signal to the gateway; ``at_s`` is relative to SIGTERM."""
 
     name: str
     at_s: float
@@ -48,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """One play. It ends at the kill, or once the gateway has ended by itself.
+    """The schedule of one run. The run ends when the gateway exits, at the latest at the kill.
 
     Attributes:
-        seed: It was drawn from.
-        longest_deadline_s: Of the gateway's request classes.
+        seed: The seed.
+        longest_deadline_s: The deadline of the gateway's request classes.
         host_delay_s: The longest delay of a quick host.
-        hosts: One behaviour each.
-        clients: One kind each.
-        sockets: The gateway's limit of descriptors.
-        before_s: Of load before SIGTERM.
-        signals: Beside the one SIGTERM at 0.
-        discovery_moves_at_s: When a host is replaced, relative to SIGTERM; None for never.
+        hosts: The behaviour of each host.
+        clients: The kind of each client.
+        descriptor_limit: The gateway's maximum of open file descriptors.
+        before_s: Seconds of load before SIGTERM.
+        signals: Signals in addition to the SIGTERM at 0.
+        host_replaced_at_s: When a host is replaced, relative to SIGTERM; None for never.
     """
 
     seed: int
@@ -79,12 +77,12 @@
 
     @property
     def busy_clients_fit(self) -> bool:
-        """Whether the clients that go on calling need no more connections than clients may use."""
+        """Return whether the clients that send until the end fit within the connection limit."""
         busy_clients = sum(kind is not ClientKind.IDLE for kind in self.clients)
         return busy_clients <= self.descriptor_limit // CLIENT_DESCRIPTOR_DIVISOR
 
     def describe(self) -> str:
-        """Return a line for a person."""
+        """Return the schedule as one readable line."""
         kinds = {kind.value: self.clients.count(kind) for kind in ClientKind if kind in self.clients}
         signals = [f"{signal.name} {signal.at_s:+.2f}" for signal in self.signals]
         return (
@@ -96,7 +94,7 @@
 
 
 def draw(seed: int) -> Schedule:
-    """Draw the play of a seed; the same one each time."""
+    """Draw the schedule of a seed; the same seed always gives the same schedule."""
     rng = random.Random(seed)
     longest_s = LONGEST_DEADLINES_S[seed % len(LONGEST_DEADLINES_S)]
     descriptor_limit = rng.choice(SOCKET_LIMITS)
--- a/saffronstack/harness/soak/thread_sampler.py
+++ b/saffronstack/harness/soak/thread_sampler.py
@@ -1,8 +1,8 @@
-"""Samples the threads of a process until it has ended; a program of its own, so that no play delays it.
+"""Samples the threads of a process until it ends. A separate program, so that a busy harness can't delay it.
 
     python -m saffronstack.harness.soak.thread_sampler PID
 
-Prints the samples of the last `KEPT_S` as JSON once the process has ended, at the latest after `MAX_S`.
+Prints the samples of the last `RETENTION_S` seconds as JSON once the process ends, or after `MAX_S`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from saffronstack.harness.soak.thread_samples import ProcessSample, ThreadSample
 
 INTERVAL_S = 0.004
-RETENTION_S = 11.0  # before the end, for which a killed process is given 10 s
+RETENTION_S = 11.0  # longer than the 10 s that a killed process may take to end
 MAX_S = 60.0
 END_TIMEOUT_S = 10.0
 NANOSECONDS = 1e9
@@ -28,7 +28,7 @@
 
 
 def read_threads(pid: int) -> dict[int, ThreadSample]:
-    """Return the counters of each thread of a process, none where it has ended."""
+    """Return the counters of each thread of a process; none if it has ended."""
     threads: dict[int, ThreadSample] = {}
     with contextlib.suppress(OSError):
         for name in os.listdir(f"/proc/{pid}/task"):
@@ -64,7 +64,7 @@
     clock: Callable[[], float] = time.monotonic,
     pause: Callable[[float], object] = time.sleep,
 ) -> list[ProcessSample]:
-    """Sample until no thread is left; return the last samples."""
+    """Sample until no thread is left; return the samples of the last `RETENTION_S` seconds."""
     samples: deque[ProcessSample] = deque()
     until_s = clock() + MAX_S
     while (now := clock()) < until_s:
@@ -79,15 +79,15 @@
 
 
 class ThreadSampler:
-    """A sampler's process, as its creator sees it."""
+    """Runs the sampler in a child process."""
 
     def __init__(self, pid: int) -> None:
-        """Begin to sample."""
+        """Start to sample the process ``pid``."""
         command = [sys.executable, "-m", "saffronstack.harness.soak.thread_sampler", str(pid)]
         self._process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
     def samples(self) -> tuple[ProcessSample, ...]:
-        """Return the samples once the sampled process has ended; none where the sampler failed."""
+        """Return the samples once the sampled process has ended; none if the sampler failed."""
         try:
             printed, _ = self._process.communicate(timeout=END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
--- a/saffronstack/harness/soak/thread_samples.py
+++ b/saffronstack/harness/soak/thread_samples.py
@@ -1,7 +1,7 @@
-"""What a process's threads did between samples of the kernel's counters. No I/O; times in monotonic seconds.
+"""Computes how long threads waited for a CPU, from samples of the kernel's counters.
 
-The kernel adds a wait for a processor to its counter only once the wait is over. A thread that is ready to
-run in two samples, and neither ran nor was given a processor between them, waited all the time.
+No I/O; times in monotonic seconds. The kernel adds a wait to its counter only when the wait ends. A thread
+that is runnable in two samples, and neither ran nor was scheduled between them, waited the whole time.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ThreadSample:
-    """One thread's counters since it began.
+    """One thread's counters since its start.
 
     Attributes:
-        is_ready: Whether it runs, or waits for a processor.
-        ran_s: How long it ran.
-        waited_s: How long it waited for a processor, without a wait that is not over.
-        turns: How often it was given a processor.
-        name: In the system; a new thread has its creator's until it sets its own.
+        is_runnable: Whether it runs or waits for a CPU.
+        ran_s: CPU time.
+        waited_s: Time that it waited for a CPU, without a wait that still lasts.
+        times_scheduled: Number of times that it was scheduled on a CPU.
+        name: Its name in the kernel; a new thread has its creator's name until it sets its own.
     """
 
     is_runnable: bool
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSample:
-    """All threads of a process at one moment, by thread id."""
+    """The counters of all threads of a process at one time, by thread id."""
 
     at_s: float
     threads: Mapping[int, ThreadSample]
 
 
 def find_thread(samples: Sequence[ProcessSample], name: str) -> int | None:
-    """Return the thread that the system knows by a name, the first one seen; None where there is none."""
+    """Return the id of the first thread with a name; None if there is none."""
     for sample in samples:
         for thread, found in sample.threads.items():
             if found.name == name:
@@ -48,9 +48,9 @@
 
 
 def thread_wait_s(samples: Sequence[ProcessSample], thread: int, begin_s: float, end_s: float) -> float:
-    """Return how long a thread waited in a span for a processor that no thread of its process had.
+    """Return for how long a thread waited for a CPU in a span while no thread of its process ran.
 
-    As far as the samples show it.
+    The samples limit the accuracy: a wait outside their span does not count.
     """
     return sum(
         _external_wait_between_s(before, after, thread) * _overlap_fraction(before, after, begin_s, end_s)
@@ -59,9 +59,9 @@
 
 
 def process_wait_s(samples: Sequence[ProcessSample], begin_s: float, end_s: float) -> float:
-    """Return how long in a span some thread waited for a processor while no thread of the process ran.
+    """Return for how long in a span some thread waited for a CPU while no thread of the process ran.
 
-    A thread that never ran before counts for nothing: whoever waits for it to begin is at fault.
+    A thread that has never run does not count: the code that waits for its start is at fault.
     """
     return sum(
         _process_wait_between_s(before, after) * _overlap_fraction(before, after, begin_s, end_s)
@@ -70,7 +70,7 @@
 
 
 def _overlap_fraction(before: ProcessSample, after: ProcessSample, begin_s: float, end_s: float) -> float:
-    """Which part of the time between two samples lies within a span."""
+    """Return the fraction of the time between two samples that lies within a span."""
     within_s = min(after.at_s, end_s) - max(before.at_s, begin_s)
     return max(0.0, within_s) / (after.at_s - before.at_s) if after.at_s > before.at_s else 0.0
 
@@ -90,7 +90,7 @@
 
 
 def _external_wait_between_s(before: ProcessSample, after: ProcessSample, thread: int) -> float:
-    """How long a thread waited while no thread of its process ran."""
+    """Return for how long a thread waited while no thread of its process ran."""
     ran_s = sum(
         after.threads[other].ran_s - found.ran_s
         for other, found in before.threads.items()
--- a/saffronstack/harness/soak/traffic.py
+++ b/saffronstack/harness/soak/traffic.py
@@ -1,4 +1,4 @@
-"""What a play's clients saw, request by request. All times are monotonic seconds."""
+"""The requests and responses of a run as its clients observed them. All times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedResponse:
-    """One answer as it came."""
+    """One response as a client received it."""
 
     at_s: float
     word: str
@@ -20,19 +20,19 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request, written whole.
+    """One request that was sent in full.
 
     Attributes:
         request_id: 16 hexadecimal digits.
-        is_unsafe: Whether its class must not run twice.
-        body: As sent.
-        sent_s: The earliest moment at which its last byte can have been sent.
+        is_unsafe: Whether its request class must not execute twice.
+        body: The body as sent.
+        sent_s: The earliest time at which its last byte can have been sent.
         timeout_s: How long its client waits.
-        on_idle_connection: Whether its connection had no other request open.
-        answers: In the order in which they came.
-        connection_ended_s: The latest moment at which its connection can have ended before an answer; None
-            where it did not.
-        is_of_busy_client: Whether its client goes on calling.
+        on_idle_connection: Whether its connection had no other request in flight.
+        responses: The responses in the order of their arrival.
+        connection_ended_s: The latest time at which its connection can have ended without a response; None
+            if it did not.
+        is_from_busy_client: Whether its client sends requests until the end of the run.
     """
 
     request_id: str
@@ -48,18 +48,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedRun:
-    """One play as seen from clients and hosts.
+    """One run as its clients and hosts observed it.
 
     Attributes:
-        requests: All that were written whole.
+        requests: All requests that were sent in full.
         calls: How often each request id arrived at a host.
         terminated_s: When SIGTERM was sent.
-        killed_s: When the gateway was killed; None where it had ended by itself.
-        exit_status: Of a gateway that ended by itself.
-        failed_connects: How many clients were not let in before SIGTERM.
-        busy_clients_fit: Whether clients that go on calling need no more connections than clients may use.
-        host_answers_s: When a host first answered each request id; those that no host answered are not in it.
-        samples: What the gateway's threads did until the kill.
+        killed_s: When the gateway was killed; None if it exited before.
+        exit_status: The status of a gateway that exited; None if it was killed.
+        failed_connects: Number of connects that failed before SIGTERM.
+        busy_clients_fit: Whether the busy clients fit within the connection limit.
+        host_response_times_s: When a host first answered each request id; unanswered ones are missing.
+        samples: Counters of the gateway's threads until the kill.
     """
 
     requests: list[SentRequest]
--- a/tests/harness/fleet/test_fault_scenarios.py
+++ b/tests/harness/fleet/test_fault_scenarios.py
@@ -1,6 +1,6 @@
-"""Forty platform gateways in processes of their own, with faults injected: judged from the sockets.
+"""Scenarios with forty platform gateway processes under fault injection, checked from what sockets observed.
 
-`benchmarks/fleet.py` plays the same scenarios at full size.
+`benchmarks/fleet.py` runs the same scenarios at full size.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from saffronstack.harness.fleet.scenario import SCENARIOS, run_scenario
 
-SHORT_SCENARIOS = ("hot", "once", "sizes", "alone", "paused", "idle")  # on which little changes
+SHORT_SCENARIOS = ("hot", "once", "sizes", "alone", "paused", "idle")  # scenarios with few or no faults
 SHORT_S = 5.0
 LONG_S = 8.0
 MAX_DESCRIPTORS = 200  # of one gateway
 MAX_POLLS_PER_S = 6.0  # of one gateway, for the endpoint list
-# Two at a time: each has three of eight cores, and most of its processes wait.
+# Two scenarios run at a time: each has three of eight cores, and most of its processes wait.
 SCENARIO_PARAMETERS = [
     pytest.param(name, marks=pytest.mark.xdist_group(f"fleet-{number % 2}"))
     for number, name in enumerate(SCENARIOS)
--- a/tests/harness/test_soak.py
+++ b/tests/harness/test_soak.py
@@ -1,4 +1,4 @@
-"""Restarts of real gateways under clients that keep their connections; and the judge of those plays."""
+"""Restarts of gateway processes under clients with persistent connections; and the checker of those runs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 RESTART_SEEDS = range(1, 5)
 KILLED_SEED = 1
 IDLE_CLIENTS_SEED = 6
-IDLE_CLIENTS_DEFECTS = ("closes busy connections",)  # these show only where connections are closed for others
+IDLE_CLIENTS_DEFECTS = ("closes busy connections",)  # found only if the gateway evicts connections
 DEFECT_BREACHES = {
     "closes busy connections": "of busy clients crossed the end of an idle connection",
     "drops an answer": "no answer",
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_request_is_unanswered_until_the_kill(tmp_path: pathlib.Path, seed: int) -> None:
-    """A gateway used to end before the kill with its clients at work, and lost what crossed its close."""
+    """A gateway exited before the kill while clients were sending, and lost requests sent as it closed."""
     result = PlatformRun(draw(seed), tmp_path).run()
     assert result.report.breaches == (), f"{draw(seed).describe()}\n{result.log}"
     assert result.report.response_counts["OK"] > 0
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("processes", [1, 3])
 @pytest.mark.parametrize("seed", HTTP_SEEDS)
 def test_no_call_is_lost_as_the_http_gateway_stops(tmp_path: pathlib.Path, seed: int, processes: int) -> None:
-    """It used to go on accepting clients that connect again, for seconds, and reset the last of them."""
+    """The gateway accepted reconnecting clients for seconds after SIGTERM, and reset the last connections."""
     report = http_play.HttpRun(http_play.draw(seed, processes), tmp_path).run()
     assert report.breaches == ()
     assert report.outcomes["served"] > 0
@@ -101,7 +101,7 @@
     assert len(check_requests(request(KILLED_S - KILL_MARGIN_S * 2)).breaches) == 1
 
 
-READER, OTHER, NEVER_RAN = 1, 2, 3  # threads; the last one never ran
+READER, OTHER, NEVER_RAN = 1, 2, 3  # thread ids
 NAMES = {READER: CLIENTS_THREAD, OTHER: "decisions", NEVER_RAN: "worker-connect"}
 
 
@@ -111,13 +111,14 @@
     host_response_s: float | None = None,
     busiest: int = READER,
 ) -> CheckReport:
-    """Judge a request beside threads that wait for processors in spans before the kill, and sleep else.
+    """Check a request in a gateway whose threads sleep, except in spans in which they wait for a CPU.
 
-    ``host_s``: when before the kill a host that saw it answered; infinite for never. ``busiest``: the thread
-    that ran most.
+    A span is a thread, and seconds before the kill at which its wait begins and ends. ``host_response_s`` is
+    how long before the kill the host that received the call responded: None if no host received it, minus
+    infinity if the host did not respond. ``busiest`` is the thread with the most CPU time.
     """
     samples = []
-    for number in range(100, -1, -1):  # one each 5 ms
+    for number in range(100, -1, -1):  # a sample every 5 ms
         before_s = number * 0.005
         threads = {
             thread: ThreadSample(
@@ -151,22 +152,22 @@
     [
         (0.1, [(READER, 0.06, 0.0)], 0),
         (0.1, [(READER, 0.04, 0.0)], 1),
-        (0.1, [(READER, 0.3, 0.105)], 1),  # before the request came
-        (0.1, [(OTHER, 0.1, 0.0)], 1),  # the reader sleeps: it is held by the program
+        (0.1, [(READER, 0.3, 0.105)], 1),  # before the request arrived
+        (0.1, [(OTHER, 0.1, 0.0)], 1),  # the reader thread sleeps: the program blocks it
         (0.1, [(READER, 0.1, 0.07), (OTHER, 0.07, 0.0)], 1),
-        (0.3, [(READER, 0.3, 0.0)], 1),  # longer ago than what is counted
+        (0.3, [(READER, 0.3, 0.0)], 1),  # longer before the kill than the counted span
     ],
 )
 def test_an_unread_request_is_excused_only_while_the_reader_thread_waits_for_a_cpu(
     unanswered_s: float, waiting_s: list[tuple[int, float, float]], breaches: int, busiest: int
 ) -> None:
-    """The wait of whichever thread ran most used to: the reader's did not, and another one's did."""
+    """The wait of the busiest thread was counted in place of the reader thread's."""
     unread = request(KILLED_S - unanswered_s)
     assert len(check_with_samples(unread, *waiting_s, busiest=busiest).breaches) == breaches
 
 
 def test_no_cpu_wait_excuses_a_request_whose_connection_the_gateway_closed() -> None:
-    """A wait that lasted until the kill would excuse a gateway that ends connections before it."""
+    """A CPU wait until the kill would excuse a gateway that closes connections before the kill."""
     waiting_s = (READER, 0.2, 0.0)
     assert check_with_samples(request(KILLED_S - 0.2), waiting_s).breaches == ()
     assert len(check_with_samples(request(KILLED_S - 0.2, ended_s=KILLED_S - 0.07), waiting_s).breaches) == 1
@@ -175,18 +176,22 @@
 @pytest.mark.parametrize(
     ("host_response_s", "waiting_s", "breaches"),
     [
-        (-math.inf, [(OTHER, 0.1, 0.07), (READER, 0.07, 0.035)], 0),  # one thread after the other
+        (-math.inf, [(OTHER, 0.1, 0.07), (READER, 0.07, 0.035)], 0),  # two threads in turn
         (-math.inf, [(OTHER, 0.1, 0.07)], 1),
         (-math.inf, [], 1),
-        (-math.inf, [(NEVER_RAN, 0.5, 0.0)], 1),  # a thread is held by the start of another
-        (0.4, [(OTHER, 0.1, 0.0)], 1),  # answered long before, and dropped
-        (0.4, [(OTHER, 0.4, 0.0)], 1),  # longer ago than what is counted
+        (
+            -math.inf,
+            [(NEVER_RAN, 0.5, 0.0)],
+            1,
+        ),  # a thread that has not started is not starved: another thread blocks it
+        (0.4, [(OTHER, 0.1, 0.0)], 1),  # the host answered long before: the gateway dropped the response
+        (0.4, [(OTHER, 0.4, 0.0)], 1),  # longer before the kill than the counted span
     ],
 )
 def test_a_call_that_a_host_has_received_must_be_answered_before_the_kill(
     host_response_s: float, waiting_s: list[tuple[int, float, float]], breaches: int
 ) -> None:
-    """An answer that fell due where no thread had a processor counted from the arrival of its request."""
+    """A response that was due while no thread had a CPU was timed from the arrival of its request."""
     assert (
         len(
             check_with_samples(request(KILLED_S - 0.45), *waiting_s, host_response_s=host_response_s).breaches
@@ -196,7 +201,7 @@
 
 
 def test_no_cpu_wait_excuses_a_call_whose_deadline_passed_long_before() -> None:
-    """A gateway that loses a deadline passed beside any thread that waited right before the kill."""
+    """A gateway that missed a deadline passed if any thread waited for a CPU right before the kill."""
     assert (
         len(
             check_with_samples(request(KILLED_S - 3.0), (OTHER, 0.1, 0.0), host_response_s=-math.inf).breaches
@@ -215,7 +220,7 @@
 
 
 def test_no_request_of_a_busy_client_crosses_a_close_below_the_connection_limit() -> None:
-    """A gateway beside a crowd used to close the connections in use, and no play noticed."""
+    """A gateway with many idle clients evicted connections in use, and no run found it."""
     crossings = [request(101.0, ended_s=100.0 + 1.01), request(101.0, ended_s=101.0 - CROSSING_S / 2)]
     assert [len(check_requests(crossing).breaches) for crossing in crossings] == [1, 1]
     over_capacity = ObservedRun(crossings, Counter(), TERMINATED_S, KILLED_S, None, busy_clients_fit=False)
--- a/tests/harness/test_soak_clients.py
+++ b/tests/harness/test_soak_clients.py
@@ -1,4 +1,4 @@
-"""The clients of a soak: what they note of a request, and that none holds up the others."""
+"""The clients of a soak run: what they record of a request, and that no client delays the others."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """A client's connection, and the gateway's side of it."""
+    """A client's connection, and the gateway's socket of it."""
 
     client: ClientConnection
     gateway: socket.socket
 
     def wait_for(self, events: int) -> None:
-        """Until something has arrived at the client; a reset is POLLHUP."""
+        """Wait for events at the client's socket; a reset is POLLHUP."""
         poll = select.poll()
         poll.register(self.client.sock, events)
         end_s = time.monotonic() + TIMEOUT_S
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def pair() -> Iterator[Pair]:
-    """A client in an open loop that has sent one request."""
+    """Yield an open-loop client that has sent one request."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         sock = socket.create_connection(listener.getsockname())
         gateway, _ = listener.accept()
@@ -54,7 +54,7 @@
 
 
 def test_a_paused_client_does_not_delay_the_recorded_connection_end(pair: Pair) -> None:
-    """A full collection of garbage in the client's thread was judged as a gateway that closes 0.14 s late."""
+    """A garbage collection in the client's thread was reported as a gateway that closes 0.14 s late."""
     pair.gateway.recv(1024)
     pair.gateway.close()
     pair.wait_for(select.POLLIN)
@@ -67,7 +67,7 @@
 
 
 def test_a_reset_is_timed_when_the_client_reads_it(pair: Pair) -> None:
-    """The kernel notes no time of a reset alone: an earlier end would excuse a request."""
+    """The kernel records no time of a reset: an earlier time would excuse an unanswered request."""
     pair.gateway.close()  # with the request unread
     pair.wait_for(select.POLLHUP)
     seen_s = time.monotonic() + PAUSE_S
@@ -77,7 +77,7 @@
 
 
 def test_a_reset_that_a_write_reported_is_timed_when_the_client_reads_it(pair: Pair) -> None:
-    """The failed write takes the error from the socket, which then reads as after a FIN."""
+    """The failed write clears the socket's error, so that the next read looks as after a FIN."""
     pair.gateway.close()
     pair.wait_for(select.POLLHUP)
     with pytest.raises(ConnectionError):
@@ -99,7 +99,7 @@
 
 
 def test_a_client_that_cannot_connect_delays_no_other_client() -> None:
-    """One connect that waited used to stop all clients of the play for up to 2 s."""
+    """One blocked connect stopped all clients of a run for up to 2 s."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         listener.settimeout(TIMEOUT_S)
         kinds = (ClientKind.CLOSED_LOOP,) * 4  # more than the backlog holds
@@ -113,7 +113,7 @@
 
 
 def test_a_received_response_is_read_after_a_write_fails(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client whose write met a reset used to drop the answers that it had not read."""
+    """A client whose write failed with a reset dropped its unread responses."""
     write_failed = threading.Event()
     send_due, step = ClientConnection.send_due, SoakClients._poll_sockets
 
@@ -147,7 +147,7 @@
 def test_a_client_waiting_to_reconnect_does_not_connect_to_a_stopping_gateway(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client of the crowd came up to 0.3 s after SIGTERM, to a gateway that may have ended."""
+    """An idle client reconnected up to 0.3 s after SIGTERM, to a gateway that may have ended."""
     connect_again = SoakClients._connect_again
 
     def stop_reconnecting_meanwhile(clients: SoakClients, kind: ClientKind, now: float) -> None:
--- a/tests/harness/test_soak_thread_samples.py
+++ b/tests/harness/test_soak_thread_samples.py
@@ -1,4 +1,4 @@
-"""How long threads waited for processors, from samples of the kernel's counters."""
+"""The time that threads waited for a CPU, computed from samples of the kernel's counters."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     ids=["goes on", "is over", "ran", "slept"],
 )
 def test_an_unfinished_cpu_wait_is_counted(before: ThreadSample, after: ThreadSample, wait_s: float) -> None:
-    """The kernel's counter alone showed 0 s of a wait of 0.195 s that lasted until the kill."""
+    """The kernel's counter alone showed 0 s for a wait of 0.195 s that lasted until the kill."""
     samples = pair({1: before}, {1: after})
     assert thread_wait_s(samples, 1, 99.0, 101.0) == pytest.approx(wait_s)
     assert thread_wait_s(samples, 1, 100.05, 101.0) == pytest.approx(wait_s / 2)
@@ -51,7 +51,7 @@
 
 
 def test_a_wait_behind_a_thread_of_the_same_process_is_not_counted() -> None:
-    """A gateway whose other threads keep the one that reads from running was excused."""
+    """A gateway was excused although its own threads kept the reader thread from running."""
     behind = ThreadSample(True, 5.0, 0.0, 1), ThreadSample(True, 5.08, 0.0, 1)
     samples = pair({1: WAITING, 2: behind[0]}, {1: WAITING, 2: behind[1]})
     assert thread_wait_s(samples, 1, 99.0, 101.0) == pytest.approx(0.02)
@@ -67,7 +67,7 @@
 
 
 def test_a_thread_is_found_by_name_regardless_of_cpu_time() -> None:
-    """The busiest one was taken for the reader, which at times was the thread that decides."""
+    """The busiest thread was taken for the reader thread, but at times it was the decision thread."""
     decisions, busier = (
         ThreadSample(True, 9.0, 0.0, 1, "decisions"),
         ThreadSample(True, 9.9, 0.0, 2, "decisions"),
@@ -88,10 +88,10 @@
 
 
 def test_samples_from_before_the_kill_are_kept_when_the_process_takes_seconds_to_exit() -> None:
-    """One that others kept from a processor for 1.6 s after the kill left no sample of before it."""
+    """A gateway that got no CPU for 1.6 s after the kill had no sample left from before the kill."""
     killed_s = 101.0
     times_s = itertools.count(100.0, 0.1)
-    found = iter([{1: WAITING}] * 110 + [{}])  # it ends 10 s after the kill
+    found = iter([{1: WAITING}] * 110 + [{}])  # the process ends 10 s after the kill
     samples = sample_until_end(lambda: next(found), lambda: next(times_s), lambda _: None)
     assert samples[0].at_s <= killed_s - COUNTED_WAIT_SPAN_S
 
@@ -103,7 +103,7 @@
     try:
         assert thread.native_id is not None
         while (sample := read_threads(os.getpid())[thread.native_id]).name != "odd ) name (":
-            assert sample.ran_s < WAIT_S  # it has not named itself yet
+            assert sample.ran_s < WAIT_S  # the thread has not set its name yet
     finally:
         stop_event.set()
     exited = subprocess.Popen([sys.executable, "-c", ""])
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""The figures of an even load, on loads whose figures are known."""
+"""The measures of an even load, on loads with known results."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 def test_measured_evenness_of_a_random_load_matches_balls_into_bins() -> None:
-    """What the rig reckons from arrivals and what theory says of them: the same."""
+    """The evenness measured from arrivals equals the theoretical value."""
     chance = random.Random(4)
     hosts = {f"h{n}": 1 / 36 for n in range(36)}
     names = list(hosts)
--- a/tests/test_spread_run.py
+++ b/tests/test_spread_run.py
@@ -1,4 +1,4 @@
-"""The benchmark of even load, small: processes of gateways, hosts and clients, most gateways killed."""
+"""A small run of the load evenness benchmark, with most gateways killed."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
         assert 1.0 <= row["max_over_mean"] <= 4.0, row
         assert len(row["by_host"]) >= 1, row
         assert 1.0 < row["by_chance_two"] < row["by_chance_random"] < 2.0, row
-    # What the module is for: gateways that meet on copies load less than those that see load alone.
-    # There are more functions than fit everywhere: with 12 of them, soon warm at every host, this was chance.
+    # Gateways that choose the same hosts for a function load fewer instances than those that see only load.
+    # There are more functions than fit on each host: with 12 functions, all were soon warm on every host, and
+    # the result of the comparison was random.
     assert ours["warm"] > late["warm"] + 0.05
     assert ours["hosts_a_function"] <= late["hosts_a_function"]
