--- a/saffronstack/harness/fleet/cluster.py
+++ b/saffronstack/harness/fleet/cluster.py
@@ -219,7 +219,7 @@
         return f"{0x5AFF0000 + index:016x}"
 
     def counts(self, seen: Iterable[Seen], connects: Iterable[float]) -> FleetCounts:
-        """Count by second what hosts, directory and clients observed."""
+        """Return the counts of what hosts, directory and clients observed."""
         counts = FleetCounts(descriptors=self.max_descriptors, memory_mb=self.max_memory_mb)
         for attempt in self.tries:
             counts.calls[int(attempt.sent_s - self.start_s)] += 1
--- a/saffronstack/harness/fleet/faults.py
+++ b/saffronstack/harness/fleet/faults.py
@@ -57,7 +57,7 @@
 
 
 def herd(fleet: Fleet, duration_s: float) -> list[Step]:
-    """Kill 70% of the gateways at once, restart a quarter of the hosts cold, and restart the killed gateways."""
+    """Kill 70% of the gateways at once, restart a quarter of the hosts cold, then restart these gateways."""
     killed_gateways = fleet.gateways[: len(fleet.gateways) * 7 // 10]
 
     def kill() -> None:
--- a/saffronstack/harness/scenario/director.py
+++ b/saffronstack/harness/scenario/director.py
@@ -28,7 +28,7 @@
         self,
         plan: Plan,
         gateways: list[GatewayProcess],
-        host: StubWorkersProcess,
+        stubs: StubWorkersProcess,
         content: Callable[[GatewayProcess, list[dict[str, Any]]], dict[str, Any]],
         seed: int,
     ) -> None:
@@ -43,11 +43,11 @@
         self.max_response_delay_s = 0.0
         self._plan = plan
         self._gateways = gateways
-        self._host = host
+        self._stubs = stubs
         self._content = content
         self._rng = random.Random(seed)
         self._lock = threading.RLock()
-        self._roster: dict[int, dict[str, Any]] = dict(enumerate(host.workers))
+        self._roster: dict[int, dict[str, Any]] = dict(enumerate(stubs.workers))
         self._faults: dict[int, Faults] = {n: Faults() for n in self._roster}
         self._reserved: set[int] = set()  # workers that a fault in progress affects
         self._stopped_gateways: set[int] = set()  # numbers of gateways
@@ -107,7 +107,7 @@
                     self._roster[number] = entry
             now, wall = time.monotonic(), time.time()
             for number, entry in changes.items():
-                name = self._host.workers[number]["id"]
+                name = self._stubs.workers[number]["id"]
                 state = "gone" if entry is None else entry.get("state", "ready")
                 started = entry.get("started_at", 0.0) if entry else 0.0
                 self.told.append(Told(now, name, state, now - (wall - started) if started else 0.0))
@@ -128,7 +128,7 @@
         with self._lock:
             for number in workers:
                 self._faults[number] = replace(self._faults[number], **changes)
-                self._host.send_command("faults", [number], faults=msgspec.to_builtins(self._faults[number]))
+                self._stubs.send_command("faults", [number], faults=msgspec.to_builtins(self._faults[number]))
 
     def _apply_worker_faults(self, fault: ScheduledFault, **faults: Any) -> None:
         workers = self._reserve_workers(fault.share)
@@ -142,10 +142,10 @@
         with self._lock:
             for number in workers:
                 self._faults[number] = Faults()
-            self._host.send_command("faults", workers, faults=msgspec.to_builtins(Faults()))
-            self._host.send_command("start", workers)
+            self._stubs.send_command("faults", workers, faults=msgspec.to_builtins(Faults()))
+            self._stubs.send_command("start", workers)
         now = time.time()
-        self._publish_changes({n: {**self._host.workers[n], "started_at": now} for n in workers})
+        self._publish_changes({n: {**self._stubs.workers[n], "started_at": now} for n in workers})
         self._release_workers(workers)
 
     # ---- the faults, each in a method named after its kind
@@ -207,12 +207,12 @@
         self._apply_worker_faults(fault, handshake_s=0.1 * fault.factor)
 
     def _flush(self, fault: ScheduledFault) -> None:
-        self._host.send_command("flush", sorted(self._faults))
+        self._stubs.send_command("flush", sorted(self._faults))
 
     def _origin_slow(self, fault: ScheduledFault) -> None:
-        self._host.send_command("store", [], slow=fault.factor)
+        self._stubs.send_command("store", [], slow=fault.factor)
         time.sleep(fault.for_s)
-        self._host.send_command("store", [], slow=1.0)
+        self._stubs.send_command("store", [], slow=1.0)
 
     def _scan(self, fault: ScheduledFault) -> None:
         self.scan_share = fault.share
@@ -242,13 +242,13 @@
         for group in groups:
             self._publish_changes({n: {**self._roster[n], "state": "draining"} for n in group})
             time.sleep(max(fault.for_s / len(groups), self._plan.rules.drain_grace_s + 0.5))
-            self._host.send_command("stop", group)
+            self._stubs.send_command("stop", group)
             self._restart_cold(group)
 
     def _mass_restart(self, fault: ScheduledFault) -> None:
         """Stop workers at once, without a notice; the list shows it late, and they return cold."""
         workers = self._reserve_workers(fault.share)
-        self._host.send_command("stop", workers)
+        self._stubs.send_command("stop", workers)
         time.sleep(LIST_DELAY_S)
         self._publish_changes(dict.fromkeys(workers))
         time.sleep(max(0.0, fault.for_s - LIST_DELAY_S))
@@ -259,7 +259,7 @@
         workers = self._reserve_workers(fault.share)
         self._publish_changes({n: {**self._roster[n], "state": "draining"} for n in workers})
         time.sleep(1.0)
-        self._host.send_command("stop", workers)
+        self._stubs.send_command("stop", workers)
         self._publish_changes(dict.fromkeys(workers))
         time.sleep(max(0.0, fault.for_s - 1.0))
         self._restart_cold(workers)
--- a/saffronstack/harness/scenario/plan.py
+++ b/saffronstack/harness/scenario/plan.py
@@ -68,7 +68,7 @@
     clients: Count = 96
 
 
-class DayRules(Struct, frozen=True, kw_only=True):
+class RuleParameters(Struct, frozen=True, kw_only=True):
     """Parameters of the rules in this scenario."""
 
     drain_grace_s: NonNegative = 2.0
@@ -86,7 +86,7 @@
     gateways: Count = 3
     workers: Workers = Workers()
     traffic: Mix = Mix()
-    rules: DayRules = DayRules()
+    rules: RuleParameters = RuleParameters()
     membership: Literal["signal", "file"] = "signal"  # how gateways learn of workers
     troubles: tuple[ScheduledFault, ...] = ()
 
--- a/saffronstack/harness/scenario/report.py
+++ b/saffronstack/harness/scenario/report.py
@@ -54,8 +54,8 @@
     click.echo(f"usage: {report.memory_mb_s:.0f} MB s of loading and running metered")
     broken = Counter(breach.rule for breach in report.breaches)
     for number, name in enumerate(RULES, 1):
-        verdict = "kept" if not broken[number] else f"BROKEN {broken[number]} times"
-        click.echo(f"rule {number}, {name}: {verdict}")
+        result = "kept" if not broken[number] else f"BROKEN {broken[number]} times"
+        click.echo(f"rule {number}, {name}: {result}")
     for breach in report.breaches[:MAX_BREACHES_SHOWN]:
         click.echo(f"  rule {breach.rule}: {breach.text}")
     for problem in report.problems:
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -123,23 +123,23 @@
 
     def run(self) -> int:
         """Run the scenario, print the report, and return the exit status."""
-        host = StubWorkersProcess(self._host_settings())
+        stubs = StubWorkersProcess(self._stub_settings())
         try:
-            result = self._run(host)
+            result = self._run(stubs)
         finally:
             for gateway in self.gateways:
                 if gateway.process is not None and gateway.process.poll() is None:
                     gateway.kill()
-            host.end()
+            stubs.end()
         problems = result.problems + self._check_usage()
-        traffic = self._observed_traffic(host, result)
-        breaches = judge(traffic, self._figures(host))
+        traffic = self._observed_traffic(stubs, result)
+        breaches = judge(traffic, self._figures(stubs))
         title = f"{self.plan.name}, seed {self.seed}, membership by {self.plan.membership}"
         dropped = result.clients.dropped
         print_report(Report(title, self.plan, traffic, breaches, problems, dropped, self._memory_mb_s))
         return 1 if breaches or problems else 0
 
-    def _host_settings(self) -> dict[str, Any]:
+    def _stub_settings(self) -> dict[str, Any]:
         workers, rules = self.plan.workers, self.plan.rules
         profile = {
             "memory_mb": workers.memory_mb,
@@ -153,7 +153,7 @@
         }
         return {"count": workers.count, "log": str(self.log), "seed": self.seed, "profiles": [profile]}
 
-    def _figures(self, host: StubWorkersProcess) -> Figures:
+    def _figures(self, stubs: StubWorkersProcess) -> Figures:
         workers, rules = self.plan.workers, self.plan.rules
         return Figures(
             drain_grace_s=rules.drain_grace_s,
@@ -161,15 +161,15 @@
             tip_after_s=rules.tip_after_s,
             cold_share=rules.cold_share,
             cold_s=rules.cold_s,
-            capacity_rps={worker["id"]: workers.cores / workers.work_s for worker in host.workers},
+            capacity_rps={worker["id"]: workers.cores / workers.work_s for worker in stubs.workers},
             gateways=self.plan.gateways,
         )
 
-    def _run(self, host: StubWorkersProcess) -> _RunResult:
+    def _run(self, stubs: StubWorkersProcess) -> _RunResult:
         """Run the scenario from the first process to the end of the last gateway."""
         plan = self.plan
-        self._start_gateways(host)
-        fault_injector = FaultInjector(plan, self.gateways, host, self.content, self.seed)
+        self._start_gateways(stubs)
+        fault_injector = FaultInjector(plan, self.gateways, stubs, self.content, self.seed)
         lost: set[tuple[str, int]] = set()
         untaken: set[tuple[str, int]] = set()
         relays = self._relays(fault_injector, lost, untaken)
@@ -194,10 +194,10 @@
         problems += self._end_gateways()
         return _RunResult(clients, fault_injector, finals, lost, untaken, problems)
 
-    def _start_gateways(self, host: StubWorkersProcess) -> None:
+    def _start_gateways(self, stubs: StubWorkersProcess) -> None:
         for gateway in self.gateways:
-            gateway.write(self.content(gateway, host.workers))
-            gateway.write_roster(host.workers)
+            gateway.write(self.content(gateway, stubs.workers))
+            gateway.write_roster(stubs.workers)
             gateway.start()
 
     def _end_gateways(self) -> list[str]:
@@ -247,7 +247,7 @@
         self._memory_mb_s = sum(amount for _, amounts in merged.sums() for amount in amounts[:2]) / MB_S
         return problems + [f"usage out of balance: {line}" for line in merged.unbalanced()]
 
-    def _observed_traffic(self, host: StubWorkersProcess, result: _RunResult) -> Traffic:
+    def _observed_traffic(self, stubs: StubWorkersProcess, result: _RunResult) -> Traffic:
         """Return everything that was observed."""
         lines = self.log.read_bytes().splitlines()
         seen = [msgspec.json.decode(line, type=Seen) for line in lines]
@@ -259,7 +259,7 @@
             "record-sale": FunctionRule("unsafe", noted=True),
             "adjust-setting": FunctionRule("keyed", "all", 10.0, noted=True),
         }
-        zones = {w["id"]: (w["zone"], w["cell"]) for w in host.workers}
+        zones = {w["id"]: (w["zone"], w["cell"]) for w in stubs.workers}
         told, stopped = result.fault_injector.told, result.fault_injector.stopped
         traffic = Traffic(functions, zones, result.clients.tries, seen, told, stopped)
         traffic.finals.update(result.finals)
