--- a/saffronstack/fleet/control/control_endpoint.py
+++ b/saffronstack/fleet/control/control_endpoint.py
@@ -16,10 +16,10 @@
     DaemonStatus,
     GatewayCommand,
 )
-from saffronstack.fleet.http_server import problem
+from saffronstack.fleet.http_server import encode_error
 from saffronstack.http1.messages import RequestHead
 
-ANSWER_TIMEOUT_S = 2.0  # for the daemon's thread, which may wait for its disk
+RESPONSE_TIMEOUT_S = 2.0  # for the daemon's thread, which may wait for its disk
 
 
 @dataclass(eq=False, slots=True)
@@ -29,16 +29,16 @@
     request: ControlRequest
     status: int = 503
     body: bytes = b""
-    _answered: threading.Event = field(default_factory=threading.Event)
+    _has_response: threading.Event = field(default_factory=threading.Event)
 
-    def answer(self, status: int, body: bytes) -> None:
+    def respond(self, status: int, body: bytes) -> None:
         """Give the answer; the connection's thread goes on."""
         self.status, self.body = status, body
-        self._answered.set()
+        self._has_response.set()
 
     def wait(self, timeout_s: float) -> bool:
         """Wait for the answer; return whether there is one in time."""
-        return self._answered.wait(timeout_s)
+        return self._has_response.wait(timeout_s)
 
 
 class ControlEndpoint:
@@ -67,21 +67,23 @@
             return 200, msgspec.json.encode(self._status())
         if head.method == "POST" and head.target == CONTROL_PATH:
             return self._handle_control(body)
-        return 404, problem(f"POST {CONTROL_PATH} or GET {STATUS_PATH}")
+        return 404, encode_error(f"POST {CONTROL_PATH} or GET {STATUS_PATH}")
 
     def _handle_control(self, body: bytes) -> tuple[int, bytes]:
         try:
             request = msgspec.json.decode(body, type=ControlRequest)
         except msgspec.MsgspecError as error:
-            return 400, problem(str(error))
+            return 400, encode_error(str(error))
         if request.fleet != self._fleet:
-            return 403, problem(f"this daemon is of fleet {self._fleet!r}, not of {request.fleet!r}")
+            return 403, encode_error(f"this daemon is of fleet {self._fleet!r}, not of {request.fleet!r}")
         try:
             self._validate(request.commands)  # reads the release, here and not on the daemon's thread
         except ControlError as error:
-            return 400, problem(str(error))
+            return 400, encode_error(str(error))
         pending = PendingRequest(request)
         self._submit(pending)
-        if not pending.wait(ANSWER_TIMEOUT_S):
-            return 503, problem("the daemon waits for its disk; whether the commands take effect is unknown")
+        if not pending.wait(RESPONSE_TIMEOUT_S):
+            return 503, encode_error(
+                "the daemon waits for its disk; whether the commands take effect is unknown"
+            )
         return pending.status, pending.body
--- a/saffronstack/harness/scenario/runner.py
+++ b/saffronstack/harness/scenario/runner.py
@@ -244,8 +244,10 @@
             problems += [f"usage of gateway {gateway.number}: {line}" for line in lines if "cut" not in line]
             accounts.append(account)
         merged = merge_accounts(accounts)
-        self._memory_mb_s = sum(amount for _, amounts in merged.sums() for amount in amounts[:2]) / MB_S
-        return problems + [f"usage out of balance: {line}" for line in merged.unbalanced()]
+        self._memory_mb_s = (
+            sum(amount for _, amounts in merged.read_totals() for amount in amounts[:2]) / MB_S
+        )
+        return problems + [f"usage out of balance: {line}" for line in merged.find_imbalances()]
 
     def _observed_traffic(self, stubs: StubWorkersProcess, result: _RunResult) -> Traffic:
         """Return everything that was observed."""
--- a/saffronstack/metering/account_limits.py
+++ b/saffronstack/metering/account_limits.py
@@ -1,4 +1,4 @@
-"""How much of an account stays in memory."""
+"""Limits on the memory that an account uses."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountLimits:
-    """Numbers of items, about 100 MB together; what exceeds them moves to the archive.
+    """Maximum numbers of items in memory, about 100 MB together; the excess moves to the archive.
 
     Attributes:
-        totals: Totals by key.
-        parts: Parts of budget windows.
+        totals: Totals by key and hour.
+        window_buckets: Buckets of budget windows.
         unconfirmed: Unconfirmed records.
         incarnations: Incarnations with confirmed sequence numbers.
-        provisional: Provisional charges; the oldest beyond them become estimated charges.
-        estimates: Estimated charges, and calls of dead workers.
+        provisional: Provisional charges; the oldest beyond this number become estimated charges.
+        estimates: Estimated charges; also recorded amounts of calls of dead workers.
     """
 
     totals: int = 50_000
-    parts: int = 200_000
+    window_buckets: int = 200_000
     unconfirmed: int = 20_000
     incarnations: int = 10_000
     provisional: int = 50_000
