--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -28,9 +28,9 @@
 from saffronstack.fleet.leases.client import LeaseClient
 from saffronstack.harness.leases.model_checker import Exploration, explore
 from saffronstack.harness.leases.model_state import NO_FAULTS, FaultBudget
-from saffronstack.harness.leases.processes import RigOptions
-from saffronstack.harness.leases.rig import LeaseRig, Report
-from saffronstack.harness.leases.schedule import Fault, schedule, shrink
+from saffronstack.harness.leases.processes import HarnessOptions
+from saffronstack.harness.leases.rig import LeaseHarness, Report
+from saffronstack.harness.leases.schedule import Fault, draw_schedule, shrink_schedule
 from saffronstack.harness.leases.simulation import Simulation
 from saffronstack.standin.worker import hold_port
 
@@ -86,7 +86,7 @@
                 f"{took_s:.0f} s: {found.breach or 'no breach'}",
                 flush=True,
             )
-            for line in found.trail:
+            for line in found.path:
                 print("  ", line)
             bad += bool(found.breach)
     return 1 if bad else 0
@@ -94,7 +94,7 @@
 
 def show(report: Report) -> None:
     """One run, in figures."""
-    told = report.judgement
+    told = report.check_result
     print(
         f"{report.seconds:.0f} s, {sum(n for kind, n in report.faults.items() if ':' not in kind)} faults; "
         f"{told.acquired} leases acquired, {told.acts} acts, {told.rejected} rejected for older tokens, "
@@ -110,31 +110,31 @@
 def run(seed: int, faults: list[Fault], seconds: float, broken: str, keepers: int, candidates: int) -> Report:
     """One run in a directory of its own."""
     with tempfile.TemporaryDirectory() as directory:
-        rig = LeaseRig(pathlib.Path(directory), RigOptions(seed, keepers, candidates, broken=broken))
+        rig = LeaseHarness(pathlib.Path(directory), HarnessOptions(seed, keepers, candidates, broken=broken))
         try:
-            return rig.play(faults, seconds, until_breach=bool(broken))
+            return rig.run(faults, seconds, until_breach=bool(broken))
         finally:
             rig.close()
 
 
 def processes(options: argparse.Namespace) -> int:
     """Real processes under a schedule."""
-    faults = schedule(options.seed, options.seconds, options.keepers, options.candidates)
+    faults = draw_schedule(options.seed, options.seconds, options.keepers, options.candidates)
     if options.schedule and pathlib.Path(options.schedule).exists():
         faults = msgspec.json.decode(pathlib.Path(options.schedule).read_bytes(), type=list[Fault])
     elif options.schedule:
         pathlib.Path(options.schedule).write_bytes(msgspec.json.encode(faults))
     report = run(options.seed, faults, options.seconds, options.broken, options.keepers, options.candidates)
     show(report)
-    found = bool(report.judgement.breaches)
+    found = bool(report.check_result.breaches)
     if found and options.shrink:
 
         def fails(fewer: list[Fault]) -> bool:
             seconds = max(fault.at_s + fault.length_s for fault in fewer) + 3.0
             again = run(options.seed, fewer, seconds, options.broken, options.keepers, options.candidates)
-            return bool(again.judgement.breaches)
+            return bool(again.check_result.breaches)
 
-        for fault in shrink(faults, fails, 20):
+        for fault in shrink_schedule(faults, fails, 20):
             print("  ", fault)
     return int(found != bool(options.broken))
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -34,9 +34,9 @@
 from saffronstack.harness.links import Mode
 from saffronstack.harness.rollout.defects import Defect
 from saffronstack.harness.rollout.exploration import explore
-from saffronstack.harness.rollout.process_rig import RolloutRig
+from saffronstack.harness.rollout.process_rig import RolloutHarness
 from saffronstack.harness.rollout.random_walk import walk_randomly
-from saffronstack.harness.rollout.rig_layout import RigSizes
+from saffronstack.harness.rollout.rig_layout import HarnessSizes
 from saffronstack.harness.rollout.rollout_run import RolloutRun, RunOptions
 from saffronstack.harness.rollout.sample_releases import FAULTS
 from saffronstack.harness.rollout.simulated_world import InvariantError, WorldSize
@@ -47,15 +47,15 @@
 BAKE_S = 10.0
 
 
-def sizes(asked: argparse.Namespace) -> RigSizes:
+def sizes(asked: argparse.Namespace) -> HarnessSizes:
     """Return the sizes of the rig that the arguments ask for."""
-    return RigSizes(
+    return HarnessSizes(
         gateways=asked.gateways, daemons=asked.daemons, workers=asked.workers, rate=asked.rate,
         clients=max(48, int(asked.rate)), seed=asked.seed,
     )  # fmt: skip
 
 
-def plan(rig: RolloutRig, old: str, unjudged: bool = False, bake_s: float = BAKE_S) -> pathlib.Path:
+def plan(rig: RolloutHarness, old: str, unjudged: bool = False, bake_s: float = BAKE_S) -> pathlib.Path:
     """Write a plan of four stages, or of one without an analysis."""
     stages = [
         {"count": max(1, len(rig.gateways) // 20), "bake_s": bake_s}, {"share": 0.2, "bake_s": bake_s},
@@ -77,15 +77,15 @@
     """Play one good release."""
     with tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name:
         began = time.monotonic()
-        with RolloutRig(pathlib.Path(name), sizes(asked)) as rig:
+        with RolloutHarness(pathlib.Path(name), sizes(asked)) as rig:
             old, new = rig.make_release("1"), rig.make_release("2")
             rig.deploy(old)
             print(f"{asked.gateways} gateways up after {time.monotonic() - began:.1f} s", flush=True)
-            outcome = RolloutRun(rig, old, new, plan(rig, old), RunOptions(timeout_s=900.0)).play()
+            outcome = RolloutRun(rig, old, new, plan(rig, old), RunOptions(timeout_s=900.0)).run()
     print("good:", outcome.summary())
     for breach in outcome.breaches[:10]:
         print("  ", breach)
-    return outcome.phase is RolloutPhase.COMPLETED and not outcome.breaches and outcome.harmed_share == 0
+    return outcome.phase is RolloutPhase.COMPLETED and not outcome.breaches and outcome.unserved_share == 0
 
 
 def harms(asked: argparse.Namespace) -> bool:
@@ -93,14 +93,14 @@
     fine = True
     with (
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
-        RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
+        RolloutHarness(pathlib.Path(name), sizes(asked)) as rig,
     ):
         old = rig.make_release("1")
         rig.deploy(old)
         for number, harm in enumerate(asked.only or FAULTS):
             new = rig.make_release(f"2.{number}", harm)
             options = RunOptions(timeout_s=600.0)
-            outcome = RolloutRun(rig, old, new, plan(rig, old, asked.unjudged), options).play()
+            outcome = RolloutRun(rig, old, new, plan(rig, old, asked.unjudged), options).run()
             print(f"{harm}: {outcome.summary()}", flush=True)
             for breach in outcome.breaches[:3]:
                 print("  ", breach)
@@ -119,19 +119,19 @@
     end: Callable[[], None] = lambda: None
 
 
-def _signal_leaders(rig: RolloutRig, number: signal.Signals) -> None:
+def _signal_leaders(rig: RolloutHarness, number: signal.Signals) -> None:
     for name in [name for name in rig.processes if name.startswith(("rollout", "leader"))]:
         rig.signal(name, number)
 
 
-def _kill_some_gateway(rig: RolloutRig, chance: random.Random) -> None:
+def _kill_some_gateway(rig: RolloutHarness, chance: random.Random) -> None:
     statuses = rig.statuses()
     if statuses:
         os.kill(statuses[chance.choice(list(statuses))].pid, signal.SIGKILL)
 
 
-def _draw_fault(chance: random.Random, rig: RolloutRig) -> Fault:
-    daemon, keeper = chance.choice(list(rig.daemons)), chance.choice(list(rig.keepers))
+def _draw_fault(chance: random.Random, rig: RolloutHarness) -> Fault:
+    daemon, keeper = chance.choice(list(rig.daemons)), chance.choice(list(rig.lease_servers))
     mode = chance.choice((Mode.HOLD, Mode.LOSE))
     return chance.choice((
         Fault("kill leader", lambda: rig.kill("rollout")),
@@ -144,9 +144,12 @@
             "stop daemon",
             lambda: rig.signal(daemon, signal.SIGSTOP), lambda: rig.signal(daemon, signal.SIGCONT),
         ),
-        Fault("cut", lambda: rig.cut("leader", daemon, mode), lambda: rig.cut("leader", daemon, Mode.PASS)),
+        Fault(
+            "cut", lambda: rig.set_link_mode("leader", daemon, mode),
+            lambda: rig.set_link_mode("leader", daemon, Mode.PASS),
+        ),
         Fault("disk lost", lambda: rig.lose_disk(daemon), lambda: rig.start_daemon(daemon)),
-        Fault("kill keeper", lambda: rig.kill(keeper), lambda: rig.start_keeper(keeper)),
+        Fault("kill keeper", lambda: rig.kill(keeper), lambda: rig.start_lease_server(keeper)),
         Fault("kill gateway", lambda: _kill_some_gateway(rig, chance)),
     ))  # fmt: skip
 
@@ -154,7 +157,7 @@
 class FaultyRollouts:
     """Rollouts back and forth while faults of a seed come one after the other."""
 
-    def __init__(self, rig: RolloutRig, seed: int, faults_each: int) -> None:
+    def __init__(self, rig: RolloutHarness, seed: int, faults_each: int) -> None:
         self._rig, self._faults_each = rig, faults_each
         self._random = random.Random(seed)
         self._relayed = rig.write_relayed_fleet_file("leader")
@@ -171,7 +174,7 @@
         new = self._rig.make_release(str(self._number), release_fault)
         plan_path = self._rig.write_plan(self._running, on_doubt="back")
         options = RunOptions(self._cause_faults, 240.0, 2, self._relayed, waits_on_hold=True)
-        outcome = RolloutRun(self._rig, self._running, new, plan_path, options).play()
+        outcome = RolloutRun(self._rig, self._running, new, plan_path, options).run()
         self.phases[str(outcome.phase)] += 1
         print(f"{self._number} ({release_fault or 'good'}): {outcome.summary()}", flush=True)
         for breach in outcome.breaches[:5]:
@@ -187,7 +190,7 @@
             self._running = new
         return is_fine
 
-    def _cause_faults(self, rig: RolloutRig) -> None:
+    def _cause_faults(self, rig: RolloutHarness) -> None:
         for _ in range(self._faults_each):
             time.sleep(self._random.uniform(1.0, 4.0))
             fault = _draw_fault(self._random, rig)
@@ -201,7 +204,7 @@
     """Good and bad rollouts, with faults between, until the time is over or something does not hold."""
     with (
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
-        RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
+        RolloutHarness(pathlib.Path(name), sizes(asked)) as rig,
     ):
         rollouts = FaultyRollouts(rig, asked.seed, asked.each)
         deadline_s = time.monotonic() + asked.seconds
@@ -216,7 +219,7 @@
     """Have all gateways reload their settings, one after the other, under load."""
     with (
         tempfile.TemporaryDirectory(prefix="saffronstack-rollout-") as name,
-        RolloutRig(pathlib.Path(name), sizes(asked)) as rig,
+        RolloutHarness(pathlib.Path(name), sizes(asked)) as rig,
     ):
         rig.deploy(rig.make_release("1"))
         clients = Clients(
--- a/saffronstack/harness/leases/broken_candidates.py
+++ b/saffronstack/harness/leases/broken_candidates.py
@@ -9,7 +9,7 @@
 from saffronstack.fleet.leases.messages import AcceptRequest, ObservedWrites
 
 
-class LateCandidate(Candidate):
+class OverrunningCandidate(Candidate):
     """Believes in its lease for twice the time that it has servers grant."""
 
     def _accept_request(self, observed_writes: ObservedWrites = ()) -> AcceptRequest:
@@ -36,4 +36,4 @@
         super().__init__(name, lease, lease_s, quorum_of_one, seed)
 
 
-BROKEN_CANDIDATES: dict[str, type[Candidate]] = {"late": LateCandidate, "few": MinorityCandidate}
+BROKEN_CANDIDATES: dict[str, type[Candidate]] = {"late": OverrunningCandidate, "few": MinorityCandidate}
--- a/saffronstack/harness/leases/disk_faults.py
+++ b/saffronstack/harness/leases/disk_faults.py
@@ -11,29 +11,31 @@
 from saffronstack.fleet.leases.disk import COPIES
 
 
-def damage(state: pathlib.Path, how: str, chance: random.Random, snapshots: Sequence[pathlib.Path]) -> None:
+def damage_disk(
+    state_directory: pathlib.Path, fault_kind: str, rng: random.Random, snapshots: Sequence[pathlib.Path]
+) -> None:
     """Leave in the directory ``state`` what such a disk shows; ``snapshots`` are earlier states of it."""
-    copies = [path for name in COPIES if (path := state / name).exists()]
-    if how == "old" and snapshots:
-        shutil.rmtree(state)
-        shutil.copytree(chance.choice(snapshots), state)
-    elif how == "gone":
-        shutil.rmtree(state)
-    elif how == "flip one copy":
-        _flip(chance.choice(copies), chance)
-    elif how == "flip both copies":
+    copies = [path for name in COPIES if (path := state_directory / name).exists()]
+    if fault_kind == "old" and snapshots:
+        shutil.rmtree(state_directory)
+        shutil.copytree(rng.choice(snapshots), state_directory)
+    elif fault_kind == "gone":
+        shutil.rmtree(state_directory)
+    elif fault_kind == "flip one copy":
+        _flip_bit(rng.choice(copies), rng)
+    elif fault_kind == "flip both copies":
         for path in copies:
-            _flip(path, chance)
-    elif how == "cut one copy":
-        path = chance.choice(copies)
-        os.truncate(path, chance.randrange(path.stat().st_size))
-    elif how == "swap copies" and len(copies) == len(COPIES):
+            _flip_bit(path, rng)
+    elif fault_kind == "cut one copy":
+        path = rng.choice(copies)
+        os.truncate(path, rng.randrange(path.stat().st_size))
+    elif fault_kind == "swap copies" and len(copies) == len(COPIES):
         first, second = (path.read_bytes() for path in copies)
         copies[0].write_bytes(second)
         copies[1].write_bytes(first)
 
 
-def _flip(path: pathlib.Path, chance: random.Random) -> None:
+def _flip_bit(path: pathlib.Path, rng: random.Random) -> None:
     data = bytearray(path.read_bytes())
-    data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
+    data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
     path.write_bytes(data)
--- a/saffronstack/harness/leases/faulty_environment.py
+++ b/saffronstack/harness/leases/faulty_environment.py
@@ -13,7 +13,7 @@
 
 from saffronstack.durable.file_operations import FileOperations
 
-STALL_CHECK_S = 0.02
+STALL_CHECK_INTERVAL_S = 0.02
 
 
 class DiskFault(msgspec.Struct, frozen=True):
@@ -50,14 +50,14 @@
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         deadline_s = time.monotonic() + fault.stall_s
         while time.monotonic() < deadline_s and self._fault().stall_s:
-            time.sleep(STALL_CHECK_S)
+            time.sleep(STALL_CHECK_INTERVAL_S)
         super().sync(descriptor)
 
 
 def drifting_clock(rate: float, clock: Callable[[], float]) -> Callable[[], float]:
     """Return a clock that runs at ``rate`` times the speed of another."""
-    zero_s = clock()
-    return lambda: zero_s + (clock() - zero_s) * rate
+    start_s = clock()
+    return lambda: start_s + (clock() - start_s) * rate
 
 
 class ClockSteps:
--- a/saffronstack/harness/leases/holder_reports.py
+++ b/saffronstack/harness/leases/holder_reports.py
@@ -46,17 +46,17 @@
 HolderReport = Acquired | Released | ActBegun | ActEnded
 
 
-class Answer(msgspec.Struct, frozen=True):
+class ReportResponse(msgspec.Struct, frozen=True):
     """The resource's answer; ``is_accepted`` is None where there is nothing to accept."""
 
     is_accepted: bool | None = None
 
 
 _report_decoder: msgspec.json.Decoder[HolderReport] = msgspec.json.Decoder(HolderReport)
-_answer_decoder = msgspec.json.Decoder(Answer)
+_response_decoder = msgspec.json.Decoder(ReportResponse)
 
 
-def encode_line(message: HolderReport | Answer) -> bytes:
+def encode_line(message: HolderReport | ReportResponse) -> bytes:
     """Encode a report or an answer as a line."""
     return msgspec.json.encode(message) + b"\n"
 
@@ -66,6 +66,6 @@
     return _report_decoder.decode(line)
 
 
-def decode_answer(line: bytes) -> Answer:
+def decode_response(line: bytes) -> ReportResponse:
     """Decode an answer; one that was cut off by the rig's end is empty."""
-    return _answer_decoder.decode(line) if line else Answer()
+    return _response_decoder.decode(line) if line else ReportResponse()
--- a/saffronstack/harness/leases/judge.py
+++ b/saffronstack/harness/leases/judge.py
@@ -14,17 +14,17 @@
     Acquired,
     ActBegun,
     ActEnded,
-    Answer,
     HolderReport,
     Released,
+    ReportResponse,
     decode_report,
     encode_line,
 )
 from saffronstack.runtime.threads import start_thread
 
 MAX_BREACHES = 20
-ACCEPT_POLL_S = 0.2
-BACKLOG = 128
+ACCEPT_TIMEOUT_S = 0.2
+LISTEN_BACKLOG = 128
 
 
 @dataclass
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class Judgement:
+class CheckResult:
     """The result of a run."""
 
     breaches: list[str] = field(default_factory=list)
@@ -65,29 +65,29 @@
             self.breaches.append(text)
 
 
-class LeaseJudge:
+class LeaseChecker:
     """Listens for holders, and answers whether an act is accepted. The lock guards all that was reported."""
 
     def __init__(self) -> None:
         """Listen on a free port."""
-        self._listener = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
-        self._listener.settimeout(ACCEPT_POLL_S)
+        self._listener = socket.create_server(("127.0.0.1", 0), backlog=LISTEN_BACKLOG)
+        self._listener.settimeout(ACCEPT_TIMEOUT_S)
         host, port = self._listener.getsockname()[:2]
         self.address = f"{host}:{port}"
         self._lock = threading.Lock()
         self._is_closed = False
         self._periods: dict[int, HoldingPeriod] = {}  # by token
-        self._token = 0  # the greatest that the resource saw
+        self._highest_token = 0  # the greatest that the resource saw
         self._acts: list[Act] = []
-        self._reported = Judgement()
-        start_thread("resource", self._accept)
+        self._reported = CheckResult()
+        start_thread("resource", self._accept_connections)
 
     def close(self) -> None:
         """Stop to listen."""
         self._is_closed = True
         self._listener.close()
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while not self._is_closed:
             try:
                 sock, _ = self._listener.accept()
@@ -105,7 +105,7 @@
             except (OSError, ValueError):
                 return  # the holder was killed while it reported
 
-    def handle(self, report: HolderReport) -> Answer:
+    def handle(self, report: HolderReport) -> ReportResponse:
         """Handle a holder's report."""
         with self._lock:
             if isinstance(report, Acquired):
@@ -115,28 +115,28 @@
                 self._reported.add_breach(
                     f"{report.name} acts under token {report.token}, which it did not acquire"
                 )
-                return Answer(is_accepted=False)
+                return ReportResponse(is_accepted=False)
             match report:
                 case Released():
                     period.until_s = min(period.until_s, report.at_s)
-                    return Answer()
+                    return ReportResponse()
                 case ActBegun() | ActEnded():
                     return self._handle_act(report, period)
 
-    def _handle_acquired(self, report: Acquired) -> Answer:
+    def _handle_acquired(self, report: Acquired) -> ReportResponse:
         self._reported.acquired += 1
         other = self._periods.get(report.token)
         if other is not None:
             self._reported.add_breach(f"{report.name} and {other.name} both acquired token {report.token}")
         self._periods[report.token] = HoldingPeriod(report.name, report.token, report.at_s, report.until_s)
-        return Answer()
+        return ReportResponse()
 
-    def _handle_act(self, report: ActBegun | ActEnded, period: HoldingPeriod) -> Answer:
+    def _handle_act(self, report: ActBegun | ActEnded, period: HoldingPeriod) -> ReportResponse:
         period.until_s = max(period.until_s, report.until_s)
-        if report.token < self._token:
+        if report.token < self._highest_token:
             self._reported.rejected += 1
-            return Answer(is_accepted=False)
-        self._token = report.token
+            return ReportResponse(is_accepted=False)
+        self._highest_token = report.token
         if isinstance(report, ActEnded):
             # Done in its lease's time by its own clock, or carried past it by a pause.
             if report.ended_s <= period.until_s:
@@ -144,19 +144,19 @@
                 self._acts.append(Act(report.began_s, report.ended_s, report.token, report.name))
             else:
                 self._reported.overran += 1
-        return Answer(is_accepted=True)
+        return ReportResponse(is_accepted=True)
 
     # ---- the judgement
 
-    def judge(self, since_s: float, until_s: float) -> Judgement:
+    def check(self, since_s: float, until_s: float) -> CheckResult:
         """Judge all that was reported, between two times of the machine's clock."""
         with self._lock:
-            judgement = replace(self._reported, breaches=list(self._reported.breaches))
+            check_result = replace(self._reported, breaches=list(self._reported.breaches))
             periods = sorted(self._periods.values(), key=lambda period: period.since_s)
-            _find_overlapping_periods(periods, judgement)
-            _find_overlapping_acts(sorted(self._acts), judgement)
-            _measure(periods, since_s, until_s, judgement)
-            return judgement
+            _find_overlapping_periods(periods, check_result)
+            _find_overlapping_acts(sorted(self._acts), check_result)
+            _measure_holding_time(periods, since_s, until_s, check_result)
+            return check_result
 
     def holding_periods(self) -> list[HoldingPeriod]:
         """Return from when until when each holder believed that it held the lease."""
@@ -164,32 +164,34 @@
             return [replace(period) for period in self._periods.values()]
 
 
-def _find_overlapping_periods(periods: list[HoldingPeriod], judgement: Judgement) -> None:
+def _find_overlapping_periods(periods: list[HoldingPeriod], check_result: CheckResult) -> None:
     for number, one in enumerate(periods):
         overlapping = [other for other in periods[number + 1 :] if other.since_s < one.until_s]
         if overlapping:
             other = overlapping[0]
-            judgement.add_breach(
+            check_result.add_breach(
                 f"{one.name} (token {one.token}) holds until {one.until_s:.3f}, "
                 f"{other.name} (token {other.token}) from {other.since_s:.3f}"
             )
         if number and one.token < max(earlier.token for earlier in periods[:number]):
-            judgement.add_breach(f"{one.name} acquired token {one.token} after a greater one")
+            check_result.add_breach(f"{one.name} acquired token {one.token} after a greater one")
 
 
-def _find_overlapping_acts(acts: list[Act], judgement: Judgement) -> None:
+def _find_overlapping_acts(acts: list[Act], check_result: CheckResult) -> None:
     for one, following in pairwise(acts):
         if following.began_s < one.ended_s and following.token != one.token:
-            judgement.add_breach(
+            check_result.add_breach(
                 f"acts of {one.name} ({one.token}) and {following.name} ({following.token}) overlap"
             )
 
 
-def _measure(periods: list[HoldingPeriod], since_s: float, until_s: float, judgement: Judgement) -> None:
+def _measure_holding_time(
+    periods: list[HoldingPeriod], since_s: float, until_s: float, check_result: CheckResult
+) -> None:
     """Measure for how long the lease was held, and for how long nobody held it at the longest."""
     at_s = since_s
     for period in periods:
-        judgement.longest_free_s = max(judgement.longest_free_s, min(until_s, period.since_s) - at_s)
-        judgement.held_s += max(0.0, min(until_s, period.until_s) - max(at_s, period.since_s))
+        check_result.longest_free_s = max(check_result.longest_free_s, min(until_s, period.since_s) - at_s)
+        check_result.held_s += max(0.0, min(until_s, period.until_s) - max(at_s, period.since_s))
         at_s = max(at_s, min(until_s, period.until_s))
-    judgement.longest_free_s = max(judgement.longest_free_s, until_s - at_s)
+    check_result.longest_free_s = max(check_result.longest_free_s, until_s - at_s)
--- a/saffronstack/harness/leases/model_checker.py
+++ b/saffronstack/harness/leases/model_checker.py
@@ -30,15 +30,15 @@
     depth: int = 0  # of the deepest state seen
     completed_depth: int = 0  # every state to this depth was seen
     breach: str = ""
-    trail: tuple[str, ...] = ()
+    path: tuple[str, ...] = ()
 
     def with_breach(self, step: Step) -> Exploration:
         """Note the breach that a step is."""
-        self.breach, self.trail, self.depth = step.breach, step.state.trail, len(step.state.trail)
+        self.breach, self.path, self.depth = step.breach, step.state.path, len(step.state.path)
         return self
 
 
-def follow(state: ModelState, make_acceptor: Factory, labels: Sequence[str]) -> ModelState:
+def replay_steps(state: ModelState, make_acceptor: Factory, labels: Sequence[str]) -> ModelState:
     """Return the state after steps, each named as a trail names it.
 
     Raises:
@@ -46,11 +46,11 @@
     """
     for label in labels:
         for step in steps_from(state, make_acceptor):
-            if step.state.trail[-1] == label and not step.breach:
+            if step.state.path[-1] == label and not step.breach:
                 state = step.state
                 break
         else:
-            raise UnknownStepError(f"no step {label!r} after {state.trail}")
+            raise UnknownStepError(f"no step {label!r} after {state.path}")
     return state
 
 
@@ -75,14 +75,14 @@
     Returns:
         What was visited, and the breach that was found, if any.
     """
-    first = follow(initial_state(budget, make_acceptor, make_candidate), make_acceptor, after)
-    visited = {first.key()}
-    queue: deque[ModelState] = deque([first])
+    start_state = replay_steps(initial_state(budget, make_acceptor, make_candidate), make_acceptor, after)
+    visited = {start_state.key()}
+    queue: deque[ModelState] = deque([start_state])
     result = Exploration(states=1)
     while queue and result.states < max_states:
         state = queue.popleft()
-        result.completed_depth = len(state.trail)
-        if len(state.trail) >= depth:
+        result.completed_depth = len(state.path)
+        if len(state.path) >= depth:
             continue
         for step in steps_from(state, make_acceptor):
             if step.breach:
@@ -92,5 +92,5 @@
                 visited.add(key)
                 queue.append(step.state)
                 result.states += 1
-                result.depth = len(step.state.trail)
+                result.depth = len(step.state.path)
     return result
--- a/saffronstack/harness/leases/model_state.py
+++ b/saffronstack/harness/leases/model_state.py
@@ -50,7 +50,7 @@
     releases: int = 1
     replacements: int = 0  # servers replaced while paused that wake up: requests reach either machine
 
-    def less(self, **used: int) -> FaultBudget:
+    def subtract(self, **used: int) -> FaultBudget:
         """Return the budget that remains after some faults."""
         return replace(self, **{name: getattr(self, name) - count for name, count in used.items()})
 
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Letter:
+class Envelope:
     """A message that is on its way, or may be delivered again."""
 
     sender: str
@@ -93,12 +93,12 @@
     disks: dict[str, tuple[AcceptorState, ...]]  # the newest last
     candidates: dict[str, Candidate]
     requests: dict[tuple[str, str], Message]  # the newest of a candidate to a server, not yet delivered
-    late_responses: tuple[Letter, ...]
-    old_requests: tuple[Letter, ...]  # delivered or replaced by newer ones; may be delivered again
+    late_responses: tuple[Envelope, ...]
+    old_requests: tuple[Envelope, ...]  # delivered or replaced by newer ones; may be delivered again
     budget: FaultBudget
     time_steps: int
     token: int  # the greatest that was acquired
-    trail: tuple[str, ...]  # the steps that led here
+    path: tuple[str, ...]  # the steps that led here
     replaced: dict[str, Acceptor]  # machines that were replaced while paused, and woke up
 
     def copy(self) -> ModelState:
@@ -114,14 +114,14 @@
             self.budget,
             self.time_steps,
             self.token,
-            self.trail,
+            self.path,
             dict(self.replaced),
         )
 
-    def own_acceptor(self, server: str, is_replaced: bool = False) -> Acceptor:
+    def writable_acceptor(self, server: str, is_replaced: bool = False) -> Acceptor:
         """Return a copy of an acceptor that belongs to this state alone."""
-        place = self.replaced if is_replaced else self.acceptors
-        acceptor = place[server] = copy.copy(place[server])
+        acceptors = self.replaced if is_replaced else self.acceptors
+        acceptor = acceptors[server] = copy.copy(acceptors[server])
         table = acceptor.table = copy.copy(acceptor.table)
         table.leases = {lease: replace(entry, waiters={}) for lease, entry in table.leases.items()}
         table.observed_writes, table.incarnations = dict(table.observed_writes), dict(table.incarnations)
@@ -129,7 +129,7 @@
         recovery.table, recovery.responses = table, dict(recovery.responses)
         return acceptor
 
-    def own_candidate(self, name: str) -> Candidate:
+    def writable_candidate(self, name: str) -> Candidate:
         """Return a copy of a candidate that belongs to this state alone."""
         candidate = self.candidates[name] = copy.copy(self.candidates[name])
         candidate._approvals, candidate._rejections = dict(candidate._approvals), dict(candidate._rejections)
@@ -154,7 +154,7 @@
             if isinstance(action, SendMessage):
                 key = name, action.receiver
                 if key in self.requests and self.budget.duplicates:
-                    self.keep_old(Letter(*key, self.requests[key]))
+                    self.keep_old_request(Envelope(*key, self.requests[key]))
                 self.requests[key] = action.message
             elif isinstance(action, LeaseAcquired):
                 if action.token <= self.token:
@@ -162,9 +162,9 @@
                 self.token = action.token
         return self.find_breach()
 
-    def keep_old(self, letter: Letter) -> None:
+    def keep_old_request(self, envelope: Envelope) -> None:
         """Keep a request that may be delivered again."""
-        self.old_requests = (*self.old_requests, letter)[-MAX_OLD_REQUESTS:]
+        self.old_requests = (*self.old_requests, envelope)[-MAX_OLD_REQUESTS:]
 
     def find_breach(self) -> str:
         """Return the breach where two candidates hold the lease, or one under an older token."""
@@ -177,12 +177,12 @@
                 return f"{name} holds under token {self.candidates[name].token} after {self.token}"
         return ""
 
-    def deliver(self, letter: Letter, is_replaced: bool = False) -> list[AcceptorAction]:
+    def deliver(self, envelope: Envelope, is_replaced: bool = False) -> list[AcceptorAction]:
         """Deliver a message to a server, or to the machine that it replaced; what that persists is stored."""
-        acceptor = self.own_acceptor(letter.receiver, is_replaced)
-        actions = acceptor.handle(self.server_now(), letter.sender, letter.message)
+        acceptor = self.writable_acceptor(envelope.receiver, is_replaced)
+        actions = acceptor.handle(self.server_now(), envelope.sender, envelope.message)
         if not is_replaced:
-            self.store(letter.receiver, actions)
+            self.store(envelope.receiver, actions)
         return actions
 
     def store(self, server: str, actions: list[AcceptorAction]) -> None:
@@ -195,10 +195,10 @@
 
     def key(self) -> int:
         """Return a hash that is equal for states that differ in their trails or servers' names alone."""
-        views = {server: self._view_of(server) for server in self.acceptors}
-        order = sorted(views, key=lambda server: hash(views[server]))
-        place = {server: number for number, server in enumerate(order)}
-        references = repr([self._references_of(server, place) for server in order])
+        server_keys = {server: self._server_key(server) for server in self.acceptors}
+        order = sorted(server_keys, key=lambda server: hash(server_keys[server]))
+        index_of = {server: number for number, server in enumerate(order)}
+        references = repr([self._server_references(server, index_of) for server in order])
         candidates = tuple(
             (
                 candidate.state,
@@ -213,44 +213,44 @@
             )
             for candidate in self.candidates.values()
         )
-        ordered = tuple(views[server] for server in order)
+        ordered = tuple(server_keys[server] for server in order)
         return hash((ordered, references, candidates, self.budget, self.time_steps, self.token))
 
-    def _references_of(self, server: str, place: dict[str, int]) -> Hashable:
+    def _server_references(self, server: str, index_of: dict[str, int]) -> Hashable:
         """Return what a server and its messages say of other servers, by their places in the order."""
         acceptor = self.acceptors[server]
-        observed = sorted((place[other], write) for other, write in acceptor.table.observed_writes.items())
+        observed = sorted((index_of[other], write) for other, write in acceptor.table.observed_writes.items())
         responses = sorted(
-            (place[other], response.observed_write, response.is_recovered, response.observed_incarnation)
+            (index_of[other], response.observed_write, response.is_recovered, response.observed_incarnation)
             for other, response in acceptor.recovery.responses.items()
         )
         requests = [self.requests.get((name, server)) for name in self.candidates]
         reported = [
-            sorted((place[other], write) for other, write in request.observed_writes)
+            sorted((index_of[other], write) for other, write in request.observed_writes)
             if isinstance(request, AcceptRequest)
             else []
             for request in requests
         ]
         incarnations = [
-            sorted((place[other], number) for other, number in acceptor.table.incarnations.items())
+            sorted((index_of[other], number) for other, number in acceptor.table.incarnations.items())
         ]
         for candidate in self.candidates.values():
             response = candidate._approvals.get(server) or candidate._rejections.get(server)
             known = response.incarnations if response else ()
-            incarnations.append(sorted((place[other], number) for other, number in known))
-            incarnations.append([(place[server], candidate._incarnations.get(server, 0))])
+            incarnations.append(sorted((index_of[other], number) for other, number in known))
+            incarnations.append([(index_of[server], candidate._incarnations.get(server, 0))])
         return tuple(map(repr, (observed, responses, reported, incarnations)))
 
-    def _view_of(self, server: str) -> Hashable:
+    def _server_key(self, server: str) -> Hashable:
         """Return what concerns one server, without any server's name."""
         table, recovery = self.acceptors[server].table, self.acceptors[server].recovery
         links = tuple(
             (
-                _without_servers(self.requests.get((name, server))),
-                _without_servers(candidate._approvals.get(server)),
-                _without_servers(candidate._rejections.get(server)),
-                _between(self.late_responses, server, name),
-                _between(self.old_requests, name, server),
+                _without_server_names(self.requests.get((name, server))),
+                _without_server_names(candidate._approvals.get(server)),
+                _without_server_names(candidate._rejections.get(server)),
+                _messages_between(self.late_responses, server, name),
+                _messages_between(self.old_requests, name, server),
             )
             for name, candidate in self.candidates.items()
         )
@@ -260,10 +260,10 @@
             tuple((entry.record, entry.expires_s) for entry in table.leases.values()),
             tuple((state.last_write, state.records) for state in self.disks[server]),
             links,
-            self._view_of_replaced(server),
+            self._replaced_server_key(server),
         )
 
-    def _view_of_replaced(self, server: str) -> Hashable:
+    def _replaced_server_key(self, server: str) -> Hashable:
         acceptor = self.replaced.get(server)
         if acceptor is None:
             return ()
@@ -271,15 +271,15 @@
         return acceptor.recovery.disk_state, acceptor.recovery.has_recovered, *entries
 
 
-def _between(letters: tuple[Letter, ...], sender: str, receiver: str) -> Hashable:
+def _messages_between(envelopes: tuple[Envelope, ...], sender: str, receiver: str) -> Hashable:
     return tuple(
-        _without_servers(letter.message)
-        for letter in letters
-        if (letter.sender, letter.receiver) == (sender, receiver)
+        _without_server_names(envelope.message)
+        for envelope in envelopes
+        if (envelope.sender, envelope.receiver) == (sender, receiver)
     )
 
 
-def _without_servers(message: Message | None) -> Hashable:
+def _without_server_names(message: Message | None) -> Hashable:
     """Return a message without the names of servers, which its place tells."""
     match message:
         case PrepareResponse():
@@ -313,7 +313,7 @@
         budget=budget,
         time_steps=0,
         token=0,
-        trail=(),
+        path=(),
         replaced={},
     )
     for name in ("a", "b"):
--- a/saffronstack/harness/leases/model_steps.py
+++ b/saffronstack/harness/leases/model_steps.py
@@ -14,7 +14,7 @@
 
 from saffronstack.fleet.leases.candidate import CandidateState
 from saffronstack.fleet.leases.messages import AcceptorState, CatchUpRequest, DiskState, SendMessage
-from saffronstack.harness.leases.model_state import Factory, Letter, ModelState
+from saffronstack.harness.leases.model_state import Envelope, Factory, ModelState
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,26 +43,26 @@
             step = _deliver(state, delivery)
             if step is not None:
                 yield step
-        yield from _late_arrivals(state, name)
+        yield from _late_response_steps(state, name)
         yield from _candidate_steps(state, name)
-    yield from _duplicates(state)
+    yield from _duplicate_steps(state)
     for server in state.acceptors:
         yield from _catch_up_steps(state, server)
-        yield from _replacements(state, server, make_acceptor)
-        yield from _restarts(state, server, make_acceptor)
+        yield from _replacement_steps(state, server, make_acceptor)
+        yield from _restart_steps(state, server, make_acceptor)
     if state.budget.time_steps:
-        after = _after(state, "half a lease passes", time_steps=1)
-        after.time_steps += 1
-        yield Step(after, after.find_breach())
+        next_state = _next_state(state, "half a lease passes", time_steps=1)
+        next_state.time_steps += 1
+        yield Step(next_state, next_state.find_breach())
 
 
-def _after(state: ModelState, label: str, **used: int) -> ModelState:
+def _next_state(state: ModelState, label: str, **used: int) -> ModelState:
     """Return a copy of a state with a step in its trail, and its faults taken from the budget."""
-    after = state.copy()
-    after.trail += (label,)
+    next_state = state.copy()
+    next_state.path += (label,)
     if used:
-        after.budget = state.budget.less(**used)
-    return after
+        next_state.budget = state.budget.subtract(**used)
+    return next_state
 
 
 # ---- candidates
@@ -70,91 +70,95 @@
 
 def _deliveries(state: ModelState, name: str) -> Iterator[_Delivery]:
     budget = state.budget
-    waiting = sorted(server for candidate, server in state.requests if candidate == name)
-    for count in range(1, len(waiting) + 1):
+    pending = sorted(server for candidate, server in state.requests if candidate == name)
+    for count in range(1, len(pending) + 1):
         is_partial = count < state.limits.majority
         if is_partial and not budget.partial_deliveries:
             continue
-        for servers in combinations(waiting, count):
-            awake = frozenset(servers) & state.replaced.keys()
+        for servers in combinations(pending, count):
+            resumed = frozenset(servers) & state.replaced.keys()
             for is_late in (False, True) if budget.late_responses else (False,):
-                for replaced in (frozenset[str](), awake) if awake else (frozenset[str](),):
+                for replaced in (frozenset[str](), resumed) if resumed else (frozenset[str](),):
                     yield _Delivery(name, servers, is_late, is_partial, replaced)
 
 
 def _deliver(state: ModelState, delivery: _Delivery) -> Step | None:
     name = delivery.candidate
     kinds = sorted({type(state.requests[name, server]).__name__ for server in delivery.servers})
-    places = (f"old {server}" if server in delivery.replaced else server for server in delivery.servers)
-    label = f"{name} to {', '.join(places)}: {', '.join(kinds)}"
-    after = _after(
+    receivers = (f"old {server}" if server in delivery.replaced else server for server in delivery.servers)
+    label = f"{name} to {', '.join(receivers)}: {', '.join(kinds)}"
+    next_state = _next_state(
         state,
         f"{label}, responses late" if delivery.is_late else label,
         late_responses=int(delivery.is_late),
         partial_deliveries=int(delivery.is_partial),
     )
-    responses: list[Letter] = []
+    responses: list[Envelope] = []
     for server in delivery.servers:
-        request = Letter(name, server, after.requests.pop((name, server)))
+        request = Envelope(name, server, next_state.requests.pop((name, server)))
         if state.budget.duplicates:
-            after.keep_old(request)
+            next_state.keep_old_request(request)
         # A notification of the first waiter only has it prepare sooner, which its timer may do as well.
         responses += [
-            Letter(server, name, action.message)
-            for action in after.deliver(request, server in delivery.replaced)
+            Envelope(server, name, action.message)
+            for action in next_state.deliver(request, server in delivery.replaced)
             if isinstance(action, SendMessage) and action.receiver == name
         ]
     if not delivery.is_late:
-        return _receive(after, responses)
+        return _receive(next_state, responses)
     if not responses:
         return None
-    after.late_responses += tuple(responses)
-    return Step(after)
+    next_state.late_responses += tuple(responses)
+    return Step(next_state)
 
 
-def _receive(after: ModelState, responses: list[Letter]) -> Step:
+def _receive(next_state: ModelState, responses: list[Envelope]) -> Step:
     """Let a candidate handle responses, up to the first breach."""
     for response in responses:
-        candidate = after.own_candidate(response.receiver)
-        actions = candidate.handle(after.candidate_now(), response.sender, response.message)
-        breach = after.apply(response.receiver, actions)
+        candidate = next_state.writable_candidate(response.receiver)
+        actions = candidate.handle(next_state.candidate_now(), response.sender, response.message)
+        breach = next_state.apply(response.receiver, actions)
         if breach:
-            return Step(after, breach)
-    return Step(after)
+            return Step(next_state, breach)
+    return Step(next_state)
 
 
-def _late_arrivals(state: ModelState, name: str) -> Iterator[Step]:
-    arriving = [letter for letter in state.late_responses if letter.receiver == name]
-    if arriving:
-        after = _after(state, f"late responses to {name}")
-        after.late_responses = tuple(letter for letter in state.late_responses if letter.receiver != name)
-        yield _receive(after, arriving)
+def _late_response_steps(state: ModelState, name: str) -> Iterator[Step]:
+    late = [envelope for envelope in state.late_responses if envelope.receiver == name]
+    if late:
+        next_state = _next_state(state, f"late responses to {name}")
+        next_state.late_responses = tuple(
+            envelope for envelope in state.late_responses if envelope.receiver != name
+        )
+        yield _receive(next_state, late)
 
 
 def _candidate_steps(state: ModelState, name: str) -> Iterator[Step]:
     now, candidate_state = state.candidate_now(), state.candidates[name].state
     if candidate_state is CandidateState.IDLE:
-        after = _after(state, f"{name} begins")
-        yield Step(after, after.apply(name, after.own_candidate(name).acquire(now)))
+        next_state = _next_state(state, f"{name} begins")
+        yield Step(next_state, next_state.apply(name, next_state.writable_candidate(name).acquire(now)))
         return
-    after = _after(state, f"{name}'s timer fires")
-    actions = after.own_candidate(name).tick(now)
+    next_state = _next_state(state, f"{name}'s timer fires")
+    actions = next_state.writable_candidate(name).tick(now)
     if actions:
-        yield Step(after, after.apply(name, actions))
+        yield Step(next_state, next_state.apply(name, actions))
     if state.budget.releases and candidate_state is CandidateState.HOLDING:
-        after = _after(state, f"{name} releases", releases=1)
-        yield Step(after, after.apply(name, after.own_candidate(name).release(now)))
+        next_state = _next_state(state, f"{name} releases", releases=1)
+        yield Step(next_state, next_state.apply(name, next_state.writable_candidate(name).release(now)))
 
 
-def _duplicates(state: ModelState) -> Iterator[Step]:
+def _duplicate_steps(state: ModelState) -> Iterator[Step]:
     if not state.budget.duplicates:
         return
-    for letter in state.old_requests:
-        kind = type(letter.message).__name__
-        after = _after(state, f"{letter.sender} to {letter.receiver} again: {kind}", duplicates=1)
-        after.old_requests = ()
-        after.deliver(letter)  # the response to it is of an older round, or lost
-        yield Step(after)
+    for envelope in state.old_requests:
+        kind = type(envelope.message).__name__
+        next_state = _next_state(
+            state, f"{envelope.sender} to {envelope.receiver} again: {kind}", duplicates=1
+        )
+        next_state.old_requests = ()
+        next_state.deliver(envelope)  # the response to it is of an older round, or lost
+        yield Step(next_state)
 
 
 # ---- servers
@@ -171,57 +175,59 @@
         if other == server or is_answered:
             continue
         for is_replaced in (False, True) if other in state.replaced else (False,):
-            after = _after(state, f"{server} catches up from {'old ' if is_replaced else ''}{other}")
+            next_state = _next_state(
+                state, f"{server} catches up from {'old ' if is_replaced else ''}{other}"
+            )
             request = CatchUpRequest(server, recovery.nonce, incarnation)
-            for action in after.deliver(Letter(server, other, request), is_replaced):
+            for action in next_state.deliver(Envelope(server, other, request), is_replaced):
                 if isinstance(action, SendMessage):
-                    after.deliver(Letter(other, server, action.message))
-            yield Step(after)
+                    next_state.deliver(Envelope(other, server, action.message))
+            yield Step(next_state)
     # The time to wait for responses may be over by the server's own clock.
-    after = _after(state, f"{server} has recovered")
-    actions = after.own_acceptor(server).recovery.complete_if_possible(now)
+    next_state = _next_state(state, f"{server} has recovered")
+    actions = next_state.writable_acceptor(server).recovery.complete_if_possible(now)
     if actions:
-        after.store(server, actions)
-        yield Step(after)
+        next_state.store(server, actions)
+        yield Step(next_state)
 
 
-def _replacements(state: ModelState, server: str, make_acceptor: Factory) -> Iterator[Step]:
+def _replacement_steps(state: ModelState, server: str, make_acceptor: Factory) -> Iterator[Step]:
     acceptors = state.acceptors
     if state.budget.replacements and all(one.recovery.has_recovered for one in acceptors.values()):
-        after = _after(state, f"{server} is replaced while paused", replacements=1)
-        after.replaced[server] = acceptors[server]
-        _restart(after, server, make_acceptor, DiskState.LOST, (AcceptorState(),))
-        yield Step(after)
+        next_state = _next_state(state, f"{server} is replaced while paused", replacements=1)
+        next_state.replaced[server] = acceptors[server]
+        _restart(next_state, server, make_acceptor, DiskState.LOST, (AcceptorState(),))
+        yield Step(next_state)
 
 
-def _restarts(state: ModelState, server: str, make_acceptor: Factory) -> Iterator[Step]:
+def _restart_steps(state: ModelState, server: str, make_acceptor: Factory) -> Iterator[Step]:
     if not state.budget.restarts:
         return
     disk = state.disks[server]
-    after = _after(state, f"{server} restarts", restarts=1)
-    _restart(after, server, make_acceptor, DiskState.INTACT, disk)
-    yield Step(after)
+    next_state = _next_state(state, f"{server} restarts", restarts=1)
+    _restart(next_state, server, make_acceptor, DiskState.INTACT, disk)
+    yield Step(next_state)
     others = (acceptor for other, acceptor in state.acceptors.items() if other != server)
     if not state.budget.disk_faults or not all(other.recovery.has_recovered for other in others):
         return
     if len(disk) > 1:
-        after = _after(state, f"{server} restarts, its disk rolled back", restarts=1, disk_faults=1)
-        _restart(after, server, make_acceptor, DiskState.INTACT, disk[:-1])
-        yield Step(after)
-    after = _after(state, f"{server} restarts, its disk lost", restarts=1, disk_faults=1)
-    _restart(after, server, make_acceptor, DiskState.LOST, (AcceptorState(),))
-    yield Step(after)
+        next_state = _next_state(state, f"{server} restarts, its disk rolled back", restarts=1, disk_faults=1)
+        _restart(next_state, server, make_acceptor, DiskState.INTACT, disk[:-1])
+        yield Step(next_state)
+    next_state = _next_state(state, f"{server} restarts, its disk lost", restarts=1, disk_faults=1)
+    _restart(next_state, server, make_acceptor, DiskState.LOST, (AcceptorState(),))
+    yield Step(next_state)
 
 
 def _restart(
-    after: ModelState,
+    next_state: ModelState,
     server: str,
     make_acceptor: Factory,
     disk_state: DiskState,
     disk: tuple[AcceptorState, ...],
 ) -> None:
-    nonce = after.acceptors[server].recovery.nonce + 1
-    after.disks[server] = disk
-    after.acceptors[server] = make_acceptor(
-        server, after.limits, disk_state, disk[-1], after.server_now(), nonce
+    nonce = next_state.acceptors[server].recovery.nonce + 1
+    next_state.disks[server] = disk
+    next_state.acceptors[server] = make_acceptor(
+        server, next_state.limits, disk_state, disk[-1], next_state.server_now(), nonce
     )
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -31,21 +31,21 @@
     Acquired,
     ActBegun,
     ActEnded,
-    Answer,
     HolderReport,
     Released,
-    decode_answer,
+    ReportResponse,
+    decode_response,
     encode_line,
 )
 from saffronstack.runtime.threads import start_thread
 
-ACT_S = 0.03
+ACT_DURATION_S = 0.03
 ACT_INTERVAL_S = 0.02
-MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
-LATE_CHANCE = 0.1  # that a pause comes between an act's decision and its beginning
-MAX_LATE_S = 0.05
-MEAN_TERM_S = 6.0  # how long a holder keeps the lease
-MAX_REST_S = 0.2  # between a release and the next attempt
+MIN_LEASE_MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
+PRE_ACT_DELAY_PROBABILITY = 0.1  # that a pause comes between an act's decision and its beginning
+MAX_PRE_ACT_DELAY_S = 0.05
+MEAN_HOLD_S = 6.0  # how long a holder keeps the lease
+MAX_REACQUIRE_DELAY_S = 0.2  # between a release and the next attempt
 ACQUIRE_TIMEOUT_S = 60.0
 REPORT_TIMEOUT_S = 20.0
 
@@ -83,13 +83,13 @@
         clock=drifting_clock(options.clock_rate, time.monotonic),
         files=FaultyFiles(pathlib.Path(options.disk_fault)),
     )
-    trace_decisions(server, pathlib.Path(options.trace))
+    trace_server_decisions(server, pathlib.Path(options.trace))
     host, port = server.start()
     print(f"{host}:{port}", flush=True)
-    exit_with_rig()
+    exit_with_parent()
 
 
-def exit_with_rig() -> None:
+def exit_with_parent() -> None:
     """Wait until standard input ends, and exit."""
     while sys.stdin.buffer.read(1024):
         continue
@@ -109,7 +109,7 @@
         os.write(self._descriptor, line.encode() + b"\n")
 
 
-def trace_decisions(server: LeaseServer, path: pathlib.Path) -> None:
+def trace_server_decisions(server: LeaseServer, path: pathlib.Path) -> None:
     """Write each decision of a server's acceptor to a file, and the state that it started with."""
     trace, acceptor = Trace(path), server.service._acceptor
     table, recovery = acceptor.table, acceptor.recovery
@@ -139,7 +139,7 @@
     acceptor.handle, acceptor.tick = traced_handle, traced_tick  # type: ignore[method-assign]
 
 
-class Actor:
+class CandidateProcess:
     """A candidate that acts on the rig's resource while it holds the lease, and reports what it believes."""
 
     def __init__(self, options: CandidateOptions) -> None:
@@ -148,13 +148,13 @@
         self.name, self.lease, self._clock_rate = options.name, options.lease, options.clock_rate
         self._random = random.Random(options.seed)
         clock = drifting_clock(options.clock_rate, holder_clock)
-        steps = ClockSteps(pathlib.Path(options.clock_steps))
+        clock_steps = ClockSteps(pathlib.Path(options.clock_steps))
         self.client = LeaseClient(
             create_lease_fleet(fleet),
             self.name,
             fleet.lease_s,
             options.seed,
-            lambda: clock() + steps(),
+            lambda: clock() + clock_steps(),
             BROKEN_CANDIDATES.get(options.broken, Candidate),
         )
         host, _, port = options.resource.rpartition(":")
@@ -162,12 +162,12 @@
         self._sock = socket.create_connection((host, int(port)), timeout=REPORT_TIMEOUT_S)
         self._reader = self._sock.makefile("rb")
 
-    def _report(self, report: HolderReport) -> Answer:
+    def _report(self, report: HolderReport) -> ReportResponse:
         with self._lock:
             self._sock.sendall(encode_line(report))
-            return decode_answer(self._reader.readline())
+            return decode_response(self._reader.readline())
 
-    def believed_until_s(self, held: HeldLease) -> float:
+    def lease_expiry_s(self, held: HeldLease) -> float:
         """Return until when (machine's own clock) it believes that it holds the lease; 0 if it does not.
 
         Read before each report: one that was stopped in the middle of an act wakes after its lease.
@@ -179,14 +179,14 @@
         while True:
             held = self.client.acquire(self.lease, ACQUIRE_TIMEOUT_S)
             if held is not None:
-                self._hold(held)
-                time.sleep(self._random.random() * MAX_REST_S)
+                self._hold_lease(held)
+                time.sleep(self._random.random() * MAX_REACQUIRE_DELAY_S)
 
-    def _hold(self, held: HeldLease) -> None:
+    def _hold_lease(self, held: HeldLease) -> None:
         acquired_s = holder_clock()
-        self._report(Acquired(self.name, held.token, acquired_s, self.believed_until_s(held)))
-        ends_s = holder_clock() + self._random.expovariate(1 / MEAN_TERM_S)
-        while held.remaining_s() > 0 and holder_clock() < ends_s:
+        self._report(Acquired(self.name, held.token, acquired_s, self.lease_expiry_s(held)))
+        release_at_s = holder_clock() + self._random.expovariate(1 / MEAN_HOLD_S)
+        while held.remaining_s() > 0 and holder_clock() < release_at_s:
             self._act(held)
             time.sleep(ACT_INTERVAL_S)
         if held.remaining_s() > 0:
@@ -195,17 +195,17 @@
             held.release()
 
     def _act(self, held: HeldLease) -> None:
-        if held.remaining_s() < ACT_S + MARGIN_S:
+        if held.remaining_s() < ACT_DURATION_S + MIN_LEASE_MARGIN_S:
             return
-        if self._random.random() < LATE_CHANCE:
-            time.sleep(self._random.random() * MAX_LATE_S)
-        until_s = self.believed_until_s(held)
+        if self._random.random() < PRE_ACT_DELAY_PROBABILITY:
+            time.sleep(self._random.random() * MAX_PRE_ACT_DELAY_S)
+        until_s = self.lease_expiry_s(held)
         began_s = holder_clock()
         if not self._report(ActBegun(self.name, held.token, until_s)).is_accepted:
             return
-        time.sleep(ACT_S)
+        time.sleep(ACT_DURATION_S)
         ended_s = holder_clock()
-        self._report(ActEnded(self.name, held.token, began_s, ended_s, self.believed_until_s(held)))
+        self._report(ActEnded(self.name, held.token, began_s, ended_s, self.lease_expiry_s(held)))
 
 
 def expiry_at(now: float, remaining_s: float, clock_rate: float) -> float:
@@ -221,9 +221,9 @@
     if isinstance(options, ServerOptions):
         run_server(options)
         return
-    start_thread("parent", exit_with_rig)
+    start_thread("parent", exit_with_parent)
     print("ready", flush=True)
-    Actor(options).run()
+    CandidateProcess(options).run()
 
 
 if __name__ == "__main__":
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from saffronstack.client import Client
-from saffronstack.harness.leases.judge import LeaseJudge
+from saffronstack.harness.leases.judge import LeaseChecker
 from saffronstack.harness.leases.peer import CandidateOptions, ServerOptions
 from saffronstack.harness.links import Wires
 from saffronstack.harness.scenario.processes import ScenarioError
@@ -28,10 +28,10 @@
 
 FLEET = "rig"
 LEASE = "task/rig"
-START_S = 20.0
-SETTLE_S = 15.0
-POLL_S = 0.1
-PEER = (sys.executable, "-m", "saffronstack.harness.leases.peer")
+START_TIMEOUT_S = 20.0
+VOTING_TIMEOUT_S = 15.0
+POLL_INTERVAL_S = 0.1
+PEER_COMMAND = (sys.executable, "-m", "saffronstack.harness.leases.peer")
 
 
 @dataclass
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class RigOptions:
+class HarnessOptions:
     """The size of a rig and the times of its leases, in seconds.
 
     ``broken`` names one of `broken_candidates.BROKEN_CANDIDATES` for all candidates, or is empty.
@@ -67,7 +67,7 @@
 class LeaseProcesses:
     """The processes, files and links of one run. The lock guards the faults and the numbers of candidates."""
 
-    def __init__(self, directory: pathlib.Path, options: RigOptions) -> None:
+    def __init__(self, directory: pathlib.Path, options: HarnessOptions) -> None:
         """Start all servers and candidates.
 
         Raises:
@@ -78,20 +78,22 @@
         self._random = random.Random(options.seed)
         self._server_names = [f"k{number}" for number in range(options.servers)]
         self._wires = Wires()
-        self.judge = LeaseJudge()
+        self.checker = LeaseChecker()
         self._reserved_ports = {name: hold_port("127.0.0.1") for name in self._server_names}
         self._addresses = {
             name: f"127.0.0.1:{port.getsockname()[1]}" for name, port in self._reserved_ports.items()
         }
         self._servers: dict[str, _Process] = {}
-        self._machines = dict.fromkeys(self._server_names, 0)  # how many machines had a server's name before
+        self._replacement_counts = dict.fromkeys(
+            self._server_names, 0
+        )  # how many machines had a server's name before
         self._replaced: list[_Process] = []  # machines replaced while paused, and awake
         self._candidates: list[_Process] = []
         self._started_candidates = 0
         self._active_faults: dict[str, int] = dict.fromkeys(self._server_names, 0)
         self._snapshots: dict[str, list[pathlib.Path]] = {name: [] for name in self._server_names}
-        self._snapshot_count = 0
-        self._recoveries: list[threading.Thread] = []
+        self._total_snapshots = 0
+        self._fault_end_threads: list[threading.Thread] = []
         self._lock = threading.Lock()
         self._is_closed = False
         self._stopped_servers: set[str] = set()
@@ -116,7 +118,7 @@
             self._candidates.append(self._start_candidate())
 
     def _state_directory(self, server: str) -> pathlib.Path:
-        return self._directory / f"state-{server}-{self._machines[server]}"
+        return self._directory / f"state-{server}-{self._replacement_counts[server]}"
 
     def _clock_steps_file(self, candidate: str) -> pathlib.Path:
         return self._directory / f"steps-{candidate}"
@@ -141,19 +143,19 @@
 
     @staticmethod
     def _run_saffron(*arguments: str) -> None:
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "saffronstack.cli.main", *arguments],
             check=False,
             capture_output=True,
-            timeout=START_S,
+            timeout=START_TIMEOUT_S,
         )
-        if done.returncode:
-            raise ScenarioError(done.stderr.decode("utf-8", "replace"))
+        if completed.returncode:
+            raise ScenarioError(completed.stderr.decode("utf-8", "replace"))
 
     def _start(self, name: str, options: ServerOptions | CandidateOptions) -> _Process:
         with open(self._directory / f"{name}.log", "ab") as errors:
             process = subprocess.Popen(
-                [*PEER, msgspec.json.encode(options).decode()],
+                [*PEER_COMMAND, msgspec.json.encode(options).decode()],
                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=errors,
             )  # fmt: skip
         assert process.stdout is not None
@@ -161,7 +163,7 @@
         stdout: IO[bytes] = process.stdout
         start_thread("ready", lambda: lines.put(stdout.readline()))
         try:
-            line = lines.get(timeout=START_S)
+            line = lines.get(timeout=START_TIMEOUT_S)
         except queue.Empty:
             line = b""
         if not line:
@@ -189,7 +191,7 @@
             fleet=str(self._fleet_file(name)),
             name=name,
             lease=LEASE,
-            resource=self.judge.address,
+            resource=self.checker.address,
             seed=self._random.randrange(2**31),
             clock_rate=1 + 0.009 * (self._random.random() - 0.5),
             clock_steps=str(self._clock_steps_file(name)),
@@ -201,26 +203,28 @@
         """Return a server's status page, requested past the relays; empty where it does not answer."""
         client = Client(self._addresses[server], 1.0)
         try:
-            found: dict[str, Any] = msgspec.json.decode(client.request("GET", "/status").body)
+            status: dict[str, Any] = msgspec.json.decode(client.request("GET", "/status").body)
         except (OSError, HttpError, msgspec.MsgspecError):
             return {}
         finally:
             client.close()
-        return found
+        return status
 
-    def wait_until_voting(self, servers: Sequence[str] | None = None, bound_s: float = SETTLE_S) -> bool:
+    def wait_until_voting(
+        self, servers: Sequence[str] | None = None, timeout_s: float = VOTING_TIMEOUT_S
+    ) -> bool:
         """Wait until all of them vote; return whether they do in time."""
-        until_s = time.monotonic() + bound_s
-        servers_to_wait_for = list(servers or self._server_names)
-        while time.monotonic() < until_s:
-            if all(self.status(server).get("votes") for server in servers_to_wait_for):
+        deadline_s = time.monotonic() + timeout_s
+        awaited_servers = list(servers or self._server_names)
+        while time.monotonic() < deadline_s:
+            if all(self.status(server).get("votes") for server in awaited_servers):
                 return True
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         return False
 
-    def _reserve_machine(self, server: str) -> socket.socket:
+    def _reserve_replacement(self, server: str) -> socket.socket:
         """Reserve an address and a disk for the next machine of a name; return the port reserved before."""
-        self._machines[server] += 1
+        self._replacement_counts[server] += 1
         self._snapshots[server].clear()
         before, self._reserved_ports[server] = self._reserved_ports[server], hold_port("127.0.0.1")
         address = f"127.0.0.1:{self._reserved_ports[server].getsockname()[1]}"
@@ -250,7 +254,7 @@
         self._is_closed = True
         for one in [*self._servers.values(), *self._candidates, *self._replaced]:
             self._kill(one)
-        self.judge.close()
+        self.checker.close()
         self._wires.close()
-        for held in self._reserved_ports.values():
-            held.close()
+        for port in self._reserved_ports.values():
+            port.close()
--- a/saffronstack/harness/leases/rig_faults.py
+++ b/saffronstack/harness/leases/rig_faults.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from saffronstack.harness.leases.disk_faults import damage
+from saffronstack.harness.leases.disk_faults import damage_disk
 from saffronstack.harness.leases.faulty_environment import DiskFault
 from saffronstack.harness.leases.processes import LeaseProcesses
 from saffronstack.harness.leases.schedule import Fault
@@ -19,12 +19,12 @@
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.runtime.threads import start_thread
 
-RESET_S = 0.1  # for how long a reset counts as a fault
+RESET_FAULT_S = 0.1  # for how long a reset counts as a fault
 MAX_SNAPSHOTS = 20  # of each server
 Directions = list[tuple[Pair, bool]]  # of links, as `Wires` takes them
 
 
-class RigFaults(LeaseProcesses):
+class FaultInjector(LeaseProcesses):
     """Causes faults, each on threads that end it when its time is over."""
 
     @staticmethod
@@ -33,22 +33,22 @@
         if seconds > 0:
             time.sleep(seconds)
 
-    def _count_fault(self, servers: Sequence[str], by: int) -> None:
+    def _adjust_fault_count(self, servers: Sequence[str], by: int) -> None:
         with self._lock:
             for server in servers:
                 self._active_faults[server] += by
 
-    def cause(self, fault: Fault) -> None:
+    def inject(self, fault: Fault) -> None:
         """Cause a fault."""
         if fault.kind == "lie":
-            self._fail_disk(self._server_names[fault.keepers[0]], fault.how)
+            self._restart_with_damaged_disk(self._server_names[fault.keepers[0]], fault.how)
         elif fault.kind in CANDIDATE_FAULTS:
             numbers = [number for number in fault.candidates if number < len(self._candidates)]
             CANDIDATE_FAULTS[fault.kind](self, fault, numbers)
         else:
-            self._cause_at_servers(fault)
+            self._inject_at_servers(fault)
 
-    def _cause_at_servers(self, fault: Fault) -> None:
+    def _inject_at_servers(self, fault: Fault) -> None:
         servers = self._servers_of(fault)
         if fault.kind == "replace paused":
             # Of two machines of one name with lost disks the later counts; the rig ends the one that woke.
@@ -58,7 +58,7 @@
             with self._lock:
                 servers = [server for server in servers if server not in self._stopped_servers]
                 self._stopped_servers.update(servers)
-        self._count_fault(servers, 1)
+        self._adjust_fault_count(servers, 1)
         SERVER_FAULTS[fault.kind](self, fault, servers)
 
     def _servers_of(self, fault: Fault) -> list[str]:
@@ -75,15 +75,15 @@
         for number in numbers:
             path = self._clock_steps_file(self._candidates[number].name)
             before = float(path.read_text()) if path.exists() else 0.0
-            partial = path.with_suffix(".new")
-            partial.write_text(str(before + fault.length_s))
-            os.replace(partial, path)
+            new_path = path.with_suffix(".new")
+            new_path.write_text(str(before + fault.length_s))
+            os.replace(new_path, path)
 
     def _stop_candidates(self, fault: Fault, numbers: list[int]) -> None:
-        some = [self._candidates[number] for number in numbers]
-        for one in some:
+        processes = [self._candidates[number] for number in numbers]
+        for one in processes:
             self._signal(one, signal.SIGSTOP)
-        self._schedule(fault.length_s, lambda: [self._signal(one, signal.SIGCONT) for one in some])
+        self._schedule(fault.length_s, lambda: [self._signal(one, signal.SIGCONT) for one in processes])
 
     def _cut_candidates(self, fault: Fault, numbers: list[int]) -> None:
         names = {self._candidates[number].name for number in numbers}
@@ -116,9 +116,9 @@
         for server in servers:
             self._signal(self._servers[server], signal.SIGSTOP)
         peers = sorted(self._others(self._servers_of(fault)))
-        unaware = set(self._random.sample(peers, len(peers) // 2))
+        stale_peers = set(self._random.sample(peers, len(peers) // 2))
         for server in servers:
-            replace = partial(self._replace_paused, server, unaware, awake_s=fault.length_s)
+            replace = partial(self._replace_paused, server, stale_peers, awake_s=fault.length_s)
             self._schedule(fault.length_s, replace)
 
     def _stop_servers(self, fault: Fault, servers: list[str]) -> None:
@@ -126,7 +126,7 @@
             self._signal(self._servers[server], signal.SIGSTOP)
         self._end_after(fault.length_s, servers, lambda: self._resume(servers))
 
-    def _fault_disk(self, fault: Fault, servers: list[str]) -> None:
+    def _make_disk_faulty(self, fault: Fault, servers: list[str]) -> None:
         disk_fault = DiskFault(is_full=True) if fault.kind == "disk full" else DiskFault(stall_s=10.0)
         path = self._directory / f"disk-{servers[0]}.json"
         path.write_bytes(msgspec.json.encode(disk_fault))
@@ -140,19 +140,19 @@
         self._end_after(fault.length_s, servers, lambda: self._repair_links(cut, fault.how == "lose"))
 
     def _delay_servers(self, fault: Fault, servers: list[str]) -> None:
-        both = self._links_to(servers) + self._links_from(servers)
-        self._wires.set(both, late_s=fault.length_s / 5)
-        self._end_after(fault.length_s, servers, lambda: self._wires.set(both))
+        links = self._links_to(servers) + self._links_from(servers)
+        self._wires.set(links, late_s=fault.length_s / 5)
+        self._end_after(fault.length_s, servers, lambda: self._wires.set(links))
 
     def _reset_servers(self, fault: Fault, servers: list[str]) -> None:
         self._wires.reset(self._links_to(servers) + self._links_from(servers))
-        self._end_after(RESET_S, servers, lambda: None)
+        self._end_after(RESET_FAULT_S, servers, lambda: None)
 
     def _refuse_servers(self, fault: Fault, servers: list[str]) -> None:
-        both = self._links_to(servers) + self._links_from(servers)
-        self._wires.refuse(both, True)
-        self._wires.reset(both)
-        self._end_after(fault.length_s, servers, lambda: self._wires.refuse(both, False))
+        links = self._links_to(servers) + self._links_from(servers)
+        self._wires.refuse(links, True)
+        self._wires.reset(links)
+        self._end_after(fault.length_s, servers, lambda: self._wires.refuse(links, False))
 
     def _repair_links(self, cut: Directions, reset: bool) -> None:
         self._wires.set(cut)
@@ -164,7 +164,7 @@
 
         def end_fault() -> None:
             end()
-            self._count_fault(servers, -1)
+            self._adjust_fault_count(servers, -1)
 
         self._schedule(after_s, end_fault)
 
@@ -176,7 +176,7 @@
             except Exception as error:  # noqa: BLE001 - the run fails with it at its end
                 self._failure = self._failure or repr(error)
 
-        self._recoveries.append(start_thread("heal", run))
+        self._fault_end_threads.append(start_thread("heal", run))
 
     def _resume(self, servers: Sequence[str]) -> None:
         for server in servers:
@@ -187,30 +187,32 @@
     def _replace(self, servers: Sequence[str]) -> None:
         """Start other machines of the same names, each with an empty directory and an address of its own."""
         for server in servers:
-            held = self._reserve_machine(server)
-            held.close()
+            old_port = self._reserve_replacement(server)
+            old_port.close()
             self._wires.move(server, self._addresses[server])
         self._restart(servers)
 
-    def _replace_paused(self, server: str, unaware: set[str], awake_s: float) -> None:
+    def _replace_paused(self, server: str, stale_peers: set[str], awake_s: float) -> None:
         """Start another machine in the place of a paused one, which wakes up: some still have its address."""
         replaced = self._servers[server]
         self._replaced.append(replaced)
-        held = self._reserve_machine(server)
-        aware = (set(self._server_names) | {one.name for one in self._candidates}) - unaware - {server}
-        self._wires.move(server, self._addresses[server], but=unaware)
-        self._wires.reset(self._wires.between(aware, {server}))
+        old_port = self._reserve_replacement(server)
+        updated_peers = (
+            (set(self._server_names) | {one.name for one in self._candidates}) - stale_peers - {server}
+        )
+        self._wires.move(server, self._addresses[server], but=stale_peers)
+        self._wires.reset(self._wires.between(updated_peers, {server}))
         self._start_server(server)
         self._signal(replaced, signal.SIGCONT)
         with self._lock:
             self._stopped_servers.discard(server)
         self.wait_until_voting([server])
-        self._count_fault([server], -1)
+        self._adjust_fault_count([server], -1)
         self._sleep(awake_s)
         self._kill(replaced)
-        held.close()
+        old_port.close()
         self._wires.move(server, self._addresses[server])
-        self._wires.reset(self._wires.between(unaware, {server}))
+        self._wires.reset(self._wires.between(stale_peers, {server}))
 
     def _restart(self, servers: Sequence[str]) -> None:
         for server in servers:
@@ -219,20 +221,20 @@
             self._stopped_servers.difference_update(servers)
         # Until they vote again they do not count for a majority.
         self.wait_until_voting(servers)
-        self._count_fault(servers, -1)
+        self._adjust_fault_count(servers, -1)
 
-    def _fail_disk(self, server: str, how: str) -> None:
+    def _restart_with_damaged_disk(self, server: str, how: str) -> None:
         """Restart a server with a damaged disk, while all others are well and have recovered."""
-        for thread in self._recoveries:
+        for thread in self._fault_end_threads:
             thread.join(20.0)
-        self._recoveries.clear()
+        self._fault_end_threads.clear()
         if not self.wait_until_voting():
             statuses = [self.status(name) for name in self._server_names]
             raise ScenarioError(f"with all faults over, not all servers vote: {statuses}")
-        self._count_fault([server], 1)
+        self._adjust_fault_count([server], 1)
         self._kill(self._servers[server])
         state = self._state_directory(server)
-        damage(state, how, self._random, self._snapshots[server])
+        damage_disk(state, how, self._random, self._snapshots[server])
         if how in ("gone", "flip both copies", "swap copies"):
             self._snapshots[server].clear()  # earlier states are a replaced server's
         self._fault_counts[f"lie: {how}"] = self._fault_counts.get(f"lie: {how}", 0) + 1
@@ -241,12 +243,12 @@
             raise ScenarioError(f"{server} does not vote after a disk fault ({how}): {self.status(server)}")
         if self.status(server).get("disk") == "lost":
             self._snapshots[server].clear()  # the server has a new incarnation since
-        self._count_fault([server], -1)
+        self._adjust_fault_count([server], -1)
 
     def _snapshot(self, server: str) -> None:
         """Copy the state as it is now, to which a disk may be rolled back later."""
-        self._snapshot_count += 1
-        path = self._directory / f"snapshot-{server}-{self._snapshot_count}"
+        self._total_snapshots += 1
+        path = self._directory / f"snapshot-{server}-{self._total_snapshots}"
         if len(self._snapshots[server]) < MAX_SNAPSHOTS:
             self._signal(self._servers[server], signal.SIGSTOP)  # as a power cut may fall between two writes
             shutil.copytree(self._state_directory(server), path)
@@ -255,22 +257,22 @@
 
 
 STOPPING_FAULTS = {"kill keeper", "stop keeper", "replace keeper", "replace paused"}
-CANDIDATE_FAULTS: dict[str, Callable[[RigFaults, Fault, list[int]], None]] = {
-    "kill candidate": RigFaults._kill_candidates,
-    "clock steps": RigFaults._step_clocks,
-    "stop candidate": RigFaults._stop_candidates,
-    "cut candidates": RigFaults._cut_candidates,
+CANDIDATE_FAULTS: dict[str, Callable[[FaultInjector, Fault, list[int]], None]] = {
+    "kill candidate": FaultInjector._kill_candidates,
+    "clock steps": FaultInjector._step_clocks,
+    "stop candidate": FaultInjector._stop_candidates,
+    "cut candidates": FaultInjector._cut_candidates,
 }
-SERVER_FAULTS: dict[str, Callable[[RigFaults, Fault, list[str]], None]] = {
-    "kill keeper": RigFaults._kill_servers,
-    "replace keeper": RigFaults._replace_servers,
-    "replace paused": RigFaults._pause_and_replace_servers,
-    "stop keeper": RigFaults._stop_servers,
-    "disk full": RigFaults._fault_disk,
-    "disk stalls": RigFaults._fault_disk,
-    "cut": RigFaults._cut_off_servers,
-    "cut one way": RigFaults._cut_off_servers,
-    "late": RigFaults._delay_servers,
-    "reset": RigFaults._reset_servers,
-    "refuse": RigFaults._refuse_servers,
+SERVER_FAULTS: dict[str, Callable[[FaultInjector, Fault, list[str]], None]] = {
+    "kill keeper": FaultInjector._kill_servers,
+    "replace keeper": FaultInjector._replace_servers,
+    "replace paused": FaultInjector._pause_and_replace_servers,
+    "stop keeper": FaultInjector._stop_servers,
+    "disk full": FaultInjector._make_disk_faulty,
+    "disk stalls": FaultInjector._make_disk_faulty,
+    "cut": FaultInjector._cut_off_servers,
+    "cut one way": FaultInjector._cut_off_servers,
+    "late": FaultInjector._delay_servers,
+    "reset": FaultInjector._reset_servers,
+    "refuse": FaultInjector._refuse_servers,
 }
--- a/saffronstack/harness/leases/schedule.py
+++ b/saffronstack/harness/leases/schedule.py
@@ -9,13 +9,13 @@
 import msgspec
 
 # How often each kind of fault comes, in parts.
-KINDS = {
+FAULT_WEIGHTS = {
     "kill keeper": 3, "replace keeper": 1, "replace paused": 1,
     "stop keeper": 2, "disk stalls": 2, "disk full": 1, "lie": 3, "cut": 3,
     "cut one way": 2, "cut candidates": 3,
     "late": 2, "reset": 2, "refuse": 1, "stop candidate": 3, "kill candidate": 2, "clock steps": 1,
 }  # fmt: skip
-LIES = ("old", "gone", "flip one copy", "flip both copies", "cut one copy", "swap copies")
+DISK_FAULTS = ("old", "gone", "flip one copy", "flip both copies", "cut one copy", "swap copies")
 
 
 class Fault(msgspec.Struct, frozen=True):
@@ -29,43 +29,47 @@
     how: str = ""
 
 
-def schedule(seed: int, seconds: float, keepers: int, candidates: int, every_s: float = 1.0) -> list[Fault]:
+def draw_schedule(
+    seed: int, seconds: float, server_count: int, candidate_count: int, mean_interval_s: float = 1.0
+) -> list[Fault]:
     """What a seed has in store."""
-    chance = random.Random(seed)
-    found: list[Fault] = []
-    at_s = chance.expovariate(1 / every_s)
-    minority = (keepers - 1) // 2
+    rng = random.Random(seed)
+    faults: list[Fault] = []
+    at_s = rng.expovariate(1 / mean_interval_s)
+    minority = (server_count - 1) // 2
     while at_s < seconds:
-        kind = chance.choices(list(KINDS), list(KINDS.values()))[0]
-        who = tuple(sorted(chance.sample(range(keepers), chance.randint(1, minority))))
+        kind = rng.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
+        servers = tuple(sorted(rng.sample(range(server_count), rng.randint(1, minority))))
         if kind in ("lie", "disk stalls", "disk full", "replace keeper", "replace paused"):
-            who = who[:1]
-        some = tuple(sorted(chance.sample(range(candidates), chance.randint(1, max(1, candidates // 3)))))
+            servers = servers[:1]
+        chosen_candidates = tuple(
+            sorted(rng.sample(range(candidate_count), rng.randint(1, max(1, candidate_count // 3))))
+        )
         how = ""
         if kind == "lie":
-            how = chance.choice(LIES)
+            how = rng.choice(DISK_FAULTS)
         elif kind.startswith("cut"):
-            how = chance.choice(("hold", "lose"))
-        length_s = round(chance.uniform(0.2, 4.0), 3)
-        found.append(Fault(round(at_s, 3), kind, length_s, who, some, how))
-        at_s += chance.expovariate(1 / every_s)
-    return found
+            how = rng.choice(("hold", "lose"))
+        length_s = round(rng.uniform(0.2, 4.0), 3)
+        faults.append(Fault(round(at_s, 3), kind, length_s, servers, chosen_candidates, how))
+        at_s += rng.expovariate(1 / mean_interval_s)
+    return faults
 
 
-def shrink(faults: Sequence[Fault], fails: Any, most: int = 40) -> list[Fault]:
+def shrink_schedule(faults: Sequence[Fault], fails: Any, max_runs: int = 40) -> list[Fault]:
     """The fewest faults found that still fail, by leaving out halves, quarters, ... (delta debugging)."""
-    left, parts = list(faults), 2
-    tried = 0
-    while len(left) > 1 and tried < most:
-        size = max(1, len(left) // parts)
-        for at in range(0, len(left), size):
-            fewer = left[:at] + left[at + size :]
-            tried += 1
-            if fewer and fails(fewer):
-                left, parts = fewer, max(2, parts - 1)
+    remaining, part_count = list(faults), 2
+    runs = 0
+    while len(remaining) > 1 and runs < max_runs:
+        part_size = max(1, len(remaining) // part_count)
+        for at in range(0, len(remaining), part_size):
+            candidate_faults = remaining[:at] + remaining[at + part_size :]
+            runs += 1
+            if candidate_faults and fails(candidate_faults):
+                remaining, part_count = candidate_faults, max(2, part_count - 1)
                 break
         else:
-            if size == 1:
+            if part_size == 1:
                 break
-            parts = min(len(left), parts * 2)
-    return left
+            part_count = min(len(remaining), part_count * 2)
+    return remaining
--- a/saffronstack/harness/leases/simulated_fleet.py
+++ b/saffronstack/harness/leases/simulated_fleet.py
@@ -26,10 +26,10 @@
 ACT_INTERVAL_S = 0.1
 MAX_BREACHES = 10
 MAX_STORED_STATES = 20
-LOST_HOLDER_EXIT_CHANCE = 0.1  # a process that lost its lease ends
-SLOW_ACT_CHANCE = 0.05
-ACT_DELAY_S = 0.02
-SLOW_ACT_DELAY_S = 6.0
+LOST_HOLDER_EXIT_PROBABILITY = 0.1  # a process that lost its lease ends
+SLOW_ACT_PROBABILITY = 0.05
+MAX_ACT_DELAY_S = 0.02
+MAX_SLOW_ACT_DELAY_S = 6.0
 
 AcceptorFactory = Callable[[str, LeaseLimits, DiskState, AcceptorState, float, int], Acceptor]
 CandidateFactory = Callable[[str, str, float, LeaseLimits, int], Candidate]
@@ -76,7 +76,7 @@
     """An event; those of one time run in the order in which they were scheduled."""
 
     at_s: float
-    serial: int
+    sequence: int
     run: Callable[[], None]
 
 
@@ -86,12 +86,12 @@
     def __init__(self) -> None:
         """Start at time 0 without events."""
         self.now = 0.0
-        self._serial = count()
+        self._sequence = count()
         self._events: list[_Event] = []  # a heap
 
     def schedule(self, after_s: float, event: Callable[[], None]) -> None:
         """Run an event after some seconds of virtual time."""
-        heapq.heappush(self._events, _Event(self.now + after_s, next(self._serial), event))
+        heapq.heappush(self._events, _Event(self.now + after_s, next(self._sequence), event))
 
     def run_next(self, until_s: float) -> bool:
         """Run the next event; return False where there is none before ``until_s``."""
@@ -110,16 +110,16 @@
         """Count acts and breaches in a result."""
         self._result = result
         self._token = 0
-        self._owner = ""
+        self._holder = ""
 
     def act(self, now: float, token: int, name: str) -> None:
         """Accept or reject an act."""
         if token < self._token:
             self._result.rejected += 1
             return
-        if token == self._token and name != self._owner:
-            self._result.add_breach(now, f"{name} and {self._owner} acted under one token, {token}")
-        self._token, self._owner = token, name
+        if token == self._token and name != self._holder:
+            self._result.add_breach(now, f"{name} and {self._holder} acted under one token, {token}")
+        self._token, self._holder = token, name
         self._result.acts += 1
 
 
@@ -155,7 +155,7 @@
         }
         self.partitioned: set[tuple[str, str]] = set()  # sender and receiver
         self.replaced: dict[str, Acceptor] = {}
-        self.unaware: set[tuple[str, str]] = set()  # who still reaches a server that was replaced
+        self.stale_routes: set[tuple[str, str]] = set()  # who still reaches a server that was replaced
         self.candidates: dict[str, Candidate] = {}
         self.paused_until_s: dict[str, float] = {}
         self._process_numbers = count()
@@ -178,13 +178,13 @@
     # ---- messages
 
     def _send(self, sender: str, receiver: str, message: Message) -> None:
-        faults, chance = self.faults, self.random
-        if (sender, receiver) in self.partitioned or chance.random() < faults.loss:
+        faults, rng = self.faults, self.random
+        if (sender, receiver) in self.partitioned or rng.random() < faults.loss:
             return
-        for _ in range(1 + (chance.random() < faults.duplication)):
-            delay_s = faults.latency_s * chance.expovariate(1.0)
-            if chance.random() < faults.delay:
-                delay_s += chance.random() * faults.delay_s
+        for _ in range(1 + (rng.random() < faults.duplication)):
+            delay_s = faults.latency_s * rng.expovariate(1.0)
+            if rng.random() < faults.delay:
+                delay_s += rng.random() * faults.delay_s
             self.events.schedule(delay_s, lambda: self._deliver(sender, receiver, message))
 
     def _deliver(self, sender: str, receiver: str, message: Message) -> None:
@@ -196,11 +196,11 @@
         elif receiver in self.candidates:
             candidate = self.candidates[receiver]
             actions = candidate.handle(self.clock(receiver), sender, message)
-            self._apply_of_candidate(receiver, actions)
+            self._apply_candidate_actions(receiver, actions)
 
     def _deliver_to_server(self, sender: str, server: str, message: Message) -> None:
         replaced = self.replaced.get(server)
-        if replaced is not None and (sender, server) in self.unaware:
+        if replaced is not None and (sender, server) in self.stale_routes:
             actions = replaced.handle(self.clock(server), sender, message)
             self.apply(server, [action for action in actions if isinstance(action, SendMessage)])
             return
@@ -220,7 +220,7 @@
                 case SetTimer():
                     self._set_timer(server, action)
 
-    def _apply_of_candidate(self, name: str, actions: list[CandidateAction]) -> None:
+    def _apply_candidate_actions(self, name: str, actions: list[CandidateAction]) -> None:
         for action in actions:
             match action:
                 case SendMessage():
@@ -228,12 +228,12 @@
                 case SetTimer():
                     self._set_timer(name, action)
                 case LeaseAcquired():
-                    self._note_acquired(name, action.token)
+                    self._record_acquired(name, action.token)
                 case LeaseLost():
-                    if self.random.random() < LOST_HOLDER_EXIT_CHANCE:
+                    if self.random.random() < LOST_HOLDER_EXIT_PROBABILITY:
                         self.events.schedule(0.0, lambda: self.replace_candidate(name))
 
-    def _note_acquired(self, name: str, token: int) -> None:
+    def _record_acquired(self, name: str, token: int) -> None:
         self.result.acquired += 1
         owner = self.acquired_by.setdefault(token, name)
         newest = max(self.acquired_by)
@@ -252,7 +252,7 @@
         elif name in self.paused_until_s:
             self.events.schedule(self.paused_until_s[name] - self.now, lambda: self.tick(name))
         elif name in self.candidates:
-            self._apply_of_candidate(name, self.candidates[name].tick(self.clock(name)))
+            self._apply_candidate_actions(name, self.candidates[name].tick(self.clock(name)))
 
     # ---- candidates and the resource
 
@@ -262,7 +262,7 @@
         seed = self.random.randrange(2**31)
         candidate = self._make_candidate(name, LEASE, self._lease_s, self.limits, seed)
         self.candidates[name] = candidate
-        self._apply_of_candidate(name, candidate.acquire(self.clock(name)))
+        self._apply_candidate_actions(name, candidate.acquire(self.clock(name)))
 
     def replace_candidate(self, name: str) -> None:
         """End a candidate, and start another."""
@@ -275,7 +275,11 @@
         for name, candidate in self.candidates.items():
             if name not in self.paused_until_s and candidate.is_holder(self.clock(name)):
                 fraction = self.random.random()
-                delay_s = ACT_DELAY_S if self.random.random() < 1 - SLOW_ACT_CHANCE else SLOW_ACT_DELAY_S
+                delay_s = (
+                    MAX_ACT_DELAY_S
+                    if self.random.random() < 1 - SLOW_ACT_PROBABILITY
+                    else MAX_SLOW_ACT_DELAY_S
+                )
                 self._schedule_act(fraction * delay_s, candidate.token, name)
                 self.result.held_s += ACT_INTERVAL_S
         self.events.schedule(ACT_INTERVAL_S, self.act)
--- a/saffronstack/harness/leases/simulation.py
+++ b/saffronstack/harness/leases/simulation.py
@@ -11,8 +11,8 @@
 from saffronstack.harness.leases.simulated_fleet import ACT_INTERVAL_S, SimulatedFleet, SimulationResult
 
 # Limits of one draw that chooses a fault: a server stops, a candidate pauses or ends, else a partition.
-SERVER_FAULT, PAUSE_FAULT, EXIT_FAULT = 0.4, 0.6, 0.7
-ONE_WAY_CHANCE = 0.7  # that a partition cuts a direction
+SERVER_STOP_BELOW, CANDIDATE_PAUSE_BELOW, CANDIDATE_EXIT_BELOW = 0.4, 0.6, 0.7
+DIRECTION_CUT_PROBABILITY = 0.7  # that a partition cuts a direction
 
 
 class Simulation(SimulatedFleet):
@@ -23,15 +23,17 @@
         self._schedule_fault()
         self.events.schedule(ACT_INTERVAL_S, self.act)
         while self.events.run_next(seconds):
-            self._judge()
+            self._check_holders()
         return self.result
 
-    def _judge(self) -> None:
+    def _check_holders(self) -> None:
         """Find two candidates that hold the lease at once, or one under an older token.
 
         A paused one counts too: by its clock it would still act.
         """
-        holders = [name for name, one in self.candidates.items() if one.is_holder(self.clock(name))]
+        holders = [
+            name for name, candidate in self.candidates.items() if candidate.is_holder(self.clock(name))
+        ]
         if len(holders) > 1:
             self.result.add_breach(self.now, f"{' and '.join(holders)} hold at once")
         newest = max(self.acquired_by, default=0)
@@ -44,16 +46,16 @@
 
     def _schedule_fault(self) -> None:
         interval_s = self.random.expovariate(1 / self.faults.process_fault_interval_s)
-        self.events.schedule(interval_s, self._cause_fault)
+        self.events.schedule(interval_s, self._inject_fault)
 
-    def _cause_fault(self) -> None:
+    def _inject_fault(self) -> None:
         self._schedule_fault()
         kind = self.random.random()
-        if kind < SERVER_FAULT:
+        if kind < SERVER_STOP_BELOW:
             self._stop_server()
-        elif kind < PAUSE_FAULT:
+        elif kind < CANDIDATE_PAUSE_BELOW:
             self._pause_candidate()
-        elif kind < EXIT_FAULT:
+        elif kind < CANDIDATE_EXIT_BELOW:
             self.replace_candidate(self.random.choice(list(self.candidates)))
         else:
             self._partition_server()
@@ -83,14 +85,14 @@
             self.events.schedule(0.001 * self.random.choice((0.0, 1.0)), lambda: self.tick(name))
 
     def _partition_server(self) -> None:
-        chance = self.random
-        name = chance.choice(list(self.acceptors))
+        rng = self.random
+        name = rng.choice(list(self.acceptors))
         peers = [*self.acceptors, *self.candidates]
-        cut = {(name, peer) for peer in peers} if chance.random() < ONE_WAY_CHANCE else set()
-        cut |= {(peer, name) for peer in peers} if chance.random() < ONE_WAY_CHANCE else set()
+        cut = {(name, peer) for peer in peers} if rng.random() < DIRECTION_CUT_PROBABILITY else set()
+        cut |= {(peer, name) for peer in peers} if rng.random() < DIRECTION_CUT_PROBABILITY else set()
         self.partitioned |= cut
         self.events.schedule(
-            chance.random() * self.faults.partition_s, lambda: self.partitioned.difference_update(cut)
+            rng.random() * self.faults.partition_s, lambda: self.partitioned.difference_update(cut)
         )
 
     def _may_lose_disk(self, name: str) -> bool:
@@ -100,13 +102,13 @@
             acceptor is not None and acceptor.recovery.has_recovered for acceptor in others
         )
 
-    def _wake_replaced(self, name: str, replaced: Acceptor) -> None:
+    def _resume_replaced(self, name: str, replaced: Acceptor) -> None:
         """Wake a machine that was taken for dead beside its successor; some still have its address."""
         self.replaced[name] = replaced
-        self.unaware = {pair for pair in self.unaware if pair[1] != name}
+        self.stale_routes = {pair for pair in self.stale_routes if pair[1] != name}
         for peer in [*self.acceptors, *self.candidates]:
             if self.random.random() < 0.5:
-                self.unaware.add((peer, name))
+                self.stale_routes.add((peer, name))
 
         def end() -> None:
             if self.replaced.get(name) is replaced:
@@ -130,7 +132,7 @@
             return
         if paused is not None:
             disk.clear()
-            self._wake_replaced(name, paused)
+            self._resume_replaced(name, paused)
         elif kind < self.faults.rolled_back_disk and disk:
             kept = max(1, len(disk) - self.random.randrange(1, 6))
             if disk[kept - 1].incarnation == disk[-1].incarnation:  # else it is a replaced server's
--- a/saffronstack/harness/rollout/exploration.py
+++ b/saffronstack/harness/rollout/exploration.py
@@ -22,7 +22,7 @@
     draw_no_fault,
 )
 
-MAX_COMMANDS_TRIED = 4  # of those in flight
+MAX_COMMANDS_EXPLORED = 4  # of those in flight
 MAX_DAEMON_INCARNATION = 3
 DEFAULT_SIZE = WorldSize(gateways=3, daemons=2, zones=2)
 
@@ -60,30 +60,30 @@
     start = _Node(world, InvariantChecker(world))
     world.change_leader()
     start.checker.check()
-    known = {state_key(world)}
+    visited = {state_key(world)}
     layer = [start]
     for depth in range(1, max_depth + 1):
-        following: list[_Node] = []
+        next_layer: list[_Node] = []
         for node in layer:
             for step in _possible_steps(node.world):
                 try:
-                    reached = _take(node, step)
+                    reached = _take_step(node, step)
                 except InvariantError as error:
-                    return Exploration(len(known), depth, str(error), (*node.path, step.name))
+                    return Exploration(len(visited), depth, str(error), (*node.path, step.name))
                 key = state_key(reached.world)
-                if key in known:
+                if key in visited:
                     continue
-                known.add(key)
-                if len(known) >= max_states:
-                    return Exploration(len(known), depth)
-                following.append(reached)
-        if not following:
-            return Exploration(len(known), depth)
-        layer = following
-    return Exploration(len(known), max_depth)
+                visited.add(key)
+                if len(visited) >= max_states:
+                    return Exploration(len(visited), depth)
+                next_layer.append(reached)
+        if not next_layer:
+            return Exploration(len(visited), depth)
+        layer = next_layer
+    return Exploration(len(visited), max_depth)
 
 
-def _take(node: _Node, step: _Step) -> _Node:
+def _take_step(node: _Node, step: _Step) -> _Node:
     """Return the state after a step; from it a leader that is left alone must finish the rollout."""
     reached = copy.deepcopy(node)
     step.run(reached.world)
@@ -94,13 +94,15 @@
 
 
 def _possible_steps(world: SimulatedWorld) -> Iterator[_Step]:
-    yield _Step("round", lambda world: world.play_round(draw_no_fault))
-    yield _Step("round that finds harm", lambda world: world.play_round(draw_harm))
+    yield _Step("round", lambda world: world.run_round(draw_no_fault))
+    yield _Step("round that finds harm", lambda world: world.run_round(draw_harm))
     yield _Step("another leader", SimulatedWorld.change_leader)
     yield _Step("abort", _abort_once)
-    for index, _ in enumerate(world.in_flight[:MAX_COMMANDS_TRIED]):
-        yield _Step(f"command {index} arrives", functools.partial(_deliver, index, False))
-        yield _Step(f"command {index} arrives, and will again", functools.partial(_deliver, index, True))
+    for index, _ in enumerate(world.in_flight[:MAX_COMMANDS_EXPLORED]):
+        yield _Step(f"command {index} arrives", functools.partial(_deliver_command, index, False))
+        yield _Step(
+            f"command {index} arrives, and will again", functools.partial(_deliver_command, index, True)
+        )
     for gateway, daemon_name in world.daemon_of.items():
         if not _is_gateway_settled(world.daemons[daemon_name], gateway):
             yield _Step(f"{gateway} advances", functools.partial(_advance, gateway, False))
@@ -111,11 +113,11 @@
 
 
 def _abort_once(world: SimulatedWorld) -> bool:
-    return world.request is None and world.leave_request(OperatorAction.ABORT)
+    return world.request is None and world.submit_request(OperatorAction.ABORT)
 
 
-def _deliver(index: int, is_repeated: bool, world: SimulatedWorld) -> bool:
-    return world.deliver(index, is_repeated)
+def _deliver_command(index: int, is_repeated: bool, world: SimulatedWorld) -> bool:
+    return world.deliver_command(index, is_repeated)
 
 
 def _advance(gateway: str, fails: bool, world: SimulatedWorld) -> bool:
--- a/saffronstack/harness/rollout/invariants.py
+++ b/saffronstack/harness/rollout/invariants.py
@@ -12,7 +12,7 @@
     draw_no_fault,
 )
 
-MAX_FAIR_ROUNDS = 120
+MAX_FAULT_FREE_ROUNDS = 120
 MAX_PROCESS_STEPS = 6  # of one gateway in a round
 
 
@@ -50,7 +50,7 @@
         if len({self._world.zone_of[gateway] for gateway in unavailable}) > 1:
             raise InvariantError(f"gateways of two zones are unavailable at once: {unavailable}")
 
-    def settle_gateways(self) -> None:
+    def advance_until_settled(self) -> None:
         """Let all processes come to rest, checking after each step."""
         for gateway in self._world.daemon_of:
             for _ in range(MAX_PROCESS_STEPS):
@@ -66,24 +66,24 @@
         """
         world = self._world
         if not world.record.is_finished:
-            world.leave_request(OperatorAction.ABORT)
-        for _ in range(MAX_FAIR_ROUNDS):
-            self._play_fair_round()
+            world.submit_request(OperatorAction.ABORT)
+        for _ in range(MAX_FAULT_FREE_ROUNDS):
+            self._run_fault_free_round()
             if world.record.is_finished:
                 self._check_running_releases()
                 return
         raise InvariantError(f"the rollout does not end: {world.record.phase}, {world.record.reason}")
 
-    def _play_fair_round(self) -> None:
+    def _run_fault_free_round(self) -> None:
         world = self._world
         if world.leader is None or world.leader.token != world.granted_token:
             world.change_leader()
-        world.play_round(draw_no_fault)
+        world.run_round(draw_no_fault)
         self.check()
         while world.in_flight:
-            world.deliver(0, is_repeated=False)
+            world.deliver_command(0, is_repeated=False)
             self.check()
-        self.settle_gateways()
+        self.advance_until_settled()
 
     def _check_running_releases(self) -> None:
         phase = self._world.record.phase
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -23,7 +23,7 @@
 from saffronstack.fleet.rollout.record import RolloutRecord, decode_record
 from saffronstack.harness.links import Mode, Wires
 from saffronstack.harness.rollout.fleet_watcher import FleetObservations
-from saffronstack.harness.rollout.rig_layout import RigLayout, RigSizes
+from saffronstack.harness.rollout.rig_layout import HarnessLayout, HarnessSizes
 from saffronstack.harness.rollout.sample_releases import write_release
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.runtime.threads import start_thread
@@ -39,12 +39,12 @@
 MEMORY_MB = 8192.0
 
 
-class RolloutRig:
+class RolloutHarness:
     """Use it as a context. Workers and clients are in this process, all else in processes of its own."""
 
-    def __init__(self, folder: pathlib.Path, sizes: RigSizes) -> None:
+    def __init__(self, directory: pathlib.Path, sizes: HarnessSizes) -> None:
         self.sizes = sizes
-        self.layout = RigLayout(folder, sizes)
+        self.layout = HarnessLayout(directory, sizes)
         self.worker_log: list[Seen] = []
         profile = Profile(memory_mb=MEMORY_MB, cores=8, work_s=0.01, load_s=0.1, keep_alive_s=30.0, queue=256)
         self._workers = StandInFleet(
@@ -56,14 +56,14 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.observations = FleetObservations()
 
-    def __enter__(self) -> RolloutRig:
+    def __enter__(self) -> RolloutHarness:
         for name, address in self.gateways.items():
             content = sample(self._workers.entries(), address, memory_mb=MEMORY_MB)
             content["instances"] = self.sizes.gateways
             self.layout.write_json(f"{name}.json5", content)
-        for name in self.keepers:
-            self.run("keeper", "establish", *self._keeper_options(name))
-            self.start_keeper(name)
+        for name in self.lease_servers:
+            self.run("keeper", "establish", *self._lease_server_options(name))
+            self.start_lease_server(name)
         for name in self.daemons:
             self.start_daemon(name)
         return self
@@ -86,9 +86,9 @@
         self.layout.close()
 
     @property
-    def keepers(self) -> dict[str, str]:
+    def lease_servers(self) -> dict[str, str]:
         """Addresses of lease servers by name."""
-        return self.layout.keepers
+        return self.layout.lease_servers
 
     @property
     def daemons(self) -> dict[str, str]:
@@ -127,9 +127,9 @@
             raise ScenarioError(f"{name} did not start; see {self.layout.log_path(name)}")
         start_thread("drain-output", lambda: [None for _ in output])
 
-    def start_keeper(self, name: str) -> None:
+    def start_lease_server(self, name: str) -> None:
         """Start a lease server, for the first time or again."""
-        self.start(name, "keeper", "run", *self._keeper_options(name))
+        self.start(name, "keeper", "run", *self._lease_server_options(name))
 
     def start_daemon(self, name: str) -> None:
         """Start a daemon, for the first time or again."""
@@ -156,7 +156,7 @@
         command = [*SAFFRONSTACK, *arguments]
         return subprocess.run(command, capture_output=True, text=True, timeout=timeout_s, check=False)
 
-    def _keeper_options(self, name: str) -> list[str]:
+    def _lease_server_options(self, name: str) -> list[str]:
         state = str(self.layout.state_directory(name))
         return ["--fleet", str(self.fleet_path), "--name", name, "--state", state]
 
@@ -173,11 +173,11 @@
             ScenarioError: They do not come up.
         """
         options = ("--fleet", str(self.fleet_path), "--release", release, "--wait", "60")
-        ran = self.run("fleet", "start", *options, timeout_s=DEPLOY_TIMEOUT_S)
-        if ran.returncode:
-            raise ScenarioError(f"fleet start: {ran.stdout}{ran.stderr}")
+        completed = self.run("fleet", "start", *options, timeout_s=DEPLOY_TIMEOUT_S)
+        if completed.returncode:
+            raise ScenarioError(f"fleet start: {completed.stdout}{completed.stderr}")
 
-    def write_plan(self, base: str, **changed: Any) -> pathlib.Path:
+    def write_plan(self, base: str, **overrides: Any) -> pathlib.Path:
         """Write a plan file for a fleet that runs the release in ``base``."""
         content: dict[str, Any] = {
             "name": f"plan-{time.monotonic_ns()}", "base": read_release(base).release.digest,
@@ -186,7 +186,7 @@
             ],
             "unavailable_most": 2, "calls_least": 20, "memory_least_mb": 1.5, "settle_s": 1.5,
         }  # fmt: skip
-        return self.layout.write_json("plan.json5", content | changed)
+        return self.layout.write_json("plan.json5", content | overrides)
 
     def statuses(self) -> dict[str, GatewayStatus]:
         """Poll all daemons for their gateways; those of unavailable daemons are missing."""
@@ -194,12 +194,12 @@
 
     def record(self) -> RolloutRecord | None:
         """Return the recorded rollout; None where it can't be read."""
-        shown = read_leases(self.keepers, self.sizes.wait_s).leases.get(LEADER_LEASE)
-        return decode_record(shown.value.content) if shown is not None else None
+        observed = read_leases(self.lease_servers, self.sizes.wait_s).leases.get(LEADER_LEASE)
+        return decode_record(observed.value.content) if observed is not None else None
 
     # ---- links between a leader and daemons
 
-    def cut(self, leader: str, daemon: str, mode: Mode) -> None:
+    def set_link_mode(self, leader: str, daemon: str, mode: Mode) -> None:
         """Hold, lose or pass what a leader and a daemon send each other."""
         self.wires.set(self.wires.between({leader}, {daemon}), mode)
         self.wires.set(self.wires.between({daemon}, {leader}), mode)
--- a/saffronstack/harness/rollout/random_walk.py
+++ b/saffronstack/harness/rollout/random_walk.py
@@ -28,13 +28,13 @@
         self.checker = InvariantChecker(self.world)
         self._restarts = 0
         self._steps = {
-            self._play_round: 30,
-            self._deliver: 20,
-            self._lose: 3,
+            self._run_round: 30,
+            self._deliver_command: 20,
+            self._lose_command: 3,
             self._advance_gateway: 40,
             self.world.change_leader: 2,
             self._restart_daemon: 1.0,
-            self._leave_request: 0.3,
+            self._submit_request: 0.3,
         }
 
     def run(self, step_count: int) -> int:
@@ -45,23 +45,23 @@
         """
         self.world.change_leader()
         self.checker.check()
-        possible = 0
+        possible_steps = 0
         for _ in range(step_count):
             step = self._random.choices(list(self._steps), list(self._steps.values()))[0]
-            possible += step()
+            possible_steps += step()
             self.checker.check()
         self.checker.finish()
-        return possible
+        return possible_steps
 
-    def _play_round(self) -> bool:
-        return self.world.play_round(self._random.randrange)
+    def _run_round(self) -> bool:
+        return self.world.run_round(self._random.randrange)
 
-    def _deliver(self) -> bool:
+    def _deliver_command(self) -> bool:
         index = self._draw_command()
-        return self.world.deliver(index, self._random.random() < REPEAT_PROBABILITY)
+        return self.world.deliver_command(index, self._random.random() < REPEAT_PROBABILITY)
 
-    def _lose(self) -> bool:
-        return self.world.lose(self._draw_command())
+    def _lose_command(self) -> bool:
+        return self.world.lose_command(self._draw_command())
 
     def _draw_command(self) -> int:
         return self._random.randrange(max(1, len(self.world.in_flight)))
@@ -79,12 +79,12 @@
         if self._restarts == MAX_RESTARTS:
             return False
         self._restarts += 1
-        self.checker.settle_gateways()
+        self.checker.advance_until_settled()
         name = self._random.choice(list(self.world.daemons))
         return self.world.restart_daemon(name, self._random.random() < DISK_LOSS_PROBABILITY)
 
-    def _leave_request(self) -> bool:
-        return self.world.leave_request(self._random.choice(list(OperatorAction)))
+    def _submit_request(self) -> bool:
+        return self.world.submit_request(self._random.choice(list(OperatorAction)))
 
 
 def walk_randomly(seed: int, step_count: int, defect: Defect = Defect.NONE) -> int:
--- a/saffronstack/harness/rollout/rig_layout.py
+++ b/saffronstack/harness/rollout/rig_layout.py
@@ -12,11 +12,11 @@
 
 FLEET = "rig"
 ZONES = ("east", "west", "south")
-KEEPERS = 3
+LEASE_SERVER_COUNT = 3
 
 
 @dataclass(frozen=True)
-class RigSizes:
+class HarnessSizes:
     """How large a rig is.
 
     Attributes:
@@ -44,16 +44,16 @@
     seed: int = 1
 
 
-class RigLayout:
+class HarnessLayout:
     """Holds a free port for each process; close it at the end."""
 
-    def __init__(self, folder: pathlib.Path, sizes: RigSizes) -> None:
-        self.folder, self.sizes = folder, sizes
-        self.releases = folder / "releases"
-        count = KEEPERS + sizes.daemons + sizes.gateways
+    def __init__(self, directory: pathlib.Path, sizes: HarnessSizes) -> None:
+        self.directory, self.sizes = directory, sizes
+        self.releases = directory / "releases"
+        count = LEASE_SERVER_COUNT + sizes.daemons + sizes.gateways
         self._ports = [hold_port("127.0.0.1") for _ in range(count)]
         addresses = iter([f"127.0.0.1:{port.getsockname()[1]}" for port in self._ports])
-        self.keepers = {f"k{number}": next(addresses) for number in range(KEEPERS)}
+        self.lease_servers = {f"k{number}": next(addresses) for number in range(LEASE_SERVER_COUNT)}
         self.daemons = {f"d{number}": next(addresses) for number in range(sizes.daemons)}
         self.gateways = {f"g{number}": next(addresses) for number in range(sizes.gateways)}
         self.daemon_of = {f"g{number}": f"d{number % sizes.daemons}" for number in range(sizes.gateways)}
@@ -65,11 +65,11 @@
 
     def state_directory(self, process: str) -> pathlib.Path:
         """Return where a keeper or a daemon stores its state."""
-        return self.folder / f"state-{process}"
+        return self.directory / f"state-{process}"
 
     def log_path(self, process: str) -> pathlib.Path:
         """Return where the output of a process goes."""
-        return self.folder / f"{process}.log"
+        return self.directory / f"{process}.log"
 
     def write_fleet_file(self, name: str, daemons: Mapping[str, str]) -> pathlib.Path:
         """Write a fleet file in which daemons have these addresses."""
@@ -80,14 +80,14 @@
         ]
         content = {
             "fleet": FLEET, "lease_s": sizes.lease_s, "longest_s": 2 * sizes.lease_s, "wait_s": sizes.wait_s,
-            "keepers": [{"name": name, "address": address} for name, address in self.keepers.items()],
+            "keepers": [{"name": name, "address": address} for name, address in self.lease_servers.items()],
             "daemons": entries,
         }  # fmt: skip
         return self.write_json(name, content)
 
     def write_json(self, name: str, content: Mapping[str, Any]) -> pathlib.Path:
         """Write a configuration file."""
-        path = self.folder / name
+        path = self.directory / name
         path.write_text(json.dumps(content, indent=1))
         return path
 
@@ -95,7 +95,7 @@
         gateways = [
             {
                 "name": gateway, "listen": self.gateways[gateway], "zone": zone,
-                "config": str(self.folder / f"{gateway}.json5"), "drain_s": self.sizes.drain_s,
+                "config": str(self.directory / f"{gateway}.json5"), "drain_s": self.sizes.drain_s,
             }
             for gateway, owner in self.daemon_of.items() if owner == daemon
         ]  # fmt: skip
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -16,19 +16,19 @@
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.rollout.record import RolloutPhase
 from saffronstack.harness.rollout.fleet_watcher import FleetWatcher
-from saffronstack.harness.rollout.process_rig import SAFFRONSTACK, RolloutRig
+from saffronstack.harness.rollout.process_rig import SAFFRONSTACK, RolloutHarness
 from saffronstack.harness.scenario.clients import Clients
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.runtime.threads import start_thread
 
 NOT_STARTED = 2  # exit status of a plan that can't be started
 POLL_INTERVAL_S = 0.1
-MAX_PLAY_S = 3600.0
-FAULTS_JOIN_S = 30.0
-CLIENTS_END_S = 30.0
-TRAFFIC_JOIN_S = 60.0
-LEADER_END_S = 5.0
-SLACK_S = 0.5  # of the judge
+MAX_TRAFFIC_S = 3600.0
+FAULTS_JOIN_TIMEOUT_S = 30.0
+CLIENTS_END_TIMEOUT_S = 30.0
+TRAFFIC_JOIN_TIMEOUT_S = 60.0
+LEADER_EXIT_TIMEOUT_S = 5.0
+TIMING_TOLERANCE_S = 0.5  # of the judge
 TENANTS = ("corner-books", "campus-app")
 RULES = {
     "identify-copy": FunctionRule("safe"),
@@ -38,7 +38,7 @@
 }
 
 
-def no_faults(rig: RolloutRig) -> None:
+def no_faults(harness: RolloutHarness) -> None:
     """Cause no faults."""
 
 
@@ -55,11 +55,11 @@
         waits_on_hold: Whether the run goes on while the rollout is on hold, for an operator to end that.
     """
 
-    faults: Callable[[RolloutRig], None] = no_faults
+    faults: Callable[[RolloutHarness], None] = no_faults
     timeout_s: float = 180.0
     standby_leaders: int = 0
     fleet_path: pathlib.Path | None = None
-    quiet_s: float = 1.0
+    warmup_s: float = 1.0
     waits_on_hold: bool = False
 
 
@@ -89,7 +89,7 @@
     reached: int
     max_unavailable: int
     operations: int
-    harmed_share: float
+    unserved_share: float
     attempt_ends: Counter[str] = field(default_factory=Counter)
     breaches: list[str] = field(default_factory=list)
     history: list[str] = field(default_factory=list)
@@ -99,7 +99,7 @@
         return (
             f"{self.phase} (status {self.status}) after {self.elapsed_s:.1f} s; "
             f"{self.reached} gateways reached, {self.max_unavailable} down at once; "
-            f"{self.operations} operations, {self.harmed_share:.4f} harmed, "
+            f"{self.operations} operations, {self.unserved_share:.4f} harmed, "
             f"attempts {dict(self.attempt_ends)}; breaches {len(self.breaches)}; {'; '.join(self.history)}"
         )
 
@@ -108,60 +108,65 @@
     """One rollout from the release in ``old`` to that in ``new``, both directories."""
 
     def __init__(
-        self, rig: RolloutRig, old: str, new: str, plan: pathlib.Path, options: RunOptions = DEFAULT_OPTIONS
+        self,
+        harness: RolloutHarness,
+        old: str,
+        new: str,
+        plan: pathlib.Path,
+        options: RunOptions = DEFAULT_OPTIONS,
     ) -> None:
-        self._rig, self._old, self._new, self._plan, self._options = rig, old, new, plan, options
+        self._harness, self._old, self._new, self._plan, self._options = harness, old, new, plan, options
         self._name = str(json.loads(plan.read_text())["name"])
-        self._fleet_path = str(options.fleet_path or rig.fleet_path)
-        self._troubles: list[str] = []
-        sizes = rig.sizes
+        self._fleet_path = str(options.fleet_path or harness.fleet_path)
+        self._run_errors: list[str] = []
+        sizes = harness.sizes
         self._clients = Clients(
-            list(rig.gateways.values()),
+            list(harness.gateways.values()),
             Mix(rate=sizes.rate, deferred_share=0.0, tries=sizes.attempts, clients=sizes.clients),
             sizes.seed, lambda at: sizes.rate, lambda name: name, TENANTS, self._name,
         )  # fmt: skip
-        rig.observations.reset()
-        self._watcher = FleetWatcher(rig.observations, rig.statuses, read_release(new).release.digest)
+        harness.observations.reset()
+        self._watcher = FleetWatcher(harness.observations, harness.statuses, read_release(new).release.digest)
 
-    def play(self) -> RolloutOutcome:
+    def run(self) -> RolloutOutcome:
         """Play it to its end, and judge it."""
         started_s = time.monotonic()
-        is_over = threading.Event()
-        traffic = start_thread("traffic", lambda: self._play_clients(is_over))
+        stops_traffic = threading.Event()
+        traffic = start_thread("traffic", lambda: self._run_clients(stops_traffic))
         self._watcher.start()
         for number in range(self._options.standby_leaders):
-            self._rig.start(f"leader-{number}", "rollout", "lead", "--fleet", self._fleet_path)
-        time.sleep(self._options.quiet_s)
+            self._harness.start(f"leader-{number}", "rollout", "lead", "--fleet", self._fleet_path)
+        time.sleep(self._options.warmup_s)
         leader = self._start_rollout()
-        faults = start_thread("faults", self._cause_faults)
+        faults = start_thread("faults", self._inject_faults)
         self._wait_for_end(leader)
-        faults.join(FAULTS_JOIN_S)
+        faults.join(FAULTS_JOIN_TIMEOUT_S)
         elapsed_s = time.monotonic() - started_s
-        is_over.set()
-        traffic.join(TRAFFIC_JOIN_S)
+        stops_traffic.set()
+        traffic.join(TRAFFIC_JOIN_TIMEOUT_S)
         self._watcher.stop()
-        return self._judge(_end_process(leader), elapsed_s)
+        return self._evaluate(_end_process(leader), elapsed_s)
 
     def _start_rollout(self) -> subprocess.Popen[bytes]:
         command = [
             *SAFFRONSTACK, "rollout", "start", str(self._plan), "--fleet", self._fleet_path,
             "--from", self._old, "--to", self._new, "--log", "json",
         ]  # fmt: skip
-        with open(self._rig.layout.log_path("rollout"), "ab") as log_file:
+        with open(self._harness.layout.log_path("rollout"), "ab") as log_file:
             process = subprocess.Popen(command, stdout=log_file, stderr=log_file)
-        self._rig.processes["rollout"] = process
+        self._harness.processes["rollout"] = process
         return process
 
-    def _cause_faults(self) -> None:
+    def _inject_faults(self) -> None:
         try:
-            self._options.faults(self._rig)
+            self._options.faults(self._harness)
         except Exception as error:  # noqa: BLE001 - the verdict names it
-            self._troubles.append(f"faults: {error!r}")
+            self._run_errors.append(f"faults: {error!r}")
 
-    def _play_clients(self, is_over: threading.Event) -> None:
-        self._clients.play(MAX_PLAY_S, is_over)
-        if not self._clients.end(CLIENTS_END_S):
-            self._troubles.append("clients did not end")
+    def _run_clients(self, stops_traffic: threading.Event) -> None:
+        self._clients.play(MAX_TRAFFIC_S, stops_traffic)
+        if not self._clients.end(CLIENTS_END_TIMEOUT_S):
+            self._run_errors.append("clients did not end")
 
     def _wait_for_end(self, leader: subprocess.Popen[bytes]) -> None:
         """Wait until the rollout has ended, nobody leads it, or time is up."""
@@ -173,21 +178,21 @@
             time.sleep(POLL_INTERVAL_S)
 
     def _has_ended(self) -> bool:
-        record = self._rig.record()
+        record = self._harness.record()
         if record is None or record.plan.name != self._name:
             return False
         is_on_hold = record.phase is RolloutPhase.ON_HOLD
         return record.is_finished or (is_on_hold and not self._options.waits_on_hold)
 
-    def _judge(self, status: int, elapsed_s: float) -> RolloutOutcome:
-        record, attempts = self._rig.record(), self._clients.tries
-        observations = self._rig.observations
+    def _evaluate(self, status: int, elapsed_s: float) -> RolloutOutcome:
+        record, attempts = self._harness.record(), self._clients.tries
+        observations = self._harness.observations
         operations = {one.op for one in attempts}
         served = {one.op for one in attempts if one.end in ("served", "accepted")}
         traffic = Traffic(
-            RULES, tries=attempts, seen=list(self._rig.worker_log), stopped=list(observations.crashes)
+            RULES, tries=attempts, seen=list(self._harness.worker_log), stopped=list(observations.crashes)
         )
-        breaches = judge(traffic, Figures(slack_s=SLACK_S, gateways=len(self._rig.gateways)))
+        breaches = judge(traffic, Figures(slack_s=TIMING_TOLERANCE_S, gateways=len(self._harness.gateways)))
         return RolloutOutcome(
             status=status,
             phase=record.phase if record is not None else None,
@@ -195,9 +200,9 @@
             reached=len(observations.reached),
             max_unavailable=observations.max_unavailable,
             operations=len(operations),
-            harmed_share=1 - len(served) / max(1, len(operations)),
+            unserved_share=1 - len(served) / max(1, len(operations)),
             attempt_ends=Counter(one.end for one in attempts),
-            breaches=[f"rule {breach.rule}: {breach.text}" for breach in breaches] + self._troubles,
+            breaches=[f"rule {breach.rule}: {breach.text}" for breach in breaches] + self._run_errors,
             history=list(record.history) if record is not None else [],
         )
 
@@ -205,7 +210,7 @@
 def _end_process(process: subprocess.Popen[bytes]) -> int:
     """Return the exit status of a leader; one that leads on, or is stopped, is killed."""
     try:
-        return process.wait(LEADER_END_S)
+        return process.wait(LEADER_EXIT_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         return process.wait()
--- a/saffronstack/harness/rollout/sample_releases.py
+++ b/saffronstack/harness/rollout/sample_releases.py
@@ -22,10 +22,10 @@
         "from saffronstack.invoke import errors\n"
         "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original = InvocationExecutor.call\n"
-        "def call(self, asked, there):\n"
-        "    if asked.function.config.call_class == 'sale' and random.random() < 0.3:\n"
+        "def call(self, invocation, is_connected):\n"
+        "    if invocation.function.config.call_class == 'sale' and random.random() < 0.3:\n"
         "        raise errors.service_error('a fault of this release')\n"
-        "    return original(self, asked, there)\n"
+        "    return original(self, invocation, is_connected)\n"
         "InvocationExecutor.call = call"
     ),
     "refuses": (
@@ -33,28 +33,28 @@
         "from saffronstack.invoke import errors\n"
         "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original = InvocationExecutor.call\n"
-        "def call(self, asked, there):\n"
+        "def call(self, invocation, is_connected):\n"
         "    if random.random() < 0.25:\n"
         "        raise errors.too_many_requests('a fault of this release', 1.0)\n"
-        "    return original(self, asked, there)\n"
+        "    return original(self, invocation, is_connected)\n"
         "InvocationExecutor.call = call"
     ),
     "slower": (
         "import time\n"
         "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original = InvocationExecutor.call\n"
-        "def call(self, asked, there):\n"
-        "    answer = original(self, asked, there)\n"
+        "def call(self, invocation, is_connected):\n"
+        "    response = original(self, invocation, is_connected)\n"
         "    time.sleep(0.05)\n"
-        "    return answer\n"
+        "    return response\n"
         "InvocationExecutor.call = call"
     ),
     "leaks": (
         "from saffronstack.invoke.invocation_executor import InvocationExecutor\n"
         "original, leaked = InvocationExecutor.call, []\n"
-        "def call(self, asked, there):\n"
+        "def call(self, invocation, is_connected):\n"
         "    leaked.append(bytes(1) * 200_000)\n"
-        "    return original(self, asked, there)\n"
+        "    return original(self, invocation, is_connected)\n"
         "InvocationExecutor.call = call"
     ),
     "hangs on SIGTERM": (
--- a/saffronstack/harness/rollout/simulated_daemon.py
+++ b/saffronstack/harness/rollout/simulated_daemon.py
@@ -76,7 +76,9 @@
             match phase:
                 case IncarnationPhase.PREPARING if not fails:
                     self._prepare(now_s, gateway, number)
-                case IncarnationPhase.ACTIVATING if not fails and not _starts(reconciler, unusable_release):
+                case IncarnationPhase.ACTIVATING if not fails and not _successor_runs(
+                    reconciler, unusable_release
+                ):
                     processes[number] = IncarnationPhase.SERVING
                     self._carry_out(gateway, reconciler.on_serving(now_s, number))
                 case IncarnationPhase.PREPARING | IncarnationPhase.ACTIVATING | IncarnationPhase.DRAINING:
@@ -152,5 +154,5 @@
                     pass  # the process has ended, or only the end of a daemon makes a difference
 
 
-def _starts(reconciler: GatewayReconciler, release: str) -> bool:
+def _successor_runs(reconciler: GatewayReconciler, release: str) -> bool:
     return reconciler.successor is not None and reconciler.successor.release == release
--- a/saffronstack/harness/rollout/simulated_world.py
+++ b/saffronstack/harness/rollout/simulated_world.py
@@ -92,19 +92,19 @@
         self.defect = defect
         self._unusable_release = NEW.digest if is_new_unusable else ""
         self.now_s = 0.0
-        names = [f"g{number}" for number in range(size.gateways)]
+        gateway_names = [f"g{number}" for number in range(size.gateways)]
         self.daemon_of = {f"g{number}": f"d{number % size.daemons}" for number in range(size.gateways)}
         self.zone_of = {
             f"g{number}": f"z{number % size.daemons % size.zones}" for number in range(size.gateways)
         }
-        gateways = tuple(FleetGateway(name=name, zone=self.zone_of[name]) for name in names)
+        gateways = tuple(FleetGateway(name=name, zone=self.zone_of[name]) for name in gateway_names)
         self._fleet = RolloutFleet(gateways, self.daemon_of)
         self.record: RolloutRecord = create_record(_create_plan(size), OLD, NEW)
         self.granted_token = 0
         self.leader: SimulatedLeader | None = None
         self.request: events.OperatorRequested | None = None
         self.in_flight: list[InFlightCommand] = []
-        self.tokens_of_rollback: set[int] = set()
+        self.rollback_tokens: set[int] = set()
         self.daemons = {name: SimulatedDaemon() for name in sorted(set(self.daemon_of.values()))}
         for gateway, daemon in self.daemon_of.items():
             self.daemons[daemon].add_gateway(gateway, OLD.digest)
@@ -121,11 +121,11 @@
         apply_defect(controller, self.defect)
         self.leader = SimulatedLeader(controller, self.granted_token)
         if self.record.is_rolling_back:
-            self.tokens_of_rollback.add(self.granted_token)
+            self.rollback_tokens.add(self.granted_token)
         self._store(self.leader, record)
         return True
 
-    def play_round(self, draw: Draw) -> bool:
+    def run_round(self, draw: Draw) -> bool:
         """Let the leader poll all daemons and send what it decides."""
         leader = self.leader
         if leader is None:
@@ -133,13 +133,13 @@
         self.now_s += STEP_S
         reports = [self._poll(leader, name, draw) for name in self.daemons]  # commands are newer than each
         for report in reports:
-            self._tell(leader, report, draw)
+            self._report_event(leader, report, draw)
         if self.request is not None:
-            self._tell(leader, self.request, draw)
-        self._tell(leader, events.Tick(), draw)
+            self._report_event(leader, self.request, draw)
+        self._report_event(leader, events.Tick(), draw)
         return True
 
-    def deliver(self, index: int, is_repeated: bool) -> bool:
+    def deliver_command(self, index: int, is_repeated: bool) -> bool:
         """Let a command arrive; with ``is_repeated`` it will arrive again."""
         if index >= len(self.in_flight):
             return False
@@ -160,7 +160,7 @@
         daemon.set_desired(self.now_s, command.gateway, command.release)
         return True
 
-    def lose(self, index: int) -> bool:
+    def lose_command(self, index: int) -> bool:
         """Lose a command."""
         if index >= len(self.in_flight):
             return False
@@ -185,7 +185,7 @@
         daemon.restart(self.now_s, token, is_disk_lost)
         return True
 
-    def leave_request(self, action: OperatorAction) -> bool:
+    def submit_request(self, action: OperatorAction) -> bool:
         """Leave an operator's request."""
         number = self.request.number + 1 if self.request is not None else 1
         self.request = events.OperatorRequested(number, action)
@@ -205,25 +205,25 @@
             name, {gateway: reconciler.observe() for gateway, reconciler in daemon.reconcilers.items()}
         )
 
-    def _tell(self, leader: SimulatedLeader, event: events.Event, draw: Draw) -> None:
+    def _report_event(self, leader: SimulatedLeader, event: events.Event, draw: Draw) -> None:
         """Report an event to the leader's controller, and carry out what it decides."""
-        waiting = deque(leader.controller.handle(self.now_s, event))
-        while waiting:
-            action = waiting.popleft()
+        pending_actions = deque(leader.controller.handle(self.now_s, event))
+        while pending_actions:
+            action = pending_actions.popleft()
             match action:
                 case events.SetRelease():
                     self._send(leader, action)
                 case events.StoreRecord(record):
-                    if not self._store_drawn(leader, record, draw):
+                    if not self._store_with_faults(leader, record, draw):
                         self.leader = None  # it can't know what is stored; the next leader reads it
                         return
                     stored = events.RecordStored(record, is_confirmed=True)
-                    waiting.extend(leader.controller.handle(self.now_s, stored))
+                    pending_actions.extend(leader.controller.handle(self.now_s, stored))
                     if self.defect is Defect.COMMANDED_BEFORE_STORED and draw(STORE_AFTERWARDS_DRAW):
                         self._store(leader, record)
                 case events.AnalyzeStage():
                     completed = _analyze(action, draw)
-                    waiting.extend(leader.controller.handle(self.now_s, completed))
+                    pending_actions.extend(leader.controller.handle(self.now_s, completed))
                 case events.StartBake():
                     pass  # the analyses are drawn, and need no metrics
 
@@ -247,14 +247,14 @@
         self.record = record
         return True
 
-    def _store_drawn(self, leader: SimulatedLeader, record: RolloutRecord, draw: Draw) -> bool:
+    def _store_with_faults(self, leader: SimulatedLeader, record: RolloutRecord, draw: Draw) -> bool:
         """Store a record; return whether the leader takes it for stored."""
         if self.defect is Defect.COMMANDED_BEFORE_STORED:
             return True
         return self._store(leader, record) and draw(STORE_UNCONFIRMED_DRAW) != 0
 
     def _check_accepted(self, command: InFlightCommand) -> None:
-        if command.release == NEW.digest and command.token in self.tokens_of_rollback:
+        if command.release == NEW.digest and command.token in self.rollback_tokens:
             raise InvariantError(f"{command.gateway}: a leader of a rollback commands the new release")
         if self.record.is_finished:
             reconciler = self.daemons[command.daemon].reconcilers[command.gateway]
--- a/tests/fleet/leases/test_model_checker.py
+++ b/tests/fleet/leases/test_model_checker.py
@@ -156,6 +156,6 @@
 ) -> None:
     result = explore(18, budget, make_acceptor, make_candidate, 40_000, after)
     assert result.breach, result
-    assert result.trail, result
+    assert result.path, result
     # The same steps of the real ones, to the same depth.
     assert explore(result.depth, budget, max_states=2_000, after=after).breach == ""
--- a/tests/fleet/leases/test_processes.py
+++ b/tests/fleet/leases/test_processes.py
@@ -10,12 +10,12 @@
 import pytest
 
 from saffronstack.harness.leases.faulty_environment import ClockSteps
-from saffronstack.harness.leases.holder_reports import Acquired, ActBegun, ActEnded, Answer
-from saffronstack.harness.leases.judge import LeaseJudge
+from saffronstack.harness.leases.holder_reports import Acquired, ActBegun, ActEnded, ReportResponse
+from saffronstack.harness.leases.judge import LeaseChecker
 from saffronstack.harness.leases.peer import expiry_at
-from saffronstack.harness.leases.processes import RigOptions
-from saffronstack.harness.leases.rig import LeaseRig
-from saffronstack.harness.leases.schedule import Fault, schedule, shrink
+from saffronstack.harness.leases.processes import HarnessOptions
+from saffronstack.harness.leases.rig import LeaseHarness
+from saffronstack.harness.leases.schedule import Fault, draw_schedule, shrink_schedule
 from saffronstack.harness.links import Mode, Wires
 from saffronstack.runtime.threads import start_thread
 
@@ -26,15 +26,15 @@
 def test_one_holder_acts_at_a_time_through_faults_of_servers_candidates_links_and_disks(
     tmp_path: pathlib.Path,
 ) -> None:
-    rig = LeaseRig(tmp_path, RigOptions(seed=5, servers=5, candidates=6, lease_s=1.2, wait_s=0.4))
+    rig = LeaseHarness(tmp_path, HarnessOptions(seed=5, servers=5, candidates=6, lease_s=1.2, wait_s=0.4))
     try:
-        report = rig.play(schedule(5, 30.0, 5, 6, every_s=1.2), 30.0)
+        report = rig.run(draw_schedule(5, 30.0, 5, 6, mean_interval_s=1.2), 30.0)
     finally:
         rig.close()
-    judgement = report.judgement
-    assert judgement.breaches == []
-    assert judgement.acquired >= 4, report
-    assert judgement.acts > 50, report
+    check_result = report.check_result
+    assert check_result.breaches == []
+    assert check_result.acquired >= 4, report
+    assert check_result.acts > 50, report
     assert sum(report.faults.values()) >= 10, report
     assert report.majority_held_s > 0.4 * report.majority_s > 1.0, report
 
@@ -42,8 +42,8 @@
 @SERIAL
 @pytest.mark.parametrize("broken", ["few", "late"])
 def test_the_judge_finds_broken_candidates_among_the_processes(tmp_path: pathlib.Path, broken: str) -> None:
-    rig = LeaseRig(
-        tmp_path, RigOptions(seed=2, servers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
+    rig = LeaseHarness(
+        tmp_path, HarnessOptions(seed=2, servers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
     )
     # What they do wrong shows where a majority is out of reach, or the holder itself.
     kind = {"few": "cut", "late": "cut candidates"}[broken]
@@ -59,32 +59,32 @@
         for n in range(12)
     ]
     try:
-        report = rig.play(faults, 40.0, until_breach=True)
+        report = rig.run(faults, 40.0, until_breach=True)
     finally:
         rig.close()
-    assert report.judgement.breaches, report
+    assert report.check_result.breaches, report
 
 
 def test_a_schedule_comes_from_its_seed_and_is_shrunk_to_what_fails() -> None:
-    faults = schedule(7, 60.0, 5, 6)
-    assert faults == schedule(7, 60.0, 5, 6) != schedule(8, 60.0, 5, 6)
+    faults = draw_schedule(7, 60.0, 5, 6)
+    assert faults == draw_schedule(7, 60.0, 5, 6) != draw_schedule(8, 60.0, 5, 6)
     assert len({fault.kind for fault in faults}) > 6
     failing = {faults[3], faults[-2]}
-    assert set(shrink(faults, lambda fewer: failing <= set(fewer), 200)) == failing
+    assert set(shrink_schedule(faults, lambda fewer: failing <= set(fewer), 200)) == failing
 
 
 def test_a_holder_that_wakes_after_its_lease_reports_that_it_does_not_hold_it() -> None:
     """Its "until now" stood for a lease that had ended seconds ago, and the judge blamed the next holder."""
     assert expiry_at(100.0, 0.995, 0.995) == 101.0
     assert expiry_at(100.0, 0.0, 1.0) == 0.0
-    judge = LeaseJudge()
+    judge = LeaseChecker()
     judge.handle(Acquired("a", 1, 0.0, 5.0))
     judge.handle(ActBegun("a", 1, 5.0))
     judge.handle(Acquired("b", 2, 6.0, 9.0))
     judge.handle(ActEnded("a", 1, 4.9, 8.0, expiry_at(8.0, 0.0, 1.0)))
-    judgement = judge.judge(0.0, 10.0)
-    assert judgement.breaches == []
-    assert judgement.overran == 1
+    check_result = judge.check(0.0, 10.0)
+    assert check_result.breaches == []
+    assert check_result.overran == 1
     judge.close()
 
 
@@ -99,28 +99,28 @@
 
 
 def test_the_judge_distinguishes_two_holders_older_tokens_and_pauses() -> None:
-    judge = LeaseJudge()
+    judge = LeaseChecker()
     judge.handle(Acquired("a", 1, 0.0, 5.0))
-    assert judge.handle(ActBegun("a", 1, 5.0)) == Answer(True)
-    assert judge.handle(ActEnded("a", 1, 1.0, 1.1, 5.0)) == Answer(True)
-    assert judge.judge(0.0, 10.0).breaches == []
+    assert judge.handle(ActBegun("a", 1, 5.0)) == ReportResponse(True)
+    assert judge.handle(ActEnded("a", 1, 1.0, 1.1, 5.0)) == ReportResponse(True)
+    assert judge.check(0.0, 10.0).breaches == []
     judge.handle(Acquired("b", 2, 4.0, 9.0))
-    (breach,) = judge.judge(0.0, 10.0).breaches
+    (breach,) = judge.check(0.0, 10.0).breaches
     assert "a (token 1) holds until 5.000, b (token 2) from 4.000" in breach
     judge.close()
-    judge = LeaseJudge()
+    judge = LeaseChecker()
     judge.handle(Acquired("a", 1, 0.0, 5.0))
     judge.handle(ActBegun("a", 1, 5.0))
     judge.handle(Acquired("b", 2, 6.0, 9.0))
     judge.handle(ActBegun("b", 2, 9.0))
     # a was stopped in the midst of its act and wakes: its token is refused, and nobody is to blame.
-    assert judge.handle(ActEnded("a", 1, 4.9, 7.0, 5.0)) == Answer(False)
-    judgement = judge.judge(0.0, 10.0)
-    assert judgement.breaches == []
-    assert judgement.rejected == 1
-    assert judgement.longest_free_s == 1.0
+    assert judge.handle(ActEnded("a", 1, 4.9, 7.0, 5.0)) == ReportResponse(False)
+    check_result = judge.check(0.0, 10.0)
+    assert check_result.breaches == []
+    assert check_result.rejected == 1
+    assert check_result.longest_free_s == 1.0
     judge.handle(Acquired("c", 2, 9.5, 9.6))
-    assert "c and b both acquired token 2" in judge.judge(0.0, 10.0).breaches[0]
+    assert "c and b both acquired token 2" in judge.check(0.0, 10.0).breaches[0]
     judge.close()
 
 
--- a/tests/runtime/test_process_exit.py
+++ b/tests/runtime/test_process_exit.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from saffronstack.harness.rollout.rig_layout import RigLayout, RigSizes
+from saffronstack.harness.rollout.rig_layout import HarnessLayout, HarnessSizes
 
 WAIT_S = 30.0
 # An exit handler that blocks stands for a heap that takes long to collect.
@@ -68,7 +68,7 @@
     tmp_path: pathlib.Path, command: tuple[str, ...]
 ) -> None:
     """With finalization, a rollout leader took 4.8 s to exit after its rollout on a busy machine."""
-    layout = RigLayout(tmp_path, RigSizes(gateways=1, daemons=1, workers=1, rate=1.0, clients=1))
+    layout = HarnessLayout(tmp_path, HarnessSizes(gateways=1, daemons=1, workers=1, rate=1.0, clients=1))
     path = layout.write_fleet_file("fleet.json5", layout.daemons)
     arguments = [*command, "--fleet", str(path)]
     program = f"{SLOW_EXIT}\nfrom saffronstack.cli.main import main\nmain({arguments!r})"
