--- a/saffronstack/fleet/control/__init__.py
+++ b/saffronstack/fleet/control/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of one machine, which runs its gateways as desired, and its clients (`docs/rollout.md`)."""
+"""The daemon that reconciles the gateways of one machine, and its clients (`docs/rollout.md`)."""
--- a/saffronstack/fleet/control/command_fence.py
+++ b/saffronstack/fleet/control/command_fence.py
@@ -1,9 +1,9 @@
-"""Fencing of control requests: which ones a daemon accepts. No I/O.
+"""Fences off outdated control requests to a daemon. No I/O.
 
-Requests of an older leader and requests that arrive out of order are rejected. The fencing token is on the
-disk before a request counts. The sequence number is not; instead, a request with commands names the
-incarnation of the daemon that its sender saw last, so one that was delayed while the daemon was replaced
-meets another incarnation and is rejected.
+A daemon rejects requests from an older leader and requests that arrive out of order. It writes the fencing
+token to disk before it accepts a request. The sequence number is not on disk. Instead, a request with
+commands names the incarnation of the daemon that its sender saw last, so that a request that was delayed
+while the daemon restarted reaches another incarnation and is rejected.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 @dataclass(slots=True)
 class CommandFence:
-    """The fence of one incarnation of a daemon.
+    """Checks the control requests to one incarnation of a daemon.
 
     Attributes:
-        incarnation: Which incarnation of the daemon this is; a random number greater than 0.
-        token: The greatest fencing token that was accepted.
-        is_token_lost: Whether the disk has no token and the lease servers have not reported it yet.
+        incarnation: Identifies this incarnation of the daemon; a random number greater than 0.
+        token: The greatest fencing token that was accepted, 0 for none.
+        is_token_lost: Whether no token was read from disk and the lease servers have not reported it yet.
         sequence: The last accepted sequence number under ``token``.
     """
 
@@ -35,16 +35,16 @@
     sequence: int = 0
 
     def check(self, token: int, sequence: int, incarnation: int, has_commands: bool) -> None:
-        """Check whether a request counts; ``accept`` follows once its token is on the disk.
+        """Check whether a request can be accepted; call ``accept`` once its token is on disk.
 
         Args:
             token: The sender's fencing token.
-            sequence: The sender's number of this request, which grows with each one under a token.
-            incarnation: The daemon's incarnation that the sender saw last.
-            has_commands: Whether the request changes anything.
+            sequence: The number of the request, which increases with each request under a token.
+            incarnation: The incarnation of the daemon that the sender saw last.
+            has_commands: Whether the request has commands; one without is a poll.
 
         Raises:
-            RejectedRequestError: It does not count.
+            RejectedRequestError: The request is rejected.
         """
         if self.is_token_lost:
             raise TokenLostError(
@@ -58,10 +58,10 @@
             raise WrongIncarnationError("the commands are for another incarnation of this daemon")
 
     def accept(self, token: int, sequence: int) -> None:
-        """Record an accepted request: no earlier one counts any more."""
+        """Record an accepted request, so that earlier requests are rejected."""
         self.token, self.sequence = token, sequence
 
     def learn_token(self, token: int) -> None:
-        """Take the greatest token that lease servers granted, where this daemon has lost its own."""
+        """Adopt the greatest token that the lease servers granted if the daemon has lost its token."""
         if self.is_token_lost:
             self.token, self.is_token_lost = max(self.token, token), False
--- a/saffronstack/fleet/control/control_endpoint.py
+++ b/saffronstack/fleet/control/control_endpoint.py
@@ -1,4 +1,4 @@
-"""The daemon's HTTP interface: decodes control requests and hands them to the daemon's thread."""
+"""HTTP interface of a daemon: decodes control requests and passes them to the daemon's thread."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from saffronstack.fleet.http_server import problem
 from saffronstack.http1.messages import RequestHead
 
-RESPONSE_TIMEOUT_S = 2.0  # for the daemon's thread, which may wait for its disk
+RESPONSE_TIMEOUT_S = 2.0  # maximum wait for the daemon's thread, which may be blocked by a disk write
 
 
 @dataclass(eq=False, slots=True)
 class PendingRequest:
-    """A request on its way to the daemon's thread, and the answer on its way back."""
+    """A control request that a connection's thread passes to the daemon's thread, and its response."""
 
     request: ControlRequest
     status: int = 503
@@ -32,17 +32,17 @@
     _has_response: threading.Event = field(default_factory=threading.Event)
 
     def respond(self, status: int, body: bytes) -> None:
-        """Give the answer; the connection's thread goes on."""
+        """Set the response and wake the connection's thread."""
         self.status, self.body = status, body
         self._has_response.set()
 
     def wait(self, timeout_s: float) -> bool:
-        """Wait for the answer; return whether there is one in time."""
+        """Wait for the response; return whether it was set before the timeout."""
         return self._has_response.wait(timeout_s)
 
 
 class ControlEndpoint:
-    """Answers requests on the threads of their connections."""
+    """Handles HTTP requests on the threads of their connections."""
 
     def __init__(
         self,
@@ -55,14 +55,14 @@
 
         Args:
             fleet: The daemon's fleet; requests for another one are rejected.
-            validate: Raises a ``ControlError`` for commands that can't be carried out.
-            submit: Hands a request to the daemon's thread.
-            status: Returns the present status.
+            validate: Raises a ``ControlError`` for commands that can't be executed.
+            submit: Passes a request to the daemon's thread.
+            status: Returns the current status of the daemon.
         """
         self._fleet, self._validate, self._submit, self._status = fleet, validate, submit, status
 
     def handle(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
-        """Return the status and the body of the answer to a request."""
+        """Return the status and the body of the response to a request."""
         if head.method == "GET" and head.target == STATUS_PATH:
             return 200, msgspec.json.encode(self._status())
         if head.method == "POST" and head.target == CONTROL_PATH:
@@ -77,7 +77,7 @@
         if request.fleet != self._fleet:
             return 403, problem(f"this daemon is of fleet {self._fleet!r}, not of {request.fleet!r}")
         try:
-            self._validate(request.commands)  # reads the release, here and not on the daemon's thread
+            self._validate(request.commands)  # reads release files, which would block the daemon's thread
         except ControlError as error:
             return 400, problem(str(error))
         pending = PendingRequest(request)
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -1,4 +1,8 @@
-"""A daemon: one thread owns its gateways; connections' threads hand it control requests and wait, bounded."""
+"""The daemon of one machine.
+
+One thread owns the gateways. The threads of connections pass control requests to it and wait for a response
+with a timeout.
+"""
 
 from __future__ import annotations
 
@@ -28,21 +32,21 @@
 
 log = structlog.get_logger("saffronstack.daemon")
 RECONCILE_INTERVAL_S = 0.05
-STOP_TIMEOUT_S = 2.0  # for the daemon's threads to end
-DRAIN_MARGIN_S = 5.0  # over the longest drain, before gateways are killed at the daemon's end
+STOP_TIMEOUT_S = 2.0  # maximum wait for the daemon's thread to end
+DRAIN_MARGIN_S = 5.0  # added to the longest drain timeout before a daemon that stops kills its gateways
 EVENT_POLL_S = 0.1
 
-# A release that must not run, and the release that takes its place.
+# Maps the digest of a release that was rolled back to the digest of the release that runs instead.
 Replacements = Mapping[str, str]
 
 
 def no_replacements(quorum_read: QuorumRead) -> Replacements:
-    """Replace no release."""
+    """Return an empty mapping, so that no release is replaced."""
     return {}
 
 
 class Daemon:
-    """Runs the gateways of one machine as they are desired."""
+    """Runs the gateways of one machine by their desired state."""
 
     def __init__(
         self,
@@ -54,10 +58,11 @@
         """Read the desired state and bind the addresses.
 
         Args:
-            options: What the daemon is and which gateways it runs.
-            read_leases: Reads what lease servers show, bounded.
-            replacements: Which releases are replaced, by a reading: those that a rollout has taken back.
-            clock: Seconds.
+            options: The settings of the daemon and its gateways.
+            read_leases: Reads the leases from the lease servers, within a bounded time.
+            replacements: Returns, for a read of the leases, the replacements for releases that a rollout has
+                rolled back.
+            clock: Returns a monotonic time in seconds.
 
         Raises:
             OSError: An address can't be bound, or the state directory can't be used.
@@ -92,11 +97,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port on which it accepts control requests."""
+        """Host and port on which the daemon accepts control requests."""
         return self._server.address
 
     def start(self) -> None:
-        """Adopt the gateways that an earlier daemon left, start the desired ones, accept commands."""
+        """Adopt running gateways of an earlier daemon, start the threads and accept control requests."""
         for gateway in self._gateways.values():
             gateway.adopt_running(self._stopping)
         if self._fence.is_token_lost:
@@ -108,13 +113,13 @@
         self._server.start()
 
     def stop(self, terminate_gateways: bool) -> bool:
-        """Accept no more commands and end the daemon's threads.
+        """Stop accepting control requests and end the daemon's threads.
 
         Args:
-            terminate_gateways: Terminate the gateways too; otherwise they go on to serve.
+            terminate_gateways: Whether to terminate the gateways too; otherwise they continue to serve.
 
         Returns:
-            Whether all gateways that were terminated ended in time; those that did not are killed.
+            Whether all gateways that were to be terminated ended in time; late ones are killed.
         """
         self._server.stop()
         for gateway in self._gateways.values():
@@ -129,7 +134,7 @@
         return gateways_ended_in_time
 
     def _terminate_gateways(self) -> bool:
-        """Terminate all gateways; return whether they ended in time."""
+        """Terminate all gateways, then kill the late ones; return whether all ended in time."""
         gateways = self._gateways.values()
         for gateway in gateways:
             gateway.terminate_all()
@@ -152,7 +157,7 @@
         for gateway in self._gateways.values():
             gateway.close()
 
-    # ---- on connections' threads
+    # ---- called on the threads of connections
 
     def _status(self) -> DaemonStatus:
         gateways = {name: gateway.status() for name, gateway in self._gateways.items()}
@@ -171,7 +176,7 @@
                 except OSError as error:
                     raise UnusableReleaseError(str(error)) from error
 
-    # ---- on the daemon's thread
+    # ---- called on the daemon's thread
 
     def _run(self) -> None:
         while not self._stopping.is_set():
@@ -188,7 +193,7 @@
                 log.exception("daemon step failed")
 
     def pids(self) -> list[int]:
-        """Return the ids of all gateway processes that are known to run; may be called from any thread."""
+        """Return the ids of all known gateway processes; may be called from any thread."""
         return [pid for gateway in self._gateways.values() for pid in gateway.pids()]
 
     def _unpin_starved_processes(self) -> None:
@@ -207,10 +212,10 @@
             case QuorumRead():
                 self._apply_quorum_read(item)
             case None:
-                pass  # woken to stop, or to reconcile
+                pass  # `stop` woke the thread, or the reconcile interval has passed
 
     def _respond(self, pending: PendingRequest) -> None:
-        status, body = 503, b""  # the answer where a step fails
+        status, body = 503, b""  # the response if an unexpected error is raised below
         try:
             self._execute(pending.request)
             status, body = 200, msgspec.json.encode(self._status())
@@ -222,10 +227,10 @@
             pending.respond(status, body)
 
     def _execute(self, request: ControlRequest) -> None:
-        """Store and carry out the commands of a request.
+        """Store and execute the commands of a request.
 
         Raises:
-            RejectedRequestError: The request does not count.
+            RejectedRequestError: The request is rejected.
             OSError: The desired state can't be stored.
         """
         self._fence.check(request.token, request.sequence, request.incarnation, bool(request.commands))
@@ -249,10 +254,11 @@
         self._desired = desired
 
     def _apply_quorum_read(self, quorum_read: QuorumRead) -> None:
-        """Start the desired releases by the first reading, and correct them by the first of a majority.
+        """Start the desired releases after the first read, and replace them after the first majority read.
 
-        The desired state on the disk may be older than a rollout that went back meanwhile, so a machine that
-        comes back to one starts the old release; without lease servers it starts what it ran before.
+        A rollout may have been rolled back while the machine was down, so the desired state on disk may name
+        the new release. The lease servers name the old one, which the daemon then runs. Without a majority of
+        lease servers, the daemon starts the releases that it ran before.
         """
         if self._has_majority_read or (self._has_started_gateways and not quorum_read.has_majority):
             return
--- a/saffronstack/fleet/control/daemon_answers.py
+++ b/saffronstack/fleet/control/daemon_answers.py
@@ -1,4 +1,4 @@
-"""What a client of several daemons gets from them."""
+"""Requests a daemon's status, and merges the responses of all daemons of a fleet."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from saffronstack.daemon.http_exchange import exchange
 from saffronstack.fleet.control.messages import DaemonStatus, GatewayStatus
 
-MAX_ERROR_TEXT_BYTES = 200  # of an answer that is an error
+MAX_ERROR_TEXT_BYTES = 200  # maximum bytes of an error response that are shown to the operator
 
 
 @dataclass(frozen=True, slots=True)
 class UnavailableDaemon:
-    """A daemon that gave no status, and why."""
+    """Reason why a daemon did not return its status."""
 
     reason: str
 
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """The gateways whose daemons answered, and the reasons of the other daemons; both by name."""
+    """Status of the gateways by name, and for each daemon without a response the reason by its name."""
 
     gateways: dict[str, GatewayStatus] = field(default_factory=dict)
     unavailable: dict[str, str] = field(default_factory=dict)
 
 
 def merge_responses(responses: Mapping[str, DaemonResponse]) -> FleetStatus:
-    """Sort the answers of all daemons."""
+    """Merge the responses of daemons into the status of the fleet."""
     merged = FleetStatus()
     for daemon, response in responses.items():
         match response:
@@ -47,7 +47,7 @@
 def request_status(
     address: str, request: bytes, deadline_s: float, clock: Callable[[], float]
 ) -> DaemonResponse:
-    """Send a request whose answer is a daemon's status, bounded by ``deadline_s`` of the clock."""
+    """Send a request whose response is a daemon's status, and wait until ``deadline_s`` at most."""
     try:
         head, body = exchange(address, request, deadline_s, clock)
         if head.status != 200:
--- a/saffronstack/fleet/control/daemon_client.py
+++ b/saffronstack/fleet/control/daemon_client.py
@@ -1,4 +1,4 @@
-"""Sends commands to daemons, all at once, under the fencing token of the leader."""
+"""Sends commands to all daemons concurrently, with the fencing token of the leader."""
 
 from __future__ import annotations
 
@@ -14,12 +14,15 @@
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import IdleThreadPool
 
-REQUEST_TIMEOUT_S = 2.5  # a daemon answers within 2 s
-WAIT_MARGIN_S = 0.5
+REQUEST_TIMEOUT_S = 2.5  # longer than the 2 s within which a daemon responds
+WAIT_MARGIN_S = 0.5  # added to the request timeout, for the threads to store their responses
 
 
 class DaemonClient:
-    """The client of one leader. One thread uses it; requests go out on threads of its own."""
+    """Client of one leader for all daemons.
+
+    One thread uses the client, which sends each request on a separate thread.
+    """
 
     def __init__(
         self,
@@ -29,18 +32,18 @@
         is_lease_held: Callable[[], bool],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Create a client; nothing is sent while ``is_lease_held`` is false."""
+        """Create a client that sends requests only while ``is_lease_held`` returns true."""
         self._fleet, self._token, self._is_lease_held = fleet, token, is_lease_held
         self._addresses, self._clock = dict(addresses), clock
         self._sequence = 0
-        self._incarnations: dict[str, int] = {}  # of daemons, as last seen
+        self._incarnations: dict[str, int] = {}  # last known incarnation of each daemon
         self._request_threads = IdleThreadPool("daemon-request")
-        self._responses_changed = threading.Condition()  # guards the responses of a round
+        self._responses_changed = threading.Condition()  # guards the responses to one `send`
 
     def send(self, commands: Mapping[str, Sequence[GatewayCommand]]) -> dict[str, DaemonResponse]:
-        """Send each daemon its commands, and return its status after them.
+        """Send each daemon its commands, and return the status of each daemon after them.
 
-        An answer that is missing leaves open whether the commands took effect.
+        If a daemon does not respond, it is unknown whether the commands took effect.
         """
         responses: dict[str, DaemonResponse] = {}
         deadline_s = self._clock() + REQUEST_TIMEOUT_S
@@ -67,7 +70,7 @@
         return in_time | late
 
     def poll(self) -> dict[str, DaemonResponse]:
-        """Return the status of all daemons, without commands."""
+        """Return the status of all daemons."""
         return self.send(dict.fromkeys(self._addresses, ()))
 
     def _next_request(self, name: str, commands: Sequence[GatewayCommand]) -> ControlRequest:
--- a/saffronstack/fleet/control/daemon_options.py
+++ b/saffronstack/fleet/control/daemon_options.py
@@ -1,4 +1,4 @@
-"""What a daemon is and which gateways it runs, by the fleet file."""
+"""Settings of a daemon and its gateways, from the fleet file."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySpec:
-    """A gateway by the fleet file.
+    """Settings of one gateway, from the fleet file.
 
     Attributes:
-        name: Its name.
-        listen: The address on which it serves.
-        config: The path of its settings; `{release}` in it stands for the release's directory.
-        drain_timeout_s: How long it may take to answer the calls it has accepted.
+        name: The gateway's name.
+        listen: The address on which the gateway serves.
+        config: The path of the gateway's settings; `{release}` is replaced by the release's directory.
+        drain_timeout_s: Maximum time for requests in flight to end after the gateway is terminated.
     """
 
     name: str
@@ -29,16 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonOptions:
-    """What a daemon is and which gateways it runs.
+    """Settings of a daemon.
 
     Attributes:
         fleet: The fleet's name.
         name: The daemon's name.
-        address: Where it accepts control requests.
-        gateways: Its gateways.
-        releases_directory: Where releases are installed.
-        state_directory: Where it stores the desired state and the gateways' logs.
-        start_timeout_s: How long a gateway may take to prepare itself, and again to begin to serve.
+        address: The address on which the daemon accepts control requests.
+        gateways: The gateways that the daemon runs.
+        releases_directory: The directory in which releases are installed.
+        state_directory: The directory of the desired state and of the gateways' logs.
+        start_timeout_s: Maximum time in which a gateway process prepares, and again in which it starts to
+            serve.
     """
 
     fleet: str
@@ -50,9 +51,10 @@
     start_timeout_s: float = START_TIMEOUT_S
 
     def process_mark(self, gateway: str) -> str:
-        """Return the mark in the environment of a gateway's processes.
+        """Return the mark that identifies a gateway's processes by an environment variable.
 
-        The state directory is part of it: another fleet on this machine may use the same names.
+        It contains a hash of the state directory because another fleet on this machine may use the same
+        names.
         """
         directory = str(pathlib.Path(self.state_directory).resolve())
         return f"{self.fleet}/{self.name}/{xxhash.xxh3_64_hexdigest(directory.encode())}/{gateway}"
--- a/saffronstack/fleet/control/desired_state.py
+++ b/saffronstack/fleet/control/desired_state.py
@@ -1,7 +1,7 @@
-"""The desired state of a daemon's gateways, stored on its disk before anything is done about it.
+"""The desired state of a daemon's gateways, which the daemon writes to disk before it acts on it.
 
-A file that is missing or damaged is not taken for a new daemon's: any fencing token may have been accepted,
-so commands are rejected until the lease servers report which one was granted last.
+If the file is missing or damaged, the daemon does not assume that it is new: it may have accepted any fencing
+token. It rejects commands until the lease servers report the token that was granted last.
 """
 
 from __future__ import annotations
@@ -20,13 +20,14 @@
 
 
 class DesiredState(Struct, frozen=True):
-    """Which release each gateway is to run, and the fencing token of the leader who said so.
+    """Desired release of each gateway, and the fencing token of the leader that set it.
 
     Attributes:
         fleet: The fleet's name.
         daemon: The daemon's name.
         token: The greatest fencing token that was accepted.
-        releases: Digests by gateway; empty for none. A gateway that is missing was never commanded.
+        releases: Digests by gateway; an empty digest means that the gateway is stopped. A missing gateway
+            has never received a command.
     """
 
     fleet: str
@@ -36,23 +37,23 @@
 
 
 class DesiredStateFile:
-    """The file of one daemon."""
+    """File that stores the desired state of one daemon."""
 
     def __init__(self, directory: str, fleet: str, daemon: str) -> None:
-        """Create the directory where it is missing.
+        """Create the directory if it is missing.
 
         Raises:
-            OSError: It can't be created.
+            OSError: The directory can't be created.
         """
         self.path = pathlib.Path(directory) / FILE_NAME
         self._fleet, self._daemon = fleet, daemon
         self.path.parent.mkdir(parents=True, exist_ok=True, mode=0o700)
 
     def read(self) -> DesiredState | None:
-        """Return the stored state, or None where it is missing or damaged.
+        """Return the stored state, or None if it is missing or damaged.
 
         Raises:
-            ForeignDesiredStateError: It is another daemon's.
+            ForeignDesiredStateError: The stored state belongs to another daemon.
         """
         try:
             data = self.path.read_bytes()
@@ -70,10 +71,10 @@
         return stored
 
     def write(self, state: DesiredState) -> None:
-        """Replace the stored state; it is on the disk when this returns.
+        """Replace the stored state and fsync it.
 
         Raises:
-            OSError: It could not be stored.
+            OSError: The state can't be stored.
         """
         content = msgspec.msgpack.encode(state)
         temporary_path = self.path.with_suffix(".new")
--- a/saffronstack/fleet/control/errors.py
+++ b/saffronstack/fleet/control/errors.py
@@ -8,7 +8,7 @@
 
 
 class UnusableReleaseError(ControlError):
-    """A directory is no release, or not the release that was asked for; the text names path and reason."""
+    """A directory has no usable release, or not the requested one; the text names path and reason."""
 
 
 class ForeignDesiredStateError(ControlError, ValueError):
@@ -16,23 +16,23 @@
 
 
 class RejectedRequestError(ControlError):
-    """A control request does not count; the subclass and the text say why."""
+    """A daemon rejects a control request; the subclass and the text give the reason."""
 
 
 class TokenLostError(RejectedRequestError):
-    """The daemon lost its fencing token and has not learned it again yet."""
+    """The daemon lost its fencing token and has not recovered it from the lease servers yet."""
 
 
 class StaleTokenError(RejectedRequestError):
-    """The request carries an older fencing token than one that was accepted before."""
+    """The request has an older fencing token than an accepted request."""
 
 
 class OutOfOrderError(RejectedRequestError):
-    """A newer request of the same leader was accepted before this one."""
+    """A later request of the same leader has already been accepted."""
 
 
 class WrongIncarnationError(RejectedRequestError):
-    """The request's commands were meant for an earlier incarnation of the daemon."""
+    """The request's commands name another incarnation of the daemon."""
 
 
 class InvalidCommandError(ControlError):
--- a/saffronstack/fleet/control/gateway_actions.py
+++ b/saffronstack/fleet/control/gateway_actions.py
@@ -1,4 +1,4 @@
-"""What a daemon does about the processes of one gateway; decided by `gateway_reconciler`."""
+"""Actions on the processes of one gateway: `gateway_reconciler` decides them, the daemon executes them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartProcess:
-    """Start an incarnation of a release, which prepares itself and waits for ``AllowServing``."""
+    """Start an incarnation of a release, which prepares and then waits for permission to serve."""
 
     incarnation: int
     release: str
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AllowServing:
-    """Let a prepared incarnation open its state and serve."""
+    """Tell a prepared incarnation to open its state and serve."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServeAfter:
-    """Let a prepared incarnation serve once another has ended, even if the daemon is stopped or gone then."""
+    """Tell a prepared incarnation to serve once another has ended, even if the daemon no longer runs then."""
 
     incarnation: int
     predecessor: int
@@ -30,21 +30,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    """Have an incarnation answer the calls it has accepted, and end."""
+    """Tell an incarnation to drain and exit."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """End an incarnation at once."""
+    """Kill an incarnation immediately."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Discard:
-    """End a standby that is not needed; it holds nothing."""
+    """Kill a standby process that is not needed; it has opened nothing and accepted no requests."""
 
     incarnation: int
 
--- a/saffronstack/fleet/control/gateway_reconciler.py
+++ b/saffronstack/fleet/control/gateway_reconciler.py
@@ -1,13 +1,18 @@
 """Reconciles one gateway's processes with its desired release. No I/O.
 
-A change of release never leaves the address without a listener: the listening socket belongs to the daemon,
-and connections wait in its queue meanwhile. The successor is *prepared* first (program loaded, configuration
-read, nothing opened) while the present incarnation serves; a release that fails at that costs no call. A
-*fallback* with the present release is prepared next: should the successor fail when it begins to serve, the
-fallback takes its place, and callers do not wait until a program is loaded. Then the present incarnation is
-terminated, and the successor is told to serve once that has ended: two incarnations never own one ledger. It
-watches for that end itself, so that callers do not wait for a daemon that is stopped; from then on it may
-serve at any moment, and is not dropped any more. All times are seconds of one clock.
+The daemon owns the listening socket, so the address has a listener throughout a change of release, and new
+connections wait in the accept queue. The reconciler changes the release in these steps:
+
+- It *prepares* the successor while the current incarnation serves: the successor loads its program and reads
+  its configuration, but opens nothing. If the release fails at this step, no request is lost.
+- It prepares a *fallback* with the current release. If the successor fails when it starts to serve, the
+  fallback replaces it, and clients need not wait until a program is loaded.
+- It terminates the current incarnation and tells the successor to serve once that has ended, because two
+  incarnations must never own the same ledger. The successor itself watches for the end of its predecessor,
+  so that clients need not wait if the daemon is stopped. From this step on the successor may serve at any
+  time, so the reconciler no longer discards it.
+
+All times are seconds of one clock.
 """
 
 from __future__ import annotations
@@ -28,29 +33,29 @@
 from saffronstack.fleet.control.incarnation import Incarnation, IncarnationPhase
 from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
 
-START_TIMEOUT_S = 30.0  # for each of preparing and beginning to serve; an incarnation that is later is killed
-MAX_FAILED_STARTS = 2  # of a release in a row; it is given up then for the one before
-MAX_CRASHES = 5  # in a row, each soon after its start; the release is given up then
-KILL_GRACE_S = 1.0  # the end of a killed process is reported within this
+START_TIMEOUT_S = 30.0  # for preparing, and again for starting to serve; a late incarnation is killed
+MAX_FAILED_STARTS = 2  # consecutive ones of a release before it is given up for the previous release
+MAX_CRASHES = 5  # consecutive ones, each soon after the start, before the release is given up
+KILL_GRACE_S = 1.0  # time for the end of a killed process to be reported before it is killed again
 
 
 @dataclass(slots=True)
 class GatewayReconciler:
-    """The desired and the present state of one gateway.
+    """Desired and current state of one gateway.
 
-    The methods that take a time return what is to be done about the gateway's processes.
+    Methods that return a list of ``ProcessAction`` return the actions to execute on the gateway's processes.
 
     Attributes:
-        drain_timeout_s: How long a terminated incarnation may go on before it is killed.
-        start_timeout_s: How long an incarnation may take to prepare itself, and again to begin to serve.
-        desired_release: The digest that was commanded; empty for none.
+        drain_timeout_s: Time after which a terminated incarnation that still runs is killed.
+        start_timeout_s: Maximum time in which an incarnation prepares, and again in which it starts to serve.
+        desired_release: The digest that the last command set; empty for none.
         previous_release: The release that ran before the desired one.
-        failed_release: The desired release, where it was given up.
-        last_error: What went wrong last.
-        restarts: Unplanned ends of incarnations that served or drained.
+        failed_release: The desired release if it was given up, else empty.
+        last_error: Description of the last failure; empty for none.
+        restarts: Number of unplanned ends of incarnations that served or drained.
         current: The incarnation that serves or drains.
-        successor: The incarnation that is to take its place.
-        fallback: A standby with the release of ``current``, which takes the place of a successor that fails.
+        successor: The incarnation that is to replace ``current``.
+        fallback: A standby process with the release of ``current``, which replaces a successor that fails.
     """
 
     drain_timeout_s: float
@@ -63,14 +68,14 @@
     current: Incarnation | None = None
     successor: Incarnation | None = None
     fallback: Incarnation | None = None
-    _has_tried_fallback: bool = False  # for the present successor
+    _has_tried_fallback: bool = False  # whether a fallback was prepared for the current successor
     _retry_at_s: float = 0.0
-    _failed_starts: int = 0  # of the target release in a row
+    _failed_starts: int = 0  # consecutive ones of the target release
     _restart_backoff: RestartBackoff = field(default_factory=RestartBackoff)
     _last_incarnation: int = 0
 
     def set_desired(self, now_s: float, release: str) -> list[ProcessAction]:
-        """Take a command. Repeating one changes nothing, but retries a release that was given up."""
+        """Set the desired release; setting the same one again only retries a release that was given up."""
         if release == self.desired_release and self.failed_release != release:
             return []
         if self.current is not None and self.current.release != release:
@@ -80,10 +85,10 @@
         return self.reconcile(now_s)
 
     def adopt(self, now_s: float, release: str) -> int:
-        """Take over an incarnation that serves since before this daemon; return its number.
+        """Adopt a serving incarnation that an earlier daemon started; return its number.
 
-        Its release is the desired one until a command says otherwise: a daemon that lost its desired state
-        terminates nothing.
+        Its release is the desired one until a command sets another. A daemon that lost its desired state
+        therefore terminates nothing.
         """
         self._last_incarnation += 1
         self.desired_release = release
@@ -114,7 +119,7 @@
         return []
 
     def on_serving(self, now_s: float, number: int) -> list[ProcessAction]:
-        """Record that an incarnation serves."""
+        """Record that an incarnation has started to serve."""
         successor = self.successor
         if successor is None or successor.number != number or successor.is_standby:
             return []
@@ -128,13 +133,13 @@
     def on_ended(
         self, now_s: float, number: int, reason: str, has_crashed: bool = False
     ) -> list[ProcessAction]:
-        """Record that an incarnation has ended, whether that was planned or not.
+        """Record that an incarnation has ended, planned or not.
 
         Args:
-            now_s: The time.
-            number: Of the incarnation.
-            reason: How it ended.
-            has_crashed: Whether it ended without having stopped by itself.
+            now_s: The current time.
+            number: The number of the incarnation.
+            reason: How the incarnation ended.
+            has_crashed: Whether its process ended without a graceful shutdown.
         """
         if self.fallback is not None and self.fallback.number == number:
             self.fallback = None
@@ -152,11 +157,11 @@
         return self.reconcile(now_s)
 
     def is_standby(self, number: int) -> bool:
-        """Return whether an incarnation has opened nothing and may not serve yet."""
+        """Return whether an incarnation is a standby: it has opened nothing and may not serve yet."""
         return any(one.number == number and one.is_standby for one in self._incarnations())
 
     def reconcile(self, now_s: float) -> list[ProcessAction]:
-        """Compare the desired with the present state, and find what is overdue."""
+        """Compare the desired and the current state, and kill incarnations past their deadline."""
         actions = self._kill_overdue(now_s)
         actions += self._advance_successor(now_s)
         actions += self._start_successor(now_s)
@@ -165,7 +170,7 @@
         return actions
 
     def next_deadline_s(self) -> float:
-        """Return by when ``reconcile`` is due again; infinity for never."""
+        """Return the time at which ``reconcile`` is due again; infinity for never."""
         deadlines = [one.deadline_s for one in self._incarnations()]
         if self.successor is None and self._target_release() and self._retry_at_s > 0:
             deadlines.append(self._retry_at_s)
@@ -182,7 +187,7 @@
         return GatewayPhase.DOWN if self._target_release() else GatewayPhase.STOPPED
 
     def _target_release(self) -> str:
-        """Return what is to run: the desired release, or the previous one where that was given up."""
+        """Return the release to run: the desired one, or the previous one if the desired one was given up."""
         is_given_up = self.failed_release != "" and self.failed_release == self.desired_release
         return self.previous_release if is_given_up else self.desired_release
 
@@ -198,7 +203,7 @@
         return actions
 
     def _advance_successor(self, now_s: float) -> list[ProcessAction]:
-        """Drop a successor that is no longer desired, or let a prepared one take its place."""
+        """Kill a successor that is no longer desired, or advance a prepared one towards serving."""
         successor = self.successor
         if successor is None:
             return []
@@ -252,7 +257,7 @@
         return [] if dropped is None else [Discard(dropped.number)]
 
     def _promote_fallback(self, now_s: float) -> list[ProcessAction]:
-        """Let the fallback take the place of a successor that failed; drop one not needed or not ready."""
+        """Make the fallback the successor, or discard it if it is not needed or not prepared."""
         fallback, predecessor = self.fallback, self.current
         is_needed = self._target_release() != "" and not _is_serving(predecessor)
         if fallback is None or not is_needed or fallback.phase is not IncarnationPhase.PREPARED:
@@ -284,12 +289,12 @@
             self._give_up(crashed.release)
 
     def _record_crash_in_drain(self, crashed: Incarnation, reason: str) -> None:
-        """Report it; its successor follows as planned."""
+        """Record a crash after which the successor serves as planned."""
         self.restarts += 1
         self.last_error = f"{crashed.release} ended while it drained: {reason}"
 
     def _give_up(self, release: str) -> None:
-        """Fall back to the previous release, where there is one; the leader sees it in the observed state."""
+        """Fall back to the previous release if there is one; the leader sees this in the observed state."""
         can_fall_back = self.previous_release not in ("", release)
         if release == self.desired_release and can_fall_back:
             self.failed_release = release
--- a/saffronstack/fleet/control/incarnation.py
+++ b/saffronstack/fleet/control/incarnation.py
@@ -1,4 +1,4 @@
-"""One process of a gateway, as its reconciler sees it."""
+"""State of one process of a gateway in the reconciler."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class IncarnationPhase(enum.Enum):
-    """How far one process of a gateway is."""
+    """Phase of one process of a gateway."""
 
     PREPARING = "preparing"  # loads its program and configuration
-    PREPARED = "prepared"  # waits until it may serve
-    FOLLOWING = "following"  # serves once its predecessor has ended, which may not be known here yet
-    ACTIVATING = "activating"  # may serve and has not reported yet that it does
+    PREPARED = "prepared"  # waits for permission to serve
+    FOLLOWING = "following"  # serves once its predecessor ends, possibly before the daemon knows of that end
+    ACTIVATING = "activating"  # may serve, but has not reported yet that it serves
     SERVING = "serving"
     DRAINING = "draining"
 
@@ -26,12 +26,12 @@
     """One process of the gateway.
 
     Attributes:
-        number: Its number; each process has a greater one.
-        release: The digest that it runs.
-        started_s: When it was started, or began to serve.
-        phase: How far it is.
-        deadline_s: Past this in its phase it is killed.
-        is_killed: Whether it was, for that.
+        number: Its number, greater than that of any earlier process of the gateway.
+        release: The digest of the release that it runs.
+        started_s: The time at which it was started; once it serves, the time at which it started to serve.
+        phase: Its phase.
+        deadline_s: The time at which it is killed unless it has left the phase.
+        is_killed: Whether it was killed at this deadline.
     """
 
     number: int
@@ -48,9 +48,9 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether it serves."""
+        """Whether it is in phase ``SERVING``."""
         return self.phase is IncarnationPhase.SERVING
 
     def enter(self, phase: IncarnationPhase, deadline_s: float = math.inf) -> None:
-        """Pass to a phase, to be left by ``deadline_s``."""
+        """Enter a phase, which the process must leave by ``deadline_s``."""
         self.phase, self.deadline_s = phase, deadline_s
--- a/saffronstack/fleet/control/lease_observer.py
+++ b/saffronstack/fleet/control/lease_observer.py
@@ -1,4 +1,4 @@
-"""Reads the leases again and again when a daemon starts, until it knows enough."""
+"""Reads the leases periodically after a daemon starts, until a majority of lease servers responds."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class LeaseObserver:
-    """A thread that reports what the lease servers show."""
+    """Thread that reads the leases and reports each result."""
 
     def __init__(self, read: Callable[[], QuorumRead], report: Callable[[QuorumRead], None]) -> None:
-        """``read`` is bounded; ``report`` gets each reading on the observer's thread."""
+        """Create the thread, which passes each result of ``read``, a bounded call, to ``report``."""
         self._read, self._report = read, report
         self._stopping = threading.Event()
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Start to read."""
+        """Start the thread."""
         self._thread = start_thread("lease-observer", self._run)
 
     def stop(self) -> None:
-        """Stop to read, without waiting; any thread may call this."""
+        """Stop reading without waiting for the thread; may be called from any thread."""
         self._stopping.set()
 
     def join(self, timeout_s: float) -> None:
--- a/saffronstack/fleet/control/managed_gateway.py
+++ b/saffronstack/fleet/control/managed_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway of a daemon: its listening socket, its processes and its reconciler."""
+"""Runs one gateway of a daemon: its listening socket, its processes and its reconciler."""
 
 from __future__ import annotations
 
@@ -35,7 +35,10 @@
 
 
 class ManagedGateway:
-    """One gateway. The daemon's thread uses it; ``status`` may be called from any thread."""
+    """One gateway of a daemon.
+
+    The daemon's thread uses it; ``status`` and ``pids`` may be called from any thread.
+    """
 
     def __init__(
         self,
@@ -47,10 +50,10 @@
         """Bind the gateway's address.
 
         Args:
-            spec: The gateway.
-            options: Of the daemon.
-            report: Called with events of its processes, on threads of theirs.
-            clock: Seconds.
+            spec: The settings of the gateway.
+            options: The settings of the daemon.
+            report: Called with events of the gateway's processes, on threads that watch them.
+            clock: Returns a monotonic time in seconds.
 
         Raises:
             OSError: The address can't be bound.
@@ -60,10 +63,9 @@
         self._mark = options.process_mark(spec.name)
         self._log_path = pathlib.Path(options.state_directory) / f"{spec.name}.log"
         self._reconciler = GatewayReconciler(spec.drain_timeout_s, options.start_timeout_s)
-        self._processes: dict[int, GatewayProcess] = {}  # by incarnation
-        self._reload_when_serving: set[int] = (
-            set()
-        )  # incarnations that were started before a reload and do not serve yet
+        self._processes: dict[int, GatewayProcess] = {}  # by number of the incarnation
+        # Incarnations that were started before a reload and do not serve yet.
+        self._reload_when_serving: set[int] = set()
         self._listener = process_launcher.bind_listener(spec.listen)
         self._metrics_poller = MetricsPoller(spec.listen, clock)
 
@@ -73,24 +75,24 @@
         return bool(self._processes)
 
     def start_metrics(self) -> None:
-        """Start to poll for metrics."""
+        """Start polling the metrics."""
         self._metrics_poller.start()
 
     def stop_metrics(self) -> None:
-        """Stop to poll for metrics, without waiting."""
+        """Stop polling the metrics, without waiting for a poll in progress."""
         self._metrics_poller.stop()
 
     def join_metrics(self, timeout_s: float) -> None:
-        """Wait for the end of the poll that is under way, for ``timeout_s`` seconds at most."""
+        """Wait for a metrics poll in progress to end, for ``timeout_s`` seconds at most."""
         self._metrics_poller.join(timeout_s)
 
     def adopt_running(self, stopping: threading.Event) -> None:
-        """Adopt the process that an earlier daemon left serving, where there is one."""
+        """Adopt the serving process of an earlier daemon, if there is one."""
         process = find_serving_process(self._mark, self.spec.listen, self._clock, stopping)
         if process is None:
             return
         listener = request_listener(f"{self._mark}/{process.release}", process.pid)
-        if listener is not None:  # connections that wait in its queue are kept
+        if listener is not None:  # keeps the connections in its accept queue
             self._listener.close()
             self._listener = listener
         incarnation = self._reconciler.adopt(self._clock(), process.release)
@@ -105,11 +107,11 @@
         )  # fmt: skip
 
     def set_desired(self, release: str) -> None:
-        """Run this release from now on; empty for none."""
+        """Set the digest of the release to run; an empty digest stops the gateway."""
         self._carry_out(self._reconciler.set_desired(self._clock(), release))
 
     def reload_settings(self) -> None:
-        """Have the present process reload its settings, and those that are to follow once they serve."""
+        """Make the current process reload its settings now, and the standby processes once they serve."""
         current = self._reconciler.observe().incarnation
         self._reload_when_serving = set(self._processes) - {current}
         process = self._processes.get(current)
@@ -117,7 +119,7 @@
             process.send_signal(signal.SIGHUP)
 
     def handle(self, event: ProcessEvent) -> None:
-        """Take in what happened to one of its processes."""
+        """Handle an event of one of the gateway's processes."""
         now_s = self._clock()
         match event.kind:
             case ProcessEventKind.PREPARED:
@@ -141,13 +143,13 @@
                 )  # fmt: skip
 
     def reconcile_if_due(self) -> None:
-        """Reconcile where a deadline has passed or a change is under way."""
+        """Reconcile if a deadline has passed or a change of release is in progress."""
         now_s = self._clock()
         if now_s >= self._reconciler.next_deadline_s() or self._reconciler.successor is not None:
             self._carry_out(self._reconciler.reconcile(now_s))
 
     def status(self) -> GatewayStatus:
-        """Return the observed state with the process's metrics."""
+        """Return the observed state and the metrics of the current process."""
         observed = self._reconciler.observe()
         process = self._processes.get(observed.incarnation)
         return GatewayStatus(
@@ -163,22 +165,25 @@
         )
 
     def terminate_all(self) -> None:
-        """Terminate each of its processes; standbys hold nothing and are killed, as they await a command."""
+        """Terminate the processes that may serve, and kill the standby processes.
+
+        A standby process has opened nothing. SIGTERM would not end it, since it waits for a command.
+        """
         for incarnation, process in self._processes.items():
             is_standby = self._reconciler.is_standby(incarnation)
             process.send_signal(signal.SIGKILL if is_standby else signal.SIGTERM)
 
     def kill_all(self) -> None:
-        """Kill each of its processes."""
+        """Kill all processes of the gateway."""
         for process in self._processes.values():
             process.send_signal(signal.SIGKILL)
 
     def pids(self) -> list[int]:
-        """Return the ids of its processes; may be called from any thread."""
+        """Return the process ids of the gateway; may be called from any thread."""
         return [process.pid for process in list(self._processes.values())]
 
     def remove_process(self, incarnation: int) -> None:
-        """Drop a process that has ended."""
+        """Remove the process of an incarnation that has ended."""
         self._processes.pop(incarnation, None)
         self._reload_when_serving.discard(incarnation)
 
@@ -205,14 +210,14 @@
                 if predecessor in self._processes:
                     process.serve_after(self._processes[predecessor])
             case Terminate():
-                # A process that an earlier daemon started, and whose socket was not handed over, listens on
-                # its own: connections wait in this queue from now on.
+                # An adopted process that did not hand over its listener listens on a socket of its own. This
+                # socket then queues new connections until the successor serves.
                 with contextlib.suppress(OSError):
                     self._listener.listen(process_launcher.LISTEN_BACKLOG)
                 process.send_signal(signal.SIGTERM)
             case Discard():
                 process.send_signal(signal.SIGKILL)
-            case Kill() if not process.has_ended():  # its end may not have been handled yet
+            case Kill() if not process.has_ended():  # the daemon may not have handled its end yet
                 log.warning("gateway process killed", gateway=self.spec.name, incarnation=action.incarnation)
                 process.send_signal(signal.SIGKILL)
 
--- a/saffronstack/fleet/control/messages.py
+++ b/saffronstack/fleet/control/messages.py
@@ -1,7 +1,7 @@
-"""Messages between a rollout's leader, daemons and operators.
+"""Messages between the rollout leader, the daemons and operators.
 
-The JSON keys are fixed: daemons and leaders of earlier releases use them too. Where a key differs from the
-Python name, the class's ``rename`` table holds it.
+The JSON keys must not change because daemons and leaders of earlier releases use them. If a key differs from
+the Python name, the ``rename`` table of the class gives the key.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 CONTROL_PATH = "/control"
 STATUS_PATH = "/status"
-LEADER_LEASE = "fleet/lead"  # its holder leads; its fencing token goes with each command
-OPERATOR_REQUEST_LEASE = "fleet/word"  # operators leave requests to the leader in its value
+LEADER_LEASE = "fleet/lead"  # the holder is the rollout leader and sends its fencing token with each command
+OPERATOR_REQUEST_LEASE = "fleet/word"  # operators store requests to the leader in its value
 
 
 class GatewayCommand(Struct, frozen=True):
-    """A command about one gateway: run a release, or reload the settings.
+    """A command for one gateway: run a release, or reload the settings.
 
     Attributes:
-        gateway: Its name in the fleet file.
+        gateway: The gateway's name in the fleet file.
         release: The digest to run; empty for none.
-        reload: Reload the settings, and leave the release as it is.
+        reload: Whether to reload the settings instead; the release does not change.
     """
 
     gateway: str
@@ -33,15 +33,16 @@
 class ControlRequest(
     Struct, frozen=True, rename={"sequence": "seq", "incarnation": "life", "commands": "orders"}
 ):
-    """A leader's request to a daemon; without commands it only asks for the status.
+    """A request of a leader to a daemon; without commands it only polls the status.
 
     Attributes:
-        fleet: The fleet that the leader leads.
-        token: The fencing token of its lease.
-        sequence: Grows with each request under one token; a request that arrives after a newer one is
-            rejected.
-        incarnation: Of the daemon, as the leader saw it last; commands to another one are rejected.
-        commands: What to change.
+        fleet: The name of the leader's fleet.
+        token: The fencing token of the leader's lease.
+        sequence: Increases with each request under one token; the daemon rejects a request that arrives
+            after a later one.
+        incarnation: The incarnation of the daemon that the leader saw last; another incarnation rejects the
+            commands.
+        commands: The changes to make.
     """
 
     fleet: str
@@ -61,15 +62,15 @@
         "reported_release": "release",
     },
 ):
-    """What one incarnation of a gateway has counted since it started.
+    """Metrics of one incarnation of a gateway since it started.
 
     Attributes:
-        age_s: How old these metrics are.
-        outcomes_by_class: For each class of calls, how many ended in which way.
-        latencies_by_class: For each class an encoded HDR histogram, in tenths of milliseconds.
-        memory_mb: Resident memory.
-        open_descriptors: Open file descriptors.
-        reported_release: The release by the gateway's own page; empty where it reports none.
+        age_s: The age of the metrics in seconds.
+        outcomes_by_class: For each class of calls, the number of calls by outcome.
+        latencies_by_class: For each class, an encoded HDR histogram in tenths of milliseconds.
+        memory_mb: Resident memory in megabytes.
+        open_descriptors: Number of open file descriptors.
+        reported_release: The digest on the gateway's status page; empty if it reports none.
     """
 
     age_s: float
@@ -93,7 +94,7 @@
         "metrics": "figures",
     },
 ):
-    """One gateway as its daemon sees it: `ObservedGateway`, its process and its metrics."""
+    """State of one gateway in its daemon: that of `ObservedGateway`, the process id and the metrics."""
 
     desired_release: str
     running_release: str
@@ -107,14 +108,14 @@
 
 
 class DaemonStatus(Struct, frozen=True, rename={"is_token_lost": "lost", "incarnation": "life"}):
-    """A daemon's answer.
+    """A daemon's response to a control request.
 
     Attributes:
-        daemon: Its name in the fleet file.
-        token: The greatest fencing token that it accepted.
-        is_token_lost: Its disk lost the token and it has not learned it again; it rejects all commands.
-        incarnation: Which incarnation of the daemon answers.
-        gateways: By name.
+        daemon: The daemon's name in the fleet file.
+        token: The greatest fencing token that the daemon accepted.
+        is_token_lost: Whether the daemon has lost the token; until it recovers it, it rejects all requests.
+        incarnation: The incarnation of the daemon.
+        gateways: The status of its gateways by name.
     """
 
     daemon: str
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -1,4 +1,4 @@
-"""Polls one gateway for its metrics, on a thread of its own: one that hangs delays no other."""
+"""Polls one gateway for its metrics, on a thread of its own so that a hung gateway delays no other."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class GatewayStatusPage(msgspec.Struct, frozen=True, rename={"outcomes": "classes", "latencies": "times"}):
-    """The part of a gateway's status page that rollouts compare."""
+    """The part of a gateway's status page that rollouts use."""
 
     pid: int
     release: str = ""
@@ -30,17 +30,17 @@
 
 
 def fetch_status_page(address: str, clock: Callable[[], float]) -> GatewayStatusPage | None:
-    """Return the page of whichever process answers on an address; None where none does within a second."""
+    """Return the status page of the process that responds on an address; None if none does in time."""
     request = writer.request("GET", STATUS_PATH, [("Host", address), ("Connection", "close")])
     try:
         head, body = exchange(address, request, clock() + POLL_TIMEOUT_S, clock)
         return msgspec.json.decode(body, type=GatewayStatusPage) if head.status == 200 else None
     except (NotSentError, NoResponseError, msgspec.MsgspecError):
-        return None  # it starts, ends or is overloaded; metrics grow old, which readers see by their age
+        return None  # the gateway is starting, ending or overloaded; readers check the metrics' age
 
 
 def find_serving_pid(address: str, clock: Callable[[], float]) -> int | None:
-    """Return the process that serves on an address; None where none does."""
+    """Return the id of the process that serves on an address; None if none responds."""
     page = fetch_status_page(address, clock)
     return None if page is None else page.pid
 
@@ -59,7 +59,7 @@
 
 
 class MetricsPoller:
-    """Caches the newest metrics of one gateway's present incarnation."""
+    """Caches the latest metrics of one gateway's current incarnation."""
 
     def __init__(self, address: str, clock: Callable[[], float] = time.monotonic) -> None:
         self._address, self._clock = address, clock
@@ -74,7 +74,7 @@
         self._thread = start_thread("metrics-poller", self._run)
 
     def stop(self) -> None:
-        """Stop polling; ``join`` waits for the poll that is under way."""
+        """Stop polling; ``join`` waits for a poll in progress."""
         self._stopping.set()
 
     def join(self, timeout_s: float) -> None:
@@ -83,12 +83,12 @@
             self._thread.join(timeout_s)
 
     def watch(self, incarnation: int, process: GatewayProcess) -> None:
-        """Poll this incarnation from now on."""
+        """Poll this incarnation instead of any earlier one."""
         with self._lock:
             self._polled_process = _PolledProcess(incarnation, process)
 
     def latest(self, incarnation: int) -> GatewayMetrics | None:
-        """Return the newest metrics of an incarnation; None before the first."""
+        """Return the latest metrics of an incarnation; None before its first poll."""
         with self._lock:
             latest = self._latest
         if latest is None or latest.incarnation != incarnation:
@@ -106,7 +106,7 @@
         polled_s = self._clock()
         page = fetch_status_page(self._address, self._clock)
         if page is None or page.pid != process.pid:
-            return  # another incarnation answered: one that drains, or one of an earlier daemon
+            return  # another incarnation responded: a draining one, or one of an earlier daemon
         metrics = GatewayMetrics(
             age_s=0.0,
             outcomes_by_class=page.outcomes,
--- a/saffronstack/fleet/control/observed_gateway.py
+++ b/saffronstack/fleet/control/observed_gateway.py
@@ -1,4 +1,4 @@
-"""The observed state of one gateway, as its daemon reports it."""
+"""Observed state of one gateway, which its daemon reports."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class GatewayPhase(enum.StrEnum):
-    """How far a gateway is; the values stand in messages and in the command line's output."""
+    """Phase of a gateway; the values appear in messages and in the output of the command line."""
 
-    STOPPED = "none"  # no process, and none is desired
-    STARTING = "starting"  # a first process prepares itself
+    STOPPED = "none"  # no process runs, and no release is desired
+    STARTING = "starting"  # a process prepares while no other one serves
     SERVING = "up"
-    CHANGING = "changing"  # one process serves or drains while its successor prepares itself
-    DOWN = "down"  # no process, although one is desired
+    CHANGING = "changing"  # a process serves or drains, and its successor prepares or waits
+    DOWN = "down"  # no process runs, although a release is desired
     DRAINING = "ending"
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedGateway:
-    """One gateway at one moment.
+    """State of one gateway at one time.
 
     Attributes:
-        desired_release: The digest that was commanded; empty for none.
-        running_release: The digest that serves; empty where none does.
-        phase: How far it is.
-        incarnation: The number of its present process; 0 for none.
-        restarts: Unplanned ends of its processes since the daemon started.
-        failed_release: A release that could not be started or kept crashing and was given up.
-        last_error: What went wrong last; empty for nothing.
+        desired_release: The digest that the last command set; empty for none.
+        running_release: The digest of the release that serves; empty for none.
+        phase: The phase of the gateway.
+        incarnation: The number of its current process; 0 for none.
+        restarts: Number of unplanned ends of its processes since the daemon started.
+        failed_release: The digest of a release that was given up because it did not start or kept crashing.
+        last_error: Description of the last failure; empty for none.
     """
 
     desired_release: str
--- a/saffronstack/fleet/control/process_discovery.py
+++ b/saffronstack/fleet/control/process_discovery.py
@@ -1,6 +1,6 @@
-"""Finds processes of gateways that an earlier daemon left behind.
+"""Finds gateway processes that an earlier daemon started and that still run.
 
-The operating system is asked, never a file: each process carries a mark in its environment.
+The search reads `/proc` instead of a file of process ids: the environment of each gateway process has a mark.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from saffronstack.fleet.control.gateway_process import GatewayProcess
 from saffronstack.fleet.control.metrics_poller import find_serving_pid
 
-ADOPTION_TIMEOUT_S = 3.0  # for a process that was left to answer that it serves
+ADOPTION_TIMEOUT_S = 3.0  # maximum wait for a process of an earlier daemon to respond on the address
 RETRY_INTERVAL_S = 0.05
-START_TIME_FIELD = 19  # of /proc/PID/stat, counted after the name in parentheses
+START_TIME_FIELD = 19  # index in /proc/PID/stat, counted after the name in parentheses
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 def find_processes(mark: str) -> list[GatewayProcess]:
-    """Return this user's processes that carry a mark, the newest last."""
+    """Return this user's processes that have a mark, the newest last."""
     marked: list[_MarkedProcess] = []
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit() or int(entry.name) == os.getpid():
@@ -40,22 +40,22 @@
 
 
 def _read_process(entry: os.DirEntry[str], prefix: bytes) -> _MarkedProcess | None:
-    """Return a process whose environment has a variable with this prefix, which its release follows."""
+    """Return the process if its environment has a variable with this prefix, followed by a release."""
     try:
         if entry.stat().st_uid != os.geteuid():
             return None
         pidfd = os.pidfd_open(int(entry.name))
     except OSError:
-        return None  # it has ended
+        return None  # the process has ended
     try:
-        # Read once the descriptor is held: the mark is then of the process that signals will reach.
+        # The mark is read after the pidfd is opened, so it belongs to the process that signals will reach.
         variables = pathlib.Path(entry.path, "environ").read_bytes().split(b"\0")
         release = next(one[len(prefix) :].decode() for one in variables if one.startswith(prefix))
         fields = pathlib.Path(entry.path, "stat").read_text().rpartition(")")[2].split()
         process = GatewayProcess(int(entry.name), release, pidfd, None)
         return _MarkedProcess(int(fields[START_TIME_FIELD]), process)
     except (OSError, StopIteration, ValueError, IndexError):
-        os.close(pidfd)  # it has ended, or has no such mark
+        os.close(pidfd)  # the process has ended, or has no such mark
         return None
 
 
@@ -64,8 +64,8 @@
 ) -> GatewayProcess | None:
     """Return the process with a mark that serves on an address, and terminate the others.
 
-    A process that was only prepared ends with its daemon, and one that follows another goes on to serve, so
-    this waits until one serves; the newest is taken where none answers in time.
+    A standby process ends with its daemon, but a successor that waits for its predecessor's end will serve.
+    Therefore this waits until a process serves. If none responds in time, it returns the newest.
     """
     deadline_s = clock() + ADOPTION_TIMEOUT_S
     while running := find_processes(mark):
--- a/saffronstack/fleet/control/process_launcher.py
+++ b/saffronstack/fleet/control/process_launcher.py
@@ -1,4 +1,4 @@
-"""Starts processes of gateways on the daemon's listening socket, and reports what becomes of them."""
+"""Starts gateway processes on the daemon's listening socket, and reports their events."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from saffronstack.fleet.control.gateway_process import GatewayProcess, ProcessEvent, ProcessEventKind
 from saffronstack.runtime.threads import start_thread
 
-# Lines that `saffronstack serve --standby` writes, by what they contain.
+# Substrings of the lines that `saffronstack serve --standby` prints when it is prepared and when it serves.
 PREPARED_LINE, SERVING_LINE = "prepared", "takes calls"
-MAX_LOG_BYTES = 4 << 20  # a new process rotates a log that is longer
+MAX_LOG_BYTES = 4 << 20  # a larger log is rotated when a process is started
 LISTEN_BACKLOG = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class LaunchSpec:
-    """What to start.
+    """Settings of a gateway process to start.
 
     Attributes:
-        gateway: Its name.
-        incarnation: The number under which events are reported.
-        release: The digest of its release.
-        command: The program with its arguments, but for the listening socket's.
-        mark: Identifies processes of this gateway of this daemon; `process_discovery` looks for it.
-        log_path: Where its error output goes.
+        gateway: The name of the gateway.
+        incarnation: The number of the incarnation in reported events.
+        release: The digest of the release.
+        command: The program and its arguments, without those for the listening socket and standby.
+        mark: Identifies processes of this gateway of this daemon for `process_discovery`.
+        log_path: The file to which standard error is appended.
     """
 
     gateway: str
@@ -43,10 +43,10 @@
 
 
 def bind_listener(address: str) -> socket.socket:
-    """Bind a socket on which a gateway's incarnations listen, one after the other.
+    """Bind a socket on which the incarnations of a gateway listen one after another.
 
-    Connections that arrive between two of them wait in its queue. It shares the address, since a process
-    that an earlier daemon left may hold it too.
+    Connections that arrive between two incarnations wait in its accept queue. The socket is bound with
+    SO_REUSEPORT because a process of an earlier daemon may still be bound to the address.
 
     Raises:
         OSError: The address can't be bound.
@@ -66,15 +66,15 @@
 def launch(
     spec: LaunchSpec, listener: socket.socket, report: Callable[[ProcessEvent], None]
 ) -> GatewayProcess:
-    """Start a process in standby.
+    """Start a standby process.
 
     Args:
-        spec: What to start.
-        listener: The bound socket that it inherits.
-        report: Called with each event, on threads of the launcher's.
+        spec: The settings of the process.
+        listener: The bound socket that the process inherits.
+        report: Called with each event, on threads of the launcher.
 
     Raises:
-        OSError: It can't be started.
+        OSError: The process can't be started.
     """
     _rotate_log(spec.log_path)
     with open(spec.log_path, "ab") as log_file:
@@ -94,19 +94,19 @@
 def report_end(
     gateway: str, incarnation: int, process: GatewayProcess, report: Callable[[ProcessEvent], None]
 ) -> None:
-    """Wait for the end of a process and report it."""
+    """Wait for the end of a process, and report it."""
     end = process.wait()
     report(ProcessEvent(gateway, incarnation, ProcessEventKind.ENDED, end.reason, end.has_crashed))
 
 
 def _rotate_log(path: pathlib.Path) -> None:
-    with contextlib.suppress(OSError):  # without a log there is nothing to rotate
+    with contextlib.suppress(OSError):  # the log does not exist yet
         if path.stat().st_size > MAX_LOG_BYTES:
             os.replace(path, path.with_suffix(".log.1"))
 
 
 def _report_output(spec: LaunchSpec, output: IO[bytes], report: Callable[[ProcessEvent], None]) -> None:
-    """Report from a process's output when it is prepared and when it serves."""
+    """Read a process's standard output, and report when the process is prepared and when it serves."""
     with output:
         for line in output:
             text = line.decode("utf-8", "replace")
--- a/saffronstack/fleet/control/releases.py
+++ b/saffronstack/fleet/control/releases.py
@@ -1,4 +1,4 @@
-"""Releases on a disk: a directory with a program or settings, a manifest, and a digest over all of it."""
+"""Releases on disk: a directory with a program or settings and a manifest, identified by its digest."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 MANIFEST_NAME = "release.json"
 MAX_FILES = 20_000
 CHUNK_BYTES = 1 << 20
-IGNORED_DIRECTORIES = {"__pycache__"}  # a running program writes there
+IGNORED_DIRECTORIES = {"__pycache__"}  # excluded because a running program writes files there
 
 
 class ReleaseManifest(Struct, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """The content of a release's manifest.
+    """Content of the manifest of a release.
 
     Attributes:
-        version: For people.
-        command: How its gateway is started; `{python}` stands for the daemon's interpreter, `{release}` for
-            the directory.
-        formats: Of the stored data that it reads and writes.
+        version: The name of the release for operators.
+        command: The command that starts a gateway; `{python}` is replaced by the daemon's interpreter,
+            `{release}` by the directory of the release.
+        formats: The formats of the stored data that the release reads and writes.
     """
 
     version: str
@@ -35,7 +35,7 @@
 
 
 class InstalledRelease(Struct, frozen=True):
-    """A release in its directory; ``command`` has its placeholders replaced."""
+    """A release in a directory; the placeholders in ``command`` are replaced."""
 
     path: str
     release: Release
@@ -73,7 +73,7 @@
     """Return the release in a directory.
 
     Raises:
-        UnusableReleaseError: There is none, or it can't be read.
+        UnusableReleaseError: The directory has no release, or it can't be read.
     """
     path = pathlib.Path(directory)
     try:
@@ -92,11 +92,10 @@
 
 
 def find_release(root: str, digest: str) -> InstalledRelease:
-    """Return the release with a digest among the directories of ``root``.
+    """Return the release with a digest from the directories below ``root``.
 
     Raises:
-        UnusableReleaseError: There is none. A release whose files were changed has another digest, and is
-            another release.
+        UnusableReleaseError: No release has the digest. A release whose files change has another digest.
     """
     for entry in sorted(pathlib.Path(root).iterdir()) if pathlib.Path(root).is_dir() else ():
         if (entry / MANIFEST_NAME).is_file():
--- a/saffronstack/fleet/control/status_poller.py
+++ b/saffronstack/fleet/control/status_poller.py
@@ -1,4 +1,4 @@
-"""Polls all daemons for their status, without a lease."""
+"""Polls the status of all daemons, which needs no lease."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from saffronstack.http1 import writer
 from saffronstack.runtime.threads import start_thread
 
-JOIN_MARGIN_S = 0.5  # over the exchange's own bound
+JOIN_MARGIN_S = 0.5  # added to the timeout of the requests, for their threads to end
 
 
 def poll_daemons(addresses: Mapping[str, str], timeout_s: float) -> dict[str, DaemonResponse]:
-    """Poll all daemons at once; takes little more than ``timeout_s``."""
+    """Poll all daemons concurrently; takes at most `JOIN_MARGIN_S` longer than ``timeout_s``."""
     responses: dict[str, DaemonResponse] = {}
 
     def poll(name: str, address: str) -> None:
@@ -29,5 +29,5 @@
     deadline_s = time.monotonic() + timeout_s + JOIN_MARGIN_S
     for thread in threads:
         thread.join(max(0.0, deadline_s - time.monotonic()))
-    in_time = dict(responses)  # later answers are not waited for
+    in_time = dict(responses)  # copied, since late threads may still add responses
     return {name: in_time.get(name, UnavailableDaemon("no answer in time")) for name in addresses}
--- a/saffronstack/fleet/rollout/__init__.py
+++ b/saffronstack/fleet/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rolling updates in stages: plans, canary analysis, the controller and its leader (`docs/rollout.md`)."""
+"""Rolling updates in stages: plans, canary analysis, the controller and the leader (`docs/rollout.md`)."""
--- a/saffronstack/fleet/rollout/bake.py
+++ b/saffronstack/fleet/rollout/bake.py
@@ -1,4 +1,4 @@
-"""When the bake of a stage begins, and when it is analyzed. No I/O."""
+"""Decides when the bake time of a stage starts and when the stage is analyzed. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from saffronstack.fleet.rollout.record import RolloutRecord
 
 ANALYSES_PER_BAKE = 10
-MAX_UNSETTLED_PROGRESS = 0.99  # a bake is analyzed to its end only once all gateways are settled
+MAX_UNSETTLED_PROGRESS = 0.99  # below 1, so that no bake ends while a gateway is not settled
 
 
 @dataclass(slots=True)
 class BakeTimer:
-    """The bake of the present stage; times in seconds of one clock."""
+    """State of the bake of the current stage; times are seconds of one clock."""
 
     _settled_since_s: float | None = None
     _started_s: float | None = None
@@ -22,27 +22,27 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the stage bakes."""
+        """Whether the bake of the stage has started."""
         return self._started_s is not None
 
     def reset(self) -> None:
-        """Forget the bake: another stage or phase begins."""
+        """Discard the bake because another stage or phase starts."""
         self._settled_since_s, self._started_s, self._is_analyzing = None, None, False
 
     def finish_analysis(self) -> None:
-        """Take in that the analysis under way has completed."""
+        """Record that the analysis in progress has completed."""
         self._is_analyzing = False
 
     def next_action(
         self, now_s: float, record: RolloutRecord, is_settled: bool
     ) -> StartBake | AnalyzeStage | None:
-        """Return what is due.
+        """Return the action that is due, if any.
 
         Args:
-            now_s: The time.
-            record: Of the rollout.
-            is_settled: Whether all gateways run the release that they are to run. One that goes silent or
-                down during the bake is the analysis's matter; no bake ends with it.
+            now_s: The current time.
+            record: The record of the rollout.
+            is_settled: Whether all gateways run their target release. If a gateway becomes unreachable or
+                stops during the bake, the bake continues to be analyzed but does not end.
         """
         if self._started_s is None:
             return self._start_if_settled(now_s, record, is_settled)
--- a/saffronstack/fleet/rollout/command_scheduler.py
+++ b/saffronstack/fleet/rollout/command_scheduler.py
@@ -1,4 +1,4 @@
-"""Chooses which gateways to command next, within the limit of unavailable gateways. No I/O."""
+"""Chooses the gateways to command next, within the limit of unavailable gateways. No I/O."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord
 from saffronstack.fleet.rollout.rollout_order import stage_targets, zone_batches
 
-ROLLBACK_RETRY_S = 10.0  # between two commands to run the old release that a daemon gave up
+ROLLBACK_RETRY_S = 10.0  # interval between commands to run the old release after a daemon gave it up
 
 
 class CommandScheduler:
-    """Turns the target releases of a rollout into commands, batch by batch."""
+    """Derives commands from the target releases of a rollout, batch by batch."""
 
     def __init__(self, fleet: RolloutFleet, record: RolloutRecord, view: FleetView) -> None:
         self._fleet, self._view = fleet, view
@@ -22,7 +22,7 @@
         self._stage_targets = stage_targets(record.plan, fleet.gateways)
 
     def targets(self, record: RolloutRecord) -> dict[str, str]:
-        """Return the release that each gateway is to run, in the order of change."""
+        """Return the target release of each gateway, in the order of the update."""
         if record.is_rolling_back:
             return dict.fromkeys(reversed(self._stage_targets[-1]), record.old_release.digest)
         reached = self._stage_targets[record.stage]
@@ -35,8 +35,8 @@
     ) -> list[SetRelease]:
         """Return the next commands.
 
-        A gateway that is unavailable anyway is commanded at once, since a command can only help it; the
-        others follow batch by batch, each after the one before has settled.
+        Unavailable gateways are commanded immediately because a command cannot make them worse. The others
+        are commanded batch by batch, each batch after the previous one has settled.
         """
         unavailable = self._view.unavailable()
         due = {name for name, release in targets.items() if self._is_due(now_s, record, name, release)}
@@ -56,7 +56,10 @@
         return commands
 
     def _may_interrupt(self, record: RolloutRecord, gateway: str, unavailable: set[str]) -> bool:
-        """Return whether one more gateway may go down: few are, and all of its zone."""
+        """Return whether a gateway may become unavailable.
+
+        It may if fewer gateways than the limit are unavailable and all of these are in its zone.
+        """
         zones = {self._zone_of[name] for name in unavailable}
         return len(unavailable) < record.plan.max_unavailable and zones <= {self._zone_of[gateway]}
 
@@ -69,12 +72,12 @@
         if observed is None or gateway in self._view.pending:
             return False
         has_given_up = observed.desired_release == release == observed.failed_release
-        if has_given_up and record.phase is RolloutPhase.ROLLING_BACK:  # there is nowhere else to go
+        if has_given_up and record.phase is RolloutPhase.ROLLING_BACK:  # there is no other release to run
             return now_s - self._view.last_commanded_s(gateway) >= ROLLBACK_RETRY_S
         return observed.desired_release != release
 
     def _batches(self, record: RolloutRecord, names: list[str]) -> Iterable[tuple[str, ...]]:
-        """Return batches stage by stage, so that what an earlier stage lost is repaired first."""
+        """Return batches stage by stage, so that gateways of earlier stages are repaired first."""
         limit = record.plan.max_unavailable
         if record.phase is RolloutPhase.ROLLING_BACK:
             yield from zone_batches(names, self._fleet.gateways, limit)
--- a/saffronstack/fleet/rollout/events.py
+++ b/saffronstack/fleet/rollout/events.py
@@ -1,4 +1,4 @@
-"""Events that a rollout's controller handles, and the actions that it answers with."""
+"""Events that the controller of a rollout handles, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorRequested:
-    """An operator asked for something; ``number`` grows with each request."""
+    """An operator made a request; ``number`` increases with each request."""
 
     number: int
     action: OperatorAction
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonReported:
-    """A daemon answered a poll that carried this leader's token: commands of older leaders are fenced off."""
+    """A daemon responded to a poll with this leader's token, and so rejects commands of older leaders."""
 
     daemon: str
     gateways: Mapping[str, ObservedGateway]
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonUnreachable:
-    """A daemon did not answer."""
+    """A daemon did not return its status."""
 
     daemon: str
 
 
 @dataclass(frozen=True, slots=True)
 class RecordStored:
-    """The record of a ``StoreRecord`` is stored, or may or may not be where it is not confirmed."""
+    """The result of a ``StoreRecord``; if it is not confirmed, the record may or may not be stored."""
 
     record: RolloutRecord
     is_confirmed: bool
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed, so a deadline may have passed."""
 
 
 Event = (
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
-    """Store this in the lease's value, and report with ``RecordStored``."""
+    """Store the record in the value of the lease, and report the result with ``RecordStored``."""
 
     record: RolloutRecord
 
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartBake:
-    """Remember the present metrics: old and new are compared from now on."""
+    """Store the current metrics as the start of the comparison of canaries and baseline."""
 
     stage: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnalyzeStage:
-    """Compare canaries and baseline at this part of the bake, and report with ``AnalysisCompleted``."""
+    """Compare canaries and baseline at this fraction of the bake time; report with ``AnalysisCompleted``."""
 
     stage: int
     progress: float
--- a/saffronstack/fleet/rollout/fleet_view.py
+++ b/saffronstack/fleet/rollout/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a rollout's leader knows of each gateway. No I/O."""
+"""State of each gateway as the leader of a rollout knows it. No I/O."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class FleetView:
-    """The last observation of each gateway, and commands that no later observation has followed yet."""
+    """The last observation of each gateway, and the commands that were sent since."""
 
     def __init__(self, fleet: RolloutFleet) -> None:
         self._fleet = fleet
-        self._observed: dict[str, ObservedGateway] = {}  # of daemons that answered last
+        self._observed: dict[str, ObservedGateway] = {}  # if the daemon responded to the last poll
         self._pending: dict[str, str] = {}  # commanded releases by gateway
         self._last_commanded_s: dict[str, float] = {}
 
     @property
     def observed(self) -> Mapping[str, ObservedGateway]:
-        """The last observations, of gateways whose daemons answered the last poll."""
+        """Observations by gateway, for gateways whose daemons responded to the last poll."""
         return self._observed
 
     @property
@@ -32,34 +32,33 @@
         return self._pending
 
     def update(self, report: DaemonReported) -> bool:
-        """Take in a daemon's report; return whether anything has changed."""
+        """Store the observations that a daemon reported; return whether any has changed."""
         has_changed = False
         for name, observed in report.gateways.items():
             if self._fleet.daemon_of.get(name) != report.daemon:
                 continue
             has_changed |= observed != self._observed.get(name)
             self._observed[name] = observed
-            self._pending.pop(
-                name, None
-            )  # a poll follows all commands before it: each took effect or never will
+            # The poll follows all earlier commands, so each of them has taken effect or never will.
+            self._pending.pop(name, None)
         return has_changed
 
     def forget_daemon(self, daemon: str) -> None:
-        """Drop the observations of a daemon that did not answer."""
+        """Remove the observations of a daemon that did not respond."""
         for name, owner in self._fleet.daemon_of.items():
             if owner == daemon:
                 self._observed.pop(name, None)
 
     def add_command(self, now_s: float, gateway: str, release: str) -> None:
-        """Remember a command that is sent."""
+        """Record a command that is about to be sent."""
         self._pending[gateway], self._last_commanded_s[gateway] = release, now_s
 
     def last_commanded_s(self, gateway: str) -> float:
-        """Return when a gateway was commanded last."""
+        """Return the time of the last command to a gateway; minus infinity for none."""
         return self._last_commanded_s.get(gateway, -math.inf)
 
     def is_settled(self, gateway: str, release: str) -> bool:
-        """Return whether a gateway runs a release, and is to."""
+        """Return whether a gateway runs a release that is also its desired release."""
         observed = self._observed.get(gateway)
         return (
             observed is not None
@@ -68,10 +67,10 @@
         )
 
     def unavailable(self) -> set[str]:
-        """Return the gateways that do not serve, or soon may not.
+        """Return the gateways that do not serve, or may soon stop serving.
 
-        These are the unobserved ones, those that do not serve, and those with a command under way. A gateway
-        that gave up a release and runs another one is available.
+        These are gateways without an observation, gateways that do not serve, and gateways whose last command
+        has not completed. A gateway that gave up a release and serves another one is available.
         """
         return {one.name for one in self._fleet.gateways if not self._is_available(one.name)}
 
@@ -83,14 +82,14 @@
         return observed.phase is GatewayPhase.SERVING and not is_changing
 
     def failures_of(self, release: str) -> list[str]:
-        """Return the gateways that gave up a release, a line each."""
+        """Return a line for each gateway that gave up a release, with its last error."""
         return [
             f"{name}: {observed.last_error}" for name, observed in sorted(self._observed.items())
             if observed.failed_release == release
         ]  # fmt: skip
 
     def describe_unsettled(self, targets: Mapping[str, str]) -> str:
-        """Say which gateways do not run their target release yet; empty where all do."""
+        """Return a description of the gateways that do not run their target release yet; empty if all do."""
         unsettled = [name for name, release in targets.items() if not self.is_settled(name, release)]
         text = "; ".join(self._describe(name) for name in unsettled[:MAX_NAMES_SHOWN])
         hidden = len(unsettled) - MAX_NAMES_SHOWN
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -1,7 +1,7 @@
-"""Leads a rollout in a process: polls daemons, stores decisions under the lease, and sends commands.
+"""Leads a rollout: polls daemons, stores decisions in the value of the lease, and sends commands.
 
-Whoever holds the lease goes on from the record in its value, one round at a time: a poll of all daemons at
-once, each bounded; what the controller makes of it; commands.
+The lease holder continues from the record in the value of the lease. Each round polls all daemons
+concurrently with a timeout, lets the controller handle the responses, and sends the resulting commands.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 from saffronstack.fleet.rollout.record import RolloutRecord, encode_record
 
 log = structlog.get_logger("saffronstack.rollout")
-ROUND_INTERVAL_S = 0.5
+ROUND_INTERVAL_S = 0.5  # pause between rounds without commands
 STORE_TIMEOUT_S = 3.0
 REQUEST_POLL_INTERVAL_S = 1.0
 MAX_COMPARISONS_LOGGED = 3
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderOptions:
-    """Times of a leader.
+    """Timing options of a leader.
 
     Attributes:
-        stall_timeout_s: Without any progress for so long, the rollout is inconclusive.
-        round_interval_s: Between two rounds.
+        stall_timeout_s: Time without progress after which the rollout is inconclusive.
+        round_interval_s: Pause after a round without commands.
     """
 
     stall_timeout_s: float = STALL_TIMEOUT_S
@@ -67,7 +67,10 @@
 
 
 def running_release(status: GatewayStatus) -> str:
-    """Return the release that a gateway runs: by its own page where that is fresh, else by its daemon."""
+    """Return the release that a gateway runs.
+
+    The gateway's status page is used if its metrics are fresh, otherwise the report of its daemon.
+    """
     metrics = status.metrics
     if not status.running_release or metrics is None or not is_fresh(metrics):
         return status.running_release
@@ -75,7 +78,7 @@
 
 
 class RolloutLeader:
-    """One holding of the leader's lease."""
+    """Leader of a rollout for as long as it holds the lease."""
 
     def __init__(
         self,
@@ -91,33 +94,34 @@
 
         Args:
             fleet: The gateways and their daemons.
-            daemon_client: Their client, under this lease's token.
-            lease: The leader's lease, which is held.
-            read_leases: Reads what lease servers show, for operators' requests.
-            on_round: Called after each round with the record and what the rollout waits for.
-            clock: Seconds.
-            options: Times.
+            daemon_client: The client of the daemons, with the fencing token of ``lease``.
+            lease: The leader's lease, which this process holds.
+            read_leases: Reads the leases from the lease servers, for requests of operators.
+            on_round: Called after each round with the record and a description of what the rollout waits
+                for.
+            clock: Returns a monotonic time in seconds.
+            options: Timing options.
         """
         self._fleet, self._daemon_client, self._lease = fleet, daemon_client, lease
         self._read_leases, self._on_round, self._clock = read_leases, on_round, clock
         self._options = options
         self._sampler = CanarySampler(fleet.gateways)
         self._statuses: dict[str, GatewayStatus] = {}
-        self._poll_started_s = 0.0  # when the last poll of the daemons began
+        self._poll_started_s = 0.0  # time at which the last poll of the daemons started
         self._requests_polled_s = 0.0
 
     def lead(self, record: RolloutRecord, stopping: threading.Event) -> RolloutRecord:
         """Lead until the rollout is finished, the lease is lost or ``stopping`` is set.
 
         Returns:
-            The record as it stands then.
+            The last record.
         """
         controller = RolloutController(record, self._fleet, self._clock(), self._options.stall_timeout_s)
-        # The record may have been read from less than a majority: it is stored anew first.
+        # Store the record first, because it may have been read from less than a majority.
         self._lease.put(encode_record(record), STORE_TIMEOUT_S)
         while not stopping.is_set() and self._holds_lease() and not controller.record.is_finished:
             if self._run_round(controller):
-                continue  # what the commands changed is polled at once
+                continue  # polls the effect of the commands immediately
             self._on_round(controller.record, controller.describe_pending())
             stopping.wait(self._options.round_interval_s)
         self._on_round(controller.record, "")
@@ -127,7 +131,7 @@
         return self._lease.remaining_s() > 0
 
     def _run_round(self, controller: RolloutController) -> bool:
-        """Poll, decide and send commands; return whether any were sent."""
+        """Poll the daemons, handle the responses and send commands; return whether any were sent."""
         self._poll_started_s = self._clock()
         reports = self._report_events(self._daemon_client.poll())
         events = [*reports, *self._request_events(controller.record), Tick()]
@@ -145,7 +149,7 @@
         return True
 
     def _carry_out(self, controller: RolloutController, actions: Sequence[Action]) -> list[SetRelease]:
-        """Do what can be done here and report it to the controller; return the commands that are left."""
+        """Execute actions and pass their results to the controller; return the commands to send."""
         commands: list[SetRelease] = []
         pending = deque(actions)
         while pending:
@@ -169,7 +173,8 @@
         return commands
 
     def _analyze(self, record: RolloutRecord, action: AnalyzeStage) -> AnalysisCompleted:
-        # Metrics reach the leader late, most of all on a busy machine: the bake is over once they cover it.
+        # Metrics reach the leader with a delay, especially on a busy machine. Therefore the bake ends only
+        # once the metrics cover it.
         covered_s = self._sampler.covered_s(self._statuses, self._poll_started_s)
         progress = min(action.progress, covered_s / record.plan.stages[action.stage].bake_s)
         samples = self._sampler.samples(self._statuses, record.new_release.digest)
@@ -196,7 +201,7 @@
         return events
 
     def _request_events(self, record: RolloutRecord) -> list[Event]:
-        """Poll for an operator's request, as a majority of lease servers shows it."""
+        """Return the operator's request that the lease servers store, if it is for this rollout."""
         now_s = self._clock()
         if now_s < self._requests_polled_s + REQUEST_POLL_INTERVAL_S:
             return []
--- a/saffronstack/fleet/rollout/metrics_snapshot.py
+++ b/saffronstack/fleet/rollout/metrics_snapshot.py
@@ -1,4 +1,4 @@
-"""Decoded metrics of one gateway at one moment, and the difference of two. No I/O."""
+"""Decoded metrics of one gateway at one time, and the difference between two of them. No I/O."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 from saffronstack.fleet.control.messages import GatewayMetrics, GatewayStatus
 
-MAX_METRICS_AGE_S = 3.0  # older metrics count as missing
+MAX_METRICS_AGE_S = 3.0  # older metrics are treated as missing
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """What one incarnation of a gateway has counted.
+    """Metrics of one incarnation of a gateway.
 
     Attributes:
-        incarnation: The number of its process.
-        restarts: Unplanned ends of the gateway's processes.
-        outcomes_by_class: For each class of calls, how many ended in which way.
-        latencies_by_class: For each class, how many calls took how long, in tenths of milliseconds.
-        memory_mb: Resident memory; nan where its growth is unknown.
-        open_descriptors: Open file descriptors; nan likewise.
+        incarnation: The number of the gateway's process.
+        restarts: Number of unplanned ends of the gateway's processes.
+        outcomes_by_class: For each class of calls, the number of calls by outcome.
+        latencies_by_class: For each class, the number of calls by latency in tenths of milliseconds.
+        memory_mb: Resident memory in megabytes; nan if its growth is unknown.
+        open_descriptors: Number of open file descriptors; nan if its growth is unknown.
     """
 
     incarnation: int
@@ -34,9 +34,10 @@
     open_descriptors: float
 
     def since(self, start: MetricsSnapshot) -> MetricsSnapshot:
-        """Return what has changed since an earlier snapshot.
+        """Return the difference to an earlier snapshot.
 
-        Of an incarnation that started since, all calls count, and how its memory grew is unknown.
+        If a new incarnation has started since, all of its calls count, and the growth of its memory and
+        descriptors is unknown.
         """
         if start.incarnation != self.incarnation:
             return replace(self, memory_mb=math.nan, open_descriptors=math.nan)
@@ -61,12 +62,12 @@
 
 
 def is_fresh(metrics: GatewayMetrics) -> bool:
-    """Return whether metrics are young enough to count."""
+    """Return whether metrics are not older than `MAX_METRICS_AGE_S`."""
     return metrics.age_s <= MAX_METRICS_AGE_S
 
 
 def take_snapshot(status: GatewayStatus) -> MetricsSnapshot | None:
-    """Decode a gateway's metrics; None where they are missing or too old."""
+    """Return a gateway's decoded metrics; None if they are missing or too old."""
     metrics = status.metrics
     if metrics is None or not is_fresh(metrics):
         return None
--- a/saffronstack/fleet/rollout/operator_requests.py
+++ b/saffronstack/fleet/rollout/operator_requests.py
@@ -1,4 +1,4 @@
-"""Requests that operators leave for the leader, in the value of a lease of their own."""
+"""Requests of operators to the leader, stored in the value of a separate lease."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OperatorAction(enum.StrEnum):
-    """What an operator asks for."""
+    """Action that an operator requests."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -16,12 +16,12 @@
 
 
 class OperatorRequest(msgspec.Struct, frozen=True, rename={"action": "what"}):
-    """A request about a rollout; the JSON keys are fixed.
+    """A request of an operator for a rollout; the JSON keys must not change.
 
     Attributes:
-        rollout: The name of its plan.
-        action: What is asked for.
-        number: The operator's fencing token; a later request has a greater one.
+        rollout: The name of the rollout's plan.
+        action: The requested action.
+        number: The fencing token of the operator's lease, which is greater for a later request.
     """
 
     rollout: str
@@ -30,13 +30,13 @@
 
 
 def encode_request(request: OperatorRequest) -> bytes:
-    """Encode a request for the lease's value."""
+    """Encode a request as the value of a lease."""
     return msgspec.json.encode(request)
 
 
 def decode_request(content: bytes) -> OperatorRequest | None:
-    """Decode the lease's value; None where it is empty or no request that this program knows."""
+    """Decode the value of a lease; None if it is empty or not a request that this release supports."""
     try:
         return msgspec.json.decode(content, type=OperatorRequest) if content else None
     except msgspec.MsgspecError:
-        return None  # of a newer release, say: the leader goes on without it
+        return None  # for example from a newer release; the leader ignores it
--- a/saffronstack/fleet/rollout/plan.py
+++ b/saffronstack/fleet/rollout/plan.py
@@ -1,7 +1,7 @@
-"""The plan of a rollout, and the releases and gateways that it is about.
+"""The plan of a rollout, and the releases and gateways that it applies to.
 
-The keys of plan files, manifests and stored records are fixed; where a key differs from the Python name, the
-class's ``rename`` table holds it.
+The keys of plan files, manifests and stored records must not change. If a key differs from the Python name,
+the ``rename`` table of the class gives the key.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class FleetGateway(Struct, frozen=True, kw_only=True):
-    """One gateway of the fleet file."""
+    """A gateway in the fleet file."""
 
     name: str
     zone: str = ""
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutFleet:
-    """The gateways of a fleet, and the daemon of each."""
+    """The gateways of a fleet, and the name of each gateway's daemon."""
 
     gateways: tuple[FleetGateway, ...]
     daemon_of: Mapping[str, str]
 
     def zone_of(self) -> dict[str, str]:
-        """Return each gateway's zone."""
+        """Return the zone of each gateway by name."""
         return {gateway.name: gateway.zone for gateway in self.gateways}
 
 
@@ -39,7 +39,7 @@
     kw_only=True,
     rename={"component": "part", "readable_versions": "reads", "written_version": "writes"},
 ):
-    """The format versions of one kind of stored data (ledger, usage log, ...) that a release handles."""
+    """Format versions of one kind of stored data (ledger, usage log, ...) that a release reads and writes."""
 
     component: str
     readable_versions: tuple[int, ...]
@@ -47,7 +47,7 @@
 
 
 class Release(Struct, frozen=True, kw_only=True):
-    """A release, as far as a rollout needs it."""
+    """The properties of a release that a rollout needs."""
 
     version: str
     digest: str
@@ -55,13 +55,13 @@
 
 
 class Stage(Struct, frozen=True, kw_only=True):
-    """How far the new release has come by the end of a stage: one of a count, a share, or whole groups.
+    """One stage of a rollout. Exactly one of ``count``, ``share`` and ``groups`` is set.
 
     Attributes:
-        count: So many gateways.
-        share: This part of the fleet, from 0 to 1.
-        groups: All gateways of these groups.
-        bake_s: How long old and new are compared before the next stage.
+        count: Number of gateways that run the new release by the end of the stage.
+        share: Fraction of the fleet, from 0 to 1, that runs the new release by the end of the stage.
+        groups: Groups whose gateways all run the new release by the end of the stage.
+        bake_s: Bake time in seconds, in which the releases are compared before the next stage.
     """
 
     count: int = 0
@@ -71,9 +71,9 @@
 
 
 class InconclusivePolicy(enum.Enum):
-    """What becomes of a rollout whose analysis is inconclusive."""
+    """Action on a rollout whose canary analysis is inconclusive."""
 
-    HOLD = "hold"  # until an operator resumes or aborts it
+    HOLD = "hold"  # holds the rollout until an operator resumes or aborts it
     ROLL_BACK = "back"
 
 
@@ -93,21 +93,27 @@
         "gross_failure_increase": "gross",
     },
 ):
-    """What an operator asks for.
+    """Plan of a rollout, which an operator writes.
 
     Attributes:
-        name: Of the rollout; it also seeds the order in which gateways are updated.
-        base_digest: The release that the plan was made on, and that must run everywhere at the start.
-        stages: The last one reaches the whole fleet.
-        settle_s: Between a stage's last start and its bake: a young gateway is slow at first.
-        max_unavailable: Gateways that may be down for the update at one time, all of one zone.
-        on_inconclusive: What becomes of it where the analysis is inconclusive.
-        allow_irreversible: The operator accepts that the old release can't read the new one's data.
-        false_stop_probability: That a stage without harm is stopped.
-        min_calls: Of the canaries, for an analysis of the stage.
-        min_memory_growth_mb: Growth in a bake below this stops nothing: young processes grow a little.
-        min_descriptor_growth: The same for open file descriptors.
-        gross_failure_increase: So much more of a class's calls rejected, failed or unknown stops at once.
+        name: The name of the rollout; it also seeds the order in which gateways are updated.
+        base_digest: The digest of the release that the plan was made for. All gateways must run it when the
+            rollout starts.
+        stages: The stages; the last one reaches the whole fleet.
+        settle_s: Seconds between the last start of a gateway in a stage and the bake, because a gateway is
+            slow at first.
+        max_unavailable: Maximum number of gateways that the update makes unavailable at one time; all of them
+            are in one zone.
+        on_inconclusive: The action if a canary analysis is inconclusive.
+        allow_irreversible: Whether the operator accepts that the old release can't read data that the new one
+            writes.
+        false_stop_probability: Probability that a stage is stopped though the new release is no worse.
+        min_calls: Minimum calls of the canaries; with fewer the stage is inconclusive.
+        min_memory_growth_mb: Minimum memory growth in a bake that can fail the stage, because the memory of
+            a new process grows a little.
+        min_descriptor_growth: The same for the number of open file descriptors.
+        gross_failure_increase: Increase of a class's ratio of rejected, failed or unknown calls that fails
+            the stage immediately.
     """
 
     name: str
--- a/saffronstack/fleet/rollout/plan_validation.py
+++ b/saffronstack/fleet/rollout/plan_validation.py
@@ -1,4 +1,4 @@
-"""What must hold before a rollout starts. No I/O."""
+"""Validates the plan of a rollout before it starts. No I/O."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     new: Release,
     active_rollouts: Iterable[str] = (),
 ) -> list[str]:
-    """Return why a plan can't be started, a line with path and reason each.
+    """Return the problems that prevent a plan from starting, one line with path and reason each.
 
     Args:
         plan: The plan.
         fleet: All gateways.
         old: The release that runs.
-        new: The release to come.
-        active_rollouts: Names of rollouts that are under way.
+        new: The release to roll out.
+        active_rollouts: Names of rollouts in progress.
     """
     problems = [
         f"name: a rollout is under way already, {other!r}: end or abort it" for other in active_rollouts
@@ -75,7 +75,7 @@
         path = f"stages[{number}]"
         problems += [f"{path}{line}" for line in _validate_stage(stage, groups, len(fleet))]
         if problems:
-            continue  # how far the stages reach is only known of sound ones
+            continue  # the size of a stage is only known if all stages up to it are valid
         size = len(stage_targets(plan, fleet)[number])
         if size <= reached:
             problems.append(f"{path}: reaches {size} gateways, and the stage before {reached}")
@@ -101,13 +101,13 @@
 
 
 def validate_formats(old: Release, new: Release) -> list[str]:
-    """Return which stored data the new release can't read, or the old one could not read back."""
+    """Return the formats that the new release can't read, or the old one could not read after a rollback."""
     old_formats = {one.component: one for one in old.formats}
     problems: list[str] = []
     for number, new_format in enumerate(new.formats):
         path = f"release.formats[{number}] ({new_format.component})"
         old_format = old_formats.pop(new_format.component, None)
-        if old_format is not None:  # a component that the old release does not know is left alone by it
+        if old_format is not None:  # the old release ignores components that it does not know
             problems += [f"{path}{line}" for line in _compare_formats(old_format, new_format, old.version)]
     problems += [
         f"release.formats: {component}, which {old.version} writes, is unknown to {new.version}"
--- a/saffronstack/fleet/rollout/record.py
+++ b/saffronstack/fleet/rollout/record.py
@@ -1,4 +1,4 @@
-"""The record of a rollout: all that the next leader must know, stored in the value of the leader's lease."""
+"""The record of a rollout, stored in the value of the leader's lease so that the next leader can continue."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class RolloutPhase(enum.StrEnum):
-    """How far a rollout is; the values stand in records and in the command line's output."""
+    """Phase of a rollout; the values appear in records and in the output of the command line."""
 
     PROGRESSING = "forward"
-    ON_HOLD = "held"  # an operator is to resume or abort it
+    ON_HOLD = "held"  # until an operator resumes or aborts it
     ROLLING_BACK = "back"
     COMPLETED = "done"
     ROLLED_BACK = "returned"
@@ -38,20 +38,22 @@
         "history": "notes",
     },
 ):
-    """The state of a rollout. The JSON keys are fixed: leaders of earlier releases use them too.
+    """State of a rollout.
+
+    The JSON keys must not change because leaders of earlier releases use them.
 
     Attributes:
-        version: Of the record's format.
+        version: The version of the record's format.
         plan: The plan.
-        old_release: That ran before.
-        new_release: That is rolled out.
-        phase: How far it is.
-        stage: The index of the present stage.
-        is_paused: An operator paused it.
-        alpha_spent: By canary analyses in this stage, of its probability of a false stop.
-        last_request: The number of the last operator's request that was taken.
-        reason: What it waits for, or why it rolls back.
-        history: The last lines of its history.
+        old_release: The release that ran before the rollout.
+        new_release: The release that is rolled out.
+        phase: The phase of the rollout.
+        stage: The index of the current stage.
+        is_paused: Whether an operator paused the rollout.
+        alpha_spent: Part of the stage's false stop probability that its canary analyses have spent.
+        last_request: The number of the last operator's request that was applied.
+        reason: Why the rollout is on hold or rolls back, or why its rollback makes no progress.
+        history: The last lines of the rollout's history.
     """
 
     version: int = RECORD_VERSION
@@ -68,31 +70,31 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is left to do."""
+        """Whether the rollout is completed or rolled back."""
         return self.phase in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK)
 
     @property
     def is_rolling_back(self) -> bool:
-        """Whether the old release is to run, or runs again."""
+        """Whether the rollout is being or has been rolled back."""
         return self.phase in (RolloutPhase.ROLLING_BACK, RolloutPhase.ROLLED_BACK)
 
 
 def create_record(plan: RolloutPlan, old: Release, new: Release) -> RolloutRecord:
-    """Return the record of a rollout that starts."""
+    """Return the record of a new rollout."""
     history = (f"started: {old.version} to {new.version}",)
     return RolloutRecord(plan=plan, old_release=old, new_release=new, history=history)
 
 
 def encode_record(record: RolloutRecord) -> bytes:
-    """Encode a record for the lease's value."""
+    """Encode a record as the value of a lease."""
     return msgspec.json.encode(record)
 
 
 def decode_record(content: bytes) -> RolloutRecord | None:
-    """Decode the lease's value; None where it is empty.
+    """Decode the value of a lease; None if it is empty.
 
     Raises:
-        RecordError: It is of another version, or no record.
+        RecordError: The value is a record of another version, or not a record.
     """
     if not content:
         return None
@@ -106,6 +108,6 @@
 
 
 class _RecordVersion(Struct):
-    """The part of a record that all versions have."""
+    """The field that records of all versions have."""
 
     version: int
--- a/saffronstack/fleet/rollout/record_updates.py
+++ b/saffronstack/fleet/rollout/record_updates.py
@@ -1,4 +1,4 @@
-"""Changes of a rollout's record, each with a line in its history. No I/O."""
+"""Updates of a rollout's record, most of which add a line to its history. No I/O."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from saffronstack.fleet.rollout.plan import InconclusivePolicy
 from saffronstack.fleet.rollout.record import RolloutPhase, RolloutRecord
 
-# The value of a lease is small, so what grows in the record is bounded.
+# The value of a lease has a small size limit, so the growing parts of a record are bounded.
 MAX_HISTORY_LINES = 12
 MAX_LINE_LENGTH = 120
 MAX_REASON_LENGTH = 400
 
 
 def add_history(record: RolloutRecord, line: str) -> RolloutRecord:
-    """Add a line to the history."""
+    """Append a line to the history, and drop the oldest lines beyond the limit."""
     history = (*record.history, line[:MAX_LINE_LENGTH])
     return replace(record, history=history[-MAX_HISTORY_LINES:])
 
 
 def roll_back(record: RolloutRecord, reason: str) -> RolloutRecord:
-    """Take the new release back."""
+    """Start a rollback to the old release."""
     changed = replace(
         record, phase=RolloutPhase.ROLLING_BACK, is_paused=False, reason=reason[:MAX_REASON_LENGTH]
     )
@@ -30,7 +30,7 @@
 
 
 def apply_inconclusive_policy(record: RolloutRecord, reason: str) -> RolloutRecord:
-    """Hold the rollout or take it back, as the plan says."""
+    """Hold the rollout or roll it back, depending on the policy in the plan."""
     if record.plan.on_inconclusive is InconclusivePolicy.ROLL_BACK:
         return roll_back(record, f"doubt: {reason}")
     changed = replace(record, phase=RolloutPhase.ON_HOLD, reason=reason[:MAX_REASON_LENGTH])
@@ -38,12 +38,12 @@
 
 
 def report_stalled_rollback(record: RolloutRecord, reason: str) -> RolloutRecord:
-    """Record that a rollback makes no progress, and why."""
+    """Record that a rollback makes no progress, with the reason."""
     return add_history(replace(record, reason=reason[:MAX_REASON_LENGTH]), f"going back: {reason}")
 
 
 def finish_rollback(record: RolloutRecord) -> RolloutRecord:
-    """Record that the old release runs everywhere."""
+    """Record that all gateways run the old release."""
     changed = replace(record, phase=RolloutPhase.ROLLED_BACK)
     return add_history(changed, "returned: the whole fleet runs the old one")
 
@@ -58,7 +58,7 @@
 
 
 def apply_request(record: RolloutRecord, action: OperatorAction, number: int) -> RolloutRecord:
-    """Do what an operator asks for."""
+    """Apply an operator's request; ``number`` is recorded as the last request."""
     record = replace(record, last_request=number)
     match action:
         case OperatorAction.PAUSE:
@@ -73,7 +73,7 @@
 
 
 def apply_analysis(record: RolloutRecord, result: AnalysisResult) -> RolloutRecord:
-    """Take in an analysis of the present stage; returns ``record`` itself where nothing is to be stored."""
+    """Apply an analysis of the current stage; return ``record`` itself if there is nothing to store."""
     reasons = "; ".join(result.reasons)
     match result.verdict:
         case Verdict.FAILED:
@@ -81,7 +81,7 @@
         case Verdict.INCONCLUSIVE:
             return apply_inconclusive_policy(replace(record, alpha_spent=result.alpha_spent), reasons)
         case Verdict.RUNNING if result.alpha_spent > record.alpha_spent:
-            # What an analysis spent is stored, or the next leader would spend it again.
+            # The spent probability is stored, otherwise the next leader would spend it again.
             return replace(record, alpha_spent=result.alpha_spent)
         case Verdict.RUNNING:
             return record
--- a/saffronstack/fleet/rollout/rollout_order.py
+++ b/saffronstack/fleet/rollout/rollout_order.py
@@ -1,6 +1,6 @@
 """The order in which a rollout updates gateways. No I/O.
 
-It is derived from the plan alone, so that each leader derives the same one.
+The order depends only on the plan and the gateways, so every leader computes the same order.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from saffronstack.fleet.rollout.plan import FleetGateway, RolloutPlan, Stage
 
-ROUNDING_MARGIN = 1e-9  # a share whose product is a whole number up to rounding reaches just that many
+ROUNDING_MARGIN = 1e-9  # gateways; keeps a rounding error from adding a gateway to a share
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Placement:
-    """Where a gateway stands in the interleaved order."""
+    """Sort key of a gateway in the interleaved order."""
 
     fraction: float
     zone: str
@@ -29,8 +29,8 @@
 def stage_targets(plan: RolloutPlan, fleet: Sequence[FleetGateway]) -> list[tuple[str, ...]]:
     """Return for each stage all gateways that run the new release by its end, in the order of their update.
 
-    Zones take turns in proportion, so that each zone has canaries and baselines side by side as early as
-    possible; within a zone the order is drawn by the plan's name.
+    Zones alternate in proportion to their size, so that each zone has both canaries and baseline gateways as
+    early as possible. Within a zone the order is pseudorandom, seeded by the plan's name.
     """
     ordered = interleave_zones(plan.name, fleet)
     targets: list[tuple[str, ...]] = []
@@ -51,7 +51,7 @@
 
 
 def interleave_zones(seed: str, fleet: Sequence[FleetGateway]) -> list[FleetGateway]:
-    """Return all gateways, each zone's spread evenly over the whole order."""
+    """Return all gateways in an order that distributes those of each zone evenly."""
     zones: dict[str, list[FleetGateway]] = defaultdict(list)
     for gateway in sorted(fleet, key=lambda one: xxhash.xxh3_64_intdigest(f"{seed}/{one.name}".encode())):
         zones[gateway.zone].append(gateway)
@@ -66,7 +66,10 @@
 def zone_batches(
     names: Sequence[str], fleet: Sequence[FleetGateway], max_unavailable: int
 ) -> list[tuple[str, ...]]:
-    """Return the batches in which gateways go down: limited in size, and never of two zones."""
+    """Return the batches in which gateways are updated.
+
+    A batch has at most ``max_unavailable`` gateways, all of one zone.
+    """
     zone_of = {gateway.name: gateway.zone for gateway in fleet}
     zones: dict[str, list[str]] = defaultdict(list)
     for name in names:
--- a/tests/fleet/control/test_command_fence.py
+++ b/tests/fleet/control/test_command_fence.py
@@ -1,4 +1,4 @@
-"""Which control requests a daemon accepts."""
+"""Tests which control requests the command fence of a daemon accepts."""
 
 from __future__ import annotations
 
--- a/tests/fleet/control/test_daemon.py
+++ b/tests/fleet/control/test_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon on its address: which control requests it accepts, and what it starts with."""
+"""Tests of a daemon over HTTP: accepted and rejected requests, and the releases that it starts with."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 EMPTY_READ = QuorumRead(True, {})
 LEADER = LeaseStatus(LEADER_LEASE, "p", 9, 3, 5.0, LeaseValue())
-START_FAULT = "does not start"  # the fault of most releases here
-# A standby that has signals queued, as a gateway has; started a second time it is prepared only once a file
-# says so.
+START_FAULT = "does not start"  # name of the fault in the sample releases
+# A standby process that ignores SIGTERM until it serves, like a gateway, and records SIGHUP in a file. Its
+# second start is prepared only once the file `...-again` exists.
 STANDBY_PROGRAM = """
 import pathlib, signal, sys, time
 signal.signal(signal.SIGTERM, lambda *_: None)
@@ -54,7 +54,7 @@
 
 
 class DaemonHarness:
-    """Daemons with one gateway, one after the other, on one state directory."""
+    """Runs daemons with one gateway, one after another, on the same state directory."""
 
     def __init__(self, folder: pathlib.Path, gateway_address: str) -> None:
         self._folder = folder
@@ -71,43 +71,43 @@
         self._daemon: Daemon | None = None
 
     def write_release(self, version: str) -> str:
-        """Install a release that does not start; return its digest."""
+        """Install a release that does not start, and return its digest."""
         directory = write_release(self._folder / "releases", version, START_FAULT)
         return read_release(directory).release.digest
 
     def write_standby_release(self, version: str) -> str:
-        """Install a release whose second process is prepared after `let_prepare`; return its digest."""
+        """Install a release whose second process is prepared after `let_prepare`, and return its digest."""
         directory = write_release(self._folder / "releases", version, START_FAULT)
         (pathlib.Path(directory) / "gateway.py").write_text(STANDBY_PROGRAM)
         return read_release(directory).release.digest
 
     def let_prepare(self, version: str) -> None:
-        """Let the second process of a standby release be prepared."""
+        """Let the second process of a standby release become prepared."""
         (self._folder / f"{version}-started-again").touch()
 
     def has_reloaded(self, version: str) -> bool:
-        """Return whether a process of a standby release got SIGHUP while or after it was prepared."""
+        """Return whether a process of a standby release has received SIGHUP."""
         return (self._folder / f"{version}-started-reloaded").exists()
 
     def start(self, read: QuorumRead = EMPTY_READ, **options: Any) -> None:
-        """Start a daemon, after the end of the one before."""
+        """Start a daemon after stopping the previous one."""
         self.stop()
         self._daemon = Daemon(self._options, lambda: read, **options)
         self._daemon.start()
 
     def processes(self) -> list[int]:
-        """Return the ids of the gateway's processes."""
+        """Return the process ids of the gateway."""
         assert self._daemon is not None
         return self._daemon.pids()
 
     def stop(self) -> None:
-        """End the daemon and its gateway."""
+        """Stop the daemon and terminate its gateway."""
         if self._daemon is not None:
             assert self._daemon.stop(terminate_gateways=True)
         self._daemon = None
 
     def post(self, request: ControlRequest) -> tuple[int, Any]:
-        """Send a request; return the answer's status, and its message or the daemon's status."""
+        """Send a request; return the HTTP status, and the error message or the daemon's status."""
         assert self._daemon is not None
         host, port = self._daemon.address
         client = Client(f"{host}:{port}", 10.0)
@@ -120,12 +120,12 @@
         return 200, msgspec.json.decode(response.body, type=DaemonStatus)
 
     def command(self, command: GatewayCommand) -> int:
-        """Send a command under token 4; return the answer's status."""
+        """Send a command with token 4; return the HTTP status."""
         incarnation = self.poll(4).incarnation
         return self.post(ControlRequest("f", 4, next(self.sequences), incarnation, (command,)))[0]
 
     def poll(self, token: int) -> DaemonStatus:
-        """Poll the daemon's status under a token, until it accepts a request."""
+        """Poll the daemon with a token until it accepts a request; return its status."""
 
         def post() -> DaemonStatus | None:
             status, content = self.post(ControlRequest("f", token, next(self.sequences)))
@@ -146,7 +146,7 @@
 
 @pytest.fixture
 def create_command(harness: DaemonHarness) -> Callable[..., ControlRequest]:
-    """A daemon that accepted token 5, and commands to run an installed release."""
+    """Start a daemon that has accepted token 5; return a function that creates commands to run a release."""
     digest = harness.write_release("1")
     harness.start()
     incarnation = harness.poll(5).incarnation
@@ -235,7 +235,7 @@
 
 @pytest.fixture
 def changing_harness(harness: DaemonHarness) -> DaemonHarness:
-    """A gateway between two releases: `new` is prepared, and the fallback with `old` is not."""
+    """Start a gateway that changes its release: `new` is prepared, and the fallback with `old` is not."""
     old, new = harness.write_standby_release("old"), harness.write_standby_release("new")
     harness.state_file.write(DesiredState("f", "d1", 3, {"g1": old}))
     harness.start()
@@ -248,14 +248,17 @@
 def test_a_daemon_that_stops_during_a_release_change_ends_its_standbys_too(
     changing_harness: DaemonHarness,
 ) -> None:
-    """They hold nothing and await a command: SIGTERM alone would let it wait for its longest drain."""
+    """Guards against a daemon that sends SIGTERM to standby processes and then waits for the drain timeout.
+
+    Standby processes wait for a command and do not end on SIGTERM.
+    """
     changing_harness.stop()
 
 
 def test_a_reload_during_a_release_change_reaches_the_successor_once_it_serves(
     changing_harness: DaemonHarness,
 ) -> None:
-    """It has read its configuration already, perhaps an older one."""
+    """Guards against a successor that serves with a configuration that it read before the reload."""
     assert changing_harness.command(GatewayCommand("g1", reload=True)) == 200
     eventually(lambda: changing_harness.has_reloaded("old"))
     assert not changing_harness.has_reloaded("new")
--- a/tests/fleet/control/test_desired_state.py
+++ b/tests/fleet/control/test_desired_state.py
@@ -1,4 +1,4 @@
-"""The file of a daemon's desired state."""
+"""Tests of the file that stores a daemon's desired state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def stored(tmp_path: pathlib.Path) -> DesiredStateFile:
-    """A file with ``STATE``."""
+    """Return a file that stores ``STATE``."""
     file = DesiredStateFile(str(tmp_path), "f", "d1")
     assert file.read() is None
     file.write(STATE)
--- a/tests/fleet/control/test_gateway_process.py
+++ b/tests/fleet/control/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""A handle on one process of a gateway."""
+"""Tests of the handle on a gateway process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 def test_a_command_to_an_ended_process_has_no_effect() -> None:
-    """The daemon's thread acts before it has handled that end; an error would drop its further actions."""
+    """Guards against an error that would drop the daemon's further actions.
+
+    The daemon's thread may send a command before it has handled the end of the process.
+    """
     child = subprocess.Popen([sys.executable, "-c", ""], stdin=subprocess.PIPE)
     process = GatewayProcess(child.pid, "r", os.pidfd_open(child.pid), child)
     assert process.wait() == ProcessEnd(0)
@@ -26,7 +29,11 @@
 def test_a_signal_does_not_reach_a_process_whose_pidfd_reuses_the_number(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The daemon signals while the thread that waited for the end is between its close and its note of it."""
+    """Guards against a signal to another process.
+
+    The daemon's thread signals while the waiting thread has closed the pidfd but not cleared its number yet.
+    Another pidfd may have reused that number.
+    """
     ended, other = (subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE) for _ in "ab")
     descriptor = os.pidfd_open(ended.pid)
     process = GatewayProcess(ended.pid, "r", descriptor, ended)
@@ -37,7 +44,7 @@
         close(number)
         os.dup2(other_descriptor, descriptor)
         is_closed.set()
-        has_signalled.wait(0.2)  # without a lock it comes in this time
+        has_signalled.wait(0.2)  # without a lock the signal would be sent now
 
     def kill() -> None:
         assert is_closed.wait(10.0)
@@ -61,5 +68,5 @@
 @pytest.mark.parametrize(
     ("status", "has_crashed"), [(0, False), (1, False), (None, False), (9, True), (-9, True), (-11, True)]
 )
-def test_a_process_has_crashed_unless_it_exited_by_itself(status: int | None, has_crashed: bool) -> None:
+def test_a_process_has_crashed_unless_it_shut_down_gracefully(status: int | None, has_crashed: bool) -> None:
     assert ProcessEnd(status).has_crashed is has_crashed
--- a/tests/fleet/control/test_gateway_reconciler.py
+++ b/tests/fleet/control/test_gateway_reconciler.py
@@ -1,4 +1,4 @@
-"""How one gateway's processes are reconciled with its desired release."""
+"""Tests of the reconciliation of one gateway's processes with its desired release."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def serving() -> GatewayReconciler:
-    """A gateway whose first incarnation serves the old release."""
+    """Return a gateway whose incarnation 1 serves the old release."""
     reconciler = GatewayReconciler(drain_timeout_s=5.0, start_timeout_s=10.0)
     assert reconciler.set_desired(0.0, "old") == [StartProcess(1, "old")]
     assert reconciler.on_prepared(0.1, 1) == [AllowServing(1)]
@@ -29,7 +29,10 @@
 
 @pytest.fixture
 def draining(serving: GatewayReconciler) -> GatewayReconciler:
-    """The same, draining for a prepared successor with the new release; 3 is the fallback."""
+    """Return a gateway whose incarnation 1 drains.
+
+    Incarnation 2 is the prepared successor with the new release, and 3 is the prepared fallback.
+    """
     serving.set_desired(1.0, "new")
     assert serving.on_prepared(1.4, 2) == [StartProcess(3, "old")]
     assert serving.on_prepared(1.5, 3) == [ServeAfter(2, 1), Terminate(1)]
@@ -38,7 +41,7 @@
 
 @pytest.fixture
 def draining_without_fallback(serving: GatewayReconciler) -> GatewayReconciler:
-    """The same, but the fallback could not be prepared."""
+    """Return a gateway like ``draining`` whose fallback could not be prepared."""
     serving.set_desired(1.0, "new")
     serving.on_prepared(1.4, 2)
     assert serving.on_ended(1.5, 3, "status 1") == [ServeAfter(2, 1), Terminate(1)]
@@ -51,11 +54,11 @@
     assert serving.set_desired(1.0, "new") == [StartProcess(2, "new")]
     assert serving.observe().running_release == "old"
     assert serving.on_prepared(1.4, 2) == [StartProcess(3, "old")]
-    assert serving.reconcile(1.4) == []  # it serves until the fallback is prepared too
+    assert serving.reconcile(1.4) == []  # the current one serves until the fallback is prepared too
     assert serving.observe().running_release == "old"
     assert serving.on_prepared(1.5, 3) == [ServeAfter(2, 1), Terminate(1)]
     assert serving.observe().running_release == ""
-    assert serving.reconcile(2.0) == []  # it answers the calls it has accepted
+    assert serving.reconcile(2.0) == []  # the old one drains
     assert serving.on_ended(2.5, 1, "status 0") == [AllowServing(2)]
     assert serving.on_serving(2.6, 2) == [Discard(3)]
     assert serving.observe().running_release == "new"
@@ -81,8 +84,8 @@
     assert observed.failed_release == "new"
     assert observed.running_release == "old"
     assert "status 1" in observed.last_error
-    assert serving.reconcile(100.0) == []  # it is not retried for ever
-    assert serving.set_desired(101.0, "new") == [StartProcess(4, "new")]  # but by a new command
+    assert serving.reconcile(100.0) == []  # it is not retried without a new command
+    assert serving.set_desired(101.0, "new") == [StartProcess(4, "new")]  # a new command retries it
 
 
 def test_a_release_that_fails_to_serve_is_replaced_by_the_previous_one(
@@ -186,11 +189,14 @@
 
 
 def test_a_successor_that_may_already_serve_is_not_dropped_by_a_command(draining: GatewayReconciler) -> None:
-    """It watches for its predecessor's end itself, and may hold calls before that end is known here."""
+    """Guards against killing a successor with requests in flight.
+
+    It watches for the end of its predecessor itself, so it may serve before the daemon knows of that end.
+    """
     assert draining.set_desired(2.0, "old") == []
     assert draining.on_serving(2.1, 2) == [Discard(3), StartProcess(4, "old")]
     assert draining.observe().running_release == "new"
-    assert draining.on_ended(2.2, 1, "status 0") == []  # told late: this daemon was stopped
+    assert draining.on_ended(2.2, 1, "status 0") == []  # reported late, as after a stop of the daemon process
     assert draining.on_prepared(2.5, 4) == [StartProcess(5, "new")]
     assert draining.on_prepared(2.6, 5) == [ServeAfter(4, 2), Terminate(2)]
 
--- a/tests/fleet/control/test_releases.py
+++ b/tests/fleet/control/test_releases.py
@@ -1,4 +1,4 @@
-"""Releases in directories: their digest and manifest."""
+"""Tests of the digest and the manifest of releases in directories."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def directory(tmp_path: pathlib.Path) -> pathlib.Path:
-    """A release's directory."""
+    """Return the directory of a release."""
     return pathlib.Path(write_release(tmp_path, "1"))
 
 
--- a/tests/fleet/rollout/test_leader.py
+++ b/tests/fleet/rollout/test_leader.py
@@ -1,4 +1,4 @@
-"""A leader's rounds with a simulated daemon, on a manual clock."""
+"""Tests of a leader's rounds with a simulated daemon and a manual clock."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class ManualClock:
-    """Moves only by hand."""
+    """Clock that advances only when a test sets it."""
 
     now_s: float = 100.0
 
@@ -37,7 +37,7 @@
 
 @dataclass
 class UnlosableLease:
-    """A lease that is never lost."""
+    """A lease that never expires."""
 
     lease: str = "rollout"
     token: int = 1
@@ -51,12 +51,14 @@
         return True
 
     def release(self) -> None:
-        raise AssertionError("the leader does not own it")
+        raise AssertionError("the leader must not release a lease that it did not acquire")
 
 
 class SimulatedDaemonClient(DaemonClient):
-    """One daemon with one gateway that runs at once what it is commanded. Its metrics are polled every
-    ``interval_s`` seconds, and not after ``last_poll_s``."""
+    """Simulates one daemon whose gateway runs each commanded release immediately.
+
+    The gateway's metrics are polled every ``poll_interval_s`` seconds until ``last_poll_s``.
+    """
 
     def __init__(self, clock: ManualClock, poll_interval_s: float, last_poll_s: float) -> None:
         super().__init__("fleet", {}, 1, lambda: True, clock)
@@ -93,7 +95,7 @@
 
 
 def lead_rollout(poll_interval_s: float, last_poll_s: float = 1e9) -> tuple[RolloutRecord, float]:
-    """The record at the end of a rollout, and how long it took on the clock."""
+    """Lead a rollout; return the last record and the duration in seconds of the clock."""
     clock = ManualClock()
     started_s = clock()
     stopping = threading.Event()
@@ -113,7 +115,10 @@
 
 
 def test_a_bake_ends_once_metrics_cover_it() -> None:
-    """Metrics come late from busy gateways: a bake of two seconds saw none that were younger than itself."""
+    """Guards against a bake that ends without metrics from its own time.
+
+    Metrics of busy gateways arrive late: a bake of 2 s got no metrics that were polled after its start.
+    """
     record, elapsed_s = lead_rollout(poll_interval_s=2.9)
     assert record.phase is RolloutPhase.COMPLETED, record.history
     assert BAKE_S < elapsed_s < 2 * BAKE_S + 2.9
--- a/tests/fleet/rollout/test_plan.py
+++ b/tests/fleet/rollout/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans of a rollout: what is rejected, how far a stage reaches, in which order gateways go down."""
+"""Tests of rollout plans: validation, the gateways of a stage, and the order of updates."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
     added_component = replace(
         NEW, formats=(*NEW.formats, DataFormat(component="copies", readable_versions=(1,), written_version=1))
     )
-    assert problems(new=added_component) == ""  # a part that the old one does not know, and leaves alone
+    assert problems(new=added_component) == ""  # the old release ignores a component that it does not know
     assert "ledger, which 1.4 writes, is unknown to 1.5" in problems(new=replace(NEW, formats=()))
 
 
@@ -105,10 +105,10 @@
     assert max(Counter(zone_of[name] for name in half).values()) <= 7
     assert (
         len({stage_targets(replace(PLAN, name=f"p{n}"), FLEET)[0] for n in range(8)}) > 3
-    )  # not always the same
+    )  # different plans start with different gateways
     assert stage_targets(PLAN, FLEET[::-1]) == stage_targets(
         PLAN, FLEET
-    )  # whoever leads, and however the file is sorted
+    )  # independent of the order in the fleet file
 
 
 def test_a_stage_of_groups_reaches_their_gateways() -> None:
@@ -126,7 +126,7 @@
     zone_of = {gateway.name: gateway.zone for gateway in fleet}
     ordered = [gateway.name for gateway in interleave_zones("p", fleet)]
     batches = zone_batches(ordered, fleet, max_unavailable)
-    assert sorted(name for batch in batches for name in batch) == sorted(ordered)  # each once
+    assert sorted(name for batch in batches for name in batch) == sorted(ordered)  # each gateway occurs once
     for batch in batches:
         assert 1 <= len(batch) <= max_unavailable
         assert len({zone_of[name] for name in batch}) == 1
--- a/tests/fleet/rollout/test_processes.py
+++ b/tests/fleet/rollout/test_processes.py
@@ -1,6 +1,7 @@
-"""Rollouts with daemons, lease servers, leaders and gateways as processes, under load, with faults.
+"""Tests of rollouts with real daemon, lease server, leader and gateway processes, under load with faults.
 
-Judged from clients' and workers' sockets; `benchmarks/rollout.py` plays more of them at full size."""
+The results are checked at the sockets of clients and workers; `benchmarks/rollout.py` runs more rollouts at
+full size."""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 from saffronstack.harness.rollout.rollout_run import RolloutRun, RunOptions
 from tests.support.stack import eventually
 
-HEAVY = pytest.mark.xdist_group("rollout")  # one at a time
+HEAVY = pytest.mark.xdist_group("rollout")  # these tests run one at a time
 SIZES = RigSizes(gateways=8, daemons=4, workers=4, rate=60.0, clients=32)
 SMALL_SIZES = RigSizes(gateways=2, daemons=1, workers=2, rate=30.0, clients=16)
 TIMEOUT_S = 90.0
@@ -35,11 +36,11 @@
 
 def disturb_leader_daemon_and_link(rig: RolloutRig) -> None:
     eventually(has_reached_stage(rig, 1), TIMEOUT_S)
-    rig.kill("rollout")  # a standby leader goes on from the record
+    rig.kill("rollout")  # a standby leader continues from the record
     rig.kill("d1")
-    rig.start_daemon("d1")  # it adopts the gateways that serve
+    rig.start_daemon("d1")  # adopts the serving gateways
     rig.cut("leader", "d2", Mode.HOLD)
-    threading.Event().wait(LONGER_THAN_A_POLL_S)  # it is unreachable
+    threading.Event().wait(LONGER_THAN_A_POLL_S)  # the daemon counts as unreachable
     rig.cut("leader", "d2", Mode.PASS)
 
 
@@ -92,7 +93,7 @@
 def test_a_release_that_dies_when_it_begins_keeps_no_caller_waiting_for_a_program_start(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Callers give up after 3 s; the old release takes longer than that to load."""
+    """Clients time out after 3 s; the old release takes longer than that to load."""
     with RolloutRig(tmp_path, SMALL_SIZES) as rig:
         old, new = rig.make_release("1", "loads slowly"), rig.make_release("2", "dies when it begins")
         rig.deploy(old)
--- a/tests/fleet/rollout/test_record.py
+++ b/tests/fleet/rollout/test_record.py
@@ -1,4 +1,4 @@
-"""The stored record of a rollout."""
+"""Tests of the stored record of a rollout."""
 
 from __future__ import annotations
 
--- a/tests/fleet/rollout/test_simulation.py
+++ b/tests/fleet/rollout/test_simulation.py
@@ -1,4 +1,4 @@
-"""A simulated rollout keeps its invariants, and each known defect is found."""
+"""Simulated rollouts satisfy the invariants, and the simulation finds each injected defect."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 STEPS = 250
 SMALL = WorldSize(gateways=2, daemons=2, zones=2)
-# How many walks at most it takes to find a defect.
+# Maximum number of random walks until a defect is found.
 WALKS_TO_FIND = {
     Defect.TOKEN_FORGOTTEN: 3,
     Defect.COMMANDED_BEFORE_STORED: 20,
