--- a/saffronstack/fleet/control/gateway_reconciler.py
+++ b/saffronstack/fleet/control/gateway_reconciler.py
@@ -34,8 +34,8 @@
 from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
 
 START_TIMEOUT_S = 30.0  # for preparing, and again for starting to serve; a late incarnation is killed
-MAX_FAILED_STARTS = 2  # consecutive ones of a release before it is given up for the previous release
-MAX_CRASHES = 5  # consecutive ones, each soon after the start, before the release is given up
+MAX_FAILED_STARTS = 2  # consecutive failures after which a release is given up for the previous one
+MAX_CRASHES = 5  # consecutive crashes soon after a start, after which the release is given up
 KILL_GRACE_S = 1.0  # time for the end of a killed process to be reported before it is killed again
 
 
@@ -70,7 +70,7 @@
     fallback: Incarnation | None = None
     _has_tried_fallback: bool = False  # whether a fallback was prepared for the current successor
     _retry_at_s: float = 0.0
-    _failed_starts: int = 0  # consecutive ones of the target release
+    _failed_starts: int = 0  # consecutive failed starts of the target release
     _restart_backoff: RestartBackoff = field(default_factory=RestartBackoff)
     _last_incarnation: int = 0
 
