--- a/saffronstack/fleet/control/gateway_reconciler.py
+++ b/saffronstack/fleet/control/gateway_reconciler.py
@@ -128,7 +128,7 @@
         self.current, self.successor = successor, None
         if successor.release == self._target_release():
             self._failed_starts = 0
-        return self._drop_fallback() + self.reconcile(now_s)
+        return self._discard_fallback() + self.reconcile(now_s)
 
     def on_ended(
         self, now_s: float, number: int, reason: str, has_crashed: bool = False
@@ -158,7 +158,9 @@
 
     def is_standby(self, number: int) -> bool:
         """Return whether an incarnation is a standby: it has opened nothing and may not serve yet."""
-        return any(one.number == number and one.is_standby for one in self._incarnations())
+        return any(
+            incarnation.number == number and incarnation.is_standby for incarnation in self._incarnations()
+        )
 
     def reconcile(self, now_s: float) -> list[ProcessAction]:
         """Compare the desired and the current state, and kill incarnations past their deadline."""
@@ -171,13 +173,17 @@
 
     def next_deadline_s(self) -> float:
         """Return the time at which ``reconcile`` is due again; infinity for never."""
-        deadlines = [one.deadline_s for one in self._incarnations()]
+        deadlines = [incarnation.deadline_s for incarnation in self._incarnations()]
         if self.successor is None and self._target_release() and self._retry_at_s > 0:
             deadlines.append(self._retry_at_s)
         return min(deadlines, default=math.inf)
 
     def _incarnations(self) -> list[Incarnation]:
-        return [one for one in (self.successor, self.fallback, self.current) if one is not None]
+        return [
+            incarnation
+            for incarnation in (self.successor, self.fallback, self.current)
+            if incarnation is not None
+        ]
 
     def _phase(self, is_serving: bool) -> GatewayPhase:
         if self.successor is not None:
@@ -209,7 +215,7 @@
             return []
         if successor.release != self._target_release() and successor.is_standby:
             self.successor = None
-            return [Kill(successor.number), *self._drop_fallback()]
+            return [Kill(successor.number), *self._discard_fallback()]
         if successor.phase not in (IncarnationPhase.PREPARED, IncarnationPhase.FOLLOWING):
             return []
         if self.current is None:
@@ -252,7 +258,7 @@
         self.fallback = self._create_incarnation(now_s, release)
         return [StartProcess(self.fallback.number, release)]
 
-    def _drop_fallback(self) -> list[ProcessAction]:
+    def _discard_fallback(self) -> list[ProcessAction]:
         dropped, self.fallback = self.fallback, None
         return [] if dropped is None else [Discard(dropped.number)]
 
@@ -261,7 +267,7 @@
         fallback, predecessor = self.fallback, self.current
         is_needed = self._target_release() != "" and not _is_serving(predecessor)
         if fallback is None or not is_needed or fallback.phase is not IncarnationPhase.PREPARED:
-            return self._drop_fallback()
+            return self._discard_fallback()
         self.successor, self.fallback = fallback, None
         if predecessor is None:
             fallback.enter(IncarnationPhase.ACTIVATING, now_s + self.start_timeout_s)
--- a/saffronstack/fleet/control/process_discovery.py
+++ b/saffronstack/fleet/control/process_discovery.py
@@ -33,10 +33,10 @@
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit() or int(entry.name) == os.getpid():
             continue
-        process = _read_process(entry, f"{MARK_VARIABLE}={mark}/".encode())
-        if process is not None:
-            marked.append(process)
-    return [one.process for one in sorted(marked, key=lambda one: one.started_ticks)]
+        found = _read_process(entry, f"{MARK_VARIABLE}={mark}/".encode())
+        if found is not None:
+            marked.append(found)
+    return [found.process for found in sorted(marked, key=lambda found: found.started_ticks)]
 
 
 def _read_process(entry: os.DirEntry[str], prefix: bytes) -> _MarkedProcess | None:
@@ -50,7 +50,9 @@
     try:
         # The mark is read after the pidfd is opened, so it belongs to the process that signals will reach.
         variables = pathlib.Path(entry.path, "environ").read_bytes().split(b"\0")
-        release = next(one[len(prefix) :].decode() for one in variables if one.startswith(prefix))
+        release = next(
+            variable[len(prefix) :].decode() for variable in variables if variable.startswith(prefix)
+        )
         fields = pathlib.Path(entry.path, "stat").read_text().rpartition(")")[2].split()
         process = GatewayProcess(int(entry.name), release, pidfd, None)
         return _MarkedProcess(int(fields[START_TIME_FIELD]), process)
@@ -71,7 +73,7 @@
     while running := find_processes(mark):
         serving_pid = find_serving_pid(address, clock)
         fallback = running[-1] if clock() >= deadline_s else None
-        serving = next((one for one in running if one.pid == serving_pid), fallback)
+        serving = next((process for process in running if process.pid == serving_pid), fallback)
         for process in running:
             if process is not serving:
                 if serving is not None:
--- a/saffronstack/fleet/rollout/command_scheduler.py
+++ b/saffronstack/fleet/rollout/command_scheduler.py
@@ -41,7 +41,7 @@
         unavailable = self._view.unavailable()
         due = {name for name, release in targets.items() if self._is_due(now_s, record, name, release)}
         commands = [
-            self._command(now_s, name, release) for name, release in targets.items()
+            self._create_command(now_s, name, release) for name, release in targets.items()
             if name in unavailable and name in due
         ]  # fmt: skip
         due -= unavailable
@@ -50,7 +50,7 @@
             for name in due_in_batch:
                 if self._may_interrupt(record, name, unavailable):
                     unavailable.add(name)
-                    commands.append(self._command(now_s, name, targets[name]))
+                    commands.append(self._create_command(now_s, name, targets[name]))
             if due_in_batch or not all(self._view.is_settled(name, targets[name]) for name in batch):
                 break
         return commands
@@ -63,7 +63,7 @@
         zones = {self._zone_of[name] for name in unavailable}
         return len(unavailable) < record.plan.max_unavailable and zones <= {self._zone_of[gateway]}
 
-    def _command(self, now_s: float, gateway: str, release: str) -> SetRelease:
+    def _create_command(self, now_s: float, gateway: str, release: str) -> SetRelease:
         self._view.add_command(now_s, gateway, release)
         return SetRelease(self._fleet.daemon_of[gateway], gateway, release)
 
--- a/saffronstack/fleet/rollout/controller.py
+++ b/saffronstack/fleet/rollout/controller.py
@@ -61,7 +61,7 @@
                     self._last_progress_s = now_s
                 return self._advance(now_s)
             case DaemonUnreachable(daemon):
-                self.view.forget_daemon(daemon)
+                self.view.remove_daemon(daemon)
                 return self._advance(now_s)
             case Tick():
                 return self._advance(now_s)
--- a/saffronstack/fleet/rollout/fleet_view.py
+++ b/saffronstack/fleet/rollout/fleet_view.py
@@ -43,7 +43,7 @@
             self._pending.pop(name, None)
         return has_changed
 
-    def forget_daemon(self, daemon: str) -> None:
+    def remove_daemon(self, daemon: str) -> None:
         """Remove the observations of a daemon that did not respond."""
         for name, owner in self._fleet.daemon_of.items():
             if owner == daemon:
@@ -72,7 +72,7 @@
         These are gateways without an observation, gateways that do not serve, and gateways whose last command
         has not completed. A gateway that gave up a release and serves another one is available.
         """
-        return {one.name for one in self._fleet.gateways if not self._is_available(one.name)}
+        return {gateway.name for gateway in self._fleet.gateways if not self._is_available(gateway.name)}
 
     def _is_available(self, gateway: str) -> bool:
         observed = self._observed.get(gateway)
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -182,7 +182,7 @@
         log.info(
             "canary analysis completed", stage=action.stage, progress=round(progress, 2),
             verdict=result.verdict.value, reasons=result.reasons,
-            comparisons=[one.describe() for one in result.comparisons[:MAX_COMPARISONS_LOGGED]],
+            comparisons=[comparison.describe() for comparison in result.comparisons[:MAX_COMPARISONS_LOGGED]],
         )  # fmt: skip
         return AnalysisCompleted(action.stage, result)
 
--- a/saffronstack/fleet/rollout/plan_validation.py
+++ b/saffronstack/fleet/rollout/plan_validation.py
@@ -102,7 +102,7 @@
 
 def validate_formats(old: Release, new: Release) -> list[str]:
     """Return the formats that the new release can't read, or the old one could not read after a rollback."""
-    old_formats = {one.component: one for one in old.formats}
+    old_formats = {old_format.component: old_format for old_format in old.formats}
     problems: list[str] = []
     for number, new_format in enumerate(new.formats):
         path = f"release.formats[{number}] ({new_format.component})"
