--- a/saffronstack/fleet/control/gateway_reconciler.py
+++ b/saffronstack/fleet/control/gateway_reconciler.py
@@ -33,7 +33,7 @@
 from saffronstack.fleet.control.incarnation import Incarnation, IncarnationPhase
 from saffronstack.fleet.control.observed_gateway import GatewayPhase, ObservedGateway
 
-START_TIMEOUT_S = 30.0  # for preparing, and again for starting to serve; a late incarnation is killed
+START_TIMEOUT_S = 30.0  # maximum for preparing, and again for starting to serve; a late incarnation is killed
 MAX_FAILED_STARTS = 2  # consecutive failures after which a release is given up for the previous one
 MAX_CRASHES = 5  # consecutive crashes soon after a start, after which the release is given up
 KILL_GRACE_S = 1.0  # time for the end of a killed process to be reported before it is killed again
@@ -163,7 +163,7 @@
         )
 
     def reconcile(self, now_s: float) -> list[ProcessAction]:
-        """Compare the desired and the current state, and kill incarnations past their deadline."""
+        """Return the actions towards the desired state, and those that kill overdue incarnations."""
         actions = self._kill_overdue(now_s)
         actions += self._advance_successor(now_s)
         actions += self._start_successor(now_s)
--- a/saffronstack/fleet/control/metrics_poller.py
+++ b/saffronstack/fleet/control/metrics_poller.py
@@ -30,7 +30,7 @@
 
 
 def fetch_status_page(address: str, clock: Callable[[], float]) -> GatewayStatusPage | None:
-    """Return the status page of the process that responds on an address; None if none does in time."""
+    """Return the status page of the process that responds on an address within a second, or None."""
     request = writer.request("GET", STATUS_PATH, [("Host", address), ("Connection", "close")])
     try:
         head, body = exchange(address, request, clock() + POLL_TIMEOUT_S, clock)
--- a/saffronstack/fleet/rollout/fleet_view.py
+++ b/saffronstack/fleet/rollout/fleet_view.py
@@ -44,7 +44,7 @@
         return has_changed
 
     def remove_daemon(self, daemon: str) -> None:
-        """Remove the observations of a daemon that did not respond."""
+        """Remove the observations of a daemon's gateways because it did not respond."""
         for name, owner in self._fleet.daemon_of.items():
             if owner == daemon:
                 self._observed.pop(name, None)
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -201,7 +201,7 @@
         return events
 
     def _request_events(self, record: RolloutRecord) -> list[Event]:
-        """Return the operator's request that the lease servers store, if it is for this rollout."""
+        """Read the operator's request from the lease servers; return an event if it is for this rollout."""
         now_s = self._clock()
         if now_s < self._requests_polled_s + REQUEST_POLL_INTERVAL_S:
             return []
