--- a/saffronstack/cli/roster.py
+++ b/saffronstack/cli/roster.py
@@ -28,7 +28,7 @@
     """Load the list version at a path; without ``kinds``, all kinds of workers are allowed."""
     try:
         text = read_version(pathlib.Path(path))
-        return parse_version(text.parts, text.digest, kinds, text.generation)
+        return parse_version(text.files, text.digest, kinds, text.generation)
     except DiscoveryError as error:
         raise RosterCommandError(str(error)) from error
 
@@ -71,10 +71,10 @@
     guards = GuardSettings(
         allow_empty=config.roster.allow_empty,
         max_removed_fraction=config.roster.removed_share,
-        always_removable=config.roster.removed_free,
+        always_removable_count=config.roster.removed_free,
         allow_older=config.roster.allow_older,
     )
-    current = StateDirectory(pathlib.Path(config.roster.state_directory)).last()
+    current = StateDirectory(pathlib.Path(config.roster.state_directory)).last_good_version()
     approval = review_version(guards, current, version, is_approved=False)
     if approval is not None:
         click.echo(f"{path}: would be held: {approval.reason}")
@@ -105,12 +105,12 @@
 def show(config_path: str) -> int:
     """Print the last applied list and the operators' commands; return the exit status, 1 without a list."""
     state = _state_directory(config_path)
-    applied = state.last()
+    applied = state.last_good_version()
     if applied is None:
         click.echo("no list was applied yet")
         return 1
     click.echo(f"generation {applied.generation}, digest {applied.digest}, {len(applied.workers)} workers")
-    drains = state.drains()
+    drains = state.drained_workers()
     for worker in applied.workers:
         worker_state = "draining (operator)" if worker.id in drains else worker.state
         click.echo(
@@ -118,21 +118,21 @@
         )
     for name in sorted(drains - {worker.id for worker in applied.workers}):
         click.echo(f"  {name:<24} not listed, drained by an operator")
-    if state.pinned():
-        click.echo(f"pinned to {state.pinned()}: the file is not followed")
+    if state.pinned_digest():
+        click.echo(f"pinned to {state.pinned_digest()}: the file is not followed")
     return 0
 
 
 def drain(config_path: str, workers: tuple[str, ...], undo: bool) -> int:
     """Drain workers, whatever their lists say, or undo that."""
     state = _state_directory(config_path)
-    names = state.drains() - set(workers) if undo else state.drains() | set(workers)
-    applied = state.last()
+    names = state.drained_workers() - set(workers) if undo else state.drained_workers() | set(workers)
+    applied = state.last_good_version()
     listed = {worker.id for worker in applied.workers} if applied is not None else set()
     for name in workers:
         if name not in listed and not undo:
             click.echo(f"{name}: in no list that was applied; it will be drained if it is added", err=True)
-    state.tell("drains", "\n".join(sorted(names)))
+    state.set_override("drains", "\n".join(sorted(names)))
     click.echo(f"drained by operators: {', '.join(sorted(names)) or 'none'}")
     return 0
 
@@ -140,7 +140,7 @@
 def accept(config_path: str, digest: str) -> int:
     """Accept a held version, which gateways then apply: this version and no other."""
     state = _state_directory(config_path)
-    state.tell("accept", digest)
+    state.set_override("accept", digest)
     click.echo(f"{digest}: accepted; a gateway that holds it applies it within a second")
     return 0
 
@@ -148,9 +148,9 @@
 def history(config_path: str, back: int | None, follow: bool) -> int:
     """Print the versions that are kept, pin one of them, or follow the file again."""
     state = _state_directory(config_path)
-    versions = state.history()
+    versions = state.stored_versions()
     if follow:
-        state.tell("pinned", "")
+        state.set_override("pinned", "")
         click.echo("the file is followed")
         return 0
     if back is not None:
@@ -159,7 +159,7 @@
             raise RosterCommandError(
                 f"version {back} is not kept; there are {', '.join(str(n) for n, _, _ in versions)}"
             )
-        state.tell("pinned", chosen.digest)
+        state.set_override("pinned", chosen.digest)
         click.echo(f"back to version {back}, generation {chosen.generation}; --follow ends it")
         return 0
     for number, applied_at_s, version in versions:
--- a/saffronstack/discovery/dns/endpoint_list.py
+++ b/saffronstack/discovery/dns/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of DNS discovery: snapshots and incremental updates in, differences out. No I/O."""
+"""The endpoint list of DNS discovery. It applies snapshots and incremental updates. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saffronstack.engine.identifiers import worker_number
 from saffronstack.engine.worker_registry import WorkerSpec
 
-WORKER_NUMBERS = 1 << 32
+WORKER_NUMBER_COUNT = 1 << 32
 MILLISECONDS_PER_S = 1000
 
 WorkerChanges: TypeAlias = EndpointChanges[WorkerSpec, int]
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One worker as discovery lists it.
+    """One worker in the endpoint list of the discovery server.
 
     Attributes:
         name: Name of the worker, unique in the list.
         host: IPv4 address.
         port: TCP port.
-        zone: Name of its zone.
-        kind: Name of its kind.
-        cell: Number of its cell.
-        is_draining: Whether it is shutting down gracefully.
+        zone: Name of the availability zone.
+        kind: Name of the worker kind.
+        cell: Number of the cell.
+        is_draining: Whether the worker is draining.
         weight: Capacity relative to other workers.
-        started_ms: When it started, in Unix milliseconds; 0 means long ago.
+        started_ms: Start time of the worker in Unix milliseconds; 0 means long ago.
     """
 
     name: str
@@ -45,36 +45,36 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """A complete list and the serial number under which the server has it."""
+    """A complete endpoint list and its serial number at the server."""
 
     serial: int
     endpoints: tuple[ListedEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownWorker:
-    """An endpoint and what the gateway was told of it."""
+class _ListedWorker:
+    """An endpoint and the `WorkerSpec` that the gateway received for it."""
 
     endpoint: ListedEndpoint
     spec: WorkerSpec
 
-    def has_address_of(self, endpoint: ListedEndpoint) -> bool:
-        """Return whether an endpoint is at the same address and port."""
+    def has_same_address(self, endpoint: ListedEndpoint) -> bool:
+        """Return whether an endpoint has the same host and port."""
         return (self.endpoint.host, self.endpoint.port) == (endpoint.host, endpoint.port)
 
 
 class EndpointList:
-    """The present endpoint list; one thread owns it. It remembers nothing of former lists.
+    """The current endpoint list, owned by one thread. It keeps no data of former lists.
 
     Attributes:
-        serial: Serial number of the present list.
+        serial: Serial number of the current list.
     """
 
     def __init__(self, zones: Iterable[str], kinds: Iterable[str]) -> None:
-        """Start with an empty list; names of zones and kinds are known by their index from then on."""
+        """Start with an empty list. Specs refer to a zone or kind by its index in ``zones`` or ``kinds``."""
         self._zone_indexes = {name: index for index, name in enumerate(zones)}
         self._kind_indexes = {name: index for index, name in enumerate(kinds)}
-        self._workers: dict[str, _KnownWorker] = {}
+        self._workers: dict[str, _ListedWorker] = {}
         self.serial = 0
 
     @property
@@ -83,12 +83,12 @@
         return tuple(worker.spec for worker in self._workers.values())
 
     def matches(self, endpoints: Iterable[ListedEndpoint]) -> bool:
-        """Return whether the present list has just these endpoints, in whatever order."""
+        """Return whether the current list has exactly these endpoints, in any order."""
         present = {name: worker.endpoint for name, worker in self._workers.items()}
         return {endpoint.name: endpoint for endpoint in endpoints} == present
 
     def apply_snapshot(self, snapshot: EndpointSnapshot) -> WorkerChanges:
-        """Replace the list by a complete one and return what changed."""
+        """Replace the list by a snapshot and return the changes."""
         listed = {endpoint.name: endpoint for endpoint in snapshot.endpoints}
         missing = [name for name in self._workers if name not in listed]
         return self.apply_update(snapshot.serial, listed.values(), missing)
@@ -96,12 +96,12 @@
     def apply_update(
         self, serial: int, endpoints: Iterable[ListedEndpoint], removed: Iterable[str]
     ) -> WorkerChanges:
-        """Apply an incremental update and return what changed.
+        """Apply an incremental update and return the changes.
 
         Args:
-            serial: Serial number of the list with the update.
+            serial: Serial number of the list after the update.
             endpoints: Endpoints that are new or may have changed.
-            removed: Names of endpoints that are gone; names that are not listed are ignored.
+            removed: Names of removed endpoints. Names that are not listed are ignored.
         """
         self.serial = serial
         listed = [name for name in removed if name in self._workers]
@@ -111,25 +111,28 @@
             known = self._workers.get(endpoint.name)
             if known is not None and known.endpoint == endpoint:
                 continue
-            if known is not None and not known.has_address_of(endpoint):
-                removed_numbers.append(known.spec.number)  # another worker under a former one's name
+            if known is not None and not known.has_same_address(endpoint):
+                removed_numbers.append(known.spec.number)  # a new worker has the name of a former one
                 known = None
-            number = known.spec.number if known is not None else self._free_number(endpoint.name)
+            number = known.spec.number if known is not None else self._allocate_number(endpoint.name)
             spec = self._make_spec(endpoint, number)
-            self._workers[endpoint.name] = _KnownWorker(endpoint, spec)
+            self._workers[endpoint.name] = _ListedWorker(endpoint, spec)
             updated.append(spec)
         return EndpointChanges(tuple(updated), tuple(removed_numbers))
 
-    def _free_number(self, name: str) -> int:
-        """Return a worker's number: the same at every gateway, so that they rank workers alike."""
+    def _allocate_number(self, name: str) -> int:
+        """Return an unused number for a worker.
+
+        It is derived from the name, so that all gateways rank workers alike.
+        """
         number = worker_number(name)
-        taken = {worker.spec.number for worker in self._workers.values()}
-        while number in taken:
-            number = (number + 1) % WORKER_NUMBERS
+        used_numbers = {worker.spec.number for worker in self._workers.values()}
+        while number in used_numbers:
+            number = (number + 1) % WORKER_NUMBER_COUNT
         return number
 
     def _make_spec(self, endpoint: ListedEndpoint, number: int) -> WorkerSpec:
-        unknown_kind, unknown_zone = len(self._kind_indexes), len(self._zone_indexes)
+        unknown_kind_index, unknown_zone_index = len(self._kind_indexes), len(self._zone_indexes)
         return WorkerSpec(
             number,
             endpoint.name,
@@ -137,8 +140,8 @@
             endpoint.port,
             endpoint.is_draining,
             endpoint.weight,
-            self._kind_indexes.get(endpoint.kind, unknown_kind),
-            self._zone_indexes.get(endpoint.zone, unknown_zone),
+            self._kind_indexes.get(endpoint.kind, unknown_kind_index),
+            self._zone_indexes.get(endpoint.zone, unknown_zone_index),
             endpoint.cell,
             endpoint.started_ms / MILLISECONDS_PER_S,
         )
