--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -16,7 +16,7 @@
 import psutil
 from gateway import CALLS, FUNCTIONS, gateway, load
 
-from saffronstack.harness.scenario.processes import StandInHost
+from saffronstack.harness.scenario.processes import StubWorkersProcess
 from saffronstack.metering.ledger_entries import RecordConfirmed, RecordReceived
 from saffronstack.metering.usage_log import open_usage_log, read_usage_log
 from saffronstack.metering.worker_messages import CallReference, UsageRecord
@@ -29,7 +29,7 @@
 def throughput(directory: pathlib.Path, rounds: int, seconds: float) -> None:
     """Two gateways before the same workers, loaded in turn: the ratio pair by pair."""
     hosts = [
-        StandInHost({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
+        StubWorkersProcess({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
         for n in range(4)
     ]
     workers = [host.workers[0] for host in hosts]
@@ -85,7 +85,7 @@
     start = time.perf_counter()
     account, _ = read_usage_log(directory)
     took = time.perf_counter() - start
-    print(f"read {count} records back in {took:.1f} s; in balance: {account.unbalanced() == []}")
+    print(f"read {count} records back in {took:.1f} s; in balance: {account.find_imbalances() == []}")
 
 
 def resident_mb() -> float:
@@ -115,14 +115,15 @@
     assert account.windows is not None
     print(
         f"{count} tenants, {records} records in {took:.0f} s: {most - before:.0f} MB more resident at most, "
-        f"{len(account.totals)} sums and {account.windows.parts} parts in memory, {account.runs} runs"
+        f"{len(account.totals)} sums and {account.windows.bucket_count} parts in memory, "
+        f"{account.run_count} runs"
     )
     start = time.perf_counter()
     for n in range(200):
         account.windows.total(f"tenant-{n * 499 % count}", 1e9 + 3600)
     print(f"a window that left memory: {(time.perf_counter() - start) / 200 * 1e3:.2f} ms to look up, once")
     start = time.perf_counter()
-    whole = sum(load + run for _, (load, run, _, _) in account.sums())
+    whole = sum(load + run for _, (load, run, _, _) in account.read_totals())
     right = whole == records * 700 * 1024
     print(f"all sums read in {time.perf_counter() - start:.1f} s; exact: {right}")
 
--- a/saffronstack/fleet/leases/client.py
+++ b/saffronstack/fleet/leases/client.py
@@ -1,4 +1,4 @@
-"""The leases of one process: its candidates, their links to the lease servers, and one timer thread."""
+"""The lease client of a process: its candidates, its links to the lease servers, and a timer thread."""
 
 from __future__ import annotations
 
@@ -24,24 +24,25 @@
 from saffronstack.runtime.threads import start_thread
 
 log = structlog.get_logger("saffronstack.leases")
-IDLE_S = 0.5  # the longest sleep of the timer thread
+MAX_SLEEP_S = 0.5  # longest wait of the timer thread
 MIN_SLEEP_S = 0.001
-FLUSH_S = 0.5  # how long a close waits until its releases were sent
-MIN_FLUSH_S = 0.01
+FLUSH_TIMEOUT_S = 0.5  # longest wait of `close` until the release requests are sent
+MIN_FLUSH_TIMEOUT_S = 0.01
 
 CandidateFactory = Callable[[str, str, float, LeaseLimits, int], Candidate]
 
 
 def holder_clock() -> float:
-    """Return seconds that also pass while the machine is suspended: a holder must not sleep past its lease.
+    """Return a time in seconds that also advances while the machine is suspended.
 
-    Servers count by CLOCK_MONOTONIC, which stands still meanwhile: they grant later, which is harmless.
+    A holder must find its lease expired after a suspension. Servers use CLOCK_MONOTONIC, which stops during a
+    suspension: they grant the lease to another candidate later, which is safe.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class _ClientLease:
-    """A lease that was acquired, as its owner sees it; a `store.HeldLease`."""
+    """A lease that this process acquired; implements `store.HeldLease`."""
 
     def __init__(self, client: LeaseClient, lease: str, token: int, value: bytes) -> None:
         self._client = client
@@ -51,9 +52,9 @@
         """See `store.HeldLease`."""
         return self._client.remaining_s(self)
 
-    def put(self, content: bytes, wait_s: float) -> bool:
+    def put(self, content: bytes, timeout_s: float) -> bool:
         """See `store.HeldLease`."""
-        return self._client.put(self, content, wait_s)
+        return self._client.put(self, content, timeout_s)
 
     def release(self) -> None:
         """See `store.HeldLease`."""
@@ -61,19 +62,19 @@
 
 
 class _RequestedLease:
-    """One lease that this process waits for or holds."""
+    """A lease that this process waits for or holds."""
 
     def __init__(self, candidate: Candidate, on_lost: Callable[[str], None] | None) -> None:
         self.candidate = candidate
         self.on_lost = on_lost
         self.held: _ClientLease | None = None
-        self.stored_version = 0  # of the newest value that a majority has
+        self.stored_version = 0  # version of the newest value that a majority has persisted
         self.has_ended = False
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Timer:
-    """When to tick a lease's candidate; timers of one deadline are ordered by their serial number."""
+    """The next time to tick a lease's candidate. Timers with the same deadline sort by serial number."""
 
     deadline_s: float
     serial: int
@@ -81,9 +82,9 @@
 
 
 class LeaseClient:
-    """The leases of one process on the fleet's lease servers; a `store.LeaseStore`.
+    """Acquires and holds leases of the fleet's lease servers for one process; implements `store.LeaseStore`.
 
-    The lock guards the candidates and all fields. It is held while candidates decide, never during I/O.
+    The lock guards the candidates and all fields. It is never held during I/O.
     """
 
     def __init__(
@@ -98,22 +99,22 @@
         """Start the links to the servers and the timer thread.
 
         Args:
-            fleet: The lease servers, their limits and the timeout of each exchange.
-            process: A name that no earlier process had.
-            lease_s: For how long each grant runs, in seconds.
+            fleet: The lease servers, their limits and the timeout of an exchange.
+            process: The name of this process. No earlier process may have used it.
+            lease_s: Duration of each grant, in seconds.
             seed: Seeds the jitter of backoffs.
-            clock: The clock that held leases are counted by, in seconds.
-            make_candidate: Makes the candidate of each lease.
+            clock: The clock that times held leases, in seconds.
+            make_candidate: Creates the candidate of each lease.
         """
         self._make_candidate = make_candidate
         self._process, self._limits, self._lease_s, self._seed = process, fleet.limits, lease_s, seed
         self._clock = clock
         self._lock = threading.Condition()
-        self._requested: dict[str, _RequestedLease] = {}
+        self._requested_leases: dict[str, _RequestedLease] = {}
         self._timers: list[_Timer] = []  # a heap
         self._serial = 0
         self._lost_callbacks: list[tuple[Callable[[str], None], str]] = []
-        self._grants_nothing = False
+        self._rejects_acquires = False
         self._is_stopping = False
         self._links = {
             server: LeaseServerLink(
@@ -128,44 +129,44 @@
     # ---- requests of the owner
 
     def acquire(
-        self, lease: str, wait_s: float, on_lost: Callable[[str], None] | None = None
+        self, lease: str, timeout_s: float, on_lost: Callable[[str], None] | None = None
     ) -> _ClientLease | None:
-        """Acquire a lease, see `store.LeaseStore`.
+        """See `store.LeaseStore`.
 
         Raises:
-            LeaseAlreadyRequestedError: This process waits for the lease or holds it already.
+            LeaseAlreadyRequestedError: This process already waits for the lease or holds it.
         """
         with self._lock:
-            if self._grants_nothing:
+            if self._rejects_acquires:
                 return None
-            if lease in self._requested:
+            if lease in self._requested_leases:
                 raise LeaseAlreadyRequestedError(f"lease {lease!r} is wanted by this process already")
-            requested = self._requested[lease] = _RequestedLease(self._new_candidate(lease), on_lost)
+            requested = self._requested_leases[lease] = _RequestedLease(self._new_candidate(lease), on_lost)
             self._apply(lease, requested.candidate.acquire(self._clock()))
-            self._lock.wait_for(lambda: requested.held is not None or self._grants_nothing, wait_s)
+            self._lock.wait_for(lambda: requested.held is not None or self._rejects_acquires, timeout_s)
             if requested.held is None:
-                self._drop(lease)
+                self._remove_and_release(lease)
             return requested.held
 
     def _new_candidate(self, lease: str) -> Candidate:
-        """Each candidate has a name of its own, so that its ballots are its own."""
+        """Create a candidate with a unique name, because a ballot is promised to a candidate by name."""
         self._serial += 1
         name = f"{self._process}.{self._serial}"
         return self._make_candidate(name, lease, self._lease_s, self._limits, self._seed + self._serial)
 
     def remaining_s(self, held: _ClientLease) -> float:
-        """Return for how many seconds a lease is held; 0 where it is not."""
+        """Return the seconds until a lease expires; 0 if it is not held."""
         with self._lock:
-            requested = self._requested.get(held.lease)
+            requested = self._requested_leases.get(held.lease)
             if requested is None or requested.held is not held:
                 return 0.0
             now = self._clock()
             return requested.candidate.expires_s - now if requested.candidate.is_holder(now) else 0.0
 
-    def put(self, held: _ClientLease, content: bytes, wait_s: float) -> bool:
-        """Store a lease's value, see `store.HeldLease`."""
+    def put(self, held: _ClientLease, content: bytes, timeout_s: float) -> bool:
+        """Store the value of a lease; see `store.HeldLease.put`."""
         with self._lock:
-            requested = self._requested.get(held.lease)
+            requested = self._requested_leases.get(held.lease)
             now = self._clock()
             if requested is None or requested.held is not held or not requested.candidate.is_holder(now):
                 return False
@@ -173,7 +174,7 @@
             version = requested.candidate.value.version
             self._lock.wait_for(
                 lambda: requested.stored_version >= version or requested.has_ended or self._is_stopping,
-                wait_s,
+                timeout_s,
             )
             if requested.stored_version < version:
                 return False
@@ -181,50 +182,53 @@
             return True
 
     def release(self, held: _ClientLease) -> None:
-        """Release a lease, see `store.HeldLease`."""
+        """Release a lease; see `store.HeldLease.release`."""
         with self._lock:
-            requested = self._requested.get(held.lease)
+            requested = self._requested_leases.get(held.lease)
             if requested is not None and requested.held is held:
-                self._drop(held.lease)
+                self._remove_and_release(held.lease)
 
     def cancel_acquires(self) -> None:
         """See `store.LeaseStore`."""
         with self._lock:
-            self._grants_nothing = True
+            self._rejects_acquires = True
             self._lock.notify_all()
 
     def close(self) -> None:
-        """Release all leases; waits at most `FLUSH_S` until the releases were sent."""
+        """Release all leases; wait at most `FLUSH_TIMEOUT_S` until the release requests are sent."""
         with self._lock:
-            for lease in list(self._requested):
-                self._drop(lease)
-        deadline_s = time.monotonic() + FLUSH_S
+            for lease in list(self._requested_leases):
+                self._remove_and_release(lease)
+        deadline_s = time.monotonic() + FLUSH_TIMEOUT_S
         for link in self._links.values():
-            link.stop(max(MIN_FLUSH_S, deadline_s - time.monotonic()))
+            link.stop(max(MIN_FLUSH_TIMEOUT_S, deadline_s - time.monotonic()))
         with self._lock:
-            self._is_stopping = self._grants_nothing = True
+            self._is_stopping = self._rejects_acquires = True
             self._lock.notify_all()
 
     def link_errors(self) -> dict[str, str]:
-        """Return the error of the last exchange with each server; empty where it answered."""
+        """Return the error of the last exchange with each server; empty if the exchange succeeded."""
         return {server: link.last_error for server, link in self._links.items()}
 
     def holder_of(self, lease: str) -> str:
-        """Return the candidate that holds a lease that this process waits for, as the last response said."""
+        """Return the holder of a lease that this process waits for, according to the last response.
+
+        Empty if it is unknown or this process does not wait for the lease.
+        """
         with self._lock:
-            requested = self._requested.get(lease)
+            requested = self._requested_leases.get(lease)
             return requested.candidate.holder if requested is not None else ""
 
-    # ---- actions of candidates; the lock is held
+    # ---- actions of candidates; callers hold the lock
 
-    def _drop(self, lease: str) -> None:
-        requested = self._requested.pop(lease)
+    def _remove_and_release(self, lease: str) -> None:
+        requested = self._requested_leases.pop(lease)
         requested.has_ended = True
         self._apply(lease, requested.candidate.release(self._clock()))
         self._lock.notify_all()
 
     def _apply(self, lease: str, actions: list[CandidateAction]) -> None:
-        requested = self._requested.get(lease)
+        requested = self._requested_leases.get(lease)
         for action in actions:
             match action:
                 case SendMessage(receiver=server, message=message):
@@ -235,10 +239,12 @@
                     self._lock.notify_all()
                 case _:
                     if requested is not None:
-                        self._report(lease, requested, action)
+                        self._handle_candidate_report(lease, requested, action)
 
-    def _report(self, lease: str, requested: _RequestedLease, action: CandidateAction) -> None:
-        """Hand what a candidate reports to whoever waits for it."""
+    def _handle_candidate_report(
+        self, lease: str, requested: _RequestedLease, action: CandidateAction
+    ) -> None:
+        """Record a candidate's report and wake the threads that wait for it."""
         match action:
             case LeaseAcquired(token=token, value=value):
                 if requested.held is None:
@@ -248,34 +254,34 @@
                 requested.stored_version = max(requested.stored_version, value.version)
                 self._lock.notify_all()
             case LeaseLost():
-                self._lose(lease, requested, action)
+                self._handle_lease_lost(lease, requested, action)
 
-    def _lose(self, lease: str, requested: _RequestedLease, lost: LeaseLost) -> None:
-        """End a lease for its owner: what it acquires next is another lease with another token."""
+    def _handle_lease_lost(self, lease: str, requested: _RequestedLease, lost: LeaseLost) -> None:
+        """End a lost lease for its owner, which must acquire it again, with a new token."""
         if requested.held is None or requested.has_ended:
             return
         log.warning("lease lost", lease=lease, token=lost.token, reason=lost.reason)
-        if self._requested.get(lease) is requested:
-            self._drop(lease)
+        if self._requested_leases.get(lease) is requested:
+            self._remove_and_release(lease)
         if requested.on_lost is not None:
             self._lost_callbacks.append((requested.on_lost, lost.reason))
 
     def _update_polling(self) -> None:
-        """Poll the servers while a candidate waits: they notify the first waiter of a release."""
-        is_waiting = any(requested.candidate.is_waiting for requested in self._requested.values())
+        """Poll the servers while a candidate waits; they notify the first waiter of a release."""
+        is_waiting = any(requested.candidate.is_waiting for requested in self._requested_leases.values())
         for link in self._links.values():
             link.set_polling(is_waiting)
 
     # ---- threads
 
     def _handle_messages(self, server: str, messages: tuple[Message, ...]) -> None:
-        """Handle a server's messages, on its link's threads."""
+        """Handle a server's messages; runs on the threads of the server's link."""
         with self._lock:
             now = self._clock()
             for message in messages:
                 if isinstance(message, CatchUpRequest | CatchUpResponse):
-                    continue  # between servers alone
-                requested = self._requested.get(message.lease)
+                    continue  # sent only between servers
+                requested = self._requested_leases.get(message.lease)
                 if requested is not None:
                     self._apply(message.lease, requested.candidate.handle(now, server, message))
             self._update_polling()
@@ -301,11 +307,11 @@
     def _tick(self, now: float) -> None:
         while self._timers and self._timers[0].deadline_s <= now:
             lease = heapq.heappop(self._timers).lease
-            requested = self._requested.get(lease)
+            requested = self._requested_leases.get(lease)
             if requested is not None:
                 self._apply(lease, requested.candidate.tick(now))
 
     def _sleep_s(self, now: float) -> float:
         if not self._timers:
-            return IDLE_S
-        return min(IDLE_S, max(MIN_SLEEP_S, self._timers[0].deadline_s - now))
+            return MAX_SLEEP_S
+        return min(MAX_SLEEP_S, max(MIN_SLEEP_S, self._timers[0].deadline_s - now))
--- a/saffronstack/fleet/rollout/leader.py
+++ b/saffronstack/fleet/rollout/leader.py
@@ -1,7 +1,7 @@
-"""Leads a rollout in a process: polls daemons, stores decisions under the lease, and sends commands.
+"""Leads a rollout: polls daemons, stores decisions in the value of the lease, and sends commands.
 
-Whoever holds the lease goes on from the record in its value, one round at a time: a poll of all daemons at
-once, each bounded; what the controller makes of it; commands.
+The lease holder continues from the record in the value of the lease. Each round polls all daemons
+concurrently with a timeout, lets the controller handle the responses, and sends the resulting commands.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import structlog
 
-from saffronstack.fleet.control.daemon_answers import DaemonAnswer, UnavailableDaemon
+from saffronstack.fleet.control.daemon_answers import DaemonResponse, UnavailableDaemon
 from saffronstack.fleet.control.daemon_client import DaemonClient
 from saffronstack.fleet.control.messages import OPERATOR_REQUEST_LEASE, GatewayCommand, GatewayStatus
 from saffronstack.fleet.control.observed_gateway import ObservedGateway
@@ -44,7 +44,7 @@
 from saffronstack.fleet.rollout.record import RolloutRecord, encode_record
 
 log = structlog.get_logger("saffronstack.rollout")
-ROUND_INTERVAL_S = 0.5
+ROUND_INTERVAL_S = 0.5  # pause between rounds without commands
 STORE_TIMEOUT_S = 3.0
 REQUEST_POLL_INTERVAL_S = 1.0
 MAX_COMPARISONS_LOGGED = 3
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderOptions:
-    """Times of a leader.
+    """Timing options of a leader.
 
     Attributes:
-        stall_timeout_s: Without any progress for so long, the rollout is inconclusive.
-        round_interval_s: Between two rounds.
+        stall_timeout_s: Time without progress after which the rollout is inconclusive.
+        round_interval_s: Pause after a round without commands.
     """
 
     stall_timeout_s: float = STALL_TIMEOUT_S
@@ -67,7 +67,10 @@
 
 
 def running_release(status: GatewayStatus) -> str:
-    """Return the release that a gateway runs: by its own page where that is fresh, else by its daemon."""
+    """Return the release that a gateway runs.
+
+    The gateway's status page is used if its metrics are fresh, otherwise the report of its daemon.
+    """
     metrics = status.metrics
     if not status.running_release or metrics is None or not is_fresh(metrics):
         return status.running_release
@@ -75,15 +78,15 @@
 
 
 class RolloutLeader:
-    """One holding of the leader's lease."""
+    """Leader of a rollout for as long as it holds the lease."""
 
     def __init__(
         self,
         fleet: RolloutFleet,
-        daemons: DaemonClient,
+        daemon_client: DaemonClient,
         lease: HeldLease,
         read_leases: Callable[[], QuorumRead],
-        on_round: Callable[[RolloutRecord, str], None] = lambda record, waits_for: None,
+        on_round: Callable[[RolloutRecord, str], None] = lambda record, pending: None,
         clock: Callable[[], float] = time.monotonic,
         options: LeaderOptions = DEFAULT_OPTIONS,
     ) -> None:
@@ -91,33 +94,34 @@
 
         Args:
             fleet: The gateways and their daemons.
-            daemons: Their client, under this lease's token.
-            lease: The leader's lease, which is held.
-            read_leases: Reads what lease servers show, for operators' requests.
-            on_round: Called after each round with the record and what the rollout waits for.
-            clock: Seconds.
-            options: Times.
+            daemon_client: The client of the daemons, with the fencing token of ``lease``.
+            lease: The leader's lease, which this process holds.
+            read_leases: Reads the leases from the lease servers, for requests of operators.
+            on_round: Called after each round with the record and a description of what the rollout waits
+                for.
+            clock: Returns a monotonic time in seconds.
+            options: Timing options.
         """
-        self._fleet, self._daemons, self._lease = fleet, daemons, lease
+        self._fleet, self._daemon_client, self._lease = fleet, daemon_client, lease
         self._read_leases, self._on_round, self._clock = read_leases, on_round, clock
         self._options = options
         self._sampler = CanarySampler(fleet.gateways)
         self._statuses: dict[str, GatewayStatus] = {}
-        self._polled_s = 0.0  # when the last poll of the daemons began
+        self._poll_started_s = 0.0  # time at which the last poll of the daemons started
         self._requests_polled_s = 0.0
 
     def lead(self, record: RolloutRecord, stopping: threading.Event) -> RolloutRecord:
         """Lead until the rollout is finished, the lease is lost or ``stopping`` is set.
 
         Returns:
-            The record as it stands then.
+            The last record.
         """
         controller = RolloutController(record, self._fleet, self._clock(), self._options.stall_timeout_s)
-        # The record may have been read from less than a majority: it is stored anew first.
+        # Store the record first, because it may have been read from less than a majority.
         self._lease.put(encode_record(record), STORE_TIMEOUT_S)
         while not stopping.is_set() and self._holds_lease() and not controller.record.is_finished:
-            if self._play_round(controller):
-                continue  # what the commands changed is polled at once
+            if self._run_round(controller):
+                continue  # polls the effect of the commands immediately
             self._on_round(controller.record, controller.describe_pending())
             stopping.wait(self._options.round_interval_s)
         self._on_round(controller.record, "")
@@ -126,28 +130,30 @@
     def _holds_lease(self) -> bool:
         return self._lease.remaining_s() > 0
 
-    def _play_round(self, controller: RolloutController) -> bool:
-        """Poll, decide and send commands; return whether any were sent."""
-        self._polled_s = self._clock()
-        reports = self._report_events(self._daemons.poll())
+    def _run_round(self, controller: RolloutController) -> bool:
+        """Poll the daemons, handle the responses and send commands; return whether any were sent."""
+        self._poll_started_s = self._clock()
+        reports = self._report_events(self._daemon_client.poll())
         events = [*reports, *self._request_events(controller.record), Tick()]
         commands: dict[str, list[GatewayCommand]] = {}
         for event in events:
-            for one in self._carry_out(controller, controller.handle(self._clock(), event)):
-                commands.setdefault(one.daemon, []).append(GatewayCommand(one.gateway, one.release))
+            for command in self._carry_out(controller, controller.handle(self._clock(), event)):
+                commands.setdefault(command.daemon, []).append(
+                    GatewayCommand(command.gateway, command.release)
+                )
         if not commands or not self._holds_lease():
             return False
-        for daemon, answer in self._daemons.send(commands).items():
-            if isinstance(answer, UnavailableDaemon):
-                log.warning("command not confirmed", daemon=daemon, error=answer.reason)
+        for daemon, response in self._daemon_client.send(commands).items():
+            if isinstance(response, UnavailableDaemon):
+                log.warning("command not confirmed", daemon=daemon, error=response.reason)
         return True
 
     def _carry_out(self, controller: RolloutController, actions: Sequence[Action]) -> list[SetRelease]:
-        """Do what can be done here and report it to the controller; return the commands that are left."""
+        """Execute actions and pass their results to the controller; return the commands to send."""
         commands: list[SetRelease] = []
-        waiting = deque(actions)
-        while waiting:
-            action = waiting.popleft()
+        pending = deque(actions)
+        while pending:
+            action = pending.popleft()
             match action:
                 case SetRelease():
                     commands.append(action)
@@ -160,53 +166,54 @@
                     if is_confirmed:
                         _log_progress(controller.record, record)
                     stored = RecordStored(record, is_confirmed)
-                    waiting.extend(controller.handle(self._clock(), stored))
+                    pending.extend(controller.handle(self._clock(), stored))
                 case AnalyzeStage():
                     completed = self._analyze(controller.record, action)
-                    waiting.extend(controller.handle(self._clock(), completed))
+                    pending.extend(controller.handle(self._clock(), completed))
         return commands
 
     def _analyze(self, record: RolloutRecord, action: AnalyzeStage) -> AnalysisCompleted:
-        # Metrics reach the leader late, most of all on a busy machine: the bake is over once they cover it.
-        covered_s = self._sampler.covered_s(self._statuses, self._polled_s)
+        # Metrics reach the leader with a delay, especially on a busy machine. Therefore the bake ends only
+        # once the metrics cover it.
+        covered_s = self._sampler.covered_s(self._statuses, self._poll_started_s)
         progress = min(action.progress, covered_s / record.plan.stages[action.stage].bake_s)
         samples = self._sampler.samples(self._statuses, record.new_release.digest)
-        result = analyze(_limits_of(record.plan), samples, progress, action.alpha_spent)
+        result = analyze(_create_limits(record.plan), samples, progress, action.alpha_spent)
         log.info(
             "canary analysis completed", stage=action.stage, progress=round(progress, 2),
             verdict=result.verdict.value, reasons=result.reasons,
-            comparisons=[one.describe() for one in result.comparisons[:MAX_COMPARISONS_LOGGED]],
+            comparisons=[comparison.describe() for comparison in result.comparisons[:MAX_COMPARISONS_LOGGED]],
         )  # fmt: skip
         return AnalysisCompleted(action.stage, result)
 
-    def _report_events(self, answers: Mapping[str, DaemonAnswer]) -> list[Event]:
+    def _report_events(self, responses: Mapping[str, DaemonResponse]) -> list[Event]:
         events: list[Event] = []
-        for daemon, answer in sorted(answers.items()):
-            if isinstance(answer, UnavailableDaemon):
+        for daemon, response in sorted(responses.items()):
+            if isinstance(response, UnavailableDaemon):
                 for name, owner in self._fleet.daemon_of.items():
                     if owner == daemon:
                         self._statuses.pop(name, None)
                 events.append(DaemonUnreachable(daemon))
                 continue
-            self._statuses |= answer.gateways
-            observed = {name: _observe(status) for name, status in answer.gateways.items()}
+            self._statuses |= response.gateways
+            observed = {name: _create_observation(status) for name, status in response.gateways.items()}
             events.append(DaemonReported(daemon, observed))
         return events
 
     def _request_events(self, record: RolloutRecord) -> list[Event]:
-        """Poll for an operator's request, as a majority of lease servers shows it."""
+        """Read the operator's request from the lease servers; return an event if it is for this rollout."""
         now_s = self._clock()
         if now_s < self._requests_polled_s + REQUEST_POLL_INTERVAL_S:
             return []
         self._requests_polled_s = now_s
-        shown = self._read_leases().leases.get(OPERATOR_REQUEST_LEASE)
-        request = decode_request(shown.value.content) if shown is not None else None
+        request_lease = self._read_leases().leases.get(OPERATOR_REQUEST_LEASE)
+        request = decode_request(request_lease.value.content) if request_lease is not None else None
         if request is None or request.rollout != record.plan.name:
             return []
         return [OperatorRequested(request.number, request.action)]
 
 
-def _limits_of(plan: RolloutPlan) -> AnalysisLimits:
+def _create_limits(plan: RolloutPlan) -> AnalysisLimits:
     return AnalysisLimits(
         false_stop_probability=plan.false_stop_probability,
         min_calls=plan.min_calls,
@@ -218,7 +225,7 @@
     )
 
 
-def _observe(status: GatewayStatus) -> ObservedGateway:
+def _create_observation(status: GatewayStatus) -> ObservedGateway:
     return ObservedGateway(
         desired_release=status.desired_release,
         running_release=running_release(status),
--- a/saffronstack/fleet/rollout/rollout_order.py
+++ b/saffronstack/fleet/rollout/rollout_order.py
@@ -1,6 +1,6 @@
 """The order in which a rollout updates gateways. No I/O.
 
-It is derived from the plan alone, so that each leader derives the same one.
+The order depends only on the plan and the gateways, so every leader computes the same order.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from saffronstack.fleet.rollout.plan import FleetGateway, RolloutPlan, Stage
 
-ROUNDING_MARGIN = 1e-9  # a share whose product is a whole number up to rounding reaches just that many
+ROUNDING_MARGIN = 1e-9  # gateways; keeps a rounding error from adding a gateway to a share
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Placement:
-    """Where a gateway stands in the interleaved order."""
+    """Sort key of a gateway in the interleaved order."""
 
     fraction: float
     zone: str
@@ -29,42 +29,47 @@
 def stage_targets(plan: RolloutPlan, fleet: Sequence[FleetGateway]) -> list[tuple[str, ...]]:
     """Return for each stage all gateways that run the new release by its end, in the order of their update.
 
-    Zones take turns in proportion, so that each zone has canaries and baselines side by side as early as
-    possible; within a zone the order is drawn by the plan's name.
+    Zones alternate in proportion to their size, so that each zone has both canaries and baseline gateways as
+    early as possible. Within a zone the order is pseudorandom, seeded by the plan's name.
     """
-    drawn = interleave_zones(plan.name, fleet)
+    ordered = interleave_zones(plan.name, fleet)
     targets: list[tuple[str, ...]] = []
     for stage in plan.stages:
-        before = targets[-1] if targets else ()
-        targets.append(before + _added_by(stage, drawn, before))
+        previous_target = targets[-1] if targets else ()
+        targets.append(previous_target + _names_added_by(stage, ordered, previous_target))
     return targets
 
 
-def _added_by(stage: Stage, drawn: Sequence[FleetGateway], before: tuple[str, ...]) -> tuple[str, ...]:
-    remaining = [gateway for gateway in drawn if gateway.name not in before]
+def _names_added_by(
+    stage: Stage, ordered: Sequence[FleetGateway], previous_target: tuple[str, ...]
+) -> tuple[str, ...]:
+    remaining = [gateway for gateway in ordered if gateway.name not in previous_target]
     if stage.groups:
         return tuple(gateway.name for gateway in remaining if gateway.group in stage.groups)
-    size = stage.count or math.ceil(stage.share * len(drawn) - ROUNDING_MARGIN)
-    return tuple(gateway.name for gateway in remaining[: max(0, size - len(before))])
+    size = stage.count or math.ceil(stage.share * len(ordered) - ROUNDING_MARGIN)
+    return tuple(gateway.name for gateway in remaining[: max(0, size - len(previous_target))])
 
 
 def interleave_zones(seed: str, fleet: Sequence[FleetGateway]) -> list[FleetGateway]:
-    """Return all gateways, each zone's spread evenly over the whole order."""
+    """Return all gateways in an order that distributes those of each zone evenly."""
     zones: dict[str, list[FleetGateway]] = defaultdict(list)
     for gateway in sorted(fleet, key=lambda one: xxhash.xxh3_64_intdigest(f"{seed}/{one.name}".encode())):
         zones[gateway.zone].append(gateway)
-    placed = {
+    gateway_by_placement = {
         _Placement((index + 0.5) / len(members), zone, index): gateway
         for zone, members in zones.items()
         for index, gateway in enumerate(members)
     }
-    return [placed[placement] for placement in sorted(placed)]
+    return [gateway_by_placement[placement] for placement in sorted(gateway_by_placement)]
 
 
 def zone_batches(
     names: Sequence[str], fleet: Sequence[FleetGateway], max_unavailable: int
 ) -> list[tuple[str, ...]]:
-    """Return the batches in which gateways go down: limited in size, and never of two zones."""
+    """Return the batches in which gateways are updated.
+
+    A batch has at most ``max_unavailable`` gateways, all of one zone.
+    """
     zone_of = {gateway.name: gateway.zone for gateway in fleet}
     zones: dict[str, list[str]] = defaultdict(list)
     for name in names:
--- a/saffronstack/harness/fleet/gateway.py
+++ b/saffronstack/harness/fleet/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process of a fleet over its lives."""
+"""One gateway of a fleet, which can be started again."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class Gateway:
-    """One gateway process; its address and configuration file stay over its lives."""
+    """One gateway process. Its address and configuration file stay the same over restarts."""
 
     def __init__(self, number: int, folder: pathlib.Path, plan: FleetPlan) -> None:
         self.number = number
         self.plan = plan
         self.path = folder / f"gateway-{number}.json"
         self.log = folder / f"gateway-{number}.log"
-        self._held = reserve_port("127.0.0.1")  # nobody else gets the port between two lives
-        self.address = ("127.0.0.1", self._held.getsockname()[1])
+        self._port_holder = reserve_port("127.0.0.1")  # reserves the port between two incarnations
+        self.address = ("127.0.0.1", self._port_holder.getsockname()[1])
         self.process: subprocess.Popen[bytes] | None = None
-        self.lives = 0
+        self.start_count = 0
 
     def write(self, nameserver: str, entries: Iterable[HostEntry], serial: int) -> None:
-        """The configuration file, changed as a whole."""
+        """Replace the configuration file atomically."""
         states = {True: "Terminating", False: "Ready"}
         endpoints = [
             {
@@ -42,7 +42,7 @@
         pool = {"index": 0, "snapshot": True, "endpoints": endpoints}
         content = {
             "name": f"n{self.number}", "listen": f"{self.address[0]}:{self.address[1]}",
-            "seed": f"{self.plan.seed * 100_000 + self.number * 100 + self.lives:016x}",
+            "seed": f"{self.plan.seed * 100_000 + self.number * 100 + self.start_count:016x}",
             "nameserver": nameserver, "known": {"rev": serial, "notices": [{"rev": serial, "pool": pool}]},
             "limits": {
                 "cores": 1.0, "memory_mb": self.plan.memory_limit_mb, "sockets": self.plan.sockets,
@@ -54,27 +54,31 @@
         os.replace(partial, self.path)
 
     def start(self) -> None:
-        """Start it; ``ready`` tells when it takes calls."""
-        self.lives += 1
+        """Start the process; `is_ready` returns whether it accepts calls."""
+        self.start_count += 1
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "saffronstack.platform"], stderr=log,
                 env={**os.environ, "LB_CONFIG": str(self.path), "LB_NAME": f"n{self.number}"},
             )  # fmt: skip
 
-    def ready(self) -> bool:
-        """Whether this life takes calls; AssertionError where it ended instead."""
+    def is_ready(self) -> bool:
+        """Return whether this incarnation accepts calls.
+
+        Raises:
+            AssertionError: The process has ended.
+        """
         assert self.process is not None, self.log.read_text()
         assert self.process.poll() is None, self.log.read_text()
-        return self.log.read_text().count("takes calls") >= self.lives
+        return self.log.read_text().count("takes calls") >= self.start_count
 
-    def send(self, number: signal.Signals) -> None:
-        """A signal to its process."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal, unless the process has ended."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def wait(self, timeout_s: float = 20.0) -> int:
-        """Its exit status; it is killed where it does not end in time."""
+        """Wait for the process; return its exit status. A process that does not end in time is killed."""
         assert self.process is not None
         try:
             return self.process.wait(timeout_s)
@@ -83,15 +87,15 @@
             self.process.wait()
             return -int(signal.SIGKILL)
 
-    def descriptors(self) -> int:
-        """How many it holds; 0 where it is gone."""
+    def descriptor_count(self) -> int:
+        """Return the number of open file descriptors; 0 if the process has ended."""
         assert self.process is not None
         with contextlib.suppress(OSError):
             return len(os.listdir(f"/proc/{self.process.pid}/fd"))
         return 0
 
     def memory_mb(self) -> float:
-        """Resident memory; 0 where it is gone."""
+        """Return the resident memory; 0 if the process has ended."""
         assert self.process is not None
         with contextlib.suppress(OSError):
             pages = int(pathlib.Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
--- a/saffronstack/metering/archive_transfer.py
+++ b/saffronstack/metering/archive_transfer.py
@@ -1,4 +1,4 @@
-"""Moves what is too much for memory from an account to its archive."""
+"""Moves what exceeds the memory limits from an account to its archive."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountMemory:
-    """What an account holds in memory."""
+    """The parts of an account that are in memory."""
 
     totals: UsageTotals
     records: RecordRegistry
@@ -36,15 +36,17 @@
         or len(memory.records.confirmed) > limits.incarnations
         or len(memory.records.relinquished) > limits.unconfirmed
         or memory.charges.archivable_count > limits.estimates
-        or (memory.windows is not None and memory.windows.parts > limits.parts)
+        or (memory.windows is not None and memory.windows.bucket_count > limits.window_buckets)
     )
 
 
 def write_run(memory: AccountMemory, limits: AccountLimits, archive: Archive) -> MovedToArchive:
-    """Write totals, windows, and the oldest half of records and incarnations beyond the limits to a run.
+    """Write totals, charges, windows and the oldest records and incarnations to a run.
+
+    Up to half their limits of records and incarnations stay in memory.
 
     Returns:
-        The entry that moves them there once it is applied.
+        The entry that removes them from memory when it is applied.
 
     Raises:
         OSError: If the run cannot be written.
@@ -88,7 +90,7 @@
 
 def _window_items(windows: SlidingWindows) -> Iterator[KeyValue]:
     amounts: dict[tuple[str, float], int] = defaultdict(int)
-    for part in windows.parts_in_memory():
-        amounts[part.tenant, part.start_s] += part.amount
+    for bucket in windows.buckets_in_memory():
+        amounts[bucket.tenant, bucket.start_s] += bucket.amount
     for key, amount in amounts.items():
         yield encode_key("w", *key), encode_amounts((amount,))
--- a/saffronstack/metering/record_collector.py
+++ b/saffronstack/metering/record_collector.py
@@ -1,4 +1,4 @@
-"""Collects the usage records that workers offer: validates them and appends them to the usage log."""
+"""Collects usage records from workers, validates them and appends them to the usage log."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingCommit:
-    """Records that were appended to the log and may not be in the account yet."""
+    """Records that are appended to the log but may not be in the account yet."""
 
     ticket: AppendTicket[AnyLedgerEntry]
     records: list[RecordId]
 
 
 class RecordCollector:
-    """Owned by the metering thread; the counters are read on any thread."""
+    """Appends workers' records to the log. The metering thread owns it; any thread may read the counters."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
 
         Args:
             journal: The usage log.
-            workers: The workers and their incarnations, which are updated here.
+            workers: The workers and their incarnations; the collector updates the incarnations.
             losses: Is notified of incarnations that ended.
             clock: The gateway's clocks.
             memory_kib: Returns the memory of a worker in the configuration.
-            budgets: Is notified of functions that are loaded somewhere.
+            budgets: Is notified of functions that are loaded at some worker.
         """
         self.accepted = 0
         self.rejected = 0
@@ -75,22 +75,29 @@
         self._pending: list[_PendingCommit] = []
         self._pending_records: set[RecordId] = set()
         self._rejected_numbers: dict[str, list[tuple[str, int]]] = defaultdict(list)  # by worker
-        self._dropped: dict[str, tuple[str, int]] = {}  # worker: incarnation, records that its bound cost
+        self._dropped: dict[str, tuple[str, int]] = {}  # by worker: incarnation, dropped records
         self._dropped_in_ended_incarnations = 0
 
     def records_dropped_by_workers(self) -> int:
-        """Return how many records workers' own bounds cost, in the incarnations that were seen."""
+        """Return the number of records that workers dropped because of their own limits.
+
+        Incarnations that this gateway never polled are not included.
+        """
         return self._dropped_in_ended_incarnations + sum(count for _, count in list(self._dropped.values()))
 
     def collect_header(self, worker: WorkerSpec, text: str) -> None:
-        """Take the usage header of a response."""
+        """Collect the records in the usage header of a response."""
         try:
             self.collect(worker, base64.b64decode(text, validate=True))
         except binascii.Error:
             self._reject(worker.name, "its usage header is not base64")
 
     def collect(self, worker: WorkerSpec, body: bytes) -> UsageResponse | None:
-        """Take a worker's records, confirmations and ended calls; return its message or None."""
+        """Append a worker's records, confirmations and ended calls to the log.
+
+        Returns:
+            The decoded message, or None if it is invalid.
+        """
         try:
             response = msgspec.msgpack.decode(body, type=UsageResponse)
         except (msgspec.MsgspecError, ValueError) as error:
@@ -103,7 +110,7 @@
         entries += [
             RecordConfirmed(worker.name, *interval) for interval in group_into_intervals(response.confirmed)
         ]
-        entries += [RecordRelinquished(worker.name, *number) for number in response.relinquished]
+        entries += [RecordRelinquished(worker.name, *record) for record in response.relinquished]
         incarnation = incarnation_key(worker.name, response.incarnation)
         entries += [
             ProvisionalChargeVoided(incarnation, request_id) for request_id in response.ended_request_ids
@@ -114,7 +121,7 @@
         return response
 
     def forget_committed(self) -> None:
-        """Forget the pending records that are in the account, or failed: their worker offers them again."""
+        """Forget pending records whose commit is done. Workers offer the records of a failed commit again."""
         pending = []
         for commit in self._pending:
             if commit.ticket.done.is_set():
@@ -123,8 +130,8 @@
                 pending.append(commit)
         self._pending = pending
 
-    def take_rejected(self, worker: str) -> list[tuple[str, int]]:
-        """Remove and return the rejected records of a worker, which are acknowledged so that they end."""
+    def pop_rejected(self, worker: str) -> list[tuple[str, int]]:
+        """Remove and return a worker's rejected records. Once acknowledged, they are not offered again."""
         return self._rejected_numbers.pop(worker, [])
 
     def _update_incarnation(self, worker: str, response: UsageResponse) -> None:
@@ -153,7 +160,7 @@
                 continue
             self._pending_records.add(record)
             if self._budgets is not None and (usage.running_instances or usage.idle_instances):
-                self._budgets.note_loaded(usage.function, now_s)
+                self._budgets.mark_loaded(usage.function, now_s)
             age_s = max(0.0, (response.now_us - usage.end_us) / 1e6)
             accepted.append(
                 RecordReceived(usage, now_unix_s - age_s, self._clock.steady_unix_s(now_s) - age_s)
@@ -161,9 +168,12 @@
         return accepted
 
     def _is_known(self, record: RecordId) -> bool:
-        """Return whether a record need not be taken; where the archive cannot tell, its worker keeps it."""
+        """Return whether to ignore a record: it is known, or an unreadable archive leaves this open.
+
+        An ignored record is not acknowledged, so its worker keeps it.
+        """
         try:
-            return record in self._pending_records or self._journal.state.knows(*record)
+            return record in self._pending_records or self._journal.state.has_record(*record)
         except (RunDamagedError, OSError) as error:
             log.error("usage archive unreadable; record left with its worker", error=str(error))
             return True
--- a/tests/discovery/dns/test_resolver.py
+++ b/tests/discovery/dns/test_resolver.py
@@ -1,4 +1,4 @@
-"""The resolver where the server is silent, refuses, answers late, is behind, contradicts itself or moves."""
+"""Tests of the resolver with an unresponsive, refusing, late, stale, inconsistent or moving server."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 INTERVAL_S = ResolverOptions().interval_s
 
 
-# ---- responses that the test hands over
+# ---- responses passed in by the test
 
 
 def test_only_complete_valid_and_new_responses_are_accepted(observed: ObservedResolver) -> None:
@@ -31,8 +31,8 @@
     assert len(observed.changes) == 1
     rejected = [
         valid[:-3],  # cut short
-        valid[:2] + struct.pack(">H", 0x8602) + valid[4:],  # truncated, by its flags
-        valid[:2] + struct.pack(">H", 0x8403) + valid[4:],  # a failure
+        valid[:2] + struct.pack(">H", 0x8602) + valid[4:],  # marked as truncated in the flags
+        valid[:2] + struct.pack(">H", 0x8403) + valid[4:],  # response code NXDOMAIN
         response(11, [], message_id=8),
         response(11, [], name="_other._tcp.fleet.local"),
         response(9, ENTRIES[:1]),  # an older list
@@ -63,7 +63,7 @@
 
 
 def test_a_port_that_gets_no_responses_is_replaced(start_discovery: StartDiscovery) -> None:
-    """The server answers, but nothing reaches the port that was asked from first."""
+    """The server responds, but no response reaches the source port of the first query."""
     first: list[int] = []
 
     def respond(query: bytes, port: int) -> list[bytes]:
@@ -75,7 +75,7 @@
     assert len(set(server.ports)) >= 2
 
 
-def test_while_the_server_is_silent_the_list_stays_and_polling_continues(
+def test_an_unresponsive_server_changes_neither_list_nor_polling(
     start_discovery: StartDiscovery,
 ) -> None:
     silent, polled = threading.Event(), threading.Semaphore(0)
@@ -91,7 +91,7 @@
     for _ in range(40):
         assert polled.acquire(timeout=WAIT_S)
     assert len(observed.endpoint_list.specs) == 2
-    assert 2 <= len(set(server.ports)) <= 8  # replaced now and then, ever more rarely
+    assert 2 <= len(set(server.ports)) <= 8  # the socket is replaced, at growing intervals
     serial[0] = 6
     silent.clear()
     assert observed.wait().removed
@@ -113,16 +113,16 @@
 def test_a_response_of_the_former_server_is_rejected_once_it_has_moved(
     start_discovery: StartDiscovery,
 ) -> None:
-    """It is on its way when the new address is set."""
+    """The response is in flight when the new server address is set."""
     second = DiscoveryServer(lambda query, port: [dns_response(query, 6, ENTRIES[:1])])
-    asked, ready = threading.Event(), threading.Event()
+    has_moved, ready = threading.Event(), threading.Event()
 
     def respond(query: bytes, port: int) -> list[bytes]:
         assert ready.wait(WAIT_S)
-        if asked.is_set():
+        if has_moved.is_set():
             return []
         observed.resolver.set_server(second.address)
-        asked.set()
+        has_moved.set()
         return [dns_response(query, 9, ENTRIES)]
 
     _, observed = start_discovery(respond)
@@ -133,7 +133,7 @@
     second.close()
 
 
-def test_a_server_that_is_behind_is_rejected_until_it_has_caught_up(start_discovery: StartDiscovery) -> None:
+def test_older_lists_are_rejected_until_the_server_has_a_newer_one(start_discovery: StartDiscovery) -> None:
     serial, polled = [7], threading.Semaphore(0)
 
     def respond(query: bytes, port: int) -> list[bytes]:
@@ -156,17 +156,17 @@
 def test_queries_keep_their_interval_with_jitter_whether_refused_or_unanswered(
     monkeypatch: pytest.MonkeyPatch, observed: ObservedResolver, is_refused: bool
 ) -> None:
-    """A refusal comes at once, and used to be polled after 20 times a second."""
-    now, pauses = [0.0], list[float]()
+    """Guards against polling 20 times a second, since a refusal is received immediately."""
+    now, waits = [0.0], list[float]()
     resolver = observed.resolver
     monkeypatch.setattr(resolver, "_clock", lambda: now[0])
 
     class FortyWaits(threading.Event):
         def wait(self, timeout: float | None = None) -> bool:
             assert timeout is not None
-            pauses.append(timeout)
+            waits.append(timeout)
             now[0] += timeout
-            if len(pauses) == 40:
+            if len(waits) == 40:
                 self.set()
             return self.is_set()
 
@@ -179,23 +179,25 @@
     monkeypatch.setattr(resolver._thread, "stopping", FortyWaits())
     monkeypatch.setattr(resolver, "query", query)
     resolver._run()
-    least_s, most_s = 40 * INTERVAL_S * (1 - POLL_JITTER), 40 * INTERVAL_S * (1 + POLL_JITTER)
-    assert least_s <= now[0] <= most_s + 0.2
-    assert len({round(pause, 6) for pause in pauses}) > 20
+    min_elapsed_s, max_elapsed_s = 40 * INTERVAL_S * (1 - POLL_JITTER), 40 * INTERVAL_S * (1 + POLL_JITTER)
+    assert min_elapsed_s <= now[0] <= max_elapsed_s + 0.2
+    assert len({round(wait_s, 6) for wait_s in waits}) > 20
 
 
-def test_without_a_free_descriptor_the_present_socket_stays_in_use(
+def test_the_current_socket_is_kept_when_no_file_descriptor_is_free(
     monkeypatch: pytest.MonkeyPatch, start_discovery: StartDiscovery
 ) -> None:
-    silent, taken = threading.Event(), threading.Event()
+    silent, is_exhausted = threading.Event(), threading.Event()
     attempts: list[tuple[str, int]] = []
 
     def respond(query: bytes, port: int) -> list[bytes]:
-        return [] if silent.is_set() else [dns_response(query, 6 if taken.is_set() else 5, ENTRIES[:1])]
+        return (
+            [] if silent.is_set() else [dns_response(query, 6 if is_exhausted.is_set() else 5, ENTRIES[:1])]
+        )
 
     server, observed = start_discovery(respond)
     observed.wait()
-    taken.set()
+    is_exhausted.set()
     silent.set()
 
     def fail(address: tuple[str, int]) -> socket.socket:
@@ -203,7 +205,8 @@
         raise OSError(24, "Too many open files")
 
     monkeypatch.setattr(server_socket, "connect_udp", fail)
-    # On a busy machine a socket may have been replaced before; the one after two more queries is the last.
+    # On a busy machine a replacement may have happened before `fail` was set. The socket that is in use two
+    # queries later is not replaced any more.
     before = len(server.ports)
     eventually(lambda: len(server.ports) >= before + 2, WAIT_S)
     queries, present = len(server.ports), server.ports[-1]
@@ -213,14 +216,14 @@
     assert set(server.ports[queries:]) == {present}
 
 
-def test_silence_and_its_end_are_logged_once(
+def test_an_unresponsive_server_and_its_recovery_are_logged_once(
     observed: ObservedResolver, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = [0.0]
     monkeypatch.setattr(observed.resolver, "_clock", lambda: now[0])
-    observed.resolver.last_accepted_s = 0.0
+    observed.resolver.last_response_s = 0.0
     for now[0], is_answered in ((2.0, False), (3.5, False), (4.0, False), (4.5, True), (5.0, True)):
-        observed.resolver._log_silence(is_answered)
+        observed.resolver._log_responsiveness(is_answered)
     lines = [line.split(": ", 1)[1] for line in observed.log.getvalue().splitlines()]
     assert lines == [
         "discovery server is silent elapsed_s=3.0 rejected={}",
--- a/tests/fleet/leases/test_model_checker.py
+++ b/tests/fleet/leases/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Leases in virtual time under faults, and in every order of a few steps; broken variants must be found."""
+"""Leases in simulations with faults and in the model checker, both of which must detect broken variants."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 )
 
 
-def play(
+def run_simulations(
     seeds: range,
     make_acceptor: AcceptorFactory = Acceptor,
     make_candidate: CandidateFactory = Candidate,
     faults: FaultRates | None = None,
 ) -> list[str]:
-    """Run a simulation for each seed; return the breaches that the judge found."""
+    """Run a simulation for each seed; return the rule breaches that the checker found."""
     breaches: list[str] = []
     for seed in seeds:
         simulation = Simulation(
@@ -48,49 +48,52 @@
     return breaches
 
 
-def test_no_two_hold_a_lease_at_once_and_tokens_grow_over_many_seeds() -> None:
-    assert play(range(150)) == []
+def test_a_lease_has_one_holder_at_a_time_and_tokens_increase_over_many_seeds() -> None:
+    assert run_simulations(range(150)) == []
 
 
 def test_the_lease_is_held_while_a_majority_can_communicate() -> None:
     simulations = [Simulation(seed) for seed in range(20)]
     results = [simulation.run(120.0) for simulation in simulations]
     assert sum(result.held_s for result in results) > 0.35 * 20 * 120.0
-    assert sum(result.rejected for result in results) > 10  # late acts
+    assert sum(result.rejected for result in results) > 10  # actions under an expired lease
 
 
 @pytest.mark.parametrize("broken", [ForgetsVotes, TreatsLostAsNew, IgnoresEarlierGrants, PromisesBallotTwice])
-def test_the_judge_finds_a_broken_acceptor(broken: type[Acceptor]) -> None:
-    assert any(play(range(seed, seed + 10), make_acceptor=broken) for seed in range(0, 300, 10))
+def test_the_checker_finds_a_broken_acceptor(broken: type[Acceptor]) -> None:
+    assert any(run_simulations(range(seed, seed + 10), make_acceptor=broken) for seed in range(0, 300, 10))
 
 
-def test_the_judge_finds_a_renewal_revived_after_expiry() -> None:
+def test_the_checker_finds_a_renewal_after_expiry() -> None:
     breaches = [
         breach
         for seed in range(0, 60, 10)
-        for breach in play(range(seed, seed + 10), RenewsExpiredGrant, RenewsAfterExpiry)
+        for breach in run_simulations(range(seed, seed + 10), RenewsExpiredGrant, RenewsAfterExpiry)
     ]
     assert breaches
 
 
 def test_recovery_waits_for_the_last_grants_of_a_replaced_server() -> None:
-    """Found by seeds 298, 434 and 2336 of 2,400: a replaced server and another granted to one candidate, its
-    successor and the third server to the next."""
-    assert play(range(298, 299), VotesImmediately)
-    assert play(range(298, 299)) == []
+    """Guards against two holders after a server is replaced, found by seeds 298, 434 and 2336 of 2,400.
+
+    A replaced server and another server granted the lease to one candidate; the successor of the replaced
+    server and the third server granted it to the next.
+    """
+    assert run_simulations(range(298, 299), VotesImmediately)
+    assert run_simulations(range(298, 299)) == []
 
 
 @pytest.mark.parametrize("broken", [CountsFromResponse, NeedsOneVote])
-def test_the_judge_finds_a_broken_candidate(broken: type[Candidate]) -> None:
-    assert any(play(range(seed, seed + 10), make_candidate=broken) for seed in range(0, 300, 10))
+def test_the_checker_finds_a_broken_candidate(broken: type[Candidate]) -> None:
+    assert any(run_simulations(range(seed, seed + 10), make_candidate=broken) for seed in range(0, 300, 10))
 
 
-def test_the_judge_finds_a_replaced_server_that_is_counted() -> None:
-    """Half of the restarts are replacements; the real acceptor and candidate break nothing."""
-    often = FaultRates(replacement=0.5)
-    assert play(range(30), faults=often) == []
+def test_the_checker_finds_a_replaced_server_that_is_counted() -> None:
+    """Half of the restarts are replacements; the correct acceptor and candidate breach no rule."""
+    fault_rates = FaultRates(replacement=0.5)
+    assert run_simulations(range(30), faults=fault_rates) == []
     broken = (
-        play(range(seed, seed + 10), VotesAfterReplacement, CountsReplacedServers, often)
+        run_simulations(range(seed, seed + 10), VotesAfterReplacement, CountsReplacedServers, fault_rates)
         for seed in range(0, 300, 10)
     )
     assert any(broken)
@@ -120,12 +123,12 @@
 
 CAUGHT_UP = ("k0 catches up from k1", "k0 catches up from k2")
 REPLACED = ("k0 is replaced while paused", HALF, HALF, HALF, *CAUGHT_UP, *CAUGHT_UP)
-WAITED = (*REPLACED, HALF, HALF, HALF)
+AFTER_GRANTS_EXPIRED = (*REPLACED, HALF, HALF, HALF)
 
 
-def test_every_order_with_a_replaced_server_awake_is_safe() -> None:
+def test_every_order_with_a_resumed_replaced_server_is_safe() -> None:
     budget = replace(NO_FAULTS, replacements=1, time_steps=8, partial_deliveries=1, late_responses=1)
-    result = explore(len(WAITED) + 9, budget, max_states=10_000, after=WAITED)
+    result = explore(len(AFTER_GRANTS_EXPIRED) + 9, budget, max_states=10_000, after=AFTER_GRANTS_EXPIRED)
     assert result.breach == "", result
     assert result.states >= 10_000, result
 
@@ -144,7 +147,7 @@
             VotesAfterReplacement,
             CountsReplacedServers,
             replace(NO_FAULTS, replacements=1, time_steps=6),
-            WAITED,
+            AFTER_GRANTS_EXPIRED,
         ),
     ],
 )
@@ -156,6 +159,6 @@
 ) -> None:
     result = explore(18, budget, make_acceptor, make_candidate, 40_000, after)
     assert result.breach, result
-    assert result.trail, result
-    # The same steps of the real ones, to the same depth.
+    assert result.path, result
+    # The correct implementation breaches no rule in the same steps, to the same depth.
     assert explore(result.depth, budget, max_states=2_000, after=after).breach == ""
--- a/tests/fleet/leases/test_processes.py
+++ b/tests/fleet/leases/test_processes.py
@@ -1,4 +1,4 @@
-"""Lease servers and candidates as processes under faults, and the judge."""
+"""Lease servers and candidates as processes under faults, and the checker of their reports."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 import pytest
 
 from saffronstack.harness.leases.faulty_environment import ClockSteps
-from saffronstack.harness.leases.holder_reports import Acquired, ActBegun, ActEnded, Answer
-from saffronstack.harness.leases.judge import LeaseJudge
+from saffronstack.harness.leases.holder_reports import Acquired, ActBegun, ActEnded, ReportResponse
+from saffronstack.harness.leases.judge import LeaseChecker
 from saffronstack.harness.leases.peer import expiry_at
-from saffronstack.harness.leases.processes import RigOptions
-from saffronstack.harness.leases.rig import LeaseRig
-from saffronstack.harness.leases.schedule import Fault, schedule, shrink
-from saffronstack.harness.links import Mode, Wires
+from saffronstack.harness.leases.processes import HarnessOptions
+from saffronstack.harness.leases.rig import LeaseHarness
+from saffronstack.harness.leases.schedule import Fault, draw_schedule, shrink_schedule
+from saffronstack.harness.links import LinkMode, LinkRelay
 from saffronstack.runtime.threads import start_thread
 
-FLEET = pytest.mark.xdist_group("leases")  # heavy ones play one at a time
+SERIAL = pytest.mark.xdist_group("leases")  # tests with many processes run one at a time
 
 
-@FLEET
+@SERIAL
 def test_one_holder_acts_at_a_time_through_faults_of_servers_candidates_links_and_disks(
     tmp_path: pathlib.Path,
 ) -> None:
-    rig = LeaseRig(tmp_path, RigOptions(seed=5, servers=5, candidates=6, lease_s=1.2, wait_s=0.4))
+    rig = LeaseHarness(tmp_path, HarnessOptions(seed=5, servers=5, candidates=6, lease_s=1.2, wait_s=0.4))
     try:
-        report = rig.play(schedule(5, 30.0, 5, 6, every_s=1.2), 30.0)
+        report = rig.run(draw_schedule(5, 30.0, 5, 6, mean_interval_s=1.2), 30.0)
     finally:
         rig.close()
-    told = report.judgement
-    assert told.breaches == []
-    assert told.acquired >= 4, report
-    assert told.acts > 50, report
+    check_result = report.check_result
+    assert check_result.breaches == []
+    assert check_result.acquired >= 4, report
+    assert check_result.acts > 50, report
     assert sum(report.faults.values()) >= 10, report
     assert report.majority_held_s > 0.4 * report.majority_s > 1.0, report
 
 
-@FLEET
+@SERIAL
 @pytest.mark.parametrize("broken", ["few", "late"])
-def test_the_judge_finds_broken_candidates_among_the_processes(tmp_path: pathlib.Path, broken: str) -> None:
-    rig = LeaseRig(
-        tmp_path, RigOptions(seed=2, servers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
+def test_the_checker_finds_broken_candidate_processes(tmp_path: pathlib.Path, broken: str) -> None:
+    rig = LeaseHarness(
+        tmp_path, HarnessOptions(seed=2, servers=3, candidates=5, lease_s=1.2, wait_s=0.4, broken=broken)
     )
-    # What they do wrong shows where a majority is out of reach, or the holder itself.
+    # The defects show when a candidate reaches no majority, or when the holder is disconnected.
     kind = {"few": "cut", "late": "cut candidates"}[broken]
     faults = [
         Fault(
@@ -59,32 +59,35 @@
         for n in range(12)
     ]
     try:
-        report = rig.play(faults, 40.0, until_breach=True)
+        report = rig.run(faults, 40.0, until_breach=True)
     finally:
         rig.close()
-    assert report.judgement.breaches, report
+    assert report.check_result.breaches, report
 
 
 def test_a_schedule_comes_from_its_seed_and_is_shrunk_to_what_fails() -> None:
-    faults = schedule(7, 60.0, 5, 6)
-    assert faults == schedule(7, 60.0, 5, 6) != schedule(8, 60.0, 5, 6)
+    faults = draw_schedule(7, 60.0, 5, 6)
+    assert faults == draw_schedule(7, 60.0, 5, 6) != draw_schedule(8, 60.0, 5, 6)
     assert len({fault.kind for fault in faults}) > 6
-    wanted = {faults[3], faults[-2]}
-    assert set(shrink(faults, lambda fewer: wanted <= set(fewer), 200)) == wanted
+    failing = {faults[3], faults[-2]}
+    assert set(shrink_schedule(faults, lambda fewer: failing <= set(fewer), 200)) == failing
 
 
-def test_a_holder_that_wakes_after_its_lease_reports_that_it_does_not_hold_it() -> None:
-    """Its "until now" stood for a lease that had ended seconds ago, and the judge blamed the next holder."""
+def test_a_holder_that_resumes_after_expiry_reports_that_it_does_not_hold_the_lease() -> None:
+    """Guards against a holder that reports an expired lease as valid until the current time.
+
+    The checker then blamed the next holder.
+    """
     assert expiry_at(100.0, 0.995, 0.995) == 101.0
     assert expiry_at(100.0, 0.0, 1.0) == 0.0
-    judge = LeaseJudge()
+    judge = LeaseChecker()
     judge.handle(Acquired("a", 1, 0.0, 5.0))
     judge.handle(ActBegun("a", 1, 5.0))
     judge.handle(Acquired("b", 2, 6.0, 9.0))
     judge.handle(ActEnded("a", 1, 4.9, 8.0, expiry_at(8.0, 0.0, 1.0)))
-    told = judge.judge(0.0, 10.0)
-    assert told.breaches == []
-    assert told.overran == 1
+    check_result = judge.check(0.0, 10.0)
+    assert check_result.breaches == []
+    assert check_result.overran == 1
     judge.close()
 
 
@@ -92,40 +95,40 @@
     now = [0.0]
     steps = ClockSteps(tmp_path / "steps", lambda: now[0])
     assert steps() == 0.0
-    for text, wanted in (("2.5", 2.5), ("", 2.5), ("4", 4.0), ("1", 4.0)):
+    for text, expected_s in (("2.5", 2.5), ("", 2.5), ("4", 4.0), ("1", 4.0)):
         (tmp_path / "steps").write_text(text)
         now[0] += ClockSteps.CHECK_INTERVAL_S
-        assert steps() == wanted
+        assert steps() == expected_s
 
 
-def test_the_judge_distinguishes_two_holders_older_tokens_and_pauses() -> None:
-    judge = LeaseJudge()
+def test_the_checker_distinguishes_two_holders_older_tokens_and_pauses() -> None:
+    judge = LeaseChecker()
     judge.handle(Acquired("a", 1, 0.0, 5.0))
-    assert judge.handle(ActBegun("a", 1, 5.0)) == Answer(True)
-    assert judge.handle(ActEnded("a", 1, 1.0, 1.1, 5.0)) == Answer(True)
-    assert judge.judge(0.0, 10.0).breaches == []
+    assert judge.handle(ActBegun("a", 1, 5.0)) == ReportResponse(True)
+    assert judge.handle(ActEnded("a", 1, 1.0, 1.1, 5.0)) == ReportResponse(True)
+    assert judge.check(0.0, 10.0).breaches == []
     judge.handle(Acquired("b", 2, 4.0, 9.0))
-    (breach,) = judge.judge(0.0, 10.0).breaches
+    (breach,) = judge.check(0.0, 10.0).breaches
     assert "a (token 1) holds until 5.000, b (token 2) from 4.000" in breach
     judge.close()
-    judge = LeaseJudge()
+    judge = LeaseChecker()
     judge.handle(Acquired("a", 1, 0.0, 5.0))
     judge.handle(ActBegun("a", 1, 5.0))
     judge.handle(Acquired("b", 2, 6.0, 9.0))
     judge.handle(ActBegun("b", 2, 9.0))
-    # a was stopped in the midst of its act and wakes: its token is refused, and nobody is to blame.
-    assert judge.handle(ActEnded("a", 1, 4.9, 7.0, 5.0)) == Answer(False)
-    told = judge.judge(0.0, 10.0)
-    assert told.breaches == []
-    assert told.rejected == 1
-    assert told.longest_free_s == 1.0
+    # a was paused during its action and resumes: its token is rejected, which is no breach.
+    assert judge.handle(ActEnded("a", 1, 4.9, 7.0, 5.0)) == ReportResponse(False)
+    check_result = judge.check(0.0, 10.0)
+    assert check_result.breaches == []
+    assert check_result.rejected == 1
+    assert check_result.longest_free_s == 1.0
     judge.handle(Acquired("c", 2, 9.5, 9.6))
-    assert "c and b both acquired token 2" in judge.judge(0.0, 10.0).breaches[0]
+    assert "c and b both acquired token 2" in judge.check(0.0, 10.0).breaches[0]
     judge.close()
 
 
-class Echo:
-    """Answers each line with itself."""
+class EchoServer:
+    """Sends received data back to the client."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -151,52 +154,52 @@
 
 
 def test_wires_hold_delay_lose_reset_and_refuse_each_direction() -> None:
-    echo, wires = Echo(), Wires()
-    address = wires.pair("a", "b", echo.address)
+    echo, wires = EchoServer(), LinkRelay()
+    address = wires.add_link("a", "b", echo.address)
     host, _, port = address.rpartition(":")
     sock = socket.create_connection((host, int(port)), timeout=10.0)
     sock.sendall(b"one\n")
     assert sock.recv(100) == b"one\n"
-    forth, back = wires.between({"a"}, {"b"}), wires.between({"b"}, {"a"})
-    wires.set(back, Mode.HOLD)
+    forward, backward = wires.directions_between({"a"}, {"b"}), wires.directions_between({"b"}, {"a"})
+    wires.set_mode(backward, LinkMode.HOLD)
     sock.sendall(b"two\n")
     sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
         sock.recv(100)
     sock.settimeout(10.0)
-    wires.set(back)
-    assert sock.recv(100) == b"two\n"  # nothing of it was lost
-    wires.set(forth, Mode.LOSE)
+    wires.set_mode(backward)
+    assert sock.recv(100) == b"two\n"  # no data was lost
+    wires.set_mode(forward, LinkMode.LOSE)
     sock.sendall(b"gone\n")
-    threading.Event().wait(0.1)  # the relay must have read it before the direction passes again
-    wires.set(forth, late_s=0.3)
+    threading.Event().wait(0.1)  # the relay must read the data before this direction forwards again
+    wires.set_mode(forward, delay_s=0.3)
     began_s = time.monotonic()
     sock.sendall(b"late\n")
     assert sock.recv(100) == b"late\n"
     assert time.monotonic() - began_s >= 0.3
-    wires.set(forth)
+    wires.set_mode(forward)
     large = bytes(range(256)) * 20_000
     start_thread("sender", lambda: sock.sendall(large))
     received = b""
     while len(received) < len(large):
         received += sock.recv(65536)
     assert received == large
-    wires.reset(forth)
+    wires.reset_connections(forward)
     with pytest.raises(ConnectionResetError):
         sock.recv(100)
-    wires.refuse(forth, True)
+    wires.set_refusing(forward, True)
 
     def connect_and_receive() -> None:
-        with socket.create_connection((host, int(port)), timeout=10.0) as late:
-            late.recv(100)
+        with socket.create_connection((host, int(port)), timeout=10.0) as connection:
+            connection.recv(100)
 
     with pytest.raises(ConnectionResetError):
         connect_and_receive()
-    wires.refuse(forth, False)
-    with socket.create_connection((host, int(port)), timeout=10.0) as again:
-        again.sendall(b"x")
-        again.shutdown(socket.SHUT_WR)
-        assert again.recv(100) == b"x"
-        assert again.recv(100) == b""
+    wires.set_refusing(forward, False)
+    with socket.create_connection((host, int(port)), timeout=10.0) as reconnected:
+        reconnected.sendall(b"x")
+        reconnected.shutdown(socket.SHUT_WR)
+        assert reconnected.recv(100) == b"x"
+        assert reconnected.recv(100) == b""
     wires.close()
     echo.listener.close()
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -1,6 +1,7 @@
-"""The end of a fleet's HTTP server under requests on real connections.
+"""Stopping the HTTP server of a fleet while clients send requests.
 
-Each request that a handler has taken is answered; one without an answer was never taken."""
+Every request that a handler has started gets a response; a request without a response was never started.
+"""
 
 from __future__ import annotations
 
@@ -24,20 +25,20 @@
 
 
 class SlowHandler:
-    """Takes requests, and answers each once the test says so."""
+    """Blocks each request until the test sets `may_answer`."""
 
     def __init__(self) -> None:
-        self.taken = threading.Semaphore(0)
+        self.started = threading.Semaphore(0)
         self.may_answer = threading.Event()
 
     def __call__(self, head: RequestHead, body: bytes) -> tuple[int, bytes]:
-        self.taken.release()
+        self.started.release()
         assert self.may_answer.wait(TIMEOUT_S)
         return 200, ANSWER_BODY
 
 
 class CountingHandler:
-    """Answers at once and counts."""
+    """Counts requests and responds immediately."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -82,14 +83,14 @@
     handler.may_answer.set()
 
 
-def test_a_request_that_is_handled_at_the_end_is_answered_and_its_connection_closed(
+def test_a_request_that_is_handled_during_a_stop_is_answered_and_its_connection_closed(
     slow: SlowHandler,
 ) -> None:
     server = start_server(slow)
     address = server.address
     connection = connect(address)
     connection.sendall(REQUEST)
-    assert slow.taken.acquire(timeout=TIMEOUT_S)
+    assert slow.started.acquire(timeout=TIMEOUT_S)
     stopping = start_thread("stop", server.stop)
     eventually(lambda: refuses_connections(address))
     slow.may_answer.set()
@@ -101,7 +102,7 @@
     assert server.connections == 0
 
 
-def test_an_idle_connection_does_not_hold_the_end_up() -> None:
+def test_an_idle_connection_does_not_delay_the_stop() -> None:
     server = start_server(CountingHandler())
     idle = connect(server.address)
     idle.sendall(REQUEST)
@@ -112,16 +113,16 @@
     assert read_to_end(idle) == b""
 
 
-def test_a_handler_that_does_not_return_holds_the_end_up_for_a_bounded_time(slow: SlowHandler) -> None:
+def test_a_handler_that_does_not_return_delays_the_stop_for_a_bounded_time(slow: SlowHandler) -> None:
     server = start_server(slow, drain_timeout_s=0.1)
     connection = connect(server.address)
     connection.sendall(REQUEST)
-    assert slow.taken.acquire(timeout=TIMEOUT_S)
+    assert slow.started.acquire(timeout=TIMEOUT_S)
     server.stop()
     assert read_to_end(connection) == b""
 
 
-def test_clients_in_closed_loops_miss_no_answer_to_a_request_that_was_taken() -> None:
+def test_every_started_request_of_clients_in_closed_loops_is_answered_during_a_stop() -> None:
     handler = CountingHandler()
     server = start_server(handler)
     answered = [0] * CLIENTS
--- a/tests/stored_formats/test_control_formats.py
+++ b/tests/stored_formats/test_control_formats.py
@@ -24,10 +24,10 @@
     GatewayMetrics,
     GatewayStatus,
 )
-from saffronstack.fleet.control.metrics_poller import GatewayPage
+from saffronstack.fleet.control.metrics_poller import GatewayStatusPage
 from saffronstack.fleet.control.observed_gateway import GatewayPhase
 from saffronstack.fleet.control.releases import ReleaseManifest, compute_digest
-from saffronstack.fleet.http_server import problem
+from saffronstack.fleet.http_server import encode_error
 from saffronstack.fleet.rollout.plan import DataFormat
 
 DATA = pathlib.Path(__file__).parent / "data" / "control"
@@ -83,7 +83,7 @@
                 {phase.value: GatewayStatus("aa", "aa", phase, 1, 0) for phase in GatewayPhase},
             ),
         ),
-        ("gateway_page", GatewayPage(99, "aa", {"sale": {"served": 1}}, {"sale": "HIST"})),
+        ("gateway_page", GatewayStatusPage(99, "aa", {"sale": {"served": 1}}, {"sale": "HIST"})),
         ("release_manifest", MANIFEST),
     ],
 )
@@ -95,7 +95,7 @@
 
 
 def test_a_problem_is_written_as_before() -> None:
-    assert problem("token 4 is older than 5") == (DATA / "problem.json").read_bytes()
+    assert encode_error("token 4 is older than 5") == (DATA / "problem.json").read_bytes()
 
 
 def test_the_leases_and_the_path_keep_their_names() -> None:
