--- a/saffronstack/audit/rules.py
+++ b/saffronstack/audit/rules.py
@@ -74,7 +74,7 @@
     for request in traffic.requests:
         if request.outcome in ("", "broken"):
             breaches += _check_unanswered(traffic, request, reached_s[request.op], limits)
-        elif request.outcome != "left":  # a gateway may read an abandoned request late
+        elif request.outcome != "left":  # its gateway may read the request and its end late
             breaches += _check_answer(traffic, request, limits)
             if request.id and not request.deferred:
                 later = [other for other in requests[request.op] if other.sent_s > request.sent_s]
--- a/saffronstack/standin/model.py
+++ b/saffronstack/standin/model.py
@@ -78,9 +78,9 @@
                 return False
             self._fetches_in_flight += 1
             self.fetches += 1
-            crowd = max(1.0, self._fetches_in_flight / self.capacity)
+            overload_factor = max(1.0, self._fetches_in_flight / self.capacity)
         try:
-            sleep(seconds * crowd * self.slow)
+            sleep(seconds * overload_factor * self.slow)
         finally:
             with self._lock:
                 self._fetches_in_flight -= 1
@@ -203,7 +203,7 @@
                 function, _FunctionInstances(function, memory_mb, concurrency, self._now_us())
             )
             self._end_span(instances)
-            crowd = instances.call_count
+            concurrent_calls = instances.call_count
             instances.call_count += 1
             ticket = next(self._tickets)
             instances.waiting_calls[ticket] = reference
@@ -241,7 +241,7 @@
                 instances.last_used_s = self._clock()
                 self._notify_change(instances)
                 self._state.notify_all()
-        return cache_status, crowd
+        return cache_status, concurrent_calls
 
     def load_instances(
         self, function: str, memory_mb: float, concurrency: int, count: int, deadline_s: float
@@ -309,14 +309,14 @@
         if self._outbox is None or now_us <= instances.span_start_us:
             return
         run = min(instances.loaded, -(-instances.busy_slots // instances.concurrency))
-        held = instances.loading, run, instances.loaded - run
-        if any(held):
+        instance_counts = instances.loading, run, instances.loaded - run
+        if any(instance_counts):
             self._outbox.add_record(
                 instances.name,
                 int(instances.memory_mb * 1024),
                 instances.span_start_us,
                 now_us,
-                held,
+                instance_counts,
                 tuple(instances.waiting_calls.values()),
                 tuple(instances.running_calls.values()),
             )
@@ -390,18 +390,18 @@
             self._load_instance(instances)
 
     def _load_instance(self, instances: _FunctionInstances) -> None:
-        stands = False
+        is_loaded = False
         try:
             if self._faults().die_mid_load:
                 self._sleep(self.profile.load_s / 2)
                 raise WorkerDiedError
-            stands = self._store.fetch(self.profile.load_s * 0.7, self._sleep)
+            is_loaded = self._store.fetch(self.profile.load_s * 0.7, self._sleep)
             self._sleep(self.profile.load_s * 0.3)
         finally:
             with self._state:
                 self._end_span(instances)
                 instances.loading -= 1
-                instances.loaded += stands
+                instances.loaded += is_loaded
                 instances.last_used_s = self._clock()
                 self._loads -= 1
                 self._notify_change(instances)
--- a/saffronstack/standin/platform.py
+++ b/saffronstack/standin/platform.py
@@ -348,13 +348,13 @@
             is_open, at = self._send_response(connection, tag, "ERR", {})
             self._log_event("answer", model, t=at, open=is_open, **attempt_fields)
             return
-        memory_mb, lanes = self._catalog(function)
+        memory_mb, concurrency = self._catalog(function)
         deadline_s = self._clock() + min(MAX_CALL_S, float(fields["w"]) / 1000)
         try:
             cache_status, concurrent_calls = model.call(
                 function,
                 memory_mb,
-                lanes,
+                concurrency,
                 deadline_s,
                 lambda: self._log_event("run", model, **attempt_fields),
             )
@@ -390,7 +390,9 @@
         now = self._clock()
         self._log_event("order", model, t=now, function=function, count=units, late=now - received_s)
         try:
-            held = model.load_instances(function, *self._catalog(function), units, self._clock() + MAX_CALL_S)
+            loaded = model.load_instances(
+                function, *self._catalog(function), units, self._clock() + MAX_CALL_S
+            )
         except (QueueFullError, TimeoutError):
             self._send_response(
                 connection, message["tag"], "BUSY", {"units": model.loaded_instances(function)}
@@ -398,4 +400,4 @@
             return
         except WorkerDiedError:
             return
-        self._send_response(connection, message["tag"], "OK", {"units": held})
+        self._send_response(connection, message["tag"], "OK", {"units": loaded})
--- a/saffronstack/standin/worker.py
+++ b/saffronstack/standin/worker.py
@@ -185,9 +185,9 @@
             while True:
                 if not reader.pending:
                     reader.feed(stream.receive(IDLE_TIMEOUT_S))
-                until = self._clock() + 30.0
-                head = read_until(stream, reader, reader.request, until, self._clock)
-                body = read_until(stream, reader, reader.body, until, self._clock)
+                deadline_s = self._clock() + 30.0
+                head = read_until(stream, reader, reader.request, deadline_s, self._clock)
+                body = read_until(stream, reader, reader.body, deadline_s, self._clock)
                 if not self._handle_request(stream, model, incarnation, head, body, accept_delay_s):
                     return
                 accept_delay_s = 0.0
@@ -243,18 +243,18 @@
             body,
         )
         faults = self.faults
-        until = self._clock() + 10.0
+        deadline_s = self._clock() + 10.0
         if faults.half_header:
-            stream.send(data[:20], until, self._clock)
+            stream.send(data[:20], deadline_s, self._clock)
             return False
         if faults.garbage:
-            stream.send(b"\x00\xffnot http at all\r\n\r\n", until, self._clock)
+            stream.send(b"\x00\xffnot http at all\r\n\r\n", deadline_s, self._clock)
             return False
         if faults.reset_mid_answer:
-            stream.send(data[: len(data) - max(1, len(body) // 2)], until, self._clock)
+            stream.send(data[: len(data) - max(1, len(body) // 2)], deadline_s, self._clock)
             stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             return False
-        return stream.send(data, until, self._clock)
+        return stream.send(data, deadline_s, self._clock)
 
     def _handle_call(
         self,
@@ -308,8 +308,8 @@
             self._log_event("lost", **attempt_fields)
             return False
         fields = self._response_headers(head, attempt_fields, run_id, cache_status, concurrent_calls)
-        open_ = stream.is_peer_open()
-        self._log_event("answer", status=200, open=open_, run=run_id, **attempt_fields)
+        is_open = stream.is_peer_open()
+        self._log_event("answer", status=200, open=is_open, run=run_id, **attempt_fields)
         return self._send_response(
             stream, model, incarnation, 200, fields, self._response_body(attempt_fields, run_id, body)
         )
@@ -349,8 +349,8 @@
             )
             fields.append(("X-Amz-Log-Result", base64.b64encode(text.encode()).decode()))
         if get("x-saffron-gateway"):
-            asked = UsageRequest(get("x-saffron-gateway"), max_records=MAX_USAGE_RECORDS_IN_HEADER)
-            response = msgspec.msgpack.encode(self.outbox.respond(asked, self._clock()))
+            request = UsageRequest(get("x-saffron-gateway"), max_records=MAX_USAGE_RECORDS_IN_HEADER)
+            response = msgspec.msgpack.encode(self.outbox.respond(request, self._clock()))
             fields.append(("X-Saffron-Usage", base64.b64encode(response).decode()))
         return tuple(fields)
 
@@ -358,11 +358,11 @@
         self, stream: Stream, model: WorkerModel, incarnation: str, body: bytes
     ) -> bool:
         try:
-            asked = msgspec.msgpack.decode(body, type=UsageRequest)
+            request = msgspec.msgpack.decode(body, type=UsageRequest)
         except (msgspec.MsgspecError, ValueError):
             return self._send_response(stream, model, incarnation, 400, (), b"")
         model.end_open_spans()
-        response = self.outbox.respond(asked, self._clock())
+        response = self.outbox.respond(request, self._clock())
         return self._send_response(stream, model, incarnation, 200, (), msgspec.msgpack.encode(response))
 
     def _wait_without_response(self, stream: Stream, model: WorkerModel, attempt_fields: LogEntry) -> None:
@@ -386,7 +386,7 @@
         count = int(urlsplit(head.target).query.rpartition("=")[2] or 1)
         self._log_event("order", function=function, count=count)
         try:
-            held = model.load_instances(
+            loaded = model.load_instances(
                 function,
                 float(get("x-saffron-memory-mb", "128")),
                 int(get("x-saffron-lanes", "1")),
@@ -397,4 +397,4 @@
             return self._send_response(
                 stream, model, incarnation, 429, (), str(model.loaded_instances(function)).encode()
             )
-        return self._send_response(stream, model, incarnation, 200, (), str(held).encode())
+        return self._send_response(stream, model, incarnation, 200, (), str(loaded).encode())
--- a/tests/support/reckoning.py
+++ b/tests/support/reckoning.py
@@ -76,11 +76,11 @@
             continue
         mb_s = before.memory_mb * (change.at_us - before.at_us) / 1e6
         in_use = min(before.loaded, -(-len(before.running_calls) // before.concurrency))
-        for copies, calls in ((before.loading, before.waiting_calls), (in_use, before.running_calls)):
+        for instance_count, calls in ((before.loading, before.waiting_calls), (in_use, before.running_calls)):
             for call in calls:
-                totals[call.tenant] += mb_s * copies / len(calls)
+                totals[call.tenant] += mb_s * instance_count / len(calls)
             if not calls:
-                totals[""] += mb_s * copies
+                totals[""] += mb_s * instance_count
     return {tenant: amount for tenant, amount in totals.items() if amount and tenant}
 
 
@@ -93,12 +93,12 @@
     for worker in fleet.workers:
         for record in list(worker.outbox.all_records):
             span = record.memory_kib * (record.end_us - record.start_us)
-            for calls, copies in (
+            for calls, instance_count in (
                 (record.waiting_calls, record.loading_instances),
                 (record.running_calls, record.running_instances),
             ):
                 for call in calls:
-                    totals[call.tenant] += span * copies // len(calls)
+                    totals[call.tenant] += span * instance_count // len(calls)
     return {tenant: amount for tenant, amount in totals.items() if amount}
 
 
