--- a/saffronstack/cli/parent_process.py
+++ b/saffronstack/cli/parent_process.py
@@ -47,7 +47,7 @@
     try:
         return ListenerHandover(mark, listener)
     except OSError as error:
-        log.warning("a daemon that comes anew gets no socket from this gateway", error=str(error))
+        log.warning("listening socket can't be passed to a restarted daemon", error=str(error))
         return None
 
 
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -219,7 +219,7 @@
             apply_overrides(configs.load(options.config_path), options), options.index_and_count
         )
     except configs.ConfigError as error:
-        log.error("configuration kept as it was", why=str(error))
+        log.error("the new configuration can't be used; the current one stays in force", why=str(error))
         return
     needs_restart_fields = gateway.reload(config)
-    log.info("configuration reread", workers=len(config.workers), needs_restart=needs_restart_fields)
+    log.info("configuration reloaded", workers=len(config.workers), needs_restart=needs_restart_fields)
--- a/saffronstack/cli/starvation_guard.py
+++ b/saffronstack/cli/starvation_guard.py
@@ -90,7 +90,7 @@
         elif self._cpus == self._allowed_cpus and self._pin_if_idle():
             return
         for _ in self._starvation_monitor.check([os.getpid()]):
-            log.warning("processor taken up by something else, all may be used from now on")
+            log.warning("CPU used by other processes, all CPUs may now be used")
 
     def stop(self) -> None:
         """Stop the probe thread without waiting for it, and allow all CPUs, as no check follows."""
@@ -107,7 +107,7 @@
             return False
         self._run_on(frozenset({move.cpu}))
         log.warning(
-            "processor taken up by something else, moved to another one",
+            "CPU used by other processes, moved to another CPU",
             old=cpu,
             new=move.cpu,
             waited=round(move.waited_fraction, 2),
@@ -119,7 +119,7 @@
         if cpu is None:
             return False
         self._run_on(frozenset({cpu}))
-        log.info("a processor is idle again, the process keeps to it", processor=cpu)
+        log.info("idle CPU found, process pinned to it", processor=cpu)
         return True
 
     def _release(self, pid: int) -> bool:
--- a/saffronstack/daemon/supervisor.py
+++ b/saffronstack/daemon/supervisor.py
@@ -213,7 +213,7 @@
         """Let starved processes run on all CPUs, before they count as unresponsive."""
         pids = [one.process.pid for one in self._processes if one.process is not None and one.is_running()]
         for pid in self._starvation_monitor.check(pids):
-            log.warning("gateway process got no processor, it may use all from now on", pid=pid)
+            log.warning("gateway process starved of CPU time, it may now use all CPUs", pid=pid)
 
     def _kill_unresponsive(self) -> None:
         """Kill processes that send no heartbeats; `_restart_exited` restarts them as after any other exit."""
--- a/saffronstack/discovery/dns/resolver.py
+++ b/saffronstack/discovery/dns/resolver.py
@@ -220,5 +220,7 @@
         elif not self._is_unresponsive and elapsed_s > NO_RESPONSE_WARNING_S:
             self._is_unresponsive = True
             self._log.warning(
-                "discovery server is silent", elapsed_s=NO_RESPONSE_WARNING_S, rejected=self.counts.rejected
+                "discovery server does not respond",
+                elapsed_s=NO_RESPONSE_WARNING_S,
+                rejected=self.counts.rejected,
             )
--- a/saffronstack/fleet/control/daemon.py
+++ b/saffronstack/fleet/control/daemon.py
@@ -200,7 +200,7 @@
         for pid in self._starvation_monitor.check(self.pids()):
             owner = next((name for name, gateway in self._gateways.items() if pid in gateway.pids()), "")
             log.warning(
-                "gateway process got no processor, it may use all from now on", gateway=owner, pid=pid
+                "gateway process starved of CPU time, it may now use all CPUs", gateway=owner, pid=pid
             )
 
     def _handle(self, item: PendingRequest | ProcessEvent | QuorumRead | None) -> None:
--- a/saffronstack/platform/__main__.py
+++ b/saffronstack/platform/__main__.py
@@ -25,7 +25,7 @@
     log = KeyValueLogger(os.environ.get("LB_NAME", "gateway"))
     path = os.environ.get("LB_CONFIG", "")
     if not path:
-        log.warning("LB_CONFIG names no configuration")
+        log.warning("LB_CONFIG is not set")
         return 2
     try:
         service = Service(read_config(path), log=log)
@@ -40,8 +40,8 @@
         try:
             service.reload_config(path)
         except Exception:
-            log.exception("the configuration could not be read again")
-    log.info("stops once nothing is open")
+            log.exception("configuration reload failed")
+    log.info("draining")
     clean = service.stop()
     log.info("stopped", clean=clean, **service.summary())
     return 0
--- a/saffronstack/platform/front.py
+++ b/saffronstack/platform/front.py
@@ -231,7 +231,7 @@
             elif self._listening and descriptor == self._listener.fileno():
                 self._accept(now, MAX_ACCEPTS_PER_PASS)
         except Exception:  # noqa: BLE001 - an exception closes only its own connection
-            self._log.exception("step of the clients' thread failed")
+            self._log.exception("client event handler failed")
             self._discard(descriptor)
 
     def _discard(self, descriptor: int) -> None:
@@ -247,7 +247,7 @@
                 if not connection.on_tick(now):
                     self._close(connection)
             except Exception:  # noqa: BLE001 - an exception closes only its own connection
-                self._log.exception("step of the clients' thread failed")
+                self._log.exception("client event handler failed")
                 self._discard(descriptor)
 
     def _poll_listener(self, enabled: bool) -> None:
@@ -283,7 +283,7 @@
                     continue  # the client has already disconnected
                 if self._accept_queue_is_empty():
                     return accepted  # accept fails for want of a descriptor even if no client waits
-                self._warn("no connection could be taken", now, error=str(error))
+                self._warn("client connection could not be accepted", now, error=str(error))
                 self._free_descriptor(now)
                 return accepted
             self._add(sock, now, over_limit)
@@ -363,7 +363,7 @@
         try:
             self._poll.register(sock, EPOLL_READABLE)
         except OSError as error:
-            self._warn("no connection could be taken", now, error=str(error))
+            self._warn("client connection could not be accepted", now, error=str(error))
             connection.close()
             return
         self._connections[sock.fileno()] = connection
--- a/saffronstack/platform/service.py
+++ b/saffronstack/platform/service.py
@@ -133,7 +133,11 @@
             summary = self.router_state_check.summary()
             if summary != last_summary and self._clock() - last_logged_s >= COMPARE_LOG_INTERVAL_S:
                 last_summary, last_logged_s = summary, self._clock()
-                self._log.info("beliefs against links", looks=self.router_state_check.checks, **summary)
+                self._log.info(
+                    "router state differs from worker connections",
+                    looks=self.router_state_check.checks,
+                    **summary,
+                )
 
     def _compare_once(self, now: float, router: Router) -> None:
         self.router_state_check.check(now, router.workers, self.dispatcher.pools())
@@ -155,13 +159,15 @@
         try:
             new_config = read_config(path)
         except ConfigError as error:
-            self._log.warning("the new configuration can't be used, the old one stays", why=str(error))
+            self._log.warning(
+                "the new configuration can't be used; the current one stays in force", why=str(error)
+            )
             return False
         changed_parts = parts_needing_restart(self.config, new_config)
         if changed_parts:
             self._log.warning("parts of the new configuration need a restart", parts=", ".join(changed_parts))
         self.resolver.set_server(new_config.nameserver)
-        self._log.info("configuration read again", nameserver=new_config.nameserver)
+        self._log.info("configuration reloaded", nameserver=new_config.nameserver)
         return True
 
     def stop(self, min_drain_s: float = MIN_DRAIN_S, quiet_s: float = QUIET_S) -> bool:
--- a/tests/daemon/test_starvation_guard.py
+++ b/tests/daemon/test_starvation_guard.py
@@ -246,7 +246,7 @@
         for one in (*busy_processes, guarded):
             stack.callback(one.kill)
         assert [first_line(one) for one in busy_processes] == [b"busy\n"] * BUSY_PROCESSES
-        assert b"moved to another one" in first_line(guarded)
+        assert b"moved to another CPU" in first_line(guarded)
         assert first_line(guarded) == b"left\n"
 
 
--- a/tests/discovery/dns/test_resolver.py
+++ b/tests/discovery/dns/test_resolver.py
@@ -226,6 +226,6 @@
         observed.resolver._log_responsiveness(is_answered)
     lines = [line.split(": ", 1)[1] for line in observed.log.getvalue().splitlines()]
     assert lines == [
-        "discovery server is silent elapsed_s=3.0 rejected={}",
+        "discovery server does not respond elapsed_s=3.0 rejected={}",
         "discovery server responds again elapsed_s=4.5",
     ]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -305,7 +305,7 @@
         path.write_bytes(config_text(second.address, first.entries, listen=listen))
         program.send_signal(signal.SIGHUP)
         program.send_signal(signal.SIGHUP)
-        assert "read again" in program.stderr.readline()
+        assert "configuration reloaded" in program.stderr.readline()
         second.wait_for_queries()
         assert client.call_and_read(subject=2)[0] == "OK"
         assert moved.next_message()
