--- a/saffronstack/invoke/usage.py
+++ b/saffronstack/invoke/usage.py
@@ -79,11 +79,12 @@
     }
     process_budgets = [report["budget"] for report in reports if "budget" in report]
     if process_budgets:
-        worst = max(
+        # A budget over its hard limit in its process comes first; otherwise the one with the largest usage.
+        most_exhausted = max(
             process_budgets, key=lambda budget: (budget["standing"] == "over hard", budget["used_here_mb_s"])
         )
         merged["budget"] = {
-            **worst,
+            **most_exhausted,
             "used_here_mb_s": sum(budget["used_here_mb_s"] for budget in process_budgets),
         }
     return merged
--- a/tests/platform/test_queue_wait.py
+++ b/tests/platform/test_queue_wait.py
@@ -10,7 +10,7 @@
 
 from saffronstack.platform.queue_wait import read_queue_wait_s
 
-WAIT_S = 0.06
+ACCEPT_DELAY_S = 0.06  # time for which the test leaves the connection in the accept queue
 TOLERANCE_S = 0.01  # the kernel counts in milliseconds or in ticks of 4 ms
 
 
@@ -21,7 +21,7 @@
         with socket.create_connection(listener.getsockname()) as client:
             client.sendall(request_bytes)
             sent_s = time.monotonic()
-            threading.Event().wait(WAIT_S)
+            threading.Event().wait(ACCEPT_DELAY_S)
             accepted, _ = listener.accept()
             with accepted:
                 min_wait_s = time.monotonic() - sent_s
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -133,13 +133,13 @@
     host = ScriptedHost()
     with gateway(StubDnsServer(HostEntry("s-1", host.address))) as service:
         started = [thread for thread in threading.enumerate() if thread not in before]
-        (comparing,) = (thread for thread in started if thread.name == "beliefs")
+        (comparison_thread,) = (thread for thread in started if thread.name == "beliefs")
         alive: list[bool] = []
         wait_drained = service.frontend.wait_drained
 
         def wait_after_its_end(timeout_s: float) -> bool:
-            comparing.join(WAIT_S)
-            alive.append(comparing.is_alive())
+            comparison_thread.join(WAIT_S)
+            alive.append(comparison_thread.is_alive())
             return wait_drained(timeout_s)
 
         monkeypatch.setattr(service.frontend, "wait_drained", wait_after_its_end)
