--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -12,10 +12,9 @@
 from saffronstack import config as configs
 from saffronstack.cli.ledger_ownership import TAKEN_OVER_STATUS, acquire_ledger_ownership
 from saffronstack.config.schema import Worker
-from saffronstack.discovery.files.file_reader import read_version as read
-from saffronstack.discovery.files.parsing import WorkerListVersion as Version
-from saffronstack.discovery.files.parsing import parse_version as version
-from saffronstack.discovery.files.state_directory import StateDirectory as Kept
+from saffronstack.discovery.files.file_reader import read_version
+from saffronstack.discovery.files.parsing import WorkerListVersion, parse_version
+from saffronstack.discovery.files.state_directory import StateDirectory
 from saffronstack.fleet.tasks.fleet_usage import FleetUsageTask
 from saffronstack.fleet.tasks.ledger_directory import LedgerDirectory
 from saffronstack.fleet.tasks.result_store import ResultStore
@@ -44,44 +43,44 @@
 }
 
 
-def version_of(source: pathlib.Path) -> Version:
-    text = read(source)
-    return version(text.files, text.digest, ("standin",), text.generation)
+def version_of(source: pathlib.Path) -> WorkerListVersion:
+    text = read_version(source)
+    return parse_version(text.files, text.digest, ("standin",), text.generation)
 
 
 # ---- the roster
 
 
 @pytest.fixture
-def kept(tmp_path: pathlib.Path) -> Kept:
+def kept(tmp_path: pathlib.Path) -> StateDirectory:
     shutil.copytree(ROSTER / "state", tmp_path / "state")
-    return Kept(tmp_path / "state")
+    return StateDirectory(tmp_path / "state")
 
 
 def test_roster_sources_have_the_same_digests_and_workers() -> None:
     found = [version_of(source) for source in SOURCES]
-    told = [{"digest": one.digest, "generation": one.generation} for one in found]
-    assert told == json.loads((ROSTER / "versions.json").read_text())
+    descriptions = [{"digest": one.digest, "generation": one.generation} for one in found]
+    assert descriptions == json.loads((ROSTER / "versions.json").read_text())
     assert [one.by_name() for one in found] == [
         {name: WORKERS[name] for name in ("worker-1", "worker-2")},
         WORKERS,
     ]
 
 
-def test_the_last_good_copy_and_the_history_are_read(kept: Kept) -> None:
+def test_the_last_good_copy_and_the_history_are_read(kept: StateDirectory) -> None:
     expected = [version_of(source) for source in SOURCES]
     assert kept.last_good_version() == expected[1]
     assert kept.stored_versions() == [(1, APPLIED_AT, expected[0]), (2, APPLIED_AT + 1, expected[1])]
 
 
-def test_operator_overrides_are_read(kept: Kept) -> None:
+def test_operator_overrides_are_read(kept: StateDirectory) -> None:
     assert kept.approved_digest() == "0" * 32
     assert kept.pinned_digest() == version_of(SOURCES[0]).digest
     assert kept.drained_workers() == {"worker-1", "worker-3"}
 
 
 def test_the_state_directory_is_written_as_it_was(tmp_path: pathlib.Path) -> None:
-    written = Kept(tmp_path)
+    written = StateDirectory(tmp_path)
     for number, source in enumerate(SOURCES):
         written.store_version(version_of(source), APPLIED_AT + number)
     written.set_override("accept", "0" * 32)
@@ -140,21 +139,21 @@
 def test_a_ledger_directory_has_the_same_entries_after_each_owner(tmp_path: pathlib.Path) -> None:
     expected = json.loads((RESULTS / "ledger_home.json").read_text())
     (tmp_path / "ledger-0000000001.seg").write_bytes(b"before any holder")
-    home = LedgerDirectory(str(tmp_path))
+    ledger_directory = LedgerDirectory(str(tmp_path))
 
     def names() -> list[str]:
         return sorted(str(path.relative_to(tmp_path)) for path in tmp_path.rglob("*"))
 
     for token in (3, 5, 70):
-        (home.take_ownership(token) / f"ledger-{token:010d}.seg").write_bytes(b"x")
-        assert home.is_orphaned()
+        (ledger_directory.take_ownership(token) / f"ledger-{token:010d}.seg").write_bytes(b"x")
+        assert ledger_directory.is_orphaned()
         if token != 5:
-            home.mark_clean_shutdown(token)
+            ledger_directory.mark_clean_shutdown(token)
         assert names() == expected[str(token)]
-    assert not home.is_orphaned()
-    assert home.has_later_owner(69)
-    assert not home.has_later_owner(70)
-    home.remove_superseded()
+    assert not ledger_directory.is_orphaned()
+    assert ledger_directory.has_later_owner(69)
+    assert not ledger_directory.has_later_owner(70)
+    ledger_directory.remove_superseded()
     assert names() == expected["swept"]
 
 
