--- a/tests/formats/capture.py
+++ b/tests/formats/capture.py
@@ -1,12 +1,12 @@
-"""Write the state that a killed gateway of an earlier commit leaves, and what its clients had been told.
+"""Write the state that a killed gateway of an earlier commit leaves, and the responses its clients received.
 
 Run from a clean checkout of that commit, with its dependencies installed:
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/formats/capture.py REPOSITORY/tests/formats/COMMIT
 
-A gateway of the checkout runs as a process of its own before stand-in workers, takes deferred calls and
-operations, and is killed once its answers and its usage stand. `test_formats.py` says what must hold of it.
-Modules of the checkout are imported by name: their names are not those of the present code.
+A gateway of the checkout runs as a process with stub workers. It executes deferred calls and operations and
+is killed when all have responses and the usage no longer changes. `test_formats.py` checks the state. The
+script imports modules by the names of that commit, which differ from those of the present code.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def configuration(folder: pathlib.Path, fleet: Any) -> dict[str, Any]:
-    """Build the configuration that `test_formats.py` uses, over `folder`."""
+    """Build the configuration that `test_formats.py` uses, with its state in `folder`."""
     stack = importlib.import_module("tests.support.stack")
     content: dict[str, Any] = stack.configuration(fleet, folder / "ledger")
     content["metering"] = {"directory": str(folder / "usage")}
@@ -68,7 +68,7 @@
 
 
 def run_operations(client: Any) -> dict[str, str]:
-    """Run operations with an idempotency key and return their answers by key."""
+    """Run operations with an idempotency key and return their responses by key."""
     answers = {}
     for number in range(OPERATIONS):
         name = f"name-{number}"
@@ -80,7 +80,7 @@
 
 
 def settled_usage(client: Any) -> dict[str, Any]:
-    """Return the tenant's usage statement once it no longer changes."""
+    """Return the tenant's usage report when it no longer changes."""
     before: dict[str, Any] = {}
     while True:
         usage: dict[str, Any] = json.loads(client.request("GET", f"/usage/{TENANT}").body)
@@ -91,7 +91,7 @@
 
 
 def capture(folder: pathlib.Path) -> None:
-    """Run a gateway over `folder`, kill it, and write `told.json` beside its state."""
+    """Run a gateway with its state in `folder`, kill it, and write `told.json` there."""
     standins = importlib.import_module("saffronstack.standin.fleet")
     model = importlib.import_module("saffronstack.standin.model")
     clients = importlib.import_module("saffronstack.client")
@@ -117,7 +117,7 @@
 
 
 def main(destination: pathlib.Path) -> None:
-    """Capture in a temporary folder and keep the parts that `test_formats.py` reads."""
+    """Capture in a temporary directory and copy the parts that `test_formats.py` reads."""
     with tempfile.TemporaryDirectory() as temporary:
         folder = pathlib.Path(temporary)
         capture(folder)
--- a/tests/stored_formats/__init__.py
+++ b/tests/stored_formats/__init__.py
@@ -1,1 +1,1 @@
-"""Files and messages that commit 0684301 wrote, read and written again by the present code."""
+"""Tests that the present code reads and writes the files and messages of commit 0684301 unchanged."""
--- a/tests/stored_formats/capture_address_processes.py
+++ b/tests/stored_formats/capture_address_processes.py
@@ -1,13 +1,13 @@
-"""Write what the processes of one address share, with the code of commit 0684301.
+"""Write the state and messages that gateway processes at one address share, with the code of commit 0684301.
 
 Run from a clean checkout of that commit, with its dependencies installed:
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_address_processes.py
 
-`data/operation_slots` gets the files of slots that changed hands, `data/answer_spool` an answer too large for
-memory, `data/address_processes` the requests between processes, the file that tells a process's address, and
-the numbers and digests that all of them must compute alike. Modules of that commit are imported by name:
-their names are not those of the present code.
+`data/operation_slots` receives the files of slots that changed their holder, `data/answer_spool` a response
+too large for memory, and `data/address_processes` the requests between processes, the file with a process's
+address, and the numbers and digests that all processes must compute identically. The script imports modules
+by the names of that commit, which differ from those of the present code.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 DATA = pathlib.Path(__file__).parent / "data"
 KEPT_SLOT = 3
-LATEST_S = 9e9  # seconds of the monotonic clock, later than any
+LATEST_S = 9e9  # a deadline on the monotonic clock that never expires
 RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Amz-Executed-Version: $LATEST\r\n"
     b"X-Saffron-Repeated: ended\r\nX-Other: 1\r\nContent-Length: 2\r\n\r\n{}"
@@ -32,14 +32,14 @@
 
 
 def fresh(kind: str) -> pathlib.Path:
-    """Return an empty folder for a kind."""
+    """Create an empty directory under `data/` and return it."""
     shutil.rmtree(DATA / kind, ignore_errors=True)
     (DATA / kind).mkdir(parents=True)
     return DATA / kind
 
 
 def write_slots() -> None:
-    """Let three members hold the slots one after the other; the second keeps no notes."""
+    """Let three members hold the slots one after another; the second has no operation log."""
     slots = importlib.import_module("saffronstack.operations.slots")
     folder = fresh("operation_slots")
 
@@ -70,7 +70,7 @@
 
 
 def write_spool() -> None:
-    """Spool one answer."""
+    """Spool one response."""
     spools = importlib.import_module("saffronstack.operations.spool")
     folder = fresh("answer_spool")
     body = b'{"page": "' + bytes(range(256)) * 4 + b'"}'
@@ -80,7 +80,7 @@
 
 
 def write_addresses_and_requests() -> None:
-    """Write where a process answers, and what another one sends it."""
+    """Write the address file of a process and the requests that another process sends to it."""
     members = importlib.import_module("saffronstack.daemon.members")
     folder = fresh("address_processes")
     with tempfile.TemporaryDirectory() as temporary:
@@ -101,7 +101,7 @@
 
 
 def forwarded_operation() -> bytes:
-    """Return the request by which an operation reaches the process that holds its slot."""
+    """Return the request that forwards an operation to the process that holds its slot."""
     routing = importlib.import_module("saffronstack.invoke.routing")
     service = importlib.import_module("saffronstack.operations.service")
     slots = importlib.import_module("saffronstack.operations.slots")
@@ -139,7 +139,7 @@
 
 
 def write_numbers() -> None:
-    """Write what every process must compute alike."""
+    """Write the numbers, digests and names that every process must compute identically."""
     names = importlib.import_module("saffronstack.operations.names")
     owners = importlib.import_module("saffronstack.operations.owners")
     numbers = importlib.import_module("saffronstack.core.names")
--- a/tests/stored_formats/capture_configuration.py
+++ b/tests/stored_formats/capture_configuration.py
@@ -4,9 +4,9 @@
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_configuration.py
 
-`data/configuration` gets the schemas of all configuration files, the commands with their options, and the
-settings of the decision module that a gateway's and a platform's configuration stand for, as a decision
-record's head. Modules of that commit are imported by name: their names are not those of the present code.
+`data/configuration` receives the schemas of all configuration files, the commands with their options, and the
+router settings that result from a gateway's and a platform's configuration, as the head of a decision record.
+The script imports modules by the names of that commit, which differ from those of the present code.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def write_schemas() -> None:
-    """Write the schema of each kind of file."""
+    """Write the schema of each kind of configuration file."""
     schema = importlib.import_module("saffronstack.config.schema")
     fleet = importlib.import_module("saffronstack.config.fleet")
     parsing = importlib.import_module("saffronstack.roster.parsing")
@@ -56,7 +56,7 @@
 
 
 def write_platform_figures(found: Any) -> None:
-    """Write what else a platform's file says."""
+    """Write the other values of a platform's configuration."""
     figures = [
         found.name,
         found.listen,
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Write all of them."""
+    """Write all files."""
     configs = importlib.import_module("saffronstack.config")
     build = importlib.import_module("saffronstack.config.build")
     platform = importlib.import_module("saffronstack.platform.config")
--- a/tests/stored_formats/capture_control.py
+++ b/tests/stored_formats/capture_control.py
@@ -1,10 +1,10 @@
-"""Write the stored forms of the fleet's control and rollout packages, with the text of commit 0684301.
+"""Write files and messages of the fleet's control and rollout packages with the code of commit 0684301.
 
-Run once against a checkout of that commit; later texts have other Python names and cannot run it:
+Run once against a checkout of that commit; later versions have other Python names and cannot run it:
 
     PYTHONPATH=<checkout of 0684301> python tests/stored_formats/capture_control.py
 
-The tests `test_control_formats.py` and `test_rollout_formats.py` read what it wrote under `data/`.
+The tests `test_control_formats.py` and `test_rollout_formats.py` read the files, which are under `data/`.
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
 
 
 def old(module: str) -> Any:
-    """A module of the old text, whose names the present one may not have."""
+    """Import a module of the old commit, which the present code may not have under this name."""
     return importlib.import_module(f"saffronstack.{module}")
 
 
 def save(name: str, content: bytes) -> None:
-    """Keep bytes under `data/`."""
+    """Write a file under `data/`."""
     (DATA / name).write_bytes(content)
 
 
 def control_messages() -> None:
-    """Requests to daemons, their answers, and a gateway's page."""
+    """Write requests to daemons, their responses, and a gateway's status page."""
     messages = old("fleet.control.messages")
     encode = msgspec.json.encode
     save("control/control_request_poll.json", encode(messages.Control("campus", 7, 1)))
@@ -78,7 +78,7 @@
 
 
 def desired_state() -> None:
-    """The file of a daemon, and the mark by which it finds its processes."""
+    """Write a daemon's desired state file and the mark by which a daemon finds its processes."""
     module = old("fleet.control.desired_state")
     with tempfile.TemporaryDirectory() as folder:
         kept = module.Kept(folder, "campus", "d1")
@@ -93,7 +93,7 @@
 
 
 def processes() -> None:
-    """What a daemon writes on the pipe of a gateway's process."""
+    """Write the commands that a daemon sends to a gateway process through a pipe."""
     child = subprocess.Popen(["true"], stdin=subprocess.PIPE)
     child.wait()
     assert child.stdin is not None
@@ -107,7 +107,7 @@
 
 
 def releases() -> None:
-    """A manifest, and the digest over a directory that `test_control_formats.py` makes again."""
+    """Write a release manifest, and the digest of a directory that `test_control_formats.py` recreates."""
     module = old("fleet.control.releases")
     formats = (old("fleet.rollout.plan").Format(part="ledger", reads=(1, 2), writes=2),)
     manifest = module.Manifest(version="1.5", command=("{python}", "{release}/run.py"), formats=formats)
@@ -122,7 +122,7 @@
 
 
 def rollouts() -> None:
-    """A plan, records of a rollout, operators' requests, and the order in which gateways are changed."""
+    """Write a rollout plan, rollout records, operators' requests and the order of gateway updates."""
     plans, controller = old("fleet.rollout.plan"), old("fleet.rollout.controller")
     records = old("fleet.rollout.records")
     save("rollout/plan.json5", PLAN_FILE.encode())
--- a/tests/stored_formats/capture_decision_record.py
+++ b/tests/stored_formats/capture_decision_record.py
@@ -4,10 +4,10 @@
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_decision_record.py
 
-Two files appear beside this script in `data/decision_record`: `every_kind.record` holds every kind of event
-and action, every field with a value that is not its default, and every enum member; `replayable.record`
-holds what a real router decided. Modules of that commit are imported by name: their names are not those of
-the present code.
+Writes to `data/decision_record`. `every_kind.record` contains every kind of event and action, every field
+with a value other than its default, and every enum member; `replayable.record` contains the decisions of a
+real router. The script imports modules by the names of that commit, which differ from those of the present
+code.
 """
 
 from __future__ import annotations
@@ -129,7 +129,7 @@
 
 
 def write_every_kind() -> None:
-    """Write one entry for each event; all actions with the first, one with each other event."""
+    """Write an entry for each event: the first with all actions, the others with one action each."""
     recorder = record.Recorder(str(DESTINATION / "every_kind.record"), every_settings(), SEED)
     variants = [every_settings()]
     variants += [dataclasses.replace(variants[0], miss_mode=mode) for mode in api.MissMode]
@@ -144,26 +144,26 @@
 
 
 class RecordedRouter:
-    """A router whose decisions are recorded."""
+    """Wraps a router and records its decisions."""
 
     def __init__(self, settings: Any, path: pathlib.Path) -> None:
-        """Start a record at `path`."""
+        """Start the decision record at `path`."""
         self._router = choice.Router(settings, SEED)
         self._recorder = record.Recorder(str(path), settings, SEED)
 
     def handle(self, now: float, event: Any) -> Any:
-        """Decide and record."""
+        """Let the router decide and record the decision."""
         actions = self._router.handle(now, event)
         self._recorder.record(now, event, actions)
         return actions
 
     def close(self) -> None:
-        """Complete the file."""
+        """Close the decision record."""
         assert self._recorder.close()
 
 
 def write_replayable() -> None:
-    """Record a router that seeded random events are given to."""
+    """Record the decisions of a router for seeded random events."""
     chance = random.Random(SEED)
     config = random_events.settings(
         tells_crowd=True,
@@ -184,7 +184,7 @@
 
 
 def play_step(world: Any, kind: str, number: int, serial: int) -> None:
-    """Give the router one more event."""
+    """Pass the next event to the router."""
     if kind == "a":
         request = api.Request(
             serial, number % 5, number % 7, world.now + 3, number % 2, 500.0, 1.0 + number % 4
--- a/tests/stored_formats/capture_gateway_pages.py
+++ b/tests/stored_formats/capture_gateway_pages.py
@@ -1,12 +1,12 @@
-"""Write the names on a gateway's pages with the code of commit 0684301.
+"""Write the names in a gateway's HTTP pages with the code of commit 0684301.
 
 Run from a clean checkout of that commit, with its dependencies installed:
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_gateway_pages.py
 
-`data/gateway_pages/pages.json` gets the shapes of JSON answers and all metrics with their types and labels,
-of a gateway with every part that has figures. Modules of that commit are imported by name: their names are
-not those of the present code.
+`data/gateway_pages/pages.json` receives the structure of JSON responses, and all metrics with their types and
+labels, of a gateway with all parts that report figures. The script imports modules by the names of that
+commit, which differ from those of the present code.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def main() -> None:
-    """Run a gateway in this process and read its pages."""
+    """Run a gateway in this process and fetch its pages."""
     stack = importlib.import_module("tests.support.stack")
     configs = importlib.import_module("saffronstack.config")
     clients = importlib.import_module("saffronstack.client")
--- a/tests/stored_formats/capture_journal_records.py
+++ b/tests/stored_formats/capture_journal_records.py
@@ -1,12 +1,13 @@
-"""Write ledgers, operations notes and usage logs with the code of commit 0684301, with every kind of record.
+"""Write ledgers, operation logs and usage logs with every kind of record, with the code of commit 0684301.
 
 Run from a clean checkout of that commit, with its dependencies installed:
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_journal_records.py
 
-For each of the three, `data/KIND` gets the segment that the journal wrote, and `snapshot.msgpack` with the
-records that the state of that segment stands for. `data/usage_archive` holds a usage log whose sums left
-memory for runs. Modules of that commit are imported by name: their names are not those of the present code.
+For each of the three, `data/KIND` receives the segment that the journal wrote, and `snapshot.msgpack` with
+the snapshot records of the state after that segment. `data/usage_archive` receives a usage log whose sums
+were moved from memory to runs on disk. The script imports modules by the names of that commit, which differ
+from those of the present code.
 """
 
 from __future__ import annotations
@@ -27,16 +28,16 @@
 BUDGET_WINDOWS = {TENANT: 3600.0, OTHER_TENANT: 60.0}
 AT = 1_764_680_000.5  # Unix seconds
 STEADY = 1_764_680_001.25
-HUGE = (1 << 64) + 7  # more than MessagePack's integers hold
+HUGE = (1 << 64) + 7  # exceeds the integers of MessagePack
 
 
 def digest(number: int) -> bytes:
-    """Return an operation's digest."""
+    """Return a digest for a test operation."""
     return bytes([number]) * 12
 
 
 def packed_operations() -> list[bytes]:
-    """Pack operations of every fate and effect, with and without answers."""
+    """Pack operations of every state and effect, with and without responses."""
     interface = importlib.import_module("saffronstack.interface")
     table = importlib.import_module("saffronstack.operations.table")
     request_id = "0f8fad5b-d9cb-469f-a165-70867728950e"
@@ -72,7 +73,7 @@
 
 
 def deferred_records() -> list[Any]:
-    """Build every kind of record of the ledger; a snapshot's own comes first, as it voids the others."""
+    """Build every kind of ledger record; the snapshot record is first, because it discards earlier ones."""
     kinds = importlib.import_module("saffronstack.deferred.records")
     packed = packed_operations()
     first = kinds.Accepted(
@@ -97,7 +98,7 @@
 
 
 def operations_notes() -> list[Any]:
-    """Build every kind of record of the operations notes."""
+    """Build every kind of operation log record."""
     interface = importlib.import_module("saffronstack.interface")
     kinds = importlib.import_module("saffronstack.operations.notes")
     packed = packed_operations()
@@ -126,7 +127,7 @@
 
 
 def usage_record(kinds: Any, worker: str, incarnation: str, seq: int) -> Any:
-    """Build a worker's record, with calls that wait and calls that run."""
+    """Build a worker's usage record with queued and running calls."""
     waiting = (kinds.Ref(f"wait-{worker}-{seq}", TENANT, "lookup"),)
     running = (
         kinds.Ref(f"run-{worker}-{seq}", TENANT, "sale"),
@@ -139,7 +140,7 @@
 
 
 def usage_entries() -> list[Any]:
-    """Build every kind of record of the usage log."""
+    """Build every kind of usage log record."""
     kinds = importlib.import_module("saffronstack.metering.records")
     lost = kinds.Provisional(
         "worker-1", "life-a", kinds.Ref("lost-1", TENANT, "sale"), "record-sale", 987_654_321, AT, STEADY,
@@ -184,7 +185,7 @@
 
 
 def write_journal(kind: str, journal: Any, records: list[Any]) -> None:
-    """Append each record by itself, the last three together, and keep the segment and the snapshot."""
+    """Append each record separately and the last three together; store the segment and the snapshot."""
     for record in records[:-3]:
         assert journal.append(record).done.wait(WAIT_S)
     assert journal.append(*records[-3:]).done.wait(WAIT_S)
@@ -199,13 +200,13 @@
 
 
 def journal_of(directory: pathlib.Path, state: Any, codec: Any) -> Any:
-    """Open a journal of that commit over an empty directory."""
+    """Open a journal of that commit in an empty directory."""
     journals = importlib.import_module("saffronstack.durable.journal")
     return journals.Journal(str(directory), state, codec, SEGMENT_BYTES)
 
 
 def account_figures(account: Any) -> dict[str, Any]:
-    """Return what an account answers, in terms that JSON holds."""
+    """Return the charges and reports of an account as JSON values."""
     usage_page = importlib.import_module("saffronstack.invoke.usage")
     reports = importlib.import_module("saffronstack.metering.report")
     merging = importlib.import_module("saffronstack.metering.merging")
@@ -222,7 +223,7 @@
 
 
 def write_archive() -> None:
-    """Write a usage log whose account is bounded so tightly that it moves to runs, some of them merged."""
+    """Write a usage log whose account exceeds its memory limits, so that it writes runs and merges some."""
     meter = importlib.import_module("saffronstack.metering.meter")
     accounts = importlib.import_module("saffronstack.metering.account")
     kinds = importlib.import_module("saffronstack.metering.records")
@@ -250,7 +251,7 @@
 
 
 def archive_step(kinds: Any, step: int) -> list[Any]:
-    """Return entries that fill sums, numbers, windows and estimates of an account."""
+    """Return usage log entries that affect sums, sequence numbers, windows and estimates of an account."""
     worker, incarnation = f"worker-{step % 3}", f"life-{step % 4}"
     seq = step * 10
     entries = [
@@ -270,7 +271,7 @@
 
 
 def write_messages() -> None:
-    """Write what a gateway and a worker say to each other of usage, with and without defaults."""
+    """Write the usage messages between a gateway and a worker, with and without default values."""
     kinds = importlib.import_module("saffronstack.metering.records")
     usage = usage_record(kinds, "worker-1", "life-a", 4)
     messages = {
@@ -288,7 +289,7 @@
 
 
 def main() -> None:
-    """Write all of them."""
+    """Write all files."""
     ledgers = importlib.import_module("saffronstack.deferred.ledger")
     books = importlib.import_module("saffronstack.deferred.book")
     notes = importlib.import_module("saffronstack.operations.notes")
--- a/tests/stored_formats/capture_leases.py
+++ b/tests/stored_formats/capture_leases.py
@@ -62,7 +62,7 @@
 
 
 def main() -> None:
-    """Write every file."""
+    """Write all files."""
     DATA.mkdir(parents=True, exist_ok=True)
     for name, message in MESSAGES.items():
         (DATA / f"{name}.json").write_bytes(codec.encode(Envelope("f", "p1", (message,))))
--- a/tests/stored_formats/capture_platform_messages.py
+++ b/tests/stored_formats/capture_platform_messages.py
@@ -1,12 +1,12 @@
-"""Write what a platform's gateway says to hosts, clients and the directory, with the code of commit 0684301.
+"""Write the messages of a platform gateway with the code of commit 0684301.
 
 Run from a clean checkout of that commit, with its dependencies installed:
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_platform_messages.py
 
-`data/platform_messages` gets the bytes that are sent, and what is understood of lines that hosts send and of
-frames that clients send. Modules of that commit are imported by name: their names are not those of the
-present code.
+`data/platform_messages` receives the bytes that the gateway sends to hosts, clients and the DNS server, and
+the parsed values of lines that hosts send and of frames that clients send. The script imports modules by the
+names of that commit, which differ from those of the present code.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def sent_bytes() -> dict[str, str]:
-    """Return what is sent, in hexadecimal."""
+    """Return the sent messages in hexadecimal."""
     codec = importlib.import_module("saffronstack.hosts.codec")
     dns = importlib.import_module("saffronstack.directory.dns")
     encode = importlib.import_module("saffronstack.resp.reader").encode
@@ -65,7 +65,7 @@
 
 
 def understood_line(line: str) -> Any:
-    """Return what a host's line means; None where it is refused."""
+    """Parse a line of a host; return None if it is invalid."""
     codec = importlib.import_module("saffronstack.hosts.codec")
     try:
         found = codec.answer_of(line.encode())
@@ -76,7 +76,7 @@
 
 
 def understood_frame(words: list[str]) -> Any:
-    """Return what a client's frame means; None where it is refused."""
+    """Parse a frame of a client; return None if it is invalid."""
     frames = importlib.import_module("saffronstack.resp.frames")
     calls = importlib.import_module("saffronstack.platform.calls")
     parse_settings = importlib.import_module("saffronstack.settings").parse_settings
@@ -101,7 +101,7 @@
 
 
 def main() -> None:
-    """Write all of them."""
+    """Write all files."""
     codec = importlib.import_module("saffronstack.hosts.codec")
     connection = importlib.import_module("saffronstack.platform.connection")
     content = {
--- a/tests/stored_formats/capture_shared_directories.py
+++ b/tests/stored_formats/capture_shared_directories.py
@@ -1,12 +1,12 @@
-"""Write a roster's state directory, tasks' results and a ledger's home with the code of commit 0684301.
+"""Write an endpoint list's state, task results and a ledger directory with the code of commit 0684301.
 
 Run from a clean checkout of that commit, with its dependencies installed:
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_shared_directories.py
 
-`data/roster` gets the kept versions and what operators said, with the roster files that they came from;
-`data/task_results` published results and the names in a ledger's home that changed its holder. Modules of
-that commit are imported by name: their names are not those of the present code.
+`data/roster` receives the stored versions of an endpoint list and the operators' overrides, with the list
+files; `data/task_results` receives published results and the entries of a ledger directory after each owner.
+The script imports modules by the names of that commit, which differ from those of the present code.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 
 
 def fresh(kind: str) -> pathlib.Path:
-    """Return an empty folder for a kind."""
+    """Create an empty directory under `data/` and return it."""
     shutil.rmtree(DATA / kind, ignore_errors=True)
     (DATA / kind).mkdir(parents=True)
     return DATA / kind
 
 
 def write_roster() -> None:
-    """Write a roster file, a roster directory, and the state directory that keeps both versions."""
+    """Write a list file, a list directory, and the state directory that stores both versions."""
     reading = importlib.import_module("saffronstack.roster.reading")
     parsing = importlib.import_module("saffronstack.roster.parsing")
     keeping = importlib.import_module("saffronstack.roster.keeping")
@@ -71,26 +71,26 @@
 
 
 class Turn:
-    """One run of a task."""
+    """Stub of a task run."""
 
     token = 12
     turn = 4
 
     def still(self) -> bool:
-        """Go on."""
+        """Return that the task may continue."""
         return True
 
     def pause(self, seconds: float) -> None:
-        """Do not wait."""
+        """Return without waiting."""
 
 
 def names_below(directory: pathlib.Path) -> list[str]:
-    """Return the paths of all files and folders, relative to a directory."""
+    """Return the paths of all files and directories below a directory, relative to it."""
     return sorted(str(path.relative_to(directory)) for path in directory.rglob("*"))
 
 
 def write_results() -> None:
-    """Publish results of a task, that of the fleet's usage among them."""
+    """Publish results of tasks, the fleet usage task included."""
     published = importlib.import_module("saffronstack.fleet.tasks.published")
     jobs = importlib.import_module("saffronstack.fleet.tasks.jobs")
     folder = fresh("task_results")
@@ -105,7 +105,7 @@
 
 
 def ledger_home(directory: pathlib.Path) -> dict[str, Any]:
-    """Let a ledger's home go through three holders; the names in it after each."""
+    """Let three owners take a ledger directory one after another; return its entries after each."""
     homes = importlib.import_module("saffronstack.fleet.tasks.ledger_directory")
     path = directory / "home"
     path.mkdir()
--- a/tests/stored_formats/capture_worker_messages.py
+++ b/tests/stored_formats/capture_worker_messages.py
@@ -1,11 +1,11 @@
-"""Write what a gateway says to workers, and what it understands, with the code of commit 0684301.
+"""Write the messages between a gateway and workers with the code of commit 0684301.
 
 Run from a clean checkout of that commit, with its dependencies installed:
 
     cd CHECKOUT && PYTHONPATH=$PWD python REPOSITORY/tests/stored_formats/capture_worker_messages.py
 
-`data/worker_messages` gets requests as files, answers of workers, and what was understood of each. Modules of
-that commit are imported by name: their names are not those of the present code.
+`data/worker_messages` receives the requests, responses of workers, and the parsed values of each response.
+The script imports modules by the names of that commit, which differ from those of the present code.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def main() -> None:
-    """Write requests and what is understood of answers."""
+    """Write the requests and the parsed responses."""
     calls = importlib.import_module("saffronstack.core.calls")
     protocol = importlib.import_module("saffronstack.workers.protocol")
     DESTINATION.mkdir(parents=True, exist_ok=True)
@@ -70,7 +70,7 @@
 
 
 def judged_answers() -> list[dict[str, Any]]:
-    """Return answers with what was understood of them."""
+    """Return the responses with their parsed values."""
     messages = importlib.import_module("saffronstack.http1.messages")
     reader = importlib.import_module("saffronstack.http1.reader")
     protocol = importlib.import_module("saffronstack.workers.protocol")
@@ -85,7 +85,7 @@
 
 
 def understood(judged: Any) -> dict[str, Any]:
-    """Return what an answer means, in terms that JSON holds; a report's values in their order."""
+    """Return a parsed response as JSON values; a load report becomes a list of its values."""
     report, answer = judged.report, judged.answer
     return {
         "result": judged.result.value,
--- a/tests/stored_formats/settings_samples.py
+++ b/tests/stored_formats/settings_samples.py
@@ -1,4 +1,4 @@
-"""A gateway's configuration and a platform's settings in which no key has its default value."""
+"""Sample configurations of a gateway and a platform in which no key has its default value."""
 
 from __future__ import annotations
 
--- a/tests/stored_formats/stored_files.py
+++ b/tests/stored_formats/stored_files.py
@@ -1,4 +1,7 @@
-"""What tests of kept files and the scripts that wrote these share; it uses no code of the program itself."""
+"""Helpers shared by the tests of stored files and the scripts that wrote the files.
+
+The capture scripts run with the code of an old commit, so this module imports nothing from the package.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +20,14 @@
 
 DATA = pathlib.Path(__file__).parent / "data"
 WAIT_S = 10.0
-BUSY_MACHINE_TIMEOUT_S = 25.0  # a busy machine or disk is no failure that these tests mean
+BUSY_MACHINE_TIMEOUT_S = 25.0  # long, so that a busy machine or disk does not fail a test
 _HEADER = struct.Struct("<4sQIQ")
 _LENGTH = struct.Struct("<I")
 _PLAIN, _COMPRESSED = b"SfL1", b"SfZ1"
 
 
 def segment_blocks(content: bytes) -> list[tuple[int, list[bytes]]]:
-    """Return the number and the encoded records of each block; each must stand twice and whole."""
+    """Return the number and the encoded records of each block; check both copies of the block."""
     blocks = []
     offset = 0
     while offset < len(content):
@@ -62,10 +65,10 @@
 
 
 class SingleResponseServer:
-    """A listener on this machine that takes one HTTP request and gives a fixed response."""
+    """Server on the loopback interface that receives one HTTP request and sends a fixed response."""
 
     def __init__(self, response: bytes) -> None:
-        """Listen at `address`."""
+        """Start to listen; `address` is the address."""
         self._response = response
         self._listener = socket.create_server(("127.0.0.1", 0))
         self._listener.settimeout(WAIT_S)
@@ -89,13 +92,13 @@
         return bool(found) and length is not None and len(body) >= int(length[1])
 
     def request(self) -> bytes:
-        """Return the bytes of the request, once it was answered."""
+        """Wait for the request and its response; return the bytes of the request."""
         self._thread.join(WAIT_S)
         return self._request
 
 
 def json_shape(value: Any) -> Any:
-    """Return a JSON value with each leaf replaced by the name of its type, and lists by their first item."""
+    """Return a JSON value with each leaf replaced by its type and each list cut to its first item."""
     if isinstance(value, dict):
         return {key: json_shape(part) for key, part in value.items()}
     if isinstance(value, list):
@@ -106,10 +109,7 @@
 
 
 def metrics_without_values(text: str) -> list[str]:
-    """Return the lines of a Prometheus exposition: types, and samples with their labels alone.
-
-    Help texts are for people and are left out.
-    """
+    """Return the lines of a Prometheus exposition without sample values and help texts."""
     lines = [line for line in text.splitlines() if not line.startswith("# HELP ")]
     return [line if line.startswith("#") else line.rpartition(" ")[0] for line in lines]
 
@@ -117,7 +117,7 @@
 def complete_configuration(
     content: dict[str, Any], folder: pathlib.Path, workers: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Add every part that has state or figures to a sample configuration, over `folder`."""
+    """Add all parts that have state or metrics to a sample configuration; state is kept in `folder`."""
     (folder / "roster.json5").write_text(json.dumps({"generation": 3, "workers": workers}))
     budget = {"window_s": 3600.0, "soft_mb_s": 1e6, "hard_mb_s": 2e6}
     content["tenants"][0]["budget"] = budget
@@ -139,7 +139,7 @@
 
 
 def page_answers(client: Any, tenant: str) -> dict[str, Any]:
-    """Make some calls through a gateway's client and return the shapes of its JSON answers, by path."""
+    """Make calls to a gateway; return the structure of its JSON responses and its metrics, by path."""
     call = {"op": "o1"}
     named = (("Idempotency-Key", "page-1"),)
     payload = json.dumps(call).encode()
@@ -171,12 +171,12 @@
 
 
 def _is_charged(client: Any, target: str) -> bool:
-    """Whether both functions that were called have their usage counted by now."""
+    """Return whether the usage of both called functions is charged."""
     return len(json.loads(client.request("GET", target).body)["functions"]) == 2
 
 
 def plain_schema(kind: Any) -> Any:
-    """Return the JSON schema of a msgspec type, without the names of types and their docstrings."""
+    """Return the JSON schema of a msgspec type without type names and docstrings."""
     schema = msgspec.json.schema(kind)
     return _inlined(schema, schema.get("$defs", {}))
 
@@ -200,7 +200,7 @@
 
 
 def command_lines(command: Any, name: str) -> dict[str, Any]:
-    """Return the parameters of a click command and of all below it, by the words that call it."""
+    """Return the parameters of a click command and its subcommands, by command line."""
     found: dict[str, Any] = {name: [_parameter(one) for one in command.params]}
     for word, below in sorted(getattr(command, "commands", {}).items()):
         found |= command_lines(below, f"{name} {word}")
--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -1,4 +1,4 @@
-"""What the processes of one address share: slots, spooled answers, requests, numbers, a listening socket."""
+"""Formats shared by processes at one address: slots, spooled responses, requests, numbers, listeners."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 MEMORY = [(bytes([KEPT_SLOT]) * 12, b"packed"), (b"\xff" * 12, b"")]
 PROCESSES = DATA / "address_processes"
 NUMBERS: dict[str, Any] = json.loads((PROCESSES / "numbers.json").read_text())
-LATEST_S = 9e9  # seconds of the monotonic clock, later than any
+LATEST_S = 9e9  # a deadline on the monotonic clock that never expires
 RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Amz-Executed-Version: $LATEST\r\n"
     b"X-Saffron-Repeated: ended\r\nX-Other: 1\r\nContent-Length: 2\r\n\r\n{}"
@@ -57,7 +57,7 @@
 
 
 class RecordingHandover(SlotHandover):
-    """Records what is taken over, and hands over what the kept file holds."""
+    """Records the locations and operations taken over; hands over the operations of the stored file."""
 
     def __init__(self) -> None:
         self.locations: list[RecordLocation] = []
@@ -120,7 +120,7 @@
     slots.stop(0.0)
 
 
-# ---- spooled answers
+# ---- spooled responses
 
 
 def test_a_spooled_answer_is_read_and_written_as_it_was(tmp_path: pathlib.Path) -> None:
@@ -158,7 +158,7 @@
 
 
 class KnownSlots:
-    """SlotManager of which another process holds each."""
+    """Stub of a SlotManager whose slots are all held by another process."""
 
     member = "1"
 
@@ -198,7 +198,7 @@
     }
 
 
-# ---- what every process computes alike
+# ---- values that every process computes identically
 
 
 def test_operations_have_the_same_digests_and_slots() -> None:
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -1,4 +1,4 @@
-"""Configuration files, command lines and platform settings have the names and the meaning of 0684301."""
+"""Configuration files, command lines and platform settings keep the names and meaning of commit 0684301."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def head_of(settings: Settings, path: pathlib.Path) -> Any:
-    """Return settings as a decision record holds them."""
+    """Return settings as stored in the head of a decision record."""
     recorder = DecisionRecorder(str(path), settings, 1)
     assert recorder.close()
     return msgspec.msgpack.decode(record_values(path)[0])
--- a/tests/stored_formats/test_control_formats.py
+++ b/tests/stored_formats/test_control_formats.py
@@ -1,4 +1,4 @@
-"""Messages and files of a daemon, as commit 0684301 wrote them (`capture_control.py`)."""
+"""A daemon's messages and files keep the format of commit 0684301 (`capture_control.py`)."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
 
 
 def test_a_process_has_the_same_mark() -> None:
-    """A daemon of either text finds the gateways that the other one left serving."""
+    """Each version of the daemon must find the gateways that the other version started."""
     options = DaemonOptions("campus", "d1", "", (), "", "/srv/saffronstack/d1")
     assert options.process_mark("g1") == (DATA / "process_mark.txt").read_text()
 
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -1,4 +1,4 @@
-"""Decision records of commit 0684301 read, write and replay as that commit wrote them."""
+"""Decision records of commit 0684301 are read, written and replayed unchanged."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def write_again(values: list[bytes], path: pathlib.Path) -> None:
-    """Read the values into the present types and record these: the one place that knows their names."""
+    """Decode the values and record them again. Only this function uses the present types' names."""
     head = msgspec.msgpack.decode(values[0])
     settings = from_stored(head["settings"], Settings)
     recorder = DecisionRecorder(str(path), settings, head["seed"])
--- a/tests/stored_formats/test_gateway_page_formats.py
+++ b/tests/stored_formats/test_gateway_page_formats.py
@@ -1,4 +1,4 @@
-"""Names on a gateway's pages are those of 0684301: JSON keys, metrics, their types and their labels."""
+"""A gateway's pages keep the names of commit 0684301: JSON keys, metrics, their types and labels."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture(scope="module")
 def gateway(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Gateway]:
-    """The first of two processes, whose second never comes up: this one holds all slots."""
+    """Run the first of two processes; the second never starts, so this one holds all slots."""
     folder = tmp_path_factory.mktemp("gateway")
     fleet = StubWorkerFleet(2, lambda number: Profile(load_s=0.01, work_s=0.005))
     content = complete_configuration(configuration(fleet, folder / "ledger"), folder, fleet.entries())
@@ -67,7 +67,7 @@
 
 
 def response_to(gateway: Gateway, request: bytes) -> bytes:
-    """Send a request to where the other processes ask this one, and return the response's beginning."""
+    """Send a request to the port for other processes; return the start of the response."""
     assert gateway.peer_server is not None
     with socket.create_connection(gateway.peer_server.address, timeout=BUSY_MACHINE_TIMEOUT_S) as sock:
         sock.sendall(request)
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -1,4 +1,4 @@
-"""Ledgers, operations notes and usage logs of commit 0684301: every kind of record, state and file."""
+"""Ledgers, operation logs and usage logs keep the format of commit 0684301: records, state and files."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of journal: its kept folder, how the present code opens it, and its records' tags."""
+    """A kind of journal: its stored directory, how the present code opens it, and its record tags."""
 
     folder: str
     segment: str
@@ -125,7 +125,7 @@
     assert journal.close()
     written = (tmp_path / kind.segment).read_bytes()
     assert segment_blocks(written) == kept
-    if not kind.codec.compress:  # what a compressor makes of the same records may change with its version
+    if not kind.codec.compress:  # the output of a compressor depends on its version
         assert written == (DATA / kind.folder / kind.segment).read_bytes()
 
 
@@ -201,9 +201,7 @@
     )
     journal = Journal(str(tmp_path), account, USAGE_CODEC, SEGMENT_BYTES)
     for record in segment_records(ARCHIVE / "usage-0000000001.seg"):
-        if (
-            msgspec.msgpack.decode(record)[0] not in "mn"
-        ):  # these tell of runs: the journal writes them itself
+        if msgspec.msgpack.decode(record)[0] not in "mn":  # the journal writes the records about runs itself
             assert journal.append(USAGE_CODEC.decode(record)).done.wait(WAIT_S)
     assert journal.close()
     assert segment_blocks((tmp_path / "usage-0000000001.seg").read_bytes()) == blocks[:-1]
@@ -241,10 +239,10 @@
     account, _ = read_usage_log(tmp_path / "usage")
     kept = msgspec.msgpack.decode((ARCHIVE / "merged.msgpack").read_bytes(), type=list[tuple[bytes, bytes]])
     numbers = [int(name[4:14]) for name in RUNS]
-    runs = (numbers[-1], *numbers[:-1])  # the last one stands for the three that were oldest
+    runs = (numbers[-1], *numbers[:-1])  # the last run replaces the three oldest
     number = account.merge_runs(runs)
     path = tmp_path / "usage" / "runs" / f"run-{number:010d}.run"
-    gone = [key for key, value in kept if not value or decode_key(key)[0] == "w"]  # out of their windows
+    gone = [key for key, value in kept if not value or decode_key(key)[0] == "w"]  # expired windows
     assert list(SortedRun.open(path).items()) == [pair for pair in kept if pair[0] not in gone]
 
 
--- a/tests/stored_formats/test_lease_formats.py
+++ b/tests/stored_formats/test_lease_formats.py
@@ -1,4 +1,4 @@
-"""The lease messages and state files that commit 0684301 wrote (`capture_leases.py`) keep their bytes."""
+"""Lease messages and state files keep the bytes of commit 0684301 (`capture_leases.py`)."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 RECORD = AcceptorRecord("task/usage", 9, "p1.4", 7, "p1.3", 5.5, 6, VALUE)
 STATE = AcceptorState((RECORD, AcceptorRecord("l")), 41, (("k1", 9), ("k2", 12)), 3, INCARNATIONS)
 
-# In the order in which `envelope.json` holds them.
+# In the order of `envelope.json`.
 MESSAGES: dict[str, Message] = {
     "ask": PrepareRequest("task/usage", "p1.4", 9, INCARNATIONS),
     "ask_defaults": PrepareRequest("l", "a", 1),
--- a/tests/stored_formats/test_platform_message_formats.py
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -1,4 +1,4 @@
-"""What a platform's gateway says to hosts, clients and the directory, and understands, is that of 0684301."""
+"""A platform gateway's messages with hosts, clients and the DNS server keep the format of commit 0684301."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def understood_line(line: str) -> Any:
-    """Return what a host's line means; None where it is refused."""
+    """Parse a line of a host; return None if it is invalid."""
     try:
         found = codec.decode_response(line.encode())
     except LineProtocolError:
@@ -69,7 +69,7 @@
 
 
 def understood_frame(words: list[str]) -> Any:
-    """Return what a client's frame means; None where it is refused."""
+    """Parse a frame of a client; return None if it is invalid."""
     call_builder = CallBuilder(parse_settings(json.dumps(settings_samples.PLATFORM)).settings, lambda: 1)
     try:
         frame = frames.parse_frame(tuple(word.encode() for word in words))
--- a/tests/stored_formats/test_rollout_formats.py
+++ b/tests/stored_formats/test_rollout_formats.py
@@ -1,4 +1,4 @@
-"""A rollout's plan, record and operators' requests, as commit 0684301 wrote them (`capture_control.py`)."""
+"""Rollout plans, records and operators' requests keep the format of commit 0684301 (`capture_control.py`)."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def record(phase: RolloutPhase) -> RolloutRecord:
-    """A record with no field at its default."""
+    """Return a record in which no field has its default value."""
     return RolloutRecord(
         plan=PLAN,
         old_release=OLD,
@@ -107,7 +107,7 @@
 
 
 def test_gateways_are_changed_in_the_same_order_as_before() -> None:
-    """The order is no part of the record: a leader of another text must derive the same one."""
+    """The order is not stored in the record, so a leader of another version must derive the same one."""
     fleet = [
         FleetGateway(name=f"g{n:02}", zone="abc"[n % 3], group="ring0" if n < 2 else "rest")
         for n in range(20)
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -1,4 +1,4 @@
-"""A roster's state directory, published results of tasks and a ledger's home, as 0684301 wrote them."""
+"""Endpoint list state, task results and ledger directories keep the format of commit 0684301."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return parse_version(text.files, text.digest, ("standin",), text.generation)
 
 
-# ---- the roster
+# ---- endpoint list
 
 
 @pytest.fixture
@@ -97,7 +97,7 @@
 
 
 class Run:
-    """One run of a task."""
+    """Stub of a task run."""
 
     token = 12
     number = 4
--- a/tests/stored_formats/test_worker_message_formats.py
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -1,4 +1,4 @@
-"""What a gateway says to workers, and what it understands of their answers, is what 0684301 did."""
+"""Requests to workers and the parsing of their responses are the same as in commit 0684301."""
 
 from __future__ import annotations
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,8 +1,8 @@
-"""State that earlier texts of the program wrote, as a kill left it, through the present one.
+"""The present code reads the state that killed gateways of earlier versions left behind.
 
-`tests/formats/COMMIT` holds a ledger, notes of operations and a usage log of a gateway of that commit, and
-what its clients had been told; `capture.py` there writes such a folder. Other formats are refused and left
-as they are."""
+`tests/formats/COMMIT` contains the ledger, the operation log and the usage log of a gateway of that commit,
+and the responses that its clients received. `capture.py` there writes such a directory. Unknown formats are
+rejected and left unchanged."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     assert charged
     assert sum(charged.values()) > 0
     fleet = StubWorkerFleet(2, lambda n: Profile(load_s=0.01, work_s=0.005))
-    for run in range(2):  # the second reads what the first made of it
+    for run in range(2):  # the second run reads the state that the first wrote
         gateway = Gateway(parse_config(folder, fleet))
         host, port = gateway.start()
         client = Client(f"{host}:{port}", 30.0, tenant="corner-books")
@@ -66,7 +66,7 @@
             assert answer.body.decode() == body, (run, name)
         client.close()
         assert gateway.stop()
-        assert not any(worker.runs() for worker in fleet.workers)  # nothing of it ran again
+        assert not any(worker.runs() for worker in fleet.workers)  # no call or operation was executed again
     after, _ = read_usage_log(folder / "usage")
     assert dict(after.charges_by_tenant()) == charged
     fleet.stop()
