--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -224,10 +224,8 @@
         self.report_field_count = len(settings.get("LoadInfo", {}).get("Fields", ()))
 
     def _worker(self) -> Worker:
-        chance = self.random
-        return Worker(
-            chance.choice((0.5, 1.0, 1.0, 2.0)), chance.randrange(3), chance.randrange(2), chance.randrange(3)
-        )
+        rng = self.random
+        return Worker(rng.choice((0.5, 1.0, 1.0, 2.0)), rng.randrange(3), rng.randrange(2), rng.randrange(3))
 
     def _schedule(self, after_s: float, callback: Any) -> None:
         heapq.heappush(self.scheduled, (self.now + after_s, next(self.sequence), callback))
@@ -274,30 +272,30 @@
 
     def _attempt_result(self, number: int, function: int) -> tuple[int, int, float]:
         """Return the result, the cache status and the duration of one attempt."""
-        chance, worker = self.random, self.workers[number]
-        took_s = chance.expovariate(25.0) * self.phase.slowness
-        if chance.random() < self.phase.random_result_chance:
+        rng, worker = self.random, self.workers[number]
+        took_s = rng.expovariate(25.0) * self.phase.slowness
+        if rng.random() < self.phase.random_result_chance:
             kinds = (OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, NOT_STARTED, NOT_LOADED)
-            return chance.choice(kinds), chance.randrange(5), took_s
+            return rng.choice(kinds), rng.randrange(5), took_s
         if worker.condition == UNREACHABLE:
-            return chance.choice((CONNECT_FAILED, RESET)), NOT_REPORTED, 0.003
+            return rng.choice((CONNECT_FAILED, RESET)), NOT_REPORTED, 0.003
         if worker.condition == FAILING:
-            return ERROR, chance.choice((WARM, LOAD_FAILED)), 0.004
-        if worker.condition == OVERLOADED and chance.random() < 0.7:
+            return ERROR, rng.choice((WARM, LOAD_FAILED)), 0.004
+        if worker.condition == OVERLOADED and rng.random() < 0.7:
             return FULL, NOT_REPORTED, 0.002
         if worker.condition == UNRESPONSIVE:
             return TIMEOUT, NOT_REPORTED, 99.0
         if worker.condition == SLOW:
             took_s *= 12.0
         key = number, function
-        if key in self.loaded_instances or chance.random() < self.phase.shared_instance_chance:
+        if key in self.loaded_instances or rng.random() < self.phase.shared_instance_chance:
             self.loaded_instances.add(key)
-            return OK, chance.choice((WARM, WARM, WARM, NOT_REPORTED)), took_s
+            return OK, rng.choice((WARM, WARM, WARM, NOT_REPORTED)), took_s
         if self.loads_on_command:
             return NOT_LOADED, NOT_REPORTED, 0.002
         self.loaded_instances.add(key)
-        load_s = (0.2 + chance.expovariate(5.0)) * self.phase.load_slowness
-        return OK, chance.choice((BEGAN_LOAD, BEGAN_LOAD, AWAITED_LOAD)), load_s + took_s
+        load_s = (0.2 + rng.expovariate(5.0)) * self.phase.load_slowness
+        return OK, rng.choice((BEGAN_LOAD, BEGAN_LOAD, AWAITED_LOAD)), load_s + took_s
 
     def _report(self, worker: Worker) -> bytes:
         worker.utilization = min(1.0, max(0.0, worker.utilization + self.random.uniform(-0.2, 0.2)))
@@ -326,10 +324,10 @@
         self._send_event(STREAM_STARTED, STREAM_BODY.pack(request, attempt, worker, elapsed_s))
 
     def _run_load_command(self, worker: int, instance_count: int, function: int) -> None:
-        chance = self.random
-        result = chance.choice((OK, OK, OK, OK, FULL, ERROR, TIMEOUT))
-        took_s = chance.choice((0.02, 0.3 + chance.expovariate(5.0))) * self.phase.load_slowness
-        loaded_count = instance_count if result == OK else chance.randrange(instance_count + 1)
+        rng = self.random
+        result = rng.choice((OK, OK, OK, OK, FULL, ERROR, TIMEOUT))
+        took_s = rng.choice((0.02, 0.3 + rng.expovariate(5.0))) * self.phase.load_slowness
+        loaded_count = instance_count if result == OK else rng.randrange(instance_count + 1)
 
         def loaded() -> None:
             if result == OK:
@@ -339,20 +337,20 @@
         self._schedule(took_s, loaded)
 
     def _send_request(self) -> None:
-        chance = self.random
-        self._schedule(chance.expovariate(REQUESTS_PER_S * self.phase.rate), self._send_request)
+        rng = self.random
+        self._schedule(rng.expovariate(REQUESTS_PER_S * self.phase.rate), self._send_request)
         number = next(self.request_numbers) << 20
-        if chance.random() < 0.05:
-            function = chance.randrange(1 << 60)
+        if rng.random() < 0.05:
+            function = rng.randrange(1 << 60)
         else:
-            function = int(self.phase.functions * chance.random() ** 2)
-        index = chance.randrange(len(CLASSES))
-        time_s = CLASSES[index]["DeadlineS"] if chance.random() < 0.9 else chance.choice((-0.1, 0.2, 1.0))
+            function = int(self.phase.functions * rng.random() ** 2)
+        index = rng.randrange(len(CLASSES))
+        time_s = CLASSES[index]["DeadlineS"] if rng.random() < 0.9 else rng.choice((-0.1, 0.2, 1.0))
         pending = PendingRequest(function, self.now + float(time_s))
         self.pending[number] = pending
-        lanes, memory_mb = chance.choice((1.0, 1.0, 2.0, 4.0)), chance.choice((100.0, 500.0, 900.0))
-        flags = chance.randrange(8)
-        tenant = chance.choice((0, 0, 1, 1, 2, 3))
+        lanes, memory_mb = rng.choice((1.0, 1.0, 2.0, 4.0)), rng.choice((100.0, 500.0, 900.0))
+        flags = rng.randrange(8)
+        tenant = rng.choice((0, 0, 1, 1, 2, 3))
         self._send_event(
             REQUEST,
             REQUEST_BODY.pack(
@@ -368,9 +366,9 @@
                 flags,
             ),
         )
-        if chance.random() < 0.05:
+        if rng.random() < 0.05:
             self._schedule(
-                chance.expovariate(3.0), lambda: self._send_event(CLIENT_GONE, NUMBER_BODY.pack(number))
+                rng.expovariate(3.0), lambda: self._send_event(CLIENT_GONE, NUMBER_BODY.pack(number))
             )
 
     def _encode_endpoints(self, numbers: list[int]) -> bytes:
@@ -398,28 +396,26 @@
 
     def _change_workers(self) -> None:
         """Restart, drain, remove and add workers, then send one of the four kinds of endpoint update."""
-        chance = self.random
-        self._schedule(chance.expovariate(0.5), self._change_workers)
-        for number in chance.sample(sorted(self.workers), chance.choice((0, 1, 1, 2, 9))):
+        rng = self.random
+        self._schedule(rng.expovariate(0.5), self._change_workers)
+        for number in rng.sample(sorted(self.workers), rng.choice((0, 1, 1, 2, 9))):
             worker = self.workers[number]
-            if chance.random() < 0.6:
-                self._restart(number, worker, chance.random() < 0.7)
+            if rng.random() < 0.6:
+                self._restart(number, worker, rng.random() < 0.7)
             else:
-                worker.state = chance.choice((REMOVED, DRAINING))
-        if chance.random() < 0.3:
+                worker.state = rng.choice((REMOVED, DRAINING))
+        if rng.random() < 0.3:
             number = max(self.workers) + 1
             self.workers[number] = self._worker()
             self._restart(number, self.workers[number], True)
         listed = [number for number, worker in self.workers.items() if worker.state != REMOVED]
-        kind = chance.choice((INCREMENTAL, INCREMENTAL, INCREMENTAL, SNAPSHOT, CACHED, FAILED))
+        kind = rng.choice((INCREMENTAL, INCREMENTAL, INCREMENTAL, SNAPSHOT, CACHED, FAILED))
         if kind == INCREMENTAL:
             self._update_endpoints(kind, list(self.workers)[-20:])
         elif kind == FAILED:
             self._update_endpoints(kind, [])
         else:
-            self._update_endpoints(
-                kind, chance.sample(listed, max(1, len(listed) * 9 // 10)) if listed else []
-            )
+            self._update_endpoints(kind, rng.sample(listed, max(1, len(listed) * 9 // 10)) if listed else [])
 
     def _drain_all(self) -> None:
         """Drain all workers for half a second: outcomes arrive, but no request can be sent."""
@@ -433,13 +429,13 @@
         self._schedule(0.5, lambda: self._update_endpoints(INCREMENTAL, list(self.workers)))
 
     def _change_condition(self) -> None:
-        chance = self.random
-        self._schedule(chance.expovariate(1.5), self._change_condition)
-        worker = self.workers[chance.choice(list(self.workers))]
-        worker.condition = chance.choice(
+        rng = self.random
+        self._schedule(rng.expovariate(1.5), self._change_condition)
+        worker = self.workers[rng.choice(list(self.workers))]
+        worker.condition = rng.choice(
             (HEALTHY, HEALTHY, HEALTHY, HEALTHY, SLOW, FAILING, UNREACHABLE, OVERLOADED, UNRESPONSIVE)
         )
-        if chance.random() < 0.2:
+        if rng.random() < 0.2:
             self.loaded_instances.clear()
 
     def _next_phase(self) -> None:
@@ -448,18 +444,18 @@
 
     def _send_other_events(self) -> None:
         """Send a health check, gossip, and a timer, a disconnection and a load result without a request."""
-        chance = self.random
-        self._schedule(chance.expovariate(2.0), self._send_other_events)
-        worker = chance.choice(list(self.workers))
+        rng = self.random
+        self._schedule(rng.expovariate(2.0), self._send_other_events)
+        worker = rng.choice(list(self.workers))
         report = self._report(self.workers[worker])
         self._send_event(
-            HEALTH_CHECK, HEALTH_BODY.pack(0.01, chance.choice((OK, TIMEOUT)), worker, report[0]) + report[1:]
+            HEALTH_CHECK, HEALTH_BODY.pack(0.01, rng.choice((OK, TIMEOUT)), worker, report[0]) + report[1:]
         )
         self._send_event(GOSSIP, GOSSIP_BODY.pack(2, 3) + b"abc")
-        number = chance.randrange(1, 1000) << 20
+        number = rng.randrange(1, 1000) << 20
         self._send_event(TIMER, NUMBER_BODY.pack(number))
         self._send_event(CLIENT_GONE, NUMBER_BODY.pack(number | 1))
-        self._send_event(LOADED, LOADED_BODY.pack(1, OK, chance.randrange(1 << 50), 0.5, worker))
+        self._send_event(LOADED, LOADED_BODY.pack(1, OK, rng.randrange(1 << 50), 0.5, worker))
 
     def run(self, seconds: float) -> str:
         """Simulate `seconds` seconds and return the digest of all events and decisions."""
@@ -483,8 +479,8 @@
 
 def main() -> int:
     """Print the digests; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--scenario", nargs="*", choices=list(SCENARIOS), default=list(SCENARIOS))
     parser.add_argument("--seeds", type=int, nargs="*", default=[1, 2, 3])
     parser.add_argument("--seconds", type=float, default=90.0)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -60,9 +60,9 @@
 
 def measure(router: Router, calls: int, functions: int, seed: int) -> float:
     """Return the microseconds that the router takes for a call, its response included."""
-    chance = random.Random(seed)
-    popular = [1.0 / (index + 2) for index in range(functions)]
-    functions_called = chance.choices(range(functions), popular, k=calls)
+    rng = random.Random(seed)
+    function_weights = [1.0 / (index + 2) for index in range(functions)]
+    functions_called = rng.choices(range(functions), function_weights, k=calls)
     pending: deque[AttemptOutcome] = deque()
     now, request_id, elapsed_s = 1.0 + seed * 1000.0, seed * 10_000_000, 0.0
     last_request_id = request_id + calls
@@ -74,8 +74,8 @@
         elapsed_s += time.perf_counter() - began
         for action in actions:
             if isinstance(action, SendAttempt):
-                cache_status = CacheStatus.WARM if chance.random() < 0.95 else CacheStatus.STARTED_LOAD
-                report = LoadReport(requests_queued=0.0, cpu_utilization=chance.random())
+                cache_status = CacheStatus.WARM if rng.random() < 0.95 else CacheStatus.STARTED_LOAD
+                report = LoadReport(requests_queued=0.0, cpu_utilization=rng.random())
                 pending.append(
                     AttemptOutcome(
                         action.request_id,
@@ -101,8 +101,8 @@
 
 def main() -> int:
     """Measure each number of workers; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--workers", type=int, nargs="*", default=[12, 36, 100, 300, 1000])
     parser.add_argument("--calls", type=int, default=3000)
     parser.add_argument("--functions", type=int, default=100)
@@ -112,8 +112,11 @@
         router = create_router(workers, 200)
         measure(router, options.calls, options.functions, 0)  # warm-up: instances are loaded
         rounds = [measure(router, options.calls, options.functions, n + 1) for n in range(options.rounds)]
-        low, middle, high = min(rounds), statistics.median(rounds), max(rounds)
-        print(f"{workers:5d} workers: {middle:7.1f} us a call ({low:.1f} to {high:.1f})", flush=True)
+        lowest_us, median_us, highest_us = min(rounds), statistics.median(rounds), max(rounds)
+        print(
+            f"{workers:5d} workers: {median_us:7.1f} us a call ({lowest_us:.1f} to {highest_us:.1f})",
+            flush=True,
+        )
     return 0
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -27,8 +27,8 @@
 
 def main() -> int:
     """Run the scenarios; return 0 if no rule was broken, else 1."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--day", nargs="*", choices=sorted(SCENARIOS), default=sorted(SCENARIOS))
     parser.add_argument("--gateways", type=int, default=200)
     parser.add_argument("--hosts", type=int, default=36)
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -163,12 +163,12 @@
     with tempfile.TemporaryDirectory() as directory:
         path = pathlib.Path(directory) / "fleet.json5"
         path.write_bytes(msgspec.json.encode(fleet))
-        saffron = [sys.executable, "-m", "saffronstack.cli.main", "keeper"]
+        command = [sys.executable, "-m", "saffronstack.cli.main", "keeper"]
         lease_servers = []
         for name in names:
             server_options = ["--fleet", str(path), "--name", name, "--state", f"{directory}/{name}"]
-            subprocess.run([*saffron, "establish", *server_options], check=True, stdout=subprocess.DEVNULL)
-            lease_servers.append(subprocess.Popen([*saffron, "run", *server_options], stdout=subprocess.PIPE))
+            subprocess.run([*command, "establish", *server_options], check=True, stdout=subprocess.DEVNULL)
+            lease_servers.append(subprocess.Popen([*command, "run", *server_options], stdout=subprocess.PIPE))
         try:
             return _measure_cost(fleet, lease_servers, leases, clients, seconds)
         finally:
@@ -227,11 +227,11 @@
         pool = concurrent.futures.ThreadPoolExecutor(1)
         pending_acquire = pool.submit(next_client.acquire, f"hand/{number}", 30.0)
         time.sleep(0.5)
-        began_at_s = time.monotonic()
+        released_at_s = time.monotonic()
         lease_to_release.release()
         acquired_lease = pending_acquire.result()
         assert acquired_lease is not None
-        handover_times_s.append(time.monotonic() - began_at_s)
+        handover_times_s.append(time.monotonic() - released_at_s)
         acquired_lease.release()
     handover_times_s.sort()
     print(
@@ -246,11 +246,11 @@
             next_client.acquire, f"over/{number}", 60.0
         )
         time.sleep(0.5)
-        began_at_s = time.monotonic()
+        released_at_s = time.monotonic()
         for link in ending_client._links.values():
             link.stop()
         assert pending_acquire.result() is not None
-        failover_times_s.append(time.monotonic() - began_at_s)
+        failover_times_s.append(time.monotonic() - released_at_s)
     failover_times_s.sort()
     print(
         f"fail-over: median {failover_times_s[2]:.1f} s, worst {failover_times_s[-1]:.1f} s, "
@@ -265,8 +265,8 @@
 
 def main() -> int:
     """Run the chosen check; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     kinds = parser.add_subparsers(dest="kind", required=True)
     one = kinds.add_parser("explore")
     one.add_argument("--depth", type=int, default=12)
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -56,8 +56,10 @@
     ]
     content = sample_config([host.workers[0] for host in hosts], "127.0.0.1:0", "", 65536)
     content["functions"] += [{"name": n, "class": "lookup", "memory_mb": 128, "lanes": 64} for n in FUNCTIONS]
-    sales = [f"sale-{n}" for n in range(len(FUNCTIONS))]
-    content["functions"] += [{"name": n, "class": "sale", "memory_mb": 128, "lanes": 64} for n in sales]
+    unsafe_functions = [f"sale-{n}" for n in range(len(FUNCTIONS))]
+    content["functions"] += [
+        {"name": n, "class": "sale", "memory_mb": 128, "lanes": 64} for n in unsafe_functions
+    ]
     logged_config = json.loads(json.dumps(content))
     for request_class in logged_config["classes"]:
         request_class["note_operations"] = request_class["effect"] != "safe"
@@ -72,7 +74,7 @@
         running[name] = start_gateway(directory / name, config, cpus=CPU)
     safe, unsafe = (
         [REQUEST_TEMPLATE.format(function, INVOCATION_ID_HEADER) for function in names]
-        for names in (FUNCTIONS, sales)
+        for names in (FUNCTIONS, unsafe_functions)
     )
     try:
         for _, address in running.values():
@@ -82,13 +84,13 @@
             ("unsafe", unsafe, [("memory", "without"), ("noted", "without")]),
         ):
             for connections in (8, 32, 128):
-                figures: dict[str, list[float]] = {name: [] for name in running}
+                rates: dict[str, list[float]] = {name: [] for name in running}
                 for _ in range(rounds):
                     for name in {name for pair in pairs for name in pair}:
-                        figures[name].append(run_load([running[name][1]], requests, connections, seconds)[0])
+                        rates[name].append(run_load([running[name][1]], requests, connections, seconds)[0])
                 for variant, baseline in pairs:
-                    ratios = [x / y for x, y in zip(figures[variant], figures[baseline], strict=True)]
-                    rate = statistics.median(figures[variant])
+                    ratios = [x / y for x, y in zip(rates[variant], rates[baseline], strict=True)]
+                    rate = statistics.median(rates[variant])
                     print(
                         f"{kind:>7} {connections:>4} connections: {variant} {rate:.0f} calls/s, "
                         f"{statistics.median(ratios):.3f} of {baseline} "
@@ -139,18 +141,21 @@
         )
     ticket.done.wait(60)
     first_log.close()
-    second = OperationService(
+    second_service = OperationService(
         OperationTable(1 << 30),
         time.monotonic,
         time.time,
         open_operation_log(str(directory / "second"), 64 << 20),
     )
-    handover = OperationHandover(second, str(directory / "second"), lambda path: [])
+    handover = OperationHandover(second_service, str(directory / "second"), lambda path: [])
     start = time.perf_counter()
     handover.take_over(frozenset(range(SLOT_COUNT)), [RecordLocation(str(directory / "first"))], [])
-    print(f"{count} log entries taken over in {time.perf_counter() - start:.2f} s, {len(second.table)} known")
-    assert second.operation_log is not None
-    second.operation_log.close()
+    print(
+        f"{count} log entries taken over in {time.perf_counter() - start:.2f} s, "
+        f"{len(second_service.table)} known"
+    )
+    assert second_service.operation_log is not None
+    second_service.operation_log.close()
 
 
 def measure_lost_responses(directory: pathlib.Path, operations: int, kills: int) -> None:
@@ -225,18 +230,18 @@
     for stub_worker in fleet.workers:
         for execution in stub_worker.runs():
             executions.setdefault(str(execution["op"]), []).append(execution)
-    sales = [operation for operation, function, _ in results if function == "record-sale"]
-    executed_twice = [operation for operation in sales if len(executions.get(operation, [])) > 1]
+    sale_operations = [operation for operation, function, _ in results if function == "record-sale"]
+    executed_twice = [operation for operation in sale_operations if len(executions.get(operation, [])) > 1]
     called_twice = [
         operation
-        for operation, found in executions.items()
-        if len({execution["id"] for execution in found}) > 1
+        for operation, runs in executions.items()
+        if len({execution["id"] for execution in runs}) > 1
     ]
     print(
         f"{len(results)} boto3 operations, {relay.lost} responses lost, {kill_count} kills: "
         f"{sum(ok for *_, ok in results)} answered, "
         f"{len(executed_twice)} sales executed twice, {len(called_twice)} operations with two calls, "
-        f"{sum(not executions.get(operation) for operation in sales)} sales never executed"
+        f"{sum(not executions.get(operation) for operation in sale_operations)} sales never executed"
     )
     process.kill()
     relay.close()
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -350,8 +350,8 @@
 
 def main() -> int:
     """Run one of the benchmarks; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     benchmarks = {
         "good": run_good_release, "harms": run_bad_releases, "faults": run_faulty_rollouts,
         "reload": run_reload, "false-stops": measure_false_stops,
--- a/benchmarks/seeds.py
+++ b/benchmarks/seeds.py
@@ -47,8 +47,8 @@
 
 def main() -> int:
     """Run all scenarios; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--kinds", default=KINDS, help="scenarios, separated by commas")
     parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1-10"), help="as in 1-10,42")
     parser.add_argument("--nodes", type=int, default=30, help="gateways; 0: the number of the scenario")
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -94,8 +94,8 @@
 
 def main() -> int:
     """Run all seeds; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1-50"), help="as in 1-10,42")
     parser.add_argument("--jobs", type=int, default=3, help="runs in parallel")
     parser.add_argument(
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -135,20 +135,20 @@
         GatewayClients(Address(number, (host, port), plan), requests)  # type: ignore[arg-type]
         for number, host, port in options["gateways_at"]
     ]
-    chance = random.Random(plan.seed * 1000 + options["part"])
+    rng = random.Random(plan.seed * 1000 + options["part"])
     function_weights = [1.0 / (index + 2) for index in range(plan.functions)]
     print("ready", flush=True)
     began_s = float(sys.stdin.readline())
     due_s, request, rate = 0.0, 0, plan.rate * options["share"]
     while due_s < options["seconds"]:
-        due_s += chance.expovariate(rate)
+        due_s += rng.expovariate(rate)
         delay_s = began_s + due_s - time.monotonic()
         if delay_s > 0:
             time.sleep(delay_s)
         request += 1
-        index = chance.choices(range(plan.functions), function_weights)[0]
+        index = rng.choices(range(plan.functions), function_weights)[0]
         class_name = "sell" if index % 5 == 0 else "look"
-        client_group = chance.choices(client_groups, options["shares"])[0]
+        client_group = rng.choices(client_groups, options["shares"])[0]
         number = plan.seed << 40 | options["part"] << 32 | request
         client_group.call(number, class_name, f"{0x5AFF0000 + index:016x}", 3.0)
     late_s = time.monotonic() - began_s - due_s
@@ -256,8 +256,8 @@
         directory = StubDnsServer(*entries)
         gateways = [PolicyGateway(number, folder, plan) for number in range(plan.gateways)]
         start(gateways, options, directory, str(load_path))
-        chance = random.Random(plan.seed)
-        shares = [chance.random() ** (plan.uneven - 1) + 0.1 for _ in gateways]
+        rng = random.Random(plan.seed)
+        shares = [rng.random() ** (plan.uneven - 1) + 0.1 for _ in gateways]
         clients = []
         for part in range(options["client_processes"]):
             client_gateways = gateways[part :: options["client_processes"]]
@@ -348,7 +348,7 @@
         for event in lines if event["what"] == "sample" and since_s <= event["t"] <= until_s
     ]  # fmt: skip
     idle = idle_beside_queue(samples)
-    inside = [arrival for arrival in arrivals if since_s <= arrival.t < until_s]
+    measured_arrivals = [arrival for arrival in arrivals if since_s <= arrival.t < until_s]
     responses = [event for event in lines if event["what"] == "answer" and since_s <= event["t"] < until_s]
     cache_statuses = Counter(str(event.get("found", "none")) for event in responses)
     requests = [item for part in client_results for item in part["tries"]]
@@ -372,7 +372,7 @@
     worker_counts = Counter[str]()
     for function, _ in {(event["function"], event["worker"]) for event in lines if event["what"] == "arrive"}:
         worker_counts[function] += 1
-    calls_per_window = max(1, round(len(inside) / max(1, len(windows))))
+    calls_per_window = max(1, round(len(measured_arrivals) / max(1, len(windows))))
     return {
         "policy": options["policy"], "day": options["day"], "seed": plan.seed, "gateways": plan.gateways,
         "hosts": plan.hosts, "rate": plan.rate, "calls": len(requests), "kept_the_rate": kept_rate,
@@ -383,7 +383,7 @@
         "by_chance_random": expected_max_load(calls_per_window, plan.hosts, 1, 20),
         "by_chance_two": expected_max_load(calls_per_window, plan.hosts, 2, 20),
         "idle_beside_queue": idle.share, "idle_longest_s": idle.longest_s,
-        "herds_a_second": len(herds(inside, shares, ROUND_TRIP_S)) / span_s,
+        "herds_a_second": len(herds(measured_arrivals, shares, ROUND_TRIP_S)) / span_s,
         "warm": cache_statuses["warm"] / max(1, len(responses)),
         "loads_a_call": cache_statuses["began-load"] / max(1, len(responses)),
         "hosts_a_function": sum(worker_counts.values()) / max(1, len(worker_counts)),
@@ -437,8 +437,8 @@
     if sys.argv[1:2] == ["--part"]:
         {"hosts": hosts_main, "clients": clients_main}[sys.argv[2]](json.loads(sys.argv[3]))
         return 0
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--policy", nargs="*", default=["ours"], choices=["ours", *POLICIES])
     parser.add_argument("--day", default="calm", choices=SCENARIOS)
     parser.add_argument("--gateways", type=int, default=200)
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -51,8 +51,8 @@
 
 def main() -> int:
     """Return 1 if the rate of calls without disk use fell below 0.95 of that before the stall, else 0."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--callers", type=int, default=8)
     parser.add_argument("--accepts", type=float, default=64.0, help="deferred calls a second")
     parser.add_argument("--before", type=float, default=10.0)
--- a/benchmarks/standing.py
+++ b/benchmarks/standing.py
@@ -57,8 +57,8 @@
 
 def main() -> int:
     """Run the steps; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--full", action="store_true")
     parser.add_argument("--why", default="standing duty before a landing")
     options = parser.parse_args()
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -100,8 +100,8 @@
 
 def main() -> int:
     """Measure and print the times; return the exit status."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--gateways", type=int, default=30)
     parser.add_argument("--load", type=int, default=0, help="processes that use a core each")
     options = parser.parse_args()
--- a/benchmarks/starved_processor.py
+++ b/benchmarks/starved_processor.py
@@ -112,9 +112,9 @@
             os.close(begin[1])
             if sessions == "each":
                 os.setsid()
-            order = os.read(begin[0], 80)
-            if order:
-                _be_busy(processor, *(float(word) for word in order.split()))
+            command = os.read(begin[0], 80)
+            if command:
+                _use_cpu(processor, *(float(word) for word in command.split()))
             os._exit(0)
         children.append(child)
     os.close(begin[0])
@@ -127,7 +127,7 @@
         os.waitpid(child, 0)
 
 
-def _be_busy(processor: int, start_s: float, total_s: float, busy_s: float, idle_s: float) -> None:
+def _use_cpu(processor: int, start_s: float, total_s: float, busy_s: float, idle_s: float) -> None:
     os.sched_setaffinity(0, {processor})
     end_s = start_s + min(total_s, MAX_BUSY_S)
     time.sleep(max(0.0, start_s - time.monotonic()))
@@ -141,23 +141,23 @@
     """Run clients in closed loops until a monotonic time; print all calls."""
     calls: list[list[Call]] = [[] for _ in range(count)]
 
-    def loop(own: list[Call], function: str) -> None:
+    def loop(client_calls: list[Call], function: str) -> None:
         client = Client(address, CLIENT_TIMEOUT_S, tenant="corner-books")
         while (began_s := time.monotonic()) < end_s:
             status = client.invoke(function, PAYLOAD).status
             ended_s = time.monotonic()
-            own.append(Call(ended_s, ended_s - began_s, status))
+            client_calls.append(Call(ended_s, ended_s - began_s, status))
         client.close()
 
     threads = [
-        threading.Thread(target=loop, args=(own, FUNCTIONS[number % len(FUNCTIONS)]))
-        for number, own in enumerate(calls)
+        threading.Thread(target=loop, args=(client_calls, FUNCTIONS[number % len(FUNCTIONS)]))
+        for number, client_calls in enumerate(calls)
     ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    print(json.dumps([asdict(call) for own in calls for call in own]))
+    print(json.dumps([asdict(call) for client_calls in calls for call in client_calls]))
 
 
 def serve_with_self_measurement(path: str, arguments: list[str]) -> None:
@@ -373,8 +373,8 @@
             busy_processes.stdout.readline()
             began_s = time.monotonic() + WARM_UP_S + BEFORE_S
             ended_s = began_s + options.seconds
-            firsts = range(0, case.clients, CLIENTS_PER_PROCESS)
-            parts = [min(CLIENTS_PER_PROCESS, case.clients - first) for first in firsts]
+            first_clients = range(0, case.clients, CLIENTS_PER_PROCESS)
+            parts = [min(CLIENTS_PER_PROCESS, case.clients - first) for first in first_clients]
             clients = [
                 _start(other_processors, "clients", address, str(part), str(ended_s + AFTER_S))
                 for part in parts
@@ -453,11 +453,9 @@
         print(_format_line(outcome, "beside", begin_s, end_s, processor))
     print(_format_line(outcome, "after", end_s, end_s + AFTER_S, processor))
     for name in MEASURED_READS if outcome.looks else ():
-        beside = [item[name] for item in outcome.looks if begin_s <= item["at_s"] < end_s]
-        before_and_after = [item[name] for item in outcome.looks if not begin_s <= item["at_s"] < end_s]
-        print(
-            f"  look, {name}: {_median_and_longest(before_and_after)}, beside {_median_and_longest(beside)}"
-        )
+        during = [item[name] for item in outcome.looks if begin_s <= item["at_s"] < end_s]
+        otherwise = [item[name] for item in outcome.looks if not begin_s <= item["at_s"] < end_s]
+        print(f"  look, {name}: {_median_and_longest(otherwise)}, beside {_median_and_longest(during)}")
     statuses = Counter(call.status for call in outcome.calls)
     if set(statuses) != {SERVED}:
         print("  statuses:", dict(statuses))
@@ -490,8 +488,8 @@
     """Run the cases one after another; return the exit status."""
     if sys.argv[1:2] == ["--program"]:
         return run_program(sys.argv[2], sys.argv[3:])
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--processor", type=int, default=max(os.sched_getaffinity(0)))
     parser.add_argument("--cases", nargs="+", default=["own", "steady", "burst", "alternate"])
     parser.add_argument("--clients", nargs="+", type=int, default=[1, 12])
@@ -518,8 +516,8 @@
         report(outcome, options.processor)
         sys.stdout.flush()
         if options.keep:
-            with open(options.keep, "a") as kept:
-                kept.write(json.dumps(asdict(outcome)) + "\n")
+            with open(options.keep, "a") as samples_file:
+                samples_file.write(json.dumps(asdict(outcome)) + "\n")
     host.end()
     return 0
 
--- a/benchmarks/stopped.py
+++ b/benchmarks/stopped.py
@@ -74,8 +74,8 @@
         continued_at_s = time.monotonic()
         time.sleep(3.0)
         stopping.set()
-        for caller in client_threads:
-            caller.join(5.0)
+        for client_thread in client_threads:
+            client_thread.join(5.0)
         gateway.terminate()
         gateway.wait(30)
     fleet.stop()
@@ -93,8 +93,8 @@
 
 def main() -> None:
     """Run without and with replacement of stopped processes."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--clients", type=int, default=16)
     parser.add_argument("--seconds", type=float, default=8.0)
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -67,8 +67,8 @@
 
 def main() -> int:
     """Run the suite repeatedly; return 0 if every run passed and ran tests, else 1."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--runs", type=int, default=10)
     parser.add_argument(
         "--loaded", type=int, default=5, help="number of runs, the last ones, with all cores busy"
@@ -104,9 +104,10 @@
                 times[test].append(seconds)
             for test in failures:
                 failed[test] += 1
-            beside = " with all cores busy" if loaded else ""
+            load_note = " with all cores busy" if loaded else ""
             print(
-                f"run {run_index + 1}: {len(results)} tests, {len(failures)} failed, {took_s:.0f} s{beside}",
+                f"run {run_index + 1}: {len(results)} tests, {len(failures)} failed, "
+                f"{took_s:.0f} s{load_note}",
                 flush=True,
             )
             for test, messages in failures.items():
--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -37,13 +37,13 @@
 from saffronstack.operations.slot_manager import SlotHandover, SlotManager, SlotMember
 from tests.stored_formats.stored_files import BUSY_MACHINE_TIMEOUT_S, DATA, SingleResponseServer
 
-KEPT_SLOT = 3
+STORED_SLOT = 3
 LOCATIONS = (
     RecordLocation("/state/process-0/operations", "/state/process-0/ledger"),
     RecordLocation("", "/state/process-1/ledger"),
     RecordLocation("/state/process-2/operations", ""),
 )
-MEMORY = [(bytes([KEPT_SLOT]) * 12, b"packed"), (b"\xff" * 12, b"")]
+MEMORY = [(bytes([STORED_SLOT]) * 12, b"packed"), (b"\xff" * 12, b"")]
 PROCESSES = DATA / "address_processes"
 NUMBERS: dict[str, Any] = json.loads((PROCESSES / "numbers.json").read_text())
 LATEST_S = 9e9  # a deadline on the monotonic clock that never expires
@@ -79,31 +79,33 @@
 
 
 def test_slots_that_change_hands_leave_the_same_files(tmp_path: pathlib.Path) -> None:
-    kept = DATA / "operation_slots"
+    stored = DATA / "operation_slots"
     for number in range(len(LOCATIONS)):
         slots = member(tmp_path, number, RecordingHandover())
         slots.start()
-        lock = (tmp_path / f"{KEPT_SLOT}.lock").read_bytes()
-        assert lock == (kept / f"{KEPT_SLOT}.lock.{number}").read_bytes()
+        lock = (tmp_path / f"{STORED_SLOT}.lock").read_bytes()
+        assert lock == (stored / f"{STORED_SLOT}.lock.{number}").read_bytes()
         assert slots.stop(BUSY_MACHINE_TIMEOUT_S)
-        assert (tmp_path / "live" / str(number)).read_bytes() == (kept / "live" / str(number)).read_bytes()
-    assert (tmp_path / f"{KEPT_SLOT}.memory").read_bytes() == (kept / f"{KEPT_SLOT}.memory").read_bytes()
+        assert (tmp_path / "live" / str(number)).read_bytes() == (stored / "live" / str(number)).read_bytes()
+    assert (tmp_path / f"{STORED_SLOT}.memory").read_bytes() == (
+        stored / f"{STORED_SLOT}.memory"
+    ).read_bytes()
     assert len(list(tmp_path.glob("*.lock"))) == SLOT_COUNT == 64
 
 
-def test_the_next_holder_reads_kept_holders_and_memory(tmp_path: pathlib.Path) -> None:
-    shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.lock.1", tmp_path / f"{KEPT_SLOT}.lock")
-    shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.memory", tmp_path / f"{KEPT_SLOT}.memory")
+def test_the_next_holder_reads_stored_holders_and_memory(tmp_path: pathlib.Path) -> None:
+    shutil.copyfile(DATA / "operation_slots" / f"{STORED_SLOT}.lock.1", tmp_path / f"{STORED_SLOT}.lock")
+    shutil.copyfile(DATA / "operation_slots" / f"{STORED_SLOT}.memory", tmp_path / f"{STORED_SLOT}.memory")
     handover = RecordingHandover()
     slots = member(tmp_path, 2, handover)
     slots.maintain()
     assert handover.locations == [LOCATIONS[0], LOCATIONS[1]]
     assert handover.handed_over == MEMORY
-    assert slots.is_held(KEPT_SLOT)
+    assert slots.is_held(STORED_SLOT)
     slots.stop(0.0)
 
 
-def test_a_live_member_is_known_by_its_kept_file(tmp_path: pathlib.Path) -> None:
+def test_a_live_member_is_known_by_its_stored_file(tmp_path: pathlib.Path) -> None:
     shutil.copytree(DATA / "operation_slots" / "live", tmp_path / "live")
     with (tmp_path / "live" / "0").open("rb") as first:
         fcntl.flock(first, fcntl.LOCK_EX)
@@ -124,12 +126,12 @@
 
 
 def test_a_spooled_answer_is_read_and_written_as_it_was(tmp_path: pathlib.Path) -> None:
-    kept = DATA / "answer_spool"
-    shutil.copytree(kept / "answers", tmp_path / "answers")
-    digest = (kept / "digest.txt").read_text()
+    stored = DATA / "answer_spool"
+    shutil.copytree(stored / "answers", tmp_path / "answers")
+    digest = (stored / "digest.txt").read_text()
     store = ResponseStore(str(tmp_path), 1 << 20)
     body = store.load("0123456789abcdef", digest)
-    assert body == (kept / "answers" / "0123456789abcdef").read_bytes()
+    assert body == (stored / "answers" / "0123456789abcdef").read_bytes()
     assert body_digest(body) == digest
     assert store.stored_bytes == len(body)
     assert store.save("another", body)
@@ -239,12 +241,12 @@
 def test_a_listening_socket_is_handed_over_in_the_same_message() -> None:
     mark = f"format-test-{os.getpid()}"
     listener = socket.create_server(("127.0.0.1", 0))
-    handing = listener_handover.ListenerHandover(mark, listener)
+    handover = listener_handover.ListenerHandover(mark, listener)
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client_socket:
         client_socket.settimeout(5)
         client_socket.connect(listener_handover.socket_name(mark, os.getpid()))
         message, descriptors, _, _ = socket.recv_fds(client_socket, 64, 1)
-    handing.stop()
+    handover.stop()
     assert message == b"listener"
     with socket.socket(fileno=descriptors[0]) as received:
         assert received.getsockname() == listener.getsockname()
@@ -275,18 +277,18 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "goes"),
+    ("commands_text", "serves"),
     [("go\n", True), ("", False), ("other\ngo\n", True), ("after 999999999\n", True), ("after x\n", False)],
 )
 def test_a_standby_gateway_understands_its_daemon(
-    said: str, goes: bool, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+    commands_text: str, serves: bool, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     reading, writing = os.pipe()
-    os.write(writing, said.encode())
+    os.write(writing, commands_text.encode())
     os.close(writing)
-    with os.fdopen(reading) as commands:
-        monkeypatch.setattr("sys.stdin", commands)
-        assert parent_process.wait_in_standby() is goes
+    with os.fdopen(reading) as command_file:
+        monkeypatch.setattr("sys.stdin", command_file)
+        assert parent_process.wait_in_standby() is serves
     assert capsys.readouterr().out == "saffronstack is prepared\n"
 
 
--- a/tests/stored_formats/test_configuration_formats.py
+++ b/tests/stored_formats/test_configuration_formats.py
@@ -35,7 +35,7 @@
 }
 
 
-def kept(name: str) -> Any:
+def stored(name: str) -> Any:
     return json.loads((CONFIGURATION / name).read_text())
 
 
@@ -46,17 +46,17 @@
     return msgspec.msgpack.decode(record_values(path)[0])
 
 
-def test_every_kept_schema_is_compared() -> None:
-    assert set(KINDS) == set(kept("schemas.json"))
+def test_every_stored_schema_is_compared() -> None:
+    assert set(KINDS) == set(stored("schemas.json"))
 
 
 @pytest.mark.parametrize("kind", sorted(KINDS))
 def test_a_configuration_file_has_the_same_keys_and_defaults(kind: str) -> None:
-    assert json.loads(json.dumps(plain_schema(KINDS[kind]))) == kept("schemas.json")[kind]
+    assert json.loads(json.dumps(plain_schema(KINDS[kind]))) == stored("schemas.json")[kind]
 
 
 def test_commands_have_the_same_names_and_options() -> None:
-    assert command_lines(main, "saffronstack") == kept("commands.json")
+    assert command_lines(main, "saffronstack") == stored("commands.json")
 
 
 def test_a_gateways_configuration_means_the_same_settings(tmp_path: pathlib.Path) -> None:
@@ -68,7 +68,7 @@
 def test_a_gateways_configuration_means_the_same_workers() -> None:
     config = configs.parse(json.dumps(settings_samples.GATEWAY))
     specs = [list(dataclasses.astuple(spec)) for spec in build_configured_workers(config)]
-    assert specs == kept("workers.json")
+    assert specs == stored("workers.json")
 
 
 def test_a_platforms_file_means_the_same_settings(tmp_path: pathlib.Path) -> None:
@@ -87,7 +87,7 @@
         found.idle_s,
         found.max_open_calls,
     ]
-    assert figures == kept("platform.json")
+    assert figures == stored("platform.json")
 
 
 def test_simulator_settings_are_parsed_the_same(tmp_path: pathlib.Path) -> None:
@@ -99,8 +99,8 @@
 
 def test_values_of_a_load_report_keep_their_names_and_units() -> None:
     names = settings_samples.PLATFORM["LoadInfo"]["Fields"]
-    told = parse_load_report([(name, 1.5 + place) for place, name in enumerate([*names, "unknown"])])
+    parsed_report = parse_load_report([(name, 1.5 + index) for index, name in enumerate([*names, "unknown"])])
     _, event, _ = msgspec.msgpack.decode(record_values(CONFIGURATION / "load_report.record")[1])
     expected = event_from_tagged(event)
-    assert told in [getattr(expected, field.name) for field in dataclasses.fields(expected)]
-    assert None not in dataclasses.astuple(told)
+    assert parsed_report in [getattr(expected, field.name) for field in dataclasses.fields(expected)]
+    assert None not in dataclasses.astuple(parsed_report)
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -81,7 +81,7 @@
     assert replay_decisions(str(RECORDED / "replayable.record")) == ReplayResult(events, actions)
 
 
-def test_the_kept_record_holds_every_kind_of_event_and_action() -> None:
+def test_the_stored_record_holds_every_kind_of_event_and_action() -> None:
     decisions = decoded_values("every_kind.record")[1:]
     assert {event[0] for _, event, _ in decisions} == EVENT_TAGS
     assert {action[0] for _, _, actions in decisions for action in actions} == ACTION_TAGS
@@ -92,7 +92,7 @@
     assert set(record_format.ACTION_TAGS.values()) == ACTION_TAGS
 
 
-def test_the_kept_records_hold_every_enum_member() -> None:
+def test_the_stored_records_hold_every_enum_member() -> None:
     events = [event for _, event, _ in decoded_values("every_kind.record")[1:]]
     heads = [decoded_values(name)[0]["settings"] for name in RECORDS]
     classes = [one for head in heads for one in head["classes"]]
--- a/tests/stored_formats/test_gateway_page_formats.py
+++ b/tests/stored_formats/test_gateway_page_formats.py
@@ -27,7 +27,7 @@
 
 pytestmark = pytest.mark.xdist_group("gateway_pages")  # one gateway for all of them
 TENANT = "corner-books"
-KEPT: dict[str, Any] = json.loads((DATA / "gateway_pages" / "pages.json").read_text())
+STORED: dict[str, Any] = json.loads((DATA / "gateway_pages" / "pages.json").read_text())
 
 
 @pytest.fixture(scope="module")
@@ -53,17 +53,17 @@
     return found
 
 
-@pytest.mark.parametrize("page", sorted(KEPT))
+@pytest.mark.parametrize("page", sorted(STORED))
 def test_a_page_has_the_same_names(page: str, answers: dict[str, Any]) -> None:
-    assert answers[page] == KEPT[page]
+    assert answers[page] == STORED[page]
 
 
 def test_the_same_pages_are_compared(answers: dict[str, Any]) -> None:
-    assert set(answers) == set(KEPT)
+    assert set(answers) == set(STORED)
 
 
 def test_keys_of_json_answers_keep_their_order(answers: dict[str, Any]) -> None:
-    assert json.dumps({page: answers[page] for page in KEPT}) == json.dumps(KEPT)
+    assert json.dumps({page: answers[page] for page in STORED}) == json.dumps(STORED)
 
 
 def response_to(gateway: Gateway, request: bytes) -> bytes:
@@ -87,8 +87,8 @@
     assert b"ResourceNotFoundException" in response
 
 
-def test_the_kept_pages_are_complete() -> None:
-    assert len([line for line in KEPT["/metrics"]["body"] if line.startswith("# TYPE ")]) >= 40
+def test_the_stored_pages_are_complete() -> None:
+    assert len([line for line in STORED["/metrics"]["body"] if line.startswith("# TYPE ")]) >= 40
 
 
 def test_peers_find_the_published_address(gateway: Gateway) -> None:
--- a/tests/stored_formats/test_journal_formats.py
+++ b/tests/stored_formats/test_journal_formats.py
@@ -93,18 +93,18 @@
 
 
 @each_kind
-def test_each_kept_record_is_written_again_byte_by_byte(kind: Kind) -> None:
+def test_each_stored_record_is_written_again_byte_by_byte(kind: Kind) -> None:
     records = kind.records()
     assert [kind.codec.encode(kind.codec.decode(record)) for record in records] == records
 
 
 @each_kind
-def test_the_kept_segment_holds_every_kind_of_record(kind: Kind) -> None:
+def test_the_stored_segment_holds_every_kind_of_record(kind: Kind) -> None:
     assert {msgspec.msgpack.decode(record)[0] for record in kind.records()} == set(kind.tags)
 
 
 @each_kind
-def test_the_kept_segment_adds_up_to_the_same_snapshot(kind: Kind, tmp_path: pathlib.Path) -> None:
+def test_the_stored_segment_adds_up_to_the_same_snapshot(kind: Kind, tmp_path: pathlib.Path) -> None:
     shutil.copy(DATA / kind.folder / kind.segment, tmp_path)
     journal = kind.journal(tmp_path)
     snapshot = [kind.codec.encode(record) for record in journal.state.snapshot()]
@@ -116,20 +116,20 @@
 
 @each_kind
 def test_the_journal_writes_the_same_segment(kind: Kind, tmp_path: pathlib.Path) -> None:
-    kept = segment_blocks((DATA / kind.folder / kind.segment).read_bytes())
+    stored = segment_blocks((DATA / kind.folder / kind.segment).read_bytes())
     journal = kind.journal(tmp_path)
-    for _, records in kept:
+    for _, records in stored:
         ticket = journal.append(*(kind.codec.decode(record) for record in records))
         assert ticket.done.wait(WAIT_S)
         assert ticket.is_durable
     assert journal.close()
     written = (tmp_path / kind.segment).read_bytes()
-    assert segment_blocks(written) == kept
+    assert segment_blocks(written) == stored
     if not kind.codec.compress:  # the output of a compressor depends on its version
         assert written == (DATA / kind.folder / kind.segment).read_bytes()
 
 
-def test_names_of_deferred_operations_are_read_from_a_kept_ledger() -> None:
+def test_names_of_deferred_operations_are_read_from_a_stored_ledger() -> None:
     names = read_call_operations(DATA / "deferred_records")
     records = [msgspec.msgpack.decode(record) for record in KINDS[0].records()]
     assert [digest for digest, _ in names] == [bytes([number]) * 12 for number in (1, 3, 2)]
@@ -170,7 +170,7 @@
 # ---- usage
 
 
-def test_a_kept_usage_log_is_charged_and_reported_the_same(tmp_path: pathlib.Path) -> None:
+def test_a_stored_usage_log_is_charged_and_reported_the_same(tmp_path: pathlib.Path) -> None:
     kind = KINDS[2]
     shutil.copy(DATA / kind.folder / kind.segment, tmp_path)
     journal = kind.journal(tmp_path)
@@ -179,7 +179,7 @@
     assert figures == json.loads((DATA / kind.folder / "figures.json").read_text())
 
 
-def test_a_kept_archive_is_charged_and_reported_the_same() -> None:
+def test_a_stored_archive_is_charged_and_reported_the_same() -> None:
     account, lines = read_usage_log(ARCHIVE)
     assert not lines
     assert not account.find_archive_damage()
@@ -188,7 +188,7 @@
     assert figures_of(account) == json.loads((ARCHIVE / "figures.json").read_text())
 
 
-def test_the_kept_archive_holds_every_kind_of_key() -> None:
+def test_the_stored_archive_holds_every_kind_of_key() -> None:
     keys = [key for name in RUNS for key, _ in SortedRun.open(ARCHIVE / "runs" / name).items()]
     assert {decode_key(key)[0] for key in keys} == set("towkehu")
 
@@ -208,8 +208,8 @@
     merged = account.merge_runs((1, 2, 3))
     assert f"run-{merged:010d}.run" == RUNS[-1]
     for name in RUNS:
-        kept = list(SortedRun.open(ARCHIVE / "runs" / name).items())
-        assert list(SortedRun.open(tmp_path / "runs" / name).items()) == kept
+        stored = list(SortedRun.open(ARCHIVE / "runs" / name).items())
+        assert list(SortedRun.open(tmp_path / "runs" / name).items()) == stored
 
 
 @pytest.mark.parametrize("name", RUNS)
@@ -217,10 +217,10 @@
     run = SortedRun.open(ARCHIVE / "runs" / name)
     write_run(tmp_path / name, run.items(), FileOperations())
     trailer_bytes = 16
-    kept = (ARCHIVE / "runs" / name).read_bytes()
+    stored = (ARCHIVE / "runs" / name).read_bytes()
     written = (tmp_path / name).read_bytes()
-    assert segment_blocks(written[:-trailer_bytes]) == segment_blocks(kept[:-trailer_bytes])
-    assert written[-trailer_bytes:][:4] == kept[-trailer_bytes:][:4] == b"SfRn"
+    assert segment_blocks(written[:-trailer_bytes]) == segment_blocks(stored[:-trailer_bytes])
+    assert written[-trailer_bytes:][:4] == stored[-trailer_bytes:][:4] == b"SfRn"
 
 
 @pytest.mark.parametrize("name", RUNS)
@@ -237,13 +237,15 @@
 def test_stored_runs_merge_into_the_same_run(tmp_path: pathlib.Path) -> None:
     shutil.copytree(ARCHIVE, tmp_path / "usage")
     account, _ = read_usage_log(tmp_path / "usage")
-    kept = msgspec.msgpack.decode((ARCHIVE / "merged.msgpack").read_bytes(), type=list[tuple[bytes, bytes]])
+    stored = msgspec.msgpack.decode((ARCHIVE / "merged.msgpack").read_bytes(), type=list[tuple[bytes, bytes]])
     numbers = [int(name[4:14]) for name in RUNS]
     runs = (numbers[-1], *numbers[:-1])  # the last run replaces the three oldest
     number = account.merge_runs(runs)
     path = tmp_path / "usage" / "runs" / f"run-{number:010d}.run"
-    gone = [key for key, value in kept if not value or decode_key(key)[0] == "w"]  # expired windows
-    assert list(SortedRun.open(path).items()) == [pair for pair in kept if pair[0] not in gone]
+    expired_keys = [
+        key for key, value in stored if not value or decode_key(key)[0] == "w"
+    ]  # "w": windows, all expired
+    assert list(SortedRun.open(path).items()) == [pair for pair in stored if pair[0] not in expired_keys]
 
 
 # ---- messages between a gateway and a worker
@@ -261,13 +263,13 @@
 def test_a_usage_message_is_written_again_byte_by_byte(
     name: str, kind: type[UsageRequest | UsageResponse]
 ) -> None:
-    kept = (MESSAGES / f"{name}.msgpack").read_bytes()
-    assert msgspec.msgpack.encode(msgspec.msgpack.decode(kept, type=kind)) == kept
+    stored = (MESSAGES / f"{name}.msgpack").read_bytes()
+    assert msgspec.msgpack.encode(msgspec.msgpack.decode(stored, type=kind)) == stored
 
 
 def test_a_usage_message_holds_the_fields_that_workers_send() -> None:
-    offered = msgspec.msgpack.decode((MESSAGES / "offered.msgpack").read_bytes())
-    assert list(offered) == [
+    response = msgspec.msgpack.decode((MESSAGES / "offered.msgpack").read_bytes())
+    assert list(response) == [
         "worker",
         "incarnation",
         "now_us",
@@ -278,7 +280,7 @@
         "records",
         "left",
     ]
-    (record,) = offered["records"]
+    (record,) = response["records"]
     assert msgspec.msgpack.encode(msgspec.convert(record, UsageRecord)) == msgspec.msgpack.encode(record)
-    asked = msgspec.msgpack.decode((MESSAGES / "asked.msgpack").read_bytes())
-    assert list(asked) == ["gateway", "ack", "missing", "limit"]
+    request = msgspec.msgpack.decode((MESSAGES / "asked.msgpack").read_bytes())
+    assert list(request) == ["gateway", "ack", "missing", "limit"]
--- a/tests/stored_formats/test_platform_message_formats.py
+++ b/tests/stored_formats/test_platform_message_formats.py
@@ -19,7 +19,7 @@
 from tests.stored_formats import settings_samples
 from tests.stored_formats.stored_files import DATA
 
-KEPT: dict[str, Any] = json.loads((DATA / "platform_messages" / "messages.json").read_text())
+STORED: dict[str, Any] = json.loads((DATA / "platform_messages" / "messages.json").read_text())
 SENT = {
     "call": codec.encode_request("t1", "setting", "00000000000000ff", 1500, b"\x00body\xff"),
     "cancel": codec.encode_cancel("t1"),
@@ -31,19 +31,19 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(KEPT["sent"]))
+@pytest.mark.parametrize("name", sorted(STORED["sent"]))
 def test_a_message_is_sent_in_the_same_bytes(name: str) -> None:
-    assert SENT[name].hex() == KEPT["sent"][name]
+    assert SENT[name].hex() == STORED["sent"][name]
 
 
 def test_words_of_hosts_and_replies_have_the_same_meaning() -> None:
-    assert {word: result.value for word, result in codec.RESULT_BY_TYPE.items()} == KEPT["results"]
-    assert {ending.value: word.decode() for ending, word in connection.STATUS_WORDS.items()} == KEPT[
+    assert {word: result.value for word, result in codec.RESULT_BY_TYPE.items()} == STORED["results"]
+    assert {ending.value: word.decode() for ending, word in connection.STATUS_WORDS.items()} == STORED[
         "replies"
     ]
 
 
-def understood_line(line: str) -> Any:
+def parsed_line(line: str) -> Any:
     """Parse a line of a host; return None if it is invalid."""
     try:
         found = codec.decode_response(line.encode())
@@ -62,13 +62,13 @@
     ]
 
 
-@pytest.mark.parametrize("number", range(len(KEPT["lines"])))
+@pytest.mark.parametrize("number", range(len(STORED["lines"])))
 def test_a_hosts_line_is_understood_the_same(number: int) -> None:
-    line, understood = KEPT["lines"][number]
-    assert understood_line(line) == understood
+    line, expected = STORED["lines"][number]
+    assert parsed_line(line) == expected
 
 
-def understood_frame(words: list[str]) -> Any:
+def parsed_frame(words: list[str]) -> Any:
     """Parse a frame of a client; return None if it is invalid."""
     call_builder = CallBuilder(parse_settings(json.dumps(settings_samples.PLATFORM)).settings, lambda: 1)
     try:
@@ -90,14 +90,14 @@
     ]
 
 
-@pytest.mark.parametrize("number", range(len(KEPT["frames"])))
+@pytest.mark.parametrize("number", range(len(STORED["frames"])))
 def test_a_clients_frame_is_understood_the_same(number: int) -> None:
-    words, understood = KEPT["frames"][number]
-    assert understood_frame(words) == understood
+    words, expected = STORED["frames"][number]
+    assert parsed_frame(words) == expected
 
 
-def test_the_kept_messages_have_every_meaning() -> None:
-    lines = [understood for _, understood in KEPT["lines"] if understood is not None]
+def test_the_stored_messages_have_every_meaning() -> None:
+    lines = [expected for _, expected in STORED["lines"] if expected is not None]
     assert {line[3] for line in lines} == {0, 1, 2, 3, 4}
     assert all(value is not None for value in lines[0][5])
-    assert sum(understood is None for _, understood in KEPT["frames"]) == 3
+    assert sum(expected is None for _, expected in STORED["frames"]) == 3
--- a/tests/stored_formats/test_shared_directory_formats.py
+++ b/tests/stored_formats/test_shared_directory_formats.py
@@ -52,7 +52,7 @@
 
 
 @pytest.fixture
-def kept(tmp_path: pathlib.Path) -> StateDirectory:
+def stored(tmp_path: pathlib.Path) -> StateDirectory:
     shutil.copytree(ROSTER / "state", tmp_path / "state")
     return StateDirectory(tmp_path / "state")
 
@@ -67,16 +67,16 @@
     ]
 
 
-def test_the_last_good_copy_and_the_history_are_read(kept: StateDirectory) -> None:
+def test_the_last_good_copy_and_the_history_are_read(stored: StateDirectory) -> None:
     expected = [version_of(source) for source in SOURCES]
-    assert kept.last_good_version() == expected[1]
-    assert kept.stored_versions() == [(1, APPLIED_AT, expected[0]), (2, APPLIED_AT + 1, expected[1])]
+    assert stored.last_good_version() == expected[1]
+    assert stored.stored_versions() == [(1, APPLIED_AT, expected[0]), (2, APPLIED_AT + 1, expected[1])]
 
 
-def test_operator_overrides_are_read(kept: StateDirectory) -> None:
-    assert kept.approved_digest() == "0" * 32
-    assert kept.pinned_digest() == version_of(SOURCES[0]).digest
-    assert kept.drained_workers() == {"worker-1", "worker-3"}
+def test_operator_overrides_are_read(stored: StateDirectory) -> None:
+    assert stored.approved_digest() == "0" * 32
+    assert stored.pinned_digest() == version_of(SOURCES[0]).digest
+    assert stored.drained_workers() == {"worker-1", "worker-3"}
 
 
 def test_the_state_directory_is_written_as_it_was(tmp_path: pathlib.Path) -> None:
@@ -123,17 +123,17 @@
     results = ResultStore(str(tmp_path))
     results.publish(3, 1, {"text": "first", "numbers": [1, 2.5, None]})
     results.publish(3, 2, [])
-    kept = {path.name: path.read_bytes() for path in (RESULTS / "any").iterdir()}
-    assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == kept
-    assert set(kept) == {f"{3:020d}-{1:010d}.json", f"{3:020d}-{2:010d}.json"}
+    stored = {path.name: path.read_bytes() for path in (RESULTS / "any").iterdir()}
+    assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == stored
+    assert set(stored) == {f"{3:020d}-{1:010d}.json", f"{3:020d}-{2:010d}.json"}
 
 
 def test_the_fleets_usage_is_published_as_it_was(tmp_path: pathlib.Path) -> None:
     for number, log in enumerate(USAGE_LOGS):
         shutil.copytree(log, tmp_path / f"usage_{number}")
     FleetUsageTask([f"{tmp_path}/usage_*"], str(tmp_path / "output")).execute(Run())
-    (kept,) = (RESULTS / "fleet_usage").iterdir()
-    assert (tmp_path / "output" / kept.name).read_bytes() == kept.read_bytes()
+    (stored,) = (RESULTS / "fleet_usage").iterdir()
+    assert (tmp_path / "output" / stored.name).read_bytes() == stored.read_bytes()
 
 
 def test_a_ledger_directory_has_the_same_entries_after_each_owner(tmp_path: pathlib.Path) -> None:
--- a/tests/stored_formats/test_worker_message_formats.py
+++ b/tests/stored_formats/test_worker_message_formats.py
@@ -49,11 +49,11 @@
     assert REQUESTS[name] == (MESSAGES / f"{name}.http").read_bytes()
 
 
-def test_every_kept_request_is_compared() -> None:
+def test_every_stored_request_is_compared() -> None:
     assert set(REQUESTS) == {path.stem for path in MESSAGES.glob("*.http")}
 
 
-def judged(answer: str) -> AttemptResponse:
+def parse_response(answer: str) -> AttemptResponse:
     parser = MessageReader(MessageLimits())
     parser.feed(answer.encode())
     head = parser.response()
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("number", range(len(ANSWERS)))
 def test_an_answer_of_a_worker_is_understood_the_same(number: int) -> None:
-    found = judged(ANSWERS[number]["answer"])
+    found = parse_response(ANSWERS[number]["answer"])
     report, answer = found.load_report, found.worker_response
     assert ANSWERS[number]["understood"] == {
         "result": found.result.value,
@@ -80,7 +80,7 @@
     }
 
 
-def test_the_kept_answers_have_every_meaning() -> None:
-    meanings = [answer["understood"] for answer in ANSWERS]
-    assert {one["found"] for one in meanings} == {0, 1, 2, 3, 4}
-    assert {one["result"] for one in meanings} == {"ok", "full", "error", "miss"}
+def test_the_stored_answers_have_every_meaning() -> None:
+    parsed = [answer["understood"] for answer in ANSWERS]
+    assert {one["found"] for one in parsed} == {0, 1, 2, 3, 4}
+    assert {one["result"] for one in parsed} == {"ok", "full", "error", "miss"}
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -29,9 +29,9 @@
     content = configuration(fleet, folder / "ledger")
     content["metering"] = {"directory": str(folder / "usage")}
     content["operations"] = {"directory": str(folder / "operations"), "window_s": 1e9}
-    for cls in content["classes"]:
-        if cls["effect"] != "safe":
-            cls |= {"note_operations": True, "operation_window_s": 1e9}
+    for request_class in content["classes"]:
+        if request_class["effect"] != "safe":
+            request_class |= {"note_operations": True, "operation_window_s": 1e9}
     return configs.parse(json.dumps(content))
 
 
@@ -45,7 +45,7 @@
 def test_answers_and_charges_of_an_earlier_version_are_unchanged(commit: str, tmp_path: pathlib.Path) -> None:
     folder = tmp_path / commit
     shutil.copytree(FORMATS / commit, folder)
-    told = json.loads((folder / "told.json").read_text())
+    recorded = json.loads((folder / "told.json").read_text())
     before, _ = read_usage_log(folder / "usage")
     charged = dict(before.charges_by_tenant())
     assert charged
@@ -55,15 +55,15 @@
         gateway = Gateway(parse_config(folder, fleet))
         host, port = gateway.start()
         client = Client(f"{host}:{port}", 30.0, tenant="corner-books")
-        for request_id, condition in told["deferred"].items():
+        for request_id, condition in recorded["deferred"].items():
             answer = client.request("GET", f"/deferred/{request_id}")
             assert answer.status == 200
             assert json.loads(answer.body)["requestContext"]["condition"] == condition
-        for number, (name, body) in enumerate(told["operations"].items()):
+        for number, (key, expected_body) in enumerate(recorded["operations"].items()):
             sale = json.dumps({"op": f"o{number}"}).encode()
-            answer = client.invoke("record-sale", sale, extra=(("Idempotency-Key", name),))
-            assert answer.status == 200, (run, name)
-            assert answer.body.decode() == body, (run, name)
+            answer = client.invoke("record-sale", sale, extra=(("Idempotency-Key", key),))
+            assert answer.status == 200, (run, key)
+            assert answer.body.decode() == expected_body, (run, key)
         client.close()
         assert gateway.stop()
         assert not any(worker.runs() for worker in fleet.workers)  # no call or operation was executed again
@@ -77,11 +77,11 @@
     folder = tmp_path / "later"
     shutil.copytree(FORMATS / COMMITS[0], folder)
     (path,) = (folder / part).glob("*.seg")
-    later = path.read_bytes().replace(b"SfL1", b"SfL2").replace(b"SfZ1", b"SfZ2")
-    path.write_bytes(later)
+    changed = path.read_bytes().replace(b"SfL1", b"SfL2").replace(b"SfZ1", b"SfZ2")
+    path.write_bytes(changed)
     fleet = StubWorkerFleet(1)
     with pytest.raises(JournalError, match="blocks of another version, Sf"):
         Gateway(parse_config(folder, fleet))
-    assert path.read_bytes() == later
+    assert path.read_bytes() == changed
     assert [one.name for one in (folder / part).glob("*.seg")] == [path.name]
     fleet.stop()
