--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,7 +22,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 
-MIN_CALL_RATIO = 0.95  # of calls made to calls intended, for a valid measurement
+MIN_CALL_RATIO = 0.95  # least ratio of calls made to calls intended in a valid run
 
 
 def main() -> int:
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -175,16 +175,18 @@
                 print(f"{count:>11} {path:<8} {rate:>9.0f} {p50:>8.2f} {p99:>8.2f} {errors:>7}", flush=True)
             added_ms = rows["gateway"][1] - rows["direct"][1], rows["gateway"][2] - rows["direct"][2]
             print(
-                f"{count:>11} gateway: {rows['gateway'][0] / max(1, rows['proxy'][0]):.2f} of the proxy, "
+                f"{count:>11} gateway: "
+                f"{rows['gateway'][0] / max(1, rows['proxy'][0]):.2f} of the proxy's rate, "
                 f"adds {added_ms[0]:.2f} ms at p50, {added_ms[1]:.2f} ms at p99"
             )
             print(
-                f"{count:>11} 4 processes: {rows['4 proc.'][0] / max(1, rows['proxy'][0]):.2f} of the proxy"
+                f"{count:>11} 4 processes: "
+                f"{rows['4 proc.'][0] / max(1, rows['proxy'][0]):.2f} of the proxy's rate"
             )
         for count in (8, 128):
             rate, p50, p99, errors = run_load([address], DEFERRED_REQUESTS, count, seconds)
             print(
-                f"deferred accepts with fsync, {count} connections: {rate:.0f}/s, p50 {p50:.2f} ms, "
+                f"deferred calls accepted with fsync, {count} connections: {rate:.0f}/s, p50 {p50:.2f} ms, "
                 f"p99 {p99:.2f} ms, {errors} errors",
                 flush=True,
             )
@@ -205,7 +207,7 @@
     time.sleep(2.0)
     after = rss_kb(pid)
     print(
-        f"memory for an idle connection: {(after - before) / len(socks):.1f} KiB resident ({len(socks)} held)"
+        f"memory for an idle connection: {(after - before) / len(socks):.1f} KiB resident ({len(socks)} open)"
     )
     for sock in socks:
         sock.close()
@@ -249,7 +251,7 @@
     client = Client(address, 10)
     state = json.loads(client.request("GET", "/status").body)
     print(
-        f"a gateway takes calls {elapsed_s:.2f} s after its start with "
+        f"a gateway is ready {elapsed_s:.2f} s after its start with "
         f"{state['deferred']['open']} open calls, "
         f"{rss_kb(process.pid) / 1024:.0f} MiB resident"
     )
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -127,7 +127,7 @@
     start = time.perf_counter()
     for n in range(200):
         account.windows.total(f"tenant-{n * 499 % count}", 1e9 + 3600)
-    print(f"a budget window that is not in memory: {(time.perf_counter() - start) / 200 * 1e3:.2f} ms")
+    print(f"lookup of a budget window not in memory: {(time.perf_counter() - start) / 200 * 1e3:.2f} ms")
     start = time.perf_counter()
     total = sum(load_mb_ms + run_mb_ms for _, (load_mb_ms, run_mb_ms, _, _) in account.read_totals())
     is_exact = total == records * 700 * 1024
--- a/benchmarks/mixed_lease_versions.py
+++ b/benchmarks/mixed_lease_versions.py
@@ -215,7 +215,7 @@
         except MixedVersionsError as error:
             print(f"BROKEN: {error}")
             return 1
-    print("no token went back, no holder lost its lease")
+    print("no fencing token decreased, no holder lost its lease")
     return 0
 
 
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -240,7 +240,7 @@
     print(
         f"{len(results)} boto3 operations, {relay.lost} responses lost, {kill_count} kills: "
         f"{sum(ok for *_, ok in results)} answered, "
-        f"{len(executed_twice)} sales executed twice, {len(called_twice)} operations with two calls, "
+        f"{len(executed_twice)} sales executed twice, {len(called_twice)} operations executed in two calls, "
         f"{sum(not executions.get(operation) for operation in sale_operations)} sales never executed"
     )
     process.kill()
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -405,11 +405,13 @@
     return (
         f"{row['policy']:>7} {row['day']} seed {row['seed']}: busiest host {row['max_over_mean']:.2f} of its "
         f"share (worst {row['max_over_mean_worst']:.2f}, deviation {row['deviation']:.2f}), "
-        f"idle beside a queue {row['idle_beside_queue']:.3f} (longest {row['idle_longest_s']:.1f} s), "
+        f"hosts idle while others queue {row['idle_beside_queue']:.3f} "
+        f"(longest {row['idle_longest_s']:.1f} s), "
         f"herds {row['herds_a_second']:.2f}/s, warm {row['warm']:.3f}, "
-        f"hosts a function {row['hosts_a_function']:.1f}, links {row['links_a_second']:.1f}/s, "
-        f"asks {row['asks_a_second']:.0f}/s, in aim {row['in_aim']:.3f}, p50 {row['p50_ms']:.0f} ms, "
-        f"p99 {row['p99_ms']:.0f} ms, lag {row['lag_s']:.2f} s{note}"
+        f"hosts per function {row['hosts_a_function']:.1f}, connections {row['links_a_second']:.1f}/s, "
+        f"DNS queries {row['asks_a_second']:.0f}/s, within objective {row['in_aim']:.3f}, "
+        f"p50 {row['p50_ms']:.0f} ms, "
+        f"p99 {row['p99_ms']:.0f} ms, read lag {row['lag_s']:.2f} s{note}"
     )
 
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -117,7 +117,7 @@
     in_time = sum(seconds <= MAX_READY_S for seconds in ready_times_s)
     median_s, last_s = ready_times_s[len(ready_times_s) // 2], ready_times_s[-1]
     print(
-        f"{options.gateways} gateways beside {options.load} busy processes on {os.cpu_count()} cores: "
+        f"{options.gateways} gateways with {options.load} busy processes on {os.cpu_count()} cores: "
         f"ready after {median_s:.2f} s at the median, {last_s:.2f} s at most; "
         f"{in_time} within {MAX_READY_S:g} s"
     )
--- a/benchmarks/starved_processor.py
+++ b/benchmarks/starved_processor.py
@@ -447,15 +447,15 @@
     begin_s, end_s = outcome.began_s, outcome.ended_s
     print(_format_line(outcome, "before", begin_s - BEFORE_S, begin_s, processor))
     if outcome.moved_s:
-        print(_format_line(outcome, "beside", begin_s, outcome.moved_s, processor))
+        print(_format_line(outcome, "during", begin_s, outcome.moved_s, processor))
         print(_format_line(outcome, "moved", outcome.moved_s, end_s, processor))
     else:
-        print(_format_line(outcome, "beside", begin_s, end_s, processor))
+        print(_format_line(outcome, "during", begin_s, end_s, processor))
     print(_format_line(outcome, "after", end_s, end_s + AFTER_S, processor))
     for name in MEASURED_READS if outcome.looks else ():
         during = [item[name] for item in outcome.looks if begin_s <= item["at_s"] < end_s]
         otherwise = [item[name] for item in outcome.looks if not begin_s <= item["at_s"] < end_s]
-        print(f"  look, {name}: {_median_and_longest(otherwise)}, beside {_median_and_longest(during)}")
+        print(f"  read of {name}: {_median_and_longest(otherwise)}; during {_median_and_longest(during)}")
     statuses = Counter(call.status for call in outcome.calls)
     if set(statuses) != {SERVED}:
         print("  statuses:", dict(statuses))
