--- a/benchmarks/starved_processor.py
+++ b/benchmarks/starved_processor.py
@@ -1,11 +1,11 @@
-"""A gateway that keeps to one processor which others take up: its calls, and what the kernel counts.
+"""Starve a gateway of CPU time: busy processes occupy its CPU while calls and kernel counters are recorded.
 
     python benchmarks/starved_processor.py                        # all cases, some five minutes
     python benchmarks/starved_processor.py --cases steady --clients 1 --neighbours 8 40 --keep samples.jsonl
 
-The gateway is `saffronstack serve` with its default processors, started until its choice is the one named by
-``--processor``; neighbours are busy processes of ordinary priority that are kept to that one and end by
-themselves. Clients, workers and the observer keep to the other processors.
+The gateway is `saffronstack serve` with its default CPU affinity. It is restarted until it has chosen the CPU
+named by ``--processor``. Neighbours are busy processes with normal priority on that CPU; they exit by
+themselves. Clients, workers and this program run on the other CPUs.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 HERE = pathlib.Path(__file__)
 FUNCTIONS, PAYLOAD, CLIENT_TIMEOUT_S = ("suggest-price", "identify-copy"), b"{}", 20.0
 SERVED = 200
-MAX_NEIGHBOURS = 150
-MAX_BUSY_S = 30.0  # a neighbour ends by then, whatever became of this program
+MAX_BUSY_PROCESSES = 150
+MAX_BUSY_S = 30.0  # a neighbour exits after this time even if this program was killed
 START_ATTEMPTS = 400
 SAMPLE_INTERVAL_S = 0.1
 SAMPLES_IN_SPAN = 10
@@ -46,29 +46,29 @@
 BURST_S = 1.0
 MOVE_AFTER_S = 4.0
 NANOSECONDS_PER_S = 1e9
-LOOK_INTERVAL_S = 0.5
-LOOK_READS = 20
-LOOK_PARTS = ("reads_s", "process_time_s", "getrusage_s", "thread_clocks_s")
+SELF_MEASUREMENT_INTERVAL_S = 0.5
+READS_PER_MEASUREMENT = 20
+MEASURED_READS = ("reads_s", "process_time_s", "getrusage_s", "thread_clocks_s")
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What runs: clients in closed loops, and neighbours of the gateway."""
+    """One case: clients in closed loops, and busy processes on the gateway's CPU."""
 
     name: str
     clients: int
     neighbours: int
-    busy_s: float  # of neighbours in a row
-    idle_s: float = 0.0  # between, for neighbours that come and go
-    move_to: str = ""  # `all` or `idlest`, `MOVE_AFTER_S` after neighbours began
+    busy_s: float  # time for which neighbours are busy without a pause
+    idle_s: float = 0.0  # pause after it, for neighbours that are busy at intervals
+    move_to: str = ""  # `all` or `idlest`, where the gateway moves `MOVE_AFTER_S` after the neighbours start
 
 
 @dataclass(frozen=True, slots=True)
 class ThreadCounts:
-    """What the kernel counts of one thread, and whether it is ready to run."""
+    """Kernel counters of one thread, and whether it is runnable."""
 
     run_ns: int = 0
-    wait_ns: int = 0  # for the processor; booked when the wait ends
+    wait_ns: int = 0  # for the CPU; counted when the wait ends
     is_runnable: bool = False
     voluntary: int = 0  # context switches
     involuntary: int = 0
@@ -76,13 +76,13 @@
 
 @dataclass(slots=True)
 class Sample:
-    """What the kernel counts at one moment: threads by id, ticks by processor.
+    """Kernel counters at one time.
 
     Attributes:
-        at_s: Monotonic seconds.
-        threads: Of the gateway.
-        idle_ticks: Of each processor.
-        processors: On which most of the gateway's threads may run.
+        at_s: Monotonic time in seconds.
+        threads: Counters of the gateway's threads, by thread id.
+        idle_ticks: Idle time of each CPU in ticks.
+        processors: The CPU affinity that most of the gateway's threads have.
     """
 
     at_s: float
@@ -100,21 +100,21 @@
     status: int
 
 
-# ---- programs of their own: neighbours, clients, a gateway with a look from inside
+# ---- programs that run as processes: neighbours, clients, a gateway that measures itself
 
 
-def run_neighbours(processor: int, count: int, sessions: str) -> None:
+def run_busy_processes(processor: int, count: int, sessions: str) -> None:
     """Fork busy processes; a line ``start_s total_s busy_s idle_s`` on standard input starts them at once."""
     begin, children = os.pipe(), []
-    for _ in range(min(count, MAX_NEIGHBOURS)):
+    for _ in range(min(count, MAX_BUSY_PROCESSES)):
         child = os.fork()
         if child == 0:
             os.close(begin[1])
             if sessions == "each":
                 os.setsid()
-            order = os.read(begin[0], 80)
-            if order:
-                _be_busy(processor, *(float(word) for word in order.split()))
+            command = os.read(begin[0], 80)
+            if command:
+                _use_cpu(processor, *(float(word) for word in command.split()))
             os._exit(0)
         children.append(child)
     os.close(begin[0])
@@ -127,7 +127,7 @@
         os.waitpid(child, 0)
 
 
-def _be_busy(processor: int, start_s: float, total_s: float, busy_s: float, idle_s: float) -> None:
+def _use_cpu(processor: int, start_s: float, total_s: float, busy_s: float, idle_s: float) -> None:
     os.sched_setaffinity(0, {processor})
     end_s = start_s + min(total_s, MAX_BUSY_S)
     time.sleep(max(0.0, start_s - time.monotonic()))
@@ -138,54 +138,57 @@
 
 
 def run_clients(address: str, count: int, end_s: float) -> None:
-    """Closed loops until a moment; prints all calls."""
+    """Run clients in closed loops until a monotonic time; print all calls."""
     calls: list[list[Call]] = [[] for _ in range(count)]
 
-    def loop(own: list[Call], function: str) -> None:
+    def loop(client_calls: list[Call], function: str) -> None:
         client = Client(address, CLIENT_TIMEOUT_S, tenant="corner-books")
         while (began_s := time.monotonic()) < end_s:
             status = client.invoke(function, PAYLOAD).status
             ended_s = time.monotonic()
-            own.append(Call(ended_s, ended_s - began_s, status))
+            client_calls.append(Call(ended_s, ended_s - began_s, status))
         client.close()
 
     threads = [
-        threading.Thread(target=loop, args=(own, FUNCTIONS[number % len(FUNCTIONS)]))
-        for number, own in enumerate(calls)
+        threading.Thread(target=loop, args=(client_calls, FUNCTIONS[number % len(FUNCTIONS)]))
+        for number, client_calls in enumerate(calls)
     ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    print(json.dumps([asdict(call) for own in calls for call in own]))
+    print(json.dumps([asdict(call) for client_calls in calls for call in client_calls]))
 
 
-def serve_with_look(path: str, arguments: list[str]) -> None:
-    """`saffronstack` beside a thread on all processors that notes in a file what a look from inside takes."""
+def serve_with_self_measurement(path: str, arguments: list[str]) -> None:
+    """Run `saffronstack` with a thread that records how long reads of its own CPU counters take.
+
+    The thread may run on all CPUs.
+    """
     from saffronstack.cli.main import main  # only this process needs it
 
-    def look() -> None:
+    def measure_repeatedly() -> None:
         with open(path, "w") as notes:
             while True:
-                time.sleep(LOOK_INTERVAL_S)
+                time.sleep(SELF_MEASUREMENT_INTERVAL_S)
                 os.sched_setaffinity(0, range(os.cpu_count() or 1))
-                notes.write(json.dumps(_time_look()) + "\n")
+                notes.write(json.dumps(_measure_own_reads()) + "\n")
                 notes.flush()
 
-    threading.Thread(target=look, daemon=True).start()
+    threading.Thread(target=measure_repeatedly, daemon=True).start()
     sys.argv = ["saffronstack", *arguments]
     main()
 
 
-def _time_look() -> dict[str, float]:
+def _measure_own_reads() -> dict[str, float]:
     began_s = time.monotonic()
-    for _ in range(LOOK_READS):
+    for _ in range(READS_PER_MEASUREMENT):
         pathlib.Path("/proc/self/schedstat").read_text()
     read_s = time.monotonic()
-    for _ in range(LOOK_READS):
+    for _ in range(READS_PER_MEASUREMENT):
         run_s = time.process_time()
     clock_s = time.monotonic()
-    for _ in range(LOOK_READS):
+    for _ in range(READS_PER_MEASUREMENT):
         usage = resource.getrusage(resource.RUSAGE_SELF)
     usage_s = time.monotonic()
     threads = {}
@@ -199,15 +202,15 @@
     }  # fmt: skip
 
 
-# ---- the observer
+# ---- kernel counters
 
 
 def read_sample(pid: int) -> Sample:
-    """Read the counters of a process's threads and of all processors."""
+    """Read the counters of a process's threads and of all CPUs."""
     result = Sample(time.monotonic())
     allowed: Counter[tuple[int, ...]] = Counter()
     for task in pathlib.Path(f"/proc/{pid}/task").iterdir():
-        with contextlib.suppress(OSError, ValueError):  # it has ended
+        with contextlib.suppress(OSError, ValueError):  # the thread has ended
             result.threads[int(task.name)] = _read_thread(task)
             allowed[tuple(sorted(os.sched_getaffinity(int(task.name))))] += 1
     for line in pathlib.Path("/proc/stat").read_text().splitlines()[1:]:
@@ -230,35 +233,35 @@
     )
 
 
-def move(pid: int, processors: set[int]) -> None:
-    """Let all threads of a process run on some processors."""
+def set_affinity(pid: int, processors: set[int]) -> None:
+    """Set the CPU affinity of all threads of a process."""
     for task in os.listdir(f"/proc/{pid}/task"):
         with contextlib.suppress(OSError):
             os.sched_setaffinity(int(task), processors)
 
 
 def idlest(before: Sample, after: Sample) -> int:
-    """Return the processor that was idle for longest between two samples."""
+    """Return the CPU that was idle for longest between two samples."""
     idle = [later - earlier for earlier, later in zip(before.idle_ticks, after.idle_ticks, strict=True)]
     return idle.index(max(idle))
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """What the gateway got between two samples; times as shares of the time between."""
+    """CPU use of the gateway between two samples; times are shares of the elapsed time."""
 
     run: float  # of all threads
     max_wait: float  # of the thread that waited longest
     sum_wait: float
-    foreign: float  # at least so much did a thread wait while no other of the process ran
-    taken: float  # the processor's busy time that is not the process's
+    foreign: float  # lower bound of the time that a thread waited while no other thread of the process ran
+    taken: float  # the CPU's busy time that other processes used
     involuntary: float  # context switches
     voluntary: float
     is_starved: bool  # a thread was runnable at both samples and did not run between them
 
 
 def compare(before: Sample, after: Sample, processor: int) -> Span:
-    """Return what happened between two samples."""
+    """Return the CPU use between two samples."""
     span_ns = (after.at_s - before.at_s) * NANOSECONDS_PER_S
     pairs = [(before.threads.get(thread, ThreadCounts()), now) for thread, now in after.threads.items()]
     runs = [now.run_ns - then.run_ns for then, now in pairs]
@@ -283,7 +286,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of a case; moments in monotonic seconds."""
+    """The result of a case; times are monotonic seconds."""
 
     case: Case
     began_s: float
@@ -295,35 +298,38 @@
     log: list[str]
 
     def calls_within(self, begin_s: float, end_s: float) -> list[float]:
-        """Return the seconds of calls that ended in a time."""
+        """Return the sorted latencies of the calls that ended in a period."""
         return sorted(call.seconds for call in self.calls if begin_s <= call.ended_s < end_s)
 
     def spans(self, begin_s: float, end_s: float, processor: int) -> list[Span]:
-        """Return what happened in each span of a time."""
-        inside = [one for one in self.samples if begin_s <= one.at_s <= end_s]
+        """Return the CPU use in each span of a period."""
+        inside = [item for item in self.samples if begin_s <= item.at_s <= end_s]
         pairs = zip(inside, inside[SAMPLES_IN_SPAN:], strict=False)
         return [compare(before, after, processor) for before, after in pairs]
 
 
 @contextlib.contextmanager
-def gateway(
-    folder: pathlib.Path, workers: list[dict[str, object]], asked: argparse.Namespace
+def start_gateway(
+    folder: pathlib.Path, workers: list[dict[str, object]], options: argparse.Namespace
 ) -> Iterator[tuple[subprocess.Popen[bytes], str]]:
-    """A gateway that keeps to the wanted processor: its choice goes by its process id."""
+    """Start a gateway that runs on the chosen CPU.
+
+    A gateway chooses its CPU by its process id, so the shell starts it only if the id fits.
+    """
     path = folder / "gateway.json5"
     path.write_text(json.dumps(sample_config(workers, "127.0.0.1:0")))
-    served = ["serve", "--config", str(path), "--log-level", "warning"]
-    program = [sys.executable, "-m", "saffronstack.cli.main", *served]
-    if asked.look:
-        program = [sys.executable, str(HERE), "--program", "look", str(folder / "looks"), *served]
+    serve_arguments = ["serve", "--config", str(path), "--log-level", "warning"]
+    program = [sys.executable, "-m", "saffronstack.cli.main", *serve_arguments]
+    if options.look:
+        program = [sys.executable, str(HERE), "--program", "look", str(folder / "looks"), *serve_arguments]
     count = len(os.sched_getaffinity(0))
-    chosen = sorted(os.sched_getaffinity(0)).index(asked.processor)
-    shell = f'[ $(($$ % {count})) -eq {chosen} ] && exec "$@"'
+    processor_index = sorted(os.sched_getaffinity(0)).index(options.processor)
+    shell = f'[ $(($$ % {count})) -eq {processor_index} ] && exec "$@"'
     for _ in range(START_ATTEMPTS):
         with open(folder / "log", "wb") as log:
             process = subprocess.Popen(
                 ["sh", "-c", shell, "sh", *program], stdout=subprocess.PIPE, stderr=log,
-                start_new_session=asked.sessions != "one",
+                start_new_session=options.sessions != "one",
             )  # fmt: skip
         assert process.stdout is not None
         line = process.stdout.readline().decode()
@@ -331,7 +337,7 @@
             break
         process.wait(CLIENT_TIMEOUT_S)
     else:
-        raise SystemExit("no gateway got the processor")
+        raise SystemExit("no gateway chose the requested CPU")
     try:
         yield process, line.strip().rpartition("/")[2]
     finally:
@@ -343,49 +349,50 @@
             process.wait()
 
 
-def _start(others: set[int], *arguments: str) -> subprocess.Popen[str]:
+def _start(other_processors: set[int], *arguments: str) -> subprocess.Popen[str]:
     process = subprocess.Popen(
         [sys.executable, str(HERE), "--program", *arguments],
         stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
     )  # fmt: skip
-    move(process.pid, others)
+    set_affinity(process.pid, other_processors)
     return process
 
 
-def play(case: Case, asked: argparse.Namespace, workers: list[dict[str, object]]) -> Outcome:
+def run_case(case: Case, options: argparse.Namespace, workers: list[dict[str, object]]) -> Outcome:
     """Run one case."""
     allowed = os.sched_getaffinity(0)
-    others = allowed - {asked.processor}
+    other_processors = allowed - {options.processor}
     with tempfile.TemporaryDirectory(prefix="starved-") as name:
         folder = pathlib.Path(name)
-        with gateway(folder, workers, asked) as (process, address):
-            os.sched_setaffinity(0, others)
-            neighbours = _start(
-                others, "neighbours", str(asked.processor), str(case.neighbours), asked.sessions
+        with start_gateway(folder, workers, options) as (process, address):
+            os.sched_setaffinity(0, other_processors)
+            busy_processes = _start(
+                other_processors, "neighbours", str(options.processor), str(case.neighbours), options.sessions
             )
-            assert neighbours.stdout is not None
-            neighbours.stdout.readline()
+            assert busy_processes.stdout is not None
+            busy_processes.stdout.readline()
             began_s = time.monotonic() + WARM_UP_S + BEFORE_S
-            ended_s = began_s + asked.seconds
-            firsts = range(0, case.clients, CLIENTS_PER_PROCESS)
-            parts = [min(CLIENTS_PER_PROCESS, case.clients - first) for first in firsts]
+            ended_s = began_s + options.seconds
+            first_clients = range(0, case.clients, CLIENTS_PER_PROCESS)
+            parts = [min(CLIENTS_PER_PROCESS, case.clients - first) for first in first_clients]
             clients = [
-                _start(others, "clients", address, str(part), str(ended_s + AFTER_S)) for part in parts
+                _start(other_processors, "clients", address, str(part), str(ended_s + AFTER_S))
+                for part in parts
             ]
-            total_s = case.busy_s if not case.idle_s else asked.seconds
-            neighbours.stdin.write(f"{began_s} {total_s} {case.busy_s} {case.idle_s}\n")  # type: ignore[union-attr]
-            neighbours.stdin.flush()  # type: ignore[union-attr]
+            total_s = case.busy_s if not case.idle_s else options.seconds
+            busy_processes.stdin.write(f"{began_s} {total_s} {case.busy_s} {case.idle_s}\n")  # type: ignore[union-attr]
+            busy_processes.stdin.flush()  # type: ignore[union-attr]
             samples, moved_s = _observe(process.pid, case, began_s, ended_s + AFTER_S, allowed)
             calls = [
-                Call(**one)
+                Call(**item)
                 for client in clients
-                for one in json.loads(client.communicate(timeout=3 * CLIENT_TIMEOUT_S)[0])
+                for item in json.loads(client.communicate(timeout=3 * CLIENT_TIMEOUT_S)[0])
             ]
-            neighbours.communicate(timeout=MAX_BUSY_S + CLIENT_TIMEOUT_S)
+            busy_processes.communicate(timeout=MAX_BUSY_S + CLIENT_TIMEOUT_S)
         looks = folder / "looks"
-        seen = [json.loads(one) for one in looks.read_text().splitlines()] if looks.exists() else []
+        measurements = [json.loads(item) for item in looks.read_text().splitlines()] if looks.exists() else []
         log = (folder / "log").read_text().splitlines()
-    return Outcome(case, began_s, ended_s, moved_s, calls, samples, seen, log)
+    return Outcome(case, began_s, ended_s, moved_s, calls, samples, measurements, log)
 
 
 def _observe(
@@ -395,8 +402,8 @@
     while time.monotonic() < end_s:
         samples.append(read_sample(pid))
         if case.move_to and not moved_s and samples[-1].at_s >= began_s + MOVE_AFTER_S:
-            target = {idlest(samples[-1 - SAMPLES_IN_SPAN], samples[-1])}
-            move(pid, allowed if case.move_to == "all" else target)
+            target_processors = {idlest(samples[-1 - SAMPLES_IN_SPAN], samples[-1])}
+            set_affinity(pid, allowed if case.move_to == "all" else target_processors)
             moved_s = time.monotonic()
         time.sleep(max(0.0, SAMPLE_INTERVAL_S - (time.monotonic() - samples[-1].at_s)))
     return samples, moved_s
@@ -405,84 +412,84 @@
 # ---- tables
 
 
-def _line(outcome: Outcome, what: str, begin_s: float, end_s: float, processor: int) -> str:
+def _format_line(outcome: Outcome, period: str, begin_s: float, end_s: float, processor: int) -> str:
     seconds = outcome.calls_within(begin_s, end_s) or [0.0]
     spans = outcome.spans(begin_s, end_s, processor)
     head = (
-        f"{outcome.case.name:10} {outcome.case.clients:3} {outcome.case.neighbours:4} {what:7} "
+        f"{outcome.case.name:10} {outcome.case.clients:3} {outcome.case.neighbours:4} {period:7} "
         f"{len(seconds) / (end_s - begin_s):7.1f} {1000 * statistics.median(seconds):7.1f} "
         f"{1000 * seconds[len(seconds) * 99 // 100]:7.1f} {1000 * seconds[-1]:7.1f} |"
     )
     if not spans:
         return head
     for name in ("run", "max_wait", "sum_wait", "foreign", "taken"):
-        values = sorted(getattr(one, name) for one in spans)
+        values = sorted(getattr(item, name) for item in spans)
         head += f" {values[0]:5.2f} {values[len(values) // 2]:5.2f} {values[-1]:5.2f} |"
     for name in ("involuntary", "voluntary"):
-        head += f" {statistics.median(getattr(one, name) for one in spans):5.0f}"
-    return head + f" | {sum(one.is_starved for one in spans)}/{len(spans)}"
+        head += f" {statistics.median(getattr(item, name) for item in spans):5.0f}"
+    return head + f" | {sum(item.is_starved for item in spans)}/{len(spans)}"
 
 
 HEADER = (
     "case       cl neighb when   calls/s  median     p99 longest | run min med max | max_wait | sum_wait | "
-    "foreign | taken | involuntary, voluntary a second | spans starved as of two looks"
+    "foreign | taken | involuntary, voluntary a second | spans starved as of two samples"
 )
 
 
-def _middle_and_longest(seconds: list[float]) -> str:
-    longest = max(seconds, default=0.0)
-    middle = statistics.median(seconds or [0.0])
-    return f"median {1000 * middle:.2f} ms, longest {1000 * longest:.2f} ms of {len(seconds)}"
+def _median_and_longest(seconds: list[float]) -> str:
+    longest_s = max(seconds, default=0.0)
+    median_s = statistics.median(seconds or [0.0])
+    return f"median {1000 * median_s:.2f} ms, longest {1000 * longest_s:.2f} ms of {len(seconds)}"
 
 
 def report(outcome: Outcome, processor: int) -> None:
     """Print the lines of a case."""
     begin_s, end_s = outcome.began_s, outcome.ended_s
-    print(_line(outcome, "before", begin_s - BEFORE_S, begin_s, processor))
+    print(_format_line(outcome, "before", begin_s - BEFORE_S, begin_s, processor))
     if outcome.moved_s:
-        print(_line(outcome, "beside", begin_s, outcome.moved_s, processor))
-        print(_line(outcome, "moved", outcome.moved_s, end_s, processor))
+        print(_format_line(outcome, "during", begin_s, outcome.moved_s, processor))
+        print(_format_line(outcome, "moved", outcome.moved_s, end_s, processor))
     else:
-        print(_line(outcome, "beside", begin_s, end_s, processor))
-    print(_line(outcome, "after", end_s, end_s + AFTER_S, processor))
-    for name in LOOK_PARTS if outcome.looks else ():
-        beside = [one[name] for one in outcome.looks if begin_s <= one["at_s"] < end_s]
-        others = [one[name] for one in outcome.looks if not begin_s <= one["at_s"] < end_s]
-        print(f"  look, {name}: {_middle_and_longest(others)}, beside {_middle_and_longest(beside)}")
+        print(_format_line(outcome, "during", begin_s, end_s, processor))
+    print(_format_line(outcome, "after", end_s, end_s + AFTER_S, processor))
+    for name in MEASURED_READS if outcome.looks else ():
+        during = [item[name] for item in outcome.looks if begin_s <= item["at_s"] < end_s]
+        otherwise = [item[name] for item in outcome.looks if not begin_s <= item["at_s"] < end_s]
+        print(f"  read of {name}: {_median_and_longest(otherwise)}; during {_median_and_longest(during)}")
     statuses = Counter(call.status for call in outcome.calls)
     if set(statuses) != {SERVED}:
         print("  statuses:", dict(statuses))
     for before, after in itertools.pairwise(outcome.samples):
         if before.processors != after.processors:
-            print(f"  {after.at_s - begin_s:.1f} s after the start of neighbours: on {after.processors}")
+            print(f"  {after.at_s - begin_s:.1f} s after the neighbours started: on CPUs {after.processors}")
     for line in outcome.log:
         print("  log:", line)
 
 
-def cases(asked: argparse.Namespace) -> list[Case]:
-    """The cases that were asked for."""
+def selected_cases(options: argparse.Namespace) -> list[Case]:
+    """Return the cases that the options select."""
     chosen = []
-    for clients in asked.clients:
-        if "own" in asked.cases:
+    for clients in options.clients:
+        if "own" in options.cases:
             chosen.append(Case("own", clients, 0, 0.0))
-        for neighbours in asked.neighbours:
+        for neighbours in options.neighbours:
             every = {
-                "steady": Case("steady", clients, neighbours, asked.seconds),
+                "steady": Case("steady", clients, neighbours, options.seconds),
                 "burst": Case("burst", clients, neighbours, BURST_S),
                 "alternate": Case("alternate", clients, neighbours, ALTERNATION_S, ALTERNATION_S),
-                "to-all": Case("to-all", clients, neighbours, asked.seconds, move_to="all"),
-                "to-idlest": Case("to-idlest", clients, neighbours, asked.seconds, move_to="idlest"),
+                "to-all": Case("to-all", clients, neighbours, options.seconds, move_to="all"),
+                "to-idlest": Case("to-idlest", clients, neighbours, options.seconds, move_to="idlest"),
             }
-            chosen += [every[name] for name in asked.cases if name in every]
+            chosen += [every[name] for name in options.cases if name in every]
     return chosen
 
 
 def main() -> int:
-    """Run the cases one after the other."""
+    """Run the cases one after another; return the exit status."""
     if sys.argv[1:2] == ["--program"]:
         return run_program(sys.argv[2], sys.argv[3:])
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--processor", type=int, default=max(os.sched_getaffinity(0)))
     parser.add_argument("--cases", nargs="+", default=["own", "steady", "burst", "alternate"])
     parser.add_argument("--clients", nargs="+", type=int, default=[1, 12])
@@ -491,38 +498,38 @@
     parser.add_argument("--work", type=float, default=0.01, help="seconds of a call at its worker")
     parser.add_argument(
         "--sessions", choices=("one", "gateway", "each"), default="one",
-        help="whether the gateway has a session of its own, as below a daemon, and each neighbour too: "
-        "the scheduler may share the processor between sessions first",
+        help="whether the gateway has its own session, as under a daemon, and each neighbour too: "
+        "the scheduler may share the CPU between sessions first",
     )  # fmt: skip
-    parser.add_argument("--look", action="store_true", help="time a look from inside the gateway")
+    parser.add_argument("--look", action="store_true", help="time reads of CPU counters inside the gateway")
     parser.add_argument("--keep", help="file for all samples, a JSON line for each case")
-    asked = parser.parse_args()
+    options = parser.parse_args()
     allowed = os.sched_getaffinity(0)
-    os.sched_setaffinity(0, allowed - {asked.processor})
-    profile = {"work_s": asked.work, "load_s": 0.05, "cores": 64, "queue": 256}
+    os.sched_setaffinity(0, allowed - {options.processor})
+    profile = {"work_s": options.work, "load_s": 0.05, "cores": 64, "queue": 256}
     host = StubWorkersProcess({"count": 4, "log": os.devnull, "seed": 1, "profiles": [profile]})
     os.sched_setaffinity(0, allowed)
     print(HEADER, flush=True)
-    for case in cases(asked):
-        outcome = play(case, asked, host.workers)
+    for case in selected_cases(options):
+        outcome = run_case(case, options, host.workers)
         os.sched_setaffinity(0, allowed)
-        report(outcome, asked.processor)
+        report(outcome, options.processor)
         sys.stdout.flush()
-        if asked.keep:
-            with open(asked.keep, "a") as kept:
-                kept.write(json.dumps(asdict(outcome)) + "\n")
+        if options.keep:
+            with open(options.keep, "a") as samples_file:
+                samples_file.write(json.dumps(asdict(outcome)) + "\n")
     host.end()
     return 0
 
 
 def run_program(name: str, arguments: Sequence[str]) -> int:
-    """One of the programs that this file is too."""
+    """Run this file as one of the programs that the cases start."""
     if name == "neighbours":
-        run_neighbours(int(arguments[0]), int(arguments[1]), arguments[2])
+        run_busy_processes(int(arguments[0]), int(arguments[1]), arguments[2])
     elif name == "clients":
         run_clients(arguments[0], int(arguments[1]), float(arguments[2]))
     else:
-        serve_with_look(arguments[0], list(arguments[1:]))
+        serve_with_self_measurement(arguments[0], list(arguments[1:]))
     return 0
 
 
--- a/tests/stored_formats/test_address_process_formats.py
+++ b/tests/stored_formats/test_address_process_formats.py
@@ -1,4 +1,4 @@
-"""What the processes of one address share: slots, spooled answers, requests, numbers, a listening socket."""
+"""Formats shared by processes at one address: slots, spooled responses, requests, numbers, listeners."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 from saffronstack.operations.slot_assignment import SLOT_COUNT, assigned_member, slot_for
 from saffronstack.operations.slot_locks import RecordLocation
 from saffronstack.operations.slot_manager import SlotHandover, SlotManager, SlotMember
-from tests.stored_formats.stored_files import AMPLE_S, DATA, OneExchange
+from tests.stored_formats.stored_files import BUSY_MACHINE_TIMEOUT_S, DATA, SingleResponseServer
 
-KEPT_SLOT = 3
+STORED_SLOT = 3
 LOCATIONS = (
     RecordLocation("/state/process-0/operations", "/state/process-0/ledger"),
     RecordLocation("", "/state/process-1/ledger"),
     RecordLocation("/state/process-2/operations", ""),
 )
-MEMORY = [(bytes([KEPT_SLOT]) * 12, b"packed"), (b"\xff" * 12, b"")]
+MEMORY = [(bytes([STORED_SLOT]) * 12, b"packed"), (b"\xff" * 12, b"")]
 PROCESSES = DATA / "address_processes"
 NUMBERS: dict[str, Any] = json.loads((PROCESSES / "numbers.json").read_text())
-LATEST_S = 9e9  # seconds of the monotonic clock, later than any
+LATEST_S = 9e9  # a deadline on the monotonic clock that never expires
 RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Amz-Executed-Version: $LATEST\r\n"
     b"X-Saffron-Repeated: ended\r\nX-Other: 1\r\nContent-Length: 2\r\n\r\n{}"
@@ -57,7 +57,7 @@
 
 
 class RecordingHandover(SlotHandover):
-    """Records what is taken over, and hands over what the kept file holds."""
+    """Records the locations and operations taken over; hands over the operations of the stored file."""
 
     def __init__(self) -> None:
         self.locations: list[RecordLocation] = []
@@ -79,31 +79,33 @@
 
 
 def test_slots_that_change_hands_leave_the_same_files(tmp_path: pathlib.Path) -> None:
-    kept = DATA / "operation_slots"
+    stored = DATA / "operation_slots"
     for number in range(len(LOCATIONS)):
         slots = member(tmp_path, number, RecordingHandover())
         slots.start()
-        lock = (tmp_path / f"{KEPT_SLOT}.lock").read_bytes()
-        assert lock == (kept / f"{KEPT_SLOT}.lock.{number}").read_bytes()
-        assert slots.stop(AMPLE_S)
-        assert (tmp_path / "live" / str(number)).read_bytes() == (kept / "live" / str(number)).read_bytes()
-    assert (tmp_path / f"{KEPT_SLOT}.memory").read_bytes() == (kept / f"{KEPT_SLOT}.memory").read_bytes()
+        lock = (tmp_path / f"{STORED_SLOT}.lock").read_bytes()
+        assert lock == (stored / f"{STORED_SLOT}.lock.{number}").read_bytes()
+        assert slots.stop(BUSY_MACHINE_TIMEOUT_S)
+        assert (tmp_path / "live" / str(number)).read_bytes() == (stored / "live" / str(number)).read_bytes()
+    assert (tmp_path / f"{STORED_SLOT}.memory").read_bytes() == (
+        stored / f"{STORED_SLOT}.memory"
+    ).read_bytes()
     assert len(list(tmp_path.glob("*.lock"))) == SLOT_COUNT == 64
 
 
-def test_the_next_holder_reads_kept_holders_and_memory(tmp_path: pathlib.Path) -> None:
-    shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.lock.1", tmp_path / f"{KEPT_SLOT}.lock")
-    shutil.copyfile(DATA / "operation_slots" / f"{KEPT_SLOT}.memory", tmp_path / f"{KEPT_SLOT}.memory")
+def test_the_next_holder_reads_stored_holders_and_memory(tmp_path: pathlib.Path) -> None:
+    shutil.copyfile(DATA / "operation_slots" / f"{STORED_SLOT}.lock.1", tmp_path / f"{STORED_SLOT}.lock")
+    shutil.copyfile(DATA / "operation_slots" / f"{STORED_SLOT}.memory", tmp_path / f"{STORED_SLOT}.memory")
     handover = RecordingHandover()
     slots = member(tmp_path, 2, handover)
     slots.maintain()
     assert handover.locations == [LOCATIONS[0], LOCATIONS[1]]
     assert handover.handed_over == MEMORY
-    assert slots.is_held(KEPT_SLOT)
+    assert slots.is_held(STORED_SLOT)
     slots.stop(0.0)
 
 
-def test_a_live_member_is_known_by_its_kept_file(tmp_path: pathlib.Path) -> None:
+def test_a_live_member_is_known_by_its_stored_file(tmp_path: pathlib.Path) -> None:
     shutil.copytree(DATA / "operation_slots" / "live", tmp_path / "live")
     with (tmp_path / "live" / "0").open("rb") as first:
         fcntl.flock(first, fcntl.LOCK_EX)
@@ -120,16 +122,16 @@
     slots.stop(0.0)
 
 
-# ---- spooled answers
+# ---- spooled responses
 
 
 def test_a_spooled_answer_is_read_and_written_as_it_was(tmp_path: pathlib.Path) -> None:
-    kept = DATA / "answer_spool"
-    shutil.copytree(kept / "answers", tmp_path / "answers")
-    digest = (kept / "digest.txt").read_text()
+    stored = DATA / "answer_spool"
+    shutil.copytree(stored / "answers", tmp_path / "answers")
+    digest = (stored / "digest.txt").read_text()
     store = ResponseStore(str(tmp_path), 1 << 20)
     body = store.load("0123456789abcdef", digest)
-    assert body == (kept / "answers" / "0123456789abcdef").read_bytes()
+    assert body == (stored / "answers" / "0123456789abcdef").read_bytes()
     assert body_digest(body) == digest
     assert store.stored_bytes == len(body)
     assert store.save("another", body)
@@ -146,19 +148,19 @@
 
 
 def test_a_process_asks_another_one_with_the_same_request(tmp_path: pathlib.Path) -> None:
-    exchange = OneExchange(RESPONSE)
+    server = SingleResponseServer(RESPONSE)
     (tmp_path / "process-1").mkdir()
-    (tmp_path / "process-1" / "peer").write_text(exchange.address)
+    (tmp_path / "process-1" / "peer").write_text(server.address)
     fields = [("Host", "gateway"), ("Authorization", "text")]
     answer = ProcessGroup(0, 3, str(tmp_path), time.monotonic).request_from(1, "/deferred/some-id-01", fields)
-    assert exchange.request() == (PROCESSES / "ask.http").read_bytes()
+    assert server.request() == (PROCESSES / "ask.http").read_bytes()
     assert answer is not None
     assert answer[0].status == 200
     assert answer[1] == b"{}"
 
 
 class KnownSlots:
-    """SlotManager of which another process holds each."""
+    """Stub of a SlotManager whose slots are all held by another process."""
 
     member = "1"
 
@@ -174,7 +176,7 @@
 
 
 def test_an_operation_is_forwarded_with_the_same_request() -> None:
-    exchange = OneExchange(RESPONSE)
+    server = SingleResponseServer(RESPONSE)
     headers = Headers(
         [
             ("host", "gateway"),
@@ -187,9 +189,9 @@
     )
     head = RequestHead("POST", "/2015-03-31/functions/record-sale/invocations", 1, headers, True, False)
     request = ForwardableRequest(head, b'{"op": 1}', b"\x01" * 12, LATEST_S, True, not_held)
-    forwarder = OperationForwarder(KnownSlots(exchange.address), time.monotonic)  # type: ignore[arg-type]
+    forwarder = OperationForwarder(KnownSlots(server.address), time.monotonic)  # type: ignore[arg-type]
     answer = forwarder.execute(request, not_held)
-    assert exchange.request() == (PROCESSES / "forward.http").read_bytes()
+    assert server.request() == (PROCESSES / "forward.http").read_bytes()
     assert (answer.status, answer.body) == (200, b"{}")
     assert dict(answer.headers) == {
         "content-type": "application/json",
@@ -198,7 +200,7 @@
     }
 
 
-# ---- what every process computes alike
+# ---- values that every process computes identically
 
 
 def test_operations_have_the_same_digests_and_slots() -> None:
@@ -239,57 +241,57 @@
 def test_a_listening_socket_is_handed_over_in_the_same_message() -> None:
     mark = f"format-test-{os.getpid()}"
     listener = socket.create_server(("127.0.0.1", 0))
-    handing = listener_handover.ListenerHandover(mark, listener)
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as asking:
-        asking.settimeout(5)
-        asking.connect(listener_handover.socket_name(mark, os.getpid()))
-        message, descriptors, _, _ = socket.recv_fds(asking, 64, 1)
-    handing.stop()
+    handover = listener_handover.ListenerHandover(mark, listener)
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client_socket:
+        client_socket.settimeout(5)
+        client_socket.connect(listener_handover.socket_name(mark, os.getpid()))
+        message, descriptors, _, _ = socket.recv_fds(client_socket, 64, 1)
+    handover.stop()
     assert message == b"listener"
-    with socket.socket(fileno=descriptors[0]) as taken:
-        assert taken.getsockname() == listener.getsockname()
+    with socket.socket(fileno=descriptors[0]) as received:
+        assert received.getsockname() == listener.getsockname()
     listener.close()
 
 
 def test_a_listening_socket_is_taken_from_a_gateway_that_sends_the_same_message() -> None:
     mark = f"format-test-old-{os.getpid()}"
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as giving:
-        giving.bind(listener_handover.socket_name(mark, os.getpid()))
-        giving.listen(1)
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as server_socket:
+        server_socket.bind(listener_handover.socket_name(mark, os.getpid()))
+        server_socket.listen(1)
         listener = socket.create_server(("127.0.0.1", 0))
         address = listener.getsockname()
-        taken: list[socket.socket | None] = []
-        asking = threading.Thread(
-            target=lambda: taken.append(listener_handover.request_listener(mark, os.getpid()))
+        received: list[socket.socket | None] = []
+        requester = threading.Thread(
+            target=lambda: received.append(listener_handover.request_listener(mark, os.getpid()))
         )
-        asking.start()
-        peer, _ = giving.accept()
+        requester.start()
+        peer, _ = server_socket.accept()
         with peer:
             socket.send_fds(peer, [b"listener"], [listener.fileno()])
-        asking.join(5)
+        requester.join(5)
         listener.close()
-    (found,) = taken
+    (found,) = received
     assert found is not None
     assert found.getsockname() == address
     found.close()
 
 
 @pytest.mark.parametrize(
-    ("said", "goes"),
+    ("commands_text", "serves"),
     [("go\n", True), ("", False), ("other\ngo\n", True), ("after 999999999\n", True), ("after x\n", False)],
 )
-def test_a_gateway_that_stands_by_understands_its_daemon(
-    said: str, goes: bool, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+def test_a_standby_gateway_understands_its_daemon(
+    commands_text: str, serves: bool, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     reading, writing = os.pipe()
-    os.write(writing, said.encode())
+    os.write(writing, commands_text.encode())
     os.close(writing)
-    with os.fdopen(reading) as commands:
-        monkeypatch.setattr("sys.stdin", commands)
-        assert parent_process.wait_in_standby() is goes
+    with os.fdopen(reading) as command_file:
+        monkeypatch.setattr("sys.stdin", command_file)
+        assert parent_process.wait_in_standby() is serves
     assert capsys.readouterr().out == "saffronstack is prepared\n"
 
 
-def test_members_and_homes_are_json_objects_of_the_same_fields() -> None:
+def test_members_and_record_locations_have_the_same_json_fields() -> None:
     assert msgspec.json.encode(Peer("0", "h:1")) == b'{"member":"0","address":"h:1"}'
     assert msgspec.json.encode(RecordLocation("n", "l")) == b'{"notes":"n","ledger":"l"}'
--- a/tests/stored_formats/test_decision_record_formats.py
+++ b/tests/stored_formats/test_decision_record_formats.py
@@ -1,4 +1,4 @@
-"""Decision records of commit 0684301 read, write and replay as that commit wrote them."""
+"""Decision records of commit 0684301 are read, written and replayed unchanged."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def write_again(values: list[bytes], path: pathlib.Path) -> None:
-    """Read the values into the present types and record these: the one place that knows their names."""
+    """Decode the values and record them again. Only this function uses the present types' names."""
     head = msgspec.msgpack.decode(values[0])
     settings = from_stored(head["settings"], Settings)
     recorder = DecisionRecorder(str(path), settings, head["seed"])
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_the_product_reads_the_same_values(name: str) -> None:
+def test_the_present_code_reads_the_same_values(name: str) -> None:
     with (RECORDED / name).open("rb") as file:
         assert list(read_values(file)) == record_values(RECORDED / name)
 
@@ -81,7 +81,7 @@
     assert replay_decisions(str(RECORDED / "replayable.record")) == ReplayResult(events, actions)
 
 
-def test_the_kept_record_holds_every_kind_of_event_and_action() -> None:
+def test_the_stored_record_holds_every_kind_of_event_and_action() -> None:
     decisions = decoded_values("every_kind.record")[1:]
     assert {event[0] for _, event, _ in decisions} == EVENT_TAGS
     assert {action[0] for _, _, actions in decisions for action in actions} == ACTION_TAGS
@@ -92,7 +92,7 @@
     assert set(record_format.ACTION_TAGS.values()) == ACTION_TAGS
 
 
-def test_the_kept_records_hold_every_enum_member() -> None:
+def test_the_stored_records_hold_every_enum_member() -> None:
     events = [event for _, event, _ in decoded_values("every_kind.record")[1:]]
     heads = [decoded_values(name)[0]["settings"] for name in RECORDS]
     classes = [one for head in heads for one in head["classes"]]
