--- a/saffronstack/standin/host.py
+++ b/saffronstack/standin/host.py
@@ -74,7 +74,7 @@
         elif command["do"] == "start":
             worker.start()
         elif command["do"] == "flush":
-            worker.model.drop()
+            worker.model.unload()
 
 
 def _write_line(message: dict[str, Any]) -> None:
