--- a/tests/daemon/test_starvation_guard.py
+++ b/tests/daemon/test_starvation_guard.py
@@ -42,7 +42,7 @@
 from saffronstack.cli.cpu_affinity import pin_threads
 from saffronstack.cli.starvation_guard import StarvationGuard
 from saffronstack.daemon.processor_times import CpuIdleTimes
-allowed, kept = os.sched_getaffinity(0), int(sys.argv[1])
+allowed, pinned = os.sched_getaffinity(0), int(sys.argv[1])
 own = CpuIdleTimes()
 def work():
     while True:
@@ -51,17 +51,17 @@
         time.sleep(0.01)
 worker = threading.Thread(target=work, daemon=True)
 worker.start()
-pin_threads({kept})
+pin_threads({pinned})
 guard = StarvationGuard(
-    allowed, read_idle=lambda processors: dict.fromkeys(processors, time.monotonic_ns()) | own.read({kept}))
+    allowed, read_idle=lambda processors: dict.fromkeys(processors, time.monotonic_ns()) | own.read({pinned}))
 while not guard.has_started: time.sleep(0.01)
 
-print("kept", flush=True)
+print("pinned", flush=True)
 end_s = time.monotonic() + 30
-while os.sched_getaffinity(worker.native_id) == {kept} and time.monotonic() < end_s:
+while os.sched_getaffinity(worker.native_id) == {pinned} and time.monotonic() < end_s:
     time.sleep(0.25)
     guard.check()
-print("left" if os.sched_getaffinity(worker.native_id) != {kept} else "stayed", flush=True)
+print("left" if os.sched_getaffinity(worker.native_id) != {pinned} else "stayed", flush=True)
 """
 
 
@@ -133,14 +133,14 @@
 def test_the_process_moves_after_a_second_if_others_leave_it_some_cpu_time() -> None:
     """Beside 150 busy processes a gateway got a time slice between any two samples and never moved."""
     allowed = os.sched_getaffinity(0)
-    kept, idle, *_ = sorted(allowed)
+    pinned_cpu, idle, *_ = sorted(allowed)
     now_s, moved = 100.0, []
-    os.sched_setaffinity(0, {kept})  # the guard unpins this thread again
+    os.sched_setaffinity(0, {pinned_cpu})  # the guard unpins this thread again
     guard = StarvationGuard(
         allowed,
         lambda: now_s,
         lambda pid, thread: ThreadSample(True, 0, int(now_s * NS_PER_S) // 2),
-        read_idle=lambda processors: {kept: 0, idle: int(now_s * NS_PER_S)},
+        read_idle=lambda processors: {pinned_cpu: 0, idle: int(now_s * NS_PER_S)},
         read_run_ns=lambda: int(now_s * RUN_NS_PER_S),
         move=lambda processors, excluded: moved.append((now_s, sorted(processors))),
     )
@@ -155,14 +155,14 @@
 def test_an_unpinned_process_is_pinned_again_once_a_cpu_is_idle() -> None:
     """After an overload of 1 s an unpinned gateway lost two thirds of its calls until it was restarted."""
     allowed = os.sched_getaffinity(0)
-    kept, idle, *_ = sorted(allowed)
+    pinned_cpu, idle, *_ = sorted(allowed)
     now_s, processors = 100.0, []
-    os.sched_setaffinity(0, {kept})
+    os.sched_setaffinity(0, {pinned_cpu})
     guard = StarvationGuard(
         allowed,
         lambda: now_s,
         lambda pid, thread: ThreadSample(False, 0),
-        read_idle=lambda processors: {kept: 0, idle: int(now_s * NS_PER_S)},
+        read_idle=lambda processors: {pinned_cpu: 0, idle: int(now_s * NS_PER_S)},
         move=lambda moved, excluded: processors.append((now_s, sorted(moved))),
     )
     eventually(lambda: guard.has_started)
@@ -236,12 +236,12 @@
 @pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
 def test_a_process_leaves_a_cpu_that_busy_processes_use() -> None:
     """Runs real busy processes, beside which the process gets some time; the other CPUs are faked as idle."""
-    *_, kept, _ = sorted(os.sched_getaffinity(0))
+    *_, pinned_cpu, _ = sorted(os.sched_getaffinity(0))
     with contextlib.ExitStack() as stack:
-        guarded = stack.enter_context(start_python(GUARDED_PROCESS, kept))
-        assert first_line(guarded) == b"kept\n"
+        guarded = stack.enter_context(start_python(GUARDED_PROCESS, pinned_cpu))
+        assert first_line(guarded) == b"pinned\n"
         busy_processes = [
-            stack.enter_context(start_python(BUSY_PROCESS, kept)) for _ in range(BUSY_PROCESSES)
+            stack.enter_context(start_python(BUSY_PROCESS, pinned_cpu)) for _ in range(BUSY_PROCESSES)
         ]
         for one in (*busy_processes, guarded):
             stack.callback(one.kill)
@@ -263,9 +263,9 @@
             assert process.stdout is not None
             assert b"takes calls" in process.stdout.readline()
             others = {thread for thread in read_threads(process.pid) if thread != process.pid}
-            (kept,) = {frozenset(os.sched_getaffinity(thread)) for thread in others}
-            assert len(kept) == 1
-            expected = os.sched_getaffinity(0) if main_runs_anywhere else kept
+            (gateway_affinity,) = {frozenset(os.sched_getaffinity(thread)) for thread in others}
+            assert len(gateway_affinity) == 1
+            expected = os.sched_getaffinity(0) if main_runs_anywhere else gateway_affinity
             eventually(lambda: os.sched_getaffinity(process.pid) == expected)
         finally:
             process.terminate()
@@ -275,13 +275,13 @@
 def test_a_thread_that_starts_during_a_move_is_moved_too(monkeypatch: pytest.MonkeyPatch) -> None:
     """It inherits the affinity of the thread that starts it, which may be moved only after that."""
     listings = iter([[1, 2], [1, 2, 3], [1, 2, 3, 4], [1, 2, 3, 4]])
-    kept = {1: {0}, 2: {0}, 3: {0}, 4: {0}}
+    affinity_by_thread = {1: {0}, 2: {0}, 3: {0}, 4: {0}}
     monkeypatch.setattr(threading, "enumerate", list)
     monkeypatch.setattr(cpu_affinity, "_listed_threads", lambda: next(listings))
-    monkeypatch.setattr(os, "sched_getaffinity", kept.__getitem__)
-    monkeypatch.setattr(os, "sched_setaffinity", kept.__setitem__)
+    monkeypatch.setattr(os, "sched_getaffinity", affinity_by_thread.__getitem__)
+    monkeypatch.setattr(os, "sched_setaffinity", affinity_by_thread.__setitem__)
     move_threads({5}, 1)
-    assert kept == {1: {0}, 2: {5}, 3: {5}, 4: {5}}
+    assert affinity_by_thread == {1: {0}, 2: {5}, 3: {5}, 4: {5}}
 
 
 @pytest.mark.skipif(len(os.sched_getaffinity(0)) < 2, reason="needs two CPUs")
@@ -298,10 +298,10 @@
         address = first_line(process).decode().strip().rpartition("/")[2]
         start_thread("call", lambda: call_until_closed(address))
         eventually(lambda: any("arrive" in entry.values() for entry in worker.log))
-        kept = {
+        gateway_affinities = {
             frozenset(os.sched_getaffinity(one)) for one in read_threads(process.pid) if one != process.pid
         }
-        assert {len(processors) for processors in kept} == {1}
+        assert {len(processors) for processors in gateway_affinities} == {1}
         process.terminate()
         eventually(lambda: affinities(process.pid) == {frozenset(os.sched_getaffinity(0))})
         assert process.poll() is None
@@ -327,10 +327,10 @@
     """The interpreter may keep the id of an ended thread, which another process's thread may have now."""
     ended = threading.Thread()
     ended._native_id = 77  # type: ignore[attr-defined]
-    kept = {1: {0}, 77: {0}}
+    affinity_by_thread = {1: {0}, 77: {0}}
     monkeypatch.setattr(threading, "enumerate", lambda: [ended])
     monkeypatch.setattr(cpu_affinity, "_listed_threads", lambda: [1])
-    monkeypatch.setattr(os, "sched_getaffinity", kept.__getitem__)
-    monkeypatch.setattr(os, "sched_setaffinity", kept.__setitem__)
+    monkeypatch.setattr(os, "sched_getaffinity", affinity_by_thread.__getitem__)
+    monkeypatch.setattr(os, "sched_setaffinity", affinity_by_thread.__setitem__)
     move_threads({5})
-    assert kept == {1: {5}, 77: {0}}
+    assert affinity_by_thread == {1: {5}, 77: {0}}
