--- a/saffronstack/cli/leases.py
+++ b/saffronstack/cli/leases.py
@@ -37,8 +37,10 @@
 CANNOT_EXECUTE_STATUS = 126  # the exit status of shells for this
 COMMAND_NOT_FOUND_STATUS = 127
 SIGNAL_STATUS_BASE = 128  # plus the number of the signal that ended the command
-TERM_LEASE_FRACTION = 0.4  # of the lease duration: with less left, the command gets SIGTERM
-KILL_LEASE_FRACTION = 0.15  # with less left it is killed; leases are renewed after a third of their duration
+# Fractions of the lease duration. `lease run` sends its command SIGTERM or SIGKILL when less remains.
+# Leases are renewed after a third of their duration, so neither limit is reached while renewals succeed.
+TERM_LEASE_FRACTION = 0.4
+KILL_LEASE_FRACTION = 0.15
 POLL_S = 0.02
 SIGNAL_POLL_S = 1.0
 
--- a/saffronstack/cli/serve.py
+++ b/saffronstack/cli/serve.py
@@ -136,7 +136,7 @@
     else:
         shared_config = apply_overrides(configs.load(options.config_path), options)
         config, resources.process_group = process_config(shared_config, options.index_and_count)
-        # Not with stub workers: the process then has more to run than a gateway.
+        # Not with the sample configuration: its stub workers run in this process too and need other CPUs.
         resources.process_number = (
             resources.process_group.index if resources.process_group is not None else os.getpid()
         )
--- a/saffronstack/config/fleet.py
+++ b/saffronstack/config/fleet.py
@@ -119,7 +119,7 @@
     for number, keeper in enumerate(fleet.keepers):
         if keeper.name in numbers_by_name:
             lines.append(
-                f"keepers[{number}].name: {keeper.name!r} stands at "
+                f"keepers[{number}].name: {keeper.name!r} is that of "
                 f"keepers[{numbers_by_name[keeper.name]}] too"
             )
         if keeper.address in numbers_by_address:
--- a/tests/durable/test_stalled_disk.py
+++ b/tests/durable/test_stalled_disk.py
@@ -132,9 +132,8 @@
     sent: list[SentSale] = [gateway.defer(f"before-{n}") for n in range(3)]
     assert all(sale.response.status == 202 for sale in sent)
     eventually(lambda: gateway.status()["deferred"]["open"] == 0)  # type: ignore[index]
-    gateway.set_disk(
-        "hang"
-    )  # once the calls above are final; else their records stall the disk before the next sales
+    # The calls above must be final: otherwise their records would stall the ledger before the next sales do.
+    gateway.set_disk("hang")
     sent_lock = threading.Lock()
 
     def defer(op: str) -> None:
--- a/tests/fleet/leases/test_commands.py
+++ b/tests/fleet/leases/test_commands.py
@@ -125,7 +125,7 @@
         ),
         (
             {"keepers": [{"name": "a", "address": f"h:{n}"} for n in (1, 2, 3)]},
-            "keepers[1].name: 'a' stands at keepers[0] too",
+            "keepers[1].name: 'a' is that of keepers[0] too",
         ),
         (
             {"keepers": [{"name": n, "address": f"h:{p}"} for n, p in (("a", 1), ("b", 2), ("c", 70000))]},
--- a/tests/upstream/multiplexed/test_connection.py
+++ b/tests/upstream/multiplexed/test_connection.py
@@ -321,7 +321,7 @@
 
 
 @pytest.mark.parametrize(
-    "change", ["client leaves", "worker drains", "worker is removed", "connection is aborted"]
+    "change", ["client disconnects", "worker drains", "worker is removed", "connection is aborted"]
 )
 def test_an_obsolete_request_is_not_sent_once_its_connection_is_established(
     monkeypatch: pytest.MonkeyPatch, change: str
@@ -336,7 +336,8 @@
         (connection,) = service.dispatcher.pools().popitem()[1].connections
         eventually(lambda: connection.in_flight)  # the request is queued for it
         decisions_resumed = threading.Event()
-        if change == "client leaves":  # and the decision thread has not cancelled its attempt yet
+        if change == "client disconnects":
+            # The decision thread is paused, so that it cancels the attempt only after the connect.
             decisions_paused = threading.Event()
 
             def pause_decisions(now: float, router: Router) -> None:
@@ -354,7 +355,7 @@
         else:
             connection.abort()
         slow_connect.release.set()
-        if change == "client leaves":
+        if change == "client disconnects":
             eventually(lambda: not connection.in_flight)
             decisions_resumed.set()
             assert other.call_and_read(subject=9)[0] == "OK"
