--- a/benchmarks/starved_processor.py
+++ b/benchmarks/starved_processor.py
@@ -4,8 +4,8 @@
     python benchmarks/starved_processor.py --cases steady --clients 1 --neighbours 8 40 --keep samples.jsonl
 
 The gateway is `saffronstack serve` with its default CPU affinity. It is restarted until it has chosen the CPU
-named by ``--processor``. Neighbours are busy processes with normal priority on that CPU; they exit by
-themselves. Clients, workers and this program run on the other CPUs.
+named by ``--processor``. ``--neighbours`` is the number of busy processes with normal priority on that CPU;
+they exit by themselves. Clients, workers and this program run on the other CPUs.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 FUNCTIONS, PAYLOAD, CLIENT_TIMEOUT_S = ("suggest-price", "identify-copy"), b"{}", 20.0
 SERVED = 200
 MAX_BUSY_PROCESSES = 150
-MAX_BUSY_S = 30.0  # a neighbour exits after this time even if this program was killed
+MAX_BUSY_S = 30.0  # a busy process exits after this time even if this program was killed
 START_ATTEMPTS = 400
 SAMPLE_INTERVAL_S = 0.1
 SAMPLES_IN_SPAN = 10
@@ -58,9 +58,9 @@
     name: str
     clients: int
     neighbours: int
-    busy_s: float  # time for which neighbours are busy without a pause
-    idle_s: float = 0.0  # pause after it, for neighbours that are busy at intervals
-    move_to: str = ""  # `all` or `idlest`, where the gateway moves `MOVE_AFTER_S` after the neighbours start
+    busy_s: float  # time for which the busy processes run without a pause
+    idle_s: float = 0.0  # pause after it, for processes that are busy at intervals
+    move_to: str = ""  # `all` or `idlest`, CPUs that the gateway moves to after `MOVE_AFTER_S`
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     status: int
 
 
-# ---- programs that run as processes: neighbours, clients, a gateway that measures itself
+# ---- programs that run as processes: busy processes, clients, a gateway that measures itself
 
 
 def run_busy_processes(processor: int, count: int, sessions: str) -> None:
@@ -461,7 +461,9 @@
         print("  statuses:", dict(statuses))
     for before, after in itertools.pairwise(outcome.samples):
         if before.processors != after.processors:
-            print(f"  {after.at_s - begin_s:.1f} s after the neighbours started: on CPUs {after.processors}")
+            print(
+                f"  {after.at_s - begin_s:.1f} s after the busy processes started: on CPUs {after.processors}"
+            )
     for line in outcome.log:
         print("  log:", line)
 
@@ -498,7 +500,7 @@
     parser.add_argument("--work", type=float, default=0.01, help="seconds of a call at its worker")
     parser.add_argument(
         "--sessions", choices=("one", "gateway", "each"), default="one",
-        help="whether the gateway has its own session, as under a daemon, and each neighbour too: "
+        help="whether the gateway has its own session, as under a daemon, and each busy process too: "
         "the scheduler may share the CPU between sessions first",
     )  # fmt: skip
     parser.add_argument("--look", action="store_true", help="time reads of CPU counters inside the gateway")
