--- a/saffronstack/harness/leases/__init__.py
+++ b/saffronstack/harness/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases under faults: virtual time, every order of events, processes and their judge."""
+"""Test harnesses for leases under faults: a simulation, a model checker and a harness of real processes."""
--- a/saffronstack/harness/leases/broken_candidates.py
+++ b/saffronstack/harness/leases/broken_candidates.py
@@ -1,4 +1,4 @@
-"""Candidates that break a rule of the lease protocol, which the judge of the rig must find."""
+"""Candidates that violate the lease protocol, to show that the checker of the harness detects it."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class OverrunningCandidate(Candidate):
-    """Believes in its lease for twice the time that it has servers grant."""
+    """Considers itself the holder for twice the duration that it requests from the servers."""
 
     def _accept_request(self, observed_writes: ObservedWrites = ()) -> AcceptRequest:
         return replace(super()._accept_request(observed_writes), duration_s=self.lease_s / 2)
 
 
 class _QuorumOfOne(LeaseLimits):
-    """One server is a majority."""
+    """Lease limits under which one server counts as a majority."""
 
     __slots__ = ()
 
     @property
     def majority(self) -> int:
-        """Return one, the fault that the judge must find."""
+        """Return one, which lets two candidates hold the lease at once."""
         return 1
 
 
 class MinorityCandidate(Candidate):
-    """Acquires the lease with the approval of one server."""
+    """Acquires the lease with the approval of a single server."""
 
     def __init__(self, name: str, lease: str, lease_s: float, limits: LeaseLimits, seed: int) -> None:
-        """Create a candidate for which one server is a majority."""
+        """Create a candidate whose limits count one server as a majority."""
         quorum_of_one = _QuorumOfOne(limits.servers, limits.max_lease_s, limits.max_clock_drift)
         super().__init__(name, lease, lease_s, quorum_of_one, seed)
 
--- a/saffronstack/harness/leases/disk_faults.py
+++ b/saffronstack/harness/leases/disk_faults.py
@@ -1,4 +1,4 @@
-"""What a lying disk does to a keeper's state between two lives."""
+"""Damage to the stored state of a lease server between two of its incarnations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def damage_disk(
     state_directory: pathlib.Path, fault_kind: str, rng: random.Random, snapshots: Sequence[pathlib.Path]
 ) -> None:
-    """Leave in the directory ``state`` what such a disk shows; ``snapshots`` are earlier states of it."""
+    """Damage ``state_directory`` by one of `schedule.DISK_FAULTS`; "old" restores one of ``snapshots``."""
     copies = [path for name in COPIES if (path := state_directory / name).exists()]
     if fault_kind == "old" and snapshots:
         shutil.rmtree(state_directory)
--- a/saffronstack/harness/leases/faulty_environment.py
+++ b/saffronstack/harness/leases/faulty_environment.py
@@ -1,4 +1,4 @@
-"""The disk and clocks that the rig gives to its processes, and spoils by writing files."""
+"""Disk and clocks of the harness's processes; the harness injects their faults by writing files."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 class DiskFault(msgspec.Struct, frozen=True):
-    """What is wrong with a disk, as the rig writes it into a file."""
+    """Fault of a disk, as the harness writes it to a file."""
 
     is_full: bool = False
     fails: bool = False
-    stall_s: float = 0.0  # for how long a sync stalls, unless the fault ends before
+    stall_s: float = 0.0  # maximum duration of a stalled sync; it ends earlier with the fault
 
 
 class FaultyFiles(FileOperations):
-    """A disk with the fault that a file of the rig's describes."""
+    """File operations that fail or stall as the fault file of the harness says."""
 
     def __init__(self, fault_file: pathlib.Path) -> None:
-        """Use the fault that ``fault_file`` holds at each operation; none where there is no such file."""
+        """Read the fault from ``fault_file`` at each operation; without the file there is no fault."""
         self._fault_file = fault_file
 
     def _fault(self) -> DiskFault:
         try:
             return msgspec.json.decode(self._fault_file.read_bytes(), type=DiskFault)
-        except (OSError, msgspec.MsgspecError):  # none yet, or the rig is writing it
+        except (OSError, msgspec.MsgspecError):  # not written yet, or partially written
             return DiskFault()
 
     def open(self, path: pathlib.Path) -> int:
@@ -44,7 +44,11 @@
         return super().open(path)
 
     def sync(self, descriptor: int) -> None:
-        """Sync a file, however long that takes."""
+        """Sync a file after the stall of the current fault.
+
+        Raises:
+            OSError: The current fault makes syncs fail.
+        """
         fault = self._fault()
         if fault.fails:
             raise OSError(errno.EIO, os.strerror(errno.EIO))
@@ -55,21 +59,22 @@
 
 
 def drifting_clock(rate: float, clock: Callable[[], float]) -> Callable[[], float]:
-    """Return a clock that runs at ``rate`` times the speed of another."""
+    """Return a clock that runs at ``rate`` times the speed of ``clock`` and starts at the same time."""
     start_s = clock()
     return lambda: start_s + (clock() - start_s) * rate
 
 
 class ClockSteps:
-    """Seconds by which a machine's clock is ahead of the others', because it was suspended.
+    """Forward steps of a candidate's clock, as after its machine was suspended.
 
-    A file of the rig's holds them. They only grow: the clock that holders count by is never set back.
+    The harness writes the sum of the steps to a file. The sum never decreases, because the clock that lease
+    holders use (CLOCK_BOOTTIME) is never set back.
     """
 
     CHECK_INTERVAL_S = 0.01
 
     def __init__(self, path: pathlib.Path, clock: Callable[[], float] = time.monotonic) -> None:
-        """Read the seconds from a file, at intervals of another clock."""
+        """Read the sum from ``path``, at most once per check interval of ``clock``."""
         self._path, self._clock = path, clock
         self._checked_s = -self.CHECK_INTERVAL_S
         self._ahead_s = 0.0
@@ -79,6 +84,6 @@
         now = self._clock()
         if now >= self._checked_s + self.CHECK_INTERVAL_S:
             self._checked_s = now
-            with contextlib.suppress(OSError, ValueError):  # none yet
+            with contextlib.suppress(OSError, ValueError):  # not written yet, or partially written
                 self._ahead_s = max(self._ahead_s, float(self._path.read_text()))
         return self._ahead_s
--- a/saffronstack/harness/leases/holder_reports.py
+++ b/saffronstack/harness/leases/holder_reports.py
@@ -1,6 +1,6 @@
-"""What the rig's candidates report to its resource, one JSON line each, and the resource's answer.
+"""Reports of candidates to the protected resource, and its responses, as JSON lines.
 
-Times are those of CLOCK_BOOTTIME in seconds, which all processes of a rig share.
+Times are seconds of CLOCK_BOOTTIME, which all processes of a harness share.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class Acquired(msgspec.Struct, frozen=True, tag_field="do", tag="acquired"):
-    """A candidate holds the lease from ``at_s`` until ``until_s``, unless it renews it."""
+    """A candidate acquired the lease at ``at_s``; unless it is renewed, the lease expires at ``until_s``."""
 
     name: str
     token: int
@@ -18,7 +18,7 @@
 
 
 class Released(msgspec.Struct, frozen=True, tag_field="do", tag="released"):
-    """A holder gives the lease up; reported before it does."""
+    """A holder is about to release the lease."""
 
     name: str
     token: int
@@ -34,7 +34,7 @@
 
 
 class ActEnded(msgspec.Struct, frozen=True, tag_field="do", tag="act ended"):
-    """A holder has acted on the resource."""
+    """A holder has finished acting on the resource."""
 
     name: str
     token: int
@@ -47,7 +47,7 @@
 
 
 class ReportResponse(msgspec.Struct, frozen=True):
-    """The resource's answer; ``is_accepted`` is None where there is nothing to accept."""
+    """Response of the resource; ``is_accepted`` is None for reports that are not about an act."""
 
     is_accepted: bool | None = None
 
@@ -57,15 +57,19 @@
 
 
 def encode_line(message: HolderReport | ReportResponse) -> bytes:
-    """Encode a report or an answer as a line."""
+    """Encode a report or a response as a line."""
     return msgspec.json.encode(message) + b"\n"
 
 
 def decode_report(line: bytes) -> HolderReport:
-    """Decode a report; msgspec.DecodeError, a ValueError, where it is none."""
+    """Decode a report.
+
+    Raises:
+        msgspec.DecodeError: The line is not a report; a subclass of ValueError.
+    """
     return _report_decoder.decode(line)
 
 
 def decode_response(line: bytes) -> ReportResponse:
-    """Decode an answer; one that was cut off by the rig's end is empty."""
+    """Decode a response; return an empty one if the harness closed the connection instead."""
     return _response_decoder.decode(line) if line else ReportResponse()
--- a/saffronstack/harness/leases/judge.py
+++ b/saffronstack/harness/leases/judge.py
@@ -1,6 +1,6 @@
-"""The resource that holders act on, and the judge: two never hold at once, and tokens only grow.
+"""Resource that lease holders act on, and checker that holding periods never overlap and tokens increase.
 
-It knows no server and no candidate, only what they report on its socket.
+The checker uses only the reports that candidates send to its socket.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass
 class HoldingPeriod:
-    """From when until when a candidate believed that it held the lease, as it reported last."""
+    """Period in which a candidate considered itself the holder, according to its latest report."""
 
     name: str
     token: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, order=True)
 class Act:
-    """An act on the resource that ended in its lease's time."""
+    """An act on the resource that ended before its lease expired."""
 
     began_s: float
     ended_s: float
@@ -49,27 +49,30 @@
 
 @dataclass
 class CheckResult:
-    """The result of a run."""
+    """Breaches of the lease rules in a run, counts of acts, and holding times in seconds."""
 
     breaches: list[str] = field(default_factory=list)
     acts: int = 0
-    rejected: int = 0  # acts under an older token
-    overran: int = 0  # acts that a pause carried past their lease
+    rejected: int = 0  # acts under an older token, rejected by the resource
+    overran: int = 0  # acts that ended after their lease expired, because their process was paused
     acquired: int = 0
     held_s: float = 0.0
     longest_free_s: float = 0.0
 
     def add_breach(self, text: str) -> None:
-        """Note a breach of the lease's rules, up to a bound."""
+        """Record a breach of the lease rules; breaches beyond `MAX_BREACHES` are dropped."""
         if len(self.breaches) < MAX_BREACHES:
             self.breaches.append(text)
 
 
 class LeaseChecker:
-    """Listens for holders, and answers whether an act is accepted. The lock guards all that was reported."""
+    """Accepts reports from lease holders and accepts or rejects their acts.
+
+    The lock guards all reported data.
+    """
 
     def __init__(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port, on a thread."""
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=LISTEN_BACKLOG)
         self._listener.settimeout(ACCEPT_TIMEOUT_S)
         host, port = self._listener.getsockname()[:2]
@@ -77,13 +80,13 @@
         self._lock = threading.Lock()
         self._is_closed = False
         self._periods: dict[int, HoldingPeriod] = {}  # by token
-        self._highest_token = 0  # the greatest that the resource saw
+        self._highest_token = 0  # of the acts that the resource accepted
         self._acts: list[Act] = []
         self._reported = CheckResult()
         start_thread("resource", self._accept_connections)
 
     def close(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         self._is_closed = True
         self._listener.close()
 
@@ -103,10 +106,10 @@
                 for line in lines:
                     sock.sendall(encode_line(self.handle(decode_report(line))))
             except (OSError, ValueError):
-                return  # the holder was killed while it reported
+                return  # the holder was killed while it sent a report
 
     def handle(self, report: HolderReport) -> ReportResponse:
-        """Handle a holder's report."""
+        """Record a report; return whether its act is accepted."""
         with self._lock:
             if isinstance(report, Acquired):
                 return self._handle_acquired(report)
@@ -138,7 +141,7 @@
             return ReportResponse(is_accepted=False)
         self._highest_token = report.token
         if isinstance(report, ActEnded):
-            # Done in its lease's time by its own clock, or carried past it by a pause.
+            # A paused process may end an act after its lease has expired; that is no breach.
             if report.ended_s <= period.until_s:
                 self._reported.acts += 1
                 self._acts.append(Act(report.began_s, report.ended_s, report.token, report.name))
@@ -146,10 +149,10 @@
                 self._reported.overran += 1
         return ReportResponse(is_accepted=True)
 
-    # ---- the judgement
+    # ---- checks
 
     def check(self, since_s: float, until_s: float) -> CheckResult:
-        """Judge all that was reported, between two times of the machine's clock."""
+        """Check all reports; measure holding times between two times of CLOCK_BOOTTIME."""
         with self._lock:
             check_result = replace(self._reported, breaches=list(self._reported.breaches))
             periods = sorted(self._periods.values(), key=lambda period: period.since_s)
@@ -159,7 +162,7 @@
             return check_result
 
     def holding_periods(self) -> list[HoldingPeriod]:
-        """Return from when until when each holder believed that it held the lease."""
+        """Return a copy of the holding period of each token."""
         with self._lock:
             return [replace(period) for period in self._periods.values()]
 
@@ -188,7 +191,7 @@
 def _measure_holding_time(
     periods: list[HoldingPeriod], since_s: float, until_s: float, check_result: CheckResult
 ) -> None:
-    """Measure for how long the lease was held, and for how long nobody held it at the longest."""
+    """Add the time in which the lease was held, and find the longest time without a holder."""
     at_s = since_s
     for period in periods:
         check_result.longest_free_s = max(check_result.longest_free_s, min(until_s, period.since_s) - at_s)
--- a/saffronstack/harness/leases/model_checker.py
+++ b/saffronstack/harness/leases/model_checker.py
@@ -1,7 +1,7 @@
-"""Explores every order of a bounded number of steps of three acceptors and two candidates.
+"""Model checker for leases: explores all interleavings of the steps of three acceptors and two candidates.
 
-In no state do two candidates hold the lease, and the tokens that are acquired only grow. Faults have budgets;
-states that are equal are visited once.
+Invariants: two candidates never hold the lease at once, and acquired tokens increase. The number of steps is
+bounded, and the number of faults of each kind. Equivalent states are visited once.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 
 
 class UnknownStepError(ValueError):
-    """A step can't be taken in the state that was reached."""
+    """The state that was reached has no such step."""
 
 
 @dataclass
 class Exploration:
-    """The result of an exploration."""
+    """Result of an exploration; ``path`` holds the labels of the steps to the breach."""
 
     states: int = 0
-    depth: int = 0  # of the deepest state seen
-    completed_depth: int = 0  # every state to this depth was seen
+    depth: int = 0  # of the deepest state found
+    completed_depth: int = 0  # every state up to this depth has been found
     breach: str = ""
     path: tuple[str, ...] = ()
 
     def with_breach(self, step: Step) -> Exploration:
-        """Note the breach that a step is."""
+        """Record the breach that a step leads to; return self."""
         self.breach, self.path, self.depth = step.breach, step.state.path, len(step.state.path)
         return self
 
 
 def replay_steps(state: ModelState, make_acceptor: Factory, labels: Sequence[str]) -> ModelState:
-    """Return the state after steps, each named as a trail names it.
+    """Return the state after the steps with these labels, which are the labels of a path.
 
     Raises:
-        UnknownStepError: One of them can't be taken, or is a breach.
+        UnknownStepError: A step is not possible in its state, or leads to a breach.
     """
     for label in labels:
         for step in steps_from(state, make_acceptor):
@@ -62,18 +62,15 @@
     max_states: int = MAX_STATES,
     after: Sequence[str] = (),
 ) -> Exploration:
-    """Explore breadth first, up to the first breach, which is one of the shortest.
+    """Explore breadth first until the first breach, which therefore has a path of minimal length.
 
     Args:
-        depth: The longest trail.
-        budget: How many faults of each kind a trail may have.
-        make_acceptor: Makes the acceptors.
-        make_candidate: Makes the candidates.
-        max_states: How many states to visit at most.
-        after: Steps that every trail begins with, so that states far from the start can be reached.
-
-    Returns:
-        What was visited, and the breach that was found, if any.
+        depth: Maximum length of a path.
+        budget: Maximum number of faults of each kind on a path.
+        make_acceptor: Creates the acceptors.
+        make_candidate: Creates the candidates.
+        max_states: Maximum number of visited states.
+        after: Labels of the first steps of every path, to start from a state far from the initial one.
     """
     start_state = replay_steps(initial_state(budget, make_acceptor, make_candidate), make_acceptor, after)
     visited = {start_state.key()}
--- a/saffronstack/harness/leases/model_state.py
+++ b/saffronstack/harness/leases/model_state.py
@@ -1,4 +1,4 @@
-"""A state of the model that `model_checker` explores: acceptors, candidates, disks and messages."""
+"""State of the model that `model_checker` explores: acceptors, candidates, disks and messages."""
 
 from __future__ import annotations
 
@@ -28,30 +28,28 @@
 LEASE = "l"
 LEASE_S = 1.0
 TIME_STEP_S = 0.5
-DRIFT = 0.2  # wide, so that a slow and a fast clock differ after a few steps
+DRIFT = 0.2  # large enough that a slow and a fast clock differ after a few steps
 MAX_OLD_REQUESTS = 6
 MAX_STORED_STATES = 3
 
-Factory = Callable[..., Any]  # makes an acceptor or a candidate, or a broken variant of one
+Factory = Callable[..., Any]  # creates an acceptor or a candidate, or a broken variant of one
 
 
 @dataclass(frozen=True)
 class FaultBudget:
-    """How many faults of each kind a run may have."""
+    """Number of faults of each kind that may still occur on a path."""
 
-    partial_deliveries: int = (
-        2  # a request that reaches less than a majority; to a majority or all is no fault
-    )
+    partial_deliveries: int = 2  # deliveries of requests to less than a majority; others are no faults
     late_responses: int = 1
     duplicates: int = 1
     restarts: int = 1
-    disk_faults: int = 1  # of the restarts, with an older or a lost disk
-    time_steps: int = 4  # of half a lease each
+    disk_faults: int = 1  # restarts with an older or a lost disk
+    time_steps: int = 4  # steps of the clock by half a lease duration
     releases: int = 1
-    replacements: int = 0  # servers replaced while paused that wake up: requests reach either machine
+    replacements: int = 0  # of paused servers, which resume later: requests then reach either machine
 
     def subtract(self, **used: int) -> FaultBudget:
-        """Return the budget that remains after some faults."""
+        """Return the budget that remains after the given numbers of faults."""
         return replace(self, **{name: getattr(self, name) - count for name, count in used.items()})
 
 
@@ -69,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A message that is on its way, or may be delivered again."""
+    """A message with its sender and receiver, in flight or to be delivered again."""
 
     sender: str
     receiver: str
@@ -77,32 +75,35 @@
 
 
 class _FixedJitter(random.Random):
-    """Makes all backoffs equal: orders are what is explored."""
+    """Returns a constant, so that all backoffs are equal; the steps cover other orders of timers."""
 
     def random(self) -> float:
-        """Return the middle of the range."""
+        """Return 0.5."""
         return 0.5
 
 
 @dataclass(eq=False)
 class ModelState:
-    """One state. Acceptors and candidates are shared between states and copied by whoever changes one."""
+    """One state of the model.
+
+    States share acceptors and candidates. A step that changes one replaces it by a copy first.
+    """
 
     limits: LeaseLimits
     acceptors: dict[str, Acceptor]
-    disks: dict[str, tuple[AcceptorState, ...]]  # the newest last
+    disks: dict[str, tuple[AcceptorState, ...]]  # persisted states, oldest first
     candidates: dict[str, Candidate]
-    requests: dict[tuple[str, str], Message]  # the newest of a candidate to a server, not yet delivered
+    requests: dict[tuple[str, str], Message]  # undelivered; the latest per candidate and server
     late_responses: tuple[Envelope, ...]
-    old_requests: tuple[Envelope, ...]  # delivered or replaced by newer ones; may be delivered again
+    old_requests: tuple[Envelope, ...]  # delivered or superseded; may be delivered again
     budget: FaultBudget
     time_steps: int
-    token: int  # the greatest that was acquired
-    path: tuple[str, ...]  # the steps that led here
-    replaced: dict[str, Acceptor]  # machines that were replaced while paused, and woke up
+    token: int  # highest that was acquired
+    path: tuple[str, ...]  # labels of the steps to this state
+    replaced: dict[str, Acceptor]  # by server, the resumed machine that was replaced while paused
 
     def copy(self) -> ModelState:
-        """Return a state to be changed by a step."""
+        """Return a copy for a step to change."""
         return ModelState(
             self.limits,
             dict(self.acceptors),
@@ -119,7 +120,7 @@
         )
 
     def writable_acceptor(self, server: str, is_replaced: bool = False) -> Acceptor:
-        """Return a copy of an acceptor that belongs to this state alone."""
+        """Replace an acceptor by a copy that no other state shares, and return it."""
         acceptors = self.replaced if is_replaced else self.acceptors
         acceptor = acceptors[server] = copy.copy(acceptors[server])
         table = acceptor.table = copy.copy(acceptor.table)
@@ -130,13 +131,13 @@
         return acceptor
 
     def writable_candidate(self, name: str) -> Candidate:
-        """Return a copy of a candidate that belongs to this state alone."""
+        """Replace a candidate by a copy that no other state shares, and return it."""
         candidate = self.candidates[name] = copy.copy(self.candidates[name])
         candidate._approvals, candidate._rejections = dict(candidate._approvals), dict(candidate._rejections)
         candidate._incarnations = dict(candidate._incarnations)
         return candidate
 
-    # Clocks: servers run fast, candidates slow; by less than the limit between any two.
+    # Clocks of servers run fast and those of candidates slow; their drift is below the limit.
 
     def server_now(self) -> float:
         """Return the time of the servers' clocks."""
@@ -146,10 +147,10 @@
         """Return the time of the candidates' clocks."""
         return self.time_steps * TIME_STEP_S * (1 - DRIFT / 2.1)
 
-    # ---- what a step does
+    # ---- effects of steps
 
     def apply(self, name: str, actions: list[CandidateAction]) -> str:
-        """Carry out the actions of a candidate; return the breach of the lease's rules, or nothing."""
+        """Execute the actions of a candidate; return the breach of the lease rules, or an empty string."""
         for action in actions:
             if isinstance(action, SendMessage):
                 key = name, action.receiver
@@ -163,11 +164,11 @@
         return self.find_breach()
 
     def keep_old_request(self, envelope: Envelope) -> None:
-        """Keep a request that may be delivered again."""
+        """Store a request for a second delivery; the oldest one beyond the limit is dropped."""
         self.old_requests = (*self.old_requests, envelope)[-MAX_OLD_REQUESTS:]
 
     def find_breach(self) -> str:
-        """Return the breach where two candidates hold the lease, or one under an older token."""
+        """Return the breach if two candidates hold the lease, or one holds it under an old token."""
         now = self.candidate_now()
         holders = [name for name, candidate in self.candidates.items() if candidate.is_holder(now)]
         if len(holders) > 1:
@@ -178,7 +179,7 @@
         return ""
 
     def deliver(self, envelope: Envelope, is_replaced: bool = False) -> list[AcceptorAction]:
-        """Deliver a message to a server, or to the machine that it replaced; what that persists is stored."""
+        """Deliver a message to a server, or to the machine that it replaced; return the actions."""
         acceptor = self.writable_acceptor(envelope.receiver, is_replaced)
         actions = acceptor.handle(self.server_now(), envelope.sender, envelope.message)
         if not is_replaced:
@@ -191,10 +192,10 @@
             if isinstance(action, PersistState):
                 self.disks[server] = (*self.disks[server], action.state)[-MAX_STORED_STATES:]
 
-    # ---- identity
+    # ---- equivalence of states
 
     def key(self) -> int:
-        """Return a hash that is equal for states that differ in their trails or servers' names alone."""
+        """Return a hash that ignores the path and is invariant under a permutation of the servers."""
         server_keys = {server: self._server_key(server) for server in self.acceptors}
         order = sorted(server_keys, key=lambda server: hash(server_keys[server]))
         index_of = {server: number for number, server in enumerate(order)}
@@ -217,7 +218,7 @@
         return hash((ordered, references, candidates, self.budget, self.time_steps, self.token))
 
     def _server_references(self, server: str, index_of: dict[str, int]) -> Hashable:
-        """Return what a server and its messages say of other servers, by their places in the order."""
+        """Return what a server and its messages contain about other servers, by the servers' indexes."""
         acceptor = self.acceptors[server]
         observed = sorted((index_of[other], write) for other, write in acceptor.table.observed_writes.items())
         responses = sorted(
@@ -242,7 +243,7 @@
         return tuple(map(repr, (observed, responses, reported, incarnations)))
 
     def _server_key(self, server: str) -> Hashable:
-        """Return what concerns one server, without any server's name."""
+        """Return the state of one server and of its messages, without names of servers."""
         table, recovery = self.acceptors[server].table, self.acceptors[server].recovery
         links = tuple(
             (
@@ -280,7 +281,7 @@
 
 
 def _without_server_names(message: Message | None) -> Hashable:
-    """Return a message without the names of servers, which its place tells."""
+    """Return the content of a message without names of servers."""
     match message:
         case PrepareResponse():
             grant = message.remaining_s, message.value, message.last_write
@@ -297,7 +298,7 @@
 
 
 def initial_state(budget: FaultBudget, make_acceptor: Factory, make_candidate: Factory) -> ModelState:
-    """Return the state of three new servers, and two candidates that have not begun."""
+    """Return a state with three new servers and two idle candidates."""
     limits = LeaseLimits(("k0", "k1", "k2"), max_lease_s=LEASE_S, max_clock_drift=DRIFT)
     state = ModelState(
         limits,
--- a/saffronstack/harness/leases/model_steps.py
+++ b/saffronstack/harness/leases/model_steps.py
@@ -1,9 +1,14 @@
-"""The steps that lead from one state of the model to the next.
+"""Steps from one state of the model to the next.
 
-A candidate's requests reach some servers, and the responses arrive or are late; late responses arrive; an old
-request is delivered again; a server restarts with its disk as it is, older or lost, or is replaced while
-paused; a server catches up from another; a candidate's timer fires; a lease is released; half a lease passes.
-What is never delivered is lost, so loss needs no step of its own.
+- A candidate's requests reach some servers; the responses arrive or are delayed.
+- Delayed responses arrive.
+- An old request is delivered again.
+- A server restarts with its disk intact, rolled back or lost, or is replaced while it is paused.
+- A server catches up from another one.
+- A candidate's timer fires, or it releases the lease.
+- Half a lease duration passes.
+
+Message loss needs no step: a lost message is one that is never delivered.
 """
 
 from __future__ import annotations
@@ -19,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The state after a step, and the breach of the lease's rules that it is, if any."""
+    """The state after a step, and the breach of the lease rules in it; empty if there is none."""
 
     state: ModelState
     breach: str = ""
@@ -27,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Delivery:
-    """A candidate's requests reach some servers, or for ``replaced`` ones the machines that they replaced."""
+    """Delivery of a candidate's requests to servers; for ``replaced`` ones, to the machine before."""
 
     candidate: str
     servers: tuple[str, ...]
@@ -37,7 +42,7 @@
 
 
 def steps_from(state: ModelState, make_acceptor: Factory) -> Iterator[Step]:
-    """Return each step that can be taken."""
+    """Yield each possible step."""
     for name in state.candidates:
         for delivery in _deliveries(state, name):
             step = _deliver(state, delivery)
@@ -57,7 +62,7 @@
 
 
 def _next_state(state: ModelState, label: str, **used: int) -> ModelState:
-    """Return a copy of a state with a step in its trail, and its faults taken from the budget."""
+    """Return a copy of a state with a step added to its path and its faults subtracted from the budget."""
     next_state = state.copy()
     next_state.path += (label,)
     if used:
@@ -98,7 +103,8 @@
         request = Envelope(name, server, next_state.requests.pop((name, server)))
         if state.budget.duplicates:
             next_state.keep_old_request(request)
-        # A notification of the first waiter only has it prepare sooner, which its timer may do as well.
+        # Messages to other candidates are ignored: a notification only makes a waiting candidate prepare
+        # earlier, which its timer covers.
         responses += [
             Envelope(server, name, action.message)
             for action in next_state.deliver(request, server in delivery.replaced)
@@ -113,7 +119,7 @@
 
 
 def _receive(next_state: ModelState, responses: list[Envelope]) -> Step:
-    """Let a candidate handle responses, up to the first breach."""
+    """Deliver responses to their candidates until the first breach."""
     for response in responses:
         candidate = next_state.writable_candidate(response.receiver)
         actions = candidate.handle(next_state.candidate_now(), response.sender, response.message)
@@ -157,7 +163,7 @@
             state, f"{envelope.sender} to {envelope.receiver} again: {kind}", duplicates=1
         )
         next_state.old_requests = ()
-        next_state.deliver(envelope)  # the response to it is of an older round, or lost
+        next_state.deliver(envelope)  # its response belongs to an older round or is lost
         yield Step(next_state)
 
 
@@ -183,7 +189,7 @@
                 if isinstance(action, SendMessage):
                     next_state.deliver(Envelope(other, server, action.message))
             yield Step(next_state)
-    # The time to wait for responses may be over by the server's own clock.
+    # The server may have waited long enough, by its own clock, to recover without more responses.
     next_state = _next_state(state, f"{server} has recovered")
     actions = next_state.writable_acceptor(server).recovery.complete_if_possible(now)
     if actions:
--- a/saffronstack/harness/leases/peer.py
+++ b/saffronstack/harness/leases/peer.py
@@ -1,8 +1,8 @@
-"""A process of the rig: a lease server or a candidate, on a clock and a disk that the rig spoils.
+"""Process of the lease harness: a lease server or a candidate, whose clock and disk can be made faulty.
 
     python -m saffronstack.harness.leases.peer '{"role": "server", ...}'
 
-The program itself knows none of this: the clock and the file layer are handed to it here.
+Clock and file operations are injected here; the production code has no knowledge of the harness.
 """
 
 from __future__ import annotations
@@ -41,17 +41,26 @@
 
 ACT_DURATION_S = 0.03
 ACT_INTERVAL_S = 0.02
-MIN_LEASE_MARGIN_S = 0.1  # an act begins only with so much of the lease left beyond its length
-PRE_ACT_DELAY_PROBABILITY = 0.1  # that a pause comes between an act's decision and its beginning
+MIN_LEASE_MARGIN_S = 0.1  # remaining lease time after an act, below which the act is not started
+PRE_ACT_DELAY_PROBABILITY = 0.1  # of a delay between the check of the lease and the act
 MAX_PRE_ACT_DELAY_S = 0.05
-MEAN_HOLD_S = 6.0  # how long a holder keeps the lease
-MAX_REACQUIRE_DELAY_S = 0.2  # between a release and the next attempt
+MEAN_HOLD_S = 6.0  # until a holder releases the lease
+MAX_REACQUIRE_DELAY_S = 0.2  # between a release and the next acquisition
 ACQUIRE_TIMEOUT_S = 60.0
 REPORT_TIMEOUT_S = 20.0
 
 
 class ServerOptions(msgspec.Struct, frozen=True, tag_field="role", tag="server"):
-    """A lease server of the rig: files are those that the rig writes or reads."""
+    """Options of a lease server.
+
+    Attributes:
+        fleet: Path of the fleet file.
+        name: Name of the server.
+        state: Path of its state directory.
+        clock_rate: Speed of its clock relative to the machine's.
+        disk_fault: Path of the file from which it reads the fault of its disk.
+        trace: Path of the file to which it writes its decisions.
+    """
 
     fleet: str
     name: str
@@ -62,12 +71,12 @@
 
 
 class CandidateOptions(msgspec.Struct, frozen=True, tag_field="role", tag="candidate"):
-    """A candidate of the rig; ``broken`` names one of `BROKEN_CANDIDATES`, or is empty."""
+    """Options of a candidate; ``broken`` is a key of `BROKEN_CANDIDATES`, or empty."""
 
     fleet: str
     name: str
     lease: str
-    resource: str  # the judge's address
+    resource: str  # address of the checker
     seed: int
     clock_rate: float
     clock_steps: str
@@ -90,27 +99,27 @@
 
 
 def exit_with_parent() -> None:
-    """Wait until standard input ends, and exit."""
+    """Exit when standard input ends, which happens when the parent process exits."""
     while sys.stdin.buffer.read(1024):
         continue
     os._exit(0)
 
 
 class Trace:
-    """A file of JSON lines with the machine's time; each is written at once."""
+    """File of JSON lines with the time of CLOCK_BOOTTIME, written without buffering."""
 
     def __init__(self, path: pathlib.Path) -> None:
-        """Append to a file."""
+        """Open a file for appending."""
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def write(self, **fields: object) -> None:
-        """Write a line."""
+        """Write the current time and the fields as a line."""
         line = json.dumps({"at": round(holder_clock(), 4), **fields}, default=repr)
         os.write(self._descriptor, line.encode() + b"\n")
 
 
 def trace_server_decisions(server: LeaseServer, path: pathlib.Path) -> None:
-    """Write each decision of a server's acceptor to a file, and the state that it started with."""
+    """Write the initial state of a server's acceptor and each of its decisions to a file."""
     trace, acceptor = Trace(path), server.service._acceptor
     table, recovery = acceptor.table, acceptor.recovery
     handle, tick = acceptor.handle, acceptor.tick
@@ -140,10 +149,10 @@
 
 
 class CandidateProcess:
-    """A candidate that acts on the rig's resource while it holds the lease, and reports what it believes."""
+    """A candidate that acts on the resource while it holds the lease, and reports holding times and acts."""
 
     def __init__(self, options: CandidateOptions) -> None:
-        """Connect to the resource and the lease servers."""
+        """Create the lease client and connect to the resource."""
         fleet = load_fleet_file(options.fleet)
         self.name, self.lease, self._clock_rate = options.name, options.lease, options.clock_rate
         self._random = random.Random(options.seed)
@@ -158,7 +167,7 @@
             BROKEN_CANDIDATES.get(options.broken, Candidate),
         )
         host, _, port = options.resource.rpartition(":")
-        self._lock = threading.Lock()  # of the connection
+        self._lock = threading.Lock()  # guards the connection
         self._sock = socket.create_connection((host, int(port)), timeout=REPORT_TIMEOUT_S)
         self._reader = self._sock.makefile("rb")
 
@@ -168,14 +177,14 @@
             return decode_response(self._reader.readline())
 
     def lease_expiry_s(self, held: HeldLease) -> float:
-        """Return until when (machine's own clock) it believes that it holds the lease; 0 if it does not.
+        """Return the lease's expiry in seconds of CLOCK_BOOTTIME; 0 if the lease has expired.
 
-        Read before each report: one that was stopped in the middle of an act wakes after its lease.
+        It is computed for each report, because the lease may expire while the process is paused in an act.
         """
         return expiry_at(holder_clock(), held.remaining_s(), self._clock_rate)
 
     def run(self) -> None:
-        """Acquire the lease, act and release it again, until the process is killed."""
+        """Acquire the lease, act on the resource and release the lease, until the process is killed."""
         while True:
             held = self.client.acquire(self.lease, ACQUIRE_TIMEOUT_S)
             if held is not None:
@@ -190,7 +199,7 @@
             self._act(held)
             time.sleep(ACT_INTERVAL_S)
         if held.remaining_s() > 0:
-            # Reported before it is done: the next holder may act before a report that comes after it.
+            # Reported before the release, since the next holder could act before a later report arrives.
             self._report(Released(self.name, held.token, holder_clock()))
             held.release()
 
@@ -209,12 +218,12 @@
 
 
 def expiry_at(now: float, remaining_s: float, clock_rate: float) -> float:
-    """Return when ``remaining_s`` of a clock of that rate are over; 0 where nothing remains."""
+    """Return when ``remaining_s`` seconds of a clock of that rate have passed; 0 if nothing remains."""
     return now + remaining_s / clock_rate if remaining_s > 0 else 0.0
 
 
 def main() -> None:
-    """See above."""
+    """Run the process that the JSON options in the first argument describe."""
     options: ServerOptions | CandidateOptions = msgspec.json.decode(
         sys.argv[1], type=ServerOptions | CandidateOptions
     )
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -1,4 +1,4 @@
-"""Lease servers and candidates as processes, with their files, disks and relays between each pair."""
+"""Lease servers and candidates as processes, with their files and a relay between each pair."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True)
 class HarnessOptions:
-    """The size of a rig and the times of its leases, in seconds.
+    """Numbers of processes, and lease times in seconds.
 
-    ``broken`` names one of `broken_candidates.BROKEN_CANDIDATES` for all candidates, or is empty.
+    ``broken`` is a key of `broken_candidates.BROKEN_CANDIDATES` for all candidates, or empty.
     """
 
     seed: int
@@ -58,20 +58,23 @@
 
 @dataclass(frozen=True)
 class MajoritySample:
-    """Whether a majority of servers could communicate at one time."""
+    """Sample of whether a majority of servers could communicate."""
 
     at_s: float
     has_majority: bool
 
 
 class LeaseProcesses:
-    """The processes, files and links of one run. The lock guards the faults and the numbers of candidates."""
+    """Processes, files and links of one run.
+
+    The lock guards the active faults, the stopped servers and the number of started candidates.
+    """
 
     def __init__(self, directory: pathlib.Path, options: HarnessOptions) -> None:
         """Start all servers and candidates.
 
         Raises:
-            ScenarioError: A process does not start.
+            ScenarioError: A process fails to start.
         """
         self._directory = directory
         self._options = options
@@ -84,10 +87,8 @@
             name: f"127.0.0.1:{port.getsockname()[1]}" for name, port in self._reserved_ports.items()
         }
         self._servers: dict[str, _Process] = {}
-        self._replacement_counts = dict.fromkeys(
-            self._server_names, 0
-        )  # how many machines had a server's name before
-        self._replaced: list[_Process] = []  # machines replaced while paused, and awake
+        self._replacement_counts = dict.fromkeys(self._server_names, 0)  # replaced machines by server
+        self._replaced: list[_Process] = []  # resumed servers that were replaced while paused
         self._candidates: list[_Process] = []
         self._started_candidates = 0
         self._active_faults: dict[str, int] = dict.fromkeys(self._server_names, 0)
@@ -97,7 +98,7 @@
         self._lock = threading.Lock()
         self._is_closed = False
         self._stopped_servers: set[str] = set()
-        self._failure = ""  # why a step of the rig itself failed
+        self._failure = ""  # first error of a thread that ends a fault
         self._fault_counts: dict[str, int] = {}
         self._majority_samples: list[MajoritySample] = []
         self._clock_rates = {name: 1 + 0.009 * (self._random.random() - 0.5) for name in self._server_names}
@@ -127,7 +128,7 @@
         return self._directory / f"fleet-{name}.json5"
 
     def _write_fleet(self, name: str) -> None:
-        """Write the fleet's file of a process, which reaches others through the rig's relays."""
+        """Write a process's fleet file, in which the addresses of the other processes are those of relays."""
         entries = []
         for server, address in self._addresses.items():
             own = address if server == name else self._wires.pair(name, server, address)
@@ -168,7 +169,7 @@
             line = b""
         if not line:
             process.kill()
-            raise ScenarioError(f"{name} did not come up; see {self._directory / name}.log")
+            raise ScenarioError(f"{name} did not start; see {self._directory / name}.log")
         return _Process(name, process)
 
     def _start_server(self, name: str) -> None:
@@ -200,7 +201,7 @@
         return self._start(name, options)
 
     def status(self, server: str) -> dict[str, Any]:
-        """Return a server's status page, requested past the relays; empty where it does not answer."""
+        """Return a server's status, requested without a relay; empty if the server does not respond."""
         client = Client(self._addresses[server], 1.0)
         try:
             status: dict[str, Any] = msgspec.json.decode(client.request("GET", "/status").body)
@@ -213,7 +214,7 @@
     def wait_until_voting(
         self, servers: Sequence[str] | None = None, timeout_s: float = VOTING_TIMEOUT_S
     ) -> bool:
-        """Wait until all of them vote; return whether they do in time."""
+        """Wait until all given servers, by default all servers, vote; return False on timeout."""
         deadline_s = time.monotonic() + timeout_s
         awaited_servers = list(servers or self._server_names)
         while time.monotonic() < deadline_s:
@@ -223,7 +224,7 @@
         return False
 
     def _reserve_replacement(self, server: str) -> socket.socket:
-        """Reserve an address and a disk for the next machine of a name; return the port reserved before."""
+        """Reserve an address and a state directory for a server's next machine; return its former port."""
         self._replacement_counts[server] += 1
         self._snapshots[server].clear()
         before, self._reserved_ports[server] = self._reserved_ports[server], hold_port("127.0.0.1")
@@ -250,7 +251,7 @@
                 stream.close()
 
     def close(self) -> None:
-        """End all processes and relays."""
+        """Kill all processes and close the relays."""
         self._is_closed = True
         for one in [*self._servers.values(), *self._candidates, *self._replaced]:
             self._kill(one)
--- a/saffronstack/harness/leases/rig.py
+++ b/saffronstack/harness/leases/rig.py
@@ -1,7 +1,7 @@
-"""Plays schedules of faults among lease servers and candidates that are processes, and judges the run.
+"""Harness that runs lease servers and candidates as processes under a schedule of faults, and checks the run.
 
-A schedule is drawn from a seed, can be written to a file and played again in whole or in part: that is how
-one that fails is shrunk.
+A schedule is drawn from a seed. It can be stored in a file and run again in whole or in part, which is how a
+failing schedule is reduced to a minimal one.
 """
 
 from __future__ import annotations
@@ -21,33 +21,35 @@
 
 BREACH_CHECK_INTERVAL_S = 0.2
 MAJORITY_SAMPLE_INTERVAL_S = 0.05
-FAULT_END_TIMEOUT_S = 10.0  # how long to wait for the end of faults
+FAULT_END_TIMEOUT_S = 10.0  # per fault, at the end of a run
 
 
 @dataclass
 class Report:
-    """The result of a run; times in seconds."""
+    """Result of a run; times in seconds."""
 
     check_result: CheckResult
-    faults: dict[str, int] = field(default_factory=dict)  # how many of each kind
-    majority_s: float = 0.0  # in which a majority of servers could communicate
-    majority_held_s: float = 0.0  # of that, with a holder
+    faults: dict[str, int] = field(default_factory=dict)  # number of faults by kind
+    majority_s: float = 0.0  # time in which a majority of servers could communicate
+    majority_held_s: float = 0.0  # part of ``majority_s`` in which the lease was held
     seconds: float = 0.0
 
 
 class LeaseHarness(FaultInjector):
-    """Plays schedules of faults on one run's processes."""
+    """Runs a schedule of faults on a set of processes."""
 
     def run(self, faults: Sequence[Fault], seconds: float, until_breach: bool = False) -> Report:
-        """Play a schedule; the disk of one server at a time is damaged, the others being well.
+        """Run a schedule.
+
+        A disk is damaged only while all other servers are healthy.
 
         Args:
             faults: The schedule.
-            seconds: For how long to play it.
-            until_breach: Stop at the first breach.
+            seconds: Duration of the run.
+            until_breach: Whether the run ends at the first breach.
 
         Raises:
-            ScenarioError: The servers do not vote at the start or after a fault.
+            ScenarioError: The servers do not vote at the start or after a fault, or ending a fault failed.
         """
         if not self.wait_until_voting():
             raise ScenarioError("the lease servers do not vote")
@@ -67,7 +69,7 @@
         return self._finish(started_at_s)
 
     def _finish(self, started_at_s: float) -> Report:
-        """Wait for the end of all faults, and report."""
+        """Wait for the end of all faults; return the report."""
         for thread in self._fault_end_threads:
             thread.join(FAULT_END_TIMEOUT_S)
         ended_at_s = holder_clock()
--- a/saffronstack/harness/leases/rig_faults.py
+++ b/saffronstack/harness/leases/rig_faults.py
@@ -1,4 +1,4 @@
-"""The faults that a rig causes among its lease servers, candidates, links and disks."""
+"""Injection of faults into the harness's lease servers, candidates, links and disks."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.runtime.threads import start_thread
 
-RESET_FAULT_S = 0.1  # for how long a reset counts as a fault
-MAX_SNAPSHOTS = 20  # of each server
-Directions = list[tuple[Pair, bool]]  # of links, as `Wires` takes them
+RESET_FAULT_S = 0.1  # time for which the servers count as faulty after a reset of connections
+MAX_SNAPSHOTS = 20  # per server
+Directions = list[tuple[Pair, bool]]  # of links, as the methods of `Wires` expect them
 
 
 class FaultInjector(LeaseProcesses):
-    """Causes faults, each on threads that end it when its time is over."""
+    """Injects faults; a thread ends each one after its duration."""
 
     @staticmethod
     def _sleep(seconds: float) -> None:
-        """The day's own pace: faults come at times of the schedule, nothing is synchronised by it."""
+        """Wait for the time of a scheduled fault; it synchronizes nothing."""
         if seconds > 0:
             time.sleep(seconds)
 
@@ -39,7 +39,7 @@
                 self._active_faults[server] += by
 
     def inject(self, fault: Fault) -> None:
-        """Cause a fault."""
+        """Inject a fault."""
         if fault.kind == "lie":
             self._restart_with_damaged_disk(self._server_names[fault.keepers[0]], fault.how)
         elif fault.kind in CANDIDATE_FAULTS:
@@ -51,10 +51,11 @@
     def _inject_at_servers(self, fault: Fault) -> None:
         servers = self._servers_of(fault)
         if fault.kind == "replace paused":
-            # Of two machines of one name with lost disks the later counts; the rig ends the one that woke.
+            # A server that does not vote may itself be a replacement. Of two machines of one name with lost
+            # disks only the later one counts, and the harness kills the resumed one.
             servers = [server for server in servers if self.status(server).get("votes")]
         if fault.kind in STOPPING_FAULTS:
-            # One that is down or stopped already is left to the fault that stopped it.
+            # The fault that stopped a server also restarts it, so a stopped server is skipped.
             with self._lock:
                 servers = [server for server in servers if server not in self._stopped_servers]
                 self._stopped_servers.update(servers)
@@ -71,7 +72,7 @@
             self._candidates[number] = self._start_candidate()
 
     def _step_clocks(self, fault: Fault, numbers: list[int]) -> None:
-        """Step the clocks of machines that were suspended for as long as the fault."""
+        """Advance clocks by the length of the fault, as after a suspension of the machines."""
         for number in numbers:
             path = self._clock_steps_file(self._candidates[number].name)
             before = float(path.read_text()) if path.exists() else 0.0
@@ -136,7 +137,7 @@
         links_to, links_from = self._links_to(servers), self._links_from(servers)
         cut = links_to + links_from if fault.kind == "cut" else self._random.choice((links_to, links_from))
         self._wires.set(cut, Mode(fault.how))
-        # Streams that lost bytes make no sense: they end by a reset.
+        # A TCP stream that lost bytes is corrupt, so its connection is reset.
         self._end_after(fault.length_s, servers, lambda: self._repair_links(cut, fault.how == "lose"))
 
     def _delay_servers(self, fault: Fault, servers: list[str]) -> None:
@@ -160,7 +161,7 @@
             self._wires.reset(cut)
 
     def _end_after(self, after_s: float, servers: Sequence[str], end: Callable[[], object]) -> None:
-        """End a fault of some servers after its time."""
+        """End a fault of servers after ``after_s`` seconds; they count as faulty until then."""
 
         def end_fault() -> None:
             end()
@@ -173,7 +174,7 @@
             time.sleep(after_s)
             try:
                 action()
-            except Exception as error:  # noqa: BLE001 - the run fails with it at its end
+            except Exception as error:  # noqa: BLE001 - the run reports it at its end
                 self._failure = self._failure or repr(error)
 
         self._fault_end_threads.append(start_thread("heal", run))
@@ -185,7 +186,7 @@
             self._stopped_servers.difference_update(servers)
 
     def _replace(self, servers: Sequence[str]) -> None:
-        """Start other machines of the same names, each with an empty directory and an address of its own."""
+        """Start new machines under the same names, each with an empty state directory and a new address."""
         for server in servers:
             old_port = self._reserve_replacement(server)
             old_port.close()
@@ -193,7 +194,10 @@
         self._restart(servers)
 
     def _replace_paused(self, server: str, stale_peers: set[str], awake_s: float) -> None:
-        """Start another machine in the place of a paused one, which wakes up: some still have its address."""
+        """Replace a paused server by a new machine, then resume it: ``stale_peers`` still reach it.
+
+        The resumed server is killed after ``awake_s`` seconds.
+        """
         replaced = self._servers[server]
         self._replaced.append(replaced)
         old_port = self._reserve_replacement(server)
@@ -219,12 +223,12 @@
             self._start_server(server)
         with self._lock:
             self._stopped_servers.difference_update(servers)
-        # Until they vote again they do not count for a majority.
+        # Servers count towards the majority only once they vote again.
         self.wait_until_voting(servers)
         self._adjust_fault_count(servers, -1)
 
     def _restart_with_damaged_disk(self, server: str, how: str) -> None:
-        """Restart a server with a damaged disk, while all others are well and have recovered."""
+        """Restart a server with a damaged disk once all other servers are healthy and have recovered."""
         for thread in self._fault_end_threads:
             thread.join(20.0)
         self._fault_end_threads.clear()
@@ -236,21 +240,23 @@
         state = self._state_directory(server)
         damage_disk(state, how, self._random, self._snapshots[server])
         if how in ("gone", "flip both copies", "swap copies"):
-            self._snapshots[server].clear()  # earlier states are a replaced server's
+            self._snapshots[server].clear()  # they belong to the server's former incarnation
         self._fault_counts[f"lie: {how}"] = self._fault_counts.get(f"lie: {how}", 0) + 1
         self._start_server(server)
         if not self.wait_until_voting([server]):
             raise ScenarioError(f"{server} does not vote after a disk fault ({how}): {self.status(server)}")
         if self.status(server).get("disk") == "lost":
-            self._snapshots[server].clear()  # the server has a new incarnation since
+            self._snapshots[server].clear()  # the server has a new incarnation
         self._adjust_fault_count([server], -1)
 
     def _snapshot(self, server: str) -> None:
-        """Copy the state as it is now, to which a disk may be rolled back later."""
+        """Copy a server's state directory, so that its disk can be rolled back to it later."""
         self._total_snapshots += 1
         path = self._directory / f"snapshot-{server}-{self._total_snapshots}"
         if len(self._snapshots[server]) < MAX_SNAPSHOTS:
-            self._signal(self._servers[server], signal.SIGSTOP)  # as a power cut may fall between two writes
+            self._signal(
+                self._servers[server], signal.SIGSTOP
+            )  # as a power failure, it may fall between two writes
             shutil.copytree(self._state_directory(server), path)
             self._signal(self._servers[server], signal.SIGCONT)
             self._snapshots[server].append(path)
--- a/saffronstack/harness/leases/schedule.py
+++ b/saffronstack/harness/leases/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults a seed has in store for keepers and candidates, and which of them are enough to fail."""
+"""Schedules of faults for lease servers and candidates: drawn from a seed, and reduced to those that fail."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-# How often each kind of fault comes, in parts.
+# Relative frequency of each kind of fault.
 FAULT_WEIGHTS = {
     "kill keeper": 3, "replace keeper": 1, "replace paused": 1,
     "stop keeper": 2, "disk stalls": 2, "disk full": 1, "lie": 3, "cut": 3,
@@ -19,7 +19,16 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: when it comes (seconds after the start of the faults), for how long, to whom."""
+    """A fault of a schedule.
+
+    Attributes:
+        at_s: Seconds from the start of the schedule.
+        kind: Key of `FAULT_WEIGHTS`.
+        length_s: Duration in seconds.
+        keepers: Numbers of the affected lease servers.
+        candidates: Numbers of the affected candidates.
+        how: Kind of disk damage or mode of a cut link; empty for other faults.
+    """
 
     at_s: float
     kind: str
@@ -32,7 +41,7 @@
 def draw_schedule(
     seed: int, seconds: float, server_count: int, candidate_count: int, mean_interval_s: float = 1.0
 ) -> list[Fault]:
-    """What a seed has in store."""
+    """Return the faults drawn from a seed; each affects a minority of the servers at most."""
     rng = random.Random(seed)
     faults: list[Fault] = []
     at_s = rng.expovariate(1 / mean_interval_s)
@@ -57,7 +66,13 @@
 
 
 def shrink_schedule(faults: Sequence[Fault], fails: Any, max_runs: int = 40) -> list[Fault]:
-    """The fewest faults found that still fail, by leaving out halves, quarters, ... (delta debugging)."""
+    """Return a small part of a schedule that still fails, found by delta debugging.
+
+    Args:
+        faults: The schedule.
+        fails: Returns whether a run with the given faults fails.
+        max_runs: Number of calls of ``fails`` after which no further reduction begins.
+    """
     remaining, part_count = list(faults), 2
     runs = 0
     while len(remaining) > 1 and runs < max_runs:
--- a/saffronstack/harness/leases/simulated_fleet.py
+++ b/saffronstack/harness/leases/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Acceptors, candidates and a resource in virtual time, on links that lose, delay and duplicate messages."""
+"""Acceptors, candidates and a resource in virtual time; links lose, delay and duplicate messages."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ACT_INTERVAL_S = 0.1
 MAX_BREACHES = 10
 MAX_STORED_STATES = 20
-LOST_HOLDER_EXIT_PROBABILITY = 0.1  # a process that lost its lease ends
+LOST_HOLDER_EXIT_PROBABILITY = 0.1  # of a candidate that loses the lease; a new one replaces it
 SLOW_ACT_PROBABILITY = 0.05
 MAX_ACT_DELAY_S = 0.02
 MAX_SLOW_ACT_DELAY_S = 6.0
@@ -37,27 +37,27 @@
 
 @dataclass(frozen=True)
 class FaultRates:
-    """What goes wrong, as probabilities; times in seconds of the simulation."""
+    """Probabilities of faults, and their times in seconds of virtual time."""
 
     loss: float = 0.1
     duplication: float = 0.05
-    delay: float = 0.05  # a message takes up to ``delay_s``
+    delay: float = 0.05  # of a message, by up to ``delay_s``
     delay_s: float = 8.0
     latency_s: float = 0.01
-    process_fault_interval_s: float = 1.5  # the mean time between faults of processes
+    process_fault_interval_s: float = 1.5  # mean time between faults of servers, candidates and partitions
     down_s: float = 2.0
-    rolled_back_disk: float = 0.15  # of the restarts
-    lost_disk: float = 0.15  # of the restarts
-    pause_s: float = 4.0  # a candidate is stopped for up to this long
-    partition_s: float = 3.0  # a server is cut off, one way or both
-    replacement: float = 0.1  # of the restarts: another machine replaces one that was only paused
-    replaced_awake_s: float = 30.0  # which is awake for up to this long, and reached by half of the others
-    one_disk_at_a_time: bool = True  # no second disk fails before the first server has recovered
+    rolled_back_disk: float = 0.15  # per restart
+    lost_disk: float = 0.15  # per restart
+    pause_s: float = 4.0  # maximum pause of a candidate
+    partition_s: float = 3.0  # maximum duration of a server's partition, one-way or both ways
+    replacement: float = 0.1  # per restart: a new machine replaces a paused one
+    replaced_awake_s: float = 30.0  # maximum time that a replaced machine runs on; half of its peers reach it
+    one_disk_at_a_time: bool = True  # a disk fails only while all other servers are recovered
 
 
 @dataclass
 class SimulationResult:
-    """What the judge found."""
+    """Breaches of the lease rules in a simulation, counts of acts, and holding time in seconds."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
@@ -67,13 +67,13 @@
     rejected: int = 0  # acts under an older token, rejected by the resource
 
     def add_breach(self, now: float, text: str) -> None:
-        """Note a breach of the lease's rules, up to a bound."""
+        """Record a breach of the lease rules; breaches beyond `MAX_BREACHES` are dropped."""
         if len(self.breaches) < MAX_BREACHES:
             self.breaches.append(f"{now:.3f} s: {text}")
 
 
 class _Event(NamedTuple):
-    """An event; those of one time run in the order in which they were scheduled."""
+    """An event; events of the same time run in the order in which they were scheduled."""
 
     at_s: float
     sequence: int
@@ -81,7 +81,7 @@
 
 
 class EventQueue:
-    """Virtual time: events in the order of their times."""
+    """Virtual clock that runs events in the order of their times."""
 
     def __init__(self) -> None:
         """Start at time 0 without events."""
@@ -94,7 +94,7 @@
         heapq.heappush(self._events, _Event(self.now + after_s, next(self._sequence), event))
 
     def run_next(self, until_s: float) -> bool:
-        """Run the next event; return False where there is none before ``until_s``."""
+        """Run the next event; return False if there is none before ``until_s``."""
         if not self._events or self._events[0].at_s >= until_s:
             return False
         event = heapq.heappop(self._events)
@@ -104,7 +104,7 @@
 
 
 class Resource:
-    """What the lease protects: it rejects acts under an older token."""
+    """Resource that the lease protects; it rejects acts under an older fencing token."""
 
     def __init__(self, result: SimulationResult) -> None:
         """Count acts and breaches in a result."""
@@ -124,7 +124,7 @@
 
 
 class SimulatedFleet:
-    """Servers and candidates whose clocks run at rates of their own within the drift limit."""
+    """Servers and candidates, whose clocks run at different rates within the drift limit."""
 
     def __init__(
         self,
@@ -137,7 +137,7 @@
         make_acceptor: AcceptorFactory = Acceptor,
         make_candidate: CandidateFactory = Candidate,
     ) -> None:
-        """Set up new servers and candidates; all that follows is drawn from the seed."""
+        """Create new servers and candidates; the seed determines the whole simulation."""
         self.random = random.Random(seed)
         self.faults = faults or FaultRates()
         self.limits = LeaseLimits(tuple(f"k{number}" for number in range(servers)), max_lease_s=lease_s)
@@ -147,19 +147,19 @@
         self.events = EventQueue()
         self._resource = Resource(self.result)
         self._clock_rates = {name: self._draw_clock_rate() for name in self.limits.servers}
-        # What each server persisted, the newest last; with nothing, the disk is lost at each start.
+        # States that each server persisted, oldest first. A server with none starts with a lost disk.
         self.disks: dict[str, list[AcceptorState]] = {name: [AcceptorState()] for name in self.limits.servers}
         self.acceptors: dict[str, Acceptor | None] = {
             name: make_acceptor(name, self.limits, DiskState.NEW, AcceptorState(), 0.0, 0)
             for name in self.limits.servers
         }
-        self.partitioned: set[tuple[str, str]] = set()  # sender and receiver
+        self.partitioned: set[tuple[str, str]] = set()  # senders and receivers of dropped messages
         self.replaced: dict[str, Acceptor] = {}
-        self.stale_routes: set[tuple[str, str]] = set()  # who still reaches a server that was replaced
+        self.stale_routes: set[tuple[str, str]] = set()  # peers that reach the replaced server, with its name
         self.candidates: dict[str, Candidate] = {}
         self.paused_until_s: dict[str, float] = {}
         self._process_numbers = count()
-        self.acquired_by: dict[int, str] = {}  # the candidate of each token
+        self.acquired_by: dict[int, str] = {}  # candidates by token
         for _ in range(candidates):
             self._start_candidate()
 
@@ -190,7 +190,7 @@
     def _deliver(self, sender: str, receiver: str, message: Message) -> None:
         if receiver in self.acceptors:
             self._deliver_to_server(sender, receiver, message)
-        elif receiver in self.paused_until_s:  # it finds the message when it wakes
+        elif receiver in self.paused_until_s:  # receives the message when it resumes
             wait_s = self.paused_until_s[receiver] - self.now
             self.events.schedule(wait_s, lambda: self._deliver(sender, receiver, message))
         elif receiver in self.candidates:
@@ -209,7 +209,7 @@
             self.apply(server, acceptor.handle(self.clock(server), sender, message))
 
     def apply(self, server: str, actions: list[AcceptorAction]) -> None:
-        """Carry out the actions of an acceptor."""
+        """Execute the actions of an acceptor."""
         for action in actions:
             match action:
                 case PersistState():
@@ -245,7 +245,7 @@
         self.events.schedule(after_s, lambda: self.tick(name))
 
     def tick(self, name: str) -> None:
-        """Fire the timer of a process; a paused one handles it when it wakes."""
+        """Fire the timer of a process; a paused candidate handles it when it resumes."""
         acceptor = self.acceptors.get(name)
         if acceptor is not None:
             self.apply(name, acceptor.tick(self.clock(name)))
@@ -265,13 +265,13 @@
         self._apply_candidate_actions(name, candidate.acquire(self.clock(name)))
 
     def replace_candidate(self, name: str) -> None:
-        """End a candidate, and start another."""
+        """Remove a candidate and start a new one."""
         if self.candidates.pop(name, None) is not None:
             self.paused_until_s.pop(name, None)
             self._start_candidate()
 
     def act(self) -> None:
-        """Let holders act on the resource; an act that was decided before a pause comes after it."""
+        """Schedule an act for each holder, executed after a delay even if the holder is paused meanwhile."""
         for name, candidate in self.candidates.items():
             if name not in self.paused_until_s and candidate.is_holder(self.clock(name)):
                 fraction = self.random.random()
--- a/saffronstack/harness/leases/simulation.py
+++ b/saffronstack/harness/leases/simulation.py
@@ -1,7 +1,7 @@
-"""Leases in virtual time under faults drawn from a seed, and a judge.
+"""Simulation of leases in virtual time under random faults, with a check after each event.
 
-Everything that happens follows from the seed. The judge knows no acceptor: it sees which candidates believe
-that they hold the lease, by the simulation's own time, and what the resource accepted under which token.
+The seed determines the whole run. The check uses no state of acceptors: it uses which candidates consider
+themselves the holder in virtual time, and which acts the resource accepted under which token.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from saffronstack.fleet.leases.messages import AcceptorState, DiskState
 from saffronstack.harness.leases.simulated_fleet import ACT_INTERVAL_S, SimulatedFleet, SimulationResult
 
-# Limits of one draw that chooses a fault: a server stops, a candidate pauses or ends, else a partition.
+# Upper limits of a random number in [0, 1) for each kind of fault; above the last, a server is partitioned.
 SERVER_STOP_BELOW, CANDIDATE_PAUSE_BELOW, CANDIDATE_EXIT_BELOW = 0.4, 0.6, 0.7
-DIRECTION_CUT_PROBABILITY = 0.7  # that a partition cuts a direction
+DIRECTION_CUT_PROBABILITY = 0.7  # that a partition drops messages of a direction
 
 
 class Simulation(SimulatedFleet):
-    """One run of a fleet under faults."""
+    """A fleet under random faults."""
 
     def run(self, seconds: float) -> SimulationResult:
-        """Run for some seconds of virtual time; return what the judge found."""
+        """Run for some seconds of virtual time; return the result."""
         self._schedule_fault()
         self.events.schedule(ACT_INTERVAL_S, self.act)
         while self.events.run_next(seconds):
@@ -27,9 +27,9 @@
         return self.result
 
     def _check_holders(self) -> None:
-        """Find two candidates that hold the lease at once, or one under an older token.
+        """Record a breach if two candidates hold the lease at once, or one holds it under an older token.
 
-        A paused one counts too: by its clock it would still act.
+        A paused candidate counts as a holder, since it would still act when it resumes.
         """
         holders = [
             name for name, candidate in self.candidates.items() if candidate.is_holder(self.clock(name))
@@ -79,7 +79,7 @@
             self.events.schedule(until_s - self.now, lambda: self._resume_candidate(name))
 
     def _resume_candidate(self, name: str) -> None:
-        """Wake a candidate; whether it reads its messages or its clock first is drawn."""
+        """Resume a candidate; it is random whether it handles its messages or its timer first."""
         self.paused_until_s.pop(name, None)
         if name in self.candidates:
             self.events.schedule(0.001 * self.random.choice((0.0, 1.0)), lambda: self.tick(name))
@@ -96,14 +96,14 @@
         )
 
     def _may_lose_disk(self, name: str) -> bool:
-        """Return whether a server's disk may fail: one at a time, as the protocol demands."""
+        """Return whether a server's disk may fail; the protocol tolerates one failed disk at a time."""
         others = (acceptor for other, acceptor in self.acceptors.items() if other != name)
         return not self.faults.one_disk_at_a_time or all(
             acceptor is not None and acceptor.recovery.has_recovered for acceptor in others
         )
 
     def _resume_replaced(self, name: str, replaced: Acceptor) -> None:
-        """Wake a machine that was taken for dead beside its successor; some still have its address."""
+        """Resume a paused machine that was replaced; half of its peers, at random, still reach it."""
         self.replaced[name] = replaced
         self.stale_routes = {pair for pair in self.stale_routes if pair[1] != name}
         for peer in [*self.acceptors, *self.candidates]:
@@ -117,7 +117,7 @@
         self.events.schedule(self.random.random() * self.faults.replaced_awake_s, end)
 
     def _restart_server(self, name: str, paused: Acceptor | None) -> None:
-        """Start a server from its disk as that is now, or a successor of a paused one with an empty disk."""
+        """Start a server from its disk, or the replacement of a paused one with an empty disk."""
         self._change_disk(name, paused)
         disk = self.disks[name]
         disk_state, state = (DiskState.INTACT, disk[-1]) if disk else (DiskState.LOST, AcceptorState())
@@ -135,7 +135,7 @@
             self._resume_replaced(name, paused)
         elif kind < self.faults.rolled_back_disk and disk:
             kept = max(1, len(disk) - self.random.randrange(1, 6))
-            if disk[kept - 1].incarnation == disk[-1].incarnation:  # else it is a replaced server's
+            if disk[kept - 1].incarnation == disk[-1].incarnation:  # not a replaced server's state
                 del disk[kept:]
         elif kind < self.faults.rolled_back_disk + self.faults.lost_disk:
             disk.clear()
--- a/saffronstack/harness/rollout/__init__.py
+++ b/saffronstack/harness/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rolling changes under faults: every order of events, and daemons, leaders and gateways as processes."""
+"""Test harnesses for rolling updates under faults: a simulation, and a harness of real processes."""
--- a/saffronstack/harness/rollout/defects.py
+++ b/saffronstack/harness/rollout/defects.py
@@ -1,4 +1,4 @@
-"""Defects that a simulation can be given, to show that its invariants find them."""
+"""Defects that can be injected into a simulation, to show that its invariants detect them."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class Defect(enum.Enum):
-    """One rule of the rollout that is left out."""
+    """A rule of the rollout that is not enforced."""
 
     NONE = "none"
-    TOKEN_FORGOTTEN = "token forgotten"  # a daemon restarts without its fencing token
+    TOKEN_FORGOTTEN = "token forgotten"  # a daemon does not restore its fencing token at a restart
     COMMANDED_BEFORE_STORED = "commanded before stored"
     UNOBSERVED_IS_AVAILABLE = "unobserved is available"
-    ROLLOUT_RESTARTED = "rollout restarted"  # a leader ignores that it rolls back
+    ROLLOUT_RESTARTED = "rollout restarted"  # a new leader restarts a rollout that is being rolled back
     LATE_COMMAND_ACCEPTED = "late command accepted"
     INCARNATION_IGNORED = "incarnation ignored"
     TWO_ZONES_AT_ONCE = "two zones at once"
-    NOT_SETTLED = "not settled"  # a leader does not wait until gateways have settled
+    NOT_SETTLED = "not settled"  # a leader does not wait until gateways have settled after an update
 
 
 def apply_defect(controller: RolloutController, defect: Defect) -> None:
-    """Leave a rule of a controller out; defects of other parts change nothing here."""
+    """Disable a rule of a controller; defects of the other simulated parts are ignored."""
     view, scheduler = controller.view, controller.scheduler
     match defect:
         case Defect.UNOBSERVED_IS_AVAILABLE:
--- a/saffronstack/harness/rollout/exploration.py
+++ b/saffronstack/harness/rollout/exploration.py
@@ -1,4 +1,4 @@
-"""Explores a simulated rollout in every order of steps."""
+"""Explores all interleavings of the steps of a simulated rollout."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     draw_no_fault,
 )
 
-MAX_COMMANDS_EXPLORED = 4  # of those in flight
+MAX_COMMANDS_EXPLORED = 4  # commands in flight, oldest first, whose delivery is a step
 MAX_DAEMON_INCARNATION = 3
 DEFAULT_SIZE = WorldSize(gateways=3, daemons=2, zones=2)
 
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """What an exploration came to: its size, and the first violation with the steps that led to it."""
+    """Result of an exploration: its size, and the first violation with the names of the steps to it."""
 
     states: int
     depth: int
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class _Node:
-    """A state that was reached, and how."""
+    """A state, and the names of the steps to it."""
 
     world: SimulatedWorld
     checker: InvariantChecker
@@ -55,7 +55,7 @@
 def explore(
     max_states: int, max_depth: int, defect: Defect = Defect.NONE, size: WorldSize = DEFAULT_SIZE
 ) -> Exploration:
-    """Explore breadth first, to a depth or a number of states, and stop at the first violation."""
+    """Explore breadth first until the first violation, ``max_states`` states or ``max_depth`` steps."""
     world = SimulatedWorld(size, defect=defect)
     start = _Node(world, InvariantChecker(world))
     world.change_leader()
@@ -84,7 +84,11 @@
 
 
 def _take_step(node: _Node, step: _Step) -> _Node:
-    """Return the state after a step; from it a leader that is left alone must finish the rollout."""
+    """Return the state after a step.
+
+    Raises:
+        InvariantError: The state violates an invariant, or the rollout does not end from it without faults.
+    """
     reached = copy.deepcopy(node)
     step.run(reached.world)
     reached.checker.check()
@@ -133,7 +137,7 @@
 
 
 def state_key(world: SimulatedWorld) -> str:
-    """Return what tells one state from another; times and counts that only grow are left out."""
+    """Return a key that is equal for equivalent states; it ignores times and counters that only increase."""
     record = world.record
     parts = (
         [f"{name} {_daemon_key(daemon)}" for name, daemon in world.daemons.items()],
--- a/saffronstack/harness/rollout/fleet_watcher.py
+++ b/saffronstack/harness/rollout/fleet_watcher.py
@@ -1,4 +1,4 @@
-"""Watches a fleet beside a rollout: who runs the new release, how many are down, who crashes."""
+"""Observes a fleet during a rollout: gateways that run the new release, unavailable ones and crashes."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 POLL_INTERVAL_S = 0.1
 JOIN_TIMEOUT_S = 30.0
-CRASH_MARGIN_S = 1.0  # around the moment at which the end of a gateway is seen
+CRASH_MARGIN_S = 1.0  # on either side of the time at which a crash is detected
 
 
 @dataclass
 class FleetObservations:
-    """What was observed.
+    """Observations of a rollout.
 
     Attributes:
-        reached: Gateways that ever ran the new release.
-        max_unavailable: Gateways that did not serve at one time.
-        crashes: Ends of gateways that nobody asked for, since the rig began.
-        restarts: The last known number of them, by gateway.
+        reached: Names of the gateways that have run the new release.
+        max_unavailable: Maximum number of gateways that were unavailable at once.
+        crashes: Unexpected exits of gateways since the start of the harness.
+        restarts: Latest restart count of each gateway.
     """
 
     reached: set[str] = field(default_factory=set)
@@ -33,13 +33,13 @@
     restarts: dict[str, int] = field(default_factory=dict)
 
     def reset(self) -> None:
-        """Begin another rollout; crashes are kept, since workers' logs reach back too."""
+        """Reset for another rollout; crashes are kept, because the workers' logs cover earlier rollouts."""
         self.reached.clear()
         self.max_unavailable = 0
 
 
 class FleetWatcher:
-    """Polls all daemons on a thread of its own."""
+    """Polls all daemons on a thread."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Start to watch."""
+        """Start the thread."""
         self._thread = start_thread("fleet-watcher", self._run)
 
     def stop(self) -> None:
-        """Stop to watch, and wait for the thread."""
+        """Stop the thread and wait until it has ended."""
         self._stopping.set()
         if self._thread is not None:
             self._thread.join(JOIN_TIMEOUT_S)
@@ -73,7 +73,7 @@
             unavailable += not status.running_release
             if status.running_release == self._new_digest:
                 observations.reached.add(name)
-            if status.restarts > observations.restarts.get(name, 0):  # it crashed, as a bad release does
+            if status.restarts > observations.restarts.get(name, 0):  # the daemon restarted it after a crash
                 now_s = time.monotonic()
                 crash = Stopped(int(name[1:]), now_s - CRASH_MARGIN_S, True, now_s + CRASH_MARGIN_S)
                 observations.crashes.append(crash)
--- a/saffronstack/harness/rollout/invariants.py
+++ b/saffronstack/harness/rollout/invariants.py
@@ -1,4 +1,4 @@
-"""What must be true of a simulated rollout after each step, and at its end."""
+"""Invariants of a simulated rollout after each step and at its end."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 )
 
 MAX_FAULT_FREE_ROUNDS = 120
-MAX_PROCESS_STEPS = 6  # of one gateway in a round
+MAX_PROCESS_STEPS = 6  # per gateway and round
 
 
 class InvariantChecker:
-    """Checks one world; it remembers the tokens that daemons have accepted."""
+    """Checks the invariants of one world; it keeps the last fencing token of each daemon."""
 
     def __init__(self, world: SimulatedWorld) -> None:
         self._world = world
@@ -27,7 +27,8 @@
         """Check the world after a step.
 
         Raises:
-            InvariantError: A daemon forgot a fencing token, or too many gateways are unavailable.
+            InvariantError: A daemon's fencing token decreased, too many gateways are unavailable at once, or
+                gateways of two zones are.
         """
         self._check_tokens()
         self._check_unavailable()
@@ -51,7 +52,7 @@
             raise InvariantError(f"gateways of two zones are unavailable at once: {unavailable}")
 
     def advance_until_settled(self) -> None:
-        """Let all processes come to rest, checking after each step."""
+        """Advance all gateways until no process starts or exits, and check after each step."""
         for gateway in self._world.daemon_of:
             for _ in range(MAX_PROCESS_STEPS):
                 if not self._world.advance_gateway(gateway, fails=False):
@@ -59,10 +60,10 @@
                 self.check()
 
     def finish(self) -> None:
-        """Let an operator abort the rollout, and nothing more fail: it must end, and be as recorded.
+        """Abort the rollout and run rounds without faults until it ends.
 
         Raises:
-            InvariantError: It does not end, or a gateway runs another release than recorded.
+            InvariantError: The rollout does not end, or a gateway runs another release than its record says.
         """
         world = self._world
         if not world.record.is_finished:
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -1,6 +1,6 @@
-"""Daemons, lease servers and leaders as processes, with the gateways that the daemons start.
+"""Harness that runs daemons, lease servers and leaders as processes; the daemons start the gateways.
 
-`rollout_run` plays a rollout on it under load.
+`rollout_run` runs a rollout on it under load.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 START_TIMEOUT_S = 60.0
 COMMAND_TIMEOUT_S = 60.0
 DEPLOY_TIMEOUT_S = 90.0
-END_MARGIN_S = 10.0  # over a gateway's drain
+END_MARGIN_S = 10.0  # on top of a gateway's drain grace
 MIN_WAIT_S = 0.1
 MEMORY_MB = 8192.0
 
 
 class RolloutHarness:
-    """Use it as a context. Workers and clients are in this process, all else in processes of its own."""
+    """A fleet of processes, as a context manager; stub workers and clients run in this process."""
 
     def __init__(self, directory: pathlib.Path, sizes: HarnessSizes) -> None:
         self.sizes = sizes
@@ -69,7 +69,7 @@
         return self
 
     def __exit__(self, *exc: object) -> None:
-        for name in self.daemons:  # SIGINT ends their gateways too
+        for name in self.daemons:  # SIGINT also ends the gateways of a daemon
             self.signal(name, signal.SIGCONT)
             self.signal(name, signal.SIGINT)
         deadline_s = time.monotonic() + self.sizes.drain_s + END_MARGIN_S
@@ -102,16 +102,16 @@
 
     @property
     def daemon_of(self) -> dict[str, str]:
-        """The daemon of each gateway."""
+        """Names of daemons by gateway."""
         return self.layout.daemon_of
 
     # ---- processes
 
     def start(self, name: str, *arguments: str) -> None:
-        """Start a process of the program and wait for its first line.
+        """Start a saffronstack command and wait for its first line of output.
 
         Raises:
-            ScenarioError: It writes none in time.
+            ScenarioError: The process writes no line before the timeout.
         """
         with open(self.layout.log_path(name), "ab") as log_file:
             process = subprocess.Popen(
@@ -128,20 +128,20 @@
         start_thread("drain-output", lambda: [None for _ in output])
 
     def start_lease_server(self, name: str) -> None:
-        """Start a lease server, for the first time or again."""
+        """Start or restart a lease server."""
         self.start(name, "keeper", "run", *self._lease_server_options(name))
 
     def start_daemon(self, name: str) -> None:
-        """Start a daemon, for the first time or again."""
+        """Start or restart a daemon."""
         self.start(name, "fleet", "daemon", "--fleet", str(self.fleet_path), "--name", name, "--log", "json")
 
     def lose_disk(self, name: str) -> None:
-        """Kill a daemon and remove its desired state."""
+        """Kill a daemon and remove its stored desired state."""
         self.kill(name)
         (self.layout.state_directory(name) / "wanted").unlink(missing_ok=True)
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process that still runs."""
+        """Send a signal to a process, unless it has exited."""
         process = self.processes[name]
         if process.poll() is None:
             process.send_signal(number)
@@ -152,7 +152,7 @@
         self.processes[name].wait()
 
     def run(self, *arguments: str, timeout_s: float = COMMAND_TIMEOUT_S) -> subprocess.CompletedProcess[str]:
-        """Run a command of the program to its end."""
+        """Run a saffronstack command until it exits."""
         command = [*SAFFRONSTACK, *arguments]
         return subprocess.run(command, capture_output=True, text=True, timeout=timeout_s, check=False)
 
@@ -160,17 +160,17 @@
         state = str(self.layout.state_directory(name))
         return ["--fleet", str(self.fleet_path), "--name", name, "--state", state]
 
-    # ---- releases, plans and what is observed
+    # ---- releases, plans and observations
 
     def make_release(self, version: str, fault: str = "") -> str:
-        """Write a release, with a fault by name; return its directory."""
+        """Write a release, optionally with a fault of `sample_releases.FAULTS`; return its directory."""
         return write_release(self.layout.releases, version, fault)
 
     def deploy(self, release: str) -> None:
         """Start the first release on all gateways.
 
         Raises:
-            ScenarioError: They do not come up.
+            ScenarioError: The command fails.
         """
         options = ("--fleet", str(self.fleet_path), "--release", release, "--wait", "60")
         completed = self.run("fleet", "start", *options, timeout_s=DEPLOY_TIMEOUT_S)
@@ -178,7 +178,7 @@
             raise ScenarioError(f"fleet start: {completed.stdout}{completed.stderr}")
 
     def write_plan(self, base: str, **overrides: Any) -> pathlib.Path:
-        """Write a plan file for a fleet that runs the release in ``base``."""
+        """Write a plan file for a fleet that runs the release in ``base``; ``overrides`` replace its keys."""
         content: dict[str, Any] = {
             "name": f"plan-{time.monotonic_ns()}", "base": read_release(base).release.digest,
             "stages": [
@@ -189,22 +189,22 @@
         return self.layout.write_json("plan.json5", content | overrides)
 
     def statuses(self) -> dict[str, GatewayStatus]:
-        """Poll all daemons for their gateways; those of unavailable daemons are missing."""
+        """Poll all daemons and return the status of their gateways, without those of unreachable daemons."""
         return merge_responses(poll_daemons(self.daemons, self.sizes.wait_s)).gateways
 
     def record(self) -> RolloutRecord | None:
-        """Return the recorded rollout; None where it can't be read."""
+        """Return the stored rollout record, or None if it cannot be read."""
         observed = read_leases(self.lease_servers, self.sizes.wait_s).leases.get(LEADER_LEASE)
         return decode_record(observed.value.content) if observed is not None else None
 
     # ---- links between a leader and daemons
 
     def set_link_mode(self, leader: str, daemon: str, mode: Mode) -> None:
-        """Hold, lose or pass what a leader and a daemon send each other."""
+        """Hold, drop or pass the traffic between a leader and a daemon."""
         self.wires.set(self.wires.between({leader}, {daemon}), mode)
         self.wires.set(self.wires.between({daemon}, {leader}), mode)
 
     def write_relayed_fleet_file(self, leader: str) -> pathlib.Path:
-        """Write a fleet file by which a leader reaches daemons through relays."""
+        """Write a fleet file in which the addresses of the daemons are those of relays."""
         relayed = {name: self.wires.pair(leader, name, address) for name, address in self.daemons.items()}
         return self.layout.write_fleet_file(f"fleet-{leader}.json5", relayed)
--- a/saffronstack/harness/rollout/random_walk.py
+++ b/saffronstack/harness/rollout/random_walk.py
@@ -1,4 +1,4 @@
-"""Random walks through a simulated rollout."""
+"""Random walks through the states of a simulated rollout."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RandomWalk:
-    """One walk, drawn from a seed."""
+    """A walk whose steps are drawn from a seed."""
 
     def __init__(self, seed: int, defect: Defect = Defect.NONE) -> None:
         self._random = random.Random(seed)
@@ -38,10 +38,10 @@
         }
 
     def run(self, step_count: int) -> int:
-        """Walk and come to the end; return how many steps were possible.
+        """Run random steps, then finish the rollout; return how many of the steps were possible.
 
         Raises:
-            InvariantError: Something that must be true is not.
+            InvariantError: An invariant is violated.
         """
         self.world.change_leader()
         self.checker.check()
@@ -71,10 +71,11 @@
         return self.world.advance_gateway(gateway, self._random.random() < PROCESS_FAILURE_PROBABILITY)
 
     def _restart_daemon(self) -> bool:
-        """Restart a daemon between changes.
+        """Restart a daemon while no gateway is being updated.
 
-        One that is replaced in the midst of a change leaves its gateway down until it is back, which is not
-        the leader's doing; the rig of processes kills daemons at any moment.
+        A restart during an update makes the gateway unavailable until the daemon is back, which would violate
+        the invariant on unavailable gateways though the leader is correct. The harness of processes kills
+        daemons at any time.
         """
         if self._restarts == MAX_RESTARTS:
             return False
@@ -88,9 +89,9 @@
 
 
 def walk_randomly(seed: int, step_count: int, defect: Defect = Defect.NONE) -> int:
-    """Walk once; return how many steps were possible.
+    """Run one walk; return how many of its steps were possible.
 
     Raises:
-        InvariantError: Something that must be true is not.
+        InvariantError: An invariant is violated.
     """
     return RandomWalk(seed, defect).run(step_count)
--- a/saffronstack/harness/rollout/rig_layout.py
+++ b/saffronstack/harness/rollout/rig_layout.py
@@ -1,4 +1,4 @@
-"""The names, addresses and files of a rig of processes."""
+"""Names, addresses and files of the processes of a rollout harness."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True)
 class HarnessSizes:
-    """How large a rig is.
+    """Numbers of processes, load and timeouts of a harness.
 
     Attributes:
-        gateways: Spread evenly over the daemons.
-        daemons: Each in one zone.
-        workers: Shared by all gateways.
-        rate: Calls a second over all gateways.
-        clients: Connections at most.
-        lease_s: The length of leases.
-        wait_s: How long processes wait for lease servers and daemons.
-        drain_s: How long a gateway may answer the calls that it has accepted.
-        attempts: Of a client for one operation.
-        seed: Of the load and the workers.
+        gateways: Number of gateways, distributed evenly over the daemons.
+        daemons: Number of daemons, each in one zone.
+        workers: Number of stub workers, shared by all gateways.
+        rate: Requests per second to all gateways together.
+        clients: Maximum number of client connections.
+        lease_s: Duration of leases.
+        wait_s: Timeout of requests to lease servers and daemons.
+        drain_s: Drain grace of gateways.
+        attempts: Maximum number of attempts of a client for one operation.
+        seed: Seed of the load and of the workers.
     """
 
     gateways: int = 12
@@ -45,7 +45,7 @@
 
 
 class HarnessLayout:
-    """Holds a free port for each process; close it at the end."""
+    """Reserves a port for each process until it is closed."""
 
     def __init__(self, directory: pathlib.Path, sizes: HarnessSizes) -> None:
         self.directory, self.sizes = directory, sizes
@@ -59,20 +59,20 @@
         self.daemon_of = {f"g{number}": f"d{number % sizes.daemons}" for number in range(sizes.gateways)}
 
     def close(self) -> None:
-        """Release the ports."""
+        """Release the reserved ports."""
         for port in self._ports:
             port.close()
 
     def state_directory(self, process: str) -> pathlib.Path:
-        """Return where a keeper or a daemon stores its state."""
+        """Return the state directory of a lease server or a daemon."""
         return self.directory / f"state-{process}"
 
     def log_path(self, process: str) -> pathlib.Path:
-        """Return where the output of a process goes."""
+        """Return the path of the log of a process."""
         return self.directory / f"{process}.log"
 
     def write_fleet_file(self, name: str, daemons: Mapping[str, str]) -> pathlib.Path:
-        """Write a fleet file in which daemons have these addresses."""
+        """Write a fleet file in which the daemons have the given addresses."""
         sizes = self.sizes
         entries = [
             self._daemon_entry(daemon, address, ZONES[number % len(ZONES)])
@@ -86,7 +86,7 @@
         return self.write_json(name, content)
 
     def write_json(self, name: str, content: Mapping[str, Any]) -> pathlib.Path:
-        """Write a configuration file."""
+        """Write a configuration file and return its path."""
         path = self.directory / name
         path.write_text(json.dumps(content, indent=1))
         return path
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -1,4 +1,4 @@
-"""Plays one rollout on a rig under load, and judges it from the clients' and the workers' sockets."""
+"""Runs a rollout on a harness under load, and checks what clients and workers observed on their sockets."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.runtime.threads import start_thread
 
-NOT_STARTED = 2  # exit status of a plan that can't be started
+NOT_STARTED = 2  # exit status of a rollout that cannot be started
 POLL_INTERVAL_S = 0.1
 MAX_TRAFFIC_S = 3600.0
 FAULTS_JOIN_TIMEOUT_S = 30.0
 CLIENTS_END_TIMEOUT_S = 30.0
 TRAFFIC_JOIN_TIMEOUT_S = 60.0
 LEADER_EXIT_TIMEOUT_S = 5.0
-TIMING_TOLERANCE_S = 0.5  # of the judge
+TIMING_TOLERANCE_S = 0.5  # allowed by the checker of the audit rules
 TENANTS = ("corner-books", "campus-app")
 RULES = {
     "identify-copy": FunctionRule("safe"),
@@ -39,20 +39,20 @@
 
 
 def no_faults(harness: RolloutHarness) -> None:
-    """Cause no faults."""
+    """Inject no faults."""
 
 
 @dataclass(frozen=True)
 class RunOptions:
-    """How a rollout is played.
+    """Options of a run.
 
     Attributes:
-        faults: Runs on a thread beside it.
-        timeout_s: When the run ends, wherever the rollout is.
-        standby_leaders: Processes that stand by to lead.
-        fleet_path: The leaders' fleet file; the rig's own where it is None.
-        quiet_s: Of load before the rollout starts.
-        waits_on_hold: Whether the run goes on while the rollout is on hold, for an operator to end that.
+        faults: Injects faults, on a thread during the rollout.
+        timeout_s: Time after which the run ends, even if the rollout has not.
+        standby_leaders: Number of standby leader processes.
+        fleet_path: Fleet file of the leaders; None for the harness's own.
+        warmup_s: Duration of the load before the rollout starts.
+        waits_on_hold: Whether the run continues while the rollout is on hold, so that it can be resumed.
     """
 
     faults: Callable[[RolloutHarness], None] = no_faults
@@ -68,19 +68,19 @@
 
 @dataclass
 class RolloutOutcome:
-    """What a rollout came to.
+    """Outcome of a run.
 
     Attributes:
-        status: The exit status of the process that started it.
-        phase: Of the record; None where there is none.
-        elapsed_s: From the first load to the end.
-        reached: Gateways that ever ran the new release.
-        max_unavailable: Gateways that did not serve at one time.
-        operations: That clients wanted done.
-        harmed_share: Of the operations, those that no attempt served.
-        attempt_ends: How the clients' attempts ended.
-        breaches: Of the rules, and troubles of the run itself.
-        history: Of the record.
+        status: Exit status of the process that started the rollout.
+        phase: Last recorded phase; None if there is no record.
+        elapsed_s: Time from the start of the load to the end of the rollout.
+        reached: Number of gateways that have run the new release.
+        max_unavailable: Maximum number of gateways that were unavailable at once.
+        operations: Number of operations that clients requested.
+        unserved_share: Fraction of the operations that no attempt served.
+        attempt_ends: Number of the clients' attempts by how they ended.
+        breaches: Breaches of the audit rules, and errors of the run itself.
+        history: History in the rollout record.
     """
 
     status: int
@@ -95,7 +95,7 @@
     history: list[str] = field(default_factory=list)
 
     def summary(self) -> str:
-        """Return a line for a person."""
+        """Return a readable line."""
         return (
             f"{self.phase} (status {self.status}) after {self.elapsed_s:.1f} s; "
             f"{self.reached} gateways reached, {self.max_unavailable} down at once; "
@@ -105,7 +105,7 @@
 
 
 class RolloutRun:
-    """One rollout from the release in ``old`` to that in ``new``, both directories."""
+    """One rollout from the release in the directory ``old`` to the one in the directory ``new``."""
 
     def __init__(
         self,
@@ -129,7 +129,7 @@
         self._watcher = FleetWatcher(harness.observations, harness.statuses, read_release(new).release.digest)
 
     def run(self) -> RolloutOutcome:
-        """Play it to its end, and judge it."""
+        """Run the rollout under load; return its outcome."""
         started_s = time.monotonic()
         stops_traffic = threading.Event()
         traffic = start_thread("traffic", lambda: self._run_clients(stops_traffic))
@@ -160,7 +160,7 @@
     def _inject_faults(self) -> None:
         try:
             self._options.faults(self._harness)
-        except Exception as error:  # noqa: BLE001 - the verdict names it
+        except Exception as error:  # noqa: BLE001 - the outcome reports it
             self._run_errors.append(f"faults: {error!r}")
 
     def _run_clients(self, stops_traffic: threading.Event) -> None:
@@ -169,7 +169,7 @@
             self._run_errors.append("clients did not end")
 
     def _wait_for_end(self, leader: subprocess.Popen[bytes]) -> None:
-        """Wait until the rollout has ended, nobody leads it, or time is up."""
+        """Wait until the rollout has ended, no process leads it, or the run times out."""
         deadline_s = time.monotonic() + self._options.timeout_s
         while time.monotonic() < deadline_s and not self._has_ended():
             has_exited = leader.poll() is not None
@@ -208,7 +208,7 @@
 
 
 def _end_process(process: subprocess.Popen[bytes]) -> int:
-    """Return the exit status of a leader; one that leads on, or is stopped, is killed."""
+    """Return the exit status of a leader; one that does not exit before the timeout is killed."""
     try:
         return process.wait(LEADER_EXIT_TIMEOUT_S)
     except subprocess.TimeoutExpired:
--- a/saffronstack/harness/rollout/sample_releases.py
+++ b/saffronstack/harness/rollout/sample_releases.py
@@ -1,4 +1,4 @@
-"""Release directories for tests: good ones, and ones with one known fault."""
+"""Release directories for tests, with or without one known fault."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 SERVE_COMMAND = ["{python}", "-m", "saffronstack.cli.main", "serve", "--log", "json"]
-# By what a release does: code that replaces or wraps one thing of the program before it runs.
+# By fault: code that patches the program before its main function runs.
 FAULTS = {
     "does not start": "raise SystemExit('a release that does not start')",
     "dies when it begins": (
@@ -69,7 +69,7 @@
 def write_release(
     root: pathlib.Path, version: str, fault: str = "", formats: tuple[dict[str, Any], ...] = ()
 ) -> str:
-    """Write a release directory under ``root``, with a fault by name; return its path."""
+    """Write a release directory under ``root``, optionally with a fault of `FAULTS`; return its path."""
     path = root / version
     path.mkdir(parents=True)
     command = list(SERVE_COMMAND)
--- a/saffronstack/harness/rollout/simulated_daemon.py
+++ b/saffronstack/harness/rollout/simulated_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon without processes: its real fence and reconcilers, and phases in place of gateways' processes."""
+"""Daemon with the production fence and reconcilers, and a phase in place of each gateway process."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class SimulatedDaemon:
-    """One daemon.
+    """A simulated daemon.
 
     Attributes:
-        fence: Which requests count.
-        reconcilers: By gateway.
-        stored_token: The fencing token on its disk.
-        stored_releases: The desired releases on its disk, by gateway.
-        processes: By gateway, the phases of its incarnations.
+        fence: Rejects outdated requests.
+        reconcilers: Reconcilers by gateway.
+        stored_token: Fencing token on its disk.
+        stored_releases: Desired releases on its disk, by gateway.
+        processes: Phases of each gateway's processes, by incarnation.
     """
 
     fence: CommandFence = field(default_factory=lambda: CommandFence(1))
@@ -48,7 +48,7 @@
         self.stored_releases[gateway] = release
 
     def accept_poll(self, token: int, sequence: int) -> bool:
-        """Take a request without commands; return whether it counts."""
+        """Handle a request without commands; return whether the fence accepts it."""
         try:
             self.fence.check(token, sequence, 0, has_commands=False)
         except RejectedRequestError:
@@ -58,18 +58,18 @@
         return True
 
     def set_desired(self, now_s: float, gateway: str, release: str) -> None:
-        """Carry out a command that counts."""
+        """Execute a command that the fence accepted."""
         self.stored_releases[gateway] = release
         self._carry_out(gateway, self.reconcilers[gateway].set_desired(now_s, release))
 
     def advance_process(self, now_s: float, gateway: str, fails: bool, unusable_release: str) -> bool:
-        """Let a gateway's processes do their next step; return whether there was one.
+        """Advance one process of a gateway to its next phase; return whether there was one to advance.
 
         Args:
-            now_s: The time.
-            gateway: Its name.
-            fails: Whether a process that starts ends instead.
-            unusable_release: A release whose processes end instead of serving.
+            now_s: Current time.
+            gateway: Name of the gateway.
+            fails: Whether a starting process exits instead.
+            unusable_release: Release whose processes exit instead of serving.
         """
         reconciler, processes = self.reconcilers[gateway], self.processes[gateway]
         for number, phase in sorted(processes.items()):
@@ -90,7 +90,7 @@
         return False
 
     def _prepare(self, now_s: float, gateway: str, number: int) -> None:
-        """Prepare a process, and the fallback that is started then: its program has run before."""
+        """Mark a process as prepared, and its fallback too: the fallback's release has run before."""
         reconciler = self.reconcilers[gateway]
         self.processes[gateway][number] = IncarnationPhase.PREPARED
         self._carry_out(gateway, reconciler.on_prepared(now_s, number))
@@ -99,16 +99,16 @@
             self._prepare(now_s, gateway, fallback.number)
 
     def reconcile(self, now_s: float, gateway: str) -> None:
-        """Have a gateway reconciled."""
+        """Reconcile a gateway."""
         self._carry_out(gateway, self.reconcilers[gateway].reconcile(now_s))
 
     def restart(self, now_s: float, token: int, is_disk_lost: bool) -> None:
-        """Replace the daemon; its gateways that serve go on, the other processes end with it.
+        """Restart the daemon; it adopts each gateway's current serving process, and the others exit.
 
         Args:
-            now_s: The time.
-            token: The fencing token that the next incarnation of the daemon knows.
-            is_disk_lost: Whether its disk forgot the desired releases.
+            now_s: Current time.
+            token: Fencing token with which the next incarnation starts.
+            is_disk_lost: Whether the stored desired releases are lost.
         """
         self.fence = CommandFence(self.fence.incarnation + 1, token)
         self.stored_token = token
@@ -121,7 +121,7 @@
                 self._carry_out(gateway, self.reconcilers[gateway].set_desired(now_s, desired))
 
     def is_settled(self) -> bool:
-        """Return whether no process starts or ends."""
+        """Return whether no process is starting or exiting."""
         phases = (phase for processes in self.processes.values() for phase in processes.values())
         return all(phase is IncarnationPhase.SERVING for phase in phases)
 
@@ -151,7 +151,7 @@
                 case Discard(incarnation):
                     processes.pop(incarnation, None)
                 case _:
-                    pass  # the process has ended, or only the end of a daemon makes a difference
+                    pass  # the process has exited, or the action only matters when the daemon exits
 
 
 def _successor_runs(reconciler: GatewayReconciler, release: str) -> bool:
--- a/saffronstack/harness/rollout/simulated_world.py
+++ b/saffronstack/harness/rollout/simulated_world.py
@@ -1,9 +1,9 @@
-"""A rollout without processes: a leader, daemons and the lease's store, in virtual time.
+"""Simulation of a rollout in virtual time: a leader, daemons and the record store of the lease.
 
-The real decisions (`RolloutController`, `CommandFence`, `GatewayReconciler`) are driven by steps that
-`random_walk` or `exploration` choose: polls that are lost, commands that arrive late, twice or never, leaders
-that stop between any two actions and are followed by another, daemons that restart or lose their disk,
-releases that do not start, an operator's requests. `invariants` holds what must be true after each step.
+The production classes `RolloutController`, `CommandFence` and `GatewayReconciler` run under steps that
+`random_walk` or `exploration` choose: polls are lost, commands arrive late, twice or never, leaders stop
+between any two actions and are succeeded by others, daemons restart or lose their disk, releases do not
+start, operators send requests. `invariants` checks the state after each step.
 """
 
 from __future__ import annotations
@@ -28,24 +28,25 @@
 STALL_TIMEOUT_S = 30.0
 ALPHA_PER_ANALYSIS = 0.001
 
-# Draws a number from 0 up to but without its argument; each kind of draw has an argument of its own.
+# Draws an integer in [0, n) for the argument n. `draw_no_fault` identifies the draw of `HARM_DRAW` by its
+# argument, which differs from all others.
 Draw = Callable[[int], int]
-POLL_LOST_DRAW = 6  # 0: the poll or its answer is lost
-ANSWER_LOST_DRAW = 2  # 0: it was the poll
-STORE_UNCONFIRMED_DRAW = 5  # 0: the record is stored, and the leader does not learn it
-STORE_AFTERWARDS_DRAW = 3  # 0: a record whose commands are out is never stored
-HARM_DRAW = 12  # HARM_DRAW - 1: the analysis finds harm in the midst of a bake
-UNCLEAR_DRAW = 6  # 0: the bake's last analysis is no success
-INCONCLUSIVE_DRAW = 2  # 0: it has failed
+POLL_LOST_DRAW = 6  # 0: the poll or its response is lost
+ANSWER_LOST_DRAW = 2  # 0: the lost message is the poll
+STORE_UNCONFIRMED_DRAW = 5  # 0: the record is stored, but the leader gets no confirmation
+STORE_AFTERWARDS_DRAW = 3  # 0: a record whose commands were sent is never stored
+HARM_DRAW = 12  # HARM_DRAW - 1: the canary analysis fails during the bake time
+UNCLEAR_DRAW = 6  # 0: the last analysis of the bake time does not succeed
+INCONCLUSIVE_DRAW = 2  # 0: the result of that analysis is a failure
 
 
 class InvariantError(Exception):
-    """Something that must be true is not; the text says what."""
+    """An invariant is violated; the message says which."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorldSize:
-    """How many gateways, on how many daemons, in how many zones."""
+    """Numbers of gateways, daemons and zones."""
 
     gateways: int
     daemons: int
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlightCommand:
-    """A command on its way; it may still arrive whatever became of its sender."""
+    """A command in flight; it may arrive after its sender has lost the lease or stopped."""
 
     daemon: str
     token: int
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class SimulatedLeader:
-    """One holding of the lease; ``incarnations`` are the daemons' as it saw them last."""
+    """A lease holder; ``incarnations`` are the last ones that it observed of the daemons."""
 
     controller: RolloutController
     token: int
@@ -75,20 +76,20 @@
 
 
 class SimulatedWorld:
-    """A fleet in the midst of a rollout; each step returns whether it was possible.
+    """A fleet during a rollout; each step returns whether it was possible.
 
     Attributes:
-        now_s: The virtual time.
-        record: The record that the lease's store holds.
-        granted_token: The fencing token that was granted last.
-        leader: The present holder of the lease; None once it does not know what is stored.
-        request: The operator's last request.
-        in_flight: Commands on their way.
-        tokens_of_rollback: Tokens of leaders that took the lease of a rollout that rolls back.
+        now_s: Virtual time.
+        record: Rollout record in the store of the lease.
+        granted_token: Fencing token that was granted last.
+        leader: Holder of the lease; None if it stopped because it does not know which record is stored.
+        request: Last request of an operator.
+        in_flight: Commands in flight.
+        rollback_tokens: Tokens of leaders that acquired the lease during a rollback.
     """
 
     def __init__(self, size: WorldSize, is_new_unusable: bool = False, defect: Defect = Defect.NONE) -> None:
-        """Create a world before its first leader; with ``is_new_unusable`` the new release does not start."""
+        """Create a world without a leader; with ``is_new_unusable``, the new release does not start."""
         self.defect = defect
         self._unusable_release = NEW.digest if is_new_unusable else ""
         self.now_s = 0.0
@@ -112,7 +113,7 @@
     # ---- steps
 
     def change_leader(self) -> bool:
-        """Grant the lease to another leader; commands of the one before may still arrive."""
+        """Grant the lease to a new leader; commands of the previous one may still arrive."""
         self.granted_token += 1
         record = self.record
         if self.defect is Defect.ROLLOUT_RESTARTED and record.phase is RolloutPhase.ROLLING_BACK:
@@ -126,12 +127,12 @@
         return True
 
     def run_round(self, draw: Draw) -> bool:
-        """Let the leader poll all daemons and send what it decides."""
+        """Let the leader poll all daemons and execute its decisions."""
         leader = self.leader
         if leader is None:
             return False
         self.now_s += STEP_S
-        reports = [self._poll(leader, name, draw) for name in self.daemons]  # commands are newer than each
+        reports = [self._poll(leader, name, draw) for name in self.daemons]  # polls precede all commands
         for report in reports:
             self._report_event(leader, report, draw)
         if self.request is not None:
@@ -140,7 +141,7 @@
         return True
 
     def deliver_command(self, index: int, is_repeated: bool) -> bool:
-        """Let a command arrive; with ``is_repeated`` it will arrive again."""
+        """Deliver a command; with ``is_repeated``, it stays in flight and will arrive again."""
         if index >= len(self.in_flight):
             return False
         command = self.in_flight[index] if is_repeated else self.in_flight.pop(index)
@@ -153,7 +154,7 @@
         try:
             fence.check(command.token, sequence, incarnation, has_commands=True)
         except RejectedRequestError:
-            return True  # it has arrived, and does not count
+            return True  # delivered, but rejected by the fence
         self._check_accepted(command)
         fence.accept(command.token, sequence)
         daemon.stored_token = max(daemon.stored_token, command.token)
@@ -161,14 +162,14 @@
         return True
 
     def lose_command(self, index: int) -> bool:
-        """Lose a command."""
+        """Drop a command."""
         if index >= len(self.in_flight):
             return False
         del self.in_flight[index]
         return True
 
     def advance_gateway(self, gateway: str, fails: bool) -> bool:
-        """Let a gateway's processes do their next step, or let time pass where there is none."""
+        """Advance a process of a gateway; if there is none to advance, let time pass and return False."""
         daemon = self.daemons[self.daemon_of[gateway]]
         if daemon.advance_process(self.now_s, gateway, fails, self._unusable_release):
             return True
@@ -177,7 +178,7 @@
         return False
 
     def restart_daemon(self, name: str, is_disk_lost: bool) -> bool:
-        """Replace a daemon; one whose disk is lost has recovered the token from the lease servers."""
+        """Restart a daemon; if its disk is lost, it recovers the token from the lease servers."""
         daemon = self.daemons[name]
         token = self.granted_token if is_disk_lost else daemon.stored_token
         if self.defect is Defect.TOKEN_FORGOTTEN:
@@ -186,7 +187,7 @@
         return True
 
     def submit_request(self, action: OperatorAction) -> bool:
-        """Leave an operator's request."""
+        """Store an operator's request, which the leader handles in its next round."""
         number = self.request.number + 1 if self.request is not None else 1
         self.request = events.OperatorRequested(number, action)
         return True
@@ -206,7 +207,7 @@
         )
 
     def _report_event(self, leader: SimulatedLeader, event: events.Event, draw: Draw) -> None:
-        """Report an event to the leader's controller, and carry out what it decides."""
+        """Pass an event to the leader's controller, and execute its decisions."""
         pending_actions = deque(leader.controller.handle(self.now_s, event))
         while pending_actions:
             action = pending_actions.popleft()
@@ -215,7 +216,7 @@
                     self._send(leader, action)
                 case events.StoreRecord(record):
                     if not self._store_with_faults(leader, record, draw):
-                        self.leader = None  # it can't know what is stored; the next leader reads it
+                        self.leader = None  # it does not know the stored record; the next leader reads it
                         return
                     stored = events.RecordStored(record, is_confirmed=True)
                     pending_actions.extend(leader.controller.handle(self.now_s, stored))
@@ -225,7 +226,7 @@
                     completed = _analyze(action, draw)
                     pending_actions.extend(leader.controller.handle(self.now_s, completed))
                 case events.StartBake():
-                    pass  # the analyses are drawn, and need no metrics
+                    pass  # results of analyses are drawn, without metrics
 
     def _send(self, leader: SimulatedLeader, action: events.SetRelease) -> None:
         leader.sequence += 1
@@ -241,14 +242,14 @@
         )
 
     def _store(self, leader: SimulatedLeader, record: RolloutRecord) -> bool:
-        """Compare and set by the fencing token, as the lease's store does."""
+        """Store a record if the leader's token is the current one, as the store of the lease does."""
         if leader.token != self.granted_token:
             return False
         self.record = record
         return True
 
     def _store_with_faults(self, leader: SimulatedLeader, record: RolloutRecord, draw: Draw) -> bool:
-        """Store a record; return whether the leader takes it for stored."""
+        """Store a record; return whether the leader gets a confirmation."""
         if self.defect is Defect.COMMANDED_BEFORE_STORED:
             return True
         return self._store(leader, record) and draw(STORE_UNCONFIRMED_DRAW) != 0
@@ -287,10 +288,10 @@
 
 
 def draw_no_fault(count: int) -> int:
-    """Draw for a round in which nothing is lost and the analysis finds no harm."""
+    """Draw for a round without faults in which the canary analysis succeeds."""
     return 0 if count == HARM_DRAW else count - 1
 
 
 def draw_harm(count: int) -> int:
-    """Draw for a round in which nothing is lost and the analysis finds harm."""
+    """Draw for a round without faults in which an analysis during the bake time fails."""
     return count - 1
