--- a/saffronstack/harness/leases/model_state.py
+++ b/saffronstack/harness/leases/model_state.py
@@ -39,7 +39,7 @@
 class FaultBudget:
     """Number of faults of each kind that may still occur on a path."""
 
-    partial_deliveries: int = 2  # deliveries of requests to less than a majority; others are no faults
+    partial_deliveries: int = 2  # of requests, to fewer servers than a majority
     late_responses: int = 1
     duplicates: int = 1
     restarts: int = 1
--- a/saffronstack/harness/leases/schedule.py
+++ b/saffronstack/harness/leases/schedule.py
@@ -78,10 +78,10 @@
     while len(remaining) > 1 and runs < max_runs:
         part_size = max(1, len(remaining) // part_count)
         for at in range(0, len(remaining), part_size):
-            candidate_faults = remaining[:at] + remaining[at + part_size :]
+            subset = remaining[:at] + remaining[at + part_size :]
             runs += 1
-            if candidate_faults and fails(candidate_faults):
-                remaining, part_count = candidate_faults, max(2, part_count - 1)
+            if subset and fails(subset):
+                remaining, part_count = subset, max(2, part_count - 1)
                 break
         else:
             if part_size == 1:
--- a/saffronstack/harness/leases/simulation.py
+++ b/saffronstack/harness/leases/simulation.py
@@ -12,7 +12,7 @@
 
 # Upper limits of a random number in [0, 1) for each kind of fault; above the last, a server is partitioned.
 SERVER_STOP_BELOW, CANDIDATE_PAUSE_BELOW, CANDIDATE_EXIT_BELOW = 0.4, 0.6, 0.7
-DIRECTION_CUT_PROBABILITY = 0.7  # that a partition drops messages of a direction
+DIRECTION_CUT_PROBABILITY = 0.7  # that a partition drops the messages to, or from, the server
 
 
 class Simulation(SimulatedFleet):
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -131,8 +131,8 @@
     def run(self) -> RolloutOutcome:
         """Run the rollout under load; return its outcome."""
         started_s = time.monotonic()
-        stops_traffic = threading.Event()
-        traffic = start_thread("traffic", lambda: self._run_clients(stops_traffic))
+        traffic_stopped = threading.Event()
+        traffic = start_thread("traffic", lambda: self._run_clients(traffic_stopped))
         self._watcher.start()
         for number in range(self._options.standby_leaders):
             self._harness.start(f"leader-{number}", "rollout", "lead", "--fleet", self._fleet_path)
@@ -142,7 +142,7 @@
         self._wait_for_end(leader)
         faults.join(FAULTS_JOIN_TIMEOUT_S)
         elapsed_s = time.monotonic() - started_s
-        stops_traffic.set()
+        traffic_stopped.set()
         traffic.join(TRAFFIC_JOIN_TIMEOUT_S)
         self._watcher.stop()
         return self._evaluate(_end_process(leader), elapsed_s)
@@ -163,8 +163,8 @@
         except Exception as error:  # noqa: BLE001 - the outcome reports it
             self._run_errors.append(f"faults: {error!r}")
 
-    def _run_clients(self, stops_traffic: threading.Event) -> None:
-        self._clients.play(MAX_TRAFFIC_S, stops_traffic)
+    def _run_clients(self, traffic_stopped: threading.Event) -> None:
+        self._clients.play(MAX_TRAFFIC_S, traffic_stopped)
         if not self._clients.end(CLIENTS_END_TIMEOUT_S):
             self._run_errors.append("clients did not end")
 
