--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -26,8 +26,8 @@
 from botocore.config import Config as BotoConfig
 from gateway import FUNCTIONS, POST, gateway, load
 
-from saffronstack.harness.scenario.processes import StandInHost
-from saffronstack.harness.scenario.relay import Relay, seldom
+from saffronstack.harness.scenario.processes import StubWorkersProcess
+from saffronstack.harness.scenario.relay import Relay, lose_randomly
 from saffronstack.operations.decisions import Execute
 from saffronstack.operations.operation import OperationState, StoredResponse
 from saffronstack.operations.operation_log import AttemptStarted, open_operation_log
@@ -37,9 +37,9 @@
 from saffronstack.operations.slot_handover import OperationHandover
 from saffronstack.operations.slot_locks import RecordLocation
 from saffronstack.routing.settings import Idempotency
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 CPU = str(max(os.sched_getaffinity(0)))  # of all gateways, which are loaded one after another
 PROFILE = {"work_s": 0.0, "load_s": 0.001, "cores": 64, "memory_mb": 65536, "queue": 1024}
@@ -49,10 +49,10 @@
 def throughput(directory: pathlib.Path, rounds: int, seconds: float) -> None:
     """Gateways before the same workers, loaded in turn: safe with and without, unsafe noted and not."""
     hosts = [
-        StandInHost({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
+        StubWorkersProcess({"count": 1, "log": os.devnull, "seed": n, "first": n, "profiles": [PROFILE]})
         for n in range(4)
     ]
-    content = sample([host.workers[0] for host in hosts], "127.0.0.1:0", "", 65536)
+    content = sample_config([host.workers[0] for host in hosts], "127.0.0.1:0", "", 65536)
     content["functions"] += [{"name": n, "class": "lookup", "memory_mb": 128, "lanes": 64} for n in FUNCTIONS]
     sales = [f"sale-{n}" for n in range(len(FUNCTIONS))]
     content["functions"] += [{"name": n, "class": "sale", "memory_mb": 128, "lanes": 64} for n in sales]
@@ -147,10 +147,10 @@
     """boto3, unchanged, in standard and adaptive mode: a third of the answers lost, a gateway killed
     often.
     """
-    fleet = StandInFleet(4, lambda n: Profile(work_s=0.005, load_s=0.02))
-    held = hold_port("127.0.0.1")
+    fleet = StubWorkerFleet(4, lambda n: Profile(work_s=0.005, load_s=0.02))
+    held = reserve_port("127.0.0.1")
     address = f"127.0.0.1:{held.getsockname()[1]}"
-    content = sample(fleet.entries(), address, str(directory / "ledger"))
+    content = sample_config(fleet.entries(), address, str(directory / "ledger"))
     for cls in content["classes"]:
         cls["note_operations"] = cls["effect"] != "safe"
     content["operations"] = {"directory": str(directory / "operations")}
@@ -174,7 +174,7 @@
         return process
 
     process = start()
-    relay = Relay(lambda: address, seldom(1 / 3, 1))
+    relay = Relay(lambda: address, lose_randomly(1 / 3, 1))
     ended: list[tuple[str, str, bool]] = []
     threads = 20
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -31,7 +31,7 @@
 from saffronstack.fleet.rollout.canary_analysis import analyze
 from saffronstack.fleet.rollout.canary_types import AnalysisLimits, FailureRatio, GatewaySample, Verdict
 from saffronstack.fleet.rollout.record import RolloutPhase
-from saffronstack.harness.links import Mode
+from saffronstack.harness.links import LinkMode
 from saffronstack.harness.rollout.defects import Defect
 from saffronstack.harness.rollout.exploration import explore
 from saffronstack.harness.rollout.process_rig import RolloutHarness
@@ -132,7 +132,7 @@
 
 def _draw_fault(chance: random.Random, rig: RolloutHarness) -> Fault:
     daemon, keeper = chance.choice(list(rig.daemons)), chance.choice(list(rig.lease_servers))
-    mode = chance.choice((Mode.HOLD, Mode.LOSE))
+    mode = chance.choice((LinkMode.HOLD, LinkMode.LOSE))
     return chance.choice((
         Fault("kill leader", lambda: rig.kill("rollout")),
         Fault(
@@ -145,8 +145,9 @@
             lambda: rig.signal(daemon, signal.SIGSTOP), lambda: rig.signal(daemon, signal.SIGCONT),
         ),
         Fault(
-            "cut", lambda: rig.set_link_mode("leader", daemon, mode),
-            lambda: rig.set_link_mode("leader", daemon, Mode.PASS),
+            "cut",
+            lambda: rig.set_link_mode("leader", daemon, mode),
+            lambda: rig.set_link_mode("leader", daemon, LinkMode.PASS),
         ),
         Fault("disk lost", lambda: rig.lose_disk(daemon), lambda: rig.start_daemon(daemon)),
         Fault("kill keeper", lambda: rig.kill(keeper), lambda: rig.start_lease_server(keeper)),
@@ -227,7 +228,7 @@
             lambda at: asked.rate, lambda name: name, ("corner-books", "campus-app"), "reload",
         )  # fmt: skip
         over = threading.Event()
-        traffic = start_thread("traffic", lambda: clients.play(3600.0, over))
+        traffic = start_thread("traffic", lambda: clients.generate_load(3600.0, over))
         statuses = []
         for gateway in rig.gateways:
             ran = rig.run("fleet", "reload", "--fleet", str(rig.fleet_path), gateway, "--wait", "20")
@@ -235,7 +236,7 @@
         over.set()
         traffic.join(10.0)
         clients.end(30.0)
-        lost = [t for t in clients.tries if t.end not in ("served", "accepted")]
+        lost = [t for t in clients.tries if t.outcome not in ("served", "accepted")]
     print(
         f"reload: {len(statuses)} gateways, statuses {set(statuses)}, {len(clients.tries)} calls, "
         f"{len(lost)} lost"
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -29,15 +29,15 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent))
 from baselines import POLICIES, SLOT_S, Truth
 
-from saffronstack.audit.traffic import Try
-from saffronstack.harness.fleet.clients import Caller
-from saffronstack.harness.fleet.cluster import Lag
+from saffronstack.audit.traffic import ClientRequest
+from saffronstack.harness.fleet.clients import GatewayClients
+from saffronstack.harness.fleet.cluster import ReadLag
 from saffronstack.harness.fleet.gateway import Gateway
 from saffronstack.harness.fleet.load_spread import (
     Arrival,
     Sample,
     evenness,
-    expected_most,
+    expected_max_load,
     herds,
     idle_beside_queue,
     quantile,
@@ -45,7 +45,7 @@
 from saffronstack.harness.fleet.plan import FleetPlan
 from saffronstack.runtime.threads import start_thread
 from saffronstack.standin.model import Faults, Profile, Store
-from saffronstack.standin.platform import Directory, Entry, LinesHost
+from saffronstack.standin.platform import HostEntry, StubDnsServer, StubHost
 
 ROOT = pathlib.Path(__file__).parent.parent
 AIM_S = {"look": 0.5, "sell": 0.75}
@@ -79,10 +79,10 @@
     )  # fmt: skip
     catalog = (plan.memory_mb, plan.lanes)
     names = [f"s-{place:04d}" for place in asked["places"]]
-    hosts = [LinesHost(name, profile, Store(64), lambda function: catalog, lines.append) for name in names]
+    hosts = [StubHost(name, profile, Store(64), lambda function: catalog, lines.append) for name in names]
     print(json.dumps([host.address for host in hosts]), flush=True)
     truth = Truth(pathlib.Path(asked["truth"]), asked["names"])
-    lag, ended = Lag(), threading.Event()
+    lag, ended = ReadLag(), threading.Event()
 
     def sample() -> None:
         moment = Truth.moment()
@@ -90,7 +90,7 @@
             moment += 1
             time.sleep(max(0.0, moment * SLOT_S - time.monotonic()))
             for place, host in zip(asked["places"], hosts, strict=True):
-                in_hand, waiting, busy, _ = host.model.report()
+                in_hand, waiting, busy, _ = host.model.load_report()
                 truth.write(place, in_hand / plan.cores, moment)
                 if moment % SAMPLE_EACH == 0:
                     working = round(busy * plan.cores)
@@ -112,7 +112,7 @@
     ended.set()
     sampler.join()
     lag.close()
-    pathlib.Path(asked["out"]).write_bytes(msgspec.json.encode({"lines": lines, "lag_s": lag.most_s}))
+    pathlib.Path(asked["out"]).write_bytes(msgspec.json.encode({"lines": lines, "lag_s": lag.max_s}))
     os._exit(0)
 
 
@@ -128,9 +128,9 @@
 
 def clients_main(asked: dict[str, Any]) -> None:
     """Be the clients of some gateways: calls come at random moments, whatever becomes of those before."""
-    plan, tries, lag = plan_of(asked), list[Try](), Lag()
+    plan, tries, lag = plan_of(asked), list[ClientRequest](), ReadLag()
     callers = [
-        Caller(Address(number, (host, port), plan), tries)  # type: ignore[arg-type]
+        GatewayClients(Address(number, (host, port), plan), tries)  # type: ignore[arg-type]
         for number, host, port in asked["gateways_at"]
     ]
     chance = random.Random(plan.seed * 1000 + asked["part"])
@@ -151,11 +151,11 @@
         caller.call(number, cls, f"{0x5AFF0000 + place:016x}", 3.0)
     late_s = time.monotonic() - began_s - at
     end_s = time.monotonic() + 4.0
-    while time.monotonic() < end_s and any(not t.end for t in tries):
+    while time.monotonic() < end_s and any(not t.outcome for t in tries):
         time.sleep(0.02)
-    found = [(t.sent_s, t.end, t.ended_s - t.sent_s, t.function) for t in tries]
+    found = [(t.sent_s, t.outcome, t.ended_s - t.sent_s, t.function) for t in tries]
     lag.close()
-    told = {"tries": found, "lag_s": lag.most_s, "late_s": late_s}
+    told = {"tries": found, "lag_s": lag.max_s, "late_s": late_s}
     pathlib.Path(asked["out"]).write_bytes(msgspec.json.encode(told))
     os._exit(0)
 
@@ -210,7 +210,7 @@
         if self.policy == "ours":
             super().start()
             return
-        self.lives += 1
+        self.start_count += 1
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, str(ROOT / "benchmarks" / "baselines.py")], stderr=log,
@@ -230,7 +230,7 @@
     pathlib.Path(f"{truth}.json").write_text(json.dumps(names))
     parts: list[Part] = []
     gateways: list[Chooser] = []
-    directory: Directory | None = None
+    directory: StubDnsServer | None = None
     try:
         hosts = [
             Part("hosts", asked | {
@@ -240,15 +240,15 @@
             for part in range(asked["host_processes"])
         ]  # fmt: skip
         parts += hosts
-        entries: list[Entry] = []
+        entries: list[HostEntry] = []
         for part, process in enumerate(hosts):
             places = range(part, plan.hosts, asked["host_processes"])
             zones = ("east", "west")
             entries += [
-                Entry(names[place], address, zone=zones[place % 2])
+                HostEntry(names[place], address, zone=zones[place % 2])
                 for place, address in zip(places, json.loads(process.hear()), strict=True)
             ]
-        directory = Directory(*entries)
+        directory = StubDnsServer(*entries)
         gateways = [Chooser(number, folder, plan) for number in range(plan.gateways)]
         start(gateways, asked, directory, str(truth))
         chance = random.Random(plan.seed)
@@ -282,7 +282,7 @@
             directory.close()
 
 
-def start(some: list[Chooser], asked: dict[str, Any], directory: Directory, truth: str) -> None:
+def start(some: list[Chooser], asked: dict[str, Any], directory: StubDnsServer, truth: str) -> None:
     """Start gateways and wait until they take calls."""
     for gateway in some:
         gateway.policy, gateway.truth = asked["policy"], truth
@@ -290,7 +290,7 @@
         gateway.start()
     end_s = time.monotonic() + START_MOST_S
     for gateway in some:
-        while not gateway.ready():
+        while not gateway.is_ready():
             if time.monotonic() > end_s:
                 raise TimeoutError(f"gateway {gateway.number} did not start in time")
             time.sleep(0.05)
@@ -298,7 +298,7 @@
 
 def trouble(
     asked: dict[str, Any], began_s: float, gateways: list[Chooser], hosts: list[Part], names: list[str],
-    directory: Directory, truth: str,
+    directory: StubDnsServer, truth: str,
 ) -> None:  # fmt: skip
     """What goes wrong on the day, at two fifths of it."""
     if asked["day"] == "calm":
@@ -321,7 +321,7 @@
 
 def figures(
     asked: dict[str, Any], plan: FleetPlan, began_s: float, made: list[dict[str, Any]],
-    seen: list[dict[str, Any]], directory: Directory, gateways: list[Chooser],
+    seen: list[dict[str, Any]], directory: StubDnsServer, gateways: list[Chooser],
 ) -> dict[str, Any]:  # fmt: skip
     """All of a run in one row."""
     until_s = began_s + asked["seconds"]
@@ -347,7 +347,7 @@
     in_aim = sum(one[1] == "served" and one[2] <= aims[one[3]] for one in judged)
     connects = sum(e["what"] == "connect" and since_s <= e["t"] < until_s for e in lines)
     span_s = until_s - since_s
-    asks = sum(since_s <= at < until_s for at, _ in directory.asks)
+    asks = sum(since_s <= at < until_s for at, _ in directory.queries)
     lag_s = max(one["lag_s"] for one in [*made, *seen])
     kept = max(one["late_s"] for one in made) <= BEHIND_MOST_S and lag_s <= LAG_MOST_S
     homes = Counter[str]()
@@ -361,8 +361,8 @@
         "max_over_mean_worst": max((one.max_over_mean for one in windows), default=0.0),
         "p99_over_mean": quantile([one.p99_over_mean for one in windows], 0.5),
         "deviation": quantile([one.deviation for one in windows], 0.5),
-        "by_chance_random": expected_most(balls, plan.hosts, 1, 20),
-        "by_chance_two": expected_most(balls, plan.hosts, 2, 20),
+        "by_chance_random": expected_max_load(balls, plan.hosts, 1, 20),
+        "by_chance_two": expected_max_load(balls, plan.hosts, 2, 20),
         "idle_beside_queue": idle.share, "idle_longest_s": idle.longest_s,
         "herds_a_second": len(herds(inside, shares, ROUND_TRIP_S)) / span_s,
         "warm": found["warm"] / max(1, len(answers)),
@@ -372,7 +372,7 @@
         "served": ends["served"] / max(1, len(judged)), "in_aim": in_aim / max(1, len(judged)),
         "p50_ms": 1000 * quantile(times, 0.5), "p99_ms": 1000 * quantile(times, 0.99), "lag_s": lag_s,
         "gateway_mb": max(gateway.memory_mb() for gateway in gateways[:8]),
-        "descriptors": max(gateway.descriptors() for gateway in gateways[:8]),
+        "descriptors": max(gateway.descriptor_count() for gateway in gateways[:8]),
         "by_host": [
             [round(one.since_s - began_s, 1), one.calls, round(one.max_over_mean, 3)] for one in windows
         ],
--- a/saffronstack/harness/leases/processes.py
+++ b/saffronstack/harness/leases/processes.py
@@ -20,11 +20,11 @@
 from saffronstack.client import Client
 from saffronstack.harness.leases.judge import LeaseChecker
 from saffronstack.harness.leases.peer import CandidateOptions, ServerOptions
-from saffronstack.harness.links import Wires
+from saffronstack.harness.links import LinkRelay
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.worker import hold_port
+from saffronstack.standin.worker import reserve_port
 
 FLEET = "rig"
 LEASE = "task/rig"
@@ -80,9 +80,9 @@
         self._options = options
         self._random = random.Random(options.seed)
         self._server_names = [f"k{number}" for number in range(options.servers)]
-        self._wires = Wires()
+        self._link_relay = LinkRelay()
         self.checker = LeaseChecker()
-        self._reserved_ports = {name: hold_port("127.0.0.1") for name in self._server_names}
+        self._reserved_ports = {name: reserve_port("127.0.0.1") for name in self._server_names}
         self._addresses = {
             name: f"127.0.0.1:{port.getsockname()[1]}" for name, port in self._reserved_ports.items()
         }
@@ -131,7 +131,7 @@
         """Write a process's fleet file, in which the addresses of the other processes are those of relays."""
         entries = []
         for server, address in self._addresses.items():
-            own = address if server == name else self._wires.pair(name, server, address)
+            own = address if server == name else self._link_relay.add_link(name, server, address)
             entries.append({"name": server, "address": own})
         content = {
             "fleet": FLEET,
@@ -227,7 +227,7 @@
         """Reserve an address and a state directory for a server's next machine; return its former port."""
         self._replacement_counts[server] += 1
         self._snapshots[server].clear()
-        before, self._reserved_ports[server] = self._reserved_ports[server], hold_port("127.0.0.1")
+        before, self._reserved_ports[server] = self._reserved_ports[server], reserve_port("127.0.0.1")
         address = f"127.0.0.1:{self._reserved_ports[server].getsockname()[1]}"
         content = json.loads(self._fleet_file(server).read_text())
         for entry in content["keepers"]:
@@ -256,6 +256,6 @@
         for one in [*self._servers.values(), *self._candidates, *self._replaced]:
             self._kill(one)
         self.checker.close()
-        self._wires.close()
+        self._link_relay.close()
         for port in self._reserved_ports.values():
             port.close()
--- a/saffronstack/harness/leases/rig_faults.py
+++ b/saffronstack/harness/leases/rig_faults.py
@@ -15,13 +15,13 @@
 from saffronstack.harness.leases.faulty_environment import DiskFault
 from saffronstack.harness.leases.processes import LeaseProcesses
 from saffronstack.harness.leases.schedule import Fault
-from saffronstack.harness.links import Mode, Pair
+from saffronstack.harness.links import Link, LinkMode
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.runtime.threads import start_thread
 
 RESET_FAULT_S = 0.1  # time for which the servers count as faulty after a reset of connections
 MAX_SNAPSHOTS = 20  # per server
-Directions = list[tuple[Pair, bool]]  # of links, as the methods of `Wires` expect them
+Directions = list[tuple[Link, bool]]  # of links, as the methods of `LinkRelay` expect them
 
 
 class FaultInjector(LeaseProcesses):
@@ -68,7 +68,7 @@
     def _kill_candidates(self, fault: Fault, numbers: list[int]) -> None:
         for number in numbers:
             self._kill(self._candidates[number])
-            self._wires.drop(self._candidates[number].name)
+            self._link_relay.remove_links_from(self._candidates[number].name)
             self._candidates[number] = self._start_candidate()
 
     def _step_clocks(self, fault: Fault, numbers: list[int]) -> None:
@@ -89,18 +89,20 @@
     def _cut_candidates(self, fault: Fault, numbers: list[int]) -> None:
         names = {self._candidates[number].name for number in numbers}
         servers = set(self._server_names)
-        cut = self._wires.between(names, servers) + self._wires.between(servers, names)
-        self._wires.set(cut, Mode(fault.how))
+        cut = self._link_relay.directions_between(names, servers) + self._link_relay.directions_between(
+            servers, names
+        )
+        self._link_relay.set_mode(cut, LinkMode(fault.how))
         self._schedule(fault.length_s, lambda: self._repair_links(cut, fault.how == "lose"))
 
     def _others(self, servers: Sequence[str]) -> set[str]:
         return (set(self._server_names) | {one.name for one in self._candidates}) - set(servers)
 
     def _links_to(self, servers: Sequence[str]) -> Directions:
-        return self._wires.between(self._others(servers), set(servers))
+        return self._link_relay.directions_between(self._others(servers), set(servers))
 
     def _links_from(self, servers: Sequence[str]) -> Directions:
-        return self._wires.between(set(servers), self._others(servers))
+        return self._link_relay.directions_between(set(servers), self._others(servers))
 
     def _kill_servers(self, fault: Fault, servers: list[str]) -> None:
         for server in servers:
@@ -136,29 +138,29 @@
     def _cut_off_servers(self, fault: Fault, servers: list[str]) -> None:
         links_to, links_from = self._links_to(servers), self._links_from(servers)
         cut = links_to + links_from if fault.kind == "cut" else self._random.choice((links_to, links_from))
-        self._wires.set(cut, Mode(fault.how))
+        self._link_relay.set_mode(cut, LinkMode(fault.how))
         # A TCP stream that lost bytes is corrupt, so its connection is reset.
         self._end_after(fault.length_s, servers, lambda: self._repair_links(cut, fault.how == "lose"))
 
     def _delay_servers(self, fault: Fault, servers: list[str]) -> None:
         links = self._links_to(servers) + self._links_from(servers)
-        self._wires.set(links, late_s=fault.length_s / 5)
-        self._end_after(fault.length_s, servers, lambda: self._wires.set(links))
+        self._link_relay.set_mode(links, delay_s=fault.length_s / 5)
+        self._end_after(fault.length_s, servers, lambda: self._link_relay.set_mode(links))
 
     def _reset_servers(self, fault: Fault, servers: list[str]) -> None:
-        self._wires.reset(self._links_to(servers) + self._links_from(servers))
+        self._link_relay.reset_connections(self._links_to(servers) + self._links_from(servers))
         self._end_after(RESET_FAULT_S, servers, lambda: None)
 
     def _refuse_servers(self, fault: Fault, servers: list[str]) -> None:
         links = self._links_to(servers) + self._links_from(servers)
-        self._wires.refuse(links, True)
-        self._wires.reset(links)
-        self._end_after(fault.length_s, servers, lambda: self._wires.refuse(links, False))
+        self._link_relay.set_refusing(links, True)
+        self._link_relay.reset_connections(links)
+        self._end_after(fault.length_s, servers, lambda: self._link_relay.set_refusing(links, False))
 
     def _repair_links(self, cut: Directions, reset: bool) -> None:
-        self._wires.set(cut)
+        self._link_relay.set_mode(cut)
         if reset:
-            self._wires.reset(cut)
+            self._link_relay.reset_connections(cut)
 
     def _end_after(self, after_s: float, servers: Sequence[str], end: Callable[[], object]) -> None:
         """End a fault of servers after ``after_s`` seconds; they count as faulty until then."""
@@ -190,7 +192,7 @@
         for server in servers:
             old_port = self._reserve_replacement(server)
             old_port.close()
-            self._wires.move(server, self._addresses[server])
+            self._link_relay.redirect(server, self._addresses[server])
         self._restart(servers)
 
     def _replace_paused(self, server: str, stale_peers: set[str], awake_s: float) -> None:
@@ -204,8 +206,8 @@
         updated_peers = (
             (set(self._server_names) | {one.name for one in self._candidates}) - stale_peers - {server}
         )
-        self._wires.move(server, self._addresses[server], but=stale_peers)
-        self._wires.reset(self._wires.between(updated_peers, {server}))
+        self._link_relay.redirect(server, self._addresses[server], excluded_sources=stale_peers)
+        self._link_relay.reset_connections(self._link_relay.directions_between(updated_peers, {server}))
         self._start_server(server)
         self._signal(replaced, signal.SIGCONT)
         with self._lock:
@@ -215,8 +217,8 @@
         self._sleep(awake_s)
         self._kill(replaced)
         old_port.close()
-        self._wires.move(server, self._addresses[server])
-        self._wires.reset(self._wires.between(stale_peers, {server}))
+        self._link_relay.redirect(server, self._addresses[server])
+        self._link_relay.reset_connections(self._link_relay.directions_between(stale_peers, {server}))
 
     def _restart(self, servers: Sequence[str]) -> None:
         for server in servers:
@@ -254,9 +256,8 @@
         self._total_snapshots += 1
         path = self._directory / f"snapshot-{server}-{self._total_snapshots}"
         if len(self._snapshots[server]) < MAX_SNAPSHOTS:
-            self._signal(
-                self._servers[server], signal.SIGSTOP
-            )  # as a power failure, it may fall between two writes
+            # Like a power failure, the snapshot may fall between two writes of the server.
+            self._signal(self._servers[server], signal.SIGSTOP)
             shutil.copytree(self._state_directory(server), path)
             self._signal(self._servers[server], signal.SIGCONT)
             self._snapshots[server].append(path)
--- a/saffronstack/harness/rollout/process_rig.py
+++ b/saffronstack/harness/rollout/process_rig.py
@@ -14,20 +14,20 @@
 
 import msgspec
 
-from saffronstack.audit.traffic import Seen
+from saffronstack.audit.traffic import WorkerLogEntry
 from saffronstack.fleet.control.daemon_answers import merge_responses
 from saffronstack.fleet.control.messages import LEADER_LEASE, GatewayStatus
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.control.status_poller import poll_daemons
 from saffronstack.fleet.leases.quorum_read import read_leases
 from saffronstack.fleet.rollout.record import RolloutRecord, decode_record
-from saffronstack.harness.links import Mode, Wires
+from saffronstack.harness.links import LinkMode, LinkRelay
 from saffronstack.harness.rollout.fleet_watcher import FleetObservations
 from saffronstack.harness.rollout.rig_layout import HarnessLayout, HarnessSizes
 from saffronstack.harness.rollout.sample_releases import write_release
 from saffronstack.harness.scenario.processes import ScenarioError
 from saffronstack.runtime.threads import start_thread
-from saffronstack.standin.fleet import StandInFleet, sample
+from saffronstack.standin.fleet import StubWorkerFleet, sample_config
 from saffronstack.standin.model import Profile
 
 SAFFRONSTACK = [sys.executable, "-m", "saffronstack.cli.main"]
@@ -45,20 +45,20 @@
     def __init__(self, directory: pathlib.Path, sizes: HarnessSizes) -> None:
         self.sizes = sizes
         self.layout = HarnessLayout(directory, sizes)
-        self.worker_log: list[Seen] = []
+        self.worker_log: list[WorkerLogEntry] = []
         profile = Profile(memory_mb=MEMORY_MB, cores=8, work_s=0.01, load_s=0.1, keep_alive_s=30.0, queue=256)
-        self._workers = StandInFleet(
+        self._workers = StubWorkerFleet(
             sizes.workers, lambda number: profile, seed=sizes.seed,
-            log=lambda entry: self.worker_log.append(msgspec.convert(entry, Seen, strict=False)),
+            log=lambda entry: self.worker_log.append(msgspec.convert(entry, WorkerLogEntry, strict=False)),
         )  # fmt: skip
-        self.wires = Wires()
+        self.link_relay = LinkRelay()
         self.fleet_path = self.layout.write_fleet_file("fleet.json5", self.daemons)
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.observations = FleetObservations()
 
     def __enter__(self) -> RolloutHarness:
         for name, address in self.gateways.items():
-            content = sample(self._workers.entries(), address, memory_mb=MEMORY_MB)
+            content = sample_config(self._workers.entries(), address, memory_mb=MEMORY_MB)
             content["instances"] = self.sizes.gateways
             self.layout.write_json(f"{name}.json5", content)
         for name in self.lease_servers:
@@ -82,7 +82,7 @@
                 process.kill()
                 process.wait()
         self._workers.stop()
-        self.wires.close()
+        self.link_relay.close()
         self.layout.close()
 
     @property
@@ -199,12 +199,14 @@
 
     # ---- links between a leader and daemons
 
-    def set_link_mode(self, leader: str, daemon: str, mode: Mode) -> None:
+    def set_link_mode(self, leader: str, daemon: str, mode: LinkMode) -> None:
         """Hold, drop or pass the traffic between a leader and a daemon."""
-        self.wires.set(self.wires.between({leader}, {daemon}), mode)
-        self.wires.set(self.wires.between({daemon}, {leader}), mode)
+        self.link_relay.set_mode(self.link_relay.directions_between({leader}, {daemon}), mode)
+        self.link_relay.set_mode(self.link_relay.directions_between({daemon}, {leader}), mode)
 
     def write_relayed_fleet_file(self, leader: str) -> pathlib.Path:
         """Write a fleet file in which the addresses of the daemons are those of relays."""
-        relayed = {name: self.wires.pair(leader, name, address) for name, address in self.daemons.items()}
+        relayed = {
+            name: self.link_relay.add_link(leader, name, address) for name, address in self.daemons.items()
+        }
         return self.layout.write_fleet_file(f"fleet-{leader}.json5", relayed)
--- a/saffronstack/harness/rollout/rollout_run.py
+++ b/saffronstack/harness/rollout/rollout_run.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from saffronstack.audit.rules import judge
-from saffronstack.audit.traffic import Figures, FunctionRule, Traffic
+from saffronstack.audit.rules import find_breaches
+from saffronstack.audit.traffic import FunctionRule, RuleLimits, Traffic
 from saffronstack.fleet.control.releases import read_release
 from saffronstack.fleet.rollout.record import RolloutPhase
 from saffronstack.harness.rollout.fleet_watcher import FleetWatcher
@@ -164,7 +164,7 @@
             self._run_errors.append(f"faults: {error!r}")
 
     def _run_clients(self, traffic_stopped: threading.Event) -> None:
-        self._clients.play(MAX_TRAFFIC_S, traffic_stopped)
+        self._clients.generate_load(MAX_TRAFFIC_S, traffic_stopped)
         if not self._clients.end(CLIENTS_END_TIMEOUT_S):
             self._run_errors.append("clients did not end")
 
@@ -188,11 +188,16 @@
         record, attempts = self._harness.record(), self._clients.tries
         observations = self._harness.observations
         operations = {one.op for one in attempts}
-        served = {one.op for one in attempts if one.end in ("served", "accepted")}
+        served = {one.op for one in attempts if one.outcome in ("served", "accepted")}
         traffic = Traffic(
-            RULES, tries=attempts, seen=list(self._harness.worker_log), stopped=list(observations.crashes)
+            RULES,
+            requests=attempts,
+            worker_log=list(self._harness.worker_log),
+            gateway_stops=list(observations.crashes),
+        )
+        breaches = find_breaches(
+            traffic, RuleLimits(slack_s=TIMING_TOLERANCE_S, gateways=len(self._harness.gateways))
         )
-        breaches = judge(traffic, Figures(slack_s=TIMING_TOLERANCE_S, gateways=len(self._harness.gateways)))
         return RolloutOutcome(
             status=status,
             phase=record.phase if record is not None else None,
@@ -201,7 +206,7 @@
             max_unavailable=observations.max_unavailable,
             operations=len(operations),
             unserved_share=1 - len(served) / max(1, len(operations)),
-            attempt_ends=Counter(one.end for one in attempts),
+            attempt_ends=Counter(one.outcome for one in attempts),
             breaches=[f"rule {breach.rule}: {breach.text}" for breach in breaches] + self._run_errors,
             history=list(record.history) if record is not None else [],
         )
--- a/saffronstack/harness/scenario/clients.py
+++ b/saffronstack/harness/scenario/clients.py
@@ -1,4 +1,4 @@
-"""The day's clients: open-loop traffic whose every try is noted as its socket saw it."""
+"""Clients of a scenario run: open-loop traffic. Each attempt is recorded as its socket observed it."""
 
 from __future__ import annotations
 
@@ -12,21 +12,23 @@
 import msgspec
 import xxhash
 
-from saffronstack.audit.traffic import Try
+from saffronstack.audit.traffic import ClientRequest
 from saffronstack.client import Client, Response
 from saffronstack.harness.scenario.plan import Mix
 from saffronstack.http1.messages import HttpError
 from saffronstack.runtime.threads import start_thread
 
-PATIENCE_S = 3.0  # the classes' deadline in the sample configuration
-PAUSE_MOST_S = 4.0
-ENDED = ("served", "failed", "accepted", "error")
-UNKNOWN = b"Saffronstack.OutcomeUnknown"
+CALL_TIMEOUT_S = 3.0  # the deadline of the request classes in the sample configuration
+MAX_BACKOFF_S = 4.0
+FINAL_OUTCOMES = ("served", "failed", "accepted", "error")
+OUTCOME_UNKNOWN = b"Saffronstack.OutcomeUnknown"
 
 
 class Clients:
-    """Threads that take operations from one queue, and send each again as an AWS SDK does: to the same
-    address, under the same name, after a pause that doubles, where it was refused, broken or not taken.
+    """Client threads that take operations from one queue and retry them as an AWS SDK does.
+
+    A client retries an operation that was rejected, broken or not accepted. It sends the retry to the same
+    address with the same idempotency key, after an exponential backoff.
     """
 
     def __init__(
@@ -35,51 +37,54 @@
         mix: Mix,
         seed: int,
         rate: Callable[[float], float],
-        name_of: Callable[[str], str],
+        choose_function: Callable[[str], str],
         tenants: tuple[str, ...],
         prefix: str = "op",
     ) -> None:
-        """``rate``: calls a second at a time into the day; ``name_of``: what is called in place of one;
-        ``prefix``: of operations' names, another one for each time that the same workers are called.
+        """``rate`` returns the calls per second at a time of the run, in seconds since its start.
+
+        ``choose_function`` returns the function to call in place of another. ``prefix`` begins each
+        idempotency key; it must differ between runs on the same workers.
         """
         self._prefix = prefix
-        self.tries: list[Try] = []
+        self.tries: list[ClientRequest] = []
         self.dropped = 0
         self._addresses = addresses
         self._mix = mix
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._rate = rate
-        self._name_of = name_of
+        self._choose_function = choose_function
         self._tenants = tenants
         self._queue: queue.Queue[tuple[str, str, bool, str] | None] = queue.Queue(maxsize=mix.clients * 4)
         self._lock = threading.Lock()
         self._threads = [start_thread("client", partial(self._run, n)) for n in range(mix.clients)]
 
-    def play(self, seconds: float, over: threading.Event | None = None) -> None:
-        """Send for so long, or until it is over, at random moments; what no thread is free for is dropped and
-        counted.
+    def generate_load(self, seconds: float, stop_event: threading.Event | None = None) -> None:
+        """Send calls at random times for ``seconds`` or until ``stop_event`` is set.
+
+        A call that does not fit in the queue is dropped and counted.
         """
         functions, weights = zip(*self._mix.functions.items(), strict=True)
         start = time.monotonic()
-        at = 0.0
+        at_s = 0.0
         number = 0
-        while at < seconds and not (over is not None and over.is_set()):
-            at += self._random.expovariate(max(0.1, self._rate(at)))
-            pause = start + at - time.monotonic()
+        while at_s < seconds and not (stop_event is not None and stop_event.is_set()):
+            at_s += self._rng.expovariate(max(0.1, self._rate(at_s)))
+            pause = start + at_s - time.monotonic()
             if pause > 0:
                 time.sleep(pause)
-            function = self._name_of(self._random.choices(functions, weights)[0])
-            deferred = self._random.random() < self._mix.deferred_share
+            function = self._choose_function(self._rng.choices(functions, weights)[0])
+            deferred = self._rng.random() < self._mix.deferred_share
             number += 1
             try:
                 self._queue.put_nowait(
-                    (f"{self._prefix}-{number}", function, deferred, self._random.choice(self._tenants))
+                    (f"{self._prefix}-{number}", function, deferred, self._rng.choice(self._tenants))
                 )
             except queue.Full:
                 self.dropped += 1
 
     def end(self, timeout_s: float) -> bool:
-        """Let every operation end; whether all did in time."""
+        """Wait for all operations; return whether all ended in time."""
         for _ in self._threads:
             self._queue.put(None)
         end_s = time.monotonic() + timeout_s
@@ -89,53 +94,53 @@
 
     def _run(self, number: int) -> None:
         clients: dict[tuple[int, str], Client] = {}
-        chance = random.Random(number)
+        rng = random.Random(number)
         while (item := self._queue.get()) is not None:
             op, function, deferred, tenant = item
-            gateway = chance.randrange(len(self._addresses))
+            gateway = rng.randrange(len(self._addresses))
             client = clients.get((gateway, tenant))
             if client is None:
                 client = clients[gateway, tenant] = Client(
-                    self._addresses[gateway], PATIENCE_S, tenant=tenant
+                    self._addresses[gateway], CALL_TIMEOUT_S, tenant=tenant
                 )
             for attempt in range(self._mix.tries):
-                t = Try(op, gateway, function, 0.0, 0.0, deferred, tenant, attempt=attempt)
-                if self._try(client, t) in ENDED:
+                record = ClientRequest(op, gateway, function, 0.0, 0.0, deferred, tenant, attempt=attempt)
+                if self._send(client, record) in FINAL_OUTCOMES:
                     break
                 if attempt + 1 < self._mix.tries:
-                    time.sleep(chance.random() * min(PAUSE_MOST_S, 2.0**attempt))
+                    time.sleep(rng.random() * min(MAX_BACKOFF_S, 2.0**attempt))
         for client in clients.values():
             client.close()
 
-    def _try(self, client: Client, t: Try) -> str:
-        payload = msgspec.json.encode({"op": t.op, "tenant": t.tenant})
-        t.sent_s = time.monotonic()
-        t.deadline_s = t.sent_s + PATIENCE_S
+    def _send(self, client: Client, record: ClientRequest) -> str:
+        payload = msgspec.json.encode({"op": record.op, "tenant": record.tenant})
+        record.sent_s = time.monotonic()
+        record.deadline_s = record.sent_s + CALL_TIMEOUT_S
         try:
-            named = (
-                ("amz-sdk-invocation-id", t.op),
-                ("amz-sdk-request", f"attempt={t.attempt + 1}; max={self._mix.tries}"),
+            operation_headers = (
+                ("amz-sdk-invocation-id", record.op),
+                ("amz-sdk-request", f"attempt={record.attempt + 1}; max={self._mix.tries}"),
             )
-            kind = "Event" if t.deferred else "RequestResponse"
-            answer = client.invoke(t.function, payload, kind, named)
+            invocation_type = "Event" if record.deferred else "RequestResponse"
+            answer = client.invoke(record.function, payload, invocation_type, operation_headers)
         except ConnectionRefusedError:
-            t.end = "not_taken"
+            record.outcome = "not_taken"
         except (OSError, HttpError):
-            t.end = "broken"
+            record.outcome = "broken"
         else:
-            t.id = answer.headers.get("x-amzn-requestid")
-            t.end = _ending(answer)
-            t.answer = xxhash.xxh3_64_hexdigest(answer.body)
-            t.extra_bytes = client.unsolicited_byte_count()
-        t.ended_s = time.monotonic()
+            record.id = answer.headers.get("x-amzn-requestid")
+            record.outcome = _outcome(answer)
+            record.answer = xxhash.xxh3_64_hexdigest(answer.body)
+            record.extra_bytes = client.unsolicited_byte_count()
+        record.ended_s = time.monotonic()
         with self._lock:
-            self.tries.append(t)
-        return t.end
+            self.tries.append(record)
+        return record.outcome
 
 
-def _ending(answer: Response) -> str:
+def _outcome(answer: Response) -> str:
     if answer.status == 202:
         return "accepted"
     if answer.status == 200:
-        return "failed" if UNKNOWN in answer.body else "served"
+        return "failed" if OUTCOME_UNKNOWN in answer.body else "served"
     return "refused" if answer.status == 429 else "error"
--- a/saffronstack/harness/scenario/plan.py
+++ b/saffronstack/harness/scenario/plan.py
@@ -1,4 +1,4 @@
-"""A day file: sites, traffic and troubles, by a schema."""
+"""The schema of a scenario file: gateways, workers, traffic and faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from saffronstack.config.load import convert, read_text
 from saffronstack.config.schema import Count, NonNegative, Positive, Share, Struct
 
-Kind = Literal[
+FaultKind = Literal[
     "balancer_crash",
     "balancer_roll",
     "burst",
@@ -29,10 +29,10 @@
 ]
 
 
-class Trouble(Struct, frozen=True, kw_only=True):
-    """One trouble: from ``at_s`` for ``for_s`` on a ``share`` of what it strikes, ``factor`` times as bad."""
+class ScheduledFault(Struct, frozen=True, kw_only=True):
+    """One fault: from ``at_s`` for ``for_s``, on a ``share`` of its targets, with a severity ``factor``."""
 
-    kind: Kind
+    kind: FaultKind
     at_s: NonNegative
     for_s: Positive = 5.0
     share: Share = 0.3
@@ -40,7 +40,7 @@
 
 
 class Workers(Struct, frozen=True, kw_only=True):
-    """The stand-in workers."""
+    """The stub workers."""
 
     count: Count = 12
     memory_mb: Positive = 2048.0
@@ -52,7 +52,7 @@
 
 
 class Mix(Struct, frozen=True, kw_only=True):
-    """The traffic, in calls a second over all gateways."""
+    """The traffic; ``rate`` is in calls per second over all gateways."""
 
     rate: Positive = 100.0
     deferred_share: Share = 0.1
@@ -68,8 +68,8 @@
     clients: Count = 96
 
 
-class DayRules(Struct, frozen=True, kw_only=True):
-    """Figures of the rules for this day."""
+class RuleParameters(Struct, frozen=True, kw_only=True):
+    """Parameters of the rules in this scenario."""
 
     drain_grace_s: NonNegative = 2.0
     cold_share: Share = 0.15
@@ -79,18 +79,22 @@
 
 
 class Plan(Struct, frozen=True, kw_only=True):
-    """The whole day."""
+    """A scenario."""
 
     name: str
     seconds: Positive = 60.0
     gateways: Count = 3
     workers: Workers = Workers()
     traffic: Mix = Mix()
-    rules: DayRules = DayRules()
-    membership: Literal["signal", "file"] = "signal"  # how gateways are told of workers
-    troubles: tuple[Trouble, ...] = ()
+    rules: RuleParameters = RuleParameters()
+    membership: Literal["signal", "file"] = "signal"  # how gateways learn of workers
+    troubles: tuple[ScheduledFault, ...] = ()
 
 
 def load(path: str) -> Plan:
-    """The plan in a file; ConfigError names what is wrong and where."""
+    """Read a scenario file.
+
+    Raises:
+        ConfigError: The file does not fit the schema.
+    """
     return convert(read_text(path), Plan, path)
--- a/saffronstack/harness/soak/schedule.py
+++ b/saffronstack/harness/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens in one play, drawn from its seed. No I/O; all times in seconds."""
+"""Draws the schedule of one run from a seed. No I/O; all times in seconds."""
 
 from __future__ import annotations
 
@@ -7,37 +7,38 @@
 from enum import Enum
 
 LONGEST_DEADLINES_S = (0.3, 1.0, 3.0, 8.0)
-COUNTED_DEADLINE_MAX_S = 3.0  # by the protocol's page
-KILL_AFTER_S = 0.7  # the earliest kill: this long after SIGTERM and the counted deadline
+COUNTED_DEADLINE_MAX_S = 3.0  # the platform counts at most this much of the deadline before a kill
+KILL_AFTER_S = 0.7  # after SIGTERM plus the counted deadline; no earlier kill is allowed
 CLIENTS, MANY_CLIENTS = 16, 60
-MANY_EVERY = 3  # one in so many seeds has many clients
+MANY_CLIENTS_SEED_STEP = 3  # each third seed uses MANY_CLIENTS
 SOCKET_LIMITS = (256, 1024)
-CLIENT_SHARE = 3  # clients use at most one in so many of the gateway's descriptors
-CROWD_CHANCE = 0.3
-CROWD_SIZES = (1.0, 1.5)  # of what clients may use; the gateway holds fewer connections than the larger one
+CLIENT_DESCRIPTOR_DIVISOR = 3  # the connection limit is the descriptor limit divided by this
+IDLE_CLIENTS_PROBABILITY = 0.3
+# Client connections as multiples of the connection limit; the gateway can't keep all of the larger multiple.
+CONNECTION_LIMIT_MULTIPLES = (1.0, 1.5)
 
 
 class HostBehaviour(Enum):
-    """How a host treats calls."""
+    """How a host responds to calls."""
 
     QUICK = "quick"
-    SLOW = "slow"  # takes a large part of the deadline
-    HANGING = "hanging"  # reads calls and never answers
+    SLOW = "slow"  # responds after a large part of the deadline
+    HANGING = "hanging"  # reads calls and never responds
 
 
 class ClientKind(Enum):
     """How a client sends on its connection."""
 
-    CLOSED_LOOP = "closed loop"  # the next request once the last is answered
-    OPEN_LOOP = "open loop"  # at a rate of its own
-    PIPELINED = "pipelined"  # several requests in one write
-    IN_PIECES = "in pieces"  # each request in two writes with a pause between them
-    CROWD = "crowd"  # one request, and then the connection is kept; where it has ended, again after a while
+    CLOSED_LOOP = "closed loop"  # sends the next request once the last is answered
+    OPEN_LOOP = "open loop"  # sends at its own rate
+    PIPELINED = "pipelined"  # sends several requests in one write
+    IN_PARTS = "in pieces"  # sends each request in two writes with a pause between them
+    IDLE = "crowd"  # sends one request and keeps the connection; reconnects with a delay
 
 
 @dataclass(frozen=True, slots=True)
 class SignalAt:
-    """A signal to the gateway, at a time relative to SIGTERM."""
+    """A signal to the gateway; ``at_s`` is relative to SIGTERM."""
 
     name: str
     at_s: float
@@ -45,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """One play. It ends at the kill, or once the gateway has ended by itself.
+    """The schedule of one run. The run ends when the gateway exits, at the latest at the kill.
 
     Attributes:
-        seed: It was drawn from.
-        longest_deadline_s: Of the gateway's request classes.
+        seed: The seed.
+        longest_deadline_s: The deadline of the gateway's request classes.
         host_delay_s: The longest delay of a quick host.
-        hosts: One behaviour each.
-        clients: One kind each.
-        sockets: The gateway's limit of descriptors.
-        before_s: Of load before SIGTERM.
-        signals: Beside the one SIGTERM at 0.
-        discovery_moves_at_s: When a host is replaced, relative to SIGTERM; None for never.
+        hosts: The behaviour of each host.
+        clients: The kind of each client.
+        descriptor_limit: The gateway's maximum of open file descriptors.
+        before_s: Seconds of load before SIGTERM.
+        signals: Signals in addition to the SIGTERM at 0.
+        host_replaced_at_s: When a host is replaced, relative to SIGTERM; None for never.
     """
 
     seed: int
@@ -64,10 +65,10 @@
     host_delay_s: float
     hosts: tuple[HostBehaviour, ...]
     clients: tuple[ClientKind, ...]
-    sockets: int
+    descriptor_limit: int
     before_s: float
     signals: tuple[SignalAt, ...]
-    discovery_moves_at_s: float | None
+    host_replaced_at_s: float | None
 
     @property
     def kill_s(self) -> float:
@@ -76,60 +77,62 @@
 
     @property
     def busy_clients_fit(self) -> bool:
-        """Whether the clients that go on calling need no more connections than clients may use."""
-        busy_clients = sum(kind is not ClientKind.CROWD for kind in self.clients)
-        return busy_clients <= self.sockets // CLIENT_SHARE
+        """Return whether the clients that send until the end fit within the connection limit."""
+        busy_clients = sum(kind is not ClientKind.IDLE for kind in self.clients)
+        return busy_clients <= self.descriptor_limit // CLIENT_DESCRIPTOR_DIVISOR
 
     def describe(self) -> str:
-        """Return a line for a person."""
+        """Return the schedule as one readable line."""
         kinds = {kind.value: self.clients.count(kind) for kind in ClientKind if kind in self.clients}
         signals = [f"{signal.name} {signal.at_s:+.2f}" for signal in self.signals]
         return (
             f"seed {self.seed}: deadline {self.longest_deadline_s:g} s, kill +{self.kill_s:.1f} s, "
-            f"hosts {[host.value for host in self.hosts]}, clients {kinds}, {self.sockets} descriptors, "
-            f"signals {signals}, discovery {self.discovery_moves_at_s}"
+            f"hosts {[host.value for host in self.hosts]}, clients {kinds}, "
+            f"{self.descriptor_limit} descriptors, "
+            f"signals {signals}, discovery {self.host_replaced_at_s}"
         )
 
 
 def draw(seed: int) -> Schedule:
-    """Draw the play of a seed; the same one each time."""
-    chance = random.Random(seed)
+    """Draw the schedule of a seed; the same seed always gives the same schedule."""
+    rng = random.Random(seed)
     longest_s = LONGEST_DEADLINES_S[seed % len(LONGEST_DEADLINES_S)]
-    sockets = chance.choice(SOCKET_LIMITS)
+    descriptor_limit = rng.choice(SOCKET_LIMITS)
     kill_s = min(longest_s, COUNTED_DEADLINE_MAX_S) + KILL_AFTER_S
     return Schedule(
         seed=seed,
         longest_deadline_s=longest_s,
         host_delay_s=min(0.3, longest_s / 4),
-        hosts=_draw_hosts(chance),
-        clients=_draw_clients(seed, chance, sockets),
-        sockets=sockets,
-        before_s=chance.uniform(1.1, 1.6),
-        signals=_draw_signals(chance, kill_s),
-        discovery_moves_at_s=chance.choice((None, chance.uniform(-0.5, kill_s))),
+        hosts=_draw_hosts(rng),
+        clients=_draw_clients(seed, rng, descriptor_limit),
+        descriptor_limit=descriptor_limit,
+        before_s=rng.uniform(1.1, 1.6),
+        signals=_draw_signals(rng, kill_s),
+        host_replaced_at_s=rng.choice((None, rng.uniform(-0.5, kill_s))),
     )
 
 
-def _draw_hosts(chance: random.Random) -> tuple[HostBehaviour, ...]:
-    odd = chance.choice((HostBehaviour.QUICK, HostBehaviour.QUICK, HostBehaviour.SLOW, HostBehaviour.HANGING))
-    return (HostBehaviour.QUICK, HostBehaviour.QUICK, odd)
+def _draw_hosts(rng: random.Random) -> tuple[HostBehaviour, ...]:
+    third = rng.choice((HostBehaviour.QUICK, HostBehaviour.QUICK, HostBehaviour.SLOW, HostBehaviour.HANGING))
+    return (HostBehaviour.QUICK, HostBehaviour.QUICK, third)
 
 
-def _draw_clients(seed: int, chance: random.Random, sockets: int) -> tuple[ClientKind, ...]:
-    many = seed % MANY_EVERY == 0
-    clients = [ClientKind.CLOSED_LOOP] * (MANY_CLIENTS if many else CLIENTS)
-    others = (ClientKind.OPEN_LOOP, ClientKind.PIPELINED, ClientKind.IN_PIECES)
-    clients += [kind for kind in others for _ in range(chance.randrange(4))]
-    if chance.random() < CROWD_CHANCE:
-        connections = round(chance.choice(CROWD_SIZES) * sockets / CLIENT_SHARE)
-        clients += [ClientKind.CROWD] * max(0, connections - len(clients))
+def _draw_clients(seed: int, rng: random.Random, descriptor_limit: int) -> tuple[ClientKind, ...]:
+    has_many_clients = seed % MANY_CLIENTS_SEED_STEP == 0
+    clients = [ClientKind.CLOSED_LOOP] * (MANY_CLIENTS if has_many_clients else CLIENTS)
+    others = (ClientKind.OPEN_LOOP, ClientKind.PIPELINED, ClientKind.IN_PARTS)
+    clients += [kind for kind in others for _ in range(rng.randrange(4))]
+    if rng.random() < IDLE_CLIENTS_PROBABILITY:
+        connections = round(
+            rng.choice(CONNECTION_LIMIT_MULTIPLES) * descriptor_limit / CLIENT_DESCRIPTOR_DIVISOR
+        )
+        clients += [ClientKind.IDLE] * max(0, connections - len(clients))
     return tuple(clients)
 
 
-def _draw_signals(chance: random.Random, kill_s: float) -> tuple[SignalAt, ...]:
-    early = [SignalAt("SIGHUP", -chance.choice((0.001, 0.05, 0.3))) for _ in range(chance.randrange(3))]
+def _draw_signals(rng: random.Random, kill_s: float) -> tuple[SignalAt, ...]:
+    early = [SignalAt("SIGHUP", -rng.choice((0.001, 0.05, 0.3))) for _ in range(rng.randrange(3))]
     late = [
-        SignalAt(chance.choice(("SIGHUP", "SIGTERM")), chance.uniform(0.0, kill_s))
-        for _ in range(chance.randrange(3))
+        SignalAt(rng.choice(("SIGHUP", "SIGTERM")), rng.uniform(0.0, kill_s)) for _ in range(rng.randrange(3))
     ]
     return tuple(sorted([*early, *late], key=lambda signal: signal.at_s))
--- a/tests/metering/test_metering.py
+++ b/tests/metering/test_metering.py
@@ -41,11 +41,11 @@
 from saffronstack.metering.record_validation import find_rejection_reason
 from saffronstack.metering.usage_log import open_usage_log, read_usage_log
 from saffronstack.metering.worker_messages import CallReference, UsageRecord, UsageRequest
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from saffronstack.standin.model import Profile
 from saffronstack.standin.usage import Outbox
-from tests.support.reckoning import truth
-from tests.support.stack import Stack, eventually, running
+from tests.support.reckoning import recorded_memory_use
+from tests.support.stack import Stack, eventually, running_gateway
 
 call_reference = st.builds(
     CallReference, st.uuids().map(str), st.sampled_from(["a", "b", "c"]), st.just("lookup")
@@ -304,13 +304,13 @@
 
 def test_an_outbox_gives_each_record_to_one_gateway() -> None:
     outbox = Outbox("w1", "i")
-    outbox.add("f", 1, 0, 5, (0, 1, 0), (), (CallReference("a", "t", "c"),))
-    outbox.ended("a")
-    assert [r.sequence_number for r in outbox.answer(UsageRequest("g1"), 10.0).records] == [1]
-    assert outbox.answer(UsageRequest("g2"), 10.5).records == ()
-    assert [r.sequence_number for r in outbox.answer(UsageRequest("g2"), 12.0).records] == [1]
-    assert outbox.answer(UsageRequest("g2", (("i", 1),), ("a", "b")), 12.0).confirmed == (("i", 1),)
-    late = outbox.answer(UsageRequest("g1", (("i", 1), ("old", 1)), ("a", "b")), 20.0)
+    outbox.add_record("f", 1, 0, 5, (0, 1, 0), (), (CallReference("a", "t", "c"),))
+    outbox.end_call("a")
+    assert [r.sequence_number for r in outbox.respond(UsageRequest("g1"), 10.0).records] == [1]
+    assert outbox.respond(UsageRequest("g2"), 10.5).records == ()
+    assert [r.sequence_number for r in outbox.respond(UsageRequest("g2"), 12.0).records] == [1]
+    assert outbox.respond(UsageRequest("g2", (("i", 1),), ("a", "b")), 12.0).confirmed == (("i", 1),)
+    late = outbox.respond(UsageRequest("g1", (("i", 1), ("old", 1)), ("a", "b")), 20.0)
     assert (late.relinquished, late.confirmed, late.ended_request_ids, late.records) == (
         (("i", 1),),
         (),
@@ -338,12 +338,16 @@
     meter = stack.gateway.meter
     assert meter is not None
     account = meter.journal.state
-    return not account.provisional and nearly_equal(account.charges_by_tenant(), truth(stack.fleet))
+    return not account.provisional and nearly_equal(
+        account.charges_by_tenant(), recorded_memory_use(stack.fleet)
+    )
 
 
 @pytest.mark.parametrize("fault", ["none", "lose_answers", "reset_mid_answer", "garbage", "silent_after_run"])
 def test_totals_equal_the_workers_records_when_responses_are_lost(tmp_path: pathlib.Path, fault: str) -> None:
-    with running(2, profile=Profile(work_s=0.02, load_s=0.05), **metering_settings(tmp_path)) as stack:
+    with running_gateway(
+        2, profile=Profile(work_s=0.02, load_s=0.05), **metering_settings(tmp_path)
+    ) as stack:
         rng = random.Random(7)
         for worker in stack.fleet.workers:
             if fault != "none":
@@ -371,7 +375,7 @@
 
 
 def test_a_call_of_a_dead_worker_is_charged_by_estimate(tmp_path: pathlib.Path) -> None:
-    with running(1, profile=Profile(work_s=0.3, load_s=0.02), **metering_settings(tmp_path)) as stack:
+    with running_gateway(1, profile=Profile(work_s=0.3, load_s=0.02), **metering_settings(tmp_path)) as stack:
         worker = stack.fleet.workers[0]
         assert stack.call("suggest-price").status == 200
         meter = stack.gateway.meter
@@ -379,7 +383,7 @@
         eventually(lambda: is_charged(stack))
         thread = threading.Thread(target=lambda: stack.call("record-sale"))
         thread.start()
-        eventually(lambda: stack.runs("record-sale") == 1)
+        eventually(lambda: stack.run_count("record-sale") == 1)
         time.sleep(0.1)
         worker.stop()
         thread.join(10)
@@ -399,8 +403,8 @@
     tmp_path: pathlib.Path,
 ) -> None:
     """Records that the log of a killed gateway lacks go to a second gateway. No record counts twice."""
-    fleet = StandInFleet(2, lambda n: Profile(work_s=0.01, load_s=0.02))
-    with running(fleet=fleet, **metering_settings(tmp_path / "one")) as stack:
+    fleet = StubWorkerFleet(2, lambda n: Profile(work_s=0.01, load_s=0.02))
+    with running_gateway(fleet=fleet, **metering_settings(tmp_path / "one")) as stack:
         for _ in range(10):
             stack.call("identify-copy")
         killed_log = tmp_path / "kept"
@@ -408,7 +412,7 @@
         meter = stack.gateway.meter
         assert meter is not None
         meter._poller._send_poll = lambda worker, body, done: None  # the killed gateway sends no more polls
-    with running(fleet=fleet, **metering_settings(tmp_path / "two")) as stack:
+    with running_gateway(fleet=fleet, **metering_settings(tmp_path / "two")) as stack:
         for _ in range(10):
             stack.call("identify-copy")
         time.sleep(1.2)
@@ -417,7 +421,9 @@
             found = merge_accounts(
                 read_usage_log(path)[0] for path in (killed_log, tmp_path / "two" / "usage")
             )
-            return found.find_imbalances() == [] and nearly_equal(found.charges_by_tenant(), truth(fleet))
+            return found.find_imbalances() == [] and nearly_equal(
+                found.charges_by_tenant(), recorded_memory_use(fleet)
+            )
 
         eventually(totals_match, 15)
     fleet.stop()
@@ -447,13 +453,13 @@
 
 
 def test_invalid_records_cost_no_valid_ones(tmp_path: pathlib.Path) -> None:
-    with running(1, **metering_settings(tmp_path)) as stack:
+    with running_gateway(1, **metering_settings(tmp_path)) as stack:
         worker = stack.fleet.workers[0]
         stack.call("identify-copy")
-        worker.outbox.add(
+        worker.outbox.add_record(
             "identify-copy", 10**9, 0, 1, (0, 1, 0), (), (CallReference("x", "campus-app", "c"),)
         )
-        worker.outbox.all.pop()
+        worker.outbox.all_records.pop()
         stack.call("identify-copy")
         meter = stack.gateway.meter
         assert meter is not None
--- a/tests/metering/test_usage_faults.py
+++ b/tests/metering/test_usage_faults.py
@@ -22,9 +22,9 @@
 from saffronstack.metering.usage_log import read_usage_log
 from saffronstack.metering.usage_report import MB_S, summarize_usage
 from saffronstack.metering.worker_messages import CallReference, UsageRecord
-from saffronstack.standin.fleet import StandInFleet
+from saffronstack.standin.fleet import StubWorkerFleet
 from saffronstack.standin.model import Profile
-from tests.support.reckoning import Watch, near, truth
+from tests.support.reckoning import MemoryWatch, is_close, recorded_memory_use
 from tests.support.stack import Stack, configuration, eventually
 
 TENANTS = ("corner-books", "campus-app", "night-press")
@@ -45,9 +45,9 @@
 class MeteredDeployment:
     """One or more gateways, successive or concurrent, in front of a fleet of observed stub workers."""
 
-    def __init__(self, tmp_path: pathlib.Path, fleet: StandInFleet) -> None:
+    def __init__(self, tmp_path: pathlib.Path, fleet: StubWorkerFleet) -> None:
         self.tmp_path, self.fleet = tmp_path, fleet
-        self.watch = Watch(fleet)
+        self.watch = MemoryWatch(fleet)
         self.running: list[Stack] = []
         self.logs: list[pathlib.Path] = []
 
@@ -81,26 +81,26 @@
     def is_charged(self, exact: bool) -> bool:
         """Compare charges with the oracle, within 1%, and if ``exact`` with the workers' records."""
         found = self.charges_by_tenant()
-        if not near(found, self.watch.held(), 0.01):
+        if not is_close(found, self.watch.memory_use(), 0.01):
             return False
-        recorded = {tenant: amount / MB_S for tenant, amount in truth(self.fleet).items()}
-        return not exact or near(found, recorded, 1e-9, 0.01)
+        recorded = {tenant: amount / MB_S for tenant, amount in recorded_memory_use(self.fleet).items()}
+        return not exact or is_close(found, recorded, 1e-9, 0.01)
 
     def wait_until_charged(self, exact: bool = True) -> None:
         """Wait until all usage is charged."""
         try:
             eventually(lambda: self.is_charged(exact), 10)
         except AssertionError:
-            recorded = {tenant: amount / MB_S for tenant, amount in truth(self.fleet).items()}
+            recorded = {tenant: amount / MB_S for tenant, amount in recorded_memory_use(self.fleet).items()}
             raise AssertionError(
-                f"{self.charges_by_tenant()}, occupied {self.watch.held()}, recorded {recorded}"
+                f"{self.charges_by_tenant()}, occupied {self.watch.memory_use()}, recorded {recorded}"
             ) from None
 
 
 @contextmanager
 def deployed(tmp_path: pathlib.Path, count: int = 2, **profile: Any) -> Iterator[MeteredDeployment]:
     stub_profile = Profile(**{"work_s": 0.02, "load_s": 0.05, **profile})
-    fleet = StandInFleet(count, lambda n: stub_profile)
+    fleet = StubWorkerFleet(count, lambda n: stub_profile)
     deployment = MeteredDeployment(tmp_path, fleet)
     try:
         yield deployment
@@ -141,9 +141,9 @@
         stack = deployment.start("one", functions=functions)
         send_calls(stack, 24, functions=("wide",), pause_s=0.03)
         deployment.wait_until_charged()
-        held = deployment.watch.held()
+        held = deployment.watch.memory_use()
         assert min(held.values()) > 20  # MB s: each tenant waited for the load and shared the instance
-        copies = {change.standing for change in deployment.fleet.workers[0].observed or ()}
+        copies = {change.loaded for change in deployment.fleet.workers[0].instance_changes or ()}
         assert 1 in copies
 
 
@@ -152,13 +152,13 @@
         stack = deployment.start("one")
         send_calls(stack, 300, 9)  # enough usage that one interrupted load is small beside it
         for worker in deployment.fleet.workers:
-            worker.model.drop()
-        deployment.fleet.store.most = 0  # the model store rejects every fetch
+            worker.model.unload()
+        deployment.fleet.store.max_fetches = 0  # the model store rejects every fetch
         threads = [threading.Thread(target=send_calls, args=(stack, 6, seed)) for seed in range(2)]
         for thread in threads:
             thread.start()
         time.sleep(0.3)
-        deployment.fleet.store.most = 256
+        deployment.fleet.store.max_fetches = 256
         for thread in threads:
             thread.join(20)
         deployment.wait_until_charged()
@@ -167,17 +167,17 @@
         cut = threading.Thread(target=send_calls, args=(stack, 3, 5, ("identify-copy",)))
         for worker in deployment.fleet.workers:
             worker.model.profile.load_s = 1.2  # on a busy machine, the worker must die before the load ends
-        deployment.fleet.workers[0].model.drop()
-        deployment.fleet.workers[1].model.drop()
+        deployment.fleet.workers[0].model.unload()
+        deployment.fleet.workers[1].model.unload()
         cut.start()
-        eventually(lambda: any(worker.model.report()[3] for worker in deployment.fleet.workers))
-        number = next(n for n, worker in enumerate(deployment.fleet.workers) if worker.model.report()[3])
+        eventually(lambda: any(worker.model.load_report()[3] for worker in deployment.fleet.workers))
+        number = next(n for n, worker in enumerate(deployment.fleet.workers) if worker.model.load_report()[3])
         time.sleep(0.1)
-        deployment.watch.die(number)
+        deployment.watch.restart_worker(number)
         cut.join(20)
         # For an interrupted call, the gateway knows only when it sent the call and noticed the loss. The
         # estimate may differ by the time between these and the call's arrival and end at the worker.
-        stays = deployment.watch.stays()
+        stays = deployment.watch.calls_at_last_death()
         death_s = max(to_s for _, to_s in stays.values())
         # A call that the worker never read counts as if it arrived at the worker's death.
         arrived_s = {i: stays.get(i, (death_s, death_s))[0] for i, _, _ in lost}
@@ -186,13 +186,13 @@
         assert stays
         try:
             eventually(
-                lambda: near(
-                    deployment.charges_by_tenant(), deployment.watch.held(), 1e-6, 512 * error_s + 0.05
+                lambda: is_close(
+                    deployment.charges_by_tenant(), deployment.watch.memory_use(), 1e-6, 512 * error_s + 0.05
                 ),
                 10,
             )
         except AssertionError:
-            observed = deployment.charges_by_tenant(), deployment.watch.held(), lost, stays
+            observed = deployment.charges_by_tenant(), deployment.watch.memory_use(), lost, stays
             raise AssertionError(f"{observed}, {error_s:.4f} s off") from None
 
 
@@ -221,11 +221,11 @@
         for worker in deployment.fleet.workers:
             worker.faults.lose_answers = 0.0
         send_calls(stack, 30, 3)
-        deployment.watch.die(0)
-        deployment.watch.die(1)
+        deployment.watch.restart_worker(0)
+        deployment.watch.restart_worker(1)
         send_calls(stack, 100, 4)  # sequence numbers restart in the new incarnations
         deployment.wait_until_charged(exact=False)
-        assert all(worker.outbox.all[0].sequence_number == 1 for worker in deployment.fleet.workers)
+        assert all(worker.outbox.all_records[0].sequence_number == 1 for worker in deployment.fleet.workers)
 
 
 def test_a_killed_gateway_and_another_count_each_record_once(tmp_path: pathlib.Path) -> None:
@@ -298,8 +298,8 @@
         day_us = 24 * 3600 * 1_000_000
         # The worker's clock advances by a day, so a record that it offers afterwards is a day old.
         late = worker.outbox
-        real = late.answer
-        late.answer = lambda asked, now_s: (  # type: ignore[method-assign]
+        real = late.respond
+        late.respond = lambda request, now_s: (  # type: ignore[method-assign]
             lambda offered: type(offered)(
                 offered.worker,
                 offered.incarnation,
@@ -311,7 +311,7 @@
                 offered.records,
                 offered.remaining_records,
             )
-        )(real(asked, now_s))
+        )(real(request, now_s))
         send_calls(stack, 10, 2)
         deployment.wait_until_charged()
         merged = merge_accounts(read_usage_log(log)[0] for log in deployment.logs)
@@ -352,7 +352,10 @@
         }
         with outbox._lock:
             outbox._seq += 1
-            outbox._open[outbox._seq] = UsageRecord(sequence_number=outbox._seq, **{**valid, **change}), -1e9
+            outbox._unacknowledged[outbox._seq] = (
+                UsageRecord(sequence_number=outbox._seq, **{**valid, **change}),
+                -1e9,
+            )
         send_calls(stack, 6, 2)
         meter = stack.gateway.meter
         assert meter is not None
@@ -396,7 +399,7 @@
             for thread in threads:
                 thread.join(30)
             if rng.random() < 0.4:
-                deployment.fleet.workers[rng.randrange(3)].model.drop()
+                deployment.fleet.workers[rng.randrange(3)].model.unload()
         for worker in deployment.fleet.workers:
             worker.faults = type(worker.faults)()
         for disk in files:
@@ -424,8 +427,8 @@
         began_s = time.monotonic()
         accepted = client.invoke("suggest-price", b"{}", "Event")
         assert accepted.status == 202
-        assert again.runs("suggest-price") == 0
-        record = again.final(accepted.headers.get("x-amzn-requestid"))
+        assert again.run_count("suggest-price") == 0
+        record = again.final_record(accepted.headers.get("x-amzn-requestid"))
         assert record["requestContext"]["condition"] == "Success"
         assert record["requestContext"]["approximateInvokeCount"] == 1
         assert time.monotonic() - began_s > 0.5
@@ -445,7 +448,7 @@
         answer = client.request("GET", "/usage/corner-books")
         own = json.loads(answer.body)
         assert answer.status == 200
-        assert own["charged_mb_s"] == pytest.approx(deployment.watch.held()["corner-books"], rel=0.01)
+        assert own["charged_mb_s"] == pytest.approx(deployment.watch.memory_use()["corner-books"], rel=0.01)
         assert own["functions"][0]["function"] == "identify-copy"
         assert own["budget"]["standing"] == "within"
         assert own["budget"]["used_here_mb_s"] == pytest.approx(own["charged_mb_s"], rel=1e-6)
