--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,11 @@
-"""Days of many gateways of the platform in processes of their own, with faults between, at full size.
+"""Run fault scenarios at full size: many platform gateways, each in its own process.
 
-    python benchmarks/fleet.py                              # every day, 200 gateways, 36 hosts
+    python benchmarks/fleet.py                              # every scenario, 200 gateways, 36 hosts
     python benchmarks/fleet.py --day herd --gateways 60 --seeds 1 2 3
 
-One JSON line a day and seed with the commit, and a line for a person. Gateways, hosts and clients share the
-machine: where its clients could not keep to the rate the day says so, and its figures are no measurement.
-Ends with 1 where a rule was broken.
+Prints one JSON line for each scenario and seed, with the commit, and a readable line on standard error.
+Gateways, hosts and clients share the machine. When the clients cannot sustain the request rate, the output
+says so and the figures are not valid. Exits with 1 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -22,40 +22,43 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 
-BEHIND = 0.95  # part of the calls wanted that must have been made
+MIN_CALL_RATIO = 0.95  # least ratio of calls made to calls intended in a valid run
 
 
 def main() -> int:
-    """0 where every rule was kept."""
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    """Run the scenarios; return 0 if no rule was broken, else 1."""
+    formatter = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=formatter)
     parser.add_argument("--day", nargs="*", choices=sorted(SCENARIOS), default=sorted(SCENARIOS))
     parser.add_argument("--gateways", type=int, default=200)
     parser.add_argument("--hosts", type=int, default=36)
     parser.add_argument("--rate", type=float, default=300.0, help="calls a second over the fleet")
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seeds", type=int, nargs="*", default=[1])
-    asked = parser.parse_args()
-    told = subprocess.run(
+    options = parser.parse_args()
+    commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, check=False, capture_output=True, text=True
     )
     broken = 0
-    for name in asked.day:
-        for seed in asked.seeds:
+    for name in options.day:
+        for seed in options.seeds:
             with tempfile.TemporaryDirectory(prefix="saffronstack-fleet-") as folder:
-                verdict = run_scenario(
-                    name, pathlib.Path(folder), gateways=asked.gateways, hosts=asked.hosts, rate=asked.rate,
-                    seconds=asked.seconds, seed=seed,
+                report = run_scenario(
+                    name, pathlib.Path(folder), gateways=options.gateways, hosts=options.hosts,
+                    rate=options.rate, seconds=options.seconds, seed=seed,
                 )  # fmt: skip
-            found = dataclasses.asdict(verdict) | {"commit": told.stdout.strip(), "seed": seed}
-            found |= {"gateways": asked.gateways, "hosts": asked.hosts, "rate": asked.rate}
-            print(json.dumps(found), flush=True)
-            print(verdict.line(), file=sys.stderr, flush=True)
-            for breach in verdict.breaches[:10]:
+            row = dataclasses.asdict(report) | {"commit": commit.stdout.strip(), "seed": seed}
+            row |= {"gateways": options.gateways, "hosts": options.hosts, "rate": options.rate}
+            print(json.dumps(row), flush=True)
+            print(report.line(), file=sys.stderr, flush=True)
+            for breach in report.breaches[:10]:
                 print(f"  {breach}", file=sys.stderr)
-            if verdict.calls < BEHIND * asked.rate * asked.seconds:
-                print("  the clients did not keep to the rate: no measurement", file=sys.stderr)
-            broken += bool(verdict.breaches)
+            if report.calls < MIN_CALL_RATIO * options.rate * options.seconds:
+                print(
+                    "  the clients did not sustain the request rate: the figures are not valid",
+                    file=sys.stderr,
+                )
+            broken += bool(report.breaches)
     return 1 if broken else 0
 
 
