--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -39,22 +39,22 @@
 TIMEOUT_S = 600
 
 
-def stamp() -> str:
+def source_digest() -> str:
     """What the copy was made of."""
-    told = hashlib.sha256(sys.version.encode() + pathlib.Path(__file__).read_bytes())
+    digest = hashlib.sha256(sys.version.encode() + pathlib.Path(__file__).read_bytes())
     for path in sorted((ROOT / "saffronstack").rglob("*.py")):
-        told.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes())
-    return told.hexdigest()
+        digest.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes())
+    return digest.hexdigest()
 
 
 def run(*command: str, cwd: pathlib.Path = ROOT) -> None:
     """OSError or SubprocessError where it fails."""
     environment = {**os.environ, "MYPY_CACHE_DIR": str(cwd / ".mypy_cache")}
-    quiet = subprocess.DEVNULL
-    subprocess.run(command, cwd=cwd, env=environment, check=True, timeout=TIMEOUT_S, stdout=quiet)
+    discarded = subprocess.DEVNULL
+    subprocess.run(command, cwd=cwd, env=environment, check=True, timeout=TIMEOUT_S, stdout=discarded)
 
 
-def compiled(folder: pathlib.Path) -> bool:
+def compile_copy(folder: pathlib.Path) -> bool:
     """Whether the hot path in this copy is compiled now, and can be imported."""
     try:
         if importlib.util.find_spec("mypyc") is None:
@@ -69,22 +69,22 @@
 
 def main() -> int:
     """0, also where the copy had to stay as it is."""
-    mark = BUILT / "stamp"
-    wanted = stamp()
-    if mark.is_file() and mark.read_text() == wanted:
+    stamp_file = BUILT / "stamp"
+    expected_digest = source_digest()
+    if stamp_file.is_file() and stamp_file.read_text() == expected_digest:
         return 0
-    fresh = ROOT / ".built.new"
-    shutil.rmtree(fresh, ignore_errors=True)
+    new_copy = ROOT / ".built.new"
+    shutil.rmtree(new_copy, ignore_errors=True)
     source = ROOT / "saffronstack"
-    shutil.copytree(source, fresh / "saffronstack", ignore=shutil.ignore_patterns("__pycache__"))
-    if not compiled(fresh):
-        for path in [*fresh.glob("*.so"), *(fresh / "saffronstack").rglob("*.so")]:
+    shutil.copytree(source, new_copy / "saffronstack", ignore=shutil.ignore_patterns("__pycache__"))
+    if not compile_copy(new_copy):
+        for path in [*new_copy.glob("*.so"), *(new_copy / "saffronstack").rglob("*.so")]:
             path.unlink()
     for name in ("build", ".mypy_cache"):
-        shutil.rmtree(fresh / name, ignore_errors=True)
-    (fresh / "stamp").write_text(wanted)
+        shutil.rmtree(new_copy / name, ignore_errors=True)
+    (new_copy / "stamp").write_text(expected_digest)
     shutil.rmtree(BUILT, ignore_errors=True)
-    fresh.rename(BUILT)
+    new_copy.rename(BUILT)
     return 0
 
 
